--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -86,10 +86,10 @@
     Keeper(store).keep(versions=(VERSION_3, VERSION_4), unix_ms=KEPT_AT_MS)
 
 
-def durable_store(folder, engine, witness=None):
+def durable_store(folder, engine):
     """A store of coordinator c1 with everything in it, closed in good order."""
     with mock.patch("secrets.token_bytes", return_value=ID):
-        store = open_store(folder=folder, owner="c1", engine=engine, witness=witness)
+        store = open_store(folder=folder, owner="c1", engine=engine)
     fill_store(store)
     store.close()
 
--- /dev/null
+++ b/tests/compatibility/test_stored.py
@@ -0,0 +1,256 @@
+"""Folders and shared memory that the version before the renaming left: opened to the same values, and written alike."""
+
+import asyncio
+import fcntl
+import gzip
+import io
+import os
+import shutil
+from pathlib import Path
+
+import pytest
+from compatibility import stored
+from compatibility.messages import BAN, BEAT, ENTRIES, ID, LISTED, SNAPSHOT, STORE, TICKET
+from msgspec.structs import astuple
+
+from frostspindle.cores.board import Board, Control, Region
+from frostspindle.cores.layout import BadBoard, Layout
+from frostspindle.events import Events
+from frostspindle.ledger.export import Sink
+from frostspindle.order.sheets import Sheets
+from frostspindle.order.turns import Place
+from frostspindle.ownership.fence import Fence
+from frostspindle.recovery import tickets
+from frostspindle.recovery.node import Node, Opened, Terms
+from frostspindle.replica import wire as replica
+from frostspindle.replica.disk import Disk as JournalFile
+from frostspindle.replica.disk import Found
+from frostspindle.replica.journal import Journal
+from frostspindle.settings.keep import Keeper
+from frostspindle.shared import Shared
+from frostspindle.store.disk import Disk
+from frostspindle.store.judge import Action, Known, Verdict
+from frostspindle.store.marker import Marker
+from frostspindle.store.memory import Memory
+from frostspindle.store.opening import Witness, open_store
+
+DATA = Path(__file__).with_name("data")
+GENERATION = 5
+STORES = [
+    pytest.param("store-sqlite", Disk, GENERATION, id="sqlite"),
+    pytest.param("store-marker", Marker, GENERATION, id="marker"),
+    pytest.param("store-unfinished", Marker, GENERATION - 1, id="marker, batch recorded but not carried out"),
+]
+
+
+@pytest.fixture
+def copy(tmp_path):
+    """Return a function that copies a stored folder to where it may be changed."""
+    return lambda name: Path(shutil.copytree(DATA / name, tmp_path / name))
+
+
+def contents(folder):
+    return {path.relative_to(folder): path.read_bytes() for path in folder.rglob("*") if path.is_file()}
+
+
+def seen_in(root):
+    """Start a process on the shared folder; return it, what it saw of the other, and the bytes of its presence file."""
+
+    async def run():
+        shared = Shared(environ={"TMPDIR": str(root)}, name=stored.COORDINATOR, events=Events(sink=io.BytesIO()))
+        shared.start(told=lambda banned: None, crowd=lambda crowded: None)
+        shared.follow(opened=lambda: stored.OPEN_REQUESTS, shift=lambda: None)
+        shared.ban(name="e9", on=True)  # which also reads and writes at once
+        found = shared.banned, shared.crowded, shared.theirs
+        own = [path.read_bytes() for path in shared.folder.glob("run-*") if path.name != stored.PRESENCE]
+        shared.close()
+        return found, own
+
+    return asyncio.run(run())
+
+
+def test_bans_and_presence_of_a_running_process_are_read(copy):
+    root = copy("shared")
+    [presence] = root.glob("*/" + stored.PRESENCE)
+    with open(presence, "rb") as held:
+        fcntl.flock(held, fcntl.LOCK_EX)
+        found, own = seen_in(root)
+    assert found == ({*stored.BANNED, "e9"}, True, stored.OPEN_REQUESTS)
+    assert own == [presence.read_bytes()]
+
+
+def test_presence_of_an_ended_process_is_removed_and_its_bans_stay(copy):
+    root = copy("shared")
+    found, _ = seen_in(root)
+    assert found == ({*stored.BANNED, "e9"}, False, 0)
+    assert not list(root.glob("*/" + stored.PRESENCE))
+
+
+def test_bans_and_presence_are_written_alike(tmp_path):
+    stored.shared_folder(tmp_path / "root", tmp_path / "kept")
+    [folder] = (DATA / "shared").iterdir()
+    assert [path.name for path in (tmp_path / "root").iterdir()] == [folder.name]
+    made, before = contents(tmp_path / "kept"), contents(folder)
+    assert sorted(made.values()) == sorted(before.values())
+    bans = {path for path in before if path.name != stored.PRESENCE}
+    [presence] = made.keys() - bans
+    assert made.keys() & bans == bans
+    assert presence.name.startswith(f"run-{os.getpid()}-")
+
+
+@pytest.mark.parametrize("lives", [True, False])
+def test_order_of_keys_is_read_as_long_as_its_owner_counts(copy, lives):
+    folder, now = copy("order"), [0.0]
+    with open(folder / stored.SHEET, "rb") as held:
+        if lives:
+            fcntl.flock(held, fcntl.LOCK_EX)
+        sheets = Sheets(folder=folder, clock=lambda: now[0], keep_ms=1_000.0)
+        wanted = {
+            key: [(stamp, stored.SHEET_OWNER) for at, stamp in stored.ORDER.values() if at == key] for key in (77, 78)
+        }
+        assert {key: sheets.places(key) for key in (77, 78)} == wanted
+        assert all(type(place) is Place for place in sheets.places(77))
+        now[0] = 1_000.0
+        assert len(sheets.places(78)) == lives
+        assert (sheets.places(79), sheets.unreadable) == ([], 0)
+        sheets.close(clean=True)
+    assert (folder / stored.SHEET).exists() == lives
+
+
+def test_order_of_keys_is_written_alike(tmp_path):
+    stored.order_sheet(tmp_path)
+    assert contents(tmp_path) == contents(DATA / "order")
+
+
+def check_contents(store):
+    """What each part of a coordinator reads from its store."""
+    assert Fence(store).highest(task="export") == 9
+    assert Sink(store).rows(period="2026-07") == stored.EXPORT
+    assert Sink(store).take(period="2026-07", token=9, rows=stored.EXPORT) is False
+    kept = Keeper(store).load()
+    assert (kept.versions, kept.at_ms) == ((stored.VERSION_3, stored.VERSION_4), stored.KEPT_AT_MS)
+    assert [version.rules for version in kept.versions] == [stored.VERSION_3.rules, stored.VERSION_4.rules]
+    node = Node(terms=Terms(name="c1", seeds=("c1", "c2", "c3")), now=0.0, unix=TICKET.at_ms + 1.0, seed=1)
+    opened = Opened(verdict="good", usable=True, trusted=True, entries=tuple(store.scan()))
+    node.opened(now=0.0, unix=TICKET.at_ms + 1.0, store=opened)
+    assert node.bans.words == {(BAN.maker, BAN.engine): BAN}
+    assert (node.known, node.beat, node.marked) == ({"c2": STORE}, BEAT, True)
+    assert (node.kept.number, node.kept.engines) == (BEAT.number, {LISTED.name: LISTED})
+    assert node.journal.table == {tickets.ticket("request-1"): TICKET}
+    assert node.counted["recovery_spoilt"] == 0
+
+
+@pytest.mark.parametrize(("name", "engine", "witnessed"), STORES)
+def test_durable_store_is_opened_with_all_its_entries(copy, name, engine, witnessed):
+    folder = copy(name)
+    assert Witness(folder / "witness").read() == Known(owner="c1", id=ID, life=1, generation=witnessed)
+    store = open_store(folder=folder, owner="c1", engine=engine, moved=True)  # a copy has another inode
+    assert (store.ruling.verdict, store.ruling.action) == (Verdict.GOOD, Action.USE)
+    assert store.known == Known(owner="c1", id=ID, life=1, generation=GENERATION)
+    made = Memory()
+    stored.fill_store(made)
+    assert store.scan() == made.scan()
+    check_contents(store)
+    store.close()
+
+
+@pytest.mark.parametrize(("name", "engine", "witnessed"), STORES)
+def test_copied_durable_store_is_judged_as_before(copy, tmp_path, name, engine, witnessed):
+    folder = copy(name)
+    witness = shutil.copy(folder / "witness", tmp_path / "witness-apart")
+    store = open_store(folder=folder, owner="c1", engine=engine, witness=Path(witness))
+    assert (store.ruling.verdict, store.generation) == (Verdict.GOOD, GENERATION)
+    store.close()
+    again = shutil.copytree(DATA / name, tmp_path / "again")
+    store = open_store(folder=Path(again), owner="c1", engine=engine)
+    assert (store.ruling.verdict, store.ruling.action) == (Verdict.OLDER, Action.ASIDE)
+    assert (store.known.life, store.scan()) == (2, [])
+    store.close()
+
+
+def test_marker_store_is_written_alike(tmp_path):
+    stored.durable_store(tmp_path, Marker)
+    made, before = contents(tmp_path), contents(DATA / "store-marker")
+    assert made.keys() == before.keys()
+    assert {path for path in made if made[path] != before[path]} <= {Path("lock"), Path("store/head")}  # pid, inode
+    assert len(made[Path("lock")]) == len(before[Path("lock")])
+
+
+def test_sqlite_store_has_the_same_files(tmp_path):
+    stored.durable_store(tmp_path, Disk)
+    made, before = contents(tmp_path), contents(DATA / "store-sqlite")
+    assert made.keys() == before.keys()
+    assert made[Path("witness")] == before[Path("witness")]
+
+
+def test_replica_journal_is_replayed(copy):
+    file = JournalFile(copy("journal"))
+    found, records = file.load()
+    file.close()
+    journal = Journal(records)
+    assert found is Found.WHOLE
+    assert journal.entries == ENTRIES
+    assert (journal.term, journal.getVotedForNodeId(), journal.forgot) == (4, None, True)
+    before, last, voters, states = replica.read_snapshot(journal.snapshot)
+    assert (before, last, voters, states) == SNAPSHOT
+
+
+def test_replica_journal_with_a_cut_end_is_torn(copy):
+    folder = copy("journal")
+    path = folder / "journal"
+    path.write_bytes(path.read_bytes()[:-1])
+    file = JournalFile(folder)
+    found, records = file.load()
+    file.close()
+    journal = Journal(records)
+    assert found is Found.TORN
+    assert (len(journal.entries), journal.term, journal.vote, journal.forgot) == (4, 3, "c2", False)
+
+
+def test_replica_journal_is_written_alike(tmp_path):
+    stored.replica_journal(tmp_path)
+    assert contents(tmp_path) == contents(DATA / "journal")
+
+
+@pytest.fixture
+def board_file(tmp_path):
+    """Return a descriptor of a file with the stored board's bytes; its reader closes it."""
+    path = tmp_path / "board"
+    path.write_bytes(gzip.decompress((DATA / "board.gz").read_bytes()))
+    return os.open(path, os.O_RDWR)
+
+
+def test_board_is_attached_and_read(board_file):
+    board = Board.attach(fd=board_file, nonce=stored.NONCE)
+    try:
+        assert board.layout == Layout(slots=2, engines=2, counters=2, buckets=2)
+        assert board.control() == (1, stored.CONTROL)
+        assert (board.horizon(slot=0), board.horizon(slot=1)) == (0.0, 5_000.5)
+        region, other = Region(board=board, slot=1), Region(board=board, slot=0)
+        assert {cell: region.get(cell) for cell in stored.HEAD_CELLS} == stored.HEAD_CELLS
+        assert region.beat == 4_000.25
+        assert list(region.rows()) == [stored.ROW]
+        assert list(region.counters()) == [(stored.COUNTER, stored.COUNT)]
+        assert sorted(region.ids()) == stored.TICKETS
+        assert [other.elsewhere(ticket) for ticket in (*stored.TICKETS, 103)] == [True, True, False]
+    finally:
+        board.close()
+
+
+def test_board_of_another_instance_is_refused(board_file):
+    with pytest.raises(BadBoard, match="another instance"):
+        Board.attach(fd=board_file, nonce=stored.NONCE + 1)
+    os.close(board_file)
+
+
+def test_board_is_written_alike(board_file):
+    board = stored.board()
+    try:
+        assert os.pread(board_file, board.layout.size + 1, 0) == bytes(board.bytes)
+    finally:
+        board.close()
+        os.close(board_file)
+
+
+def test_every_field_of_the_control_page_differs_from_its_default():
+    assert all(value != default for value, default in zip(astuple(stored.CONTROL), astuple(Control()), strict=True))
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -69,7 +69,6 @@
     stored.durable_store(DATA / "store-marker", Marker)
     with contextlib.suppress(Broken):
         stored.durable_store(DATA / "store-unfinished", Interrupted)
-    stored.durable_store(DATA / "store-witness-apart", Marker, DATA / "witness-apart")
     stored.replica_journal(DATA / "journal")
     board = stored.board()
     (DATA / "board.gz").write_bytes(gzip.compress(bytes(board.bytes), mtime=0))
