--- a/bench/cold_ramp.py
+++ b/bench/cold_ramp.py
@@ -31,10 +31,9 @@
 from types import SimpleNamespace
 
 from bench.common import tell
-from pinstage import Controller
-from pinstage import interface as api
-from pinstage.control import COLD_SAFETY, LOOK_MS
-from pinstage.interface import ClassSettings, Effect, EngineEntry, ListKind
+from frostspindle import policy
+from frostspindle.policy import ClassSettings, Controller, EndpointListKind, EngineEntry, Idempotency
+from frostspindle.policy.controller import COLD_SAFETY, LOOK_MS
 
 WARM_MS, WINDOW_MS, MULTIPLE, START, CORES = 6_000.0, 1_000.0, 4.0, 0.3, 8.0
 LATE_MS, PATIENCE_MS, DOWN_MS = 7_000.0, 400.0, 300.0
@@ -45,7 +44,7 @@
 WAYS = ("shares", "draws", "turns", "carried", "places", "paced")
 
 
-def settings(count: int, number: int, mean: float) -> api.Settings:
+def settings(count: int, number: int, mean: float) -> policy.Settings:
     """Return the settings of dispatcher `number` of `count`, with a small and a large class of requests.
 
     Their mean works are such that all requests' mean is `mean` ms, with SMALL_PART of them small.
@@ -53,18 +52,23 @@
     small = SMALL_SIZE * mean
     large = (mean - SMALL_PART * small) / (1.0 - SMALL_PART)
     classes = [
-        ClassSettings(aim_ms=2.0 * cost / threads, deadline_ms=60_000.0, effect=Effect.REPEATABLE, threads=threads)
+        ClassSettings(
+            latency_objective_ms=2.0 * cost / threads,
+            deadline_ms=60_000.0,
+            idempotency=Idempotency.IDEMPOTENT,
+            threads=threads,
+        )
         for cost, threads in ((small, 1), (large, 3))
     ]
-    return api.Settings(
+    return policy.Settings(
         classes=tuple(classes),
-        dispatchers=count,
+        coordinators=count,
         number=number,
         kind_cores=(CORES,),
-        cold_capacity=START,
-        warm_within_ms=WARM_MS,
-        cold_multiple=MULTIPLE,
-        cold_window_ms=WINDOW_MS,
+        slow_start_capacity=START,
+        slow_start_duration_ms=WARM_MS,
+        slow_start_overload_ratio=MULTIPLE,
+        slow_start_window_ms=WINDOW_MS,
     )
 
 
@@ -85,7 +89,7 @@
     def __init__(self, way: str, count: int, number: int, mean: float, now: float) -> None:
         self.way, self.seed = way, 0
         self.controller = Controller(settings(count, number, mean), number)
-        self.controller.handle(now, api.EngineList(ListKind.FULL, 1, ()))  # its start
+        self.controller.handle(now, policy.EndpointListUpdated(EndpointListKind.FULL, 1, ()))  # its start
         self.held = list[tuple[float, int, SimpleNamespace]]()
         if way != "turns":
             self.controller._cold_left = functools.partial(getattr(self, f"_{way}"))  # type: ignore[method-assign]
@@ -93,7 +97,7 @@
 
     def hear(self, now: float, entry: EngineEntry) -> None:
         """Tell the controller of a change of the engine list."""
-        self.controller.handle(now, api.EngineList(ListKind.DELTA, 1, (entry,)))
+        self.controller.handle(now, policy.EndpointListUpdated(EndpointListKind.DELTA, 1, (entry,)))
 
     def take(self, now: float, number: int) -> list[SimpleNamespace]:
         """Remove and return the held requests that may go to the engine now; drop those whose client has left."""
@@ -127,11 +131,11 @@
         return engine.cold_sends.total(now - WINDOW_MS)  # type: ignore[attr-defined,no-any-return]
 
     def _shares(self, engine: object, now: float) -> float:
-        return COLD_SAFETY[0] * self._whole(engine, now) / self.controller.s.dispatchers - self._spent(engine, now)
+        return COLD_SAFETY[0] * self._whole(engine, now) / self.controller.s.coordinators - self._spent(engine, now)
 
     def _carried(self, engine: object, now: float) -> float:
         c, number = self.controller, engine.id  # type: ignore[attr-defined]
-        rate = COLD_SAFETY[0] * self._whole(engine, now) / c.s.dispatchers
+        rate = COLD_SAFETY[0] * self._whole(engine, now) / c.s.coordinators
         most = max(rate, 2.0 * min(c.sizes.mean_cost))
         had = self.tokens.get(number, rate) + rate * (now - self.tokens_at.get(number, now)) / WINDOW_MS
         self.tokens[number], self.tokens_at[number] = min(most, had), now
@@ -141,14 +145,14 @@
         c, number = self.controller, engine.id  # type: ignore[attr-defined]
         if not c.sparse:
             return self._shares(engine, now)
-        budget, count, slot = COLD_SAFETY[1] * self._whole(engine, now), c.s.dispatchers, int(now / WINDOW_MS) + number
+        budget, count, slot = COLD_SAFETY[1] * self._whole(engine, now), c.s.coordinators, int(now / WINDOW_MS) + number
         few = 1 if slot % 2 else min(count // 2, int(budget / min(c.sizes.mean_cost)))
         if few < 1 or not mine(slot, few, number):
             return -math.inf
         return budget / max(1.0, few / 2.0) - self._spent(engine, now)
 
     def _draws(self, engine: object, now: float) -> float:
-        count, own = self.controller.s.dispatchers, self.controller.s.number
+        count, own = self.controller.s.coordinators, self.controller.s.number
         return self._turn(
             engine,
             now,
@@ -156,13 +160,13 @@
         )
 
     def _places(self, engine: object, now: float) -> float:
-        count, own = self.controller.s.dispatchers, self.controller.s.number
+        count, own = self.controller.s.coordinators, self.controller.s.number
         return self._turn(engine, now, lambda slot, few, number: own in places(slot, number, count)[:few])
 
     def _paced(self, engine: object, now: float) -> float:
         """A send takes its part of its turn's time; windows hold the booked time of one window, and one request."""
         c, number = self.controller, engine.id  # type: ignore[attr-defined]
-        count, slot = c.s.dispatchers, int(now / WINDOW_MS) + number
+        count, slot = c.s.coordinators, int(now / WINDOW_MS) + number
         whole = PACED * self._whole(engine, now)
         few = 1 if slot % 2 else max(1, min(count // 2, int(whole / c.sizes.mean_cost[0] / 3)))
         few = few if c.sparse else count
@@ -179,7 +183,7 @@
 
 @functools.lru_cache(maxsize=64)
 def places(slot: int, engine: int, count: int) -> list[int]:
-    """Return the dispatchers in the pseudo-random order in which they have a turn at the engine in that window."""
+    """Return the coordinators in the pseudo-random order in which they have a turn at the engine in that window."""
     return sorted(range(count), key=lambda number: random.Random(f"{slot} {engine} {number}").random())
 
 
@@ -282,7 +286,7 @@
     def _request(self, draw: random.Random, now: float, order: int) -> tuple[float, int, SimpleNamespace]:
         cls = int(draw.random() >= SMALL_PART)
         mean = self.processes[0].controller.s.classes[cls]
-        usual = mean.aim_ms * mean.threads / 2.0
+        usual = mean.latency_objective_ms * mean.threads / 2.0
         work = usual * math.exp(draw.gauss(-(SPREAD**2) / 2.0, SPREAD))
         cost = work * math.exp(draw.gauss(0.0, UNSURE)) if self.hints else usual
         job = SimpleNamespace(
--- a/bench/compiled.py
+++ b/bench/compiled.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[1]
-PACKAGES = ("frostspindle", "pinstage", "bench", "deploy")
+PACKAGES = ("frostspindle", "bench", "deploy")
 # Without `lab/fleet.py`, as a compiled class can't have subclasses that are not, and `wire.py`, which msgspec reads.
 MODULES = tuple(
     f"frostspindle/{name}.py"
--- a/bench/structures.py
+++ b/bench/structures.py
@@ -3,7 +3,7 @@
     PYTHONPATH=. python bench/structures.py [--json FILE]
 
 Owns the comparison. It must never measure the module itself (bench/choices.py does). sortedcontainers is not one of
-pinstage's dependencies.
+the decision module's dependencies.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from common import tell
 from sortedcontainers import SortedList
 
-from pinstage.held import Held
-from pinstage.lapses import Lapses
-from pinstage.window import Window
+from frostspindle.policy.deadlines import Lapses
+from frostspindle.policy.queues import Held
+from frostspindle.policy.statistics import Window
 
 
 def timed(ways: dict[str, Callable[[], None]], calls: int, rounds: int = 5) -> dict[str, float]:
--- a/frostspindle/__init__.py
+++ b/frostspindle/__init__.py
@@ -1,3 +1,3 @@
-"""frostspindle: the coordinator that runs pinstage's decisions on real sockets."""
+"""frostspindle: the coordinator that runs the decision module on real sockets."""
 
 __version__ = "0.3.0"
--- a/frostspindle/catalogue.py
+++ b/frostspindle/catalogue.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from pinstage.interface import Settings
+from frostspindle.policy import Settings
 
 MOST_SITES, MOST_GROUPS, MOST_KEYS = 64, 256, 1_024
 INTEGER, DECIMAL, TEXT, TIME, FLOAT = "integer", "decimal", "text", "time", "float"
--- a/frostspindle/cli.py
+++ b/frostspindle/cli.py
@@ -123,7 +123,7 @@
             "each worker": f"{config.limits.sockets // cores.workers} descriptors, "
             f"{config.limits.memory_mb / cores.workers:g} MB",
         }
-    shares = config.settings.tenant_quota_per_s[1:]  # the first is the default's
+    shares = config.settings.tenant_quotas_per_s[1:]  # the first is the default's
     values["tenants"] = (
         ", ".join(
             f"{name} ({share:g}/s)" if share else name for name, share in zip(config.tenants.names, shares, strict=True)
--- a/frostspindle/config.py
+++ b/frostspindle/config.py
@@ -3,7 +3,7 @@
 Owns the LB_* variables, the shape of the JSON that LB_CONFIG names, and that of the operator's TOML
 (`FROSTSPINDLE_OPERATOR`, the example is deploy/tds.toml). Every fault becomes one ConfigError line that
 names the key. It never opens a socket, never keeps the raw document, and leaves the meaning of the
-module's settings to pinstage.settings, the parser that the adapter uses too.
+module's settings to frostspindle.policy.settings_parser, the parser that the adapter uses too.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from msgspec import Meta, Struct
 
 from frostspindle.ledger.tenants import Rule, Tenants
-from pinstage.interface import Settings
-from pinstage.settings import flatten, read_settings
+from frostspindle.policy import Settings
+from frostspindle.policy.settings_parser import flatten, read_settings
 
 Address = tuple[str, int]
 WORKER_SOCKETS, WORKER_MB = 128, 40.0  # the least that one of several workers can serve with
@@ -602,8 +602,8 @@
         settings = read_settings(pairs)
         settings = dataclasses.replace(
             settings,
-            report_columns=tuple(  # settings may have either name
-                REPORTED.get(name, name) for name in settings.report_columns
+            load_report_columns=tuple(  # settings may have either name
+                REPORTED.get(name, name) for name in settings.load_report_columns
             ),
         )
     except ValueError as error:
@@ -622,13 +622,13 @@
     if operator.fleet and operator.cores.workers > 1:
         raise ConfigError("fleet: needs cores.workers = 1")
     if operator.fleet and operator.fleet.cold:
-        if operator.fleet.cold_outside > settings.dispatchers - 2:
+        if operator.fleet.cold_outside > settings.coordinators - 2:
             raise ConfigError(
-                f"fleet.cold: {settings.dispatchers} balancers, {operator.fleet.cold_outside} of them "
+                f"fleet.cold: {settings.coordinators} balancers, {operator.fleet.cold_outside} of them "
                 "outside, leave fewer than two that share"
             )
         # To the module each coordinator leases its part of a cold engine, as one of several workers does.
-        settings = dataclasses.replace(settings, workers=settings.dispatchers)
+        settings = dataclasses.replace(settings, workers=settings.coordinators)
     if operator.fleet and not (operator.fleet.name or environ.get("LB_NAME") or document.name):
         raise ConfigError("fleet.name: not set, and no name in LB_CONFIG")
     desk = environ.get("LB_OPERATOR") or document.operator
@@ -641,10 +641,10 @@
     tenants = _tenants(_named(document.settings, "parties"), operator)
     if tenants.on:
         # The module's tenant 0 is the default, without a bound; the operator's word on a share goes first.
-        shares = dict(zip(tenants.names, settings.tenant_quota_per_s, strict=False))
+        shares = dict(zip(tenants.names, settings.tenant_quotas_per_s, strict=False))
         shares.update({tenant.name: tenant.share_per_s for tenant in operator.tenant if tenant.share_per_s})
         settings = dataclasses.replace(
-            settings, tenant_quota_per_s=(0.0, *(shares.get(name, 0.0) for name in tenants.names))
+            settings, tenant_quotas_per_s=(0.0, *(shares.get(name, 0.0) for name in tenants.names))
         )
     if operator.tds:
         settings, plan = with_tds(settings, classes, operator.tds)
@@ -664,7 +664,7 @@
         classes=classes,
         kinds=_names(document.settings, "kinds"),
         zones=_names(document.settings, "failureDomains"),
-        idle_ms=settings.conn_idle_ms or IDLE_MS,
+        idle_ms=settings.connection_idle_ms or IDLE_MS,
         operator=operator,
         plan=plan,
         tenants=tenants,
--- a/frostspindle/core.py
+++ b/frostspindle/core.py
@@ -4,7 +4,7 @@
 module's Send until its one end, and the list of engines as the module was told it. It knows no wire: fronts
 reach it through Ask and submit/left, engine drivers through the Driver interface and note/ended/probed, and
 all of these only put an event into one inbox. It must never choose an engine, a priority, a grant, a wait or
-an answer (pinstage/control.py does), never answer a request twice, and never let the fault of one request
+an answer (frostspindle/policy does), never answer a request twice, and never let the fault of one request
 end the process.
 """
 
@@ -19,17 +19,27 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple, Protocol
 
+from frostspindle import policy
 from frostspindle.events import Events
+from frostspindle.policy import AttemptOutcome, EndpointListKind, Health
+from frostspindle.policy.controller import Controller
 from frostspindle.timers import OUT, Timer, Wheel
-from pinstage import interface as api
-from pinstage.control import Controller
-from pinstage.interface import Health, ListKind, Verdict
 
 SERVED, REFUSED, FAILED = "served", "refused", "failed"
 PART = "part"  # front of what is asked for on a client's behalf: figures of clients leave it out
 ABSENT_MS = 30_000.0  # an engine that is gone for so long is forgotten
 AGAIN_MS = 20.0  # a reminder of the module's that met a fault comes again after this
-ENDED = {int(verdict): f"ended_{verdict.name.lower()}" for verdict in Verdict}  # counters
+# Counters by outcome; their names are metric names, which stay.
+ENDED = {
+    int(AttemptOutcome.OK): "ended_ok",
+    int(AttemptOutcome.NOT_SENT): "ended_moot",
+    int(AttemptOutcome.CANCELLED): "ended_cancelled",
+    int(AttemptOutcome.RESET): "ended_reset",
+    int(AttemptOutcome.CONNECT_FAILED): "ended_connect_failed",
+    int(AttemptOutcome.TIMEOUT): "ended_timeout",
+    int(AttemptOutcome.OVERLOADED): "ended_full",
+    int(AttemptOutcome.ERROR): "ended_error",
+}
 # What operators are told of a class, and the counters behind it; lost: open when a worker died.
 FIGURES = {"success": ("served",), "busy": ("refused", "full"), "failure": ("failed", "lost")}
 MOST_NAMES = 4096  # of engines that were ever listed
@@ -117,9 +127,9 @@
         return self.ask.over or self.left_ms(clock()) < LEAST_MS
 
     @property
-    def unsent(self) -> Verdict:
+    def unsent(self) -> AttemptOutcome:
         """The verdict where `Core.may_send` forbade it; a moot attempt is no fault of the engine's."""
-        return Verdict.MOOT if self.moot else Verdict.CONNECT_FAILED
+        return AttemptOutcome.NOT_SENT if self.moot else AttemptOutcome.CONNECT_FAILED
 
 
 @dataclass(slots=True, eq=False)
@@ -143,11 +153,11 @@
 class EngineState:
     """An engine as it was last listed, and the driver that reaches it."""
 
-    entry: api.EngineEntry  # in the core's own table: as the module hears it, with bans laid over the list
+    entry: policy.EngineEntry  # in the core's own table: as the module hears it, with bans laid over the list
     name: str
     address: tuple[str, int]
     driver: Driver
-    listed: api.EngineEntry | None = None  # in the core's own table: as the list has it
+    listed: policy.EngineEntry | None = None  # in the core's own table: as the list has it
     version: int = 0  # of the list's event that told of it, where all workers number its events alike
 
 
@@ -281,7 +291,7 @@
 class _Tuned:
     """The module's settings from now on: shares and classes' times may differ from those of the start."""
 
-    settings: api.Settings
+    settings: policy.Settings
 
 
 @dataclass(slots=True, frozen=True)
@@ -321,7 +331,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: policy.Settings,
         classes: Sequence[tuple[str, str]],
         seed: int,
         events: Events,
@@ -356,15 +366,15 @@
         self._reminders: dict[int, Timer] = {}  # the module's last, by token
         self._seen_ms = -math.inf
         self._does: dict[type, Callable[[float, Any], None]] = {
-            api.Send: self._send,
-            api.Terms: self._terms,
-            api.Cancel: self._cancel,
-            api.Refuse: lambda now, a: self._answer(a.request, Answer(REFUSED, None, a.retry_after_ms)),
-            api.Fail: lambda now, a: self._answer(a.request, Answer(FAILED)),
-            api.Probe: self._probe,
-            api.Watch: lambda now, a: None,
-            api.Remind: lambda now, a: self._remind(a.due_at_ms, a.token),
-            api.Log: lambda now, a: self.events.log("module", text=a.text),
+            policy.StartAttempt: self._send,
+            policy.UpdatePriority: self._terms,
+            policy.CancelAttempt: self._cancel,
+            policy.RejectRequest: lambda now, a: self._answer(a.request, Answer(REFUSED, None, a.retry_after_ms)),
+            policy.FailRequest: lambda now, a: self._answer(a.request, Answer(FAILED)),
+            policy.RunHealthCheck: self._probe,
+            policy.SubscribeEndpoints: lambda now, a: None,
+            policy.SetTimer: lambda now, a: self._remind(a.due_at_ms, a.token),
+            policy.WriteLog: lambda now, a: self.events.log("module", text=a.text),
         }
 
     # What fronts and drivers call.
@@ -408,7 +418,7 @@
     def note(self, attempt: Attempt, kind: int, value: float) -> None:
         """Pass on news of an attempt in flight, such as its progress; dropped once the attempt has ended."""
         if not attempt.over:
-            self._put(api.Note(attempt.ask.number, attempt.number, attempt.engine, kind, value))
+            self._put(policy.ProgressReported(attempt.ask.number, attempt.number, attempt.engine, kind, value))
 
     def ended(
         self,
@@ -426,7 +436,7 @@
 
     def probed(self, engine: int, verdict: int, elapsed_ms: float, report: tuple[float, ...] = ()) -> None:
         """Take the outcome of a health check: its verdict, how long it took in ms, and the load report if one came."""
-        self._put(api.Probed(engine, verdict, elapsed_ms, report))
+        self._put(policy.HealthCheckCompleted(engine, verdict, elapsed_ms, report))
 
     def may_send(self, attempt: Attempt) -> bool:
         """Return whether an attempt may be sent; drivers ask once, right before its first byte.
@@ -472,7 +482,7 @@
 
     def turn(self, number: int) -> None:
         """Note that a request which waited for another process's request with its key may go."""
-        self._put(api.Turn(number))
+        self._put(policy.KeyOrderReached(number))
 
     def admit(self, number: int, turn: bool) -> None:
         """Pass a request that waited at the gate on to the decision module; `turn`: its turn by key has come."""
@@ -488,9 +498,9 @@
         self._urgent.append(_Chilled(frozenset(starts)))
         self._wake()
 
-    def hear(self, entries: tuple[api.Peer, ...]) -> None:
+    def hear(self, entries: tuple[policy.WorkerLoad, ...]) -> None:
         """Pass the state of the other workers on to the decision module."""
-        self._put(api.Peers(entries))
+        self._put(policy.WorkerLoadReported(entries))
 
     def written(self, attempt: Attempt) -> None:
         """Count an attempt that has been written whole to its engine."""
@@ -501,7 +511,7 @@
         self._urgent.append(_Bound(most))
         self._wake()
 
-    def tune(self, settings: api.Settings) -> None:
+    def tune(self, settings: policy.Settings) -> None:
         """Change tenants' shares and classes' aims, deadlines and worths; all else must be as at the start."""
         self._urgent.append(_Tuned(settings))
         self._wake()
@@ -603,7 +613,7 @@
             for _ in range(TURN):  # what a clock's step makes due at once must not keep sockets waiting
                 if self._urgent or (timer := self._timers.pop(now)) is None:
                     break
-                self._guard(now, api.Due(timer.what) if isinstance(timer.what, int) else timer.what)
+                self._guard(now, policy.TimerFired(timer.what) if isinstance(timer.what, int) else timer.what)
             if self._urgent or self._inbox:
                 await asyncio.sleep(0)
 
@@ -636,7 +646,7 @@
             self.events.log(
                 "fault", error=repr(error), of=type(event).__name__, request=number, at=traceback.format_exc(limit=-3)
             )
-            if isinstance(event, api.Due):
+            if isinstance(event, policy.TimerFired):
                 # The module's clock is a chain of reminders: one lost link would stop all its deadlines.
                 self._remind(now + AGAIN_MS, event.token)
             self._give_up(number)
@@ -698,13 +708,15 @@
                 self._leave(now, event.number, "overdue")
         elif isinstance(event, _Absent):
             self._drop_engine(now, event.engine)
-        elif not (isinstance(event, api.Turn) and self.gate is not None and self.gate.turned(event.request)):
+        elif not (
+            isinstance(event, policy.KeyOrderReached) and self.gate is not None and self.gate.turned(event.request)
+        ):
             self._tell(now, event)
 
-    def _tell(self, now: float, event: api.Event) -> None:
+    def _tell(self, now: float, event: policy.Event) -> None:
         self._do(now, self.controller.handle(now, event))
 
-    def _do(self, now: float, actions: Iterable[api.Action]) -> None:
+    def _do(self, now: float, actions: Iterable[policy.Action]) -> None:
         for action in actions:
             try:
                 self._does[type(action)](now, action)
@@ -754,7 +766,7 @@
         left_ms = ask.left_ms - (now - ask.taken_ms)
         self._tell(
             now,
-            api.Request(
+            policy.RequestArrived(
                 ask.number,
                 ask.cls,
                 ask.tenant,
@@ -777,13 +789,13 @@
             self.events.count(why, record.ask.front, self.classes[record.ask.cls][1])
         if self.gate is not None:
             self.gate.over(number, bool(record.attempts))
-        self._tell(now, api.Left(number))
+        self._tell(now, policy.ClientDisconnected(number))
         self._forget(record)
 
     def _list(self, now: float, listing: _Listing) -> None:
         # A whole list is whole for its driver only, so the module hears it as a change: what is missing is gone.
         changed = list(listing.engines)
-        if listing.how != ListKind.DELTA:
+        if listing.how != EndpointListKind.DELTA:
             listed = {state.entry.engine for state in listing.engines}
             changed += [
                 EngineState(state.entry._replace(health=Health.GONE), state.name, state.address, state.driver)
@@ -809,7 +821,7 @@
                 self.witness.engine(state.name, "list", int(state.entry.health))
         self._remember([told.name for told in changed])
         self._version = listing.version
-        self._tell(now, api.EngineList(ListKind.DELTA, listing.version, tuple(entries)))
+        self._tell(now, policy.EndpointListUpdated(EndpointListKind.DELTA, listing.version, tuple(entries)))
 
     def _overlaid(self, told: EngineState) -> EngineState:
         """An engine as the module is to hear of it: a ban makes of an active one a draining one."""
@@ -839,7 +851,7 @@
             if self.witness is not None:
                 self.witness.engine(name, ("ban" if name in self.banned else "unban") if by_hand else "stop")
         if entries:
-            self._tell(now, api.EngineList(ListKind.DELTA, self._version, tuple(entries)))
+            self._tell(now, policy.EndpointListUpdated(EndpointListKind.DELTA, self._version, tuple(entries)))
 
     def _remember(self, names: Iterable[str]) -> None:
         """Names come for ever; those of engines that are listed or banned are kept in any case. All engines are looked
@@ -872,22 +884,22 @@
         if self.gate is not None and (state := self.engines.get(attempt.engine)) is not None:
             self.gate.ended(state.name, verdict)
         self.events.count(ENDED[verdict], ask.front, self.classes[ask.cls][1])
-        if verdict not in (Verdict.OK, Verdict.CANCELLED):
+        if verdict not in (AttemptOutcome.OK, AttemptOutcome.CANCELLED):
             self.events.log(
                 "attempt",
                 request=ask.number,
                 ticket=ask.ticket,
                 attempt=attempt.number,
                 engine=self.engines[attempt.engine].name,
-                verdict=Verdict(verdict).name,
+                verdict=AttemptOutcome(verdict).name,
                 ms=round(end.at_ms - attempt.sent_ms, 1),
             )
-        if record is not None and verdict == Verdict.OK and not record.answered:
+        if record is not None and verdict == AttemptOutcome.OK and not record.answered:
             self._answer(ask.number, Answer(SERVED, end.result))
         over = record is None or bool(record.answered)
         self._tell(
             now,
-            api.Ended(
+            policy.AttemptEnded(
                 ask.number,
                 attempt.number,
                 attempt.engine,
@@ -917,7 +929,7 @@
 
     # Actions.
 
-    def _send(self, now: float, action: api.Send) -> None:
+    def _send(self, now: float, action: policy.StartAttempt) -> None:
         record = self._records[action.request]
         ask, state = record.ask, self.engines[action.engine]
         attempt = Attempt(
@@ -940,7 +952,7 @@
         if self.watch is not None:
             self.watch(attempt.engine, ())
 
-    def _terms(self, now: float, action: api.Terms) -> None:
+    def _terms(self, now: float, action: policy.UpdatePriority) -> None:
         record = self._records.get(action.request)
         if record is None:
             return
@@ -951,13 +963,13 @@
                 attempt.priority = action.priority
                 self.engines[attempt.engine].driver.rank(attempt)
 
-    def _cancel(self, now: float, action: api.Cancel) -> None:
+    def _cancel(self, now: float, action: policy.CancelAttempt) -> None:
         record = self._records.get(action.request)
         if record is not None and not record.attempts[action.attempt].over:
             attempt = record.attempts[action.attempt]
             self.engines[attempt.engine].driver.stop(attempt)
 
-    def _probe(self, now: float, action: api.Probe) -> None:
+    def _probe(self, now: float, action: policy.RunHealthCheck) -> None:
         self.events.count("probes")
         self.engines[action.engine].driver.probe(action.engine)
 
--- a/frostspindle/cores/fleet.py
+++ b/frostspindle/cores/fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from pinstage.interface import Health, Peer
+from frostspindle.policy import Health, WorkerLoad
 
 FORGOTTEN_MS = 2_100.0  # an engine drops what has not been asked for in 2 s (the platform's protocol)
 FRESH_MS = 1_000.0  # a worker whose heart is older than this has no opinions
@@ -58,7 +58,7 @@
     return [Ghost(row.engine, row.threads, row.granted_mb, died_ms + FORGOTTEN_MS) for row in rows if row.threads]
 
 
-def peer(engine: int, siblings: Iterable[Sibling], dead: Iterable[Ghost], now: float, part: float) -> Peer:
+def peer(engine: int, siblings: Iterable[Sibling], dead: Iterable[Ghost], now: float, part: float) -> WorkerLoad:
     """Return what all other workers together report of one engine, in the form of the decision module's event.
 
     `now` is in Unix ms. A worker without a heartbeat for FORGOTTEN_MS counts for no load, one without for FRESH_MS for
@@ -82,7 +82,7 @@
         if ghost.engine == engine and now < ghost.until_ms:
             threads += ghost.threads
             memory += ghost.granted_mb
-    return Peer(engine, threads, memory, suspect, part, report, max(0.0, now - report_at) if report else 0.0)
+    return WorkerLoad(engine, threads, memory, suspect, part, report, max(0.0, now - report_at) if report else 0.0)
 
 
 def stop(engine: int, version: int, siblings: Iterable[Sibling]) -> tuple[int, int] | None:
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -24,8 +24,8 @@
 from frostspindle.cores.ownership import Owner, Route
 from frostspindle.net.fields import Refusal
 from frostspindle.net.http.calls import FRONT, Slot
+from frostspindle.policy import Health, WorkerLoad
 from frostspindle.program import Program
-from pinstage.interface import Health, Peer
 
 TICK_S = 0.02  # how often the others' rows are read and the heart beats
 FLUSH_S = 0.005  # changes of own rows are written together, so late at most
@@ -70,7 +70,7 @@
         self.banned: frozenset[str] = frozenset()
         self.dirty: set[int] = set()
         self.reports: dict[int, tuple[float, tuple[float, ...]]] = {}
-        self.peers: dict[int, Peer] = {}
+        self.peers: dict[int, WorkerLoad] = {}
         self.seen: dict[int, int] = {}  # of each cold engine: the lease serial that is obeyed
         self._urgent = dict.fromkeys(self.sights, -1)
         self._flusher: asyncio.TimerHandle | None = None
@@ -334,7 +334,7 @@
         since = state.entry.since_ms
         if (
             since > 0
-            and clock() - since < self.core.settings.warm_within_ms
+            and clock() - since < self.core.settings.slow_start_duration_ms
             and (clock() - attempt.sent_ms > DECIDED_MS or mono() >= self.board.horizon(self.me.slot))
         ):
             self.events.count("cold_stopped")
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -81,7 +81,7 @@
         self.board = Board.create(form.Layout(count, buckets=buckets))
         self.control = Control()
         settings = config.settings
-        self.arbiter = Arbiter(count, settings.cold_window_ms, DECIDED_MS)
+        self.arbiter = Arbiter(count, settings.slow_start_window_ms, DECIDED_MS)
         self.restarts = Restarts(self.cores.crashes, self.cores.within_ms, self.cores.hang_ms)
         self.reserved = RESERVED + 4 * count
         self.divider = Divider(config.limits.sockets - self.reserved, least=LEAST_SOCKETS)
@@ -353,7 +353,7 @@
     def _lease(self, now: float) -> None:
         needs: dict[int, dict[int, Need]] = {}
         unix = clock()
-        warm_ms = self.config.settings.warm_within_ms
+        warm_ms = self.config.settings.slow_start_duration_ms
         for worker in self.workers:
             if worker.process is not None:
                 worker.sight.look()
--- a/frostspindle/cores/totals.py
+++ b/frostspindle/cores/totals.py
@@ -13,7 +13,7 @@
 
 from frostspindle.core import FIGURES
 from frostspindle.cores.fleet import Row
-from pinstage.interface import Health
+from frostspindle.policy import Health
 
 Key = tuple[str, str, str]
 ENDS = ("served", "refused", "failed", "left")
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -53,9 +53,9 @@
         settings=dataclasses.replace(
             settings,
             workers=count,
-            dispatchers=settings.dispatchers * count,
+            coordinators=settings.coordinators * count,
             number=settings.number * count + passport.slot,
-            retry_floor=settings.retry_floor // count,
+            retry_budget_min=settings.retry_budget_min // count,
         ),
     )
 
--- a/frostspindle/fleet/cold.py
+++ b/frostspindle/fleet/cold.py
@@ -34,14 +34,14 @@
 LATEST_MS = 1e14
 
 
-def exact(dispatchers: int, outside: int, sparse: bool, safety: tuple[float, float]) -> float:
+def exact(coordinators: int, outside: int, sparse: bool, safety: tuple[float, float]) -> float:
     """Return how many times the module's budget the rights are worth.
 
     The module uses less of its budget (`safety`, by shares and by turns) where shares are so small that it takes turns,
     as one turn ends when the next begins. Rights are counted in any window, so that all of what shares may have can be
     used.
     """
-    return safety[0] / safety[1] if sparse and dispatchers > 1 and not outside else 1.0
+    return safety[0] / safety[1] if sparse and coordinators > 1 and not outside else 1.0
 
 
 def wished(works: Sequence[float], engines: int, even: float) -> tuple[float, float]:
@@ -105,12 +105,12 @@
     """One process's rights in the budgets of cold engines, one budget for each start of an engine."""
 
     def __init__(
-        self, node: Node, window_ms: float, dispatchers: int, outside: int, lease_ms: float, now: float, unix: float
+        self, node: Node, window_ms: float, coordinators: int, outside: int, lease_ms: float, now: float, unix: float
     ) -> None:
-        """`dispatchers` share each engine, of which `outside` never use rights but their plain share; `now`: from
+        """`coordinators` share each engine, of which `outside` never use rights but their plain share; `now`: from
         when this process is the only one of its name."""
         self.node, self.window_ms, self.lease_ms = node, window_ms, lease_ms
-        self.units = UNITS * (dispatchers - outside) // dispatchers
+        self.units = UNITS * (coordinators - outside) // coordinators
         self.now, self.unix = now, unix  # when the process began, by both clocks
         self.starts: dict[str, Start] = {}
         self.newest: dict[str, float] = {}  # of each engine: the latest start that anybody here has heard of
--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -15,10 +15,10 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any, Protocol
 
+from frostspindle import policy
 from frostspindle.events import Events
 from frostspindle.fleet import verdicts, wire
 from frostspindle.fleet.node import Datagram, Node, Terms
-from pinstage import interface as api
 
 if TYPE_CHECKING:
     from frostspindle.core import Core
@@ -187,7 +187,7 @@
                 parts = {n: believed.part for n, believed in self.core.controller.engines.items()}
                 self.core.hear(
                     tuple(
-                        api.Peer(
+                        policy.WorkerLoad(
                             number, 0, 0.0, self.core.engines[number].name in agreed, parts.get(number, 1.0), (), 0.0
                         )
                         for number in changed
@@ -200,7 +200,7 @@
         out: dict[tuple[str, int], tuple[float, ...]] = {}
         for number, state in self.core.engines.items():
             believed = self.core.controller.engines.get(number)
-            if believed is None or state.entry.health == api.Health.GONE:
+            if believed is None or state.entry.health == policy.Health.GONE:
                 continue
             evidence = (round(believed.fails, 3), round(believed.slow, 3), float(len(believed.attempts)))
             if believed.suspect and not believed.hearsay:
--- a/frostspindle/fleet/warming.py
+++ b/frostspindle/fleet/warming.py
@@ -10,12 +10,12 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
+from frostspindle import policy
 from frostspindle.core import Attempt, EngineState, clock
 from frostspindle.fleet.cold import Cold, exact, gathers, wished
 from frostspindle.fleet.node import Node
 from frostspindle.fleet.service import monotonic
-from pinstage import interface as api
-from pinstage.control import COLD_SAFETY
+from frostspindle.policy.controller import COLD_SAFETY
 
 if TYPE_CHECKING:
     from frostspindle.host import Host
@@ -49,7 +49,9 @@
         Called once the port is ours.
         """
         settings = self.core.settings
-        self.cold = Cold(node, settings.cold_window_ms, settings.dispatchers, self.outside, self.lease_ms, now, clock())
+        self.cold = Cold(
+            node, settings.slow_start_window_ms, settings.coordinators, self.outside, self.lease_ms, now, clock()
+        )
         self.cold.count = self.events.count
         self._tick()
 
@@ -98,7 +100,7 @@
     @property
     def _times(self) -> float:
         controller = self.core.controller
-        return exact(controller.s.dispatchers, self.outside, controller.sparse, COLD_SAFETY)
+        return exact(controller.s.coordinators, self.outside, controller.sparse, COLD_SAFETY)
 
     def _tick(self) -> None:
         wait_s = IDLE_S
@@ -123,7 +125,7 @@
             state, believed = self.core.engines.get(number), controller.engines[number]
             if state is not None:
                 whole = times * controller.cold_budget(believed, now)
-                wish, least = wished(works, len(needs), whole / controller.s.dispatchers)
+                wish, least = wished(works, len(needs), whole / controller.s.coordinators)
                 here = gathers(controller.s.number, cold.node.name, cold.node.members.alive, place, len(needs))
                 part = times * cold.look(
                     mono,
@@ -138,7 +140,9 @@
                 )
                 if part != believed.part:
                     words.append(
-                        api.Peer(number, believed.peers, believed.peers_memory, believed.hearsay, part, (), 0.0)
+                        policy.WorkerLoad(
+                            number, believed.peers, believed.peers_memory, believed.hearsay, part, (), 0.0
+                        )
                     )
         if words:
             self.core.hear(tuple(words))
--- a/frostspindle/lab/faults/power.py
+++ b/frostspindle/lab/faults/power.py
@@ -17,7 +17,7 @@
 from frostspindle.lab.engines import Engine, _Call, host
 from frostspindle.lab.faults.runner import Fleet, overspent
 from frostspindle.lab.faults.script import parse
-from pinstage.control import COLD_SAFETY
+from frostspindle.policy.controller import COLD_SAFETY
 
 TENANTS = '[[tenant]]\nname = "blue"\n[[tenant.rule]]\nheader = "X-Team=blue"\n'
 UNITS = 100
--- a/frostspindle/net/__init__.py
+++ b/frostspindle/net/__init__.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from frostspindle.core import Attempt, Core, EngineState, clock
-from pinstage.interface import Verdict
+from frostspindle.policy import AttemptOutcome
 
 Work = Coroutine[Any, Any, None]
 
@@ -45,7 +45,9 @@
         """Run an attempt in a task of its own; one that is cancelled before its first step is reported as CANCELLED."""
         attempt.task = task = self.spawn(self.attempt(attempt))
         # A task that is cancelled before its first step never runs: nothing was sent, but its end is owed.
-        task.add_done_callback(lambda task: self.core.ended(attempt, Verdict.CANCELLED) if task.cancelled() else None)
+        task.add_done_callback(
+            lambda task: self.core.ended(attempt, AttemptOutcome.CANCELLED) if task.cancelled() else None
+        )
 
     def stop(self, attempt: Attempt) -> None:
         """Cancel the attempt's task, if any; the task reports the attempt's end once the engine is free of it."""
--- a/frostspindle/net/bus.py
+++ b/frostspindle/net/bus.py
@@ -20,8 +20,8 @@
 from frostspindle.config import STATES, Address, BusEvent, Config, Host, address
 from frostspindle.core import Core, Driver, EngineState
 from frostspindle.events import Events
+from frostspindle.policy import EndpointListKind, EngineEntry, Health
 from frostspindle.spare import FULL, Spare
-from pinstage.interface import EngineEntry, Health, ListKind
 
 # The bus writes a line every second, and its word counts as told after 7 s. A new connection that says nothing either
 # lets the next be waited for longer, up to SILENT_MOST_S: a bus that is merely slow is heard in the end.
@@ -217,7 +217,7 @@
         if event.topology.whole:
             self._free(self._ids.keys() - {host.host for host in event.topology.hosts})
         self._free([state.name for state in states if state.entry.health == Health.GONE])
-        how = ListKind.FULL if event.topology.whole else ListKind.DELTA
+        how = EndpointListKind.FULL if event.topology.whole else EndpointListKind.DELTA
         self.core.list_engines(self.driver, states, how, event.offset)
 
     def _states(self, hosts: Iterable[Host]) -> Iterable[EngineState]:
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -20,8 +20,8 @@
 from frostspindle.net.http.peer import ANSWER_S, NoLine, Peer
 from frostspindle.net.http.readings import Readings
 from frostspindle.net.http.replies import BadReply, Reply
+from frostspindle.policy import AttemptOutcome, Health
 from frostspindle.pools import Course
-from pinstage.interface import Health, Verdict
 
 TIDY_S = 1.0  # so often idle connections are looked through
 
@@ -39,7 +39,7 @@
         self.sockets = config.limits.sockets
         self.crowd(False)
         self.opening = self.lines = self.waiters = 0
-        self.readings = Readings(events, core.settings.report_columns)
+        self.readings = Readings(events, core.settings.load_report_columns)
         self.life = Life(core, events, self.readings)
         self.peers: dict[int, Peer] = {}
         self.retired: set[Peer] = set()  # with calls that have yet to end
@@ -139,7 +139,7 @@
         task.add_done_callback(lambda task: self._off(first) if task.cancelled() else None)
 
     def _off(self, first: First) -> None:
-        self.spawn(self._free(first.peer, first.attempt, first.course, Verdict.CANCELLED))
+        self.spawn(self._free(first.peer, first.attempt, first.course, AttemptOutcome.CANCELLED))
 
     async def attempt(
         self,
@@ -156,28 +156,28 @@
         """
         peer = peer or self.peers.get(attempt.engine)
         if peer is None:
-            self.core.ended(attempt, Verdict.CONNECT_FAILED)
+            self.core.ended(attempt, AttemptOutcome.CONNECT_FAILED)
             return
         course = course or Course(clock())
         try:
             async with asyncio.timeout(self.left_s(attempt)):
                 verdict, report, rows, needed = await self.life.follow(peer, attempt, course, came)
         except TimeoutError:
-            verdict = Verdict.TIMEOUT if course.wired[0] else attempt.unsent
+            verdict = AttemptOutcome.TIMEOUT if course.wired[0] else attempt.unsent
         except asyncio.CancelledError:
-            verdict = Verdict.CANCELLED
+            verdict = AttemptOutcome.CANCELLED
         except BadReply as error:
             self.events.count("engine_bad_replies")
             self.events.log("engine_reply", engine=peer.state.name, ticket=attempt.ask.ticket, error=str(error))
-            verdict = Verdict.ERROR
+            verdict = AttemptOutcome.ERROR
         except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
             self.events.count("faults")
             self.events.log("fault", error=repr(error), of="attempt", ticket=attempt.ask.ticket)
-            verdict = Verdict.ERROR
+            verdict = AttemptOutcome.ERROR
         else:
             # Neither broken connections nor an engine that does not know the query prove that it has ended: a POST
             # may still be on its way, or have reached what stood there before. It is given up first.
-            if verdict not in (Verdict.RESET, Verdict.CANCELLED):
+            if verdict not in (AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
                 self.core.ended(attempt, verdict, report, rows, needed)
                 return
         # A task of its own: a further cancel must not cut short what frees the engine.
@@ -225,13 +225,13 @@
     async def probing(self, engine: int) -> None:
         """Ask the engine for `/stats` within 0.3 s and report verdict, elapsed ms and load by Core.probed."""
         began, peer, wired = clock(), self.peers.get(engine), [False]
-        verdict, report = Verdict.CONNECT_FAILED, ()
+        verdict, report = AttemptOutcome.CONNECT_FAILED, ()
         if peer is not None:
             try:
                 reply = await peer.call("GET", "/stats", wired=wired, within_s=0.3)
-                verdict = Verdict.OK if reply.status == 200 else Verdict.ERROR
+                verdict = AttemptOutcome.OK if reply.status == 200 else AttemptOutcome.ERROR
                 report = self.readings.report(reply)
             except (NoLine, Broken, TimeoutError, BadReply) as error:
                 if wired[0]:
-                    verdict = Verdict.TIMEOUT if isinstance(error, TimeoutError) else Verdict.RESET
+                    verdict = AttemptOutcome.TIMEOUT if isinstance(error, TimeoutError) else AttemptOutcome.RESET
         self.core.probed(engine, verdict, clock() - began, report)
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -17,8 +17,8 @@
 from frostspindle.net.http.peer import ANSWER_S, ASKS, Drained, NoLine, Peer
 from frostspindle.net.http.readings import Readings
 from frostspindle.net.http.replies import RESULT_BYTES, BadReply, Reply, Rows
+from frostspindle.policy import AttemptOutcome, Idempotency
 from frostspindle.pools import Course
-from pinstage.interface import Effect, Verdict
 
 End = tuple[int, tuple[float, ...], tuple[Rows, int] | None, Needed]  # verdict, load report, rows with size, needs
 GIVE_UP_S = 0.3  # how long a DELETE may wait for its answer
@@ -63,7 +63,7 @@
                 return attempt.unsent, (), None, UNTOLD
             except NoLine as error:  # nothing was written: proof that nothing ran
                 self.events.log("connect", engine=peer.state.name, error=str(error))
-                return (Verdict.FULL if error.full else Verdict.CONNECT_FAILED), (), None, UNTOLD
+                return (AttemptOutcome.OVERLOADED if error.full else AttemptOutcome.CONNECT_FAILED), (), None, UNTOLD
             except (Broken, BadReply, TimeoutError) as error:
                 came = error
         reply = came if isinstance(came, Reply) else None
@@ -81,26 +81,31 @@
                     await self._rank(peer, attempt, course)
                 reply = await self.news(peer, attempt, path, 0, course)
                 if reply is None:
-                    return Verdict.RESET, report, None, UNTOLD
+                    return AttemptOutcome.RESET, report, None, UNTOLD
             report = self.readings.report(reply) or report
             if course.doubted and reply.status == 500:
                 # The engine lives and does not know the query: the POST was lost, or the process that took it.
                 # That it never ran, or runs no more, is likely and unproven.
                 self.events.count("queries_unknown")
-                return Verdict.CANCELLED, report, None, UNTOLD
+                return AttemptOutcome.CANCELLED, report, None, UNTOLD
             if reply.status == 202:
                 if (said := self.readings.note(reply)) is not None:
                     self.core.note(attempt, *said)
                 reply = None
             elif reply.status == 200:
                 rows = await self._pages(peer, attempt, path, reply, course)
-                return (Verdict.OK if rows is not None else Verdict.ERROR), report, rows, self.readings.needed(reply)
+                return (
+                    (AttemptOutcome.OK if rows is not None else AttemptOutcome.ERROR),
+                    report,
+                    rows,
+                    self.readings.needed(reply),
+                )
             else:
                 return self._refused(reply), report, None, UNTOLD
 
     def _refused(self, reply: Reply) -> int:
         shed = reply.status in (503, 504) and reply.headers.get(b"x-shed") == b"1"
-        return Verdict.FULL if shed else Verdict.ERROR
+        return AttemptOutcome.OVERLOADED if shed else AttemptOutcome.ERROR
 
     def told(self, reply: Reply) -> End | None:
         """Return the end that the response to a POST gives by itself; None: there is more to come."""
@@ -108,7 +113,7 @@
             return None
         report = self.readings.report(reply)
         if reply.status == 200:
-            return Verdict.OK, report, (reply.rows, len(reply.body)), self.readings.needed(reply)
+            return AttemptOutcome.OK, report, (reply.rows, len(reply.body)), self.readings.needed(reply)
         return self._refused(reply), report, None, UNTOLD
 
     def _spoilt(self, peer: Peer, attempt: Attempt, error: Exception) -> None:
@@ -175,7 +180,7 @@
         if not course.wired[0]:
             return
         terms = self.core.settings.classes[attempt.ask.cls]
-        once = terms.effect == Effect.ONCE and not (terms.in_order and attempt.ask.key)
+        once = terms.idempotency == Idempotency.NON_IDEMPOTENT and not (terms.in_order and attempt.ask.key)
         path = f"/v1/store/{attempt.ask.ticket}"
         delete = [False]
         for fresh in (False, True):
--- a/frostspindle/net/http/readings.py
+++ b/frostspindle/net/http/readings.py
@@ -12,10 +12,10 @@
 from frostspindle.core import UNTOLD, Needed
 from frostspindle.events import Events
 from frostspindle.net.http.replies import Reply
-from pinstage.interface import NoteKind
+from frostspindle.policy import ProgressKind
 
 MOST_COST_MS, MOST_MEMORY_MB = 3_600_000.0, 1e8  # of what an answer may say that its query needed
-NOTES = {b"pct": NoteKind.PROGRESS, b"overflow": NoteKind.SPILLS, b"queued": NoteKind.WAITS}
+NOTES = {b"pct": ProgressKind.PROGRESS, b"overflow": ProgressKind.SPILLS, b"queued": ProgressKind.WAITS}
 
 
 class Readings:
@@ -58,7 +58,7 @@
             self.events.log(what, text=text[:200])
         self.events.count(what)
 
-    def note(self, reply: Reply) -> tuple[NoteKind, float] | None:
+    def note(self, reply: Reply) -> tuple[ProgressKind, float] | None:
         """Return kind and value of the news of a running query; None: there are none that can be read."""
         remark = reply.headers.get(b"x-remark")
         if not remark:
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -27,7 +27,7 @@
 from frostspindle.net.http.paths import Paths
 from frostspindle.net.http.places import COMING, Step
 from frostspindle.net.http.statements import schema, table_group
-from pinstage.interface import Effect
+from frostspindle.policy import Idempotency
 
 SWEEP_S = 0.2
 ADVISED_MS = 200  # so long a client that finds the program full stays away
@@ -265,7 +265,7 @@
             raise Refusal(404, "no such class")
         number = self.classes[cls]
         terms = self.core.settings.classes[number]
-        by_key = terms.effect == Effect.BY_KEY
+        by_key = terms.idempotency == Idempotency.WITH_KEY
         said = read.read(fields, number, terms.deadline_ms, self.most_memory, terms.in_order, by_key)
         try:
             statement = body.decode()
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -19,7 +19,7 @@
 from frostspindle.net import TaskDriver
 from frostspindle.net.tds import codec
 from frostspindle.net.tds.codec import TooLong
-from pinstage.interface import EngineEntry, Health, ListKind, Verdict
+from frostspindle.policy import AttemptOutcome, EndpointListKind, EngineEntry, Health
 
 SHUTTING_DOWN = {6005, 6006, 17142, 17147, 18401}  # the numbers of a server that stops or pauses
 SOFT = 16  # up to this severity an error is the statement's own, and is its answer
@@ -153,7 +153,7 @@
 
     # The operator's list.
 
-    def configure(self, engines: Iterable[TdsEngine], how: int = ListKind.DELTA) -> None:
+    def configure(self, engines: Iterable[TdsEngine], how: int = EndpointListKind.DELTA) -> None:
         """Apply the operator's list, at the start and again on SIGHUP; engines no longer in it are gone."""
         changed, named = [], set()
         for engine in engines:
@@ -182,7 +182,7 @@
         entry = state.entry._replace(health=health, since_ms=state.entry.since_ms if since is None else since)
         return EngineState(entry, state.name, state.address, self)
 
-    def _tell(self, states: list[EngineState], how: int = ListKind.DELTA) -> None:
+    def _tell(self, states: list[EngineState], how: int = EndpointListKind.DELTA) -> None:
         if states:
             self._version += 1
             self.states.update({state.entry.engine: state for state in states})
@@ -251,7 +251,7 @@
         answered with an ERROR token. After a timeout or a cancel the engine is freed by Attention first.
         """
         connection: _Connection | None = None
-        verdict, tokens = Verdict.CONNECT_FAILED, None
+        verdict, tokens = AttemptOutcome.CONNECT_FAILED, None
         try:
             async with asyncio.timeout(self.left_s(attempt)):
                 connection = await self._connect(attempt)
@@ -259,7 +259,7 @@
                 if connection is not None and not self.core.may_send(attempt):
                     verdict = attempt.unsent
                 elif connection is not None:
-                    verdict = Verdict.RESET
+                    verdict = AttemptOutcome.RESET
                     connection.ask(attempt.ask.statement)
                     self.core.written(attempt)
                     verdict, tokens = self._read(attempt, await connection.answer())
@@ -268,24 +268,24 @@
         except (OSError, EOFError) as error:
             self.events.log("tds_engine", engine=self.states[attempt.engine].name, error=repr(error))
         except TooLong:
-            verdict = Verdict.OK
+            verdict = AttemptOutcome.OK
             tokens = codec.error(TOO_LONG, f"The result passes {self.tds.max_result_bytes} bytes") + codec.done(
                 codec.DONE_ERROR
             )
             self.events.count("results_too_long", "tds")
         except codec.ProtocolError as error:
-            verdict = Verdict.ERROR
+            verdict = AttemptOutcome.ERROR
             self.events.count("engine_bad_replies", "tds")
             self.events.log("engine_reply", engine=self.states[attempt.engine].name, error=str(error))
         except TimeoutError:
-            verdict = Verdict.TIMEOUT if connection is not None else verdict
+            verdict = AttemptOutcome.TIMEOUT if connection is not None else verdict
         except asyncio.CancelledError:
-            verdict = Verdict.CANCELLED
+            verdict = AttemptOutcome.CANCELLED
         except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
-            verdict = Verdict.ERROR if connection is not None else verdict
+            verdict = AttemptOutcome.ERROR if connection is not None else verdict
             self.events.count("faults")
             self.events.log("fault", error=repr(error), of="tds attempt")
-        if connection is not None and connection.used and verdict in (Verdict.TIMEOUT, Verdict.CANCELLED):
+        if connection is not None and connection.used and verdict in (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED):
             # A task of its own: a further cancel must not cut short what frees the engine.
             self.spawn(self._free(attempt, connection, verdict))
             return
@@ -319,16 +319,16 @@
         numbers = {fault.number for fault in result.faults}
         if numbers & SHUTTING_DOWN:
             self._drains(attempt.engine)
-            return Verdict.ERROR, None
+            return AttemptOutcome.ERROR, None
         hard = [f for f in result.faults if f.severity > SOFT or f.number == DEADLOCK]
         if hard:
             self.events.log(
                 "tds_engine", engine=self.states[attempt.engine].name, error=hard[0].text, number=hard[0].number
             )
-            return Verdict.ERROR, None
+            return AttemptOutcome.ERROR, None
         if result.faults:  # the statement's own: repeating it elsewhere would only fail again
             self.events.count("statement_errors", "tds")
-        return Verdict.OK, result.tokens
+        return AttemptOutcome.OK, result.tokens
 
     def _put_back(self, attempt: Attempt, connection: _Connection) -> None:
         line = self._idle.setdefault((attempt.engine, attempt.ask.place), deque())
@@ -358,14 +358,14 @@
     async def probing(self, engine: int) -> None:
         """Log in to the engine within the connect timeout and report verdict and elapsed ms by Core.probed."""
         began, state = clock(), self.states[engine]
-        verdict = Verdict.OK
+        verdict = AttemptOutcome.OK
         try:
             async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
                 (await _Connection.open(state.address, self.tds, "", 65536)).close()
         except Refused as error:
-            verdict = Verdict.CONNECT_FAILED
+            verdict = AttemptOutcome.CONNECT_FAILED
             if error.numbers & SHUTTING_DOWN:
                 self._drains(engine)
         except TimeoutError:
-            verdict = Verdict.TIMEOUT
+            verdict = AttemptOutcome.TIMEOUT
         self.core.probed(engine, verdict, clock() - began)
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -26,7 +26,7 @@
     def __init__(self, folder: Path, core: Core, events: Events) -> None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.core, self.events = core, events
-        self.sheets = Sheets(folder, lambda: time.monotonic() * 1000.0, FORGOTTEN_MS + core.settings.order_pause_ms)
+        self.sheets = Sheets(folder, lambda: time.monotonic() * 1000.0, FORGOTTEN_MS + core.settings.key_order_pause_ms)
         self.turns = Turns(self.sheets.own.owner, self.sheets.own, self.sheets.places)
         self._timer: asyncio.TimerHandle | None = None
         self._resting: dict[int, asyncio.TimerHandle] = {}  # requests that are over, of keys that rest
--- a/pinstage/books.py
+++ b/frostspindle/policy/request_state.py
@@ -8,13 +8,48 @@
 
 from typing import Any
 
-from pinstage import interface as api
-from pinstage.interface import Verdict
+from frostspindle.policy.events import AttemptOutcome, RequestArrived
+from frostspindle.policy.settings import ClassSettings
 
-ENGINE_FIELDS = """entry id settings standing cores memory share ready told_at cold_sends attempts threads granted peers
-    peers_memory part hearsay denied bound slow fails cut_at suspect retest_at backoff keeps cleared_at sign_at gap
-    probed_at look_at warm spares report_at others others_memory""".split()
-NEVER_RAN = (Verdict.CONNECT_FAILED, Verdict.FULL, Verdict.MOOT)
+ENGINE_FIELDS = (
+    "entry",
+    "id",
+    "settings",
+    "standing",
+    "cores",
+    "memory",
+    "share",
+    "ready",
+    "told_at",
+    "cold_sends",
+    "attempts",
+    "threads",
+    "granted",
+    "peers",
+    "peers_memory",
+    "part",
+    "hearsay",
+    "denied",
+    "bound",
+    "slow",
+    "fails",
+    "cut_at",
+    "suspect",
+    "retest_at",
+    "backoff",
+    "keeps",
+    "cleared_at",
+    "sign_at",
+    "gap",
+    "probed_at",
+    "look_at",
+    "warm",
+    "spares",
+    "report_at",
+    "others",
+    "others_memory",
+)
+NEVER_RAN = (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.OVERLOADED, AttemptOutcome.NOT_SENT)
 
 
 class Attempt:
@@ -27,12 +62,12 @@
 
 
 class Job:
-    def __init__(self, event: api.Request, cs: api.ClassSettings, now: float) -> None:
+    def __init__(self, event: RequestArrived, cs: ClassSettings, now: float) -> None:
         self.request, self.cls, self.cs, self.tenant = event.request, event.cls, cs, event.tenant
         self.key, self.group, self.turn = event.key, int(event.group), event.turn
         self.hint, self.memory_hint = max(0.0, event.cost_ms), max(0.0, event.memory_mb)
         self.arrived, self.deadline = now, now + max(0.0, event.left_ms)
-        self.cost = self.memory = self.done = self.grant = self.aim_at = 0.0
+        self.cost = self.memory = self.done = self.grant = self.objective_at_ms = 0.0
         self.over = self.moved = self.finished = self.held = self.streaming = False
         self.lane = self.group if cs.is_load and cs.in_order and self.group >= 0 else -1
         self.band, self.slot, self.attempts, self.avoid = -1, (0, 0.0, 0), list[Attempt](), set[int]()
--- a/pinstage/settings.py
+++ b/frostspindle/policy/settings_parser.py
@@ -1,7 +1,7 @@
 """The settings parser, shared by the adapter and the coordinator.
 
 Owns the names under which an instance's settings come, as path=value lines or as nested JSON, and
-their conversion to pinstage.interface.Settings. It never fills in a site's figures by itself beyond
+their conversion to `policy.Settings`. It never fills in a site's figures by itself beyond
 the defaults of that class, and never looks at files or the environment.
 """
 
@@ -10,9 +10,9 @@
 import math
 from typing import Any
 
-from pinstage import interface as api
+from frostspindle.policy.settings import ClassSettings, Idempotency, Settings
 
-EFFECTS = {"repeatable": api.Effect.REPEATABLE, "by_key": api.Effect.BY_KEY, "once": api.Effect.ONCE}
+EFFECTS = {"repeatable": Idempotency.IDEMPOTENT, "by_key": Idempotency.WITH_KEY, "once": Idempotency.NON_IDEMPOTENT}
 
 
 class Pairs:
@@ -74,7 +74,7 @@
     return value
 
 
-def parse_settings(text: str) -> api.Settings:
+def parse_settings(text: str) -> Settings:
     """Read settings written as path=value lines; keys that are not known here are skipped."""
     values: dict[str, str] = {}
     for line in text.splitlines():
@@ -108,7 +108,7 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def read_settings(values: dict[str, str]) -> api.Settings:
+def read_settings(values: dict[str, str]) -> Settings:
     """The settings of one instance, from flattened pairs."""
     p = Pairs(values)
     count = int(p.number("categories.count"))
@@ -121,62 +121,62 @@
         if effect not in EFFECTS:
             raise ValueError(f"{c}effect: unknown effect {effect!r}")
         classes.append(
-            api.ClassSettings(
-                aim_ms=p.number(c + "promise", above=0.0),
+            ClassSettings(
+                latency_objective_ms=p.number(c + "promise", above=0.0),
                 deadline_ms=p.number(c + "hardLimit", above=0.0),
-                worth=p.number(c + "worth", 1.0),
-                aim_stretch=p.number(c + "aimStretch", 0.0),
-                late_share=p.number(c + "lateShare", 0.0),
-                effect=EFFECTS[effect],
+                priority_weight=p.number(c + "worth", 1.0),
+                objective_stretch=p.number(c + "aimStretch", 0.0),
+                late_value_ratio=p.number(c + "lateShare", 0.0),
+                idempotency=EFFECTS[effect],
                 dedup_scope=p.text(c + "dedupScope", "all"),
-                window_ms=p.number(c + "window", 0.0),
+                idempotency_window_ms=p.number(c + "window", 0.0),
                 in_order=p.flag(c + "inOrder"),
                 stream=p.flag(c + "stream"),
                 threads=int(threads[i]) if i < len(threads) else 1,
                 is_load=i < len(loads) and loads[i] == "true",
-                waits_for_loads=i < len(waits) and waits[i] == "true",
+                blocked_by_loads=i < len(waits) and waits[i] == "true",
                 only_kinds=p.places(c + "servedOn"),
                 only_zones=p.places(c + "failureDomainsOpen"),
             )
         )
     parties = int(p.number("parties.count", 0))
-    return api.Settings(
+    return Settings(
         classes=tuple(classes),
-        dispatchers=int(p.number("balancers", 1, 1.0)),
+        coordinators=int(p.number("balancers", 1, 1.0)),
         number=int(p.number("me", 0)),
-        tenant_quota_per_s=tuple(p.number(f"parties.{i}.allowancePerS", 0.0) for i in range(parties)),
+        tenant_quotas_per_s=tuple(p.number(f"parties.{i}.allowancePerS", 0.0) for i in range(parties)),
         kind_cores=tuple(p.numbers("domain.kindCores", above=0.0)) or (1.0,),
         kind_memory_mb=tuple(p.numbers("domain.sizeMb")) or (0.0,),
-        most_grant=p.number("domain.mostGrant", 1.0),
+        max_grant_ratio=p.number("domain.mostGrant", 1.0),
         grants=p.flag("domain.grants"),
         priorities=p.flag("domain.priorities"),
-        says_cost=p.flag("domain.saysCost"),
-        note_period_ms=p.number("domain.notePeriod", 0.0),
-        when_short=p.text("domain.whenShort", "wait"),
-        report_columns=tuple(p.items("report.columns")),
-        reports_in_answers=p.text("report.how", "silent") == "piggyback",
-        subscribe=p.text("discovery", "automatic") == "subscribe",
-        ask_within_ms=p.number("rules.mustAskIn", 0.0),
+        reports_cost=p.flag("domain.saysCost"),
+        progress_interval_ms=p.number("domain.notePeriod", 0.0),
+        memory_shortage_mode=p.text("domain.whenShort", "wait"),
+        load_report_columns=tuple(p.items("report.columns")),
+        load_reports_in_responses=p.text("report.how", "silent") == "piggyback",
+        subscribe_endpoints=p.text("discovery", "automatic") == "subscribe",
+        subscribe_within_ms=p.number("rules.mustAskIn", 0.0),
         may_cancel=p.flag("limits.cancel"),
-        may_probe=p.flag("limits.probes"),
-        second_copies=p.flag("limits.secondCopies"),
+        may_check_health=p.flag("limits.probes"),
+        hedged_requests=p.flag("limits.secondCopies"),
         retry_after=p.flag("limits.retryAfter"),
         max_retry_after_ms=p.number("limits.maxRetryAfter", 0.0),
         max_attempts=int(p.number("limits.mostTries", 1, 1.0)),
         connect_timeout_ms=p.number("limits.dialTimeout", 250.0),
         drain_grace_ms=p.number("rules.stopSendingWithin", 0.0),
-        cold_capacity=p.number("rules.startCapacity", 1.0),
-        warm_within_ms=p.number("rules.warmWithin", 0.0),
-        cold_multiple=p.number("rules.tipMultiple", 1.0),
-        cold_window_ms=p.number("rules.fall", 1000.0),
-        order_pause_ms=p.number("rules.orderPause", 0.0),
-        retry_floor=p.number("rules.extraFloor", 0.0),
-        retry_ratio=p.number("rules.extraRatio", 0.0),
-        retry_span_ms=p.number("rules.resendSpan", 0.0),
-        over_share_worth=p.number("overShareWorth", 1.0),
+        slow_start_capacity=p.number("rules.startCapacity", 1.0),
+        slow_start_duration_ms=p.number("rules.warmWithin", 0.0),
+        slow_start_overload_ratio=p.number("rules.tipMultiple", 1.0),
+        slow_start_window_ms=p.number("rules.fall", 1000.0),
+        key_order_pause_ms=p.number("rules.orderPause", 0.0),
+        retry_budget_min=p.number("rules.extraFloor", 0.0),
+        retry_budget_ratio=p.number("rules.extraRatio", 0.0),
+        retry_budget_window_ms=p.number("rules.resendSpan", 0.0),
+        over_quota_weight=p.number("overShareWorth", 1.0),
         zone=int(p.number("locality", 0, -math.inf)),
-        price_handshake=p.number("deductions.handshake", 0.0, -math.inf),
-        price_cross_zone=p.number("deductions.crossZone", 0.0, -math.inf),
-        conn_idle_ms=p.number("limits.connIdle", 0.0),
-        streams_per_conn=int(p.number("limits.streamsPerConn", 1)),
+        handshake_penalty=p.number("deductions.handshake", 0.0, -math.inf),
+        cross_zone_penalty=p.number("deductions.crossZone", 0.0, -math.inf),
+        connection_idle_ms=p.number("limits.connIdle", 0.0),
+        streams_per_connection=int(p.number("limits.streamsPerConn", 1)),
     )
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -29,9 +29,9 @@
 from frostspindle.net.http.statements import schema, table_group
 from frostspindle.net.operator import Desk, Nak
 from frostspindle.net.platform import Platform
+from frostspindle.policy import EndpointListKind
 from frostspindle.shared import Shared
 from frostspindle.spare import Spare
-from pinstage.interface import ListKind
 
 if TYPE_CHECKING:
     from frostspindle.net.tds.driver import TdsEngines
@@ -260,7 +260,7 @@
         if self.settings:
             self.settings.start()
         if self.tds and self.tds_driver:
-            self.tds_driver.configure(self.tds.tds.engine, ListKind.FULL)
+            self.tds_driver.configure(self.tds.tds.engine, EndpointListKind.FULL)
             await self.tds.start(self.config.inherited is not None, self.config.tds_listener)
         if snmp := self.config.operator.snmp:
             from frostspindle.net.snmp import Agent  # pysnmp costs memory that only its users pay
--- a/frostspindle/recovery/agree.py
+++ b/frostspindle/recovery/agree.py
@@ -13,7 +13,7 @@
 from frostspindle.recovery.state import Rule
 from frostspindle.recovery.wire import Ban, Listed
 
-GONE, READY, DRAINING = range(3)  # of the engine list, see pinstage.interface.Health
+GONE, READY, DRAINING = range(3)  # of the engine list, see frostspindle.policy.Health
 MOST_BANS = 1_000
 FORGET_MS = 7 * 86_400_000.0  # a ban that was ended so long ago is not told any more
 RAN_MS = 10_000.0  # who runs for less may have lost power with us
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -17,6 +17,7 @@
 
 from frostspindle.config import BusEvent, Host, Topology
 from frostspindle.core import FAILED, REFUSED, Answer, Ask, clock
+from frostspindle.policy import AttemptOutcome, Health, Idempotency
 from frostspindle.recovery import agree, tickets, wire
 from frostspindle.recovery.intake import Class, Curve, Engine, Intake, Out
 from frostspindle.recovery.node import Chill, Node, Note, Opened, Settled, Terms
@@ -28,7 +29,6 @@
 from frostspindle.store.judge import Verdict as Found
 from frostspindle.store.memory import Memory
 from frostspindle.store.opening import Held, Refused, open_store
-from pinstage.interface import Effect, Health, Verdict
 
 if TYPE_CHECKING:
     from frostspindle.host import Host
@@ -124,8 +124,8 @@
         that was stopped or cancelled need not have reached the engine.
         """
         node = self.service.node
-        if verdict in (Verdict.OK, Verdict.CONNECT_FAILED):
-            node.ended(clock(), engine, verdict == Verdict.CONNECT_FAILED)
+        if verdict in (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED):
+            node.ended(clock(), engine, verdict == AttemptOutcome.CONNECT_FAILED)
         if node.effects:
             self.service.drain()
 
@@ -147,19 +147,27 @@
         self.node = Node(terms, monotonic(), clock(), secrets.randbits(60))
         settings = program.config.settings
         classes = tuple(
-            Class(c.worth, c.effect != Effect.ONCE, c.late_share, c.aim_ms, c.aim_ms * c.threads / 2)
+            Class(
+                c.priority_weight,
+                c.idempotency != Idempotency.NON_IDEMPOTENT,
+                c.late_value_ratio,
+                c.latency_objective_ms,
+                c.latency_objective_ms * c.threads / 2,
+            )
             for c in settings.classes
         )
         retry_ms = settings.max_retry_after_ms if settings.retry_after else 0.0
         self.intake = Intake(
             classes,
-            Curve(settings.cold_capacity, settings.warm_within_ms),
-            1.0 / settings.dispatchers,
+            Curve(settings.slow_start_capacity, settings.slow_start_duration_ms),
+            1.0 / settings.coordinators,
             max(16, program.core.most_open),
             secrets.randbits(60),
             retry_ms,
         )
-        self.gate = Gate(self, self.intake, tuple(c.effect == Effect.ONCE for c in settings.classes))
+        self.gate = Gate(
+            self, self.intake, tuple(c.idempotency == Idempotency.NON_IDEMPOTENT for c in settings.classes)
+        )
         self.core.gate = self.gate
         self.store: Store | None = None
         self.files: frozenset[str] = frozenset()  # the bans by hand as the shared files have them
@@ -553,7 +561,7 @@
         rights_ms = max(
             rights_ms,
             fleet.cold_lease_ms * (1 + fleet.drift) / (1 - fleet.drift)
-            + program.config.settings.cold_window_ms * (1 + fleet.drift),
+            + program.config.settings.slow_start_window_ms * (1 + fleet.drift),
         )
     terms = Terms(
         (fleet.name if fleet else "") or program.config.name,
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -22,6 +22,7 @@
 from frostspindle.events import Events
 from frostspindle.ownership.holder import Terms as LeaseTerms
 from frostspindle.ownership.service import Owners
+from frostspindle.policy import Health, Idempotency
 from frostspindle.replica.local import LocalLog
 from frostspindle.settings import harm, schema
 from frostspindle.settings.agreement import TASK
@@ -34,13 +35,12 @@
 from frostspindle.store.base import StoreError
 from frostspindle.store.disk import Disk
 from frostspindle.store.opening import open_store
-from pinstage.interface import Effect, Health
 
 if TYPE_CHECKING:
     from frostspindle.host import Host as Program
 
 SLICE = 100  # engines told to the core in one turn of the event loop
-EFFECTS = {Effect.REPEATABLE: "repeatable", Effect.BY_KEY: "by_key", Effect.ONCE: "once"}
+EFFECTS = {Idempotency.IDEMPOTENT: "repeatable", Idempotency.WITH_KEY: "by_key", Idempotency.NON_IDEMPOTENT: "once"}
 TDS_LIMITS = {
     "tds_sessions": "max_sessions",
     "tds_batch_bytes": "max_batch_bytes",
@@ -54,7 +54,7 @@
     rules: dict[str, tuple[Any, ...]] = dict.fromkeys(config.tenants.names, ())
     rules.update({tenant.name: tuple(tenant.rule) for tenant in config.operator.tenant})
     return Running(
-        {name: EFFECTS[config.settings.classes[n].effect] for n, name in enumerate(config.classes)},
+        {name: EFFECTS[config.settings.classes[n].idempotency] for n, name in enumerate(config.classes)},
         rules,
         config.bus is not None,
         config.operator.tds is not None,
@@ -249,7 +249,7 @@
         if one == two:
             return
         base = self.config.settings
-        quotas, classes = list(base.tenant_quota_per_s), list(base.classes)
+        quotas, classes = list(base.tenant_quotas_per_s), list(base.classes)
         numbers = {name: number for number, name in enumerate(self.config.classes)}
         for key, entry in two.items():
             if key.startswith("tenant/"):
@@ -260,8 +260,12 @@
             else:
                 told = {
                     field: value
-                    for field in ("aim_ms", "deadline_ms", "worth")
-                    if (value := getattr(entry, field)) is not None
+                    for field, value in (
+                        ("latency_objective_ms", entry.aim_ms),
+                        ("deadline_ms", entry.deadline_ms),
+                        ("priority_weight", entry.worth),
+                    )
+                    if value is not None
                 }
                 for number in (numbers.get(entry.name), self.config.plan.classes.get(entry.name)):
                     if number is not None:
@@ -269,7 +273,7 @@
         self.core.tune(
             dataclasses.replace(
                 self.core.settings,
-                tenant_quota_per_s=tuple(quotas),
+                tenant_quotas_per_s=tuple(quotas),
                 classes=tuple(classes) + base.classes[len(classes) :],
             )
         )
--- a/pinstage/adapter.py
+++ b/frostspindle/simulator_adapter.py
@@ -1,9 +1,9 @@
 """Binary protocol adapter on stdin and stdout: decodes batches of events and encodes the controllers' actions.
 
 Each batch may hold events of several instances; each event goes to the controller of its instance. It takes no
-admission decisions: see pinstage/control.py for these.
+admission decisions: see frostspindle/policy for these.
 
-Run as `python -m pinstage.adapter`.
+Run as `python -m frostspindle.simulator_adapter`.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from pinstage import interface as api
-from pinstage.control import Controller
-from pinstage.settings import parse_settings
+from frostspindle import policy
+from frostspindle.policy.controller import Controller
+from frostspindle.policy.settings_parser import parse_settings
 
 
 class WireError(Exception):
@@ -61,7 +61,7 @@
         raise WireError(f"unknown {what} {value}") from None
 
 
-def read_request(f: bytes) -> tuple[int, api.Event]:
+def read_request(f: bytes) -> tuple[int, policy.Event]:
     """Decode a request record into its instance number and a Request event.
 
     Without the cost hint bit the cost is 0 (unknown); values that are not finite become 0. Raise struct.error where the
@@ -69,36 +69,38 @@
     """
     who, request, cls, tenant, key, left, cost, memory, group, bits = REQUEST.unpack_from(f)
     cost = _finite(cost) if bits & COST_HINT_BIT else 0.0
-    return who, api.Request(request, cls, tenant, key, _finite(left), cost, _finite(memory), _finite(group))
+    return who, policy.RequestArrived(request, cls, tenant, key, _finite(left), cost, _finite(memory), _finite(group))
 
 
-def read_started(f: bytes) -> tuple[int, api.Event]:
+def read_started(f: bytes) -> tuple[int, policy.Event]:
     """Decode a started record into its instance number and a Started event; its last field is not used."""
     who, request, attempt, engine, _ = STARTED.unpack_from(f)
-    return who, api.Started(request, attempt, engine)
+    return who, policy.ResponseStarted(request, attempt, engine)
 
 
-def read_note(f: bytes) -> tuple[int, api.Event]:
+def read_note(f: bytes) -> tuple[int, policy.Event]:
     """Decode a progress note into its instance number and a Note event.
 
     Raise WireError for an unknown kind of note; a value that is not finite becomes 0.
     """
     who, request, attempt, engine, kind, value = NOTE.unpack_from(f)
-    return who, api.Note(request, attempt, engine, _known(api.NoteKind, kind, "kind of note"), _finite(value))
+    return who, policy.ProgressReported(
+        request, attempt, engine, _known(policy.ProgressKind, kind, "kind of note"), _finite(value)
+    )
 
 
-def read_ended(f: bytes) -> tuple[int, api.Event]:
+def read_ended(f: bytes) -> tuple[int, policy.Event]:
     """Decode the end of an attempt into its instance number and an Ended event.
 
     The cost field holds milliseconds in units of COST_UNIT and, as the rest, memory in units of MEMORY_UNIT_MB. Raise
     WireError for an unknown verdict or a load report that is longer than the record.
     """
     who, request, attempt, engine, verdict, elapsed, last, cost, count = ENDED.unpack_from(f)
-    return who, api.Ended(
+    return who, policy.AttemptEnded(
         request,
         attempt,
         engine,
-        _known(api.Verdict, verdict, "verdict"),
+        _known(policy.AttemptOutcome, verdict, "verdict"),
         _finite(elapsed),
         bool(last),
         float(cost // COST_UNIT),
@@ -107,30 +109,30 @@
     )
 
 
-def read_left(f: bytes) -> tuple[int, api.Event]:
+def read_left(f: bytes) -> tuple[int, policy.Event]:
     """Decode a left record (the client has gone) into its instance number and a Left event."""
     who, request = LEFT.unpack_from(f)
-    return who, api.Left(request)
+    return who, policy.ClientDisconnected(request)
 
 
-def read_due(f: bytes) -> tuple[int, api.Event]:
+def read_due(f: bytes) -> tuple[int, policy.Event]:
     """Decode a due record (a timer has expired) into its instance number and a Due event."""
     who, token = DUE.unpack_from(f)
-    return who, api.Due(token)
+    return who, policy.TimerFired(token)
 
 
-def read_checked(f: bytes) -> tuple[int, api.Event]:
+def read_checked(f: bytes) -> tuple[int, policy.Event]:
     """Decode a health check's result into its instance number and a Probed event.
 
     Raise WireError for an unknown verdict or a load report that is longer than the record.
     """
     who, engine, verdict, elapsed, count = CHECKED.unpack_from(f)
-    return who, api.Probed(
-        engine, _known(api.Verdict, verdict, "verdict"), _finite(elapsed), _report(f, CHECKED.size, count)
+    return who, policy.HealthCheckCompleted(
+        engine, _known(policy.AttemptOutcome, verdict, "verdict"), _finite(elapsed), _report(f, CHECKED.size, count)
     )
 
 
-READERS: dict[int, Callable[[bytes], tuple[int, api.Event]]] = {
+READERS: dict[int, Callable[[bytes], tuple[int, policy.Event]]] = {
     0: read_started,
     1: read_request,
     3: read_left,
@@ -152,15 +154,15 @@
 
 
 WRITERS: dict[type, Callable[[int, Any], tuple[int, bytes]]] = {
-    api.Send: _send,
-    api.Terms: lambda who, a: (2, struct.pack(">IQBf", who, a.request, a.priority, a.memory_mb)),
-    api.Cancel: lambda who, a: (4, struct.pack(">IQH", who, a.request, a.attempt)),
-    api.Refuse: lambda who, a: (9, struct.pack(">IQd", who, a.request, a.retry_after_ms)),
-    api.Fail: lambda who, a: (10, struct.pack(">IQ", who, a.request)),
-    api.Probe: lambda who, a: (6, struct.pack(">II", who, a.engine)),
-    api.Remind: lambda who, a: (7, struct.pack(">IId", who, a.token, a.due_at_ms)),
-    api.Watch: lambda who, a: (0, struct.pack(">IB", who, a.on)),
-    api.Log: lambda who, a: (12, _text(who, a.text)),
+    policy.StartAttempt: _send,
+    policy.UpdatePriority: lambda who, a: (2, struct.pack(">IQBf", who, a.request, a.priority, a.memory_mb)),
+    policy.CancelAttempt: lambda who, a: (4, struct.pack(">IQH", who, a.request, a.attempt)),
+    policy.RejectRequest: lambda who, a: (9, struct.pack(">IQd", who, a.request, a.retry_after_ms)),
+    policy.FailRequest: lambda who, a: (10, struct.pack(">IQ", who, a.request)),
+    policy.RunHealthCheck: lambda who, a: (6, struct.pack(">II", who, a.engine)),
+    policy.SetTimer: lambda who, a: (7, struct.pack(">IId", who, a.token, a.due_at_ms)),
+    policy.SubscribeEndpoints: lambda who, a: (0, struct.pack(">IB", who, a.on)),
+    policy.WriteLog: lambda who, a: (12, _text(who, a.text)),
 }
 BAIL_OUT_CODE = 5
 
@@ -171,8 +173,8 @@
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}
         self.failed: set[int] = set()
-        self.lists: dict[int, tuple[api.EngineEntry, ...]] = {}
-        self.settings: dict[bytes, api.Settings] = {}
+        self.lists: dict[int, tuple[policy.EngineEntry, ...]] = {}
+        self.settings: dict[bytes, policy.Settings] = {}
 
     def _read_hello(self, f: bytes) -> tuple[int, int, bytes]:
         who, seed, size = HELLO.unpack_from(f)
@@ -185,18 +187,18 @@
         end = DIRECTORY.size + count * ENTRY.size
         if end > len(f):
             raise WireError("an engine list runs past its record")
-        entries = tuple(api.EngineEntry(*e) for e in ENTRY.iter_unpack(f[DIRECTORY.size : end]))
+        entries = tuple(policy.EngineEntry(*e) for e in ENTRY.iter_unpack(f[DIRECTORY.size : end]))
         for entry in entries:
-            _known(api.Health, entry.health, "health")
+            _known(policy.Health, entry.health, "health")
         self.lists[number] = entries
 
-    def _read_discovery(self, f: bytes) -> tuple[int, api.Event]:
+    def _read_discovery(self, f: bytes) -> tuple[int, policy.Event]:
         who, how, version, number = DISCOVERY.unpack_from(f)
-        if _known(api.ListKind, how, "kind of list") == api.ListKind.FAILED:
-            return who, api.EngineList(how, version, ())
+        if _known(policy.EndpointListKind, how, "kind of list") == policy.EndpointListKind.FAILED:
+            return who, policy.EndpointListUpdated(how, version, ())
         if number not in self.lists:
             raise WireError(f"engine list {number} was never sent")
-        return who, api.EngineList(how, version, self.lists[number])
+        return who, policy.EndpointListUpdated(how, version, self.lists[number])
 
     def _start(self, who: int, seed: int, setup: bytes) -> None:
         if setup not in self.settings:
@@ -218,7 +220,7 @@
         if code == SHUTDOWN_CODE:
             self.controllers.pop(WHO.unpack_from(f)[0], None)
             return []
-        event: api.Event | None = None
+        event: policy.Event | None = None
         hello = (0, b"")
         if code == HELLO_CODE:
             who, *hello_rest = self._read_hello(f)
@@ -297,7 +299,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"pinstage: {error}", file=sys.stderr)
+        print(f"frostspindle: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -17,13 +17,13 @@
 from frostspindle.core import Ask, Core, clock
 from frostspindle.events import Events
 from frostspindle.net.operator import Nak
+from frostspindle.policy import Health
 from frostspindle.predicates.values import FilterError
 from frostspindle.subscriptions import schema, wire
 from frostspindle.subscriptions.cursor import BadCursor
 from frostspindle.subscriptions.fanout import Fanout
 from frostspindle.subscriptions.hub import Hub
 from frostspindle.subscriptions.subscribers import gap_line
-from pinstage.interface import Health
 
 if TYPE_CHECKING:
     from frostspindle.fleet.node import Node
