--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,14 @@
 import pytest
 from helpers import KEYED, LOAD, READ, Keeper, entry, settings
 
-from pinstage.interface import Due, EngineList, Left, ListKind, Verdict, Watch
+from frostspindle.policy import (
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListUpdated,
+    SubscribeEndpoints,
+    TimerFired,
+)
 
 
 def test_every_request_is_answered_before_its_client_gives_up():
@@ -14,48 +21,50 @@
     k.request(2, 2, key=7, left=900)
     k.request(3, 3, left=1000)
     k.wait(1200)
-    assert k.answers == {1: "Refuse", 2: "Refuse", 3: "Refuse"}
+    assert k.answers == {1: "RejectRequest", 2: "RejectRequest", 3: "RejectRequest"}
 
 
 def test_an_attempt_that_never_answers_ends_in_one_failure():
     k = Keeper(settings(replace(LOAD, in_order=False)), engines=1)
     k.request(1, 0, cost=500, left=3000)
     k.wait(3100)
-    assert k.answers == {1: "Fail"}, "what may have run is not refused"
+    assert k.answers == {1: "FailRequest"}, "what may have run is not refused"
 
 
-@pytest.mark.parametrize("verdict", [Verdict.ERROR, Verdict.RESET, Verdict.TIMEOUT, Verdict.CANCELLED])
+@pytest.mark.parametrize(
+    "verdict", [AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED]
+)
 def test_unsafe_is_sent_once_when_it_may_have_run(verdict):
     k = Keeper(settings())
     k.request(1, 2)
     k.wait(50)
     k.end(1, verdict)
     k.wait(500)
-    assert len(k.attempts[1]) == 1 and k.answers[1] == "Fail"
+    assert len(k.attempts[1]) == 1 and k.answers[1] == "FailRequest"
 
 
 def test_unsafe_goes_out_again_after_proof_that_it_never_ran():
     k = Keeper(settings())
     k.request(1, 2)
     k.wait(50)
-    k.end(1, Verdict.CONNECT_FAILED)
+    k.end(1, AttemptOutcome.CONNECT_FAILED)
     k.wait(100)
     assert len(k.attempts[1]) == 2
 
 
 def test_keyed_repeat_stays_in_its_window_and_group():
     k = Keeper(settings(replace(KEYED, dedup_scope="cell")), engines=0)
-    k.list(entry(1, cell=1), entry(2, cell=2), entry(3, cell=1), how=ListKind.FULL)
+    k.list(entry(1, cell=1), entry(2, cell=2), entry(3, cell=1), how=EndpointListKind.FULL)
     k.request(1, 0, cost=300)
     first = k.sent[0][2]
     k.wait(50)
-    k.end(1, Verdict.RESET)
+    k.end(1, AttemptOutcome.RESET)
     k.wait(100)
     assert len(k.sent) == 2 and k.entries[k.sent[1][2]].cell == k.entries[first].cell
     k.now += 6000
-    k.end(1, Verdict.RESET)
+    k.end(1, AttemptOutcome.RESET)
     k.wait(300)
-    assert len(k.sent) == 2 and k.answers[1] == "Fail"
+    assert len(k.sent) == 2 and k.answers[1] == "FailRequest"
 
 
 @pytest.mark.parametrize("health", [0, 2])
@@ -70,29 +79,29 @@
 
 def test_an_engine_missing_from_a_full_list_gets_nothing_new():
     k = Keeper(settings(), engines=2)
-    k.list(entry(2), how=ListKind.FULL)
+    k.list(entry(2), how=EndpointListKind.FULL)
     for i in range(6):
         k.request(i, 0)
         k.wait(400)
     assert {engine for _, _, engine in k.sent} == {2}
 
 
-@pytest.mark.parametrize("dispatchers", [1, 3])
-def test_a_cold_engine_is_not_pushed_over(dispatchers):
-    s = settings(dispatchers=dispatchers)
+@pytest.mark.parametrize("coordinators", [1, 3])
+def test_a_cold_engine_is_not_pushed_over(coordinators):
+    s = settings(coordinators=coordinators)
     k = Keeper(s, engines=0, now=100000.0)
-    k.list(entry(1, since=99000.0), how=ListKind.FULL)
+    k.list(entry(1, since=99000.0), how=EndpointListKind.FULL)
     for i in range(200):
         k.request(i, i % 2, cost=300.0 if i % 2 == 0 else 4000.0)
         k.wait(10)
         for request, _ in list(k.open):
             k.end(request)
-    budget = s.cold_multiple * s.cold_capacity * 0.85 * 8 * s.cold_window_ms / dispatchers
+    budget = s.slow_start_overload_ratio * s.slow_start_capacity * 0.85 * 8 * s.slow_start_window_ms / coordinators
     usual = {0: 300.0, 1: 4000.0}
     sends = [(k.attempts[r][0]["at"], usual[k.requests[r].cls]) for r, _, _ in k.sent]
     assert sends, "small work warms it"
     for at, _ in sends:
-        assert sum(w for t, w in sends if at <= t < at + s.cold_window_ms) <= budget
+        assert sum(w for t, w in sends if at <= t < at + s.slow_start_window_ms) <= budget
 
 
 def test_order_runs_one_key_at_a_time_and_rests_after_a_timeout():
@@ -102,7 +111,7 @@
     k.request(3, 2, key=6)
     k.wait(100)
     assert [r for r, _, _ in k.sent] == [1, 3]
-    k.end(1, Verdict.TIMEOUT)
+    k.end(1, AttemptOutcome.TIMEOUT)
     k.wait(480)
     assert len(k.sent) == 2, "the key rests"
     k.wait(100)
@@ -113,11 +122,11 @@
     k = Keeper(settings(may_cancel=False))
     k.request(1, 2, key=5)
     k.request(2, 2, key=5)
-    k.answer(1, "Left")
-    k.feed(Left(1))
+    k.answer(1, "ClientDisconnected")
+    k.feed(ClientDisconnected(1))
     k.wait(1000)
     assert [r for r, _, _ in k.sent] == [1]
-    k.end(1, Verdict.OK)
+    k.end(1, AttemptOutcome.OK)
     k.wait(100)
     assert [r for r, _, _ in k.sent] == [1, 2]
 
@@ -125,34 +134,36 @@
 def test_placement_holds_when_the_only_match_is_full_or_gone():
     bound = replace(READ, only_kinds=frozenset({1}), only_zones=frozenset({2}))
     k = Keeper(settings(bound), engines=0)
-    k.list(entry(1, kind=0, zone=2), entry(2, kind=1, zone=0), entry(3, kind=1, zone=2), how=ListKind.FULL)
+    k.list(entry(1, kind=0, zone=2), entry(2, kind=1, zone=0), entry(3, kind=1, zone=2), how=EndpointListKind.FULL)
     k.request(1, 0)
     k.wait(10)
     assert k.sent == [(1, 0, 3)]
-    k.end(1, Verdict.FULL)
+    k.end(1, AttemptOutcome.OVERLOADED)
     k.list(entry(3, health=2))
     k.wait(5000)
-    assert len(k.sent) <= 2 and k.answers[1] == "Refuse"
+    assert len(k.sent) <= 2 and k.answers[1] == "RejectRequest"
 
 
 def test_retry_budget_is_kept_over_any_span():
-    s = settings(READ, retry_floor=2.0, retry_ratio=0.1, retry_span_ms=5000.0, max_attempts=3)
+    s = settings(READ, retry_budget_min=2.0, retry_budget_ratio=0.1, retry_budget_window_ms=5000.0, max_attempts=3)
     k = Keeper(s, engines=6)
     for i in range(80):
         k.request(i, 0)
         k.wait(30)
         for request, number in list(k.open):
             if number == len(k.attempts[request]) - 1:
-                k.end(request, Verdict.FULL if i % 3 else Verdict.OK)
+                k.end(request, AttemptOutcome.OVERLOADED if i % 3 else AttemptOutcome.OK)
     assert k.extras, "some were tried again"
 
 
 def test_the_engine_list_is_subscribed_to_and_asked_for_again_after_a_failure():
-    k = Keeper(settings(subscribe=True), engines=0)
-    first = k.feed(EngineList(ListKind.CACHED, 1, (entry(1),)))
-    assert first.count(Watch(True)) == 1
-    failed = k.feed(EngineList(ListKind.FAILED, 1, ()))
-    assert Watch(True) not in failed, "not at once: the list's service may be overloaded"
+    k = Keeper(settings(subscribe_endpoints=True), engines=0)
+    first = k.feed(EndpointListUpdated(EndpointListKind.CACHED, 1, (entry(1),)))
+    assert first.count(SubscribeEndpoints(True)) == 1
+    failed = k.feed(EndpointListUpdated(EndpointListKind.FAILED, 1, ()))
+    assert SubscribeEndpoints(True) not in failed, "not at once: the list's service may be overloaded"
     k.now += 600
-    assert Watch(True) in k.feed(Due(0))
-    assert Watch(True) not in Keeper(settings(), engines=0).feed(EngineList(ListKind.CACHED, 1, ()))
+    assert SubscribeEndpoints(True) in k.feed(TimerFired(0))
+    assert SubscribeEndpoints(True) not in Keeper(settings(), engines=0).feed(
+        EndpointListUpdated(EndpointListKind.CACHED, 1, ())
+    )
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -243,13 +243,19 @@
         before = self.core.controller.s
         await self.act(tenant__blue=Tenant("blue", 7.0), class__lookup=Class("lookup", 900.0, worth=9.0))
         now = self.core.controller.s
-        self.assertEqual((now.tenant_quota_per_s[1], now.classes[0].aim_ms, now.classes[0].worth), (7.0, 900.0, 9.0))
+        self.assertEqual(
+            (now.tenant_quotas_per_s[1], now.classes[0].latency_objective_ms, now.classes[0].priority_weight),
+            (7.0, 900.0, 9.0),
+        )
         self.assertEqual(now.classes[0].deadline_ms, before.classes[0].deadline_ms)
         await self.act(tenant__blue=Tenant("blue", 0.0), class__report=Class("report", 800.0))
         now = self.core.controller.s
-        self.assertLess(0.0, now.tenant_quota_per_s[1])
-        self.assertLess(now.tenant_quota_per_s[1], 0.001, "nothing is no bound to the module")
-        self.assertEqual([now.classes[n].aim_ms for n in (0, 1, 3)], [before.classes[0].aim_ms, 800.0, 800.0])
+        self.assertLess(0.0, now.tenant_quotas_per_s[1])
+        self.assertLess(now.tenant_quotas_per_s[1], 0.001, "nothing is no bound to the module")
+        self.assertEqual(
+            [now.classes[n].latency_objective_ms for n in (0, 1, 3)],
+            [before.classes[0].latency_objective_ms, 800.0, 800.0],
+        )
         await self.act()
         self.assertEqual(self.core.controller.s, before)
 
@@ -349,14 +355,20 @@
         self.applied.act(Acting(VERSION, (2,), Long(two)))
         await self.quiet()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
-        self.assertEqual((self.core.controller.s.classes[0].aim_ms, states["toy-1"], states["toy-2"]), (900.0, 1, 0))
+        self.assertEqual(
+            (self.core.controller.s.classes[0].latency_objective_ms, states["toy-1"], states["toy-2"]), (900.0, 1, 0)
+        )
         del two["class/lookup"], two["engine/http/toy-1"]
         self.applied.act(Acting(VERSION, (2,), Long(two)))
         await self.quiet()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
-            (self.core.controller.s.classes[0].aim_ms, self.core.controller.s.tenant_quota_per_s[1], states["toy-1"]),
-            (self.program.config.settings.classes[0].aim_ms, 7.0, 0),
+            (
+                self.core.controller.s.classes[0].latency_objective_ms,
+                self.core.controller.s.tenant_quotas_per_s[1],
+                states["toy-1"],
+            ),
+            (self.program.config.settings.classes[0].latency_objective_ms, 7.0, 0),
         )
         self.applied.between = lambda old, new: {"ban/b0", "ban/b1", "drain/b0", "ban/new"}
         with mock.patch.object(self.applied, "_not_listed", side_effect=AssertionError("all engines are")):
--- a/tests/test_sofia_module.py
+++ b/tests/test_sofia_module.py
@@ -7,9 +7,9 @@
 
 from helpers import HEAVY, LOAD, READ, Keeper, entry, settings
 
-from pinstage.interface import ListKind
+from frostspindle.policy import EndpointListKind
 
-ORDERED = replace(LOAD, aim_stretch=2.5, late_share=0.6, worth=20)
+ORDERED = replace(LOAD, objective_stretch=2.5, late_value_ratio=0.6, priority_weight=20)
 
 
 def line(*costs: float, head: float = 4000.0, tenant: int = 0, **changes: object) -> Keeper:
@@ -24,20 +24,20 @@
 
 def test_the_largest_in_a_keys_line_makes_way_not_the_small_ones_behind_it():
     """The larger a request the later its aim: the line threw out small ones and ran what kept all others late."""
-    assert line(12000.0, 1000.0, 1000.0, 1000.0).answers == {1: "Refuse"}
-    assert line(1000.0, 12000.0, 1000.0, 1000.0).answers == {2: "Refuse"}
+    assert line(12000.0, 1000.0, 1000.0, 1000.0).answers == {1: "RejectRequest"}
+    assert line(1000.0, 12000.0, 1000.0, 1000.0).answers == {2: "RejectRequest"}
 
 
 def test_what_is_late_in_a_keys_line_stays_while_none_waits_behind_it():
     """An answer past its aim is still worth something, and nobody gains by its refusal."""
     assert line(500.0, head=12000.0).answers == {}
-    assert line(500.0, 500.0, head=12000.0).answers == {1: "Refuse"}
+    assert line(500.0, 500.0, head=12000.0).answers == {1: "RejectRequest"}
 
 
 def test_in_a_keys_line_what_is_over_its_tenants_share_makes_way_first():
-    quotas = {"tenant_quota_per_s": (1000.0, 1e-9), "over_share_worth": 0.2}
-    assert line(2000.0, 2500.0, 1000.0, 1000.0, **quotas).answers == {2: "Refuse"}
-    assert line(2000.0, 2500.0, 1000.0, 1000.0, tenant=1, **quotas).answers == {1: "Refuse"}
+    quotas = {"tenant_quotas_per_s": (1000.0, 1e-9), "over_quota_weight": 0.2}
+    assert line(2000.0, 2500.0, 1000.0, 1000.0, **quotas).answers == {2: "RejectRequest"}
+    assert line(2000.0, 2500.0, 1000.0, 1000.0, tenant=1, **quotas).answers == {1: "RejectRequest"}
 
 
 def test_dispatchers_that_hear_nothing_of_each_other_put_loads_on_a_group_apart():
@@ -46,25 +46,25 @@
     for group in (1, 5):
         used = list[int]()
         for number in range(3):
-            k = Keeper(settings(READ, HEAVY, free, dispatchers=3, number=number), engines=7)
+            k = Keeper(settings(READ, HEAVY, free, coordinators=3, number=number), engines=7)
             for request in range(5):
                 k.request(request, 2, cost=500.0, group=group)
             used += [engine for _, _, engine in k.sent]
-        assert sorted(used) == list(range(1, 8)), "each engine has one load on the group, of all three dispatchers"
+        assert sorted(used) == list(range(1, 8)), "each engine has one load on the group, of all three coordinators"
 
 
 def test_while_an_engine_is_cold_a_load_goes_where_it_can_though_that_is_another_dispatchers_engine():
     """Of five engines three had just started: one's own took no load for ten seconds, and loads were refused there."""
     for number in range(3):
-        k = Keeper(settings(READ, HEAVY, ORDERED, dispatchers=3, number=number), engines=0, now=100000.0)
-        k.list(entry(1), entry(2), *(entry(i, since=99000.0) for i in (3, 4, 5)), how=ListKind.FULL)
+        k = Keeper(settings(READ, HEAVY, ORDERED, coordinators=3, number=number), engines=0, now=100000.0)
+        k.list(entry(1), entry(2), *(entry(i, since=99000.0) for i in (3, 4, 5)), how=EndpointListKind.FULL)
         for group in range(3):
             k.request(group, 2, cost=9000.0, group=group)
         assert len(k.sent) == 3 and {engine for _, _, engine in k.sent} == {1, 2}
 
 
 def test_a_load_that_waits_for_its_group_stops_no_other_work():
-    k = Keeper(settings(READ, HEAVY, LOAD, dispatchers=3), engines=6)
+    k = Keeper(settings(READ, HEAVY, LOAD, coordinators=3), engines=6)
     for request in range(20):
         k.request(request, 2, cost=10.0, group=3)
     assert len(k.sent) == 2
@@ -76,7 +76,7 @@
 
 
 def test_where_dispatchers_outnumber_engines_each_may_use_them_all():
-    k = Keeper(settings(READ, HEAVY, LOAD, dispatchers=9, number=8), engines=2)
+    k = Keeper(settings(READ, HEAVY, LOAD, coordinators=9, number=8), engines=2)
     for request in range(3):
         k.request(request, 2, cost=500.0, group=5)
     assert sorted(engine for _, _, engine in k.sent) == [1, 2]
@@ -91,7 +91,7 @@
 
 
 def test_loads_that_keep_no_order_may_go_anywhere_and_rise_for_nobody():
-    k = Keeper(settings(READ, HEAVY, replace(LOAD, in_order=False), dispatchers=2, number=0))
+    k = Keeper(settings(READ, HEAVY, replace(LOAD, in_order=False), coordinators=2, number=0))
     k.warm_up()
     for request in range(4):
         k.request(request, 2, cost=100000.0, group=1)
@@ -101,8 +101,8 @@
 
 def test_another_zone_costs_its_price_while_there_is_room_and_less_as_all_fills():
     """Where a new connection is free the price of zones was never looked at: two sends in three crossed."""
-    k = Keeper(settings(READ, dispatchers=3, zone=0, price_cross_zone=0.02), engines=0)
-    k.list(*(entry(i, zone=i % 3) for i in range(9)), how=ListKind.FULL)
+    k = Keeper(settings(READ, coordinators=3, zone=0, cross_zone_penalty=0.02), engines=0)
+    k.list(*(entry(i, zone=i % 3) for i in range(9)), how=EndpointListKind.FULL)
     for number in range(30):
         k.request(number, 0, cost=1000.0)
     near = [k.c.engines[engine].entry.zone == 0 for _, _, engine in k.sent]
@@ -129,7 +129,10 @@
     """One tenant at five times its share while every engine is three times slower: the other's requests in time."""
     k = Keeper(
         settings(
-            replace(READ, aim_ms=600, deadline_ms=2500), dispatchers=1, kind_cores=(4.0, 4.0), tenant_quota_per_s=shares
+            replace(READ, latency_objective_ms=600, deadline_ms=2500),
+            coordinators=1,
+            kind_cores=(4.0, 4.0),
+            tenant_quotas_per_s=shares,
         ),
         engines=2,
     )
@@ -162,9 +165,15 @@
 
     def crossed(cls: int) -> int:
         k = Keeper(
-            settings(replace(READ, worth=1), replace(READ, worth=12), dispatchers=1, price_cross_zone=0.02), engines=0
+            settings(
+                replace(READ, priority_weight=1),
+                replace(READ, priority_weight=12),
+                coordinators=1,
+                cross_zone_penalty=0.02,
+            ),
+            engines=0,
         )
-        k.list(entry(1, zone=0), entry(2, zone=1), how=ListKind.FULL)
+        k.list(entry(1, zone=0), entry(2, zone=1), how=EndpointListKind.FULL)
         for number in range(6):
             k.request(number, cls, cost=1000.0, group=-1)
         return sum(engine == 2 for _, _, engine in k.sent)
@@ -174,7 +183,7 @@
 
 def test_a_small_request_past_its_estimate_does_not_wait_for_its_first_note():
     """Reports whose bad plan showed only with the first note, 2 s in, were late wherever they went then."""
-    k = Keeper(settings(READ, HEAVY, note_period_ms=2000.0), engines=2)
+    k = Keeper(settings(READ, HEAVY, progress_interval_ms=2000.0), engines=2)
     k.warm_up(60)
     k.request(1, 1, cost=400.0)  # 200 ms alone
     k.wait(1300)
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -9,7 +9,7 @@
 from peers import LOAD, EdgeCase, TdsClient, TdsEngine, settings
 
 from frostspindle.net.tds import codec, driver, front
-from pinstage.interface import Health
+from frostspindle.policy import Health
 
 ROWS = codec.text_result(("name",), [("a",), ("b",)])
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -103,10 +103,10 @@
     async def asked(self, *, operator=OPERATOR):
         await self.start(operator=operator)
         self.seen, on_request = [], self.program.core.controller.handlers
-        from pinstage.interface import Request
+        from frostspindle.policy import RequestArrived
 
-        take = on_request[Request]
-        on_request[Request] = lambda now, event: (self.seen.append(event), take(now, event))
+        take = on_request[RequestArrived]
+        on_request[RequestArrived] = lambda now, event: (self.seen.append(event), take(now, event))
 
     async def test_http_requests_reach_the_module_under_their_tenant(self):
         await self.asked()
@@ -114,7 +114,7 @@
         await self.ask(number=2, **{"X-Team": "red"})
         await self.ask(number=3, sql="SELECT 1 FROM Ops_3.jobs -- blue_1.x")
         self.assertEqual(self.tenants(), ["blue", "default", "ops"])
-        self.assertEqual(self.program.core.controller.s.tenant_quota_per_s, (0.0, 2.0, 0.0))
+        self.assertEqual(self.program.core.controller.s.tenant_quotas_per_s, (0.0, 2.0, 0.0))
 
     async def test_what_passes_a_share_goes_behind_the_others(self):
         await self.asked()
