--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -91,8 +91,8 @@
     assert (machine.token, machine.last, machine.live, machine.proven, machine.pending) == (12, 3, 2, 1, 3)
     assert (machine.trial, machine.usual, machine.index) == (27, (0.5, 1.5), 31)
     assert [version.number for version in machine.history] == [1, 2, 3]
-    assert machine.version(3).rules == machine.version(1).rules == RULES
-    assert machine.version(2).rules == {**RULES, **machines.BANNED}
+    assert dict(machine.version(3).rules) == dict(machine.version(1).rules) == RULES
+    assert dict(machine.version(2).rules) == {**RULES, **machines.BANNED}
     assert (machine.members, machine.drafts, machine.bad, machine.news) == (
         made.members,
         made.drafts,
