--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -19,7 +19,7 @@
 import orjson
 import structlog
 
-from frostspindle import events
+from frostspindle import telemetry
 
 LINES = 5000
 SERVING = "import frostspindle.config, frostspindle.core, frostspindle.net.engines, frostspindle.net.platform\n"
@@ -78,9 +78,9 @@
 def main() -> None:
     """Take turns between the ways of logging, then between the sets of imports; print one JSON object."""
     rounds = int((sys.argv[1:] or ["9"])[0])
-    events.LINES_A_SECOND = 1 << 60
+    telemetry.LINES_A_SECOND = 1 << 60
     sink = Nowhere()
-    ways = {"hand": by_hand(sink), "events": events.Events("n", sink).log, "usual": usual(sink)}
+    ways = {"hand": by_hand(sink), "events": telemetry.Telemetry("n", sink).log, "usual": usual(sink)}
     lines = [{name: cost_us(log) for name, log in ways.items()} for _ in range(rounds)]
     # events.py itself loads structlog: a stand-in takes its place in the process that goes without.
     without = (
--- a/bench/replica.py
+++ b/bench/replica.py
@@ -29,12 +29,12 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from frostspindle.events import Events  # noqa: E402
 from frostspindle.lab.faults.logs import Logs, Notes  # noqa: E402
 from frostspindle.lab.faults.runner import free_port  # noqa: E402
 from frostspindle.lab.faults.script import parse  # noqa: E402
 from frostspindle.lab.replica_runs import Run  # noqa: E402
 from frostspindle.replica.service import Replica  # noqa: E402
+from frostspindle.telemetry import Telemetry  # noqa: E402
 
 
 def seeded(seed: int) -> dict[str, Any]:
@@ -71,7 +71,7 @@
     with tempfile.TemporaryDirectory(dir=".") as folder:
         voters = [f"c{n}=127.0.0.1:{free_port(socket.SOCK_STREAM)}" for n in range(3)]
         logs = [
-            Replica(f"c{n}", voters, Path(folder, f"c{n}"), b"s" * 32, Events(f"c{n}", BytesIO()), first_start=True)
+            Replica(f"c{n}", voters, Path(folder, f"c{n}"), b"s" * 32, Telemetry(f"c{n}", BytesIO()), first_start=True)
             for n in range(5)
         ]
         for log in logs:
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -38,11 +38,11 @@
 from common import tell
 
 from frostspindle import policy
-from frostspindle.core import Ask, Attempt, Core, EngineState
-from frostspindle.events import Events
+from frostspindle.core import Attempt, ClientRequest, Core, EngineState
 from frostspindle.lab.bench import SPAWN, SQL, coordinator, cpu_s, engines
 from frostspindle.lab.engines import document, host
 from frostspindle.policy import AttemptOutcome
+from frostspindle.telemetry import Telemetry
 
 ENGINES, OPEN = (4, 32, 96, 300, 1000), (100, 1000, 10_000)
 CELL_S = 1.5  # of processor time at most, for one cell
@@ -103,7 +103,7 @@
     number of timers.
     """
     draw, driver = random.Random(7), Silent()
-    core = Core(settings(), [("bench", "lookup")], 1, Events(sink=io.BytesIO()), open_ + 64)
+    core = Core(settings(), [("bench", "lookup")], 1, Telemetry(sink=io.BytesIO()), open_ + 64)
     spent: collections.Counter[str] = collections.Counter()
     handle, numbers, answers = core.controller.handle, itertools.count(1), itertools.count()
 
@@ -116,16 +116,16 @@
 
     core.controller.handle = timed
     task = asyncio.create_task(core.run())
-    core.list_engines(
+    core.update_endpoints(
         driver,
         [EngineState(policy.EngineEntry(n, 0, 0, 0, 1, 1.0, 0.0), f"s-{n}", ("", 0), driver) for n in range(count)],
         policy.EndpointListKind.FULL,
         1,
     )
 
-    def ask() -> None:
+    def request() -> None:
         core.submit(
-            Ask(
+            ClientRequest(
                 "bench",
                 0,
                 f"{next(numbers):016x}",
@@ -148,14 +148,14 @@
     def end_one() -> None:
         place = draw.randrange(len(driver.out))
         driver.out[place], driver.out[-1] = driver.out[-1], driver.out[place]
-        core.ended(driver.out.pop(), AttemptOutcome.OK, REPORT)
+        core.attempt_ended(driver.out.pop(), AttemptOutcome.OK, REPORT)
 
     for _ in range(open_):
-        ask()
+        request()
     await settle()
     for _ in range(64):
         end_one()
-        ask()
+        request()
     await settle()
     spent.clear()
     done, began = 0, time.thread_time()
@@ -163,7 +163,7 @@
         for _ in range(8):
             if driver.out:
                 end_one()
-                ask()
+                request()
                 done += 1
         await settle()
     result = {
@@ -185,9 +185,9 @@
 async def held_mb(open_: int) -> float:
     """Return the memory (MB) that so many open requests take in core and module."""
     driver = Silent()
-    core = Core(settings(), [("bench", "lookup")], 1, Events(sink=io.BytesIO()), open_ + 64)
+    core = Core(settings(), [("bench", "lookup")], 1, Telemetry(sink=io.BytesIO()), open_ + 64)
     task = asyncio.create_task(core.run())
-    core.list_engines(
+    core.update_endpoints(
         driver,
         [EngineState(policy.EngineEntry(n, 0, 0, 0, 1, 1.0, 0.0), f"s-{n}", ("", 0), driver) for n in range(96)],
         policy.EndpointListKind.FULL,
@@ -198,7 +198,7 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(open_):
         core.submit(
-            Ask(
+            ClientRequest(
                 "bench",
                 0,
                 f"{number:016x}",
@@ -327,9 +327,9 @@
     """The project's timer wheel."""
 
     def __init__(self) -> None:
-        from frostspindle.timers import Wheel
+        from frostspindle.timers import TimerWheel
 
-        self.wheel = Wheel(0.0)
+        self.wheel = TimerWheel(0.0)
         self.start, self.cancel, self.size = self.wheel.start, self.wheel.cancel, self.wheel.__len__
 
     def turn(self, now: float) -> int:
@@ -458,7 +458,7 @@
     ("answers, JSON", "http/calls.py", ()),
     ("answers, JSON", "http/paths.py", ()),
     ("ledger, queue", "frostspindle/core.py", ()),
-    ("ledger, queue", "frostspindle/events.py", ()),
+    ("ledger, queue", "frostspindle/telemetry.py", ()),
     ("front", "net/platform.py", ()),
     ("attempt", "net/http/", ()),
     ("attempt", "net/engines.py", ()),
@@ -495,9 +495,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Schedule the first request."""
         self.transport: Any = transport
-        asyncio.get_running_loop().call_at(self.due, self.ask)
+        asyncio.get_running_loop().call_at(self.due, self.request)
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Send the next request, unless the load is complete."""
         if not self.load.done.done():
             self.load.asked += 1
@@ -518,10 +518,10 @@
         self.load.answered(now - self.due, head[9:12])
         if not self.load.period:
             self.due = now
-            self.ask()
+            self.request()
         else:
             self.due += self.load.period
-            loop.call_at(self.due, self.ask)
+            loop.call_at(self.due, self.request)
 
 
 class Load:
--- a/bench/scatter.py
+++ b/bench/scatter.py
@@ -17,8 +17,7 @@
 from typing import Any
 
 from frostspindle.catalogue import Catalogue, read
-from frostspindle.core import Ask
-from frostspindle.events import Events
+from frostspindle.core import ClientRequest
 from frostspindle.lab.scatter import Emulator, measure, play
 from frostspindle.predicates import may_match
 from frostspindle.predicates.summaries import Summary
@@ -26,6 +25,7 @@
 from frostspindle.scatter.merge import merge
 from frostspindle.scatter.plan import Planner, in_steps
 from frostspindle.scatter.service import Scatter
+from frostspindle.telemetry import Telemetry
 
 SECONDS = 16.0
 RAW = {
@@ -86,8 +86,10 @@
     widen(summary, Told(200, {"n": cells, "n\0": in_steps(cells, 5), "s": [(2, f"agent-{n}") for n in range(50)]}))
     plan = planner.plan(17, known)
     core = SimpleNamespace(classes=[("http", "lookup")], open=0, most_open=99)
-    scatter = Scatter(catalogue, core, Events(), None, 1)  # type: ignore[arg-type]
-    other = Ask("http", 0, "0" * 16, "SELECT 1 FROM calls_18.notes", 0.0, 1_000.0, lambda answer: None, group=18)
+    scatter = Scatter(catalogue, core, Telemetry(), None, 1)  # type: ignore[arg-type]
+    other = ClientRequest(
+        "http", 0, "0" * 16, "SELECT 1 FROM calls_18.notes", 0.0, 1_000.0, lambda answer: None, group=18
+    )
     parts = [[[f"agent-{n}", "3", "7"] for n in range(100)] for _ in range(4)]
     insert = "INSERT INTO calls_17.notes (n, s) VALUES ({}, 'agent-7'), (8, 'agent-8')"
     return {
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -409,9 +409,9 @@
     Clients, pushing client, stand-in engines and coordinator are processes of their own; the ratios' intervals are
     bootstrapped over pairs of windows.
     """
-    from frostspindle.caller import operate
     from frostspindle.lab.bench import SPAWN, coordinator, engines
     from frostspindle.lab.engines import document, host
+    from frostspindle.operator_client import operate
 
     rng, settle = random.Random(seed), 0.5  # the end of what the window before left is not measured
     pushed = [side for _ in range(windows // 2) for side in rng.sample((False, True), 2)]
--- a/bench/spike_cores.py
+++ b/bench/spike_cores.py
@@ -21,9 +21,9 @@
 from contextlib import ExitStack
 from statistics import median
 
-from frostspindle.caller import operate
 from frostspindle.lab.bench import SPAWN, WARM_S, client_process, coordinator, cpu_s, engines, one
 from frostspindle.lab.engines import document, host
+from frostspindle.operator_client import operate
 
 
 def apart(count: int, clients: int, connections: int, ports: dict[str, int], seconds: float) -> dict[str, float]:
--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from frostspindle.ledger.tenants import Facts, Index, Rule, scan
+from frostspindle.ledger.tenants import Index, RequestAttributes, Rule, scan
 
 
 def rules(count: int, draw: random.Random) -> list[Rule]:
@@ -34,10 +34,10 @@
     return out
 
 
-def facts(count: int, draw: random.Random) -> Facts:
+def facts(count: int, draw: random.Random) -> RequestAttributes:
     """Draw a connection with the header, network, application, database and schema of one of `count` rules."""
     number = draw.randrange(count)
-    return Facts(
+    return RequestAttributes(
         "http",
         f"10.{number >> 8 & 255}.{number & 255}.{draw.randrange(256)}",
         {b"x-team": b"team-%d" % number, b"host": b"x"},
@@ -48,7 +48,7 @@
     )
 
 
-def timed(find: Callable[[Facts], object], asked: list[Facts], least_s: float = 0.3) -> float:
+def timed(find: Callable[[RequestAttributes], object], asked: list[RequestAttributes], least_s: float = 0.3) -> float:
     """Return the mean microseconds of a look-up, repeated over the list for at least `least_s`."""
     count, began = 0, time.perf_counter()
     while time.perf_counter() - began < least_s:
--- a/frostspindle/cli.py
+++ b/frostspindle/cli.py
@@ -22,9 +22,9 @@
 
 from frostspindle import __version__
 from frostspindle import config as configuration
-from frostspindle.caller import AWAY, BAD, ask, operate
-from frostspindle.caller import figures as figures_of
 from frostspindle.config import ConfigError
+from frostspindle.operator_client import AWAY, BAD, ask, operate
+from frostspindle.operator_client import figures as figures_of
 
 SERVED, REFUSED, FAILED = 0, 3, 4
 _files = [
--- a/frostspindle/core.py
+++ b/frostspindle/core.py
@@ -17,17 +17,17 @@
 from collections import Counter, deque
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any, NamedTuple, Protocol
 
 from frostspindle import policy
-from frostspindle.events import Events
 from frostspindle.policy import AttemptOutcome, EndpointListKind, Health
 from frostspindle.policy.controller import Controller
-from frostspindle.timers import OUT, Timer, Wheel
+from frostspindle.telemetry import Telemetry
+from frostspindle.timers import OUT, Timer, TimerWheel
 
-SERVED, REFUSED, FAILED = "served", "refused", "failed"
-PART = "part"  # front of what is asked for on a client's behalf: figures of clients leave it out
-ABSENT_MS = 30_000.0  # an engine that is gone for so long is forgotten
+SUBREQUEST_FRONT = "part"  # front of what is asked for on a client's behalf: figures of clients leave it out
+GONE_ENGINE_RETENTION_MS = 30_000.0  # an engine that is gone for so long is forgotten
 AGAIN_MS = 20.0  # a reminder of the module's that met a fault comes again after this
 # Counters by outcome; their names are metric names, which stay.
 ENDED = {
@@ -54,10 +54,18 @@
     return time.time() * 1000.0
 
 
-class Answer(NamedTuple):
-    """The one final response to a request; `how` is SERVED, REFUSED or FAILED, the wait before a retry is in ms."""
+class ResponseStatus(StrEnum):
+    """Outcome that a client is told; the values are also names of counters."""
 
-    how: str
+    SERVED = "served"
+    REJECTED = "refused"  # nothing ran, a retry is harmless
+    FAILED = "failed"  # it may have run
+
+
+class Response(NamedTuple):
+    """The one final response to a request; the wait before a retry is in ms."""
+
+    status: ResponseStatus
     result: Any = None
     retry_after_ms: float = 0.0
     reason: str = ""  # for the client: why trying again is of no use
@@ -70,16 +78,16 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class ClientRequest:
     """One request as a front submits it, times in ms; `settle` is called exactly once unless the client left."""
 
     front: str
     cls: int
     ticket: str
     statement: str
-    taken_ms: float
+    received_ms: float
     left_ms: float
-    settle: Callable[[Answer], None]
+    on_response: Callable[[Response], None]
     cost_ms: float = 0.0
     memory_mb: float = 0.0
     group: int = -1  # of tables, by number; -1: none
@@ -94,18 +102,18 @@
     over: bool = False  # answered, or its client left: set at once, so that nothing is sent before the core's turn
 
 
-class Cancels(Protocol):
+class Cancellable(Protocol):
     """A task, or an object in its place, that an attempt can be cancelled by."""
 
     def cancel(self) -> Any:
-        """Stop the work of the attempt; the driver still reports the attempt's end by Core.ended."""
+        """Stop the work of the attempt; the driver still reports the attempt's end by Core.attempt_ended."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     """One sending of a request to an engine, with the number that the decision module gave it."""
 
-    ask: Ask
+    request: ClientRequest
     number: int
     engine: int
     sent_ms: float
@@ -114,17 +122,17 @@
     grant_mb: float
     priority: int
     over: bool = False
-    task: Cancels | None = None  # the driver's: what runs it now
+    task: Cancellable | None = None  # the driver's: what runs it now
     begin_by_ms: float = math.inf  # not to be begun later: a repeat past its class's window
 
     def left_ms(self, now: float) -> float:
         """Return the ms from `now` to its timeout or its client's deadline, whichever is first; below 0 if past."""
-        return min(self.sent_ms + self.timeout_ms, self.ask.taken_ms + self.ask.left_ms) - now
+        return min(self.sent_ms + self.timeout_ms, self.request.received_ms + self.request.left_ms) - now
 
     @property
     def moot(self) -> bool:
         """Whether nobody would use its result: the request is over, or less than LEAST_MS is left."""
-        return self.ask.over or self.left_ms(clock()) < LEAST_MS
+        return self.request.over or self.left_ms(clock()) < LEAST_MS
 
     @property
     def unsent(self) -> AttemptOutcome:
@@ -133,10 +141,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Record:
+class RequestEntry:
     """The core's record of one request: its answer, its attempts, and its current priority and memory grant."""
 
-    ask: Ask
+    request: ClientRequest
     answered: str = ""
     attempts: list[Attempt] = field(default_factory=list)
     priority: int = 1
@@ -161,14 +169,14 @@
     version: int = 0  # of the list's event that told of it, where all workers number its events alike
 
 
-class Needed(NamedTuple):
+class MeasuredCost(NamedTuple):
     """What the response says that the query needed, in ms and MB; 0: not told."""
 
     cost_ms: float = 0.0
     memory_mb: float = 0.0
 
 
-UNTOLD = Needed()
+UNKNOWN_COST = MeasuredCost()
 
 
 class Driver(Protocol):
@@ -180,23 +188,23 @@
         """Take an engine that is new or has changed."""
 
     def start(self, attempt: Attempt) -> None:
-        """Send the attempt, and report its end exactly once by Core.ended."""
+        """Send the attempt, and report its end exactly once by Core.attempt_ended."""
 
     def stop(self, attempt: Attempt) -> None:
-        """Cancel the attempt and free the engine's work; Core.ended follows once the engine can't be running it."""
+        """Cancel the attempt and free the engine's work; Core.attempt_ended follows once it can't be running."""
 
     def rank(self, attempt: Attempt) -> None:
         """Tell the engine the attempt's new priority."""
 
     def probe(self, engine: int) -> None:
-        """Start a health check of the engine; Core.probed reports its outcome."""
+        """Start a health check of the engine; Core.health_check_completed reports its outcome."""
 
     async def close(self) -> None:
         """End all attempts and close all connections."""
 
 
-class Turns(Protocol):
-    """What keeps the order of a key's requests among processes; it calls Core.turn when one that waits may go."""
+class KeyOrder(Protocol):
+    """Keeps the order of a key's requests among processes; calls Core.key_order_reached when a waiting one may go."""
 
     def enter(self, number: int, key: int) -> bool | None:
         """Take a request: True if its turn has come, False if it has to wait, None if it can't be kept in order."""
@@ -205,10 +213,10 @@
         """Note that a request is answered and no attempt of it is in flight."""
 
 
-class Gate(Protocol):
-    """What may hold requests back before the decision module; Core.admit or Core.turn_away ends the wait of each."""
+class AdmissionGate(Protocol):
+    """May hold requests back before the decision module, until Core.admit_waiting or Core.reject_waiting."""
 
-    def enter(self, now: float, ask: Ask, turn: bool) -> bool:
+    def enter(self, now: float, request: ClientRequest, turn: bool) -> bool:
         """Take a request and return whether it goes on now; `now` in Unix ms, `turn`: its turn by key has come."""
 
     def turned(self, number: int) -> bool:
@@ -217,7 +225,7 @@
     def over(self, number: int, ran: bool) -> None:
         """Note that a request is answered or its client left; `ran`: an attempt of it may have run."""
 
-    def ended(self, engine: str, verdict: int) -> None:
+    def ended(self, engine: str, outcome: int) -> None:
         """Note the verdict of an attempt at an engine, by the engine's name."""
 
     def close(self) -> list[int]:
@@ -225,39 +233,39 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Admit:
+class _AdmissionDecided:
     """The gate is done with a request: on to the module, or with this answer to its client."""
 
     number: int
     turn: bool = True
-    answer: Answer | None = None
+    answer: Response | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class _Chilled:
+class _EnginesRestarted:
     """Engines that have lost power, at a time that nobody knows."""
 
     names: frozenset[str]
 
 
-class Ahead(Protocol):
+class RequestInterceptor(Protocol):
     """Takes some requests in the core's place and answers each from several that it submits itself."""
 
     @property
     def open(self) -> int:
         """Number of requests taken and not yet answered."""
 
-    def takes(self, ask: Ask) -> bool | None:
+    def takes(self, request: ClientRequest) -> bool | None:
         """Take a request: True if it will settle it, False if it is full, None if the request is for the core."""
 
-    def left(self, ask: Ask) -> bool:
+    def left(self, request: ClientRequest) -> bool:
         """Drop a request whose client has gone; False: it did not take this one."""
 
 
-class Witness(Protocol):
+class EventObserver(Protocol):
     """Publishes answers and changes of engines; it only notes them."""
 
-    def answered(self, ask: Ask, how: str, engine: str) -> None:
+    def answered(self, request: ClientRequest, how: str, engine: str) -> None:
         """Note a request's final answer; `engine` is the last that it was sent to, "" if none was."""
 
     def engine(self, name: str, change: str, state: int | None = None) -> None:
@@ -265,15 +273,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Listing:
+class _EndpointsListed:
     driver: Driver
     engines: tuple[EngineState, ...]
-    how: int
+    kind: int
     version: int
 
 
 @dataclass(slots=True, frozen=True)
-class _Banned:
+class _BansChanged:
     """Engines that were left out by hand, or are no longer; or whose end another worker was told of."""
 
     names: frozenset[str]
@@ -281,49 +289,49 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Bound:
+class _OpenLimitChanged:
     """The module's bound on open requests."""
 
     most: int
 
 
 @dataclass(slots=True, frozen=True)
-class _Tuned:
+class _SettingsChanged:
     """The module's settings from now on: shares and classes' times may differ from those of the start."""
 
     settings: policy.Settings
 
 
 @dataclass(slots=True, frozen=True)
-class _Over:
+class _ShutdownStarted:
     """The program ends."""
 
 
-class _Overdue(NamedTuple):
+class _DeadlinePassed(NamedTuple):
     """A request's time is up. It names the request only."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class _Absent:
+class _EngineExpired:
     """An engine has been gone for a while."""
 
     engine: int
 
 
-class _End(NamedTuple):
+class _AttemptCompleted(NamedTuple):
     attempt: Attempt
-    verdict: int
+    outcome: int
     report: tuple[float, ...]
     result: Any
     at_ms: float
-    needed: Needed
+    needed: MeasuredCost
 
 
 @dataclass(slots=True, frozen=True)
-class _Leave:
-    ask: Ask
+class _ClientLeft:
+    request: ClientRequest
 
 
 class Core:
@@ -334,10 +342,10 @@
         settings: policy.Settings,
         classes: Sequence[tuple[str, str]],
         seed: int,
-        events: Events,
+        telemetry: Telemetry,
         most_open: int = 512,
     ) -> None:
-        self.settings, self.classes, self.events, self.most_open = settings, classes, events, most_open
+        self.settings, self.classes, self.telemetry, self.most_open = settings, classes, telemetry, most_open
         self.controller = Controller(settings, seed)
         self.engines: dict[int, EngineState] = {}
         self.names: dict[str, None] = {}  # all that were ever listed, up to MOST_NAMES
@@ -346,22 +354,22 @@
         self._back: dict[str, float] = {}  # when a ban ended whose engine has restarted unknown to the list
         self.stops: dict[str, int] = {}  # engines that take nothing new by a newer list than ours: its number
         # Of a worker among several: asked before each send, and told of engines whose work has changed.
-        self.fence: Callable[[EngineState, Attempt], bool] | None = None
-        self.watch: Callable[[int, tuple[float, ...]], None] | None = None
+        self.may_start: Callable[[EngineState, Attempt], bool] | None = None
+        self.on_engine_changed: Callable[[int, tuple[float, ...]], None] | None = None
         # Where processes of this coordinator share its keys: their turns.
-        self.turns: Turns | None = None
-        self.ahead: Ahead | None = None
+        self.key_order: KeyOrder | None = None
+        self.interceptor: RequestInterceptor | None = None
         # In a fleet: whether one more request of a tenant is within what all coordinators may take of it.
-        self.within: Callable[[int], bool] | None = None
+        self.quota_allows: Callable[[int], bool] | None = None
         # While service returns after a loss, and before loads: who goes on to the module.
-        self.gate: Gate | None = None
-        self.witness: Witness | None = None  # where somebody subscribes to what happens here
-        self._records: dict[int, Record] = {}
+        self.admission_gate: AdmissionGate | None = None
+        self.observer: EventObserver | None = None  # where somebody subscribes to what happens here
+        self._records: dict[int, RequestEntry] = {}
         self._open = self._numbers = self._version = 0
         self._urgent: deque[Any] = deque()  # the engine list; never waits behind client work
         self._inbox: deque[Any] = deque()  # bounded: most_open requests, and what their attempts report
         self._sleeper: asyncio.Future[None] | None = None  # what the task waits for while nothing is to be done
-        self._timers = Wheel(clock())  # a token of the module's, _Overdue or _Absent
+        self._timers = TimerWheel(clock())  # a token of the module's, _Overdue or _Absent
         self._alarm: asyncio.TimerHandle | None = None  # the loop's one timer for them all
         self._reminders: dict[int, Timer] = {}  # the module's last, by token
         self._seen_ms = -math.inf
@@ -369,12 +377,14 @@
             policy.StartAttempt: self._send,
             policy.UpdatePriority: self._terms,
             policy.CancelAttempt: self._cancel,
-            policy.RejectRequest: lambda now, a: self._answer(a.request, Answer(REFUSED, None, a.retry_after_ms)),
-            policy.FailRequest: lambda now, a: self._answer(a.request, Answer(FAILED)),
+            policy.RejectRequest: lambda now, a: self._answer(
+                a.request, Response(ResponseStatus.REJECTED, None, a.retry_after_ms)
+            ),
+            policy.FailRequest: lambda now, a: self._answer(a.request, Response(ResponseStatus.FAILED)),
             policy.RunHealthCheck: self._probe,
             policy.SubscribeEndpoints: lambda now, a: None,
             policy.SetTimer: lambda now, a: self._remind(a.due_at_ms, a.token),
-            policy.WriteLog: lambda now, a: self.events.log("module", text=a.text),
+            policy.WriteLog: lambda now, a: self.telemetry.log("module", text=a.text),
         }
 
     # What fronts and drivers call.
@@ -382,61 +392,63 @@
     @property
     def open(self) -> int:
         """Number of requests taken and not yet answered."""
-        return self._open + (self.ahead.open if self.ahead is not None else 0)
+        return self._open + (self.interceptor.open if self.interceptor is not None else 0)
 
     @property
-    def behind(self) -> bool:
+    def has_pending_changes(self) -> bool:
         """Whether changes of the engine list, bans or settings are still to be applied."""
         return bool(self._urgent)
 
-    def submit(self, ask: Ask) -> bool:
+    def submit(self, request: ClientRequest) -> bool:
         """Take a request; False: the core is full, so the front refuses it and the decision module never sees it."""
-        if self.ahead is not None and (taken := self.ahead.takes(ask)) is not None:
+        if self.interceptor is not None and (taken := self.interceptor.takes(request)) is not None:
             return taken
         if self._open >= self.most_open:
-            self.events.count("full", ask.front, self.classes[ask.cls][1])
-            if self.witness is not None:
-                self.witness.answered(ask, REFUSED, "")
+            self.telemetry.count("full", request.front, self.classes[request.cls][1])
+            if self.observer is not None:
+                self.observer.answered(request, ResponseStatus.REJECTED, "")
             return False
         self._open += 1
-        self._put(ask)
+        self._put(request)
         return True
 
-    def left(self, ask: Ask) -> None:
+    def client_disconnected(self, request: ClientRequest) -> None:
         """Drop a request whose client has gone; no answer follows."""
-        if self.ahead is not None and self.ahead.left(ask):
+        if self.interceptor is not None and self.interceptor.left(request):
             return
-        if not ask.over:
-            ask.over = True
-            self._put(_Leave(ask))
+        if not request.over:
+            request.over = True
+            self._put(_ClientLeft(request))
 
-    def list_engines(self, driver: Driver, engines: Iterable[EngineState], how: int, version: int) -> None:
+    def update_endpoints(self, driver: Driver, engines: Iterable[EngineState], kind: int, version: int) -> None:
         """Take a driver's engine list, whole or as changes; it is applied before all client work."""
-        self._urgent.append(_Listing(driver, tuple(engines), how, version))
+        self._urgent.append(_EndpointsListed(driver, tuple(engines), kind, version))
         self._wake()
 
-    def note(self, attempt: Attempt, kind: int, value: float) -> None:
+    def report_progress(self, attempt: Attempt, kind: int, value: float) -> None:
         """Pass on news of an attempt in flight, such as its progress; dropped once the attempt has ended."""
         if not attempt.over:
-            self._put(policy.ProgressReported(attempt.ask.number, attempt.number, attempt.engine, kind, value))
+            self._put(policy.ProgressReported(attempt.request.number, attempt.number, attempt.engine, kind, value))
 
-    def ended(
+    def attempt_ended(
         self,
         attempt: Attempt,
-        verdict: int,
+        outcome: int,
         report: tuple[float, ...] = (),
         result: Any = None,
-        needed: Needed = UNTOLD,
+        needed: MeasuredCost = UNKNOWN_COST,
     ) -> None:
         """Take the one end of an attempt; any later report of it is dropped."""
         if attempt.over:
             return
         attempt.over, attempt.task = True, None  # a circle would be left to the collector
-        self._put(_End(attempt, verdict, report, result, clock(), needed))
+        self._put(_AttemptCompleted(attempt, outcome, report, result, clock(), needed))
 
-    def probed(self, engine: int, verdict: int, elapsed_ms: float, report: tuple[float, ...] = ()) -> None:
+    def health_check_completed(
+        self, engine: int, outcome: int, elapsed_ms: float, report: tuple[float, ...] = ()
+    ) -> None:
         """Take the outcome of a health check: its verdict, how long it took in ms, and the load report if one came."""
-        self._put(policy.HealthCheckCompleted(engine, verdict, elapsed_ms, report))
+        self._put(policy.HealthCheckCompleted(engine, outcome, elapsed_ms, report))
 
     def may_send(self, attempt: Attempt) -> bool:
         """Return whether an attempt may be sent; drivers ask once, right before its first byte.
@@ -449,11 +461,11 @@
             return False
         if clock() > attempt.begin_by_ms:
             return False
-        if not attempt.ask.present():
-            self.left(attempt.ask)
+        if not attempt.request.present():
+            self.client_disconnected(attempt.request)
             return False
         # Fences pay for what they let through, and may learn of bans and ends.
-        return self.fence is None or (self.fence(state, attempt) and self._takes(state))
+        return self.may_start is None or (self.may_start(state, attempt) and self._takes(state))
 
     def _takes(self, state: EngineState) -> bool:
         return state.entry.health == Health.READY and state.name not in self.banned and state.name not in self.stops
@@ -470,55 +482,55 @@
             if state.listed is not None and state.listed.since_ms > began.get(state.name, now)
         }
         self._back.update(dict.fromkeys(began.keys() - told, now))
-        self._urgent.append(_Banned(changed))
+        self._urgent.append(_BansChanged(changed))
         self._wake()
 
-    def stop(self, name: str, version: int) -> None:
+    def mark_draining(self, name: str, version: int) -> None:
         """Send nothing to an engine that another worker's newer list shows as draining, until this list catches up."""
         if version > self.stops.get(name, 0):
             self.stops[name] = version
-            self._urgent.append(_Banned(frozenset((name,)), False))
+            self._urgent.append(_BansChanged(frozenset((name,)), False))
             self._wake()
 
-    def turn(self, number: int) -> None:
+    def key_order_reached(self, number: int) -> None:
         """Note that a request which waited for another process's request with its key may go."""
         self._put(policy.KeyOrderReached(number))
 
-    def admit(self, number: int, turn: bool) -> None:
+    def admit_waiting(self, number: int, turn: bool) -> None:
         """Pass a request that waited at the gate on to the decision module; `turn`: its turn by key has come."""
-        self._put(_Admit(number, turn))
+        self._put(_AdmissionDecided(number, turn))
 
-    def turn_away(self, number: int, answer: Answer) -> None:
+    def reject_waiting(self, number: int, answer: Response) -> None:
         """Answer a request that waited at the gate, without the decision module."""
-        self._put(_Admit(number, True, answer))
+        self._put(_AdmissionDecided(number, True, answer))
 
-    def chill(self, starts: dict[str, float]) -> None:
+    def mark_restarted(self, starts: dict[str, float]) -> None:
         """Treat engines that have lost power as started at these times (Unix ms, by name), unless listed as later."""
         self._back.update(starts)
-        self._urgent.append(_Chilled(frozenset(starts)))
+        self._urgent.append(_EnginesRestarted(frozenset(starts)))
         self._wake()
 
-    def hear(self, entries: tuple[policy.WorkerLoad, ...]) -> None:
+    def update_worker_loads(self, entries: tuple[policy.WorkerLoad, ...]) -> None:
         """Pass the state of the other workers on to the decision module."""
         self._put(policy.WorkerLoadReported(entries))
 
-    def written(self, attempt: Attempt) -> None:
+    def count_written(self, attempt: Attempt) -> None:
         """Count an attempt that has been written whole to its engine."""
-        self.events.count("written", attempt.ask.front, attempt.class_name)
+        self.telemetry.count("written", attempt.request.front, attempt.class_name)
 
-    def bound(self, most: int) -> None:
+    def set_open_limit(self, most: int) -> None:
         """Set how many requests may be open before the decision module refuses some of those that wait."""
-        self._urgent.append(_Bound(most))
+        self._urgent.append(_OpenLimitChanged(most))
         self._wake()
 
-    def tune(self, settings: policy.Settings) -> None:
+    def apply_settings(self, settings: policy.Settings) -> None:
         """Change tenants' shares and classes' aims, deadlines and worths; all else must be as at the start."""
-        self._urgent.append(_Tuned(settings))
+        self._urgent.append(_SettingsChanged(settings))
         self._wake()
 
-    def give_up(self) -> None:
+    def fail_open_requests(self) -> None:
         """Let the decision module end all open requests, as the program ends and no response would come."""
-        self._urgent.append(_Over())
+        self._urgent.append(_ShutdownStarted())
         self._wake()
 
     def _put(self, event: Any) -> None:
@@ -536,7 +548,7 @@
             "held": len(self.controller.held),
         }
 
-    def picture(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """Return the current beliefs on requests and engines, to compare with the traffic on the sockets."""
         out = Counter(a.engine for r in self._records.values() for a in r.attempts if not a.over)
         engines = [
@@ -568,11 +580,11 @@
         """Return the figures that operators, SIGUSR1 and SNMP all read, from the counters and the records."""
         calls: dict[str, dict[str, int]] = {}
         for front, name in self.classes:
-            if front == PART:
+            if front == SUBREQUEST_FRONT:
                 continue
             row = calls.setdefault(name, dict.fromkeys(FIGURES, 0))
             for figure, counters in FIGURES.items():
-                row[figure] += sum(self.events.counts[what, front, name] for what in counters)
+                row[figure] += sum(self.telemetry.counts[what, front, name] for what in counters)
         listed = [(number, state) for number, state in self.engines.items() if state.entry.health != Health.GONE]
         down = sum(
             state.name in self.banned
@@ -580,7 +592,7 @@
             and believed.suspect
             for number, state in listed
         )
-        written = sum(count for (what, _, _), count in self.events.counts.items() if what == "written")
+        written = sum(count for (what, _, _), count in self.telemetry.counts.items() if what == "written")
         return {
             "calls": calls,
             "backend_calls": written,
@@ -642,8 +654,8 @@
             self._step(now, event)
         except Exception as error:  # noqa: BLE001 - the boundary that keeps one fault from ending all
             number = self._request_of(event)
-            self.events.count("faults")
-            self.events.log(
+            self.telemetry.count("faults")
+            self.telemetry.log(
                 "fault", error=repr(error), of=type(event).__name__, request=number, at=traceback.format_exc(limit=-3)
             )
             if isinstance(event, policy.TimerFired):
@@ -655,61 +667,63 @@
         """A request that a fault hit: failed, its work freed, and forgotten."""
         record = self._records.get(number)
         if record is not None:
-            self._answer(number, Answer(FAILED))
+            self._answer(number, Response(ResponseStatus.FAILED))
             self._records.pop(number, None)
             for attempt in record.attempts:
                 if not attempt.over:
                     self.engines[attempt.engine].driver.stop(attempt)
             if all(attempt.over for attempt in record.attempts):
-                self._passed(record.ask)
+                self._passed(record.request)
 
     @staticmethod
     def _request_of(event: Any) -> int:
-        if isinstance(event, _End):
-            return event.attempt.ask.number
-        if isinstance(event, _Leave):
-            return event.ask.number
-        return event.number if isinstance(event, (Ask, _Overdue)) else getattr(event, "request", 0)
+        if isinstance(event, _AttemptCompleted):
+            return event.attempt.request.number
+        if isinstance(event, _ClientLeft):
+            return event.request.number
+        return event.number if isinstance(event, (ClientRequest, _DeadlinePassed)) else getattr(event, "request", 0)
 
     def _step(self, now: float, event: Any) -> None:
-        if isinstance(event, Ask):
+        if isinstance(event, ClientRequest):
             self._take(now, event)
-        elif isinstance(event, _End):
+        elif isinstance(event, _AttemptCompleted):
             self._end(now, event)
-        elif isinstance(event, _Listing):
+        elif isinstance(event, _EndpointsListed):
             self._list(now, event)
-        elif isinstance(event, _Banned):
+        elif isinstance(event, _BansChanged):
             self._lay(now, event.names, event.by_hand)
-        elif isinstance(event, _Chilled):
+        elif isinstance(event, _EnginesRestarted):
             self._lay(now, event.names, None)
-        elif isinstance(event, _Admit):
+        elif isinstance(event, _AdmissionDecided):
             record = self._records.get(event.number)
             if record is not None and not record.answered:
                 if event.answer is not None:
                     self._answer(event.number, event.answer)
                 else:
-                    self._request(now, record.ask, event.turn)
-        elif isinstance(event, _Bound):
+                    self._request(now, record.request, event.turn)
+        elif isinstance(event, _OpenLimitChanged):
             self.controller.most_open = event.most
-        elif isinstance(event, _Tuned):
+        elif isinstance(event, _SettingsChanged):
             self.controller.s = event.settings
-        elif isinstance(event, _Over):
+        elif isinstance(event, _ShutdownStarted):
             self._do(now, self.controller.give_up(now))
-            for number in self.gate.close() if self.gate is not None else ():
-                self._answer(number, Answer(REFUSED))
-        elif isinstance(event, _Leave):
-            self._leave(now, event.ask.number, "left")
-        elif isinstance(event, _Overdue):
+            for number in self.admission_gate.close() if self.admission_gate is not None else ():
+                self._answer(number, Response(ResponseStatus.REJECTED))
+        elif isinstance(event, _ClientLeft):
+            self._leave(now, event.request.number, "left")
+        elif isinstance(event, _DeadlinePassed):
             # The module answers before the deadline; should it not have, the ledger still owes one answer.
             record = self._records.get(event.number)
             if record is not None and not record.answered:
-                self.events.log("overdue", request=event.number)
-                self._answer(event.number, Answer(FAILED))
+                self.telemetry.log("overdue", request=event.number)
+                self._answer(event.number, Response(ResponseStatus.FAILED))
                 self._leave(now, event.number, "overdue")
-        elif isinstance(event, _Absent):
+        elif isinstance(event, _EngineExpired):
             self._drop_engine(now, event.engine)
         elif not (
-            isinstance(event, policy.KeyOrderReached) and self.gate is not None and self.gate.turned(event.request)
+            isinstance(event, policy.KeyOrderReached)
+            and self.admission_gate is not None
+            and self.admission_gate.turned(event.request)
         ):
             self._tell(now, event)
 
@@ -721,8 +735,8 @@
             try:
                 self._does[type(action)](now, action)
             except Exception as error:  # noqa: BLE001 - the other actions belong to other requests
-                self.events.count("faults")
-                self.events.log("fault", error=repr(error), of=repr(action), at=traceback.format_exc(limit=-3))
+                self.telemetry.count("faults")
+                self.telemetry.log("fault", error=repr(error), of=repr(action), at=traceback.format_exc(limit=-3))
                 self._give_up(getattr(action, "request", 0))
 
     def _at(self, due_ms: float, what: Any) -> Timer:
@@ -733,15 +747,15 @@
 
     def _set_back(self, now: float) -> None:
         """The clock was set back: the module's own turns, each of which asks for the next, must not wait for it."""
-        self.events.log("clock", back_ms=round(self._seen_ms - now))
+        self.telemetry.log("clock", back_ms=round(self._seen_ms - now))
         for token, timer in self._reminders.items():
             if timer.place != OUT:
                 self._timers.cancel(timer)
                 self._reminders[token] = self._at(now, token)
 
-    def _settled(self, record: Record, how: str) -> None:
+    def _settled(self, record: RequestEntry, how: str) -> None:
         """It is answered, or its client left: its time no longer matters."""
-        record.answered, record.ask.over = how, True
+        record.answered, record.request.over = how, True
         self._open -= 1
         if record.timer is not None:
             self._timers.cancel(record.timer)
@@ -749,33 +763,33 @@
 
     # Events.
 
-    def _take(self, now: float, ask: Ask) -> None:
+    def _take(self, now: float, request: ClientRequest) -> None:
         self._numbers += 1
-        ask.number = self._numbers
-        record = self._records[ask.number] = Record(ask)
-        record.timer = self._at(ask.taken_ms + ask.left_ms, _Overdue(ask.number))
-        self.events.count("taken", ask.front, self.classes[ask.cls][1])
-        turn = self.turns.enter(ask.number, ask.key) if ask.key and self.turns is not None else True
+        request.number = self._numbers
+        record = self._records[request.number] = RequestEntry(request)
+        record.timer = self._at(request.received_ms + request.left_ms, _DeadlinePassed(request.number))
+        self.telemetry.count("taken", request.front, self.classes[request.cls][1])
+        turn = self.key_order.enter(request.number, request.key) if request.key and self.key_order is not None else True
         if turn is None:  # an order that can't be kept is turned down: nothing ran
-            self._answer(ask.number, Answer(REFUSED))
+            self._answer(request.number, Response(ResponseStatus.REJECTED))
             return
-        if self.gate is None or self.gate.enter(now, ask, turn):
-            self._request(now, ask, turn)
+        if self.admission_gate is None or self.admission_gate.enter(now, request, turn):
+            self._request(now, request, turn)
 
-    def _request(self, now: float, ask: Ask, turn: bool) -> None:
-        left_ms = ask.left_ms - (now - ask.taken_ms)
+    def _request(self, now: float, request: ClientRequest, turn: bool) -> None:
+        left_ms = request.left_ms - (now - request.received_ms)
         self._tell(
             now,
             policy.RequestArrived(
-                ask.number,
-                ask.cls,
-                ask.tenant,
-                ask.key,
+                request.number,
+                request.cls,
+                request.tenant,
+                request.key,
                 left_ms,
-                ask.cost_ms,
-                ask.memory_mb,
-                float(ask.group),
-                self.within is not None and not self.within(ask.tenant),
+                request.cost_ms,
+                request.memory_mb,
+                float(request.group),
+                self.quota_allows is not None and not self.quota_allows(request.tenant),
                 turn,
             ),
         )
@@ -786,16 +800,16 @@
             return
         if not record.answered:
             self._settled(record, why)
-            self.events.count(why, record.ask.front, self.classes[record.ask.cls][1])
-        if self.gate is not None:
-            self.gate.over(number, bool(record.attempts))
+            self.telemetry.count(why, record.request.front, self.classes[record.request.cls][1])
+        if self.admission_gate is not None:
+            self.admission_gate.over(number, bool(record.attempts))
         self._tell(now, policy.ClientDisconnected(number))
         self._forget(record)
 
-    def _list(self, now: float, listing: _Listing) -> None:
+    def _list(self, now: float, listing: _EndpointsListed) -> None:
         # A whole list is whole for its driver only, so the module hears it as a change: what is missing is gone.
         changed = list(listing.engines)
-        if listing.how != EndpointListKind.DELTA:
+        if listing.kind != EndpointListKind.DELTA:
             listed = {state.entry.engine for state in listing.engines}
             changed += [
                 EngineState(state.entry._replace(health=Health.GONE), state.name, state.address, state.driver)
@@ -811,14 +825,14 @@
             state = self._overlaid(told)
             entries.append(state.entry)
             self.engines[state.entry.engine] = state
-            if self.watch is not None:
-                self.watch(state.entry.engine, ())
+            if self.on_engine_changed is not None:
+                self.on_engine_changed(state.entry.engine, ())
             state.driver.listed(state)
             if state.entry.health == Health.GONE:
-                self._at(now + ABSENT_MS, _Absent(state.entry.engine))
-            self.events.log("engine", name=state.name, health=state.entry.health, since=state.entry.since_ms)
-            if self.witness is not None:
-                self.witness.engine(state.name, "list", int(state.entry.health))
+                self._at(now + GONE_ENGINE_RETENTION_MS, _EngineExpired(state.entry.engine))
+            self.telemetry.log("engine", name=state.name, health=state.entry.health, since=state.entry.since_ms)
+            if self.observer is not None:
+                self.observer.engine(state.name, "list", int(state.entry.health))
         self._remember([told.name for told in changed])
         self._version = listing.version
         self._tell(now, policy.EndpointListUpdated(EndpointListKind.DELTA, listing.version, tuple(entries)))
@@ -847,9 +861,11 @@
                 state.driver.listed(state)
                 entries.append(state.entry)
         for name in sorted(names) if by_hand is not None else ():
-            self.events.log("ban", name=name, on=name in self.banned) if by_hand else self.events.log("stop", name=name)
-            if self.witness is not None:
-                self.witness.engine(name, ("ban" if name in self.banned else "unban") if by_hand else "stop")
+            self.telemetry.log("ban", name=name, on=name in self.banned) if by_hand else self.telemetry.log(
+                "stop", name=name
+            )
+            if self.observer is not None:
+                self.observer.engine(name, ("ban" if name in self.banned else "unban") if by_hand else "stop")
         if entries:
             self._tell(now, policy.EndpointListUpdated(EndpointListKind.DELTA, self._version, tuple(entries)))
 
@@ -871,74 +887,74 @@
         if state is None or state.entry.health != Health.GONE:
             return
         if any(a.engine == number and not a.over for r in self._records.values() for a in r.attempts):
-            self._at(now + ABSENT_MS, _Absent(number))
+            self._at(now + GONE_ENGINE_RETENTION_MS, _EngineExpired(number))
         else:
             del self.engines[number]
             self.stops.pop(state.name, None)
-            if self.watch is not None:
-                self.watch(number, ())
-
-    def _end(self, now: float, end: _End) -> None:
-        attempt, ask = end.attempt, end.attempt.ask
-        record, verdict = self._records.get(ask.number), end.verdict
-        if self.gate is not None and (state := self.engines.get(attempt.engine)) is not None:
-            self.gate.ended(state.name, verdict)
-        self.events.count(ENDED[verdict], ask.front, self.classes[ask.cls][1])
-        if verdict not in (AttemptOutcome.OK, AttemptOutcome.CANCELLED):
-            self.events.log(
+            if self.on_engine_changed is not None:
+                self.on_engine_changed(number, ())
+
+    def _end(self, now: float, end: _AttemptCompleted) -> None:
+        attempt, request = end.attempt, end.attempt.request
+        record, outcome = self._records.get(request.number), end.outcome
+        if self.admission_gate is not None and (state := self.engines.get(attempt.engine)) is not None:
+            self.admission_gate.ended(state.name, outcome)
+        self.telemetry.count(ENDED[outcome], request.front, self.classes[request.cls][1])
+        if outcome not in (AttemptOutcome.OK, AttemptOutcome.CANCELLED):
+            self.telemetry.log(
                 "attempt",
-                request=ask.number,
-                ticket=ask.ticket,
+                request=request.number,
+                ticket=request.ticket,
                 attempt=attempt.number,
                 engine=self.engines[attempt.engine].name,
-                verdict=AttemptOutcome(verdict).name,
+                outcome=AttemptOutcome(outcome).name,
                 ms=round(end.at_ms - attempt.sent_ms, 1),
             )
-        if record is not None and verdict == AttemptOutcome.OK and not record.answered:
-            self._answer(ask.number, Answer(SERVED, end.result))
+        if record is not None and outcome == AttemptOutcome.OK and not record.answered:
+            self._answer(request.number, Response(ResponseStatus.SERVED, end.result))
         over = record is None or bool(record.answered)
         self._tell(
             now,
             policy.AttemptEnded(
-                ask.number,
+                request.number,
                 attempt.number,
                 attempt.engine,
-                verdict,
+                outcome,
                 end.at_ms - attempt.sent_ms,
                 over,
                 *end.needed,
                 end.report,
             ),
         )
-        if self.watch is not None:
-            self.watch(attempt.engine, end.report)
+        if self.on_engine_changed is not None:
+            self.on_engine_changed(attempt.engine, end.report)
         if record is not None:
             self._forget(record)
         else:
-            self._passed(ask)  # what a fault hit has at most one attempt out
+            self._passed(request)  # what a fault hit has at most one attempt out
 
-    def _forget(self, record: Record) -> None:
+    def _forget(self, record: RequestEntry) -> None:
         if record.answered and not record.out:
-            self._records.pop(record.ask.number, None)
-            self._passed(record.ask)
+            self._records.pop(record.request.number, None)
+            self._passed(record.request)
 
-    def _passed(self, ask: Ask) -> None:
+    def _passed(self, request: ClientRequest) -> None:
         """Nothing of the request can run any more."""
-        if ask.key and self.turns is not None:
-            self.turns.over(ask.number)
+        if request.key and self.key_order is not None:
+            self.key_order.over(request.number)
 
     # Actions.
 
     def _send(self, now: float, action: policy.StartAttempt) -> None:
         record = self._records[action.request]
-        ask, state = record.ask, self.engines[action.engine]
+        request, state = record.request, self.engines[action.engine]
         attempt = Attempt(
-            ask,
+            request,
             len(record.attempts),
             action.engine,
             now,
-            action.timeout_ms or max(1.0, ask.taken_ms + ask.left_ms - now),
-            self.classes[ask.cls][1],
+            action.timeout_ms or max(1.0, request.received_ms + request.left_ms - now),
+            self.classes[request.cls][1],
             record.grant_mb,
             record.priority,
             begin_by_ms=action.begin_by_ms,
@@ -947,10 +963,10 @@
             # Two attempts out at once is the rule that costs most; the module never asks for it.
             raise RuntimeError("a send while an attempt is out or the request is answered")
         record.attempts.append(attempt)
-        self.events.count("sent", ask.front, attempt.class_name)
+        self.telemetry.count("sent", request.front, attempt.class_name)
         state.driver.start(attempt)
-        if self.watch is not None:
-            self.watch(attempt.engine, ())
+        if self.on_engine_changed is not None:
+            self.on_engine_changed(attempt.engine, ())
 
     def _terms(self, now: float, action: policy.UpdatePriority) -> None:
         record = self._records.get(action.request)
@@ -970,23 +986,23 @@
             self.engines[attempt.engine].driver.stop(attempt)
 
     def _probe(self, now: float, action: policy.RunHealthCheck) -> None:
-        self.events.count("probes")
+        self.telemetry.count("probes")
         self.engines[action.engine].driver.probe(action.engine)
 
-    def _answer(self, number: int, answer: Answer) -> None:
+    def _answer(self, number: int, answer: Response) -> None:
         """The one place that settles a request: exactly one final answer."""
         record = self._records.get(number)
         if record is None or record.answered:
             return
-        self._settled(record, answer.how)
-        self.events.count(answer.how, record.ask.front, self.classes[record.ask.cls][1])
-        if self.gate is not None:
-            self.gate.over(number, bool(record.attempts) and answer.how != REFUSED)
+        self._settled(record, answer.status)
+        self.telemetry.count(answer.status, record.request.front, self.classes[record.request.cls][1])
+        if self.admission_gate is not None:
+            self.admission_gate.over(number, bool(record.attempts) and answer.status != ResponseStatus.REJECTED)
         try:
-            record.ask.settle(answer)
-            record.ask.statement = ""  # the line may stay for an attempt that has yet to end
+            record.request.on_response(answer)
+            record.request.statement = ""  # the line may stay for an attempt that has yet to end
         finally:
             self._forget(record)
-            if self.witness is not None:
+            if self.observer is not None:
                 last = self.engines.get(record.attempts[-1].engine) if record.attempts else None
-                self.witness.answered(record.ask, answer.how, last.name if last else "")
+                self.observer.answered(record.request, answer.status, last.name if last else "")
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -22,8 +22,8 @@
 from frostspindle.cores.fleet import Row, Sibling
 from frostspindle.cores.mesh import Gone, Mesh
 from frostspindle.cores.ownership import Owner, Route
-from frostspindle.net.fields import Refusal
-from frostspindle.net.http.calls import FRONT, Slot
+from frostspindle.net.fields import CallRejectedError
+from frostspindle.net.http.calls import FRONT, PendingCall
 from frostspindle.policy import Health, WorkerLoad
 from frostspindle.program import Program
 
@@ -95,15 +95,15 @@
 
     def bind(self, program: Program) -> None:
         """Hook this worker into the program's core, front and counters; clear its region and mark it as starting."""
-        self.program, self.core, self.events = program, program.core, program.events
+        self.program, self.core, self.telemetry = program, program.core, program.telemetry
         self.loop = asyncio.get_running_loop()
         self.region.clear()
         put = self.region.put
         put(form.PID, 0)
         put(form.INCARNATION, self.me.incarnation)
         put(form.STATE, form.STARTING)
-        self.events.mirror = self.region.count
-        self.core.fence, self.core.watch = self.fence, self.watch
+        self.telemetry.mirror = self.region.count
+        self.core.may_start, self.core.on_engine_changed = self.fence, self.watch
         program.platform.relay, program.platform.prefix = self, ownership.prefix(self.me)
         self.mesh = Mesh(self.passport.mesh, self.passport.paths, program.platform)
 
@@ -147,8 +147,8 @@
         try:
             self._step()
         except Exception as error:  # noqa: BLE001 - the next tick reads all again
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of="link")
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of="link")
 
     def _step(self) -> None:
         self._ticks += 1
@@ -178,7 +178,7 @@
         if self.board.version == self.version:
             return True
         if (read := self.board.control()) is None:
-            self.events.count("board_torn")
+            self.telemetry.count("board_torn")
             return False
         before, (self.version, self.told) = self.told, read
         self.lost = frozenset(self.told.lost)
@@ -208,7 +208,7 @@
         urgent = sight.region.get(form.URGENT)
         changed = sight.look()
         if sight.torn != torn:
-            self.events.count("board_torn")
+            self.telemetry.count("board_torn")
         if changed and urgent != self._urgent[slot]:
             siblings = [Sibling(0.0, sight.rows)]
             for engine in changed:
@@ -218,7 +218,7 @@
                     and state.version
                     and (word := fleet.stop(engine, state.version, siblings)) is not None
                 ):
-                    self.core.stop(state.name, word[0])
+                    self.core.mark_draining(state.name, word[0])
         self._urgent[slot] = urgent
         return changed
 
@@ -245,7 +245,7 @@
                 entries.append(entry)
             self.peers[engine] = entry
         if entries:
-            self.core.hear(tuple(entries))
+            self.core.update_worker_loads(tuple(entries))
 
     # The core to the board.
 
@@ -292,7 +292,7 @@
             if (state := self.core.engines.get(engine)) is not None and not self.region.write(self._row(engine, state)):
                 if not self._full:
                     self._full = True
-                    self.events.log("board", error="more engines than it has rows for", engine=state.name)
+                    self.telemetry.log("board", error="more engines than it has rows for", engine=state.name)
         if dirty:
             self.region.bump(form.FLUSHES)
 
@@ -337,7 +337,7 @@
             and clock() - since < self.core.settings.slow_start_duration_ms
             and (clock() - attempt.sent_ms > DECIDED_MS or mono() >= self.board.horizon(self.me.slot))
         ):
-            self.events.count("cold_stopped")
+            self.telemetry.count("cold_stopped")
             return False
         return True
 
@@ -354,7 +354,7 @@
         ]
         return ownership.accepts(mine, others)
 
-    def claim(self, ticket: str) -> Refusal | None:
+    def claim(self, ticket: str) -> CallRejectedError | None:
         """Enter a request's id (hex) for this worker; return the refusal if it can't be had.
 
         409: it is open at another worker; 502: it was open at a worker that died; 503: its bucket of the board is full.
@@ -365,14 +365,14 @@
             return None  # stands for an empty cell; each worker's own check holds for it
         self._obey()
         if number in self.lost:
-            return Refusal(502, "Failed")
+            return CallRejectedError(502, "Failed")
         # Written first, then looked for elsewhere: of two workers at the same moment at least one sees the other.
         if not self.region.add(number):
-            self.events.count("full", FRONT)
-            return Refusal(503, "Busy")
+            self.telemetry.count("full", FRONT)
+            return CallRejectedError(503, "Busy")
         if self.region.elsewhere(number):
             self.region.remove(number)
-            return Refusal(409, "X-Request-Id: this request is already open")
+            return CallRejectedError(409, "X-Request-Id: this request is already open")
         return None
 
     def release(self, ticket: str) -> None:
@@ -380,7 +380,7 @@
         if number := int(ticket, 16):
             self.region.remove(number)
 
-    def passes(self, slot: Slot, method: bytes, path: str, url: bytes) -> bool:
+    def passes(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
         """Return whether a call on a path unknown here belongs to another worker, and see to its answer.
 
         Only GET and DELETE pass. A call whose owner lives is relayed to it. Of an owner that died, a DELETE is answered
@@ -400,12 +400,12 @@
             task.add_done_callback(self._asking.discard)
         return way is not Route.UNKNOWN
 
-    async def _ask(self, slot: Slot, owner: int, method: bytes, path: str, url: bytes) -> None:
-        self.events.count("relayed", FRONT)
+    async def _ask(self, slot: PendingCall, owner: int, method: bytes, path: str, url: bytes) -> None:
+        self.telemetry.count("relayed", FRONT)
         try:
             status, body, extra, last = await self.mesh.ask(owner, method, url)
         except Gone as gone:
-            self.events.log("relay", owner=owner, error=str(gone))
+            self.telemetry.log("relay", owner=owner, error=str(gone))
             if method == b"DELETE":
                 slot.reply(503, {"failure": "Busy"})
             else:  # it asks again, and finds the owner's answer or the word that it died
--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from frostspindle.net.fields import Refusal
-from frostspindle.net.http.calls import Slot
-from frostspindle.net.platform import Platform
+from frostspindle.net.fields import CallRejectedError
+from frostspindle.net.http.calls import PendingCall
+from frostspindle.net.platform import HttpFront
 
 LONGEST = 1 << 20  # a page and its frame are far shorter
 MOST = 512  # calls of one worker that wait at another
@@ -83,7 +83,7 @@
     line: tuple[()] = ()
 
 
-class _FarSlot(Slot):
+class _FarSlot(PendingCall):
     """A call of another worker's client."""
 
     __slots__ = ("answer",)
@@ -103,7 +103,7 @@
 
     decoder = _CALL
 
-    def __init__(self, front: Platform, all_of: set[_Owner]) -> None:
+    def __init__(self, front: HttpFront, all_of: set[_Owner]) -> None:
         super().__init__()
         self.front, self.all_of = front, all_of
         self.slots: set[_FarSlot] = set()
@@ -114,11 +114,11 @@
         # The address has no owner in any file system: only processes of this user are listened to.
         credentials = transport.get_extra_info("socket").getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
         if int.from_bytes(credentials[4:8], sys.byteorder) != os.geteuid():
-            self.front.events.count("mesh_strangers")
+            self.front.telemetry.count("mesh_strangers")
             self.transport.abort()
 
     def broken(self) -> None:
-        self.front.events.count("mesh_broken")
+        self.front.telemetry.count("mesh_broken")
         super().broken()
 
     def frame(self, message: Any) -> None:
@@ -128,14 +128,14 @@
             slot.reply(503, {"failure": "Busy"})
             return
         self.slots.add(slot)
-        self.front.events.count("relayed_in", "http")
+        self.front.telemetry.count("relayed_in", "http")
         try:
             self.front.call(slot, method, url, {}, b"")
-        except Refusal as refusal:
+        except CallRejectedError as refusal:
             slot.reply(refusal.status, {"failure": refusal.text}, last=True)
         except Exception as error:  # noqa: BLE001 - a fault ends one call
-            self.front.events.count("faults")
-            self.front.events.log("fault", error=repr(error), of="relayed call")
+            self.front.telemetry.count("faults")
+            self.front.telemetry.log("fault", error=repr(error), of="relayed call")
             slot.reply(500, {"failure": "Failed"}, last=True)
 
     def _answer(self, number: int, slot: _FarSlot, reply: Reply) -> None:
@@ -190,7 +190,7 @@
 class Mesh:
     """This worker's listening Unix socket and its connections to the other workers."""
 
-    def __init__(self, listening: int, paths: dict[int, str], front: Platform) -> None:
+    def __init__(self, listening: int, paths: dict[int, str], front: HttpFront) -> None:
         self.listening, self.paths, self.front = socket.socket(fileno=listening), paths, front
         self.askers: dict[int, _Asker] = {}
         self.owners: set[_Owner] = set()  # the others' connections here
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -34,12 +34,12 @@
 from frostspindle.cores.link import DECIDED_MS, SPARE, Passport, mono
 from frostspindle.cores.restarts import Restarts
 from frostspindle.cores.worker import PASSPORT
-from frostspindle.events import Events
 from frostspindle.net.http.calls import FRONT
-from frostspindle.net.http.door import BACKLOG
-from frostspindle.net.operator import Desk, Nak
+from frostspindle.net.http.listener import BACKLOG
+from frostspindle.net.operator import OperatorError, OperatorServer
 from frostspindle.net.tds.front import BACKLOG as TDS_BACKLOG
 from frostspindle.shared import Shared
+from frostspindle.telemetry import Telemetry
 
 TICK_S = 0.02
 LEAST_SOCKETS, LET_GO_S = 64, 0.05  # a worker starts with so many descriptors at least; the wait for others to let go
@@ -72,7 +72,7 @@
     def __init__(self, config: Config) -> None:
         self.config = config
         self.cores = config.operator.cores
-        self.events = Events(config.name)
+        self.telemetry = Telemetry(config.name)
         self.classes = [(FRONT, name) for name in config.classes] + [("tds", name) for name in config.plan.classes]
         count = self.cores.workers
         buckets = 1 << max(8, (config.limits.sockets // 4 - 1).bit_length())
@@ -89,10 +89,10 @@
         self.workers: list[Worker] = []
         self.lost: list[tuple[float, int]] = []
         self.names: dict[str, None] = {}
-        self.shared = Shared(config.environ, config.name, self.events)
+        self.shared = Shared(config.environ, config.name, self.telemetry)
         self.stopping, self.failed, self.once_ready = asyncio.Event(), False, False
         self.desk = (
-            Desk(
+            OperatorServer(
                 config.desk,
                 {
                     "ready": self.ready,
@@ -102,7 +102,7 @@
                     "disable-server": self.disable,
                     "enable-server": self.enable,
                 },
-                self.events,
+                self.telemetry,
             )
             if config.desk
             else None
@@ -227,7 +227,7 @@
         self.restarts.started(worker.slot, mono())
         worker.pidfd = os.pidfd_open(worker.process.pid)
         self.loop.add_reader(worker.pidfd, self._ended, worker)
-        self.events.log("worker_started", slot=worker.slot, pid=worker.process.pid, incarnation=worker.incarnation)
+        self.telemetry.log("worker_started", slot=worker.slot, pid=worker.process.pid, incarnation=worker.incarnation)
 
     def _ended(self, worker: Worker) -> None:
         """A worker's process has ended: what it had is booked, divided anew, and a successor started."""
@@ -249,13 +249,13 @@
         self.arbiter.down(worker.slot, now)
         self._divide()
         self._publish()
-        self.events.count("worker_ends")
-        self.events.log("worker_ended", slot=worker.slot, code=code, lost=sum(gone.values()), ids=len(ids))
+        self.telemetry.count("worker_ends")
+        self.telemetry.log("worker_ended", slot=worker.slot, code=code, lost=sum(gone.values()), ids=len(ids))
         if self.stopping.is_set():
             return
         wait_ms = self.restarts.ended(worker.slot, now, code != 0)
         if wait_ms is None:
-            self.events.log("crash_loop", crashes=self.cores.crashes, within_ms=self.cores.within_ms)
+            self.telemetry.log("crash_loop", crashes=self.cores.crashes, within_ms=self.cores.within_ms)
             self.failed = True
             self.stopping.set()
             return
@@ -270,7 +270,7 @@
         self.once_ready = False
         self.control.ending = True
         self._publish()
-        self.events.log("stopping", open=self.inflight)
+        self.telemetry.log("stopping", open=self.inflight)
         for worker in self.workers:
             if worker.timer is not None:
                 worker.timer.cancel()
@@ -286,7 +286,7 @@
             if self.loop.time() > last:
                 for worker in self.workers:
                     if worker.process is not None:
-                        self.events.log("worker_killed", slot=worker.slot, why="does not end")
+                        self.telemetry.log("worker_killed", slot=worker.slot, why="does not end")
                         worker.process.kill()
                 last = self.loop.time() + STOP_S
             await asyncio.sleep(TICK_S)
@@ -321,7 +321,7 @@
                 self.arbiter.beat(worker.slot, now)
             if not worker.killed and self.restarts.hangs(worker.slot, now, beat):
                 worker.killed = True
-                self.events.log(
+                self.telemetry.log(
                     "worker_killed",
                     slot=worker.slot,
                     why="does not move",
@@ -342,7 +342,7 @@
             and all(w.region.get(form.STATE) == form.SERVING for w in self.workers)
         ):
             self.once_ready = True
-            self.events.log(
+            self.telemetry.log(
                 "ready",
                 listen=f"{self.config.listen[0]}:{self.port}",
                 workers=len(self.workers),
@@ -384,7 +384,7 @@
             self.board.publish(self.control)
         except ValueError as error:  # what is in force stays: units that were not told are not used, nor given on
             self.count("control_full")
-            self.events.log("board", error=str(error))
+            self.telemetry.log("board", error=str(error))
 
     def _banned(self, banned: frozenset[str]) -> None:
         self.control.bans = sorted(banned)
@@ -393,18 +393,18 @@
     def _crowd(self, crowded: bool) -> None:
         self.control.crowded = crowded
         self._publish()
-        self.events.log("crowd", crowded=crowded)
+        self.telemetry.log("crowd", crowded=crowded)
 
     # What operators call.
 
     def ready(self) -> None:
         """Answer the readiness check: Nak until all workers have served once, while draining, or if none serves now."""
         if not self.once_ready:
-            raise Nak("not yet" if not self.stopping.is_set() else "the program ends")
+            raise OperatorError("not yet" if not self.stopping.is_set() else "the program ends")
         if self.control.draining:
-            raise Nak("clients are being sent away")
+            raise OperatorError("clients are being sent away")
         if not any(w.region.get(form.STATE) == form.SERVING for w in self.workers):
-            raise Nak("no worker serves")
+            raise OperatorError("no worker serves")
 
     def disable(self, name: str) -> None:
         """Ban an engine by name; Nak if it was never listed, MOST_BANS are banned, or the ban can't be written."""
@@ -417,13 +417,13 @@
     def _ban(self, name: str, on: bool) -> None:
         self._standings()
         if name not in self.names:
-            raise Nak(f"{name} was never listed")
+            raise OperatorError(f"{name} was never listed")
         if on and len(self.shared.banned) >= MOST_BANS:
-            raise Nak(f"{MOST_BANS} engines are left out already")
+            raise OperatorError(f"{MOST_BANS} engines are left out already")
         try:
             self.shared.ban(name, on)
         except OSError as error:
-            raise Nak(f"the ban can't be kept: {error.strerror}") from None
+            raise OperatorError(f"the ban can't be kept: {error.strerror}") from None
 
     def drain(self) -> None:
         """Have all workers send their clients away until `resume`; readiness fails meanwhile."""
@@ -453,12 +453,12 @@
     @property
     def started(self) -> float:
         """Start of the supervisor, in Unix seconds."""
-        return self.events.started
+        return self.telemetry.started
 
     @property
     def counts(self) -> Counter[totals.Key]:
         """Sums of all counters: the supervisor's own, of running workers and of those that have ended."""
-        out = Counter(self.events.counts)
+        out = Counter(self.telemetry.counts)
         for worker in self.workers:
             out.update(worker.past)
             if worker.process is not None:
@@ -468,7 +468,7 @@
 
     def count(self, what: str, front: str = "", cls: str = "", by: int = 1) -> None:
         """Add `by` to one of the supervisor's own counters."""
-        self.events.count(what, front, cls, by)
+        self.telemetry.count(what, front, cls, by)
 
     @property
     def inflight(self) -> int:
@@ -528,7 +528,7 @@
             {"what": what, "front": front, "class": cls, "count": count}
             for (what, front, cls), count in sorted(self.counts.items())
         ]
-        self.events._write(
+        self.telemetry._write(
             time.time(),
             "counters",
             {
@@ -557,8 +557,8 @@
             if fresh.operator.cores != self.cores:
                 raise ConfigError("cores: needs a new start")
         except Exception as error:  # noqa: BLE001 - whatever the files hold, all goes on as it was
-            self.events.count("reloads_failed")
-            self.events.log("reload", error=str(error) if isinstance(error, ConfigError) else repr(error))
+            self.telemetry.count("reloads_failed")
+            self.telemetry.log("reload", error=str(error) if isinstance(error, ConfigError) else repr(error))
             return
         for worker in self.workers:
             if worker.process is not None and worker.region.beat:
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -68,7 +68,7 @@
         """The supervisor has died: nobody would restart us or add us up. Finish what was taken, then end."""
         loop.remove_reader(link.passport.life)
         link.orphaned = True
-        link.program.events.log("orphan")
+        link.program.telemetry.log("orphan")
         link.program.stopping.set()
 
     loop.add_reader(link.passport.life, orphan)
--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -16,9 +16,9 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from frostspindle import policy
-from frostspindle.events import Events
 from frostspindle.fleet import verdicts, wire
 from frostspindle.fleet.node import Datagram, Node, Terms
+from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
     from frostspindle.core import Core
@@ -60,10 +60,10 @@
         terms: Terms,
         tenants: dict[int, str],
         core: Core,
-        events: Events,
+        telemetry: Telemetry,
     ) -> None:
         self.name, self.listen, self.advertise, self.terms = name, listen, advertise, terms
-        self.tenants, self.core, self.events = tenants, core, events  # tenants: the module's number, its budget
+        self.tenants, self.core, self.telemetry = tenants, core, telemetry  # tenants: the module's number, its budget
         self.node: Node | None = None
         self.parts: list[Part] = []  # set before start
         self.socket: socket.socket | None = None
@@ -93,20 +93,20 @@
             except OSError as error:
                 line.close()
                 if error.errno != errno.EADDRINUSE:
-                    self.events.log("fleet_off", error=error.strerror)
+                    self.telemetry.log("fleet_off", error=error.strerror)
                     return
                 if not waits:  # our predecessor: its rights are its own until it lets go of the port
-                    self.events.log("fleet_waits", listen=f"{self.listen[0]}:{self.listen[1]}")
+                    self.telemetry.log("fleet_waits", listen=f"{self.listen[0]}:{self.listen[1]}")
                 waits = True
                 await asyncio.sleep(AGAIN_S)
         here = self.advertise or self.socket.getsockname()
         self.node = Node(self.name, here, int(time.time() * 1e6), secrets.token_bytes(16), self.terms, monotonic())
-        self.node.note = self.events.log
+        self.node.note = self.telemetry.log
         for part in self.parts:
             self.node.channels[part.channel] = part.hear
             self.node.watchers.append(part.member)
         loop.add_reader(self.socket, self._read)
-        self.events.log("fleet", listen=self.socket.getsockname(), advertise=here, epoch=self.node.epoch)
+        self.telemetry.log("fleet", listen=self.socket.getsockname(), advertise=here, epoch=self.node.epoch)
         for part in self.parts:
             part.begin(monotonic(), self.node)
         self._tick()
@@ -146,7 +146,7 @@
             try:
                 self.socket.sendto(data, address)
             except OSError:  # a full buffer or nobody there: a lost datagram like any other
-                self.events.count("fleet_unsent")
+                self.telemetry.count("fleet_unsent")
 
     # What the coordinator uses.
 
@@ -164,7 +164,7 @@
         if budget is None:
             return True
         if self.node is None or not self.node.spend(monotonic(), time.time() * 1000.0, budget):
-            self.events.count("fleet_over", budget)
+            self.telemetry.count("fleet_over", budget)
             return False
         self._spent[budget] += 1
         return True
@@ -174,7 +174,9 @@
         assert self.node is not None
         now = time.time()
         for budget, units in self._spent.items():
-            self.events.log("fleet_spent", budget=budget, units=units, since=round(self._since, 4), until=round(now, 4))
+            self.telemetry.log(
+                "fleet_spent", budget=budget, units=units, since=round(self._since, 4), until=round(now, 4)
+            )
         self._spent.clear()
         self._since = time.time()
         at = monotonic()
@@ -185,7 +187,7 @@
             self._heard = agreed
             if changed:
                 parts = {n: believed.part for n, believed in self.core.controller.engines.items()}
-                self.core.hear(
+                self.core.update_worker_loads(
                     tuple(
                         policy.WorkerLoad(
                             number, 0, 0.0, self.core.engines[number].name in agreed, parts.get(number, 1.0), (), 0.0
@@ -193,7 +195,7 @@
                         for number in changed
                     )
                 )
-                self.events.log("fleet_verdict", sick=sorted(agreed)[:16])
+                self.telemetry.log("fleet_verdict", sick=sorted(agreed)[:16])
 
     def _standing(self, now: float) -> dict[tuple[str, int], tuple[float, ...]]:
         """The own judgements: never what was only heard, else a rumour would keep itself alive."""
@@ -228,7 +230,7 @@
         if self.node is not None and self.socket is not None:
             self._look()
             self._send(self.node.leave(monotonic()))
-            self.events.log(
+            self.telemetry.log(
                 "fleet_end",
                 **{
                     key: value
--- a/frostspindle/fleet/warming.py
+++ b/frostspindle/fleet/warming.py
@@ -18,7 +18,7 @@
 from frostspindle.policy.controller import COLD_SAFETY
 
 if TYPE_CHECKING:
-    from frostspindle.host import Host
+    from frostspindle.host import ProgramContext
 
 CHANNEL = 4  # kept for it: its rights move by the messages that all budgets' do
 TICK_S, IDLE_S = 0.02, 0.25  # with an engine cold, and without
@@ -30,18 +30,18 @@
 
     channel = CHANNEL
 
-    def __init__(self, program: Host) -> None:
+    def __init__(self, program: ProgramContext) -> None:
         fleet = program.config.operator.fleet
         assert fleet is not None
-        self.core, self.events, self.lease_ms, self.outside = (
+        self.core, self.telemetry, self.lease_ms, self.outside = (
             program.core,
-            program.events,
+            program.telemetry,
             fleet.cold_lease_ms,
             fleet.cold_outside,
         )
         self.cold: Cold | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._passed, self.core.fence = self.core.fence, self.fence
+        self._passed, self.core.may_start = self.core.may_start, self.fence
 
     def begin(self, now: float, node: Node) -> None:
         """Create the accounts of cold engines on the fleet's node and start the timer.
@@ -52,14 +52,14 @@
         self.cold = Cold(
             node, settings.slow_start_window_ms, settings.coordinators, self.outside, self.lease_ms, now, clock()
         )
-        self.cold.count = self.events.count
+        self.cold.count = self.telemetry.count
         self._tick()
 
     def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Count a message on this channel as undecodable: none is defined, as cold engines' rights use the messages of
         all budgets.
         """
-        self.events.count("cold_undecodable")
+        self.telemetry.count("cold_undecodable")
 
     def member(self, now: float, name: str, state: str) -> None:
         """Do nothing: rights end by time, whatever is believed of a member."""
@@ -84,9 +84,9 @@
         believed = controller.engines.get(attempt.engine)
         if believed is None or attempt.over or not believed.ready or not believed.cold(now):
             return True
-        job = controller.jobs.get(attempt.ask.number)
+        job = controller.jobs.get(attempt.request.number)
         if job is None or self.cold is None:
-            self.events.count("cold_stopped")
+            self.telemetry.count("cold_stopped")
             return False
         return self.cold.pay(
             monotonic(),
@@ -108,8 +108,8 @@
             if self._step():
                 wait_s = TICK_S
         except Exception as error:  # noqa: BLE001 - the next tick looks at all again
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of="warming")
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of="warming")
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
 
     def _step(self) -> bool:
@@ -145,7 +145,7 @@
                         )
                     )
         if words:
-            self.core.hear(tuple(words))
+            self.core.update_worker_loads(tuple(words))
         return bool(needs)
 
     def figures(self) -> dict[str, Any]:
@@ -160,7 +160,7 @@
     return (state.listed or state.entry).since_ms
 
 
-def attach(program: Host) -> Warming:
+def attach(program: ProgramContext) -> Warming:
     """Create and register the part, if the operator has cold engines' budgets shared.
 
     Must be called before the fleet starts.
--- a/frostspindle/host.py
+++ b/frostspindle/host.py
@@ -11,15 +11,15 @@
 
 from frostspindle.config import Config
 from frostspindle.core import Core
-from frostspindle.events import Events
+from frostspindle.telemetry import Telemetry
 
 
-class Host(Protocol):
+class ProgramContext(Protocol):
     """The running coordinator as optional parts see it; `attach(host)` of each is called before the start."""
 
     config: Config
     core: Core
-    events: Events
+    telemetry: Telemetry
     fleet: Any  # fleet.service.Service, None without [fleet]: its `parts` are heard over the fleet's datagrams
     desk: Any  # net.operator.Desk, None without an operators' port: `does` names the calls
     driver: Any  # net.engines.Engines
--- a/frostspindle/lab/bench.py
+++ b/frostspindle/lab/bench.py
@@ -25,8 +25,8 @@
 
 from httptools import HttpResponseParser
 
-from frostspindle.caller import operate
 from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.operator_client import operate
 
 WARM_S = 1.0  # of each run, not measured
 SQL = b"SELECT agent FROM calls_17.notes"
--- a/frostspindle/lab/demo.py
+++ b/frostspindle/lab/demo.py
@@ -14,8 +14,8 @@
 import tempfile
 from pathlib import Path
 
-from frostspindle.caller import ask, operate
 from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.operator_client import ask, operate
 
 SQL = "SELECT agent, max(note) FROM calls_17.notes GROUP BY agent"
 WAIT_S = 60.0  # a busy machine takes a while to start two interpreters
--- a/frostspindle/lab/faults/logs.py
+++ b/frostspindle/lab/faults/logs.py
@@ -153,13 +153,13 @@
 
 async def main(config: dict[str, Any]) -> None:
     """Run one member's process until SIGTERM or the end of its standard input."""
-    from frostspindle.events import Events
     from frostspindle.replica.base import Unavailable, Uncertain
     from frostspindle.replica.service import Replica
+    from frostspindle.telemetry import Telemetry
 
     notes = Notes()
     config["folder"] = Path(config["folder"])
-    replica = Replica(secret=SECRET.encode(), events=Events(config["me"]), **config)
+    replica = Replica(secret=SECRET.encode(), telemetry=Telemetry(config["me"]), **config)
     replica.attach("t", notes)
     await replica.start()
     loop, ended = asyncio.get_running_loop(), asyncio.Event()
--- a/frostspindle/lab/faults/runner.py
+++ b/frostspindle/lab/faults/runner.py
@@ -19,10 +19,10 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.caller import operate
 from frostspindle.lab.engines import Bus, Engine, document, host
 from frostspindle.lab.faults.relay import Relay
 from frostspindle.lab.faults.script import Script
+from frostspindle.operator_client import operate
 
 SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP, "cont": signal.SIGCONT}
 READY_S = 60.0  # of a busy machine
--- a/frostspindle/lab/faults/spread.py
+++ b/frostspindle/lab/faults/spread.py
@@ -17,11 +17,11 @@
 from datetime import datetime
 from typing import Any
 
-from frostspindle.caller import ask
 from frostspindle.catalogue import home_of
 from frostspindle.lab.faults.runner import Fleet, demand
 from frostspindle.lab.faults.script import parse
 from frostspindle.lab.rows import RowsEngine, Site
+from frostspindle.operator_client import ask
 from frostspindle.predicates import Predicate, language, match
 from frostspindle.subscriptions import cursor
 
--- a/frostspindle/ledger/export.py
+++ b/frostspindle/ledger/export.py
@@ -13,7 +13,7 @@
 MOST_PERIOD, TOKEN, DIGEST = 64, 8, 16
 
 
-class StaleExport(Exception):
+class StaleExportError(Exception):
     """The exporter's fencing token is too low: the lease has passed on, and its new owner has begun this period."""
 
     def __init__(self, period: str, token: int, highest: int) -> None:
@@ -51,7 +51,7 @@
             raise ValueError(f"not a token: {token}")
         if token < highest:
             self.stale += 1
-            raise StaleExport(period, token, highest)
+            raise StaleExportError(period, token, highest)
         return digest
 
     def begin(self, period: str, token: int) -> bool:
--- a/frostspindle/ledger/tenants.py
+++ b/frostspindle/ledger/tenants.py
@@ -26,7 +26,7 @@
 Rank = tuple[int, int, int, int]
 
 
-class Facts(NamedTuple):
+class RequestAttributes(NamedTuple):
     """What a front knows of a request: rules match on it."""
 
     front: str
@@ -82,7 +82,7 @@
         return None
 
 
-class Unknown(ValueError):
+class UnknownTenantError(ValueError):
     """A client named a tenant that the settings do not have."""
 
 
@@ -108,14 +108,14 @@
         """Whether there is any tenant beside the default."""
         return bool(self.names)
 
-    def number(self, facts: Facts, said: bytes | None = None) -> int:
+    def number(self, facts: RequestAttributes, said: bytes | None = None) -> int:
         """Return the number of a request's tenant; `said` is the name that the client gave. Raises Unknown."""
         if self._index is not None and (rule := self._index.find(facts)) is not None:
             return self.numbers[rule.tenant]
         if said is None or not self._said:
             return self.default
         if said not in self._said:
-            raise Unknown("the settings have no such tenant")
+            raise UnknownTenantError("the settings have no such tenant")
         return self._said[said]
 
 
@@ -168,7 +168,7 @@
         if key not in table or self._ranks[number] < self._ranks[table[key]]:
             table[key] = number
 
-    def find(self, facts: Facts) -> Rule | None:
+    def find(self, facts: RequestAttributes) -> Rule | None:
         """Return the rule that fits best, or None."""
         texts = [getattr(facts, name).casefold() for name in NAMES]
         address = _packed(facts.address)
@@ -213,7 +213,7 @@
     return -length, -len(conditions), -sum(map(len, conditions)), number
 
 
-def fits(rule: Rule, facts: Facts) -> bool:
+def fits(rule: Rule, facts: RequestAttributes) -> bool:
     """Return whether all conditions of a rule hold: the reference that the index is tested and measured against."""
     for name in NAMES:
         wanted, text = getattr(rule, name).casefold(), getattr(facts, name).casefold()
@@ -234,7 +234,7 @@
     return True
 
 
-def scan(rules: Iterable[Rule], facts: Facts) -> Rule | None:
+def scan(rules: Iterable[Rule], facts: RequestAttributes) -> Rule | None:
     """Return the best fit by testing every rule: the reference for `Index.find`."""
     fitting = [(rank(rule, number), rule) for number, rule in enumerate(rules) if fits(rule, facts)]
     return min(fitting, key=lambda entry: entry[0])[1] if fitting else None
--- a/frostspindle/net/__init__.py
+++ b/frostspindle/net/__init__.py
@@ -34,11 +34,11 @@
         raise NotImplementedError
 
     def attempt(self, attempt: Attempt) -> Work:
-        """Return a coroutine that runs the attempt and reports its end by Core.ended whatever happens."""
+        """Return a coroutine that runs the attempt and reports its end by Core.attempt_ended whatever happens."""
         raise NotImplementedError
 
     def probing(self, engine: int) -> Work:
-        """Return a coroutine that runs one health check and reports it by Core.probed; each driver implements this."""
+        """Return a coroutine that runs one health check and reports it by Core.health_check_completed."""
         raise NotImplementedError
 
     def start(self, attempt: Attempt) -> None:
@@ -46,7 +46,7 @@
         attempt.task = task = self.spawn(self.attempt(attempt))
         # A task that is cancelled before its first step never runs: nothing was sent, but its end is owed.
         task.add_done_callback(
-            lambda task: self.core.ended(attempt, AttemptOutcome.CANCELLED) if task.cancelled() else None
+            lambda task: self.core.attempt_ended(attempt, AttemptOutcome.CANCELLED) if task.cancelled() else None
         )
 
     def stop(self, attempt: Attempt) -> None:
--- a/frostspindle/net/bus.py
+++ b/frostspindle/net/discovery.py
@@ -19,9 +19,9 @@
 
 from frostspindle.config import STATES, Address, BusEvent, Config, Host, address
 from frostspindle.core import Core, Driver, EngineState
-from frostspindle.events import Events
 from frostspindle.policy import EndpointListKind, EngineEntry, Health
-from frostspindle.spare import FULL, Spare
+from frostspindle.reserved_descriptor import FULL, ReservedDescriptor
+from frostspindle.telemetry import Telemetry
 
 # The bus writes a line every second, and its word counts as told after 7 s. A new connection that says nothing either
 # lets the next be waited for longer, up to SILENT_MOST_S: a bus that is merely slow is heard in the end.
@@ -32,7 +32,7 @@
 _DECODER = msgspec.json.Decoder(BusEvent | int)
 
 
-class Watch(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """One connection to the bus.
 
     Each line is handed on in the turn in which it came, so that a pause of this process is no silence of the bus: what
@@ -40,7 +40,7 @@
     """
 
     def __init__(
-        self, sock: socket.socket, spare: Spare, take: Callable[[bytes], None], now: Callable[[], float]
+        self, sock: socket.socket, spare: ReservedDescriptor, take: Callable[[bytes], None], now: Callable[[], float]
     ) -> None:
         self.sock, self.spare, self.take, self.now = sock, spare, take, now
         self.heard_at, self.spoke = now(), False  # a line came last, and any
@@ -83,13 +83,13 @@
             self.over.set()
 
 
-class Bus:
+class EndpointWatcher:
     """Reads the engine list's events from the bus and hands them to the core."""
 
-    def __init__(self, config: Config, core: Core, driver: Driver, events: Events) -> None:
-        self.config, self.core, self.driver, self.events = config, core, driver, events
+    def __init__(self, config: Config, core: Core, driver: Driver, telemetry: Telemetry) -> None:
+        self.config, self.core, self.driver, self.telemetry = config, core, driver, telemetry
         self.at, self.last = config.bus, 0
-        self.spare = Spare()  # for its connection, while clients hold all other descriptors
+        self.spare = ReservedDescriptor()  # for its connection, while clients hold all other descriptors
         self._moved = asyncio.Event()
         self._random = random.Random(config.seed)
         self._patience_s = SILENT_S  # of a connection that has said nothing yet
@@ -138,8 +138,8 @@
         try:
             await self._follow(at)
         except Exception as error:  # noqa: BLE001 - whatever the bus writes, it is joined again
-            self.events.count("bus_reconnects")
-            self.events.log("bus", error=repr(error), last=self.last)
+            self.telemetry.count("bus_reconnects")
+            self.telemetry.log("bus", error=repr(error), last=self.last)
 
     async def _follow(self, at: Address) -> None:
         watch = await self._connect(at)
@@ -161,7 +161,7 @@
             elif silent:
                 self._patience_s = min(SILENT_MOST_S, self._patience_s * LONGER)
 
-    async def _connect(self, at: Address) -> Watch:
+    async def _connect(self, at: Address) -> WatchConnection:
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in at[0] else socket.AF_INET
         try:
@@ -169,14 +169,14 @@
         except OSError as error:
             if error.errno not in FULL or not self.spare.free():
                 raise
-            self.events.count("bus_spare_used")
+            self.telemetry.count("bus_spare_used")
             sock = socket.socket(family, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
             async with asyncio.timeout(CONNECT_S):
                 await loop.sock_connect(sock, at)
                 _, watch = await loop.create_connection(
-                    lambda: Watch(sock, self.spare, self._take, loop.time), sock=sock
+                    lambda: WatchConnection(sock, self.spare, self._take, loop.time), sock=sock
                 )
         except BaseException:
             sock.close()
@@ -193,7 +193,7 @@
                 if word > self.last and not again:
                     raise ValueError(f"the bus is at {word}, here it is {self.last}")
                 if word < self.last:  # no event is taken back: what it tells anew has a number above ours, or we had it
-                    self.events.count("bus_behind")
+                    self.telemetry.count("bus_behind")
                 self.spoke = True
                 return
             if word.offset > self.last + 1 and not again:
@@ -204,8 +204,8 @@
             if not again:
                 self._doubts += 1
                 raise
-            self.events.count("bus_lines_skipped")
-            self.events.log("bus_line", error=str(error), last=self.last)
+            self.telemetry.count("bus_lines_skipped")
+            self.telemetry.log("bus_line", error=str(error), last=self.last)
 
     def _event(self, event: BusEvent) -> None:
         if event.offset <= self.last:
@@ -218,21 +218,21 @@
             self._free(self._ids.keys() - {host.host for host in event.topology.hosts})
         self._free([state.name for state in states if state.entry.health == Health.GONE])
         how = EndpointListKind.FULL if event.topology.whole else EndpointListKind.DELTA
-        self.core.list_engines(self.driver, states, how, event.offset)
+        self.core.update_endpoints(self.driver, states, how, event.offset)
 
     def _states(self, hosts: Iterable[Host]) -> Iterable[EngineState]:
         for host in hosts:
             number = self._number(host.host)
             known = self.core.engines.get(number)
             if host.health not in STATES:
-                self.events.count("bus_bad_hosts")
-                self.events.log("bus_host", name=host.host, health=host.health)
+                self.telemetry.count("bus_bad_hosts")
+                self.telemetry.log("bus_host", name=host.host, health=host.health)
                 continue
             try:
                 at = address(host.dial, host.host) if host.dial else ("", 0)
             except Exception as error:  # noqa: BLE001 - one bad host must not hide the others
-                self.events.count("bus_bad_hosts")
-                self.events.log("bus_host", name=host.host, error=str(error))
+                self.telemetry.count("bus_bad_hosts")
+                self.telemetry.log("bus_host", name=host.host, error=str(error))
                 continue
             if not at[1]:
                 at = known.address if known else at
@@ -251,7 +251,7 @@
     def _index(self, names: tuple[str, ...], name: str) -> int:
         if name in names:
             return names.index(name)
-        self.events.count("bus_unknown_places")
+        self.telemetry.count("bus_unknown_places")
         return 0
 
     def _number(self, name: str) -> int:
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -13,36 +13,36 @@
 from frostspindle import pools
 from frostspindle.config import Config
 from frostspindle.core import Attempt, Core, EngineState, clock
-from frostspindle.events import Events
 from frostspindle.net import TaskDriver
-from frostspindle.net.http.attempts import End, First, Life
-from frostspindle.net.http.line import Broken
-from frostspindle.net.http.peer import ANSWER_S, NoLine, Peer
-from frostspindle.net.http.readings import Readings
-from frostspindle.net.http.replies import BadReply, Reply
+from frostspindle.net.http.attempts import AttemptRunner, DirectAttempt, End
+from frostspindle.net.http.connection_pool import ANSWER_S, ConnectionPool, PoolExhaustedError
+from frostspindle.net.http.engine_connection import ConnectionBrokenError
+from frostspindle.net.http.load_reports import LoadReportParser
+from frostspindle.net.http.replies import EngineReply, InvalidReplyError
 from frostspindle.policy import AttemptOutcome, Health
-from frostspindle.pools import Course
+from frostspindle.pools import AttemptProgress
+from frostspindle.telemetry import Telemetry
 
 TIDY_S = 1.0  # so often idle connections are looked through
 
 
-class Engines(TaskDriver):
+class HttpEngines(TaskDriver):
     """The driver of HTTP engines."""
 
     numbered = True  # the event bus counts
 
-    def __init__(self, config: Config, core: Core, events: Events) -> None:
+    def __init__(self, config: Config, core: Core, telemetry: Telemetry) -> None:
         super().__init__(core)
-        self.events = events
+        self.telemetry = telemetry
         self.loop = asyncio.get_running_loop()
         self.idle_s = pools.kept_ms(config.idle_ms) / 1000.0
         self.sockets = config.limits.sockets
         self.crowd(False)
         self.opening = self.lines = self.waiters = 0
-        self.readings = Readings(events, core.settings.load_report_columns)
-        self.life = Life(core, events, self.readings)
-        self.peers: dict[int, Peer] = {}
-        self.retired: set[Peer] = set()  # with calls that have yet to end
+        self.readings = LoadReportParser(telemetry, core.settings.load_report_columns)
+        self.life = AttemptRunner(core, telemetry, self.readings)
+        self.peers: dict[int, ConnectionPool] = {}
+        self.retired: set[ConnectionPool] = set()  # with calls that have yet to end
         self._tidier = self.loop.call_later(TIDY_S, self._tidy)
 
     def crowd(self, crowded: bool) -> None:
@@ -54,14 +54,14 @@
         """Number of connections to all engines together, with those that are being opened."""
         return self.lines + self.opening
 
-    def may_open(self, peer: Peer) -> bool:
+    def may_open(self, peer: ConnectionPool) -> bool:
         """Return whether the bounds allow one more connection; at the common one, an idle one is closed for it."""
         if self.connections < self.most:
             return len(peer.lines) + peer.opening < self.most_each
         self.spare(peer)
         return False
 
-    def spare(self, peer: Peer) -> None:
+    def spare(self, peer: ConnectionPool) -> None:
         """Close an idle connection of another engine; its descriptor is free only once the loop has closed it."""
         if spare := next((p for p in (*self.peers.values(), *self.retired) if p.idle and p is not peer), None):
             spare.idle[0].drop()
@@ -95,7 +95,7 @@
         if peer is not None:
             peer.state = engine
         elif engine.entry.health != Health.GONE:
-            self.peers[number] = Peer(self, engine)
+            self.peers[number] = ConnectionPool(self, engine)
 
     def rank(self, attempt: Attempt) -> None:
         """Do nothing: the next poll, within 250 ms, carries the new priority; a call now would cost a connection."""
@@ -105,7 +105,7 @@
         self._tidier.cancel()
         for peer in [*self.peers.values(), *self.retired]:
             for line in list(peer.lines):
-                if isinstance(line.waiter, First):
+                if isinstance(line.waiter, DirectAttempt):
                     line.waiter.cancel()
         await super().close()
         for peer in [*self.peers.values(), *self.retired]:
@@ -120,35 +120,35 @@
         if peer is None or not peer.idle or self.left_s(attempt) <= ANSWER_S:
             super().start(attempt)
             return
-        first = First(self.life, peer, attempt, self._ended, self._on, self._off)
+        first = DirectAttempt(self.life, peer, attempt, self._ended, self._on, self._off)
         if (line := peer.take()) is None:
             super().start(attempt)
         elif self.core.may_send(attempt):
             first.send(line)
         else:
             peer.release(line)
-            self.core.ended(attempt, attempt.unsent)
+            self.core.attempt_ended(attempt, attempt.unsent)
 
     def _ended(self, attempt: Attempt, end: End) -> None:
-        self.core.ended(attempt, *end)
+        self.core.attempt_ended(attempt, *end)
 
-    def _on(self, first: First, came: Reply | Exception) -> None:
+    def _on(self, first: DirectAttempt, came: EngineReply | Exception) -> None:
         """What the POST did not end is followed by a task."""
         first.attempt.task = task = self.spawn(self.attempt(first.attempt, first.peer, first.course, came))
         # One that is cancelled before its first step never runs, and the engine has the query.
         task.add_done_callback(lambda task: self._off(first) if task.cancelled() else None)
 
-    def _off(self, first: First) -> None:
+    def _off(self, first: DirectAttempt) -> None:
         self.spawn(self._free(first.peer, first.attempt, first.course, AttemptOutcome.CANCELLED))
 
     async def attempt(
         self,
         attempt: Attempt,
-        peer: Peer | None = None,
-        course: Course | None = None,
-        came: Reply | Exception | None = None,
+        peer: ConnectionPool | None = None,
+        course: AttemptProgress | None = None,
+        came: EngineReply | Exception | None = None,
     ) -> None:
-        """Run an attempt to its end and report that once, by Core.ended.
+        """Run an attempt to its end and report that once, by Core.attempt_ended.
 
         The last three arguments are given for one whose POST was already sent without a task: its engine's process, its
         progress, and what came in answer to the POST. Where the engine may still be running the query, a further task
@@ -156,38 +156,38 @@
         """
         peer = peer or self.peers.get(attempt.engine)
         if peer is None:
-            self.core.ended(attempt, AttemptOutcome.CONNECT_FAILED)
+            self.core.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
             return
-        course = course or Course(clock())
+        course = course or AttemptProgress(clock())
         try:
             async with asyncio.timeout(self.left_s(attempt)):
-                verdict, report, rows, needed = await self.life.follow(peer, attempt, course, came)
+                outcome, report, rows, needed = await self.life.follow(peer, attempt, course, came)
         except TimeoutError:
-            verdict = AttemptOutcome.TIMEOUT if course.wired[0] else attempt.unsent
+            outcome = AttemptOutcome.TIMEOUT if course.wired[0] else attempt.unsent
         except asyncio.CancelledError:
-            verdict = AttemptOutcome.CANCELLED
-        except BadReply as error:
-            self.events.count("engine_bad_replies")
-            self.events.log("engine_reply", engine=peer.state.name, ticket=attempt.ask.ticket, error=str(error))
-            verdict = AttemptOutcome.ERROR
+            outcome = AttemptOutcome.CANCELLED
+        except InvalidReplyError as error:
+            self.telemetry.count("engine_bad_replies")
+            self.telemetry.log("engine_reply", engine=peer.state.name, ticket=attempt.request.ticket, error=str(error))
+            outcome = AttemptOutcome.ERROR
         except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of="attempt", ticket=attempt.ask.ticket)
-            verdict = AttemptOutcome.ERROR
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of="attempt", ticket=attempt.request.ticket)
+            outcome = AttemptOutcome.ERROR
         else:
             # Neither broken connections nor an engine that does not know the query prove that it has ended: a POST
             # may still be on its way, or have reached what stood there before. It is given up first.
-            if verdict not in (AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
-                self.core.ended(attempt, verdict, report, rows, needed)
+            if outcome not in (AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
+                self.core.attempt_ended(attempt, outcome, report, rows, needed)
                 return
         # A task of its own: a further cancel must not cut short what frees the engine.
-        self.spawn(self._free(peer, attempt, course, verdict))
+        self.spawn(self._free(peer, attempt, course, outcome))
 
-    async def _free(self, peer: Peer, attempt: Attempt, course: Course, verdict: int) -> None:
+    async def _free(self, peer: ConnectionPool, attempt: Attempt, course: AttemptProgress, outcome: int) -> None:
         try:
             await self.life.give_up(peer, attempt, course)
         finally:
-            self.core.ended(attempt, verdict)
+            self.core.attempt_ended(attempt, outcome)
 
     async def warm(self, engine: int, ticket: str, statement: str, cls: str, most_ms: float) -> bool:
         """Run a statement that no client asked for, drop its rows, and return whether it succeeded.
@@ -209,29 +209,29 @@
                 while reply.status == 202:
                     reply = await peer.call("GET", f"{path}/0", page=0)
                 status = reply.status
-        except (NoLine, Broken, TimeoutError, BadReply):
-            self.events.count("warm_failed")
+        except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
+            self.telemetry.count("warm_failed")
         finally:
             if wired[0] and status == 0:
                 self.spawn(self._drop(peer, path))
         return status == 200
 
-    async def _drop(self, peer: Peer, path: str) -> None:
+    async def _drop(self, peer: ConnectionPool, path: str) -> None:
         try:
             await peer.call("DELETE", path, within_s=0.3)
-        except (NoLine, Broken, TimeoutError, BadReply):
-            self.events.count("warm_left")  # the engine ends it by X-Max-Ms
+        except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
+            self.telemetry.count("warm_left")  # the engine ends it by X-Max-Ms
 
     async def probing(self, engine: int) -> None:
-        """Ask the engine for `/stats` within 0.3 s and report verdict, elapsed ms and load by Core.probed."""
+        """Ask the engine for `/stats` within 0.3 s and report it with the load by Core.health_check_completed."""
         began, peer, wired = clock(), self.peers.get(engine), [False]
-        verdict, report = AttemptOutcome.CONNECT_FAILED, ()
+        outcome, report = AttemptOutcome.CONNECT_FAILED, ()
         if peer is not None:
             try:
                 reply = await peer.call("GET", "/stats", wired=wired, within_s=0.3)
-                verdict = AttemptOutcome.OK if reply.status == 200 else AttemptOutcome.ERROR
+                outcome = AttemptOutcome.OK if reply.status == 200 else AttemptOutcome.ERROR
                 report = self.readings.report(reply)
-            except (NoLine, Broken, TimeoutError, BadReply) as error:
+            except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError) as error:
                 if wired[0]:
-                    verdict = AttemptOutcome.TIMEOUT if isinstance(error, TimeoutError) else AttemptOutcome.RESET
-        self.core.probed(engine, verdict, clock() - began, report)
+                    outcome = AttemptOutcome.TIMEOUT if isinstance(error, TimeoutError) else AttemptOutcome.RESET
+        self.core.health_check_completed(engine, outcome, clock() - began, report)
--- a/frostspindle/net/fields.py
+++ b/frostspindle/net/fields.py
@@ -37,7 +37,7 @@
 Fields = Mapping[bytes, bytes]  # by lower-case name
 
 
-class Refusal(Exception):
+class CallRejectedError(Exception):
     """A client's call that is answered with an error status and goes no further; its connection is closed."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -45,7 +45,7 @@
         self.status, self.text = status, text
 
 
-class Request(NamedTuple):
+class RequestFields(NamedTuple):
     """The fields of one request; times in ms, memory in MB, an estimate of 0 was not given."""
 
     ticket: str
@@ -60,17 +60,17 @@
 
 def read(
     fields: Fields, cls: int, deadline_ms: float, most_memory_mb: float, in_order: bool, by_key: bool = False
-) -> Request:
+) -> RequestFields:
     """Return the checked fields of a request of that class; Refusal (400) names one that can't be used, and why."""
     ticket = fields.get(b"x-request-id", b"")
     if not _ID.match(ticket):
-        raise Refusal(400, "X-Request-Id: not 16 hex digits")
+        raise CallRejectedError(400, "X-Request-Id: not 16 hex digits")
     # A key means something where the class keeps order, and nothing elsewhere.
     key = _text(fields, b"X-Object") if in_order else None
     retry = fields.get(b"x-retry", b"0")
     if not _RETRY.match(retry):
-        raise Refusal(400, "X-Retry: not a small number")
-    return Request(
+        raise CallRejectedError(400, "X-Retry: not a small number")
+    return RequestFields(
         ticket.decode(),
         _figure(fields, b"X-Timeout-Ms", RANGE * deadline_ms),
         _figure(fields, b"X-Cost-Ms", MOST_COST_MS, False),
@@ -90,7 +90,7 @@
 def _text(fields: Fields, header: bytes) -> bytes | None:
     text = fields.get(header.lower())
     if text is not None and not _TEXT.match(text):
-        raise Refusal(400, f"{header.decode()}: not of 1 to {TEXT} plain characters")
+        raise CallRejectedError(400, f"{header.decode()}: not of 1 to {TEXT} plain characters")
     return text
 
 
@@ -101,5 +101,5 @@
         return 0.0
     value = float(text) if _FIGURE.match(text) else math.nan
     if not 0.0 <= value <= most or (needed and value <= 0):
-        raise Refusal(400, f"{header.decode()}: missing or not a usable figure")
+        raise CallRejectedError(400, f"{header.decode()}: missing or not a usable figure")
     return value
--- a/frostspindle/net/http/arrivals.py
+++ b/frostspindle/net/http/arrival_clock.py
@@ -15,10 +15,10 @@
 from frostspindle.core import clock
 
 
-class Looks:
+class ArrivalClock:
     """The polls of one event loop on its sockets, in Unix ms; `of` gives those of a loop."""
 
-    _of: WeakKeyDictionary[asyncio.AbstractEventLoop, Looks] = WeakKeyDictionary()
+    _of: WeakKeyDictionary[asyncio.AbstractEventLoop, ArrivalClock] = WeakKeyDictionary()
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.count = 0
@@ -28,7 +28,7 @@
             self._select, selector.select = selector.select, self._look
 
     @classmethod
-    def of(cls, loop: asyncio.AbstractEventLoop) -> Looks:
+    def of(cls, loop: asyncio.AbstractEventLoop) -> ArrivalClock:
         """Return the looks of a loop; the first call for a loop wraps its selector's `select`."""
         if loop not in cls._of:
             cls._of[loop] = cls(loop)
--- a/frostspindle/net/http/calls.py
+++ b/frostspindle/net/http/calls.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from frostspindle.core import Answer, Ask
+from frostspindle.core import ClientRequest, Response
 
 FRONT = "http"
 _ENCODE = msgspec.json.Encoder().encode
@@ -21,7 +21,7 @@
 _CLOSE = "Connection: close\r\n"
 
 
-class Holder(Protocol):
+class CallConnection(Protocol):
     """The connection that a call came on."""
 
     def flush(self) -> None:
@@ -31,33 +31,33 @@
         """Return whether the client is still connected; if not, its open calls are ended."""
 
 
-class Opened:
+class OpenRequest:
     """One request at this front: its answer, and the path under which its result is fetched."""
 
-    __slots__ = ("settled", "ticket", "path", "ask", "answer", "pages", "size", "told", "slots", "timer")
+    __slots__ = ("settled", "ticket", "path", "request", "answer", "pages", "size", "told", "slots", "timer")
 
-    def __init__(self, settled: Callable[[Opened], None], ticket: str, path: str) -> None:
+    def __init__(self, settled: Callable[[OpenRequest], None], ticket: str, path: str) -> None:
         self.settled, self.ticket, self.path = settled, ticket, path
-        self.ask: Ask | None = None
-        self.answer: Answer | None = None
+        self.request: ClientRequest | None = None
+        self.answer: Response | None = None
         self.pages: list[list[Any]] | None = None
         self.size, self.told = 0, False  # told: the client has had the last answer
-        self.slots: list[Slot] = []  # the calls that wait for its answer
+        self.slots: list[PendingCall] = []  # the calls that wait for its answer
         self.timer: asyncio.TimerHandle | None = None
 
-    def settle(self, answer: Answer) -> None:
+    def on_response(self, answer: Response) -> None:
         """Take the one answer; later ones are dropped."""
         if self.answer is None:
-            self.answer, self.ask = answer, None
+            self.answer, self.request = answer, None
             self.settled(self)
 
 
-class Slot:
+class PendingCall:
     """One call in its connection's queue; responses leave in the order of the calls."""
 
     __slots__ = ("client", "opened", "page", "head", "data", "more", "last")
 
-    def __init__(self, client: Holder, opened: Opened | None = None, page: int = 0) -> None:
+    def __init__(self, client: CallConnection, opened: OpenRequest | None = None, page: int = 0) -> None:
         self.client, self.opened, self.page = client, opened, page
         self.head, self.data = "", None  # type: str, bytes | None
         self.more = False  # the answer names a `next`
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -20,12 +20,12 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
-from frostspindle.events import Events
 from frostspindle.net import fields as read
-from frostspindle.net.fields import Refusal
-from frostspindle.net.http.arrivals import Looks
-from frostspindle.net.http.calls import FRONT, Slot
-from frostspindle.net.http.places import BUSY, COMING, FRESH, IDLE, LEAVING
+from frostspindle.net.fields import CallRejectedError
+from frostspindle.net.http.arrival_clock import ArrivalClock
+from frostspindle.net.http.calls import FRONT, PendingCall
+from frostspindle.net.http.connection_limits import BUSY, COMING, FRESH, IDLE, LEAVING
+from frostspindle.telemetry import Telemetry
 
 BODY = 64 * 1024  # the longest statement
 URL, FIELD, FIELDS = 2048, 4096, 64  # the longest path and header, and how many headers
@@ -38,13 +38,13 @@
 _SINGLE = read.SINGLE | {b"host", b"content-encoding"}
 
 
-class Front(Protocol):
+class ConnectionContext(Protocol):
     """What a connection needs of the front."""
 
     loop: asyncio.AbstractEventLoop
-    events: Events
-    looks: Looks
-    clients: set[Client]
+    telemetry: Telemetry
+    looks: ArrivalClock
+    clients: set[ClientConnection]
 
     @property
     def draining(self) -> bool:
@@ -54,31 +54,31 @@
     def advice(self) -> str:
         """The `Retry-After-Ms` header line of the front's own refusals."""
 
-    def joined(self, client: Client) -> None:
+    def joined(self, client: ClientConnection) -> None:
         """Register a connection that is set up."""
 
-    def call(self, slot: Slot, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+    def call(self, slot: PendingCall, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         """Take a whole call; Refusal if it goes no further."""
 
-    def gone(self, slot: Slot) -> None:
+    def gone(self, slot: PendingCall) -> None:
         """Note that the connection of a call has ended."""
 
 
-class _Over(Exception):
+class _ParsingStoppedError(Exception):
     """Nothing more of this connection is parsed."""
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client's connection: its parser, its queue of calls, and how long it has been in its state.
 
     `unseen_ms`: its first bytes can't have come before this (Unix ms).
     """
 
-    def __init__(self, front: Front, unseen_ms: float) -> None:
+    def __init__(self, front: ConnectionContext, unseen_ms: float) -> None:
         self.front, self.now = front, front.loop.time
         self.parser = HttpRequestParser(self)
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
-        self.line: deque[Slot] = deque()
+        self.line: deque[PendingCall] = deque()
         self.since = self.now()
         self.spoken = self.leaving = self.deaf = self.partial = self.headed = False
         self.feeding = self.expects = False  # the parser is at work; the client waits for a 100 before its body
@@ -91,7 +91,7 @@
         self.stuck_at = math.inf
         self.heard = self.since  # when bytes last came
         self.came = self.dropped = self.size = 0
-        self.refusal: Refusal | None = None
+        self.refusal: CallRejectedError | None = None
         self.url = b""
         self.fields: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
@@ -188,14 +188,14 @@
         try:
             self.parser.feed_data(data)
             if self.came > (REQUEST if self.headed else HEAD):
-                raise Refusal(413 if self.headed else 431, "the request is too long")
+                raise CallRejectedError(413 if self.headed else 431, "the request is too long")
         except HttpParserUpgrade:
-            self.refuse(Refusal(400, "no other protocol is spoken here"))
-        except Refusal as refusal:
+            self.refuse(CallRejectedError(400, "no other protocol is spoken here"))
+        except CallRejectedError as refusal:
             self.refuse(refusal)
         except HttpParserError as error:  # a Refusal from below comes wrapped in one
             if not self.deaf:  # else it is what came behind a call that was to be the last, or behind the client's end
-                self.refuse(self.refusal or Refusal(400, f"unreadable: {error}"))
+                self.refuse(self.refusal or CallRejectedError(400, f"unreadable: {error}"))
         finally:
             self.feeding = False
         self.flush()
@@ -226,7 +226,7 @@
         if self.leaving or self.line or self.unread():
             return
         if self.partial:
-            self.refuse(Refusal(503, "Busy"))
+            self.refuse(CallRejectedError(503, "Busy"))
         else:
             self.leave()
 
@@ -239,7 +239,7 @@
         if self.line or self.stuck_at < math.inf or self.unread():
             return False
         if self.partial:
-            self.refuse(Refusal(503, "Busy"))
+            self.refuse(CallRejectedError(503, "Busy"))
         elif self.ahead:
             self.leave()  # more may be on its way behind an answer that is not yet read
         else:
@@ -247,11 +247,11 @@
             self.transport.close()
         return True
 
-    def refuse(self, refusal: Refusal) -> None:
+    def refuse(self, refusal: CallRejectedError) -> None:
         """Queue the connection's last response, an error; nothing more of it is parsed."""
         self.deaf, self.partial, self.expects = True, False, False
-        self.front.events.count("bad_calls", FRONT)
-        slot = Slot(self)
+        self.front.telemetry.count("bad_calls", FRONT)
+        slot = PendingCall(self)
         self.line.append(slot)
         slot.reply(refusal.status, {"failure": refusal.text}, self.front.advice if refusal.status == 503 else "", True)
 
@@ -281,7 +281,7 @@
                 self.since = self.now()
             self._read_on()
 
-    def _closes(self, slot: Slot) -> bool:
+    def _closes(self, slot: PendingCall) -> bool:
         """Whether the connection ends with this answer, the last in line. A call that is half read or lies unread in
         the system would be lost with it: the connection stays then, and is ended when it rests."""
         if self.deaf:
@@ -291,13 +291,13 @@
     # What the parser calls.
 
     def _stop(self, status: int, text: str) -> None:
-        self.refusal = Refusal(status, text)
+        self.refusal = CallRejectedError(status, text)
         raise self.refusal
 
     def on_message_begin(self) -> None:
         """Reset the request's fields, and its clock unless it is the first; `_Over` where no more calls are taken."""
         if self.deaf:
-            raise _Over
+            raise _ParsingStoppedError
         self.url, self.fields, self.body, self.size = b"", {}, [], 0
         self.partial, self.headed, self.awaited = True, False, False
         if self.spoken:
@@ -344,15 +344,15 @@
         """
         self.came, self.partial, self.spoken, self.expects = 0, False, True, False
         self.ahead = self.ahead or bool(self.line)
-        slot = Slot(self)
+        slot = PendingCall(self)
         slot.last = self.deaf = not self.parser.should_keep_alive()
         self.line.append(slot)
         try:
             self.front.call(slot, self.parser.get_method(), self.url, self.fields, b"".join(self.body))
-        except Refusal as refusal:
+        except CallRejectedError as refusal:
             self.line.remove(slot)
             self._stop(refusal.status, refusal.text)
         except Exception as error:  # noqa: BLE001 - a fault ends one call
-            self.front.events.count("faults")
-            self.front.events.log("fault", error=repr(error), of="call")
+            self.front.telemetry.count("faults")
+            self.front.telemetry.log("fault", error=repr(error), of="call")
             slot.reply(500, {"failure": "Failed"}, last=True)
--- a/frostspindle/net/http/peer.py
+++ b/frostspindle/net/http/connection_pool.py
@@ -14,19 +14,19 @@
 
 from frostspindle import pools
 from frostspindle.core import Attempt, Core, EngineState, clock
-from frostspindle.net.http.line import Line, Terms, Waiter
-from frostspindle.net.http.replies import BadReply, Reply
+from frostspindle.net.http.engine_connection import ConnectionSettings, EngineConnection, ResponseWaiter
+from frostspindle.net.http.replies import EngineReply, InvalidReplyError
 
 ANSWER_S = 0.5  # news come within 250 ms; an answer that is lost on the way is asked for again
 ASKS = 3  # so many broken or unreadable answers to one ask for news or a page are borne
 NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
 
 
-class Drained(Exception):
+class EngineDrainedError(Exception):
     """The engine may get nothing new, or the attempt is over; nothing of the call was written."""
 
 
-class NoLine(Exception):
+class PoolExhaustedError(Exception):
     """No connection was available; nothing of the call was written."""
 
     def __init__(self, text: str, refused: bool = False, full: bool = False) -> None:
@@ -34,29 +34,29 @@
         self.refused, self.full = refused, full  # by the engine's machine; by the bounds here
 
 
-class Driver(Terms, Protocol):
+class PoolContext(ConnectionSettings, Protocol):
     """What the processes of all engines share."""
 
     core: Core
-    peers: dict[int, Peer]
+    peers: dict[int, ConnectionPool]
     opening: int
     lines: int  # connections that stand, of all peers
     waiters: int  # calls that wait for one
 
-    def may_open(self, peer: Peer) -> bool:
+    def may_open(self, peer: ConnectionPool) -> bool:
         """Return whether the bounds allow one more connection."""
 
-    def spare(self, peer: Peer) -> None:
+    def spare(self, peer: ConnectionPool) -> None:
         """Close an idle connection of another engine; its descriptor is free only once the loop has closed it."""
 
 
-class Peer:
+class ConnectionPool:
     """One engine's process: its address and its connections. A successor at the same address has its own."""
 
-    def __init__(self, driver: Driver, state: EngineState) -> None:
+    def __init__(self, driver: PoolContext, state: EngineState) -> None:
         self.driver, self.state = driver, state
-        self.idle: list[Line] = []
-        self.lines: set[Line] = set()
+        self.idle: list[EngineConnection] = []
+        self.lines: set[EngineConnection] = set()
         self.opening = 0
         self.waiting: deque[asyncio.Future[None]] = deque()
         self.gone = False
@@ -69,12 +69,12 @@
             line.drop()
         self.idle.clear()
 
-    def joined(self, line: Line) -> None:
+    def joined(self, line: EngineConnection) -> None:
         """Count a connection that has been opened."""
         self.lines.add(line)
         self.driver.lines += 1
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: EngineConnection) -> None:
         """Forget a connection that has ended, and let the next waiting call have its place."""
         if line in self.lines:
             self.lines.remove(line)
@@ -94,7 +94,7 @@
                     waiter.set_result(None)
                     return
 
-    def release(self, line: Line) -> None:
+    def release(self, line: EngineConnection) -> None:
         """Put a connection back as idle and wake the next waiting call; drop it if it or the process is not usable."""
         if not line.good or self.gone:
             line.drop()
@@ -102,7 +102,7 @@
         self.idle.append(line)
         self._next()
 
-    def take(self, eldest: bool = False) -> Line | None:
+    def take(self, eldest: bool = False) -> EngineConnection | None:
         """Take an idle connection, the last used or the eldest; None if no idle one is usable."""
         while self.idle:
             line = pools.pick(self.idle, eldest)
@@ -115,7 +115,7 @@
             line.drop()
         return None
 
-    async def line(self, fresh: bool = False, eldest: bool = False, stay: bool = False) -> Line:
+    async def line(self, fresh: bool = False, eldest: bool = False, stay: bool = False) -> EngineConnection:
         """Return an idle connection unless it must be fresh, else a new one; NoLine if there is none in time.
 
         An engine that drains refuses new connections and serves the old ones: a call that must reach this very process
@@ -136,9 +136,9 @@
                                 return line
                             resets += 1
                             if resets >= ASKS:
-                                raise NoLine("connections are reset as they open")
+                                raise PoolExhaustedError("connections are reset as they open")
                             continue
-                        except NoLine as error:
+                        except PoolExhaustedError as error:
                             if not (stay and error.refused and self.lines):
                                 raise
                             fresh = False
@@ -153,21 +153,21 @@
                     finally:
                         self.driver.waiters -= 1
         except TimeoutError:
-            raise NoLine("no connection in time", full=bound) from None
+            raise PoolExhaustedError("no connection in time", full=bound) from None
 
-    async def _open(self) -> Line | None:
+    async def _open(self) -> EngineConnection | None:
         """A new connection; None: reset as it opened."""
         self.opening += 1
         self.driver.opening += 1
         try:
-            _, line = await self.driver.loop.create_connection(lambda: Line(self), *self.state.address)
+            _, line = await self.driver.loop.create_connection(lambda: EngineConnection(self), *self.state.address)
         except ConnectionResetError:
             return None
         except OSError as error:
             if error.errno in NO_DESCRIPTORS:  # ours are all in use, which is no fault of the engine's
                 self.driver.spare(self)
-                raise NoLine(repr(error), full=True) from None
-            raise NoLine(repr(error), isinstance(error, ConnectionRefusedError)) from None
+                raise PoolExhaustedError(repr(error), full=True) from None
+            raise PoolExhaustedError(repr(error), isinstance(error, ConnectionRefusedError)) from None
         finally:
             self.opening -= 1
             self.driver.opening -= 1
@@ -189,7 +189,7 @@
         page: int | None = None,
         eldest: bool = False,
         stay: bool = False,
-    ) -> Reply:
+    ) -> EngineReply:
         """Send one call and return its response, checked as that of `page` if given; a bad one ends the connection.
 
         `wired[0]` is set once bytes may go out; `sending` is the attempt whose POST this is; `head` gives the header
@@ -199,12 +199,12 @@
         line = await self.line(fresh, eldest, stay)
         if sending is not None and not self.driver.core.may_send(sending):
             self.release(line)
-            raise Drained("the engine drains")
+            raise EngineDrainedError("the engine drains")
         if wired is not None:
             wired[0] = True
-        waiter: asyncio.Future[Reply] = self.driver.loop.create_future()
+        waiter: asyncio.Future[EngineReply] = self.driver.loop.create_future()
         try:
-            self.ask(line, method, path, head(), body, sending, within_s, waiter)
+            self.request(line, method, path, head(), body, sending, within_s, waiter)
             return self.heard(line, await waiter, page)
         except asyncio.CancelledError:
             if not line.leave():
@@ -212,7 +212,7 @@
                 if line.unwritten and wired is not None:
                     wired[0] = False
             raise
-        except BadReply:
+        except InvalidReplyError:
             line.good = False
             raise
         finally:
@@ -221,26 +221,26 @@
             if line.waiter is None:  # else an answer is still to come
                 self.release(line)
 
-    def ask(
+    def request(
         self,
-        line: Line,
+        line: EngineConnection,
         method: str,
         path: str,
         head: str,
         body: bytes,
         sending: Attempt | None,
         within_s: float,
-        waiter: Waiter,
+        waiter: ResponseWaiter,
     ) -> None:
         """Write a call on a connection; `waiter` gets its response or an error."""
         length = f"Content-Length: {len(body)}\r\n" if body or method in ("POST", "PUT") else ""
         call = f"{method} {path} HTTP/1.1\r\nHost: {self.host}\r\n{head}{length}\r\n".encode() + body
-        line.ask(call, within_s, waiter)
+        line.request(call, within_s, waiter)
         if sending is not None and not line.transport.get_write_buffer_size():
-            self.driver.core.written(sending)
+            self.driver.core.count_written(sending)
 
     @staticmethod
-    def heard(line: Line, reply: Reply, page: int | None) -> Reply:
+    def heard(line: EngineConnection, reply: EngineReply, page: int | None) -> EngineReply:
         """Note that a response has come and return it; BadReply if it can't be that of `page`."""
         reply.line_ms, line.heard_ms = line.born_ms, clock()
         if page is not None:
--- a/frostspindle/net/http/line.py
+++ b/frostspindle/net/http/engine_connection.py
@@ -14,62 +14,62 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpResponseParser
 
 from frostspindle.core import clock
-from frostspindle.net.http.replies import ANSWER_BYTES, FIELD, FIELDS, PAGE_BYTES, BadReply, Reply
+from frostspindle.net.http.replies import ANSWER_BYTES, FIELD, FIELDS, PAGE_BYTES, EngineReply, InvalidReplyError
 
 
-class Broken(Exception):
+class ConnectionBrokenError(Exception):
     """The connection ended during a call."""
 
 
-class Unwritten(Broken):
+class RequestNotWrittenError(ConnectionBrokenError):
     """The connection ended before the system had taken the whole call: the engine can't have run it."""
 
 
-class Terms(Protocol):
+class ConnectionSettings(Protocol):
     """What holds for the connections to all engines."""
 
     loop: asyncio.AbstractEventLoop
     idle_s: float  # how long an idle one is used
 
 
-class Keeper(Protocol):
+class ConnectionOwner(Protocol):
     """The owner of a connection: the engine's process behind it."""
 
     @property
-    def driver(self) -> Terms:
+    def driver(self) -> ConnectionSettings:
         """What holds for the connections to all engines."""
 
-    def joined(self, line: Line) -> None:
+    def joined(self, line: EngineConnection) -> None:
         """Register a connection that has been opened."""
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: EngineConnection) -> None:
         """Forget a connection that has ended."""
 
-    def release(self, line: Line) -> None:
+    def release(self, line: EngineConnection) -> None:
         """Take back a connection whose call is over; it may serve another one."""
 
 
-class Waiter(Protocol):
+class ResponseWaiter(Protocol):
     """What waits for a response: a task's future, or an attempt without a task. It is told once."""
 
     def done(self) -> bool:
         """Return whether it has been told a response or an error, or was cancelled."""
 
-    def set_result(self, reply: Reply, /) -> None:
+    def set_result(self, reply: EngineReply, /) -> None:
         """Take the response."""
 
     def set_exception(self, error: BaseException, /) -> None:
         """Take the error that came in place of a response: Broken, BadReply or TimeoutError."""
 
 
-class Line(asyncio.Protocol):
+class EngineConnection(asyncio.Protocol):
     """One connection to an engine; one call at a time, and nothing more after the first doubt."""
 
-    def __init__(self, peer: Keeper) -> None:
+    def __init__(self, peer: ConnectionOwner) -> None:
         self.peer, self.loop = peer, peer.driver.loop
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
         self.parser = HttpResponseParser(self)
-        self.waiter: Waiter | None = None
+        self.waiter: ResponseWaiter | None = None
         self.due = 0.0  # when the answer is overdue
         self.timer: asyncio.TimerHandle | None = None  # the loop's, for that or an earlier call's
         self.good, self.whole, self.idle_at = True, False, self.loop.time()
@@ -98,7 +98,7 @@
         if self.timer is not None:
             self.timer.cancel()
         self.peer.lost(self)
-        self._fail(Broken(repr(error) if error else "the engine ended its connection"))
+        self._fail(ConnectionBrokenError(repr(error) if error else "the engine ended its connection"))
 
     def pause_writing(self) -> None:
         """Note that part of the call is still unwritten."""
@@ -127,23 +127,23 @@
         except (HttpParserError, HttpParserUpgrade) as error:
             self.good = False  # noise behind a whole answer leaves that answer good
             if not self.whole:
-                self._fail(BadReply(str(error.__context__ or error)))
+                self._fail(InvalidReplyError(str(error.__context__ or error)))
         if self.whole:
             if self.unwritten:
-                self._fail(BadReply("an answer to a call that was not written yet"))
+                self._fail(InvalidReplyError("an answer to a call that was not written yet"))
             elif self.waiter.done():
                 pass
             else:
-                self.waiter.set_result(Reply(self.status, self.headers, b"".join(self.body)))
+                self.waiter.set_result(EngineReply(self.status, self.headers, b"".join(self.body)))
         elif self.came > ANSWER_BYTES:
-            self._fail(BadReply("an answer is too long"))
+            self._fail(InvalidReplyError("an answer is too long"))
         if not self.good:
             self.drop()
 
     def _fail(self, error: Exception) -> None:
         self.good = False
         if self.unwritten:
-            error = Unwritten(str(error))
+            error = RequestNotWrittenError(str(error))
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_exception(error)
 
@@ -153,14 +153,14 @@
         """Reset headers and body; BadReply if a whole response to this call came already."""
         if self.whole:
             self.good = False
-            raise BadReply("more than one answer")
+            raise InvalidReplyError("more than one answer")
         self.headers, self.body, self.fields = {}, [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep a header by its lower-case name; BadReply beyond FIELDS headers or FIELD bytes."""
         self.fields += 1
         if self.fields > FIELDS or len(name) + len(value) > FIELD:
-            raise BadReply("a head without bounds")
+            raise InvalidReplyError("a head without bounds")
         self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
@@ -171,9 +171,9 @@
             and self.status != 204
             and not (b"content-length" in self.headers or b"transfer-encoding" in self.headers)
         ):
-            raise BadReply("an answer without a length")  # nothing would show that it was cut
+            raise InvalidReplyError("an answer without a length")  # nothing would show that it was cut
         if int(self.headers.get(b"content-length", b"0")) > PAGE_BYTES:
-            raise BadReply("an answer is too long")
+            raise InvalidReplyError("an answer is too long")
 
     def on_body(self, part: bytes) -> None:
         """Collect a part of the body; `data_received` bounds the whole."""
@@ -206,7 +206,7 @@
         self._fail(TimeoutError())  # type: ignore[arg-type]
         self.drop()
 
-    def ask(self, data: bytes, within_s: float, waiter: Waiter) -> None:
+    def request(self, data: bytes, within_s: float, waiter: ResponseWaiter) -> None:
         """Write a call at once; `waiter` gets its response or an error, after `within_s` a TimeoutError."""
         self.waiter = waiter
         self.whole, self.came = False, 0
@@ -240,12 +240,12 @@
         if not self.good or self.whole or self.unwritten:
             return False  # what is not written yet must not follow
         # The answer is on its way, and a new connection costs the engine more.
-        unheard: asyncio.Future[Reply] = self.loop.create_future()
+        unheard: asyncio.Future[EngineReply] = self.loop.create_future()
         unheard.add_done_callback(self._unheard)
         self.waiter = unheard
         return True
 
-    def _unheard(self, waiter: asyncio.Future[Reply]) -> None:
+    def _unheard(self, waiter: asyncio.Future[EngineReply]) -> None:
         """The answer to a call that was given up has come, or will not: the line is free, or gone."""
         self.waiter = None
         if waiter.cancelled() or waiter.exception() is not None:
--- a/frostspindle/net/http/door.py
+++ b/frostspindle/net/http/listener.py
@@ -14,8 +14,8 @@
 
 from frostspindle.config import Config
 from frostspindle.core import clock
-from frostspindle.events import Events
-from frostspindle.net.http.arrivals import Looks
+from frostspindle.net.http.arrival_clock import ArrivalClock
+from frostspindle.telemetry import Telemetry
 
 ACCEPT, BACKLOG = 16, 512  # connections accepted in one turn, and those that the system keeps waiting
 ROOM_S = 0.02  # accepting rests for so long when all places are taken by those who ask
@@ -23,7 +23,7 @@
 SHORT_S = 0.1  # accepting rests for so long when descriptors run out all the same
 
 
-class Door:
+class Listener:
     """Accepts connections until told to leave.
 
     `joins` makes the protocol of a new connection, on which bytes may have come since the time that it is given (Unix
@@ -33,12 +33,12 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        events: Events,
+        telemetry: Telemetry,
         joins: Callable[[float], asyncio.BaseProtocol],
         room: Callable[[], bool],
     ) -> None:
-        self.loop, self.events, self.joins, self.room = loop, events, joins, room
-        self.looks = Looks.of(loop)
+        self.loop, self.telemetry, self.joins, self.room = loop, telemetry, joins, room
+        self.looks = ArrivalClock.of(loop)
         self.accepts: Callable[[], bool] | None = None  # whether a new one is ours before it is another worker's
         self.port = 0
         self._listener: socket.socket | None = None
@@ -115,7 +115,7 @@
                 self._since_ms = self.looks.now_ms
             return False  # the other process was first, or the client has gone
         except OSError as error:
-            self.events.log("accept", error=repr(error))
+            self.telemetry.log("accept", error=repr(error))
             self._rest(SHORT_S)
             return False
         accepted.setblocking(False)
--- a/frostspindle/net/http/readings.py
+++ b/frostspindle/net/http/load_reports.py
@@ -9,22 +9,22 @@
 import math
 
 from frostspindle.config import REPORTED
-from frostspindle.core import UNTOLD, Needed
-from frostspindle.events import Events
-from frostspindle.net.http.replies import Reply
+from frostspindle.core import UNKNOWN_COST, MeasuredCost
+from frostspindle.net.http.replies import EngineReply
 from frostspindle.policy import ProgressKind
+from frostspindle.telemetry import Telemetry
 
 MOST_COST_MS, MOST_MEMORY_MB = 3_600_000.0, 1e8  # of what an answer may say that its query needed
 NOTES = {b"pct": ProgressKind.PROGRESS, b"overflow": ProgressKind.SPILLS, b"queued": ProgressKind.WAITS}
 
 
-class Readings:
+class LoadReportParser:
     """Reads what engines report in headers; `columns` are the names of a load report's figures, in order."""
 
-    def __init__(self, events: Events, columns: tuple[str, ...]) -> None:
-        self.events, self.columns = events, columns
+    def __init__(self, telemetry: Telemetry, columns: tuple[str, ...]) -> None:
+        self.telemetry, self.columns = telemetry, columns
 
-    def report(self, reply: Reply) -> tuple[float, ...]:
+    def report(self, reply: EngineReply) -> tuple[float, ...]:
         """Return the engine's load in the order of the columns; empty if there is none that can be read."""
         text = reply.text(b"x-meter")
         if not text or not self.columns:
@@ -40,7 +40,7 @@
             self._unreadable("engine_bad_reports", text)
             return ()
 
-    def needed(self, reply: Reply) -> Needed:
+    def needed(self, reply: EngineReply) -> MeasuredCost:
         """Return the ms and MB that the query needed, from its good end; UNTOLD if they can't be read."""
         said = reply.text(b"x-cost-ms"), reply.text(b"x-needed-mb")
         try:
@@ -49,16 +49,16 @@
             cost_ms = math.nan
         if not (0.0 <= cost_ms <= MOST_COST_MS and 0.0 <= memory_mb <= MOST_MEMORY_MB):
             self._unreadable("engine_bad_needs", "; ".join(said))
-            return UNTOLD
-        return Needed(cost_ms, memory_mb)
+            return UNKNOWN_COST
+        return MeasuredCost(cost_ms, memory_mb)
 
     def _unreadable(self, what: str, text: str) -> None:
         """Count it, and log it the first time: an engine that writes it once writes it with every answer."""
-        if not self.events.counts[what, "", ""]:
-            self.events.log(what, text=text[:200])
-        self.events.count(what)
+        if not self.telemetry.counts[what, "", ""]:
+            self.telemetry.log(what, text=text[:200])
+        self.telemetry.count(what)
 
-    def note(self, reply: Reply) -> tuple[ProgressKind, float] | None:
+    def note(self, reply: EngineReply) -> tuple[ProgressKind, float] | None:
         """Return kind and value of the news of a running query; None: there are none that can be read."""
         remark = reply.headers.get(b"x-remark")
         if not remark:
--- a/frostspindle/net/http/replies.py
+++ b/frostspindle/net/http/replies.py
@@ -12,11 +12,11 @@
 Rows = list[list[str]]
 
 
-class BadReply(Exception):
+class InvalidReplyError(Exception):
     """An engine's response that can't be read."""
 
 
-class Reply:
+class EngineReply:
     """One whole response of an engine; `read` checks it as a page and sets `pages` and `rows`."""
 
     __slots__ = ("status", "headers", "body", "pages", "rows", "line_ms")
@@ -28,16 +28,16 @@
     def read(self, number: int) -> None:
         """Check it as the response to a poll for page `number`, 0 being the news, and set `rows`; else BadReply."""
         if self.status not in (200, 202, 500, 503, 504):
-            raise BadReply(f"status {self.status}")
+            raise InvalidReplyError(f"status {self.status}")
         if self.status != 200:
             return
         if number == 0:
             text = self.text(b"x-pages")
             if not (text.isascii() and text.isdecimal() and 1 <= int(text[:4]) <= PAGES):
-                raise BadReply(f"a count of {text!r} pages")
+                raise InvalidReplyError(f"a count of {text!r} pages")
             self.pages = int(text)
         elif self.text(b"x-page") != str(number):
-            raise BadReply(f"page {self.text(b'x-page')!r} in place of {number}")
+            raise InvalidReplyError(f"page {self.text(b'x-page')!r} in place of {number}")
         self.rows = rows_of(self.body)
 
     def text(self, name: bytes) -> str:
@@ -52,7 +52,7 @@
     try:
         text = page.decode()
     except UnicodeDecodeError:
-        raise BadReply("a page is not UTF-8") from None
+        raise InvalidReplyError("a page is not UTF-8") from None
     if not text.endswith("\n"):
-        raise BadReply("a page ends inside a row")
+        raise InvalidReplyError("a page ends inside a row")
     return [line.split("\t") for line in text[:-1].split("\n")]
--- a/frostspindle/net/http/paths.py
+++ b/frostspindle/net/http/request_registry.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from frostspindle.core import FAILED, REFUSED, SERVED, Answer, Core
-from frostspindle.net.http.calls import Opened, Slot
+from frostspindle.core import Core, Response, ResponseStatus
+from frostspindle.net.http.calls import OpenRequest, PendingCall
 
 HOLD_S = 1.0  # a call is held this long for its answer, then the client is given a path to ask again
 PAGE_BYTES = 48 * 1024  # rows in one answer
@@ -21,7 +21,7 @@
 KEEP_S = 5.0  # how long answers are kept for a repeated GET
 
 
-class Paths:
+class RequestRegistry:
     """The requests that are open at this front, by id and by path, and their results."""
 
     def __init__(
@@ -29,9 +29,9 @@
     ) -> None:
         self.core, self.loop, self.keep_bytes, self.released = core, loop, keep_bytes, released
         self.ids: set[str] = set()  # of the requests that are open
-        self.open: dict[str, Opened] = {}  # by path
+        self.open: dict[str, OpenRequest] = {}  # by path
         self._kept = self._numbers = 0
-        self._holds: dict[Slot, float] = {}  # until when each call is held, in their order: all as long
+        self._holds: dict[PendingCall, float] = {}  # until when each call is held, in their order: all as long
         self._alarm: asyncio.TimerHandle | None = None
 
     @property
@@ -39,12 +39,12 @@
         """Number of requests whose client has yet to fetch the last response."""
         return sum(not opened.told for opened in self.open.values())
 
-    def new(self, ticket: str, before: str) -> Opened:
+    def new(self, ticket: str, before: str) -> OpenRequest:
         """Return a new request under a unique path that starts with `before`."""
         self._numbers += 1
-        return Opened(self._settled, ticket, f"{before}{self._numbers:x}-{ticket}")
+        return OpenRequest(self._settled, ticket, f"{before}{self._numbers:x}-{ticket}")
 
-    def _settled(self, opened: Opened) -> None:
+    def _settled(self, opened: OpenRequest) -> None:
         self.ids.discard(opened.ticket)
         self.released(opened.ticket)
         slots, opened.slots = opened.slots, []
@@ -52,7 +52,7 @@
             self._holds.pop(slot, None)
             self.give(slot)
 
-    def wait(self, slot: Slot) -> None:
+    def wait(self, slot: PendingCall) -> None:
         """Answer the call now, or once the request is settled, or after HOLD_S with a path to ask again."""
         assert slot.opened is not None
         if slot.opened.answer is not None:
@@ -74,7 +74,7 @@
         if due:
             self._held(slot)
 
-    def _held(self, slot: Slot) -> None:
+    def _held(self, slot: PendingCall) -> None:
         opened = slot.opened
         assert opened is not None
         if slot.page < 0:
@@ -84,20 +84,20 @@
         opened.slots.remove(slot)
         slot.reply(200, {"next": f"{opened.path}/{max(0, slot.page)}"})
 
-    def _publish(self, opened: Opened) -> None:
+    def _publish(self, opened: OpenRequest) -> None:
         """From here on the request outlives its connection: a poor link may break, the path stays."""
         self.open[opened.path] = opened
-        left_ms = opened.ask.left_ms if opened.ask is not None else 0.0
+        left_ms = opened.request.left_ms if opened.request is not None else 0.0
         opened.timer = self.loop.call_later(left_ms / 1000.0 + KEEP_S, self._drop, opened)
 
-    def give(self, slot: Slot) -> None:
+    def give(self, slot: PendingCall) -> None:
         """Answer a call whose request is settled."""
         opened = slot.opened
         assert opened is not None and opened.answer is not None
         answer, page = opened.answer, max(0, slot.page)
-        if answer.how != SERVED:
+        if answer.status != ResponseStatus.SERVED:
             self._told(opened)
-            if answer.how == REFUSED:
+            if answer.status == ResponseStatus.REJECTED:
                 wait_ms = max(LEAST_WAIT_MS, math.ceil(answer.retry_after_ms))
                 slot.reply(503, {"failure": "Busy"}, f"Retry-After-Ms: {wait_ms}\r\n")
             else:
@@ -119,14 +119,14 @@
             self._told(opened)
         slot.reply(200, body)
 
-    def _told(self, opened: Opened) -> None:
+    def _told(self, opened: OpenRequest) -> None:
         """The client has all; the path stays a little, should its connection have broken meanwhile."""
         opened.told = True
         if opened.timer is not None:
             opened.timer.cancel()
             opened.timer = self.loop.call_later(KEEP_S, self._drop, opened)
 
-    def _keep(self, opened: Opened) -> None:
+    def _keep(self, opened: OpenRequest) -> None:
         self._kept += opened.size
         for other in list(self.open.values()) if self._kept > self.keep_bytes else ():
             if self._kept <= self.keep_bytes:
@@ -134,13 +134,13 @@
             if other is not opened and other.pages is not None:
                 self._drop(other)
 
-    def _drop(self, opened: Opened) -> None:
+    def _drop(self, opened: OpenRequest) -> None:
         if self.open.pop(opened.path, None) is not None:
             self._kept -= opened.size
             if opened.timer is not None:
                 opened.timer.cancel()
 
-    def gone(self, slot: Slot) -> None:
+    def gone(self, slot: PendingCall) -> None:
         """Note that the connection of a call has ended; a request without a path is given up with it."""
         self._holds.pop(slot, None)
         opened = slot.opened
@@ -151,16 +151,16 @@
         if slot.page < 0:
             self.leave(opened)  # the client has no path yet: its connection was the request
 
-    def present(self, opened: Opened, slot: Slot) -> bool:
+    def present(self, opened: OpenRequest, slot: PendingCall) -> bool:
         """Return whether a client waits for the request; it is bound to the call's connection until it has a path."""
         return opened.answer is None and (opened.path in self.open or slot.client.present())
 
-    def leave(self, opened: Opened) -> None:
+    def leave(self, opened: OpenRequest) -> None:
         """Drop a request whose client has stopped waiting, and free the engine's work."""
         self._drop(opened)
-        if opened.answer is None and opened.ask is not None:
-            self.core.left(opened.ask)
-            opened.settle(Answer(FAILED))
+        if opened.answer is None and opened.request is not None:
+            self.core.client_disconnected(opened.request)
+            opened.on_response(Response(ResponseStatus.FAILED))
 
 
 def _paged(rows: list[list[str]], size: int) -> tuple[list[list[Any]], int]:
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from frostspindle.config import Address
-from frostspindle.events import Events
+from frostspindle.telemetry import Telemetry
 
 LINE, CALLERS = 1024, 16  # the longest call, and how many callers may be connected
 LONG, STAYING = 65_536, 10_000  # the longest call of one who stays, and how many may
@@ -30,11 +30,11 @@
     return 2 * takes.startswith("two ") + sum(word in ("a", "an", "one") for word in takes.split())
 
 
-class Nak(Exception):
+class OperatorError(Exception):
     """The reason why a call is refused; it becomes the `NAK` line."""
 
 
-class Stay(Protocol):
+class StreamWriter(Protocol):
     """What writes to a caller that keeps its connection."""
 
     def paused(self, on: bool) -> None:
@@ -44,12 +44,12 @@
         """Take that the connection has ended."""
 
 
-class _Caller(asyncio.Protocol):
+class _OperatorConnection(asyncio.Protocol):
     """One connection: it reads up to the first line feed, answers, and closes, or stays."""
 
-    def __init__(self, desk: Desk) -> None:
+    def __init__(self, desk: OperatorServer) -> None:
         self.desk, self.line = desk, b""
-        self.stay: Stay | None = None
+        self.stay: StreamWriter | None = None
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -109,26 +109,28 @@
         self.transport.close()
 
 
-class Desk:
+class OperatorServer:
     """The operators' port: all callers, and what each call does."""
 
-    def __init__(self, at: Address | str, does: dict[str, Callable[..., Any]], events: Events) -> None:
-        self.at, self.does, self.events = at, does, events
-        self.stays: dict[str, Callable[[str, _Caller], Stay]] = {}  # with the rest of the call's line
+    def __init__(self, at: Address | str, does: dict[str, Callable[..., Any]], telemetry: Telemetry) -> None:
+        self.at, self.does, self.telemetry = at, does, telemetry
+        self.stays: dict[
+            str, Callable[[str, _OperatorConnection], StreamWriter]
+        ] = {}  # with the rest of the call's line
         self.takes: dict[str, str] = {}  # what a call takes, in words: one for each "a", "an" or "one", or "two ..."
         self.quiet = {"ready"}  # calls that come too often for a line each
         self.long: set[str] = set()  # calls that may be as long as those of who stays
-        self.callers: dict[_Caller, None] = {}  # in the order in which they came
-        self.staying: set[_Caller] = set()
+        self.callers: dict[_OperatorConnection, None] = {}  # in the order in which they came
+        self.staying: set[_OperatorConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Listen on the Unix socket or the TCP address; OSError if that can't be had."""
         loop = asyncio.get_running_loop()
         if isinstance(self.at, str):
-            self._server = await loop.create_unix_server(lambda: _Caller(self), self.at, backlog=CALLERS)
+            self._server = await loop.create_unix_server(lambda: _OperatorConnection(self), self.at, backlog=CALLERS)
         else:
-            self._server = await loop.create_server(lambda: _Caller(self), *self.at, backlog=CALLERS)
+            self._server = await loop.create_server(lambda: _OperatorConnection(self), *self.at, backlog=CALLERS)
 
     @property
     def port(self) -> int:
@@ -143,7 +145,7 @@
         for caller in [*self.callers, *self.staying]:
             caller.transport.close()
 
-    def joined(self, caller: _Caller) -> None:
+    def joined(self, caller: _OperatorConnection) -> None:
         """Register a caller; beyond CALLERS the one that has been connected longest without a call is dropped."""
         self.callers[caller] = None
         if len(self.callers) > CALLERS:
@@ -151,7 +153,7 @@
             del self.callers[first]
             first.transport.abort()
 
-    def stay(self, line: bytes) -> Callable[[str, _Caller], Stay] | None:
+    def stay(self, line: bytes) -> Callable[[str, _OperatorConnection], StreamWriter] | None:
         """Return what opens a call that keeps its connection, or None if this is not one."""
         return self.stays.get(line[:32].split(b" ", 1)[0].strip().decode("ascii", "replace")) if self.stays else None
 
@@ -163,35 +165,37 @@
             and line[:32].split(b" ", 1)[0].decode("ascii", "replace") in self.long
         )
 
-    def open(self, caller: _Caller, open_: Callable[[str, _Caller], Stay], line: bytes) -> bytes | None:
+    def open(
+        self, caller: _OperatorConnection, open_: Callable[[str, _OperatorConnection], StreamWriter], line: bytes
+    ) -> bytes | None:
         """Let a caller keep its connection and return None, or return the line that refuses it."""
-        self.events.count("operator_calls")
+        self.telemetry.count("operator_calls")
         name, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
         try:
             if len(self.staying) >= STAYING:
-                raise Nak(f"{STAYING} callers stay already")
+                raise OperatorError(f"{STAYING} callers stay already")
             caller.stay = open_(rest.strip(), caller)
-        except Nak as no:
-            self.events.count("operator_naks")
+        except OperatorError as no:
+            self.telemetry.count("operator_naks")
             return f"NAK {no}\n".encode()
         except Exception as error:  # noqa: BLE001 - as below
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of=f"operator call {name}")
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of=f"operator call {name}")
             return b"NAK a fault, see the log\n"
         caller.timer.cancel()
         caller.transport.set_write_buffer_limits(WAITS)
         self.callers.pop(caller, None)
         self.staying.add(caller)
-        self.events.log("operator", call=name)
+        self.telemetry.log("operator", call=name)
         return None
 
     def answer(self, line: bytes) -> bytes:
         """Run one call and return its response; an exception in it is logged and answered with a `NAK` line."""
         name, *words = line.decode("utf-8", "replace").split()[:5] or [""]
-        self.events.count("operator_calls")
+        self.telemetry.count("operator_calls")
         try:
             if name not in self.does:
-                raise Nak(f"no such call; there are {', '.join(sorted((*self.does, *self.stays)))}")
+                raise OperatorError(f"no such call; there are {', '.join(sorted((*self.does, *self.stays)))}")
             takes = (
                 "one engine"
                 if name.endswith("-server")
@@ -202,17 +206,17 @@
                 else self.takes.get(name, "")
             )
             if len(words) != _words(takes):
-                raise Nak(f"{name} takes {takes or 'nothing more'}")
+                raise OperatorError(f"{name} takes {takes or 'nothing more'}")
             result = self.does[name](*words)
-        except Nak as no:
-            self.events.count("operator_naks")
+        except OperatorError as no:
+            self.telemetry.count("operator_naks")
             return f"NAK {no}\n".encode()
         except Exception as error:  # noqa: BLE001 - a caller's fault is its own
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of=f"operator call {name}")
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of=f"operator call {name}")
             return b"NAK a fault, see the log\n"
         if name not in self.quiet:
-            self.events.log("operator", call=name, of=words if name not in self.long else words[:2])
+            self.telemetry.log("operator", call=name, of=words if name not in self.long else words[:2])
         if isinstance(result, bytes):  # it has its own form and end
             return result
         return b"ACK\n" if result is None else _ENCODE(result) + b"\n--\n"
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -14,60 +14,62 @@
 from typing import Protocol
 
 from frostspindle.config import Config
-from frostspindle.core import Ask, Core
-from frostspindle.events import Events
-from frostspindle.ledger.tenants import Facts, Unknown
+from frostspindle.core import ClientRequest, Core
+from frostspindle.ledger.tenants import RequestAttributes, UnknownTenantError
 from frostspindle.net import fields as read
-from frostspindle.net.fields import Refusal
-from frostspindle.net.http import places
-from frostspindle.net.http.arrivals import Looks
-from frostspindle.net.http.calls import FRONT, Slot
-from frostspindle.net.http.clients import AHEAD, Client
-from frostspindle.net.http.door import Door
-from frostspindle.net.http.paths import Paths
-from frostspindle.net.http.places import COMING, Step
+from frostspindle.net.fields import CallRejectedError
+from frostspindle.net.http import connection_limits
+from frostspindle.net.http.arrival_clock import ArrivalClock
+from frostspindle.net.http.calls import FRONT, PendingCall
+from frostspindle.net.http.clients import AHEAD, ClientConnection
+from frostspindle.net.http.connection_limits import COMING, Step
+from frostspindle.net.http.listener import Listener
+from frostspindle.net.http.request_registry import RequestRegistry
 from frostspindle.net.http.statements import schema, table_group
 from frostspindle.policy import Idempotency
+from frostspindle.telemetry import Telemetry
 
 SWEEP_S = 0.2
 ADVISED_MS = 200  # so long a client that finds the program full stays away
 LAST_S, SILENT_S = 0.3, 0.04  # the end waits so long for clients that still send; and for them to be silent
 
 
-class Relay(Protocol):
+class WorkerRelay(Protocol):
     """What ties this front to those of the other workers; a single process has none."""
 
-    def claim(self, ticket: str) -> Refusal | None:
+    def claim(self, ticket: str) -> CallRejectedError | None:
         """Reserve a request id for this worker; a Refusal is returned if it can't be had."""
 
     def release(self, ticket: str) -> None:
         """Free a request id once its request is settled."""
 
-    def passes(self, slot: Slot, method: bytes, path: str, url: bytes) -> bool:
+    def passes(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
         """Pass a call on a path unknown here to the worker that has it; return whether one answers it."""
 
     def accepts(self) -> bool:
         """Return whether this worker should accept a new connection before the others do."""
 
 
-class Platform:
+class HttpFront:
     """The front for HTTP clients."""
 
-    def __init__(self, config: Config, core: Core, events: Events) -> None:
-        self.config, self.core, self.events = config, core, events
+    def __init__(self, config: Config, core: Core, telemetry: Telemetry) -> None:
+        self.config, self.core, self.telemetry = config, core, telemetry
         self.loop = asyncio.get_running_loop()
         self.sockets = config.limits.sockets  # this process's, of which clients have a part
-        self.looks = Looks.of(self.loop)
+        self.looks = ArrivalClock.of(self.loop)
         self.crowd(False)
         self.prefix = ""  # of paths: it names the worker among several
-        self.relay: Relay | None = None
-        self.tenant: Callable[[Facts, bytes | None], int] | None = None
-        self.marks: Callable[[Ask, dict[bytes, bytes]], None] | None = None  # what else its head says of a request
+        self.relay: WorkerRelay | None = None
+        self.tenant: Callable[[RequestAttributes, bytes | None], int] | None = None
+        self.marks: Callable[[ClientRequest, dict[bytes, bytes]], None] | None = (
+            None  # what else its head says of a request
+        )
         self.most_memory = max((*core.settings.kind_memory_mb, 1.0))
         self.classes = {name.encode(): number for number, name in enumerate(config.classes)}
-        self.clients: set[Client] = set()
-        self.door = Door(self.loop, events, lambda since_ms: Client(self, since_ms), self._room)
-        self.paths = Paths(core, self.loop, int(config.limits.memory_mb * 2**20 / 24), self._released)
+        self.clients: set[ClientConnection] = set()
+        self.door = Listener(self.loop, telemetry, lambda since_ms: ClientConnection(self, since_ms), self._room)
+        self.paths = RequestRegistry(core, self.loop, int(config.limits.memory_mb * 2**20 / 24), self._released)
         self.gone = self.paths.gone
         self._sweeper: asyncio.TimerHandle | None = None
         self._drained_at = math.inf
@@ -133,8 +135,8 @@
 
     def crowd(self, crowded: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
-        self.most_clients = places.most(self.sockets, crowded)
-        self.reserve = places.reserve(self.most_clients, crowded)
+        self.most_clients = connection_limits.most(self.sockets, crowded)
+        self.reserve = connection_limits.reserve(self.most_clients, crowded)
 
     # Draining.
 
@@ -153,12 +155,12 @@
 
     # Connections.
 
-    def joined(self, client: Client) -> None:
+    def joined(self, client: ClientConnection) -> None:
         """Register a connection; over the bound, one that can be spared is closed, else this one is marked `extra`."""
         self.clients.add(client)
-        client.extra = not self._make_room(client, places.RIPE)
+        client.extra = not self._make_room(client, connection_limits.RIPE)
 
-    def _make_room(self, newest: Client | None, least: float) -> bool:
+    def _make_room(self, newest: ClientConnection | None, least: float) -> bool:
         """End those that need their places least: silent, long idle or slow; never one with a call at work or unread.
         Those that are ending already have no place any more."""
         if len(self.clients) <= self.most_clients:
@@ -166,7 +168,7 @@
         over, now = sum(not client.leaving for client in self.clients) - self.most_clients, self.loop.time()
         ranked = (
             [
-                (places.spare(client.state(), now - client.since), client)
+                (connection_limits.spare(client.state(), now - client.since), client)
                 for client in self.clients
                 if client is not newest and not client.leaving
             ]
@@ -178,7 +180,7 @@
             if over <= 0:
                 break
             if rank >= least and client.give_way():
-                self.events.count("places_cleared", FRONT)
+                self.telemetry.count("places_cleared", FRONT)
                 over -= 1
         return over <= 0
 
@@ -186,10 +188,10 @@
         """Whether one more connection may be accepted, be it to hear that there is no place for it."""
         if self.held < self.most_clients + self.reserve:
             return True
-        self._make_room(None, places.RIPE)
+        self._make_room(None, connection_limits.RIPE)
         now = self.loop.time()
         for client in list(self.clients):
-            if client.leaving and now - client.since > places.RIPE_S and not client.unread():
+            if client.leaving and now - client.since > connection_limits.RIPE_S and not client.unread():
                 self.clients.discard(client)
                 client.transport.abort()
         return self.held < self.most_clients + self.reserve
@@ -202,7 +204,7 @@
             # Nobody reads there, so that the client's end would not be noticed.
             if not client.leaving and not client.transport.is_reading() and not client.present():
                 continue
-            step = places.due(
+            step = connection_limits.due(
                 client.state(), now - client.since, now - client.stuck_at, now - self._drained_at, client.awaited
             )
             if step is Step.KEEP:
@@ -210,20 +212,20 @@
             if step is Step.ABORT:
                 client.transport.abort()
             elif step is Step.SLOW:
-                if client.unread() and now - client.since < places.WHOLE_S + 2 * SWEEP_S:
+                if client.unread() and now - client.since < connection_limits.WHOLE_S + 2 * SWEEP_S:
                     continue  # its end may lie there
-                self.events.count("slow_clients", FRONT)
-                client.refuse(Refusal(408, "the request did not come in time"))
+                self.telemetry.count("slow_clients", FRONT)
+                client.refuse(CallRejectedError(408, "the request did not come in time"))
             elif step is Step.LATE:
-                client.refuse(Refusal(503, "Busy"))
+                client.refuse(CallRejectedError(503, "Busy"))
             else:
                 if step is Step.SILENT:
-                    self.events.count("silent_clients", FRONT)
+                    self.telemetry.count("silent_clients", FRONT)
                 client.end()
 
     # One call.
 
-    def call(self, slot: Slot, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+    def call(self, slot: PendingCall, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         """Answer a whole call or submit its request to the core.
 
         Raises Refusal, a 4xx that ends the connection. A POST is answered 503 where clients are over the bound, a
@@ -232,9 +234,9 @@
         """
         if not url.startswith(b"/call/"):
             if url != b"/ping":
-                raise Refusal(404, "no such path")
+                raise CallRejectedError(404, "no such path")
             if method not in (b"GET", b"HEAD"):
-                raise Refusal(405, "only GET")
+                raise CallRejectedError(405, "only GET")
             if self.draining:
                 slot.reply(503, {"failure": "Busy"}, self.advice, last=True)
                 return
@@ -249,20 +251,20 @@
             return
         if method == b"DELETE":
             if opened is None:
-                raise Refusal(404, "no such request")
+                raise CallRejectedError(404, "no such request")
             self.paths.leave(opened)
             slot.reply(204)
         elif method != b"GET":
-            raise Refusal(405, "only POST, GET and DELETE")
+            raise CallRejectedError(405, "only POST, GET and DELETE")
         elif opened is None or not (page.isascii() and page.isdecimal()) or len(page) > 4:
-            raise Refusal(404, "no such request")
+            raise CallRejectedError(404, "no such request")
         else:
             slot.opened, slot.page = opened, int(page)
             self.paths.wait(slot)
 
-    def _post(self, slot: Slot, cls: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+    def _post(self, slot: PendingCall, cls: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         if cls not in self.classes:
-            raise Refusal(404, "no such class")
+            raise CallRejectedError(404, "no such class")
         number = self.classes[cls]
         terms = self.core.settings.classes[number]
         by_key = terms.idempotency == Idempotency.WITH_KEY
@@ -270,28 +272,28 @@
         try:
             statement = body.decode()
         except UnicodeDecodeError:
-            raise Refusal(400, "the statement is not UTF-8") from None
+            raise CallRejectedError(400, "the statement is not UTF-8") from None
         if not statement.strip():
-            raise Refusal(400, "the statement is empty")
+            raise CallRejectedError(400, "the statement is empty")
         name, tenant = said.ticket, 0
         if self.tenant is not None:
             peer = slot.client.transport.get_extra_info("peername") or ("",)
             try:
-                tenant = self.tenant(Facts(FRONT, peer[0], fields, schema=schema(statement)), said.tenant)
-            except Unknown as unknown:
-                raise Refusal(400, f"X-Tenant: {unknown}") from None
+                tenant = self.tenant(RequestAttributes(FRONT, peer[0], fields, schema=schema(statement)), said.tenant)
+            except UnknownTenantError as unknown:
+                raise CallRejectedError(400, f"X-Tenant: {unknown}") from None
         if name in self.paths.ids:
-            raise Refusal(409, "X-Request-Id: this request is already open")
+            raise CallRejectedError(409, "X-Request-Id: this request is already open")
         client = slot.client
         if not client.present():
             return
-        client.extra = client.extra and not self._make_room(client, places.YOUNG)
+        client.extra = client.extra and not self._make_room(client, connection_limits.YOUNG)
         if client.extra:
-            self.events.count("full", FRONT, self.core.classes[number][1])
+            self.telemetry.count("full", FRONT, self.core.classes[number][1])
             slot.reply(503, {"failure": "Busy"}, self.advice, last=True)
             return
-        if len(client.line) > AHEAD or not places.takes(self.loop.time() - self._drained_at):
-            self.events.count("full", FRONT, self.core.classes[number][1])
+        if len(client.line) > AHEAD or not connection_limits.takes(self.loop.time() - self._drained_at):
+            self.telemetry.count("full", FRONT, self.core.classes[number][1])
             slot.reply(503, {"failure": "Busy"}, self.advice)
             return
         if self.relay is not None and (refusal := self.relay.claim(name)) is not None:
@@ -300,14 +302,14 @@
             slot.reply(refusal.status, {"failure": refusal.text}, self.advice if refusal.status == 503 else "")
             return
         opened = self.paths.new(name, f"/call/{cls.decode()}/{self.prefix}")
-        ask = Ask(
+        request = ClientRequest(
             FRONT,
             number,
             name,
             statement,
             client.came_ms,
             said.left_ms,
-            opened.settle,
+            opened.on_response,
             said.cost_ms,
             said.memory_mb,
             table_group(statement),
@@ -318,19 +320,19 @@
         )
         if self.marks is not None:
             try:
-                self.marks(ask, fields)
-            except Refusal:
+                self.marks(request, fields)
+            except CallRejectedError:
                 if self.relay is not None:
                     self.relay.release(name)
                 raise
         if said.retry:
-            self.events.count("client_retries", FRONT, self.core.classes[number][1])
-        if not self.core.submit(ask):
+            self.telemetry.count("client_retries", FRONT, self.core.classes[number][1])
+        if not self.core.submit(request):
             if self.relay is not None:
                 self.relay.release(name)
             slot.reply(503, {"failure": "Busy"}, self.advice)
             return
-        opened.ask, slot.opened, slot.page = ask, opened, -1
+        opened.request, slot.opened, slot.page = request, opened, -1
         self.paths.ids.add(name)
         self.paths.wait(slot)
 
--- a/frostspindle/net/snmp.py
+++ b/frostspindle/net/snmp.py
@@ -24,7 +24,7 @@
 
 from frostspindle.config import Snmp, address
 from frostspindle.core import Core
-from frostspindle.events import Events
+from frostspindle.telemetry import Telemetry
 
 ROOT = (1, 3, 6, 1, 4, 1, 32473, 1)
 SCALARS, CLASSES, ENGINES, SESSIONS = (*ROOT, 1, 1), (*ROOT, 1, 2, 1), (*ROOT, 1, 3, 1), (*ROOT, 1, 4, 1)
@@ -38,20 +38,20 @@
 class Objects(AbstractMibInstrumController):
     """All objects, as one ordered snapshot that is drawn again after OLD_MS."""
 
-    def __init__(self, core: Core, events: Events, sessions: Callable[[], dict[str, int]]) -> None:
-        self.core, self.events, self.sessions = core, events, sessions
+    def __init__(self, core: Core, telemetry: Telemetry, sessions: Callable[[], dict[str, int]]) -> None:
+        self.core, self.telemetry, self.sessions = core, telemetry, sessions
         self._at, self._values, self._order = 0.0, dict[Oid, Any](), list[Oid]()
 
     def _picture(self) -> dict[Oid, Any]:
         now = time.monotonic() * 1000.0
         if self._order and now - self._at < OLD_MS:
             return self._values
-        events, counts, out = self.events, self.events.counts, {}
+        telemetry, counts, out = self.telemetry, self.telemetry.counts, {}
         figures = self.core.figures()
-        up = int((time.time() - events.started) * 100) & 0xFFFFFFFF
+        up = int((time.time() - telemetry.started) * 100) & 0xFFFFFFFF
         for number, value in enumerate(
             (
-                rfc1902.OctetString(events.name.encode()),
+                rfc1902.OctetString(telemetry.name.encode()),
                 rfc1902.TimeTicks(up),
                 rfc1902.Gauge32(figures["inflight"]),
                 rfc1902.Counter64(counts["faults", "", ""]),
@@ -110,16 +110,16 @@
 
     def write_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Refuse a SET, whatever it names, by NotWritableError."""
-        self.events.count("snmp_sets_refused")
+        self.telemetry.count("snmp_sets_refused")
         raise error.NotWritableError(idx=0)
 
 
 class Agent:
     """The agent's UDP socket and its SNMP engine."""
 
-    def __init__(self, snmp: Snmp, core: Core, events: Events, sessions: Callable[[], dict[str, int]]) -> None:
+    def __init__(self, snmp: Snmp, core: Core, telemetry: Telemetry, sessions: Callable[[], dict[str, int]]) -> None:
         self.snmp = snmp
-        self.objects = Objects(core, events, sessions)
+        self.objects = Objects(core, telemetry, sessions)
         self.port = 0
         self._engine: Any = None
 
--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -51,7 +51,7 @@
     """The peer's bytes break the layout of MS-TDS, or exceed a bound."""
 
 
-class TooLong(ProtocolError):
+class MessageTooLongError(ProtocolError):
     """A message exceeds its bound."""
 
 
@@ -93,7 +93,7 @@
             if self._kind not in (-1, kind):
                 raise ProtocolError(f"a packet of type {kind} inside a message of type {self._kind}")
             if len(self._body) + length - HEADER.size > self.most:
-                raise TooLong(f"a message of more than {self.most} bytes")
+                raise MessageTooLongError(f"a message of more than {self.most} bytes")
             if len(self._data) < length:
                 return
             self._kind = kind
@@ -281,7 +281,7 @@
 
 
 @dataclass(slots=True)
-class Fault:
+class ErrorToken:
     """An ERROR token."""
 
     number: int
@@ -294,7 +294,7 @@
     """What a whole response holds. `tokens` leaves out those about the engine's session only."""
 
     tokens: bytes = b""
-    faults: list[Fault] = field(default_factory=list)
+    faults: list[ErrorToken] = field(default_factory=list)
     status: int = 0  # of the last DONE
     rows: int = 0
     accepted: bool = False  # a LOGINACK came
@@ -432,9 +432,9 @@
     return result
 
 
-def _fault(body: bytes) -> Fault:
+def _fault(body: bytes) -> ErrorToken:
     r = _Reader(body)
     number = r.number("i")
     r.skip(1)
     severity = r.number("B")
-    return Fault(number, severity, _utf16(r.chunk(2 * r.number("H"))))
+    return ErrorToken(number, severity, _utf16(r.chunk(2 * r.number("H"))))
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -15,11 +15,11 @@
 
 from frostspindle.config import STATES, Tds, TdsEngine, address
 from frostspindle.core import Attempt, Core, EngineState, clock
-from frostspindle.events import Events
 from frostspindle.net import TaskDriver
 from frostspindle.net.tds import codec
-from frostspindle.net.tds.codec import TooLong
+from frostspindle.net.tds.codec import MessageTooLongError
 from frostspindle.policy import AttemptOutcome, EndpointListKind, EngineEntry, Health
+from frostspindle.telemetry import Telemetry
 
 SHUTTING_DOWN = {6005, 6006, 17142, 17147, 18401}  # the numbers of a server that stops or pauses
 SOFT = 16  # up to this severity an error is the statement's own, and is its answer
@@ -29,7 +29,7 @@
 AGAIN_S = 0.5  # how often an engine that shut down is tried
 
 
-class Refused(Exception):
+class SessionUnavailableError(Exception):
     """No session was available; nothing of the batch was written."""
 
     def __init__(self, text: str, numbers: Iterable[int] = ()) -> None:
@@ -51,7 +51,7 @@
         try:
             reader, writer = await asyncio.open_connection(*at, limit=64 * 1024)
         except OSError as error:
-            raise Refused(repr(error)) from None
+            raise SessionUnavailableError(repr(error)) from None
         connection = cls(reader, writer, most)
         try:
             await connection._log_in(tds, database)
@@ -78,15 +78,15 @@
             )
             options = codec.read_prelogin(await self.answer())
             if options.get(codec.O_ENCRYPTION, b"\x02")[0] not in (codec.ENCRYPT_NOT_SUP, codec.ENCRYPT_OFF):
-                raise Refused("the engine asks for encryption, which is not spoken here")
+                raise SessionUnavailableError("the engine asks for encryption, which is not spoken here")
             self.writer.write(
                 codec.packets(codec.LOGIN7, codec.login(tds.engine_user, tds.engine_password, "frostspindle", database))
             )
             result = codec.read_result(await self.answer())
         except (OSError, EOFError, codec.ProtocolError) as error:
-            raise Refused(f"no log-in: {error!r}") from None
+            raise SessionUnavailableError(f"no log-in: {error!r}") from None
         if not result.accepted or result.faults:
-            raise Refused(
+            raise SessionUnavailableError(
                 "log-in refused: " + "; ".join(f.text for f in result.faults), [f.number for f in result.faults]
             )
 
@@ -101,7 +101,7 @@
                     raise codec.ProtocolError(f"a message of type {message.kind} from an engine")
                 return message.body
 
-    def ask(self, statement: str) -> None:
+    def request(self, statement: str) -> None:
         """Write the batch; a session that was used before starts afresh."""
         status = codec.RESET_CONNECTION if self.used else 0
         self.used = True
@@ -142,9 +142,9 @@
 class TdsEngines(TaskDriver):
     """The driver of the TDS engines in the operator's file."""
 
-    def __init__(self, tds: Tds, kinds: dict[tuple[float, float], int], core: Core, events: Events) -> None:
+    def __init__(self, tds: Tds, kinds: dict[tuple[float, float], int], core: Core, telemetry: Telemetry) -> None:
         super().__init__(core)
-        self.tds, self.kinds, self.events = tds, kinds, events
+        self.tds, self.kinds, self.telemetry = tds, kinds, telemetry
         self.states: dict[int, EngineState] = {}
         self._names: dict[str, int] = {}
         self._idle: dict[tuple[int, str], deque[_Connection]] = {}
@@ -186,7 +186,7 @@
         if states:
             self._version += 1
             self.states.update({state.entry.engine: state for state in states})
-            self.core.list_engines(self, states, how, self._version)
+            self.core.update_endpoints(self, states, how, self._version)
 
     def _number(self, name: str) -> int:
         if name not in self._names:
@@ -200,7 +200,7 @@
         """The engine itself says that it stops: no new work, until it takes log-ins again."""
         state = self.states[number]
         if state.entry.health == Health.READY:
-            self.events.count("shutdowns_heard", "tds")
+            self.telemetry.count("shutdowns_heard", "tds")
             self._tell([self._with(state, Health.DRAINING)])
         if number not in self._watched:
             self._watched.add(number)
@@ -215,7 +215,7 @@
                 try:
                     async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
                         connection = await _Connection.open(state.address, self.tds, "", 65536)
-                except (Refused, TimeoutError):
+                except (SessionUnavailableError, TimeoutError):
                     continue
                 connection.close()
                 if self.states[number].entry.health == Health.DRAINING:
@@ -245,57 +245,57 @@
     # One attempt.
 
     async def attempt(self, attempt: Attempt) -> None:
-        """Run an attempt to its end and report that once, by Core.ended.
+        """Run an attempt to its end and report that once, by Core.attempt_ended.
 
         Errors up to severity SOFT are the statement's own and go to the client; a result beyond `max_result_bytes` is
         answered with an ERROR token. After a timeout or a cancel the engine is freed by Attention first.
         """
         connection: _Connection | None = None
-        verdict, tokens = AttemptOutcome.CONNECT_FAILED, None
+        outcome, tokens = AttemptOutcome.CONNECT_FAILED, None
         try:
             async with asyncio.timeout(self.left_s(attempt)):
                 connection = await self._connect(attempt)
                 # A wait for a connection may have been long: the engine may have begun to drain meanwhile.
                 if connection is not None and not self.core.may_send(attempt):
-                    verdict = attempt.unsent
+                    outcome = attempt.unsent
                 elif connection is not None:
-                    verdict = AttemptOutcome.RESET
-                    connection.ask(attempt.ask.statement)
-                    self.core.written(attempt)
-                    verdict, tokens = self._read(attempt, await connection.answer())
+                    outcome = AttemptOutcome.RESET
+                    connection.request(attempt.request.statement)
+                    self.core.count_written(attempt)
+                    outcome, tokens = self._read(attempt, await connection.answer())
                     self._put_back(attempt, connection)
                     connection = None
         except (OSError, EOFError) as error:
-            self.events.log("tds_engine", engine=self.states[attempt.engine].name, error=repr(error))
-        except TooLong:
-            verdict = AttemptOutcome.OK
+            self.telemetry.log("tds_engine", engine=self.states[attempt.engine].name, error=repr(error))
+        except MessageTooLongError:
+            outcome = AttemptOutcome.OK
             tokens = codec.error(TOO_LONG, f"The result passes {self.tds.max_result_bytes} bytes") + codec.done(
                 codec.DONE_ERROR
             )
-            self.events.count("results_too_long", "tds")
+            self.telemetry.count("results_too_long", "tds")
         except codec.ProtocolError as error:
-            verdict = AttemptOutcome.ERROR
-            self.events.count("engine_bad_replies", "tds")
-            self.events.log("engine_reply", engine=self.states[attempt.engine].name, error=str(error))
+            outcome = AttemptOutcome.ERROR
+            self.telemetry.count("engine_bad_replies", "tds")
+            self.telemetry.log("engine_reply", engine=self.states[attempt.engine].name, error=str(error))
         except TimeoutError:
-            verdict = AttemptOutcome.TIMEOUT if connection is not None else verdict
+            outcome = AttemptOutcome.TIMEOUT if connection is not None else outcome
         except asyncio.CancelledError:
-            verdict = AttemptOutcome.CANCELLED
+            outcome = AttemptOutcome.CANCELLED
         except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
-            verdict = AttemptOutcome.ERROR if connection is not None else verdict
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of="tds attempt")
-        if connection is not None and connection.used and verdict in (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED):
+            outcome = AttemptOutcome.ERROR if connection is not None else outcome
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of="tds attempt")
+        if connection is not None and connection.used and outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED):
             # A task of its own: a further cancel must not cut short what frees the engine.
-            self.spawn(self._free(attempt, connection, verdict))
+            self.spawn(self._free(attempt, connection, outcome))
             return
         if connection is not None:
             connection.close()
-        self.core.ended(attempt, verdict, (), tokens)
+        self.core.attempt_ended(attempt, outcome, (), tokens)
 
     async def _connect(self, attempt: Attempt) -> _Connection | None:
         """An idle session of the engine for this database, or a new one; None: none could be had."""
-        key = (attempt.engine, attempt.ask.place)
+        key = (attempt.engine, attempt.request.place)
         while line := self._idle.get(key):
             connection = line.pop()
             if not line:
@@ -306,10 +306,10 @@
         state = self.states[attempt.engine]
         try:
             async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
-                return await _Connection.open(state.address, self.tds, attempt.ask.place, self.tds.max_result_bytes)
-        except (Refused, TimeoutError) as error:
-            self.events.log("connect", engine=state.name, error=str(error))
-            if isinstance(error, Refused) and error.numbers & SHUTTING_DOWN:
+                return await _Connection.open(state.address, self.tds, attempt.request.place, self.tds.max_result_bytes)
+        except (SessionUnavailableError, TimeoutError) as error:
+            self.telemetry.log("connect", engine=state.name, error=str(error))
+            if isinstance(error, SessionUnavailableError) and error.numbers & SHUTTING_DOWN:
                 self._drains(attempt.engine)
             return None
 
@@ -322,16 +322,16 @@
             return AttemptOutcome.ERROR, None
         hard = [f for f in result.faults if f.severity > SOFT or f.number == DEADLOCK]
         if hard:
-            self.events.log(
+            self.telemetry.log(
                 "tds_engine", engine=self.states[attempt.engine].name, error=hard[0].text, number=hard[0].number
             )
             return AttemptOutcome.ERROR, None
         if result.faults:  # the statement's own: repeating it elsewhere would only fail again
-            self.events.count("statement_errors", "tds")
+            self.telemetry.count("statement_errors", "tds")
         return AttemptOutcome.OK, result.tokens
 
     def _put_back(self, attempt: Attempt, connection: _Connection) -> None:
-        line = self._idle.setdefault((attempt.engine, attempt.ask.place), deque())
+        line = self._idle.setdefault((attempt.engine, attempt.request.place), deque())
         connection.park()
         line.append(connection)
         before = clock() - IDLE_S * 1000.0
@@ -346,26 +346,26 @@
             if not self._idle[key]:
                 del self._idle[key]
 
-    async def _free(self, attempt: Attempt, connection: _Connection, verdict: int) -> None:
+    async def _free(self, attempt: Attempt, connection: _Connection, outcome: int) -> None:
         """End the engine's work by Attention; a session that does not confirm it is closed, which ends it too."""
         try:
             if await connection.attention():
-                self.events.count("attentions_confirmed", "tds")
+                self.telemetry.count("attentions_confirmed", "tds")
         finally:
             connection.close()
-            self.core.ended(attempt, verdict)
+            self.core.attempt_ended(attempt, outcome)
 
     async def probing(self, engine: int) -> None:
-        """Log in to the engine within the connect timeout and report verdict and elapsed ms by Core.probed."""
+        """Log in to the engine within the connect timeout and report it by Core.health_check_completed."""
         began, state = clock(), self.states[engine]
-        verdict = AttemptOutcome.OK
+        outcome = AttemptOutcome.OK
         try:
             async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
                 (await _Connection.open(state.address, self.tds, "", 65536)).close()
-        except Refused as error:
-            verdict = AttemptOutcome.CONNECT_FAILED
+        except SessionUnavailableError as error:
+            outcome = AttemptOutcome.CONNECT_FAILED
             if error.numbers & SHUTTING_DOWN:
                 self._drains(engine)
         except TimeoutError:
-            verdict = AttemptOutcome.TIMEOUT
-        self.core.probed(engine, verdict, clock() - began)
+            outcome = AttemptOutcome.TIMEOUT
+        self.core.health_check_completed(engine, outcome, clock() - began)
