--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -17,10 +17,9 @@
 from collections.abc import Awaitable, Callable, Iterable
 
 from frostspindle.config import Address, Tds, TdsLogin
-from frostspindle.core import REFUSED as REFUSED_ANSWER
-from frostspindle.core import SERVED, Answer, Ask, Core, clock
-from frostspindle.events import Events
+from frostspindle.core import ClientRequest, Core, Response, ResponseStatus, clock
 from frostspindle.net.tds import codec
+from frostspindle.telemetry import Telemetry
 
 FRONT = "tds"
 REFUSED, FAILED = 40501, 50001
@@ -87,14 +86,14 @@
                 if not await self._log_in():
                     return
         except TimeoutError:
-            front.events.count("login_timeouts", FRONT)
+            front.telemetry.count("login_timeouts", FRONT)
             return
         while True:
             try:
                 async with asyncio.timeout(front.tds.idle_ms / 1000.0):
                     message = await self.message()
             except TimeoutError:
-                front.events.count("idle_sessions", FRONT)
+                front.telemetry.count("idle_sessions", FRONT)
                 return
             if message is None:
                 return
@@ -106,7 +105,7 @@
                 if not await self._batch(codec.read_batch(message.body)):
                     return
             elif message.kind in _NOT_TAKEN:
-                front.events.count("not_taken", FRONT)
+                front.telemetry.count("not_taken", FRONT)
                 await self.fail(UNSUPPORTED, _NOT_TAKEN[message.kind])
             else:
                 raise codec.ProtocolError(f"a message of type {message.kind} after the log-in")
@@ -126,7 +125,7 @@
                 )
             )
             if options.get(codec.O_MARS, b"\x00")[:1] == b"\x01":
-                self.front.events.count("mars_declined", FRONT)
+                self.front.telemetry.count("mars_declined", FRONT)
             message = await self.message()
         if message is None:
             return False
@@ -135,7 +134,7 @@
         login = codec.read_login(message.body)
         self.profile = self.front.profile(login)
         if self.profile is None:
-            self.front.events.count("logins_refused", FRONT)
+            self.front.telemetry.count("logins_refused", FRONT)
             await self.fail(
                 LOGIN_FAILED,
                 f"Login failed for user '{login.user}': no entry for application "
@@ -144,7 +143,7 @@
             )
             return False
         self.database, self.login = login.database, login
-        self.front.events.count("logins", FRONT, self.profile.cls)
+        self.front.telemetry.count("logins", FRONT, self.profile.cls)
         tokens = codec.login_ack(login.database, login.packet)
         await self.send(tokens)
         self.packet = login.packet  # from the next message on
@@ -164,14 +163,14 @@
         if not statement.strip():
             await self.send(codec.done())
             return True
-        answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        answered: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
-        def settle(answer: Answer) -> None:
+        def settle(answer: Response) -> None:
             if not answered.done():
                 answered.set_result(answer)
 
         front.tickets += 1
-        ask = Ask(
+        request = ClientRequest(
             FRONT,
             front.classes[profile.cls],
             f"{front.seed ^ front.tickets:016x}",
@@ -186,15 +185,15 @@
         )
         if front.tenant is not None and self.login is not None:
             peer = self.writer.get_extra_info("peername") or ("",)
-            ask.tenant = front.tenant(self.login, peer[0], statement)
-        if not front.core.submit(ask):
+            request.tenant = front.tenant(self.login, peer[0], statement)
+        if not front.core.submit(request):
             await self.fail(REFUSED, _busy(ADVISED_MS))
             return True
         word = asyncio.ensure_future(self.message())  # an Attention, or the end of the stream
         try:
             await asyncio.wait((answered, word), return_when=asyncio.FIRST_COMPLETED)
             if not answered.done():
-                front.core.left(ask)
+                front.core.client_disconnected(request)
                 message = word.result()
                 if message is None:
                     return False
@@ -212,19 +211,19 @@
             return True
         except BaseException:
             if not answered.done():
-                front.core.left(ask)
+                front.core.client_disconnected(request)
             raise
         finally:
             if not word.done():
                 word.cancel()
                 await asyncio.wait((word,))
 
-    async def _answer(self, answer: Answer) -> None:
-        if answer.how == SERVED:
+    async def _answer(self, answer: Response) -> None:
+        if answer.status == ResponseStatus.SERVED:
             await self.send(answer.result)
         elif answer.reason:
             await self.fail(FAILED, answer.reason)
-        elif answer.how == REFUSED_ANSWER:
+        elif answer.status == ResponseStatus.REJECTED:
             await self.fail(REFUSED, _busy(answer.retry_after_ms or ADVISED_MS))
         else:
             await self.fail(FAILED, "The request failed. It may have run; do not repeat what must not run twice.")
@@ -247,10 +246,10 @@
         classes: dict[str, int],
         seed: int,
         core: Core,
-        events: Events,
+        telemetry: Telemetry,
         group: Callable[[str], int],
     ) -> None:
-        self.tds, self.listen, self.classes, self.core, self.events = tds, listen, classes, core, events
+        self.tds, self.listen, self.classes, self.core, self.telemetry = tds, listen, classes, core, telemetry
         self.tenant: Callable[[codec.Login, str, str], int] | None = None  # of a log-in, address and statement
         self.group, self.seed, self.tickets = group, seed & 0xFFFFFFFFFFFFFFFF, 0
         self.sessions: dict[asyncio.Task[None], _Session] = {}
@@ -327,7 +326,7 @@
                 await session.fail(TOO_MANY, "The service takes no new sessions now", 20)
                 return
             if len(self.sessions) > self.tds.max_sessions and not self._make_room(session):
-                self.events.count("sessions_refused", FRONT)
+                self.telemetry.count("sessions_refused", FRONT)
                 await session.fail(TOO_MANY, "All sessions are in use; connect again later", 20)
                 return
             await self._guarded(session.run)
@@ -348,7 +347,7 @@
         if not idle:
             return False
         task = max(idle, key=lambda entry: entry[:2])[2]
-        self.events.count("places_cleared", FRONT)
+        self.telemetry.count("places_cleared", FRONT)
         self.sessions.pop(task).writer.transport.abort()
         task.cancel()
         return True
@@ -359,15 +358,15 @@
         try:
             await run()
         except codec.ProtocolError as error:
-            self.events.count("bad_streams", FRONT)
-            self.events.log("tds_stream", error=str(error))
+            self.telemetry.count("bad_streams", FRONT)
+            self.telemetry.log("tds_stream", error=str(error))
             with contextlib.suppress(OSError, TimeoutError):
                 await session.fail(BAD_STREAM, f"The incoming TDS stream is incorrect: {error}", 20)
         except (OSError, TimeoutError):
-            self.events.count("broken_sessions", FRONT)
+            self.telemetry.count("broken_sessions", FRONT)
         except Exception as error:  # noqa: BLE001 - one session's fault is its own
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of="tds session")
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of="tds session")
 
 
 def _first(logins: Iterable[TdsLogin], login: codec.Login) -> TdsLogin | None:
--- a/frostspindle/caller.py
+++ b/frostspindle/operator_client.py
@@ -19,7 +19,7 @@
 BAD, AWAY = 2, 5  # exit codes: a call or an address that is no good; nobody there
 
 
-class NoFigures(click.ClickException):
+class FiguresUnavailableError(click.ClickException):
     """A command's end without figures: one line that says why, and its exit code."""
 
     def __init__(self, message: str, code: int) -> None:
@@ -92,9 +92,11 @@
     try:
         answer = operate(at if at.startswith("/") else configuration.address(at, "--at"), text)
     except ConfigError as error:
-        raise NoFigures(str(error), BAD) from None
+        raise FiguresUnavailableError(str(error), BAD) from None
     except OSError as error:
-        raise NoFigures(f"{at}: {error}", AWAY) from None
+        raise FiguresUnavailableError(f"{at}: {error}", AWAY) from None
     if answer.startswith("NAK"):
-        raise NoFigures(": ".join(part for part in (at, what, answer.removeprefix("NAK").strip()) if part), BAD)
+        raise FiguresUnavailableError(
+            ": ".join(part for part in (at, what, answer.removeprefix("NAK").strip()) if part), BAD
+        )
     return json.loads(answer.splitlines()[0])
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 
 from frostspindle.core import Core, clock
-from frostspindle.events import Events
 from frostspindle.order.sheets import Sheets
 from frostspindle.order.turns import Turns
 from frostspindle.pools import FORGOTTEN_MS
+from frostspindle.telemetry import Telemetry
 
 LOOK_S = 0.02  # so often it is looked for those that wait
 
@@ -23,27 +23,27 @@
 class Order:
     """Keeps the order of keys among processes for one core, as its `turns`."""
 
-    def __init__(self, folder: Path, core: Core, events: Events) -> None:
+    def __init__(self, folder: Path, core: Core, telemetry: Telemetry) -> None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self.core, self.events = core, events
+        self.core, self.telemetry = core, telemetry
         self.sheets = Sheets(folder, lambda: time.monotonic() * 1000.0, FORGOTTEN_MS + core.settings.key_order_pause_ms)
         self.turns = Turns(self.sheets.own.owner, self.sheets.own, self.sheets.places)
         self._timer: asyncio.TimerHandle | None = None
         self._resting: dict[int, asyncio.TimerHandle] = {}  # requests that are over, of keys that rest
-        core.turns = self
+        core.key_order = self
 
     def enter(self, number: int, key: int) -> bool | None:
         """Draw a place for a request: True if its turn has come, False if it has to wait, None if no cell is free.
 
-        While any request waits, other processes' places are read every LOOK_S; Core.turn tells that a turn has come.
+        While any request waits, other processes' places are read every LOOK_S; Core.key_order_reached reports a turn.
         """
         turn = self.turns.enter(number, key, int(clock() * 1000.0))
         if turn is False:
-            self.events.count("turns_waited")
+            self.telemetry.count("turns_waited")
             if self._timer is None:
                 self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._look)
         elif turn is None:
-            self.events.count("turns_full")
+            self.telemetry.count("turns_full")
         return turn
 
     def over(self, number: int) -> None:
@@ -63,13 +63,13 @@
     def _look(self) -> None:
         self._timer = None
         for number in self.turns.due():
-            self.core.turn(number)
+            self.core.key_order_reached(number)
         if self.turns.waiting:
             self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._look)
 
     def close(self) -> None:
         """Detach from the core, cancel the timers and close the sheets; the own file stays if a request is open."""
-        self.core.turns = None  # what ends from now on has no sheet any more
+        self.core.key_order = None  # what ends from now on has no sheet any more
         for timer in (self._timer, *self._resting.values()):
             if timer is not None:
                 timer.cancel()
--- a/frostspindle/ownership/jobs.py
+++ b/frostspindle/ownership/jobs.py
@@ -10,9 +10,9 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol, TypeVar
 
-from frostspindle.events import Events
 from frostspindle.ownership.fence import Stale
 from frostspindle.ownership.lease import Lease, Lost, OwnersLike
+from frostspindle.telemetry import Telemetry
 
 Got = TypeVar("Got")
 AGAIN_S, AGAIN_MOST_S = 0.2, 5.0  # after a run that ended or failed
@@ -66,8 +66,10 @@
 class Runner:
     """All jobs of one coordinator, each run while its lease is held."""
 
-    def __init__(self, owners: Told, events: Events, jobs: list[Job], weights: dict[str, float] | None = None) -> None:
-        self.owners, self.events = owners, events
+    def __init__(
+        self, owners: Told, telemetry: Telemetry, jobs: list[Job], weights: dict[str, float] | None = None
+    ) -> None:
+        self.owners, self.telemetry = owners, telemetry
         self.jobs = {job.task: job for job in jobs}
         self.running: dict[str, set[asyncio.Task[None]]] = {}  # the last one works, others are still ending
         self.runs: dict[str, int] = dict.fromkeys(self.jobs, 0)
@@ -100,8 +102,8 @@
                 return
             except Exception as error:  # noqa: BLE001 - a job's fault is its own: the next run tries again
                 failed += 1
-                self.events.count("owner_job_faults")
-                self.events.log("owner_job", task=job.task, token=lease.token, error=repr(error))
+                self.telemetry.count("owner_job_faults")
+                self.telemetry.log("owner_job", task=job.task, token=lease.token, error=repr(error))
             await asyncio.sleep(max(job.every_s, min(AGAIN_MOST_S, AGAIN_S * 2.0 ** (failed - 1)) if failed else 0.0))
 
     def figures(self) -> dict[str, Any]:
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -18,11 +18,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from frostspindle.events import Events
 from frostspindle.ownership import table
 from frostspindle.ownership.holder import Holder, Terms, Turned
 from frostspindle.ownership.lease import Changed, Lease
 from frostspindle.replica.base import Log, Unavailable, Uncertain
+from frostspindle.telemetry import Telemetry
 
 TOPIC = "owners"
 TICK_S = 0.05  # under holder.PATIENCE_MS: a candidate's wait counts only what it watched
@@ -46,7 +46,7 @@
         log: Log,
         name: str,
         terms: Terms,
-        events: Events,
+        telemetry: Telemetry,
         busy: Callable[[], str] = lambda: "",
         now: Callable[[], float] = clock,
         seed: int | None = None,
@@ -54,7 +54,7 @@
         """`busy` returns why this coordinator may take no lease now, or an empty string if it may."""
         if not _NAME.match(name):
             raise ValueError(f"a name of 1 to 64 printable ASCII characters: {name!r:.80}")
-        self.log, self.name, self.terms, self.events, self.busy, self.now = log, name, terms, events, busy, now
+        self.log, self.name, self.terms, self.telemetry, self.busy, self.now = log, name, terms, telemetry, busy, now
         self.table = table.Table()
         self.on_change: list[Changed] = []
         self.acted = self.stale = 0
@@ -91,7 +91,7 @@
     def refused(self, task: str, token: int, action: str, highest: int) -> None:
         """Count and log an action that a receiver refused as stale; the last REFUSALS are kept for operators."""
         self.stale += 1
-        self.events.count("owner_refused")
+        self.telemetry.count("owner_refused")
         self.refusals.append(
             {"task": task, "token": token, "action": action, "highest": highest, "at_unix": round(time.time(), 3)}
         )
@@ -113,8 +113,8 @@
             try:
                 self._step()
             except Exception as error:  # noqa: BLE001 - the next look goes over all again
-                self.events.count("faults")
-                self.events.log("fault", error=repr(error), of="owners")
+                self.telemetry.count("faults")
+                self.telemetry.log("fault", error=repr(error), of="owners")
             await asyncio.sleep(TICK_S)
 
     def _step(self) -> None:
@@ -123,9 +123,9 @@
         if why != self._why and self.holder.wants:
             self._why = why
             if why:
-                self.events.log("owner_waits", holder=self.name, why=why, wants=len(self.holder.wants))
+                self.telemetry.log("owner_waits", holder=self.name, why=why, wants=len(self.holder.wants))
             else:
-                self.events.log("owner_stands", holder=self.name, wants=len(self.holder.wants))
+                self.telemetry.log("owner_stands", holder=self.name, wants=len(self.holder.wants))
         command = self.holder.ask(now, not why)
         self._tell()
         if command is not None and self.holder.pending is not None:
@@ -176,7 +176,7 @@
             else:
                 for at in range(0, len(turns), MANY):
                     part = turns[at : at + MANY]
-                    self.events.log(
+                    self.telemetry.log(
                         event,
                         holder=self.name,
                         action=event[6:],
@@ -204,7 +204,7 @@
         return holds
 
     def _line(self, event: str, task: str, token: int, action: str, accepted: bool, **more: Any) -> None:
-        self.events.log(
+        self.telemetry.log(
             event,
             **{
                 "task": task,
@@ -226,8 +226,8 @@
     def _done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of="owners")
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of="owners")
 
     # Operators.
 
@@ -285,9 +285,9 @@
             try:
                 await self.log.propose(TOPIC, command, FORCE_S)
             except (Unavailable, Uncertain) as error:
-                self.events.log("owner_force", task=task, token=row.token, holder=row.holder, error=str(error))
+                self.telemetry.log("owner_force", task=task, token=row.token, holder=row.holder, error=str(error))
             else:
-                self.events.log("owner_force", task=task, token=row.token, holder=row.holder)
+                self.telemetry.log("owner_force", task=task, token=row.token, holder=row.holder)
 
         self._spawn(propose())
         return {"task": task, "holder": row.holder, "token": row.token}
@@ -307,6 +307,6 @@
             try:
                 await self.log.propose(TOPIC, command, LEAVE_S)
             except (Unavailable, Uncertain) as error:
-                self.events.log("owner_left", holder=self.name, error=str(error))
+                self.telemetry.log("owner_left", holder=self.name, error=str(error))
         for task in list(self._tasks):
             task.cancel()
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -11,7 +11,7 @@
 from frostspindle.core import clock
 from frostspindle.fleet.service import monotonic
 from frostspindle.fleet.warming import born
-from frostspindle.net.operator import Nak
+from frostspindle.net.operator import OperatorError
 from frostspindle.ownership.export import Export
 from frostspindle.ownership.holder import Terms
 from frostspindle.ownership.jobs import Job, Runner
@@ -20,7 +20,7 @@
 from frostspindle.ownership.warm import Cold, Warm
 
 if TYPE_CHECKING:
-    from frostspindle.host import Host
+    from frostspindle.host import ProgramContext
 
 SUMS = 32  # figures of one export
 
@@ -28,7 +28,7 @@
 class Part:
     """Owners and their jobs as the program starts and ends them; its calls `show-owners` and `release-owner`."""
 
-    def __init__(self, program: Host) -> None:
+    def __init__(self, program: ProgramContext) -> None:
         config = program.config.operator.ownership
         assert config is not None and program.config.operator.replica is not None
         self.program = program
@@ -36,7 +36,7 @@
             program.replica,
             program.config.operator.replica.me,
             Terms(config.lease_ms, config.drift),
-            program.events,
+            program.telemetry,
             self.busy,
         )
         warmed = Progress()  # also where nothing is warmed up: all coordinators hold the same topics
@@ -70,7 +70,7 @@
             )
             weights["warm"] = warm.weight
         self.cost_ms = config.warm.cost_ms if config.warm is not None else 0.0
-        self.runner = Runner(self.owners, program.events, jobs, weights)
+        self.runner = Runner(self.owners, program.telemetry, jobs, weights)
         if program.desk:
             program.desk.does["show-owners"] = self.figures
             program.desk.does["release-owner"] = self.release
@@ -121,7 +121,7 @@
         """Begin an operator's release of a task, to be seen in `show-owners`; Nak if nobody holds it."""
         found = self.owners.force(task)
         if found is None:
-            raise Nak(f"nobody holds {task:.64}")
+            raise OperatorError(f"nobody holds {task:.64}")
         return found
 
     def start(self) -> None:
@@ -134,6 +134,6 @@
         await self.owners.close()
 
 
-def attach(program: Host) -> Part:
+def attach(program: ProgramContext) -> Part:
     """Make the part of a program that has [ownership] configured; to be called before the log starts."""
     return Part(program)
--- a/frostspindle/policy/controller.py
+++ b/frostspindle/policy/controller.py
@@ -214,7 +214,7 @@
     # Events.
 
     def _on_endpoint_list(self, now: float, event: EndpointListUpdated) -> None:
-        if event.how in (EndpointListKind.FULL, EndpointListKind.CACHED):
+        if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             for missing in self.engines.keys() - {entry.engine for entry in event.entries}:
                 self.engines[missing].ready = False
         for entry in event.entries:
@@ -224,8 +224,8 @@
                 engine.reset(engine.settings)
             engine.entry, engine.ready, engine.told_at = entry, entry.health == Health.READY, now
         self._survey(now)
-        if self.s.subscribe_endpoints and event.how in (EndpointListKind.CACHED, EndpointListKind.FAILED):
-            self.ask_at = now + (ASK_AGAIN_MS if event.how == EndpointListKind.FAILED else 0.0)
+        if self.s.subscribe_endpoints and event.kind in (EndpointListKind.CACHED, EndpointListKind.FAILED):
+            self.ask_at = now + (ASK_AGAIN_MS if event.kind == EndpointListKind.FAILED else 0.0)
         self._release(now)
 
     def _on_request(self, now: float, event: RequestArrived) -> None:
@@ -282,17 +282,17 @@
         if engine is None or attempt is None:
             return
         job = attempt.job
-        attempt.verdict = event.verdict
+        attempt.outcome = event.outcome
         self._book(attempt, -1)
-        if event.verdict not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET, AttemptOutcome.NOT_SENT):
+        if event.outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET, AttemptOutcome.NOT_SENT):
             engine.spares.free(now)
-        if job.key and job.cs.in_order and event.verdict in MAY_STILL_RUN:  # it may run on: the key rests
+        if job.key and job.cs.in_order and event.outcome in MAY_STILL_RUN:  # it may run on: the key rests
             self.rest_until.rest(job.key, now + self.s.key_order_pause_ms)
         self._judge(engine, attempt, event, now)
-        if event.last or event.verdict == AttemptOutcome.OK:
+        if event.last or event.outcome == AttemptOutcome.OK:
             self._close(job, now)
         elif not job.finished:
-            self._again(job, engine, event.verdict, now)
+            self._again(job, engine, event.outcome, now)
         self._next_in_line(job.key, now)
         self._release(now)
 
@@ -310,7 +310,7 @@
     def _on_health_check(self, now: float, event: HealthCheckCompleted) -> None:
         if engine := self.engines.get(event.engine):
             engine.probed_at = now
-            if event.verdict == AttemptOutcome.OK:
+            if event.outcome == AttemptOutcome.OK:
                 engine.sign(now)
             elif self._quiet(engine, now) and not engine.suspect:
                 self._suspect(engine, now, "is silent and fails its probe")
@@ -432,10 +432,10 @@
         late = now + self._run_ms(job) > job.objective_at_ms
         return job.cs.priority_weight / job.cost * (job.cs.late_value_ratio if late else 1.0)
 
-    def _again(self, job: Job, engine: Engine, verdict: int, now: float) -> None:
+    def _again(self, job: Job, engine: Engine, outcome: int, now: float) -> None:
         if job.out or job.held:
             return
-        if verdict != AttemptOutcome.NOT_SENT:  # one that sheds, as while it shuts down, sheds the next send too
+        if outcome != AttemptOutcome.NOT_SENT:  # one that sheds, as while it shuts down, sheds the next send too
             job.avoid.add(engine.id)
         job.done = 0.0
         self._size(job)
@@ -668,10 +668,10 @@
     # Health.
 
     def _judge(self, engine: Engine, attempt: Attempt, event: AttemptEnded, now: float) -> None:
-        job, verdict = attempt.job, event.verdict
+        job, outcome = attempt.job, event.outcome
         if event.report:
             self._hear(engine, event.report, now)
-        if verdict == AttemptOutcome.OK:
+        if outcome == AttemptOutcome.OK:
             engine.sign(now)
             engine.fails *= 0.0 if engine.suspect else 0.7
             if engine.suspect:
@@ -683,17 +683,17 @@
                 self.sizes.learn(job, event.true_cost_ms, event.true_memory_mb)
             if now > self.woke_at:
                 self._pace_learn(engine, job, event.true_cost_ms or attempt.cost, event.elapsed_ms, now)
-        elif verdict in (AttemptOutcome.ERROR, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET):
+        elif outcome in (AttemptOutcome.ERROR, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET):
             # An error at a second engine speaks against the request, and in favour of the first.
-            others = [a for a in job.attempts if a.engine is not engine and a.verdict == AttemptOutcome.ERROR]
-            if verdict != AttemptOutcome.ERROR or not others:
+            others = [a for a in job.attempts if a.engine is not engine and a.outcome == AttemptOutcome.ERROR]
+            if outcome != AttemptOutcome.ERROR or not others:
                 self._doubt(engine, attempt, now, "fails")
             elif len(others) == 1:
                 others[0].engine.fails -= min(others[0].charge, others[0].engine.fails)
                 others[0].engine.suspect &= others[0].trial or others[0].engine.fails >= TRIP_AT
-        elif verdict == AttemptOutcome.OVERLOADED:
+        elif outcome == AttemptOutcome.OVERLOADED:
             self._cut(engine, now)
-        elif attempt.trial and verdict != AttemptOutcome.NOT_SENT:  # not sent: its request was over
+        elif attempt.trial and outcome != AttemptOutcome.NOT_SENT:  # not sent: its request was over
             self._suspect(engine, now, "failed its test")
 
     def _doubt(self, engine: Engine, attempt: Attempt, now: float, why: str) -> None:
--- a/frostspindle/policy/events.py
+++ b/frostspindle/policy/events.py
@@ -65,7 +65,7 @@
 class EndpointListUpdated(NamedTuple):
     """Event: an engine list or a change of it, of a kind in ListKind; without entries if the subscription failed."""
 
-    how: int
+    kind: int
     version: int
     entries: tuple[EngineEntry, ...]
 
@@ -116,7 +116,7 @@
     request: int
     attempt: int
     engine: int
-    verdict: int
+    outcome: int
     elapsed_ms: float
     last: bool
     true_cost_ms: float
@@ -146,7 +146,7 @@
     """Event: the result of a health check that was asked for by Probe, with the engine's load report, if any."""
 
     engine: int
-    verdict: int
+    outcome: int
     elapsed_ms: float
     report: tuple[float, ...]
 
--- a/frostspindle/policy/request_state.py
+++ b/frostspindle/policy/request_state.py
@@ -58,7 +58,7 @@
         self.cost, self.grant, self.trial = job.cost, grant, trial
         self.waited, self.seen, self.charge = 0.0, now, 0.0  # stood still, by its notes; last note; blame
         self.in_line = False  # for memory, by its last note
-        self.verdict: int | None = None
+        self.outcome: int | None = None
 
 
 class Job:
@@ -74,7 +74,7 @@
 
     @property
     def out(self) -> list[Attempt]:
-        return [a for a in self.attempts if a.verdict is None]
+        return [a for a in self.attempts if a.outcome is None]
 
     def may_have_run(self) -> list[Attempt]:
-        return [a for a in self.attempts if a.verdict not in NEVER_RAN]
+        return [a for a in self.attempts if a.outcome not in NEVER_RAN]
--- a/frostspindle/pools.py
+++ b/frostspindle/pools.py
@@ -46,7 +46,7 @@
     return min(idle, key=lambda one: one.born_ms) if eldest else idle[-1]
 
 
-class Course:
+class AttemptProgress:
     """The progress of one attempt on the wire; times are Unix ms."""
 
     __slots__ = ("wired", "asked_ms", "began_ms", "doubted", "priority")
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -19,19 +19,19 @@
 from frostspindle import config as configuration
 from frostspindle import signals
 from frostspindle.config import Config, ConfigError
-from frostspindle.core import PART, Core
-from frostspindle.events import Events
+from frostspindle.core import SUBREQUEST_FRONT, Core
 from frostspindle.handover import most_open
-from frostspindle.ledger.tenants import Facts
-from frostspindle.net.bus import Bus
-from frostspindle.net.engines import Engines
+from frostspindle.ledger.tenants import RequestAttributes
+from frostspindle.net.discovery import EndpointWatcher
+from frostspindle.net.engines import HttpEngines
 from frostspindle.net.http.calls import FRONT
 from frostspindle.net.http.statements import schema, table_group
-from frostspindle.net.operator import Desk, Nak
-from frostspindle.net.platform import Platform
+from frostspindle.net.operator import OperatorError, OperatorServer
+from frostspindle.net.platform import HttpFront
 from frostspindle.policy import EndpointListKind
+from frostspindle.reserved_descriptor import ReservedDescriptor
 from frostspindle.shared import Shared
-from frostspindle.spare import Spare
+from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
     from frostspindle.net.tds.driver import TdsEngines
@@ -48,7 +48,7 @@
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-class Ties(Protocol):
+class WorkerLink(Protocol):
     """What ties this process to other workers of one coordinator; it stands where a single process has `Shared`."""
 
     crowded: bool
@@ -80,38 +80,38 @@
 class Program:
     """All parts of one running coordinator."""
 
-    def __init__(self, config: Config, link: Ties | None = None) -> None:
+    def __init__(self, config: Config, link: WorkerLink | None = None) -> None:
         self.config, self.link = config, link
         self.sockets = config.limits.sockets
-        self.events = Events(config.name, worker=config.worker)
+        self.telemetry = Telemetry(config.name, worker=config.worker)
         classes = [(FRONT, name) for name in config.classes] + [("tds", name) for name in config.plan.classes]
         if config.scatter is not None:  # by class and site, in the order in which the settings have them
-            classes += [(PART, config.classes[cls]) for cls, _ in config.scatter.classes]
-        self.core = Core(config.settings, classes, config.seed, self.events, config.limits.sockets // 2)
-        self.driver = Engines(config, self.core, self.events)
-        self.bus = Bus(config, self.core, self.driver, self.events)
-        self.platform = Platform(config, self.core, self.events)
+            classes += [(SUBREQUEST_FRONT, config.classes[cls]) for cls, _ in config.scatter.classes]
+        self.core = Core(config.settings, classes, config.seed, self.telemetry, config.limits.sockets // 2)
+        self.driver = HttpEngines(config, self.core, self.telemetry)
+        self.bus = EndpointWatcher(config, self.core, self.driver, self.telemetry)
+        self.platform = HttpFront(config, self.core, self.telemetry)
         self.tds: TdsFront | None = None
         self.tds_driver: TdsEngines | None = None
         if tds := config.operator.tds:
             from frostspindle.net.tds.driver import TdsEngines  # a tenth of a start's imports, only where it is set up
             from frostspindle.net.tds.front import TdsFront
 
-            self.tds_driver = TdsEngines(tds, config.plan.kinds, self.core, self.events)
+            self.tds_driver = TdsEngines(tds, config.plan.kinds, self.core, self.telemetry)
             self.tds = TdsFront(
                 tds,
                 configuration.address(tds.listen, "tds.listen"),
                 config.plan.classes,
                 config.seed,
                 self.core,
-                self.events,
+                self.telemetry,
                 table_group,
             )
         if config.tenants.on:
             self.platform.tenant = config.tenants.number
             if self.tds:
                 self.tds.tenant = lambda login, at, statement: config.tenants.number(
-                    Facts("tds", at, {}, login.user, login.application, login.database, schema(statement))
+                    RequestAttributes("tds", at, {}, login.user, login.application, login.database, schema(statement))
                 )
         self.order: Any = None
         self.fleet = self._fleet() if config.operator.fleet else None
@@ -122,9 +122,9 @@
             self.warming = warming.attach(self)
         self.scatter: Any = None
         self.agent: Any = None
-        self.desk: Desk | None = None
+        self.desk: OperatorServer | None = None
         if config.desk:
-            self.desk = Desk(
+            self.desk = OperatorServer(
                 config.desk,
                 {
                     "ready": self.ready,
@@ -134,7 +134,7 @@
                     "disable-server": self.disable,
                     "enable-server": self.enable,
                 },
-                self.events,
+                self.telemetry,
             )
             if self.fleet:
                 self.desk.does["show-fleet"] = self.fleet.figures
@@ -178,10 +178,10 @@
             from frostspindle.settings.wiring import attach as agree  # persistent maps, the log, the store
 
             self.settings = agree(self)
-        self.shared = link or Shared(config.environ, config.name, self.events)
+        self.shared = link or Shared(config.environ, config.name, self.telemetry)
         if link is not None:
             link.bind(self)
-        self.files = Spare()  # for a reload, while clients hold all other descriptors
+        self.files = ReservedDescriptor()  # for a reload, while clients hold all other descriptors
         self.serving = False
         self.stopping, self.failed = asyncio.Event(), False
         self.tasks: list[asyncio.Task[Any]] = []
@@ -210,10 +210,10 @@
             terms,
             {self.config.tenants.numbers[b.tenant]: b.name for b in fleet.budget if b.tenant},
             self.core,
-            self.events,
+            self.telemetry,
         )
         if service.tenants:
-            self.core.within = service.within
+            self.core.quota_allows = service.within
         return service
 
     async def start(self) -> None:
@@ -236,9 +236,9 @@
             from frostspindle.order.service import Order  # only where a class keeps order
 
             try:
-                self.order = Order(self.shared.order, self.core, self.events)
+                self.order = Order(self.shared.order, self.core, self.telemetry)
             except OSError as error:  # as with the bans: serving goes before what an upgrade needs
-                self.events.log("order", folder=str(self.shared.order), error=repr(error))
+                self.telemetry.log("order", folder=str(self.shared.order), error=repr(error))
         for work in (self.core.run(), self.bus.run()):
             task = asyncio.create_task(work)
             task.add_done_callback(self._ended)
@@ -265,9 +265,9 @@
         if snmp := self.config.operator.snmp:
             from frostspindle.net.snmp import Agent  # pysnmp costs memory that only its users pay
 
-            self.agent = Agent(snmp, self.core, self.events, self.sessions)
+            self.agent = Agent(snmp, self.core, self.telemetry, self.sessions)
             await self.agent.start(self.config.inherited is not None)
-        while self.core.behind and not self.stopping.is_set():
+        while self.core.has_pending_changes and not self.stopping.is_set():
             await asyncio.sleep(0)  # who is accepted meets a core that knows engines and bans
         try:
             self.platform.start()
@@ -276,7 +276,7 @@
         self.serving = True
         if self.link is not None:
             self.link.serving()
-        self.events.log(
+        self.telemetry.log(
             "ready",
             listen=f"{self.config.listen[0]}:{self.platform.port}",
             tds=self.tds.port if self.tds else None,
@@ -288,14 +288,14 @@
         self.platform.crowd(crowded)
         self.driver.crowd(crowded)
         self._bound(crowded)
-        self.events.log("crowd", crowded=crowded)
+        self.telemetry.log("crowd", crowded=crowded)
 
     def _bound(self, crowded: bool) -> None:
         """Clients have a third of the descriptors, for both processes: past that, nobody finds a connection."""
         whole = int(self.sockets * OPEN_PART)
         if crowded:
             whole = most_open(whole, self.shared.theirs, self.stopping.is_set())
-        self.core.bound(max(16, whole if self.most_open is None else min(whole, self.most_open)))
+        self.core.set_open_limit(max(16, whole if self.most_open is None else min(whole, self.most_open)))
 
     def bound(self) -> None:
         """The agreed bound on open requests has changed."""
@@ -314,9 +314,9 @@
     def ready(self) -> None:
         """Raise Nak unless the program serves and clients are not being sent away; for readiness checks."""
         if not self.serving:
-            raise Nak("not yet" if not self.stopping.is_set() else "the program ends")
+            raise OperatorError("not yet" if not self.stopping.is_set() else "the program ends")
         if self.platform.draining:
-            raise Nak("clients are being sent away")
+            raise OperatorError("clients are being sent away")
 
     def disable(self, name: str) -> None:
         """Ban an engine from new work; Nak if no engine of that name was ever listed or the ban can't be kept."""
@@ -328,13 +328,13 @@
 
     def _ban(self, name: str, on: bool) -> None:
         if name not in self.core.names:
-            raise Nak(f"{name} was never listed")
+            raise OperatorError(f"{name} was never listed")
         if self.recovery and not on:
             self.recovery.allow(name)
         try:
             self.shared.ban(name, on)
         except OSError as error:
-            raise Nak(f"the ban can't be kept: {error.strerror}") from None
+            raise OperatorError(f"the ban can't be kept: {error.strerror}") from None
 
     def drain(self) -> None:
         """Begin a drain of the HTTP and TDS fronts: open requests are finished, clients sent away."""
@@ -359,7 +359,7 @@
                     rss_mb: float | None = round(int(statm.read().split()[1]) * PAGE_MB, 1)
             except (OSError, ValueError, IndexError):
                 rss_mb = None  # a host without /proc: the other figures still tell
-            self.events.log(
+            self.telemetry.log(
                 "memory",
                 rss_mb=rss_mb,
                 blocks=sys.getallocatedblocks(),
@@ -375,13 +375,13 @@
     def report(self) -> None:
         """SIGUSR1 and the end: the counters, and what is believed of engines and requests."""
         if self.link is not None:  # the supervisor tells the sums
-            self.events.log("worker", clients=self.sessions(), **self.core.picture())
+            self.telemetry.log("worker", clients=self.sessions(), **self.core.snapshot())
             return
-        self.events.report(clients=self.sessions(), figures=self.core.figures(), **self.core.picture())
+        self.telemetry.report(clients=self.sessions(), figures=self.core.figures(), **self.core.snapshot())
 
     def _ended(self, task: asyncio.Task[Any]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            self.events.log("fault", error=repr(task.exception()), of="task")
+            self.telemetry.log("fault", error=repr(task.exception()), of="task")
             self.failed = True  # without its core or its engine list the program is of no use: a new start is
             self.stopping.set()
 
@@ -415,12 +415,12 @@
             if self.settings:
                 self.settings.reload(fresh.operator.tds, rules)
         except Exception as error:  # noqa: BLE001 - whatever the files hold, the program goes on as it was
-            self.events.count("reloads_failed")
-            self.events.log("reload", error=str(error) if isinstance(error, ConfigError) else repr(error))
+            self.telemetry.count("reloads_failed")
+            self.telemetry.log("reload", error=str(error) if isinstance(error, ConfigError) else repr(error))
             return
         self.bus.move(fresh.bus)
-        self.events.count("reloads")
-        self.events.log("reload", bus=fresh.bus)
+        self.telemetry.count("reloads")
+        self.telemetry.log("reload", bus=fresh.bus)
 
     def _reload_tds(self, tds: configuration.Tds | None) -> None:
         """Take engines, their states and logins; what the module was told at the start needs a new start."""
@@ -463,7 +463,7 @@
             if self.agent:
                 self.agent.close()
             last = clock() + min(longest_s, KILL_S) + LAST_S
-        self.events.log("stopping", open=self.core.open, last_s=round(last - clock(), 2))
+        self.telemetry.log("stopping", open=self.core.open, last_s=round(last - clock(), 2))
         if self.owners:
             self.tasks.append(asyncio.create_task(self.owners.close()))
         await asyncio.sleep(ACCEPT_S)
@@ -474,7 +474,7 @@
         await asyncio.sleep(LOOK_S)  # the core takes what came before
         if self.scatter:
             self.scatter.give_up()
-        self.core.give_up()
+        self.core.fail_open_requests()
         await asyncio.sleep(FLUSH_S)
         await self.platform.close()
         if self.tds and self.tds_driver:
@@ -507,7 +507,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def run(config: Config, link: Ties | None = None) -> int:
+async def run(config: Config, link: WorkerLink | None = None) -> int:
     """Run one process until SIGTERM or SIGINT; return 1 if the core or the bus reader failed, else 0.
 
     Raises ConfigError for a fault in a file that a part reads for itself, OSError for an address that can't be had.
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 from frostspindle.config import BusEvent, Host, Topology
-from frostspindle.core import FAILED, REFUSED, Answer, Ask, clock
+from frostspindle.core import ClientRequest, Response, ResponseStatus, clock
 from frostspindle.policy import AttemptOutcome, Health, Idempotency
 from frostspindle.recovery import agree, tickets, wire
 from frostspindle.recovery.intake import Class, Curve, Engine, Intake, Out
@@ -31,7 +31,7 @@
 from frostspindle.store.opening import Held, Refused, open_store
 
 if TYPE_CHECKING:
-    from frostspindle.host import Host
+    from frostspindle.host import ProgramContext
 
 TURN_S = 0.05  # the longest wait of the timer: the gate, engines and the list are looked at so often
 LOOK_S = 0.25  # the list of engines, and whether rights have rested
@@ -77,34 +77,40 @@
 
     def __init__(self, service: Service, intake: Intake, once: tuple[bool, ...]) -> None:
         self.service, self.intake, self.once = service, intake, once
-        self.asks: dict[int, tuple[Ask, bool]] = {}  # those that wait, and whether their turn has come
+        self.asks: dict[int, tuple[ClientRequest, bool]] = {}  # those that wait, and whether their turn has come
 
-    def enter(self, now: float, ask: Ask, turn: bool) -> bool:
-        """Return whether the module is to hear of the request now; else it waits here for Core.admit or Core.turn_away.
+    def enter(self, now: float, request: ClientRequest, turn: bool) -> bool:
+        """Return whether the request goes on now; else it waits for Core.admit_waiting or Core.reject_waiting.
 
         With the gate open, only loads wait (for their tickets), and requests whose key still has a line. `turn` is kept
-        and handed to Core.admit. Other requests that this one lets through or displaces are admitted or refused at
+        and given to Core.admit_waiting. Requests that this one lets through or displaces are admitted or rejected at
         once.
         """
-        once = self.once[ask.cls]
-        if self.intake.open and not once and ask.key not in self.intake.lines:
+        once = self.once[request.cls]
+        if self.intake.open and not once and request.key not in self.intake.lines:
             return True
-        self.asks[ask.number] = ask, turn
+        self.asks[request.number] = request, turn
         outs = self.intake.enter(
-            now, ask.number, ask.cls, ask.key, ask.left_ms - (now - ask.taken_ms), ask.cost_ms, not once
+            now,
+            request.number,
+            request.cls,
+            request.key,
+            request.left_ms - (now - request.received_ms),
+            request.cost_ms,
+            not once,
         )
         if once:
-            self.service.claim(ask)
-        here = next((out for out in outs if out.number == ask.number and out.passes), None)
+            self.service.claim(request)
+        here = next((out for out in outs if out.number == request.number and out.passes), None)
         self.service.carry([out for out in outs if out is not here])
         if here is not None:
-            del self.asks[ask.number]
+            del self.asks[request.number]
         return here is not None
 
     def turned(self, number: int) -> bool:
         """Note that the request's turn has come.
 
-        Return whether it still waits here, with the turn kept for Core.admit.
+        Return whether it still waits here, with the turn kept for Core.admit_waiting.
         """
         if number not in self.asks:
             return False
@@ -139,10 +145,10 @@
 
     channel = wire.CHANNEL
 
-    def __init__(self, program: Host, terms: Terms) -> None:
+    def __init__(self, program: ProgramContext, terms: Terms) -> None:
         config = program.config.operator.recovery
         assert config is not None
-        self.program, self.core, self.events, self.config = program, program.core, program.events, config
+        self.program, self.core, self.telemetry, self.config = program, program.core, program.telemetry, config
         self.terms = terms
         self.node = Node(terms, monotonic(), clock(), secrets.randbits(60))
         settings = program.config.settings
@@ -168,7 +174,7 @@
         self.gate = Gate(
             self, self.intake, tuple(c.idempotency == Idempotency.NON_IDEMPOTENT for c in settings.classes)
         )
-        self.core.gate = self.gate
+        self.core.admission_gate = self.gate
         self.store: Store | None = None
         self.files: frozenset[str] = frozenset()  # the bans by hand as the shared files have them
         self.withheld: frozenset[str] = frozenset()
@@ -269,14 +275,14 @@
         while self.store is None:
             try:
                 store, opened = await asyncio.to_thread(
-                    open_at, self.config.folder, self.config.witness, self.terms.name, self.events.log
+                    open_at, self.config.folder, self.config.witness, self.terms.name, self.telemetry.log
                 )
             except Held:
                 held = True  # by our predecessor in an upgrade
                 await asyncio.sleep(AGAIN_S)
                 continue
             except Exception as error:  # noqa: BLE001 - whatever the disk does, the coordinator serves without
-                self.events.log("fault", error=repr(error), of="recovery store")
+                self.telemetry.log("fault", error=repr(error), of="recovery store")
                 store, opened = None, Opened("unreadable", False, False)
             late = self.node.stages.stage > Stage.STORE
             if late and not held and opened.trusted:  # nobody was asked whether it is the last one
@@ -303,10 +309,10 @@
                     ok = True
                 except Full as error:
                     full = True
-                    self.events.count("recovery_store_full")
-                    self.events.log("recovery_store_full", error=str(error))
+                    self.telemetry.count("recovery_store_full")
+                    self.telemetry.log("recovery_store_full", error=str(error))
                 except Exception as error:  # noqa: BLE001 - the disk's faults never end the process
-                    self.events.log("recovery_store_broken", error=str(error))
+                    self.telemetry.log("recovery_store_broken", error=str(error))
                 self.node.written(monotonic(), clock(), ok, full)
                 self._keep()
                 self._drain(wake=False)
@@ -317,9 +323,9 @@
 
     # The gate.
 
-    def claim(self, ask: Ask) -> None:
+    def claim(self, request: ClientRequest) -> None:
         """Ask the homes of a load's ticket to grant it; the outcome comes as a Settled effect."""
-        self.node.claim(monotonic(), clock(), ask.number, ask.ticket)
+        self.node.claim(monotonic(), clock(), request.number, request.ticket)
         self._drain()
 
     def _claim_again(self, number: int) -> None:
@@ -339,10 +345,10 @@
             if asked is None:
                 continue
             if out.passes:
-                self.core.admit(out.number, asked[1])
+                self.core.admit_waiting(out.number, asked[1])
             else:
-                self.events.count("recovery_refused")
-                self.core.turn_away(out.number, Answer(REFUSED, None, out.retry_ms))
+                self.telemetry.count("recovery_refused")
+                self.core.reject_waiting(out.number, Response(ResponseStatus.REJECTED, None, out.retry_ms))
 
     # Time.
 
@@ -451,7 +457,7 @@
 
     def _effect(self, effect: Any) -> None:
         if isinstance(effect, Move):
-            self.events.log(
+            self.telemetry.log(
                 "recovery_stage",
                 stage=effect.stage.name.lower(),
                 left=effect.left.name.lower(),
@@ -464,11 +470,11 @@
             if effect.stage is Stage.OPEN:
                 self.carry(self.intake.release())
         elif isinstance(effect, Note):
-            self.events.log(effect.event, **effect.fields)
+            self.telemetry.log(effect.event, **effect.fields)
         elif isinstance(effect, Chill):
             self._chills += 1
-            self.core.chill(effect.starts)
-            self.events.log(
+            self.core.mark_restarted(effect.starts)
+            self.telemetry.log(
                 "recovery_cold",
                 engines=len(effect.starts),
                 names=sorted(effect.starts)[:16],
@@ -488,19 +494,19 @@
             asyncio.get_running_loop().call_later(AGAIN_S, self._claim_again, effect.number)
         elif effect.number in self.gate.asks:
             del self.gate.asks[effect.number]
-            self.events.count("loads_repeated" if effect.how == tickets.RAN else "loads_without_ticket")
+            self.telemetry.count("loads_repeated" if effect.how == tickets.RAN else "loads_without_ticket")
             # Homes that rest do so for long: who comes back soon is refused again.
             wait_ms = self.config.claim_ms if effect.how == tickets.UNSURE else math.inf
-            self.core.turn_away(
+            self.core.reject_waiting(
                 effect.number,
-                Answer(FAILED)
+                Response(ResponseStatus.FAILED)
                 if effect.how == tickets.RAN
-                else Answer(REFUSED, None, self.intake.wait_ms(clock(), clock() + wait_ms)),
+                else Response(ResponseStatus.REJECTED, None, self.intake.wait_ms(clock(), clock() + wait_ms)),
             )
 
     def _agreed(self, agreed: agree.Agreed) -> None:
         """Lists and bans are settled, by enough of the seeds or, for now, by the safest of what is known."""
-        self.events.log(
+        self.telemetry.log(
             "recovery_agreed",
             enough=agreed.enough,
             number=agreed.number,
@@ -512,7 +518,7 @@
             try:
                 self.program.shared.ban(name, True)
             except OSError as error:
-                self.events.log("recovery_ban", name=name, error=error.strerror)
+                self.telemetry.log("recovery_ban", name=name, error=error.strerror)
                 agreed = agree.Agreed(
                     agreed.enough, agreed.number, agreed.list, agreed.withheld | {name}, agreed.banned, agreed.starts
                 )
@@ -535,7 +541,7 @@
 
     def _withhold(self, names: frozenset[str], by_lists: frozenset[str]) -> None:
         if names != self.withheld:
-            self.events.log("recovery_withheld", names=sorted(names)[:16])
+            self.telemetry.log("recovery_withheld", names=sorted(names)[:16])
         self.withheld, self._held_back = names, by_lists
         self.core.ban(self.files | names)
 
@@ -544,7 +550,7 @@
     return names[place][:64] if place < len(names) else ""
 
 
-def attach(program: Host) -> Service:
+def attach(program: ProgramContext) -> Service:
     """Create the recovery of a program under construction and register it.
 
     Its fleet, if it has one, carries the messages.
--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -16,16 +16,16 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from frostspindle.events import Events
 from frostspindle.replica import links as net
 from frostspindle.replica import wire
 from frostspindle.replica.base import MOST_OPEN, Applied, Desk, Machine, Told, Unavailable, Uncertain
 from frostspindle.replica.disk import Disk, Found, Held
 from frostspindle.replica.journal import Journal, Record
 from frostspindle.replica.member import KEEP, Member, Outcome, Peer, Times
+from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
-    from frostspindle.host import Host
+    from frostspindle.host import ProgramContext
 
 TURN_S = 0.025
 SLOW_S = 0.5  # a sync that took longer is told
@@ -43,7 +43,7 @@
         voters: list[str],
         folder: Path,
         secret: bytes,
-        events: Events,
+        telemetry: Telemetry,
         listen: str = "",
         first_start: bool = False,
         times: Times | None = None,
@@ -54,7 +54,7 @@
 
         `first_start`: the operator's word that an empty folder is none whose journal was lost.
         """
-        self.me, self.folder, self.events = me, folder, events
+        self.me, self.folder, self.telemetry = me, folder, telemetry
         self._voters, self._secret, self._first = voters, secret, first_start
         self._addresses = {peer.id: peer.address for peer in map(Peer, voters)}
         self._listen = listen or self._addresses.get(me, "")
@@ -153,14 +153,14 @@
         OSError if the address can't be bound. A fault of the disk or the journal stops the log alone, with a log line.
         """
         self.started = True
-        _library_to(self.events)
+        _library_to(self.telemetry)
         loop = asyncio.get_running_loop()
         try:
             found, records = await loop.run_in_executor(self._pool, self._open)
             forgot = found is Found.SPOILT or found is Found.FRESH and not self._first
             if found in (Found.SPOILT, Found.TORN) or forgot and self.me in self._addresses:
-                self.events.count("replica_journals_" + found)
-                self.events.log(
+                self.telemetry.count("replica_journals_" + found)
+                self.telemetry.log(
                     "replica_journal",
                     found=str(found),
                     entries=len(records),
@@ -203,7 +203,7 @@
             self.port = await self._links.listen(host.strip("[]"), int(port))
         self._aim()
         self._task = asyncio.create_task(self._run())
-        self.events.log(
+        self.telemetry.log(
             "replica", me=self.me, votes=member.voter, term=member.term, entries=len(member.journal), port=self.port
         )
 
@@ -233,8 +233,8 @@
     def _stop(self, why: str) -> None:
         """The log is of no use any more; the process goes on."""
         self.stopped = why
-        self.events.count("replica_stopped")
-        self.events.log("replica_stopped", why=why)
+        self.telemetry.count("replica_stopped")
+        self.telemetry.log("replica_stopped", why=why)
         if self._member is not None:
             self._member.stop()
 
@@ -280,8 +280,8 @@
             self.counted["syncs"] += 1
             self.counted["written"] += size
             if took > SLOW_S:
-                self.events.count("replica_disk_slow")
-                self.events.log("replica_disk_slow", took_s=round(took, 3), bytes=size)
+                self.telemetry.count("replica_disk_slow")
+                self.telemetry.log("replica_disk_slow", took_s=round(took, 3), bytes=size)
         began = time.thread_time()
         assert self._links is not None
         out, full = member.take_outbox()
@@ -303,7 +303,7 @@
         elif member.voters_changed:
             member.voters_changed = False
             self._aim()
-            self.events.log("replica_voters", voters=sorted(member.voters))
+            self.telemetry.log("replica_voters", voters=sorted(member.voters))
         self._tell_leader(member)
 
     def _turned(self, began: float) -> None:
@@ -318,7 +318,7 @@
             member.disconnected(peer)
         self._came = []
         member.promote()
-        self.events.log("replica_votes", term=member.term, index=self.index)
+        self.telemetry.log("replica_votes", term=member.term, index=self.index)
         self._aim()
 
     def _aim(self) -> None:
@@ -330,8 +330,8 @@
     def _tell_leader(self, member: Member) -> None:
         leader = member.leader
         if leader != self._heard_leader:
-            self.events.count("replica_leaders")
-            self.events.log("replica_leader", leader=leader, was=self._heard_leader, term=member.term)
+            self.telemetry.count("replica_leaders")
+            self.telemetry.log("replica_leader", leader=leader, was=self._heard_leader, term=member.term)
             self._heard_leader = leader
 
     # What the links tell.
@@ -343,8 +343,8 @@
     def _down(self, peer: str) -> None:
         self._came.append(("down", peer, None))
         if not self.stopped:
-            self.events.count("replica_members_lost")
-            self.events.log("replica_member_lost", peer=peer)
+            self.telemetry.count("replica_members_lost")
+            self.telemetry.log("replica_member_lost", peer=peer)
         self._wake.set()
 
     def _heard(self, peer: str, message: dict[str, Any], size: int) -> None:
@@ -359,8 +359,8 @@
         return peer.startswith("~") and 1 < len(peer) <= 65 or peer in member.voters
 
     def _note(self, event: str, **fields: Any) -> None:
-        self.events.count(event)
-        self.events.log(event, **fields)
+        self.telemetry.count(event)
+        self.telemetry.log(event, **fields)
 
     # What operators are told.
 
@@ -397,22 +397,22 @@
 class _ToEvents(logging.Handler):
     """The library's own words, as lines of ours."""
 
-    def __init__(self, events: Events) -> None:
+    def __init__(self, telemetry: Telemetry) -> None:
         super().__init__(logging.WARNING)
-        self.events = events
+        self.telemetry = telemetry
 
     def emit(self, record: logging.LogRecord) -> None:
-        self.events.count("replica_library")
-        self.events.log("replica_library", level=record.levelname, text=record.getMessage()[:200])
+        self.telemetry.count("replica_library")
+        self.telemetry.log("replica_library", level=record.levelname, text=record.getMessage()[:200])
 
 
-def _library_to(events: Events) -> None:
+def _library_to(telemetry: Telemetry) -> None:
     logger = logging.getLogger("pysyncobj")
-    logger.handlers = [_ToEvents(events)]
+    logger.handlers = [_ToEvents(telemetry)]
     logger.propagate = False
 
 
-def attach(program: Host) -> Replica:
+def attach(program: ProgramContext) -> Replica:
     """Make the program's log as configured, with its call `show-replica`; OSError, ValueError for a bad secret."""
     config = program.config.operator.replica
     assert config is not None
@@ -424,7 +424,7 @@
         config.voters,
         Path(config.folder),
         read_secret(config.secret),
-        program.events,
+        program.telemetry,
         config.listen,
         config.first_start,
         times,
--- a/frostspindle/spare.py
+++ b/frostspindle/reserved_descriptor.py
@@ -14,7 +14,7 @@
 FULL = frozenset((errno.EMFILE, errno.ENFILE))
 
 
-class Spare:
+class ReservedDescriptor:
     """One file descriptor held in reserve, open on the null device."""
 
     def __init__(self) -> None:
--- a/frostspindle/scatter/gather.py
+++ b/frostspindle/scatter/gather.py
@@ -11,15 +11,14 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from frostspindle.core import ResponseStatus
 from frostspindle.scatter.merge import Merge, Mismatch, Row, merge
 
-SERVED, REFUSED, FAILED = "served", "refused", "failed"  # as the core has them
-
 
 class Whole(NamedTuple):
     """The one answer of all parts. `missing`: the sites that did not answer, where the request allows it."""
 
-    how: str
+    status: ResponseStatus
     rows: list[Row] = []
     reason: str = ""
     retry_after_ms: float = 0.0
@@ -30,13 +29,13 @@
 class Gather:
     """The sites that were asked for one request, and what they answered."""
 
-    how: Merge
+    merge_plan: Merge
     sites: Sequence[str]
     null: str
     partial: bool
     most_rows: int
     parts: dict[str, list[Row]] = field(default_factory=dict)
-    lost: dict[str, tuple[str, float]] = field(default_factory=dict)  # how, the wait that was advised
+    lost: dict[str, tuple[ResponseStatus, float]] = field(default_factory=dict)  # status, the wait that was advised
     rows: int = 0
     over: bool = False
 
@@ -59,20 +58,20 @@
         self.parts[site] = rows
         self.rows += len(rows)
         if self.rows > self.most_rows:
-            return self._end(Whole(FAILED, reason=f"more than {self.most_rows} rows to merge"))
+            return self._end(Whole(ResponseStatus.FAILED, reason=f"more than {self.most_rows} rows to merge"))
         return None if self.open else self._whole()
 
-    def ended(self, site: str, how: str, retry_after_ms: float = 0.0) -> Whole | None:
+    def ended(self, site: str, status: ResponseStatus, retry_after_ms: float = 0.0) -> Whole | None:
         """Take a part that ended without rows.
 
         Return the answer if that decides it, else None: at once, unless the request allows missing sites.
         """
         if self.over or site not in self.open:
             return None
-        self.lost[site] = how, retry_after_ms
+        self.lost[site] = status, retry_after_ms
         if self.partial:
             return None if self.open else self._whole()
-        return self._end(Whole(how, retry_after_ms=retry_after_ms))
+        return self._end(Whole(status, retry_after_ms=retry_after_ms))
 
     def left(self) -> None:
         """Note that the client left: no answer is returned any more."""
@@ -80,13 +79,17 @@
 
     def _whole(self) -> Whole:
         if self.lost and not self.parts:
-            worst = FAILED if any(how == FAILED for how, _ in self.lost.values()) else REFUSED
+            worst = (
+                ResponseStatus.FAILED
+                if any(status == ResponseStatus.FAILED for status, _ in self.lost.values())
+                else ResponseStatus.REJECTED
+            )
             return self._end(Whole(worst, retry_after_ms=max(wait for _, wait in self.lost.values())))
         try:
-            rows = merge(self.how, [self.parts[site] for site in self.sites if site in self.parts], self.null)
+            rows = merge(self.merge_plan, [self.parts[site] for site in self.sites if site in self.parts], self.null)
         except Mismatch as error:
-            return self._end(Whole(FAILED, reason=str(error)))
-        return self._end(Whole(SERVED, rows, missing=tuple(sorted(self.lost))))
+            return self._end(Whole(ResponseStatus.FAILED, reason=str(error)))
+        return self._end(Whole(ResponseStatus.SERVED, rows, missing=tuple(sorted(self.lost))))
 
     def _end(self, whole: Whole) -> Whole:
         self.over = True
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -18,8 +18,7 @@
 from typing import TYPE_CHECKING, Any
 
 from frostspindle.catalogue import CELLS, FLOAT, TEXT, Catalogue, Column, home_of, key_of, site_of
-from frostspindle.core import FAILED, PART, REFUSED, SERVED, Answer, Ask, Core, clock
-from frostspindle.events import Events
+from frostspindle.core import SUBREQUEST_FRONT, ClientRequest, Core, Response, ResponseStatus, clock
 from frostspindle.predicates import may_match
 from frostspindle.predicates.values import KINDS, canonical
 from frostspindle.scatter import wire
@@ -27,6 +26,7 @@
 from frostspindle.scatter.leases import UNKNOWN, Holder, Home, Load, Terms, Told
 from frostspindle.scatter.merge import Mismatch, value
 from frostspindle.scatter.plan import Planner, Rows, in_steps
+from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
     from frostspindle.fleet.node import Node
@@ -55,19 +55,19 @@
 
 @dataclass(slots=True, eq=False)
 class _Query:
-    ask: Ask
+    request: ClientRequest
     gather: Gather
-    parts: dict[str, Ask]
+    parts: dict[str, ClientRequest]
 
 
 @dataclass(slots=True, eq=False)
 class _Turn:
     """One load: announced, sent, confirmed."""
 
-    ask: Ask
+    request: ClientRequest
     site: str
     load: Load | None = None
-    part: Ask | None = None
+    part: ClientRequest | None = None
     result: Any = None
     timer: asyncio.TimerHandle | None = None
     began: float = 0.0
@@ -79,16 +79,16 @@
 
     channel = CHANNEL
 
-    def __init__(self, catalogue: Catalogue, core: Core, events: Events, fleet: Fleet, classes: int) -> None:
-        self.catalogue, self.core, self.events, self.fleet = catalogue, core, events, fleet
+    def __init__(self, catalogue: Catalogue, core: Core, telemetry: Telemetry, fleet: Fleet, classes: int) -> None:
+        self.catalogue, self.core, self.telemetry, self.fleet = catalogue, core, telemetry, fleet
         self.classes = classes  # of the front that is scattered; others' requests have higher numbers
         terms = catalogue.terms
         self.planner = Planner(catalogue)
         self.terms = Terms(terms.lease_ms, terms.drift, catalogue.digest, terms.keep_ms, terms.bits)
         self.home: Home | None = None
         self.holder: Holder | None = None
-        self.queries: dict[Ask, _Query] = {}
-        self.turns: dict[Ask, _Turn] = {}
+        self.queries: dict[ClientRequest, _Query] = {}
+        self.turns: dict[ClientRequest, _Turn] = {}
         self.lines: dict[int, deque[_Turn]] = {}  # loads of one key, in the order taken
         # Told of each load that is answered as served: its site, group and columns.
         self.loaded: Callable[[str, int, tuple[str, ...]], None] = lambda site, group, columns: None
@@ -106,7 +106,9 @@
         homes = {key: home_of(key, node.homes) for key in self.catalogue.all_keys()}
         own = {key: self.catalogue.summed(site_of(key)[1]) for key, home in homes.items() if home == node.name}
         self.home, self.holder = Home(node.epoch, self.terms, own, now), Holder(self.terms, homes)
-        self.events.log("scatter", sites=len(self.catalogue.sites), groups=len(self.catalogue.groups), keeps=len(own))
+        self.telemetry.log(
+            "scatter", sites=len(self.catalogue.sites), groups=len(self.catalogue.groups), keeps=len(own)
+        )
         self._search()
 
     def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
@@ -126,7 +128,7 @@
         try:
             word = wire.decode(data)
         except wire.BadPacket:
-            self.events.count("scatter_undecodable")
+            self.telemetry.count("scatter_undecodable")
             return
         kind = type(word)
         if kind is wire.Hold:
@@ -168,7 +170,7 @@
                 elif len(data) <= wire.MOST:
                     self.fleet.post(name, CHANNEL, data)
                 else:
-                    self.events.count("scatter_too_long")
+                    self.telemetry.count("scatter_too_long")
         if self._timer is not None:
             self._timer.cancel()
         due = min(home.due(now), holder.due())
@@ -189,93 +191,97 @@
         """Number of scattered queries and loads that are not answered yet."""
         return len(self.queries) + len(self.turns)
 
-    def takes(self, ask: Ask) -> bool | None:
+    def takes(self, request: ClientRequest) -> bool | None:
         """Take a request if it reads spread tables. True: it is settled here; False: full; None: not one of ours."""
-        if ask.group not in self.catalogue.groups or ask.front == PART:
+        if request.group not in self.catalogue.groups or request.front == SUBREQUEST_FRONT:
             return None
-        name = self.core.classes[ask.cls][1]
+        name = self.core.classes[request.cls][1]
         if self.core.open >= self.core.most_open:
-            self.events.count("full", ask.front, name)
+            self.telemetry.count("full", request.front, name)
             return False
-        self.events.count("taken", ask.front, name)
-        if ask.cls >= self.classes:
-            self._soon(ask, Answer(REFUSED, reason="not scatterable: not by this front"))
-        elif ask.cls in self.catalogue.loads:
-            self._load(ask)
+        self.telemetry.count("taken", request.front, name)
+        if request.cls >= self.classes:
+            self._soon(request, Response(ResponseStatus.REJECTED, reason="not scatterable: not by this front"))
+        elif request.cls in self.catalogue.loads:
+            self._load(request)
         else:
-            self._query(ask)
+            self._query(request)
         return True
 
-    def left(self, ask: Ask) -> bool:
+    def left(self, request: ClientRequest) -> bool:
         """Note that a client left and cancel its parts; return False if the request is not one of ours."""
-        if (query := self.queries.pop(ask, None)) is not None:
+        if (query := self.queries.pop(request, None)) is not None:
             query.gather.left()
             for site in query.gather.open:
                 if site in query.parts:
-                    self.core.left(query.parts[site])
-        elif (turn := self.turns.pop(ask, None)) is not None:
+                    self.core.client_disconnected(query.parts[site])
+        elif (turn := self.turns.pop(request, None)) is not None:
             self._close(turn, turn.part is None)
             if turn.part is not None:
-                self.core.left(turn.part)
+                self.core.client_disconnected(turn.part)
         else:
-            return ask.group in self.catalogue.groups and ask.front != PART
-        self.events.count("left", ask.front, self.core.classes[ask.cls][1])
+            return request.group in self.catalogue.groups and request.front != SUBREQUEST_FRONT
+        self.telemetry.count("left", request.front, self.core.classes[request.cls][1])
         return True
 
-    def _soon(self, ask: Ask, answer: Answer) -> None:
+    def _soon(self, request: ClientRequest, answer: Response) -> None:
         """Not before the front has noted that the request is taken."""
-        asyncio.get_running_loop().call_soon(self._settle, ask, answer)
+        asyncio.get_running_loop().call_soon(self._settle, request, answer)
 
-    def _settle(self, ask: Ask, answer: Answer) -> None:
-        self.events.count(answer.how, ask.front, self.core.classes[ask.cls][1])
+    def _settle(self, request: ClientRequest, answer: Response) -> None:
+        self.telemetry.count(answer.status, request.front, self.core.classes[request.cls][1])
         if answer.reason:
-            self.events.count("scatter_turned_down" if answer.how == REFUSED else "scatter_unmerged")
-        ask.settle(answer)
-        ask.statement = ""
+            self.telemetry.count(
+                "scatter_turned_down" if answer.status == ResponseStatus.REJECTED else "scatter_unmerged"
+            )
+        request.on_response(answer)
+        request.statement = ""
 
     @staticmethod
-    def _left_ms(ask: Ask) -> float:
-        return ask.left_ms - (clock() - ask.taken_ms)
+    def _left_ms(request: ClientRequest) -> float:
+        return request.left_ms - (clock() - request.received_ms)
 
     # Queries.
 
-    def _query(self, ask: Ask) -> None:
-        plan = self.planner.plan(ask.group, ask.statement)
+    def _query(self, request: ClientRequest) -> None:
+        plan = self.planner.plan(request.group, request.statement)
         if plan.refused:
-            self._soon(ask, Answer(REFUSED, reason=plan.refused))
+            self._soon(request, Response(ResponseStatus.REJECTED, reason=plan.refused))
             return
-        sites = self.catalogue.sites_of(ask.group)
-        skipped, rows = self._skips(ask.group, sites, plan.predicate)
+        sites = self.catalogue.sites_of(request.group)
+        skipped, rows = self._skips(request.group, sites, plan.predicate)
         asked = [site for site in sites if site not in skipped]
-        self.events.count("scatter_requests")
-        self.events.count("scatter_parts", by=len(asked))
-        self.events.count("scatter_left_out", by=len(skipped))
+        self.telemetry.count("scatter_requests")
+        self.telemetry.count("scatter_parts", by=len(asked))
+        self.telemetry.count("scatter_left_out", by=len(skipped))
         query = _Query(
-            ask, Gather(plan.merge, asked, self.catalogue.terms.null, ask.partial, self.catalogue.terms.most_rows), {}
+            request,
+            Gather(plan.merge, asked, self.catalogue.terms.null, request.partial, self.catalogue.terms.most_rows),
+            {},
         )
         if (whole := query.gather.begin()) is not None:
-            self._soon(ask, self._answer(whole))
+            self._soon(request, self._answer(whole))
             return
-        self.queries[ask] = query
-        _, rank = estimates(ask.cost_ms, [rows.get(site) for site in asked])
+        self.queries[request] = query
+        _, rank = estimates(request.cost_ms, [rows.get(site) for site in asked])
         for site in asked:
-            query.parts[site] = Ask(
-                PART,
-                self.catalogue.classes[ask.cls, site],
-                ticket(ask.ticket, site),
-                plan.statement or ask.statement,
+            query.parts[site] = ClientRequest(
+                SUBREQUEST_FRONT,
+                self.catalogue.classes[request.cls, site],
+                ticket(request.ticket, site),
+                plan.statement or request.statement,
                 clock(),
-                max(1.0, self._left_ms(ask) - MERGE_MS),
+                max(1.0, self._left_ms(request) - MERGE_MS),
                 partial(self._part, query, site),
                 rank,
-                ask.memory_mb,
-                ask.group,
-                ask.place,
-                ask.tenant,
+                request.memory_mb,
+                request.group,
+                request.place,
+                request.tenant,
             )
         for site, part in query.parts.items():
             if not self.core.submit(part):
-                asyncio.get_running_loop().call_soon(self._part, query, site, Answer(REFUSED))
+                asyncio.get_running_loop().call_soon(self._part, query, site, Response(ResponseStatus.REJECTED))
 
     def _skips(self, group: int, sites: Sequence[str], predicate: Any) -> tuple[set[str], dict[str, int]]:
         """The sites that nobody need ask, and how many rows the summaries of the others speak of."""
@@ -290,7 +296,7 @@
                 continue
             summary = self.holder.summary(monotonic(), key_of(site, group))
             if summary is None:
-                self.events.count("scatter_without_lease")
+                self.telemetry.count("scatter_without_lease")
                 continue
             rows[site] = summary.rows
             if not may_match(predicate, summary):
@@ -300,62 +306,67 @@
         skipped = {site for site in skipped if self.holder.summary(now, key_of(site, group)) is not None}
         return skipped, rows
 
-    def _part(self, query: _Query, site: str, answer: Answer) -> None:
-        if answer.how == SERVED:
+    def _part(self, query: _Query, site: str, answer: Response) -> None:
+        if answer.status == ResponseStatus.SERVED:
             whole = query.gather.served(site, answer.result[0])
         else:
-            whole = query.gather.ended(site, answer.how, answer.retry_after_ms)
-        if whole is None or self.queries.pop(query.ask, None) is None:
+            whole = query.gather.ended(site, answer.status, answer.retry_after_ms)
+        if whole is None or self.queries.pop(query.request, None) is None:
             return
         for other in query.gather.open:
-            self.core.left(query.parts[other])
-        self._settle(query.ask, self._answer(whole))
+            self.core.client_disconnected(query.parts[other])
+        self._settle(query.request, self._answer(whole))
 
-    def _answer(self, whole: Whole) -> Answer:
-        if whole.how != SERVED:
-            return Answer(whole.how, None, whole.retry_after_ms, whole.reason)
+    def _answer(self, whole: Whole) -> Response:
+        if whole.status != ResponseStatus.SERVED:
+            return Response(whole.status, None, whole.retry_after_ms, whole.reason)
         size = sum(len(text) + 1 for row in whole.rows for text in row) + len(whole.rows)
         if whole.missing:
-            self.events.count("scatter_partial")
-        return Answer(SERVED, (whole.rows, size), mark=",".join(whole.missing))
+            self.telemetry.count("scatter_partial")
+        return Response(ResponseStatus.SERVED, (whole.rows, size), mark=",".join(whole.missing))
 
     # Loads.
 
-    def _load(self, ask: Ask) -> None:
-        told = self.planner.load(ask.group, ask.statement)
-        sites = self.catalogue.sites_of(ask.group)
-        site = ask.site or (home_of(told.places[0], sites) if len(told.places) == 1 else "")
+    def _load(self, request: ClientRequest) -> None:
+        told = self.planner.load(request.group, request.statement)
+        sites = self.catalogue.sites_of(request.group)
+        site = request.site or (home_of(told.places[0], sites) if len(told.places) == 1 else "")
         if site not in sites:
-            self._soon(ask, Answer(REFUSED, reason="not scatterable: a load of one site's rows names it in X-Site"))
+            self._soon(
+                request,
+                Response(
+                    ResponseStatus.REJECTED, reason="not scatterable: a load of one site's rows names it in X-Site"
+                ),
+            )
             return
         columns = (
-            self.catalogue.summed(ask.group)
+            self.catalogue.summed(request.group)
             if told.cells is None
             else [name for name, cells in told.cells.items() if cells]
         )
-        turn = self.turns[ask] = _Turn(
-            ask, site, began=monotonic(), columns=tuple(dict.fromkeys(name.removesuffix(CELLS) for name in columns))
+        turn = self.turns[request] = _Turn(
+            request, site, began=monotonic(), columns=tuple(dict.fromkeys(name.removesuffix(CELLS) for name in columns))
         )
-        if ask.key:
-            self.lines.setdefault(ask.key, deque()).append(turn)
+        if request.key:
+            self.lines.setdefault(request.key, deque()).append(turn)
         if self.catalogue.sites[site].foreign_loads:
             self._send(turn)
             return
         turn.timer = asyncio.get_running_loop().call_later(
-            max(0.0, WIDEN * self._left_ms(ask)) / 1000.0, self._late, turn
+            max(0.0, WIDEN * self._left_ms(request)) / 1000.0, self._late, turn
         )
         asyncio.get_running_loop().call_soon(self._announce, turn, told)
 
     def _announce(self, turn: _Turn, told: Rows) -> None:
-        if turn.ask not in self.turns:
+        if turn.request not in self.turns:
             return
         now = monotonic()
         if self.holder is None:  # in an upgrade the other process has the fleet's port for a while
             asyncio.get_running_loop().call_later(AGAIN_S, self._announce, turn, told)
             return
-        turn.load = self.holder.load(now, key_of(turn.site, turn.ask.group), told.count, told.cells)
+        turn.load = self.holder.load(now, key_of(turn.site, turn.request.group), told.count, told.cells)
         if turn.load is None:
-            self._end(turn, Answer(REFUSED), True)
+            self._end(turn, Response(ResponseStatus.REJECTED), True)
         self._flush(now)
 
     def _moved(self, load: Load) -> None:
@@ -367,44 +378,44 @@
             self._send(turn)
         elif load.state == "kept":
             turn.load = None
-            self._end(turn, Answer(SERVED, turn.result), False)
+            self._end(turn, Response(ResponseStatus.SERVED, turn.result), False)
 
     def _send(self, turn: _Turn) -> None:
         """The load itself, once it may go; loads of one key in the order taken."""
-        line = self.lines.get(turn.ask.key) if turn.ask.key else None
+        line = self.lines.get(turn.request.key) if turn.request.key else None
         if turn.part is None and (line is None or line[0] is turn):
-            ask = turn.ask
+            request = turn.request
             if turn.timer is not None:
                 turn.timer.cancel()
-            left_ms = self._left_ms(ask)
-            turn.part = Ask(
-                PART,
-                self.catalogue.classes[ask.cls, turn.site],
-                ticket(ask.ticket, turn.site),
-                ask.statement,
+            left_ms = self._left_ms(request)
+            turn.part = ClientRequest(
+                SUBREQUEST_FRONT,
+                self.catalogue.classes[request.cls, turn.site],
+                ticket(request.ticket, turn.site),
+                request.statement,
                 clock(),
                 max(1.0, left_ms * (1.0 - CONFIRM)),
                 partial(self._ran, turn),
-                ask.cost_ms,
-                ask.memory_mb,
-                ask.group,
-                ask.place,
-                ask.tenant,
-                ask.key,
+                request.cost_ms,
+                request.memory_mb,
+                request.group,
+                request.place,
+                request.tenant,
+                request.key,
             )
             turn.timer = asyncio.get_running_loop().call_later(max(0.0, left_ms) / 1000.0, self._late, turn)
             if not self.core.submit(turn.part):
-                asyncio.get_running_loop().call_soon(self._ran, turn, Answer(REFUSED))
+                asyncio.get_running_loop().call_soon(self._ran, turn, Response(ResponseStatus.REJECTED))
             self._next(turn)
 
     def _next(self, turn: _Turn) -> None:
         """The line of a key goes on without this load."""
-        line = self.lines.get(turn.ask.key) if turn.ask.key else None
+        line = self.lines.get(turn.request.key) if turn.request.key else None
         if line is None or turn not in line:
             return
         line.remove(turn)
         if not line:
-            del self.lines[turn.ask.key]
+            del self.lines[turn.request.key]
         elif (
             line[0].load is None
             and self.catalogue.sites[line[0].site].foreign_loads
@@ -412,11 +423,11 @@
         ):
             self._send(line[0])
 
-    def _ran(self, turn: _Turn, answer: Answer) -> None:
-        if turn.ask not in self.turns:
+    def _ran(self, turn: _Turn, answer: Response) -> None:
+        if turn.request not in self.turns:
             return
-        if answer.how != SERVED:
-            self._end(turn, answer, answer.how == REFUSED)
+        if answer.status != ResponseStatus.SERVED:
+            self._end(turn, answer, answer.status == ResponseStatus.REJECTED)
             return
         turn.result = answer.result
         if turn.load is None:  # its site is never left out
@@ -429,19 +440,19 @@
 
     def _late(self, turn: _Turn) -> None:
         """Not announced in time: nothing was sent. Or not confirmed in time: it ran, and nobody may say served."""
-        self.events.count("scatter_loads_unannounced" if turn.part is None else "scatter_loads_unconfirmed")
+        self.telemetry.count("scatter_loads_unannounced" if turn.part is None else "scatter_loads_unconfirmed")
         part = turn.part
-        self._end(turn, Answer(REFUSED if part is None else FAILED), part is None)
+        self._end(turn, Response(ResponseStatus.REJECTED if part is None else ResponseStatus.FAILED), part is None)
         if part is not None:
-            self.core.left(part)
+            self.core.client_disconnected(part)
 
-    def _end(self, turn: _Turn, answer: Answer, never_ran: bool) -> None:
-        if self.turns.pop(turn.ask, None) is None:
+    def _end(self, turn: _Turn, answer: Response, never_ran: bool) -> None:
+        if self.turns.pop(turn.request, None) is None:
             return
         self._close(turn, never_ran)
-        if answer.how == SERVED:
-            self.loaded(turn.site, turn.ask.group, turn.columns)
-        self._settle(turn.ask, answer)
+        if answer.status == ResponseStatus.SERVED:
+            self.loaded(turn.site, turn.request.group, turn.columns)
+        self._settle(turn.request, answer)
 
     def _close(self, turn: _Turn, never_ran: bool) -> None:
         if turn.timer is not None:
@@ -482,19 +493,19 @@
         except (_Unread, Mismatch, ValueError, IndexError) as error:
             told = None
             why = str(error) if isinstance(error, _Unread) else type(error).__name__  # others' texts may hold values
-            self.events.log("scatter_unlearnt", key=key, why=why)
+            self.telemetry.log("scatter_unlearnt", key=key, why=why)
         if self.home is not None:
             now = monotonic()
             if self.home.learnt(now, key, told, self.catalogue.terms.learn_ms):
-                self.events.log("scatter_learnt", key=key, rows=sum(part.rows for part in told or ()))
+                self.telemetry.log("scatter_learnt", key=key, rows=sum(part.rows for part in told or ()))
             self._flush(now)
 
     async def _read(self, site: str, group: int, sql: str) -> list[list[str]]:
-        answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        answered: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
         cls = self.catalogue.classes[self.catalogue.learn_class, site]
         left_ms = min(LEARN_MS, self.core.settings.classes[cls].deadline_ms)
-        ask = Ask(
-            PART,
+        request = ClientRequest(
+            SUBREQUEST_FRONT,
             cls,
             ticket(f"{time.time_ns()}:{self.fleet.name}", sql),
             sql,
@@ -503,11 +514,11 @@
             lambda answer: answered.done() or answered.set_result(answer),
             group=group,
         )
-        if not self.core.submit(ask):
+        if not self.core.submit(request):
             raise _Unread("full")
         answer = await answered
-        if answer.how != SERVED:
-            raise _Unread(answer.how)
+        if answer.status != ResponseStatus.SERVED:
+            raise _Unread(answer.status)
         rows: list[list[str]] = answer.result[0]
         return rows
 
@@ -531,7 +542,7 @@
 
     def figures(self) -> dict[str, Any]:
         """Return the figures for the operators' port."""
-        now, counts = monotonic(), self.events.counts
+        now, counts = monotonic(), self.telemetry.counts
         waits = sorted(self.waits)
         return {
             "open": self.open,
@@ -563,7 +574,11 @@
         """Answer, at the program's end, the loads that have no part under way; the core answers for the parts."""
         for turn in list(self.turns.values()):
             if turn.part is None or turn.result is not None:
-                self._end(turn, Answer(REFUSED if turn.part is None else FAILED), turn.part is None)
+                self._end(
+                    turn,
+                    Response(ResponseStatus.REJECTED if turn.part is None else ResponseStatus.FAILED),
+                    turn.part is None,
+                )
 
     def close(self) -> None:
         """Stop timers and learning tasks, and tell the homes that no summary of theirs is used any more."""
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -9,34 +9,34 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from frostspindle.core import Ask
-from frostspindle.net.fields import Refusal
+from frostspindle.core import ClientRequest
+from frostspindle.net.fields import CallRejectedError
 from frostspindle.scatter.service import Scatter
 
 if TYPE_CHECKING:
-    from frostspindle.host import Host
+    from frostspindle.host import ProgramContext
 
 
-def attach(program: Host) -> Any:
+def attach(program: ProgramContext) -> Any:
     """Create the scatter part of a program and register it with fleet, core and front."""
     catalogue = program.config.scatter
     assert catalogue is not None and program.fleet is not None
-    scatter = Scatter(catalogue, program.core, program.events, program.fleet, len(program.config.classes))
+    scatter = Scatter(catalogue, program.core, program.telemetry, program.fleet, len(program.config.classes))
     program.fleet.parts.append(scatter)
-    program.core.ahead = scatter
+    program.core.interceptor = scatter
 
-    def marks(ask: Ask, fields: Mapping[bytes, bytes]) -> None:
+    def marks(ask: ClientRequest, fields: Mapping[bytes, bytes]) -> None:
         """`X-Partial: yes`: an answer without some sites will do; `X-Site`: where a load's rows go."""
         if ask.group not in catalogue.groups:
             return
         if (partial := fields.get(b"x-partial")) is not None:
             if partial not in (b"yes", b"no"):
-                raise Refusal(400, "X-Partial: neither yes nor no")
+                raise CallRejectedError(400, "X-Partial: neither yes nor no")
             ask.partial = partial == b"yes"
         if (site := fields.get(b"x-site")) is not None:
             ask.site = site.decode("latin-1")
             if ask.site not in catalogue.sites_of(ask.group):
-                raise Refusal(400, "X-Site: not a site of these tables")
+                raise CallRejectedError(400, "X-Site: not a site of these tables")
 
     program.platform.marks = marks
     if program.desk:
--- a/frostspindle/serving.py
+++ b/frostspindle/serving.py
@@ -31,9 +31,9 @@
         from frostspindle.cores.probe import refused
 
         if why := refused():  # a host without processes still gets its coordinator, as one process
-            from frostspindle.events import Events
+            from frostspindle.telemetry import Telemetry
 
-            Events(config.name).log("cores_refused", workers=config.operator.cores.workers, reason=why)
+            Telemetry(config.name).log("cores_refused", workers=config.operator.cores.workers, reason=why)
             several = False
     if several:
         from frostspindle.cores.supervisor import run
--- a/frostspindle/settings/commands.py
+++ b/frostspindle/settings/commands.py
@@ -17,7 +17,7 @@
 
 import click
 
-from frostspindle.caller import AWAY, BAD, figures
+from frostspindle.operator_client import AWAY, BAD, figures
 from frostspindle.settings import schema
 from frostspindle.settings.schema import BadSettings
 from frostspindle.settings.versions import cut, pack
--- a/frostspindle/settings/service.py
+++ b/frostspindle/settings/service.py
@@ -21,7 +21,6 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-from frostspindle.events import Events
 from frostspindle.replica.base import Log, Unavailable, Uncertain
 from frostspindle.settings import agreement, schema
 from frostspindle.settings.agreement import TASK, TOPIC, Draft, Machine, Publish
@@ -33,6 +32,7 @@
 from frostspindle.settings.slices import SLICE, Steps, T
 from frostspindle.settings.versions import MOST_PACKED, PIECE, Version, cut, diff, pack, unpacking
 from frostspindle.store.base import StoreError
+from frostspindle.telemetry import Telemetry
 
 TICK_S = 0.05
 ASK_S, PUSH_S = 1.0, 15.0
@@ -102,7 +102,7 @@
         log: Log,
         name: str,
         terms: Terms,
-        events: Events,
+        telemetry: Telemetry,
         act: Callable[[Acting], None],
         fits: Callable[[Version], str],
         seen: Callable[[], tuple[int, ...]],
@@ -113,11 +113,11 @@
         now: Callable[[], float] = clock,
     ) -> None:
         """`act` has the core act on something from then on; it must not fail. `seen`: this coordinator's figures."""
-        self.log, self.name, self.terms, self.events, self.act, self.seen, self.owners, self.now = (
+        self.log, self.name, self.terms, self.telemetry, self.act, self.seen, self.owners, self.now = (
             log,
             name,
             terms,
-            events,
+            telemetry,
             act,
             seen,
             owners,
@@ -157,8 +157,8 @@
         try:
             self.step()
         except Exception as error:  # noqa: BLE001 - the next tick looks at all again
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of="settings")
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of="settings")
 
     def _told(self, index: int, command: bytes, result: bytes) -> None:
         self.holder.told(self.now(), command, result)
@@ -228,8 +228,8 @@
         self.act(acting)
         self.holder.took(acting)
         lost = acting.why in ("alone",) and was is not None and was.why != "alone"
-        self.events.count("settings_acting", acting.mode)
-        self.events.log(
+        self.telemetry.count("settings_acting", acting.mode)
+        self.telemetry.log(
             "settings_acting",
             mode=acting.mode,
             versions=acting.versions,
@@ -252,7 +252,7 @@
                 self.publisher.take(now, token)
             else:
                 self.publisher.lose()
-            self.events.log("settings_publisher", token=token)
+            self.telemetry.log("settings_publisher", token=token)
         command = self.publisher.decide(now)
         if (
             command is None
@@ -287,8 +287,8 @@
             await asyncio.get_running_loop().run_in_executor(self._pool, keeper.keep, versions, unix_ms)
         except (StoreError, OSError, KeyError) as error:
             self.counts["keep_failed"] += 1
-            self.events.count("settings_keep_failed")
-            self.events.log("settings_keep_failed", error=str(error)[:200])
+            self.telemetry.count("settings_keep_failed")
+            self.telemetry.log("settings_keep_failed", error=str(error)[:200])
             self.keeper = None  # nothing is acknowledged any more: the fleet waits a lease for this coordinator
         else:
             self.holder.was_kept(versions)
@@ -317,7 +317,7 @@
                         and (not key.startswith("limit/") or key == "limit/out")
                     )[:8]
                 )
-                self.events.log(
+                self.telemetry.log(
                     "settings_version",
                     version=number,
                     parent=version.parent,
@@ -329,15 +329,15 @@
         unfit = self.holder.unfit(machine.pending or machine.live)
         if unfit and self._unfit != (machine.pending or machine.live):
             self._unfit = machine.pending or machine.live
-            self.events.count("settings_unfit")
-            self.events.log("settings_unfit", version=self._unfit, why=unfit)
+            self.telemetry.count("settings_unfit")
+            self.telemetry.log("settings_unfit", version=self._unfit, why=unfit)
         fresh = [news for news in machine.news if news.index > self._news]
         if fresh:
             self._news = fresh[-1].index
         for news in fresh:
             self._settle(news)
             if self.publisher.token:
-                self.events.log(
+                self.telemetry.log(
                     "settings_news",
                     what=news.what,
                     version=news.version,
@@ -571,8 +571,8 @@
     def _done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.events.count("faults")
-            self.events.log("fault", error=repr(error), of="settings")
+            self.telemetry.count("faults")
+            self.telemetry.log("fault", error=repr(error), of="settings")
 
     async def close(self) -> None:
         """Give up the lease and say so in the log, so that the others need not wait for this coordinator."""
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -18,8 +18,7 @@
 from immutables import Map
 
 from frostspindle.config import BusEvent, Config, ConfigError, Host, TdsEngine, TdsLogin, Topology
-from frostspindle.core import REFUSED, Ask, Attempt, EngineState, Witness, clock
-from frostspindle.events import Events
+from frostspindle.core import Attempt, ClientRequest, EngineState, EventObserver, ResponseStatus, clock
 from frostspindle.ownership.holder import Terms as LeaseTerms
 from frostspindle.ownership.service import Owners
 from frostspindle.policy import Health, Idempotency
@@ -35,9 +34,10 @@
 from frostspindle.store.base import StoreError
 from frostspindle.store.disk import Disk
 from frostspindle.store.opening import open_store
+from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
-    from frostspindle.host import Host as Program
+    from frostspindle.host import ProgramContext as Program
 
 SLICE = 100  # engines told to the core in one turn of the event loop
 EFFECTS = {Idempotency.IDEMPOTENT: "repeatable", Idempotency.WITH_KEY: "by_key", Idempotency.NON_IDEMPOTENT: "once"}
@@ -70,21 +70,21 @@
 class Seen:
     """This coordinator's figures since its process began; a witness of answers that passes them on to the next one."""
 
-    def __init__(self, next_: Witness | None, open_: Callable[[], int]) -> None:
+    def __init__(self, next_: EventObserver | None, open_: Callable[[], int]) -> None:
         self.next, self.open = next_, open_
         self.counts = [0] * (HEAD + BUCKETS)
 
-    def answered(self, ask: Ask, how: str, engine: str) -> None:
+    def answered(self, request: ClientRequest, how: str, engine: str) -> None:
         """Count an answer by outcome and by ms since the request was taken, then pass it on to the next witness."""
         counts = self.counts
         counts[0] += 1
         if how == "failed":
             counts[1] += 1
-        elif how == REFUSED:
+        elif how == ResponseStatus.REJECTED:
             counts[2] += 1
-        counts[HEAD + harm.bucket(clock() - ask.taken_ms)] += 1
+        counts[HEAD + harm.bucket(clock() - request.received_ms)] += 1
         if self.next is not None:
-            self.next.answered(ask, how, engine)
+            self.next.answered(request, how, engine)
 
     def engine(self, name: str, change: str, state: int | None = None) -> None:
         """Pass an engine's change on to the next witness; nothing is counted."""
@@ -102,7 +102,7 @@
 
     def __init__(self, program: Any, name: str) -> None:
         self.program, self.name = program, name
-        self.core, self.config, self.events = program.core, program.config, program.events
+        self.core, self.config, self.telemetry = program.core, program.config, program.telemetry
         self.acting = NOTHING
         self.rules: Map[str, Any] = EMPTY.rules
         self.staff: frozenset[str] = frozenset()  # banned by hand, here alone
@@ -117,7 +117,7 @@
         self.part = 1.0
         self.base_tds = self.config.operator.tds
         self._told: Callable[[frozenset[str]], None] = self.core.ban
-        self._passed, self.core.fence = self.core.fence, self.fence
+        self._passed, self.core.may_start = self.core.may_start, self.fence
         self._sent: dict[int, list[Attempt]] = {}  # what passed the fence and is not over, by engine
         self._tuned: dict[str, Any] = {}  # entries of tenants and classes, as told to the core
         self._engines: dict[str, Any] = {}  # of HTTP, as told to the core
@@ -148,7 +148,7 @@
         if self._passed is not None and not self._passed(state, attempt):
             return False
         if self.refuse or state.name in self.out:
-            self.events.count("settings_stopped")
+            self.telemetry.count("settings_stopped")
             return False
         front = "tds" if state.driver is self.program.tds_driver else "http"
         engine, whole = self.rules.get(f"engine/{front}/{state.name}"), self.rules.get("limit/out")
@@ -165,7 +165,7 @@
                 if not rows:
                     del self._sent[number]
         if len(sent) >= most or sum(map(len, self._sent.values())) >= room:
-            self.events.count("settings_bounded")
+            self.telemetry.count("settings_bounded")
             return False
         sent.append(attempt)
         return True
@@ -190,8 +190,8 @@
             try:
                 work(old, acting.rules)
             except Exception as error:  # noqa: BLE001 - a version that was checked; the rest of it still counts
-                self.events.count("faults")
-                self.events.log("fault", error=repr(error), of=f"settings {work.__name__}")
+                self.telemetry.count("faults")
+                self.telemetry.log("fault", error=repr(error), of=f"settings {work.__name__}")
 
     def again(self, tds: Any) -> None:
         """Apply the rules again on top of the program's own files, which were read anew."""
@@ -270,7 +270,7 @@
                 for number in (numbers.get(entry.name), self.config.plan.classes.get(entry.name)):
                     if number is not None:
                         classes[number] = dataclasses.replace(classes[number], **told)
-        self.core.tune(
+        self.core.apply_settings(
             dataclasses.replace(
                 self.core.settings,
                 tenant_quotas_per_s=tuple(quotas),
@@ -361,7 +361,7 @@
         for at in range(0, len(names), SLICE):
             self._say([host(name) for name in names[at : at + SLICE]], wanted)
             await asyncio.sleep(0)
-            while self.core.behind:
+            while self.core.has_pending_changes:
                 await asyncio.sleep(0)
 
     def close(self) -> None:
@@ -392,17 +392,17 @@
         config, operator = program.config, program.config.operator
         terms = operator.settings
         assert terms is not None
-        self.program, self.terms, self.events = program, terms, program.events
+        self.program, self.terms, self.telemetry = program, terms, program.telemetry
         log: Any = getattr(program, "replica", None)
         self.alone = log is None
         self.local = LocalLog(config.name) if log is None else None
         name = config.name if operator.replica is None else operator.replica.me
         self.applied = Applied(program, name)
-        self.seen = program.core.witness = Seen(program.core.witness, lambda: program.core.open)
-        keeper, kept = self._open(Path(terms.folder), name, program.events) if terms.folder else (None, Kept())
+        self.seen = program.core.observer = Seen(program.core.observer, lambda: program.core.open)
+        keeper, kept = self._open(Path(terms.folder), name, program.telemetry) if terms.folder else (None, Kept())
         part: Any = getattr(program, "owners", None)  # of [ownership]; without it the task's lease is all there is
         self.owners = (
-            Owners(log, name, LeaseTerms(drift=terms.drift), program.events)
+            Owners(log, name, LeaseTerms(drift=terms.drift), program.telemetry)
             if (part is None and not self.alone)
             else None
         )
@@ -423,7 +423,7 @@
             self.local or log,
             name,
             Terms(terms.lease_ms, terms.drift, terms.trial_ms, terms.alone),
-            program.events,
+            program.telemetry,
             self.applied.act,
             _Fits(here),
             self.seen,
@@ -445,16 +445,16 @@
         machine.last = machine.live = machine.proven = version.number
 
     @staticmethod
-    def _open(folder: Path, name: str, events: Events) -> tuple[Keeper | None, Kept]:
+    def _open(folder: Path, name: str, telemetry: Telemetry) -> tuple[Keeper | None, Kept]:
         """The store; without one nothing is acknowledged, and the fleet waits a lease for this coordinator."""
         try:
             keeper = Keeper(
-                open_store(folder, name, Disk, note=lambda event, **more: events.log(f"settings_{event}", **more))
+                open_store(folder, name, Disk, note=lambda event, **more: telemetry.log(f"settings_{event}", **more))
             )
             return keeper, keeper.load()
         except (StoreError, BadSettings, OSError, ValueError) as error:
-            events.count("settings_store_failed")
-            events.log("settings_store_failed", error=str(error)[:200])
+            telemetry.count("settings_store_failed")
+            telemetry.log("settings_store_failed", error=str(error)[:200])
             if isinstance(error, BadSettings):  # whole for the store, not for us: it is written anew
                 return keeper, Kept()
             return None, Kept()
@@ -503,14 +503,14 @@
     wired = Wired(program)
     service = wired.service
     if program.desk is not None:
-        from frostspindle.net.operator import Nak
+        from frostspindle.net.operator import OperatorError
 
         def no(call: Callable[..., Any]) -> Callable[..., Any]:
             def called(*words: str) -> Any:
                 try:
                     return call(*words)
                 except BadSettings as error:
-                    raise Nak(str(error)) from None
+                    raise OperatorError(str(error)) from None
 
             return called
 
--- a/frostspindle/shared.py
+++ b/frostspindle/shared.py
@@ -16,7 +16,7 @@
 from typing import BinaryIO
 from urllib.parse import quote, unquote
 
-from frostspindle.events import Events
+from frostspindle.telemetry import Telemetry
 
 REREAD_S = 0.1  # the other process's word must reach engines' gates within 250 ms
 BAN, RUN = "ban-", "run-"
@@ -26,8 +26,8 @@
 class Shared:
     """The shared folder, or, where $TMPDIR is unset or not writable, the memory of this one process."""
 
-    def __init__(self, environ: Mapping[str, str], name: str, events: Events) -> None:
-        self.events = events
+    def __init__(self, environ: Mapping[str, str], name: str, telemetry: Telemetry) -> None:
+        self.telemetry = telemetry
         at = environ.get("TMPDIR", "")
         self.folder = Path(at, f"frostspindle-{quote(name, safe='')}") if at else None
         self.banned: frozenset[str] = frozenset()
@@ -55,7 +55,7 @@
                 self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
                 self._lock = self._mark(self.folder / f"{RUN}{os.getpid()}-{id(self):x}")
             except OSError as error:
-                self.events.log("shared", folder=str(self.folder), error=repr(error))
+                self.telemetry.log("shared", folder=str(self.folder), error=repr(error))
                 self.folder = None  # serving goes before what an upgrade needs
         self._read()
 
--- a/frostspindle/simulator_adapter.py
+++ b/frostspindle/simulator_adapter.py
@@ -95,12 +95,12 @@
     The cost field holds milliseconds in units of COST_UNIT and, as the rest, memory in units of MEMORY_UNIT_MB. Raise
     WireError for an unknown verdict or a load report that is longer than the record.
     """
-    who, request, attempt, engine, verdict, elapsed, last, cost, count = ENDED.unpack_from(f)
+    who, request, attempt, engine, outcome, elapsed, last, cost, count = ENDED.unpack_from(f)
     return who, policy.AttemptEnded(
         request,
         attempt,
         engine,
-        _known(policy.AttemptOutcome, verdict, "verdict"),
+        _known(policy.AttemptOutcome, outcome, "verdict"),
         _finite(elapsed),
         bool(last),
         float(cost // COST_UNIT),
@@ -126,9 +126,9 @@
 
     Raise WireError for an unknown verdict or a load report that is longer than the record.
     """
-    who, engine, verdict, elapsed, count = CHECKED.unpack_from(f)
+    who, engine, outcome, elapsed, count = CHECKED.unpack_from(f)
     return who, policy.HealthCheckCompleted(
-        engine, _known(policy.AttemptOutcome, verdict, "verdict"), _finite(elapsed), _report(f, CHECKED.size, count)
+        engine, _known(policy.AttemptOutcome, outcome, "verdict"), _finite(elapsed), _report(f, CHECKED.size, count)
     )
 
 
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -14,9 +14,8 @@
 
 import msgspec
 
-from frostspindle.core import Ask, Core, clock
-from frostspindle.events import Events
-from frostspindle.net.operator import Nak
+from frostspindle.core import ClientRequest, Core, clock
+from frostspindle.net.operator import OperatorError
 from frostspindle.policy import Health
 from frostspindle.predicates.values import FilterError
 from frostspindle.subscriptions import schema, wire
@@ -24,6 +23,7 @@
 from frostspindle.subscriptions.fanout import Fanout
 from frostspindle.subscriptions.hub import Hub
 from frostspindle.subscriptions.subscribers import gap_line
+from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
     from frostspindle.fleet.node import Node
@@ -70,14 +70,14 @@
         self,
         name: str,
         core: Core,
-        events: Events,
+        telemetry: Telemetry,
         tenants: tuple[str, ...],
         most: int,
         remember: int,
         backlog: int,
         post: Callable[[str, int, bytes], None] | None,
     ) -> None:
-        self.name, self.core, self.events, self.tenants = name, core, events, ("", *tenants)
+        self.name, self.core, self.telemetry, self.tenants = name, core, telemetry, ("", *tenants)
         self.most, self.remember, self.backlog, self.post = most, remember, backlog, post
         self.hub: Hub | None = None
         self.node: Node | None = None
@@ -107,35 +107,35 @@
     def _open(self, now: float, epoch: int) -> None:
         name = self.node.name if self.node is not None else self.name
         self.hub = Hub(name, epoch, now, self.remember, self.most, Fanout(self.backlog))
-        self.events.log("subscriptions", name=name, epoch=epoch)
+        self.telemetry.log("subscriptions", name=name, epoch=epoch)
         self.soon()
 
     def close(self) -> None:
         """Write what has been matched, log the figures and stop the timer; later events are not sent."""
         if self.hub is not None and not self._closed:
             self._tick()  # what is matched goes out
-            self.events.log("subscriptions_end", **self.figures())
+            self.telemetry.log("subscriptions_end", **self.figures())
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
 
     # What the core and the fleet tell; see core.Witness and fleet.service.Part.
 
-    def answered(self, ask: Ask, how: str, engine: str) -> None:
+    def answered(self, request: ClientRequest, how: str, engine: str) -> None:
         """Make an event of a request's final answer: class, tenant, group, outcome, engine, front, duration in ms."""
         if self.hub is not None:
             now = clock()
-            tenant = self.tenants[ask.tenant] if ask.tenant < len(self.tenants) else ""
+            tenant = self.tenants[request.tenant] if request.tenant < len(self.tenants) else ""
             self._make(
                 schema.ANSWER,
                 now,
-                self.core.classes[ask.cls][1],
+                self.core.classes[request.cls][1],
                 tenant or None,
-                ask.group if ask.group >= 0 else None,
+                request.group if request.group >= 0 else None,
                 how,
                 engine or None,
-                ask.front,
-                now - ask.taken_ms,
+                request.front,
+                now - request.received_ms,
             )
 
     def engine(self, name: str, change: str, state: int | None = None) -> None:
@@ -163,8 +163,8 @@
         try:
             self.hub.make(schema.make(kind, at_ms, *values))
         except Exception as error:  # noqa: BLE001 - as said
-            self.events.count("subscriptions_faults")
-            self.events.log("fault", error=repr(error), of="event")
+            self.telemetry.count("subscriptions_faults")
+            self.telemetry.log("fault", error=repr(error), of="event")
         if self.hub.maker.streams:
             self.soon()
 
@@ -175,7 +175,7 @@
         try:
             message = wire.decode(data)
         except wire.BadPacket:
-            self.events.count("subscriptions_undecodable")
+            self.telemetry.count("subscriptions_undecodable")
             return
         self.hub.hear(now, name, epoch, message)
         self.soon()
@@ -192,11 +192,11 @@
 
     def _join(self, caller: Any, take: Callable[[Hub], int]) -> Subscriber:
         if self.hub is None or self._closed:
-            raise Nak("not yet" if not self._closed else "the program ends")
+            raise OperatorError("not yet" if not self._closed else "the program ends")
         try:
             number = take(self.hub)
         except (FilterError, BadCursor) as error:
-            raise Nak(str(error)) from None
+            raise OperatorError(str(error)) from None
         self.callers[number] = subscriber = Subscriber(self, number, caller)
         self.busy.add(number)
         self.soon()
@@ -205,7 +205,7 @@
     def unsubscribe(self, number: str) -> None:
         """Close the connection of a subscription's caller, which ends it; Nak if the number has none here."""
         if not number.isascii() or not number.isdecimal() or (found := self.callers.get(int(number[:9]))) is None:
-            raise Nak("no such subscription here")
+            raise OperatorError("no such subscription here")
         found.caller.end()
 
     def gone(self, number: int) -> None:
@@ -264,8 +264,8 @@
                     self.post(name, CHANNEL, wire.encode(message))
             self._write(now, hub)
         except Exception as error:  # noqa: BLE001 - subscribers are not worth the coordinator
-            self.events.count("subscriptions_faults")
-            self.events.log("fault", error=repr(error), of="subscriptions")
+            self.telemetry.count("subscriptions_faults")
+            self.telemetry.log("fault", error=repr(error), of="subscriptions")
         due = min(hub.due(), self._look_at, self._cursors[0][0] if self._cursors else float("inf"))
         more = hub.more or hub.subscribers.fanout.more(self.busy)
         self._plan(0.0 if more else max(0.001, (due - monotonic()) / 1000.0))
--- a/frostspindle/subscriptions/wiring.py
+++ b/frostspindle/subscriptions/wiring.py
@@ -11,10 +11,10 @@
 from frostspindle.subscriptions.service import Service
 
 if TYPE_CHECKING:
-    from frostspindle.host import Host
+    from frostspindle.host import ProgramContext
 
 
-def attach(program: Host) -> Service:
+def attach(program: ProgramContext) -> Service:
     """Make the service and register it with the core, the operators' port and the fleet, if there is one."""
     terms = program.config.operator.subscriptions
     assert terms is not None and program.desk is not None
@@ -22,14 +22,14 @@
     service = Service(
         program.config.name,
         program.core,
-        program.events,
+        program.telemetry,
         program.config.tenants.names,
         terms.most,
         terms.remember,
         terms.backlog,
         program.fleet.post if program.fleet else None,
     )
-    program.core.witness = service
+    program.core.observer = service
     if program.fleet:
         program.fleet.parts.append(service)
     program.desk.stays |= {"subscribe": service.subscribe, "resume": service.resume}
--- a/frostspindle/events.py
+++ b/frostspindle/telemetry.py
@@ -21,7 +21,7 @@
 LINES_A_SECOND = 200  # a fault that repeats must not cost the core its processor
 
 
-class Allowance:
+class LogRateLimiter:
     """A limit on log lines in each second. It reads no clock: `now` is in Unix seconds."""
 
     def __init__(self, lines: int) -> None:
@@ -40,7 +40,7 @@
         return True, dropped
 
 
-class _Line(structlog.BoundLoggerBase):
+class _JsonLogger(structlog.BoundLoggerBase):
     """What is bound here goes into each line."""
 
     def write(self, event: str, ts: float, fields: dict[str, Any]) -> None:
@@ -55,21 +55,21 @@
     return line
 
 
-def _line(sink: BinaryIO, node: str, worker: int | None) -> _Line:
-    return _Line(
+def _line(sink: BinaryIO, node: str, worker: int | None) -> _JsonLogger:
+    return _JsonLogger(
         structlog.BytesLogger(sink),
         [_ordered, structlog.processors.JSONRenderer(orjson.dumps, default=str)],
         {"node": node, "worker": worker},
     )
 
 
-class Events:
+class Telemetry:
     """The log and the counters of one process."""
 
     def __init__(self, name: str = "", sink: BinaryIO | None = None, worker: int | None = None) -> None:
         self.name = name
         self._line = _line(sink or sys.stderr.buffer, name, worker)
-        self._allowance = Allowance(LINES_A_SECOND)
+        self._allowance = LogRateLimiter(LINES_A_SECOND)
         self.mirror: Callable[[tuple[str, str, str], int], None] | None = None  # each count as it stands now
         self.started = time.time()
         self.counts: Counter[tuple[str, str, str]] = Counter()
--- a/frostspindle/timers.py
+++ b/frostspindle/timers.py
@@ -29,7 +29,7 @@
         self.tick, self.what, self.place = tick, what, OUT
 
 
-class Wheel:
+class TimerWheel:
     """A hierarchical timer wheel: each level's slots are 256 times as long as those of the level below.
 
     A timer lies at the level of the highest digit (base 256) in which its time differs from now. A slot is looked at
--- a/scripts/rename_symbols.py
+++ b/scripts/rename_symbols.py
@@ -2,9 +2,9 @@
 
 Usage: `python scripts/rename_symbols.py PLAN`, from the project's root. The plan has one rule a line:
 
-    module  frostspindle.net.bus = frostspindle.net.discovery
-    alias   frostspindle.net.bus = frostspindle.net.discovery
-    symbol  frostspindle.core.Ask = ClientRequest
+    module  frostspindle.net.discovery = frostspindle.net.discovery
+    alias   frostspindle.net.discovery = frostspindle.net.discovery
+    symbol  frostspindle.core.ClientRequest = ClientRequest
     member  settle = on_response [in GLOB ...]
     name    ask = request in GLOB ...
 
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -14,7 +14,6 @@
 from frostspindle.cores.board import Board, Control, Region
 from frostspindle.cores.fleet import Ghost, Row
 from frostspindle.cores.layout import Layout
-from frostspindle.events import Events
 from frostspindle.ledger.export import Sink
 from frostspindle.order.sheets import Own
 from frostspindle.ownership.fence import Fence
@@ -28,6 +27,7 @@
 from frostspindle.settings.versions import EMPTY
 from frostspindle.shared import Shared
 from frostspindle.store.opening import open_store
+from frostspindle.telemetry import Telemetry
 
 COORDINATOR = "t0/a"
 OPEN_REQUESTS = 250
@@ -57,7 +57,7 @@
     """Bans and presence of one process; the folder is copied to `keep` while the process is there."""
 
     async def run():
-        shared = Shared(environ={"TMPDIR": str(root)}, name=COORDINATOR, events=Events(sink=io.BytesIO()))
+        shared = Shared(environ={"TMPDIR": str(root)}, name=COORDINATOR, telemetry=Telemetry(sink=io.BytesIO()))
         shared.start(told=lambda banned: None, crowd=lambda crowded: None)
         shared.follow(opened=lambda: OPEN_REQUESTS, shift=lambda: None)
         for engine in BANNED:
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -15,7 +15,6 @@
 
 from frostspindle.cores.board import Board, Control, Region
 from frostspindle.cores.layout import BadBoard, Layout
-from frostspindle.events import Events
 from frostspindle.ledger.export import Sink
 from frostspindle.order.sheets import Sheets
 from frostspindle.order.turns import Place
@@ -33,6 +32,7 @@
 from frostspindle.store.marker import Marker
 from frostspindle.store.memory import Memory
 from frostspindle.store.opening import Witness, open_store
+from frostspindle.telemetry import Telemetry
 
 DATA = Path(__file__).with_name("data")
 GENERATION = 5
@@ -57,7 +57,7 @@
     """Start a process on the shared folder; return it, what it saw of the other, and the bytes of its presence file."""
 
     async def run():
-        shared = Shared(environ={"TMPDIR": str(root)}, name=stored.COORDINATOR, events=Events(sink=io.BytesIO()))
+        shared = Shared(environ={"TMPDIR": str(root)}, name=stored.COORDINATOR, telemetry=Telemetry(sink=io.BytesIO()))
         shared.start(told=lambda banned: None, crowd=lambda crowded: None)
         shared.follow(opened=lambda: stored.OPEN_REQUESTS, shift=lambda: None)
         shared.ban(name="e9", on=True)  # which also reads and writes at once
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -16,7 +16,6 @@
 from typing import Any
 
 from frostspindle.cores import mesh
-from frostspindle.events import Events
 from frostspindle.fleet import service, wire
 from frostspindle.fleet.node import Datagram, Node, Terms
 from frostspindle.lab import network
@@ -24,6 +23,7 @@
 from frostspindle.lab.faults.script import parse
 from frostspindle.replica import links
 from frostspindle.replica.base import MAX_COMMAND
+from frostspindle.telemetry import Telemetry
 
 COUNT = 3
 FAR_MS = 1e12
@@ -131,7 +131,7 @@
     async def start(self) -> None:
         core = SimpleNamespace(engines={}, banned=frozenset())
         self.services = [
-            service.Service(f"c{n}", ("127.0.0.1", 0), None, Terms({}, chain=8), {}, core, Events(sink=BytesIO()))
+            service.Service(f"c{n}", ("127.0.0.1", 0), None, Terms({}, chain=8), {}, core, Telemetry(sink=BytesIO()))
             for n in range(COUNT)
         ]
         for number, one in enumerate(self.services):
@@ -152,7 +152,7 @@
         out: Counter[str] = Counter()
         for one in self.services:
             out["refused"] += one.node.node.counted["fleet_undecodable"] if one.node else 0
-            out["unsent"] += one.events.counts["fleet_unsent", "", ""]
+            out["unsent"] += one.telemetry.counts["fleet_unsent", "", ""]
         return out
 
     async def flood(self, many: int) -> int:
@@ -275,7 +275,7 @@
     """Stands where a worker has its front: answers each call with its own URL, but not in the order of the calls."""
 
     def __init__(self, heard: Callable[[bytes], None]) -> None:
-        self.heard, self.events, self.held, self.holds = heard, Events(sink=BytesIO()), [], False
+        self.heard, self.telemetry, self.held, self.holds = heard, Telemetry(sink=BytesIO()), [], False
 
     def call(self, slot: Any, method: bytes, url: bytes, headers: dict[str, str], body: bytes) -> None:
         self.heard(url)
@@ -321,7 +321,7 @@
         await asyncio.gather(*self.tasks)
 
     def counted(self) -> Counter[str]:
-        broken = sum(front.events.counts["mesh_broken", "", ""] for front in self.fronts)
+        broken = sum(front.telemetry.counts["mesh_broken", "", ""] for front in self.fronts)
         return Counter(refused=self.lost["gone"], broken=broken)
 
     async def flood(self, many: int) -> int:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.caller import operate
 from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.operator_client import operate
 
 ROOT = Path(__file__).parent.parent
 SQL = "SELECT name FROM calls_17.notes"
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -324,7 +324,7 @@
             environ["FROSTSPINDLE_OPERATOR"] = str(self.operator_file)
         program = Program(configuration.read(environ))
         self.log: list[dict[str, Any]] = []
-        program.events._write = lambda now, event, fields: self.log.append({"event": event, **fields})
+        program.telemetry._write = lambda now, event, fields: self.log.append({"event": event, **fields})
         await program.start()
         self.program = program
 
@@ -384,4 +384,4 @@
                 await asyncio.sleep(0.005)
 
     def count(self, what: str) -> int:
-        return sum(n for (name, _, _), n in self.program.events.counts.items() if name == what)
+        return sum(n for (name, _, _), n in self.program.telemetry.counts.items() if name == what)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -101,11 +101,12 @@
 # What a process that serves without optional parts may load, beside the standard library: a start costs processor time,
 # and a fleet starts together. Who adds a name here pays for it at each start of everybody.
 SERVES = {
-    "frostspindle": "__main__ config core events handover ledger net order policy pools program serving shared "
-    "signals spare timers",
+    "frostspindle": "__main__ config core handover ledger net order policy pools program reserved_descriptor serving "
+    "shared signals telemetry timers",
     "frostspindle.ledger": "tenants",
-    "frostspindle.net": "bus engines fields http operator platform",
-    "frostspindle.net.http": "arrivals attempts calls clients door line paths peer places readings replies statements",
+    "frostspindle.net": "discovery engines fields http operator platform",
+    "frostspindle.net.http": "arrival_clock attempts calls clients connection_limits connection_pool engine_connection "
+    "listener load_reports replies request_registry statements",
     "frostspindle.order": "service sheets turns",  # only where a class keeps order
     "frostspindle.policy": "actions controller deadlines events indexes queues request_state settings settings_parser "
     "statistics",
--- a/tests/test_cold_rights.py
+++ b/tests/test_cold_rights.py
@@ -330,12 +330,12 @@
     assert not [action for action in out if isinstance(action, policy.StartAttempt)]  # nothing is heard of rights yet
     cold = alone()
     program = SimpleNamespace(
-        core=SimpleNamespace(settings=module.s, controller=module, fence=None),
-        events=SimpleNamespace(count=lambda what: None),
+        core=SimpleNamespace(settings=module.s, controller=module, may_start=None),
+        telemetry=SimpleNamespace(count=lambda what: None),
         config=SimpleNamespace(operator=SimpleNamespace(fleet=SimpleNamespace(cold_lease_ms=LEASE, cold_outside=0))),
     )
     warming = Warming(program)
-    assert program.core.fence == warming.fence
+    assert program.core.may_start == warming.fence
     (spent, wished) = module.cold_need(now)[1]
     part = cold.look(10_000.0, now, "x", now - 1.0, whole, spent, wished)
     sent, todo = (
@@ -348,7 +348,7 @@
             todo += module.handle(now, policy.AttemptEnded(action.request, 0, 1, 0, 50.0, False, 0.0, 0.0, ()))
     assert 0.9 * whole < len(sent) * 130.0 <= whole
     state = SimpleNamespace(name="x", listed=None, entry=module.engines[1].entry)
-    attempts = [SimpleNamespace(engine=1, over=False, ask=SimpleNamespace(number=n), sent_ms=now) for n in sent]
+    attempts = [SimpleNamespace(engine=1, over=False, request=SimpleNamespace(number=n), sent_ms=now) for n in sent]
     monkeypatch.setattr("frostspindle.fleet.warming.clock", lambda: now)
     monkeypatch.setattr("frostspindle.fleet.warming.monotonic", lambda: 10_000.0)
     job = SimpleNamespace(cost=100.0, hint=100.0, cls=0)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -9,7 +9,7 @@
 
 from frostspindle import policy
 from frostspindle.core import clock
-from frostspindle.net.http import places
+from frostspindle.net.http import connection_limits
 
 HEAD = (
     "POST /call/lookup HTTP/1.1\r\nHost: t\r\nX-Request-Id: %016x\r\nX-Timeout-Ms: 2000\r\nX-Cost-Ms: 50\r\n"
@@ -103,7 +103,7 @@
 
     async def test_silence_and_half_a_request_end_in_time_wherever_they_come(self):
         await self.start()
-        with unittest.mock.patch.multiple(places, WHOLE_S=0.3, IDLE_S=0.5):
+        with unittest.mock.patch.multiple(connection_limits, WHOLE_S=0.3, IDLE_S=0.5):
             silent, half, late = [
                 asyncio.create_task(self.said(data))
                 for data in (b"", post(1)[:-5], b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n" + post(2)[:-5])
@@ -317,7 +317,7 @@
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
         with (
-            unittest.mock.patch("frostspindle.core.ABSENT_MS", 0.0),
+            unittest.mock.patch("frostspindle.core.GONE_ENGINE_RETENTION_MS", 0.0),
             unittest.mock.patch("frostspindle.policy.controller.ABSENT_MS", 0.0),
         ):
             await self.coordinator([host("s-00000000", engine.port)], bus=bus.port)
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -16,7 +16,7 @@
 from peers import LOAD, LOOKUP, SQL, page
 from test_edge import Wire, post
 
-from frostspindle.core import EngineState, _Leave, clock
+from frostspindle.core import EngineState, _ClientLeft, clock
 from frostspindle.policy import EndpointListKind, Health
 
 GOOD = b"HTTP/1.1 200 OK\r\nX-Pages: %d\r\n%sContent-Length: 6\r\n\r\na\t1\tx\n"
@@ -99,7 +99,7 @@
         await awaited.wait()
         await asyncio.sleep(0.3)  # the time that passes is the story
         (ask,) = self.asks
-        left_ms = ask.taken_ms + ask.left_ms - clock()
+        left_ms = ask.received_ms + ask.left_ms - clock()
         go.set()
         self.assertLessEqual(await asked, left_ms)
 
@@ -109,10 +109,10 @@
 
         def fence(state, attempt):
             time.sleep(0.1)
-            left.append(attempt.ask.taken_ms + attempt.ask.left_ms - clock())
+            left.append(attempt.request.received_ms + attempt.request.left_ms - clock())
             return True
 
-        self.core.fence = fence
+        self.core.may_start = fence
         told = await self.told(1)
         self.assertEqual((len(left), self.driver.tasks), (1, set()), "it took the way without a task")
         self.assertLessEqual(told, left[0])
@@ -135,7 +135,7 @@
             start = self.driver.start
 
             def spent(attempt, start=start):
-                attempt.ask.taken_ms -= attempt.ask.left_ms
+                attempt.request.received_ms -= attempt.request.left_ms
                 start(attempt)
 
             with (
@@ -184,7 +184,7 @@
         await self.start()
         (go, awaited), guard, behind = self.late(), self.core._guard, []
         self.core._guard = lambda now, event: (
-            behind.append((now, event)) if (behind or isinstance(event, _Leave)) else guard(now, event)
+            behind.append((now, event)) if (behind or isinstance(event, _ClientLeft)) else guard(now, event)
         )
         _, writer = await self.client()
         await awaited.wait()
@@ -201,13 +201,13 @@
         await self.start(2, idle=True)
         for engine in self.peers:
             engine.script = lambda request, body: web.Response(status=503, headers={"X-Shed": "1"})
-        ended = self.core.ended
+        ended = self.core.attempt_ended
 
         def leaves(attempt, *args):
             ended(attempt, *args)
-            self.core.left(attempt.ask)  # behind the end, in the same turn of the core's
+            self.core.client_disconnected(attempt.request)  # behind the end, in the same turn of the core's
 
-        self.core.ended = leaves
+        self.core.attempt_ended = leaves
         await self.client()
         await self.until(lambda: self.asks and not self.core._records)
         self.assertEqual((len(self.posts()), self.count("left")), (1, 1))
@@ -445,7 +445,7 @@
                 await self.client()
                 await (awaited.wait() if where == "connection" else self.until(lambda peer=peer: peer.waiting))
                 state = self.core.engines[0]
-                self.core.list_engines(
+                self.core.update_endpoints(
                     self.driver,
                     [EngineState(state.entry._replace(health=Health.DRAINING), state.name, state.address, self.driver)],
                     EndpointListKind.DELTA,
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -14,8 +14,8 @@
 from peers import SQL, Bus, EdgeCase, HttpEngine, change, host, settings
 
 from frostspindle import config as configuration
-from frostspindle.net import bus as watching
-from frostspindle.spare import Spare
+from frostspindle.net import discovery as watching
+from frostspindle.reserved_descriptor import ReservedDescriptor
 
 TOLD_S = 7.0  # the protocol's: what the bus has to tell counts as told so much later, whether it arrived or not
 DRAINING = 2
@@ -305,7 +305,7 @@
 
 
 def test_the_reserve_is_one_descriptor_lent_for_one_file_at_a_time(bound):
-    spare = Spare()
+    spare = ReservedDescriptor()
     with open(os.devnull) as last:
         bound(last.fileno() + 1)
         with pytest.raises(OSError, match="Too many"):
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -9,8 +9,8 @@
 from peers import at_work, page
 from test_edge import Wire, post
 
-from frostspindle.core import FAILED, Answer
-from frostspindle.net.http import places
+from frostspindle.core import Response, ResponseStatus
+from frostspindle.net.http import connection_limits
 
 PING = b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n"
 BUSY = b'{"failure":"Busy"}'
@@ -96,7 +96,7 @@
                     await self.until(lambda: self.client.partial)
                 else:
                     writer.write(post(2))
-                    self.client.line[0].opened.settle(Answer(FAILED))
+                    self.client.line[0].opened.on_response(Response(ResponseStatus.FAILED))
                 self.go.set()
                 first = await self.answers(reader, 2)
                 if where == "half read":
@@ -201,7 +201,7 @@
             plain.sendall(post(1))
             await self.until(lambda: client.leaving)
             self.assertGreater(client.transport.get_write_buffer_size(), 0)
-            client.since -= places.LINGER_S + 0.1
+            client.since -= connection_limits.LINGER_S + 0.1
             self.front._sweep()
             reader, writer = await asyncio.open_connection(sock=plain)
             ((status, _, body),) = await self.answers(reader)
@@ -241,7 +241,7 @@
             writer.write(post(1)[:50])
             await self.until(lambda: self.client.partial)
             writer.write(rest)
-            self.client.since -= places.WHOLE_S + 0.1
+            self.client.since -= connection_limits.WHOLE_S + 0.1
             self.front._sweep()
             self.assertEqual((await self.answers(reader, 1))[0][0], status)
 
@@ -338,12 +338,12 @@
         self.program.core.most_open = 0
         refused = [await self.newcomer(1, 503)]
         self.program.core.most_open = 100
-        self.front._drained_at = asyncio.get_running_loop().time() - places.TAKE_S - 1.0
+        self.front._drained_at = asyncio.get_running_loop().time() - connection_limits.TAKE_S - 1.0
         refused.append(await self.newcomer(2, 503))
         reader, writer = await self.open()
         writer.write(post(3)[:50])
         await self.until(lambda: self.client.partial)
-        self.client.since -= places.QUIET_S + 0.1
+        self.client.since -= connection_limits.QUIET_S + 0.1
         self.front._sweep()
         refused.append((await self.answers(reader))[0][1])
         for head in refused:
@@ -370,7 +370,7 @@
     async def test_a_client_that_has_gone_is_not_present_before_its_end_is_read_and_leaves_once(self):
         await self.start()
         asks, left = self.submitted(), []
-        self.program.core.left = left.append
+        self.program.core.client_disconnected = left.append
         for how in ("reset", "shut", "behind bytes"):
             with self.subTest(how):
                 asks.clear(), left.clear()
@@ -390,7 +390,7 @@
     async def test_a_client_with_a_path_is_present_without_its_connection_until_it_deletes(self):
         await self.start()
         asks = self.submitted()
-        with unittest.mock.patch("frostspindle.net.http.paths.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             ((_, _, body),) = await self.answers(reader, 1)
@@ -403,7 +403,7 @@
     async def test_a_client_that_went_before_it_was_given_a_path_has_left(self):
         await self.start()
         asks, left = self.submitted(), []
-        self.program.core.left = left.append
+        self.program.core.client_disconnected = left.append
         plain = await self.plain()
         plain.sendall(post(1))
         await self.until(lambda: asks)
@@ -444,7 +444,7 @@
 
     async def test_a_delete_beside_a_held_call_or_an_answer_under_way_leaves_once(self):
         engine = await self.held()
-        with unittest.mock.patch("frostspindle.net.http.paths.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             path = json.loads((await self.answers(reader, 1))[0][2])["next"]
@@ -457,7 +457,7 @@
 
     async def test_a_get_that_a_broken_connection_took_along_is_answered_when_it_comes_again(self):
         engine = await self.held()
-        with unittest.mock.patch("frostspindle.net.http.paths.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             path = json.loads((await self.answers(reader, 1))[0][2])["next"]
@@ -497,9 +497,9 @@
                 if how != "quiet":
                     time.sleep(0.3)
                 await self.until(lambda: asks)
-                self.assertLess(asks[0].taken_ms, came + (100.0 if how == "quiet" else 30.0))
-                self.assertGreater(asks[0].taken_ms, came - 150.0)
-                asks[0].settle(Answer(FAILED))
+                self.assertLess(asks[0].received_ms, came + (100.0 if how == "quiet" else 30.0))
+                self.assertGreater(asks[0].received_ms, came - 150.0)
+                asks[0].on_response(Response(ResponseStatus.FAILED))
 
     async def test_a_request_that_waited_for_earlier_ones_of_its_connection_counts_from_before_that(self):
         await self.start()
@@ -511,6 +511,6 @@
             writer.write(post(2))
             came = time.time() * 1000.0
             await asyncio.sleep(0.3)
-            asks[0].settle(Answer(FAILED))
+            asks[0].on_response(Response(ResponseStatus.FAILED))
             await self.until(lambda: len(asks) == 2)
-        self.assertLess(asks[1].taken_ms, came + 30.0)
+        self.assertLess(asks[1].received_ms, came + 30.0)
--- a/tests/test_endings_signals.py
+++ b/tests/test_endings_signals.py
@@ -73,7 +73,9 @@
             child.kill()
 
 
-@pytest.mark.parametrize("point", ["frostspindle.config.read", "frostspindle.events.Events", "gc.collect", "exit"])
+@pytest.mark.parametrize(
+    "point", ["frostspindle.config.read", "frostspindle.telemetry.Telemetry", "gc.collect", "exit"]
+)
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM], ids=lambda number: number.name)
 def test_a_signal_that_comes_before_or_after_its_handlers_kills_nothing(point, number, tmp_path):
     path = tmp_path / "c.json"
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -9,8 +9,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as some
 
-from frostspindle import events
-from frostspindle.events import Allowance, Events
+from frostspindle import telemetry
+from frostspindle.telemetry import LogRateLimiter, Telemetry
 
 LAW = settings(derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 JSON = some.recursive(
@@ -28,7 +28,7 @@
 )
 def test_each_line_is_what_it_was_before_there_was_a_library(node, worker, event, fields):
     sink = io.BytesIO()
-    told = Events(node, sink, worker)
+    told = Telemetry(node, sink, worker)
     told._write(1764640000.12345, event, fields)
     line = {"ts": 1764640000.123, "node": node, "event": event, **fields}
     if worker is not None:
@@ -50,21 +50,21 @@
     [(Gone(), {}), (io.BytesIO(), {"x": "\ud800"}), (io.BytesIO(), {"x": {1: 2}}), (io.BytesIO(), {"x": 1 << 70})],
 )
 def test_a_line_that_cant_be_written_is_counted_and_raises_nothing(sink, fields):
-    told = Events("n", sink)
+    told = Telemetry("n", sink)
     told.log("x", **fields)
     assert told.counts["log_failed", "", ""] == 1 and sink.getvalue() == b""
 
 
 def test_what_json_does_not_know_is_written_as_its_text():
     sink = io.BytesIO()
-    Events("n", sink).log("x", at=ValueError("no"))
+    Telemetry("n", sink).log("x", at=ValueError("no"))
     assert json.loads(sink.getvalue())["at"] == "no"
 
 
 @LAW
 @given(some.lists(some.floats(0.0, 5.0), max_size=60))
 def test_no_second_has_more_lines_than_its_bound_and_each_dropped_one_is_told(steps):
-    allowance, now, taken, told, dropped = Allowance(3), 0.0, Counter(), 0, 0
+    allowance, now, taken, told, dropped = LogRateLimiter(3), 0.0, Counter(), 0, 0
     for step in steps:
         now += step
         may, before = allowance.take(now)
@@ -78,13 +78,17 @@
 
 def test_a_storm_of_lines_is_cut_and_its_length_told(monkeypatch):
     now = 1000.0
-    monkeypatch.setattr(events.time, "time", lambda: now)
+    monkeypatch.setattr(telemetry.time, "time", lambda: now)
     sink = io.BytesIO()
-    told = Events("n", sink)
-    for _ in range(events.LINES_A_SECOND + 7):
+    told = Telemetry("n", sink)
+    for _ in range(telemetry.LINES_A_SECOND + 7):
         told.log("storm")
     now += 1.0
     told.log("calm")
     lines = [json.loads(line) for line in sink.getvalue().splitlines()]
-    assert Counter(line["event"] for line in lines) == {"storm": events.LINES_A_SECOND, "lines_dropped": 1, "calm": 1}
+    assert Counter(line["event"] for line in lines) == {
+        "storm": telemetry.LINES_A_SECOND,
+        "lines_dropped": 1,
+        "calm": 1,
+    }
     assert lines[-2]["lines"] == 7
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -8,8 +8,8 @@
 
 from frostspindle import policy
 from frostspindle.config import ConfigError, Operator, Tenant, TenantRule, _named, _tenants
-from frostspindle.ledger.tenants import Facts, Rule, Tenants, Unknown
-from frostspindle.net.fields import TEXT, Refusal, key_number, read
+from frostspindle.ledger.tenants import RequestAttributes, Rule, Tenants, UnknownTenantError
+from frostspindle.net.fields import TEXT, CallRejectedError, key_number, read
 
 GOOD = {b"x-request-id": b"00000000000000ab", b"x-timeout-ms": b"1500"}
 
@@ -45,7 +45,7 @@
     ],
 )
 def test_a_field_that_can_t_be_used_is_named_and_not_repeated(fields, word):
-    with pytest.raises(Refusal, match=word) as refusal:
+    with pytest.raises(CallRejectedError, match=word) as refusal:
         said(**fields)
     assert refusal.value.status == 400 and len(refusal.value.text) < 80
 
@@ -66,14 +66,16 @@
     tenants = Tenants(
         ("east", "west"), [Rule("blue", header="X-Team=blue"), Rule("west", database="w")], ("blue", "west"), "east"
     )
-    team = Facts("http", headers={b"x-team": b"blue"})
+    team = RequestAttributes("http", headers={b"x-team": b"blue"})
     assert tenants.numbers == {"east": 1, "west": 2, "blue": 3}
-    assert [tenants.number(team, b"west"), tenants.number(Facts("http", database="w"), b"east")] == [3, 2]
-    assert [tenants.number(Facts("http"), b"west"), tenants.number(Facts("http"))] == [2, 1]
+    assert [tenants.number(team, b"west"), tenants.number(RequestAttributes("http", database="w"), b"east")] == [3, 2]
+    assert [tenants.number(RequestAttributes("http"), b"west"), tenants.number(RequestAttributes("http"))] == [2, 1]
     for name in (b"blue", b"", b"West", b"x" * 4000, b"\xff"):  # a name of the operator's is not the client's to claim
-        with pytest.raises(Unknown):
-            tenants.number(Facts("http"), name)
-    assert Tenants((), [], ("blue",)).number(Facts("http"), b"who") == 0  # settings without tenants ask for no name
+        with pytest.raises(UnknownTenantError):
+            tenants.number(RequestAttributes("http"), name)
+    assert (
+        Tenants((), [], ("blue",)).number(RequestAttributes("http"), b"who") == 0
+    )  # settings without tenants ask for no name
 
 
 class Fields(EdgeCase):
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -82,7 +82,7 @@
         self.assertGreater(self.count("ended_connect_failed"), 0)
 
     async def test_a_time_that_may_be_up_before_an_answer_is_due_is_kept_by_a_task(self):
-        with unittest.mock.patch("frostspindle.net.engines.Engines.left_s", staticmethod(lambda attempt: 0.4)):
+        with unittest.mock.patch("frostspindle.net.engines.HttpEngines.left_s", staticmethod(lambda attempt: 0.4)):
             _, _, attempt, _ = await self.out(at_work(asyncio.Event()))
             self.assertIsInstance(attempt.task, asyncio.Task)
 
@@ -105,7 +105,7 @@
         line = self.driver.peers[0].take()
         self.assertGreater(line.timer.when(), line.loop.time() + 0.1)
         with unittest.mock.patch.object(line, "transport"):
-            line.ask(b"", 0.1, asyncio.get_running_loop().create_future())
+            line.request(b"", 0.1, asyncio.get_running_loop().create_future())
         self.assertEqual(line.timer.when(), line.due)
 
     async def test_news_and_further_pages_follow_on_the_same_query(self):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -115,7 +115,7 @@
         self.addCleanup(engine.server.close)
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
-        with unittest.mock.patch("frostspindle.net.bus.SILENT_S", 0.2):
+        with unittest.mock.patch("frostspindle.net.discovery.SILENT_S", 0.2):
             await self.coordinator([host("s-00000000", engine.port)], bus=bus.port)
             await bus.joined()
             core = self.program.core
@@ -202,7 +202,7 @@
 
 
 def test_only_a_connection_as_old_as_the_query_shows_that_its_process_is_the_same():
-    course = pools.Course(1000.0)
+    course = pools.AttemptProgress(1000.0)
     assert not course.unsure(1300.0) and course.unsure(1500.0), "an ask that is out for too long"
     for born, heard, wait in ((900.0, 1600.0, 0.0), (900.0, 1400.0, 1500.0), (1001.0, 1600.0, 1500.0)):
         assert course.wait_ms(1600.0, 1500.0, [Connection(born, heard)]) == wait
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -4,8 +4,8 @@
 
 from faults import UNITS, FaultsCase, spans
 
-from frostspindle.caller import operate
 from frostspindle.lab.faults.runner import demand, overspent
+from frostspindle.operator_client import operate
 
 
 async def operated(process, call: str) -> str:
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -17,12 +17,12 @@
 from frostspindle import policy
 from frostspindle.cli import cli
 from frostspindle.config import ConfigError
-from frostspindle.events import Events
 from frostspindle.fleet import verdicts, wire
 from frostspindle.fleet.node import Node, Terms
 from frostspindle.fleet.service import Service, monotonic
 from frostspindle.lab.engines import document
 from frostspindle.policy import Controller
+from frostspindle.telemetry import Telemetry
 
 GOOD = Path(__file__).parent.parent / "deploy" / "fleet.toml"
 
@@ -138,10 +138,10 @@
         core = SimpleNamespace(
             controller=self.module,
             banned=frozenset({"e-2"}),
-            hear=hear,
+            update_worker_loads=hear,
             engines={n: SimpleNamespace(name=f"e-{n}", entry=entry(n)) for n in (1, 2, 3)},
         )
-        self.service = Service("a", at["a"], None, Terms(at, judges=3, chain=64), {}, core, Events(sink=BytesIO()))
+        self.service = Service("a", at["a"], None, Terms(at, judges=3, chain=64), {}, core, Telemetry(sink=BytesIO()))
         self.service.node = Node("a", at["a"], 1, b"s" * 16, self.service.terms, 0.0)
 
     def say(self, *names: str, sick: bool = True) -> None:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -12,10 +12,10 @@
 ORDER = (
     "policy frostspindle",
     "simulator_adapter",
-    "catalogue division events handover ledger pools predicates signals spare store timers",
+    "catalogue division handover ledger pools predicates reserved_descriptor signals store telemetry timers",
     "config core",
     "host",
-    "caller fleet net order shared",
+    "fleet net operator_client order shared",
     "replica",
     "ownership",
     "settings",
@@ -86,8 +86,8 @@
     "sources, words",
     [
         (
-            {"core.py": "def f():\n    from frostspindle.net import bus", "net/bus.py": ""},
-            "core imports frostspindle.net.bus",
+            {"core.py": "def f():\n    from frostspindle.net import discovery", "net/discovery.py": ""},
+            "core imports frostspindle.net.discovery",
         ),
         (
             {
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -6,9 +6,9 @@
 
 from peers import LOAD, SQL, Bus, EdgeCase, TdsClient, at_work, change, host, page
 
-from frostspindle.core import Ask, Attempt, clock
+from frostspindle.core import Attempt, ClientRequest, clock
 from frostspindle.net import operator
-from frostspindle.net.http import paths, places
+from frostspindle.net.http import connection_limits, request_registry
 from frostspindle.net.tds import front as tds_front
 from frostspindle.shared import Shared
 
@@ -128,7 +128,10 @@
         (engine,) = await self.start()
         go = asyncio.Event()
         engine.script = at_work(go)
-        with unittest.mock.patch.object(paths, "HOLD_S", 0.05), unittest.mock.patch.object(places, "EASE_S", 0.0):
+        with (
+            unittest.mock.patch.object(request_registry, "HOLD_S", 0.05),
+            unittest.mock.patch.object(connection_limits, "EASE_S", 0.0),
+        ):
             reader, writer = await self.connect()
             writer.write((HEAD % 1).encode())
             await engine.seen("POST")
@@ -147,7 +150,7 @@
 
     async def test_late_in_a_drain_nothing_new_is_taken(self):
         (engine,) = await self.start()
-        with unittest.mock.patch.object(places, "TAKE_S", 0.0):
+        with unittest.mock.patch.object(connection_limits, "TAKE_S", 0.0):
             await self.operate("drain")
             reader, writer = await self.connect()
             writer.write((HEAD % 1).encode())
@@ -231,7 +234,7 @@
         await bus.joined()
         await self.ask(number=1)
         core = self.program.core
-        ask = Ask("http", 0, "0" * 16, SQL, clock(), 900.0, lambda answer: None)
+        ask = ClientRequest("http", 0, "0" * 16, SQL, clock(), 900.0, lambda answer: None)
         attempt = Attempt(ask, 0, 0, clock(), 900.0, "lookup", 0.0, 1)
         self.assertTrue(core.may_send(attempt))
         core.ban(frozenset({"s-00000000"}))
@@ -246,7 +249,7 @@
         (engine,) = await self.start()
         self.assertEqual(await self.operate("disable-server s-00000000"), ["ACK"])
         name, told = "s/%é.. 1", []
-        other = Shared({"TMPDIR": str(self.program.shared.folder.parent)}, "t0", self.program.events)
+        other = Shared({"TMPDIR": str(self.program.shared.folder.parent)}, "t0", self.program.telemetry)
         (other.folder / "left-behind").write_text("by a process that was killed")
         other.start(told.append, lambda crowded: None)
         self.addCleanup(other.close)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -516,7 +516,7 @@
         classes[1] = classes[1] | {"inOrder": True}
         (engine,) = await self.start(1, categories=classes)
         core, places, answered = self.program.core, set(), asyncio.Event()
-        core.turns = unittest.mock.Mock(enter=lambda number, key: places.add(number) or True, over=places.discard)
+        core.key_order = unittest.mock.Mock(enter=lambda number, key: places.add(number) or True, over=places.discard)
         handlers = core.controller.handlers
 
         async def freed():
@@ -588,7 +588,7 @@
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
         (engine,) = await self.start(1, categories=classes)
-        self.program.core.turns = unittest.mock.Mock(enter=lambda number, key: None)
+        self.program.core.key_order = unittest.mock.Mock(enter=lambda number, key: None)
         status, body, _ = await self.ask(LOAD_CLASS, 1, **{"X-Object": "k"})
         self.assertEqual((status, body["failure"], engine.of("POST"), self.program.core.open), (503, "Busy", [], 0))
         self.assertEqual((await self.ask(LOAD_CLASS, 2))[0], 200)  # without a key there is no place to draw
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -10,7 +10,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from frostspindle.events import Events
 from frostspindle.ownership import progress, table
 from frostspindle.ownership.fence import Fence, FenceFull, Stale
 from frostspindle.ownership.holder import MOST_MOVES, PATIENCE_MS, Holder, Terms, end_of, turn, wait_of
@@ -22,6 +21,7 @@
 from frostspindle.ownership.warm import Cold, Warm
 from frostspindle.replica.local import LocalLog
 from frostspindle.store.memory import Memory
+from frostspindle.telemetry import Telemetry
 
 encode = table.encode
 
@@ -524,7 +524,7 @@
 
 def events():
     sink = io.BytesIO()
-    return Events("a", sink=sink), lambda: [json.loads(line) for line in sink.getvalue().splitlines()]
+    return Telemetry("a", sink=sink), lambda: [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
 async def until(true, within_s=10.0):
--- a/tests/test_ownership_lab.py
+++ b/tests/test_ownership_lab.py
@@ -8,11 +8,11 @@
 from click.testing import CliRunner
 
 from frostspindle.cli import cli
-from frostspindle.events import LINES_A_SECOND, Events
 from frostspindle.lab.fenced import Sink
 from frostspindle.lab.history import check
 from frostspindle.lab.ownership import Coordinator, Lab, measure, play
 from frostspindle.ownership import holder as deciding
+from frostspindle.telemetry import LINES_A_SECOND, Telemetry
 
 
 def took(at, token, holder, task="x"):
@@ -40,8 +40,8 @@
 def dropped():
     """As the program tells it."""
     sink = io.BytesIO()
-    told = Events("a", sink=sink)
-    with mock.patch("frostspindle.events.time.time", side_effect=[1_000.0] * (LINES_A_SECOND + 1) + [1_001.0]):
+    told = Telemetry("a", sink=sink)
+    with mock.patch("frostspindle.telemetry.time.time", side_effect=[1_000.0] * (LINES_A_SECOND + 1) + [1_001.0]):
         for _ in range(LINES_A_SECOND + 2):
             told.log("storm")
     return json.loads(sink.getvalue().splitlines()[-2])
--- a/tests/test_ownership_program.py
+++ b/tests/test_ownership_program.py
@@ -13,12 +13,12 @@
 from test_replica_program import ConfigCase as Replicas
 
 from frostspindle.config import ConfigError
-from frostspindle.events import Events
-from frostspindle.ledger.export import Sink, StaleExport
-from frostspindle.net.engines import Engines
+from frostspindle.ledger.export import Sink, StaleExportError
+from frostspindle.net.engines import HttpEngines
 from frostspindle.ownership.fence import Fence, Stale
 from frostspindle.store.marker import Marker
 from frostspindle.store.opening import open_store
+from frostspindle.telemetry import Telemetry
 
 GOOD = (Path(__file__).parent.parent / "deploy" / "ownership.toml").read_text()
 
@@ -81,14 +81,14 @@
     fence, sink = Fence(store), Sink(store)
     with pytest.raises(Stale):
         fence.check("x", 4)
-    with pytest.raises(StaleExport) as caught:
+    with pytest.raises(StaleExportError) as caught:
         sink.take("2026-11", 4, b"rows")
     assert caught.value.highest == 5 and sink.stale == 1
     # Between the export and its record the exporter was killed: its successor sends the same, which stands once.
     assert sink.begin("2026-11", 9) is False and sink.take("2026-11", 9, b"rows") is False
     with pytest.raises(ValueError):
         sink.take("2026-11", 9, b"other rows")
-    with pytest.raises(StaleExport):
+    with pytest.raises(StaleExportError):
         sink.begin("2026-11", 5)
     assert sink.rows("2026-11") == b"rows" and sink.rows("2026-12") is None
     for period, token in (("", 1), ("x" * 65, 1), ("p", 0)):
@@ -127,12 +127,12 @@
         peer, tasks = Peer(*statuses), []
         driver = SimpleNamespace(
             peers={1: peer},
-            events=Events("a", sink=io.BytesIO()),
+            telemetry=Telemetry("a", sink=io.BytesIO()),
             spawn=lambda work: tasks.append(asyncio.create_task(work)),
         )
-        driver._drop = lambda peer, path: Engines._drop(driver, peer, path)
-        assert await Engines.warm(driver, 1, "00aa", "SELECT 1", "lookup", 100.0) is well
-        assert await Engines.warm(driver, 2, "00aa", "SELECT 1", "lookup", 100.0) is False
+        driver._drop = lambda peer, path: HttpEngines._drop(driver, peer, path)
+        assert await HttpEngines.warm(driver, 1, "00aa", "SELECT 1", "lookup", 100.0) is well
+        assert await HttpEngines.warm(driver, 2, "00aa", "SELECT 1", "lookup", 100.0) is False
         await asyncio.gather(*tasks)
         assert [method for method, *_ in peer.calls] == methods and peer.calls[0][2] == b"SELECT 1"
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as some
 
-from frostspindle.net.http.places import (
+from frostspindle.net.http.connection_limits import (
     BUSY,
     COMING,
     CROWDED_PART,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,7 +18,7 @@
 from frostspindle import config as configuration
 from frostspindle.core import clock
 from frostspindle.net.http.statements import table_group
-from frostspindle.pools import Course
+from frostspindle.pools import AttemptProgress
 
 ROOT = Path(__file__).parent.parent
 
@@ -191,7 +191,7 @@
 
         await self.start()
         for Peer.wired in (False, True):
-            course = Course(clock())
+            course = AttemptProgress(clock())
             course.asked_ms = 5.0
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.05):
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -115,7 +115,7 @@
         """Theirs had been taken for started later: rights by that start shut out for good who went by the bus's."""
         said, quiet = [], lambda *a, **kw: None
         service = SimpleNamespace(
-            events=SimpleNamespace(log=quiet),
+            telemetry=SimpleNamespace(log=quiet),
             files=frozenset(),
             withheld=frozenset(),
             _withhold=quiet,
@@ -141,11 +141,11 @@
             waits: list[float] = []
             service = SimpleNamespace(
                 gate=SimpleNamespace(asks={}),
-                events=SimpleNamespace(count=lambda what: None),
+                telemetry=SimpleNamespace(count=lambda what: None),
                 config=SimpleNamespace(claim_ms=1_000.0),
                 intake=Intake((), Curve(), 1.0, 9, 1, 3_000.0),
                 node=SimpleNamespace(stages=SimpleNamespace(over=True)),
-                core=SimpleNamespace(turn_away=lambda n, answer, waits=waits: waits.append(answer.retry_after_ms)),
+                core=SimpleNamespace(reject_waiting=lambda n, answer, waits=waits: waits.append(answer.retry_after_ms)),
             )
             for number in range(40):
                 service.gate.asks[number] = None
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -23,7 +23,6 @@
 from hypothesis import strategies as st
 from pysyncobj.version import VERSION
 
-from frostspindle.events import Events
 from frostspindle.lab.faults.runner import free_port
 from frostspindle.lab.replica import EmulatedReplicas
 from frostspindle.lab.replica_runs import Run, Sum
@@ -34,6 +33,7 @@
 from frostspindle.replica.journal import Diverged, Journal
 from frostspindle.replica.member import Member, Times
 from frostspindle.replica.service import Replica
+from frostspindle.telemetry import Telemetry
 
 indexes = st.integers(0, 2**53)
 entries = st.lists(st.binary(max_size=50) | st.just(None) | st.just(("add", "c9=1.2.3.4:5")), max_size=6)
@@ -526,7 +526,7 @@
     async def test_a_disk_that_fails_stops_the_log_and_not_the_process(self):
         with tempfile.TemporaryDirectory() as folder:
             sink = BytesIO()
-            log = Replica("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Events("c0", sink), first_start=True)
+            log = Replica("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", sink), first_start=True)
             log.attach("t", Sum(mock.Mock(entries={}, sums={}, bad=[])))
             await log.start()
             self.assertIsInstance(await log.propose("t", b"x" * MAX_COMMAND, 5.0), Applied)
@@ -538,7 +538,7 @@
             await log.close()
             self.assertIn(b"replica_stopped", sink.getvalue())
             # And what was durable is there again.
-            again = Replica("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Events("c0", BytesIO()))
+            again = Replica("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()))
             machine = Sum(mock.Mock(entries={}, sums={}, bad=[]))
             again.attach("t", machine)
             await again.start()
@@ -558,7 +558,7 @@
                     voters,
                     Path(folder, f"c{number}"),
                     b"s" * 16,
-                    Events(f"c{number}", BytesIO()),
+                    Telemetry(f"c{number}", BytesIO()),
                     at[number],
                     True,
                 )
@@ -582,7 +582,7 @@
             await logs[3].barrier(20.0)
             await logs[3].close()
             Path(folder, "c3", "journal").unlink()
-            logs[3] = Replica("c3", voters, Path(folder, "c3"), b"s" * 16, Events("c3", BytesIO()), at[3])
+            logs[3] = Replica("c3", voters, Path(folder, "c3"), b"s" * 16, Telemetry("c3", BytesIO()), at[3])
             logs[3].attach("t", Sum(run))
             await logs[3].start()
             self.assertTrue(logs[3]._member.journal.forgot)  # though its own list never had it among the voters
@@ -591,7 +591,9 @@
 
     async def test_a_hanging_disk_holds_up_no_answer_and_not_the_loop(self):
         with tempfile.TemporaryDirectory() as folder:
-            log = Replica("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Events("c0", BytesIO()), first_start=True)
+            log = Replica(
+                "c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()), first_start=True
+            )
             log.attach("t", Sum(mock.Mock(entries={}, sums={}, bad=[])))
             await log.start()
             await log.barrier(5.0)
--- a/tests/test_replica_program.py
+++ b/tests/test_replica_program.py
@@ -68,7 +68,7 @@
 
 class ProgramCase(FleetCase):
     async def test_three_coordinators_agree_and_end_in_order(self):
-        from frostspindle.caller import operate
+        from frostspindle.operator_client import operate
 
         await self.stand_ins(1)
         config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -204,7 +204,7 @@
         self.addCleanup(line.writer.close)
         line.writer.write(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
         self.assertEqual(await line.answer(), (200, "ok"))
-        self.program.core.give_up = last.set
+        self.program.core.fail_open_requests = last.set
         stopping = await self.stop()
         await last.wait()
         line.writer.write(call(1, timeout=3000))
@@ -230,7 +230,9 @@
         out = {a.engine for r in self.program.core._records.values() for a in r.attempts if not a.over}
         return self.program.bus.last == offset and not out & {int(engine.name[2:], 16) for engine in engines}
 
-    @unittest.mock.patch("frostspindle.net.bus.SILENT_S", 60.0)  # no word is lost over a new connection to the bus
+    @unittest.mock.patch(
+        "frostspindle.net.discovery.SILENT_S", 60.0
+    )  # no word is lost over a new connection to the bus
     async def test_six_of_ten_engines_are_replaced_at_their_old_addresses_under_load(self):
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
--- a/tests/test_scatter_plan.py
+++ b/tests/test_scatter_plan.py
@@ -344,7 +344,7 @@
     assert three.ended("a", "failed") is None
     assert three.served("b", [["2"]])[1:] == ([["2"]], "", 0.0, ("a",))
     four = gather(True)
-    assert four.ended("a", "refused", 3.0) is None and four.ended("b", "failed").how == "failed"
+    assert four.ended("a", "refused", 3.0) is None and four.ended("b", "failed").status == "failed"
     assert gather(most=1).served("a", [["1"], ["2"]]).reason.startswith("more than 1 rows")
     five = gather()
     five.left()
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -18,13 +18,13 @@
 from frostspindle.catalogue import home_of
 from frostspindle.cli import cli
 from frostspindle.config import ConfigError
-from frostspindle.core import FAILED, PART, REFUSED, SERVED, Answer, Ask, clock
-from frostspindle.events import Events
+from frostspindle.core import SUBREQUEST_FRONT, ClientRequest, Response, ResponseStatus, clock
 from frostspindle.lab import scatter as emulating
-from frostspindle.net.fields import Refusal
+from frostspindle.net.fields import CallRejectedError
 from frostspindle.scatter import leases, wiring
 from frostspindle.scatter.leases import Told
 from frostspindle.scatter.service import Scatter, monotonic
+from frostspindle.telemetry import Telemetry
 
 GOOD = (Path(__file__).parent.parent / "deploy" / "scatter.toml").read_text()
 INSERT = "INSERT INTO calls_17.notes (agent, at, note) VALUES ('{}', '2026-01-02', 7)"
@@ -64,7 +64,7 @@
 
     def __init__(self, config):
         classes = [("http", name) for name in config.classes]
-        self.classes = classes + [(PART, config.classes[cls]) for cls, _ in config.scatter.classes]
+        self.classes = classes + [(SUBREQUEST_FRONT, config.classes[cls]) for cls, _ in config.scatter.classes]
         self.settings, self.most_open, self.open = config.settings, 9, 0
         self.asks, self.gone = [], []
 
@@ -72,7 +72,7 @@
         self.asks.append(ask)
         return True
 
-    def left(self, ask):
+    def client_disconnected(self, ask):
         self.gone.append(ask)
 
 
@@ -90,7 +90,7 @@
             "test_fleet_program.document", lambda hosts, **kw: whole(hosts, **kw, zones=("floor-1", "floor-2"))
         ):
             config = self.read(two)
-        self.core, self.events = Core(config), Events(sink=BytesIO())
+        self.core, self.events = Core(config), Telemetry(sink=BytesIO())
         self.posted = []
         fleet = SimpleNamespace(
             name="c1",
@@ -107,7 +107,7 @@
         self.config = config
 
     def ask(self, sql, cls="lookup", number=1, **kw):
-        ask = Ask(
+        ask = ClientRequest(
             "http",
             self.config.classes.index(cls),
             f"{number:016x}",
@@ -141,8 +141,8 @@
         await self.begin()
         self.ask("SELECT note FROM calls_17.notes WHERE agent = 'b'")
         asked = [(part.front, self.core.classes[part.cls][1], part.group) for part in self.core.asks]
-        self.assertEqual(asked, [(PART, "lookup", 17)])
-        self.core.asks[0].settle(Answer(SERVED, ([["5"]], 2)))
+        self.assertEqual(asked, [(SUBREQUEST_FRONT, "lookup", 17)])
+        self.core.asks[0].on_response(Response(ResponseStatus.SERVED, ([["5"]], 2)))
         self.assertEqual(self.answers[1].result[0], [["5"]])
         self.ask("SELECT COUNT(*) FROM calls_17.notes WHERE agent = 'nobody'", number=2)
         self.assertNotIn(2, self.answers)  # not before the front knows that it is taken
@@ -150,11 +150,11 @@
         self.assertEqual((self.answers[2].result[0], len(self.core.asks)), ([["0"]], 1))
         self.ask("SELECT AVG(note) FROM calls_17.notes", number=3)
         await self.turn()
-        self.assertEqual((self.answers[3].how, len(self.core.asks)), (REFUSED, 1))
+        self.assertEqual((self.answers[3].status, len(self.core.asks)), (ResponseStatus.REJECTED, 1))
         self.assertIn("not scatterable", self.answers[3].reason)
-        self.assertIsNone(self.scatter.takes(Ask("http", 0, "", "", 0.0, 1.0, print, group=18)))
+        self.assertIsNone(self.scatter.takes(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=18)))
         self.core.open = 9
-        self.assertIs(self.scatter.takes(Ask("http", 0, "", "", 0.0, 1.0, print, group=17)), False)
+        self.assertIs(self.scatter.takes(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=17)), False)
 
     async def test_without_a_lease_all_are_asked_ranked_alike_and_a_lost_part_ends_the_others(self):
         for number, partial in ((1, False), (2, True)):
@@ -162,17 +162,17 @@
         parts = self.core.asks
         self.assertEqual([part.cost_ms for part in parts], [40.0] * 4)
         self.assertEqual(len({part.ticket for part in parts}), 4)
-        parts[0].settle(Answer(REFUSED, None, 9.0))
-        self.assertEqual((self.answers[1].how, self.answers[1].retry_after_ms), (REFUSED, 9.0))
+        parts[0].on_response(Response(ResponseStatus.REJECTED, None, 9.0))
+        self.assertEqual((self.answers[1].status, self.answers[1].retry_after_ms), (ResponseStatus.REJECTED, 9.0))
         self.assertEqual(self.core.gone, [parts[1]])
-        parts[2].settle(Answer(FAILED))
+        parts[2].on_response(Response(ResponseStatus.FAILED))
         self.assertNotIn(2, self.answers)
-        parts[3].settle(Answer(SERVED, ([["5"]], 2)))
+        parts[3].on_response(Response(ResponseStatus.SERVED, ([["5"]], 2)))
         self.assertEqual((self.answers[2].result[0], self.answers[2].mark), ([["5"]], "floor-1"))
         ask = self.ask("SELECT note FROM calls_17.notes", number=3)
         self.assertTrue(self.scatter.left(ask))
         self.assertEqual(self.core.gone[1:], self.core.asks[4:])
-        self.core.asks[4].settle(Answer(SERVED, ([], 0)))
+        self.core.asks[4].on_response(Response(ResponseStatus.SERVED, ([], 0)))
         self.assertNotIn(3, self.answers)
 
     async def test_a_site_with_foreign_loads_is_always_asked_and_its_loads_wait_for_nobody(self):
@@ -183,8 +183,8 @@
         self.ask("SELECT note FROM calls_17.notes WHERE agent = 'nobody'")
         self.assertEqual([part.cls for part in self.core.asks], [self.config.scatter.classes[0, "b"]])
         self.ask(INSERT.format("x"), "load", 2, site="b")
-        self.core.asks[1].settle(Answer(SERVED, ([], 0)))
-        self.assertEqual((self.answers[2].how, self.scatter.holder.loads), (SERVED, {}))
+        self.core.asks[1].on_response(Response(ResponseStatus.SERVED, ([], 0)))
+        self.assertEqual((self.answers[2].status, self.scatter.holder.loads), (ResponseStatus.SERVED, {}))
 
     async def test_a_lease_that_ran_out_while_the_process_stood_still_leaves_nothing_out(self):
         await self.begin()
@@ -210,11 +210,11 @@
         self.ask(INSERT.format("x"), "load", 2, site="b", key=5)
         await self.turn()
         self.assertEqual([part.key for part in self.core.asks], [5, 5])
-        self.core.asks[0].settle(Answer(SERVED, ([], 0)))
+        self.core.asks[0].on_response(Response(ResponseStatus.SERVED, ([], 0)))
         await self.turn()
-        self.assertEqual(self.answers[1].how, SERVED)
-        self.core.asks[1].settle(Answer(FAILED))
-        self.assertEqual((self.answers[2].how, self.scatter.lines), (FAILED, {}))
+        self.assertEqual(self.answers[1].status, ResponseStatus.SERVED)
+        self.core.asks[1].on_response(Response(ResponseStatus.FAILED))
+        self.assertEqual((self.answers[2].status, self.scatter.lines), (ResponseStatus.FAILED, {}))
         self.assertEqual(told, [("b", 17, ("agent", "at", "note"))])  # of the one that was answered as served
         self.assertEqual(len(self.scatter.home.shelves["b/17"].standing), 1)  # it may have run
         agents = [
@@ -237,7 +237,7 @@
         self.assertEqual((self.core.asks, self.scatter.turns[second].load.state), ([], "ready"))
         first = next(turn for ask, turn in self.scatter.turns.items() if ask is not second)
         self.scatter._late(first)
-        self.assertEqual((self.answers[1].how, len(self.core.asks)), (REFUSED, 1))
+        self.assertEqual((self.answers[1].status, len(self.core.asks)), (ResponseStatus.REJECTED, 1))
         self.scatter.left(second)
         self.assertEqual(self.core.gone, self.core.asks)
 
@@ -246,35 +246,35 @@
         await self.turn()
         self.assertEqual((self.answers, self.core.asks), ({}, []))
         self.scatter._late(self.scatter.turns[ask])
-        self.assertEqual((self.answers[1].how, self.core.asks), (REFUSED, []))
+        self.assertEqual((self.answers[1].status, self.core.asks), (ResponseStatus.REJECTED, []))
         await self.begin()
         ask = self.ask(INSERT.format("x"), "load", 2, site="b")
         await self.turn()
         with unittest.mock.patch.object(leases.Home, "on_done", lambda *args: None):
-            self.core.asks[0].settle(Answer(SERVED, ([], 0)))
+            self.core.asks[0].on_response(Response(ResponseStatus.SERVED, ([], 0)))
             await self.turn()
             self.assertNotIn(2, self.answers)
             self.scatter._late(self.scatter.turns[ask])
-        self.assertEqual(self.answers[2].how, FAILED)
+        self.assertEqual(self.answers[2].status, ResponseStatus.FAILED)
 
     async def test_headers_are_read_for_spread_tables_alone(self):
         platform = SimpleNamespace()
         program = SimpleNamespace(
             config=self.config,
             core=self.core,
-            events=self.events,
+            telemetry=self.events,
             desk=None,
             platform=platform,
             fleet=SimpleNamespace(parts=[], name="c1", node=None),
         )
         wiring.attach(program)
-        ask = Ask("http", 0, "", "", 0.0, 1.0, print, group=17)
+        ask = ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=17)
         platform.marks(ask, {b"x-partial": b"yes", b"x-site": b"b"})
         self.assertEqual((ask.partial, ask.site), (True, "b"))
         for fields in ({b"x-partial": b"maybe"}, {b"x-site": b"cellar"}, {b"x-site": b"\xff"}):
-            with self.assertRaises(Refusal):
+            with self.assertRaises(CallRejectedError):
                 platform.marks(ask, fields)
-        platform.marks(Ask("http", 0, "", "", 0.0, 1.0, print, group=18), {b"x-partial": b"maybe"})
+        platform.marks(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=18), {b"x-partial": b"maybe"})
 
 
 def test_lab_scatter_prints_one_object_the_same_for_the_same_seed():
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -17,12 +17,11 @@
 from frostspindle import config as configuration
 from frostspindle.cli import cli
 from frostspindle.config import ConfigError
-from frostspindle.core import Ask, Attempt
-from frostspindle.events import Events
+from frostspindle.core import Attempt, ClientRequest
 from frostspindle.lab import settings as playing
 from frostspindle.lab.engines import document, host
 from frostspindle.lab.faults.script import parse
-from frostspindle.net.operator import Nak
+from frostspindle.net.operator import OperatorError
 from frostspindle.program import Program
 from frostspindle.replica.local import LocalLog
 from frostspindle.settings import agreement
@@ -35,6 +34,7 @@
 from frostspindle.settings.versions import EMPTY, cut, pack
 from frostspindle.store.base import Broken
 from frostspindle.store.memory import Memory
+from frostspindle.telemetry import Telemetry
 
 ROOT = Path(__file__).parent.parent
 TDS = (
@@ -194,7 +194,7 @@
     async def quiet(self):
         for _ in range(400):
             await asyncio.sleep(0)
-            if not self.core.behind and self.applied._listing is None:
+            if not self.core.has_pending_changes and self.applied._listing is None:
                 return
 
     async def act(self, mode=VERSION, **rules):
@@ -262,7 +262,7 @@
     async def test_bounds_and_tds_reach_their_parts(self):
         program = self.program
         program.shared = SimpleNamespace(crowded=False)
-        with mock.patch.object(self.core, "bound") as bound:
+        with mock.patch.object(self.core, "set_open_limit") as bound:
             await self.act(
                 limit__open_requests=Limit(40.0),
                 limit__tds_sessions=Limit(3.0),
@@ -299,7 +299,7 @@
         self.applied.look = lambda: looks.append(1)
 
         def attempt(name):
-            ask = Ask("http", 0, "t", "s", 0.0, 1.0, lambda answer: None)
+            ask = ClientRequest("http", 0, "t", "s", 0.0, 1.0, lambda answer: None)
             return Attempt(ask, 0, states[name].entry.engine, 0.0, 1.0, "lookup", 0.0, 1)
 
         sent = [attempt("toy-0") for _ in range(3)] + [attempt("toy-1") for _ in range(2)]
@@ -380,7 +380,7 @@
         )
 
     def events_of(self, what):
-        return self.program.events.counts[what, "", ""]
+        return self.program.telemetry.counts[what, "", ""]
 
     async def test_operators_calls_are_checked(self):
         does = self.program.desk.does
@@ -396,7 +396,7 @@
             ("settings-rollback", ("a", "0")),
             ("settings-rollback", ("a", "7")),
         ):
-            with self.assertRaises(Nak, msg=(call, words)):
+            with self.assertRaises(OperatorError, msg=(call, words)):
                 does[call](*words)
         self.assertEqual(does["show-settings"]()["mode"], "file")
         desk = self.program.desk
@@ -407,7 +407,7 @@
 
 class ServiceCase(unittest.IsolatedAsyncioTestCase):
     def service(self, log, name="c1", keeper=None, owners=None, told=None):
-        events = Events(name, sink=mock.MagicMock())
+        events = Telemetry(name, sink=mock.MagicMock())
         events.log = lambda event, **more: (told if told is not None else []).append((event, more))
         service = Service(
             log,
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -7,7 +7,7 @@
 from hypothesis import settings as hypothesis_settings
 from peers import EdgeCase, TdsClient, TdsEngine
 
-from frostspindle.ledger.tenants import Facts, Index, Rule, fits, scan
+from frostspindle.ledger.tenants import Index, RequestAttributes, Rule, fits, scan
 
 WORDS = ("", "", "", "sales", "Sales", "sales_*", "sales_17", "s*", "ops", "ops_2", "*")
 PLACES = ("", "", "10.0.0.0/8", "10.1.0.0/16", "10.1.2.3", "0.0.0.0/0", "fd00::/8", "fd00::1", "192.168.0.0/17")
@@ -24,7 +24,7 @@
 
 
 def draw_facts(draw):
-    return Facts(
+    return RequestAttributes(
         draw.choice(("http", "tds")),
         draw.choice(("10.1.2.3", "10.1.9.9", "10.9.9.9", "fd00::1", "fd00::2", "", "192.168.200.1", "nowhere")),
         draw.choice(({}, {b"x-team": b"blue"}, {b"x-team": b" Blue "}, {b"a": b"1", b"x-team": b"blue"})),
@@ -56,13 +56,15 @@
     index = Index(rules)
 
     def tenant(**facts):
-        return index.find(Facts("http", **facts)).tenant
+        return index.find(RequestAttributes("http", **facts)).tenant
 
     assert tenant() == "any" and tenant(address="10.9.9.9", application="a") == "net"
     assert tenant(address="10.1.2.3") == "host" and tenant(application="a", database="b") == "two"
     assert tenant(application="A") == "star"  # "a*" is the longer name
     assert tenant(application="ab") == "star" and tenant(address="9.9.9.9") == "any"
-    assert fits(rules[2], Facts("tds", "10.1.2.3")) and not fits(rules[2], Facts("tds", "10.1.2.4"))
+    assert fits(rules[2], RequestAttributes("tds", "10.1.2.3")) and not fits(
+        rules[2], RequestAttributes("tds", "10.1.2.4")
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -15,9 +15,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from frostspindle import core as core_module
-from frostspindle.core import Ask, Core
-from frostspindle.events import Events
-from frostspindle.timers import LEVELS, MOVES, Wheel
+from frostspindle.core import ClientRequest, Core
+from frostspindle.telemetry import Telemetry
+from frostspindle.timers import LEVELS, MOVES, TimerWheel
 
 
 def drain(wheel, now):
@@ -38,7 +38,7 @@
     def __init__(self):
         super().__init__()
         self.now = 1.7e12 + 123.4
-        self.wheel = Wheel(self.now)
+        self.wheel = TimerWheel(self.now)
         self.timers = {}  # the oracle: by timer, when it is due
 
     @rule(span=SPANS, count=st.integers(1, 3))
@@ -95,14 +95,14 @@
 
 
 def test_timers_come_in_the_order_of_their_time_and_those_of_one_tick_as_they_were_started():
-    draw, wheel = random.Random(5), Wheel(0.0)
+    draw, wheel = random.Random(5), TimerWheel(0.0)
     timers = [wheel.start(draw.randrange(3000), number) for number in range(5000)]
     assert [t.what for t in drain(wheel, 3000.0)] == [t.what for t in sorted(timers, key=lambda t: (t.tick, t.what))]
 
 
 @pytest.mark.parametrize("ahead", [0.5, 200.0, 30_000.0, 1e6])
 def test_100_000_of_one_instant_come_in_bounded_parts(ahead):
-    wheel, now = Wheel(1e12), 1e12 + ahead + 1.0
+    wheel, now = TimerWheel(1e12), 1e12 + ahead + 1.0
     for number in range(100_000):
         wheel.start(1e12 + ahead, number)
     calls = given = filed = most = 0
@@ -124,14 +124,14 @@
 
 
 def test_a_clock_that_steps_forward_makes_all_due_without_counting_the_ticks():
-    wheel = Wheel(1e12)
+    wheel = TimerWheel(1e12)
     for number in range(1000):
         wheel.start(1e12 + 25_000.0 * number, number)
     assert [t.what for t in drain(wheel, 1e12 + 3e11)] == list(range(1000))  # ten years
 
 
 def test_a_clock_that_is_set_back_fires_nothing_early_and_new_timers_in_time():
-    wheel = Wheel(1e12)
+    wheel = TimerWheel(1e12)
     old = wheel.start(1e12 + 500.0, "old")
     due = wheel.start(1e12 + 10.0, "due")
     later = wheel.start(1e12 + 10.0, "later")
@@ -146,7 +146,7 @@
 
 
 def test_a_time_that_is_none_is_refused_and_one_without_end_never_comes():
-    wheel = Wheel(1e12)
+    wheel = TimerWheel(1e12)
     with pytest.raises(ValueError):
         wheel.start(math.nan, "nan")
     wheel.start(math.inf, "never")
@@ -157,7 +157,7 @@
     """The core's use of the wheel."""
 
     async def asyncSetUp(self):
-        self.core = Core(keeper_settings(READ), [("http", "read")], 1, Events(sink=io.BytesIO()))
+        self.core = Core(keeper_settings(READ), [("http", "read")], 1, Telemetry(sink=io.BytesIO()))
         self.task = asyncio.create_task(self.core.run())
         self.answers = []
 
@@ -165,7 +165,7 @@
         self.task.cancel()
 
     def ask(self, left_ms):
-        ask = Ask("http", 0, "t", "SELECT 1", core_module.clock(), left_ms, self.answers.append)
+        ask = ClientRequest("http", 0, "t", "SELECT 1", core_module.clock(), left_ms, self.answers.append)
         self.assertTrue(self.core.submit(ask))
         return ask
 
@@ -180,16 +180,16 @@
         asks = [self.ask(25_000.0) for _ in range(60)]
         await self.turns(lambda: len(self.core._timers) >= 60)
         for ask in asks[:30]:
-            self.core.left(ask)
+            self.core.client_disconnected(ask)
         await self.turns(lambda: len(self.core._records) == 30)
-        self.core.give_up()  # answers the others
+        self.core.fail_open_requests()  # answers the others
         await self.turns(lambda: len(self.answers) == 30)
         self.assertLess(len(self.core._timers), 3, "what is left is the module's")
 
     async def test_100_000_due_at_once_do_not_keep_the_sockets_waiting(self):
-        await self.turns(lambda: not self.core.behind)
+        await self.turns(lambda: not self.core.has_pending_changes)
         for number in range(100_000):
-            self.core._at(core_module.clock() - 1.0, core_module._Absent(number))
+            self.core._at(core_module.clock() - 1.0, core_module._EngineExpired(number))
         self.core._wake()
         most, before = 0, len(self.core._timers)
         while len(self.core._timers) > 10:
@@ -211,7 +211,7 @@
                 now += 5.0
                 self.core._wake()
                 await self.turns(lambda: not self.core._sleeper.done())
-            self.assertEqual([a.how for a in self.answers], ["refused"], "by the module, of the one after the step")
+            self.assertEqual([a.status for a in self.answers], ["refused"], "by the module, of the one after the step")
             now += 7_200_000.0
             self.core._wake()
             await self.turns(lambda: len(self.answers) == 11)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,9 +19,9 @@
 from peers import SQL, EdgeCase, HttpEngine, TdsClient, at_work, change, host, settings
 
 from frostspindle import program
-from frostspindle.events import Events
 from frostspindle.handover import most_open
 from frostspindle.shared import Shared
+from frostspindle.telemetry import Telemetry
 
 ROOT = Path(__file__).parent.parent
 
@@ -257,7 +257,7 @@
         asked = [asyncio.create_task(self.ask(number=number)) for number in range(60)]
         await self.until(lambda: core.open == 60 and core.controller.held)
         sent = self.count("sent")
-        core.give_up()
+        core.fail_open_requests()
         self.assertEqual({(await one)[0] for one in asked}, {503})  # lookups: a repeat does no harm
         await self.until(lambda: not core._records)
         self.assertEqual((core.controller.jobs, self.count("faults")), ({}, 0))
@@ -271,7 +271,7 @@
             await self.until(lambda: core.controller.most_open == bound)
 
         await most(296)  # 29 percent of 1,024
-        other, theirs = Shared({"TMPDIR": str(folder)}, "t0", Events(sink=io.BytesIO())), [250]
+        other, theirs = Shared({"TMPDIR": str(folder)}, "t0", Telemetry(sink=io.BytesIO())), [250]
         other.follow(lambda: theirs[0], lambda: None)
         other.start(lambda names: None, lambda crowded: None)
         await most(59)  # the other has most in its line, and a fifth is for the new one all the same
@@ -321,7 +321,7 @@
         with tempfile.NamedTemporaryFile() as file:
             for environ in ({}, {"TMPDIR": file.name}):
                 told = []
-                shared = Shared(environ, "n", Events(sink=io.BytesIO()))
+                shared = Shared(environ, "n", Telemetry(sink=io.BytesIO()))
                 shared.start(told.append, lambda crowded: None)
                 shared.ban("s-1", True)
                 shared.ban("s-1", False)
@@ -331,7 +331,7 @@
     async def test_two_processes_see_each_other_and_what_a_killed_one_left_counts_for_nothing(self):
         with tempfile.TemporaryDirectory() as folder:
             heard: dict[str, list[bool]] = {"a": [], "b": []}
-            a, b = (Shared({"TMPDIR": folder}, "n", Events(sink=io.BytesIO())) for _ in range(2))
+            a, b = (Shared({"TMPDIR": folder}, "n", Telemetry(sink=io.BytesIO())) for _ in range(2))
             a.start(lambda names: None, heard["a"].append)
             (a.folder / "run-1").touch()  # of a process that was killed
             b.start(lambda names: None, heard["b"].append)
