--- a/bench/order.py
+++ b/bench/order.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from statistics import median
 
-from frostspindle.order.sheets import Sheets
-from frostspindle.order.turns import Turns
+from frostspindle.order.key_queue import KeyQueue
+from frostspindle.order.shared_cells import SharedCellFolder
 
 OTHERS, ROUNDS = (0, 1, 3, 8), 5
 
@@ -27,10 +27,10 @@
     return time.monotonic() * 1000.0
 
 
-def process(folder: Path) -> tuple[Sheets, Turns]:
+def process(folder: Path) -> tuple[SharedCellFolder, KeyQueue]:
     """Create the shared file of a process in the folder; return its view of all files there, and its turns."""
-    sheets = Sheets(folder, clock, 2100.0)
-    return sheets, Turns(sheets.own.owner, sheets.own, sheets.places)
+    sheets = SharedCellFolder(folder, clock, 2100.0)
+    return sheets, KeyQueue(sheets.own.owner, sheets.own, sheets.places)
 
 
 def timed(folder: Path, others: int, requests: int, draw: random.Random) -> tuple[float, float]:
--- a/bench/replica.py
+++ b/bench/replica.py
@@ -33,7 +33,7 @@
 from frostspindle.lab.faults.runner import free_port  # noqa: E402
 from frostspindle.lab.faults.script import parse  # noqa: E402
 from frostspindle.lab.replica_runs import Run  # noqa: E402
-from frostspindle.replica.service import Replica  # noqa: E402
+from frostspindle.replica.service import ReplicaService  # noqa: E402
 from frostspindle.telemetry import Telemetry  # noqa: E402
 
 
@@ -71,7 +71,9 @@
     with tempfile.TemporaryDirectory(dir=".") as folder:
         voters = [f"c{n}=127.0.0.1:{free_port(socket.SOCK_STREAM)}" for n in range(3)]
         logs = [
-            Replica(f"c{n}", voters, Path(folder, f"c{n}"), b"s" * 32, Telemetry(f"c{n}", BytesIO()), first_start=True)
+            ReplicaService(
+                f"c{n}", voters, Path(folder, f"c{n}"), b"s" * 32, Telemetry(f"c{n}", BytesIO()), first_start=True
+            )
             for n in range(5)
         ]
         for log in logs:
--- a/bench/scatter.py
+++ b/bench/scatter.py
@@ -21,10 +21,10 @@
 from frostspindle.lab.scatter import Emulator, measure, play
 from frostspindle.predicates import may_match
 from frostspindle.predicates.summaries import Summary
-from frostspindle.scatter.leases import Told, widen
+from frostspindle.scatter.leases import LoadIntent, widen
 from frostspindle.scatter.merge import merge
 from frostspindle.scatter.plan import Planner, in_steps
-from frostspindle.scatter.service import Scatter
+from frostspindle.scatter.service import ScatterService
 from frostspindle.telemetry import Telemetry
 
 SECONDS = 16.0
@@ -83,10 +83,12 @@
     planner.plan(17, known)
     summary = Summary(catalogue.summed(17), 4_096)
     cells = [(1, str(n)) for n in range(100, 600, 3)]
-    widen(summary, Told(200, {"n": cells, "n\0": in_steps(cells, 5), "s": [(2, f"agent-{n}") for n in range(50)]}))
+    widen(
+        summary, LoadIntent(200, {"n": cells, "n\0": in_steps(cells, 5), "s": [(2, f"agent-{n}") for n in range(50)]})
+    )
     plan = planner.plan(17, known)
     core = SimpleNamespace(classes=[("http", "lookup")], open=0, most_open=99)
-    scatter = Scatter(catalogue, core, Telemetry(), None, 1)  # type: ignore[arg-type]
+    scatter = ScatterService(catalogue, core, Telemetry(), None, 1)  # type: ignore[arg-type]
     other = ClientRequest(
         "http", 0, "0" * 16, "SELECT 1 FROM calls_18.notes", 0.0, 1_000.0, lambda answer: None, group=18
     )
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -38,9 +38,9 @@
 
 from frostspindle.lab import settings as playing  # noqa: E402
 from frostspindle.lab.faults.script import parse  # noqa: E402
-from frostspindle.settings.deciding import REFUSE, Terms  # noqa: E402
+from frostspindle.settings.decisions import REFUSE, AgreementSettings  # noqa: E402
 from frostspindle.settings.meet import adjacent, meet  # noqa: E402
-from frostspindle.settings.schema import Ban, Class, Engine, Scope  # noqa: E402
+from frostspindle.settings.schema import Ban, Class, Engine, ListScope  # noqa: E402
 from frostspindle.settings.versions import EMPTY, cut, diff, pack  # noqa: E402
 
 
@@ -76,7 +76,7 @@
             seed,
             "drawn",
             seconds,
-            terms=Terms(2_000.0, 0.01, 4_000.0, REFUSE if refuse else "meet"),
+            terms=AgreementSettings(2_000.0, 0.01, 4_000.0, REFUSE if refuse else "meet"),
         )
         rows.append(playing.measure(world))
     click.echo(
@@ -124,7 +124,7 @@
     rules: dict[str, Any] = {
         f"engine/http/e{n}": Engine(f"e{n}", f"10.0.{n // 250}.{n % 250}:80", zone=f"z{n % 4}") for n in range(engines)
     }
-    rules["scope/http"] = Scope()
+    rules["scope/http"] = ListScope()
     out: dict[str, Any] = {"engines": engines}
 
     def timed(name: str, work: Any, times: int = 1) -> Any:
@@ -341,7 +341,7 @@
         base |= {
             f"engine/http/{name}": Engine(name, f"127.0.0.1:{port}", state="active" if port != 9 else "leaving")
             for name, port in listed.items()
-        } | {"scope/http": Scope()}
+        } | {"scope/http": ListScope()}
 
     async def call(text: str) -> str:
         reader, writer = await asyncio.open_unix_connection(desk)
--- a/bench/store.py
+++ b/bench/store.py
@@ -28,9 +28,9 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from frostspindle.store.disk import Disk  # noqa: E402
-from frostspindle.store.marker import Marker  # noqa: E402
+from frostspindle.store.marker_engine import MarkerEngine  # noqa: E402
 from frostspindle.store.opening import open_store  # noqa: E402
+from frostspindle.store.sqlite_engine import SqliteEngine  # noqa: E402
 
 try:
     import lmdb
@@ -103,8 +103,8 @@
 
 CANDIDATES = {"sqlite": Sqlite} | ({"lmdb": Lmdb} if lmdb else {})
 STORES = {
-    "disk": lambda folder: open_store(folder, "c1", Disk),
-    "marker": lambda folder: open_store(folder, "c1", Marker),
+    "disk": lambda folder: open_store(folder, "c1", SqliteEngine),
+    "marker": lambda folder: open_store(folder, "c1", MarkerEngine),
 }
 MARKERS = 1_000  # a sync each
 
@@ -152,7 +152,7 @@
     child = os.fork()
     if not child:
         store = make(folder)
-        step = Marker.limits.batch if name == "marker" else 4_000
+        step = MarkerEngine.limits.batch if name == "marker" else 4_000
         for start in range(0, entries, step):
             store.apply({key(number): b"v" * VALUE for number in range(start, min(entries, start + step))})
         os.kill(os.getpid(), signal.SIGKILL)
--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -30,8 +30,8 @@
 from frostspindle.predicates.language import parse
 from frostspindle.subscriptions import schema
 from frostspindle.subscriptions.fanout import Fanout
-from frostspindle.subscriptions.hub import Hub
-from frostspindle.subscriptions.interest import Interest, understood
+from frostspindle.subscriptions.hub import SubscriptionHub
+from frostspindle.subscriptions.interest import CombinedInterest, understood
 
 CLASSES, OUTCOMES = ("lookup", "bulk", "report", "live", "batch"), ("served", "served", "refused", "failed")
 BROAD = ("ms > 990000", "class = 'live' AND ms < 5000", "kind = 'answer' AND outcome = 'failed' AND class = 'report'")
@@ -79,7 +79,7 @@
     """Return the CPU microseconds of an event with `count` subscriptions at one coordinator; medians of the turns."""
     draw = random.Random(count)
     texts = wanted(count, draw)
-    hub = Hub("c1", 1, 0.0, most=count, fanout=Fanout(100_000, 10_000_000))
+    hub = SubscriptionHub("c1", 1, 0.0, most=count, fanout=Fanout(100_000, 10_000_000))
     began = time.process_time()
     for text in texts:
         hub.subscribers.subscribe(0.0, text)
@@ -144,7 +144,7 @@
                 engine=draw.randrange(10 * max(5, count)),
             )
         ] = None
-    one, grown, took = Interest(), Interest(), []
+    one, grown, took = CombinedInterest(), CombinedInterest(), []
     filters = [parse(text) for text in texts]
     for at, held in enumerate(filters):
         one.add(at, held)
--- a/frostspindle/cores/layout.py
+++ b/frostspindle/cores/layout.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from frostspindle.cores.fleet import Row
+from frostspindle.cores.peer_workers import EngineLoadRow
 
 MAGIC, VERSION = b"FSBOARD\x00", 1
 HEADER = struct.Struct("<8sIIIIIQQ")  # magic, version, slots, engines, counters, buckets, nonce, size
@@ -33,7 +33,7 @@
 REPORT = 8
 
 
-class BadBoard(Exception):
+class IncompatibleMemoryError(Exception):
     """The memory is no board of this program's version, or belongs to another instance."""
 
 
@@ -118,20 +118,20 @@
 def read_header(buffer: memoryview, nonce: int) -> Layout:
     """Return the layout; BadBoard if it is of another program, version or instance, too short, or damaged."""
     if len(buffer) < HEAD_BYTES:
-        raise BadBoard("it is shorter than a header")
+        raise IncompatibleMemoryError("it is shorter than a header")
     head = bytes(buffer[: HEADER.size])
     magic, version, slots, engines, counters, buckets, written, size = HEADER.unpack(head)
     if magic != MAGIC:
-        raise BadBoard("it is no board")
+        raise IncompatibleMemoryError("it is no board")
     if version != VERSION:
-        raise BadBoard(f"it has version {version}, this program {VERSION}")
+        raise IncompatibleMemoryError(f"it has version {version}, this program {VERSION}")
     if _CRC.unpack_from(buffer, HEADER.size)[0] != zlib.crc32(head):
-        raise BadBoard("its header is damaged")
+        raise IncompatibleMemoryError("its header is damaged")
     layout = Layout(slots, engines, counters, buckets)
     if size != layout.size or len(buffer) < size:
-        raise BadBoard(f"it has {len(buffer)} bytes in place of {layout.size}")
+        raise IncompatibleMemoryError(f"it has {len(buffer)} bytes in place of {layout.size}")
     if written != nonce:
-        raise BadBoard("it belongs to another instance")
+        raise IncompatibleMemoryError("it belongs to another instance")
     return layout
 
 
@@ -146,7 +146,7 @@
     return data[: most - 9].decode("utf-8", "ignore").encode() + b"~%08x" % zlib.crc32(data)
 
 
-def pack_row(row: Row) -> bytes:
+def pack_row(row: EngineLoadRow) -> bytes:
     """Encode a row behind a CRC-32; at most REPORT figures of its report are kept, long names are cut."""
     report = (*row.report[:REPORT], *(0.0,) * (REPORT - len(row.report)))
     body = ROW.pack(
@@ -171,14 +171,14 @@
     return _CRC.pack(zlib.crc32(body)) + body
 
 
-def unpack_row(data: bytes) -> Row | None:
+def unpack_row(data: bytes) -> EngineLoadRow | None:
     """Decode a row; None if its checksum does not match: it is being written, or never was."""
     body = data[4 : 4 + ROW.size]
     if _CRC.unpack_from(data)[0] != zlib.crc32(body):
         return None
     (engine, count, version, health, suspect, threads, _, granted, since, report_at, *rest) = ROW.unpack(body)
     report, (spent, wished, seen, _, name, address) = rest[:REPORT], rest[REPORT:]
-    return Row(
+    return EngineLoadRow(
         engine,
         version,
         health,
--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Need:
+class BudgetDemand:
     """A worker's report on one cold engine: parts of the whole budget, and the newest lease serial that it obeys."""
 
     spent: float = 0.0
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldUnits:
     """The units of one engine that one slot holds, and those taken back from it and not yet confirmed."""
 
     units: int = 0
@@ -47,10 +47,10 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class BudgetLedger:
     """The units of one cold engine: held by slots, cooling, or free."""
 
-    slots: list[Held]
+    slots: list[HeldUnits]
     units: int = UNITS
     cooling: list[tuple[float, int]] = field(default_factory=list)  # free at, units
     heard_at: float = 0.0
@@ -62,7 +62,7 @@
         return self.units - held - sum(units for _, units in self.cooling)
 
 
-def wanted(need: Need, slots: int, whole: int = UNITS) -> int:
+def wanted(need: BudgetDemand, slots: int, whole: int = UNITS) -> int:
     """Return the units for a need, at least the reserve; one more than the need, to make up for rounding down."""
     reserve = whole // (slots * RESERVE)
     if not (need.spent or need.wished):
@@ -70,7 +70,7 @@
     return max(reserve, min(whole, math.ceil((need.spent + need.wished) * whole) + 1))
 
 
-class Arbiter:
+class LeaseArbiter:
     """The supervisor's side of the leases: one ledger for each cold engine; times in ms of CLOCK_MONOTONIC."""
 
     def __init__(
@@ -78,7 +78,7 @@
     ) -> None:
         self.units = units
         self.count, self.cool_ms, self.lease_ms = slots, window_ms + settle_ms, lease_ms
-        self.engines: dict[int, Ledger] = {}
+        self.engines: dict[int, BudgetLedger] = {}
         self.horizons = [-math.inf] * slots
         self.lives = [False] * slots
         self.changed = False
@@ -104,14 +104,14 @@
         if self.lives[slot]:
             self.horizons[slot] = now + self.lease_ms
 
-    def step(self, now: float, needs: Mapping[int, Mapping[int, Need]]) -> None:
+    def step(self, now: float, needs: Mapping[int, Mapping[int, BudgetDemand]]) -> None:
         """Settle what was confirmed or has run out, then divide each cold engine's units anew.
 
         `needs`: for each engine that some worker holds cold, the report of each slot. An engine that no worker has
         named for the cooling time and a lease is forgotten.
         """
         for engine in needs.keys() - self.engines.keys():
-            self.engines[engine] = Ledger([Held() for _ in range(self.count)], self.units)
+            self.engines[engine] = BudgetLedger([HeldUnits() for _ in range(self.count)], self.units)
         for engine, ledger in list(self.engines.items()):
             if engine in needs:
                 ledger.heard_at = now
@@ -122,7 +122,7 @@
             self._settle(ledger, now, needs.get(engine, {}))
             self._share(ledger, now, needs.get(engine, {}))
 
-    def _settle(self, ledger: Ledger, now: float, needs: Mapping[int, Need]) -> None:
+    def _settle(self, ledger: BudgetLedger, now: float, needs: Mapping[int, BudgetDemand]) -> None:
         """What was confirmed, or has run out unconfirmed, cools; what has cooled is free."""
         for slot, held in enumerate(ledger.slots):
             seen = needs[slot].seen if slot in needs else -1
@@ -137,9 +137,11 @@
                 self.changed = True
         ledger.cooling = [(at, units) for at, units in ledger.cooling if now < at]
 
-    def _share(self, ledger: Ledger, now: float, needs: Mapping[int, Need]) -> None:
+    def _share(self, ledger: BudgetLedger, now: float, needs: Mapping[int, BudgetDemand]) -> None:
         live = [slot for slot in range(self.count) if self.lives[slot] and now < self.horizons[slot]]
-        target = fair({slot: wanted(needs.get(slot, Need()), self.count, self.units) for slot in live}, self.units)
+        target = fair(
+            {slot: wanted(needs.get(slot, BudgetDemand()), self.count, self.units) for slot in live}, self.units
+        )
         short = sum(max(0, target[slot] - ledger.slots[slot].units) for slot in live)
         missing = (
             short
--- a/frostspindle/cores/limits.py
+++ b/frostspindle/cores/limits.py
@@ -12,7 +12,7 @@
 from frostspindle.division import even
 
 
-class Divider:
+class LimitDivider:
     """The shares of one limit, by slot."""
 
     def __init__(self, whole: int, least: int = 0) -> None:
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -16,12 +16,12 @@
 
 from frostspindle.config import Config
 from frostspindle.core import Attempt, EngineState, clock
-from frostspindle.cores import fleet, leases, ownership
 from frostspindle.cores import layout as form
-from frostspindle.cores.board import Board, Control, Region, Sight
-from frostspindle.cores.fleet import Row, Sibling
-from frostspindle.cores.mesh import Gone, Mesh
-from frostspindle.cores.ownership import Owner, Route
+from frostspindle.cores import leases, ownership, peer_workers
+from frostspindle.cores.mesh import WorkerGoneError, WorkerMesh
+from frostspindle.cores.ownership import RequestOwner, Route
+from frostspindle.cores.peer_workers import EngineLoadRow, PeerWorker
+from frostspindle.cores.shared_memory import ControlPage, RowSnapshot, SharedMemoryBoard, WorkerRegion
 from frostspindle.net.fields import CallRejectedError
 from frostspindle.net.http.calls import FRONT, PendingCall
 from frostspindle.policy import Health, WorkerLoad
@@ -38,7 +38,7 @@
     return time.monotonic() * 1000.0
 
 
-class Passport(msgspec.Struct):
+class WorkerBootstrap(msgspec.Struct):
     """What the supervisor hands to a worker at its start, as JSON in its environment."""
 
     slot: int
@@ -55,15 +55,17 @@
     order: str = ""  # the folder in which processes keep the order of their keys
 
 
-class Link:
+class SharedMemoryLink:
     """One worker's connection to the others; it takes the place of `Shared`, which a single process has."""
 
-    def __init__(self, passport: Passport, board: Board, config: Config) -> None:
+    def __init__(self, passport: WorkerBootstrap, board: SharedMemoryBoard, config: Config) -> None:
         self.passport, self.board, self.config = passport, board, config
-        self.me = Owner(passport.slot, passport.incarnation)
-        self.region = Region(board, passport.slot)
-        self.sights = {slot: Sight(Region(board, slot)) for slot in range(passport.slots) if slot != passport.slot}
-        self.version, self.told = 0, Control()
+        self.me = RequestOwner(passport.slot, passport.incarnation)
+        self.region = WorkerRegion(board, passport.slot)
+        self.sights = {
+            slot: RowSnapshot(WorkerRegion(board, slot)) for slot in range(passport.slots) if slot != passport.slot
+        }
+        self.version, self.told = 0, ControlPage()
         self.lost: frozenset[int] = frozenset()
         self.crowded = self.orphaned = False
         self.theirs: int | None = None  # what the other processes of an upgrade have open: not told among workers
@@ -105,7 +107,7 @@
         self.telemetry.mirror = self.region.count
         self.core.may_start, self.core.on_engine_changed = self.fence, self.watch
         program.platform.relay, program.platform.prefix = self, ownership.prefix(self.me)
-        self.mesh = Mesh(self.passport.mesh, self.passport.paths, program.platform)
+        self.mesh = WorkerMesh(self.passport.mesh, self.passport.paths, program.platform)
 
     def start(self, told: Callable[[frozenset[str]], None], crowd: Callable[[bool], None]) -> None:
         """Start the periodic exchange over the board and the listening end of the mesh.
@@ -210,13 +212,13 @@
         if sight.torn != torn:
             self.telemetry.count("board_torn")
         if changed and urgent != self._urgent[slot]:
-            siblings = [Sibling(0.0, sight.rows)]
+            siblings = [PeerWorker(0.0, sight.rows)]
             for engine in changed:
                 state = self.core.engines.get(engine)
                 if (
                     state is not None
                     and state.version
-                    and (word := fleet.stop(engine, state.version, siblings)) is not None
+                    and (word := peer_workers.stop(engine, state.version, siblings)) is not None
                 ):
                     self.core.mark_draining(state.name, word[0])
         self._urgent[slot] = urgent
@@ -233,13 +235,13 @@
         """Tell the module what the others have out, think and know, where that has changed."""
         now, beat = clock(), mono()
         siblings = [
-            Sibling(beat - sight.region.beat, sight.rows)
+            PeerWorker(beat - sight.region.beat, sight.rows)
             for slot, sight in self.sights.items()
             if slot in self.told.living
         ]  # what a dead one left is told as ghosts
         entries = []
         for engine in engines & self.core.engines.keys():
-            entry = fleet.peer(engine, siblings, self.told.ghosts, now, self._part(engine))
+            entry = peer_workers.peer(engine, siblings, self.told.ghosts, now, self._part(engine))
             before = self.peers.get(engine)
             if before is None or before[:5] != entry[:5] or (entry.report and entry.report != before.report):
                 entries.append(entry)
@@ -296,13 +298,13 @@
         if dirty:
             self.region.bump(form.FLUSHES)
 
-    def _row(self, engine: int, state: EngineState) -> Row:
+    def _row(self, engine: int, state: EngineState) -> EngineLoadRow:
         believed = self.core.controller.engines.get(engine)
         listed = state.listed or state.entry
         at, report = self.reports.get(engine, (0.0, ()))
         spent, wished = self._cold.get(engine, (0.0, 0.0))
         suspect = believed is not None and believed.suspect and not believed.hearsay
-        return Row(
+        return EngineLoadRow(
             engine,
             state.version,
             listed.health,
@@ -350,7 +352,7 @@
         others = [
             sight.region.get(form.CLIENTS)
             for sight in self.sights.values()
-            if sight.region.get(form.STATE) == form.SERVING and now - sight.region.beat < fleet.FRESH_MS
+            if sight.region.get(form.STATE) == form.SERVING and now - sight.region.beat < peer_workers.FRESH_MS
         ]
         return ownership.accepts(mine, others)
 
@@ -404,7 +406,7 @@
         self.telemetry.count("relayed", FRONT)
         try:
             status, body, extra, last = await self.mesh.ask(owner, method, url)
-        except Gone as gone:
+        except WorkerGoneError as gone:
             self.telemetry.log("relay", owner=owner, error=str(gone))
             if method == b"DELETE":
                 slot.reply(503, {"failure": "Busy"})
--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -30,11 +30,11 @@
 _REPLY = msgspec.msgpack.Decoder(tuple[int, int, Any, str, bool])
 
 
-class Gone(Exception):
+class WorkerGoneError(Exception):
     """The other worker has closed the connection, does not answer in time, or has too many calls waiting."""
 
 
-class _Frames(asyncio.Protocol):
+class _FrameProtocol(asyncio.Protocol):
     """Frames of one connection; one that can't be read ends it."""
 
     decoder: msgspec.msgpack.Decoder[Any]
@@ -77,19 +77,19 @@
             self.transport.write(len(data).to_bytes(4, "little") + data)
 
 
-class _Nobody:
+class _NoConnection:
     """Stands where a slot has its client: this one is another worker's."""
 
     line: tuple[()] = ()
 
 
-class _FarSlot(PendingCall):
+class _RemoteCall(PendingCall):
     """A call of another worker's client."""
 
     __slots__ = ("answer",)
 
     def __init__(self, answer: Callable[[Reply], None]) -> None:
-        super().__init__(_Nobody())  # type: ignore[arg-type]
+        super().__init__(_NoConnection())  # type: ignore[arg-type]
         self.answer = answer
 
     def reply(self, status: int, body: Any = None, extra: str = "", last: bool = False) -> None:
@@ -98,15 +98,15 @@
             self.answer((status, body, extra, last))
 
 
-class _Owner(_Frames):
+class _OwnerConnection(_FrameProtocol):
     """The owner's side: another worker's calls, answered by this worker's front."""
 
     decoder = _CALL
 
-    def __init__(self, front: HttpFront, all_of: set[_Owner]) -> None:
+    def __init__(self, front: HttpFront, all_of: set[_OwnerConnection]) -> None:
         super().__init__()
         self.front, self.all_of = front, all_of
-        self.slots: set[_FarSlot] = set()
+        self.slots: set[_RemoteCall] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -123,7 +123,7 @@
 
     def frame(self, message: Any) -> None:
         number, method, url = message
-        slot = _FarSlot(lambda reply: self._answer(number, slot, reply))
+        slot = _RemoteCall(lambda reply: self._answer(number, slot, reply))
         if len(self.slots) >= MOST:
             slot.reply(503, {"failure": "Busy"})
             return
@@ -138,7 +138,7 @@
             self.front.telemetry.log("fault", error=repr(error), of="relayed call")
             slot.reply(500, {"failure": "Failed"}, last=True)
 
-    def _answer(self, number: int, slot: _FarSlot, reply: Reply) -> None:
+    def _answer(self, number: int, slot: _RemoteCall, reply: Reply) -> None:
         self.slots.discard(slot)
         self.send((number, *reply))
 
@@ -150,7 +150,7 @@
         self.slots.clear()
 
 
-class _Asker(_Frames):
+class _CallerConnection(_FrameProtocol):
     """The side of the worker that a client called."""
 
     decoder = _REPLY
@@ -168,12 +168,12 @@
     def connection_lost(self, error: Exception | None) -> None:
         for future in self.waiting.values():
             if not future.done():
-                future.set_exception(Gone("the owner ended its connection"))
+                future.set_exception(WorkerGoneError("the owner ended its connection"))
         self.waiting.clear()
 
     async def ask(self, method: bytes, url: bytes) -> Reply:
         if len(self.waiting) >= MOST:
-            raise Gone("too many calls wait there")
+            raise WorkerGoneError("too many calls wait there")
         self.numbers += 1
         number = self.numbers
         future = self.waiting[number] = asyncio.get_running_loop().create_future()
@@ -182,18 +182,18 @@
             async with asyncio.timeout(WITHIN_S):
                 return await future
         except TimeoutError:
-            raise Gone("the owner does not answer") from None
+            raise WorkerGoneError("the owner does not answer") from None
         finally:
             self.waiting.pop(number, None)
 
 
-class Mesh:
+class WorkerMesh:
     """This worker's listening Unix socket and its connections to the other workers."""
 
     def __init__(self, listening: int, paths: dict[int, str], front: HttpFront) -> None:
         self.listening, self.paths, self.front = socket.socket(fileno=listening), paths, front
-        self.askers: dict[int, _Asker] = {}
-        self.owners: set[_Owner] = set()  # the others' connections here
+        self.askers: dict[int, _CallerConnection] = {}
+        self.owners: set[_OwnerConnection] = set()  # the others' connections here
         self._opening: dict[int, asyncio.Lock] = {}
         self._server: asyncio.Server | None = None
 
@@ -201,7 +201,7 @@
         """Accept the other workers' connections; their calls are answered by this worker's front."""
         self.listening.setblocking(False)
         self._server = await asyncio.get_running_loop().create_unix_server(
-            lambda: _Owner(self.front, self.owners), sock=self.listening
+            lambda: _OwnerConnection(self.front, self.owners), sock=self.listening
         )
 
     def close(self) -> None:
@@ -219,12 +219,14 @@
             try:  # one at a time: calls that come together would each open a connection, and all but one be lost
                 async with asyncio.timeout(WITHIN_S), self._opening.setdefault(slot, asyncio.Lock()):
                     if (asker := self._asker(slot)) is None:
-                        _, asker = await asyncio.get_running_loop().create_unix_connection(_Asker, self.paths[slot])
+                        _, asker = await asyncio.get_running_loop().create_unix_connection(
+                            _CallerConnection, self.paths[slot]
+                        )
                         self.askers[slot] = asker
             except (OSError, TimeoutError) as error:
-                raise Gone(repr(error)) from None
+                raise WorkerGoneError(repr(error)) from None
         return await asker.ask(method, url)
 
-    def _asker(self, slot: int) -> _Asker | None:
+    def _asker(self, slot: int) -> _CallerConnection | None:
         asker = self.askers.get(slot)
         return None if asker is None or asker.transport.is_closing() else asker
--- a/frostspindle/cores/ownership.py
+++ b/frostspindle/cores/ownership.py
@@ -16,7 +16,7 @@
 SLACK = 2  # connections by which one worker may be ahead of the least laden before it lets others go first
 
 
-class Owner(NamedTuple):
+class RequestOwner(NamedTuple):
     """A worker's process: its slot, and the incarnation that tells it from its predecessors."""
 
     slot: int
@@ -31,18 +31,18 @@
     DIED = "died"  # its owner ended, and the answer with it: failed, for it may have run
 
 
-def prefix(owner: Owner) -> str:
+def prefix(owner: RequestOwner) -> str:
     """Return the part of a path before its number: slot and incarnation of its worker, in hex."""
     return f"{owner.slot:x}.{owner.incarnation:x}."
 
 
-def owner_of(path: str) -> Owner | None:
+def owner_of(path: str) -> RequestOwner | None:
     """Return the worker that a path names; None: it has no such form, so no worker made it."""
     match = _PATH.match(path)
-    return Owner(int(match.group(1), 16), int(match.group(2), 16)) if match else None
+    return RequestOwner(int(match.group(1), 16), int(match.group(2), 16)) if match else None
 
 
-def route(path: str, me: Owner, living: Mapping[int, int]) -> Route:
+def route(path: str, me: RequestOwner, living: Mapping[int, int]) -> Route:
     """Return what becomes of a call on a path that is unknown at `me`; `living`: the incarnation now in each slot."""
     owner = owner_of(path)
     if owner is None or owner == me:
--- a/frostspindle/cores/fleet.py
+++ b/frostspindle/cores/peer_workers.py
@@ -17,7 +17,7 @@
 FRESH_MS = 1_000.0  # a worker whose heart is older than this has no opinions
 
 
-class Row(NamedTuple):
+class EngineLoadRow(NamedTuple):
     """One worker's report on one engine; times are Unix ms, as the decision module's are."""
 
     engine: int
@@ -36,7 +36,7 @@
     address: str
 
 
-class Ghost(NamedTuple):
+class OrphanedLoad(NamedTuple):
     """Load that a worker which died left at an engine: it runs there until the engine forgets it."""
 
     engine: int
@@ -46,19 +46,23 @@
 
 
 @dataclass(slots=True)
-class Sibling:
+class PeerWorker:
     """Another worker: the age of its last heartbeat in ms, and its rows by engine."""
 
     beat_age_ms: float
-    rows: Mapping[int, Row]
+    rows: Mapping[int, EngineLoadRow]
 
 
-def ghosts(rows: Iterable[Row], died_ms: float) -> list[Ghost]:
+def ghosts(rows: Iterable[EngineLoadRow], died_ms: float) -> list[OrphanedLoad]:
     """Return the load that a worker which died at `died_ms` (Unix ms) left, counted for FORGOTTEN_MS from then."""
-    return [Ghost(row.engine, row.threads, row.granted_mb, died_ms + FORGOTTEN_MS) for row in rows if row.threads]
+    return [
+        OrphanedLoad(row.engine, row.threads, row.granted_mb, died_ms + FORGOTTEN_MS) for row in rows if row.threads
+    ]
 
 
-def peer(engine: int, siblings: Iterable[Sibling], dead: Iterable[Ghost], now: float, part: float) -> WorkerLoad:
+def peer(
+    engine: int, siblings: Iterable[PeerWorker], dead: Iterable[OrphanedLoad], now: float, part: float
+) -> WorkerLoad:
     """Return what all other workers together report of one engine, in the form of the decision module's event.
 
     `now` is in Unix ms. A worker without a heartbeat for FORGOTTEN_MS counts for no load, one without for FRESH_MS for
@@ -85,7 +89,7 @@
     return WorkerLoad(engine, threads, memory, suspect, part, report, max(0.0, now - report_at) if report else 0.0)
 
 
-def stop(engine: int, version: int, siblings: Iterable[Sibling]) -> tuple[int, int] | None:
+def stop(engine: int, version: int, siblings: Iterable[PeerWorker]) -> tuple[int, int] | None:
     """Return version and health of the newest report that the engine takes nothing new, if newer than our `version`.
 
     Only ends of service cross, never starts: a late start costs a moment, a late end breaks a rule. The age of the row
--- a/frostspindle/cores/restarts.py
+++ b/frostspindle/cores/restarts.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Slot:
+class SlotHistory:
     """The history of one worker slot's starts and failures."""
 
     started_at: float = 0.0
@@ -24,18 +24,18 @@
 
 
 @dataclass(slots=True)
-class Restarts:
+class RestartPolicy:
     """The restart policy for all slots."""
 
     crashes: int  # so many within within_ms are a loop
     within_ms: float
     hang_ms: float
-    slots: dict[int, Slot] = field(default_factory=dict)
+    slots: dict[int, SlotHistory] = field(default_factory=dict)
     times: deque[float] = field(default_factory=deque)
 
     def started(self, slot: int, now: float) -> None:
         """Note that a process was started in the slot at `now`, in ms."""
-        place = self.slots.setdefault(slot, Slot())
+        place = self.slots.setdefault(slot, SlotHistory())
         place.started_at = now
         place.starts += 1
 
--- a/frostspindle/cores/board.py
+++ b/frostspindle/cores/shared_memory.py
@@ -16,14 +16,14 @@
 import msgspec
 
 from frostspindle.cores import layout as form
-from frostspindle.cores.fleet import Ghost, Row
-from frostspindle.cores.layout import BadBoard, CounterName, Layout
+from frostspindle.cores.layout import CounterName, IncompatibleMemoryError, Layout
+from frostspindle.cores.peer_workers import EngineLoadRow, OrphanedLoad
 
 TRIES = 16  # so often a cell that is being written is read again
 _EMPTY = bytes(8)
 
 
-class Control(msgspec.Struct):
+class ControlPage(msgspec.Struct):
     """What the supervisor publishes to all workers: one versioned control page."""
 
     bans: list[str] = []
@@ -32,15 +32,15 @@
     ending: bool = False  # the whole program ends, not one worker
     living: dict[int, int] = {}  # slot to incarnation
     sockets: dict[int, int] = {}  # slot to its share
-    ghosts: list[Ghost] = []
+    ghosts: list[OrphanedLoad] = []
     lost: list[int] = []  # ids that were open when their worker died
     leases: dict[int, tuple[list[int], list[int]]] = {}  # cold engine to the units and serials of each slot
 
 
-_ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Control)
+_ENCODER, _DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(ControlPage)
 
 
-class Board:
+class SharedMemoryBoard:
     """One mapping of the shared memory; `cells` views it as u64, `times` as f64."""
 
     def __init__(self, fd: int, memory: mmap.mmap, layout: Layout, nonce: int) -> None:
@@ -51,7 +51,7 @@
         self.cells, self.times = aligned.cast("Q"), aligned.cast("d")
 
     @classmethod
-    def create(cls, layout: Layout) -> Board:
+    def create(cls, layout: Layout) -> SharedMemoryBoard:
         """Allocate a zeroed anonymous memory file of the layout's size with a header and a random nonce; OSError."""
         fd = os.memfd_create("frostspindle", os.MFD_CLOEXEC)
         os.ftruncate(fd, layout.size)
@@ -62,17 +62,17 @@
         return cls(fd, memory, layout, nonce)
 
     @classmethod
-    def attach(cls, fd: int, nonce: int) -> Board:
+    def attach(cls, fd: int, nonce: int) -> SharedMemoryBoard:
         """Map the board behind an inherited descriptor; BadBoard unless it is that of the instance that started us."""
         try:
             size = os.fstat(fd).st_size
             memory = mmap.mmap(fd, size)
         except (OSError, ValueError) as error:
-            raise BadBoard(str(error)) from None
+            raise IncompatibleMemoryError(str(error)) from None
         view = memoryview(memory)
         try:
             layout = form.read_header(view, nonce)
-        except BadBoard:
+        except IncompatibleMemoryError:
             view.release()
             memory.close()
             raise
@@ -93,7 +93,7 @@
         """Number of the control page in force; 0 until the first `publish`."""
         return self.cells[self.layout.control // 8]
 
-    def publish(self, control: Control) -> None:
+    def publish(self, control: ControlPage) -> None:
         """Write the control page that no reader uses, then the version that points to it.
 
         ValueError: it does not fit into a page; the version before stays in force.
@@ -104,12 +104,12 @@
         self.bytes[at : at + len(page)] = page
         self.cells[self.layout.control // 8] = version
 
-    def control(self) -> tuple[int, Control] | None:
+    def control(self) -> tuple[int, ControlPage] | None:
         """Return the newest version and its content; None if TRIES reads all met a page being written."""
         for _ in range(TRIES):
             version = self.version
             if not version:
-                return 0, Control()
+                return 0, ControlPage()
             at = self.layout.control + 8 + (version % 2) * form.PAGE
             blob = form.unpack_page(self.bytes[at : at + form.PAGE])
             if blob is not None:
@@ -125,10 +125,10 @@
         self.times[self.layout.horizons // 8 + slot] = at_ms
 
 
-class Region:
+class WorkerRegion:
     """One slot's region: written by the worker in that slot, read by all other processes."""
 
-    def __init__(self, board: Board, slot: int) -> None:
+    def __init__(self, board: SharedMemoryBoard, slot: int) -> None:
         self.board, self.slot = board, slot
         layout = board.layout
         self.base = layout.at(slot)
@@ -203,7 +203,7 @@
 
     # Rows of engines.
 
-    def write(self, row: Row) -> bool:
+    def write(self, row: EngineLoadRow) -> bool:
         """Write the row of one engine; False if all rows are taken, so that other workers learn nothing of it."""
         place = self._places.get(row.engine)
         if place is None:
@@ -233,7 +233,7 @@
         count = min(self.get(form.ROWS), self.board.layout.engines)
         return self.board.cells[self._sequences : self._sequences + count].tolist()
 
-    def read(self, place: int) -> Row | None:
+    def read(self, place: int) -> EngineLoadRow | None:
         """Return the row in a place; None if it was erased, or still fails its checksum after TRIES reads."""
         at = self._rows + form.ROW_BYTES * place
         for _ in range(TRIES):
@@ -244,7 +244,7 @@
                 return None
         return None
 
-    def rows(self) -> Iterator[Row]:
+    def rows(self) -> Iterator[EngineLoadRow]:
         """Yield all rows that can be read; erased and torn ones are left out."""
         for place in range(len(self.sequences())):
             if (row := self.read(place)) is not None:
@@ -294,12 +294,12 @@
         ]
 
 
-class Sight:
+class RowSnapshot:
     """A reader's copy of another worker's rows; a look reads only the rows that have changed."""
 
-    def __init__(self, region: Region) -> None:
+    def __init__(self, region: WorkerRegion) -> None:
         self.region = region
-        self.rows: dict[int, Row] = {}
+        self.rows: dict[int, EngineLoadRow] = {}
         self.torn = 0
         self._incarnation = self._flushes = -1
         self._sequences: list[int] = []
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -26,13 +26,13 @@
 from frostspindle import signals
 from frostspindle.config import Config, ConfigError
 from frostspindle.core import clock
-from frostspindle.cores import fleet, totals
 from frostspindle.cores import layout as form
-from frostspindle.cores.board import Board, Control, Region, Sight
-from frostspindle.cores.leases import Arbiter, Need
-from frostspindle.cores.limits import Divider
-from frostspindle.cores.link import DECIDED_MS, SPARE, Passport, mono
-from frostspindle.cores.restarts import Restarts
+from frostspindle.cores import peer_workers, totals
+from frostspindle.cores.leases import BudgetDemand, LeaseArbiter
+from frostspindle.cores.limits import LimitDivider
+from frostspindle.cores.link import DECIDED_MS, SPARE, WorkerBootstrap, mono
+from frostspindle.cores.restarts import RestartPolicy
+from frostspindle.cores.shared_memory import ControlPage, RowSnapshot, SharedMemoryBoard, WorkerRegion
 from frostspindle.cores.worker import PASSPORT
 from frostspindle.net.http.calls import FRONT
 from frostspindle.net.http.listener import BACKLOG
@@ -54,8 +54,8 @@
     """One worker slot and the process in it."""
 
     slot: int
-    region: Region
-    sight: Sight
+    region: WorkerRegion
+    sight: RowSnapshot
     listening: socket.socket  # of its mesh; it outlives the process
     incarnation: int = 0
     process: subprocess.Popen[bytes] | None = None
@@ -78,13 +78,13 @@
         buckets = 1 << max(8, (config.limits.sockets // 4 - 1).bit_length())
         self.order = ""  # the folder in which the workers keep the order of their keys
         self._folder: tempfile.TemporaryDirectory[str] | None = None  # that, where it is for them only
-        self.board = Board.create(form.Layout(count, buckets=buckets))
-        self.control = Control()
+        self.board = SharedMemoryBoard.create(form.Layout(count, buckets=buckets))
+        self.control = ControlPage()
         settings = config.settings
-        self.arbiter = Arbiter(count, settings.slow_start_window_ms, DECIDED_MS)
-        self.restarts = Restarts(self.cores.crashes, self.cores.within_ms, self.cores.hang_ms)
+        self.arbiter = LeaseArbiter(count, settings.slow_start_window_ms, DECIDED_MS)
+        self.restarts = RestartPolicy(self.cores.crashes, self.cores.within_ms, self.cores.hang_ms)
         self.reserved = RESERVED + 4 * count
-        self.divider = Divider(config.limits.sockets - self.reserved, least=LEAST_SOCKETS)
+        self.divider = LimitDivider(config.limits.sockets - self.reserved, least=LEAST_SOCKETS)
         self.longest_s = max(3.0, *(c.deadline_ms / 1000.0 for c in settings.classes))
         self.workers: list[Worker] = []
         self.lost: list[tuple[float, int]] = []
@@ -137,7 +137,9 @@
             listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             listening.bind(self._path(slot))
             listening.listen(BACKLOG)
-            self.workers.append(Worker(slot, Region(self.board, slot), Sight(Region(self.board, slot)), listening))
+            self.workers.append(
+                Worker(slot, WorkerRegion(self.board, slot), RowSnapshot(WorkerRegion(self.board, slot)), listening)
+            )
         self.shared.start(self._banned, self._crowd)
         if any(cls.in_order for cls in self.config.settings.classes):
             if self.shared.order is None:  # without a $TMPDIR that lasts there are no others than these workers
@@ -200,7 +202,7 @@
             return
         listening = self.listener.fileno() if self.listener else self.config.inherited
         assert listening is not None
-        passport = Passport(
+        passport = WorkerBootstrap(
             worker.slot,
             worker.incarnation,
             len(self.workers),
@@ -242,7 +244,7 @@
         worker.past.update(gone)
         ids = worker.region.ids()
         if code != 0:
-            self.control.ghosts = [*self.control.ghosts, *fleet.ghosts(worker.region.rows(), clock())]
+            self.control.ghosts = [*self.control.ghosts, *peer_workers.ghosts(worker.region.rows(), clock())]
             until = now + (self.longest_s + KEEP_LOST_S) * 1000.0
             self.lost = [*self.lost, *((until, ticket) for ticket in ids)][-MOST_LOST:]
         self.control.living.pop(worker.slot, None)
@@ -351,7 +353,7 @@
             )
 
     def _lease(self, now: float) -> None:
-        needs: dict[int, dict[int, Need]] = {}
+        needs: dict[int, dict[int, BudgetDemand]] = {}
         unix = clock()
         warm_ms = self.config.settings.slow_start_duration_ms
         for worker in self.workers:
@@ -359,7 +361,7 @@
                 worker.sight.look()
                 for row in worker.sight.rows.values():
                     if row.since_ms > 0 and unix - row.since_ms < warm_ms:
-                        needs.setdefault(row.engine, {})[worker.slot] = Need(row.spent, row.wished, row.seen)
+                        needs.setdefault(row.engine, {})[worker.slot] = BudgetDemand(row.spent, row.wished, row.seen)
         self.arbiter.step(now, needs)
         if self.arbiter.changed:
             self.arbiter.changed = False
@@ -484,7 +486,7 @@
             "tds": sum(region.get(form.TDS) for region in living),
         }
 
-    def _standings(self) -> dict[int, totals.Standing]:
+    def _standings(self) -> dict[int, totals.EngineSummary]:
         out = totals.standings([w.region.rows() for w in self.workers], self.shared.banned)
         for state in out.values():
             self.names.pop(state.name, None)
@@ -496,7 +498,7 @@
     @property
     def engines(self) -> dict[int, Any]:
         """Engines by number, in the form that the SNMP agent reads."""
-        return {number: _Seen(state.name, state.address, state) for number, state in self._standings().items()}
+        return {number: _EngineView(state.name, state.address, state) for number, state in self._standings().items()}
 
     def figures(self) -> dict[str, Any]:
         """Return the figures of `show-stat`: the sums of a single process, and under `workers` each worker's state."""
@@ -566,12 +568,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Seen:
+class _EngineView:
     """An engine in the shape that the SNMP agent reads."""
 
     name: str
     address: tuple[str, int]
-    entry: totals.Standing
+    entry: totals.EngineSummary
 
 
 async def run(config: Config) -> int:
--- a/frostspindle/cores/totals.py
+++ b/frostspindle/cores/totals.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from frostspindle.core import FIGURES
-from frostspindle.cores.fleet import Row
+from frostspindle.cores.peer_workers import EngineLoadRow
 from frostspindle.policy import Health
 
 Key = tuple[str, str, str]
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class EngineSummary:
     """An engine as all workers together report it."""
 
     engine: int
@@ -41,12 +41,12 @@
     suspect: bool
 
 
-def standings(workers: Iterable[Iterable[Row]], banned: frozenset[str]) -> dict[int, Standing]:
+def standings(workers: Iterable[Iterable[EngineLoadRow]], banned: frozenset[str]) -> dict[int, EngineSummary]:
     """Return each engine's state: the newest list's health, suspected if any worker suspects it.
 
     A ready engine that is banned shows as draining.
     """
-    newest: dict[int, Row] = {}
+    newest: dict[int, EngineLoadRow] = {}
     suspects: set[int] = set()
     for rows in workers:
         for row in rows:
@@ -58,7 +58,7 @@
     for engine, row in newest.items():
         health = Health.DRAINING if row.health == Health.READY and row.name in banned else row.health
         place, _, port = row.address.rpartition(":")
-        out[engine] = Standing(
+        out[engine] = EngineSummary(
             engine, row.name, (place, int(port) if port.isdecimal() else 0), health, engine in suspects
         )
     return out
@@ -68,7 +68,7 @@
     classes: Sequence[tuple[str, str]],
     counts: Mapping[Key, int],
     inflight: int,
-    engines: Mapping[int, Standing],
+    engines: Mapping[int, EngineSummary],
     banned: frozenset[str],
 ) -> dict[str, Any]:
     """Return the sums over all workers, in the form of a single process's `Core.figures`."""
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -18,16 +18,16 @@
 from frostspindle import division, signals
 from frostspindle.config import Config, ConfigError
 from frostspindle.cores import limits
-from frostspindle.cores.board import Board
-from frostspindle.cores.layout import BadBoard
-from frostspindle.cores.link import Link, Passport
+from frostspindle.cores.layout import IncompatibleMemoryError
+from frostspindle.cores.link import SharedMemoryLink, WorkerBootstrap
+from frostspindle.cores.shared_memory import SharedMemoryBoard
 from frostspindle.program import run
 
 PASSPORT = "FROSTSPINDLE_WORKER"
 SUPERVISOR_MB = 40.0
 
 
-def part_of(config: Config, passport: Passport) -> Config:
+def part_of(config: Config, passport: WorkerBootstrap) -> Config:
     """Return the configuration of one of several workers: its part of each limit, and no address of its own."""
     count, settings = passport.slots, config.settings
     operator = config.operator
@@ -60,7 +60,7 @@
     )
 
 
-async def serve(config: Config, link: Link) -> int:
+async def serve(config: Config, link: SharedMemoryLink) -> int:
     """Run the worker's program until it ends, draining if the supervisor dies; return the exit code."""
     loop = asyncio.get_running_loop()
 
@@ -79,17 +79,17 @@
     """Run a worker by the passport in its environment; return 2 for a bad start, 1 for an OSError, else `serve`'s."""
     signals.hold()
     try:
-        passport = msgspec.json.decode(os.environ[PASSPORT], type=Passport)
-        board = Board.attach(passport.board, passport.nonce)
+        passport = msgspec.json.decode(os.environ[PASSPORT], type=WorkerBootstrap)
+        board = SharedMemoryBoard.attach(passport.board, passport.nonce)
         config = part_of(configuration.read(), passport)
     except (KeyError, msgspec.DecodeError):
         print("frostspindle: this is started by the supervisor only", file=sys.stderr)
         return 2
-    except (BadBoard, ConfigError) as error:
+    except (IncompatibleMemoryError, ConfigError) as error:
         print(f"frostspindle: worker: {error}", file=sys.stderr)
         return 2
     try:
-        return asyncio.run(serve(config, Link(passport, board, config)))
+        return asyncio.run(serve(config, SharedMemoryLink(passport, board, config)))
     except OSError as error:
         print(f"frostspindle: worker {passport.slot}: {error}", file=sys.stderr)
         return 1
--- a/frostspindle/fleet/counts.py
+++ b/frostspindle/fleet/counters.py
@@ -19,8 +19,8 @@
 from hashlib import blake2b
 
 from frostspindle.fleet import wire
-from frostspindle.fleet.rumours import Rumours
-from frostspindle.fleet.wire import Row
+from frostspindle.fleet.gossip_buffer import GossipBuffer
+from frostspindle.fleet.wire import CounterRow
 
 MOST_ORIGINS, MOST_STREAMS, MOST_KEYS = 8_192, 64, 20  # a whole stream fits into one datagram
 KEEP = 3  # windows of each key
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Origin:
+class CounterOrigin:
     """What is known of one stream of one origin's counts."""
 
     values: dict[Key, tuple[int, int]] = field(default_factory=dict)
@@ -73,21 +73,21 @@
     return (check * salt & MASK) >> 56
 
 
-class Counts:
+class FleetCounters:
     """All origins' counts (grow-only, by window and in all) as one process knows them."""
 
     def __init__(self, name: str, epoch: int, now: float) -> None:
         self.name, self.epoch = name, epoch
-        self.origins: dict[Place, Origin] = {}
-        self._order: list[tuple[int, Place, Origin]] = []  # by position
+        self.origins: dict[Place, CounterOrigin] = {}
+        self._order: list[tuple[int, Place, CounterOrigin]] = []  # by position
         self._epochs: dict[str, dict[int, int]] = {}  # by name: how many streams of each epoch
         self._told: dict[int, dict[Key, tuple[int, int]]] = {}  # own counts as last written, by stream
-        self._own: dict[int, Origin] = {}  # by stream
+        self._own: dict[int, CounterOrigin] = {}  # by stream
         self._due: tuple[int, float] = (0, 0.0)  # for this size of the fleet; size 0: to be made anew
         self._take((name, epoch, 0), now)
         self.count: Callable[[str], None] = lambda what: None
         self._changed: dict[int, dict[Key, int]] = {0: {}}  # by stream: the version in which a key was last written
-        self._news: Rumours[Place, tuple[int, tuple[Key, ...], int]] = Rumours()  # base, keys, version
+        self._news: GossipBuffer[Place, tuple[int, tuple[Key, ...], int]] = GossipBuffer()  # base, keys, version
         self.pending: Collection[Place] = self._news.keys  # whose rows are to be passed on, as that changes
         self._window = 0
         self._silent = False  # nothing was written when it was last due
@@ -159,7 +159,7 @@
 
     # Others'.
 
-    def merge(self, now: float, row: Row) -> None:
+    def merge(self, now: float, row: CounterRow) -> None:
         """Join a row that another member tells by the greater of each count.
 
         Rows of this process are ignored, and malformed ones or ones without room counted.
@@ -223,9 +223,9 @@
             self.count("fleet_origins_dropped")
         return len(self.origins) < MOST_ORIGINS
 
-    def _take(self, place: Place, made: float) -> Origin:
+    def _take(self, place: Place, made: float) -> CounterOrigin:
         """A place that was not known yet."""
-        known = self.origins[place] = Origin(made=made, position=_position(place))
+        known = self.origins[place] = CounterOrigin(made=made, position=_position(place))
         insort(self._order, (known.position, place, known))
         if place[1] == self.epoch and place[0] == self.name:
             self._own[place[2]] = known
@@ -244,7 +244,7 @@
 
     # What is passed on.
 
-    def _row(self, now: float, place: Place, base: int, keys: tuple[Key, ...]) -> Row:
+    def _row(self, now: float, place: Place, base: int, keys: tuple[Key, ...]) -> CounterRow:
         known = self.origins[place]
         own = place[1] == self.epoch and place[0] == self.name
         values = self._told.get(place[2], {}) if own else known.values
@@ -255,11 +255,11 @@
                 entries.append((name if name != last else "", key[1], *values[key]))
                 last = name
         age = now - known.made  # whole ms, as they take a third of the bytes
-        return Row(*place, base, known.version, math.ceil(min(1e9, max(0.0, age))), entries)
+        return CounterRow(*place, base, known.version, math.ceil(min(1e9, max(0.0, age))), entries)
 
-    def news(self, now: float, room: int) -> list[Row]:
+    def news(self, now: float, room: int) -> list[CounterRow]:
         """Return rows to pass on within `room` bytes, those sent least often first."""
-        out: list[Row] = []
+        out: list[CounterRow] = []
         for place, (base, keys, version) in self._news.next(32):
             row = self._row(now, place, base if self.origins[place].version == version else 0, keys)
             room -= wire.size(row)
@@ -271,7 +271,7 @@
 
     # What others are asked for: rows that are newer there.
 
-    def compare(self, begin: int, salt: int) -> wire.Compare:
+    def compare(self, begin: int, salt: int) -> wire.CountersRequest:
         """Return the question for rows that another has newer, from a position on.
 
         A new `salt` each time prevents that two states which look alike once do so for ever.
@@ -297,14 +297,14 @@
             if len(marks) + len(mark) > wire.MOST_MARKS:
                 break
             marks += mark
-        return wire.Compare(begin, bits, salt, bytes(marks))
+        return wire.CountersRequest(begin, bits, salt, bytes(marks))
 
-    def _range(self, low: int, high: int) -> list[tuple[int, Place, Origin]]:
+    def _range(self, low: int, high: int) -> list[tuple[int, Place, CounterOrigin]]:
         """What is known whole between two positions."""
         first = bisect_left(self._order, (low,))
         return [one for one in self._order[first : bisect_left(self._order, (high,), first)] if one[2].version]
 
-    def _checks(self, part: list[tuple[int, Place, Origin]]) -> tuple[int, int]:
+    def _checks(self, part: list[tuple[int, Place, CounterOrigin]]) -> tuple[int, int]:
         """One number for which places these are, and one for what they hold."""
         places = held = 0
         for position, place, known in part:
@@ -312,7 +312,7 @@
             held ^= self._digest(place, known) if known.digest is None else known.digest
         return places, held
 
-    def _digest(self, place: Place, known: Origin) -> int:
+    def _digest(self, place: Place, known: CounterOrigin) -> int:
         own = place[1] == self.epoch and place[0] == self.name
         values = self._told.get(place[2], {}) if own else known.values
         # Counts by window are left out: clocks that do not agree on the window would compare unlike for ever.
@@ -321,7 +321,7 @@
         )
         return known.digest
 
-    def differing(self, now: float, ask: wire.Compare, room: int) -> wire.Rows:
+    def differing(self, now: float, ask: wire.CountersRequest, room: int) -> wire.CountersPage:
         """Return whole rows that the asker lacks or has older, within `room` bytes, and where to go on.
 
         Marks that were cut short are not answered.
@@ -330,7 +330,7 @@
         first = number = ask.begin >> shift
         at, marks = 0, ask.marks
         young = YOUNG_MS * max(1.0, math.log10(len(self._epochs)))
-        out: list[Row] = []
+        out: list[CounterRow] = []
         while at + 3 <= len(marks) and number < 1 << ask.bits:
             count, places, held = marks[at : at + 3]
             theirs = marks[at + 3 : at + 3 + count] if count <= MOST_MARKED else b""
@@ -372,9 +372,9 @@
                     continue
                 room -= wire.size(row)
                 if out and (room < 0 or len(out) == 32):
-                    return wire.Rows(position, out)
+                    return wire.CountersPage(position, out)
                 out.append(row)
-        return wire.Rows(number << shift if first < number < 1 << ask.bits else 0, out)
+        return wire.CountersPage(number << shift if first < number < 1 << ask.bits else 0, out)
 
     # Sums.
 
--- a/frostspindle/fleet/verdicts.py
+++ b/frostspindle/fleet/engine_verdicts.py
@@ -20,19 +20,19 @@
 
 
 @dataclass(slots=True)
-class _Heard:
+class _PeerVerdict:
     kind: int
     made: float
     evidence: tuple[float, ...]
 
 
-class Verdicts:
+class EngineVerdicts:
     """This coordinator's judgements on engines and those heard of others."""
 
     def __init__(self, judges: int, lasts_ms: float) -> None:
         self.judges, self.lasts_ms = judges, lasts_ms
         self.own: dict[tuple[str, int], tuple[float, tuple[float, ...]]] = {}  # engine, kind: since, evidence
-        self._heard: dict[str, dict[tuple[str, int], _Heard]] = {}  # by coordinator
+        self._heard: dict[str, dict[tuple[str, int], _PeerVerdict]] = {}  # by coordinator
         self._untold: set[str] = set()  # who has yet to hear that the own word has ended
 
     # The own word.
@@ -81,7 +81,7 @@
 
         A judgement's age counts from now, as its maker states only what holds.
         """
-        self._heard[name] = {(v.engine, v.kind): _Heard(v.kind, now, tuple(v.evidence)) for v in verdicts}
+        self._heard[name] = {(v.engine, v.kind): _PeerVerdict(v.kind, now, tuple(v.evidence)) for v in verdicts}
         if not verdicts:
             del self._heard[name]
 
--- a/frostspindle/fleet/rumours.py
+++ b/frostspindle/fleet/gossip_buffer.py
@@ -14,7 +14,7 @@
 Value = TypeVar("Value")
 
 
-class Rumours(Generic[Key, Value]):
+class GossipBuffer(Generic[Key, Value]):
     """Pieces of news by how often they were sent, so that taking the next few does not walk the rest."""
 
     def __init__(self) -> None:
--- a/frostspindle/fleet/incarnation.py
+++ b/frostspindle/fleet/incarnation.py
@@ -22,7 +22,7 @@
     return value
 
 
-class Chain:
+class IncarnationChain:
     """The owner's side of the hash chain: makes the proofs of its incarnations."""
 
     def __init__(self, secret: bytes, length: int = LENGTH) -> None:
--- a/frostspindle/fleet/membership.py
+++ b/frostspindle/fleet/membership.py
@@ -17,9 +17,9 @@
 from typing import Any, NamedTuple
 
 from frostspindle.fleet import wire
-from frostspindle.fleet.incarnation import Chain, owned
-from frostspindle.fleet.rumours import Rumours
-from frostspindle.fleet.wire import ALIVE, DEAD, LEFT, SUSPECT, Claim, Doubt
+from frostspindle.fleet.gossip_buffer import GossipBuffer
+from frostspindle.fleet.incarnation import IncarnationChain, owned
+from frostspindle.fleet.wire import ALIVE, DEAD, LEFT, SUSPECT, MemberState, Suspicion
 
 Address = tuple[str, int]
 MOST_MEMBERS = 8_192  # tombstones too; past that nobody new is taken
@@ -33,7 +33,7 @@
 REVIVED_MS = 1_000.0  # of many that are back, one is asked for all that it knows in so much time
 
 
-class Out(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """One message to be sent: address, member and body."""
 
     address: Address
@@ -45,7 +45,7 @@
 class Member:
     """One other member, as this one believes it to be."""
 
-    claim: Claim
+    claim: MemberState
     since: float  # of its state
     heard: float = -math.inf  # a message of its own came
     confirmers: frozenset[str] = frozenset()  # who suspects it
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class _Errand:
+class _IndirectPing:
     """A probe on behalf of another member."""
 
     asker: str
@@ -81,7 +81,7 @@
     return max(RESEND, math.ceil(RESEND * math.log10(size + 1)))
 
 
-def rank(claim: Claim) -> tuple[int, int, int]:
+def rank(claim: MemberState) -> tuple[int, int, int]:
     """Return the sort key of claims on one member: later process, then later incarnation, then graver state."""
     return claim.epoch, claim.incarnation, claim.state
 
@@ -91,8 +91,8 @@
 
     def __init__(
         self,
-        me: Claim,
-        chain: Chain,
+        me: MemberState,
+        chain: IncarnationChain,
         seeds: dict[str, Address],
         seed: int,
         now: float,
@@ -106,7 +106,7 @@
         self.alive: dict[str, Member] = {}  # those alive or suspected: who is sent to
         self.suspects: dict[str, Member] = {}
         self.health = 0
-        self.out: list[Out] = []
+        self.out: list[OutgoingMessage] = []
         self._names: list[str] = []  # of `alive`, for draws
         self.changes: list[tuple[str, str, str]] = []  # name, state, why: for the log
         self.count: Callable[[str], None] = lambda what: None
@@ -115,10 +115,10 @@
         self.leaving = False
         self.met = False  # who may know much that we do not has been met
         self._met_at = -math.inf
-        self._news: Rumours[str, tuple[Claim | Doubt, int]] = Rumours()  # with its size in bytes
+        self._news: GossipBuffer[str, tuple[MemberState | Suspicion, int]] = GossipBuffer()  # with its size in bytes
         self._seq = 0
         self._probe: _Probe | None = None
-        self._errands: dict[int, _Errand] = {}
+        self._errands: dict[int, _IndirectPing] = {}
         self._round: list[str] = []
         self._verdict: float | None = math.inf  # see _first_verdict
         self._probe_at = now + self.random.random() * probe_ms
@@ -133,7 +133,7 @@
         """Number of members that are alive or suspected, this one included."""
         return len(self.alive) + 1
 
-    def know(self, now: float, claims: Iterable[Claim]) -> None:
+    def know(self, now: float, claims: Iterable[MemberState]) -> None:
         """Take these as members that are alive already, without gossiping about them."""
         for claim in claims:
             if claim.name != self.me.name and claim.name not in self.members:
@@ -157,7 +157,7 @@
     def send(self, name: str, body: wire.Body) -> None:
         """Queue a message to a member in `out`; dropped unless it is alive or suspected."""
         if (member := self.alive.get(name)) is not None:
-            self.out.append(Out(member.claim.address, name, body))
+            self.out.append(OutgoingMessage(member.claim.address, name, body))
 
     # Time.
 
@@ -202,7 +202,7 @@
         if now >= self._sync_at:
             self._sync_at = now + SYNC_MS * max(1.0, self.size / 100.0) * (0.75 + 0.5 * self.random.random())
             for name in self.peers(1):
-                self.send(name, wire.Pull(""))
+                self.send(name, wire.MembersRequest(""))
             for name, member in list(self.members.items()):
                 if member.claim.state in (DEAD, LEFT) and now - member.since > FORGET_MS:
                     del self.members[name]
@@ -225,7 +225,7 @@
             helpers = self.peers(HELPERS, (probe.target,))
             probe.helpers = len(helpers)
             for name in helpers:
-                self.send(name, wire.Relay(probe.seq, probe.target))
+                self.send(name, wire.PingRequest(probe.seq, probe.target))
         if probe.helped and now >= probe.until:
             self._probe = None
             # Lifeguard: who hears no word of its helpers either is likely the one in trouble.
@@ -267,7 +267,7 @@
             self._rejoin_at = now + REJOIN_MS * (0.75 + 0.5 * self.random.random())
         for name, address in asked:
             self._seq += 1
-            self.out.append(Out(address, name, wire.Ping(self._seq)))
+            self.out.append(OutgoingMessage(address, name, wire.Ping(self._seq)))
 
     def _first_verdict(self) -> float:
         """When the first suspicion ends; it is looked for again when a claim has changed, and with it who is here."""
@@ -283,13 +283,13 @@
 
     # News.
 
-    def news(self, to: str, room: int) -> tuple[list[Claim], list[Doubt], int]:
+    def news(self, to: str, room: int) -> tuple[list[MemberState], list[Suspicion], int]:
         """Return claims and doubts to piggyback on a message to a member within `room` bytes, and the room left.
 
         A wrong belief of that member itself goes first.
         """
-        claims: list[Claim] = []
-        doubts: list[Doubt] = []
+        claims: list[MemberState] = []
+        doubts: list[Suspicion] = []
         member = self.members.get(to)
         if member is not None and member.claim.state != ALIVE:
             doubts.append(_doubt(member.claim))
@@ -297,17 +297,17 @@
         if self._news.keys:
             pieces, room = self._news.take(room, 32 - len(doubts), resends(self.size), to)
             for piece in pieces:
-                if piece.__class__ is Doubt:
+                if piece.__class__ is Suspicion:
                     doubts.append(piece)
                 else:
                     claims.append(piece)
         return claims, doubts, room
 
-    def page(self, after: str, room: int) -> tuple[list[Claim], str]:
+    def page(self, after: str, room: int) -> tuple[list[MemberState], str]:
         """Return claims after the name `after`, in order of names and within `room` bytes, and the last name ("" at the
         end).
         """
-        out: list[Claim] = []
+        out: list[MemberState] = []
         for name in heapq.nsmallest(33, (name for name in self.members if name > after)):
             claim = self.members[name].claim
             room -= wire.size(claim)
@@ -318,7 +318,7 @@
 
     # Messages.
 
-    def heard(self, now: float, me: Claim, source: Address) -> bool:
+    def heard(self, now: float, me: MemberState, source: Address) -> bool:
         """Check the sender of a message: return whether it is who it claims to be.
 
         A message for which this is False must not be read further.
@@ -346,7 +346,7 @@
             member.heard = now
         return True
 
-    def told(self, now: float, claim: Claim, by: str) -> None:
+    def told(self, now: float, claim: MemberState, by: str) -> None:
         """Take a claim that another member passes on; one of ourselves that is wrong is refuted."""
         known = self.members.get(claim.name)
         if known is not None and known.claim == claim:  # most are no news
@@ -356,7 +356,7 @@
         else:
             self._apply(now, claim, f"told by {by}")
 
-    def doubted(self, now: float, doubt: Doubt, by: str) -> None:
+    def doubted(self, now: float, doubt: Suspicion, by: str) -> None:
         """Take a doubt that another member passes on, as `told`.
 
         Of an incarnation unknown here it is not believed, as it brings no proof.
@@ -376,7 +376,7 @@
     def on_ping(self, now: float, sender: str, ping: wire.Ping) -> None:
         """Answer a probe with an Ack, also to a member that is held for dead: the reply tells it so."""
         if (member := self.members.get(sender)) is not None:  # also one that is held for dead: it has to hear so
-            self.out.append(Out(member.claim.address, sender, wire.Ack(ping.seq)))
+            self.out.append(OutgoingMessage(member.claim.address, sender, wire.Ack(ping.seq)))
 
     def on_ack(self, now: float, sender: str, ack: wire.Ack) -> None:
         """Take an answer to a probe: relay it if we probed for another member.
@@ -400,14 +400,14 @@
         if self._probe is not None and self._probe.seq == nack.seq:
             self._probe.nacks += 1
 
-    def on_relay(self, now: float, sender: str, relay: wire.Relay) -> None:
+    def on_relay(self, now: float, sender: str, relay: wire.PingRequest) -> None:
         """Probe a member for another one, with the usual timeout.
 
         Ignored with 64 such probes under way or if the target is not alive here.
         """
         if len(self._errands) < 64 and relay.target in self.alive:
             self._seq += 1
-            self._errands[self._seq] = _Errand(sender, relay.seq, relay.target, now + self.timeout_ms)
+            self._errands[self._seq] = _IndirectPing(sender, relay.seq, relay.target, now + self.timeout_ms)
             self.send(relay.target, wire.Ping(self._seq))
 
     def leave(self, now: float) -> None:
@@ -419,7 +419,7 @@
 
     # Beliefs.
 
-    def _refute(self, now: float, claim: Claim | Doubt, by: str) -> None:
+    def _refute(self, now: float, claim: MemberState | Suspicion, by: str) -> None:
         """Somebody believes that we are not well, or says what we never said."""
         if claim.epoch > self.me.epoch or (claim.epoch == self.me.epoch and claim.incarnation > self.me.incarnation):
             self.count("fleet_forged")  # nobody but us can have proof of such a one: others drop it too
@@ -437,12 +437,12 @@
             except ValueError:
                 self.count("fleet_chain_used_up")
                 return
-            self.me = Claim(
+            self.me = MemberState(
                 self.me.name, self.me.host, self.me.port, ALIVE, self.me.epoch, self.me.incarnation + 1, proof
             )
             self._tell(self.me)
 
-    def _tell(self, claim: Claim) -> None:
+    def _tell(self, claim: MemberState) -> None:
         piece = claim if claim.state == ALIVE else _doubt(claim)
         self._news.put(claim.name, (piece, wire.size(piece)))
 
@@ -452,9 +452,9 @@
             known.contested = now
             self.count("fleet_contested")
             self._seq += 1
-            self.out.append(Out(known.claim.address, known.claim.name, wire.Ping(self._seq)))
+            self.out.append(OutgoingMessage(known.claim.address, known.claim.name, wire.Ping(self._seq)))
 
-    def _apply(self, now: float, claim: Claim, why: str, direct: bool = False) -> bool:
+    def _apply(self, now: float, claim: MemberState, why: str, direct: bool = False) -> bool:
         """Take a claim if it is newer and its owner made its incarnation; False: it is not to be believed."""
         known = self.members.get(claim.name)
         if known is None:
@@ -490,7 +490,7 @@
         self._place(now, known, claim, why)
         return True
 
-    def _place(self, now: float, member: Member, claim: Claim, why: str) -> None:
+    def _place(self, now: float, member: Member, claim: MemberState, why: str) -> None:
         name, before = claim.name, member.claim
         if claim.state == SUSPECT and before.state != SUSPECT:
             member.suspected_at, member.confirmers = now, frozenset({claim.by})
@@ -521,12 +521,12 @@
         if len(self.alive) == 1 and here or revived and now - self._met_at > REVIVED_MS:
             self._met_at = now  # we join, or a partition ends: hear all that it knows
             self.met = True
-            self.send(name, wire.Pull(""))
+            self.send(name, wire.MembersRequest(""))
 
 
-def _as(claim: Claim, state: int, by: str = "") -> Claim:
-    return Claim(claim.name, claim.host, claim.port, state, claim.epoch, claim.incarnation, claim.proof, by)
+def _as(claim: MemberState, state: int, by: str = "") -> MemberState:
+    return MemberState(claim.name, claim.host, claim.port, state, claim.epoch, claim.incarnation, claim.proof, by)
 
 
-def _doubt(claim: Claim) -> Doubt:
-    return Doubt(claim.name, claim.state, claim.epoch, claim.incarnation, claim.by)
+def _doubt(claim: MemberState) -> Suspicion:
+    return Suspicion(claim.name, claim.state, claim.epoch, claim.incarnation, claim.by)
--- a/frostspindle/fleet/node.py
+++ b/frostspindle/fleet/node.py
@@ -15,13 +15,13 @@
 from typing import Any, NamedTuple
 
 from frostspindle.division import even
-from frostspindle.fleet import flow, wire
-from frostspindle.fleet.counts import Counts, interval
-from frostspindle.fleet.escrow import Rights
-from frostspindle.fleet.incarnation import LENGTH, Chain
+from frostspindle.fleet import quota_flow, wire
+from frostspindle.fleet.counters import FleetCounters, interval
+from frostspindle.fleet.engine_verdicts import TELL_MS, EngineVerdicts
+from frostspindle.fleet.incarnation import LENGTH, IncarnationChain
 from frostspindle.fleet.membership import Address, Membership
-from frostspindle.fleet.verdicts import TELL_MS, Verdicts
-from frostspindle.fleet.wire import Claim, Packet
+from frostspindle.fleet.quota_escrow import QuotaAccount
+from frostspindle.fleet.wire import MemberState, Packet
 
 ENVELOPE = 180  # bytes kept free of piggyback for the sender's claim and the frame
 ROOM = wire.MOST_BYTES - ENVELOPE  # for piggyback
@@ -29,7 +29,9 @@
 MOST_BUDGETS = 32
 COUNT_WINDOW_MS = 10_000.0
 ROWS_MS, ROWS = 1_000.0, 0.25  # counts are compared with one other member so often, or in a part of the time of writing
-ALONE = frozenset({wire.Word, wire.Pull, wire.Compare, wire.Rows, wire.Parcel})  # nothing is put into these besides
+ALONE = frozenset(
+    {wire.VerdictDigest, wire.MembersRequest, wire.CountersRequest, wire.CountersPage, wire.ApplicationMessage}
+)  # nothing is put into these besides
 MOST_COMPARES = 64  # messages of one comparison: as many as a table that holds nothing needs in a fleet of a thousand
 
 
@@ -48,7 +50,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class FleetSettings:
     """Settings that all coordinators of a fleet must have alike, and a few times of this one's own."""
 
     seeds: dict[str, Address]  # also the homes of all budgets, in the order of names
@@ -70,46 +72,48 @@
 
 
 @dataclass(slots=True)
-class _Budget:
+class _BudgetState:
     budget: Budget
     number: int
     digest: int
-    rights: Rights
-    demand: flow.Demand | flow.Wish
-    lenders: flow.Lenders
+    rights: QuotaAccount
+    demand: quota_flow.Demand | quota_flow.StatedDemand
+    lenders: quota_flow.LenderSelector
     flow_at: float
     asks: dict[str, tuple[int, float]] = field(default_factory=dict)  # by lender: the last Ask, unanswered yet
 
 
-class Node:
+class FleetNode:
     """One process's fleet logic without I/O: datagrams and times in, datagrams out."""
 
-    def __init__(self, name: str, address: Address, epoch: int, secret: bytes, terms: Terms, now: float) -> None:
-        chain = Chain(secret, terms.chain)
+    def __init__(
+        self, name: str, address: Address, epoch: int, secret: bytes, terms: FleetSettings, now: float
+    ) -> None:
+        chain = IncarnationChain(secret, terms.chain)
         seed = int.from_bytes(blake2b(secret, digest_size=8, person=b"draws").digest())
-        me = Claim(name, address[0], address[1], wire.ALIVE, epoch, 0, chain.proof(0))
+        me = MemberState(name, address[0], address[1], wire.ALIVE, epoch, 0, chain.proof(0))
         self.terms, self.name, self.epoch = terms, name, epoch
         self.random = Random(seed)
         self.members = Membership(me, chain, terms.seeds, seed + 1, now, terms.probe_ms, terms.timeout_ms)
-        self.counts = Counts(name, epoch, now)
-        self.verdicts = Verdicts(terms.judges, terms.verdict_ms)
+        self.counts = FleetCounters(name, epoch, now)
+        self.verdicts = EngineVerdicts(terms.judges, terms.verdict_ms)
         self.counted: Counter[str] = Counter()
         self.members.count = self.counts.count = self._count
         self.note: Callable[..., None] = lambda event, **fields: None  # a log line
         self.channels: dict[int, Callable[[float, str, int, bytes], None]] = {}  # now, sender, its epoch, the message
         self.watchers: list[Callable[[float, str, str], None]] = []  # now, member, its state: one of wire.STATES
         self.homes = sorted(terms.seeds)
-        self.budgets: dict[str, _Budget] = {}
+        self.budgets: dict[str, _BudgetState] = {}
         for number, budget in enumerate(terms.budgets, 1):
             rights = self._rights(budget, terms.lease_ms, now)
-            self.budgets[budget.name] = _Budget(
+            self.budgets[budget.name] = _BudgetState(
                 budget,
                 number,
                 self._digest(budget, terms.lease_ms),
                 rights,
-                flow.Demand(budget.window_ms, rights.rest_ms),
-                flow.Lenders(seed + 2),
-                now + self.random.random() * flow.ASK_MS,
+                quota_flow.Demand(budget.window_ms, rights.rest_ms),
+                quota_flow.LenderSelector(seed + 2),
+                now + self.random.random() * quota_flow.ASK_MS,
             )
         self.asked_for: Callable[[float, str], bool] = lambda now, name: False  # to open it, or whether it is in use
         self._closed_series = 0  # the highest of all budgets that were closed
@@ -120,21 +124,21 @@
         self._tell_at = now + self.random.random() * TELL_MS
         self._told: list[str] = []
         self._bytes_out = self._bytes_in = 0
-        self._on: dict[type, Callable[[float, Claim, Any], None]] = {
+        self._on: dict[type, Callable[[float, MemberState, Any], None]] = {
             wire.Ping: lambda now, me, b: self.members.on_ping(now, me.name, b),
             wire.Ack: lambda now, me, b: self.members.on_ack(now, me.name, b),
-            wire.Relay: lambda now, me, b: self.members.on_relay(now, me.name, b),
+            wire.PingRequest: lambda now, me, b: self.members.on_relay(now, me.name, b),
             wire.Nack: lambda now, me, b: self.members.on_nack(b),
-            wire.Pull: self._on_pull,
-            wire.Page: self._on_page,
-            wire.Compare: self._on_compare,
-            wire.Rows: self._on_rows,
+            wire.MembersRequest: self._on_pull,
+            wire.MembersPage: self._on_page,
+            wire.CountersRequest: self._on_compare,
+            wire.CountersPage: self._on_rows,
             wire.Gossip: lambda now, me, b: None,
-            wire.Word: lambda now, me, b: self.verdicts.hear(now, me.name, b.verdicts),
-            wire.Ask: self._on_ask,
-            wire.Grant: self._on_grant,
-            wire.Back: self._on_back,
-            wire.Parcel: self._on_parcel,
+            wire.VerdictDigest: lambda now, me, b: self.verdicts.hear(now, me.name, b.verdicts),
+            wire.QuotaRequest: self._on_ask,
+            wire.QuotaGrant: self._on_grant,
+            wire.QuotaReturn: self._on_back,
+            wire.ApplicationMessage: self._on_parcel,
         }
 
     def _count(self, what: str) -> None:
@@ -150,7 +154,7 @@
         self._bytes_in += len(data)
         try:
             packet = wire.decode(data)
-        except wire.BadPacket:
+        except wire.InvalidPacketError:
             self._count("fleet_undecodable")
             return []
         if packet.to not in ("", self.name):
@@ -176,7 +180,7 @@
         self.counts.publish(now, self.members.size)
         for state in self.budgets.values():
             if now >= state.flow_at:
-                state.flow_at = now + flow.ASK_MS
+                state.flow_at = now + quota_flow.ASK_MS
                 self._flow(now, state)
         if now >= self._rows_at:  # what news missed
             self._rows_at = now + rows_interval(self.members.size) * (0.75 + 0.5 * self.random.random())
@@ -228,7 +232,7 @@
         """Return the datagrams with another part's message to a member: not repeated if lost, and none to a member that
         is not alive.
         """
-        self.members.send(name, wire.Parcel(channel, data))
+        self.members.send(name, wire.ApplicationMessage(channel, data))
         return self._flush(now)
 
     def leave(self, now: float) -> list[Datagram]:
@@ -242,30 +246,32 @@
 
     # Budgets.
 
-    def _rights(self, budget: Budget, lease_ms: float, born: float, series: int = 0) -> Rights:
+    def _rights(self, budget: Budget, lease_ms: float, born: float, series: int = 0) -> QuotaAccount:
         shares = dict(zip(self.homes, even(budget.units, len(self.homes)), strict=True))
-        return Rights(shares.get(self.name, 0), budget.window_ms, lease_ms, self.terms.drift, born, series)
+        return QuotaAccount(shares.get(self.name, 0), budget.window_ms, lease_ms, self.terms.drift, born, series)
 
     def _digest(self, budget: Budget, lease_ms: float) -> int:
         return int.from_bytes(
             blake2b(repr((budget, self.homes, lease_ms, self.terms.drift)).encode(), digest_size=6).digest()
         )
 
-    def open(self, now: float, budget: Budget, lease_ms: float, born: float) -> tuple[Rights, flow.Wish]:
+    def open(
+        self, now: float, budget: Budget, lease_ms: float, born: float
+    ) -> tuple[QuotaAccount, quota_flow.StatedDemand]:
         """Add a budget that is in no settings; it is divided as at all others that open it with the same terms.
 
         `born`: from when the own part rests, as a predecessor may have lent or used it; -inf: none can have.
         """
         rights = self._rights(budget, lease_ms, born, self._closed_series)
-        wish = flow.Wish()
-        self.budgets[budget.name] = _Budget(
+        wish = quota_flow.StatedDemand()
+        self.budgets[budget.name] = _BudgetState(
             budget,
             0,
             self._digest(budget, lease_ms),
             rights,
             wish,
-            flow.Lenders(self.random.getrandbits(32)),
-            now + self.random.random() * flow.ASK_MS,
+            quota_flow.LenderSelector(self.random.getrandbits(32)),
+            now + self.random.random() * quota_flow.ASK_MS,
         )
         return rights, wish
 
@@ -279,18 +285,18 @@
         del self.budgets[name]
         return True
 
-    def _flow(self, now: float, state: _Budget) -> None:
+    def _flow(self, now: float, state: _BudgetState) -> None:
         rights, need = state.rights, state.demand.need(now, not state.lenders.scarce)
         rights.tick(now)
-        for lender, units in flow.excess(rights, need):
+        for lender, units in quota_flow.excess(rights, need):
             rights.owe(now, lender, units)
             self._give_back(now, state, lender)
         for lender, (_, at) in list(state.asks.items()):
-            if now - at > 4.0 * flow.ASK_MS:  # no answer: whoever it is may be gone
+            if now - at > 4.0 * quota_flow.ASK_MS:  # no answer: whoever it is may be gone
                 del state.asks[lender]
                 state.lenders.silent(now, lender)
         missing = need - rights.held
-        for lender in flow.renewals(rights, now):
+        for lender in quota_flow.renewals(rights, now):
             if lender in self.members.alive and lender not in state.asks and need:
                 self._ask(now, state, lender, max(0, missing))
                 missing = min(missing, 0)
@@ -300,7 +306,7 @@
                 self._ask(now, state, lender, -(-missing // (len(chosen) - place)))
                 missing -= -(-missing // (len(chosen) - place))
 
-    def _ask(self, now: float, state: _Budget, lender: str, more: int) -> None:
+    def _ask(self, now: float, state: _BudgetState, lender: str, more: int) -> None:
         member = self.members.alive[lender]
         self._seq += 1
         of, series, returned, closed = state.rights.asking(now, lender, member.claim.epoch, self._seq)
@@ -308,7 +314,7 @@
         state.asks[lender] = (self._seq, now)
         self.members.send(
             lender,
-            wire.Ask(
+            wire.QuotaRequest(
                 state.budget.name,
                 state.digest,
                 self._seq,
@@ -320,7 +326,7 @@
             ),
         )
 
-    def _on_ask(self, now: float, me: Claim, ask: wire.Ask) -> None:
+    def _on_ask(self, now: float, me: MemberState, ask: wire.QuotaRequest) -> None:
         state = self._same_terms(now, me, ask)
         if state is None or not state.rights.own:
             return
@@ -328,21 +334,21 @@
         loan = rights.on_ask(
             now, me.name, me.epoch, ask.lender == self.epoch, ask.series, ask.returned, ask.closed, ask.want
         )
-        if not isinstance(wish := state.demand, flow.Wish):
-            give, keep = flow.offer(rights, need, loan, me.name)
+        if not isinstance(wish := state.demand, quota_flow.StatedDemand):
+            give, keep = quota_flow.offer(rights, need, loan, me.name)
         else:
-            give, keep = flow.in_turn(
+            give, keep = quota_flow.in_turn(
                 rights, need, loan, me.name, self.name, wish.turn, wish.least * rights.own // state.budget.units
             )
         rights.lend(loan, give)
         self.members.send(
             me.name,
-            wire.Grant(
-                state.budget.name, state.digest, ask.seq, loan.series, loan.given, keep, flow.spare(rights, need)
+            wire.QuotaGrant(
+                state.budget.name, state.digest, ask.seq, loan.series, loan.given, keep, quota_flow.spare(rights, need)
             ),
         )
 
-    def _on_grant(self, now: float, me: Claim, grant: wire.Grant) -> None:
+    def _on_grant(self, now: float, me: MemberState, grant: wire.QuotaGrant) -> None:
         if (state := self._same_terms(now, me, grant)) is None:
             return
         before = state.rights.held
@@ -352,16 +358,18 @@
             del state.asks[me.name]
             state.lenders.answered(now, me.name, state.rights.held - before, grant.spare)
 
-    def _on_back(self, now: float, me: Claim, back: wire.Back) -> None:
+    def _on_back(self, now: float, me: MemberState, back: wire.QuotaReturn) -> None:
         state = self.budgets.get(back.budget)
         if state is not None and back.lender == self.epoch:
             state.rights.on_back(now, me.name, me.epoch, back.series, back.returned)
 
-    def _give_back(self, now: float, state: _Budget, lender: str) -> None:
+    def _give_back(self, now: float, state: _BudgetState, lender: str) -> None:
         if (word := state.rights.give_back(now, lender)) is not None:
-            self.members.send(lender, wire.Back(state.budget.name, *word))
+            self.members.send(lender, wire.QuotaReturn(state.budget.name, *word))
 
-    def _same_terms(self, now: float, me: Claim, body: wire.Ask | wire.Grant) -> _Budget | None:
+    def _same_terms(
+        self, now: float, me: MemberState, body: wire.QuotaRequest | wire.QuotaGrant
+    ) -> _BudgetState | None:
         """Rights move only among coordinators that divide the same budget in the same way."""
         state = self.budgets.get(body.budget)
         if state is None or not state.number:  # in nobody's settings
@@ -388,11 +396,11 @@
         for _ in range(min(self.verdicts.many(self.members.size), len(self._told))):
             name = self._told.pop()
             if self.verdicts.tells(name):
-                self.members.send(name, wire.Word(self.verdicts.word(now, name)))
+                self.members.send(name, wire.VerdictDigest(self.verdicts.word(now, name)))
 
     # What is carried for other parts.
 
-    def _on_parcel(self, now: float, me: Claim, parcel: wire.Parcel) -> None:
+    def _on_parcel(self, now: float, me: MemberState, parcel: wire.ApplicationMessage) -> None:
         if (hear := self.channels.get(parcel.channel)) is None:
             self._count("fleet_no_such_channel")
             return
@@ -400,22 +408,22 @@
 
     # Pages.
 
-    def _on_pull(self, now: float, me: Claim, pull: wire.Pull) -> None:
-        self.members.send(me.name, wire.Page(pull.after))  # what it holds is put in as it leaves
+    def _on_pull(self, now: float, me: MemberState, pull: wire.MembersRequest) -> None:
+        self.members.send(me.name, wire.MembersPage(pull.after))  # what it holds is put in as it leaves
 
-    def _on_page(self, now: float, me: Claim, page: wire.Page) -> None:
+    def _on_page(self, now: float, me: MemberState, page: wire.MembersPage) -> None:
         if page.last:
-            self.members.send(me.name, wire.Pull(page.last))
+            self.members.send(me.name, wire.MembersRequest(page.last))
 
     def _compare(self, name: str, begin: int) -> None:
         if self._compares:
             self._compares -= 1
             self.members.send(name, self.counts.compare(begin, self.random.getrandbits(53) | 1))
 
-    def _on_compare(self, now: float, me: Claim, ask: wire.Compare) -> None:
+    def _on_compare(self, now: float, me: MemberState, ask: wire.CountersRequest) -> None:
         self.members.send(me.name, self.counts.differing(now, ask, ROOM))
 
-    def _on_rows(self, now: float, me: Claim, body: wire.Rows) -> None:
+    def _on_rows(self, now: float, me: MemberState, body: wire.CountersPage) -> None:
         for row in body.rows:
             self.counts.merge(now, row)
         if body.next:
@@ -448,9 +456,9 @@
 
     def _packet(self, now: float, to: str, body: wire.Body) -> Packet:
         members = self.members
-        if isinstance(body, wire.Page):
+        if isinstance(body, wire.MembersPage):
             claims, last = members.page(body.last, ROOM)
-            return Packet(members.me, to, wire.Page(last), claims)
+            return Packet(members.me, to, wire.MembersPage(last), claims)
         if body.__class__ in ALONE:
             return Packet(members.me, to, body)
         if not self.counts.pending:
--- a/frostspindle/fleet/escrow.py
+++ b/frostspindle/fleet/quota_escrow.py
@@ -29,7 +29,7 @@
 GRAINS = 128  # a window has so many steps of rest; a right may rest one step longer than it must
 
 
-class Pool:
+class QuotaPool:
     """Rights in hand, ready or resting until a time in ms."""
 
     __slots__ = ("_rest", "ready", "resting")
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Lent:
+class LentQuota:
     """One loan, as its lender records it."""
 
     epoch: int  # of the borrower's process
@@ -101,7 +101,7 @@
 
 
 @dataclass(slots=True)
-class Borrowed:
+class BorrowedQuota:
     """One loan, as its borrower records it."""
 
     epoch: int  # of the lender's process
@@ -113,7 +113,7 @@
     asked: float = 0.0  # when it was last renewed
     owed: int = 0  # units to go back as they have rested, before anything else is made of them
     aside: int = 0  # of these, rested already
-    pool: Pool = field(default_factory=Pool)
+    pool: QuotaPool = field(default_factory=QuotaPool)
 
     @property
     def held(self) -> int:
@@ -121,7 +121,7 @@
         return self.given - self.returned
 
 
-class Rights:
+class QuotaAccount:
     """One coordinator's rights in one budget: its own, lent and borrowed ones."""
 
     def __init__(self, own: int, window_ms: float, lease_ms: float, drift: float, born: float, series: int = 0) -> None:
@@ -131,11 +131,11 @@
         self.rest_ms = window_ms * (1.0 + drift)
         self.back_ms = lease_ms * (1.0 + drift) / (1.0 - drift)
         self.grain = self.rest_ms / GRAINS
-        self.pool = Pool()  # of the own rights
+        self.pool = QuotaPool()  # of the own rights
         self.pool.rest(own, born + self.back_ms + self.rest_ms, self.grain)
-        self.lent: dict[str, Lent] = {}  # by borrower
-        self.lapsing: list[Lent] = []  # to processes that were followed by others
-        self.borrowed: dict[str, Borrowed] = {}  # by lender
+        self.lent: dict[str, LentQuota] = {}  # by borrower
+        self.lapsing: list[LentQuota] = []  # to processes that were followed by others
+        self.borrowed: dict[str, BorrowedQuota] = {}  # by lender
         self.closed: dict[str, tuple[int, int]] = {}  # by lender: its epoch and the highest series that is over
         self.asked: dict[str, dict[int, float]] = {}  # by lender: when each Ask went out
         self.spent = self.denied = self.lapsed = 0
@@ -228,14 +228,14 @@
             self._close(lender, loan)
         self._settle_at = at  # rests and ends only move to later, and what else there is comes with a call of its own
 
-    def _close(self, lender: str, loan: Borrowed) -> None:
+    def _close(self, lender: str, loan: BorrowedQuota) -> None:
         self.lapsed += loan.held
         self._borrowed -= loan.held
         self._loans_ready -= loan.pool.ready
         self.closed[lender] = (loan.epoch, loan.series)
         del self.borrowed[lender]
 
-    def move(self, now: float, to: Rights) -> None:
+    def move(self, now: float, to: QuotaAccount) -> None:
         """Move the own units in hand to another budget of the same units; each rests there as long as it must here.
 
         Units that are lent follow in later calls, only once they are back: their borrower may still use them here.
@@ -281,7 +281,7 @@
         self.pool.rest(units, until, self.grain)
         self._settle_at = min(self._settle_at, until)
 
-    def _forget(self, borrower: str) -> Lent:
+    def _forget(self, borrower: str) -> LentQuota:
         """A loan that is no longer lent; its units are still out."""
         loan = self.lent.pop(borrower)
         del self.claims[bisect_left(self.claims, (loan.want, borrower))]
@@ -289,7 +289,7 @@
 
     def on_ask(
         self, now: float, borrower: str, epoch: int, mine: bool, series: int, returned: int, closed: int, want: int
-    ) -> Lent:
+    ) -> LentQuota:
         """Take a borrower's Ask and return its loan, renewed or new.
 
         `mine`: `series` and `closed` are of loans by this process. A loan to an earlier process of the borrower is left
@@ -308,7 +308,7 @@
             loan = None
         if loan is None:
             self.series += 1
-            loan = self.lent[borrower] = Lent(epoch, self.series, now, want=want)
+            loan = self.lent[borrower] = LentQuota(epoch, self.series, now, want=want)
             insort(self.claims, (want, borrower))
         else:
             if mine and series == loan.series:
@@ -321,7 +321,7 @@
         self._lent_ends = min(self._lent_ends, loan.ends)
         return loan
 
-    def lend(self, loan: Lent, units: int) -> None:
+    def lend(self, loan: LentQuota, units: int) -> None:
         """Add ready units to a loan; ValueError if more than is ready, or a negative number."""
         if not 0 <= units <= self.pool.ready:
             raise ValueError("only what is ready can be lent")
@@ -341,7 +341,7 @@
             if not loan.out and not loan.want:
                 self._forget(borrower)
 
-    def _returned(self, loan: Lent, returned: int) -> None:
+    def _returned(self, loan: LentQuota, returned: int) -> None:
         units = max(0, min(returned, loan.given) - loan.returned)
         loan.returned += units
         self._out -= units
@@ -389,7 +389,7 @@
         if loan is None:
             if not given:
                 return True  # nothing was to be had: there is no loan to keep
-            loan = self.borrowed[lender] = Borrowed(epoch, series, asked + self.lease_ms, asked=asked)
+            loan = self.borrowed[lender] = BorrowedQuota(epoch, series, asked + self.lease_ms, asked=asked)
         if given > loan.given:
             loan.pool.ready += given - loan.given
             self._loans_ready += given - loan.given
--- a/frostspindle/fleet/flow.py
+++ b/frostspindle/fleet/quota_flow.py
@@ -15,7 +15,7 @@
 from hashlib import blake2b
 
 from frostspindle.division import level
-from frostspindle.fleet.escrow import Lent, Rights
+from frostspindle.fleet.quota_escrow import LentQuota, QuotaAccount
 
 PARTS = 8  # of a window, by which demand is counted
 RECENT = 2.0  # windows looked back on
@@ -61,7 +61,7 @@
         return math.ceil((mean + scatter * math.sqrt(mean)) * self.per_right) + scatter
 
 
-class Wish:
+class StatedDemand:
     """A need that its owner states, in place of an estimate of what was asked.
 
     A share of less than `least` units of the whole is of no use: then all but the smallest claims are met in turn.
@@ -78,7 +78,7 @@
         return self.units
 
 
-class Lenders:
+class LenderSelector:
     """Choice of whom to ask next: members that had rights left when they last answered, else at random, with
     exponential backoff.
     """
@@ -176,7 +176,7 @@
             self._free.insert(place, name)
 
 
-def offer(rights: Rights, need: int, loan: Lent, borrower: str) -> tuple[int, int]:
+def offer(rights: QuotaAccount, need: int, loan: LentQuota, borrower: str) -> tuple[int, int]:
     """Return what to lend now in answer to an Ask, and what that borrower should hold at most.
 
     All claimants of the own rights, this coordinator among them, are served max-min fair. What a borrower holds over
@@ -194,7 +194,9 @@
     return max(0, min(share - loan.out, rights.pool.ready, rights.in_hand - own)), share
 
 
-def in_turn(rights: Rights, need: int, loan: Lent, borrower: str, me: str, turn: int, least: int) -> tuple[int, int]:
+def in_turn(
+    rights: QuotaAccount, need: int, loan: LentQuota, borrower: str, me: str, turn: int, least: int
+) -> tuple[int, int]:
     """Return the same as `offer`, where an even share may be too small for one use of `least` units.
 
     Claims under the even share are met as usual. The others are met whole one after another, in an order by `turn` that
@@ -213,12 +215,12 @@
     return max(0, min(share - loan.out, rights.pool.ready, rights.in_hand - shares[me])), share
 
 
-def spare(rights: Rights, need: int) -> int:
+def spare(rights: QuotaAccount, need: int) -> int:
     """Return how many ready rights are left over this coordinator's own need."""
     return max(0, min(rights.pool.ready, rights.in_hand - need))
 
 
-def excess(rights: Rights, need: int) -> list[tuple[str, int]]:
+def excess(rights: QuotaAccount, need: int) -> list[tuple[str, int]]:
     """Return how many units of each loan should go back: over what its lender allows (`keep`) and over the need.
 
     The smallest loans come first. Loans with units owed or set aside are listed with 0.
@@ -244,6 +246,6 @@
     return out
 
 
-def renewals(rights: Rights, now: float) -> list[str]:
+def renewals(rights: QuotaAccount, now: float) -> list[str]:
     """Return the lenders whose loans are due for a new Ask: a third of the lease after the last one."""
     return [name for name, loan in rights.borrowed.items() if now - loan.asked >= RENEW * rights.lease_ms]
--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -16,8 +16,8 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from frostspindle import policy
-from frostspindle.fleet import verdicts, wire
-from frostspindle.fleet.node import Datagram, Node, Terms
+from frostspindle.fleet import engine_verdicts, wire
+from frostspindle.fleet.node import Datagram, FleetNode, FleetSettings
 from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
@@ -34,12 +34,12 @@
     return time.monotonic() * 1000.0
 
 
-class Part(Protocol):
+class FleetChannel(Protocol):
     """A part of the program that exchanges datagrams with its counterparts in other coordinators over one channel."""
 
     channel: int  # of wire.CHANNELS, its own
 
-    def begin(self, now: float, node: Node) -> None:
+    def begin(self, now: float, node: FleetNode) -> None:
         """Start: the UDP port is this process's, and Service.post reaches members from now on."""
 
     def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
@@ -49,7 +49,7 @@
         """Take a member's new state: alive, suspect, dead or left."""
 
 
-class Service:
+class FleetService:
     """One process's part in the fleet: socket, timer, log and figures around a Node."""
 
     def __init__(
@@ -57,15 +57,15 @@
         name: str,
         listen: tuple[str, int],
         advertise: tuple[str, int] | None,
-        terms: Terms,
+        terms: FleetSettings,
         tenants: dict[int, str],
         core: Core,
         telemetry: Telemetry,
     ) -> None:
         self.name, self.listen, self.advertise, self.terms = name, listen, advertise, terms
         self.tenants, self.core, self.telemetry = tenants, core, telemetry  # tenants: the module's number, its budget
-        self.node: Node | None = None
-        self.parts: list[Part] = []  # set before start
+        self.node: FleetNode | None = None
+        self.parts: list[FleetChannel] = []  # set before start
         self.socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
@@ -100,7 +100,7 @@
                 waits = True
                 await asyncio.sleep(AGAIN_S)
         here = self.advertise or self.socket.getsockname()
-        self.node = Node(self.name, here, int(time.time() * 1e6), secrets.token_bytes(16), self.terms, monotonic())
+        self.node = FleetNode(self.name, here, int(time.time() * 1e6), secrets.token_bytes(16), self.terms, monotonic())
         self.node.note = self.telemetry.log
         for part in self.parts:
             self.node.channels[part.channel] = part.hear
@@ -151,7 +151,7 @@
     # What the coordinator uses.
 
     def post(self, name: str, channel: int, data: bytes) -> None:
-        """Send a part's message of up to wire.MOST_PARCEL bytes to a member; nothing where the node does not serve."""
+        """Send a message of up to wire.MAX_MESSAGE_BYTES bytes to a member; nothing where the node does not serve."""
         if self.node is not None and self.socket is not None:
             self._send(self.node.post(monotonic(), name, channel, data))
 
@@ -181,7 +181,7 @@
         self._since = time.time()
         at = monotonic()
         self.node.judge(at, self._standing(now * 1000.0))
-        agreed = self.node.verdicts.agreed(at, verdicts.SICK)
+        agreed = self.node.verdicts.agreed(at, engine_verdicts.SICK)
         if agreed != self._heard:
             changed = [number for number, state in self.core.engines.items() if state.name in agreed ^ self._heard]
             self._heard = agreed
@@ -206,13 +206,13 @@
                 continue
             evidence = (round(believed.fails, 3), round(believed.slow, 3), float(len(believed.attempts)))
             if believed.suspect and not believed.hearsay:
-                out[state.name, verdicts.SICK] = evidence
+                out[state.name, engine_verdicts.SICK] = evidence
             if state.name in self.core.banned:
-                out[state.name, verdicts.BANNED] = evidence
+                out[state.name, engine_verdicts.BANNED] = evidence
             if believed.slow > SLOW:
-                out[state.name, verdicts.SLOW] = evidence
+                out[state.name, engine_verdicts.SLOW] = evidence
             if believed.cold(now):
-                out[state.name, verdicts.COLD] = evidence
+                out[state.name, engine_verdicts.COLD] = evidence
         return out
 
     def figures(self) -> dict[str, Any]:
--- a/frostspindle/fleet/cold.py
+++ b/frostspindle/fleet/slow_start.py
@@ -20,9 +20,9 @@
 from hashlib import blake2b
 from typing import Any
 
-from frostspindle.fleet.escrow import Rights
-from frostspindle.fleet.flow import Wish
-from frostspindle.fleet.node import Budget, Node
+from frostspindle.fleet.node import Budget, FleetNode
+from frostspindle.fleet.quota_escrow import QuotaAccount
+from frostspindle.fleet.quota_flow import StatedDemand
 
 UNITS = 960  # of one start's budget: small beside a query, and some for each of the most seeds there may be
 MOST = 512  # starts that are looked after at once
@@ -89,30 +89,37 @@
 
 
 @dataclass(slots=True)
-class Start:
+class EngineStart:
     """One start of an engine, as this coordinator knows it."""
 
     place: str
     born_ms: float
-    rights: Rights
-    wish: Wish
+    rights: QuotaAccount
+    wish: StatedDemand
     heard_at: float  # when it was last believed cold, or asked for
     cold_at: float = -math.inf  # when it was last believed cold here
     used: deque[tuple[float, float]] = field(default_factory=deque)  # Unix ms of the decision, work
 
 
-class Cold:
+class SlowStartBudgets:
     """One process's rights in the budgets of cold engines, one budget for each start of an engine."""
 
     def __init__(
-        self, node: Node, window_ms: float, coordinators: int, outside: int, lease_ms: float, now: float, unix: float
+        self,
+        node: FleetNode,
+        window_ms: float,
+        coordinators: int,
+        outside: int,
+        lease_ms: float,
+        now: float,
+        unix: float,
     ) -> None:
         """`coordinators` share each engine, of which `outside` never use rights but their plain share; `now`: from
         when this process is the only one of its name."""
         self.node, self.window_ms, self.lease_ms = node, window_ms, lease_ms
         self.units = UNITS * (coordinators - outside) // coordinators
         self.now, self.unix = now, unix  # when the process began, by both clocks
-        self.starts: dict[str, Start] = {}
+        self.starts: dict[str, EngineStart] = {}
         self.newest: dict[str, float] = {}  # of each engine: the latest start that anybody here has heard of
         self.count: Callable[[str], None] = lambda what: None
         self.marked = False  # a store says, or may say, that nothing of ours is out: nothing may be
@@ -138,7 +145,7 @@
         start.heard_at = now
         return not self.marked and born >= self.newest[place]
 
-    def _start(self, now: float, engine: str, born_ms: float) -> Start | None:
+    def _start(self, now: float, engine: str, born_ms: float) -> EngineStart | None:
         """The start that is believed cold here."""
         name = named(engine, born_ms)
         start = self.starts.get(name) or self._open(now, name, *(read(name) or ("", 0.0)))
@@ -146,7 +153,7 @@
             start.heard_at = start.cold_at = now
         return start
 
-    def _open(self, now: float, name: str, place: str, born: float) -> Start | None:
+    def _open(self, now: float, name: str, place: str, born: float) -> EngineStart | None:
         if len(self.starts) >= MOST or born < self.newest.get(place, 0.0):
             self.count("cold_full" if len(self.starts) >= MOST else "cold_old_start")
             return None
@@ -158,7 +165,7 @@
             rights.wake()
         before = [other for other in self.starts.values() if other.place == place]
         self.newest[place] = born
-        start = self.starts[name] = Start(place, born, rights, wish, now)
+        start = self.starts[name] = EngineStart(place, born, rights, wish, now)
         if before:  # the units are those of the start before, and who has not heard of this one may still use some
             rights.pool.take()
             rights.own = 0
--- a/frostspindle/fleet/warming.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -12,9 +12,9 @@
 
 from frostspindle import policy
 from frostspindle.core import Attempt, EngineState, clock
-from frostspindle.fleet.cold import Cold, exact, gathers, wished
-from frostspindle.fleet.node import Node
+from frostspindle.fleet.node import FleetNode
 from frostspindle.fleet.service import monotonic
+from frostspindle.fleet.slow_start import SlowStartBudgets, exact, gathers, wished
 from frostspindle.policy.controller import COLD_SAFETY
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 WAITING = 64  # of those that are held, the first so many are looked at
 
 
-class Warming:
+class SlowStartCoordinator:
     """One process's side of cold engines' rights; a Part of the fleet's Service."""
 
     channel = CHANNEL
@@ -39,17 +39,17 @@
             fleet.cold_lease_ms,
             fleet.cold_outside,
         )
-        self.cold: Cold | None = None
+        self.cold: SlowStartBudgets | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._passed, self.core.may_start = self.core.may_start, self.fence
 
-    def begin(self, now: float, node: Node) -> None:
+    def begin(self, now: float, node: FleetNode) -> None:
         """Create the accounts of cold engines on the fleet's node and start the timer.
 
         Called once the port is ours.
         """
         settings = self.core.settings
-        self.cold = Cold(
+        self.cold = SlowStartBudgets(
             node, settings.slow_start_window_ms, settings.coordinators, self.outside, self.lease_ms, now, clock()
         )
         self.cold.count = self.telemetry.count
@@ -160,11 +160,11 @@
     return (state.listed or state.entry).since_ms
 
 
-def attach(program: ProgramContext) -> Warming:
+def attach(program: ProgramContext) -> SlowStartCoordinator:
     """Create and register the part, if the operator has cold engines' budgets shared.
 
     Must be called before the fleet starts.
     """
-    warming = Warming(program)
+    warming = SlowStartCoordinator(program)
     program.fleet.parts.append(warming)
     return warming
--- a/frostspindle/fleet/wire.py
+++ b/frostspindle/fleet/wire.py
@@ -18,7 +18,7 @@
 PROOF = 16  # bytes of an incarnation's proof
 SPAN_BITS = 48  # of a place's hash
 MOST_MARKS = 1_000  # bytes of a comparison
-MOST_PARCEL = 960  # bytes that another part of the program may send in one message
+MAX_MESSAGE_BYTES = 960  # bytes that another part of the program may send in one message
 CHANNELS = 16
 
 Whole = Annotated[int, Meta(ge=0, le=2**53)]
@@ -29,7 +29,7 @@
 Position = Annotated[int, Meta(ge=0, lt=2**SPAN_BITS)]
 
 
-class Claim(Struct, array_like=True, frozen=True):
+class MemberState(Struct, array_like=True, frozen=True):
     """What a member states of another or itself. The proof shows that the claim's subject made this incarnation."""
 
     name: Name
@@ -47,7 +47,7 @@
         return self.host, self.port
 
 
-class Doubt(Struct, array_like=True, frozen=True):
+class Suspicion(Struct, array_like=True, frozen=True):
     """A claim that a member is not well, without address and proof.
 
     Of use only to receivers that know this incarnation already.
@@ -60,7 +60,7 @@
     by: Annotated[str, Meta(max_length=64)] = ""
 
 
-class Row(Struct, array_like=True, frozen=True):
+class CounterRow(Struct, array_like=True, frozen=True):
     """Counts of one origin: all of a stream where `base` is 0, else those changed since its version `base`."""
 
     origin: Name
@@ -96,7 +96,7 @@
     seq: Whole
 
 
-class Relay(Struct, array_like=True, frozen=True, tag=2):
+class PingRequest(Struct, array_like=True, frozen=True, tag=2):
     """Request to ping `target`; answered with Ack if it answers, with Nack if it does not in time."""
 
     seq: Whole
@@ -109,13 +109,13 @@
     seq: Whole
 
 
-class Pull(Struct, array_like=True, frozen=True, tag=4):
+class MembersRequest(Struct, array_like=True, frozen=True, tag=4):
     """Request for the members that the receiver knows, after this name in order of names."""
 
     after: Annotated[str, Meta(max_length=64)]
 
 
-class Page(Struct, array_like=True, frozen=True, tag=5):
+class MembersPage(Struct, array_like=True, frozen=True, tag=5):
     """Answer to a Pull, with the claims as piggyback; `last` is the name to go on after, "" at the end."""
 
     last: Annotated[str, Meta(max_length=64)]
@@ -125,13 +125,13 @@
     """A message with nothing but the piggyback."""
 
 
-class Word(Struct, array_like=True, frozen=True, tag=7):
+class VerdictDigest(Struct, array_like=True, frozen=True, tag=7):
     """All judgements that the sender holds now; one that is missing is withdrawn."""
 
     verdicts: Annotated[list[Verdict], Meta(max_length=16)]
 
 
-class Ask(Struct, array_like=True, frozen=True, tag=8):
+class QuotaRequest(Struct, array_like=True, frozen=True, tag=8):
     """Request to lend rights of a budget, or to renew the loan; `returned` and `closed` are given back for good."""
 
     budget: Name
@@ -144,7 +144,7 @@
     want: Whole  # units of this lender in all
 
 
-class Grant(Struct, array_like=True, frozen=True, tag=9):
+class QuotaGrant(Struct, array_like=True, frozen=True, tag=9):
     """Answer to an Ask: the whole loan as it stands; the borrower's lease counts from the Ask of `seq`."""
 
     budget: Name
@@ -156,7 +156,7 @@
     spare: Whole  # what the lender has left
 
 
-class Back(Struct, array_like=True, frozen=True, tag=10):
+class QuotaReturn(Struct, array_like=True, frozen=True, tag=10):
     """Return of rights: units of a series given back in all, unused for a whole window."""
 
     budget: Name
@@ -165,7 +165,7 @@
     returned: Whole
 
 
-class Compare(Struct, array_like=True, frozen=True, tag=11):
+class CountersRequest(Struct, array_like=True, frozen=True, tag=11):
     """Request for the count rows that the receiver has newer.
 
     Positions (hashes of rows' places) are cut in 2**bits ranges of one width. For the range of `begin`, from there on,
@@ -179,58 +179,73 @@
     marks: Annotated[bytes, Meta(max_length=MOST_MARKS)]
 
 
-class Rows(Struct, array_like=True, frozen=True, tag=12):
+class CountersPage(Struct, array_like=True, frozen=True, tag=12):
     """Answer to a Compare, and the position for the next one; 0 if that was all."""
 
     next: Position
-    rows: Annotated[list[Row], Meta(max_length=32)]
+    rows: Annotated[list[CounterRow], Meta(max_length=32)]
 
 
-class Parcel(Struct, array_like=True, frozen=True, tag=13):
+class ApplicationMessage(Struct, array_like=True, frozen=True, tag=13):
     """Message of another part of the program, which the fleet carries unread.
 
     The part bounds and checks its content.
     """
 
     channel: Annotated[int, Meta(ge=0, lt=CHANNELS)]
-    data: Annotated[bytes, Meta(max_length=MOST_PARCEL)]
-
-
-Body = Ping | Ack | Relay | Nack | Pull | Page | Gossip | Word | Ask | Grant | Back | Compare | Rows | Parcel
+    data: Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES)]
+
+
+Body = (
+    Ping
+    | Ack
+    | PingRequest
+    | Nack
+    | MembersRequest
+    | MembersPage
+    | Gossip
+    | VerdictDigest
+    | QuotaRequest
+    | QuotaGrant
+    | QuotaReturn
+    | CountersRequest
+    | CountersPage
+    | ApplicationMessage
+)
 
 
 class Packet(Struct, array_like=True, frozen=True):
     """One datagram: sender, receiver, body, and the piggybacked claims, doubts and count rows."""
 
-    me: Claim
+    me: MemberState
     to: Annotated[str, Meta(max_length=64)]  # "": whoever is there
     body: Body
-    news: Annotated[list[Claim], Meta(max_length=32)] = []
-    rows: Annotated[list[Row], Meta(max_length=32)] = []
-    doubts: Annotated[list[Doubt], Meta(max_length=32)] = []
+    news: Annotated[list[MemberState], Meta(max_length=32)] = []
+    rows: Annotated[list[CounterRow], Meta(max_length=32)] = []
+    doubts: Annotated[list[Suspicion], Meta(max_length=32)] = []
 
 
 encode = msgspec.msgpack.Encoder().encode
 
 
-class BadPacket(ValueError):
+class InvalidPacketError(ValueError):
     """Bytes that are not a valid message."""
 
 
-def reader(form: Any, most: int = MOST_PARCEL) -> Callable[[bytes], Any]:
+def reader(form: Any, most: int = MAX_MESSAGE_BYTES) -> Callable[[bytes], Any]:
     """Return a decoder for messages of a form.
 
-    It raises BadPacket for bytes that are too long, malformed or out of range.
+    It raises InvalidPacketError for bytes that are too long, malformed or out of range.
     """
     decoder = msgspec.msgpack.Decoder(form)
 
     def decode(data: bytes) -> Any:
         if len(data) > most:
-            raise BadPacket("too long")
+            raise InvalidPacketError("too long")
         try:
             return decoder.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            raise BadPacket(str(error)[:120]) from None
+            raise InvalidPacketError(str(error)[:120]) from None
 
     return decode
 
--- a/frostspindle/lab/cold.py
+++ b/frostspindle/lab/cold.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from frostspindle.fleet.cold import UNITS, Cold
+from frostspindle.fleet.slow_start import UNITS, SlowStartBudgets
 from frostspindle.lab.faults.script import Script
 from frostspindle.lab.fleet import Emulator, Process, excess
 
@@ -33,7 +33,7 @@
 
     skew_ms: float
     lag_ms: float  # of its bus
-    cold: Cold | None = None
+    cold: SlowStartBudgets | None = None
     engines: dict[str, float] = field(default_factory=dict)  # when each began, as it has heard
     waiting: list[tuple[float, float]] = field(default_factory=list)  # core-ms, until
     plain: dict[str, deque[tuple[float, float]]] = field(default_factory=lambda: defaultdict(deque))
@@ -94,7 +94,7 @@
         side = self.sides[number]
         side.waiting.clear()
         side.plain.clear()
-        side.cold = Cold(
+        side.cold = SlowStartBudgets(
             process.node, WINDOW_MS, self.count, 0, LEASE_MS, self.clock(process), self.unix() + side.skew_ms
         )
 
--- a/frostspindle/lab/commands.py
+++ b/frostspindle/lab/commands.py
@@ -14,7 +14,7 @@
 
 import click
 
-from frostspindle.lab.faults.script import BadScript, parse
+from frostspindle.lab.faults.script import InvalidScriptError, parse
 
 Played = tuple[dict[str, Any], Callable[[str], str]]  # the figures; what writes a page into a folder and names it
 COMMANDS: dict[str, click.Command] = {}
@@ -43,7 +43,7 @@
                 raise click.UsageError("--report needs the extra: pip install -e '.[plot]'")
             try:
                 figures, write = play(**said)
-            except BadScript as error:
+            except InvalidScriptError as error:
                 raise click.BadParameter(str(error), param_hint="--faults") from None
             if report:
                 click.echo(f"wrote {write(report)}", err=True)
@@ -147,8 +147,8 @@
     if importlib.util.find_spec("immutables") is None:
         raise click.UsageError("settings needs the extra: pip install -e '.[settings]'")
     from frostspindle.lab import settings as playing
-    from frostspindle.settings.deciding import Terms
+    from frostspindle.settings.decisions import AgreementSettings
 
-    world = playing.play(nodes, seed, faults, seconds, terms=Terms(lease_ms, 0.01, 2.0 * lease_ms))
+    world = playing.play(nodes, seed, faults, seconds, terms=AgreementSettings(lease_ms, 0.01, 2.0 * lease_ms))
     figures = playing.measure(world)
     return figures, lambda folder: playing.write(world, figures, folder)
--- a/frostspindle/lab/faults/logs.py
+++ b/frostspindle/lab/faults/logs.py
@@ -153,13 +153,13 @@
 
 async def main(config: dict[str, Any]) -> None:
     """Run one member's process until SIGTERM or the end of its standard input."""
-    from frostspindle.replica.base import Unavailable, Uncertain
-    from frostspindle.replica.service import Replica
+    from frostspindle.replica.base import LogUnavailableError, OutcomeUnknownError
+    from frostspindle.replica.service import ReplicaService
     from frostspindle.telemetry import Telemetry
 
     notes = Notes()
     config["folder"] = Path(config["folder"])
-    replica = Replica(secret=SECRET.encode(), telemetry=Telemetry(config["me"]), **config)
+    replica = ReplicaService(secret=SECRET.encode(), telemetry=Telemetry(config["me"]), **config)
     replica.attach("t", notes)
     await replica.start()
     loop, ended = asyncio.get_running_loop(), asyncio.Event()
@@ -181,7 +181,7 @@
                 out |= replica.figures()
             else:
                 await replica.change_voters(what, call["text"], within_s)
-        except (Unavailable, Uncertain) as error:
+        except (LogUnavailableError, OutcomeUnknownError) as error:
             out["error"] = type(error).__name__
         print(json.dumps({**out, "number": call["number"], "took_s": time.monotonic() - began}), flush=True)
 
--- a/frostspindle/lab/faults/script.py
+++ b/frostspindle/lab/faults/script.py
@@ -27,7 +27,7 @@
 SHARES = ("loss", "dup", "reorder")
 
 
-class BadScript(ValueError):
+class InvalidScriptError(ValueError):
     """A script that can't be read; the text names the part at fault."""
 
 
@@ -119,7 +119,7 @@
             else:
                 raise ValueError("no such fault")
         except (ValueError, IndexError) as error:
-            raise BadScript(f"{part!r}: {error}") from None
+            raise InvalidScriptError(f"{part!r}: {error}") from None
     return Script(tuple(rules), tuple(sorted(acts, key=lambda act: act.at)), tuple(clocks))
 
 
--- a/frostspindle/lab/faults/settled.py
+++ b/frostspindle/lab/faults/settled.py
@@ -20,7 +20,7 @@
 from frostspindle.lab.faults.runner import Process, free_port
 from frostspindle.lab.faults.script import Script
 from frostspindle.lab.faults.streams import Streams
-from frostspindle.settings.audit import Finding, contradictions, longest, spans
+from frostspindle.settings.audit import AuditResult, contradictions, longest, spans
 
 TERMS = "lease_ms = 1000\ntrial_ms = 2000\n"
 
@@ -156,7 +156,7 @@
                         return process
                 await asyncio.sleep(0.05)
 
-    def found(self) -> Finding:
+    def found(self) -> AuditResult:
         """Return the longest time that two coordinators acted plainly on contradicting versions, by all logs."""
         lines = [line for process in self.processes for line in process.lines]
         return longest(spans(lines, last=boot_ms()), contradictions(lines))
--- a/frostspindle/lab/fenced.py
+++ b/frostspindle/lab/fenced.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from frostspindle.ownership.fence import Fence, FenceFull, Kept, Stale
+from frostspindle.ownership.fence import FenceFullError, FenceStore, StaleTokenError, TokenFence
 
 MOST_LINE, MOST_ENTRIES = 4_096, 100_000
 
@@ -20,11 +20,13 @@
 class Sink:
     """The receiver without a socket, so that the emulator can use it too: checks fencing tokens and keeps entries."""
 
-    def __init__(self, name: str, now: Callable[[], float], store: Kept | None = None, fenced: bool = True) -> None:
+    def __init__(
+        self, name: str, now: Callable[[], float], store: FenceStore | None = None, fenced: bool = True
+    ) -> None:
         """`now`: a clock in ms for the lines; `fenced`: False accepts stale tokens, for tests that show what the
         check prevents."""
         self.name, self.now, self.fenced = name, now, fenced
-        self.fence = Fence(store)
+        self.fence = TokenFence(store)
         self.entries: dict[str, Any] = {}
         self.lines: list[dict[str, Any]] = []
 
@@ -40,14 +42,14 @@
             if not all(isinstance(text, str) for text in (task, holder, action)) or not isinstance(token, int):
                 raise ValueError("not a task, token, holder and action")
             if len(self.entries) >= MOST_ENTRIES:
-                raise FenceFull("no room")
+                raise FenceFullError("no room")
             answer: dict[str, Any] = {"ok": True}
             try:
                 self.fence.check(task, token)
-            except Stale as error:
+            except StaleTokenError as error:
                 if self.fenced:
                     answer = {"stale": error.highest}
-        except (KeyError, ValueError, FenceFull) as error:
+        except (KeyError, ValueError, FenceFullError) as error:
             return {"bad": str(error)[:200]}
         if "ok" in answer and "key" in said:
             self.entries[str(said["key"])[:200]] = said.get("value")
--- a/frostspindle/lab/fleet.py
+++ b/frostspindle/lab/fleet.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from frostspindle.fleet.node import Budget, Node, Terms
+from frostspindle.fleet.node import Budget, FleetNode, FleetSettings
 from frostspindle.lab.faults.script import Script
 from frostspindle.lab.network import Network
 
@@ -35,7 +35,7 @@
     rate: float
     offset: float
     demand: float  # units a second
-    node: Node | None = None
+    node: FleetNode | None = None
     lives: int = 0
     due: float = 0.0  # true ms of its next tick; an older entry in the queue is void
     arrives: float = 0.0
@@ -72,7 +72,7 @@
         width = len(str(count - 1))
         names = [f"c{n:0{width}d}" for n in range(count)]
         self.named = {name: n for n, name in enumerate(names)}
-        self.terms = Terms(
+        self.terms = FleetSettings(
             dict(zip(names[:homes], self.addresses, strict=False)),
             (Budget(BUDGET, self.units, window_ms),),
             chain=CHAIN,
@@ -177,7 +177,9 @@
         process.lives += 1
         secret = self.random.randbytes(16)
         epoch = int(self.unix() * 1_000) + process.lives
-        process.node = node = Node(process.name, self.addresses[number], epoch, secret, self.terms, self.clock(process))
+        process.node = node = FleetNode(
+            process.name, self.addresses[number], epoch, secret, self.terms, self.clock(process)
+        )
         self.network.up[number] = True
 
         def note(event: str, **fields: Any) -> None:
@@ -231,7 +233,7 @@
 
     # Figures.
 
-    def live(self) -> list[Node]:
+    def live(self) -> list[FleetNode]:
         """Return the nodes of all processes that are not killed; stopped ones are among them."""
         return [p.node for p in self.processes if p.node is not None]
 
--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -18,9 +18,9 @@
 from frostspindle.lab.fenced import Sink
 from frostspindle.lab.history import Checked, check
 from frostspindle.lab.replica import EmulatedLog, EmulatedReplicas
-from frostspindle.ownership.holder import Holder, Terms
-from frostspindle.ownership.table import Table
-from frostspindle.replica.base import Applied, Uncertain
+from frostspindle.ownership.holder import LeaseHolder, LeaseSettings
+from frostspindle.ownership.lease_table import LeaseTable
+from frostspindle.replica.base import AppliedEntry, OutcomeUnknownError
 
 TOPIC, TURN_MS = "owners", 25.0
 
@@ -30,10 +30,10 @@
 
     def __init__(self, lab: Lab, number: int, log: EmulatedLog) -> None:
         self.lab, self.number, self.log, self.name = lab, number, log, f"c{number}"
-        self.table = Table()
+        self.table = LeaseTable()
         self.looked = lab.now  # true time of the last look
         lab.lives += 1
-        self.holder = Holder(self.name, lab.lives, lab.terms, self.table, lab.random.getrandbits(32), self.now)
+        self.holder = LeaseHolder(self.name, lab.lives, lab.terms, self.table, lab.random.getrandbits(32), self.now)
         for task in lab.tasks:
             self.holder.want(task, 1.0)
         log.attach(TOPIC, self.table)
@@ -87,7 +87,10 @@
 
             def done(out: Any) -> None:
                 holder.outcome(
-                    self.now, number, isinstance(out, Applied), None if isinstance(out, Uncertain) else False
+                    self.now,
+                    number,
+                    isinstance(out, AppliedEntry),
+                    None if isinstance(out, OutcomeUnknownError) else False,
                 )
 
             self.log.submit(TOPIC, command, self.lab.terms.within_ms / 1_000.0, done)
@@ -116,7 +119,7 @@
     ) -> None:
         """`late`: so many actions leave up to two leases after the look at the lease."""
         self.random = random.Random(f"ownership {seed}")
-        self.terms = Terms(lease_ms, drift)
+        self.terms = LeaseSettings(lease_ms, drift)
         self.tasks = [f"t{n}" for n in range(tasks)]
         self.late, self.lives, self.bytes, self.commands = late, 0, 0, 0
         self.lines: list[dict[str, Any]] = []
--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -22,18 +22,18 @@
 from typing import Any
 
 from frostspindle import policy
-from frostspindle.fleet.escrow import Rights
+from frostspindle.fleet.quota_escrow import QuotaAccount
 from frostspindle.lab.faults.script import Script, Weather
 from frostspindle.lab.fleet import excess
 from frostspindle.lab.warming import Warming
 from frostspindle.policy import AttemptOutcome, ClassSettings, EndpointListKind, EngineEntry, Health, Idempotency
 from frostspindle.policy.controller import COLD_SAFETY, Controller
-from frostspindle.recovery import agree, tickets, wire
-from frostspindle.recovery.intake import Class, Curve, Intake, Out
-from frostspindle.recovery.intake import Engine as Bearing
-from frostspindle.recovery.node import Chill, Node, Opened, Settled, Terms
-from frostspindle.recovery.stages import Bounds, Move, Stage
-from frostspindle.recovery.state import Rests
+from frostspindle.recovery import agreement, tickets, wire
+from frostspindle.recovery.admission import AdmissionDecision, RecoveryAdmission, RequestClass, SlowStartCurve
+from frostspindle.recovery.admission import ReadyEngine as Bearing
+from frostspindle.recovery.node import ClaimResolved, MarkRestarted, OpenedStore, RecoveryNode, RecoverySettings
+from frostspindle.recovery.stages import Stage, StageTimeouts, StageTransition
+from frostspindle.recovery.state_kinds import CooldownSettings
 
 EPOCH = 1.7e12  # Unix ms at the run's begin
 LOSS_S, BACK_S, OVER_S = 8.0, 3.0, 10.0
@@ -181,8 +181,8 @@
         self.c = Controller(terms, w.seed * 1_000 + self.number)
         self.warming: Warming | None = None
         self.told: dict[int, float] = dict.fromkeys(range(len(w.engines)), 0.0)  # starts as the bus has told them
-        self.rights = Rights(UNITS_EACH, WINDOW_MS, LEASE_MS, DRIFT, now)
-        self.node: Node | None = None
+        self.rights = QuotaAccount(UNITS_EACH, WINDOW_MS, LEASE_MS, DRIFT, now)
+        self.node: RecoveryNode | None = None
         self.waits: dict[int, Record] = {}
         self.service_at = 0.0
         self.opened_at = now if w.naive or first else 0.0
@@ -202,14 +202,18 @@
         """Create the intake and the recovery node, and schedule the opening of the store (by its drawn fate), the
         binding of the fleet's port and the recovery's timer."""
         w, now, disk = self.w, self.w.now, self.disk
-        classes = tuple(Class(k[2], k[3] != Idempotency.NON_IDEMPOTENT, 0.4, k[0], k[0] * k[4] / 2) for k in KINDS)
-        self.intake = Intake(classes, Curve(COLD, WARM_MS), 1.0 / w.count, 512, w.seed + self.number, RETRY_MS)
-        self.node = Node(
-            Terms(
+        classes = tuple(
+            RequestClass(k[2], k[3] != Idempotency.NON_IDEMPOTENT, 0.4, k[0], k[0] * k[4] / 2) for k in KINDS
+        )
+        self.intake = RecoveryAdmission(
+            classes, SlowStartCurve(COLD, WARM_MS), 1.0 / w.count, 512, w.seed + self.number, RETRY_MS
+        )
+        self.node = RecoveryNode(
+            RecoverySettings(
                 self.name,
                 w.seeds,
-                Bounds(),
-                Rests(LEASE_MS * (1 + DRIFT) / (1 - DRIFT) + WINDOW_MS * (1 + DRIFT), 600_000.0),
+                StageTimeouts(),
+                CooldownSettings(LEASE_MS * (1 + DRIFT) / (1 - DRIFT) + WINDOW_MS * (1 + DRIFT), 600_000.0),
                 first_start=first,
             ),
             now,
@@ -220,18 +224,18 @@
         fate, disk.fate = disk.fate, "kept"
         fresh = first
         if fate == "dead":
-            opened = Opened("unreadable", False, False)
+            opened = OpenedStore("unreadable", False, False)
         else:
             if fate == "lost":
                 disk.life, disk.generation, disk.entries, fresh = 1, 0, {}, True
             elif fate == "week":
                 disk.generation, disk.entries = disk.week[0], dict(disk.week[1])
-            opened = Opened(
+            opened = OpenedStore(
                 "fresh" if fresh else "good",
                 True,
                 not fresh,
                 fresh,
-                wire.Known(
+                wire.StoreState(
                     disk.id.to_bytes(16, "big") if fate != "lost" else w.random.randbytes(16),
                     disk.life,
                     disk.generation,
@@ -291,7 +295,7 @@
             EPOCH + self.w.now,
             self.spoken,
             {
-                f"e{n}": wire.Listed(
+                f"e{n}": wire.ListedEngine(
                     f"e{n}",
                     "127.0.0.1:1",
                     "",
@@ -306,7 +310,7 @@
             },
         )
 
-    def on_store(self, life: int, opened: Opened) -> None:
+    def on_store(self, life: int, opened: OpenedStore) -> None:
         """Tell the recovery node how the store was found."""
         if life == self.life and self.up and self.node:
             self.node.opened(self.w.now, EPOCH + self.w.now, opened)
@@ -379,15 +383,15 @@
         """Carry out one effect of the recovery node: a stage that began, engines' starts, an agreed list of engines,
         or the outcome of a load's claim."""
         now = EPOCH + self.w.now
-        if isinstance(effect, Move):
+        if isinstance(effect, StageTransition):
             if effect.stage is Stage.OPEN:
                 self.opened_at = self.w.now
                 self.carry(self.intake.release())
-        elif isinstance(effect, Chill):
+        elif isinstance(effect, MarkRestarted):
             self.engines.update({int(name[1:]): start - EPOCH for name, start in effect.starts.items()})
             self.tell_list()
             self.listed()
-        elif isinstance(effect, agree.Agreed):
+        elif isinstance(effect, agreement.AgreedState):
             if effect.enough and effect.number > self.spoken and effect.list:
                 self.spoken = effect.number
                 for engine in effect.list:
@@ -397,7 +401,7 @@
             self.withheld = {int(name[1:]) for name in effect.withheld}
             self.tell_list()
             self.listed()
-        elif isinstance(effect, Settled) and effect.number in self.waits:
+        elif isinstance(effect, ClaimResolved) and effect.number in self.waits:
             if effect.how == tickets.GO:
                 self.intake.clear(effect.number)
                 self.carry(self.intake.look(now))
@@ -413,7 +417,7 @@
                     self.intake.wait_ms(now, now + (1_000.0 if effect.how == tickets.UNSURE else math.inf)),
                 )
 
-    def carry(self, outs: list[Out]) -> None:
+    def carry(self, outs: list[AdmissionDecision]) -> None:
         """Admit or refuse waiting requests, as the intake has decided."""
         for out in outs:
             record = self.waits.pop(out.number, None)
--- a/frostspindle/lab/replica.py
+++ b/frostspindle/lab/replica.py
@@ -29,9 +29,9 @@
 from frostspindle.lab.faults.script import Script, parse
 from frostspindle.lab.network import Network
 from frostspindle.replica import wire
-from frostspindle.replica.base import MOST_OPEN, Applied, Machine, Told, Unavailable
-from frostspindle.replica.journal import Journal, Record, Writing
-from frostspindle.replica.member import KEEP, Member, Outcome, Times
+from frostspindle.replica.base import MOST_OPEN, AppliedEntry, LogUnavailableError, StateMachine, Told
+from frostspindle.replica.journal import PendingWrite, RaftJournal, Record
+from frostspindle.replica.member import KEEP, LogMember, Outcome, RaftTimeouts
 
 TICK_MS = 50.0
 AGAIN_MS = 200.0  # a segment that was lost is sent again, and connections are tried, so often
@@ -74,10 +74,10 @@
 @dataclass(slots=True)
 class _Node:
     life: int = 0
-    member: Member | None = None
+    member: LogMember | None = None
     log: Any = None
     records: list[Record] = field(default_factory=list)  # on its disk
-    unsynced: Writing | None = None
+    unsynced: PendingWrite | None = None
     syncing: bool = False
     conns: dict[int, int] = field(default_factory=dict)  # by peer, as this end sees it
     inbox: list[_Frame] = field(default_factory=list)
@@ -90,7 +90,7 @@
     """One member's log in simulated time; see replica.base.Log. It answers only while time is let pass
     (`EmulatedReplicas`)."""
 
-    def __init__(self, lab: EmulatedReplicas, number: int, member: Member) -> None:
+    def __init__(self, lab: EmulatedReplicas, number: int, member: LogMember) -> None:
         self._lab, self._number, self._member = lab, number, member
 
     @property
@@ -103,7 +103,7 @@
         """Name of the leader as known here, None without one."""
         return self._member.leader
 
-    def attach(self, topic: str, machine: Machine) -> None:
+    def attach(self, topic: str, machine: StateMachine) -> None:
         """Have a topic's entries applied by a machine. RuntimeError once an entry was applied; ValueError for a bad
         name, or a topic that has a machine."""
         if self._member.desk.index:
@@ -121,12 +121,12 @@
             self._member.desk.check(topic, command)
         lab, node = self._lab, self._lab.nodes[self._number]
         if node.member is not self._member:
-            done(Unavailable("the log has stopped"))
+            done(LogUnavailableError("the log has stopped"))
             return
         self._member.propose(lab.clock(self._number), topic, command, within_s, done)
         lab._soon(self._number)
 
-    async def propose(self, topic: str, command: bytes, within_s: float) -> Applied:
+    async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         """Append a command and return once it is applied here; ValueError for one that can't be appended, else
         Unavailable (never appended) or Uncertain (it may be) after `within_s` simulated seconds."""
         self._member.desk.check(topic, command)
@@ -137,11 +137,11 @@
         Unavailable or Uncertain as `propose`."""
         return (await self._ask("", b"", within_s)).index
 
-    async def _ask(self, topic: str, command: bytes, within_s: float) -> Applied:
+    async def _ask(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         self.submit(topic, command, within_s, lambda out: None if future.done() else future.set_result(out))
         outcome = await future
-        if isinstance(outcome, Applied):
+        if isinstance(outcome, AppliedEntry):
             return outcome
         raise outcome
 
@@ -156,7 +156,7 @@
         seed: int,
         script: Script | str = "",
         attach: Callable[[int, EmulatedLog], None] = lambda number, log: None,
-        times: Times | None = None,
+        times: RaftTimeouts | None = None,
         sync_ms: tuple[float, float] = (0.1, 5.0),
         keep: int = KEEP,
         most_open: int = MOST_OPEN,
@@ -257,10 +257,10 @@
         node.life += 1
         node.conns, node.inbox, node.stash, node.syncing, node.unsynced = {}, [], [], False, None
         with self._as(number):
-            member = Member(
+            member = LogMember(
                 f"c{number}",
                 self.voters,
-                Journal(node.records),
+                RaftJournal(node.records),
                 self.random.randbytes(8),
                 not first and not node.records,
                 self.times,
@@ -324,7 +324,7 @@
         elif node.member is not None:
             self._event(number, node, node.member, what)
 
-    def _event(self, number: int, node: _Node, member: Member, what: Any) -> None:
+    def _event(self, number: int, node: _Node, member: LogMember, what: Any) -> None:
         if isinstance(what, _Frame):
             if node.conns.get(what.source) != what.conn:
                 return
@@ -345,7 +345,7 @@
         if not node.syncing and node.member is member:
             self._cycle(number, node, member)
 
-    def _cycle(self, number: int, node: _Node, member: Member) -> None:
+    def _cycle(self, number: int, node: _Node, member: LogMember) -> None:
         try:
             with self._as(number):
                 inbox, node.inbox = node.inbox, []
@@ -368,14 +368,14 @@
         else:
             self._finish(number, node, member)
 
-    def _fault(self, number: int, node: _Node, member: Member, error: Exception) -> None:
+    def _fault(self, number: int, node: _Node, member: LogMember, error: Exception) -> None:
         self.faults.append(f"c{number} at {self.now:.0f}: {error!r}")
         member.stop()
         node.member = None
         for other in range(len(self.nodes)):
             self._break(number, other)
 
-    def _finish(self, number: int, node: _Node, member: Member) -> None:
+    def _finish(self, number: int, node: _Node, member: LogMember) -> None:
         """What is durable now is sent, and what is committed applied."""
         out, full = member.take_outbox()
         for peer, message in out:
@@ -404,12 +404,12 @@
                 self.told.append((self.now, number, "votes again"))
 
     @staticmethod
-    def _keep(node: _Node, writing: Writing) -> None:
+    def _keep(node: _Node, writing: PendingWrite) -> None:
         node.records = list(writing.records) if writing.whole else [*node.records, *writing.records]
 
     # Streams.
 
-    def _linked(self, number: int, node: _Node, member: Member, link: _Link) -> None:
+    def _linked(self, number: int, node: _Node, member: LogMember, link: _Link) -> None:
         stream = self.streams.get((number, link.peer))
         peer = f"c{link.peer}" if link.voter else f"~c{link.peer}"
         with self._as(number):
--- a/frostspindle/lab/replica_runs.py
+++ b/frostspindle/lab/replica_runs.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from frostspindle.lab.replica import EmulatedLog, EmulatedReplicas
-from frostspindle.replica.base import Applied, Unavailable
+from frostspindle.replica.base import AppliedEntry, LogUnavailableError
 from frostspindle.replica.member import Outcome
 
 
@@ -126,7 +126,7 @@
                 self.lab.member(number).submit("", b"", 5.0, last.append)
         self.lab.advance(6_000.0)
         self.bad += self.lab.faults
-        if [type(one) for one in last] != [Applied] * nodes:
+        if [type(one) for one in last] != [AppliedEntry] * nodes:
             self.bad.append(f"not all are back: {last}")
         if len({machine.sum for machine in self.machines.values()}) > 1:
             self.bad.append("the states differ")
@@ -134,7 +134,7 @@
         for command_, told in self.answers.items():
             if len(told) != 1:
                 self.bad.append(f"{len(told)} answers to {command_!r}")
-            elif isinstance(told[0], Applied) and self.entries.get(told[0].index) != command_:
+            elif isinstance(told[0], AppliedEntry) and self.entries.get(told[0].index) != command_:
                 self.bad.append(f"{command_!r} was answered and is lost")
-            elif isinstance(told[0], Unavailable) and times[command_] or times[command_] > 1:
+            elif isinstance(told[0], LogUnavailableError) and times[command_] or times[command_] > 1:
                 self.bad.append(f"{command_!r} is there {times[command_]} times after {told[0]!r}")
--- a/frostspindle/lab/scatter.py
+++ b/frostspindle/lab/scatter.py
@@ -19,7 +19,7 @@
 from frostspindle.lab.network import Network
 from frostspindle.predicates import Predicate, all_of, between, compare, match, may_match
 from frostspindle.scatter import wire
-from frostspindle.scatter.leases import Holder, Home, Terms, Told
+from frostspindle.scatter.leases import LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings
 from frostspindle.scatter.plan import in_steps, stepped
 
 GROUP, STEP = 17, 5
@@ -30,19 +30,19 @@
 LOOK_MS = 250.0  # how often homes look for what to learn
 LOAD_MS, LEARN_MS = (2.0, 60.0), (10.0, 200.0)  # how long an engine takes
 LATE_MS = 6_000.0  # a load that could not be announced for so long is refused, one not confirmed fails
-HEARS = {
-    wire.Hold: "hold",
-    wire.Have: "have",
-    wire.Widen: "widen",
-    wire.Done: "done",
-    wire.Bye: "bye",
-    wire.Still: "still",
-    wire.Piece: "piece",
-    wire.Wider: "wider",
-    wire.Widened: "widened",
-    wire.Known: "known",
+HANDLERS = {
+    wire.LeaseRequest: SummaryHome.on_lease_request,
+    wire.UpdateAcknowledged: SummaryHome.on_update_acknowledged,
+    wire.LoadAnnounced: SummaryHome.on_load_announced,
+    wire.LoadEnded: SummaryHome.on_load_ended,
+    wire.ReleaseLease: SummaryHome.on_release_lease,
+    wire.LeaseUnchanged: SummaryCache.on_lease_unchanged,
+    wire.SummaryPiece: SummaryCache.on_summary_piece,
+    wire.SummaryUpdated: SummaryCache.on_summary_updated,
+    wire.LoadPermitted: SummaryCache.on_load_permitted,
+    wire.LoadRecorded: SummaryCache.on_load_recorded,
 }
-AT_HOME = (wire.Hold, wire.Have, wire.Widen, wire.Done, wire.Bye)
+AT_HOME = (wire.LeaseRequest, wire.UpdateAcknowledged, wire.LoadAnnounced, wire.LoadEnded, wire.ReleaseLease)
 
 
 @dataclass(slots=True, eq=False)
@@ -64,8 +64,8 @@
     rate: float
     offset: float
     epoch: int = 1
-    home: Home | None = None
-    holder: Holder | None = None
+    home: SummaryHome | None = None
+    holder: SummaryCache | None = None
     due: float = math.inf  # true time of its next turn
     loads: dict[int, tuple[Row, float]] = field(default_factory=dict)  # its core's number: what, taken when
     later: list[Any] = field(default_factory=list)  # what clients asked for while it was stopped
@@ -93,7 +93,7 @@
         clocks = dict(script.clocks)
         self.processes = [Process(f"c{n}", clocks.get(n, 1.0), self.random.uniform(0.0, 1e6)) for n in range(count)]
         self.numbers = {process.name: n for n, process in enumerate(self.processes)}
-        self.terms = Terms(lease_ms, drift, 1, 60_000.0, bits)
+        self.terms = SummaryLeaseSettings(lease_ms, drift, 1, 60_000.0, bits)
         self.sites = [f"s{n}" for n in range(sites)]
         self.homes = {
             key_of(site, GROUP): home_of(key_of(site, GROUP), [p.name for p in self.processes[:3]])
@@ -134,8 +134,8 @@
     def _begin(self, n: int) -> None:
         process = self.processes[n]
         own = {key: COLUMNS for key, home in self.homes.items() if home == process.name}
-        process.home = Home(process.epoch, self.terms, own, self.clock(process))
-        process.holder = Holder(self.terms, self.homes)
+        process.home = SummaryHome(process.epoch, self.terms, own, self.clock(process))
+        process.holder = SummaryCache(self.terms, self.homes)
         process.loads, process.later, process.due = {}, [], math.inf
 
     def run(self) -> None:
@@ -226,7 +226,7 @@
         word = wire.decode(data)
         part = process.home if isinstance(word, AT_HOME) else process.holder
         if part is not None:
-            getattr(part, f"on_{HEARS[type(word)]}")(self.clock(process), name, epoch, word)
+            HANDLERS[type(word)](part, self.clock(process), name, epoch, word)
 
     # Clients.
 
@@ -319,7 +319,7 @@
         if int(epoch) != process.epoch:
             return
         rows = [row.values for row in self.rows[key.rpartition("/")[0]] if row.landed]
-        if process.home.learnt(self.clock(process), key, [Told(len(rows), _cells(rows))], 500.0):
+        if process.home.learnt(self.clock(process), key, [LoadIntent(len(rows), _cells(rows))], 500.0):
             self.counted["learnt"] += 1
 
 
--- a/frostspindle/lab/settings.py
+++ b/frostspindle/lab/settings.py
@@ -20,11 +20,18 @@
 from frostspindle.lab.faults.script import Script, parse
 from frostspindle.lab.network import Network
 from frostspindle.settings import agreement
-from frostspindle.settings.agreement import Draft, Machine
-from frostspindle.settings.audit import Span, longest
-from frostspindle.settings.deciding import MEET, VERSION, Holder, Kept, Publisher, Terms
+from frostspindle.settings.agreement import DraftPiece, SettingsStateMachine
+from frostspindle.settings.audit import ActivePeriod, longest
+from frostspindle.settings.decisions import (
+    MEET,
+    VERSION,
+    AgreementSettings,
+    MemberDecisions,
+    PublisherDecisions,
+    RestoredVersions,
+)
 from frostspindle.settings.meet import below, contradicts
-from frostspindle.settings.schema import Ban, Coordinator, Limit, Scope, Tenant
+from frostspindle.settings.schema import Ban, Coordinator, Limit, ListScope, Tenant
 from frostspindle.settings.versions import EMPTY, Version, pack
 
 TICK_MS, SPREAD_MS, AGAIN_MS = 50.0, 25.0, 150.0  # a coordinator's look; the leader's word to others; proposals again
@@ -40,12 +47,12 @@
     number: int
     rate: float
     offset: float
-    kept: Kept = field(default_factory=Kept)
+    kept: RestoredVersions = field(default_factory=RestoredVersions)
     life: int = 0
     at: int = 0  # entries applied
-    machine: Machine = field(default_factory=Machine)
-    holder: Holder | None = None
-    publisher: Publisher | None = None
+    machine: SettingsStateMachine = field(default_factory=SettingsStateMachine)
+    holder: MemberDecisions | None = None
+    publisher: PublisherDecisions | None = None
     waiting: dict[str, tuple[bytes, float, float]] = field(default_factory=dict)  # proposals: command, until, sent
     proposed: int = 0
     keeping: bool = False
@@ -63,11 +70,11 @@
         seed: int,
         script: Script,
         seconds: float,
-        terms: Terms | None = None,
+        terms: AgreementSettings | None = None,
         push_s: tuple[float, float] = (0.4, 1.8),
         voters: int = 0,
     ) -> None:
-        self.count, self.seconds, self.terms = count, seconds, terms or Terms(drift=0.01, trial_ms=4_000.0)
+        self.count, self.seconds, self.terms = count, seconds, terms or AgreementSettings(drift=0.01, trial_ms=4_000.0)
         self.random = random.Random(seed)
         self.network = Network(count, script, seed)
         self.script = script
@@ -84,7 +91,7 @@
         self.open: dict[str, tuple[bytes, set[int]]] = {}  # at the leader: answers of voters
         self.leader, self.epoch, self.without = -1, 0, 0.0
         self.heard_at = [0] * count  # by the leader: how far each has applied
-        self.spans: list[Span] = []
+        self.spans: list[ActivePeriod] = []
         self.tables: dict[int, Version] = {0: EMPTY}
         self.live_at: dict[int, float] = {}
         self.pushed: dict[str, float] = {}  # by draft when
@@ -114,11 +121,11 @@
     def _start(self, n: int) -> None:
         place = self.places[n]
         place.life += 1
-        place.at, place.machine = 0, Machine()
+        place.at, place.machine = 0, SettingsStateMachine()
         place.waiting, place.keeping, place.publishing = {}, False, ""
         now = self.clock(place)
-        place.holder = Holder(f"c{n}", place.life, self.terms, place.machine, now, kept=place.kept)
-        place.publisher = Publisher(self.terms, place.machine)
+        place.holder = MemberDecisions(f"c{n}", place.life, self.terms, place.machine, now, kept=place.kept)
+        place.publisher = PublisherDecisions(self.terms, place.machine)
         place.since = (0, self.network.now)
         self.network.at(self.network.now + self.random.uniform(0.0, TICK_MS), n, f"tick {place.life}")
 
@@ -133,7 +140,7 @@
         if version and place.holder is not None:
             ends = min(at, max(since, self.true(place, place.holder.until)))
             if ends > since:
-                self.spans.append(Span(f"c{place.number}", version, since, ends))
+                self.spans.append(ActivePeriod(f"c{place.number}", version, since, ends))
         place.since = (0, at)
 
     # The log.
@@ -307,7 +314,7 @@
         if kind == "part":
             cut = draw.randrange(1, 10) / 10.0
             changes = {
-                "scope/coordinator": Scope(),
+                "scope/coordinator": ListScope(),
                 "coordinator/c0": Coordinator("c0", cut),
                 "coordinator/c1": Coordinator("c1", round(1.0 - cut, 1)),
             }
@@ -323,7 +330,7 @@
             digest = bytes(16)
         elif kind == "stale":
             base = max(0, base - 1)
-        draft = Draft(f"c{place.number}", place.life, number, base, digest, 0, 1, pack(changes), to)
+        draft = DraftPiece(f"c{place.number}", place.life, number, base, digest, 0, 1, pack(changes), to)
         self.pushed[draft.key] = self.network.now
         self._propose(place, agreement.encode(draft), 2_000.0)
 
@@ -388,7 +395,7 @@
         if self.network.paused[n]:
             self.network.at(self.network.now + 50.0, n, keep)
             return
-        place.kept = Kept(keep.versions, self.network.now)
+        place.kept = RestoredVersions(keep.versions, self.network.now)
         place.holder.was_kept(keep.versions)
         place.keeping = False
         self._step(place)
--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -20,8 +20,8 @@
 from frostspindle.lab.faults.script import Script, Weather, parse
 from frostspindle.predicates import language, match
 from frostspindle.subscriptions import schema, wire
-from frostspindle.subscriptions.fanout import Fanout, Item
-from frostspindle.subscriptions.hub import Hub
+from frostspindle.subscriptions.fanout import BacklogItem, Fanout
+from frostspindle.subscriptions.hub import SubscriptionHub
 from frostspindle.subscriptions.schema import Event
 
 STEP_MS = 10.0
@@ -62,7 +62,7 @@
     """One coordinator: its hub while its process lives, and what membership knows here."""
 
     name: str
-    hub: Hub | None = None
+    hub: SubscriptionHub | None = None
     lives: int = 0
     stopped: bool = False
     waiting: deque[Any] = field(default_factory=lambda: deque(maxlen=200))
@@ -78,7 +78,7 @@
     text: str
     at: int = -1  # the coordinator's number
     sub: int = 0
-    hub: Hub | None = None
+    hub: SubscriptionHub | None = None
     cursor: str | None = None
     cursor_at: float = 0.0
     first_ack: float | None = None  # when its first subscription was acknowledged
@@ -87,7 +87,7 @@
     events: list[tuple[str, int, int]] = field(default_factory=list)
     closed: list[tuple[str, Pos, Pos]] = field(default_factory=list)
     open: dict[str, Pos] = field(default_factory=dict)  # of this connection
-    fresh: list[Item] = field(default_factory=list)  # read since the last cursor
+    fresh: list[BacklogItem] = field(default_factory=list)  # read since the last cursor
     moves: int = 0
 
 
@@ -172,7 +172,9 @@
             return
         place.lives += 1
         epoch = int(1e6 + self.now * 1_000) + place.lives
-        place.hub = Hub(place.name, epoch, self.now, self.ring, fanout=Fanout(self.backlog, self.backlog * 16))
+        place.hub = SubscriptionHub(
+            place.name, epoch, self.now, self.ring, fanout=Fanout(self.backlog, self.backlog * 16)
+        )
         place.hub.subscribers.expected = frozenset(p.name for p in self.places) - {place.name}
         place.stopped, place.heard = False, {}
         place.waiting.clear()
@@ -240,7 +242,7 @@
         if data:
             place.hub.hear(self.now, who, epoch, wire.decode(data))
 
-    def _live(self, number: int, place: Place, hub: Hub) -> None:
+    def _live(self, number: int, place: Place, hub: SubscriptionHub) -> None:
         if self.now < self.seconds * 1_000.0 and self.random.random() < self.rate * STEP_MS / 1_000.0:
             for _ in range(self.random.choice((1, 1, 1, 5))):
                 event = self._event()
@@ -254,7 +256,7 @@
             hub.members(self.now, {who: epoch for who, (at, epoch) in place.heard.items() if self.now - at < DEAD_MS})
         for name, message in hub.tick(self.now):
             data = wire.encode(message)
-            assert len(data) <= wire.MOST, (len(data), message)
+            assert len(data) <= wire.MAX_MESSAGE_BYTES, (len(data), message)
             self.messages += 1
             self.bytes += len(data)
             self._send(number, self.numbers[name], (place.name, hub.epoch, data))
@@ -300,7 +302,7 @@
         )
         client.hub, client.at = place.hub, number
 
-    def _read(self, client: Client, hub: Hub) -> None:
+    def _read(self, client: Client, hub: SubscriptionHub) -> None:
         subs = hub.subscribers
         if not client.acked:
             if not subs.all[client.sub].acknowledged:
--- a/frostspindle/lab/warming.py
+++ b/frostspindle/lab/warming.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 
 from frostspindle import policy
-from frostspindle.fleet.cold import Cold, exact, gathers, wished
-from frostspindle.fleet.node import Datagram, Node, Terms
+from frostspindle.fleet.node import Datagram, FleetNode, FleetSettings
+from frostspindle.fleet.slow_start import SlowStartBudgets, exact, gathers, wished
 from frostspindle.policy.controller import COLD_SAFETY, Controller
 
 PORT, LEASE_MS, TICK_MS, IDLE_MS = 4_000, 1_500.0, 20.0, 250.0  # the last three as in fleet/warming.py, config.py
@@ -43,15 +43,17 @@
         send: Callable[[int, bytes], None],
     ) -> None:
         self.send = send
-        self.node = Node(
+        self.node = FleetNode(
             f"c{number:03d}",
             address(number),
             int(unix * 1_000.0),
             secret,
-            Terms({name: address(place) for place, name in enumerate(seeds)}, chain=CHAIN),
+            FleetSettings({name: address(place) for place, name in enumerate(seeds)}, chain=CHAIN),
             now,
         )
-        self.cold = Cold(self.node, settings.slow_start_window_ms, settings.coordinators, 0, LEASE_MS, now, unix)
+        self.cold = SlowStartBudgets(
+            self.node, settings.slow_start_window_ms, settings.coordinators, 0, LEASE_MS, now, unix
+        )
         self.look_at = -1e18
 
     def hear(self, now: float, source: int, data: bytes) -> None:
--- a/frostspindle/order/turns.py
+++ b/frostspindle/order/key_queue.py
@@ -18,14 +18,14 @@
 DRAWING = 1  # stands in a cell while its stamp is being chosen: before every stamp
 
 
-class Place(NamedTuple):
+class QueuePosition(NamedTuple):
     """A request's place in the order of its key: smaller goes first."""
 
     stamp: int
     owner: int
 
 
-class Sheet(Protocol):
+class CellWriter(Protocol):
     """This process's cells, which the other processes read."""
 
     cells: int
@@ -34,14 +34,14 @@
         """Write a cell so that others see it once this returns; a key of 0 frees the cell."""
 
 
-class Turns:
+class KeyQueue:
     """The places of one process. `others(key)` gives the places that other processes hold of that key now."""
 
-    def __init__(self, owner: int, sheet: Sheet, others: Callable[[int], Iterable[Place]]) -> None:
+    def __init__(self, owner: int, sheet: CellWriter, others: Callable[[int], Iterable[QueuePosition]]) -> None:
         self.owner, self.sheet, self.others = owner, sheet, others
         self._free = list(range(sheet.cells - 1, -1, -1))
         self._cells: dict[int, tuple[int, int]] = {}  # by request: cell, key
-        self._waiting: dict[int, tuple[int, Place]] = {}  # by request: key, place
+        self._waiting: dict[int, tuple[int, QueuePosition]] = {}  # by request: key, place
         self._last = DRAWING
 
     @property
@@ -70,7 +70,7 @@
         self.sheet.put(cell, key, DRAWING)
         stamp = self._last = max(now, self._last + 1, 1 + max((p.stamp for p in self.others(key)), default=0))
         self.sheet.put(cell, key, stamp)
-        place = Place(stamp, self.owner)
+        place = QueuePosition(stamp, self.owner)
         if self._first(key, place):
             return True
         self._waiting[request] = key, place
@@ -90,5 +90,5 @@
             self.sheet.put(entry[0], 0, 0)
             self._free.append(entry[0])
 
-    def _first(self, key: int, mine: Place) -> bool:
+    def _first(self, key: int, mine: QueuePosition) -> bool:
         return all(mine < other for other in self.others(key))
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -12,22 +12,24 @@
 from pathlib import Path
 
 from frostspindle.core import Core, clock
-from frostspindle.order.sheets import Sheets
-from frostspindle.order.turns import Turns
+from frostspindle.order.key_queue import KeyQueue
+from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.pools import FORGOTTEN_MS
 from frostspindle.telemetry import Telemetry
 
 LOOK_S = 0.02  # so often it is looked for those that wait
 
 
-class Order:
+class KeyOrderService:
     """Keeps the order of keys among processes for one core, as its `turns`."""
 
     def __init__(self, folder: Path, core: Core, telemetry: Telemetry) -> None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.core, self.telemetry = core, telemetry
-        self.sheets = Sheets(folder, lambda: time.monotonic() * 1000.0, FORGOTTEN_MS + core.settings.key_order_pause_ms)
-        self.turns = Turns(self.sheets.own.owner, self.sheets.own, self.sheets.places)
+        self.sheets = SharedCellFolder(
+            folder, lambda: time.monotonic() * 1000.0, FORGOTTEN_MS + core.settings.key_order_pause_ms
+        )
+        self.turns = KeyQueue(self.sheets.own.owner, self.sheets.own, self.sheets.places)
         self._timer: asyncio.TimerHandle | None = None
         self._resting: dict[int, asyncio.TimerHandle] = {}  # requests that are over, of keys that rest
         core.key_order = self
--- a/frostspindle/order/sheets.py
+++ b/frostspindle/order/shared_cells.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from frostspindle.order.turns import Place
+from frostspindle.order.key_queue import QueuePosition
 
 PREFIX = "turns-"
 CELLS = 4096  # of one process: far more than it may have requests open
@@ -26,7 +26,7 @@
 SIZE = HEAD + CELL * CELLS
 
 
-class Own:
+class OwnCellFile:
     """This process's sheet: a locked, mapped file; the lock shows that its owner lives."""
 
     cells = CELLS
@@ -69,7 +69,7 @@
         self._file.close()
 
 
-class _Other:
+class _PeerCellFile:
     """Another process's sheet, as long as it counts."""
 
     def __init__(self, path: Path) -> None:
@@ -108,23 +108,23 @@
         self._file.close()
 
 
-class Sheets:
+class SharedCellFolder:
     """All sheets of the folder; `clock` gives monotonic ms, `keep_ms` is how long a dead process's sheet counts."""
 
     def __init__(self, folder: Path, clock: Callable[[], float], keep_ms: float) -> None:
         self.folder, self.clock, self.keep_ms = folder, clock, keep_ms
-        self.own = Own(folder)
+        self.own = OwnCellFile(folder)
         self.unreadable = 0
-        self._others: dict[str, _Other] = {}
+        self._others: dict[str, _PeerCellFile] = {}
         self._bad: set[str] = set()
 
-    def places(self, key: int) -> list[Place]:
+    def places(self, key: int) -> list[QueuePosition]:
         """Return a key's places in other processes that live or died within `keep_ms`: their queries may still run."""
         self._refresh()
         found = []
         for name, other in list(self._others.items()):
             if (stamps := list(other.stamps(key))) and self._counts(name, other):
-                found += [Place(stamp, other.owner) for stamp in stamps]
+                found += [QueuePosition(stamp, other.owner) for stamp in stamps]
         return found
 
     def _refresh(self) -> None:
@@ -137,7 +137,7 @@
             if len(self._others) >= MOST:
                 break
             try:
-                other = self._others[name] = _Other(self.folder / name)
+                other = self._others[name] = _PeerCellFile(self.folder / name)
             except FileNotFoundError:
                 continue
             except (OSError, ValueError):
@@ -153,7 +153,7 @@
             self._others[name] = other = self._others.pop(name)
             self._counts(name, other)
 
-    def _counts(self, name: str, other: _Other) -> bool:
+    def _counts(self, name: str, other: _PeerCellFile) -> bool:
         if other.dead_ms is None and not other.lives():
             other.dead_ms = self.clock()
         if other.dead_ms is None or self.clock() - other.dead_ms < self.keep_ms:
--- a/frostspindle/ownership/export.py
+++ b/frostspindle/ownership/export.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from frostspindle.ownership.fence import Stale
-from frostspindle.ownership.jobs import Hand
+from frostspindle.ownership.fence import StaleTokenError
+from frostspindle.ownership.jobs import JobContext
 
 ANSWER_S, MOST_LINE = 2.0, 4_096
 
@@ -58,7 +58,7 @@
             raise
         if not isinstance(answer, dict) or "ok" not in answer:
             if isinstance(answer, dict) and isinstance(answer.get("stale"), int):
-                raise Stale(task, token, answer["stale"])
+                raise StaleTokenError(task, token, answer["stale"])
             self.close()
             raise SinkError(str(answer)[:200])
 
@@ -69,7 +69,7 @@
         self._line = None
 
 
-class Export:
+class ExportJob:
     """The job that exports the fleet's figures once a period; see jobs.Job."""
 
     def __init__(
@@ -85,7 +85,7 @@
         self.task, self.every_s, self.holder, self.figures, self.unix = task, every_ms / 1000.0, holder, figures, unix
         self.sink = Sink(at)
 
-    async def run(self, hand: Hand) -> None:
+    async def run(self, hand: JobContext) -> None:
         """Send the figures as the present period's value; of several exports in one period the last stands. Lost,
         SinkError."""
         period = int(self.unix() / self.every_s)
--- a/frostspindle/ownership/fence.py
+++ b/frostspindle/ownership/fence.py
@@ -14,7 +14,7 @@
 TOKEN_BYTES = 8
 
 
-class Stale(Exception):
+class StaleTokenError(Exception):
     """An action under a lower token than one seen before: its sender's lease has passed to another holder."""
 
     def __init__(self, task: str, token: int, highest: int) -> None:
@@ -22,11 +22,11 @@
         self.task, self.token, self.highest = task, token, highest
 
 
-class FenceFull(Exception):
+class FenceFullError(Exception):
     """The fence has no room for one more task; the action is refused."""
 
 
-class Kept(Protocol):
+class FenceStore(Protocol):
     """What a durable fence needs of a store; see frostspindle/store/base.py."""
 
     def get(self, key: bytes) -> bytes | None:
@@ -36,10 +36,10 @@
         """Set the keys to these values, or remove those with None, all or nothing and durable. The store's errors."""
 
 
-class Fence:
+class TokenFence:
     """The highest token of each task; with a store a rise is durable when `check` returns, and its errors pass."""
 
-    def __init__(self, store: Kept | None = None, most: int = MOST_TASKS, prefix: bytes = b"fence/") -> None:
+    def __init__(self, store: FenceStore | None = None, most: int = MOST_TASKS, prefix: bytes = b"fence/") -> None:
         self._store, self._most, self._prefix = store, most, prefix
         self._highest: dict[str, int] = {}
         self.stale = 0  # so many were refused
@@ -64,10 +64,10 @@
         highest = self.highest(task)
         if token < highest:
             self.stale += 1
-            raise Stale(task, token, highest)
+            raise StaleTokenError(task, token, highest)
         if token > highest:
             if task not in self._highest and len(self._highest) >= self._most:
-                raise FenceFull(f"{self._most} tasks are fenced already")
+                raise FenceFullError(f"{self._most} tasks are fenced already")
             if self._store is not None:
                 self._store.apply({self._prefix + task.encode(): token.to_bytes(TOKEN_BYTES, "big")})
             self._highest[task] = token
--- a/frostspindle/ownership/holder.py
+++ b/frostspindle/ownership/holder.py
@@ -35,8 +35,8 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from frostspindle.ownership import table
-from frostspindle.ownership.table import NONE, Ask, Said, Table
+from frostspindle.ownership import lease_table
+from frostspindle.ownership.lease_table import NONE, CommandResult, LeaseTable, RenewLeases
 
 PATIENCE_MS = 100.0  # of watching, at most between two looks
 SPREAD_PART, SPREAD_MS = 0.1, 300.0  # who asks first: spread over a part of the lease, at most so long
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class LeaseSettings:
     """Terms of the leases, times in ms; all coordinators must have them alike, but for `spread_ms` and `step_ms`."""
 
     lease_ms: int = 3_000
@@ -108,7 +108,7 @@
 
 
 @dataclass(slots=True)
-class Watched:
+class ObservedRow:
     """The version of a row, and since when this process has watched it unchanged."""
 
     version: tuple[int, int]
@@ -116,7 +116,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class HeldLease:
     """A lease granted to this process; times in ms of its own clock."""
 
     token: int
@@ -126,7 +126,7 @@
 
 
 @dataclass(slots=True)
-class Turned:
+class LeaseChanged:
     """A lease that was got or lost, for those who work under it."""
 
     task: str
@@ -137,7 +137,7 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingCommand:
     """The one command that is under way."""
 
     number: int
@@ -161,20 +161,20 @@
         self.until, self.times = -math.inf, 0
 
 
-class Holder:
+class LeaseHolder:
     """One process's decisions about leases. `leases`: its copy of the table, already changed when `told` is called."""
 
-    def __init__(self, name: str, life: int, terms: Terms, leases: Table, seed: int, now: float) -> None:
+    def __init__(self, name: str, life: int, terms: LeaseSettings, leases: LeaseTable, seed: int, now: float) -> None:
         self.name, self.life, self.terms, self.table = name, life, terms, leases
         self.wants: dict[str, float] = {}  # by task its turn here: the smallest of all candidates' should have it
-        self.own: dict[str, Own] = {}
+        self.own: dict[str, HeldLease] = {}
         self.rng = random.Random(seed)
         self.number = 0
-        self.pending: Pending | None = None
-        self.turned: list[Turned] = []  # for the service, which empties it
+        self.pending: PendingCommand | None = None
+        self.turned: list[LeaseChanged] = []  # for the service, which empties it
         self.counts: Counter[str] = Counter()
         self._asked: dict[int, float] = {}
-        self._watched: dict[str, Watched] = {}
+        self._watched: dict[str, ObservedRow] = {}
         self._drops: dict[str, int] = {}
         self._rests: dict[str, float] = {}  # on the clock of patience
         self._back, self._shy = Backoff(), Backoff()  # of the log; of takes that others were faster at
@@ -232,10 +232,10 @@
             self._lose(task, own, "over")
         return now < own.end
 
-    def _lose(self, task: str, own: Own, why: str) -> None:
+    def _lose(self, task: str, own: HeldLease, why: str) -> None:
         if own.told:
             own.told = False
-            self.turned.append(Turned(task, own.token, False, why, min(self._now, own.end)))
+            self.turned.append(LeaseChanged(task, own.token, False, why, min(self._now, own.end)))
 
     # Wishes.
 
@@ -244,8 +244,8 @@
 
         ValueError: more than MOST_TASKS tasks, or a weight outside (0, 1e6].
         """
-        if task not in self.wants and len(self.wants) >= table.MOST_TASKS:
-            raise ValueError(f"{table.MOST_TASKS} tasks at most")
+        if task not in self.wants and len(self.wants) >= lease_table.MOST_TASKS:
+            raise ValueError(f"{lease_table.MOST_TASKS} tasks at most")
         if not 0.0 < weight <= 1e6:
             raise ValueError(f"a weight above 0 and up to a million: {weight!r}")
         self.wants[task], self.weights[task] = turn(task, self.name, weight), weight
@@ -264,7 +264,7 @@
         for task in list(self.own):
             self._drop(task)
         self.number += 1
-        return table.encode(table.Leave(self.name, self.life, self.number))
+        return lease_table.encode(lease_table.ReleaseAll(self.name, self.life, self.number))
 
     def force(self, task: str) -> bytes | None:
         """Return the command of an operator's release of a task; None: nobody holds it."""
@@ -272,7 +272,7 @@
         if row is None:
             return None
         self.number += 1
-        return table.encode(table.Force(self.name, self.life, self.number, task, row.token))
+        return lease_table.encode(lease_table.ForceRelease(self.name, self.life, self.number, task, row.token))
 
     def _drop(self, task: str, why: str = "released") -> None:
         own = self.own.pop(task)
@@ -285,18 +285,18 @@
         """Take in an entry that was applied to the table; an empty command stands for a whole state (a snapshot)."""
         self.look(now)
         self._deaf = False
-        found = table.read(command) if command else None
-        changed = table.tasks(found) if found is not None else None
+        found = lease_table.read(command) if command else None
+        changed = lease_table.tasks(found) if found is not None else None
         if command and found is None:
             return
-        if isinstance(found, Ask) and (found.holder, found.life) == (self.name, self.life):
-            self._answered(found, table.said(result))
-        elif isinstance(found, Ask):
-            self._bidden(found, table.said(result))
+        if isinstance(found, RenewLeases) and (found.holder, found.life) == (self.name, self.life):
+            self._answered(found, lease_table.said(result))
+        elif isinstance(found, RenewLeases):
+            self._bidden(found, lease_table.said(result))
         for task in list({**self._watched, **self.table.rows, **self.own}) if changed is None else changed:
             self._seen(task)
 
-    def _answered(self, ask: Ask, said: Said) -> None:
+    def _answered(self, ask: RenewLeases, said: CommandResult) -> None:
         """Our own ask has come to be, maybe long after we gave its outcome up."""
         asked = self._asked.pop(ask.number, None)
         if said.reason:
@@ -305,7 +305,7 @@
             row = self.table.rows.get(task)
             self.counts["takes" if done else "takes_refused" if ask.number != self._bid_number else "bids"] += 1
             if done and row is not None:
-                self.own[task] = Own(row.token, 0.0 if asked is None else asked, -math.inf)
+                self.own[task] = HeldLease(row.token, 0.0 if asked is None else asked, -math.inf)
                 self._extend(task, row.token, ask, asked)
             if done and task in self._bid:
                 self._bid.discard(task)
@@ -322,7 +322,7 @@
             # Others were faster, or the table is full. Once an ask: counted by tasks, one ask would last for seconds.
             self._shy.fail(self._now, self.rng, BACK_MOST_MS)
 
-    def _bidden(self, ask: Ask, said: Said) -> None:
+    def _bidden(self, ask: RenewLeases, said: CommandResult) -> None:
         """Another asks for tasks that it saw held."""
         bids = [
             task
@@ -347,7 +347,7 @@
                 self._gifts, theirs = self._gifts + 1, theirs + 1
                 self.counts["given"] += 1
 
-    def _extend(self, task: str, token: int, ask: Ask, asked: float | None) -> None:
+    def _extend(self, task: str, token: int, ask: RenewLeases, asked: float | None) -> None:
         own = self.own.get(task)
         if own is None or own.token != token:
             return  # given up meanwhile: the drop is under way
@@ -356,7 +356,7 @@
         own.asked, own.end = asked, end_of(asked, ask.duration_ms, self.terms.drift)
         if self._now < own.end and not own.told:
             own.told = True
-            self.turned.append(Turned(task, token, True, at=self._now))
+            self.turned.append(LeaseChanged(task, token, True, at=self._now))
 
     def _seen(self, task: str) -> None:
         self._watch(task)
@@ -380,7 +380,7 @@
         if version == NONE and task not in self.wants:
             self._watched.pop(task, None)
         elif known is None or known.version != version:
-            self._watched[task] = Watched(version, self._patience)
+            self._watched[task] = ObservedRow(version, self._patience)
             row = self.table.rows.get(task)
             self._next_take = min(
                 self._next_take,
@@ -402,9 +402,9 @@
         self._stood = stands
         if self.pending is not None or now < self._back.until or self._leaving:
             return None
-        drops = list(self._drops.items())[: table.MOST_ITEMS]
-        renews = self._renewals(now)[: table.MOST_ITEMS - len(drops)]
-        room = table.MOST_ITEMS - len(drops) - len(renews)
+        drops = list(self._drops.items())[: lease_table.MOST_ITEMS]
+        renews = self._renewals(now)[: lease_table.MOST_ITEMS - len(drops)]
+        room = lease_table.MOST_ITEMS - len(drops) - len(renews)
         may_take = stands and room and not self._deaf and now >= self._shy.until
         takes = self._takes()[:room] if may_take else []
         if may_take and not takes and self._patience >= self._next_bid:
@@ -413,11 +413,13 @@
         if not (drops or renews or takes) and not (self._deaf and self.wants):
             return None
         self.number += 1
-        self.pending = Pending(self.number, now)
+        self.pending = PendingCommand(self.number, now)
         self._asked[self.number] = now
         while len(self._asked) > OPEN_ASKS:
             del self._asked[next(iter(self._asked))]
-        return table.encode(Ask(self.name, self.life, self.number, self.terms.lease_ms, takes, renews, drops))
+        return lease_table.encode(
+            RenewLeases(self.name, self.life, self.number, self.terms.lease_ms, takes, renews, drops)
+        )
 
     def _renewals(self, now: float) -> list[tuple[str, int]]:
         """All that are due within the next part of a lease go along with the first: one entry for many."""
@@ -511,7 +513,7 @@
         """Return the earliest end of the leases that are held, in ms of the own clock; infinity if there are none."""
         return min((own.end for own in self.own.values() if own.told), default=math.inf)
 
-    def held(self, now: float) -> dict[str, Own]:
+    def held(self, now: float) -> dict[str, HeldLease]:
         """Return this process's leases that are not over at `now`, by task."""
         return {task: own for task, own in self.own.items() if now < own.end}
 
--- a/frostspindle/ownership/jobs.py
+++ b/frostspindle/ownership/jobs.py
@@ -10,25 +10,25 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol, TypeVar
 
-from frostspindle.ownership.fence import Stale
-from frostspindle.ownership.lease import Lease, Lost, OwnersLike
+from frostspindle.ownership.fence import StaleTokenError
+from frostspindle.ownership.lease import Lease, LeaseLostError, LeaseProvider
 from frostspindle.telemetry import Telemetry
 
 Got = TypeVar("Got")
 AGAIN_S, AGAIN_MOST_S = 0.2, 5.0  # after a run that ended or failed
 
 
-class Told(OwnersLike, Protocol):
+class LeaseService(LeaseProvider, Protocol):
     """What jobs need of the service."""
 
     def did(self, task: str, token: int, action: str, receiver: str) -> None:
         """Note that a receiver has accepted an action under a token, for the history and the figures."""
 
 
-class Hand:
+class JobContext:
     """What a job works with: its lease, and the only way by which it may send."""
 
-    def __init__(self, lease: Lease, owners: Told) -> None:
+    def __init__(self, lease: Lease, owners: LeaseService) -> None:
         self.lease, self._owners = lease, owners
 
     async def step(self, work: Awaitable[Got]) -> Got:
@@ -45,9 +45,9 @@
         self.lease.check()
         try:
             got = await call(self.lease.token)
-        except Stale as error:
+        except StaleTokenError as error:
             self._owners.refused(self.lease.task, self.lease.token, action, error.highest)
-            raise Lost(str(error)) from None
+            raise LeaseLostError(str(error)) from None
         self._owners.did(self.lease.task, self.lease.token, action, receiver)
         self.lease.check()
         return got
@@ -59,15 +59,15 @@
     task: str
     every_s: float  # from the end of a run to the next, while the lease is held
 
-    async def run(self, hand: Hand) -> None:
+    async def run(self, hand: JobContext) -> None:
         """Do the work once; what must be remembered between runs is kept by receivers or the log, not this process."""
 
 
-class Runner:
+class JobRunner:
     """All jobs of one coordinator, each run while its lease is held."""
 
     def __init__(
-        self, owners: Told, telemetry: Telemetry, jobs: list[Job], weights: dict[str, float] | None = None
+        self, owners: LeaseService, telemetry: Telemetry, jobs: list[Job], weights: dict[str, float] | None = None
     ) -> None:
         self.owners, self.telemetry = owners, telemetry
         self.jobs = {job.task: job for job in jobs}
@@ -95,10 +95,10 @@
         failed = 0
         while lease.holds():
             try:
-                await job.run(Hand(lease, self.owners))
+                await job.run(JobContext(lease, self.owners))
                 failed = 0
                 self.runs[job.task] += 1
-            except Lost:
+            except LeaseLostError:
                 return
             except Exception as error:  # noqa: BLE001 - a job's fault is its own: the next run tries again
                 failed += 1
--- a/frostspindle/ownership/lease.py
+++ b/frostspindle/ownership/lease.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 
-class Lost(Exception):
+class LeaseLostError(Exception):
     """The lease that work was done under is over; whatever is not sent yet must not be sent."""
 
 
@@ -32,7 +32,7 @@
     def check(self) -> None:
         """Raise Lost if the lease is over."""
         if not self._holds():
-            raise Lost(f"{self.task}: the lease of token {self.token} is over")
+            raise LeaseLostError(f"{self.task}: the lease of token {self.token} is over")
 
     def __repr__(self) -> str:
         return f"Lease({self.task!r}, {self.token})"
@@ -41,7 +41,7 @@
 Changed = Callable[[str, Lease | None], None]  # the task, and the lease from now on; None: it is lost or released
 
 
-class OwnersLike(Protocol):
+class LeaseProvider(Protocol):
     """The service as other parts see it. `on_change` is called in the event loop, and must not block or raise."""
 
     on_change: list[Changed]
--- a/frostspindle/ownership/table.py
+++ b/frostspindle/ownership/lease_table.py
@@ -30,7 +30,7 @@
 NONE = (0, 0)  # the row of a task that nobody holds
 
 
-class Ask(Struct, tag="ask", array_like=True, frozen=True):
+class RenewLeases(Struct, tag="ask", array_like=True, frozen=True):
     """Command of one coordinator's process: takes, renewals and releases in one entry."""
 
     holder: Name
@@ -42,7 +42,7 @@
     drops: Ones = []
 
 
-class Force(Struct, tag="force", array_like=True, frozen=True):
+class ForceRelease(Struct, tag="force", array_like=True, frozen=True):
     """Command of an operator, proposed by a coordinator: the grant with this token is to be renewed no more."""
 
     holder: Name  # who proposes it, not who holds the task
@@ -52,7 +52,7 @@
     token: Whole
 
 
-class Leave(Struct, tag="leave", array_like=True, frozen=True):
+class ReleaseAll(Struct, tag="leave", array_like=True, frozen=True):
     """Command of a coordinator's process that ends: all its leases are released."""
 
     holder: Name
@@ -60,10 +60,10 @@
     number: Whole
 
 
-Command = Ask | Force | Leave
+Command = RenewLeases | ForceRelease | ReleaseAll
 
 
-class Row(Struct, array_like=True, frozen=True):
+class LeaseRow(Struct, array_like=True, frozen=True):
     """The present grant of one task."""
 
     holder: Name
@@ -79,7 +79,7 @@
         return self.token, self.renewals
 
 
-class Said(Struct, array_like=True, frozen=True):
+class CommandResult(Struct, array_like=True, frozen=True):
     """The machine's answer to a command; each list matches the command's, true where it was done."""
 
     reason: str = ""  # why the whole command was refused
@@ -89,13 +89,13 @@
 
 
 class _State(Struct, array_like=True):
-    rows: Annotated[dict[Name, Row], Meta(max_length=MOST_TASKS)]
+    rows: Annotated[dict[Name, LeaseRow], Meta(max_length=MOST_TASKS)]
     seen: Annotated[list[tuple[Name, Whole, Whole]], Meta(max_length=MOST_PROPOSERS)]
 
 
 encode = msgspec.msgpack.encode
 _COMMAND = msgspec.msgpack.Decoder(Command)
-_SAID = msgspec.msgpack.Decoder(Said)
+_SAID = msgspec.msgpack.Decoder(CommandResult)
 _STATE = msgspec.msgpack.Decoder(_State)
 
 
@@ -108,26 +108,26 @@
     return found
 
 
-def said(result: bytes) -> Said:
+def said(result: bytes) -> CommandResult:
     """Decode the machine's own answer; one that can't be read counts as a refusal of the whole command."""
     try:
         return _SAID.decode(result)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return Said("unreadable answer")
+        return CommandResult("unreadable answer")
 
 
 def tasks(command: Command) -> Iterable[str] | None:
     """Return the tasks that a command may have changed; None: any."""
-    if isinstance(command, Ask):
+    if isinstance(command, RenewLeases):
         return [item[0] for item in (*command.takes, *command.renews, *command.drops)]
-    return [command.task] if isinstance(command, Force) else None
+    return [command.task] if isinstance(command, ForceRelease) else None
 
 
-class Table:
+class LeaseTable:
     """The state machine of the leases; see replica.base.Machine."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, LeaseRow] = {}
         self._seen: dict[tuple[str, int], int] = {}  # process: its last number; who spoke last stands last
         self.refused = 0
 
@@ -148,49 +148,49 @@
         who = found.holder, found.life
         if found.number <= self._seen.get(who, -1):
             return self._no("doubled")
-        if isinstance(found, Ask) and len(found.takes) + len(found.renews) + len(found.drops) > MOST_ITEMS:
+        if isinstance(found, RenewLeases) and len(found.takes) + len(found.renews) + len(found.drops) > MOST_ITEMS:
             return self._no("too many items")
         self._seen.pop(who, None)
         if len(self._seen) >= MOST_PROPOSERS:
             del self._seen[next(iter(self._seen))]
-        self._seen[who] = 2**53 if isinstance(found, Leave) else found.number
-        if isinstance(found, Ask):
+        self._seen[who] = 2**53 if isinstance(found, ReleaseAll) else found.number
+        if isinstance(found, RenewLeases):
             return encode(self._ask(index, found))
-        if isinstance(found, Force):
+        if isinstance(found, ForceRelease):
             row = self.rows.get(found.task)
             if row is None or row.token != found.token:
                 return self._no("no such grant")
             self.rows[found.task] = msgspec.structs.replace(row, forced=True)
         else:
             self.rows = {task: row for task, row in self.rows.items() if (row.holder, row.life) != who}
-        return encode(Said())
+        return encode(CommandResult())
 
     def _no(self, reason: str) -> bytes:
         self.refused += 1
-        return encode(Said(reason))
+        return encode(CommandResult(reason))
 
-    def _ask(self, index: int, ask: Ask) -> Said:
+    def _ask(self, index: int, ask: RenewLeases) -> CommandResult:
         """What is dropped first makes room for what is taken."""
         dropped = [self._own(ask, *item) is not None and self.rows.pop(item[0], None) is not None for item in ask.drops]
         renewed = [self._renew(ask, *item) for item in ask.renews]
         taken = [self._take(index, ask, task, (token, renewals)) for task, token, renewals in ask.takes]
-        return Said("", taken, renewed, dropped)
+        return CommandResult("", taken, renewed, dropped)
 
-    def _own(self, ask: Ask, task: str, token: int) -> Row | None:
+    def _own(self, ask: RenewLeases, task: str, token: int) -> LeaseRow | None:
         row = self.rows.get(task)
         return row if row is not None and (row.holder, row.life, row.token) == (ask.holder, ask.life, token) else None
 
-    def _renew(self, ask: Ask, task: str, token: int) -> bool:
+    def _renew(self, ask: RenewLeases, task: str, token: int) -> bool:
         row = self._own(ask, task, token)
         if row is None or row.forced:
             return False
-        self.rows[task] = Row(row.holder, row.life, token, row.renewals + 1, ask.duration_ms)
+        self.rows[task] = LeaseRow(row.holder, row.life, token, row.renewals + 1, ask.duration_ms)
         return True
 
-    def _take(self, index: int, ask: Ask, task: str, expects: tuple[int, int]) -> bool:
+    def _take(self, index: int, ask: RenewLeases, task: str, expects: tuple[int, int]) -> bool:
         if self.version(task) != expects or task not in self.rows and len(self.rows) >= MOST_TASKS:
             return False
-        self.rows[task] = Row(ask.holder, ask.life, index, 0, ask.duration_ms)
+        self.rows[task] = LeaseRow(ask.holder, ask.life, index, 0, ask.duration_ms)
         return True
 
     def state(self) -> bytes:
--- a/frostspindle/ownership/progress.py
+++ b/frostspindle/ownership/progress.py
@@ -18,7 +18,7 @@
 Born = Annotated[float, Meta(ge=0, le=1e14)]
 
 
-class Note(Struct, array_like=True, frozen=True):
+class RecordProgress(Struct, array_like=True, frozen=True):
     """Command: of the engine's start at `born_ms` (Unix ms), the first `place` statements have ended well."""
 
     token: Count
@@ -33,11 +33,11 @@
 
 
 encode = msgspec.msgpack.encode
-_NOTE = msgspec.msgpack.Decoder(Note)
+_NOTE = msgspec.msgpack.Decoder(RecordProgress)
 _STATE = msgspec.msgpack.Decoder(_State)
 
 
-class Progress:
+class WarmupProgress:
     """The state machine of the topic; see replica.base.Machine."""
 
     def __init__(self) -> None:
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -18,10 +18,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from frostspindle.ownership import table
-from frostspindle.ownership.holder import Holder, Terms, Turned
+from frostspindle.ownership import lease_table
+from frostspindle.ownership.holder import LeaseChanged, LeaseHolder, LeaseSettings
 from frostspindle.ownership.lease import Changed, Lease
-from frostspindle.replica.base import Log, Unavailable, Uncertain
+from frostspindle.replica.base import LogUnavailableError, OutcomeUnknownError, ReplicatedLog
 from frostspindle.telemetry import Telemetry
 
 TOPIC = "owners"
@@ -30,7 +30,7 @@
 REFUSALS = 32  # are kept for operators
 SHOWN = 1_000  # rows told to operators
 SINGLE, MANY = 16, 256  # so many turns at once have lines of their own; so many fit into one line
-_NAME = re.compile(table.NAME)
+_NAME = re.compile(lease_table.NAME)
 
 
 def clock() -> float:
@@ -38,14 +38,14 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
-class Owners:
+class LeaseManager:
     """The service of lease.OwnersLike. To be made before the log starts, as it attaches its topic."""
 
     def __init__(
         self,
-        log: Log,
+        log: ReplicatedLog,
         name: str,
-        terms: Terms,
+        terms: LeaseSettings,
         telemetry: Telemetry,
         busy: Callable[[], str] = lambda: "",
         now: Callable[[], float] = clock,
@@ -55,11 +55,11 @@
         if not _NAME.match(name):
             raise ValueError(f"a name of 1 to 64 printable ASCII characters: {name!r:.80}")
         self.log, self.name, self.terms, self.telemetry, self.busy, self.now = log, name, terms, telemetry, busy, now
-        self.table = table.Table()
+        self.table = lease_table.LeaseTable()
         self.on_change: list[Changed] = []
         self.acted = self.stale = 0
         self.refusals: deque[dict[str, Any]] = deque(maxlen=REFUSALS)
-        self.holder = Holder(
+        self.holder = LeaseHolder(
             name, secrets.randbits(52), terms, self.table, secrets.randbits(60) if seed is None else seed, now()
         )
         self._leases: dict[str, Lease] = {}
@@ -135,9 +135,9 @@
         well, appended = True, None
         try:
             await self.log.propose(TOPIC, command, self.terms.within_ms / 1000.0)
-        except Unavailable:
+        except LogUnavailableError:
             well, appended = False, False
-        except Uncertain:
+        except OutcomeUnknownError:
             well = False
         finally:
             self.holder.outcome(self.now(), number, well, appended)
@@ -185,8 +185,8 @@
                     )
 
     @staticmethod
-    def _grouped(turned: list[Turned]) -> list[tuple[str, list[Turned]]]:
-        out: list[tuple[str, list[Turned]]] = []
+    def _grouped(turned: list[LeaseChanged]) -> list[tuple[str, list[LeaseChanged]]]:
+        out: list[tuple[str, list[LeaseChanged]]] = []
         for turn in turned:
             event = "owner_took" if turn.held else "owner_released" if turn.why.startswith("released") else "owner_lost"
             if not out or out[-1][0] != event:
@@ -194,7 +194,7 @@
             out[-1][1].append(turn)
         return out
 
-    def _holding(self, turn: Turned) -> Callable[[], bool]:
+    def _holding(self, turn: LeaseChanged) -> Callable[[], bool]:
         def holds() -> bool:
             held = not self._closed and self.holder.holds(turn.task, turn.token, self.now())
             if self.holder.turned:
@@ -284,7 +284,7 @@
         async def propose() -> None:
             try:
                 await self.log.propose(TOPIC, command, FORCE_S)
-            except (Unavailable, Uncertain) as error:
+            except (LogUnavailableError, OutcomeUnknownError) as error:
                 self.telemetry.log("owner_force", task=task, token=row.token, holder=row.holder, error=str(error))
             else:
                 self.telemetry.log("owner_force", task=task, token=row.token, holder=row.holder)
@@ -306,7 +306,7 @@
         if self.holder.number > 1 and self.log.leader is not None:
             try:
                 await self.log.propose(TOPIC, command, LEAVE_S)
-            except (Unavailable, Uncertain) as error:
+            except (LogUnavailableError, OutcomeUnknownError) as error:
                 self.telemetry.log("owner_left", holder=self.name, error=str(error))
         for task in list(self._tasks):
             task.cancel()
--- a/frostspindle/ownership/warm.py
+++ b/frostspindle/ownership/warmup.py
@@ -18,14 +18,14 @@
 from typing import NamedTuple
 
 from frostspindle.ownership import progress
-from frostspindle.ownership.jobs import Hand
-from frostspindle.ownership.progress import Note, Progress
-from frostspindle.replica.base import Log, Unavailable, Uncertain
+from frostspindle.ownership.jobs import JobContext
+from frostspindle.ownership.progress import RecordProgress, WarmupProgress
+from frostspindle.replica.base import LogUnavailableError, OutcomeUnknownError, ReplicatedLog
 
 MOST_STARTS, NOTE_S = 512, 1.0
 
 
-class Cold(NamedTuple):
+class ColdEngine(NamedTuple):
     """An engine that is cold now; `born_ms` is its start in Unix ms."""
 
     number: int
@@ -33,7 +33,7 @@
     born_ms: float
 
 
-class Warm:
+class WarmupJob:
     """The job that warms cold engines up; see jobs.Job."""
 
     def __init__(
@@ -41,11 +41,11 @@
         task: str,
         every_ms: float,
         statements: list[str],
-        cold: Callable[[], Iterable[Cold]],
-        pay: Callable[[Cold], bool],
+        cold: Callable[[], Iterable[ColdEngine]],
+        pay: Callable[[ColdEngine], bool],
         run: Callable[[int, str, str], Awaitable[bool]],
-        log: Log | None = None,
-        told: Progress | None = None,
+        log: ReplicatedLog | None = None,
+        told: WarmupProgress | None = None,
     ) -> None:
         """`pay` buys the rights for one statement at an engine; False if there are none now.
 
@@ -56,7 +56,7 @@
         self.cold, self.pay, self.query, self.log, self.told = cold, pay, run, log, told
         self.done: dict[tuple[str, float], int] = {}  # by start: so many statements, from here
 
-    async def run(self, hand: Hand) -> None:
+    async def run(self, hand: JobContext) -> None:
         """Send one further statement to each cold engine that has not had all; the next run goes on from there.
 
         Raises Lost. An engine without rights for a statement now is passed over.
@@ -69,7 +69,7 @@
                 continue
             statement = self.statements[place]
 
-            async def query(token: int, engine: Cold = engine, statement: str = statement) -> bool:
+            async def query(token: int, engine: ColdEngine = engine, statement: str = statement) -> bool:
                 return await self.query(engine.number, f"{token & 0xFFFFFFFF:08x}{secrets.token_hex(4)}", statement)
 
             well = await hand.send(f"warm {place + 1} of {len(self.statements)}", engine.name, query)
@@ -78,11 +78,11 @@
                 if len(self.done) >= MOST_STARTS:
                     del self.done[next(iter(self.done))]
                 self.done[start] = place + 1
-                await hand.step(self._note(Note(hand.lease.token, *start, place + 1)))
+                await hand.step(self._note(RecordProgress(hand.lease.token, *start, place + 1)))
 
-    async def _note(self, note: Note) -> None:
+    async def _note(self, note: RecordProgress) -> None:
         if self.log is not None:
             try:
                 await self.log.propose(progress.TOPIC, progress.encode(note), NOTE_S)
-            except (Unavailable, Uncertain):
+            except (LogUnavailableError, OutcomeUnknownError):
                 pass  # a successor would send this one again; it is remembered here
