--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -10,14 +10,14 @@
 from frostspindle import config as configuration
 from frostspindle.core import clock
 from frostspindle.fleet.service import monotonic
-from frostspindle.fleet.warming import born
+from frostspindle.fleet.slow_start_service import born
 from frostspindle.net.operator import OperatorError
-from frostspindle.ownership.export import Export
-from frostspindle.ownership.holder import Terms
-from frostspindle.ownership.jobs import Job, Runner
-from frostspindle.ownership.progress import TOPIC, Progress
-from frostspindle.ownership.service import Owners
-from frostspindle.ownership.warm import Cold, Warm
+from frostspindle.ownership.export import ExportJob
+from frostspindle.ownership.holder import LeaseSettings
+from frostspindle.ownership.jobs import Job, JobRunner
+from frostspindle.ownership.progress import TOPIC, WarmupProgress
+from frostspindle.ownership.service import LeaseManager
+from frostspindle.ownership.warmup import ColdEngine, WarmupJob
 
 if TYPE_CHECKING:
     from frostspindle.host import ProgramContext
@@ -25,24 +25,24 @@
 SUMS = 32  # figures of one export
 
 
-class Part:
+class OwnershipComponent:
     """Owners and their jobs as the program starts and ends them; its calls `show-owners` and `release-owner`."""
 
     def __init__(self, program: ProgramContext) -> None:
         config = program.config.operator.ownership
         assert config is not None and program.config.operator.replica is not None
         self.program = program
-        self.owners = Owners(
+        self.owners = LeaseManager(
             program.replica,
             program.config.operator.replica.me,
-            Terms(config.lease_ms, config.drift),
+            LeaseSettings(config.lease_ms, config.drift),
             program.telemetry,
             self.busy,
         )
-        warmed = Progress()  # also where nothing is warmed up: all coordinators hold the same topics
+        warmed = WarmupProgress()  # also where nothing is warmed up: all coordinators hold the same topics
         program.replica.attach(TOPIC, warmed)
         jobs: list[Job] = [
-            Export(
+            ExportJob(
                 task.name,
                 configuration.address(task.at, "ownership.task.at"),
                 task.every_ms,
@@ -55,7 +55,7 @@
         if config.warm is not None:
             warm = config.warm
             jobs.append(
-                Warm(
+                WarmupJob(
                     "warm",
                     warm.every_ms,
                     warm.statement,
@@ -70,7 +70,7 @@
             )
             weights["warm"] = warm.weight
         self.cost_ms = config.warm.cost_ms if config.warm is not None else 0.0
-        self.runner = Runner(self.owners, program.telemetry, jobs, weights)
+        self.runner = JobRunner(self.owners, program.telemetry, jobs, weights)
         if program.desk:
             program.desk.does["show-owners"] = self.figures
             program.desk.does["release-owner"] = self.release
@@ -84,17 +84,17 @@
             return "recovering"
         return ""
 
-    def _cold(self) -> list[Cold]:
+    def _cold(self) -> list[ColdEngine]:
         """HTTP engines that the module believes cold and ready now."""
         core = self.program.core
         now = clock()
         return [
-            Cold(number, core.engines[number].name, born(core.engines[number]))
+            ColdEngine(number, core.engines[number].name, born(core.engines[number]))
             for number, believed in core.controller.engines.items()
             if believed.ready and believed.cold(now) and number in core.engines and number in self.program.driver.peers
         ]
 
-    def _pay(self, engine: Cold) -> bool:
+    def _pay(self, engine: ColdEngine) -> bool:
         """The fleet's rights for one statement."""
         now, core, warming = clock(), self.program.core, getattr(self.program, "warming", None)
         believed = core.controller.engines.get(engine.number)
@@ -134,6 +134,6 @@
         await self.owners.close()
 
 
-def attach(program: ProgramContext) -> Part:
+def attach(program: ProgramContext) -> OwnershipComponent:
     """Make the part of a program that has [ownership] configured; to be called before the log starts."""
-    return Part(program)
+    return OwnershipComponent(program)
--- a/frostspindle/predicates/__init__.py
+++ b/frostspindle/predicates/__init__.py
@@ -27,7 +27,7 @@
     one_of,
     starts,
 )
-from frostspindle.predicates.judge import covers, may_match
+from frostspindle.predicates.implication import covers, may_match
 from frostspindle.predicates.normal import normal
 from frostspindle.predicates.values import FilterError, typed, typed_row
 
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -117,9 +117,9 @@
         self.fleet = self._fleet() if config.operator.fleet else None
         self.warming: Any = None
         if config.operator.fleet and config.operator.fleet.cold:
-            from frostspindle.fleet import warming
+            from frostspindle.fleet import slow_start_service
 
-            self.warming = warming.attach(self)
+            self.warming = slow_start_service.attach(self)
         self.scatter: Any = None
         self.agent: Any = None
         self.desk: OperatorServer | None = None
@@ -188,12 +188,12 @@
 
     def _fleet(self) -> Any:
         """This coordinator's part in a fleet, where the operator's file has one."""
-        from frostspindle.fleet.node import Budget, Terms
-        from frostspindle.fleet.service import Service
+        from frostspindle.fleet.node import Budget, FleetSettings
+        from frostspindle.fleet.service import FleetService
 
         fleet = self.config.operator.fleet
         assert fleet is not None
-        terms = Terms(
+        terms = FleetSettings(
             {seed.name: configuration.address(seed.address, "fleet.seed") for seed in fleet.seed},
             tuple(Budget(b.name, b.units, b.window_ms) for b in fleet.budget),
             fleet.lease_ms,
@@ -203,7 +203,7 @@
             fleet.judges,
             fleet.verdict_ms,
         )
-        service = Service(
+        service = FleetService(
             fleet.name or self.config.name,
             configuration.address(fleet.listen, "fleet.listen"),
             configuration.address(fleet.advertise, "fleet.advertise") if fleet.advertise else None,
@@ -233,10 +233,10 @@
         bans = self.recovery.bans if self.recovery else self.core.ban
         self.shared.start(self.settings.applied.follow(bans) if self.settings else bans, self.crowd)
         if self.shared.order is not None and any(cls.in_order for cls in self.config.settings.classes):
-            from frostspindle.order.service import Order  # only where a class keeps order
+            from frostspindle.order.service import KeyOrderService  # only where a class keeps order
 
             try:
-                self.order = Order(self.shared.order, self.core, self.telemetry)
+                self.order = KeyOrderService(self.shared.order, self.core, self.telemetry)
             except OSError as error:  # as with the bans: serving goes before what an upgrade needs
                 self.telemetry.log("order", folder=str(self.shared.order), error=repr(error))
         for work in (self.core.run(), self.bus.run()):
--- a/frostspindle/recovery/intake.py
+++ b/frostspindle/recovery/admission.py
@@ -29,7 +29,7 @@
 RETOLD_MS = 50.0  # those who wait are looked over so often
 
 
-class Class(NamedTuple):
+class RequestClass(NamedTuple):
     """What the gate needs to know of a class of requests."""
 
     worth: float
@@ -39,7 +39,7 @@
     mean_cost_ms: float
 
 
-class Engine(NamedTuple):
+class ReadyEngine(NamedTuple):
     """A ready engine as the slow-start curve needs it; `born_ms` 0: warm."""
 
     cores: float
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Curve:
+class SlowStartCurve:
     """What a cold engine bears (slow start): a part of its cores at the start, all after `warm_ms`, growing with the
     square.
     """
@@ -65,13 +65,13 @@
         return self.capacity + (1.0 - self.capacity) * (max(0.0, age_ms) / self.warm_ms) ** 2
 
 
-def bears(engines: Iterable[Engine], curve: Curve, at: float) -> float:
+def bears(engines: Iterable[ReadyEngine], curve: SlowStartCurve, at: float) -> float:
     """Return the work in ms that all engines together do in a ms at the time `at` (Unix ms)."""
     return sum(e.cores * (curve.part(at - e.born_ms) if e.born_ms > 0 else 1.0) for e in engines)
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class WaitingRequest:
     """A request that waits at the gate."""
 
     number: int
@@ -85,7 +85,7 @@
     gone: bool = False
 
 
-class Out(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """Decision on a request: let it through, or refuse it with a wait in ms."""
 
     number: int
@@ -94,41 +94,47 @@
 
 
 @dataclass(slots=True)
-class _Let:
+class _AdmittedRequest:
     cost: float
     cls: int
 
 
-class Intake:
+class RecoveryAdmission:
     """One coordinator's gate during recovery. Times are the core's, Unix ms."""
 
     def __init__(
-        self, classes: tuple[Class, ...], curve: Curve, share: float, most: int, seed: int, max_retry_ms: float = 0.0
+        self,
+        classes: tuple[RequestClass, ...],
+        curve: SlowStartCurve,
+        share: float,
+        most: int,
+        seed: int,
+        max_retry_ms: float = 0.0,
     ) -> None:
         self.classes, self.curve, self.share, self.most = classes, curve, share, most
         self.max_retry_ms = max_retry_ms  # 0: no wait is told
-        self.engines: tuple[Engine, ...] = ()
+        self.engines: tuple[ReadyEngine, ...] = ()
         self.open = False  # True: nothing waits but loads for their tickets
         self.begun = False  # service has: until then nothing goes on, whatever was expected
         self.expected = math.inf  # before that: when it is expected to begin
         self.loads = False  # requests that must not be repeated go on too
-        self.waiting: dict[int, Waiting] = {}
-        self.lines: dict[int, deque[Waiting]] = {}  # by key, in the order taken
-        self.let: dict[int, _Let] = {}  # with the module, unanswered
+        self.waiting: dict[int, WaitingRequest] = {}
+        self.lines: dict[int, deque[WaitingRequest]] = {}  # by key, in the order taken
+        self.let: dict[int, _AdmittedRequest] = {}  # with the module, unanswered
         self.work = 0.0  # of these
         self.refused = self.passed = self.deferred = 0
         self.random = random.Random(seed)
         self._looked = -math.inf
         self._dirty = False
         self._ahead: list[float] = []  # work that will have been done by the end of each step from `_from` on
-        self._ahead_of: tuple[tuple[Engine, ...], float] | None = None  # by these engines and this share
+        self._ahead_of: tuple[tuple[ReadyEngine, ...], float] | None = None  # by these engines and this share
         self._from = -math.inf
 
     # What comes in.
 
     def enter(
         self, now: float, number: int, cls: int, key: int, left_ms: float, cost_ms: float, cleared: bool
-    ) -> list[Out]:
+    ) -> list[AdmissionDecision]:
         """Queue a request; return what is to be done at once, also with others.
 
         With more than `most` waiting, the one worth least for its work is refused.
@@ -136,13 +142,13 @@
         kind = self.classes[cls]
         cost = max(1.0, cost_ms or kind.mean_cost_ms)
         ends = now + (left_ms if kind.late_share > 0 else min(left_ms, kind.aim_ms)) - MARGIN_MS
-        waiting = Waiting(number, cls, key, cost, now, ends, (-kind.worth / cost, number), cleared)
+        waiting = WaitingRequest(number, cls, key, cost, now, ends, (-kind.worth / cost, number), cleared)
         if key:
             self.lines.setdefault(key, deque()).append(waiting)
         self.waiting[number] = waiting
         self.deferred += 1
         self._dirty = True
-        out: list[Out] = []
+        out: list[AdmissionDecision] = []
         if len(self.waiting) > self.most:
             worst = max((w for w in self.waiting.values()), key=lambda w: w.rank)
             out += self._refuse(now, worst, self.wait_ms(now, self._until(now, self._queued())))
@@ -162,7 +168,7 @@
             self.work = max(0.0, self.work - let.cost) if self.let else 0.0
         self._dirty = True
 
-    def _unline(self, waiting: Waiting) -> None:
+    def _unline(self, waiting: WaitingRequest) -> None:
         waiting.gone = True
         line = self.lines.get(waiting.key)
         while line and line[0].gone:
@@ -172,11 +178,11 @@
 
     # What goes out.
 
-    def look(self, now: float, only: int = 0) -> list[Out]:
+    def look(self, now: float, only: int = 0) -> list[AdmissionDecision]:
         """Let through the requests that fit, refuse those that can't be served in time. `only`: the one request that
         has changed, used with the gate open.
         """
-        out: list[Out] = []
+        out: list[AdmissionDecision] = []
         if self.open:
             waiting = [self.waiting[only]] if only in self.waiting else list(self.waiting.values()) if not only else []
             for one in waiting:
@@ -198,23 +204,23 @@
             out += self._hopeless(now)
         return out
 
-    def _may(self, one: Waiting) -> bool:
+    def _may(self, one: WaitingRequest) -> bool:
         return one.cleared and (self.loads or self.classes[one.cls].harmless)
 
-    def _head(self, one: Waiting) -> bool:
+    def _head(self, one: WaitingRequest) -> bool:
         return not one.key or self.lines[one.key][0] is one
 
-    def _pass(self, one: Waiting) -> list[Out]:
+    def _pass(self, one: WaitingRequest) -> list[AdmissionDecision]:
         del self.waiting[one.number]
         self._unline(one)
-        self.let[one.number] = _Let(one.cost, one.cls)
+        self.let[one.number] = _AdmittedRequest(one.cost, one.cls)
         self.work += one.cost
         self.passed += 1
-        return [Out(one.number, True)]
+        return [AdmissionDecision(one.number, True)]
 
-    def _pass_line(self, one: Waiting) -> list[Out]:
+    def _pass_line(self, one: WaitingRequest) -> list[AdmissionDecision]:
         """With the gate open: this one, and those of its key that waited for it."""
-        out: list[Out] = []
+        out: list[AdmissionDecision] = []
         while one.number in self.waiting and one.cleared and self._head(one):
             out += self._pass(one)
             if not one.key or not (line := self.lines.get(one.key)):
@@ -222,19 +228,19 @@
             one = line[0]
         return out
 
-    def _refuse(self, now: float, one: Waiting, wait: float) -> list[Out]:
+    def _refuse(self, now: float, one: WaitingRequest, wait: float) -> list[AdmissionDecision]:
         self.waiting.pop(one.number, None)
         self._unline(one)
         self.refused += 1
-        return [Out(one.number, False, wait)]
+        return [AdmissionDecision(one.number, False, wait)]
 
-    def _hopeless(self, now: float) -> list[Out]:
+    def _hopeless(self, now: float) -> list[AdmissionDecision]:
         """Of those that wait, whoever would come too late even if it were next.
 
         What is ahead of it is not held against it: the module takes the smallest first, and others leave. By the order
         here more than twice as many were refused, and fewer served.
         """
-        out: list[Out] = []
+        out: list[AdmissionDecision] = []
         ahead = self.work
         for one in sorted(self.waiting.values(), key=lambda w: w.rank):
             if self._until(now, one.cost) > one.ends:
@@ -287,7 +293,7 @@
         """Return when to look again although nothing has changed; inf if the gate is open or nothing waits."""
         return math.inf if self.open or not self.waiting else now + RETOLD_MS
 
-    def release(self) -> list[Out]:
+    def release(self) -> list[AdmissionDecision]:
         """Open the gate; return the decisions on all that wait and need no ticket any more."""
         self.open = self.begun = self.loads = True
         return self.look(self._looked)
--- a/frostspindle/recovery/agree.py
+++ b/frostspindle/recovery/agreement.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from frostspindle.recovery import state
-from frostspindle.recovery.state import Rule
-from frostspindle.recovery.wire import Ban, Listed
+from frostspindle.recovery import state_kinds
+from frostspindle.recovery.state_kinds import ConflictRule
+from frostspindle.recovery.wire import BanStatement, ListedEngine
 
 GONE, READY, DRAINING = range(3)  # of the engine list, see frostspindle.policy.Health
 MOST_BANS = 1_000
@@ -20,19 +20,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class MemberReport:
     """What one coordinator holds of engines, as it answers in a recovery."""
 
     maker: str
     number: int  # of the last event of the bus that it heard
-    engines: Mapping[str, Listed]
+    engines: Mapping[str, ListedEngine]
     firm: bool = False  # it runs, past its own agreement
     blank: bool = False  # its store was lost, so that its silence on a ban says nothing
     up_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Agreed:
+class AgreedState:
     """Outcome of an agreement. `list`: the engine list to be taken whole, if its number is higher than the one here.
 
     `withheld`: engines to leave out; `banned`: this coordinator's own bans; `starts`: of engines known to have run on,
@@ -41,21 +41,21 @@
 
     enough: bool
     number: int
-    list: tuple[Listed, ...] = ()
+    list: tuple[ListedEngine, ...] = ()
     withheld: frozenset[str] = frozenset()
     banned: frozenset[str] = frozenset()
     starts: Mapping[str, float] = field(default_factory=dict)
 
 
-class Bans:
+class BanTable:
     """All coordinators' bans by hand: the newest statement by maker and engine."""
 
-    def __init__(self, words: Iterable[Ban] = ()) -> None:
-        self.words: dict[tuple[str, str], Ban] = {}
+    def __init__(self, words: Iterable[BanStatement] = ()) -> None:
+        self.words: dict[tuple[str, str], BanStatement] = {}
         for word in words:
             self.hear(word)
 
-    def hear(self, word: Ban) -> bool:
+    def hear(self, word: BanStatement) -> bool:
         """Take a statement; return whether it was news.
 
         Of two of one moment the ban wins. Full: the oldest lifted ban makes room, else it is not taken.
@@ -91,11 +91,11 @@
         return frozenset(engine for (_, engine), word in self.words.items() if word.on)
 
 
-def _highest(words: list[Word]) -> Word:
+def _highest(words: list[MemberReport]) -> MemberReport:
     return max(words, key=lambda word: (word.number, bool(word.engines), word.firm, word.maker))
 
 
-def _safest(words: list[Word]) -> frozenset[str]:
+def _safest(words: list[MemberReport]) -> frozenset[str]:
     """Engines to leave out: those that not all have, or that drain for anybody."""
     lists = [word.engines for word in words if word.engines]
     names = {name for engines in lists for name in engines}
@@ -104,13 +104,13 @@
     )
 
 
-_BANNED: dict[Rule, Callable[[Bans, str], frozenset[str]]] = {
-    Rule.NEWEST: lambda bans, name: bans.of(name),
-    Rule.UNION: lambda bans, name: bans.anybody(),
+_BANNED: dict[ConflictRule, Callable[[BanTable, str], frozenset[str]]] = {
+    ConflictRule.NEWEST: lambda bans, name: bans.of(name),
+    ConflictRule.UNION: lambda bans, name: bans.anybody(),
 }
 
 
-def enough(words: Iterable[Word], seeds: Iterable[str]) -> bool:
+def enough(words: Iterable[MemberReport], seeds: Iterable[str]) -> bool:
     """Tell whether more than half of the seeds answered with what they kept or hold.
 
     One whose store was lost does not count.
@@ -119,7 +119,7 @@
     return 2 * len({word.maker for word in words if word.maker in among and not word.blank}) > len(among)
 
 
-def agree(name: str, words: list[Word], bans: Bans, seeds: Iterable[str]) -> Agreed:
+def agree(name: str, words: list[MemberReport], bans: BanTable, seeds: Iterable[str]) -> AgreedState:
     """Settle what `words` (this coordinator's among them) and `bans` (of all of them) say, for the coordinator `name`,
     by the rules of `state.TABLE`.
     """
@@ -127,20 +127,20 @@
     heard = [word for word in words if not word.blank] or words
     best = _highest(heard)
     withheld: frozenset[str] = frozenset()
-    listed: tuple[Listed, ...] = ()
-    if state.rule("engines", are) is Rule.HIGHEST:
+    listed: tuple[ListedEngine, ...] = ()
+    if state_kinds.rule("engines", are) is ConflictRule.HIGHEST:
         listed = tuple(best.engines.values())
     else:
         withheld = _safest(heard)
         usable = {n for n, e in best.engines.items() if e.health == READY} - withheld
         if not usable:  # nothing is in all lists: one that leaves nothing to serve with is of no use
             withheld = frozenset(n for w in heard for n, e in w.engines.items() if e.health != READY)
-    banned = _BANNED[state.rule("bans", are)](bans, name)
+    banned = _BANNED[state_kinds.rule("bans", are)](bans, name)
     if not are:
         withheld |= banned
         banned = bans.of(name)
     starts: dict[str, float] = {}
-    if state.rule("warmth", are) is Rule.WARMEST_KNOWN:
+    if state_kinds.rule("warmth", are) is ConflictRule.WARMEST_KNOWN:
         ran = [w for w in words if w.firm and w.up_ms >= RAN_MS and w.maker != name]
         among = frozenset(seeds)
         if 2 * sum(w.maker in among for w in ran) > len(among):  # they saw the engines run on through our loss
@@ -149,7 +149,7 @@
                 for engine in word.engines.values():
                     if engine.name not in refuses:  # who was turned away by one saw that it did not run on
                         starts[engine.name] = max(starts.get(engine.name, 0.0), engine.born_ms)
-    return Agreed(are, best.number, listed, withheld, banned, starts)
+    return AgreedState(are, best.number, listed, withheld, banned, starts)
 
 
 def cold(
--- a/frostspindle/recovery/node.py
+++ b/frostspindle/recovery/node.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
-from frostspindle.recovery import agree, state, tickets, wire
-from frostspindle.recovery.agree import Agreed, Bans, Word
-from frostspindle.recovery.stages import Bounds, Facts, Move, Stage, Stages
-from frostspindle.recovery.state import Rests
-from frostspindle.recovery.wire import Ban, Known, Listed
+from frostspindle.recovery import agreement, state_kinds, tickets, wire
+from frostspindle.recovery.agreement import AgreedState, BanTable, MemberReport
+from frostspindle.recovery.stages import RecoveryStages, Stage, StageInputs, StageTimeouts, StageTransition
+from frostspindle.recovery.state_kinds import CooldownSettings
+from frostspindle.recovery.wire import BanStatement, ListedEngine, StoreState
 
 PULL_MS, AGAIN_MS, ANEW_MS = 5_000.0, 200.0, 1_000.0  # running: one other is asked so often; recovering: resends, words
 AT_ONCE, PAGES = 16, 4  # members asked at a time; pages asked of one at a time
@@ -33,36 +33,36 @@
 GIVEN_MS = 120_000.0  # a start that others gave so long ago is of no use
 GRID_MS = 2_000.0  # of the starts that are given to engines: coordinators that come back together give the same
 REFUSES_MS = 200.0  # an engine that refuses connections for so long has gone, and comes back cold
-MARK = state.prefix("cold rights") + b"none out"
+MARK = state_kinds.prefix("cold rights") + b"none out"
 MOST_ENGINES = 4_000  # of a list; more are not told or kept
 BATCH = 1_000
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class RecoverySettings:
     """What a coordinator is given at its start."""
 
     name: str
     seeds: tuple[str, ...] = ()  # of the fleet; none: it is alone
-    bounds: Bounds = Bounds()
-    rests: Rests = Rests(0.0, 600_000.0)
+    bounds: StageTimeouts = StageTimeouts()
+    rests: CooldownSettings = CooldownSettings(0.0, 600_000.0)
     claim_ms: float = 1_000.0
     first_start: bool = False  # the operator's word that an empty store is none that was lost
 
 
 @dataclass(slots=True, frozen=True)
-class Opened:
+class OpenedStore:
     """Outcome of opening the store. `trusted`: it is the latest one; `known`: its state as it was opened."""
 
     verdict: str
     usable: bool
     trusted: bool
     fresh: bool = False  # nothing was there
-    known: Known | None = None
+    known: StoreState | None = None
     entries: tuple[tuple[bytes, bytes], ...] = ()
 
 
-class Beat(msgspec.Struct, array_like=True, frozen=True):
+class HeartbeatRecord(msgspec.Struct, array_like=True, frozen=True):
     """Heartbeat record: when a process last wrote of itself, and whether it ended in good order."""
 
     at_ms: float
@@ -70,72 +70,72 @@
     clean: bool  # it ended in good order
 
 
-class Chill(NamedTuple):
+class MarkRestarted(NamedTuple):
     """Effect: take these engines as started at these times (Unix ms), unless the list has a later start."""
 
     starts: dict[str, float]
 
 
-class Settled(NamedTuple):
+class ClaimResolved(NamedTuple):
     """Effect: the claim of a load has its outcome, one of tickets.GO, RAN, CANT and UNSURE."""
 
     number: int
     how: str
 
 
-class Note(NamedTuple):
+class WriteLogLine(NamedTuple):
     """Effect: write a log line."""
 
     event: str
     fields: dict[str, Any]
 
 
-Effect = Move | Agreed | Chill | Settled | Note
+Effect = StageTransition | AgreedState | MarkRestarted | ClaimResolved | WriteLogLine
 
 
 @dataclass(slots=True)
-class _Pull:
+class _ReportTransfer:
     """What a member tells, page by page."""
 
     digest: int = -1
     total: int = 1
-    pages: dict[int, wire.Page] = field(default_factory=dict)
+    pages: dict[int, wire.ReportPage] = field(default_factory=dict)
     asked_at: float = -1e18
     whole_at: float = -1e18
-    word: Word | None = None
+    word: MemberReport | None = None
 
 
-_beat = msgspec.msgpack.Decoder(Beat).decode
+_beat = msgspec.msgpack.Decoder(HeartbeatRecord).decode
 
 
-class Node:
+class RecoveryNode:
     """One process's recovery without I/O, and its part in that of others from then on."""
 
-    def __init__(self, terms: Terms, now: float, unix: float, seed: int) -> None:
+    def __init__(self, terms: RecoverySettings, now: float, unix: float, seed: int) -> None:
         self.terms, self.random = terms, random.Random(seed)
         self.seeds = terms.seeds or (terms.name,)
-        self.began, self.stages = now, Stages(terms.bounds, now)
-        self.facts = Facts(fleet=bool(terms.seeds), need=len(self.seeds) // 2 + 1, all=len(self.seeds))
+        self.began, self.stages = now, RecoveryStages(terms.bounds, now)
+        self.facts = StageInputs(fleet=bool(terms.seeds), need=len(self.seeds) // 2 + 1, all=len(self.seeds))
         self.facts.met = int(terms.name in self.seeds)
         self.out: list[tuple[str, bytes]] = []
         self.effects: list[Effect] = []
         self.counted: Counter[str] = Counter()
-        self.store = Opened("not opened", False, False)
+        self.store = OpenedStore("not opened", False, False)
         self.blank = True  # our silence on bans and tickets says nothing
         self.generation = 0
-        self.number, self.engines = 0, dict[str, Listed]()  # as the bus and the core have them now
-        self.kept: Word | None = None  # as the store has them
-        self.beat: Beat | None = None
-        self.bans, self.known = Bans(), dict[str, Known]()
+        self.number, self.engines = 0, dict[str, ListedEngine]()  # as the bus and the core have them now
+        self.kept: MemberReport | None = None  # as the store has them
+        self.beat: HeartbeatRecord | None = None
+        self.bans, self.known = BanTable(), dict[str, StoreState]()
         self._fresh: set[str] = set()  # of `known`, what the store lacks
         self._known_at = math.inf  # when it is written
-        self.journal = tickets.Journal((), terms.rests.tickets_ms, unix, True, False)
-        self.claims = tickets.Claims(terms.claim_ms)
+        self.journal = tickets.TicketJournal((), terms.rests.tickets_ms, unix, True, False)
+        self.claims = tickets.TicketClaims(terms.claim_ms)
         self.alive: set[str] = set()
-        self.agreed: Agreed | None = None
+        self.agreed: AgreedState | None = None
         self._numbers: dict[int, int] = {}  # by nonce: the core's number of a load
         self._nonces: dict[int, int] = {}
-        self._pulls: dict[str, _Pull] = {}
+        self._pulls: dict[str, _ReportTransfer] = {}
         self._seq = 0
         self._dirty: dict[bytes, bytes | None] = {}
         self._writing: dict[bytes, bytes | None] | None = None
@@ -144,7 +144,7 @@
         self._spares = self._quiet = False
         self._older = False
         self._strangers: set[str] = set()  # others who, with stores of their own, know of none of ours
-        self._book: tuple[int, list[tuple[list[Listed], list[Ban]]]] | None = None
+        self._book: tuple[int, list[tuple[list[ListedEngine], list[BanStatement]]]] | None = None
         self._first = False  # the operator's word: there was no store, and so no loss
         self._given: dict[str, tuple[float, ...]] = {}  # engines' latest starts as others told them
         self._refuses: dict[str, tuple[float, float]] = {}  # since when an engine does, and when that was last told
@@ -156,7 +156,7 @@
 
     # What the program tells.
 
-    def opened(self, now: float, unix: float, store: Opened) -> None:
+    def opened(self, now: float, unix: float, store: OpenedStore) -> None:
         """Take the outcome of opening the store, or that there is none: load what is trusted of its entries."""
         self.store = store
         self.facts.store, self.facts.usable = store.verdict, store.usable
@@ -164,7 +164,7 @@
         self.blank = not trusted
         self._first = store.fresh and self.terms.first_start
         self.generation = store.known.generation if store.known else 0
-        held: dict[str, list[tuple[bytes, bytes]]] = {kind: [] for kind in state.kept()}
+        held: dict[str, list[tuple[bytes, bytes]]] = {kind: [] for kind in state_kinds.kept()}
         for key, value in store.entries if trusted else ():
             kind = key.partition(b"/")[0].decode("ascii", "replace")
             if kind in held:
@@ -177,22 +177,22 @@
                 value,
                 lambda k, at=key: self.known.__setitem__(at.partition(b"/")[2].decode(errors="replace"), k),
             )
-        listed: dict[str, Listed] = {}
+        listed: dict[str, ListedEngine] = {}
         for _, value in held["engines"]:
             self._read(wire.decode_listed, value, lambda e: listed.__setitem__(e.name, e))
         for _, value in held["beat"]:
             self._read(_beat, value, lambda b: setattr(self, "beat", b))
-        self.journal = tickets.Journal(
-            held["tickets"], state.rest_ms("tickets", self.terms.rests), unix, not trusted, store.usable
+        self.journal = tickets.TicketJournal(
+            held["tickets"], state_kinds.rest_ms("tickets", self.terms.rests), unix, not trusted, store.usable
         )
         self.counted["recovery_spoilt"] += self.journal.spoilt
         self.marked = store.usable and any(key == MARK for key, _ in store.entries)
         if self.marked:  # by a life that is over
             self._spares, self._dirty[MARK] = trusted, None
         if listed and self.beat:
-            self.kept = Word(self.terms.name, self.beat.number, listed, blank=self.blank)
+            self.kept = MemberReport(self.terms.name, self.beat.number, listed, blank=self.blank)
         self.effects.append(
-            Note(
+            WriteLogLine(
                 "recovery_store",
                 {
                     "verdict": store.verdict,
@@ -232,7 +232,7 @@
         self.facts.rested = True
         self._look(now, unix)
 
-    def holds(self, now: float, unix: float, number: int, engines: Mapping[str, Listed]) -> None:
+    def holds(self, now: float, unix: float, number: int, engines: Mapping[str, ListedEngine]) -> None:
         """Take the engine list as it stands here now, up to MOST_ENGINES, with the number of the bus's last event."""
         engines = dict(list(engines.items())[:MOST_ENGINES])
         if (number, engines) != (self.number, self.engines):
@@ -251,8 +251,8 @@
         if Stage.ENGINES < self.stages.stage < Stage.OPEN:
             self._chill(unix)
 
-    def _keep_list(self, engines: Mapping[str, Listed], old: Iterable[str] = ()) -> None:
-        stem = state.prefix("engines")
+    def _keep_list(self, engines: Mapping[str, ListedEngine], old: Iterable[str] = ()) -> None:
+        stem = state_kinds.prefix("engines")
         for name in (*self.engines.keys(), *old):
             if name not in engines:
                 self._dirty[stem + name.encode()] = None
@@ -262,11 +262,11 @@
 
     def ban(self, unix: float, engine: str, on: bool) -> None:
         """Record that staff at this coordinator ban an engine, or no longer do."""
-        self._heard(Ban(self.terms.name, engine, on, unix))
+        self._heard(BanStatement(self.terms.name, engine, on, unix))
 
-    def _heard(self, word: Ban) -> None:
+    def _heard(self, word: BanStatement) -> None:
         if self.bans.hear(word):
-            self._dirty[state.prefix("bans") + f"{word.maker}/{word.engine}".encode()] = wire.encode(word)
+            self._dirty[state_kinds.prefix("bans") + f"{word.maker}/{word.engine}".encode()] = wire.encode(word)
             self._book = None
 
     def ended(self, unix: float, engine: str, refused: bool) -> None:
@@ -298,7 +298,7 @@
     def _restarted(self, engine: str, unix: float) -> None:
         start = self._restarts[engine] = math.floor(unix / GRID_MS) * GRID_MS
         self._book = None
-        self.effects.append(Chill({engine: start}))
+        self.effects.append(MarkRestarted({engine: start}))
 
     def quiet(self, quiet: bool) -> None:
         """Note whether nothing of our rights in cold engines' budgets is out or wanted; the store keeps it for the next
@@ -337,13 +337,13 @@
 
     def _outcome(self, nonce: int, how: str) -> None:
         if (number := self._numbers.get(nonce)) is not None:
-            self.effects.append(Settled(number, how))
+            self.effects.append(ClaimResolved(number, how))
         self.counted[f"claims_{how.replace(' ', '_')}"] += 1
 
-    def _carry(self, now: float, unix: float, sends: Iterable[tickets.Send]) -> None:
+    def _carry(self, now: float, unix: float, sends: Iterable[tickets.TicketMessage]) -> None:
         for send in sends:
             if send.home != self.terms.name:
-                body = (wire.Free if send.free else wire.Claim)(send.ticket, send.nonce)
+                body = (wire.TicketRelease if send.free else wire.TicketClaim)(send.ticket, send.nonce)
                 self.out.append((send.home, wire.encode(body)))
             elif send.free:
                 self.journal.free(self.terms.name, send.ticket, send.nonce)
@@ -392,7 +392,9 @@
             self._dirty = {**out, **self._dirty}
         else:
             self.facts.usable = False
-            self.effects.append(Note("recovery_unkept", {"why": "the store is broken: no tickets are granted here"}))
+            self.effects.append(
+                WriteLogLine("recovery_unkept", {"why": "the store is broken: no tickets are granted here"})
+            )
         for waiter, how in self.journal.written(ok, full):
             if waiter.name == self.terms.name:
                 self._answered(now, unix, waiter.name, waiter.nonce, how)
@@ -404,43 +406,43 @@
         self._write_beat(unix, True)
 
     def _write_beat(self, unix: float, clean: bool) -> None:
-        self._dirty[state.prefix("beat")] = wire.encode(Beat(unix, self.number, clean))
+        self._dirty[state_kinds.prefix("beat")] = wire.encode(HeartbeatRecord(unix, self.number, clean))
 
     # Messages.
 
     @property
-    def mine(self) -> Known | None:
+    def mine(self) -> StoreState | None:
         """The state of the own store; None until others were asked what they know of it, or without a usable store."""
         if self.stages.stage <= Stage.AGREE or self.store.known is None or not self.facts.usable:
             return None
-        return Known(self.store.known.id, self.store.known.life, self.generation)
+        return StoreState(self.store.known.id, self.store.known.life, self.generation)
 
     def hear(self, now: float, unix: float, name: str, data: bytes) -> None:
         """Process a member's message; one that can't be decoded is counted."""
         try:
             body = wire.decode(data)
-        except wire.BadPacket:
+        except wire.InvalidPacketError:
             self.counted["recovery_undecodable"] += 1
             return
-        if isinstance(body, wire.Ask):
+        if isinstance(body, wire.ReportRequest):
             self._remember(now, name, body.mine)
             self._on_ask(now, name, body)
-        elif isinstance(body, wire.Page):
+        elif isinstance(body, wire.ReportPage):
             self._on_page(now, unix, name, body)
-        elif isinstance(body, wire.Claim):
+        elif isinstance(body, wire.TicketClaim):
             how = self._home(unix, name, body.ticket, body.nonce)
             if how is not None:
                 self._reply(name, body.ticket, body.nonce, how)
-        elif isinstance(body, wire.Reply):
+        elif isinstance(body, wire.TicketReply):
             self._remember(now, name, body.mine)
             self._answered(now, unix, name, body.nonce, body.how)
         else:
             self.journal.free(name, body.ticket, body.nonce)
 
     def _reply(self, name: str, of: bytes, nonce: int, how: int) -> None:
-        self.out.append((name, wire.encode(wire.Reply(of, nonce, how, self.mine))))
+        self.out.append((name, wire.encode(wire.TicketReply(of, nonce, how, self.mine))))
 
-    def _remember(self, now: float, name: str, known: Known | None) -> None:
+    def _remember(self, now: float, name: str, known: StoreState | None) -> None:
         """The last state of a member's store; its own word counts, and only forwards."""
         if known is None or (name not in self.known and len(self.known) >= MOST_KNOWN):
             return
@@ -450,13 +452,16 @@
             self._fresh.add(name)
             self._known_at = min(self._known_at, now + KNOWN_MS)
 
-    def _pages(self) -> tuple[int, list[tuple[list[Listed], list[Ban]]]]:
+    def _pages(self) -> tuple[int, list[tuple[list[ListedEngine], list[BanStatement]]]]:
         """All that others may ask for, cut into pages, and its digest."""
         if self._book is None:
             number, engines = self._holding()
-            pages: list[tuple[list[Listed], list[Ban]]] = [([], [])]
+            pages: list[tuple[list[ListedEngine], list[BanStatement]]] = [([], [])]
             digest, room = blake2b(str(number).encode(), digest_size=6), wire.ROOM
-            rows: list[Listed | Ban] = [*map(self._seen_by_us, engines.values()), *self.bans.words.values()]
+            rows: list[ListedEngine | BanStatement] = [
+                *map(self._seen_by_us, engines.values()),
+                *self.bans.words.values(),
+            ]
             for row in rows:
                 data = wire.encode(row)
                 digest.update(data)
@@ -465,18 +470,18 @@
                     room = wire.ROOM
                 room -= len(data)
                 page = pages[-1]
-                page[0].append(row) if isinstance(row, Listed) else page[1].append(row)
+                page[0].append(row) if isinstance(row, ListedEngine) else page[1].append(row)
             self._book = int.from_bytes(digest.digest()), pages[: wire.MOST_PAGES]
         return self._book
 
-    def _seen_by_us(self, engine: Listed) -> Listed:
+    def _seen_by_us(self, engine: ListedEngine) -> ListedEngine:
         """As others are told of it: with what we saw of it ourselves."""
         start = max(engine.born_ms, self._restarts.get(engine.name, 0.0))
         if start == engine.born_ms and engine.name not in self._doubts:
             return engine
         return msgspec.structs.replace(engine, born_ms=start, ran=engine.name not in self._doubts)
 
-    def _holding(self) -> tuple[int, Mapping[str, Listed]]:
+    def _holding(self) -> tuple[int, Mapping[str, ListedEngine]]:
         """The list that we speak for: of the store and the present one, that with the higher number."""
         if self.kept is not None and self.kept.number > self.number and self.stages.stage <= Stage.AGREE:
             return self.kept.number, self.kept.engines
@@ -487,7 +492,7 @@
         """Whether this coordinator is past its own agreement, and had it with more than half of the seeds."""
         return self.stages.stage > Stage.AGREE and self._enough()
 
-    def _on_ask(self, now: float, name: str, ask: wire.Ask) -> None:
+    def _on_ask(self, now: float, name: str, ask: wire.ReportRequest) -> None:
         digest, pages = self._pages()
         if ask.page >= len(pages):
             return
@@ -496,7 +501,7 @@
             (
                 name,
                 wire.encode(
-                    wire.Page(
+                    wire.ReportPage(
                         ask.seq,
                         digest,
                         ask.page,
@@ -514,7 +519,7 @@
             )
         )
 
-    def _on_page(self, now: float, unix: float, name: str, page: wire.Page) -> None:
+    def _on_page(self, now: float, unix: float, name: str, page: wire.ReportPage) -> None:
         pull = self._pulls.get(name)
         if pull is None:
             return  # nobody asked
@@ -527,7 +532,7 @@
         for word in page.bans:
             self._heard(word)
         if len(pull.pages) == pull.total:
-            pull.word = Word(
+            pull.word = MemberReport(
                 name,
                 page.number,
                 {e.name: e for p in pull.pages.values() for e in p.engines},
@@ -542,7 +547,7 @@
         elif len(pull.pages) % PAGES == 0:
             self._ask(now, name, pull)
 
-    def _compare(self, unix: float, name: str, page: wire.Page) -> None:
+    def _compare(self, unix: float, name: str, page: wire.ReportPage) -> None:
         """Whether others know of a later state of our store, or that there never was one."""
         told, have = page.yours, self.store.known
         if self.stages.stage > Stage.AGREE and not self.stages.alone:
@@ -556,7 +561,7 @@
             if not self._older:
                 self._older = True
                 self.effects.append(
-                    Note(
+                    WriteLogLine(
                         "recovery_older",
                         {"life": told.life, "generation": told.generation, "ours": [have.life, have.generation]},
                     )
@@ -581,7 +586,7 @@
         return self.agreed is not None and self.agreed.enough
 
     @staticmethod
-    def _pull_due(pull: _Pull) -> float:
+    def _pull_due(pull: _ReportTransfer) -> float:
         return max(pull.asked_at + AGAIN_MS, pull.whole_at + ANEW_MS)
 
     def tick(self, now: float, unix: float) -> None:
@@ -596,7 +601,7 @@
             if old := [name for name, at in self._doubts.items() if unix - at > GIVEN_MS]:
                 self._doubts, self._book = {n: at for n, at in self._doubts.items() if n not in old}, None
             for maker, engine in self.bans.prune(unix):
-                self._dirty[state.prefix("bans") + f"{maker}/{engine}".encode()] = None
+                self._dirty[state_kinds.prefix("bans") + f"{maker}/{engine}".encode()] = None
         if now >= self._beat_at:
             self._beat_at = now + BEAT_MS
             if self.stages.stage > Stage.AGREE:  # else the last process's own would be lost
@@ -604,7 +609,7 @@
         if now >= self._known_at and self.stages.stage > Stage.AGREE:
             self._known_at = math.inf
             for name in self._fresh:
-                self._dirty[state.prefix("generations") + name.encode()] = wire.encode(self.known[name])
+                self._dirty[state_kinds.prefix("generations") + name.encode()] = wire.encode(self.known[name])
             self._fresh.clear()
         self._look(now, unix)
         self._pull(now)
@@ -616,24 +621,24 @@
             missing = [name for name in missing if name not in self._pulls or now >= self._pull_due(self._pulls[name])]
             self.random.shuffle(missing)
             for name in missing[:AT_ONCE]:
-                self._ask(now, name, self._pulls.setdefault(name, _Pull()))
+                self._ask(now, name, self._pulls.setdefault(name, _ReportTransfer()))
         elif now >= self._pull_at and self.alive:
             name = self.random.choice(sorted(self.alive))
-            self._pulls = {name: _Pull()}
+            self._pulls = {name: _ReportTransfer()}
             self._ask(now, name, self._pulls[name])
         if now >= self._pull_at:
             self._pull_at = now + (PULL_MS if self.stages.over else ANEW_MS) * self.random.uniform(0.8, 1.2)
 
-    def _ask(self, now: float, name: str, pull: _Pull) -> None:
+    def _ask(self, now: float, name: str, pull: _ReportTransfer) -> None:
         pull.asked_at = now
         missing = [number for number in range(pull.total) if number not in pull.pages] if pull.digest >= 0 else [0]
         for number in missing[:PAGES]:
             self._seq += 1
-            self.out.append((name, wire.encode(wire.Ask(self._seq, number, self.mine))))
+            self.out.append((name, wire.encode(wire.ReportRequest(self._seq, number, self.mine))))
 
-    def _words(self) -> list[Word]:
+    def _words(self) -> list[MemberReport]:
         number, engines = self._holding()
-        own = Word(self.terms.name, number, engines, False, self.blank)
+        own = MemberReport(self.terms.name, number, engines, False, self.blank)
         return [own, *(pull.word for pull in self._pulls.values() if pull.word is not None)]
 
     def _look(self, now: float, unix: float) -> None:
@@ -643,7 +648,7 @@
             if self.blank and self.store.fresh and not self._older and 2 * len(self._strangers) > others > 0:
                 self.blank = False  # they would know of a store of ours, and know of none
                 self.journal.trust()
-            if self.facts.store and agree.enough(self._words(), self.seeds):
+            if self.facts.store and agreement.enough(self._words(), self.seeds):
                 self.facts.agreed = True
         while moves := self.stages.look(now, self.facts):
             for move in moves:
@@ -652,7 +657,7 @@
         if self.facts.agreed and self.stages.stage > Stage.AGREE and not self._enough():
             self._agree()  # late
 
-    def _moved(self, move: Move, unix: float) -> None:
+    def _moved(self, move: StageTransition, unix: float) -> None:
         if move.left is Stage.AGREE:
             self._agree()
         if move.stage is Stage.ENGINES:
@@ -660,7 +665,7 @@
             self.facts.chilled = True
 
     def _agree(self) -> None:
-        self.agreed = agree.agree(self.terms.name, self._words(), self.bans, self.seeds)
+        self.agreed = agreement.agree(self.terms.name, self._words(), self.bans, self.seeds)
         self.effects.append(self.agreed)
         self._keep_list(self.engines, self.kept.engines if self.kept else ())
         if self.agreed.enough:
@@ -678,7 +683,7 @@
         beat = self.beat if not self.blank else None
         clean = bool(beat and beat.clean) or self._first
         later = {name: starts[name] for name, born in fresh.items() if starts.get(name, 0.0) > born}
-        if names := agree.cold(fresh, starts, beat.at_ms if beat else None, clean):
+        if names := agreement.cold(fresh, starts, beat.at_ms if beat else None, clean):
             grid = math.floor(unix / GRID_MS) * GRID_MS
             later |= {
                 name: max(
@@ -687,9 +692,9 @@
                 for name in names
             }
         if later:
-            self.effects.append(Chill(later))
+            self.effects.append(MarkRestarted(later))
 
-    def _later(self, unix: float, word: Word) -> None:
+    def _later(self, unix: float, word: MemberReport) -> None:
         """Another gives an engine a later start than we do: all go by the latest, within the skew of clocks."""
         starts = {}
         for engine in word.engines.values():
@@ -699,7 +704,7 @@
                 if ours is not None and engine.name in self._seen and engine.born_ms > ours.born_ms:
                     starts[engine.name] = engine.born_ms
         if starts and self.stages.stage > Stage.ENGINES:
-            self.effects.append(Chill(starts))
+            self.effects.append(MarkRestarted(starts))
 
     def figures(self, now: float, unix: float) -> dict[str, Any]:
         """Return the figures for the operators' port."""
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -18,17 +18,30 @@
 from frostspindle.config import BusEvent, Host, Topology
 from frostspindle.core import ClientRequest, Response, ResponseStatus, clock
 from frostspindle.policy import AttemptOutcome, Health, Idempotency
-from frostspindle.recovery import agree, tickets, wire
-from frostspindle.recovery.intake import Class, Curve, Engine, Intake, Out
-from frostspindle.recovery.node import Chill, Node, Note, Opened, Settled, Terms
-from frostspindle.recovery.stages import Bounds, Move, Stage
-from frostspindle.recovery.state import Rests
-from frostspindle.store.base import Full, Store, StoreError
-from frostspindle.store.disk import Disk
-from frostspindle.store.judge import Action
-from frostspindle.store.judge import Verdict as Found
-from frostspindle.store.memory import Memory
-from frostspindle.store.opening import Held, Refused, open_store
+from frostspindle.recovery import agreement, tickets, wire
+from frostspindle.recovery.admission import (
+    AdmissionDecision,
+    ReadyEngine,
+    RecoveryAdmission,
+    RequestClass,
+    SlowStartCurve,
+)
+from frostspindle.recovery.node import (
+    ClaimResolved,
+    MarkRestarted,
+    OpenedStore,
+    RecoveryNode,
+    RecoverySettings,
+    WriteLogLine,
+)
+from frostspindle.recovery.stages import Stage, StageTimeouts, StageTransition
+from frostspindle.recovery.state_kinds import CooldownSettings
+from frostspindle.store.base import Store, StoreError, StoreFullError
+from frostspindle.store.memory import MemoryStore
+from frostspindle.store.opening import StoreLockedError, StoreRefusedError, open_store
+from frostspindle.store.opening_decision import OpeningAction
+from frostspindle.store.opening_decision import StoreCondition as Found
+from frostspindle.store.sqlite_engine import SqliteEngine
 
 if TYPE_CHECKING:
     from frostspindle.host import ProgramContext
@@ -45,37 +58,37 @@
     return time.monotonic() * 1000.0
 
 
-def open_at(folder: str, witness: str, owner: str, note: Any) -> tuple[Store | None, Opened]:
+def open_at(folder: str, witness: str, owner: str, note: Any) -> tuple[Store | None, OpenedStore]:
     """Open and judge the store; without a folder return a store in memory.
 
     Held if another process has it; any other fault is returned as the verdict, not raised.
     """
     if not folder:
-        return Memory(), Opened("none is set up", True, False)
+        return MemoryStore(), OpenedStore("none is set up", True, False)
     try:
-        store = open_store(Path(folder), owner, Disk, witness=Path(witness) if witness else None, note=note)
-    except Held:
+        store = open_store(Path(folder), owner, SqliteEngine, witness=Path(witness) if witness else None, note=note)
+    except StoreLockedError:
         raise
-    except Refused as error:
-        return None, Opened(str(error.ruling.verdict), False, False)
+    except StoreRefusedError as error:
+        return None, OpenedStore(str(error.ruling.verdict), False, False)
     except (StoreError, OSError) as error:
         note("store", folder=folder, verdict="unreadable", why=str(error))
-        return None, Opened("unreadable", False, False)
+        return None, OpenedStore("unreadable", False, False)
     known = store.known
-    return store, Opened(
+    return store, OpenedStore(
         str(store.ruling.verdict),
         True,
-        store.ruling.action is Action.USE,
+        store.ruling.action is OpeningAction.USE,
         store.ruling.verdict is Found.FRESH and known.life == 1,  # a later life: a store of ours is known of
-        wire.Known(known.id, known.life, known.generation),
+        wire.StoreState(known.id, known.life, known.generation),
         tuple(store.scan()),
     )
 
 
-class Gate:
+class RecoveryGate:
     """The gate before the module, as the core calls it; see core.Gate."""
 
-    def __init__(self, service: Service, intake: Intake, once: tuple[bool, ...]) -> None:
+    def __init__(self, service: RecoveryService, intake: RecoveryAdmission, once: tuple[bool, ...]) -> None:
         self.service, self.intake, self.once = service, intake, once
         self.asks: dict[int, tuple[ClientRequest, bool]] = {}  # those that wait, and whether their turn has come
 
@@ -140,20 +153,20 @@
         return list(self.asks)
 
 
-class Service:
+class RecoveryService:
     """One process's recovery, and its part in that of others."""
 
     channel = wire.CHANNEL
 
-    def __init__(self, program: ProgramContext, terms: Terms) -> None:
+    def __init__(self, program: ProgramContext, terms: RecoverySettings) -> None:
         config = program.config.operator.recovery
         assert config is not None
         self.program, self.core, self.telemetry, self.config = program, program.core, program.telemetry, config
         self.terms = terms
-        self.node = Node(terms, monotonic(), clock(), secrets.randbits(60))
+        self.node = RecoveryNode(terms, monotonic(), clock(), secrets.randbits(60))
         settings = program.config.settings
         classes = tuple(
-            Class(
+            RequestClass(
                 c.priority_weight,
                 c.idempotency != Idempotency.NON_IDEMPOTENT,
                 c.late_value_ratio,
@@ -163,15 +176,15 @@
             for c in settings.classes
         )
         retry_ms = settings.max_retry_after_ms if settings.retry_after else 0.0
-        self.intake = Intake(
+        self.intake = RecoveryAdmission(
             classes,
-            Curve(settings.slow_start_capacity, settings.slow_start_duration_ms),
+            SlowStartCurve(settings.slow_start_capacity, settings.slow_start_duration_ms),
             1.0 / settings.coordinators,
             max(16, program.core.most_open),
             secrets.randbits(60),
             retry_ms,
         )
-        self.gate = Gate(
+        self.gate = RecoveryGate(
             self, self.intake, tuple(c.idempotency == Idempotency.NON_IDEMPOTENT for c in settings.classes)
         )
         self.core.admission_gate = self.gate
@@ -277,16 +290,16 @@
                 store, opened = await asyncio.to_thread(
                     open_at, self.config.folder, self.config.witness, self.terms.name, self.telemetry.log
                 )
-            except Held:
+            except StoreLockedError:
                 held = True  # by our predecessor in an upgrade
                 await asyncio.sleep(AGAIN_S)
                 continue
             except Exception as error:  # noqa: BLE001 - whatever the disk does, the coordinator serves without
                 self.telemetry.log("fault", error=repr(error), of="recovery store")
-                store, opened = None, Opened("unreadable", False, False)
+                store, opened = None, OpenedStore("unreadable", False, False)
             late = self.node.stages.stage > Stage.STORE
             if late and not held and opened.trusted:  # nobody was asked whether it is the last one
-                opened = Opened(opened.verdict, opened.usable, False, False, opened.known)
+                opened = OpenedStore(opened.verdict, opened.usable, False, False, opened.known)
             self.store = store
             self._look(monotonic(), clock())  # the list that the configuration has, before others' are weighed
             self.node.opened(monotonic(), clock(), opened)
@@ -307,7 +320,7 @@
                 try:
                     await asyncio.to_thread(self.store.apply, batch)
                     ok = True
-                except Full as error:
+                except StoreFullError as error:
                     full = True
                     self.telemetry.count("recovery_store_full")
                     self.telemetry.log("recovery_store_full", error=str(error))
@@ -338,7 +351,7 @@
             self.node.settled(monotonic(), clock(), number, ran)
             self._drain()
 
-    def carry(self, outs: list[Out]) -> None:
+    def carry(self, outs: list[AdmissionDecision]) -> None:
         """Tell the core what the gate decided on each request."""
         for out in outs:
             asked = self.gate.asks.pop(out.number, None)
@@ -366,7 +379,7 @@
             self._look(now, unix)
         if not running:
             self.intake.engines = tuple(
-                Engine(e.cores, e.entry.since_ms)
+                ReadyEngine(e.cores, e.entry.since_ms)
                 for e in self.core.controller.engines.values()
                 if e.ready and not e.suspect
             )
@@ -418,12 +431,12 @@
         ):
             self._withhold(self.withheld - self._held_back, frozenset())
 
-    def _listing(self) -> dict[str, wire.Listed]:
+    def _listing(self) -> dict[str, wire.ListedEngine]:
         config, out = self.program.config, {}
         for state in self.core.engines.values():
             entry = state.listed or state.entry
             if state.driver is self.program.driver and len(state.name) <= 64:
-                out[state.name] = wire.Listed(
+                out[state.name] = wire.ListedEngine(
                     state.name,
                     f"{state.address[0]}:{state.address[1]}"[:64],
                     _at(config.zones, entry.zone),
@@ -456,7 +469,7 @@
             self._wake.set()
 
     def _effect(self, effect: Any) -> None:
-        if isinstance(effect, Move):
+        if isinstance(effect, StageTransition):
             self.telemetry.log(
                 "recovery_stage",
                 stage=effect.stage.name.lower(),
@@ -469,9 +482,9 @@
             self.staged(effect.stage.name.lower(), "begun")
             if effect.stage is Stage.OPEN:
                 self.carry(self.intake.release())
-        elif isinstance(effect, Note):
+        elif isinstance(effect, WriteLogLine):
             self.telemetry.log(effect.event, **effect.fields)
-        elif isinstance(effect, Chill):
+        elif isinstance(effect, MarkRestarted):
             self._chills += 1
             self.core.mark_restarted(effect.starts)
             self.telemetry.log(
@@ -480,12 +493,12 @@
                 names=sorted(effect.starts)[:16],
                 starts=sorted(set(effect.starts.values()))[:16],
             )
-        elif isinstance(effect, agree.Agreed):
+        elif isinstance(effect, agreement.AgreedState):
             self._agreed(effect)
-        elif isinstance(effect, Settled):
+        elif isinstance(effect, ClaimResolved):
             self._settle(effect)
 
-    def _settle(self, effect: Settled) -> None:
+    def _settle(self, effect: ClaimResolved) -> None:
         if effect.how == tickets.GO:
             self.intake.clear(effect.number)
             self.carry(self.intake.look(clock()))
@@ -504,7 +517,7 @@
                 else Response(ResponseStatus.REJECTED, None, self.intake.wait_ms(clock(), clock() + wait_ms)),
             )
 
-    def _agreed(self, agreed: agree.Agreed) -> None:
+    def _agreed(self, agreed: agreement.AgreedState) -> None:
         """Lists and bans are settled, by enough of the seeds or, for now, by the safest of what is known."""
         self.telemetry.log(
             "recovery_agreed",
@@ -519,7 +532,7 @@
                 self.program.shared.ban(name, True)
             except OSError as error:
                 self.telemetry.log("recovery_ban", name=name, error=error.strerror)
-                agreed = agree.Agreed(
+                agreed = agreement.AgreedState(
                     agreed.enough, agreed.number, agreed.list, agreed.withheld | {name}, agreed.banned, agreed.starts
                 )
         if agreed.enough and agreed.number > self.program.bus.last and agreed.list:
@@ -550,7 +563,7 @@
     return names[place][:64] if place < len(names) else ""
 
 
-def attach(program: ProgramContext) -> Service:
+def attach(program: ProgramContext) -> RecoveryService:
     """Create the recovery of a program under construction and register it.
 
     Its fleet, if it has one, carries the messages.
@@ -569,10 +582,10 @@
             fleet.cold_lease_ms * (1 + fleet.drift) / (1 - fleet.drift)
             + program.config.settings.slow_start_window_ms * (1 + fleet.drift),
         )
-    terms = Terms(
+    terms = RecoverySettings(
         (fleet.name if fleet else "") or program.config.name,
         tuple(seed.name for seed in fleet.seed) if fleet else (),
-        Bounds(
+        StageTimeouts(
             config.store_ms,
             config.address_ms,
             config.find_ms,
@@ -580,11 +593,11 @@
             config.rights_ms,
             service_ms=config.service_ms,
         ),
-        Rests(rights_ms, config.ticket_ms),
+        CooldownSettings(rights_ms, config.ticket_ms),
         config.claim_ms,
         config.first_start,
     )
-    service = Service(program, terms)
+    service = RecoveryService(program, terms)
     if program.fleet is not None:
         program.fleet.parts.append(service)
     if program.desk is not None:
--- a/frostspindle/recovery/stages.py
+++ b/frostspindle/recovery/stages.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Facts:
+class StageInputs:
     """What is known now; the stages decide by nothing else."""
 
     store: str = ""  # the verdict on the store, or that there is none; "": not yet
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class StageTimeouts:
     """How long each stage may take, in ms."""
 
     store_ms: float = 5_000.0
@@ -62,19 +62,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Step:
+class StageRule:
     """One stage: the guard that lets it end, its bound, and what holds if the bound ends it."""
 
-    guard: Callable[[Facts], bool]
+    guard: Callable[[StageInputs], bool]
     bound: str
     done: str
     weak: str
     least_ms: float = 0.0  # it stays so long at least
-    hopeless: Callable[[Facts], bool] = lambda f: False  # the guard will never hold: no use in waiting
+    hopeless: Callable[[StageInputs], bool] = lambda f: False  # the guard will never hold: no use in waiting
 
 
 @dataclass(slots=True, frozen=True)
-class Move:
+class StageTransition:
     """The change from one stage to the next: why, whether by its bound (`weak`), and how long it took in ms."""
 
     left: Stage
@@ -84,42 +84,42 @@
     took_ms: float
 
 
-STEPS: Mapping[Stage, Step] = {
-    Stage.STORE: Step(
+STEPS: Mapping[Stage, StageRule] = {
+    Stage.STORE: StageRule(
         lambda f: bool(f.store) and f.usable,
         "store_ms",
         "the store is open",
         "without a store: nothing is remembered, and no load's ticket is granted here",
         hopeless=lambda f: bool(f.store) and not f.usable,
     ),
-    Stage.ADDRESS: Step(
+    Stage.ADDRESS: StageRule(
         lambda f: f.epoch > 0 or not f.fleet,
         "address_ms",
         "the address is ours",
         "without the fleet's port: serves alone",
     ),
-    Stage.FIND: Step(
+    Stage.FIND: StageRule(
         lambda f: f.met >= f.need, "find_ms", "more than half of the seeds are there", "with whom it has found"
     ),
-    Stage.AGREE: Step(
+    Stage.AGREE: StageRule(
         lambda f: f.agreed,
         "agree_ms",
         "lists and bans are agreed",
         "the safest of what is known: all bans, engines in all lists and draining in none",
     ),
-    Stage.RIGHTS: Step(
+    Stage.RIGHTS: StageRule(
         lambda f: f.rested,
         "rights_ms",
         "rights have rested",
         "without rights until they have rested: what needs one goes last",
     ),
-    Stage.ENGINES: Step(
+    Stage.ENGINES: StageRule(
         lambda f: f.chilled,
         "engines_ms",
         "engines are cold or known to have run on",
         "the list's word on engines' starts",
     ),
-    Stage.SERVICE: Step(
+    Stage.SERVICE: StageRule(
         lambda f: f.backlog == 0 and f.warm >= 0.9,
         "service_ms",
         "engines are warm and nobody waits",
@@ -129,13 +129,13 @@
 }
 
 
-class Stages:
+class RecoveryStages:
     """The progress of one recovery through its stages."""
 
-    def __init__(self, bounds: Bounds, now: float) -> None:
+    def __init__(self, bounds: StageTimeouts, now: float) -> None:
         self.bounds, self.began, self.since = bounds, now, now
         self.stage = Stage.STORE
-        self.moves: list[Move] = []  # one for each stage at most
+        self.moves: list[StageTransition] = []  # one for each stage at most
         self.weak: set[Stage] = set()
 
     @property
@@ -147,16 +147,18 @@
         """Return when the stage's bound ends it, in ms of the caller's clock; inf after the last."""
         return math.inf if self.over else self.since + getattr(self.bounds, STEPS[self.stage].bound)
 
-    def look(self, now: float, facts: Facts) -> list[Move]:
+    def look(self, now: float, facts: StageInputs) -> list[StageTransition]:
         """Leave every stage whose guard holds, whose bound has passed or which is hopeless; return the moves."""
-        out: list[Move] = []
+        out: list[StageTransition] = []
         while not self.over:
             step = STEPS[self.stage]
             done = step.guard(facts) and now - self.since >= step.least_ms
             if not done and now < self.due() and not step.hopeless(facts):
                 break
             at = min(now, self.due())  # a stage that its bound ended did so then, however late it is looked at
-            move = Move(self.stage, Stage(self.stage + 1), step.done if done else step.weak, not done, at - self.since)
+            move = StageTransition(
+                self.stage, Stage(self.stage + 1), step.done if done else step.weak, not done, at - self.since
+            )
             if not done:
                 self.weak.add(self.stage)
             self.stage, self.since = move.stage, at
--- a/frostspindle/recovery/state.py
+++ b/frostspindle/recovery/state_kinds.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 
-class Trust(StrEnum):
+class TrustLevel(StrEnum):
     """How far a kind of state goes over a loss of power."""
 
     KEPT = "as kept"
@@ -21,7 +21,7 @@
     NEVER = "never"
 
 
-class Who(StrEnum):
+class RespondersNeeded(StrEnum):
     """How many other coordinators are asked for a kind of state."""
 
     NOBODY = "nobody"
@@ -30,7 +30,7 @@
     MAKERS = "its makers, each for its own"
 
 
-class Rule(StrEnum):
+class ConflictRule(StrEnum):
     """What settles a disagreement."""
 
     NONE = "can't be"
@@ -46,41 +46,51 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class StateKind:
     """One kind of state. `agreed` holds with enough answers, `alone` without; `rest` names the time of Rests."""
 
-    trust: Trust
-    who: Who = Who.NOBODY
-    agreed: Rule = Rule.NONE
-    alone: Rule = Rule.NONE
+    trust: TrustLevel
+    who: RespondersNeeded = RespondersNeeded.NOBODY
+    agreed: ConflictRule = ConflictRule.NONE
+    alone: ConflictRule = ConflictRule.NONE
     kept: bool = False  # written to the store
     rest: str = ""
 
 
 @dataclass(slots=True, frozen=True)
-class Rests:
+class CooldownSettings:
     """How long state that must rest does so after a start, in ms."""
 
     rights_ms: float = 0.0  # the longest loan and a window, by the slower clock
     tickets_ms: float = 0.0  # so long a client may repeat a load
 
 
-TABLE: Mapping[str, Kind] = {
-    "bans": Kind(Trust.KEPT, Who.SEEDS, Rule.NEWEST, Rule.UNION, kept=True),
-    "engines": Kind(Trust.ASKED, Who.SEEDS, Rule.HIGHEST, Rule.SAFEST, kept=True),
-    "warmth": Kind(Trust.ASKED, Who.SEEDS, Rule.WARMEST_KNOWN, Rule.COLD),
-    "tickets": Kind(Trust.KEPT, Who.HOMES, Rule.ANY, Rule.REFUSED, kept=True, rest="tickets_ms"),
-    "generations": Kind(Trust.KEPT, Who.SEEDS, Rule.HIGHEST, Rule.HIGHEST, kept=True),
-    "beat": Kind(Trust.KEPT, kept=True),
-    "verdicts": Kind(Trust.NEVER, Who.MAKERS, Rule.NEWEST, Rule.REFUSED),
-    "rights": Kind(Trust.RESTED, Who.NOBODY, Rule.NONE, Rule.NONE, rest="rights_ms"),
+TABLE: Mapping[str, StateKind] = {
+    "bans": StateKind(TrustLevel.KEPT, RespondersNeeded.SEEDS, ConflictRule.NEWEST, ConflictRule.UNION, kept=True),
+    "engines": StateKind(
+        TrustLevel.ASKED, RespondersNeeded.SEEDS, ConflictRule.HIGHEST, ConflictRule.SAFEST, kept=True
+    ),
+    "warmth": StateKind(TrustLevel.ASKED, RespondersNeeded.SEEDS, ConflictRule.WARMEST_KNOWN, ConflictRule.COLD),
+    "tickets": StateKind(
+        TrustLevel.KEPT, RespondersNeeded.HOMES, ConflictRule.ANY, ConflictRule.REFUSED, kept=True, rest="tickets_ms"
+    ),
+    "generations": StateKind(
+        TrustLevel.KEPT, RespondersNeeded.SEEDS, ConflictRule.HIGHEST, ConflictRule.HIGHEST, kept=True
+    ),
+    "beat": StateKind(TrustLevel.KEPT, kept=True),
+    "verdicts": StateKind(TrustLevel.NEVER, RespondersNeeded.MAKERS, ConflictRule.NEWEST, ConflictRule.REFUSED),
+    "rights": StateKind(
+        TrustLevel.RESTED, RespondersNeeded.NOBODY, ConflictRule.NONE, ConflictRule.NONE, rest="rights_ms"
+    ),
     # What is kept of them is that none are out; see Node.quiet.
-    "cold rights": Kind(Trust.RESTED, Who.NOBODY, Rule.NONE, Rule.NONE, kept=True, rest="rights_ms"),
-    "counts": Kind(Trust.ASKED, Who.MAKERS, Rule.JOIN, Rule.JOIN),
-    "learnt costs and latencies": Kind(Trust.NEVER),
-    "summaries": Kind(Trust.NEVER, Who.HOMES, Rule.NEWEST, Rule.REFUSED),
-    "subscriptions": Kind(Trust.NEVER),
-    "tenants' shares": Kind(Trust.NEVER),
+    "cold rights": StateKind(
+        TrustLevel.RESTED, RespondersNeeded.NOBODY, ConflictRule.NONE, ConflictRule.NONE, kept=True, rest="rights_ms"
+    ),
+    "counts": StateKind(TrustLevel.ASKED, RespondersNeeded.MAKERS, ConflictRule.JOIN, ConflictRule.JOIN),
+    "learnt costs and latencies": StateKind(TrustLevel.NEVER),
+    "summaries": StateKind(TrustLevel.NEVER, RespondersNeeded.HOMES, ConflictRule.NEWEST, ConflictRule.REFUSED),
+    "subscriptions": StateKind(TrustLevel.NEVER),
+    "tenants' shares": StateKind(TrustLevel.NEVER),
 }
 
 
@@ -98,15 +108,15 @@
 
 def asked() -> list[str]:
     """Return the kinds that the agreement stage must have from the seeds."""
-    return [name for name, kind in TABLE.items() if kind.who is Who.SEEDS]
+    return [name for name, kind in TABLE.items() if kind.who is RespondersNeeded.SEEDS]
 
 
-def rest_ms(kind: str, rests: Rests) -> float:
+def rest_ms(kind: str, rests: CooldownSettings) -> float:
     """Return how long a kind rests from the start on, in ms; 0 if not at all."""
     name = TABLE[kind].rest
     return float(getattr(rests, name)) if name else 0.0
 
 
-def rule(kind: str, enough: bool) -> Rule:
+def rule(kind: str, enough: bool) -> ConflictRule:
     """Return what settles a disagreement on a kind, with `enough` answers or without; KeyError for an unknown kind."""
     return TABLE[kind].agreed if enough else TABLE[kind].alone
--- a/frostspindle/recovery/tickets.py
+++ b/frostspindle/recovery/tickets.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from frostspindle.recovery import state
+from frostspindle.recovery import state_kinds
 from frostspindle.recovery.wire import FULL, GRANTED, RESTS, TAKEN, UNABLE
 
 MOST_TICKETS = 50_000
@@ -30,7 +30,7 @@
 HOMES = 5  # two that lost their stores, or are away, still leave more than half
 RESEND_MS = 150.0
 FREES = 3  # a free is sent so often: nobody answers it
-PREFIX = state.prefix("tickets")
+PREFIX = state_kinds.prefix("tickets")
 
 
 def ticket(text: str) -> bytes:
@@ -43,7 +43,7 @@
     return sorted(seeds, key=lambda name: blake2b(of + name.encode(), digest_size=8, person=b"home").digest())[:many]
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True):
+class TicketRecord(msgspec.Struct, array_like=True, frozen=True):
     """A ticket that is taken: by which coordinator, under which nonce, and when (Unix ms)."""
 
     by: str
@@ -52,10 +52,10 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Held).decode
+_decode = msgspec.msgpack.Decoder(TicketRecord).decode
 
 
-class Waiter(NamedTuple):
+class PendingClaimant(NamedTuple):
     """A claimant that is answered once the record is durable."""
 
     name: str
@@ -63,7 +63,7 @@
     nonce: int
 
 
-class Journal:
+class TicketJournal:
     """The home's side: grants tickets. A claim is answered at once, or by `written` after the batch that holds it."""
 
     def __init__(
@@ -76,7 +76,7 @@
         most: int = MOST_TICKETS,
     ) -> None:
         self.ticket_ms, self.most, self.able = ticket_ms, most, able
-        self.table: dict[bytes, Held] = {}
+        self.table: dict[bytes, TicketRecord] = {}
         self.spoilt = 0
         for key, value in entries:
             try:
@@ -88,9 +88,9 @@
             # A clock that was set back keeps it for as long again, never longer.
             self.table[key[len(PREFIX) :]] = msgspec.structs.replace(held, at_ms=min(held.at_ms, unix))
         self.rests_until = unix + ticket_ms if rests else -math.inf
-        self._next: dict[bytes, Held | None] = {}  # to be written
-        self._out: dict[bytes, Held | None] = {}  # being written
-        self._waits: dict[bytes, list[Waiter]] = {}
+        self._next: dict[bytes, TicketRecord | None] = {}  # to be written
+        self._out: dict[bytes, TicketRecord | None] = {}  # being written
+        self._waits: dict[bytes, list[PendingClaimant]] = {}
 
     def rest(self, unix: float) -> None:
         """Grant nothing for `ticket_ms`, as the store was found to lag behind what others know of it."""
@@ -116,8 +116,8 @@
             if of not in self._next and of not in self._out:
                 return GRANTED
             waiters = self._waits.setdefault(of, [])
-            if len(waiters) < MOST_WAITERS and Waiter(who, of, nonce) not in waiters:
-                waiters.append(Waiter(who, of, nonce))
+            if len(waiters) < MOST_WAITERS and PendingClaimant(who, of, nonce) not in waiters:
+                waiters.append(PendingClaimant(who, of, nonce))
             return None
         if not self.able:
             return UNABLE
@@ -125,8 +125,8 @@
             return RESTS
         if len(self.table) >= self.most:
             return FULL
-        self.table[of] = self._next[of] = Held(who, nonce, unix)
-        self._waits[of] = [Waiter(who, of, nonce)]
+        self.table[of] = self._next[of] = TicketRecord(who, nonce, unix)
+        self._waits[of] = [PendingClaimant(who, of, nonce)]
         return None
 
     def free(self, who: str, of: bytes, nonce: int) -> None:
@@ -157,13 +157,13 @@
             self._out[of] = self._next.pop(of)
         return {PREFIX + of: None if held is None else _encode(held) for of, held in self._out.items()}
 
-    def written(self, ok: bool, full: bool = False) -> list[tuple[Waiter, int]]:
+    def written(self, ok: bool, full: bool = False) -> list[tuple[PendingClaimant, int]]:
         """Settle the batch; return the answers to those that wait for it.
 
         `ok`: it is durable. `full`: nothing of it is. Neither: its outcome is unknown, and this home grants no more.
         """
         out, self._out = self._out, {}
-        answers: list[tuple[Waiter, int]] = []
+        answers: list[tuple[PendingClaimant, int]] = []
         if not ok and not full:
             self.able = False
         for of, held in out.items():
@@ -183,7 +183,7 @@
 
 
 @dataclass(slots=True)
-class _Claim:
+class _PendingClaim:
     ticket: bytes
     nonce: int
     homes: list[str]
@@ -193,7 +193,7 @@
     frees: int = 0
 
 
-class Send(NamedTuple):
+class TicketMessage(NamedTuple):
     """A message to a home: a claim, or a free."""
 
     home: str
@@ -205,7 +205,7 @@
 GO, RAN, CANT, UNSURE = "go", "may have run", "no record", "no word"
 
 
-class Claims:
+class TicketClaims:
     """The side of the coordinator that was asked to run a load.
 
     Outcomes by nonce: GO, once; RAN: another has it; CANT: too few homes can record it; UNSURE: too few have answered.
@@ -213,18 +213,18 @@
 
     def __init__(self, claim_ms: float) -> None:
         self.claim_ms = claim_ms
-        self.open: dict[int, _Claim] = {}
-        self.frees: dict[int, _Claim] = {}
+        self.open: dict[int, _PendingClaim] = {}
+        self.frees: dict[int, _PendingClaim] = {}
         self.held: dict[int, tuple[bytes, list[str]]] = {}  # granted, and not settled yet
 
-    def begin(self, now: float, of: bytes, nonce: int, at: list[str]) -> list[Send]:
+    def begin(self, now: float, of: bytes, nonce: int, at: list[str]) -> list[TicketMessage]:
         """Open a claim; return the first messages. Empty if too many are open: then the outcome is UNSURE at once."""
         if len(self.open) >= MOST_CLAIMS:
             return []
-        self.open[nonce] = _Claim(of, nonce, at, now + self.claim_ms, now + RESEND_MS)
-        return [Send(home, of, nonce, False) for home in at]
+        self.open[nonce] = _PendingClaim(of, nonce, at, now + self.claim_ms, now + RESEND_MS)
+        return [TicketMessage(home, of, nonce, False) for home in at]
 
-    def hear(self, now: float, home: str, nonce: int, how: int) -> tuple[str, list[Send]] | None:
+    def hear(self, now: float, home: str, nonce: int, how: int) -> tuple[str, list[TicketMessage]] | None:
         """Take a home's answer; return the outcome and messages to send once it is known, else None."""
         claim = self.open.get(nonce)
         if claim is None or home not in claim.homes:
@@ -242,19 +242,19 @@
             return self._end(now, claim, CANT)
         return None
 
-    def _end(self, now: float, claim: _Claim, how: str) -> tuple[str, list[Send]]:
+    def _end(self, now: float, claim: _PendingClaim, how: str) -> tuple[str, list[TicketMessage]]:
         self.open.pop(claim.nonce, None)
         return how, self._free(now, claim)
 
-    def _free(self, now: float, claim: _Claim) -> list[Send]:
+    def _free(self, now: float, claim: _PendingClaim) -> list[TicketMessage]:
         claim.frees, claim.again = claim.frees + 1, now + RESEND_MS
         if claim.frees < FREES and len(self.frees) < MOST_CLAIMS:
             self.frees[claim.nonce] = claim
         else:
             self.frees.pop(claim.nonce, None)
-        return [Send(home, claim.ticket, claim.nonce, True) for home in claim.homes]
+        return [TicketMessage(home, claim.ticket, claim.nonce, True) for home in claim.homes]
 
-    def settled(self, now: float, nonce: int, ran: bool) -> list[Send]:
+    def settled(self, now: float, nonce: int, ran: bool) -> list[TicketMessage]:
         """Settle a granted load. `ran`: something of it was sent, and the ticket stays taken.
 
         Else return the messages that free it.
@@ -262,19 +262,19 @@
         ticket_homes = self.held.pop(nonce, None)
         if ticket_homes is None or ran:
             return []
-        return self._free(now, _Claim(*ticket_homes[:1], nonce, ticket_homes[1], now, now))
+        return self._free(now, _PendingClaim(*ticket_homes[:1], nonce, ticket_homes[1], now, now))
 
-    def drop(self, now: float, nonce: int) -> list[Send]:
+    def drop(self, now: float, nonce: int) -> list[TicketMessage]:
         """Close the claim of a client that left before the outcome; return the messages that free it."""
         claim = self.open.get(nonce)
         return self._end(now, claim, UNSURE)[1] if claim is not None else []
 
-    def tick(self, now: float) -> tuple[list[Send], list[tuple[int, str]]]:
+    def tick(self, now: float) -> tuple[list[TicketMessage], list[tuple[int, str]]]:
         """Repeat claims and frees that are due, close claims that are out of time.
 
         Return messages, and outcomes by nonce.
         """
-        sends: list[Send] = []
+        sends: list[TicketMessage] = []
         ended: list[tuple[int, str]] = []
         for claim in list(self.open.values()):
             if now >= claim.ends:
@@ -284,7 +284,9 @@
             elif now >= claim.again:
                 claim.again = now + RESEND_MS
                 sends += [
-                    Send(home, claim.ticket, claim.nonce, False) for home in claim.homes if home not in claim.said
+                    TicketMessage(home, claim.ticket, claim.nonce, False)
+                    for home in claim.homes
+                    if home not in claim.said
                 ]
         for claim in [claim for claim in self.frees.values() if now >= claim.again]:
             sends += self._free(now, claim)
--- a/frostspindle/recovery/wire.py
+++ b/frostspindle/recovery/wire.py
@@ -11,13 +11,13 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from frostspindle.fleet.wire import BadPacket as BadPacket
+from frostspindle.fleet.wire import InvalidPacketError as InvalidPacketError
 from frostspindle.fleet.wire import encode as encode
 from frostspindle.fleet.wire import reader
 
 CHANNEL = 1
 MOST_PAGES = 512
-ROOM = 820  # bytes of rows in one page; with the rest it stays below the fleet's MOST_PARCEL
+ROOM = 820  # bytes of rows in one page; with the rest it stays below the fleet's MAX_MESSAGE_BYTES
 GRANTED, TAKEN, RESTS, FULL, UNABLE = range(5)
 
 Whole = Annotated[int, Meta(ge=0, le=2**63 - 1)]
@@ -27,7 +27,7 @@
 Ticket = Annotated[bytes, Meta(min_length=16, max_length=16)]
 
 
-class Known(Struct, array_like=True, frozen=True):
+class StoreState(Struct, array_like=True, frozen=True):
     """The last known state of a member's store."""
 
     id: Annotated[bytes, Meta(max_length=16)]
@@ -35,7 +35,7 @@
     generation: Whole
 
 
-class Ban(Struct, array_like=True, frozen=True):
+class BanStatement(Struct, array_like=True, frozen=True):
     """A coordinator's statement that staff bans an engine, or no longer does."""
 
     maker: Name
@@ -44,7 +44,7 @@
     at_ms: Ms
 
 
-class Listed(Struct, array_like=True, frozen=True):
+class ListedEngine(Struct, array_like=True, frozen=True):
     """An engine as the bus listed it."""
 
     name: Name
@@ -59,7 +59,7 @@
     ran: bool = True  # False: the teller has seen it refuse connections, and none accepted since
 
 
-class Ask(Struct, array_like=True, frozen=True, tag=0):
+class ReportRequest(Struct, array_like=True, frozen=True, tag=0):
     """Request for one page of what the receiver holds.
 
     `mine` is the state of the sender's own store, for the receiver to remember.
@@ -67,10 +67,10 @@
 
     seq: Whole
     page: Annotated[int, Meta(ge=0, lt=MOST_PAGES)]
-    mine: Known | None
+    mine: StoreState | None
 
 
-class Page(Struct, array_like=True, frozen=True, tag=1):
+class ReportPage(Struct, array_like=True, frozen=True, tag=1):
     """One page of what a coordinator holds. `digest` is of all pages together; `number` of the engine list.
 
     `firm`: the sender is past its own agreement; `blank`: its store was lost; `yours`: what it knows of the receiver's
@@ -85,20 +85,20 @@
     up_ms: Ms
     firm: bool
     blank: bool
-    yours: Known | None
-    mine: Known | None
-    engines: Annotated[list[Listed], Meta(max_length=64)]
-    bans: Annotated[list[Ban], Meta(max_length=64)]
+    yours: StoreState | None
+    mine: StoreState | None
+    engines: Annotated[list[ListedEngine], Meta(max_length=64)]
+    bans: Annotated[list[BanStatement], Meta(max_length=64)]
 
 
-class Claim(Struct, array_like=True, frozen=True, tag=2):
+class TicketClaim(Struct, array_like=True, frozen=True, tag=2):
     """Request to let the sender, and nobody else, run the load of this ticket."""
 
     ticket: Ticket
     nonce: Whole
 
 
-class Reply(Struct, array_like=True, frozen=True, tag=3):
+class TicketReply(Struct, array_like=True, frozen=True, tag=3):
     """A home's answer to a Claim: GRANTED, TAKEN (by another), RESTS, FULL or UNABLE.
 
     `mine` is the state of its own store.
@@ -107,18 +107,18 @@
     ticket: Ticket
     nonce: Whole
     how: Annotated[int, Meta(ge=GRANTED, le=UNABLE)]
-    mine: Known | None
+    mine: StoreState | None
 
 
-class Free(Struct, array_like=True, frozen=True, tag=4):
+class TicketRelease(Struct, array_like=True, frozen=True, tag=4):
     """Notice that nothing of this claim was run or ever will be; not answered."""
 
     ticket: Ticket
     nonce: Whole
 
 
-Message = Ask | Page | Claim | Reply | Free
+Message = ReportRequest | ReportPage | TicketClaim | TicketReply | TicketRelease
 decode: Callable[[bytes], Message] = reader(Message)
-decode_ban = msgspec.msgpack.Decoder(Ban).decode
-decode_known = msgspec.msgpack.Decoder(Known).decode
-decode_listed = msgspec.msgpack.Decoder(Listed).decode
+decode_ban = msgspec.msgpack.Decoder(BanStatement).decode
+decode_known = msgspec.msgpack.Decoder(StoreState).decode
+decode_listed = msgspec.msgpack.Decoder(ListedEngine).decode
--- a/frostspindle/replica/base.py
+++ b/frostspindle/replica/base.py
@@ -20,7 +20,7 @@
 MOST_OPEN = 256  # proposals of one member that wait for their answer
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """A deterministic state machine without I/O or clock: the same entries give the same state at every member."""
 
     def apply(self, index: int, command: bytes) -> bytes:
@@ -37,25 +37,25 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Applied:
+class AppliedEntry:
     """A proposal that is committed and applied here."""
 
     index: int  # the log's index of the entry: the fencing token of a grant
     result: bytes  # what the machine here returned for it
 
 
-class Unavailable(Exception):
+class LogUnavailableError(Exception):
     """Nothing was appended: no leader is known, too many proposals are open, or the log has stopped."""
 
 
-class Uncertain(Exception):
+class OutcomeUnknownError(Exception):
     """The time limit passed first: the entry may be committed later or never."""
 
 
 Told = Callable[[int, bytes, bytes], None]  # index, command, result; after a snapshot: index, b"", b""
 
 
-class Log(Protocol):
+class ReplicatedLog(Protocol):
     """One member's view of the replicated log."""
 
     @property
@@ -66,7 +66,7 @@
     def leader(self) -> str | None:
         """Name of the leader as known here; None: none is known."""
 
-    def attach(self, topic: str, machine: Machine) -> None:
+    def attach(self, topic: str, machine: StateMachine) -> None:
         """Register the machine that a topic's entries are applied by; before the start, and one for each topic.
 
         All members attach the same topics: one that meets an entry of another topic stops, as its snapshots would lack
@@ -76,7 +76,7 @@
     def watch(self, topic: str, told: Told) -> None:
         """Call `told` with each entry of a topic after it was applied, in order, in the event loop."""
 
-    async def propose(self, topic: str, command: bytes, within_s: float) -> Applied:
+    async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         """Append a command and return once it is applied here, within `within_s` seconds.
 
         ValueError where it is none that can be appended (its topic, or over MAX_COMMAND bytes), else Unavailable or
@@ -90,20 +90,20 @@
         """
 
 
-class Unheld(Exception):
+class UnknownTopicError(Exception):
     """An entry or a snapshot has a topic without a machine here."""
 
 
-class Desk:
+class StateMachineRegistry:
     """The machines and watchers of one member, by topic; all logs apply committed entries and tell of them by it."""
 
     def __init__(self) -> None:
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, StateMachine] = {}
         self.watchers: dict[str, list[Told]] = {}
         self.index = 0
         self.faults = 0  # machines and watchers that raised
 
-    def attach(self, topic: str, machine: Machine) -> None:
+    def attach(self, topic: str, machine: StateMachine) -> None:
         """Register a topic's machine; ValueError if it has one already or its name has not 1 to MAX_TOPIC bytes."""
         if topic in self.machines:
             raise ValueError(f"the topic {topic!r} has a machine already")
@@ -125,14 +125,14 @@
             raise ValueError(f"a command of {len(command)} bytes, at most {MAX_COMMAND}")
 
     def apply(self, index: int, topic: str, command: bytes) -> bytes:
-        """Apply one entry, tell the topic's watchers and return its result; Unheld.
+        """Apply one entry, tell the topic's watchers and return its result; UnknownTopicError.
 
         A machine that raises is counted in `faults`, and the result is empty.
         """
         assert index > self.index, "the index strictly grows"
         machine = self.machines.get(topic)
         if machine is None:
-            raise Unheld(
+            raise UnknownTopicError(
                 f"entry {index} is of the topic {topic!r}, which has no machine here: turn the same parts on "
                 "at all coordinators"
             )
@@ -159,12 +159,12 @@
         return out
 
     def restore(self, index: int, states: dict[str, bytes]) -> None:
-        """Restore all machines from a snapshot and tell all watchers; ValueError if a state can't be read, Unheld.
+        """Restore all machines from a snapshot and tell all watchers; ValueError or UnknownTopicError if it is unfit.
 
         A topic that is not in it had no entry before: a member that takes a snapshot holds all topics.
         """
         if unheld := states.keys() - self.machines.keys():
-            raise Unheld(f"a snapshot has the topics {sorted(unheld)}, which have no machine here")
+            raise UnknownTopicError(f"a snapshot has the topics {sorted(unheld)}, which have no machine here")
         for topic, machine in self.machines.items():
             if topic in states:
                 machine.restore(index, states[topic])
--- a/frostspindle/replica/disk.py
+++ b/frostspindle/replica/disk.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from frostspindle.replica.journal import Record, Writing
+from frostspindle.replica.journal import PendingWrite, Record
 from frostspindle.store.records import sync_folder
 
 MAGIC = b"FSLJ"
@@ -31,7 +31,7 @@
 NAME = "journal"
 
 
-class Found(StrEnum):
+class JournalCondition(StrEnum):
     """What the journal's file was found to be at its reading."""
 
     FRESH = "fresh"  # there is no file
@@ -40,7 +40,7 @@
     SPOILT = "spoilt"  # something that was synced can't be read
 
 
-class Held(Exception):
+class FolderLockedError(Exception):
     """Another process holds the lock of this folder."""
 
 
@@ -64,7 +64,7 @@
     return number, payload, at + _HEAD.size + length
 
 
-def read(data: bytes) -> tuple[Found, list[Record], int, int]:
+def read(data: bytes) -> tuple[JournalCondition, list[Record], int, int]:
     """Parse a journal's bytes; return state, records of the good frames, where those end, and the next frame's number.
 
     A bad frame at the end is torn, unless it is the first; one with a good frame of a higher number behind it is
@@ -79,18 +79,18 @@
             while (later := data.find(MAGIC, later + 1)) >= 0:
                 other = _frame_at(data, later)
                 if other is not None and other[0] > number:
-                    return Found.SPOILT, [], at, number
+                    return JournalCondition.SPOILT, [], at, number
             # Frame 0 comes with a rename, after its sync: nothing tears it.
-            return (Found.TORN if number and found is None else Found.SPOILT), records, at, number
+            return (JournalCondition.TORN if number and found is None else JournalCondition.SPOILT), records, at, number
         try:
             records += [tuple(one) for one in msgspec.msgpack.decode(found[1], type=list[list])]
         except (msgspec.DecodeError, UnicodeDecodeError):
-            return Found.SPOILT, [], at, number
+            return JournalCondition.SPOILT, [], at, number
         at, number = found[2], number + 1
-    return (Found.WHOLE if number else Found.SPOILT), records, at, number
+    return (JournalCondition.WHOLE if number else JournalCondition.SPOILT), records, at, number
 
 
-class Disk:
+class JournalFile:
     """The journal's file, open and locked for one process."""
 
     def __init__(self, folder: Path) -> None:
@@ -102,12 +102,12 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock)
-            raise Held(str(folder)) from None
+            raise FolderLockedError(str(folder)) from None
         self._file = -1
         self._number = 0
         self.broken = False
 
-    def load(self) -> tuple[Found, list[Record]]:
+    def load(self) -> tuple[JournalCondition, list[Record]]:
         """Read the file, once, and return what it was and its records; a torn end is cut off.
 
         A spoilt file, also one of over MOST_FILE bytes, is renamed to `.spoilt` for later inspection. OSError.
@@ -115,18 +115,18 @@
         try:
             data = self.path.read_bytes() if self.path.stat().st_size <= MOST_FILE else b""
         except FileNotFoundError:
-            return Found.FRESH, []
+            return JournalCondition.FRESH, []
         found, records, end, self._number = read(data)
-        if found is Found.SPOILT:
+        if found is JournalCondition.SPOILT:
             os.replace(self.path, self.path.with_suffix(".spoilt"))
             return found, []
         self._file = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
-        if found is Found.TORN:
+        if found is JournalCondition.TORN:
             os.ftruncate(self._file, end)
             os.fsync(self._file)
         return found, records
 
-    def write(self, writing: Writing) -> int:
+    def write(self, writing: PendingWrite) -> int:
         """Append the records, or replace the file with them, and sync; return the payload's bytes. Blocks its thread.
 
         After an OSError all further writes fail: what was written may be there or not, until the file is read anew.
--- a/frostspindle/replica/journal.py
+++ b/frostspindle/replica/journal.py
@@ -31,19 +31,19 @@
 _FIRST: Entry = (bytes([wire.NO_OP]), 1, 0)  # what the library has every log begin with
 
 
-class Diverged(Exception):
+class LogDivergedError(Exception):
     """An entry that was applied here was to be replaced by another: no leader of a sound log asks for that."""
 
 
 @dataclass(slots=True)
-class Writing:
+class PendingWrite:
     """Records that must be durable before anything more is sent."""
 
     whole: bool  # replaces all that was written before
     records: list[Record] = field(default_factory=list)
 
 
-class Journal(Interface):
+class RaftJournal(Interface):
     """The journal in memory, in the interface that the library expects of its own."""
 
     def __init__(self, records: Iterable[Record] = ()) -> None:
@@ -101,16 +101,16 @@
         first = self.entries[0][1]
         return self.entries[after + 1 - first : upto + 1 - first]
 
-    def take(self) -> Writing | None:
+    def take(self) -> PendingWrite | None:
         """Return the changes since the last call, to be written and synced; None: there are none."""
         if self._whole:
             self._whole, self._records = False, []
-            return Writing(
+            return PendingWrite(
                 True, [(3, self.snapshot, [wire.plain(one) for one in self.entries], self.term, self.vote, self.forgot)]
             )
         if not self._records:
             return None
-        out, self._records = Writing(False, self._records), []
+        out, self._records = PendingWrite(False, self._records), []
         return out
 
     def rebase(self, snapshot: bytes, before: Entry, last: Entry) -> None:
@@ -145,7 +145,7 @@
         """Drop the entries from this position on, counted from the first here; Diverged if one was applied."""
         index = self.entries[0][1] + entryFrom
         if index <= self.applied:
-            raise Diverged(f"entry {index} was to go, and {self.applied} are applied")
+            raise LogDivergedError(f"entry {index} was to go, and {self.applied} are applied")
         self.size -= sum(len(one[0]) for one in self.entries[entryFrom:])
         del self.entries[entryFrom:]
         self._records.append((1, index))
--- a/frostspindle/replica/links.py
+++ b/frostspindle/replica/links.py
@@ -37,7 +37,7 @@
 SUM = 16
 
 
-class Refused(Exception):
+class LinkRefusedError(Exception):
     """A connection was closed on purpose: `why`, one word for the counter, then a text that is safe to log."""
 
     def __init__(self, why: str, text: str = "") -> None:
@@ -54,7 +54,7 @@
     return blake2b(who + hello + nonce, key=blake2b(secret, digest_size=32).digest(), digest_size=32).digest()
 
 
-class Sums:
+class FrameChecksums:
     """Checksums of one direction's frames, numbered, so that none can be left out, repeated, changed or inserted."""
 
     def __init__(self, key: bytes) -> None:
@@ -66,11 +66,16 @@
         return blake2b(self._number.to_bytes(8, "big") + payload, key=self._key, digest_size=SUM).digest()
 
 
-class Link:
+class MemberLink:
     """One connection whose peer has proved that it knows the secret."""
 
     def __init__(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, peer: str, here: Sums, there: Sums
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        peer: str,
+        here: FrameChecksums,
+        there: FrameChecksums,
     ) -> None:
         self.reader, self.writer, self.peer, self._here, self._there = reader, writer, peer, here, there
 
@@ -93,14 +98,14 @@
             head = await self.reader.readexactly(4 + SUM)
             length = int.from_bytes(head[:4], "big")
             if length > wire.MOST_FRAME:
-                raise Refused("too_long", f"{length} bytes")
+                raise LinkRefusedError("too_long", f"{length} bytes")
             payload = await self.reader.readexactly(length)
         if not hmac.compare_digest(self._there.next(payload), head[4:]):
-            raise Refused("sum")
+            raise LinkRefusedError("sum")
         return payload
 
 
-class Links:
+class MemberLinks:
     """All connections of one member; `up`, `down` and `heard` are called in the event loop."""
 
     def __init__(
@@ -121,7 +126,7 @@
         self.name, self._secret, self.note = name, secret, note
         self._up, self._down, self._heard, self._knows, self._room = up, down, heard, knows, room
         self.id = name
-        self.links: dict[str, Link] = {}
+        self.links: dict[str, MemberLink] = {}
         self.counted: Counter[str] = Counter()
         self._server: asyncio.Server | None = None
         self._dials: dict[str, asyncio.Task[None]] = {}
@@ -242,12 +247,12 @@
                     try:
                         message = wire.message_in(payload)
                     except ValueError as error:
-                        raise Refused("spoilt", str(error)[:120]) from None
+                        raise LinkRefusedError("spoilt", str(error)[:120]) from None
                     if self.links.get(link.peer) is link:
                         self._heard(link.peer, message, len(payload))
                     while not self._room():
                         await asyncio.sleep(0.005)
-        except Refused as error:
+        except LinkRefusedError as error:
             self.counted[error.why] += 1
             self.note("replica_refused", why=str(error), peer=link.peer if link else _where(writer))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
@@ -258,46 +263,46 @@
                 del self.links[link.peer]
                 self._down(link.peer)
 
-    async def _greet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> Link:
+    async def _greet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> MemberLink:
         hello = b"\0".join((HELLO, self.id.encode(), name.encode(), os.urandom(16).hex().encode()))
         writer.write(len(hello).to_bytes(2, "big") + hello)
         answer = await reader.readexactly(48)
         nonce, said = answer[:16], answer[16:]
         if not hmac.compare_digest(said, proof(self._secret, b"answers", hello, nonce)):
-            raise Refused("not_proved", f"who answers for {name} does not know the secret")
+            raise LinkRefusedError("not_proved", f"who answers for {name} does not know the secret")
         writer.write(proof(self._secret, b"dials", hello, nonce))
-        return Link(
+        return MemberLink(
             reader,
             writer,
             name,
-            Sums(proof(self._secret, b"to", hello, nonce)),
-            Sums(proof(self._secret, b"from", hello, nonce)),
+            FrameChecksums(proof(self._secret, b"to", hello, nonce)),
+            FrameChecksums(proof(self._secret, b"from", hello, nonce)),
         )
 
-    async def _greeted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Link:
+    async def _greeted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> MemberLink:
         length = int.from_bytes(await reader.readexactly(2), "big")
         if not 0 < length <= MOST_HELLO:
-            raise Refused("hello", "of another length")
+            raise LinkRefusedError("hello", "of another length")
         hello = await reader.readexactly(length)
         parts = hello.split(b"\0")
         if len(parts) != 4 or parts[0] != HELLO:
-            raise Refused("hello", "of another form")
+            raise LinkRefusedError("hello", "of another form")
         try:
             peer, wanted = parts[1].decode("ascii"), parts[2].decode("ascii")
         except UnicodeDecodeError:
-            raise Refused("hello", "of another form") from None
+            raise LinkRefusedError("hello", "of another form") from None
         nonce = os.urandom(16)
         writer.write(nonce + proof(self._secret, b"answers", hello, nonce))
         if not hmac.compare_digest(await reader.readexactly(32), proof(self._secret, b"dials", hello, nonce)):
-            raise Refused("not_proved")
+            raise LinkRefusedError("not_proved")
         if wanted != self.id or not self._knows(peer):
-            raise Refused("unknown", f"{peer!r:.80} wants {wanted!r:.80}")
-        return Link(
+            raise LinkRefusedError("unknown", f"{peer!r:.80} wants {wanted!r:.80}")
+        return MemberLink(
             reader,
             writer,
             peer,
-            Sums(proof(self._secret, b"from", hello, nonce)),
-            Sums(proof(self._secret, b"to", hello, nonce)),
+            FrameChecksums(proof(self._secret, b"from", hello, nonce)),
+            FrameChecksums(proof(self._secret, b"to", hello, nonce)),
         )
 
 
--- a/frostspindle/replica/local.py
+++ b/frostspindle/replica/local.py
@@ -9,7 +9,15 @@
 
 import asyncio
 
-from frostspindle.replica.base import MOST_OPEN, Applied, Desk, Machine, Told, Unavailable, Uncertain
+from frostspindle.replica.base import (
+    MOST_OPEN,
+    AppliedEntry,
+    LogUnavailableError,
+    OutcomeUnknownError,
+    StateMachine,
+    StateMachineRegistry,
+    Told,
+)
 
 KEEP = 1_024  # entries; who is further behind is given a snapshot
 
@@ -18,7 +26,7 @@
     """One member of a log in memory. The first is made by itself, more by `join`."""
 
     def __init__(self, name: str = "local", shared: _Shared | None = None) -> None:
-        self.name, self._shared, self._desk = name, shared or _Shared(), Desk()
+        self.name, self._shared, self._desk = name, shared or _Shared(), StateMachineRegistry()
         self._held = self._stopped = False
         self._open = 0
         self._arrived = asyncio.Event()
@@ -38,7 +46,7 @@
         """Name of the first member while the log is led; None if it is not, or this member has stopped."""
         return self._shared.members[0].name if self._shared.led and not self._stopped else None
 
-    def attach(self, topic: str, machine: Machine) -> None:
+    def attach(self, topic: str, machine: StateMachine) -> None:
         """See base.Log; RuntimeError once this member has applied an entry."""
         if self._desk.index:
             raise RuntimeError("the log has started")
@@ -48,7 +56,7 @@
         """See base.Log; a watcher is also told, with an empty command, when a snapshot was restored."""
         self._desk.watch(topic, told)
 
-    async def propose(self, topic: str, command: bytes, within_s: float) -> Applied:
+    async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         """See base.Log; applied at once unless this member is held or has stopped."""
         self._desk.check(topic, command)
         return await self._append(topic, command, within_s)
@@ -91,13 +99,13 @@
         self._arrived.set()
         self._arrived = asyncio.Event()
 
-    async def _append(self, topic: str, command: bytes, within_s: float) -> Applied:
+    async def _append(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         if self._stopped:
-            raise Unavailable("the log has stopped")
+            raise LogUnavailableError("the log has stopped")
         if not self._shared.led:
-            raise Unavailable("no leader is heard of")
+            raise LogUnavailableError("no leader is heard of")
         if self._open >= MOST_OPEN:
-            raise Unavailable(f"{MOST_OPEN} proposals are open")
+            raise LogUnavailableError(f"{MOST_OPEN} proposals are open")
         self._open += 1
         try:
             index = self._shared.append(topic, command)
@@ -106,12 +114,12 @@
                     await self._arrived.wait()
                 await asyncio.sleep(0)
         except TimeoutError:
-            raise Uncertain(f"not applied here within {within_s:g} s") from None
+            raise OutcomeUnknownError(f"not applied here within {within_s:g} s") from None
         finally:
             self._open -= 1
         if self.index < index:
-            raise Uncertain("the log has stopped")
-        return Applied(index, self._shared.results.pop((self, index), b""))
+            raise OutcomeUnknownError("the log has stopped")
+        return AppliedEntry(index, self._shared.results.pop((self, index), b""))
 
 
 class _Shared:
--- a/frostspindle/replica/member.py
+++ b/frostspindle/replica/member.py
@@ -36,8 +36,15 @@
 from pysyncobj.transport import Transport
 
 from frostspindle.replica import wire
-from frostspindle.replica.base import MAX_STATE, MOST_OPEN, Applied, Desk, Unavailable, Uncertain
-from frostspindle.replica.journal import Journal
+from frostspindle.replica.base import (
+    MAX_STATE,
+    MOST_OPEN,
+    AppliedEntry,
+    LogUnavailableError,
+    OutcomeUnknownError,
+    StateMachineRegistry,
+)
+from frostspindle.replica.journal import RaftJournal
 
 KEEP = 1_024  # entries, then a snapshot is taken
 KEEP_BYTES = 8 << 20
@@ -52,12 +59,12 @@
     FAIL_REASON.REQUEST_DENIED,
     FAIL_REASON.DISCARDED,
 }  # another term's entry was committed at its index: it never comes to be
-Outcome = Applied | Unavailable | Uncertain
+Outcome = AppliedEntry | LogUnavailableError | OutcomeUnknownError
 Due = tuple[wire.Entry, wire.Entry, list[str], dict[str, bytes]]
 
 
 @dataclass(slots=True, frozen=True)
-class Times:
+class RaftTimeouts:
     """Raft's times in seconds.
 
     An election begins after a silence drawn between the two; a leader that has heard of no majority for `fallback`
@@ -70,7 +77,7 @@
     fallback: float = 1.0
 
 
-class Peer(Node):
+class VoterNode(Node):
     """A voter, given as `name=address` or by its name alone; peers are equal by name."""
 
     def __init__(self, text: str) -> None:
@@ -86,7 +93,7 @@
 class _Outbox(Transport):
     """What the library sends, until it may leave."""
 
-    def __init__(self, member: Member) -> None:
+    def __init__(self, member: LogMember) -> None:
         super().__init__(None, None, [])
         self.member = member
 
@@ -105,7 +112,7 @@
 class _Snapshots:
     """Stands where the library has its Serializer: hands out the journal's snapshot in parts, and takes one in."""
 
-    def __init__(self, member: Member) -> None:
+    def __init__(self, member: LogMember) -> None:
         self.member = member
         self._at: dict[Node, tuple[bytes, int]] = {}
         self._coming: bytearray | None = None
@@ -152,7 +159,7 @@
             return False
         if last[1] <= member.desk.index or member.journal.term_at(last[1]) == last[2]:
             return False  # guard 3
-        self._read = (None, last, before, [Peer(text) for text in voters])
+        self._read = (None, last, before, [VoterNode(text) for text in voters])
         member.journal.snapshot = data
         member.restoring = last[1], states
         member.counted["snapshots_taken_over"] += 1
@@ -165,8 +172,8 @@
 class _Raft(SyncObj):
     """The library, with our journal and snapshots; the only place that knows its private names."""
 
-    def __init__(self, member: Member, me: Peer | None, others: Sequence[Peer], conf: SyncObjConf) -> None:
-        super().__init__(me, others, conf, nodeClass=Peer, transport=_Outbox(member))
+    def __init__(self, member: LogMember, me: VoterNode | None, others: Sequence[VoterNode], conf: SyncObjConf) -> None:
+        super().__init__(me, others, conf, nodeClass=VoterNode, transport=_Outbox(member))
         journal = member.journal
         self._SyncObj__raftLog = journal
         self._SyncObj__raftCurrentTerm = max(journal.getCurrentTerm(), journal.last[2])
@@ -199,7 +206,7 @@
         self._SyncObj__onLeaderChanged()
 
 
-class _Proposal:
+class _PendingProposal:
     """One that waits for its answer here."""
 
     __slots__ = ("command", "until", "done", "handed", "no_op", "least")
@@ -212,17 +219,17 @@
         self.least = least
 
 
-class Member:
+class LogMember:
     """A voter, or a follower, which reads entries and proposes but does not vote."""
 
     def __init__(
         self,
         me: str,
         voters: Sequence[str],
-        journal: Journal,
+        journal: RaftJournal,
         token: bytes,
         forgot: bool = False,
-        times: Times | None = None,
+        times: RaftTimeouts | None = None,
         most_open: int = MOST_OPEN,
         keep: int = KEEP,
     ) -> None:
@@ -231,15 +238,15 @@
         `token`: 8 bytes that no other life of any member has. `forgot`: the journal of a voter was lost or spoilt, so
         that its votes and answers are not known. ValueError: the journal's snapshot can't be read.
         """
-        self.me, self.times = Peer(me), times or Times()
+        self.me, self.times = VoterNode(me), times or RaftTimeouts()
         if forgot:
             journal.forget(True)  # until it votes again, over starts too
         self.journal, self.token, self.most_open, self.keep, self._keep = journal, token, most_open, keep, keep
-        self.desk = Desk()
+        self.desk = StateMachineRegistry()
         self.counted: Counter[str] = Counter()
         self.restoring: tuple[int, dict[str, bytes]] | None = None
         self.voters_changed = False
-        self.waiting: dict[bytes, _Proposal] = {}
+        self.waiting: dict[bytes, _PendingProposal] = {}
         self.peers: dict[str, bool] = {}  # connected, and whether as a voter
         self._out: list[tuple[str, dict[str, Any]]] = []
         self._out_bytes: Counter[str] = Counter()
@@ -247,31 +254,31 @@
         self._number = 0
         self._sent = (0, 0)
         self._now = self._heard = 0.0  # of the last step, and of a leader's last word
-        known = [Peer(text) for text in voters]
+        known = [VoterNode(text) for text in voters]
         if journal.snapshot:
             before, last, kept, states = wire.read_snapshot(journal.snapshot)
             journal.applied = last[1]
             self.restoring = last[1], states
             addresses = {peer.id: peer for peer in known}
-            known = [addresses.get(Peer(text).id, Peer(text)) for text in kept]
+            known = [addresses.get(VoterNode(text).id, VoterNode(text)) for text in kept]
         known = self._by_entries(known)
         self.voter = self.me in known and not journal.forgot
         self.wants_vote = self._asked = False
         self._raft = self._new(known)
 
-    def _by_entries(self, voters: list[Peer]) -> list[Peer]:
+    def _by_entries(self, voters: list[VoterNode]) -> list[VoterNode]:
         """The voters by the latest of the journal's entries, committed or not, as Raft has it."""
         by_name = {peer.id: peer for peer in voters}
         for command, _, _ in self.journal.between(self.journal.applied, self.journal.last[1]):
             if told := wire.read_change(command):
-                peer = Peer(told[1])
+                peer = VoterNode(told[1])
                 if told[0] == "add":
                     by_name.setdefault(peer.id, peer)
                 else:
                     by_name.pop(peer.id, None)
         return list(by_name.values())
 
-    def _new(self, voters: list[Peer]) -> _Raft:
+    def _new(self, voters: list[VoterNode]) -> _Raft:
         times = self.times
         conf = SyncObjConf(
             autoTick=False,
@@ -294,13 +301,13 @@
             conf,
         )
 
-    def _covered(self, token: bytes, proposal: _Proposal) -> None:
+    def _covered(self, token: bytes, proposal: _PendingProposal) -> None:
         """A snapshot may hold the entry, and what came of it can't be told: a no-op may go out again."""
         if proposal.no_op:
             proposal.handed = False
         else:
             del self.waiting[token]
-            proposal.done(Uncertain("a snapshot may hold it"))
+            proposal.done(OutcomeUnknownError("a snapshot may hold it"))
 
     # What is known.
 
@@ -346,9 +353,9 @@
         """Note that a peer can be reached, as one of the voters or as a follower."""
         self.peers[peer] = voter
         if voter:
-            self._raft.transport._onNodeConnected(Peer(peer))
+            self._raft.transport._onNodeConnected(VoterNode(peer))
         else:
-            self._raft.transport._onReadonlyNodeConnected(Peer(peer))
+            self._raft.transport._onReadonlyNodeConnected(VoterNode(peer))
 
     def disconnected(self, peer: str) -> None:
         """Note that a peer can't be reached; if it led, the answers that were awaited from it are given up."""
@@ -359,9 +366,9 @@
         if leader is not None and leader.id == peer:
             self._raft.forget_waiting()
         if voter:
-            self._raft.transport._onNodeDisconnected(Peer(peer))
+            self._raft.transport._onNodeDisconnected(VoterNode(peer))
         else:
-            self._raft.transport._onReadonlyNodeDisconnected(Peer(peer))
+            self._raft.transport._onReadonlyNodeDisconnected(VoterNode(peer))
 
     def receive(self, peer: str, message: dict[str, Any]) -> None:
         """Hand a connected peer's message to the library, after guards 1, 2 and 6; Diverged.
@@ -378,7 +385,7 @@
         if kind == "next_node_idx" and message["term"] != self.term:
             self.counted["stale"] += 1  # guard 1
             return
-        node = Peer(peer)
+        node = VoterNode(peer)
         if kind == "apply_command" and not self._held(message["command"]):
             self.counted["unheld"] += 1  # nobody appends what one that leads could not apply
             self._send(
@@ -410,7 +417,7 @@
             return False
         return not topic or topic in self.desk.machines
 
-    def _trim(self, node: Peer, message: dict[str, Any]) -> bool:
+    def _trim(self, node: VoterNode, message: dict[str, Any]) -> bool:
         """Guard 2: take out of a message the entries that are here; False: nothing of it is left to do."""
         journal = self.journal
         at, term, entries = message["prevLogIdx"], message["prevLogTerm"], message["entries"]
@@ -468,11 +475,11 @@
         `now` and `within` are in seconds.
         """
         if len(self.waiting) >= self.most_open:
-            done(Unavailable(f"{self.most_open} proposals are open"))
+            done(LogUnavailableError(f"{self.most_open} proposals are open"))
             return
         self._number += 1
         token = self.token + self._number.to_bytes(8, "big")
-        self.waiting[token] = _Proposal(
+        self.waiting[token] = _PendingProposal(
             wire.body(topic, command, token), now + within, done, not topic, min(self.times.heartbeat, within / 4.0)
         )
 
@@ -495,9 +502,9 @@
             if now >= proposal.until - (0.0 if proposal.handed else proposal.least):
                 del self.waiting[token]
                 proposal.done(
-                    Uncertain("the time was over first")
+                    OutcomeUnknownError("the time was over first")
                     if proposal.handed
-                    else Unavailable("no leader was heard of in time")
+                    else LogUnavailableError("no leader was heard of in time")
                 )
             elif not proposal.handed and handed < AT_ONCE and self.leader is not None:
                 proposal.handed, handed = True, handed + 1
@@ -523,7 +530,7 @@
 
     def _caught_up(self, outcome: Outcome) -> None:
         self._asked = False
-        self.wants_vote = isinstance(outcome, Applied)
+        self.wants_vote = isinstance(outcome, AppliedEntry)
 
     def _answered(self, token: bytes) -> Callable[[Any, int], None]:
         def told(_: Any, error: int) -> None:
@@ -540,7 +547,7 @@
     def drain(self, most: int = 512) -> bool:
         """Restore a snapshot that came and apply up to `most` committed entries; return whether there are more.
 
-        ValueError: a machine can't read its state; Unheld: a topic has no machine here.
+        ValueError: a machine can't read its state; UnknownTopicError: a topic has no machine here.
         """
         if self.restoring is not None:
             index, states = self.restoring
@@ -571,7 +578,7 @@
             self.desk.pass_to(index)
         proposal = self.waiting.pop(token, None)
         if proposal is not None:
-            proposal.done(Applied(index, result))
+            proposal.done(AppliedEntry(index, result))
 
     def compact(self) -> bool:
         """Take a snapshot if the journal has grown long; return whether one was taken."""
@@ -609,7 +616,7 @@
 
         The term of a member that forgot its votes is raised by JUMP, past all in which it may have given one.
         """
-        voters = [Peer(text) for text in self.voters.values()]
+        voters = [VoterNode(text) for text in self.voters.values()]
         self.voter, self.wants_vote = True, False
         if self.journal.forgot:
             self.journal.setCurrentTerm(self.term + JUMP, self.me.id)
@@ -621,5 +628,7 @@
         """Answer all open proposals with Uncertain or Unavailable; later ones are refused."""
         self.most_open = 0
         for proposal in self.waiting.values():
-            proposal.done(Uncertain("the log stops") if proposal.handed else Unavailable("the log stops"))
+            proposal.done(
+                OutcomeUnknownError("the log stops") if proposal.handed else LogUnavailableError("the log stops")
+            )
         self.waiting.clear()
--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -18,10 +18,18 @@
 
 from frostspindle.replica import links as net
 from frostspindle.replica import wire
-from frostspindle.replica.base import MOST_OPEN, Applied, Desk, Machine, Told, Unavailable, Uncertain
-from frostspindle.replica.disk import Disk, Found, Held
-from frostspindle.replica.journal import Journal, Record
-from frostspindle.replica.member import KEEP, Member, Outcome, Peer, Times
+from frostspindle.replica.base import (
+    MOST_OPEN,
+    AppliedEntry,
+    LogUnavailableError,
+    OutcomeUnknownError,
+    StateMachine,
+    StateMachineRegistry,
+    Told,
+)
+from frostspindle.replica.disk import FolderLockedError, JournalCondition, JournalFile
+from frostspindle.replica.journal import RaftJournal, Record
+from frostspindle.replica.member import KEEP, LogMember, Outcome, RaftTimeouts, VoterNode
 from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
@@ -34,7 +42,7 @@
 MOST_SECRET, LEAST_SECRET = 4_096, 16
 
 
-class Replica:
+class ReplicaService:
     """The replicated log of a running program; see base.Log."""
 
     def __init__(
@@ -46,7 +54,7 @@
         telemetry: Telemetry,
         listen: str = "",
         first_start: bool = False,
-        times: Times | None = None,
+        times: RaftTimeouts | None = None,
         most_open: int = MOST_OPEN,
         keep: int = KEEP,
     ) -> None:
@@ -56,13 +64,13 @@
         """
         self.me, self.folder, self.telemetry = me, folder, telemetry
         self._voters, self._secret, self._first = voters, secret, first_start
-        self._addresses = {peer.id: peer.address for peer in map(Peer, voters)}
+        self._addresses = {peer.id: peer.address for peer in map(VoterNode, voters)}
         self._listen = listen or self._addresses.get(me, "")
-        self._times, self._most_open, self._keep = times or Times(), most_open, keep
-        self._desk = Desk()
-        self._member: Member | None = None
-        self._links: net.Links | None = None
-        self._disk: Disk | None = None
+        self._times, self._most_open, self._keep = times or RaftTimeouts(), most_open, keep
+        self._desk = StateMachineRegistry()
+        self._member: LogMember | None = None
+        self._links: net.MemberLinks | None = None
+        self._disk: JournalFile | None = None
         self._pool = ThreadPoolExecutor(1, "replica")
         self._came: list[tuple[str, str, Any]] = []
         self._waiting_bytes = 0
@@ -87,7 +95,7 @@
         """Name of the leader while it is heard; None if there is none, or the log has stopped or not started."""
         return self._member.leader if self._member is not None and not self.stopped else None
 
-    def attach(self, topic: str, machine: Machine) -> None:
+    def attach(self, topic: str, machine: StateMachine) -> None:
         """See base.Log; RuntimeError after the start, ValueError for a topic that can't be had."""
         if self.started:
             raise RuntimeError("the log has started")
@@ -97,7 +105,7 @@
         """See base.Log; a watcher is also told, with an empty command, when a snapshot was restored."""
         self._desk.watch(topic, told)
 
-    async def propose(self, topic: str, command: bytes, within_s: float) -> Applied:
+    async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         """See base.Log; answered GRACE_S after the time limit at the latest, also while the disk hangs."""
         self._desk.check(topic, command)
         return await self._ask(topic, command, within_s)
@@ -119,16 +127,16 @@
             async with asyncio.timeout(within_s):
                 error = await future
         except TimeoutError:
-            raise Uncertain("the time was over first") from None
+            raise OutcomeUnknownError("the time was over first") from None
         if error:
-            raise Unavailable(f"the change was refused, by reason {error} of the library's")
+            raise LogUnavailableError(f"the change was refused, by reason {error} of the library's")
 
-    def _here(self) -> Member:
+    def _here(self) -> LogMember:
         if self._member is None or self.stopped:
-            raise Unavailable(self.stopped or "the log has not started")
+            raise LogUnavailableError(self.stopped or "the log has not started")
         return self._member
 
-    async def _ask(self, topic: str, command: bytes, within_s: float) -> Applied:
+    async def _ask(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         member = self._here()
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         member.propose(
@@ -140,8 +148,8 @@
                 outcome = await future
         except TimeoutError:
             self.counted["held_up"] += 1
-            outcome = Uncertain("the disk or the event loop held it up")
-        if isinstance(outcome, Applied):
+            outcome = OutcomeUnknownError("the disk or the event loop held it up")
+        if isinstance(outcome, AppliedEntry):
             return outcome
         raise outcome
 
@@ -157,8 +165,8 @@
         loop = asyncio.get_running_loop()
         try:
             found, records = await loop.run_in_executor(self._pool, self._open)
-            forgot = found is Found.SPOILT or found is Found.FRESH and not self._first
-            if found in (Found.SPOILT, Found.TORN) or forgot and self.me in self._addresses:
+            forgot = found is JournalCondition.SPOILT or found is JournalCondition.FRESH and not self._first
+            if found in (JournalCondition.SPOILT, JournalCondition.TORN) or forgot and self.me in self._addresses:
                 self.telemetry.count("replica_journals_" + found)
                 self.telemetry.log(
                     "replica_journal",
@@ -169,10 +177,10 @@
                     if forgot
                     else "its last write was cut off by a crash",
                 )
-            member = self._member = Member(
+            member = self._member = LogMember(
                 f"{self.me}={self._addresses.get(self.me) or self._listen}",
                 self._voters,
-                Journal(records),
+                RaftJournal(records),
                 os.urandom(8),
                 forgot,
                 self._times,
@@ -182,13 +190,13 @@
             member.desk = self._desk
             while member.drain(AT_ONCE):
                 await asyncio.sleep(0)
-        except Held as error:
+        except FolderLockedError as error:
             self._stop(f"another process has {error}")
             return
         except (OSError, ValueError) as error:
             self._stop(f"the journal can't be used: {error}")
             return
-        self._links = net.Links(
+        self._links = net.MemberLinks(
             self.me,
             self._secret,
             self._up,
@@ -207,8 +215,8 @@
             "replica", me=self.me, votes=member.voter, term=member.term, entries=len(member.journal), port=self.port
         )
 
-    def _open(self) -> tuple[Found, list[Record]]:
-        self._disk = Disk(self.folder)
+    def _open(self) -> tuple[JournalCondition, list[Record]]:
+        self._disk = JournalFile(self.folder)
         return self._disk.load()
 
     async def close(self) -> None:
@@ -247,7 +255,7 @@
             self._stop(f"{type(error).__name__}: {error}")
             await self._end()
 
-    async def _turn(self, member: Member) -> None:
+    async def _turn(self, member: LogMember) -> None:
         if not self._wake.is_set() and not member.journal.dirty and not member.pressed:
             try:
                 async with asyncio.timeout(TURN_S):
@@ -310,7 +318,7 @@
         """So much processor time the event loop was held for; a busy machine may take more of the clock's."""
         self.worst_turn_s = max(self.worst_turn_s, time.thread_time() - began)
 
-    def _promote(self, member: Member) -> None:
+    def _promote(self, member: LogMember) -> None:
         assert self._links is not None
         self._links.aim(self.me, {})
         self._came = [one for one in self._came if one[0] == "down"]
@@ -327,7 +335,7 @@
         targets = {name: self._addresses.get(name) or text.partition("=")[2] for name, text in member.voters.items()}
         self._links.aim(self.me if member.voter else f"~{self.me}", targets)
 
-    def _tell_leader(self, member: Member) -> None:
+    def _tell_leader(self, member: LogMember) -> None:
         leader = member.leader
         if leader != self._heard_leader:
             self.telemetry.count("replica_leaders")
@@ -394,7 +402,7 @@
         return out
 
 
-class _ToEvents(logging.Handler):
+class _TelemetryLogHandler(logging.Handler):
     """The library's own words, as lines of ours."""
 
     def __init__(self, telemetry: Telemetry) -> None:
@@ -408,18 +416,18 @@
 
 def _library_to(telemetry: Telemetry) -> None:
     logger = logging.getLogger("pysyncobj")
-    logger.handlers = [_ToEvents(telemetry)]
+    logger.handlers = [_TelemetryLogHandler(telemetry)]
     logger.propagate = False
 
 
-def attach(program: ProgramContext) -> Replica:
+def attach(program: ProgramContext) -> ReplicaService:
     """Make the program's log as configured, with its call `show-replica`; OSError, ValueError for a bad secret."""
     config = program.config.operator.replica
     assert config is not None
-    times = Times(
+    times = RaftTimeouts(
         config.heartbeat_ms / 1e3, config.election_ms / 1e3, 2 * config.election_ms / 1e3, 2 * config.election_ms / 1e3
     )
-    replica = Replica(
+    replica = ReplicaService(
         config.me,
         config.voters,
         Path(config.folder),
--- a/frostspindle/replica/wire.py
+++ b/frostspindle/replica/wire.py
@@ -17,7 +17,7 @@
 from msgspec import Meta
 
 from frostspindle.replica.base import MAX_COMMAND, MAX_TOPIC
-from frostspindle.store.base import Spoilt, seal, unseal
+from frostspindle.store.base import CorruptDataError, seal, unseal
 
 BATCH = 256 << 10  # bytes of entries or of a snapshot in one message; above a command, so that none goes in pieces
 MOST_FRAME = BATCH + 2 * MAX_COMMAND
@@ -104,7 +104,7 @@
     """Decode a sealed snapshot; ValueError if its seal does not match or it has another form."""
     try:
         before, last, voters, states = _decoded(_SNAPSHOT, unseal(data))
-    except Spoilt as error:
+    except CorruptDataError as error:
         raise ValueError(str(error)) from None
     return entry(before), entry(last), voters, states
 
--- a/frostspindle/scatter/gather.py
+++ b/frostspindle/scatter/gather.py
@@ -12,10 +12,10 @@
 from typing import NamedTuple
 
 from frostspindle.core import ResponseStatus
-from frostspindle.scatter.merge import Merge, Mismatch, Row, merge
+from frostspindle.scatter.merge import Merge, MergeMismatchError, Row, merge
 
 
-class Whole(NamedTuple):
+class GatheredResponse(NamedTuple):
     """The one answer of all parts. `missing`: the sites that did not answer, where the request allows it."""
 
     status: ResponseStatus
@@ -44,11 +44,11 @@
         """Sites that have not answered yet."""
         return [site for site in self.sites if site not in self.parts and site not in self.lost]
 
-    def begin(self) -> Whole | None:
+    def begin(self) -> GatheredResponse | None:
         """Return the answer if no site needs to be asked, else None."""
         return self._whole() if not self.sites else None
 
-    def served(self, site: str, rows: list[Row]) -> Whole | None:
+    def served(self, site: str, rows: list[Row]) -> GatheredResponse | None:
         """Take a part's rows; return the answer if that was the last part or the rows are too many, else None.
 
         Repeats are ignored.
@@ -58,10 +58,12 @@
         self.parts[site] = rows
         self.rows += len(rows)
         if self.rows > self.most_rows:
-            return self._end(Whole(ResponseStatus.FAILED, reason=f"more than {self.most_rows} rows to merge"))
+            return self._end(
+                GatheredResponse(ResponseStatus.FAILED, reason=f"more than {self.most_rows} rows to merge")
+            )
         return None if self.open else self._whole()
 
-    def ended(self, site: str, status: ResponseStatus, retry_after_ms: float = 0.0) -> Whole | None:
+    def ended(self, site: str, status: ResponseStatus, retry_after_ms: float = 0.0) -> GatheredResponse | None:
         """Take a part that ended without rows.
 
         Return the answer if that decides it, else None: at once, unless the request allows missing sites.
@@ -71,27 +73,27 @@
         self.lost[site] = status, retry_after_ms
         if self.partial:
             return None if self.open else self._whole()
-        return self._end(Whole(status, retry_after_ms=retry_after_ms))
+        return self._end(GatheredResponse(status, retry_after_ms=retry_after_ms))
 
     def left(self) -> None:
         """Note that the client left: no answer is returned any more."""
         self.over = True
 
-    def _whole(self) -> Whole:
+    def _whole(self) -> GatheredResponse:
         if self.lost and not self.parts:
             worst = (
                 ResponseStatus.FAILED
                 if any(status == ResponseStatus.FAILED for status, _ in self.lost.values())
                 else ResponseStatus.REJECTED
             )
-            return self._end(Whole(worst, retry_after_ms=max(wait for _, wait in self.lost.values())))
+            return self._end(GatheredResponse(worst, retry_after_ms=max(wait for _, wait in self.lost.values())))
         try:
             rows = merge(self.merge_plan, [self.parts[site] for site in self.sites if site in self.parts], self.null)
-        except Mismatch as error:
-            return self._end(Whole(ResponseStatus.FAILED, reason=str(error)))
-        return self._end(Whole(ResponseStatus.SERVED, rows, missing=tuple(sorted(self.lost))))
+        except MergeMismatchError as error:
+            return self._end(GatheredResponse(ResponseStatus.FAILED, reason=str(error)))
+        return self._end(GatheredResponse(ResponseStatus.SERVED, rows, missing=tuple(sorted(self.lost))))
 
-    def _end(self, whole: Whole) -> Whole:
+    def _end(self, whole: GatheredResponse) -> GatheredResponse:
         self.over = True
         return whole
 
--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class SummaryLeaseSettings:
     """Lease times in ms, drift and sketch size, the same at all coordinators."""
 
     lease_ms: float
@@ -60,7 +60,7 @@
         return self.lease_ms * (1.0 + self.drift) / (1.0 - self.drift)
 
 
-class Told(NamedTuple):
+class LoadIntent(NamedTuple):
     """What a load is about to insert; `cells` None: any row."""
 
     rows: int
@@ -92,7 +92,7 @@
         return UNTYPED
 
 
-def widen(summary: Summary, told: Told) -> None:
+def widen(summary: Summary, told: LoadIntent) -> None:
     """Widen the summary by rows of known values; the row counts are then made consistent by `balance`."""
     assert told.cells is not None
     for name, cells in told.cells.items():
@@ -114,7 +114,7 @@
             column.values = summary.rows
 
 
-def knows(summary: Summary, told: Told) -> bool:
+def knows(summary: Summary, told: LoadIntent) -> bool:
     """Tell whether the summary allows for such rows already, so that no holder need be told."""
     assert told.cells is not None
     if not summary.rows:
@@ -145,7 +145,7 @@
 
 
 @dataclass(slots=True)
-class _Holder:
+class _SummaryHolder:
     """One process that may leave the site out, as its home has it."""
 
     ends: float
@@ -155,7 +155,7 @@
 
 
 @dataclass(slots=True)
-class Shelf:
+class SummaryRecord:
     """One summary at its home, with its holders and the loads under way."""
 
     key: str
@@ -164,8 +164,8 @@
     summary: Summary | None = None
     version: int = 1
     data: bytes | None = None  # the summary, written
-    holders: dict[tuple[str, int], _Holder] = field(default_factory=dict)
-    standing: OrderedDict[tuple[str, int, int, int], tuple[Told, float]] = field(default_factory=OrderedDict)
+    holders: dict[tuple[str, int], _SummaryHolder] = field(default_factory=dict)
+    standing: OrderedDict[tuple[str, int, int, int], tuple[LoadIntent, float]] = field(default_factory=OrderedDict)
     sunk: Summary | None = None
     ended: OrderedDict[tuple[str, int, int], None] = field(default_factory=OrderedDict)
     waits: dict[tuple[str, int, int, int], int] = field(default_factory=dict)  # intents: the version all must have
@@ -176,13 +176,13 @@
     tops: dict[tuple[str, int, int, int], float] = field(default_factory=dict)  # intents that may bring any row
 
 
-class Home:
+class SummaryHome:
     """The summaries that this process keeps as their home."""
 
-    def __init__(self, epoch: int, terms: Terms, columns: dict[str, Sequence[str]], now: float) -> None:
+    def __init__(self, epoch: int, terms: SummaryLeaseSettings, columns: dict[str, Sequence[str]], now: float) -> None:
         self.epoch, self.terms = epoch, terms
         rest = now + terms.back_ms
-        self.shelves = {key: Shelf(key, names, rest) for key, names in columns.items()}
+        self.shelves = {key: SummaryRecord(key, names, rest) for key, names in columns.items()}
         self.out: list[Post] = []
         self.pushed = self.refused = 0
 
@@ -191,7 +191,7 @@
 
     # Leases.
 
-    def on_hold(self, now: float, name: str, epoch: int, ask: wire.Hold) -> None:
+    def on_lease_request(self, now: float, name: str, epoch: int, ask: wire.LeaseRequest) -> None:
         """Grant or renew a holder's lease, and send it the summary unless it has the newest version.
 
         Not answered if the summary is unknown, at rest after a start, or has MOST_HOLDERS holders; a catalogue with
@@ -212,37 +212,37 @@
             if len(shelf.holders) >= MOST_HOLDERS:
                 self.refused += 1
                 return
-            holder = shelf.holders[who] = _Holder(0.0, shelf.version)
+            holder = shelf.holders[who] = _SummaryHolder(0.0, shelf.version)
         holder.ends = max(holder.ends, now + self.terms.back_ms)
         if ask.epoch == self.epoch and ask.have == shelf.version:
-            self._say(name, wire.Still(ask.key, ask.seq, shelf.version))
+            self._say(name, wire.LeaseUnchanged(ask.key, ask.seq, shelf.version))
             return
         if shelf.data is None:
             shelf.data = shelf.summary.encode()
         parts = [shelf.data[at : at + wire.PIECE] for at in range(0, len(shelf.data), wire.PIECE)]
         for at, part in enumerate(parts):
-            self._say(name, wire.Piece(ask.key, ask.seq, shelf.version, at, len(parts), part))
+            self._say(name, wire.SummaryPiece(ask.key, ask.seq, shelf.version, at, len(parts), part))
 
-    def on_have(self, now: float, name: str, epoch: int, word: wire.Have) -> None:
+    def on_update_acknowledged(self, now: float, name: str, epoch: int, word: wire.UpdateAcknowledged) -> None:
         """Record that a holder uses no summary older than `version`; loads that waited for that are acknowledged."""
         shelf = self.shelves.get(word.key)
         if shelf is not None and word.epoch == self.epoch and (holder := shelf.holders.get((name, epoch))) is not None:
             self._has(now, shelf, holder, word.version)
 
-    def on_bye(self, now: float, name: str, epoch: int, word: wire.Bye) -> None:
+    def on_release_lease(self, now: float, name: str, epoch: int, word: wire.ReleaseLease) -> None:
         """Drop a holder that uses this summary no more; loads that waited for it alone are acknowledged."""
         shelf = self.shelves.get(word.key)
         if shelf is not None and word.epoch == self.epoch and shelf.holders.pop((name, epoch), None) is not None:
             self._settle(now, shelf)
 
-    def _has(self, now: float, shelf: Shelf, holder: _Holder, version: int) -> None:
+    def _has(self, now: float, shelf: SummaryRecord, holder: _SummaryHolder, version: int) -> None:
         if version > holder.version:
             holder.version, holder.wait = min(version, shelf.version), AGAIN_MS
             self._settle(now, shelf)
 
     # Loads.
 
-    def on_widen(self, now: float, name: str, epoch: int, word: wire.Widen) -> None:
+    def on_load_announced(self, now: float, name: str, epoch: int, word: wire.LoadAnnounced) -> None:
         """Take a load's intent: widen the summary, tell the holders, acknowledge once none uses an older version.
 
         A repeat of an acknowledged intent is answered at once, one that still waits is ignored. Refused, and counted,
@@ -254,14 +254,14 @@
             return
         intent = name, epoch, word.load, word.chunk
         if intent in shelf.acked:
-            self._say(name, wire.Widened(word.key, word.load, word.chunk))
+            self._say(name, wire.LoadPermitted(word.key, word.load, word.chunk))
             return
         if intent in shelf.waits:
             return
         if len(shelf.waits) >= MOST_STANDING:
             self.refused += 1
             return
-        told = Told(word.rows, word.cells)
+        told = LoadIntent(word.rows, word.cells)
         shelf.standing[intent] = told, now
         if word.cells is None:
             shelf.tops[intent] = now
@@ -271,7 +271,7 @@
         shelf.waits[intent] = shelf.version
         self._settle(now, shelf)
 
-    def _sink(self, shelf: Shelf) -> None:
+    def _sink(self, shelf: SummaryRecord) -> None:
         """The oldest intent goes on in what all others of its kind share."""
         intent, (told, _) = shelf.standing.popitem(last=False)
         shelf.tops.pop(intent, None)
@@ -280,7 +280,7 @@
             shelf.sunk = shelf.sunk or Summary(shelf.columns, self.terms.bits)
             widen(shelf.sunk, told)
 
-    def _take(self, now: float, shelf: Shelf, told: Told) -> None:
+    def _take(self, now: float, shelf: SummaryRecord, told: LoadIntent) -> None:
         """Rows are about to come: widen what is held, and what is being learnt."""
         if told.cells is None:
             shelf.spoilt = True
@@ -294,7 +294,7 @@
         widen(shelf.summary, told)
         self._set(now, shelf, shelf.summary, told)
 
-    def _set(self, now: float, shelf: Shelf, summary: Summary | None, told: Told | None) -> None:
+    def _set(self, now: float, shelf: SummaryRecord, summary: Summary | None, told: LoadIntent | None) -> None:
         """There is a newer version; `told`: all that it has more than the one before."""
         shelf.summary, shelf.data = summary, None
         shelf.version += 1
@@ -303,10 +303,13 @@
                 holder.said, holder.wait = now, AGAIN_MS
                 self.pushed += 1
                 self._say(
-                    name, wire.Wider(shelf.key, shelf.version, told.rows if told else 0, told.cells if told else None)
+                    name,
+                    wire.SummaryUpdated(
+                        shelf.key, shelf.version, told.rows if told else 0, told.cells if told else None
+                    ),
                 )
 
-    def on_done(self, now: float, name: str, epoch: int, word: wire.Done) -> None:
+    def on_load_ended(self, now: float, name: str, epoch: int, word: wire.LoadEnded) -> None:
         """Take the end of a load.
 
         If it never ran, its intents are dropped without an answer. Else answer whether this process still has all of
@@ -327,9 +330,9 @@
         else:
             for one in intents:  # to be told anew as if it had never been
                 shelf.acked.pop(one, None)
-        self._say(name, wire.Known(word.key, word.load, kept))
+        self._say(name, wire.LoadRecorded(word.key, word.load, kept))
 
-    def _end(self, shelf: Shelf, load: tuple[str, int, int], chunks: int) -> None:
+    def _end(self, shelf: SummaryRecord, load: tuple[str, int, int], chunks: int) -> None:
         for chunk in range(chunks):
             intent = (*load, chunk)
             for table in (shelf.standing, shelf.acked, shelf.waits, shelf.tops):
@@ -338,7 +341,7 @@
         if len(shelf.ended) > MOST_ENDED:
             shelf.ended.popitem(last=False)
 
-    def _settle(self, now: float, shelf: Shelf) -> None:
+    def _settle(self, now: float, shelf: SummaryRecord) -> None:
         """Acknowledge the intents that no lease stands against any more."""
         for who in [who for who, holder in shelf.holders.items() if now >= holder.ends]:
             del shelf.holders[who]
@@ -348,7 +351,7 @@
         for intent in [intent for intent, version in shelf.waits.items() if version <= least]:
             del shelf.waits[intent]
             shelf.acked[intent] = None
-            self._say(intent[0], wire.Widened(shelf.key, intent[2], intent[3]))
+            self._say(intent[0], wire.LoadPermitted(shelf.key, intent[2], intent[3]))
 
     # Learning a site anew.
 
@@ -378,7 +381,7 @@
             if told.cells is not None:
                 widen(shelf.learning, told)
 
-    def learnt(self, now: float, key: str, told: Sequence[Told] | None, retry_ms: float) -> bool:
+    def learnt(self, now: float, key: str, told: Sequence[LoadIntent] | None, retry_ms: float) -> bool:
         """Install what was read (None: it failed).
 
         False: the summary stays unknown and is retried after `retry_ms`, also if a load of unknown rows came meanwhile.
@@ -407,7 +410,7 @@
             for (name, _), holder in shelf.holders.items():
                 if holder.version < shelf.version and now >= holder.said + holder.wait:
                     holder.said, holder.wait = now, min(AGAIN_MOST_MS, 2.0 * holder.wait)
-                    self._say(name, wire.Wider(shelf.key, shelf.version, 0, None))
+                    self._say(name, wire.SummaryUpdated(shelf.key, shelf.version, 0, None))
 
     def due(self, now: float) -> float:
         """Return when `tick` must be called next, in ms of the monotonic clock; inf while no load waits."""
@@ -428,7 +431,7 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _LeasedSummary:
     """One summary as a coordinator that may leave its site out has it."""
 
     key: str
@@ -453,7 +456,7 @@
     number: int
     key: str
     home: str
-    told: list[Told]
+    told: list[LoadIntent]
     began: float
     missing: set[int]
     epoch: int = 0  # of the home's process that acknowledged it
@@ -463,12 +466,12 @@
     wait: float = AGAIN_MS
 
 
-class Holder:
+class SummaryCache:
     """The leased summaries by which this process may leave sites out, and its own loads."""
 
-    def __init__(self, terms: Terms, homes: dict[str, str]) -> None:
+    def __init__(self, terms: SummaryLeaseSettings, homes: dict[str, str]) -> None:
         self.terms = terms
-        self.held = {key: _Held(key, home) for key, home in homes.items()}
+        self.held = {key: _LeasedSummary(key, home) for key, home in homes.items()}
         self.loads: dict[int, Load] = {}
         self.out: list[Post] = []
         self.changed: list[Load] = []  # that are ready, kept or have to wait again
@@ -498,7 +501,7 @@
             held.used = now
         return fresh
 
-    def _ask(self, now: float, held: _Held) -> None:
+    def _ask(self, now: float, held: _LeasedSummary) -> None:
         self._seq += 1
         held.asked[self._seq] = now
         while len(held.asked) > MOST_ASKED:
@@ -506,7 +509,7 @@
         held.next, held.wait = now + held.wait, min(AGAIN_MOST_MS, self.terms.lease_ms / 4.0, 2.0 * held.wait)
         self._say(
             held.home,
-            wire.Hold(
+            wire.LeaseRequest(
                 held.key,
                 self.terms.digest,
                 self._seq,
@@ -516,7 +519,7 @@
             ),
         )
 
-    def _heard(self, held: _Held | None, name: str, epoch: int) -> bool:
+    def _heard(self, held: _LeasedSummary | None, name: str, epoch: int) -> bool:
         """Whether word of a summary comes from its home, and not from one that another process has followed."""
         if held is None or name != held.home or epoch < held.epoch:
             return False
@@ -525,7 +528,7 @@
             held.coming, held.pieces = (0, 0, 0), {}
         return True
 
-    def on_still(self, now: float, name: str, epoch: int, word: wire.Still) -> None:
+    def on_lease_unchanged(self, now: float, name: str, epoch: int, word: wire.LeaseUnchanged) -> None:
         """Extend the lease from when we asked: the summary here is the newest.
 
         Ignored if late, unasked or from an earlier process.
@@ -538,7 +541,7 @@
         if asked is not None and held.summary is not None:  # which is never older than `floor`
             self._lease(held, asked)
 
-    def on_piece(self, now: float, name: str, epoch: int, word: wire.Piece) -> None:
+    def on_summary_piece(self, now: float, name: str, epoch: int, word: wire.SummaryPiece) -> None:
         """Collect a summary's pieces; with the last one install it and take the lease, counted from when we asked.
 
         Dropped: pieces that were not asked for or of an older answer, a version older than one acknowledged (its home
@@ -571,12 +574,12 @@
         held.floor = max(held.floor, word.version)
         self._lease(held, asked)
 
-    def _lease(self, held: _Held, asked: float) -> None:
+    def _lease(self, held: _LeasedSummary, asked: float) -> None:
         """Counted from the asking: when the home answered is not known here."""
         held.ends = max(held.ends, asked + self.terms.lease_ms)
         held.next, held.wait = max(held.next, asked + RENEW * self.terms.lease_ms), AGAIN_MS
 
-    def on_wider(self, now: float, name: str, epoch: int, word: wire.Wider) -> None:
+    def on_summary_updated(self, now: float, name: str, epoch: int, word: wire.SummaryUpdated) -> None:
         """Widen the summary here, or drop it if the new version does not directly follow or names no values;
         acknowledge.
 
@@ -589,12 +592,12 @@
         if word.version > held.floor or held.summary is None:
             follows = held.summary is not None and word.version == held.version + 1 and word.cells is not None
             if follows and held.summary is not None:
-                widen(held.summary, Told(word.rows, word.cells))
+                widen(held.summary, LoadIntent(word.rows, word.cells))
                 held.version = word.version
             elif held.version < word.version:
                 held.summary, held.ends, held.next, held.wait = None, -math.inf, now, AGAIN_MS
             held.floor = max(held.floor, word.version)
-        self._say(name, wire.Have(word.key, epoch, held.floor))
+        self._say(name, wire.UpdateAcknowledged(word.key, epoch, held.floor))
 
     # Loads.
 
@@ -604,9 +607,9 @@
             return None
         parts = None if cells is None else wire.chunks(cells)
         told = (
-            [Told(rows, None)]
+            [LoadIntent(rows, None)]
             if parts is None
-            else [Told(rows if not at else 0, part) for at, part in enumerate(parts)]
+            else [LoadIntent(rows if not at else 0, part) for at, part in enumerate(parts)]
         )
         self._numbers += 1
         load = Load(self._numbers, key, self.held[key].home, told, now, set(range(len(told))))
@@ -618,9 +621,11 @@
         load.said, load.wait = now, min(AGAIN_MOST_MS, 2.0 * load.wait)
         for at in sorted(load.missing):
             told = load.told[at]
-            self._say(load.home, wire.Widen(load.key, self.terms.digest, load.number, at, told.rows, told.cells))
+            self._say(
+                load.home, wire.LoadAnnounced(load.key, self.terms.digest, load.number, at, told.rows, told.cells)
+            )
 
-    def on_widened(self, now: float, name: str, epoch: int, word: wire.Widened) -> None:
+    def on_load_permitted(self, now: float, name: str, epoch: int, word: wire.LoadPermitted) -> None:
         """Take the home's acknowledgement of one message of a load.
 
         With the last one the load is ready, or, if it has run, confirmed again. A later process of the home must
@@ -650,9 +655,9 @@
     def _confirm(self, now: float, load: Load) -> None:
         load.state = "confirming"
         load.said, load.wait = now, min(AGAIN_MOST_MS, 2.0 * load.wait)
-        self._say(load.home, wire.Done(load.key, load.number, len(load.told), True))
+        self._say(load.home, wire.LoadEnded(load.key, load.number, len(load.told), True))
 
-    def on_known(self, now: float, name: str, epoch: int, word: wire.Known) -> None:
+    def on_load_recorded(self, now: float, name: str, epoch: int, word: wire.LoadRecorded) -> None:
         """Take the home's confirmation: the load is kept and may be answered as served, or, if the home's process has
         forgotten it, is announced anew.
         """
@@ -675,7 +680,7 @@
             return
         load.state = "over"
         if never_ran:
-            self._say(load.home, wire.Done(load.key, load.number, len(load.told), False))
+            self._say(load.home, wire.LoadEnded(load.key, load.number, len(load.told), False))
 
     # Time.
 
@@ -714,4 +719,4 @@
             held.asked.clear()
             if held.summary is not None:
                 held.summary, held.ends = None, -math.inf
-                self._say(held.home, wire.Bye(held.key, held.epoch))
+                self._say(held.home, wire.ReleaseLease(held.key, held.epoch))
--- a/frostspindle/scatter/merge.py
+++ b/frostspindle/scatter/merge.py
@@ -23,7 +23,7 @@
 Row = list[str]
 
 
-class Mismatch(ValueError):
+class MergeMismatchError(ValueError):
     """The parts' rows can't be merged exactly into what was asked for."""
 
 
@@ -77,9 +77,9 @@
         if kind == TIME:
             return moment(text)
     except ValueError as error:
-        raise Mismatch(f"a part's value is no {kind}: {error}") from None
+        raise MergeMismatchError(f"a part's value is no {kind}: {error}") from None
     if kind != TEXT:
-        raise Mismatch(f"values of type {kind} are not merged")
+        raise MergeMismatchError(f"values of type {kind} are not merged")
     return text
 
 
@@ -89,9 +89,9 @@
     for part in parts:
         rows.extend(part)
     if how.width and any(len(row) != how.width for row in rows):
-        raise Mismatch(f"a part's row has not {how.width} columns")
+        raise MergeMismatchError(f"a part's row has not {how.width} columns")
     if len({len(row) for row in rows}) > 1:
-        raise Mismatch("the parts' rows have not the same columns")
+        raise MergeMismatchError("the parts' rows have not the same columns")
     if how.grouped:
         rows = _grouped(how, rows, null)
     elif how.distinct:
@@ -130,7 +130,7 @@
     if cell.what == COUNT:
         counts = [value(row[cell.at], INTEGER, null) for row in rows]
         if any(count is None or count < 0 for count in counts):
-            raise Mismatch("a part's count is no count")
+            raise MergeMismatchError("a part's count is no count")
         return str(sum(counts))
     held = [(value(row[cell.at], cell.type, null), row[cell.at]) for row in rows]
     held = [pair for pair in held if pair[0] is not None]
@@ -143,7 +143,7 @@
         return str(total) if cell.type == INTEGER else format(total, "f")
     count = sum(value(row[cell.count], INTEGER, null) or 0 for row in rows)
     if count <= 0:
-        raise Mismatch("a part's count is no count")
+        raise MergeMismatchError("a part's count is no count")
     return str(abs(total) // count * (1 if total >= 0 else -1))  # whole numbers' mean, cut towards 0
 
 
@@ -151,10 +151,10 @@
     if kind == INTEGER:
         total = sum(values)
         if not -MOST_INTEGER <= total < MOST_INTEGER:
-            raise Mismatch("the sum is beyond the engines' integers")
+            raise MergeMismatchError("the sum is beyond the engines' integers")
         return total
     try:
         with decimal.localcontext(_EXACT):
             return sum(values, Decimal(0))
     except decimal.DecimalException:
-        raise Mismatch("the sum is beyond the engines' decimals") from None
+        raise MergeMismatchError("the sum is beyond the engines' decimals") from None
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -22,15 +22,15 @@
 from frostspindle.predicates import may_match
 from frostspindle.predicates.values import KINDS, canonical
 from frostspindle.scatter import wire
-from frostspindle.scatter.gather import Gather, Whole, estimates
-from frostspindle.scatter.leases import UNKNOWN, Holder, Home, Load, Terms, Told
-from frostspindle.scatter.merge import Mismatch, value
+from frostspindle.scatter.gather import Gather, GatheredResponse, estimates
+from frostspindle.scatter.leases import UNKNOWN, Load, LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings
+from frostspindle.scatter.merge import MergeMismatchError, value
 from frostspindle.scatter.plan import Planner, Rows, in_steps
 from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
-    from frostspindle.fleet.node import Node
-    from frostspindle.fleet.service import Service as Fleet
+    from frostspindle.fleet.node import FleetNode
+    from frostspindle.fleet.service import FleetService as Fleet
 
 CHANNEL = 2
 MERGE_MS = 10.0  # of a request's time that parts leave for the merge
@@ -54,14 +54,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Query:
+class _ScatteredQuery:
     request: ClientRequest
     gather: Gather
     parts: dict[str, ClientRequest]
 
 
 @dataclass(slots=True, eq=False)
-class _Turn:
+class _ScatteredLoad:
     """One load: announced, sent, confirmed."""
 
     request: ClientRequest
@@ -74,8 +74,8 @@
     columns: tuple[str, ...] = ()  # that it wrote, of those with a summary; all of these where nobody can tell
 
 
-class Scatter:
-    """One process's side of scattering; a frostspindle.fleet.service.Part."""
+class ScatterService:
+    """One process's side of scattering; a frostspindle.fleet.service.FleetChannel."""
 
     channel = CHANNEL
 
@@ -84,12 +84,12 @@
         self.classes = classes  # of the front that is scattered; others' requests have higher numbers
         terms = catalogue.terms
         self.planner = Planner(catalogue)
-        self.terms = Terms(terms.lease_ms, terms.drift, catalogue.digest, terms.keep_ms, terms.bits)
-        self.home: Home | None = None
-        self.holder: Holder | None = None
-        self.queries: dict[ClientRequest, _Query] = {}
-        self.turns: dict[ClientRequest, _Turn] = {}
-        self.lines: dict[int, deque[_Turn]] = {}  # loads of one key, in the order taken
+        self.terms = SummaryLeaseSettings(terms.lease_ms, terms.drift, catalogue.digest, terms.keep_ms, terms.bits)
+        self.home: SummaryHome | None = None
+        self.holder: SummaryCache | None = None
+        self.queries: dict[ClientRequest, _ScatteredQuery] = {}
+        self.turns: dict[ClientRequest, _ScatteredLoad] = {}
+        self.lines: dict[int, deque[_ScatteredLoad]] = {}  # loads of one key, in the order taken
         # Told of each load that is answered as served: its site, group and columns.
         self.loaded: Callable[[str, int, tuple[str, ...]], None] = lambda site, group, columns: None
         self.waits: deque[float] = deque(maxlen=1_000)  # ms that the last loads waited to be announced
@@ -99,13 +99,13 @@
 
     # What the fleet calls.
 
-    def begin(self, now: float, node: Node) -> None:
+    def begin(self, now: float, node: FleetNode) -> None:
         """Create the lease cores under the node's epoch, with the summaries whose home this process is, and start
         learning sites; called once the fleet's port is ours.
         """
         homes = {key: home_of(key, node.homes) for key in self.catalogue.all_keys()}
         own = {key: self.catalogue.summed(site_of(key)[1]) for key, home in homes.items() if home == node.name}
-        self.home, self.holder = Home(node.epoch, self.terms, own, now), Holder(self.terms, homes)
+        self.home, self.holder = SummaryHome(node.epoch, self.terms, own, now), SummaryCache(self.terms, homes)
         self.telemetry.log(
             "scatter", sites=len(self.catalogue.sites), groups=len(self.catalogue.groups), keeps=len(own)
         )
@@ -127,30 +127,30 @@
             return
         try:
             word = wire.decode(data)
-        except wire.BadPacket:
+        except wire.InvalidPacketError:
             self.telemetry.count("scatter_undecodable")
             return
         kind = type(word)
-        if kind is wire.Hold:
-            self.home.on_hold(now, name, epoch, word)
-        elif kind is wire.Have:
-            self.home.on_have(now, name, epoch, word)
-        elif kind is wire.Widen:
-            self.home.on_widen(now, name, epoch, word)
-        elif kind is wire.Done:
-            self.home.on_done(now, name, epoch, word)
-        elif kind is wire.Bye:
-            self.home.on_bye(now, name, epoch, word)
-        elif kind is wire.Still:
-            self.holder.on_still(now, name, epoch, word)
-        elif kind is wire.Piece:
-            self.holder.on_piece(now, name, epoch, word)
-        elif kind is wire.Wider:
-            self.holder.on_wider(now, name, epoch, word)
-        elif kind is wire.Widened:
-            self.holder.on_widened(now, name, epoch, word)
+        if kind is wire.LeaseRequest:
+            self.home.on_lease_request(now, name, epoch, word)
+        elif kind is wire.UpdateAcknowledged:
+            self.home.on_update_acknowledged(now, name, epoch, word)
+        elif kind is wire.LoadAnnounced:
+            self.home.on_load_announced(now, name, epoch, word)
+        elif kind is wire.LoadEnded:
+            self.home.on_load_ended(now, name, epoch, word)
+        elif kind is wire.ReleaseLease:
+            self.home.on_release_lease(now, name, epoch, word)
+        elif kind is wire.LeaseUnchanged:
+            self.holder.on_lease_unchanged(now, name, epoch, word)
+        elif kind is wire.SummaryPiece:
+            self.holder.on_summary_piece(now, name, epoch, word)
+        elif kind is wire.SummaryUpdated:
+            self.holder.on_summary_updated(now, name, epoch, word)
+        elif kind is wire.LoadPermitted:
+            self.holder.on_load_permitted(now, name, epoch, word)
         else:
-            self.holder.on_known(now, name, epoch, word)
+            self.holder.on_load_recorded(now, name, epoch, word)
 
     def _flush(self, now: float) -> None:
         """Carry what both cores say, to ourselves too, go on with loads, and plan the next turn."""
@@ -167,7 +167,7 @@
             for name, data in sending:
                 if name == own:
                     self._hear(now, own, epoch, data)
-                elif len(data) <= wire.MOST:
+                elif len(data) <= wire.MAX_MESSAGE_BYTES:
                     self.fleet.post(name, CHANNEL, data)
                 else:
                     self.telemetry.count("scatter_too_long")
@@ -254,7 +254,7 @@
         self.telemetry.count("scatter_requests")
         self.telemetry.count("scatter_parts", by=len(asked))
         self.telemetry.count("scatter_left_out", by=len(skipped))
-        query = _Query(
+        query = _ScatteredQuery(
             request,
             Gather(plan.merge, asked, self.catalogue.terms.null, request.partial, self.catalogue.terms.most_rows),
             {},
@@ -306,7 +306,7 @@
         skipped = {site for site in skipped if self.holder.summary(now, key_of(site, group)) is not None}
         return skipped, rows
 
-    def _part(self, query: _Query, site: str, answer: Response) -> None:
+    def _part(self, query: _ScatteredQuery, site: str, answer: Response) -> None:
         if answer.status == ResponseStatus.SERVED:
             whole = query.gather.served(site, answer.result[0])
         else:
@@ -317,7 +317,7 @@
             self.core.client_disconnected(query.parts[other])
         self._settle(query.request, self._answer(whole))
 
-    def _answer(self, whole: Whole) -> Response:
+    def _answer(self, whole: GatheredResponse) -> Response:
         if whole.status != ResponseStatus.SERVED:
             return Response(whole.status, None, whole.retry_after_ms, whole.reason)
         size = sum(len(text) + 1 for row in whole.rows for text in row) + len(whole.rows)
@@ -344,7 +344,7 @@
             if told.cells is None
             else [name for name, cells in told.cells.items() if cells]
         )
-        turn = self.turns[request] = _Turn(
+        turn = self.turns[request] = _ScatteredLoad(
             request, site, began=monotonic(), columns=tuple(dict.fromkeys(name.removesuffix(CELLS) for name in columns))
         )
         if request.key:
@@ -357,7 +357,7 @@
         )
         asyncio.get_running_loop().call_soon(self._announce, turn, told)
 
-    def _announce(self, turn: _Turn, told: Rows) -> None:
+    def _announce(self, turn: _ScatteredLoad, told: Rows) -> None:
         if turn.request not in self.turns:
             return
         now = monotonic()
@@ -380,7 +380,7 @@
             turn.load = None
             self._end(turn, Response(ResponseStatus.SERVED, turn.result), False)
 
-    def _send(self, turn: _Turn) -> None:
+    def _send(self, turn: _ScatteredLoad) -> None:
         """The load itself, once it may go; loads of one key in the order taken."""
         line = self.lines.get(turn.request.key) if turn.request.key else None
         if turn.part is None and (line is None or line[0] is turn):
@@ -408,7 +408,7 @@
                 asyncio.get_running_loop().call_soon(self._ran, turn, Response(ResponseStatus.REJECTED))
             self._next(turn)
 
-    def _next(self, turn: _Turn) -> None:
+    def _next(self, turn: _ScatteredLoad) -> None:
         """The line of a key goes on without this load."""
         line = self.lines.get(turn.request.key) if turn.request.key else None
         if line is None or turn not in line:
@@ -423,7 +423,7 @@
         ):
             self._send(line[0])
 
-    def _ran(self, turn: _Turn, answer: Response) -> None:
+    def _ran(self, turn: _ScatteredLoad, answer: Response) -> None:
         if turn.request not in self.turns:
             return
         if answer.status != ResponseStatus.SERVED:
@@ -438,7 +438,7 @@
         self.holder.ran(now, turn.load.number)
         self._flush(now)
 
-    def _late(self, turn: _Turn) -> None:
+    def _late(self, turn: _ScatteredLoad) -> None:
         """Not announced in time: nothing was sent. Or not confirmed in time: it ran, and nobody may say served."""
         self.telemetry.count("scatter_loads_unannounced" if turn.part is None else "scatter_loads_unconfirmed")
         part = turn.part
@@ -446,7 +446,7 @@
         if part is not None:
             self.core.client_disconnected(part)
 
-    def _end(self, turn: _Turn, answer: Response, never_ran: bool) -> None:
+    def _end(self, turn: _ScatteredLoad, answer: Response, never_ran: bool) -> None:
         if self.turns.pop(turn.request, None) is None:
             return
         self._close(turn, never_ran)
@@ -454,7 +454,7 @@
             self.loaded(turn.site, turn.request.group, turn.columns)
         self._settle(turn.request, answer)
 
-    def _close(self, turn: _Turn, never_ran: bool) -> None:
+    def _close(self, turn: _ScatteredLoad, never_ran: bool) -> None:
         if turn.timer is not None:
             turn.timer.cancel()
         if turn.load is not None and self.holder is not None:
@@ -476,7 +476,7 @@
             task.add_done_callback(lambda _, key=key: self._learning.pop(key, None))
 
     async def _learn(self, key: str) -> None:
-        told: list[Told] | None = []
+        told: list[LoadIntent] | None = []
         try:
             site, group = site_of(key)
             spread = self.catalogue.groups[group]
@@ -489,10 +489,12 @@
                     cells[column.name] = held = self._cells(column, read)
                     if column.step:
                         cells[column.name + CELLS] = in_steps(held, column.step)
-                told.append(Told(int(count[0][0]), cells))
-        except (_Unread, Mismatch, ValueError, IndexError) as error:
+                told.append(LoadIntent(int(count[0][0]), cells))
+        except (_SummaryQueryError, MergeMismatchError, ValueError, IndexError) as error:
             told = None
-            why = str(error) if isinstance(error, _Unread) else type(error).__name__  # others' texts may hold values
+            why = (
+                str(error) if isinstance(error, _SummaryQueryError) else type(error).__name__
+            )  # others' texts may hold values
             self.telemetry.log("scatter_unlearnt", key=key, why=why)
         if self.home is not None:
             now = monotonic()
@@ -515,10 +517,10 @@
             group=group,
         )
         if not self.core.submit(request):
-            raise _Unread("full")
+            raise _SummaryQueryError("full")
         answer = await answered
         if answer.status != ResponseStatus.SERVED:
-            raise _Unread(answer.status)
+            raise _SummaryQueryError(answer.status)
         rows: list[list[str]] = answer.result[0]
         return rows
 
@@ -595,5 +597,5 @@
         self.home = self.holder = None
 
 
-class _Unread(Exception):
+class _SummaryQueryError(Exception):
     """A query that learns was not served."""
--- a/frostspindle/scatter/wire.py
+++ b/frostspindle/scatter/wire.py
@@ -1,7 +1,7 @@
 """What coordinators tell each other of summaries: msgspec structs in msgpack, each in one message of the fleet's.
 
 Owns the form of every message and the bounds on its parts, and how a load's rows are cut into messages. It must never
-hold state; what can't be decoded or is out of its range is a BadPacket here, before anything is made of it.
+hold state; what can't be decoded or is out of its range is a InvalidPacketError here, before anything is made of it.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 from msgspec import Meta, Struct
 
-from frostspindle.fleet.wire import MOST_PARCEL as MOST  # noqa: F401 - part of this form
-from frostspindle.fleet.wire import BadPacket as BadPacket
+from frostspindle.fleet.wire import MAX_MESSAGE_BYTES as MAX_MESSAGE_BYTES
+from frostspindle.fleet.wire import InvalidPacketError as InvalidPacketError
 from frostspindle.fleet.wire import encode as encode
 from frostspindle.fleet.wire import reader
 
@@ -31,7 +31,7 @@
 Chunk = Annotated[int, Meta(ge=0, lt=MOST_CHUNKS)]
 
 
-class Hold(Struct, array_like=True, frozen=True, tag=0):
+class LeaseRequest(Struct, array_like=True, frozen=True, tag=0):
     """Request for a lease on a summary.
 
     The sender installs nothing older than `floor`, and has version `have` (0: none).
@@ -45,7 +45,7 @@
     have: Whole
 
 
-class Still(Struct, array_like=True, frozen=True, tag=1):
+class LeaseUnchanged(Struct, array_like=True, frozen=True, tag=1):
     """Answer to a Hold: the holder's summary is the newest, and its lease counts from when it asked."""
 
     key: Key
@@ -53,7 +53,7 @@
     version: Whole
 
 
-class Piece(Struct, array_like=True, frozen=True, tag=2):
+class SummaryPiece(Struct, array_like=True, frozen=True, tag=2):
     """Answer to a Hold: one piece of the newest summary.
 
     With all pieces the lease counts from when the holder asked.
@@ -67,7 +67,7 @@
     data: Annotated[bytes, Meta(max_length=PIECE)]
 
 
-class Wider(Struct, array_like=True, frozen=True, tag=3):
+class SummaryUpdated(Struct, array_like=True, frozen=True, tag=3):
     """Notice that the summary has become `version`.
 
     A holder of the version before it may add `cells`; any other, or without cells, must drop its summary.
@@ -79,7 +79,7 @@
     cells: Cells | None
 
 
-class Have(Struct, array_like=True, frozen=True, tag=4):
+class UpdateAcknowledged(Struct, array_like=True, frozen=True, tag=4):
     """Acknowledgement: the sender uses no version older than `version` of the home's process any more."""
 
     key: Key
@@ -87,7 +87,7 @@
     version: Whole
 
 
-class Widen(Struct, array_like=True, frozen=True, tag=5):
+class LoadAnnounced(Struct, array_like=True, frozen=True, tag=5):
     """Intent of a load: it is about to insert these rows; `cells` None: any rows."""
 
     key: Key
@@ -98,7 +98,7 @@
     cells: Cells | None
 
 
-class Widened(Struct, array_like=True, frozen=True, tag=6):
+class LoadPermitted(Struct, array_like=True, frozen=True, tag=6):
     """Answer to a Widen: nobody leaves the site out by a summary without those rows any more."""
 
     key: Key
@@ -106,7 +106,7 @@
     chunk: Chunk
 
 
-class Done(Struct, array_like=True, frozen=True, tag=7):
+class LoadEnded(Struct, array_like=True, frozen=True, tag=7):
     """Notice that the load has ended, `chunks` messages having told of it.
 
     If it ran, asks whether all of that is still known.
@@ -118,7 +118,7 @@
     ran: bool
 
 
-class Known(Struct, array_like=True, frozen=True, tag=8):
+class LoadRecorded(Struct, array_like=True, frozen=True, tag=8):
     """Answer to a Done: the rows are known (`kept`), or the home's process has forgotten them and must be told anew."""
 
     key: Key
@@ -126,14 +126,25 @@
     kept: bool
 
 
-class Bye(Struct, array_like=True, frozen=True, tag=9):
+class ReleaseLease(Struct, array_like=True, frozen=True, tag=9):
     """Notice that the sender uses the receiver's summary no more."""
 
     key: Key
     epoch: Whole
 
 
-Message = Hold | Still | Piece | Wider | Have | Widen | Widened | Done | Known | Bye
+Message = (
+    LeaseRequest
+    | LeaseUnchanged
+    | SummaryPiece
+    | SummaryUpdated
+    | UpdateAcknowledged
+    | LoadAnnounced
+    | LoadPermitted
+    | LoadEnded
+    | LoadRecorded
+    | ReleaseLease
+)
 decode: Callable[[bytes], Message] = reader(Message)
 
 
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -11,7 +11,7 @@
 
 from frostspindle.core import ClientRequest
 from frostspindle.net.fields import CallRejectedError
-from frostspindle.scatter.service import Scatter
+from frostspindle.scatter.service import ScatterService
 
 if TYPE_CHECKING:
     from frostspindle.host import ProgramContext
@@ -21,7 +21,7 @@
     """Create the scatter part of a program and register it with fleet, core and front."""
     catalogue = program.config.scatter
     assert catalogue is not None and program.fleet is not None
-    scatter = Scatter(catalogue, program.core, program.telemetry, program.fleet, len(program.config.classes))
+    scatter = ScatterService(catalogue, program.core, program.telemetry, program.fleet, len(program.config.classes))
     program.fleet.parts.append(scatter)
     program.core.interceptor = scatter
 
--- a/frostspindle/settings/agreement.py
+++ b/frostspindle/settings/agreement.py
@@ -26,9 +26,18 @@
 
 from frostspindle.settings import schema
 from frostspindle.settings.meet import adjoining
-from frostspindle.settings.schema import ENCODE, BadSettings
+from frostspindle.settings.schema import ENCODE, InvalidSettingsError
 from frostspindle.settings.slices import Steps
-from frostspindle.settings.versions import EMPTY, KEPT, Assembly, History, Version, pack, unpack, unpacking
+from frostspindle.settings.versions import (
+    EMPTY,
+    KEPT,
+    Version,
+    VersionAssembly,
+    VersionHistory,
+    pack,
+    unpack,
+    unpacking,
+)
 from frostspindle.store.base import SUM
 
 TOPIC = TASK = "settings"
@@ -42,7 +51,7 @@
 OK = b"ok"
 
 
-class Draft(Struct, array_like=True, tag="d", frozen=True):
+class DraftPiece(Struct, array_like=True, tag="d", frozen=True):
     """A piece of a draft. `base`: the version that the changes are from.
 
     -1: there are none, the rules are those of version `to`.
@@ -64,14 +73,14 @@
         return f"{self.by}/{self.process}/{self.number}"
 
 
-class Publish(Struct, array_like=True, tag="p", frozen=True):
+class PublishVersion(Struct, array_like=True, tag="p", frozen=True):
     """The publisher's command to make a whole draft the pending version; `token` is its fencing token."""
 
     token: int
     draft: str
 
 
-class Hold(Struct, array_like=True, tag="h", frozen=True):
+class RenewLease(Struct, array_like=True, tag="h", frozen=True):
     """A coordinator's command that renews its lease. `acked`: the newest version that is checked, kept and acted on.
 
     `acting`: the version acted on plainly, 0 on a meet; `refused`: one that can't be taken here, and `why`; `seen`:
@@ -88,7 +97,7 @@
     seen: tuple[int, ...] = ()
 
 
-class Live(Struct, array_like=True, tag="l", frozen=True):
+class Activate(Struct, array_like=True, tag="l", frozen=True):
     """The publisher's command to make the pending version live. `usual`: the figures before it (harm.Usual), so that
     any later publisher can judge the version.
     """
@@ -106,14 +115,14 @@
     why: str
 
 
-class Proven(Struct, array_like=True, tag="g", frozen=True):
+class Confirm(Struct, array_like=True, tag="g", frozen=True):
     """The publisher's command to end the live version's trial: it is what a later rollback goes to."""
 
     token: int
     version: int
 
 
-class Back(Struct, array_like=True, tag="b", frozen=True):
+class Rollback(Struct, array_like=True, tag="b", frozen=True):
     """The publisher's command to roll the live version back to the proven one, because it harms."""
 
     token: int
@@ -121,7 +130,7 @@
     why: str
 
 
-class Forget(Struct, array_like=True, tag="f", frozen=True):
+class RemoveMember(Struct, array_like=True, tag="f", frozen=True):
     """The publisher's command to wait no more for a coordinator; refused if it has sent a hold after `number`."""
 
     token: int
@@ -130,19 +139,21 @@
     number: int  # of the last hold that was seen
 
 
-class Leave(Struct, array_like=True, tag="q", frozen=True):
+class MemberLeaving(Struct, array_like=True, tag="q", frozen=True):
     """A coordinator's last command: its process acts on no version any more."""
 
     name: str
     process: int
 
 
-Command = Draft | Publish | Hold | Live | Withdraw | Proven | Back | Forget | Leave
+Command = (
+    DraftPiece | PublishVersion | RenewLease | Activate | Withdraw | Confirm | Rollback | RemoveMember | MemberLeaving
+)
 _IN = msgspec.msgpack.Decoder(Command)
 encode = ENCODE
 
 
-class News(Struct, array_like=True, frozen=True):
+class HistoryEvent(Struct, array_like=True, frozen=True):
     """One event of the history; `by`: the key of the draft."""
 
     index: int
@@ -153,16 +164,16 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class WaitingDraft:
     """A draft, whole or not, that waits for the publisher."""
 
-    first: Draft
-    pieces: Assembly
+    first: DraftPiece
+    pieces: VersionAssembly
     index: int
 
 
 @dataclass(slots=True)
-class _Making:
+class _VersionBuild:
     """The version of a draft on a live one, as far as it is made: steps, then it and its meet with the live one, or
     what is wrong with it."""
 
@@ -181,15 +192,15 @@
             next(self.steps)
         except StopIteration as end:
             self.made = end.value
-        except BadSettings as error:
+        except InvalidSettingsError as error:
             self.fault = str(error)
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
+class MemberLease:
     """A coordinator's last hold, and the log entry that it was in."""
 
-    hold: Hold
+    hold: RenewLease
     index: int
 
 
@@ -206,15 +217,15 @@
     trial: int
     index: int
     versions: list[tuple[int, int, str, bytes, int, bytes]]
-    drafts: list[tuple[Draft, list[bytes], int]]
-    members: list[tuple[Hold, int]]
+    drafts: list[tuple[DraftPiece, list[bytes], int]]
+    members: list[tuple[RenewLease, int]]
     bad: list[tuple[bytes, int]]
-    news: list[News]
+    news: list[HistoryEvent]
     usual: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
-class Machine:
+class SettingsStateMachine:
     """The replicated state machine; see replica.base.Machine. Others only read its fields, but for `heard`."""
 
     token: int = 0  # the highest seen
@@ -224,16 +235,16 @@
     pending: int = 0
     trial: int = 0  # the entry that made the live version live; 0: it is proven
     usual: tuple[float, ...] = ()  # what was usual before the live version
-    history: History = field(default_factory=lambda: History(KEPT))
-    drafts: dict[str, Waiting] = field(default_factory=dict)
-    members: dict[str, Member] = field(default_factory=dict)
+    history: VersionHistory = field(default_factory=lambda: VersionHistory(KEPT))
+    drafts: dict[str, WaitingDraft] = field(default_factory=dict)
+    members: dict[str, MemberLease] = field(default_factory=dict)
     bad: dict[bytes, int] = field(default_factory=dict)  # digests of versions that harmed, and their numbers
-    news: list[News] = field(default_factory=list)
+    news: list[HistoryEvent] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
     index: int = 0
     heard: dict[str, None] = field(default_factory=dict)  # coordinators with word that the publisher has not looked at
     met: tuple[int, int, Any] = (0, 0, None)  # two adjacent versions and their meet, where it was made beforehand
-    _making: _Making | None = field(default=None, init=False, compare=False)
+    _making: _VersionBuild | None = field(default=None, init=False, compare=False)
 
     # What is read.
 
@@ -250,7 +261,7 @@
         """
         return tuple(sorted({self.proven, self.live, self.pending or self.live}))
 
-    def draft(self) -> Waiting | None:
+    def draft(self) -> WaitingDraft | None:
         """Return the first draft whose pieces are all here, None if there is none."""
         return next((waiting for waiting in self.drafts.values() if waiting.pieces.whole), None)
 
@@ -273,10 +284,10 @@
         if (waiting := self.draft()) is not None:
             self._of(waiting).step()
 
-    def _of(self, waiting: Waiting) -> _Making:
+    def _of(self, waiting: WaitingDraft) -> _VersionBuild:
         making = self._making
         if making is None or (making.key, making.live) != (waiting.first.key, self.live):
-            making = self._making = _Making(waiting.first.key, self.live, self._steps(waiting))
+            making = self._making = _VersionBuild(waiting.first.key, self.live, self._steps(waiting))
         return making
 
     # The log's side.
@@ -292,7 +303,7 @@
             return self._no("unreadable")
         try:
             return _DOES[type(word)](self, index, word)
-        except BadSettings as error:
+        except InvalidSettingsError as error:
             return self._no("bad", str(error))
 
     def _no(self, what: str, why: str = "") -> bytes:
@@ -307,10 +318,10 @@
         return True
 
     def _tell(self, index: int, what: str, version: int, by: str = "", why: str = "") -> None:
-        self.news.append(News(index, what, version, by, why[:MOST_TEXT]))
+        self.news.append(HistoryEvent(index, what, version, by, why[:MOST_TEXT]))
         del self.news[:-MOST_NEWS]
 
-    def _draft(self, index: int, word: Draft) -> bytes:
+    def _draft(self, index: int, word: DraftPiece) -> bytes:
         waiting = self.drafts.get(word.key)
         if len(word.by) > 64 or len(word.key) > 110 or len(word.digest) != SUM:
             return self._no("bounds")
@@ -326,7 +337,7 @@
                         del self.drafts[key]
             if len(self.drafts) >= MOST_DRAFTS or self._waiting() + len(word.data) > DRAFT_BYTES:
                 return self._no("full", f"full: {len(self.drafts)} drafts wait")
-            waiting = Waiting(word, Assembly(word.of), index)
+            waiting = WaitingDraft(word, VersionAssembly(word.of), index)
         elif (word.base, word.digest, word.to) != (waiting.first.base, waiting.first.digest, waiting.first.to):
             return self._no("other", "another draft of that number")
         elif self._waiting() + len(word.data) > DRAFT_BYTES:
@@ -339,25 +350,25 @@
     def _waiting(self) -> int:
         return sum(waiting.pieces.size for waiting in self.drafts.values())
 
-    def _steps(self, waiting: Waiting) -> Steps[tuple[Version, Any]]:
+    def _steps(self, waiting: WaitingDraft) -> Steps[tuple[Version, Any]]:
         """The version that a draft makes, and its meet with the live one."""
         draft, live = waiting.first, self.version(self.live)
         if draft.to >= 0:
             target = self.history.get(draft.to)
             if target is None:
-                raise BadSettings(f"version {draft.to} is not kept any more")
+                raise InvalidSettingsError(f"version {draft.to} is not kept any more")
             changes, digest = self.history.changes(live.number, target.number), target.sum
         else:
             if draft.base != live.number:
-                raise BadSettings(f"base: drafted on version {draft.base}, the live one is {live.number}")
+                raise InvalidSettingsError(f"base: drafted on version {draft.base}, the live one is {live.number}")
             changes, digest = (yield from unpacking(b"".join(waiting.pieces.pieces))), draft.digest
         version = yield from live.following(self.last + 1, changes, draft.key)
         if version.sum != digest:
-            raise BadSettings("checksum: the changes don't make the rules that were drafted")
+            raise InvalidSettingsError("checksum: the changes don't make the rules that were drafted")
         yield from schema.checking(version.rules, version.changes)
         return version, (yield from adjoining(live.rules, version.rules, version.changes))
 
-    def made(self, waiting: Waiting, number: int) -> Version:
+    def made(self, waiting: WaitingDraft, number: int) -> Version:
         """Return the version that a draft makes on the live one.
 
         BadSettings if it is unfit, harmful, unchanged or too large.
@@ -367,22 +378,26 @@
             making.step()
         self._making = None
         if making.made is None:
-            raise BadSettings(making.fault)
+            raise InvalidSettingsError(making.fault)
         version = replace(making.made[0], number=number)
         if version.sum in self.bad:
-            raise BadSettings(f"harmful: these are the rules of version {self.bad[version.sum]}, which was rolled back")
+            raise InvalidSettingsError(
+                f"harmful: these are the rules of version {self.bad[version.sum]}, which was rolled back"
+            )
         if version.digest == live.digest and live.number:
-            raise BadSettings("same: these are the rules of the live version")
+            raise InvalidSettingsError("same: these are the rules of the live version")
         if version.size > schema.MOST_BYTES:
-            raise BadSettings(f"entries of {version.size} bytes, at most {schema.MOST_BYTES}")
+            raise InvalidSettingsError(f"entries of {version.size} bytes, at most {schema.MOST_BYTES}")
         needed = [self.version(number) for number in self.open if number]
         whole = needed[0].size + sum(kept.moved for kept in needed[1:]) + version.moved if needed else version.size
         if whole > STATE_BYTES:
-            raise BadSettings(f"too large a change: with the versions still needed more than {STATE_BYTES} bytes")
+            raise InvalidSettingsError(
+                f"too large a change: with the versions still needed more than {STATE_BYTES} bytes"
+            )
         self.met = (live.number, number, making.made[1])
         return version
 
-    def _publish(self, index: int, word: Publish) -> bytes:
+    def _publish(self, index: int, word: PublishVersion) -> bytes:
         if not self._fenced(word.token):
             return self._no("stale")
         waiting = self.drafts.get(word.draft)
@@ -393,7 +408,7 @@
         del self.drafts[word.draft]
         try:
             version = self.made(waiting, self.last + 1)
-        except BadSettings as error:
+        except InvalidSettingsError as error:
             self._tell(index, "turned down", 0, word.draft, str(error))
             raise
         self._add(index, version, "published")
@@ -412,7 +427,7 @@
             kept.remove(gone)
         self._tell(index, what, version.number, version.by, why)
 
-    def _hold(self, index: int, word: Hold) -> bytes:
+    def _hold(self, index: int, word: RenewLease) -> bytes:
         known = self.members.get(word.name)
         if known is not None and (word.process, word.number) <= (known.hold.process, known.hold.number):
             return self._no("old")
@@ -425,11 +440,11 @@
             return self._no("bounds")
         if known is None and len(self.members) >= MOST_MEMBERS:
             return self._no("full", f"full: {MOST_MEMBERS} coordinators hold leases")
-        self.members[word.name] = Member(word, index)
+        self.members[word.name] = MemberLease(word, index)
         self.heard[word.name] = None
         return OK
 
-    def _live(self, index: int, word: Live) -> bytes:
+    def _live(self, index: int, word: Activate) -> bytes:
         if not self._fenced(word.token):
             return self._no("stale")
         if word.version != self.pending or not self.pending:
@@ -450,7 +465,7 @@
         self._tell(index, "withdrawn", word.version, why=word.why)
         return OK
 
-    def _proven(self, index: int, word: Proven) -> bytes:
+    def _proven(self, index: int, word: Confirm) -> bytes:
         if not self._fenced(word.token):
             return self._no("stale")
         if word.version != self.live or not self.trial:
@@ -459,7 +474,7 @@
         self._tell(index, "proven", word.version)
         return OK
 
-    def _back(self, index: int, word: Back) -> bytes:
+    def _back(self, index: int, word: Rollback) -> bytes:
         if not self._fenced(word.token):
             return self._no("stale")
         if word.version != self.live or self.pending or not self.trial or self.proven == self.live:
@@ -474,7 +489,7 @@
         self._add(index, live.next(self.last + 1, changes), "rolled back", word.why)
         return b"ok %d" % self.pending
 
-    def _forget(self, index: int, word: Forget) -> bytes:
+    def _forget(self, index: int, word: RemoveMember) -> bytes:
         if not self._fenced(word.token):
             return self._no("stale")
         known = self.members.get(word.name)
@@ -484,7 +499,7 @@
         self.heard[word.name] = None
         return OK
 
-    def _leave(self, index: int, word: Leave) -> bytes:
+    def _leave(self, index: int, word: MemberLeaving) -> bytes:
         known = self.members.get(word.name)
         if known is None or known.hold.process != word.process:
             return self._no("unknown")
@@ -540,7 +555,7 @@
             told = _STATE(data)
         except (zlib.error, msgspec.MsgspecError) as error:
             raise ValueError(f"settings: {error}") from None
-        history, before = History(KEPT), EMPTY
+        history, before = VersionHistory(KEPT), EMPTY
         for number, parent, by, digest, moved, packed in told.versions:
             made = before.next(number, unpack(packed, MOST_STATE), by)
             if made.sum != digest or number <= before.number:
@@ -555,23 +570,25 @@
         self._making, self.met = None, (0, 0, None)
         self.pending, self.trial, self.index = told.pending, told.trial, max(index, told.index)
         self.history, self.bad, self.news, self.usual = history, dict(told.bad), told.news, told.usual
-        self.drafts = {first.key: Waiting(first, Assembly(first.of, pieces), at) for first, pieces, at in told.drafts}
+        self.drafts = {
+            first.key: WaitingDraft(first, VersionAssembly(first.of, pieces), at) for first, pieces, at in told.drafts
+        }
         self.heard.update(dict.fromkeys(self.members))
         self.heard.update({hold.name: None for hold, _ in told.members})
-        self.members = {hold.name: Member(hold, at) for hold, at in told.members}
+        self.members = {hold.name: MemberLease(hold, at) for hold, at in told.members}
 
 
 _STATE = msgspec.msgpack.Decoder(_State).decode
 _DOES: dict[type, Any] = {
-    Draft: Machine._draft,
-    Publish: Machine._publish,
-    Hold: Machine._hold,
-    Live: Machine._live,
-    Withdraw: Machine._withdraw,
-    Proven: Machine._proven,
-    Back: Machine._back,
-    Forget: Machine._forget,
-    Leave: Machine._leave,
+    DraftPiece: SettingsStateMachine._draft,
+    PublishVersion: SettingsStateMachine._publish,
+    RenewLease: SettingsStateMachine._hold,
+    Activate: SettingsStateMachine._live,
+    Withdraw: SettingsStateMachine._withdraw,
+    Confirm: SettingsStateMachine._proven,
+    Rollback: SettingsStateMachine._back,
+    RemoveMember: SettingsStateMachine._forget,
+    MemberLeaving: SettingsStateMachine._leave,
 }
 
 
--- a/frostspindle/settings/audit.py
+++ b/frostspindle/settings/audit.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Span:
+class ActivePeriod:
     """Time in which one coordinator acted plainly on one version: [begins, ends) in ms of one clock."""
 
     node: str
@@ -27,41 +27,41 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Finding:
+class AuditResult:
     """The longest unbroken time in ms in which any two coordinators contradicted each other, all such time, and who
     did.
     """
 
     longest_ms: float = 0.0
     whole_ms: float = 0.0
-    who: tuple[Span, Span] | None = None
+    who: tuple[ActivePeriod, ActivePeriod] | None = None
 
 
-def longest(spans: Iterable[Span], contradict: Callable[[int, int], bool]) -> Finding:
+def longest(spans: Iterable[ActivePeriod], contradict: Callable[[int, int], bool]) -> AuditResult:
     """Search all pairs of coordinators for contradictions; times of different pairs that touch count as one."""
     rows = sorted((span for span in spans if span.ends > span.begins), key=lambda span: span.begins)
-    live: list[Span] = []
-    clashes: list[tuple[float, float, Span, Span]] = []
+    live: list[ActivePeriod] = []
+    clashes: list[tuple[float, float, ActivePeriod, ActivePeriod]] = []
     for span in rows:
         live = [other for other in live if other.ends > span.begins]
         for other in live:
             if other.node != span.node and other.version != span.version and contradict(other.version, span.version):
                 clashes.append((span.begins, min(span.ends, other.ends), other, span))
         live.append(span)
-    best, whole, until, begun, who = Finding(), 0.0, -math.inf, 0.0, None
+    best, whole, until, begun, who = AuditResult(), 0.0, -math.inf, 0.0, None
     for begins, ends, one, two in sorted(clashes, key=lambda clash: clash[:2]):
         if begins > until:
             begun, who, until = begins, (one, two), begins
         whole += max(0.0, ends - until)
         until = max(until, ends)
         if until - begun > best.longest_ms:
-            best = Finding(until - begun, 0.0, who)
-    return Finding(best.longest_ms, whole, best.who)
+            best = AuditResult(until - begun, 0.0, who)
+    return AuditResult(best.longest_ms, whole, best.who)
 
 
 def spans(
     lines: Iterable[Mapping[str, Any]], ends: Mapping[str, float] | None = None, last: float = math.inf
-) -> list[Span]:
+) -> list[ActivePeriod]:
     """Return the spans that log lines tell of.
 
     `ends`: until when a process that was killed can have acted, by node. A lease that ran out ends its span by itself:
@@ -72,7 +72,7 @@
     def close(node: str, at: float) -> None:
         if (was := open_.pop(node, None)) is not None:
             version, begins, until = was
-            found.append(Span(node, version, begins, min(at, until)))
+            found.append(ActivePeriod(node, version, begins, min(at, until)))
 
     for line in lines:
         if line.get("event") != "settings_acting":
--- a/frostspindle/settings/harm.py
+++ b/frostspindle/settings/canary.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Guard:
+class CanaryThresholds:
     """Thresholds of the check for harm. `bands`: parts of the requests by which a figure may exceed what was usual."""
 
     window_ms: float = 500.0
@@ -65,7 +65,7 @@
     return max(1.0, sum((h - c * part) ** 2 / (c * part * (1.0 - part)) for h, c in rows) / (len(rows) - 1))
 
 
-class Usual(NamedTuple):
+class BaselineFigures(NamedTuple):
     """What was usual before a version, carried by the command that makes it live, so that any later publisher judges
     alike.
 
@@ -85,13 +85,13 @@
     loose_slow: float = 1.0
 
 
-def summed(rows: list[list[int]]) -> Usual:
+def summed(rows: list[list[int]]) -> BaselineFigures:
     """Return the figures of several windows together."""
     if not rows:
-        return Usual()
+        return BaselineFigures()
     edge = _slow_from(rows)
     hits = {name: [(float(of(row, edge)), float(row[0])) for row in rows] for name, of in FIGURES.items()}
-    return Usual(
+    return BaselineFigures(
         len(rows),
         sum(row[0] for row in rows),
         sum(row[OPEN] for row in rows) / len(rows),
@@ -120,18 +120,18 @@
 }
 
 
-class Judge:
+class CanaryCheck:
     """The check of a version for harm, fed with each coordinator's figures since its process began, which may stand
     still, jump back or be missing.
     """
 
-    def __init__(self, guard: Guard = Guard()) -> None:  # noqa: B008
+    def __init__(self, guard: CanaryThresholds = CanaryThresholds()) -> None:  # noqa: B008
         self.guard = guard
         self._last: dict[str, tuple[int, tuple[int, ...]]] = {}
         self._windows: deque[list[int]] = deque(maxlen=guard.before + guard.after + 2)
         self._edge = -math.inf  # when the open window began
         self._begun: float | None = None
-        self._usual = Usual()
+        self._usual = BaselineFigures()
         self._open = 0  # requests at all of them, as last heard
         self._after: list[list[int]] = []
         self._said: tuple[int, str] = (-1, "")  # the verdict, and of how many windows
@@ -162,7 +162,7 @@
                 row[place] += max(0, new - old)
         row[OPEN] = self._open
 
-    def usual(self) -> Usual:
+    def usual(self) -> BaselineFigures:
         """Return what is usual now; while a version is being judged, what was usual before it."""
         if self._begun is None or len(self._after) > self.guard.after:
             return summed([row for row in self._windows if row[0]][-self.guard.before :])
@@ -170,7 +170,7 @@
 
     def begin(self, now: float, usual: Sequence[float] = ()) -> None:
         """Start judging a version that is live from now on. `usual`: what its publisher saw; () if it told nothing."""
-        self._usual = Usual(*usual) if len(usual) == len(Usual._fields) else self.usual()
+        self._usual = BaselineFigures(*usual) if len(usual) == len(BaselineFigures._fields) else self.usual()
         self._begun, self._after, self._said = now, [], (-1, "")
         self._windows.append([0] * (HEAD + BUCKETS))
         self._edge = now
