--- a/tests/scatter.py
+++ b/tests/scatter.py
@@ -5,20 +5,20 @@
 from frostspindle.predicates import compare, may_match
 from frostspindle.predicates.summaries import Summary
 from frostspindle.scatter import wire
-from frostspindle.scatter.leases import Holder, Home, Terms, Told
+from frostspindle.scatter.leases import LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings
 
 KEY, HOME = "east/17", "home"
 HEARS = {
-    wire.Hold: "on_hold",
-    wire.Have: "on_have",
-    wire.Widen: "on_widen",
-    wire.Done: "on_done",
-    wire.Bye: "on_bye",
-    wire.Still: "on_still",
-    wire.Piece: "on_piece",
-    wire.Wider: "on_wider",
-    wire.Widened: "on_widened",
-    wire.Known: "on_known",
+    wire.LeaseRequest: "on_lease_request",
+    wire.UpdateAcknowledged: "on_update_acknowledged",
+    wire.LoadAnnounced: "on_load_announced",
+    wire.LoadEnded: "on_load_ended",
+    wire.ReleaseLease: "on_release_lease",
+    wire.LeaseUnchanged: "on_lease_unchanged",
+    wire.SummaryPiece: "on_summary_piece",
+    wire.SummaryUpdated: "on_summary_updated",
+    wire.LoadPermitted: "on_load_permitted",
+    wire.LoadRecorded: "on_load_recorded",
 }
 
 
@@ -29,7 +29,9 @@
         value = getattr(part, name)
         if isinstance(value, dict):
             inner = value.values()
-            deep = next((hasattr(one, "__dataclass_fields__") and type(one) is not Terms for one in inner), False)
+            deep = next(
+                (hasattr(one, "__dataclass_fields__") and type(one) is not SummaryLeaseSettings for one in inner), False
+            )
             setattr(out, name, type(value)((key, clone(one) if deep else one) for key, one in value.items()))
         elif isinstance(value, list | set):
             setattr(out, name, value.copy())
@@ -54,11 +56,11 @@
     """True time in ms; `rates`: how much faster each process's clock runs."""
 
     def __init__(self, names, lease_ms=2_000.0, drift=0.0, rates=(), most=99, bits=0, learnt=True):
-        self.terms = Terms(lease_ms, drift, 1, 1e9, bits)
+        self.terms = SummaryLeaseSettings(lease_ms, drift, 1, 1e9, bits)
         self.names, self.most, self.now = names, most, 0.0
         self.rates = dict(rates)
-        self.home, self.epoch = Home(1, self.terms, {KEY: ["n"]}, self.clock(HOME)), 1
-        self.holders = {name: Holder(self.terms, {KEY: HOME}) for name in names}
+        self.home, self.epoch = SummaryHome(1, self.terms, {KEY: ["n"]}, self.clock(HOME)), 1
+        self.holders = {name: SummaryCache(self.terms, {KEY: HOME}) for name in names}
         self.lives = dict.fromkeys(names, 1)
         self.wire: list[tuple[str, str, int, bytes]] = []  # to, from, its epoch, what
         self.rows, self.answered = set(), set()  # at the site; loads that were answered
@@ -67,7 +69,7 @@
         if learnt:  # as after a long time without loads
             self.now = self.terms.back_ms / (1.0 - drift) + 1.0
             self.home.begin(KEY)
-            self.home.learnt(self.clock(HOME), KEY, [Told(0, {"n": []})], 0.0)
+            self.home.learnt(self.clock(HOME), KEY, [LoadIntent(0, {"n": []})], 0.0)
 
     def copy(self):
         out = copy.copy(self)
@@ -147,11 +149,11 @@
     def crash(self, name):
         if name == HOME:
             self.epoch += 1
-            self.home = Home(self.epoch, self.terms, {KEY: ["n"]}, self.clock(HOME))
+            self.home = SummaryHome(self.epoch, self.terms, {KEY: ["n"]}, self.clock(HOME))
             self.scan = None
         else:
             self.lives[name] += 1
-            self.holders[name] = Holder(self.terms, {KEY: HOME})
+            self.holders[name] = SummaryCache(self.terms, {KEY: HOME})
             self.loads = {
                 row: (*load[:3], "lost") if load[0] == name and load[3] not in ("ready", "landed") else load
                 for row, load in self.loads.items()
@@ -165,7 +167,7 @@
         self.scan = set(self.rows)
 
     def learnt(self):
-        told = [Told(len(self.scan), {"n": [(1, str(row)) for row in sorted(self.scan)]})]
+        told = [LoadIntent(len(self.scan), {"n": [(1, str(row)) for row in sorted(self.scan)]})]
         self.of(HOME).learnt(self.clock(HOME), KEY, told, 0.0)
         self.scan = None
         self.collect(HOME)
--- a/tests/test_cold_rights.py
+++ b/tests/test_cold_rights.py
@@ -9,11 +9,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from frostspindle import policy
-from frostspindle.fleet import flow
-from frostspindle.fleet.cold import MOST, SKEW_MS, UNITS, Cold, exact, gathers, named, read, wished
-from frostspindle.fleet.escrow import Rights
-from frostspindle.fleet.node import Budget, Node, Terms
-from frostspindle.fleet.warming import Warming
+from frostspindle.fleet import quota_flow
+from frostspindle.fleet.node import Budget, FleetNode, FleetSettings
+from frostspindle.fleet.quota_escrow import QuotaAccount
+from frostspindle.fleet.slow_start import MOST, SKEW_MS, UNITS, SlowStartBudgets, exact, gathers, named, read, wished
+from frostspindle.fleet.slow_start_service import SlowStartCoordinator
 from frostspindle.lab.cold import ColdEmulator
 from frostspindle.lab.faults.script import parse
 from frostspindle.lab.fleet import excess
@@ -39,18 +39,18 @@
         self.disk, self.spares = set(), {}  # whose store says that none are out; who found it so
         self.paid = {engine: [] for engine in ENGINES}
         self.addresses = {name: ("127.0.0.1", 4_000 + n) for n, name in enumerate(NAMES)}
-        self.terms = Terms({name: self.addresses[name] for name in "ab"}, chain=64)
+        self.terms = FleetSettings({name: self.addresses[name] for name in "ab"}, chain=64)
 
     def clock(self, name):
         return self.now * self.rates[name] + 1e6
 
     def start(self, name):
         self.epoch += 1
-        node = Node(
+        node = FleetNode(
             name, self.addresses[name], self.epoch, bytes([self.epoch % 256] * 16), self.terms, self.clock(name)
         )
         self.nodes[name] = node
-        self.colds[name] = cold = Cold(node, WINDOW, 3, 0, LEASE, self.clock(name), UNIX + self.now)
+        self.colds[name] = cold = SlowStartBudgets(node, WINDOW, 3, 0, LEASE, self.clock(name), UNIX + self.now)
         self.spares[name] = name in self.disk
         cold.kept(self.clock(name), name in self.disk, False)
         self.stopped.discard(name)
@@ -156,9 +156,9 @@
 def alone(name="a", seeds="a", now=0.0, **kw):
     """A coordinator whose rights have rested, and that hears nobody."""
     addresses = {seed: ("127.0.0.1", 4_000 + n) for n, seed in enumerate(seeds)}
-    terms = Terms({seed: addresses[seed] for seed in seeds}, chain=16)
-    node = Node(name, addresses.get(name, ("127.0.0.1", 5_000)), 1, b"s" * 16, terms, now)
-    return Cold(node, WINDOW, kw.get("coordinators", 3), kw.get("outside", 0), LEASE, now, UNIX)
+    terms = FleetSettings({seed: addresses[seed] for seed in seeds}, chain=16)
+    node = FleetNode(name, addresses.get(name, ("127.0.0.1", 5_000)), 1, b"s" * 16, terms, now)
+    return SlowStartBudgets(node, WINDOW, kw.get("coordinators", 3), kw.get("outside", 0), LEASE, now, UNIX)
 
 
 @pytest.mark.parametrize(
@@ -302,19 +302,19 @@
 
 
 def test_shares_too_small_for_a_query_go_round_and_small_claims_are_met_all_the_same():
-    rights = Rights(60, WINDOW, LEASE, 0.055, float("-inf"))
+    rights = QuotaAccount(60, WINDOW, LEASE, 0.055, float("-inf"))
     loans = {
         name: rights.on_ask(0.0, name, 1, False, 0, 0, 0, want)
         for name, want in (("b", 4), ("c", 50), ("d", 50), ("e", 50))
     }
     offers = {
-        turn: {name: flow.in_turn(rights, 0, loan, name, "a", turn, 40)[1] for name, loan in loans.items()}
+        turn: {name: quota_flow.in_turn(rights, 0, loan, name, "a", turn, 40)[1] for name, loan in loans.items()}
         for turn in range(20)
     }
     assert {tuple(sorted(row.values())) for row in offers.values()} == {(0, 4, 6, 50)}
     assert all(row["b"] == 4 for row in offers.values())
     assert {name for row in offers.values() for name, units in row.items() if units == 50} == {"c", "d", "e"}
-    even = {name: flow.in_turn(rights, 0, loan, name, "a", 1, 10)[1] for name, loan in loans.items()}
+    even = {name: quota_flow.in_turn(rights, 0, loan, name, "a", 1, 10)[1] for name, loan in loans.items()}
     assert sorted(even.values()) == [4, 18, 19, 19]
 
 
@@ -334,7 +334,7 @@
         telemetry=SimpleNamespace(count=lambda what: None),
         config=SimpleNamespace(operator=SimpleNamespace(fleet=SimpleNamespace(cold_lease_ms=LEASE, cold_outside=0))),
     )
-    warming = Warming(program)
+    warming = SlowStartCoordinator(program)
     assert program.core.may_start == warming.fence
     (spent, wished) = module.cold_need(now)[1]
     part = cold.look(10_000.0, now, "x", now - 1.0, whole, spent, wished)
@@ -349,8 +349,8 @@
     assert 0.9 * whole < len(sent) * 130.0 <= whole
     state = SimpleNamespace(name="x", listed=None, entry=module.engines[1].entry)
     attempts = [SimpleNamespace(engine=1, over=False, request=SimpleNamespace(number=n), sent_ms=now) for n in sent]
-    monkeypatch.setattr("frostspindle.fleet.warming.clock", lambda: now)
-    monkeypatch.setattr("frostspindle.fleet.warming.monotonic", lambda: 10_000.0)
+    monkeypatch.setattr("frostspindle.fleet.slow_start_service.clock", lambda: now)
+    monkeypatch.setattr("frostspindle.fleet.slow_start_service.monotonic", lambda: 10_000.0)
     job = SimpleNamespace(cost=100.0, hint=100.0, cls=0)
     module.jobs = dict.fromkeys(sent, job)  # as before their answers
     assert not warming.fence(state, attempts[0])  # the fleet's port is not ours yet
--- a/tests/test_cores_decisions.py
+++ b/tests/test_cores_decisions.py
@@ -9,16 +9,16 @@
 from hypothesis import settings as hypothesis_settings
 
 from frostspindle import division, policy
-from frostspindle.cores import fleet, leases, limits, ownership, totals
 from frostspindle.cores import layout as form
-from frostspindle.cores.board import Board, Control, Region, Sight
-from frostspindle.cores.fleet import Ghost, Row, Sibling
-from frostspindle.cores.leases import UNITS, Arbiter, Need
-from frostspindle.cores.ownership import Owner, Route
-from frostspindle.cores.restarts import MOST_MS, STARTING_MS, STEADY_MS, Restarts
+from frostspindle.cores import leases, limits, ownership, peer_workers, totals
+from frostspindle.cores.leases import UNITS, BudgetDemand, LeaseArbiter
+from frostspindle.cores.ownership import RequestOwner, Route
+from frostspindle.cores.peer_workers import EngineLoadRow, OrphanedLoad, PeerWorker
+from frostspindle.cores.restarts import MOST_MS, STARTING_MS, STEADY_MS, RestartPolicy
+from frostspindle.cores.shared_memory import ControlPage, RowSnapshot, SharedMemoryBoard, WorkerRegion
 from frostspindle.policy import Controller, EndpointListKind, Health, WorkerLoad
 
-ROW = Row(7, 3, 1, False, 2, 64.0, 0.0, 1000.0, (0.5, 1.0), 0.25, 0.5, 4, "s-7", "127.0.0.1:7000")
+ROW = EngineLoadRow(7, 3, 1, False, 2, 64.0, 0.0, 1000.0, (0.5, 1.0), 0.25, 0.5, 4, "s-7", "127.0.0.1:7000")
 WINDOW, SETTLE = 1000.0, 400.0
 
 
@@ -34,7 +34,7 @@
 @hypothesis_settings(max_examples=40, deadline=None)
 def test_no_window_ever_holds_more_than_the_budget(seed, workers):
     draw = random.Random(seed)
-    arbiter = Arbiter(workers, WINDOW, SETTLE)
+    arbiter = LeaseArbiter(workers, WINDOW, SETTLE)
     spenders = [Spender() for _ in range(workers)]
     everything = deque()
     for slot in range(workers):
@@ -70,7 +70,7 @@
             now,
             {
                 1: {
-                    slot: Need(sum(u for _, u in w.sends) / UNITS, draw.choice((0.0, 0.3, 2.0)), w.seen)
+                    slot: BudgetDemand(sum(u for _, u in w.sends) / UNITS, draw.choice((0.0, 0.3, 2.0)), w.seen)
                     for slot, w in enumerate(spenders)
                 }
             },
@@ -85,16 +85,18 @@
         now += step
         for slot in range(arbiter.count):
             arbiter.beat(slot, now)
-        arbiter.step(now, {1: {slot: Need(need.spent, need.wished, seen.get(slot, 0)) for slot, need in needs.items()}})
+        arbiter.step(
+            now, {1: {slot: BudgetDemand(need.spent, need.wished, seen.get(slot, 0)) for slot, need in needs.items()}}
+        )
         seen = {slot: held.serial for slot, held in enumerate(arbiter.engines[1].slots)}
     return now, [held.units for held in arbiter.engines[1].slots]
 
 
 def test_idle_units_move_to_the_worker_that_has_work_and_back():
-    arbiter = Arbiter(4, WINDOW, SETTLE)
+    arbiter = LeaseArbiter(4, WINDOW, SETTLE)
     for slot in range(4):
         arbiter.up(slot)
-    idle, busy = Need(), Need(0.5, 3.0)
+    idle, busy = BudgetDemand(), BudgetDemand(0.5, 3.0)
     now, units = settle(arbiter, 0.0, {0: busy, 1: busy, 2: busy, 3: busy})
     assert units == [60, 60, 60, 60]
     now, units = settle(arbiter, now, {0: busy, 1: idle, 2: idle, 3: idle})
@@ -104,25 +106,25 @@
 
 
 def test_what_a_dead_worker_held_is_kept_back_for_a_window():
-    arbiter = Arbiter(2, WINDOW, SETTLE)
+    arbiter = LeaseArbiter(2, WINDOW, SETTLE)
     arbiter.up(0), arbiter.up(1)
-    now, units = settle(arbiter, 0.0, {0: Need(0.5, 3.0), 1: Need(0.5, 3.0)})
+    now, units = settle(arbiter, 0.0, {0: BudgetDemand(0.5, 3.0), 1: BudgetDemand(0.5, 3.0)})
     assert units == [120, 120]
     arbiter.down(0, now)
-    _, units = settle(arbiter, now, {1: Need(1.0, 3.0)}, rounds=int((WINDOW + SETTLE) / 20.0) - 1)
+    _, units = settle(arbiter, now, {1: BudgetDemand(1.0, 3.0)}, rounds=int((WINDOW + SETTLE) / 20.0) - 1)
     assert units == [0, 120]
-    _, units = settle(arbiter, now, {1: Need(1.0, 3.0)}, rounds=100)
+    _, units = settle(arbiter, now, {1: BudgetDemand(1.0, 3.0)}, rounds=100)
     assert units[1] == UNITS
 
 
 def test_a_hung_worker_s_lease_ends_by_itself():
     assert leases.part(120, 300.0, 299.9) == 0.5 and leases.part(120, 300.0, 300.0) == 0.0
-    arbiter = Arbiter(2, WINDOW, SETTLE)
+    arbiter = LeaseArbiter(2, WINDOW, SETTLE)
     arbiter.up(0), arbiter.up(1)
-    now, _ = settle(arbiter, 0.0, {0: Need(0.5, 3.0), 1: Need(0.5, 3.0)})
+    now, _ = settle(arbiter, 0.0, {0: BudgetDemand(0.5, 3.0), 1: BudgetDemand(0.5, 3.0)})
     for turn in range(200):
         arbiter.beat(1, now + 20.0 * turn)
-        arbiter.step(now + 20.0 * turn, {1: {0: Need(0.5, 3.0), 1: Need(0.5, 3.0, 10**6)}})
+        arbiter.step(now + 20.0 * turn, {1: {0: BudgetDemand(0.5, 3.0), 1: BudgetDemand(0.5, 3.0, 10**6)}})
     assert [held.units for held in arbiter.engines[1].slots] == [0, UNITS]
 
 
@@ -141,7 +143,7 @@
 def test_divided_limits_never_pass_the_whole(seed):
     draw = random.Random(seed)
     whole = draw.randint(200, 5000)
-    divider, used = limits.Divider(whole, least=32), {}
+    divider, used = limits.LimitDivider(whole, least=32), {}
     for _ in range(60):
         if draw.random() < 0.2 and len(used) < 6:
             used[draw.randint(0, 8)] = 0
@@ -159,7 +161,7 @@
 
 
 def test_waits_before_restarts_grow_and_a_loop_ends():
-    policy = Restarts(crashes=10, within_ms=60_000.0, hang_ms=3000.0)
+    policy = RestartPolicy(crashes=10, within_ms=60_000.0, hang_ms=3000.0)
     now, waits = 0.0, []
     for _ in range(10):
         policy.started(0, now)
@@ -169,7 +171,7 @@
 
 
 def test_a_worker_that_ran_long_or_was_told_to_end_starts_anew_at_once():
-    policy = Restarts(crashes=3, within_ms=1000.0, hang_ms=3000.0)
+    policy = RestartPolicy(crashes=3, within_ms=1000.0, hang_ms=3000.0)
     policy.started(0, 0.0)
     assert policy.ended(0, 10.0, False) == 0.0
     for now in (0.0, 20_000.0, 40_000.0, 60_000.0):  # each long after the one before
@@ -180,12 +182,12 @@
 
 
 def test_a_path_names_its_worker():
-    path = f"/call/lookup/{ownership.prefix(Owner(3, 18))}2f-00000000000000a1"
-    assert ownership.owner_of(path) == Owner(3, 18)
-    me = Owner(1, 4)
+    path = f"/call/lookup/{ownership.prefix(RequestOwner(3, 18))}2f-00000000000000a1"
+    assert ownership.owner_of(path) == RequestOwner(3, 18)
+    me = RequestOwner(1, 4)
     assert ownership.route(path, me, {3: 18}) is Route.ASK
     assert ownership.route(path, me, {3: 19}) is Route.DIED and ownership.route(path, me, {}) is Route.DIED
-    assert ownership.route(path, Owner(3, 18), {3: 18}) is Route.UNKNOWN
+    assert ownership.route(path, RequestOwner(3, 18), {3: 18}) is Route.UNKNOWN
     for foreign in ("/call/lookup/2f-00000000000000a1", "/call/lookup/zz.1.2f-a", "/call/x/1.123456789.f-a", "/"):
         assert ownership.route(foreign, me, {1: 4}) is Route.UNKNOWN
 
@@ -197,26 +199,35 @@
 
 def test_others_load_counts_while_an_engine_may_still_run_it():
     rows, now = {7: ROW}, 5000.0
-    word = fleet.peer(7, [Sibling(0.0, rows), Sibling(2000.0, rows)], [], now, 0.25)
+    word = peer_workers.peer(7, [PeerWorker(0.0, rows), PeerWorker(2000.0, rows)], [], now, 0.25)
     assert word == WorkerLoad(7, 4, 128.0, False, 0.25, (0.5, 1.0), 4000.0)
-    assert fleet.peer(7, [Sibling(fleet.FORGOTTEN_MS, rows)], [], now, 1.0).threads == 0  # hung: forgotten by engines
-    assert fleet.peer(7, [Sibling(1500.0, {7: ROW._replace(suspect=True)})], [], now, 1.0)[3:6] == (False, 1.0, ())
-    assert fleet.peer(7, [Sibling(0.0, {7: ROW._replace(suspect=True)})], [], now, 1.0).suspect
-    dead = fleet.ghosts([ROW, ROW._replace(engine=8, threads=0)], now)
-    assert dead == [Ghost(7, 2, 64.0, now + fleet.FORGOTTEN_MS)]
-    assert fleet.peer(7, [], dead, now + 2000.0, 1.0).threads == 2
-    assert fleet.peer(7, [], dead, now + fleet.FORGOTTEN_MS, 1.0).threads == 0
+    assert (
+        peer_workers.peer(7, [PeerWorker(peer_workers.FORGOTTEN_MS, rows)], [], now, 1.0).threads == 0
+    )  # hung: forgotten by engines
+    assert peer_workers.peer(7, [PeerWorker(1500.0, {7: ROW._replace(suspect=True)})], [], now, 1.0)[3:6] == (
+        False,
+        1.0,
+        (),
+    )
+    assert peer_workers.peer(7, [PeerWorker(0.0, {7: ROW._replace(suspect=True)})], [], now, 1.0).suspect
+    dead = peer_workers.ghosts([ROW, ROW._replace(engine=8, threads=0)], now)
+    assert dead == [OrphanedLoad(7, 2, 64.0, now + peer_workers.FORGOTTEN_MS)]
+    assert peer_workers.peer(7, [], dead, now + 2000.0, 1.0).threads == 2
+    assert peer_workers.peer(7, [], dead, now + peer_workers.FORGOTTEN_MS, 1.0).threads == 0
 
 
 def test_only_the_end_of_an_engine_crosses_and_only_from_a_newer_list():
     def others(*rows):
-        return [Sibling(9e9, {7: row}) for row in rows]  # however old the heartbeat
+        return [PeerWorker(9e9, {7: row}) for row in rows]  # however old the heartbeat
 
     draining, back = ROW._replace(version=5, health=Health.DRAINING), ROW._replace(version=6)
-    assert fleet.stop(7, 4, others(draining)) == (5, Health.DRAINING)
-    assert fleet.stop(7, 5, others(draining)) is None
-    assert fleet.stop(7, 4, others(draining, back)) is None and fleet.stop(7, 4, others(back, draining)) is None
-    assert fleet.stop(8, 0, others(draining)) is None
+    assert peer_workers.stop(7, 4, others(draining)) == (5, Health.DRAINING)
+    assert peer_workers.stop(7, 5, others(draining)) is None
+    assert (
+        peer_workers.stop(7, 4, others(draining, back)) is None
+        and peer_workers.stop(7, 4, others(back, draining)) is None
+    )
+    assert peer_workers.stop(8, 0, others(draining)) is None
 
 
 def test_a_dead_worker_s_counts_stay_and_what_it_had_open_is_lost():
@@ -236,7 +247,7 @@
 
 def test_engines_stand_as_the_newest_list_says():
     rows = [[ROW], [ROW._replace(version=4, health=Health.DRAINING)], [ROW._replace(version=2, suspect=True)]]
-    assert totals.standings(rows, frozenset()) == {7: totals.Standing(7, "s-7", ("127.0.0.1", 7000), 2, True)}
+    assert totals.standings(rows, frozenset()) == {7: totals.EngineSummary(7, "s-7", ("127.0.0.1", 7000), 2, True)}
     assert totals.standings([[ROW]], frozenset({"s-7"}))[7].health == Health.DRAINING
 
 
@@ -254,8 +265,8 @@
 
 
 def test_a_torn_row_is_seen_and_never_read():
-    board = Board.create(form.Layout(2))
-    region, sight = Region(board, 0), Sight(Region(board, 0))
+    board = SharedMemoryBoard.create(form.Layout(2))
+    region, sight = WorkerRegion(board, 0), RowSnapshot(WorkerRegion(board, 0))
     region.write(ROW)
     region.bump(form.FLUSHES)
     assert sight.look() == {7} and sight.rows == {7: ROW}
@@ -282,10 +293,10 @@
 
 
 def test_control_pages_are_read_whole_or_not_at_all():
-    board = Board.create(form.Layout(2))
-    assert board.control() == (0, Control())
+    board = SharedMemoryBoard.create(form.Layout(2))
+    assert board.control() == (0, ControlPage())
     for count in range(1, 4):
-        board.publish(Control(bans=["b"] * count, leases={7: ([1, 2], [3, 4])}))
+        board.publish(ControlPage(bans=["b"] * count, leases={7: ([1, 2], [3, 4])}))
         version, control = board.control()
         assert (version, len(control.bans), control.leases) == (count, count, {7: ([1, 2], [3, 4])})
     at = board.layout.control + 8 + (4 % 2) * form.PAGE  # a supervisor that dies while it writes the next one
@@ -295,15 +306,15 @@
     board.bytes[at + 20] ^= 1
     assert board.control() is None
     try:
-        board.publish(Control(bans=["x" * form.PAGE]))
+        board.publish(ControlPage(bans=["x" * form.PAGE]))
         raise AssertionError("a page without bounds")
     except ValueError:
         board.close()
 
 
 def test_ids_are_found_until_they_are_removed_and_a_full_bucket_says_so():
-    board = Board.create(form.Layout(2, buckets=4))
-    writer, reader = Region(board, 0), Region(board, 1)
+    board = SharedMemoryBoard.create(form.Layout(2, buckets=4))
+    writer, reader = WorkerRegion(board, 0), WorkerRegion(board, 1)
     same = [4 * n + 1 for n in range(form.WAYS + 1)]
     assert [writer.add(ticket) for ticket in same] == [True] * form.WAYS + [False]
     assert reader.elsewhere(same[3]) and not reader.elsewhere(same[-1]) and not writer.elsewhere(same[3])
@@ -356,7 +367,7 @@
 
 def test_a_cold_engine_gets_nothing_without_a_lease_and_two_workers_never_pass_its_budget():
     """Both see the engine as idle at the same moment."""
-    arbiter, sent, now = Arbiter(2, WINDOW, SETTLE), [], 100_000.0
+    arbiter, sent, now = LeaseArbiter(2, WINDOW, SETTLE), [], 100_000.0
     modules = [controller(slow_start_overload_ratio=4.0, slow_start_capacity=0.3, number=0) for _ in range(2)]
     cold = entry(1, since=now - 1.0)
     for slot, module in enumerate(modules):
@@ -382,7 +393,7 @@
                         todo += module.handle(
                             now, policy.AttemptEnded(action.request, 0, 1, 0, 50.0, False, 0.0, 0.0, ())
                         )
-            needs[slot] = Need(*module.cold_need(now).get(1, (0.0, 0.0)), seen[slot])
+            needs[slot] = BudgetDemand(*module.cold_need(now).get(1, (0.0, 0.0)), seen[slot])
         arbiter.step(now, {1: needs})
         budget = modules[0].cold_budget(modules[0].engines[1], now)
         assert sum(work for at, work in sent if at > now - WINDOW) <= budget
--- a/tests/test_cores_model.py
+++ b/tests/test_cores_model.py
@@ -10,9 +10,9 @@
 import pytest
 from pyModelChecking import CTL, Kripke
 
-from frostspindle.cores import fleet
-from frostspindle.cores.fleet import Row, Sibling
-from frostspindle.cores.leases import Arbiter, Held, Ledger, Need
+from frostspindle.cores import peer_workers
+from frostspindle.cores.leases import BudgetDemand, BudgetLedger, HeldUnits, LeaseArbiter
+from frostspindle.cores.peer_workers import EngineLoadRow, PeerWorker
 
 UP, HUNG, DEAD = "up", "hung", "dead"
 WINDOW, SETTLE, LEASE = 2, 1, 2
@@ -22,7 +22,7 @@
     """One cold engine, some workers, one arbiter; time in whole ticks, in which a send costs one unit."""
 
     def __init__(self, workers, units, cools=True, checks_horizon=True):
-        self.arbiter = Arbiter(workers, WINDOW, SETTLE if cools else -WINDOW, LEASE, units)
+        self.arbiter = LeaseArbiter(workers, WINDOW, SETTLE if cools else -WINDOW, LEASE, units)
         self.units, self.now, self.troubles, self.checks_horizon = units, 0, 1, checks_horizon
         self.state = [UP] * workers
         self.view = [0] * workers  # what each module goes by
@@ -92,7 +92,9 @@
     def share(self, wishes):
         self.shared = True
         needs = {
-            worker: Need(len(self.sent[worker]) / self.units, float(wishes[worker]) / self.units, self.obeyed[worker])
+            worker: BudgetDemand(
+                len(self.sent[worker]) / self.units, float(wishes[worker]) / self.units, self.obeyed[worker]
+            )
             for worker, state in enumerate(self.state)
             if state is not DEAD
         }
@@ -110,8 +112,8 @@
         other.arbiter = copy.copy(self.arbiter)
         other.arbiter.horizons, other.arbiter.lives = list(self.arbiter.horizons), list(self.arbiter.lives)
         other.arbiter.engines = {
-            engine: Ledger(
-                [Held(h.units, h.serial, list(h.pending)) for h in ledger.slots],
+            engine: BudgetLedger(
+                [HeldUnits(h.units, h.serial, list(h.pending)) for h in ledger.slots],
                 ledger.units,
                 list(ledger.cooling),
                 ledger.heard_at,
@@ -193,8 +195,13 @@
     def rows(self, worker):
         """What the board holds of the others, also of one that has crashed."""
         return [
-            Sibling(
-                0.0, {1: Row(1, version, 1 if version == 1 else 2, False, 0, 0.0, 0.0, 0.0, (), 0.0, 0.0, 0, "e", "")}
+            PeerWorker(
+                0.0,
+                {
+                    1: EngineLoadRow(
+                        1, version, 1 if version == 1 else 2, False, 0, 0.0, 0.0, 0.0, (), 0.0, 0.0, 0, "e", ""
+                    )
+                },
             )
             for other, version in enumerate(self.lists)
             if other != worker
@@ -202,7 +209,7 @@
 
     def stopped(self, worker):
         return self.lists[worker] == 2 or (
-            self.checks_board and fleet.stop(1, self.lists[worker], self.rows(worker)) is not None
+            self.checks_board and peer_workers.stop(1, self.lists[worker], self.rows(worker)) is not None
         )
 
     def steps(self):
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -17,9 +17,9 @@
 from frostspindle import policy
 from frostspindle.cli import cli
 from frostspindle.config import ConfigError
-from frostspindle.fleet import verdicts, wire
-from frostspindle.fleet.node import Node, Terms
-from frostspindle.fleet.service import Service, monotonic
+from frostspindle.fleet import engine_verdicts, wire
+from frostspindle.fleet.node import FleetNode, FleetSettings
+from frostspindle.fleet.service import FleetService, monotonic
 from frostspindle.lab.engines import document
 from frostspindle.policy import Controller
 from frostspindle.telemetry import Telemetry
@@ -141,13 +141,15 @@
             update_worker_loads=hear,
             engines={n: SimpleNamespace(name=f"e-{n}", entry=entry(n)) for n in (1, 2, 3)},
         )
-        self.service = Service("a", at["a"], None, Terms(at, judges=3, chain=64), {}, core, Telemetry(sink=BytesIO()))
-        self.service.node = Node("a", at["a"], 1, b"s" * 16, self.service.terms, 0.0)
+        self.service = FleetService(
+            "a", at["a"], None, FleetSettings(at, judges=3, chain=64), {}, core, Telemetry(sink=BytesIO())
+        )
+        self.service.node = FleetNode("a", at["a"], 1, b"s" * 16, self.service.terms, 0.0)
 
     def say(self, *names: str, sick: bool = True) -> None:
         for name in names:
             self.service.node.verdicts.hear(
-                monotonic(), name, [wire.Verdict("e-1", verdicts.SICK, 0.0, [0.9])] if sick else []
+                monotonic(), name, [wire.Verdict("e-1", engine_verdicts.SICK, 0.0, [0.9])] if sick else []
             )
         self.service._look()
 
@@ -165,10 +167,10 @@
     def test_what_was_only_heard_is_not_passed_on_as_seen(self):
         self.say("b", "c", "d")
         self.service._look()
-        self.assertEqual(set(self.service.node.verdicts.own), {("e-2", verdicts.BANNED)})
+        self.assertEqual(set(self.service.node.verdicts.own), {("e-2", engine_verdicts.BANNED)})
         self.module.engines[3].suspect = True  # as the module itself found
         self.service._look()
-        self.assertIn(("e-3", verdicts.SICK), self.service.node.verdicts.own)
+        self.assertIn(("e-3", engine_verdicts.SICK), self.service.node.verdicts.own)
 
 
 class PortCase(FaultsCase):
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -10,14 +10,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from frostspindle.division import fair, level
-from frostspindle.fleet import flow, verdicts, wire
-from frostspindle.fleet.counts import PUBLISH_MS, Counts, interval
-from frostspindle.fleet.escrow import Rights
-from frostspindle.fleet.incarnation import Chain, owned
+from frostspindle.fleet import engine_verdicts, quota_flow, wire
+from frostspindle.fleet.counters import PUBLISH_MS, FleetCounters, interval
+from frostspindle.fleet.gossip_buffer import GossipBuffer
+from frostspindle.fleet.incarnation import IncarnationChain, owned
 from frostspindle.fleet.membership import resends
-from frostspindle.fleet.node import Node, Terms
-from frostspindle.fleet.rumours import Rumours
-from frostspindle.lab.faults.script import BadScript, Weather, parse
+from frostspindle.fleet.node import FleetNode, FleetSettings
+from frostspindle.fleet.quota_escrow import QuotaAccount
+from frostspindle.lab.faults.script import InvalidScriptError, Weather, parse
 from frostspindle.lab.fleet import Emulator, excess, measure, settle
 
 DRIFT = 0.055
@@ -195,9 +195,11 @@
 
 
 class IncarnationCase(unittest.TestCase):
-    def nodes(self) -> tuple[Node, Node, Node]:
+    def nodes(self) -> tuple[FleetNode, FleetNode, FleetNode]:
         seeds = {name: ("127.0.0.1", port) for name, port in (("a", 1), ("b", 2), ("c", 3))}
-        made = [Node(name, seeds[name], 10, name.encode() * 16, Terms(seeds, chain=64), 0.0) for name in seeds]
+        made = [
+            FleetNode(name, seeds[name], 10, name.encode() * 16, FleetSettings(seeds, chain=64), 0.0) for name in seeds
+        ]
         self.carry(made, made[0].tick(1_000.0, 0.0) + made[1].tick(1_000.0, 0.0) + made[2].tick(1_000.0, 0.0))
         return tuple(made)
 
@@ -215,7 +217,7 @@
         a, b, _ = self.nodes()
         known = b.members.members["c"].claim
         for incarnation, proof in ((1, bytes(16)), (1, known.proof), (0, bytes(16)), (2**40, known.proof)):
-            forged = wire.Claim("c", known.host, known.port, wire.DEAD, known.epoch, incarnation, proof)
+            forged = wire.MemberState("c", known.host, known.port, wire.DEAD, known.epoch, incarnation, proof)
             b.receive(
                 1_000.0, a.members.me.address, wire.encode(wire.Packet(a.members.me, "b", wire.Gossip(), [forged]))
             )
@@ -224,25 +226,29 @@
 
     def test_who_speaks_in_anothers_name_or_from_elsewhere_is_not_heard(self):
         a, b, c = self.nodes()
-        word = wire.encode(wire.Packet(c.members.me, "b", wire.Word([wire.Verdict("e", verdicts.SICK, 0.0, [])])))
+        word = wire.encode(
+            wire.Packet(c.members.me, "b", wire.VerdictDigest([wire.Verdict("e", engine_verdicts.SICK, 0.0, [])]))
+        )
         b.receive(1_000.0, a.members.me.address, word)
         self.assertEqual(b.counted["fleet_spoofed"], 1)
-        self.assertEqual(b.verdicts.judges_of(1_000.0, "e", verdicts.SICK), [])
+        self.assertEqual(b.verdicts.judges_of(1_000.0, "e", engine_verdicts.SICK), [])
         b.receive(1_000.0, c.members.me.address, word)
-        self.assertEqual(b.verdicts.judges_of(1_000.0, "e", verdicts.SICK), ["c"])
+        self.assertEqual(b.verdicts.judges_of(1_000.0, "e", engine_verdicts.SICK), ["c"])
 
     def test_another_parts_message_comes_whole_from_its_proven_sender_or_is_counted(self):
         a, b, c = self.nodes()
         heard, seen = [], []
         b.channels[3] = lambda now, name, epoch, data: heard.append((name, epoch, data))
         b.watchers.append(lambda now, name, state: seen.append((name, state)))
-        most = bytes(range(256)) * 3 + bytes(wire.MOST_PARCEL - 768)
+        most = bytes(range(256)) * 3 + bytes(wire.MAX_MESSAGE_BYTES - 768)
         self.carry([a, b, c], a.post(1_000.0, "b", 3, most) + a.post(1_000.0, "b", 4, b"x"))
         self.assertEqual((heard, b.counted["fleet_no_such_channel"]), ([("a", 10, most)], 1))
         self.assertEqual(a.post(1_000.0, "nobody", 3, b"x"), [])
-        word = wire.encode(wire.Packet(c.members.me, "b", wire.Parcel(3, b"x")))
+        word = wire.encode(wire.Packet(c.members.me, "b", wire.ApplicationMessage(3, b"x")))
         b.receive(1_000.0, a.members.me.address, word)  # in another's name
-        long = wire.encode(wire.Packet(c.members.me, "b", wire.Parcel(3, bytes(wire.MOST_PARCEL + 1))))
+        long = wire.encode(
+            wire.Packet(c.members.me, "b", wire.ApplicationMessage(3, bytes(wire.MAX_MESSAGE_BYTES + 1)))
+        )
         b.receive(1_000.0, c.members.me.address, long)
         self.assertEqual((len(heard), b.counted["fleet_spoofed"], b.counted["fleet_undecodable"]), (1, 1, 1))
         self.carry([a, b, c], c.leave(1_000.0))
@@ -251,7 +257,7 @@
     def test_a_new_process_in_a_living_members_name_is_asked_for_at_its_address_first(self):
         a, b, c = self.nodes()
         known = b.members.members["c"].claim
-        stolen = wire.Claim("c", known.host, known.port, wire.ALIVE, known.epoch + 1, 0, bytes(16))
+        stolen = wire.MemberState("c", known.host, known.port, wire.ALIVE, known.epoch + 1, 0, bytes(16))
         out = b.receive(
             1_000.0, a.members.me.address, wire.encode(wire.Packet(a.members.me, "b", wire.Gossip(), [stolen]))
         )
@@ -262,7 +268,7 @@
         a, b, c = self.nodes()
         b.members.told(
             1_000.0,
-            wire.Claim(
+            wire.MemberState(
                 *[getattr(b.members.members["c"].claim, f) for f in ("name", "host", "port")],
                 wire.SUSPECT,
                 10,
@@ -280,7 +286,7 @@
         a, b, _ = self.nodes()
 
         def doubt(name, state, epoch, incarnation, by="a"):
-            word = wire.Doubt(name, state, epoch, incarnation, by)
+            word = wire.Suspicion(name, state, epoch, incarnation, by)
             return b.receive(
                 1_000.0, a.members.me.address, wire.encode(wire.Packet(a.members.me, "b", wire.Gossip(), doubts=[word]))
             )
@@ -310,15 +316,15 @@
 
     @given(strategies.integers(0, 60), strategies.integers(0, 60))
     def test_only_a_later_value_of_the_chain_is_owned(self, first, second):
-        chain = Chain(b"s" * 16, 64)
+        chain = IncarnationChain(b"s" * 16, 64)
         self.assertEqual(owned(first, chain.proof(first), second, chain.proof(second)), second >= first)
-        self.assertFalse(owned(first, chain.proof(first), second, Chain(b"t" * 16, 64).proof(second)))
+        self.assertFalse(owned(first, chain.proof(first), second, IncarnationChain(b"t" * 16, 64).proof(second)))
 
 
 class SpoiltCase(unittest.TestCase):
     @given(strategies.binary(max_size=1_400))
     def test_whatever_bytes_come_are_counted_and_dropped(self, data):
-        node = Node("a", ("127.0.0.1", 1), 1, b"s" * 16, Terms({"a": ("127.0.0.1", 1)}, chain=64), 0.0)
+        node = FleetNode("a", ("127.0.0.1", 1), 1, b"s" * 16, FleetSettings({"a": ("127.0.0.1", 1)}, chain=64), 0.0)
         self.assertEqual(node.receive(0.0, ("127.0.0.1", 2), data), [])
         self.assertEqual(node.counted["fleet_undecodable"], 1)
 
@@ -344,7 +350,7 @@
 
 
 def rows(values):
-    counts = Counts("o", 1, 0.0)
+    counts = FleetCounters("o", 1, 0.0)
     for key, plus, minus, window in values:
         counts.add(f"k{key}", plus, minus, window)
         counts._published = -1e9
@@ -366,12 +372,12 @@
         sent = list(rows(adds))
         views = []
         for _ in range(3):
-            view = Counts("v", 1, 0.0)
+            view = FleetCounters("v", 1, 0.0)
             mixed = sent + draw.choices(sent, k=len(sent)) if sent else []
             draw.shuffle(mixed)
             for row in [*mixed, *sent[-1:]]:
                 view.merge(0.0, row)
-            whole = Counts("o", 1, 0.0)
+            whole = FleetCounters("o", 1, 0.0)
             for key, plus, minus, window in adds:
                 whole.add(f"k{key}", plus, minus, window)
             place = ("o", 1, 0)
@@ -388,9 +394,9 @@
 
     def test_a_row_sent_again_with_more_in_it_under_the_same_version_is_still_joined(self):
         """An origin that dies after that must not leave two views that never agree."""
-        early, late = Counts("a", 1, 0.0), Counts("b", 1, 0.0)
-        early.merge(0.0, wire.Row("o", 1, 0, 0, 1, 0, [("k", 0, 1, 0)]))
-        late.merge(0.0, wire.Row("o", 1, 0, 0, 1, 0, [("k", 0, 6, 0)]))
+        early, late = FleetCounters("a", 1, 0.0), FleetCounters("b", 1, 0.0)
+        early.merge(0.0, wire.CounterRow("o", 1, 0, 0, 1, 0, [("k", 0, 1, 0)]))
+        late.merge(0.0, wire.CounterRow("o", 1, 0, 0, 1, 0, [("k", 0, 6, 0)]))
         self.assertEqual((early.sums(), late.sums()), ({"k": 1}, {"k": 6}))
         for row in late.differing(5_000.0, early.compare(0, 1), 1_000).rows:
             early.merge(5_000.0, row)
@@ -398,9 +404,9 @@
         self.assertTrue(early.pending)
 
     def test_a_later_process_of_a_name_adds_to_the_earlier_and_the_oldest_make_way(self):
-        view = Counts("v", 1, 0.0)
+        view = FleetCounters("v", 1, 0.0)
         for epoch in range(1, 12):
-            other = Counts("o", epoch, 0.0)
+            other = FleetCounters("o", epoch, 0.0)
             other.add("spent", 5)
             other.publish(10**6, 1)
             view.merge(0.0, other._row(0.0, ("o", epoch, 0), 0, ()))
@@ -408,13 +414,13 @@
         self.assertEqual(len([place for place in view.origins if place[0] == "o"]), 8)
 
     def test_old_windows_are_let_go_of_and_ages_are_told(self):
-        view = Counts("v", 1, 1_000.0)
+        view = FleetCounters("v", 1, 1_000.0)
         view.add("x", 3, window=7)
         view.turn(7)
         self.assertEqual(view.sums(7), {"x": 3})
         view.turn(10)
         self.assertEqual(view.sums(7), {})
-        view.merge(5_000.0, wire.Row("o", 1, 0, 0, 1, 700.0, [("x", 0, 1, 0)]))
+        view.merge(5_000.0, wire.CounterRow("o", 1, 0, 0, 1, 700.0, [("x", 0, 1, 0)]))
         self.assertEqual(view.staleness(6_000.0), {"v": 0.0, "o": 1_700.0})
         with self.assertRaises(ValueError):
             view.add("x", -1)
@@ -423,14 +429,14 @@
 class CompareCase(unittest.TestCase):
     """What news missed: two compare what they hold, and the asker takes what is newer."""
 
-    def fill(self, held: dict[int, int]) -> Counts:
+    def fill(self, held: dict[int, int]) -> FleetCounters:
         """Counts of so many versions of each origin."""
-        view = Counts("v", 1, 0.0)
+        view = FleetCounters("v", 1, 0.0)
         for number, version in held.items():
-            view.merge(0.0, wire.Row(f"o{number}", 1, number % 3, 0, version, 0, [("k", 0, version, 0)]))
+            view.merge(0.0, wire.CounterRow(f"o{number}", 1, number % 3, 0, version, 0, [("k", 0, version, 0)]))
         return view
 
-    def ask(self, asker: Counts, other: Counts, salt: int, now: float = 10_000.0, room: int = 500) -> int:
+    def ask(self, asker: FleetCounters, other: FleetCounters, salt: int, now: float = 10_000.0, room: int = 500) -> int:
         begin = told = 0
         for _ in range(1_000):
             answer = other.differing(now, asker.compare(begin, salt), room)
@@ -473,12 +479,12 @@
         self.assertEqual(self.ask(older, newer, 15), 2)
         self.assertEqual(self.ask(older, newer, 15), 0)
         self.assertEqual(self.ask(newer, newer, 15), 0)
-        newer.merge(0.0, wire.Row("new", 1, 0, 0, 1, 0, []))
+        newer.merge(0.0, wire.CounterRow("new", 1, 0, 0, 1, 0, []))
         self.assertEqual((self.ask(newer, older, 15), self.ask(older, newer, 15)), (1, 1))  # of o9 and new only
 
     def test_a_different_count_under_one_version_is_found(self):
         first, second = self.fill(dict.fromkeys(range(50), 5)), self.fill(dict.fromkeys(range(50), 5))
-        second.merge(0.0, wire.Row("o7", 1, 1, 0, 5, 0, [("k", 0, 9, 0)]))
+        second.merge(0.0, wire.CounterRow("o7", 1, 1, 0, 5, 0, [("k", 0, 9, 0)]))
         self.ask(first, second, 2**52 + 15)
         self.assertEqual(first.sums(), second.sums())
 
@@ -490,7 +496,7 @@
     )
     def test_marks_of_any_kind_are_answered_within_bounds(self, begin, bits, salt, marks):
         view = self.fill(dict.fromkeys(range(40), 3))
-        answer = view.differing(10_000.0, wire.Compare(begin, bits, salt, marks), 500)
+        answer = view.differing(10_000.0, wire.CountersRequest(begin, bits, salt, marks), 500)
         self.assertLessEqual(sum(map(wire.size, answer.rows[1:])), 500)
         self.assertTrue(0 <= answer.next < 2**48)
 
@@ -498,14 +504,18 @@
         view = self.fill(dict.fromkeys(range(40), 3))
         ask = view.compare(0, 15)
         for length in range(len(ask.marks)):
-            self.assertEqual(view.differing(10_000.0, wire.Compare(0, ask.bits, 15, ask.marks[:length]), 500).rows, [])
+            self.assertEqual(
+                view.differing(10_000.0, wire.CountersRequest(0, ask.bits, 15, ask.marks[:length]), 500).rows, []
+            )
 
     def test_who_answers_for_ever_is_asked_a_bounded_number_of_times(self):
         seeds = {name: ("127.0.0.1", port) for name, port in (("a", 1), ("b", 2))}
-        node, liar = (Node(name, seeds[name], 10, name.encode() * 16, Terms(seeds, chain=64), 0.0) for name in seeds)
-        word = wire.encode(wire.Packet(liar.members.me, "a", wire.Rows(5, [])))
+        node, liar = (
+            FleetNode(name, seeds[name], 10, name.encode() * 16, FleetSettings(seeds, chain=64), 0.0) for name in seeds
+        )
+        word = wire.encode(wire.Packet(liar.members.me, "a", wire.CountersPage(5, [])))
         asked = sum(
-            isinstance(wire.decode(out.data).body, wire.Compare)
+            isinstance(wire.decode(out.data).body, wire.CountersRequest)
             for _ in range(500)
             for out in node.receive(1.0, seeds["b"], word)
         )
@@ -513,11 +523,13 @@
 
     def test_claims_that_crowd_a_message_leave_room_for_rows_and_of_many_that_are_back_one_is_pulled_from(self):
         seeds = {"a": ("127.0.0.1", 1)}
-        node = Node("a", seeds["a"], 10, b"a" * 16, Terms(seeds, chain=64), 0.0)
-        claims = [wire.Claim(f"m{n}", "127.0.0.1", 100 + n, wire.ALIVE, 1, 0, bytes(16)) for n in range(60)]
+        node = FleetNode("a", seeds["a"], 10, b"a" * 16, FleetSettings(seeds, chain=64), 0.0)
+        claims = [wire.MemberState(f"m{n}", "127.0.0.1", 100 + n, wire.ALIVE, 1, 0, bytes(16)) for n in range(60)]
         node.members.know(0.0, claims)
         for claim in claims:
-            node.members.told(1.0, wire.Claim(claim.name, claim.host, claim.port, wire.DEAD, 1, 0, bytes(16)), "m0")
+            node.members.told(
+                1.0, wire.MemberState(claim.name, claim.host, claim.port, wire.DEAD, 1, 0, bytes(16)), "m0"
+            )
         node.counts.add("k", 1)
         node.counts.publish(10**6, 60)
         packet = node._packet(1.0, "m0", wire.Gossip())
@@ -527,13 +539,13 @@
         for number, claim in enumerate(claims):  # a later process of each speaks
             node.members.heard(
                 10_000.0 + number,
-                wire.Claim(claim.name, claim.host, claim.port, wire.ALIVE, 2, 0, bytes(16)),
+                wire.MemberState(claim.name, claim.host, claim.port, wire.ALIVE, 2, 0, bytes(16)),
                 claim.address,
             )
-        self.assertEqual([type(out.body) for out in node.members.out], [wire.Pull])
+        self.assertEqual([type(out.body) for out in node.members.out], [wire.MembersRequest])
 
     def test_what_is_told_of_a_version_stays_the_same(self):
-        origin = Counts("o", 1, 0.0)
+        origin = FleetCounters("o", 1, 0.0)
         origin.add("k", 1)
         origin.publish(10**6, 1)
         first = origin.news(0.0, 2_000)[0]
@@ -543,7 +555,7 @@
         self.assertEqual(origin.news(0.0, 2_000)[0].entries, [("k", 0, 6, 0)])
 
     def test_a_key_is_named_once_in_a_row_and_a_row_that_begins_without_one_is_refused(self):
-        origin, view = Counts("o", 1, 0.0), Counts("v", 1, 0.0)
+        origin, view = FleetCounters("o", 1, 0.0), FleetCounters("v", 1, 0.0)
         for key, window in (("k", 0), ("k", 1), ("k", 2), ("l", 0), ("l", 2), ("k", 3)):
             origin.add(key, 1 + window, window=window)
         origin.publish(10**6, 1)
@@ -553,7 +565,7 @@
             0.0,
             wire.decode(
                 wire.encode(
-                    wire.Packet(wire.Claim("o", "127.0.0.1", 1, 0, 1, 0, bytes(16)), "", wire.Gossip(), [], [row])
+                    wire.Packet(wire.MemberState("o", "127.0.0.1", 1, 0, 1, 0, bytes(16)), "", wire.Gossip(), [], [row])
                 )
             ).rows[0],
         )
@@ -561,11 +573,11 @@
         self.assertEqual(view.news(0.0, 2_000)[0].entries, row.entries)
         refused = []
         view.count = refused.append
-        view.merge(0.0, wire.Row("p", 1, 0, 0, 1, 0, [("", 0, 1, 0)]))
+        view.merge(0.0, wire.CounterRow("p", 1, 0, 0, 1, 0, [("", 0, 1, 0)]))
         self.assertEqual((view.sums()["k"], refused, len(view.origins)), (1, ["fleet_undecodable"], 2))
 
     def test_a_delta_reaches_who_missed_the_last_three(self):
-        origin, view = Counts("o", 1, 0.0), Counts("v", 1, 0.0)
+        origin, view = FleetCounters("o", 1, 0.0), FleetCounters("v", 1, 0.0)
         for number in range(1, 7):
             origin.add(f"k{number}", 1)
             origin.publish(number * 1e6, 1)
@@ -576,7 +588,7 @@
 
     def test_who_has_nothing_to_tell_writes_half_as_often_in_a_large_fleet(self):
         for size, most in ((30, 20), (300, 10)):
-            idle, busy = Counts("o", 1, 0.0), Counts("o", 1, 0.0)
+            idle, busy = FleetCounters("o", 1, 0.0), FleetCounters("o", 1, 0.0)
             for number in range(1, 21):
                 busy.add("k", 1)
                 for counts in (idle, busy):
@@ -584,7 +596,7 @@
             self.assertEqual((idle.origins["o", 1, 0].version, busy.origins["o", 1, 0].version), (most, 20))
 
     def test_a_large_fleet_that_starts_together_writes_spread_over_an_interval(self):
-        many = [Counts(f"c{n}", 1, 0.0) for n in range(1_000)]
+        many = [FleetCounters(f"c{n}", 1, 0.0) for n in range(1_000)]
         for size, least in ((3, 0.0), (1_000, 1.0)):
             spans = Counter(
                 int(10.0 * (one.due(size) - PUBLISH_MS) / (interval(size) - PUBLISH_MS or 1e9)) for one in many
@@ -603,7 +615,7 @@
 
 class RumoursCase(unittest.TestCase):
     def test_a_piece_goes_out_once_in_a_message_and_as_often_as_it_may_in_all(self):
-        news = Rumours()
+        news = GossipBuffer()
         for key in range(50):
             news.put(key, str(key))
         sent = Counter()
@@ -614,7 +626,7 @@
                 news.sent(key, 3)
                 sent[key] += 1
         self.assertEqual(set(sent.values()), {3})
-        counts = Counts("o", 1, 0.0)
+        counts = FleetCounters("o", 1, 0.0)
         counts.add("k", 1)
         counts.publish(1e6, 1)
         self.assertEqual(len(counts.news(0.0, 2_000)), 1)  # there is room for more copies
@@ -627,7 +639,7 @@
         strategies.randoms(use_true_random=False),
     )
     def test_what_is_taken_at_once_is_what_is_next_and_sent_one_by_one(self, pieces, draw):
-        one, other = Rumours(), Rumours()
+        one, other = GossipBuffer(), GossipBuffer()
         for number, (key, size) in enumerate(pieces):
             for news in (one, other):
                 news.put(key, (number, size))
@@ -646,8 +658,8 @@
 
 class LendersCase(unittest.TestCase):
     def test_one_of_many_homes_is_asked_at_a_time_while_nobody_has_any_left(self):
-        for count, most in ((flow.FEW, 3), (flow.FEW + 1, 1)):
-            homes, lenders = [f"c{n:02d}" for n in range(count)], flow.Lenders(1)
+        for count, most in ((quota_flow.FEW, 3), (quota_flow.FEW + 1, 1)):
+            homes, lenders = [f"c{n:02d}" for n in range(count)], quota_flow.LenderSelector(1)
             first = lenders.choose(0.0, homes, homes, ())
             self.assertEqual(len(first), 3)
             for name in first:
@@ -675,21 +687,21 @@
 
 class VerdictCase(unittest.TestCase):
     def test_fewer_than_enough_or_older_than_they_last_never_count(self):
-        words = verdicts.Verdicts(3, 1_000.0)
-        sick = [wire.Verdict("e", verdicts.SICK, 0.0, [0.9])]
+        words = engine_verdicts.EngineVerdicts(3, 1_000.0)
+        sick = [wire.Verdict("e", engine_verdicts.SICK, 0.0, [0.9])]
         for _ in range(5):  # one that says it five times is one
             words.hear(0.0, "liar", sick)
         words.hear(0.0, "b", sick)
-        self.assertEqual(words.agreed(0.0, verdicts.SICK), set())
+        self.assertEqual(words.agreed(0.0, engine_verdicts.SICK), set())
         words.hear(500.0, "c", sick)
-        self.assertEqual(words.agreed(900.0, verdicts.SICK), {"e"})
-        self.assertEqual(words.agreed(1_001.0, verdicts.SICK), set())  # two are too old
+        self.assertEqual(words.agreed(900.0, engine_verdicts.SICK), {"e"})
+        self.assertEqual(words.agreed(1_001.0, engine_verdicts.SICK), set())  # two are too old
         words.hear(1_001.0, "liar", sick)
         words.hear(1_001.0, "b", sick)
         words.gone("c")
-        self.assertEqual(words.agreed(1_001.0, verdicts.SICK), set())
+        self.assertEqual(words.agreed(1_001.0, engine_verdicts.SICK), set())
         words.hear(1_001.0, "b", [])
-        self.assertEqual(words.judges_of(1_001.0, "e", verdicts.SICK), ["liar"])
+        self.assertEqual(words.judges_of(1_001.0, "e", engine_verdicts.SICK), ["liar"])
 
 
 class ScriptCase(unittest.TestCase):
@@ -700,7 +712,7 @@
         self.assertEqual(weather.fate(1.5, 0, 3), [])
         self.assertEqual(weather.fate(1.5, 2, 3), [0.0])
         for bad in ("1 kill 9", "loss 2", "cut 0", "rain 1", "delay 9-1", "kill", "clock 0 9", "1-x loss 0.1"):
-            with self.assertRaisesRegex(BadScript, "'"):
+            with self.assertRaisesRegex(InvalidScriptError, "'"):
                 parse(bad, 5)
 
     def test_what_was_spent_in_a_window_of_any_start_is_counted(self):
@@ -710,7 +722,7 @@
 
 class LeaseCase(unittest.TestCase):
     def test_a_loan_ends_though_nothing_else_is_due_and_what_is_owed_is_set_aside_as_it_comes(self):
-        rights = Rights(0, 1_000.0, 3_000.0, DRIFT, 0.0)
+        rights = QuotaAccount(0, 1_000.0, 3_000.0, DRIFT, 0.0)
         self.assertEqual(rights.ready(0.0), 0)
         for seq, units in ((1, 5), (2, 8)):
             rights.asking(0.0, "a", 1, seq)
@@ -722,7 +734,7 @@
         self.assertEqual((rights.ready(3_000.0), rights.held), (0, 0))
 
     def test_what_comes_back_is_in_hand_again_by_word_or_by_time(self):
-        rights = Rights(10, 1_000.0, 3_000.0, DRIFT, 0.0)
+        rights = QuotaAccount(10, 1_000.0, 3_000.0, DRIFT, 0.0)
         now = rights.back_ms + rights.rest_ms
         for name, want in (("b", 6), ("c", 4), ("b", 3)):
             loan = rights.on_ask(now, name, 1, name in rights.lent, 1, 2 if name in rights.lent else 0, 0, want)
@@ -756,7 +768,9 @@
 
     def start(self, name):
         self.epochs[name] += 1
-        self.rights[name] = Rights(self.UNITS if name == "a" else 0, self.WINDOW, self.LEASE, DRIFT, self.clock(name))
+        self.rights[name] = QuotaAccount(
+            self.UNITS if name == "a" else 0, self.WINDOW, self.LEASE, DRIFT, self.clock(name)
+        )
 
     @rule(ms=strategies.sampled_from([1.0, 50.0, 400.0, 1_100.0, 2_900.0, 6_000.0]))
     def wait(self, ms):
@@ -802,7 +816,7 @@
             if epoch != self.epochs[name]:
                 return  # membership does not hear a process that was followed by another
             loan = lender.on_ask(now, name, epoch, of == self.epochs["a"], series, returned, closed, want)
-            give, keep = flow.offer(lender, 2, loan, name)
+            give, keep = quota_flow.offer(lender, 2, loan, name)
             lender.lend(loan, give)
             self.post.append(("grant", name, epoch, self.epochs["a"], seq, loan.series, loan.given, keep))
         elif kind == "back" and epoch == self.epochs[name] and rest[0][0] == self.epochs["a"]:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -27,9 +27,9 @@
 from frostspindle import policy
 from frostspindle.lab.engines import document
 from frostspindle.net.fields import key_number
-from frostspindle.order import sheets
-from frostspindle.order.sheets import Sheets
-from frostspindle.order.turns import Place, Turns
+from frostspindle.order import shared_cells
+from frostspindle.order.key_queue import KeyQueue, QueuePosition
+from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.policy import AttemptOutcome, Controller, EndpointListKind
 from frostspindle.pools import FORGOTTEN_MS
 
@@ -211,13 +211,15 @@
     def others(me):
         def of(key):
             plan.step(me)
-            return [Place(stamp, n) for n in range(count) if n != me for k, stamp in cells[n].values() if k == key]
+            return [
+                QueuePosition(stamp, n) for n in range(count) if n != me for k, stamp in cells[n].values() if k == key
+            ]
 
         return of
 
     def worker(me):
         def work():
-            turns = Turns(me, Sheet(me), others(me))
+            turns = KeyQueue(me, Sheet(me), others(me))
             if not (turns.enter(1, 5, 100) or not looks):
                 while not turns.due():
                     pass
@@ -255,10 +257,10 @@
 HOLDER = """
 import sys, time
 from pathlib import Path
-from frostspindle.order.sheets import Sheets
-from frostspindle.order.turns import Turns
-sheets = Sheets(Path(sys.argv[1]), lambda: 0.0, 1e9)
-turns = Turns(sheets.own.owner, sheets.own, sheets.places)
+from frostspindle.order.shared_cells import SharedCellFolder
+from frostspindle.order.key_queue import KeyQueue
+sheets = SharedCellFolder(Path(sys.argv[1]), lambda: 0.0, 1e9)
+turns = KeyQueue(sheets.own.owner, sheets.own, sheets.places)
 for line in sys.stdin:
     what, request, key = line.split()
     print(turns.enter(int(request), int(key), int(time.time() * 1e6)) if what == "enter" else turns.over(int(request)),
@@ -293,8 +295,8 @@
 @pytest.fixture
 def two(tmp_path):
     clock = [0.0]
-    mine, holder = Sheets(tmp_path, lambda: clock[0], 2100.0), Holder(str(tmp_path))
-    turns = Turns(mine.own.owner, mine.own, mine.places)
+    mine, holder = SharedCellFolder(tmp_path, lambda: clock[0], 2100.0), Holder(str(tmp_path))
+    turns = KeyQueue(mine.own.owner, mine.own, mine.places)
     yield turns, holder, clock, tmp_path
     holder.process.send_signal(signal.SIGCONT)
     if holder.process.poll() is None:
@@ -335,8 +337,8 @@
     holder.say("enter", 1, 77)
     holder.end()
     clock = [0.0]
-    mine = Sheets(tmp_path, lambda: clock[0], 2100.0)
-    turns = Turns(mine.own.owner, mine.own, mine.places)
+    mine = SharedCellFolder(tmp_path, lambda: clock[0], 2100.0)
+    turns = KeyQueue(mine.own.owner, mine.own, mine.places)
     assert turns.enter(1, 77, now()) is False and turns.enter(2, 78, now()) is True
     clock[0] = 2_101.0
     assert turns.due() == [1]
@@ -346,11 +348,11 @@
 
 def test_spoilt_and_foreign_files_count_for_nothing_and_a_full_sheet_says_so(tmp_path):
     (tmp_path / "turns-1-a").write_bytes(b"short")
-    (tmp_path / "turns-2-b").write_bytes(os.urandom(sheets.SIZE))
+    (tmp_path / "turns-2-b").write_bytes(os.urandom(shared_cells.SIZE))
     (tmp_path / "turns-3-c").mkdir()
-    with unittest.mock.patch.object(sheets.Own, "cells", 3):
-        mine = Sheets(tmp_path, lambda: 0.0, 2100.0)
-        turns = Turns(mine.own.owner, mine.own, mine.places)
+    with unittest.mock.patch.object(shared_cells.OwnCellFile, "cells", 3):
+        mine = SharedCellFolder(tmp_path, lambda: 0.0, 2100.0)
+        turns = KeyQueue(mine.own.owner, mine.own, mine.places)
         assert [turns.enter(n, 77, 5) for n in range(4)] == [True, True, True, None]
         turns.over(1)
         assert turns.enter(4, 77, 5) is True and mine.unreadable == 3
@@ -479,7 +481,7 @@
     def taken(self):
         """How many places each worker's sheet has."""
         for path in Path(self.coordinator.folder).glob("*/turns-*"):
-            words = memoryview(path.read_bytes()).cast("Q")[sheets.HEAD // 8 :]
+            words = memoryview(path.read_bytes()).cast("Q")[shared_cells.HEAD // 8 :]
             yield sum(key > 0 for key in words[::2].tolist())
 
 
@@ -559,7 +561,7 @@
         for pause_ms, stands in ((60_000.0, True), (50.0, False)):
             (engine,) = await self.start(1, categories=classes, rules=settings()["rules"] | {"orderPause": pause_ms})
             engine.script = lambda request, body: "kill" if request.method == "POST" else web.Response(status=500)
-            other = Sheets(self.program.shared.order, lambda: 0.0, 2100.0)
+            other = SharedCellFolder(self.program.shared.order, lambda: 0.0, 2100.0)
             self.addCleanup(other.close, True)
 
             def places(other=other):
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -10,78 +10,80 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from frostspindle.ownership import progress, table
-from frostspindle.ownership.fence import Fence, FenceFull, Stale
-from frostspindle.ownership.holder import MOST_MOVES, PATIENCE_MS, Holder, Terms, end_of, turn, wait_of
-from frostspindle.ownership.jobs import Hand, Runner
-from frostspindle.ownership.lease import Lease, Lost
-from frostspindle.ownership.progress import Note, Progress
-from frostspindle.ownership.service import Owners
-from frostspindle.ownership.table import Ask, Force, Leave, Table
-from frostspindle.ownership.warm import Cold, Warm
+from frostspindle.ownership import lease_table, progress
+from frostspindle.ownership.fence import FenceFullError, StaleTokenError, TokenFence
+from frostspindle.ownership.holder import MOST_MOVES, PATIENCE_MS, LeaseHolder, LeaseSettings, end_of, turn, wait_of
+from frostspindle.ownership.jobs import JobContext, JobRunner
+from frostspindle.ownership.lease import Lease, LeaseLostError
+from frostspindle.ownership.lease_table import ForceRelease, LeaseTable, ReleaseAll, RenewLeases
+from frostspindle.ownership.progress import RecordProgress, WarmupProgress
+from frostspindle.ownership.service import LeaseManager
+from frostspindle.ownership.warmup import ColdEngine, WarmupJob
 from frostspindle.replica.local import LocalLog
-from frostspindle.store.memory import Memory
+from frostspindle.store.memory import MemoryStore
 from frostspindle.telemetry import Telemetry
 
-encode = table.encode
+encode = lease_table.encode
 
 
 def put(machine, index, command):
-    return table.said(machine.apply(index, encode(command)))
+    return lease_table.said(machine.apply(index, encode(command)))
 
 
 class TestTable:
     def test_takes_compare_and_set_and_tokens_are_the_index(self):
-        t = Table()
-        assert put(t, 3, Ask("a", 1, 1, 1_000, [("x", 0, 0)])).takes == [True]
+        t = LeaseTable()
+        assert put(t, 3, RenewLeases("a", 1, 1, 1_000, [("x", 0, 0)])).takes == [True]
         assert t.rows["x"].token == 3 and t.version("x") == (3, 0)
-        assert put(t, 4, Ask("b", 1, 1, 1_000, [("x", 0, 0), ("y", 0, 0)])).takes == [False, True]
-        assert put(t, 5, Ask("a", 1, 2, 2_000, renews=[("x", 3), ("y", 4)])).renews == [True, False]
+        assert put(t, 4, RenewLeases("b", 1, 1, 1_000, [("x", 0, 0), ("y", 0, 0)])).takes == [False, True]
+        assert put(t, 5, RenewLeases("a", 1, 2, 2_000, renews=[("x", 3), ("y", 4)])).renews == [True, False]
         assert t.version("x") == (3, 1) and t.rows["x"].duration_ms == 2_000
-        assert put(t, 6, Ask("b", 1, 2, 1_000, [("x", 3, 0)])).takes == [False], "it had not seen the renewal"
-        assert put(t, 7, Ask("b", 1, 3, 1_000, [("x", 3, 1)])).takes == [True]
-        assert put(t, 8, Ask("a", 1, 3, 1_000, renews=[("x", 3)], drops=[("x", 3)])).drops == [False]
+        assert put(t, 6, RenewLeases("b", 1, 2, 1_000, [("x", 3, 0)])).takes == [False], "it had not seen the renewal"
+        assert put(t, 7, RenewLeases("b", 1, 3, 1_000, [("x", 3, 1)])).takes == [True]
+        assert put(t, 8, RenewLeases("a", 1, 3, 1_000, renews=[("x", 3)], drops=[("x", 3)])).drops == [False]
         assert t.rows["x"].holder == "b" and t.rows["x"].token == 7
 
     def test_doubled_and_overtaken_commands_are_dropped_by_process(self):
-        t = Table()
-        first = Ask("a", 1, 5, 1_000, [("x", 0, 0)])
+        t = LeaseTable()
+        first = RenewLeases("a", 1, 5, 1_000, [("x", 0, 0)])
         assert put(t, 1, first).takes == [True]
-        assert put(t, 2, Ask("a", 1, 6, 1_000, drops=[("x", 1)])).drops == [True]
+        assert put(t, 2, RenewLeases("a", 1, 6, 1_000, drops=[("x", 1)])).drops == [True]
         assert put(t, 3, first).reason == "doubled" and not t.rows
-        assert put(t, 4, Ask("a", 2, 1, 1_000, [("x", 0, 0)])).takes == [True], "a new process counts anew"
-        assert put(t, 5, Leave("a", 2, 2)).reason == "" and not t.rows
-        assert put(t, 6, Ask("a", 2, 3, 1_000, [("x", 0, 0)])).reason == "doubled", "what comes after its end"
+        assert put(t, 4, RenewLeases("a", 2, 1, 1_000, [("x", 0, 0)])).takes == [True], "a new process counts anew"
+        assert put(t, 5, ReleaseAll("a", 2, 2)).reason == "" and not t.rows
+        assert put(t, 6, RenewLeases("a", 2, 3, 1_000, [("x", 0, 0)])).reason == "doubled", "what comes after its end"
 
     def test_a_forced_release_ends_renewals_and_leaves_the_row_to_be_waited_out(self):
-        t = Table()
-        put(t, 1, Ask("a", 1, 1, 1_000, [("x", 0, 0)]))
-        assert put(t, 2, Force("b", 1, 1, "x", 9)).reason == "no such grant"
-        assert put(t, 3, Force("b", 1, 2, "x", 1)).reason == ""
-        assert put(t, 4, Ask("a", 1, 2, 1_000, renews=[("x", 1)])).renews == [False]
+        t = LeaseTable()
+        put(t, 1, RenewLeases("a", 1, 1, 1_000, [("x", 0, 0)]))
+        assert put(t, 2, ForceRelease("b", 1, 1, "x", 9)).reason == "no such grant"
+        assert put(t, 3, ForceRelease("b", 1, 2, "x", 1)).reason == ""
+        assert put(t, 4, RenewLeases("a", 1, 2, 1_000, renews=[("x", 1)])).renews == [False]
         assert t.rows["x"].forced and t.version("x") == (1, 0)
-        assert put(t, 5, Ask("c", 1, 1, 1_000, [("x", 0, 0)])).takes == [False]
+        assert put(t, 5, RenewLeases("c", 1, 1, 1_000, [("x", 0, 0)])).takes == [False]
 
     def test_bounds(self):
-        t = Table()
-        names = [f"t{n}" for n in range(table.MOST_TASKS + 1)]
-        for at in range(0, len(names), table.MOST_ITEMS):
-            done = put(t, at + 1, Ask("a", 1, at, 1_000, [(n, 0, 0) for n in names[at : at + table.MOST_ITEMS]]))
-        assert len(t.rows) == table.MOST_TASKS and done.takes == [False]
+        t = LeaseTable()
+        names = [f"t{n}" for n in range(lease_table.MOST_TASKS + 1)]
+        for at in range(0, len(names), lease_table.MOST_ITEMS):
+            done = put(
+                t, at + 1, RenewLeases("a", 1, at, 1_000, [(n, 0, 0) for n in names[at : at + lease_table.MOST_ITEMS]])
+            )
+        assert len(t.rows) == lease_table.MOST_TASKS and done.takes == [False]
         many = [("x", 1)] * 300
-        assert put(t, 10_000, Ask("a", 1, 10_000, 1_000, renews=many, drops=many)).reason == "too many items"
-        for n in range(2 * table.MOST_PROPOSERS):
-            put(t, 10_001 + n, Ask(f"h{n}", 1, 1, 1_000))
-        assert len(t._seen) == table.MOST_PROPOSERS
-        longest = [("x" * 64, 2**53, 2**53)] * table.MOST_ITEMS
-        assert len(encode(Ask("h" * 64, 2**53, 2**53, 1_000, longest))) < 64 << 10
+        assert put(t, 10_000, RenewLeases("a", 1, 10_000, 1_000, renews=many, drops=many)).reason == "too many items"
+        for n in range(2 * lease_table.MOST_PROPOSERS):
+            put(t, 10_001 + n, RenewLeases(f"h{n}", 1, 1, 1_000))
+        assert len(t._seen) == lease_table.MOST_PROPOSERS
+        longest = [("x" * 64, 2**53, 2**53)] * lease_table.MOST_ITEMS
+        assert len(encode(RenewLeases("h" * 64, 2**53, 2**53, 1_000, longest))) < 64 << 10
         assert len(t.state()) < 4 << 20
 
     @given(
         st.binary(max_size=80)
         | st.builds(
             lambda at, byte: (lambda data: data[:at] + bytes([byte]) + data[at + 1 :])(
-                encode(Ask("a", 1, 2, 1_000, [("x", 1, 0)], [("y", 7)], [("z", 1)]))
+                encode(RenewLeases("a", 1, 2, 1_000, [("x", 1, 0)], [("y", 7)], [("z", 1)]))
             ),
             st.integers(0, 40),
             st.integers(0, 255),
@@ -89,13 +91,13 @@
     )
     @settings(deadline=None)
     def test_whatever_the_bytes_it_answers_and_refuses_what_it_cant_read(self, data):
-        t = Table()
-        put(t, 1, Ask("a", 1, 1, 1_000, [("x", 0, 0)]))
+        t = LeaseTable()
+        put(t, 1, RenewLeases("a", 1, 1, 1_000, [("x", 0, 0)]))
         before = t.state()
-        answer = table.said(t.apply(2, data))
-        if table.read(data) is None:
+        answer = lease_table.said(t.apply(2, data))
+        if lease_table.read(data) is None:
             assert answer.reason == "unreadable" and t.state() == before and t.refused == 1
-        copy = Table()
+        copy = LeaseTable()
         copy.restore(2, t.state())
         assert copy.state() == t.state() and copy.rows == t.rows
 
@@ -110,8 +112,8 @@
         ),
     )
     def test_a_state_that_cant_be_is_refused_and_changes_nothing(self, state):
-        t = Table()
-        put(t, 1, Ask("a", 1, 1, 1_000, [("x", 0, 0)]))
+        t = LeaseTable()
+        put(t, 1, RenewLeases("a", 1, 1, 1_000, [("x", 0, 0)]))
         with pytest.raises(ValueError):
             t.restore(2, state)
         assert t.rows["x"].token == 1
@@ -119,15 +121,15 @@
 
 class TestProgress:
     def test_it_never_goes_back_nor_takes_word_under_a_lower_token(self):
-        p = Progress()
+        p = WarmupProgress()
         tell = [
-            Note(5, "e1", 10.0, 1),
-            Note(5, "e1", 10.0, 2),
-            Note(5, "e1", 10.0, 1),
-            Note(7, "e2", 3.0, 4),
-            Note(5, "e1", 10.0, 3),
-            Note(7, "e1", 9.0, 8),
-            Note(8, "e1", 11.0, 1),
+            RecordProgress(5, "e1", 10.0, 1),
+            RecordProgress(5, "e1", 10.0, 2),
+            RecordProgress(5, "e1", 10.0, 1),
+            RecordProgress(7, "e2", 3.0, 4),
+            RecordProgress(5, "e1", 10.0, 3),
+            RecordProgress(7, "e1", 9.0, 8),
+            RecordProgress(8, "e1", 11.0, 1),
         ]
         assert [p.apply(n, progress.encode(note)) for n, note in enumerate(tell, 1)] == [
             b"1",
@@ -139,9 +141,9 @@
             b"1",
         ]
         assert (p.place("e1", 11.0), p.place("e1", 10.0), p.place("e2", 3.0), p.place("e3", 1.0)) == (1, 0, 4, 0)
-        copy = Progress()
+        copy = WarmupProgress()
         copy.restore(9, p.state())
-        assert copy.state() == p.state() and copy.apply(10, progress.encode(Note(7, "e2", 3.0, 5))) == b""
+        assert copy.state() == p.state() and copy.apply(10, progress.encode(RecordProgress(7, "e2", 3.0, 5))) == b""
         with pytest.raises(ValueError):
             copy.restore(9, b"spoilt")
         assert copy.state() == p.state()
@@ -149,42 +151,42 @@
     @given(st.binary(max_size=40))
     @settings(deadline=None)
     def test_whatever_the_bytes(self, data):
-        p = Progress()
+        p = WarmupProgress()
         p.apply(1, data)
-        Progress().restore(1, p.state())
+        WarmupProgress().restore(1, p.state())
 
     def test_bounds(self):
-        p = Progress()
+        p = WarmupProgress()
         for n in range(progress.MOST_ENGINES + 2):
-            p.apply(n + 1, progress.encode(Note(1, f"e{n}", 1.0, 1)))
+            p.apply(n + 1, progress.encode(RecordProgress(1, f"e{n}", 1.0, 1)))
         assert len(p.starts) == progress.MOST_ENGINES and not p.place("e1", 1.0) and p.place("e2", 1.0)
 
 
 class TestFence:
     def test_a_lower_token_is_refused_and_what_was_seen_outlives_the_process(self):
-        store = Memory()
-        fence = Fence(store)
+        store = MemoryStore()
+        fence = TokenFence(store)
         for token in (3, 3, 7):
             fence.check("x", token)
-        again = Fence(store)
-        with pytest.raises(Stale) as caught:
+        again = TokenFence(store)
+        with pytest.raises(StaleTokenError) as caught:
             again.check("x", 6)
         assert (caught.value.task, caught.value.token, caught.value.highest) == ("x", 6, 7) and again.stale == 1
         again.check("y", 1)
-        assert Fence(store).highest("y") == 1 and Fence().highest("x") == 0
+        assert TokenFence(store).highest("y") == 1 and TokenFence().highest("x") == 0
 
     def test_what_could_not_be_kept_does_not_pass(self):
-        class Dead(Memory):
+        class Dead(MemoryStore):
             def apply(self, changes):
                 raise OSError("no room")
 
-        fence = Fence(Dead())
+        fence = TokenFence(Dead())
         with pytest.raises(OSError):
             fence.check("x", 5)
         assert fence.highest("x") == 0, "it was never durable"
-        full = Fence(most=1)
+        full = TokenFence(most=1)
         full.check("x", 1)
-        with pytest.raises(FenceFull):
+        with pytest.raises(FenceFullError):
             full.check("y", 1)
         for token in (0, -1, 1 << 63):
             with pytest.raises(ValueError):
@@ -195,10 +197,12 @@
     """Holders on one table each, a log without delay but what a test holds back, and one true time in ms."""
 
     def __init__(self, *names, terms=None, wants=("x",)):
-        self.now, self.index, self.terms = 0.0, 0, terms or Terms(1_000)
+        self.now, self.index, self.terms = 0.0, 0, terms or LeaseSettings(1_000)
         self.rates, self.offsets = dict.fromkeys(names, 1.0), dict.fromkeys(names, 0.0)
-        self.tables = {name: Table() for name in names}
-        self.holders = {name: Holder(name, 1, self.terms, self.tables[name], n, 0.0) for n, name in enumerate(names)}
+        self.tables = {name: LeaseTable() for name in names}
+        self.holders = {
+            name: LeaseHolder(name, 1, self.terms, self.tables[name], n, 0.0) for n, name in enumerate(names)
+        }
         self.log, self.deaf, self.down = [], set(), set()
         self.applied = dict.fromkeys(names, 0)
         for holder in self.holders.values():
@@ -278,7 +282,7 @@
         w = World("a", "b", "c")
         w.rates, w.offsets = dict(zip("abc", rates, strict=True)), dict(zip("abc", offsets, strict=True))
         for name in w.holders:
-            w.holders[name] = Holder(name, 1, w.terms, w.tables[name], seed, w.clock(name))
+            w.holders[name] = LeaseHolder(name, 1, w.terms, w.tables[name], seed, w.clock(name))
             w.holders[name].want("x", 1.0)
         w.run(500)
         first = w.owner()
@@ -335,7 +339,7 @@
         w.now += 1_200.0
         w.append(command)
         assert not holder.holds("x", 1, w.clock("a"))
-        assert table.read(holder.ask(w.clock("a"), True)).renews == [("x", 1)]
+        assert lease_table.read(holder.ask(w.clock("a"), True)).renews == [("x", 1)]
 
     def test_of_two_that_race_for_a_free_lease_one_gets_it_and_the_other_knows(self):
         w = World("a", "b")
@@ -393,15 +397,15 @@
         assert not w.tables["a"].rows
 
     def test_a_grant_that_came_with_a_snapshot_is_given_back_as_nobody_knows_since_when(self):
-        w, elsewhere = World("a"), Table()
-        assert table.said(elsewhere.apply(7, w.asks())).takes == [True]
+        w, elsewhere = World("a"), LeaseTable()
+        assert lease_table.said(elsewhere.apply(7, w.asks())).takes == [True]
         holder = w.holders["a"]
         holder.outcome(w.clock("a"), holder.number, False, None)
         w.tables["a"].restore(9, elsewhere.state())
         holder.told(w.clock("a"), b"", b"")
         assert not w.owners("x")
         w.now += 60.0
-        assert table.read(holder.ask(w.clock("a"), True)).drops == [("x", 7)]
+        assert lease_table.read(holder.ask(w.clock("a"), True)).drops == [("x", 7)]
 
     def test_a_renewal_that_comes_late_brings_nothing_back_that_was_given_up(self):
         w = World("a", "b")
@@ -410,7 +414,7 @@
         holder = w.holders[first]
         while (command := holder.ask(w.clock(first), True)) is None:
             w.now += 20.0
-        assert table.read(command).renews
+        assert lease_table.read(command).renews
         holder.outcome(w.clock(first), holder.number, False, None)
         holder.unwant("x")
         w.append(command)
@@ -420,7 +424,7 @@
 
     def test_a_thousand_tasks_are_spread_and_renewed_in_few_entries(self):
         tasks = [f"t{n}" for n in range(1_000)]
-        w = World(*"abcde", wants=tasks, terms=Terms(3_000))
+        w = World(*"abcde", wants=tasks, terms=LeaseSettings(3_000))
         w.run(3_000, 50.0)
         held = [len(h.held(w.clock(n))) for n, h in w.holders.items()]
         assert sum(held) == 1_000 and min(held) > 100, held
@@ -438,7 +442,7 @@
     @settings(max_examples=20, deadline=None)
     def test_whoever_came_first_it_evens_out_and_comes_to_rest(self, weights, most, seed):
         names = "abcde"[: len(weights)]
-        w = World(*names, wants=("x",), terms=Terms(1_000))
+        w = World(*names, wants=("x",), terms=LeaseSettings(1_000))
         w.down = set(names[1:])  # one has come first
         for n, name in enumerate(names):
             w.holders[name].rng.seed(seed + n)
@@ -464,7 +468,7 @@
         w.run(1_000)
         w.down.clear()
         w.run(1_500)
-        w.append(encode(Ask("z", 1, 1, 1_000, [("t0", 0, 0)])))
+        w.append(encode(RenewLeases("z", 1, 1, 1_000, [("t0", 0, 0)])))
         assert not w.holders["a"].counts["given"] and not w.holders["b"].counts["bids"], "kept, and not asked for"
         given = w.holders["a"].counts
         while not given["given"]:
@@ -478,9 +482,9 @@
     def test_what_is_given_to_one_that_never_takes_it_comes_back_after_a_rest(self):
         w = World("a", wants=("x", "y"))
         w.run(4_000)
-        w.append(encode(Ask("z", 1, 1, 1_000, [("x", 0, 0)])))
+        w.append(encode(RenewLeases("z", 1, 1, 1_000, [("x", 0, 0)])))
         assert not w.owners("x") and w.owner("y") == "a" and w.holders["a"].turned[-1].why == "released to even out"
-        w.append(encode(Ask("z", 1, 2, 1_000, [("y", 0, 0)])))
+        w.append(encode(RenewLeases("z", 1, 2, 1_000, [("y", 0, 0)])))
         assert w.owner("y") == "a", "one more than the other is within the margin"
         w.run(300)
         assert not w.tables["a"].rows.get("x"), "it is free, and left for the other"
@@ -500,7 +504,11 @@
         assert held == {"a": 31, "b": 9}, "31 / 3 is less than 9 and the margin of 2"
         mark = len(w.log)
         w.run(40_000)
-        assert 2 <= sum(table.read(one).holder == "b" and bool(table.read(one).takes) for one in w.log[mark:]) <= 6
+        assert (
+            2
+            <= sum(lease_table.read(one).holder == "b" and bool(lease_table.read(one).takes) for one in w.log[mark:])
+            <= 6
+        )
 
     def test_a_greater_weight_gets_more_and_the_same_draw_everywhere(self):
         tasks = [f"t{n}" for n in range(2_000)]
@@ -566,11 +574,11 @@
             sent.append(token)
 
         told, _ = events()
-        hand = Hand(Lease("x", 3, lambda: holds[0]), SimpleNamespace(did=lambda *a: None))
+        hand = JobContext(Lease("x", 3, lambda: holds[0]), SimpleNamespace(did=lambda *a: None))
         await hand.send("mark", "sink", call)
         holds[0] = False
         for work in (hand.send("mark", "sink", call), hand.step(asyncio.sleep(0))):
-            with self.assertRaises(Lost):
+            with self.assertRaises(LeaseLostError):
                 await work
         self.assertEqual(sent, [3])
 
@@ -592,7 +600,7 @@
                     await ending.wait()
                     active -= 1
 
-        runner = Runner(owners, told, [Slow()])
+        runner = JobRunner(owners, told, [Slow()])
         (changed,) = owners.on_change
         for token in (1, 2, 3):
             changed("x", Lease("x", token, lambda: True))
@@ -615,7 +623,7 @@
         return (
             logs,
             [
-                Owners(log, name, Terms(lease_ms), told, seed=n, **more)
+                LeaseManager(log, name, LeaseSettings(lease_ms), told, seed=n, **more)
                 for n, (name, log) in enumerate(zip(names, logs, strict=True))
             ],
             lines,
@@ -624,19 +632,19 @@
 
     async def test_work_goes_on_at_another_and_the_late_ones_are_refused(self):
         logs, owners, lines, told = self.make("a", "b", "c")
-        fence, jobs = Fence(), []
+        fence, jobs = TokenFence(), []
         for each in owners:
             jobs.append(Job("x", fence))
-            Runner(each, told, [jobs[-1]])
+            JobRunner(each, told, [jobs[-1]])
             each.start()
         (first,) = await until(lambda: [n for n, job in enumerate(jobs) if len(job.sent) > 3])
         lease = owners[first].lease("x")
         logs[first].hold()  # it hears nothing more, but what it asks reaches the others: its lease runs out
         (second,) = await until(lambda: [n for n, job in enumerate(jobs) if n != first and job.sent])
         assert not lease.holds() and owners[first].lease("x") is None
-        with pytest.raises(Lost):
+        with pytest.raises(LeaseLostError):
             lease.check()
-        with pytest.raises(Stale):
+        with pytest.raises(StaleTokenError):
             fence.check("x", lease.token)
         sent = [token for job in (jobs[first], jobs[second]) for token in job.sent]
         assert sent == sorted(sent) and all(job.most <= 1 for job in jobs)
@@ -688,7 +696,7 @@
 
     async def test_cold_engines_are_warmed_up_in_steps_within_rights_and_only_while_it_holds(self):
         logs, (a,), lines, told = self.make("a")
-        asked, rights, cold = [], [3], [Cold(1, "e1", 5.0), Cold(2, "e2", 6.0)]
+        asked, rights, cold = [], [3], [ColdEngine(1, "e1", 5.0), ColdEngine(2, "e2", 6.0)]
 
         def pay(engine):
             rights[0] -= 1
@@ -698,29 +706,29 @@
             asked.append((number, statement))
             return len(asked) != 2  # the second fails, and is tried again
 
-        job = Warm("warm", 20.0, ["s1", "s2"], lambda: cold, pay, query)
-        Runner(a, told, [job])
+        job = WarmupJob("warm", 20.0, ["s1", "s2"], lambda: cold, pay, query)
+        JobRunner(a, told, [job])
         a.start()
         await until(lambda: rights[0] < 0)
         self.assertEqual(asked, [(1, "s1"), (2, "s1"), (1, "s2")])
         rights[0] = 100
         await until(lambda: len(asked) == 5)
         self.assertEqual(asked[3:], [(2, "s1"), (2, "s2")])
-        cold[0] = Cold(1, "e1", 9.0)  # a new start
+        cold[0] = ColdEngine(1, "e1", 9.0)  # a new start
         await until(lambda: len(asked) == 7)
         self.assertEqual(asked[5:], [(1, "s1"), (1, "s2")])
         logs[0].lead(False)
         await until(lambda: a.lease("warm") is None)
-        cold[0] = Cold(1, "e1", 11.0)
+        cold[0] = ColdEngine(1, "e1", 11.0)
         await asyncio.sleep(0.1)
         self.assertEqual(len(asked), 7)
         await a.close()
 
     async def test_a_stale_answer_ends_the_work_and_is_told(self):
         logs, (a,), lines, told = self.make("a")
-        fence = Fence()
+        fence = TokenFence()
         fence.check("x", 1 << 40)
-        Runner(a, told, [Job("x", fence)])
+        JobRunner(a, told, [Job("x", fence)])
         a.start()
         await until(lambda: a.stale)
         (line,) = [line for line in lines() if line["event"] == "owner_refused"]
--- a/tests/test_ownership_model.py
+++ b/tests/test_ownership_model.py
@@ -12,9 +12,9 @@
 import pytest
 
 from frostspindle.lab.explore import explore
-from frostspindle.ownership import table
-from frostspindle.ownership.fence import Fence, Stale
-from frostspindle.ownership.table import Ask, Row, Table
+from frostspindle.ownership import lease_table
+from frostspindle.ownership.fence import StaleTokenError, TokenFence
+from frostspindle.ownership.lease_table import LeaseRow, LeaseTable, RenewLeases
 
 LEASE = 2  # ticks
 SHORT, LONG = (1, 1), (2, 1)  # commands that each of them sends
@@ -64,12 +64,12 @@
 
 def commit(s: State, n: int, asked: Asked) -> tuple[tuple[int, int, str], bool]:
     """The program's table, given the command."""
-    t = Table()
+    t = LeaseTable()
     if s.row[2]:
-        t.rows["x"] = Row(s.row[2], 1, s.row[0], s.row[1], 1_000)
+        t.rows["x"] = LeaseRow(s.row[2], 1, s.row[0], s.row[1], 1_000)
     t._seen = {("a", 1): s.last[0], ("b", 1): s.last[1]}
     what, token, renewals, number, _ = asked
-    ask = Ask(
+    ask = RenewLeases(
         "ab"[n],
         1,
         number,
@@ -78,7 +78,7 @@
         [("x", token)] if what == "renew" else [],
         [("x", token)] if what == "drop" else [],
     )
-    said = table.said(t.apply(s.index + 1, table.encode(ask)))
+    said = lease_table.said(t.apply(s.index + 1, lease_table.encode(ask)))
     row = t.rows.get("x")
     return (row.token, row.renewals, row.holder) if row else (0, 0, ""), not said.reason and any(
         said.takes + said.renews + said.drops
@@ -86,12 +86,12 @@
 
 
 def accepts(highest: int, token: int) -> bool:
-    fence = Fence()
+    fence = TokenFence()
     if highest:
         fence.check("x", highest)
     try:
         fence.check("x", token)
-    except Stale:
+    except StaleTokenError:
         return False
     return True
 
--- a/tests/test_ownership_program.py
+++ b/tests/test_ownership_program.py
@@ -15,8 +15,8 @@
 from frostspindle.config import ConfigError
 from frostspindle.ledger.export import Sink, StaleExportError
 from frostspindle.net.engines import HttpEngines
-from frostspindle.ownership.fence import Fence, Stale
-from frostspindle.store.marker import Marker
+from frostspindle.ownership.fence import StaleTokenError, TokenFence
+from frostspindle.store.marker_engine import MarkerEngine
 from frostspindle.store.opening import open_store
 from frostspindle.telemetry import Telemetry
 
@@ -70,16 +70,16 @@
 
 
 def test_a_fence_and_a_sink_of_exports_know_their_tokens_after_a_kill(folder):
-    store = open_store(folder, "sink", Marker)
-    fence, sink = Fence(store), Sink(store)
+    store = open_store(folder, "sink", MarkerEngine)
+    fence, sink = TokenFence(store), Sink(store)
     fence.check("x", 5)
     assert sink.begin("2026-11", 5) is True and sink.take("2026-11", 5, b"rows") is True
     store._engine.close()  # as a kill: nothing is told to the witness, nothing is closed in order
     os.close(store._lock)
 
-    store = open_store(folder, "sink", Marker)
-    fence, sink = Fence(store), Sink(store)
-    with pytest.raises(Stale):
+    store = open_store(folder, "sink", MarkerEngine)
+    fence, sink = TokenFence(store), Sink(store)
+    with pytest.raises(StaleTokenError):
         fence.check("x", 4)
     with pytest.raises(StaleExportError) as caught:
         sink.take("2026-11", 4, b"rows")
--- a/tests/test_predicates.py
+++ b/tests/test_predicates.py
@@ -20,7 +20,7 @@
     bounded,
     compare,
     covers,
-    judge,
+    implication,
     match,
     may_match,
     negate,
@@ -72,8 +72,8 @@
     one, other = summed(first, bits_first), summed(second, bits_second)
     answers = [may_match(predicate, one)]
     for row in first:
-        truth = {True: judge.TRUE, False: judge.FALSE, None: judge.NEITHER}[predicate.truth(row)]
-        assert judge.truths(predicate, one.view) & truth, "a truth that a row gives is left out"
+        truth = {True: implication.TRUE, False: implication.FALSE, None: implication.NEITHER}[predicate.truth(row)]
+        assert implication.truths(predicate, one.view) & truth, "a truth that a row gives is left out"
     assert answers[0] or not any(match(predicate, row) for row in first)
     for row in second:
         one.widen(row)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,26 +10,34 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from frostspindle.recovery import agree, state, tickets, wire
-from frostspindle.recovery.agree import Bans, Word
-from frostspindle.recovery.intake import Class, Curve, Engine, Intake
-from frostspindle.recovery.node import MARK, Beat, Chill, Node, Opened, Settled, Terms
-from frostspindle.recovery.stages import STEPS, Bounds, Facts, Stage, Stages
-from frostspindle.recovery.state import Rests, Rule, Trust, Who
-from frostspindle.recovery.wire import Ban, Known, Listed
-from frostspindle.store.disk import Disk
+from frostspindle.recovery import agreement, state_kinds, tickets, wire
+from frostspindle.recovery.admission import ReadyEngine, RecoveryAdmission, RequestClass, SlowStartCurve
+from frostspindle.recovery.agreement import BanTable, MemberReport
+from frostspindle.recovery.node import (
+    MARK,
+    ClaimResolved,
+    HeartbeatRecord,
+    MarkRestarted,
+    OpenedStore,
+    RecoveryNode,
+    RecoverySettings,
+)
+from frostspindle.recovery.stages import STEPS, RecoveryStages, Stage, StageInputs, StageTimeouts
+from frostspindle.recovery.state_kinds import ConflictRule, CooldownSettings, RespondersNeeded, TrustLevel
+from frostspindle.recovery.wire import BanStatement, ListedEngine, StoreState
 from frostspindle.store.opening import open_store
+from frostspindle.store.sqlite_engine import SqliteEngine
 
 ROOT = Path(__file__).parent.parent
 UNIX = 1.7e12
 
 
-def listed(name: str, health: int = 1, born: float = 0.0) -> Listed:
-    return Listed(name, "127.0.0.1:1", "z", "k", 0, health, 1.0, born)
+def listed(name: str, health: int = 1, born: float = 0.0) -> ListedEngine:
+    return ListedEngine(name, "127.0.0.1:1", "z", "k", 0, health, 1.0, born)
 
 
-def word(maker: str, number: int, *engines: Listed, **kw) -> Word:
-    return Word(maker, number, {e.name: e for e in engines}, **kw)
+def word(maker: str, number: int, *engines: ListedEngine, **kw) -> MemberReport:
+    return MemberReport(maker, number, {e.name: e for e in engines}, **kw)
 
 
 class TableCase(unittest.TestCase):
@@ -40,7 +48,7 @@
             if line.startswith("| ") and line.count("|") == 8
         ]
         told = {row[1].strip(): [cell.strip() for cell in row[2:8]] for row in rows}
-        for name, kind in state.TABLE.items():
+        for name, kind in state_kinds.TABLE.items():
             self.assertEqual(
                 told.get(name),
                 [kind.trust, kind.who, kind.agreed, kind.alone, "yes" if kind.kept else "no", kind.rest or "no"],
@@ -48,22 +56,23 @@
             )
 
     def test_what_the_table_does_not_keep_can_t_be_written(self):
-        for name, kind in state.TABLE.items():
+        for name, kind in state_kinds.TABLE.items():
             if kind.kept:
-                self.assertEqual(state.prefix(name), name.encode() + b"/")
+                self.assertEqual(state_kinds.prefix(name), name.encode() + b"/")
             else:
-                self.assertRaises(KeyError, state.prefix, name)
+                self.assertRaises(KeyError, state_kinds.prefix, name)
             # Never both trusted for nothing and kept; what rests has a time to rest by.
-            self.assertFalse(kind.kept and kind.trust is Trust.NEVER)
+            self.assertFalse(kind.kept and kind.trust is TrustLevel.NEVER)
             self.assertEqual(
-                state.rest_ms(name, Rests(3.0, 5.0)), {"rights_ms": 3.0, "tickets_ms": 5.0, "": 0.0}[kind.rest]
+                state_kinds.rest_ms(name, CooldownSettings(3.0, 5.0)),
+                {"rights_ms": 3.0, "tickets_ms": 5.0, "": 0.0}[kind.rest],
             )
-            self.assertTrue(kind.trust is not Trust.RESTED or kind.rest)
-        self.assertIs(state.TABLE["tickets"].who, Who.HOMES)
+            self.assertTrue(kind.trust is not TrustLevel.RESTED or kind.rest)
+        self.assertIs(state_kinds.TABLE["tickets"].who, RespondersNeeded.HOMES)
 
 
 FACTS = st.builds(
-    Facts,
+    StageInputs,
     store=st.sampled_from(["", "good", "unreadable"]),
     usable=st.booleans(),
     epoch=st.sampled_from([0, 5]),
@@ -83,8 +92,8 @@
     @settings(max_examples=60, deadline=None)
     @given(st.lists(st.tuples(st.floats(0.0, 9_000.0), FACTS), max_size=30))
     def test_whatever_is_known_stages_go_on_in_order_each_within_its_bound(self, looks):
-        bounds, now = Bounds(), 1_000.0
-        stages = Stages(bounds, now)
+        bounds, now = StageTimeouts(), 1_000.0
+        stages = RecoveryStages(bounds, now)
         for wait, facts in looks:
             now += wait
             before = stages.stage
@@ -96,13 +105,13 @@
                 self.assertEqual(move.why, step.weak if move.weak else step.done)
                 before = move.stage
             self.assertLess(now, stages.due())
-        facts = Facts()  # nothing is known, nobody is there, the disk is dead: it opens all the same
+        facts = StageInputs()  # nothing is known, nobody is there, the disk is dead: it opens all the same
         stages.look(1_000.0 + bounds.total_ms, facts)
         self.assertTrue(stages.over)
 
     def test_a_store_that_can_t_be_used_is_not_waited_for(self):
-        stages = Stages(Bounds(), 0.0)
-        [move] = stages.look(1.0, Facts(store="unreadable"))
+        stages = RecoveryStages(StageTimeouts(), 0.0)
+        [move] = stages.look(1.0, StageInputs(store="unreadable"))
         self.assertTrue(move.weak)
         self.assertIs(stages.stage, Stage.ADDRESS)
 
@@ -111,10 +120,15 @@
     SEEDS = ("a", "b", "c")
 
     def test_with_enough_seeds_the_highest_number_and_its_maker_s_newest_word_hold(self):
-        bans = Bans(
-            [Ban("a", "x", True, 1.0), Ban("a", "x", False, 2.0), Ban("a", "y", True, 3.0), Ban("b", "z", True, 9.0)]
+        bans = BanTable(
+            [
+                BanStatement("a", "x", True, 1.0),
+                BanStatement("a", "x", False, 2.0),
+                BanStatement("a", "y", True, 3.0),
+                BanStatement("b", "z", True, 9.0),
+            ]
         )
-        found = agree.agree(
+        found = agreement.agree(
             "a", [word("a", 1, listed("x")), word("b", 2, listed("x", 2), listed("y"))], bans, self.SEEDS
         )
         self.assertTrue(found.enough)
@@ -122,23 +136,27 @@
         self.assertEqual((found.banned, found.withheld), ({"y"}, set()))
 
     def test_alone_all_bans_hold_and_engines_that_not_all_have_ready_are_withheld(self):
-        bans = Bans([Ban("b", "x", True, 1.0)])
+        bans = BanTable([BanStatement("b", "x", True, 1.0)])
         own = word("a", 3, listed("x"), listed("y"), listed("z"))
         for others in ([], [word("b", 2, listed("x"), listed("y", 2), blank=True)]):  # a lost store does not count
-            found = agree.agree("a", [own, *others], bans, self.SEEDS)
+            found = agreement.agree("a", [own, *others], bans, self.SEEDS)
             self.assertFalse(found.enough)
             self.assertEqual((found.withheld, found.banned, found.list), ({"x"}, set(), ()))
-        found = agree.agree("d", [own, word("e", 2, listed("y", 2), listed("z"))], Bans(), self.SEEDS)
+        found = agreement.agree("d", [own, word("e", 2, listed("y", 2), listed("z"))], BanTable(), self.SEEDS)
         self.assertEqual(found.withheld, {"x", "y"})
         # Lists that share nothing would leave nothing to serve with.
-        found = agree.agree("d", [word("d", 1, listed("p")), word("e", 2, listed("q"))], Bans(), self.SEEDS)
+        found = agreement.agree("d", [word("d", 1, listed("p")), word("e", 2, listed("q"))], BanTable(), self.SEEDS)
         self.assertEqual(found.withheld, set())
 
     @settings(max_examples=40, deadline=None)
     @given(
         st.lists(
             st.builds(
-                Ban, st.sampled_from("ab"), st.sampled_from("xy"), st.booleans(), st.sampled_from([1.0, 2.0, 3.0])
+                BanStatement,
+                st.sampled_from("ab"),
+                st.sampled_from("xy"),
+                st.booleans(),
+                st.sampled_from([1.0, 2.0, 3.0]),
             ),
             max_size=8,
         ),
@@ -147,42 +165,42 @@
     def test_bans_come_to_the_same_in_any_order_and_twice(self, words, draw):
         mixed = words * 2
         draw.shuffle(mixed)
-        self.assertEqual(Bans(words).words, Bans(mixed).words)
-        self.assertLessEqual(Bans(words).of("a"), Bans(words).anybody())
+        self.assertEqual(BanTable(words).words, BanTable(mixed).words)
+        self.assertLessEqual(BanTable(words).of("a"), BanTable(words).anybody())
 
     def test_engines_are_cold_unless_somebody_saw_them_run_on_or_the_list_tells_of_a_new_start(self):
-        ran = [word(m, 5, listed("x", born=7.0), firm=True, up_ms=agree.RAN_MS) for m in "bc"]
-        found = agree.agree("a", [word("a", 5, listed("x")), *ran], Bans(), self.SEEDS)
+        ran = [word(m, 5, listed("x", born=7.0), firm=True, up_ms=agreement.RAN_MS) for m in "bc"]
+        found = agreement.agree("a", [word("a", 5, listed("x")), *ran], BanTable(), self.SEEDS)
         self.assertEqual(found.starts, {"x": 7.0})
-        late = agree.agree(
+        late = agreement.agree(
             "a",
             [word("a", 5, listed("x")), ran[0], word("c", 5, listed("x"), firm=True, up_ms=9.0)],
-            Bans(),
+            BanTable(),
             self.SEEDS,
         )
         self.assertEqual(late.starts, {})
         one = msgspec.structs.replace(listed("x", born=7.0), ran=False)  # saw it refuse connections
-        seen = agree.agree(
+        seen = agreement.agree(
             "a",
             [
                 word("a", 5, listed("x")),
                 ran[0],
-                word("c", 5, one, listed("y", born=3.0), firm=True, up_ms=agree.RAN_MS),
+                word("c", 5, one, listed("y", born=3.0), firm=True, up_ms=agreement.RAN_MS),
             ],
-            Bans(),
+            BanTable(),
             self.SEEDS,
         )
         self.assertEqual(seen.starts, {"y": 3.0})
         born = {"x": 1.0, "y": 50.0}
-        self.assertEqual(agree.cold(born, {}, 10.0, False), {"x"})
-        self.assertEqual(agree.cold(born, {"x": 7.0}, 10.0, False), set())
-        self.assertEqual(agree.cold(born, {}, None, False), {"x", "y"})
-        self.assertEqual(agree.cold(born, {}, 10.0, True), set())
+        self.assertEqual(agreement.cold(born, {}, 10.0, False), {"x"})
+        self.assertEqual(agreement.cold(born, {"x": 7.0}, 10.0, False), set())
+        self.assertEqual(agreement.cold(born, {}, None, False), {"x", "y"})
+        self.assertEqual(agreement.cold(born, {}, 10.0, True), set())
 
 
 class JournalCase(unittest.TestCase):
     def test_a_ticket_is_granted_once_and_only_when_its_record_is_durable(self):
-        journal = tickets.Journal((), 1_000.0, UNIX, False)
+        journal = tickets.TicketJournal((), 1_000.0, UNIX, False)
         of = tickets.ticket("1")
         self.assertIsNone(journal.ask(UNIX, "a", of, 7))
         self.assertEqual(journal.ask(UNIX, "b", of, 8), wire.TAKEN)
@@ -190,7 +208,7 @@
         batch = journal.batch()
         self.assertEqual(list(batch), [b"tickets/" + of])
         self.assertIsNone(journal.batch())
-        self.assertEqual(journal.written(True), [(tickets.Waiter("a", of, 7), wire.GRANTED)])
+        self.assertEqual(journal.written(True), [(tickets.PendingClaimant("a", of, 7), wire.GRANTED)])
         self.assertEqual(journal.ask(UNIX, "a", of, 7), wire.GRANTED)
         journal.free("b", of, 8)  # not its own
         self.assertEqual(journal.ask(UNIX, "b", of, 8), wire.TAKEN)
@@ -201,27 +219,27 @@
 
     def test_a_home_without_its_records_grants_nothing(self):
         of = tickets.ticket("1")
-        resting = tickets.Journal((), 1_000.0, UNIX, True)
+        resting = tickets.TicketJournal((), 1_000.0, UNIX, True)
         self.assertEqual(resting.ask(UNIX + 999.0, "a", of, 1), wire.RESTS)
         self.assertIsNone(resting.ask(UNIX + 1_000.0, "a", of, 1))
-        spoilt = tickets.Journal([(b"tickets/" + of, b"\xc1")], 1_000.0, UNIX, False)
+        spoilt = tickets.TicketJournal([(b"tickets/" + of, b"\xc1")], 1_000.0, UNIX, False)
         self.assertEqual((spoilt.ask(UNIX, "a", of, 1), spoilt.spoilt), (wire.RESTS, 1))
-        full = tickets.Journal((), 1_000.0, UNIX, False, most=1)
+        full = tickets.TicketJournal((), 1_000.0, UNIX, False, most=1)
         full.ask(UNIX, "a", of, 1)
         self.assertEqual(full.ask(UNIX, "a", tickets.ticket("2"), 2), wire.FULL)
         full.batch()
-        self.assertEqual(full.written(False, True), [(tickets.Waiter("a", of, 1), wire.FULL)])
+        self.assertEqual(full.written(False, True), [(tickets.PendingClaimant("a", of, 1), wire.FULL)])
         self.assertIsNone(full.ask(UNIX, "b", of, 9))  # nothing of it was written
         full.batch()
-        self.assertEqual(full.written(False), [(tickets.Waiter("b", of, 9), wire.UNABLE)])
+        self.assertEqual(full.written(False), [(tickets.PendingClaimant("b", of, 9), wire.UNABLE)])
         self.assertEqual(full.ask(UNIX, "c", tickets.ticket("3"), 2), wire.UNABLE)
         self.assertEqual(full.ask(UNIX, "c", of, 3), wire.TAKEN)  # it may be there
         self.assertIsNone(full.batch())
 
     def test_records_end_once_clients_repeat_no_more_also_after_a_clock_was_set_back(self):
         of = tickets.ticket("1")
-        held = msgspec.msgpack.encode(tickets.Held("a", 1, UNIX + 5e9))
-        journal = tickets.Journal([(b"tickets/" + of, held)], 1_000.0, UNIX, False)
+        held = msgspec.msgpack.encode(tickets.TicketRecord("a", 1, UNIX + 5e9))
+        journal = tickets.TicketJournal([(b"tickets/" + of, held)], 1_000.0, UNIX, False)
         journal.prune(UNIX + 1_000.0)
         self.assertEqual(journal.ask(UNIX, "b", of, 2), wire.TAKEN)
         journal.prune(UNIX + 1_001.0)
@@ -232,8 +250,8 @@
         with tempfile.TemporaryDirectory() as at:
             for cut in range(3):  # killed before the batch is in the store, after it, and after that was told
                 folder = Path(at, str(cut))
-                store = open_store(folder, "a", Disk)
-                journal = tickets.Journal((), 1e6, UNIX, False)
+                store = open_store(folder, "a", SqliteEngine)
+                journal = tickets.TicketJournal((), 1e6, UNIX, False)
                 of = tickets.ticket("1")
                 journal.ask(UNIX, "a", of, 1)
                 batch = journal.batch()
@@ -244,8 +262,8 @@
                     told = journal.written(True)
                     self.assertEqual(told[0][1], wire.GRANTED)
                 store.close()
-                again = open_store(folder, "a", Disk)
-                back = tickets.Journal(again.scan(b"tickets/"), 1e6, UNIX, False)
+                again = open_store(folder, "a", SqliteEngine)
+                back = tickets.TicketJournal(again.scan(b"tickets/"), 1e6, UNIX, False)
                 self.assertEqual(back.ask(UNIX, "b", of, 2), wire.TAKEN if cut else None)
                 again.close()
 
@@ -254,7 +272,7 @@
     HOMES = ["a", "b", "c"]
 
     def begin(self):
-        claims = tickets.Claims(1_000.0)
+        claims = tickets.TicketClaims(1_000.0)
         sends = claims.begin(0.0, b"t" * 16, 1, self.HOMES)
         self.assertEqual([(s.home, s.free) for s in sends], [(h, False) for h in self.HOMES])
         return claims
@@ -294,15 +312,15 @@
 
 
 CLASSES = (
-    Class(1.0, True, 0.4, 1_500.0, 200.0),
-    Class(4.0, True, 0.0, 4_000.0, 1_200.0),
-    Class(3.0, False, 0.4, 5_000.0, 600.0),
+    RequestClass(1.0, True, 0.4, 1_500.0, 200.0),
+    RequestClass(4.0, True, 0.0, 4_000.0, 1_200.0),
+    RequestClass(3.0, False, 0.4, 5_000.0, 600.0),
 )
 
 
-def gate(cores: float = 8.0, most: int = 100, retry: float = 1_000.0, born: float = UNIX) -> Intake:
-    intake = Intake(CLASSES, Curve(0.3, 15_000.0), 1.0, most, 1, retry)
-    intake.engines = (Engine(cores, born),)
+def gate(cores: float = 8.0, most: int = 100, retry: float = 1_000.0, born: float = UNIX) -> RecoveryAdmission:
+    intake = RecoveryAdmission(CLASSES, SlowStartCurve(0.3, 15_000.0), 1.0, most, 1, retry)
+    intake.engines = (ReadyEngine(cores, born),)
     intake.expected = UNIX
     return intake
 
@@ -361,7 +379,7 @@
             self.assertAlmostEqual(intake._until(UNIX + at, 1_000.0), UNIX + at + 1_000.0, delta=1.0)
         intake.share = 0.5
         self.assertAlmostEqual(intake._until(UNIX + 90_010.0, 1_000.0), UNIX + 92_010.0, delta=1.0)
-        intake.engines = (Engine(2.0, 0.0),)
+        intake.engines = (ReadyEngine(2.0, 0.0),)
         self.assertAlmostEqual(intake._until(UNIX + 90_020.0, 1_000.0), UNIX + 91_020.0, delta=1.0)
         intake.engines = ()
         self.assertEqual(intake._until(UNIX + 90_030.0, 1_000.0), math.inf)
@@ -425,8 +443,8 @@
             disk.update(entries={}, generation=0)
         if generation is not None:
             disk["generation"] = generation
-        node = self.nodes[name] = Node(
-            Terms(name, tuple(self.names), rests=Rests(0.0, self.ticket_ms), first_start=first),
+        node = self.nodes[name] = RecoveryNode(
+            RecoverySettings(name, tuple(self.names), rests=CooldownSettings(0.0, self.ticket_ms), first_start=first),
             self.now,
             UNIX + self.now,
             self.draw.getrandbits(30),
@@ -438,12 +456,12 @@
         node.opened(
             self.now,
             UNIX + self.now,
-            Opened(
+            OpenedStore(
                 "fresh" if fresh else "good",
                 usable,
                 trusted and not fresh,
                 fresh,
-                Known(name.encode().ljust(16), disk["life"], disk["generation"]),
+                StoreState(name.encode().ljust(16), disk["life"], disk["generation"]),
                 tuple(disk["entries"].items()),
             ),
         )
@@ -478,7 +496,7 @@
                         if self.draw.random() >= self.loss:
                             self.way.append((name, target, data))
                 self.draw.shuffle(self.way) if self.loss else None
-                for chill in [effect for effect in node.effects if isinstance(effect, Chill)]:
+                for chill in [effect for effect in node.effects if isinstance(effect, MarkRestarted)]:
                     node.holds(
                         self.now,
                         UNIX + self.now,
@@ -491,7 +509,7 @@
     def claim(self, name, number, text, ms=2_500.0):
         self.nodes[name].claim(self.now, UNIX + self.now, number, text)
         self.run(ms)
-        return [e.how for e in self.effects[name] if isinstance(e, Settled) and e.number == number]
+        return [e.how for e in self.effects[name] if isinstance(e, ClaimResolved) and e.number == number]
 
 
 class NodeCase(unittest.TestCase):
@@ -557,7 +575,7 @@
     def test_alone_with_a_dead_disk_it_serves_in_the_end(self):
         net = Net(["c0", "c1", "c2"])
         net.start("c0", usable=False, trusted=False)
-        net.run(Bounds().total_ms + 1_000.0)
+        net.run(StageTimeouts().total_ms + 1_000.0)
         node = net.nodes["c0"]
         self.assertTrue(node.stages.over)
         self.assertLessEqual({Stage.STORE, Stage.FIND, Stage.AGREE}, node.stages.weak)
@@ -579,7 +597,7 @@
                 net.start(name)
                 net.run(40.0 if name != "c1" else 5_000.0)  # the last one comes long after the others
             net.run(3_000.0)
-            starts = [e.starts for name in net.names for e in net.effects[name] if isinstance(e, Chill)]
+            starts = [e.starts for name in net.names for e in net.effects[name] if isinstance(e, MarkRestarted)]
             self.assertEqual(len(starts), 0 if clean else 3)
             self.assertLessEqual(len({start["e"] for start in starts}), 1)
 
@@ -638,7 +656,7 @@
                 net.run(1_000.0)
                 for node in net.nodes.values():
                     node.holds(net.now, UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
-                net.run(agree.RAN_MS)
+                net.run(agreement.RAN_MS)
                 net.kill("c0")
                 ran, before, looks = net.nodes["c1"], net.now, {"none": 0, "refuses": 1, "blip": 1}.get(seen, 3)
                 for _ in range(looks):
@@ -653,7 +671,7 @@
                 net.run(1_500.0)
                 starts = {}
                 for effect in net.effects["c0"]:
-                    if isinstance(effect, Chill):
+                    if isinstance(effect, MarkRestarted):
                         starts |= effect.starts
                 self.assertEqual(set(starts), cold)
                 # Not by the start before it was seen to refuse, and once it was seen back not by one before that.
@@ -687,11 +705,11 @@
         net = Net(["c0", "c1", "c2"])
         net.start("c0")
         node = net.nodes["c0"]
-        node.hear(net.now, UNIX, "c1", wire.encode(wire.Claim(tickets.ticket("x"), 1)))
+        node.hear(net.now, UNIX, "c1", wire.encode(wire.TicketClaim(tickets.ticket("x"), 1)))
         self.assertIs(node.stages.stage, Stage.FIND)
         self.assertEqual((node.out, node.journal.table), ([], {}))
         # Nor does it write what others tell of their stores: its own would seem later than it is.
-        node.hear(net.now, UNIX, "c1", wire.encode(wire.Ask(1, 0, Known(b"c1", 1, 9))))
+        node.hear(net.now, UNIX, "c1", wire.encode(wire.ReportRequest(1, 0, StoreState(b"c1", 1, 9))))
         node.tick(net.now + 1_200.0, UNIX)
         self.assertIs(node.stages.stage, Stage.AGREE)
         self.assertFalse([key for key in node.batch() or () if key.startswith(b"generations")])
@@ -707,22 +725,22 @@
         net.start("c0")
         node = net.nodes["c0"]
         node.hear(1.0, UNIX, "c9", b"\x00\x01")
-        page = wire.Page(1, 1, 0, 1, 9, 0.0, True, False, None, None, [listed("q")], [])
+        page = wire.ReportPage(1, 1, 0, 1, 9, 0.0, True, False, None, None, [listed("q")], [])
         node.hear(1.0, UNIX, "c9", wire.encode(page))
         self.assertEqual((node.counted["recovery_spoilt"], node.counted["recovery_undecodable"]), (3, 1))
         self.assertNotIn("c9", node._pulls)
 
     def test_all_messages_fit_their_parcel(self):
         long = "x" * 64
-        bans = Bans([Ban(long, long[:60] + str(n), True, 1e14) for n in range(200)])
-        node = Node(Terms("c0", ("c0",)), 0.0, UNIX, 1)
+        bans = BanTable([BanStatement(long, long[:60] + str(n), True, 1e14) for n in range(200)])
+        node = RecoveryNode(RecoverySettings("c0", ("c0",)), 0.0, UNIX, 1)
         node.bans = bans
         names = [f"{long[:60]}{n}" for n in range(50)]
-        node.holds(0.0, UNIX, 2**50, {n: Listed(n, long, long, long, -(2**31), 1, 1e6, 1e15) for n in names})
-        node.known["q"] = Known(b"z" * 16, 2**62, 2**62)
+        node.holds(0.0, UNIX, 2**50, {n: ListedEngine(n, long, long, long, -(2**31), 1, 1e6, 1e15) for n in names})
+        node.known["q"] = StoreState(b"z" * 16, 2**62, 2**62)
         _, pages = node._pages()
         for page in range(len(pages)):
-            node.hear(1.0, UNIX, "q", wire.encode(wire.Ask(2**53, page, None)))
+            node.hear(1.0, UNIX, "q", wire.encode(wire.ReportRequest(2**53, page, None)))
         self.assertEqual(len(node.out), len(pages))
         self.assertLessEqual(max(len(data) for _, data in node.out), 960)
 
@@ -734,6 +752,8 @@
         net.nodes["c0"].ban(UNIX, "e", True)
         net.run(6_000.0)
         kinds = {key.partition(b"/")[0].decode() for key in net.disks["c0"]["entries"]}
-        self.assertLessEqual(kinds, set(state.kept()))
-        self.assertEqual(msgspec.msgpack.decode(net.disks["c0"]["entries"][b"beat/"], type=Beat).clean, False)
-        self.assertIs(state.rule("bans", False), Rule.UNION)
+        self.assertLessEqual(kinds, set(state_kinds.kept()))
+        self.assertEqual(
+            msgspec.msgpack.decode(net.disks["c0"]["entries"][b"beat/"], type=HeartbeatRecord).clean, False
+        )
+        self.assertIs(state_kinds.rule("bans", False), ConflictRule.UNION)
--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -10,7 +10,7 @@
 
 from frostspindle.lab.explore import explore
 from frostspindle.recovery import tickets
-from frostspindle.recovery.tickets import GO, Claims, Journal
+from frostspindle.recovery.tickets import GO, TicketClaims, TicketJournal
 
 OF = tickets.ticket("the load")
 HOMES, NONCES = ("x", "y", "z"), {"a": 1, "b": 2}
@@ -22,10 +22,10 @@
 
     def __init__(self, rests=True, durable=True, split=False, losses=1):
         self.rests, self.durable, self.split, self.losses = rests, durable, split, losses
-        self.journals = {home: Journal((), 1e6, UNIX, False) for home in HOMES}
+        self.journals = {home: TicketJournal((), 1e6, UNIX, False) for home in HOMES}
         self.disks = {home: {} for home in HOMES}
         self.batches = dict.fromkeys(HOMES)
-        self.claims = {name: Claims(1_000.0) for name in NONCES}
+        self.claims = {name: TicketClaims(1_000.0) for name in NONCES}
         self.outcomes, self.sent, self.runs = {}, frozenset(), ()
         self.begin("a")
 
@@ -38,7 +38,7 @@
 
     def own(self, home):
         """A journal that may be changed."""
-        old, new = self.journals[home], object.__new__(Journal)
+        old, new = self.journals[home], object.__new__(TicketJournal)
         new.__dict__.update(old.__dict__)
         new.table, new._next, new._out = dict(old.table), dict(old._next), dict(old._out)
         new._waits = {of: list(waits) for of, waits in old._waits.items()}
@@ -46,9 +46,9 @@
         return new
 
     def asker(self, name):
-        old, new = self.claims[name], Claims(1_000.0)
+        old, new = self.claims[name], TicketClaims(1_000.0)
         new.open = {
-            nonce: tickets._Claim(c.ticket, nonce, c.homes, c.ends, c.again, dict(c.said))
+            nonce: tickets._PendingClaim(c.ticket, nonce, c.homes, c.ends, c.again, dict(c.said))
             for nonce, c in old.open.items()
         }
         new.held = dict(old.held)
@@ -92,7 +92,7 @@
         if gone:
             self.disks[home] = {}
         self.batches[home] = None
-        self.journals[home] = Journal(self.disks[home].items(), 1e6, UNIX, gone and self.rests)
+        self.journals[home] = TicketJournal(self.disks[home].items(), 1e6, UNIX, gone and self.rests)
 
     def late(self, name):
         sends, ended = self.asker(name).tick(1_000.0)
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -19,11 +19,11 @@
 from frostspindle.lab.engines import document
 from frostspindle.policy import AttemptOutcome
 from frostspindle.recovery import tickets
-from frostspindle.recovery.agree import Agreed
-from frostspindle.recovery.intake import Curve, Intake
-from frostspindle.recovery.node import Settled
-from frostspindle.recovery.service import Gate, Service
-from frostspindle.recovery.wire import Listed
+from frostspindle.recovery.admission import RecoveryAdmission, SlowStartCurve
+from frostspindle.recovery.agreement import AgreedState
+from frostspindle.recovery.node import ClaimResolved
+from frostspindle.recovery.service import RecoveryGate, RecoveryService
+from frostspindle.recovery.wire import ListedEngine
 
 ROOT = Path(__file__).parent.parent
 RECOVERY = '[recovery]\nfolder = "FOLDER/store"\nfirst_start = true\n'
@@ -122,14 +122,14 @@
             program=SimpleNamespace(bus=SimpleNamespace(last=1, restore=said.append)),
             node=SimpleNamespace(bans=SimpleNamespace(anybody=frozenset)),
         )
-        engine = Listed("e", "127.0.0.1:1", "z", "k", 0, 1, 1.0, 1.7e12 + 9.0, 1.7e12)
-        Service._agreed(service, Agreed(True, 2, (engine,), frozenset(), frozenset(), {}))
+        engine = ListedEngine("e", "127.0.0.1:1", "z", "k", 0, 1, 1.0, 1.7e12 + 9.0, 1.7e12)
+        RecoveryService._agreed(service, AgreedState(True, 2, (engine,), frozenset(), frozenset(), {}))
         self.assertEqual([host.born_ms for event in said for host in event.topology.hosts], [1.7e12])
 
     def test_what_engines_do_with_connections_is_told_to_the_node_by_the_core(self):
         told, drained = [], []
         node = SimpleNamespace(effects=[1], ended=lambda unix, engine, refused: told.append((engine, refused)))
-        gate = Gate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
+        gate = RecoveryGate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
         for verdict in AttemptOutcome:  # a connection that breaks may be of before a loss
             gate.ended("e", verdict)
         self.assertEqual(told, [("e", False), ("e", True)])
@@ -143,13 +143,13 @@
                 gate=SimpleNamespace(asks={}),
                 telemetry=SimpleNamespace(count=lambda what: None),
                 config=SimpleNamespace(claim_ms=1_000.0),
-                intake=Intake((), Curve(), 1.0, 9, 1, 3_000.0),
+                intake=RecoveryAdmission((), SlowStartCurve(), 1.0, 9, 1, 3_000.0),
                 node=SimpleNamespace(stages=SimpleNamespace(over=True)),
                 core=SimpleNamespace(reject_waiting=lambda n, answer, waits=waits: waits.append(answer.retry_after_ms)),
             )
             for number in range(40):
                 service.gate.asks[number] = None
-                Service._settle(service, Settled(number, how))
+                RecoveryService._settle(service, ClaimResolved(number, how))
             self.assertTrue(all(least - 1.0 <= wait <= most + 1.0 for wait in waits), waits)
             self.assertGreater(max(waits), 0.8 * most)
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -28,11 +28,11 @@
 from frostspindle.lab.replica_runs import Run, Sum
 from frostspindle.replica import links, wire
 from frostspindle.replica import member as members
-from frostspindle.replica.base import MAX_COMMAND, MAX_STATE, Applied, Unavailable, Uncertain
-from frostspindle.replica.disk import Disk, Found, Held, read
-from frostspindle.replica.journal import Diverged, Journal
-from frostspindle.replica.member import Member, Times
-from frostspindle.replica.service import Replica
+from frostspindle.replica.base import MAX_COMMAND, MAX_STATE, AppliedEntry, LogUnavailableError, OutcomeUnknownError
+from frostspindle.replica.disk import FolderLockedError, JournalCondition, JournalFile, read
+from frostspindle.replica.journal import LogDivergedError, RaftJournal
+from frostspindle.replica.member import LogMember, RaftTimeouts
+from frostspindle.replica.service import ReplicaService
 from frostspindle.telemetry import Telemetry
 
 indexes = st.integers(0, 2**53)
@@ -121,9 +121,9 @@
         self.folder = Path(scratch.name)
 
     def fill(self, many=6):
-        disk = Disk(self.folder)
-        self.assertEqual(disk.load(), (Found.FRESH, []))
-        journal, lengths, states = Journal(), [], []
+        disk = JournalFile(self.folder)
+        self.assertEqual(disk.load(), (JournalCondition.FRESH, []))
+        journal, lengths, states = RaftJournal(), [], []
         for number in range(many):
             if number:
                 journal.add(command(b"%d" % number), number + 1, number)
@@ -141,19 +141,20 @@
             found, records, end, number = read(data[:size])
             whole = sum(length <= size for length in lengths)
             if not whole:
-                self.assertEqual(found, Found.SPOILT)  # the first frame comes whole, by a rename
+                self.assertEqual(found, JournalCondition.SPOILT)  # the first frame comes whole, by a rename
                 continue
             self.assertEqual(
-                (found, end, number), (Found.WHOLE if size == end else Found.TORN, lengths[whole - 1], whole)
+                (found, end, number),
+                (JournalCondition.WHOLE if size == end else JournalCondition.TORN, lengths[whole - 1], whole),
             )
-            journal = Journal(records)
+            journal = RaftJournal(records)
             self.assertEqual((journal.entries, journal.term, journal.vote), states[whole - 1])
         (self.folder / "journal").write_bytes(data[:-3])
         for more in (1, 2):
-            disk = Disk(self.folder)
+            disk = JournalFile(self.folder)
             found, records = disk.load()
-            self.assertEqual(found, Found.TORN if more == 1 else Found.WHOLE)
-            journal = Journal(records)
+            self.assertEqual(found, JournalCondition.TORN if more == 1 else JournalCondition.WHOLE)
+            journal = RaftJournal(records)
             journal.add(command(b"more"), journal.last[1] + 1, 9)
             disk.write(journal.take())
             disk.close()
@@ -165,19 +166,19 @@
         for place in range(0, lengths[-2]):
             spoilt = bytearray(data)
             spoilt[place] ^= 1 << place % 8
-            self.assertEqual(read(bytes(spoilt))[0], Found.SPOILT, place)
+            self.assertEqual(read(bytes(spoilt))[0], JournalCondition.SPOILT, place)
         (self.folder / "journal").write_bytes(bytes(spoilt))
-        disk = Disk(self.folder)
-        self.assertEqual(disk.load(), (Found.SPOILT, []))
+        disk = JournalFile(self.folder)
+        self.assertEqual(disk.load(), (JournalCondition.SPOILT, []))
         self.assertTrue((self.folder / "journal.spoilt").exists())
-        with self.assertRaises(Held):
-            Disk(self.folder)
+        with self.assertRaises(FolderLockedError):
+            JournalFile(self.folder)
         disk.close()
 
     def test_after_a_failed_sync_nothing_more_is_written(self):
         self.fill()
-        disk = Disk(self.folder)
-        journal = Journal(disk.load()[1])
+        disk = JournalFile(self.folder)
+        journal = RaftJournal(disk.load()[1])
         for sync in (mock.patch("os.fdatasync", side_effect=OSError(5, "io")), mock.patch("os.fdatasync")):
             journal.setCurrentTerm(journal.term + 1, None)
             with sync, self.assertRaises(OSError):
@@ -185,26 +186,26 @@
         disk.close()
 
     def test_an_applied_entry_is_never_cut_off_and_records_must_follow(self):
-        journal = Journal()
+        journal = RaftJournal()
         for number in range(2, 6):
             journal.add(command(b""), number, 1)
         journal.applied = 3
-        with self.assertRaises(Diverged):
+        with self.assertRaises(LogDivergedError):
             journal.deleteEntriesFrom(2)
         journal.deleteEntriesFrom(3)
         self.assertEqual(journal.last[1], 3)
         for records in ([(0, 7, b"", 5, 1)], [(1, 0)], [(9,)], [(0, 3, b"", 2, 1)]):
             with self.assertRaises(ValueError):
-                Journal(records)
+                RaftJournal(records)
 
 
 def voter(log=(), term=5, keep=1_024):
     """A member c0 of three with these (index, term) after the first entry, that hears c1 and c2."""
-    journal = Journal()
+    journal = RaftJournal()
     for index, its in log:
         journal.add(command(b"%d" % index), index, its)
     journal.setCurrentTerm(term, None)
-    member = Member("c0", ["c0", "c1", "c2"], journal, b"t" * 8, keep=keep)
+    member = LogMember("c0", ["c0", "c1", "c2"], journal, b"t" * 8, keep=keep)
     for peer in ("c1", "c2"):
         member.connected(peer, True)
     return member
@@ -233,7 +234,7 @@
                     "c0",
                     [],
                     library.SyncObjConf(autoTick=False),
-                    nodeClass=members.Peer,
+                    nodeClass=members.VoterNode,
                     transport=members._Outbox(mock.Mock()),
                 )
             )
@@ -302,15 +303,15 @@
         member.receive("c1", append(2, 5))
         member.step(10.2)
         self.assertEqual(member.leader, "c1")
-        member.step(10.0 + Times().election_max + 0.1)
+        member.step(10.0 + RaftTimeouts().election_max + 0.1)
         self.assertIsNone(member.leader)
-        journal = Journal()
+        journal = RaftJournal()
         for index, change in enumerate((("add", "c3=1.2.3.4:5"), ("rem", "c1")), 2):
             journal.add(wire.change(*change), index, 1)
-        self.assertEqual(sorted(Member("c0", ["c0", "c1", "c2"], journal, b"t" * 8).voters), ["c0", "c2", "c3"])
+        self.assertEqual(sorted(LogMember("c0", ["c0", "c1", "c2"], journal, b"t" * 8).voters), ["c0", "c2", "c3"])
 
     def test_a_state_that_is_too_long_stops_no_log(self):
-        member = Member("c0", ["c0"], Journal(), b"t" * 8, keep=10)
+        member = LogMember("c0", ["c0"], RaftJournal(), b"t" * 8, keep=10)
         machine = mock.Mock(**{"apply.return_value": b"", "state.return_value": b"x" * (MAX_STATE + 1)})
         member.desk.attach("t", machine)
         member._raft._SyncObj__raftElectionDeadline = 0.0
@@ -353,7 +354,7 @@
             member.receive(peer, {"type": "request_vote", "term": 6, "last_log_index": 2, "last_log_term": 1})
         self.assertIn((2, 6, "c1"), member.journal.take().records)
         self.assertEqual([(peer, m["type"]) for peer, m in member.take_outbox()[0]], [("c1", "response_vote")])
-        again = Member("c0", ["c0", "c1", "c2"], Journal([(3, b"", [(1, b"", 1, 0)], 6, "c1", False)]), b"t" * 8)
+        again = LogMember("c0", ["c0", "c1", "c2"], RaftJournal([(3, b"", [(1, b"", 1, 0)], 6, "c1", False)]), b"t" * 8)
         again.connected("c2", True)
         again.receive("c2", {"type": "request_vote", "term": 6, "last_log_index": 2, "last_log_term": 1})
         self.assertEqual(again.take_outbox()[0], [])
@@ -363,7 +364,7 @@
 def test_under_faults_committed_entries_never_differ_and_are_never_lost(seed):
     run = Run(seed, seconds=9)
     assert run.bad == [], run.script
-    assert sum(isinstance(told[0], Applied) for told in run.answers.values()) > 100
+    assert sum(isinstance(told[0], AppliedEntry) for told in run.answers.values()) > 100
     assert any(node.member.counted["snapshots"] for node in run.lab.nodes)
 
 
@@ -411,7 +412,7 @@
         lab.start(one)  # what it forgot it still does not know
         lab.advance(3_000.0)
         self.assertFalse(lab.nodes[one].member.voter)
-        self.assertEqual({type(out) for out in self.propose(lab, one, 2)}, {Unavailable})
+        self.assertEqual({type(out) for out in self.propose(lab, one, 2)}, {LogUnavailableError})
         lab.start(other)
         lab.advance(8_000.0)
         self.assertTrue(lab.nodes[one].member.voter)
@@ -440,47 +441,47 @@
         lab.kill(gone)
         lab.kill(next(n for n in range(3) if n not in (gone, leader)))  # two of three voters are left
         lab.advance(4_000.0)
-        self.assertEqual({type(out) for out in self.propose(lab, 3, 5)}, {Applied})
+        self.assertEqual({type(out) for out in self.propose(lab, 3, 5)}, {AppliedEntry})
         # A member that starts again knows the voters by its journal.
         lab.kill(3)
         lab.start(3)
         lab.advance(4_000.0)
         self.assertTrue(lab.nodes[3].member.voter)
-        self.assertEqual({type(out) for out in self.propose(lab, 3, 5)}, {Applied})
+        self.assertEqual({type(out) for out in self.propose(lab, 3, 5)}, {AppliedEntry})
         self.assertEqual(lab.faults, [])
 
     def test_an_entry_whose_place_another_terms_took_goes_out_again_once(self):
-        lab = self.lab(5, 5, times=Times())
+        lab = self.lab(5, 5, times=RaftTimeouts())
         lab.advance(3_000.0)
         leader, fate = lab.leaders()[0], lab.network.weather.fate
         lab.network.weather.fate = lambda now, a, b: [] if leader in (a, b) else fate(now, a, b)
         out = []
         lab.member(leader).submit("t", b"of the old one", 8.0, out.append)
         lab.advance(1_500.0)
-        self.assertEqual({type(one) for one in self.propose(lab, lab.leaders()[0], 3)}, {Applied})
+        self.assertEqual({type(one) for one in self.propose(lab, lab.leaders()[0], 3)}, {AppliedEntry})
         lab.network.weather.fate = fate
         lab.advance(2_000.0)
-        self.assertIsInstance(out[0], Applied)  # not Uncertain once its eight seconds are over: it can't come
+        self.assertIsInstance(out[0], AppliedEntry)  # not Uncertain once its eight seconds are over: it can't come
         self.assertEqual(list(self.run.entries.values()).count(b"of the old one"), 1)
 
     def test_what_waited_for_a_leader_is_not_handed_to_one_that_comes_as_its_time_ends(self):
-        lab = self.lab(3, 3, times=Times())
+        lab = self.lab(3, 3, times=RaftTimeouts())
         lab.advance(3_000.0)
         member = lab.nodes[0].member
-        with mock.patch.object(members.Member, "leader", new_callable=mock.PropertyMock, return_value=None) as leads:
+        with mock.patch.object(members.LogMember, "leader", new_callable=mock.PropertyMock, return_value=None) as leads:
             out = []
             lab.member(0).submit("t", b"late", 0.5, out.append)
             lab.advance(440.0)
             leads.return_value = f"c{lab.leaders()[0]}"
             lab.advance(200.0)
-            self.assertEqual([type(one) for one in out], [Unavailable])
+            self.assertEqual([type(one) for one in out], [LogUnavailableError])
             lab.member(0).submit("t", b"short", 0.05, out.append)  # one that has little time from the first
             lab.advance(200.0)
-            self.assertIsInstance(out[1], Applied)
+            self.assertIsInstance(out[1], AppliedEntry)
         self.assertFalse(member.waiting)
 
     def test_a_cut_off_leader_commits_nothing_and_steps_down(self):
-        lab = self.lab(5, 5, times=Times())
+        lab = self.lab(5, 5, times=RaftTimeouts())
         lab.advance(3_000.0)
         leader = lab.leaders()[0]
         fate = lab.network.weather.fate
@@ -491,7 +492,7 @@
         self.assertNotIn(leader, lab.leaders())
         self.assertEqual(len(lab.leaders()), 1)
         lab.advance(1_000.0)
-        self.assertIsInstance(out[0], Uncertain)
+        self.assertIsInstance(out[0], OutcomeUnknownError)
         lab.network.weather.fate = fate
         lab.advance(4_000.0)
         self.propose(lab, leader, 2)
@@ -516,29 +517,31 @@
             lab.member(one).submit("u", b"x", 2.0, out.append)
             lab.advance(3_000.0)
             if lacking == "leader":
-                self.assertEqual((type(out[0]), lab.faults, lab.leaders()), (Unavailable, [], [leader]))
+                self.assertEqual((type(out[0]), lab.faults, lab.leaders()), (LogUnavailableError, [], [leader]))
             else:
                 self.assertEqual(len(lab.faults), 2)
-                self.assertIn("Unheld", lab.faults[0])
+                self.assertIn("UnknownTopicError", lab.faults[0])
 
 
 class ServiceCase(unittest.IsolatedAsyncioTestCase):
     async def test_a_disk_that_fails_stops_the_log_and_not_the_process(self):
         with tempfile.TemporaryDirectory() as folder:
             sink = BytesIO()
-            log = Replica("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", sink), first_start=True)
+            log = ReplicaService(
+                "c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", sink), first_start=True
+            )
             log.attach("t", Sum(mock.Mock(entries={}, sums={}, bad=[])))
             await log.start()
-            self.assertIsInstance(await log.propose("t", b"x" * MAX_COMMAND, 5.0), Applied)
+            self.assertIsInstance(await log.propose("t", b"x" * MAX_COMMAND, 5.0), AppliedEntry)
             with mock.patch("os.fdatasync", side_effect=OSError(5, "Input/output error")):
-                with self.assertRaises(Uncertain):
+                with self.assertRaises(OutcomeUnknownError):
                     await log.propose("t", b"lost", 5.0)
-            with self.assertRaises(Unavailable):
+            with self.assertRaises(LogUnavailableError):
                 await log.propose("t", b"after", 5.0)
             await log.close()
             self.assertIn(b"replica_stopped", sink.getvalue())
             # And what was durable is there again.
-            again = Replica("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()))
+            again = ReplicaService("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()))
             machine = Sum(mock.Mock(entries={}, sums={}, bad=[]))
             again.attach("t", machine)
             await again.start()
@@ -553,7 +556,7 @@
             run = mock.Mock(entries={}, sums={}, bad=[])
 
             async def start(number):
-                log = Replica(
+                log = ReplicaService(
                     f"c{number}",
                     voters,
                     Path(folder, f"c{number}"),
@@ -575,14 +578,14 @@
                 while not logs[3].figures()["votes"] or len(logs[3].figures()["peers"]) < 3:
                     await asyncio.sleep(0.02)
             await logs[1].close()  # of four voters three are left
-            self.assertIsInstance(await logs[3].propose("t", b"after", 20.0), Applied)
+            self.assertIsInstance(await logs[3].propose("t", b"after", 20.0), AppliedEntry)
             await logs[3].close()
             logs[3] = await start(3)
             self.assertTrue(logs[3].figures()["votes"])
             await logs[3].barrier(20.0)
             await logs[3].close()
             Path(folder, "c3", "journal").unlink()
-            logs[3] = Replica("c3", voters, Path(folder, "c3"), b"s" * 16, Telemetry("c3", BytesIO()), at[3])
+            logs[3] = ReplicaService("c3", voters, Path(folder, "c3"), b"s" * 16, Telemetry("c3", BytesIO()), at[3])
             logs[3].attach("t", Sum(run))
             await logs[3].start()
             self.assertTrue(logs[3]._member.journal.forgot)  # though its own list never had it among the voters
@@ -591,7 +594,7 @@
 
     async def test_a_hanging_disk_holds_up_no_answer_and_not_the_loop(self):
         with tempfile.TemporaryDirectory() as folder:
-            log = Replica(
+            log = ReplicaService(
                 "c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()), first_start=True
             )
             log.attach("t", Sum(mock.Mock(entries={}, sums={}, bad=[])))
@@ -610,7 +613,7 @@
                 while not task.done():
                     await asyncio.sleep(0.005)
                     worst, last = max(worst, loop.time() - last), loop.time()
-                with self.assertRaises(Uncertain):
+                with self.assertRaises(OutcomeUnknownError):
                     await task
                 self.assertEqual(written, [])  # it hangs still
                 self.assertLess(worst, 5.0)
@@ -639,7 +642,7 @@
         made = []
         for name in ("m0", "m1"):
             made.append(
-                links.Links(
+                links.MemberLinks(
                     name,
                     b"s" * 16,
                     lambda peer: None,
--- a/tests/test_scatter_leases.py
+++ b/tests/test_scatter_leases.py
@@ -4,12 +4,12 @@
 import pytest
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from scatter import HOME, KEY, World
+from scatter import HEARS, HOME, KEY, World
 
 from frostspindle.lab.explore import explore
 from frostspindle.predicates.summaries import Summary
 from frostspindle.scatter import leases, wire
-from frostspindle.scatter.leases import Holder, Home, Terms, Told, knows, widen
+from frostspindle.scatter.leases import LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings, knows, widen
 
 STEP = 1_000.0  # ms: a whole lease of the model checks
 
@@ -359,32 +359,34 @@
     w.now += 1_000.0
     w.tick("a")
     seq = max(w.holders["a"].held[KEY].asked)
-    w.holders["a"].on_piece(w.now, HOME, 1, wire.Piece(KEY, seq, 50, 0, 1, Summary(["n"], 0).encode()))
+    w.holders["a"].on_summary_piece(w.now, HOME, 1, wire.SummaryPiece(KEY, seq, 50, 0, 1, Summary(["n"], 0).encode()))
     assert w.holders["a"].held[KEY].version == 2
 
 
 def test_only_who_was_told_says_kept_and_what_was_told_anew_is_confirmed_anew():
-    holder = Holder(Terms(2_000.0, 0.0, 1, 1e9, 0), {KEY: HOME})
+    holder = SummaryCache(SummaryLeaseSettings(2_000.0, 0.0, 1, 1e9, 0), {KEY: HOME})
     load = holder.load(0.0, KEY, 1, {"n": [(1, "5")]})
-    holder.on_widened(0.0, HOME, 2, wire.Widened(KEY, 1, 0))
+    holder.on_load_permitted(0.0, HOME, 2, wire.LoadPermitted(KEY, 1, 0))
     holder.ran(1.0, 1)
     for epoch, kept, state in ((3, True, "confirming"), (1, False, "confirming"), (3, False, "widening")):
-        holder.on_known(2.0, HOME, epoch, wire.Known(KEY, 1, kept))
+        holder.on_load_recorded(2.0, HOME, epoch, wire.LoadRecorded(KEY, 1, kept))
         assert load.state == state
     holder.out.clear()
-    holder.on_widened(3.0, HOME, 3, wire.Widened(KEY, 1, 0))
-    assert [wire.decode(data) for _, data in holder.out] == [wire.Done(KEY, 1, 1, True)] and load.state == "confirming"
-    holder.on_known(4.0, HOME, 3, wire.Known(KEY, 1, True))
+    holder.on_load_permitted(3.0, HOME, 3, wire.LoadPermitted(KEY, 1, 0))
+    assert [wire.decode(data) for _, data in holder.out] == [
+        wire.LoadEnded(KEY, 1, 1, True)
+    ] and load.state == "confirming"
+    holder.on_load_recorded(4.0, HOME, 3, wire.LoadRecorded(KEY, 1, True))
     assert load.state == "kept" and not holder.loads
 
 
 def test_a_load_of_several_messages_is_told_to_one_process_whole():
-    holder = Holder(Terms(2_000.0, 0.0), {KEY: HOME})
+    holder = SummaryCache(SummaryLeaseSettings(2_000.0, 0.0), {KEY: HOME})
     load = holder.load(0.0, KEY, 1, {"n": [(2, "x" * 500), (2, "y" * 500)]})
     for epoch, chunk in ((1, 0), (2, 1)):
-        holder.on_widened(1.0, HOME, epoch, wire.Widened(KEY, 1, chunk))
+        holder.on_load_permitted(1.0, HOME, epoch, wire.LoadPermitted(KEY, 1, chunk))
     assert load.state == "widening" and load.missing == {0}
-    holder.on_widened(1.0, HOME, 2, wire.Widened(KEY, 1, 0))
+    holder.on_load_permitted(1.0, HOME, 2, wire.LoadPermitted(KEY, 1, 0))
     assert load.state == "ready"
 
 
@@ -401,12 +403,12 @@
     w.now += 100.0
     w.tick("a")
     drain(w)
-    assert knows(w.holders["a"].summary(w.now, KEY), Told(2, {"n": [(1, "7"), (1, "8")]}))
+    assert knows(w.holders["a"].summary(w.now, KEY), LoadIntent(2, {"n": [(1, "7"), (1, "8")]}))
 
 
 def test_who_has_another_catalogue_gets_no_lease_and_loads_nothing(monkeypatch):
     w = World(("a",))
-    w.holders["a"].terms = Terms(2_000.0, 0.0, 2, 1e9, 0)
+    w.holders["a"].terms = SummaryLeaseSettings(2_000.0, 0.0, 2, 1e9, 0)
     w.want("a")
     w.tick("a")
     w.load("a", 7)
@@ -426,46 +428,51 @@
     shelf = w.home.shelves[KEY]
     assert len(shelf.standing) == 2 and shelf.sunk.rows  # the oldest goes on there
     w.home.begin(KEY)
-    assert knows(shelf.learning, Told(1, {"n": [(1, "0"), (1, "3")]}))
+    assert knows(shelf.learning, LoadIntent(1, {"n": [(1, "0"), (1, "3")]}))
     assert [w.loads[row][3] for row in range(4)] == ["ready"] * 4
     w.land(0)
     w.ran(0)  # its intent has sunk: it is told anew before it is answered
     drain(w)
     assert w.answered == {0} and len(shelf.ended) <= 1
-    home = Home(1, Terms(2_000.0, 0.0), {KEY: ["n"]}, 0.0)
+    home = SummaryHome(1, SummaryLeaseSettings(2_000.0, 0.0), {KEY: ["n"]}, 0.0)
     for message in (
-        wire.Hold("x/1", 0, 1, 0, 0, 0),
-        wire.Widen("x/1", 0, 1, 0, 1, {}),
-        wire.Done("x/1", 1, 1, True),
-        wire.Have("x/1", 1, 1),
-        wire.Bye("x/1", 1),
+        wire.LeaseRequest("x/1", 0, 1, 0, 0, 0),
+        wire.LoadAnnounced("x/1", 0, 1, 0, 1, {}),
+        wire.LoadEnded("x/1", 1, 1, True),
+        wire.UpdateAcknowledged("x/1", 1, 1),
+        wire.ReleaseLease("x/1", 1),
     ):
-        getattr(home, f"on_{type(message).__name__.lower()}")(0.0, "a", 1, message)
+        getattr(home, HEARS[type(message)])(0.0, "a", 1, message)
     assert home.out == []
 
 
 def test_word_that_is_late_of_others_or_spoilt_makes_no_lease():
-    holder = Holder(Terms(2_000.0, 0.0), {KEY: HOME})
+    holder = SummaryCache(SummaryLeaseSettings(2_000.0, 0.0), {KEY: HOME})
     holder.want(0.0, [KEY])
     holder.tick(0.0)
     data = Summary(["n"], 0).encode()
     for now, name, epoch, word in (
-        (1.0, "x", 1, wire.Piece(KEY, 1, 1, 0, 1, data)),
-        (1.0, HOME, 1, wire.Piece(KEY, 9, 1, 0, 1, data)),
-        (1.0, HOME, 1, wire.Piece(KEY, 1, 1, 0, 1, b"spoilt")),
-        (1.0, HOME, 1, wire.Still(KEY, 1, 1)),
-        (3_000.0, HOME, 1, wire.Piece(KEY, 1, 1, 0, 1, data)),
+        (1.0, "x", 1, wire.SummaryPiece(KEY, 1, 1, 0, 1, data)),
+        (1.0, HOME, 1, wire.SummaryPiece(KEY, 9, 1, 0, 1, data)),
+        (1.0, HOME, 1, wire.SummaryPiece(KEY, 1, 1, 0, 1, b"spoilt")),
+        (1.0, HOME, 1, wire.LeaseUnchanged(KEY, 1, 1)),
+        (3_000.0, HOME, 1, wire.SummaryPiece(KEY, 1, 1, 0, 1, data)),
     ):
-        getattr(holder, f"on_{type(word).__name__.lower()}")(now, name, epoch, word)
+        getattr(holder, HEARS[type(word)])(now, name, epoch, word)
         assert holder.summary(now, KEY) is None
-    holder.on_piece(1.0, HOME, 1, wire.Piece(KEY, 1, 1, 0, 1, data))
+    holder.on_summary_piece(1.0, HOME, 1, wire.SummaryPiece(KEY, 1, 1, 0, 1, data))
     holder.tick(100.0)
-    holder.on_piece(100.0, HOME, 1, wire.Piece(KEY, 2, 1, 0, 1, data))
+    holder.on_summary_piece(100.0, HOME, 1, wire.SummaryPiece(KEY, 2, 1, 0, 1, data))
     assert holder.summary(2_099.0, KEY) is not None
-    holder.on_still(1_000.0, HOME, 1, wire.Still(KEY, 99, 1))  # never asked
+    holder.on_lease_unchanged(1_000.0, HOME, 1, wire.LeaseUnchanged(KEY, 99, 1))  # never asked
     assert holder.summary(2_101.0, KEY) is None
-    for bad in (b"", b"x" * 961, wire.encode(wire.Have("a", 1, 1)), wire.encode(wire.Widen(KEY, 1, 1, 64, 1, None))):
-        with pytest.raises(wire.BadPacket):
+    for bad in (
+        b"",
+        b"x" * 961,
+        wire.encode(wire.UpdateAcknowledged("a", 1, 1)),
+        wire.encode(wire.LoadAnnounced(KEY, 1, 1, 64, 1, None)),
+    ):
+        with pytest.raises(wire.InvalidPacketError):
             wire.decode(bad)
 
 
@@ -497,14 +504,14 @@
 
 def test_what_a_summary_knows_need_not_be_told():
     summary = Summary(["n", "s"], 64)
-    told = Told(1, {"n": [(1, "7"), (0, "")], "s": [(2, "b" * 80)]})
+    told = LoadIntent(1, {"n": [(1, "7"), (0, "")], "s": [(2, "b" * 80)]})
     assert not knows(summary, told)
     widen(summary, told)
     assert knows(summary, told)
     for cells in ({"n": [(1, "8")]}, {"s": [(0, "")]}, {"s": [(1, "7")]}, {"n": [(4, "")]}, {"s": [(2, "c")]}):
-        assert not knows(summary, Told(1, cells))
-    widen(summary, Told(1, {"n": [(4, "")], "s": []}))
-    assert knows(summary, Told(1, {"n": [(2, "any")]}))
+        assert not knows(summary, LoadIntent(1, cells))
+    widen(summary, LoadIntent(1, {"n": [(4, "")], "s": []}))
+    assert knows(summary, LoadIntent(1, {"n": [(2, "any")]}))
     wide = Summary(["n"], 1_024)
-    widen(wide, Told(2, {"n": [(1, "1"), (1, "9")]}))
-    assert knows(wide, Told(1, {"n": [(1, "9")]})) and not knows(wide, Told(1, {"n": [(1, "7")]}))
+    widen(wide, LoadIntent(2, {"n": [(1, "1"), (1, "9")]}))
+    assert knows(wide, LoadIntent(1, {"n": [(1, "9")]})) and not knows(wide, LoadIntent(1, {"n": [(1, "7")]}))
--- a/tests/test_scatter_plan.py
+++ b/tests/test_scatter_plan.py
@@ -12,10 +12,10 @@
 from frostspindle.predicates.summaries import Summary
 from frostspindle.predicates.values import KINDS, canonical
 from frostspindle.scatter.gather import Gather, estimates
-from frostspindle.scatter.leases import Told, widen
-from frostspindle.scatter.merge import KEY, Cell, Merge, Mismatch, Order, merge
+from frostspindle.scatter.leases import LoadIntent, widen
+from frostspindle.scatter.merge import KEY, Cell, Merge, MergeMismatchError, Order, merge
 from frostspindle.scatter.plan import Planner, in_steps, stepped
-from frostspindle.scatter.wire import MOST, MOST_CHUNKS, Widen, chunks, encode
+from frostspindle.scatter.wire import MAX_MESSAGE_BYTES, MOST_CHUNKS, LoadAnnounced, chunks, encode
 
 NULL = "\\N"
 RAW = {
@@ -123,7 +123,7 @@
                 name: [(0, "") if held is None else (KINDS[type(held)], str(held))]
                 for name, held in zip("nms", row, strict=True)
             }
-            widen(summary, Told(1, {**cells, "n" + CELLS: in_steps(cells["n"], 3)}))
+            widen(summary, LoadIntent(1, {**cells, "n" + CELLS: in_steps(cells["n"], 3)}))
         if may_match(plan.predicate, summary):  # the others are left out
             asked.append(texts(table(rows), plan.statement or sql))
     found = merge(plan.merge, asked, NULL)
@@ -159,7 +159,7 @@
 def test_a_range_asks_for_the_cells_of_all_that_lie_in_it(low, high, above, below, held, step):
     summary = Summary(["d", "d" + CELLS], 1_024)
     cells = [(1, canonical(held))]
-    widen(summary, Told(1, {"d": cells, "d" + CELLS: in_steps(cells, step)}))
+    widen(summary, LoadIntent(1, {"d": cells, "d" + CELLS: in_steps(cells, step)}))
     within = all_of(compare("d", above, low), compare("d", below, high))
     found = stepped(within, {"d": Column("d", "decimal", 1, step)})
     assert may_match(found, summary) == may_match(within, summary)  # of one value the bounds are exact
@@ -169,9 +169,9 @@
     plan = PLAN.plan(17, "SELECT s FROM calls_17.notes WHERE n BETWEEN 30 AND 33 OR n > 40 AND n < 44")
     summary = Summary(["n", "n" + CELLS], 1_024)
     for held in ("1", "99"):
-        widen(summary, Told(1, {"n": [(1, held)], "n" + CELLS: in_steps([(1, held)], 3)}))
+        widen(summary, LoadIntent(1, {"n": [(1, held)], "n" + CELLS: in_steps([(1, held)], 3)}))
     assert not may_match(plan.predicate, summary)
-    widen(summary, Told(1, {"n": [(1, "43")], "n" + CELLS: in_steps([(1, "43")], 3)}))
+    widen(summary, LoadIntent(1, {"n": [(1, "43")], "n" + CELLS: in_steps([(1, "43")], 3)}))
     assert may_match(plan.predicate, summary)
 
 
@@ -254,7 +254,7 @@
         (Merge(), [["1"], ["1", "2"]]),
         (Merge(order=(Order(0, "integer"),)), [["1"], ["x"]]),
     ):
-        with pytest.raises(Mismatch):
+        with pytest.raises(MergeMismatchError):
             merge(how, [rows], NULL)
 
 
@@ -296,12 +296,14 @@
         assert sum(len(text.encode()) for held in cells.values() for _, text in held) > 20_000
         return
     assert len(parts) <= MOST_CHUNKS
-    assert all(len(encode(Widen("east/17", 2**48, 2**53, 63, 2**40, part))) <= MOST for part in parts)
+    assert all(
+        len(encode(LoadAnnounced("east/17", 2**48, 2**53, 63, 2**40, part))) <= MAX_MESSAGE_BYTES for part in parts
+    )
     whole = {name: [cell for part in parts for cell in part.get(name, [])] for name in cells}
     assert whole == cells
     summary = Summary("nmst", 64)
     for at, part in enumerate(parts):
-        widen(summary, Told(0 if at else 3, part))
+        widen(summary, LoadIntent(0 if at else 3, part))
         Summary.decode(summary.encode())  # whatever has come so far fits together
 
 
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -22,8 +22,8 @@
 from frostspindle.lab import scatter as emulating
 from frostspindle.net.fields import CallRejectedError
 from frostspindle.scatter import leases, wiring
-from frostspindle.scatter.leases import Told
-from frostspindle.scatter.service import Scatter, monotonic
+from frostspindle.scatter.leases import LoadIntent
+from frostspindle.scatter.service import ScatterService, monotonic
 from frostspindle.telemetry import Telemetry
 
 GOOD = (Path(__file__).parent.parent / "deploy" / "scatter.toml").read_text()
@@ -97,7 +97,7 @@
             node=SimpleNamespace(epoch=1, name="c1", homes=["c1"]),
             post=lambda *message: self.posted.append(message),
         )
-        self.scatter = Scatter(config.scatter, self.core, self.events, fleet, len(config.classes))
+        self.scatter = ScatterService(config.scatter, self.core, self.events, fleet, len(config.classes))
 
         async def close():
             self.scatter.close()
@@ -124,12 +124,12 @@
 
     async def begin(self, learnt=True):
         now = monotonic()
-        with unittest.mock.patch.object(Scatter, "_search"):  # what is learnt is told below
+        with unittest.mock.patch.object(ScatterService, "_search"):  # what is learnt is told below
             self.scatter.begin(now - 60_000.0, self.scatter.fleet.node)
         for key in self.scatter.home.shelves if learnt else ():
             self.scatter.home.begin(key)
             cells = {"agent": [(2, key[0])], "at": [], "note": [(1, "5")], "note\0": [(1, "0")]}
-            self.scatter.home.learnt(now, key, [Told(1, cells)], 0.0)
+            self.scatter.home.learnt(now, key, [LoadIntent(1, cells)], 0.0)
         self.scatter.holder.want(now, list(self.scatter.holder.held))
         self.scatter._tick()
 
@@ -229,7 +229,7 @@
 
     async def test_a_load_waits_behind_one_of_its_key_that_is_not_yet_announced(self):
         await self.begin()
-        with unittest.mock.patch.object(leases.Home, "on_widen", lambda *args: None):
+        with unittest.mock.patch.object(leases.SummaryHome, "on_load_announced", lambda *args: None):
             self.ask(INSERT.format("x"), "load", 1, site="floor-1", key=5)
             await self.turn()
         second = self.ask(INSERT.format("x"), "load", 2, site="b", key=5)
@@ -250,7 +250,7 @@
         await self.begin()
         ask = self.ask(INSERT.format("x"), "load", 2, site="b")
         await self.turn()
-        with unittest.mock.patch.object(leases.Home, "on_done", lambda *args: None):
+        with unittest.mock.patch.object(leases.SummaryHome, "on_load_ended", lambda *args: None):
             self.core.asks[0].on_response(Response(ResponseStatus.SERVED, ([], 0)))
             await self.turn()
             self.assertNotIn(2, self.answers)
@@ -288,7 +288,7 @@
 
 
 def test_the_emulator_finds_false_skips_where_a_load_waits_for_nobody(monkeypatch):
-    settle = leases.Home._settle
+    settle = leases.SummaryHome._settle
 
     def all_at_once(self, now, shelf):
         held, shelf.holders = shelf.holders, {}
@@ -297,7 +297,7 @@
 
     kw = {"faults": "0- loss 0.3; 5-9 cut 0-1|2-4", "seconds": 12.0, "loads": 4.0}
     assert emulating.measure(emulating.play(5, 1, **kw))["false_skips"] == 0
-    monkeypatch.setattr(leases.Home, "_settle", all_at_once)
+    monkeypatch.setattr(leases.SummaryHome, "_settle", all_at_once)
     assert emulating.measure(emulating.play(5, 1, **kw))["false_skips"] > 0
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,18 +14,18 @@
 from frostspindle.config import TenantRule
 from frostspindle.settings import meet as meeting
 from frostspindle.settings import schema
-from frostspindle.settings.harm import BUCKETS, CALM, HEAD, OPEN, Guard, Judge, bucket, wilson
+from frostspindle.settings.canary import BUCKETS, CALM, HEAD, OPEN, CanaryCheck, CanaryThresholds, bucket, wilson
 from frostspindle.settings.meet import TOP, adjacent, below, contradictions, contradicts, meet, settled
 from frostspindle.settings.schema import (
-    BadSettings,
     Ban,
     Class,
     Coordinator,
     Engine,
+    InvalidSettingsError,
     Limit,
+    ListScope,
     Login,
-    Running,
-    Scope,
+    RunningProgram,
     Tenant,
     check,
     fits,
@@ -33,7 +33,7 @@
     read,
     secret_holds,
 )
-from frostspindle.settings.versions import EMPTY, KEPT, PIECE, Assembly, History, cut, diff, pack, unpack
+from frostspindle.settings.versions import EMPTY, KEPT, PIECE, VersionAssembly, VersionHistory, cut, diff, pack, unpack
 
 ROOT = Path(__file__).parent.parent
 ENGINE = '[[engine]]\nname = "e1"\ndial = "127.0.0.1:1"\n'
@@ -67,13 +67,17 @@
 POOL = [(schema.key_of(kind, entry), entry) for kind, entry in pool()]
 POOL += [("limit/out", Limit(value)) for value in (0.0, 6.0, 12.0)]
 POOL += [("limit/open_requests", Limit(value)) for value in (20.0, 25.0)]
-POOL += [(f"scope/{name}", Scope()) for name in schema.SCOPES for _ in range(2)]
+POOL += [(f"scope/{name}", ListScope()) for name in schema.SCOPES for _ in range(2)]
 
 
 def table_of(items):
     table = dict(items)
     table.update(
-        {schema.scope_of(key, entry): Scope() for key, entry in items if not schema.KINDS[schema.kind_of(key)].either}
+        {
+            schema.scope_of(key, entry): ListScope()
+            for key, entry in items
+            if not schema.KINDS[schema.kind_of(key)].either
+        }
     )
     return settled(Map(table))
 
@@ -127,12 +131,12 @@
         ],
     )
     def test_each_fault_is_named_by_its_key_and_no_secret_is_shown(self, text, key):
-        with pytest.raises(BadSettings, match=key) as told:
+        with pytest.raises(InvalidSettingsError, match=key) as told:
             read(text.encode("latin-1"))
         assert "hunter2" not in str(told.value) and "\n" not in str(told.value)
 
     def test_what_needs_a_new_start_is_turned_down_naming_the_key(self):
-        here = Running(
+        here = RunningProgram(
             {"r": "once"},
             {"blue": ()},
             True,
@@ -161,7 +165,7 @@
             place = schema.key_of(type(entry).__name__.lower(), entry)
             assert key in fits({place: entry}, here) and bool(fits({place: entry}, here)) == bool(key)
             assert fits(TOP, here, {place: None}) == ""
-        bare = Running()
+        bare = RunningProgram()
         for table, key in (
             ({"engine/tds/e1": tds}, "needs a new"),
             ({"login/a": Login("a", "r")}, "needs a new"),
@@ -187,7 +191,7 @@
     @runs(quick, max_examples=40)
     @given(st.lists(rules(), min_size=2, max_size=4))
     def test_a_chain_of_changes_has_the_rules_and_digest_of_the_whole(self, tables):
-        history, at = History(), EMPTY
+        history, at = VersionHistory(), EMPTY
         for number, table in enumerate(tables, 1):
             at = at.next(number, diff(at.rules, table))
             history.add(at)
@@ -197,7 +201,7 @@
             check_at = {key for key in at.changes if key.startswith(("class/", "login/"))}
             try:
                 check(table)
-            except BadSettings:
+            except InvalidSettingsError:
                 continue
             if not check_at:
                 check(table, at.changes)
@@ -206,8 +210,8 @@
                 assert history.changes(one, two) == diff(history.get(one).rules, history.get(two).rules)
 
     def test_history_keeps_the_last_and_what_is_pinned_and_shares_what_does_not_change(self):
-        table = {f"engine/http/e{n}": Engine(f"e{n}", "127.0.0.1:1") for n in range(500)} | {"scope/http": Scope()}
-        history, at = History(4), EMPTY.next(1, table)
+        table = {f"engine/http/e{n}": Engine(f"e{n}", "127.0.0.1:1") for n in range(500)} | {"scope/http": ListScope()}
+        history, at = VersionHistory(4), EMPTY.next(1, table)
         history.add(at)
         for number in range(2, 12):
             at = at.next(number, {"ban/e1": Ban("e1", str(number))})
@@ -217,22 +221,22 @@
         assert history.changes(1, 11) == {"ban/e1": Ban("e1", "11")} and history.changes(11, 1) == {"ban/e1": None}
         with pytest.raises(KeyError):
             history.changes(5, 11)
-        assert len(History(KEPT)) == 0
+        assert len(VersionHistory(KEPT)) == 0
 
     def test_spoilt_long_and_doubled_changes_are_noticed(self):
         data = pack({"ban/e1": Ban("e1")})
         for spoilt in (data[:-1], data[:20], b"", data[:-1] + bytes([data[-1] ^ 1])):
-            with pytest.raises(BadSettings):
+            with pytest.raises(InvalidSettingsError):
                 unpack(spoilt)
-        with pytest.raises(BadSettings, match="more than 100 bytes"):
+        with pytest.raises(InvalidSettingsError, match="more than 100 bytes"):
             unpack(pack({f"ban/e{n}": Ban(f"e{n}") for n in range(50)}), 100)
         for key, entry in (("bann/e1", b"\x80"), ("ban/", b"\x80"), ("ban/e1", b"\x80"), ("ban/e1", b"\xc1")):
-            with pytest.raises(BadSettings, match=key):
+            with pytest.raises(InvalidSettingsError, match=key):
                 schema.entry_in(key, entry)
 
     def test_pieces_are_taken_in_order_only(self):
         whole = random.Random(1).randbytes(3 * PIECE + 5)
-        pieces, at = cut(whole), Assembly(4)
+        pieces, at = cut(whole), VersionAssembly(4)
         assert len(pieces) == 4 and cut(b"") == [b""]
         assert at.add(1, 4, pieces[1]) == "gap 0" and at.add(0, 4, pieces[0]) == ""
         assert at.add(0, 4, pieces[0]) == "repeat" and at.add(0, 4, pieces[1]) == "other"
@@ -309,15 +313,15 @@
         check(relies)
         both = meet(Map(drains), Map(relies))
         assert both["limit/out"].value == 6.0 and "drain/e1" in both
-        with pytest.raises(BadSettings, match="limits.out: 15 at once rely on engines that let 6"):
+        with pytest.raises(InvalidSettingsError, match="limits.out: 15 at once rely on engines that let 6"):
             check(drains | {"limit/out": Limit(15.0)}, {"limit/out": Limit(15.0)})
-        with pytest.raises(BadSettings, match="limits.out"):
+        with pytest.raises(InvalidSettingsError, match="limits.out"):
             check(relies | {"drain/e1": Ban("e1")}, {"drain/e1": Ban("e1")})
 
     def test_parts_that_add_up_past_the_whole_when_mixed_meet_below_it(self):
         one, two = (
             {
-                "scope/coordinator": Scope(),
+                "scope/coordinator": ListScope(),
                 "coordinator/c1": Coordinator("c1", a),
                 "coordinator/c2": Coordinator("c2", 1 - a),
             }
@@ -336,10 +340,10 @@
     return out
 
 
-def played(before, after, guard=Guard(), members=3, waiting=(0, 0)):  # noqa: B008
+def played(before, after, guard=CanaryThresholds(), members=3, waiting=(0, 0)):  # noqa: B008
     """The verdict on windows of figures; when it came, in windows since the version went live. `waiting`: open
     requests at each member, before and since."""
-    judge, total, now = Judge(guard), [[0] * (HEAD + BUCKETS) for _ in range(members)], 0.0
+    judge, total, now = CanaryCheck(guard), [[0] * (HEAD + BUCKETS) for _ in range(members)], 0.0
 
     def step(told):
         nonlocal now
@@ -386,7 +390,7 @@
 
     def test_what_was_as_bad_before_is_no_harm_and_a_restart_takes_nothing_back(self):
         assert played([row(200, 40, 30, 20)] * 30, [row(200, 42, 30, 20)] * 16)[0] == CALM
-        judge = Judge()
+        judge = CanaryCheck()
         judge.feed(0.0, {"c1": (1, tuple(row(100)))})
         judge.feed(600.0, {"c1": (2, tuple(row(10))), "c2": (1, (1, 2))})
         assert sum(sum(window) for window in judge._windows) == 0, "a new process, and figures of another form"
@@ -413,7 +417,7 @@
         assert called <= 2, f"{called} of 200"
 
     def test_versions_in_a_row_are_held_against_the_time_before_the_first(self):
-        judge, total, now = Judge(), [0] * (HEAD + BUCKETS), 0.0
+        judge, total, now = CanaryCheck(), [0] * (HEAD + BUCKETS), 0.0
         for number in range(60):
             told = row(200, 1) if number < 30 else row(200, 40)
             total = [a + b for a, b in zip(total, told, strict=True)]
@@ -431,7 +435,7 @@
                 type(self).reads += 1
                 return super().__iter__()
 
-        judge, told = Judge(), {"c1": (1, Told(row(100)))}
+        judge, told = CanaryCheck(), {"c1": (1, Told(row(100)))}
         for now in range(0, 450, 50):
             judge.feed(float(now), told)
         assert Told.reads == 0, "it was heard once, and nothing since"
@@ -439,7 +443,7 @@
             judge.feed(500.0 * (number + 1), {"c1": (1, tuple(row(200 * (number + 2))))})
             if number == 20:
                 judge.begin(500.0 * (number + 1))
-        with mock.patch("frostspindle.settings.harm.wilson", wraps=wilson) as bounds:
+        with mock.patch("frostspindle.settings.canary.wilson", wraps=wilson) as bounds:
             for _ in range(50):
                 judge.verdict(16_000.0)
         assert 0 < bounds.call_count <= 6, "once for a window"
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -12,22 +12,30 @@
 from frostspindle.lab.explore import explore
 from frostspindle.settings import agreement
 from frostspindle.settings.agreement import (
-    Back,
-    Draft,
-    Forget,
-    Hold,
-    Leave,
-    Live,
-    Machine,
-    Proven,
-    Publish,
+    Activate,
+    Confirm,
+    DraftPiece,
+    MemberLeaving,
+    PublishVersion,
+    RemoveMember,
+    RenewLease,
+    Rollback,
+    SettingsStateMachine,
     Withdraw,
     encode,
 )
 from frostspindle.settings.audit import contradictions, longest, spans
-from frostspindle.settings.deciding import FILE, MEET, REFUSE, VERSION, Holder, Publisher, Terms
-from frostspindle.settings.harm import BUCKETS, HEAD, Judge
-from frostspindle.settings.schema import Ban, Engine, Limit, Scope
+from frostspindle.settings.canary import BUCKETS, HEAD, CanaryCheck
+from frostspindle.settings.decisions import (
+    FILE,
+    MEET,
+    REFUSE,
+    VERSION,
+    AgreementSettings,
+    MemberDecisions,
+    PublisherDecisions,
+)
+from frostspindle.settings.schema import Ban, Engine, Limit, ListScope
 from frostspindle.settings.versions import EMPTY, KEPT, PIECE, cut, pack
 
 
@@ -35,7 +43,7 @@
     """A machine and its entries."""
 
     def __init__(self):
-        self.machine, self.index, self.drafts = Machine(), 0, 0
+        self.machine, self.index, self.drafts = SettingsStateMachine(), 0, 0
 
     def __call__(self, command):
         self.index += 2
@@ -47,16 +55,16 @@
         made = live.next(live.number + 1, changes)
         pieces = cut(pack(made.changes))
         for at, data in enumerate(pieces):
-            assert self(Draft("me", 1, self.drafts, live.number, made.sum, at, len(pieces), data)) == "ok"
+            assert self(DraftPiece("me", 1, self.drafts, live.number, made.sum, at, len(pieces), data)) == "ok"
         return made
 
     def push(self, changes, token=5, live=True, proven=True):
         made = self.draft(changes)
-        assert self(Publish(token, f"me/1/{self.drafts}")) == f"ok {self.machine.last}"
+        assert self(PublishVersion(token, f"me/1/{self.drafts}")) == f"ok {self.machine.last}"
         if live:
-            assert self(Live(token, self.machine.last)) == "ok"
+            assert self(Activate(token, self.machine.last)) == "ok"
             if proven:
-                assert self(Proven(token, self.machine.last)) == "ok"
+                assert self(Confirm(token, self.machine.last)) == "ok"
         return made
 
 
@@ -66,10 +74,14 @@
         fed.push(ban("e1"), live=False)
         assert fed.machine.open == (0, 1)
         word, _ = draft(EMPTY, ban("e2"), 7)
-        assert fed(word) == "ok" and fed(Publish(5, word.key)) == "no: pending 1"
-        assert fed(Live(5, 2)) == "no: not pending" and fed(Live(5, 1)) == "ok" and fed(Live(5, 1)) == "no: not pending"
-        assert fed(Publish(5, word.key)).startswith("no: base: drafted on version 0, the live one is 1")
-        assert fed(Proven(5, 2)) == "no: not on trial" and fed(Proven(5, 1)) == "ok" and fed.machine.open == (1,)
+        assert fed(word) == "ok" and fed(PublishVersion(5, word.key)) == "no: pending 1"
+        assert (
+            fed(Activate(5, 2)) == "no: not pending"
+            and fed(Activate(5, 1)) == "ok"
+            and fed(Activate(5, 1)) == "no: not pending"
+        )
+        assert fed(PublishVersion(5, word.key)).startswith("no: base: drafted on version 0, the live one is 1")
+        assert fed(Confirm(5, 2)) == "no: not on trial" and fed(Confirm(5, 1)) == "ok" and fed.machine.open == (1,)
         fed.push(ban("e2"), live=False)
         assert fed(Withdraw(5, 2, "c2: engine: no")) == "ok" and fed.machine.open == (1,) and fed.machine.last == 2
         assert fed.machine.news[-1].why == "c2: engine: no" and fed.machine.history.get(2) is None
@@ -80,18 +92,18 @@
         fed.push(ban("e1"), token=5, proven=False)
         fed.push(ban("e2"), token=9, live=False)
         for word in (
-            Publish(8, "x"),
-            Live(8, 2),
+            PublishVersion(8, "x"),
+            Activate(8, 2),
             Withdraw(8, 2, ""),
-            Proven(8, 1),
-            Back(8, 1, ""),
-            Forget(8, "c1", 1, 1),
-            Live(0, 2),
-            Live(1 << 63, 2),
-            Live(-1, 2),
+            Confirm(8, 1),
+            Rollback(8, 1, ""),
+            RemoveMember(8, "c1", 1, 1),
+            Activate(0, 2),
+            Activate(1 << 63, 2),
+            Activate(-1, 2),
         ):
             assert fed(word) == "no: stale", word
-        assert fed.machine.counts["stale"] == 9 and fed.machine.token == 9 and fed(Live(9, 2)) == "ok"
+        assert fed.machine.counts["stale"] == 9 and fed.machine.token == 9 and fed(Activate(9, 2)) == "ok"
 
     def test_a_version_that_came_twice_out_of_order_with_a_gap_or_spoilt_is_none(self):
         fed = Fed()
@@ -101,13 +113,13 @@
         assert len(pieces) > 2
 
         def piece(at, number=1, data=None, digest=made.sum):
-            return fed(Draft("op", 1, number, 0, digest, at, len(pieces), pieces[at] if data is None else data))
+            return fed(DraftPiece("op", 1, number, 0, digest, at, len(pieces), pieces[at] if data is None else data))
 
         assert piece(1) == "no: gap 0" and piece(0) == "ok" and piece(2) == "no: gap 1"
         assert piece(0) == "no: repeat" and piece(0, data=b"x") == "no: other"
         assert piece(1, digest=b"x" * 16) == "no: another draft of that number"
         assert piece(1, digest=b"x") == "no: bounds"
-        assert fed(Publish(5, "op/1/1")) == "no: unknown", "it is not whole"
+        assert fed(PublishVersion(5, "op/1/1")) == "no: unknown", "it is not whole"
         for at in range(1, len(pieces)):
             assert piece(at) == "ok"
         spoilt = b"".join(pieces)[:-1] + b"x"
@@ -117,11 +129,11 @@
             (4, made.sum, spoilt[:99]),
         ):
             for at, part in enumerate(cut(data)):
-                assert fed(Draft("op", 1, number, 0, digest, at, len(cut(data)), part)) == "ok"
-            assert fed(Publish(5, f"op/1/{number}")).startswith(("no: checksum", "no: the version's bytes"))
-        assert fed(Publish(5, "op/1/1")) == "ok 1" and fed.machine.version(1).rules == made.rules
-        assert fed(Publish(5, "op/1/1")) == "no: unknown", "the same publication twice"
-        assert fed.machine.apply(fed.index, encode(Live(5, 1))) == b"no: old" and fed.machine.live == 0
+                assert fed(DraftPiece("op", 1, number, 0, digest, at, len(cut(data)), part)) == "ok"
+            assert fed(PublishVersion(5, f"op/1/{number}")).startswith(("no: checksum", "no: the version's bytes"))
+        assert fed(PublishVersion(5, "op/1/1")) == "ok 1" and fed.machine.version(1).rules == made.rules
+        assert fed(PublishVersion(5, "op/1/1")) == "no: unknown", "the same publication twice"
+        assert fed.machine.apply(fed.index, encode(Activate(5, 1))) == b"no: old" and fed.machine.live == 0
         assert {fed.machine.counts[what] for what in ("gap", "repeat", "other", "old")} >= {1}
 
     def test_a_long_version_is_made_ahead_in_slices_and_its_publication_makes_nothing(self):
@@ -134,35 +146,35 @@
             slices += 1
         assert slices > 60
         with mock.patch("frostspindle.settings.agreement.unpacking", side_effect=AssertionError("made again")):
-            assert fed(Publish(5, "me/1/1")) == "ok 1"
-        with mock.patch("frostspindle.settings.deciding.adjacent", side_effect=AssertionError("met again")):
-            holder = Holder("c1", 1, TERMS, fed.machine, 0.0)
+            assert fed(PublishVersion(5, "me/1/1")) == "ok 1"
+        with mock.patch("frostspindle.settings.decisions.adjacent", side_effect=AssertionError("met again")):
+            holder = MemberDecisions("c1", 1, TERMS, fed.machine, 0.0)
             assert len(holder._meet((EMPTY, fed.machine.version(1)), "pending").rules) == 3_000
-        assert twin(Publish(5, "me/1/1")) == "ok 1" and twin.machine.state() == fed.machine.state()
-        assert fed(Live(5, 1)) == "ok" and fed(Proven(5, 1)) == "ok"
+        assert twin(PublishVersion(5, "me/1/1")) == "ok 1" and twin.machine.state() == fed.machine.state()
+        assert fed(Activate(5, 1)) == "ok" and fed(Confirm(5, 1)) == "ok"
         # What a draft would go back to may be gone until it is published; a bad one says so at its publication.
-        assert fed(Draft("me", 1, 99, -1, b"x" * 16, 0, 1, bytes(9_000), to=0)) == "ok" and not fed.machine.unmade
-        assert fed(Publish(5, "me/1/99")).startswith("ok")
+        assert fed(DraftPiece("me", 1, 99, -1, b"x" * 16, 0, 1, bytes(9_000), to=0)) == "ok" and not fed.machine.unmade
+        assert fed(PublishVersion(5, "me/1/99")).startswith("ok")
         assert fed(Withdraw(5, 2, "")) == "ok"
         made = fed.machine.version(1).next(2, {f"ban/f{n}": Ban(f"f{n}", "x" * 40) for n in range(3_000)})
-        assert fed(Draft("me", 1, 100, 1, b"x" * 16, 0, 1, pack(made.changes))) == "ok"
+        assert fed(DraftPiece("me", 1, 100, 1, b"x" * 16, 0, 1, pack(made.changes))) == "ok"
         while fed.machine.unmade:
             fed.machine.make()
-        assert fed(Publish(5, "me/1/100")).startswith("no: checksum")
+        assert fed(PublishVersion(5, "me/1/100")).startswith("no: checksum")
 
     def test_what_harmed_is_rolled_back_under_a_new_number_and_not_taken_again(self):
         fed = Fed()
         good, bad = fed.push(ban("e1")), fed.push(ban("e2"), proven=False)
-        assert fed(Back(5, 1, "")) == "no: not on trial"
-        assert fed(Back(5, 2, "failed: 40%")) == "ok 3" and fed.machine.open == (1, 2, 3)
-        assert fed.machine.version(3).rules == good.rules and fed(Back(5, 2, "")) == "no: not on trial"
-        assert fed(Live(5, 3)) == "ok" and fed(Back(5, 3, "")).startswith("no: its rules are the proven ones")
-        assert fed(Proven(5, 3)) == "ok"
+        assert fed(Rollback(5, 1, "")) == "no: not on trial"
+        assert fed(Rollback(5, 2, "failed: 40%")) == "ok 3" and fed.machine.open == (1, 2, 3)
+        assert fed.machine.version(3).rules == good.rules and fed(Rollback(5, 2, "")) == "no: not on trial"
+        assert fed(Activate(5, 3)) == "ok" and fed(Rollback(5, 3, "")).startswith("no: its rules are the proven ones")
+        assert fed(Confirm(5, 3)) == "ok"
         word, made = draft(fed.machine.version(3), ban("e2"), 50)
         assert made.digest == bad.digest and fed(word) == "ok"
-        assert fed(Publish(5, word.key)).startswith("no: harmful: these are the rules of version 2")
-        assert fed(Draft("op", 1, 51, -1, b"\0" * 16, to=2)) == "ok"
-        assert fed(Publish(5, "op/1/51")).startswith("no: harmful")
+        assert fed(PublishVersion(5, word.key)).startswith("no: harmful: these are the rules of version 2")
+        assert fed(DraftPiece("op", 1, 51, -1, b"\0" * 16, to=2)) == "ok"
+        assert fed(PublishVersion(5, "op/1/51")).startswith("no: harmful")
         fed.push(ban("e3"))
 
     def test_rollback_goes_to_any_of_the_last_versions_and_no_further(self):
@@ -170,15 +182,18 @@
         tables = [fed.push(ban(f"e{n}")).rules for n in range(KEPT + 4)]
         assert len(fed.machine.history) == KEPT
         for number, to in enumerate((KEPT + 3, 6, 1, KEPT + 4, 99), 100):
-            assert fed(Draft("op", 1, number, -1, b"\0" * 16, to=to)) == "ok"
-        assert fed(Publish(5, "op/1/100")) == f"ok {KEPT + 5}"
-        assert fed.machine.version(KEPT + 5).rules == tables[KEPT + 2] and fed(Live(5, KEPT + 5)) == "ok"
-        assert fed(Publish(5, "op/1/101")).startswith("ok") and fed.machine.version(fed.machine.last).rules == tables[5]
-        assert fed(Live(5, fed.machine.last)) == "ok"
+            assert fed(DraftPiece("op", 1, number, -1, b"\0" * 16, to=to)) == "ok"
+        assert fed(PublishVersion(5, "op/1/100")) == f"ok {KEPT + 5}"
+        assert fed.machine.version(KEPT + 5).rules == tables[KEPT + 2] and fed(Activate(5, KEPT + 5)) == "ok"
+        assert (
+            fed(PublishVersion(5, "op/1/101")).startswith("ok")
+            and fed.machine.version(fed.machine.last).rules == tables[5]
+        )
+        assert fed(Activate(5, fed.machine.last)) == "ok"
         for number, why in ((102, "version 1 is not kept"), (103, ""), (104, "version 99 is not kept")):
-            assert why in fed(Publish(5, f"op/1/{number}"))
+            assert why in fed(PublishVersion(5, f"op/1/{number}"))
             if fed.machine.pending:
-                fed(Live(5, fed.machine.pending))
+                fed(Activate(5, fed.machine.pending))
 
     def test_every_table_is_bounded_and_says_so(self):
         fed = Fed()
@@ -187,32 +202,36 @@
         assert fed(draft(EMPTY, ban("e1"), 99)[0]).startswith("no: full") and fed.machine.counts["full"] == 1
         fed = Fed()
         for number in range(4):  # who begins anew gives up the draft that it left half-way
-            assert fed(Draft("op", 1, number, 0, b"x" * 16, 0, 9, b"y" * PIECE)) == "ok"
+            assert fed(DraftPiece("op", 1, number, 0, b"x" * 16, 0, 9, b"y" * PIECE)) == "ok"
         assert len(fed.machine.drafts) == 1
         for number in range(30):
-            told = fed(Draft(f"o{number}", 1, 1, 0, b"x" * 16, 0, 9, b"y" * PIECE))
+            told = fed(DraftPiece(f"o{number}", 1, 1, 0, b"x" * 16, 0, 9, b"y" * PIECE))
         assert told.startswith("no: full") and fed.machine._waiting() <= agreement.DRAFT_BYTES
         for number in range(agreement.MOST_MEMBERS + 1):
-            told = fed(Hold(f"c{number}", 1, 1))
+            told = fed(RenewLease(f"c{number}", 1, 1))
         assert told.startswith("no: full") and len(fed.machine.members) == agreement.MOST_MEMBERS
-        assert [fed(word) for word in (Hold("c1", 1, 2), Hold("c1", 1, 2), Hold("c1", 0, 9))] == [
+        assert [fed(word) for word in (RenewLease("c1", 1, 2), RenewLease("c1", 1, 2), RenewLease("c1", 0, 9))] == [
             "ok",
             "no: old",
             "no: old",
         ]
         for word in (
-            Hold("c" * 65, 1, 1),
-            Hold("c1", 1, 5, why="x" * 999),
-            Hold("c1", 1, 5, seen=(-1,)),
-            Hold("c1", 1, 5, seen=(0,) * 65),
+            RenewLease("c" * 65, 1, 1),
+            RenewLease("c1", 1, 5, why="x" * 999),
+            RenewLease("c1", 1, 5, seen=(-1,)),
+            RenewLease("c1", 1, 5, seen=(0,) * 65),
         ):
             assert fed(word) == "no: bounds"
-        assert fed(Forget(5, "c1", 1, 1)) == "no: heard since" and fed(Forget(5, "c1", 1, 2)) == "ok"
-        assert fed(Leave("c2", 9)) == "no: unknown" and fed(Leave("c2", 1)) == "ok" and "c2" not in fed.machine.members
+        assert fed(RemoveMember(5, "c1", 1, 1)) == "no: heard since" and fed(RemoveMember(5, "c1", 1, 2)) == "ok"
+        assert (
+            fed(MemberLeaving("c2", 9)) == "no: unknown"
+            and fed(MemberLeaving("c2", 1)) == "ok"
+            and "c2" not in fed.machine.members
+        )
         for _ in range(100):
             fed.push(ban(str(fed.index)), proven=False)
-            fed(Back(5, fed.machine.live, "x"))
-            fed(Live(5, fed.machine.pending))
+            fed(Rollback(5, fed.machine.live, "x"))
+            fed(Activate(5, fed.machine.pending))
         assert len(fed.machine.bad) == agreement.MOST_BAD and len(fed.machine.news) == agreement.MOST_NEWS
 
     def test_versions_too_large_for_a_snapshot_are_refused_and_others_go_on(self):
@@ -220,13 +239,13 @@
         text = {f"ban/e{n}": Ban(f"e{n}", "x" * 180) for n in range(9_000)}
         fed.push(text, proven=False)
         fed.draft({key: Ban(entry.engine, "y" * 180) for key, entry in text.items()})
-        assert fed(Publish(5, f"me/1/{fed.drafts}")).startswith("no: too large a change")
+        assert fed(PublishVersion(5, f"me/1/{fed.drafts}")).startswith("no: too large a change")
         fed.push(ban("f1"))
         assert len(fed.machine.state()) < 4 << 20
 
     def test_whatever_the_bytes_nothing_is_raised(self):
         fed, rng = Fed(), random.Random(3)
-        good = [encode(word) for word in (draft(EMPTY, ban("e1"))[0], Hold("c1", 1, 1), Live(5, 1))]
+        good = [encode(word) for word in (draft(EMPTY, ban("e1"))[0], RenewLease("c1", 1, 1), Activate(5, 1))]
         for _ in range(600):
             data = bytearray(rng.choice(good) if rng.random() < 0.8 else rng.randbytes(rng.randrange(60)))
             for _ in range(rng.randrange(4)):
@@ -241,18 +260,18 @@
             if step % 7:
                 fed.push({f"ban/f{rng.randrange(step + 1)}": None} | ban(f"f{step}"), proven=step % 3 == 0)
             else:
-                fed(Draft("o2", 1, step, 0, b"x" * 16, 0, 2, b"z"))
-            fed(Hold(f"c{step % 5}", 1, step))
+                fed(DraftPiece("o2", 1, step, 0, b"x" * 16, 0, 2, b"z"))
+            fed(RenewLease(f"c{step % 5}", 1, step))
             if twin is not None:
                 twin.restore(fed.index, fed.machine.state())
                 assert twin.state() == fed.machine.state()
             if step % 10 == 0:
-                twin = Machine()
+                twin = SettingsStateMachine()
                 twin.restore(fed.index, fed.machine.state())
                 word, _ = draft(fed.machine.version(fed.machine.live), ban("g"), 999)
                 for machine in (twin, fed.machine):
                     machine.apply(fed.index + 1, encode(word))
-                    told = machine.apply(fed.index + 2, encode(Publish(5, word.key)))
+                    told = machine.apply(fed.index + 2, encode(PublishVersion(5, word.key)))
                     machine.apply(fed.index + 3, encode(Withdraw(5, machine.pending, "")))
                     assert told.startswith(b"ok")
                 fed.index += 4
@@ -285,7 +304,7 @@
         world = agreed()
         push(world, ban("e2"), 2)
         world.apply("c0", 99)
-        assert isinstance(world.publish("c0"), Publish)
+        assert isinstance(world.publish("c0"), PublishVersion)
         world.apply("c1", 99)
         c1 = world.nodes["c1"].holder
         assert (c1.applied.mode, c1.applied.versions, c1.applied.why) == (MEET, (1, 2), "pending")
@@ -345,7 +364,7 @@
         assert {acting.plain for acting in world.acting().values()} == {2}
 
     def test_alone_in_the_strict_mode_it_refuses(self):
-        world = agreed(terms=Terms(2_000.0, 0.0, 4_000.0, alone=REFUSE))
+        world = agreed(terms=AgreementSettings(2_000.0, 0.0, 4_000.0, alone=REFUSE))
         world.pass_time(2_000.0)
         assert {(acting.mode, acting.why) for acting in world.acting().values()} == {(REFUSE, "alone")}
         world.crash("c1")
@@ -357,7 +376,7 @@
         assert world.acting()["c2"].mode == FILE, "nothing was ever agreed as far as it knows"
 
     def test_a_clock_that_is_slow_by_the_drift_is_still_covered(self):
-        terms = Terms(2_000.0, 0.05)
+        terms = AgreementSettings(2_000.0, 0.05)
         assert terms.own_ms / (1.0 - terms.drift) <= terms.lease_ms <= terms.wait_ms / (1.0 + terms.drift)
 
     def test_one_that_can_not_take_it_has_it_withdrawn_and_says_why(self):
@@ -391,7 +410,7 @@
         world = agreed()
         push(world, ban("e2"), 2)
         world.apply("c0", 99)
-        assert isinstance(world.publish("c0"), Publish)
+        assert isinstance(world.publish("c0"), PublishVersion)
         world.crash("c0")
         world.nodes["c1"].publisher.take(world.now, 20)
         for _ in range(12):
@@ -452,23 +471,23 @@
             values = keys = __iter__ = items
 
         fed = Fed()
-        publisher = Publisher(TERMS, fed.machine, Judge())
+        publisher = PublisherDecisions(TERMS, fed.machine, CanaryCheck())
         for n in range(9):
-            assert fed(Hold(f"c{n}", 1, 1)) == "ok"
+            assert fed(RenewLease(f"c{n}", 1, 1)) == "ok"
         publisher.take(0.0, 5)
         assert publisher.decide(0.0) is None
         for n in (*range(3), *range(4, 9)):
-            assert fed(Hold(f"c{n}", 1, 2, seen=(*range(4), *[0] * BUCKETS))) == "ok"
+            assert fed(RenewLease(f"c{n}", 1, 2, seen=(*range(4), *[0] * BUCKETS))) == "ok"
         plain, fed.machine.members = fed.machine.members, Many(fed.machine.members)
         assert publisher.decide(3_000.0) is None and publisher.judge._windows[-1][3] == 24
-        assert publisher.decide(4_000.0) == Forget(5, "c3", 1, 1)
+        assert publisher.decide(4_000.0) == RemoveMember(5, "c3", 1, 1)
         fed.machine.members = plain
-        assert fed(Forget(5, "c3", 1, 1)) == "ok" and fed(Leave("c8", 1)) == "ok"
+        assert fed(RemoveMember(5, "c3", 1, 1)) == "ok" and fed(MemberLeaving("c8", 1)) == "ok"
         publisher.decide(4_100.0)
         assert publisher._seen.keys() == plain.keys() and publisher.judge._windows[-1][3] == 21
-        late = Machine()
+        late = SettingsStateMachine()
         for n in (1, 99):
-            late.apply(n, encode(Hold(f"c{n}", 1, 9)))
+            late.apply(n, encode(RenewLease(f"c{n}", 1, 9)))
         fed.machine.restore(fed.index, late.state())
         publisher.decide(4_200.0)
         assert publisher._seen.keys() == {"c1", "c99"} and not publisher.judge._windows[-1][3]
@@ -478,7 +497,7 @@
     def test_harm_is_rolled_back_by_the_publisher_and_the_next_version_is_taken(self):
         world, figures = agreed(1), [0] * (HEAD + BUCKETS)
         node = world.nodes["c0"]
-        node.publisher.judge = Judge()
+        node.publisher.judge = CanaryCheck()
         holder = node.holder
 
         def run(fails, steps):
@@ -516,7 +535,7 @@
         def run(fails, until, steps=100):
             for _ in range(steps):
                 for name, node in world.nodes.items():
-                    node.publisher.judge = node.publisher.judge or Judge()
+                    node.publisher.judge = node.publisher.judge or CanaryCheck()
                     for place, more in ((0, 50), (1, fails), (HEAD + 3, 50)):
                         counts[name][place] += more
                     if (word := node.holder.holds(world.now, tuple(counts[name]))) is not None:
@@ -552,7 +571,7 @@
         fed = Fed()
         fed.push(ban("e1"), live=False)
         for usual in ((1.0,) * 17, (-1.0,), (float("nan"),), (float("inf"),)):
-            assert fed(Live(5, 1, usual)) == "no: bounds"
+            assert fed(Activate(5, 1, usual)) == "no: bounds"
 
 
 class TestAudit:
@@ -622,7 +641,7 @@
         while (
             node.at < len(world.log)
             and not node.publisher.token
-            and isinstance(word := agreement.read(world.log[node.at]), Hold)
+            and isinstance(word := agreement.read(world.log[node.at]), RenewLease)
             and word.name != name
         ):
             world.apply(name)
@@ -657,7 +676,9 @@
                 if node.publisher.token and other.publish(name) is not None:
                     yield f"publish {name}", other
             waits = any(
-                isinstance(word := agreement.read(entry), Hold) and word.name == name and word.process == node.process
+                isinstance(word := agreement.read(entry), RenewLease)
+                and word.name == name
+                and word.process == node.process
                 for entry in world.log[node.at :]
             )
             if world.left[name] and not waits:
@@ -747,14 +768,14 @@
         changes = {f"ban/e{engine}": None if f"ban/e{engine}" in live.rules else Ban(f"e{engine}")}
         if kind == "relies":
             changes = {
-                "scope/http": Scope(),
-                "scope/coordinator": Scope(),
+                "scope/http": ListScope(),
+                "scope/coordinator": ListScope(),
                 "limit/out": Limit(9.0),
                 "engine/http/e1": Engine("e1", "127.0.0.1:1", most=4),
             }
         word, _ = draft(live, changes, self.number)
         if kind in ("checksum", "cut", "gap", "base"):
-            word = Draft(
+            word = DraftPiece(
                 word.by,
                 1,
                 word.number,
@@ -765,7 +786,7 @@
                 word.data[:-3] if kind == "cut" else word.data,
             )
         elif kind == "back":
-            word = Draft("op", 1, self.number, -1, word.digest, to=max(0, live.number - engine))
+            word = DraftPiece("op", 1, self.number, -1, word.digest, to=max(0, live.number - engine))
         for _ in range(2 if kind == "twice" else 1):
             self.world.propose(word)
 
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -25,15 +25,15 @@
 from frostspindle.program import Program
 from frostspindle.replica.local import LocalLog
 from frostspindle.settings import agreement
-from frostspindle.settings.agreement import Machine, Publish
-from frostspindle.settings.deciding import MEET, REFUSE, VERSION, Acting, Kept, Terms
-from frostspindle.settings.harm import BUCKETS, HEAD
-from frostspindle.settings.keep import Keeper
-from frostspindle.settings.schema import Ban, Class, Coordinator, Engine, Limit, Login, Scope, Tenant
-from frostspindle.settings.service import Alone, Service
+from frostspindle.settings.agreement import PublishVersion, SettingsStateMachine
+from frostspindle.settings.canary import BUCKETS, HEAD
+from frostspindle.settings.decisions import MEET, REFUSE, VERSION, ActiveRules, AgreementSettings, RestoredVersions
+from frostspindle.settings.schema import Ban, Class, Coordinator, Engine, Limit, ListScope, Login, Tenant
+from frostspindle.settings.service import LocalOwnership, SettingsService
+from frostspindle.settings.version_store import VersionStore
 from frostspindle.settings.versions import EMPTY, cut, pack
-from frostspindle.store.base import Broken
-from frostspindle.store.memory import Memory
+from frostspindle.store.base import StoreBrokenError
+from frostspindle.store.memory import MemoryStore
 from frostspindle.telemetry import Telemetry
 
 ROOT = Path(__file__).parent.parent
@@ -164,7 +164,7 @@
 
     def test_with_the_strict_mode_nobody_permits_what_it_has_not_heard_is_forbidden(self):
         for refuse in (True, False):
-            terms = Terms(2_000.0, 0.01, 4_000.0, REFUSE if refuse else MEET)
+            terms = AgreementSettings(2_000.0, 0.01, 4_000.0, REFUSE if refuse else MEET)
             blind = [
                 playing.measure(playing.play(5, seed, "5-13 cut 4|0-3", 18.0, terms=terms))["blind_ms"]
                 for seed in range(2)
@@ -201,7 +201,7 @@
         table = EMPTY.rules
         for key, entry in rules.items():
             table = table.set(key.replace("__", "/", 2).replace("_dash_", "-"), entry)
-        self.applied.act(Acting(mode, (1,), table))
+        self.applied.act(ActiveRules(mode, (1,), table))
         await self.quiet()
         return {state.name: int(state.entry.health) for state in self.core.engines.values()}
 
@@ -214,13 +214,13 @@
         self.assertEqual(await self.act(), {"toy-0": 1, "toy-1": 1, "toy-2": 1})
 
     async def test_a_list_of_engines_takes_the_files_place_and_gives_it_back(self):
-        rules = {"scope__http": Scope(), "e0": None}
+        rules = {"scope__http": ListScope(), "e0": None}
         del rules["e0"]
-        table = EMPTY.rules.set("scope/http", Scope()).set("engine/http/toy-0", Engine("toy-0", "127.0.0.1:9000"))
+        table = EMPTY.rules.set("scope/http", ListScope()).set("engine/http/toy-0", Engine("toy-0", "127.0.0.1:9000"))
         table = table.set("engine/http/new", Engine("new", "127.0.0.1:9009"))
         for n in range(250):
             table = table.set(f"engine/http/x{n}", Engine(f"x{n}", "127.0.0.1:9", state="leaving"))
-        self.applied.act(Acting(VERSION, (1,), table))
+        self.applied.act(ActiveRules(VERSION, (1,), table))
         self.assertTrue({"toy-1", "toy-2"} <= self.core.banned, "who is not on the list gets nothing more, at once")
         for _ in range(3_000):
             await asyncio.sleep(0)
@@ -228,13 +228,13 @@
         self.assertEqual([told[name] for name in ("toy-0", "toy-1", "new", "x7", "x249")], [1, 0, 1, 2, 2])
         with mock.patch.object(self.core, "ban", wraps=self.core.ban) as ban:
             self.applied._told = ban
-            self.applied.act(Acting(VERSION, (2,), table))
+            self.applied.act(ActiveRules(VERSION, (2,), table))
             self.assertEqual((ban.call_count, "x7" in self.applied.out), (0, False), "it was never sent to")
         self.applied.act(
-            Acting(VERSION, (3,), table.set("engine/http/new", Engine("new", "127.0.0.1:9009", state="leaving")))
+            ActiveRules(VERSION, (3,), table.set("engine/http/new", Engine("new", "127.0.0.1:9009", state="leaving")))
         )
         self.assertIn("new", self.core.banned)
-        self.applied.act(Acting(VERSION, (4,), EMPTY.rules))
+        self.applied.act(ActiveRules(VERSION, (4,), EMPTY.rules))
         await self.quiet()
         told = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual([told[name] for name in ("toy-0", "toy-1", "new", "x7")], [1, 1, 0, 0])
@@ -266,9 +266,9 @@
             await self.act(
                 limit__open_requests=Limit(40.0),
                 limit__tds_sessions=Limit(3.0),
-                scope__login=Scope(),
+                scope__login=ListScope(),
                 login__a=Login("a", "report", "app"),
-                scope__tds=Scope(),
+                scope__tds=ListScope(),
             )
         bound.assert_called_with(40)
         self.assertEqual((program.tds.tds.max_sessions, program.tds.tds.login[0].application), (3, "app"))
@@ -285,14 +285,14 @@
         self.applied.name = "c1"
         table = EMPTY.rules
         for key, entry in (
-            ("scope/http", Scope()),
-            ("scope/coordinator", Scope()),
+            ("scope/http", ListScope()),
+            ("scope/coordinator", ListScope()),
             ("limit/out", Limit(7.0)),
             ("coordinator/c1", Coordinator("c1", 0.5)),
             *((f"engine/http/toy-{n}", Engine(f"toy-{n}", f"127.0.0.1:{9_000 + n}", most=5)) for n in range(2)),
         ):
             table = table.set(key, entry)
-        self.applied.act(Acting(VERSION, (1,), table))
+        self.applied.act(ActiveRules(VERSION, (1,), table))
         await self.quiet()
         states = {state.name: state for state in self.core.engines.values()}
         looks = []
@@ -310,7 +310,7 @@
         self.assertTrue(self.applied.fence(states["toy-1"], sent[4]))
         self.assertFalse(self.applied.fence(states["toy-2"], attempt("toy-2")), "not on the list")
         self.applied.name = "c9"
-        self.applied.act(Acting(VERSION, (2,), table.set("limit/open_requests", Limit(50.0))))
+        self.applied.act(ActiveRules(VERSION, (2,), table.set("limit/open_requests", Limit(50.0))))
         sent[1].over = sent[3].over = sent[4].over = True
         self.assertFalse(self.applied.fence(states["toy-0"], attempt("toy-0")), "without a part nothing is let through")
 
@@ -326,10 +326,10 @@
         with mock.patch.object(self.core, "ban", side_effect=lambda names: calls.append(sorted(names))) as ban:
             self.applied._told = ban
             for acting in (
-                Acting(VERSION, (1,), one.rules),
-                Acting(MEET, (1, 2), two.rules),
-                Acting(VERSION, (2,), two.rules),
-                Acting(VERSION, (1,), one.rules),
+                ActiveRules(VERSION, (1,), one.rules),
+                ActiveRules(MEET, (1, 2), two.rules),
+                ActiveRules(VERSION, (2,), two.rules),
+                ActiveRules(VERSION, (1,), one.rules),
             ):
                 self.applied.act(acting)
         self.assertEqual(calls, [["toy-1"], "bounds", "bounds", "bounds"])
@@ -339,7 +339,7 @@
             def items(self):
                 raise AssertionError("all entries are looked through")
 
-        one = {f"ban/b{n}": Ban(f"b{n}") for n in range(50)} | {"scope/http": Scope()}
+        one = {f"ban/b{n}": Ban(f"b{n}") for n in range(50)} | {"scope/http": ListScope()}
         await self.act(**{key.replace("/", "__"): entry for key, entry in one.items()})
         self.assertEqual((len(self.applied.out), "toy-1" in self.applied.out), (53, True))
         two = {
@@ -352,14 +352,14 @@
         }
         del two["ban/b0"], two["ban/b1"]
         self.applied.between = lambda old, new: {"engine/http/toy-1", "class/lookup", "tenant/blue"}
-        self.applied.act(Acting(VERSION, (2,), Long(two)))
+        self.applied.act(ActiveRules(VERSION, (2,), Long(two)))
         await self.quiet()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
             (self.core.controller.s.classes[0].latency_objective_ms, states["toy-1"], states["toy-2"]), (900.0, 1, 0)
         )
         del two["class/lookup"], two["engine/http/toy-1"]
-        self.applied.act(Acting(VERSION, (2,), Long(two)))
+        self.applied.act(ActiveRules(VERSION, (2,), Long(two)))
         await self.quiet()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
@@ -372,7 +372,7 @@
         )
         self.applied.between = lambda old, new: {"ban/b0", "ban/b1", "drain/b0", "ban/new"}
         with mock.patch.object(self.applied, "_not_listed", side_effect=AssertionError("all engines are")):
-            self.applied.act(Acting(VERSION, (2,), Long(two)))
+            self.applied.act(ActiveRules(VERSION, (2,), Long(two)))
         self.assertEqual(self.events_of("faults"), 0)
         self.assertEqual(
             (len(self.applied.out), "b0" in self.core.banned, "b1" in self.core.banned, "new" in self.core.banned),
@@ -409,17 +409,17 @@
     def service(self, log, name="c1", keeper=None, owners=None, told=None):
         events = Telemetry(name, sink=mock.MagicMock())
         events.log = lambda event, **more: (told if told is not None else []).append((event, more))
-        service = Service(
+        service = SettingsService(
             log,
             name,
-            Terms(600.0, 0.01, 300.0),
+            AgreementSettings(600.0, 0.01, 300.0),
             events,
             lambda acting: None,
             lambda version: "",
             lambda: (0,) * (HEAD + BUCKETS),
-            owners or Alone(),
+            owners or LocalOwnership(),
             keeper,
-            Kept(),
+            RestoredVersions(),
             None,
         )
         self.addAsyncCleanup(service.close)
@@ -439,8 +439,8 @@
     async def test_a_flood_of_versions_good_broken_and_cut_short_ends_with_the_last_good_one(self):
         log, told, rng = LocalLog("c1"), [], random.Random(5)
         other = log.join("c2")
-        one = self.service(log, keeper=Keeper(Memory()), told=told)
-        two = self.service(other, "c2", Keeper(Memory()), mock.Mock(lease=lambda task: None))
+        one = self.service(log, keeper=VersionStore(MemoryStore()), told=told)
+        two = self.service(other, "c2", VersionStore(MemoryStore()), mock.Mock(lease=lambda task: None))
         one.start()
         two.start()
         await self.until(lambda: one.holder.heard and two.holder.heard)
@@ -470,12 +470,12 @@
         self.assertNotIn("hunter2", str(told))
 
     async def test_where_the_log_or_the_disk_fails_it_goes_on_and_says_so(self):
-        class Failing(Memory):
+        class Failing(MemoryStore):
             def apply(self, changes):
-                raise Broken("the disk")
+                raise StoreBrokenError("the disk")
 
         log, told = LocalLog("c1"), []
-        service = self.service(log, keeper=Keeper(Failing()), told=told)
+        service = self.service(log, keeper=VersionStore(Failing()), told=told)
         service.start()
         await self.until(lambda: service.holder.heard)
         self.push(service, "p", {"ban/e1": Ban("e1")})
@@ -497,8 +497,8 @@
         await self.until(lambda: service.acting.mode == "version" and "ban/e3" in service.acting.rules)
 
     async def test_a_run_of_versions_is_a_batch_each_and_what_is_left_goes_later(self):
-        store, batches = Memory(), []
-        service = self.service(LocalLog("c1"), keeper=Keeper(store))
+        store, batches = MemoryStore(), []
+        service = self.service(LocalLog("c1"), keeper=VersionStore(store))
         with (
             mock.patch.object(
                 store, "apply", side_effect=lambda changes, apply=store.apply: (batches.append(1), apply(changes))
@@ -514,18 +514,18 @@
         await self.until(lambda: tuple(sorted(service.holder.durable)) == tuple(n for n in service.machine.open if n))
 
     async def test_a_long_version_is_made_in_turn_with_others_before_it_is_published(self):
-        service, slices, published = self.service(LocalLog("c1"), keeper=Keeper(Memory())), [], []
+        service, slices, published = self.service(LocalLog("c1"), keeper=VersionStore(MemoryStore())), [], []
         machine = service.machine
-        make, apply = Machine.make, Machine.apply
+        make, apply = SettingsStateMachine.make, SettingsStateMachine.apply
 
         def applied(self, index, command):
-            if isinstance(agreement.read(command), Publish):
+            if isinstance(agreement.read(command), PublishVersion):
                 published.append(self.unmade)
             return apply(self, index, command)
 
         with (
-            mock.patch.object(Machine, "make", lambda self: (slices.append(1), make(self))),
-            mock.patch.object(Machine, "apply", applied),
+            mock.patch.object(SettingsStateMachine, "make", lambda self: (slices.append(1), make(self))),
+            mock.patch.object(SettingsStateMachine, "apply", applied),
         ):
             service.start()
             await self.until(lambda: service.holder.heard)
