--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -9,21 +9,30 @@
 from dataclasses import replace
 from unittest import mock
 
-from frostspindle.store import disk, records
-from frostspindle.store.base import Broken, Full, Limits, Spoilt, Tally
-from frostspindle.store.disk import Disk
-from frostspindle.store.judge import FORMAT, Facts, Head, Known, Meta, judge, next_life, worth_opening
-from frostspindle.store.marker import Marker
-from frostspindle.store.opening import Refused, open_store
+from frostspindle.store import records, sqlite_engine
+from frostspindle.store.base import CorruptDataError, StoreBrokenError, StoreDigest, StoreFullError, StoreLimits
+from frostspindle.store.marker_engine import MarkerEngine
+from frostspindle.store.opening import StoreRefusedError, open_store
+from frostspindle.store.opening_decision import (
+    FORMAT,
+    HeadRecord,
+    KnownStore,
+    MetaRecord,
+    OpeningFacts,
+    judge,
+    next_life,
+    worth_opening,
+)
+from frostspindle.store.sqlite_engine import SqliteEngine
 
 A, B = b"a" * 16, b"b" * 16
-HEAD, META = Head(FORMAT, "sqlite", "c1", A, 3, 77), Meta(A, 40, Tally())
-GOOD = Facts("c1", "sqlite", found=True, head=HEAD, inode=77, meta=META)
+HEAD, META = HeadRecord(FORMAT, "sqlite", "c1", A, 3, 77), MetaRecord(A, 40, StoreDigest())
+GOOD = OpeningFacts("c1", "sqlite", found=True, head=HEAD, inode=77, meta=META)
 
 
 class JudgeCase(unittest.TestCase):
     def test_each_fact_has_its_verdict_and_the_one_that_weighs_more_goes_first(self):
-        at = Known("c1", A, 3, 40)
+        at = KnownStore("c1", A, 3, 40)
         for changed, outcome in (
             ({}, "good use"),
             ({"told": replace(at, life=4)}, "older aside"),
@@ -58,12 +67,12 @@
         self.assertIn("lost", judge(replace(GOOD, found=False, witness=at)).why)
 
     def test_an_empty_store_has_a_later_life_than_all_that_is_known_of_its_owner(self):
-        told = Known("c1", B, 7, 1)
+        told = KnownStore("c1", B, 7, 1)
         self.assertEqual(
             [
                 next_life(facts)
                 for facts in (
-                    Facts("c1", "sqlite"),
+                    OpeningFacts("c1", "sqlite"),
                     GOOD,
                     replace(GOOD, told=told),
                     replace(GOOD, witness=replace(told, owner="c2")),
@@ -78,7 +87,7 @@
     def setUp(self):
         self.path, self.told = self.scratch / "s", []
 
-    def open(self, engine=Disk, **more):
+    def open(self, engine=SqliteEngine, **more):
         store = open_store(
             self.path, "c1", engine, **more, note=lambda event, **fields: self.told.append((event, fields))
         )
@@ -93,17 +102,17 @@
             [(event, fields["verdict"], fields.get("aside")) for event, fields in self.told],
             [("store", "fresh", None), ("store", "corrupt", "aside-000001-corrupt")],
         )
-        with self.assertRaises(Refused):
-            self.open(Marker)
+        with self.assertRaises(StoreRefusedError):
+            self.open(MarkerEngine)
         self.assertEqual(self.told[-1][1]["verdict"], "unreadable")
 
     def test_a_full_database_says_so_keeps_the_old_state_and_goes_on(self):
-        was, disk.most_pages = disk.most_pages, lambda limits: 12
+        was, sqlite_engine.most_pages = sqlite_engine.most_pages, lambda limits: 12
         try:
             store = self.open()
         finally:
-            disk.most_pages = was
-        with self.assertRaises(Full):
+            sqlite_engine.most_pages = was
+        with self.assertRaises(StoreFullError):
             for number in range(20):
                 store.apply({b"%d" % number: b"x" * 4_000, b"last": b"%d" % number})
         self.assertEqual(store.get(b"last"), b"%d" % (store.generation - 1))
@@ -115,9 +124,9 @@
         store.apply({b"a": b"1", b"b": b"2"})
         store._engine._db.execute("UPDATE entry SET value = x'33' WHERE key = x'61'")
         self.assertEqual(store.get(b"b"), b"2")
-        with self.assertRaises(Broken):
+        with self.assertRaises(StoreBrokenError):
             store.get(b"a")
-        with self.assertRaises(Broken):
+        with self.assertRaises(StoreBrokenError):
             store.apply({b"c": b"3"})
         self.assertEqual(self.told[-1][0], "store_broken")
 
@@ -134,7 +143,7 @@
             store = self.open()
             store.apply({b"a": b"1", b"b": b"2"})
             store.close()
-            with sqlite3.connect(self.path / "store" / disk.FILE) as db:
+            with sqlite3.connect(self.path / "store" / sqlite_engine.FILE) as db:
                 db.execute(change)
             db.close()
             store = self.open()
@@ -151,11 +160,11 @@
         self.assertEqual(self.open().ruling.verdict, "corrupt")
 
     def test_what_no_state_of_ours_can_be_so_long_is_not_read(self):
-        store = self.open(Marker)
+        store = self.open(MarkerEngine)
         store.close()
         (self.path / "store" / "state").write_bytes(b"x" * 100_000)
-        self.assertEqual(self.open(Marker).ruling.why, "state is longer than 256 bytes")
-        with self.assertRaises(Spoilt):
+        self.assertEqual(self.open(MarkerEngine).ruling.why, "state is longer than 256 bytes")
+        with self.assertRaises(CorruptDataError):
             records.head_in(records.seal(b"\xff\xff"))
 
     def test_children_swapped_in_an_inner_page_are_noticed_though_every_entry_is_there(self):
@@ -163,18 +172,18 @@
         store.apply({b"%04d" % n: b"x" * 100 for n in range(400)})
         page = store._engine._db.execute("SELECT rootpage FROM sqlite_schema WHERE name = 'entry'").fetchone()[0] - 1
         store.close()
-        path = self.path / "store" / disk.FILE
+        path = self.path / "store" / sqlite_engine.FILE
         data = bytearray(path.read_bytes())
-        root = data[page * disk.PAGE : (page + 1) * disk.PAGE]
+        root = data[page * sqlite_engine.PAGE : (page + 1) * sqlite_engine.PAGE]
         self.assertEqual(root[0], 2)  # an inner page; the places of its cells stand from byte 12 on
-        one, two = (page * disk.PAGE + int.from_bytes(root[at : at + 2], "big") for at in (12, 14))
+        one, two = (page * sqlite_engine.PAGE + int.from_bytes(root[at : at + 2], "big") for at in (12, 14))
         data[one : one + 4], data[two : two + 4] = data[two : two + 4], data[one : one + 4]
         path.write_bytes(data)
         self.assertEqual(self.open().ruling.verdict, "corrupt")
 
     def test_a_database_longer_than_can_be_is_not_read(self):
         self.open().close()
-        with open(self.path / "store" / disk.FILE, "r+b") as file:
+        with open(self.path / "store" / sqlite_engine.FILE, "r+b") as file:
             file.truncate(1 << 30)  # nothing of it is on the disk
         self.assertEqual(self.open().ruling.why, "the database is longer than can be")
 
@@ -186,7 +195,7 @@
             ["wal", 2],
         )
         self.assertEqual({path.name for path in (self.path / "store").iterdir()}, {"head", "db", "db-wal"})
-        other = sqlite3.connect(self.path / "store" / disk.FILE, timeout=0.0)
+        other = sqlite3.connect(self.path / "store" / sqlite_engine.FILE, timeout=0.0)
         self.addCleanup(other.close)
         with self.assertRaises(sqlite3.OperationalError):
             other.execute("SELECT * FROM entry").fetchall()
@@ -206,8 +215,8 @@
             for number in range(30):
                 (at / f"entry-{number}").touch()
 
-        class Few(Marker):
-            limits = replace(Marker.limits, entries=4)
+        class Few(MarkerEngine):
+            limits = replace(MarkerEngine.limits, entries=4)
 
         for change, why in (
             (renamed, "entry-%61 is no entry"),
@@ -227,74 +236,77 @@
             store.close()
 
     def test_no_room_to_look_into_a_good_store_leaves_it_where_it_is(self):
-        self.open(Marker).close()
-        with mock.patch.object(Marker, "_recover", side_effect=OSError(errno.ENOSPC, "no")), self.assertRaises(Refused):
-            self.open(Marker)
-        self.assertEqual([self.told[-1][1]["verdict"], self.open(Marker).ruling.verdict], ["full", "good"])
+        self.open(MarkerEngine).close()
+        with (
+            mock.patch.object(MarkerEngine, "_recover", side_effect=OSError(errno.ENOSPC, "no")),
+            self.assertRaises(StoreRefusedError),
+        ):
+            self.open(MarkerEngine)
+        self.assertEqual([self.told[-1][1]["verdict"], self.open(MarkerEngine).ruling.verdict], ["full", "good"])
 
     def test_a_link_or_a_file_in_the_stores_place_is_set_aside_and_what_it_leads_to_stays(self):
         for link in (True, False):
             self.path = self.path.with_name(f"link-{link}")
             place, elsewhere = self.path / "store", self.path / "elsewhere"
-            self.open(Marker).close()
+            self.open(MarkerEngine).close()
             place.rename(elsewhere)
             place.symlink_to(elsewhere) if link else place.touch()
-            store = self.open(Marker)
+            store = self.open(MarkerEngine)
             self.assertEqual(store.ruling.why, "no whole head: no folder of its own")
             self.assertEqual({path.name for path in elsewhere.iterdir()}, {"head", "state"})
 
     def test_a_witness_that_cant_be_read_or_written(self):
-        store = self.open(Marker)
+        store = self.open(MarkerEngine)
         for call in (mock.Mock(side_effect=OSError(errno.EIO, "no")), mock.Mock(return_value=3)):
             with mock.patch("os.pwrite", call):
                 self.assertEqual([store.apply({b"a": b"1"}) for _ in range(2)][1], store.generation)
             store.apply({})
         self.assertEqual([event for event, _ in self.told[1:]], ["store_unwitnessed"] * 2)
         store.close()
-        with self.assertRaises(Refused):
-            self.open(Marker, witness=self.path)
+        with self.assertRaises(StoreRefusedError):
+            self.open(MarkerEngine, witness=self.path)
         self.assertEqual(self.told[-1][1]["verdict"], "unreadable")
         for owner in ("", "c" * 65):
             with self.assertRaises(ValueError):
-                open_store(self.path, owner, Marker)
+                open_store(self.path, owner, MarkerEngine)
 
     def test_a_copy_that_was_vouched_for_once_is_at_home(self):
-        self.open(Marker).close()
+        self.open(MarkerEngine).close()
         copy = self.path.with_name("copy")
         shutil.copytree(self.path, copy)
         self.path = copy
         for moved in (True, False):
-            store = self.open(Marker, moved=moved)
+            store = self.open(MarkerEngine, moved=moved)
             self.assertEqual(store.ruling.verdict, "good")
             store.close()
 
     def test_a_batch_done_before_takes_nothing_that_a_later_one_had_staged(self):
-        store = self.open(Marker)
+        store = self.open(MarkerEngine)
         store.apply({b"a": b"1"})
         done = records.batch_out(store._meta, {b"a": 0})
-        with mock.patch("os.replace", side_effect=OSError(errno.EIO, "no")), self.assertRaises(Broken):
+        with mock.patch("os.replace", side_effect=OSError(errno.EIO, "no")), self.assertRaises(StoreBrokenError):
             store.apply({b"a": b"2"})  # staged, and no more
         store.close()
         (self.path / "store" / "batch").write_bytes(done)  # its removal was not durable when the power went
-        self.assertEqual(self.open(Marker).scan(), [(b"a", b"1")])
+        self.assertEqual(self.open(MarkerEngine).scan(), [(b"a", b"1")])
 
     def test_the_store_before_one_that_was_set_aside_is_older_from_the_first_moment_on(self):
-        store = self.open(Marker)
+        store = self.open(MarkerEngine)
         store.apply({b"a": b"1"})
         store.close()
         old = {path.name: path.read_bytes() for path in (self.path / "store").iterdir()}
         (self.path / "store" / "head").write_bytes(b"")
-        store = self.open(Marker)
+        store = self.open(MarkerEngine)
         store._witness.write = lambda known, sync=False: None  # as one that is killed now
         store.close()
         for path in (self.path / "store").iterdir():
             path.unlink()
         for name, content in old.items():
             (self.path / "store" / name).write_bytes(content)
-        self.assertEqual(self.open(Marker, moved=True).ruling.why, "the witness knows of a later state")
+        self.assertEqual(self.open(MarkerEngine, moved=True).ruling.why, "the witness knows of a later state")
 
     def test_a_torn_slot_of_the_witness_leaves_the_one_before_it(self):
-        store = self.open(Marker)
+        store = self.open(MarkerEngine)
         store.apply({b"a": b"1"})
         old = {path.name: path.read_bytes() for path in (self.path / "store").iterdir()}
         for value in (b"2", b"3"):
@@ -307,22 +319,22 @@
         for name, content in old.items():
             if name != "head":
                 (self.path / "store" / name).write_bytes(content)
-        self.assertEqual(self.open(Marker).ruling.why, "the witness knows of a later state")
+        self.assertEqual(self.open(MarkerEngine).ruling.why, "the witness knows of a later state")
 
     def test_a_store_over_bounds_that_were_lowered_is_good_and_can_be_emptied(self):
-        for engine in (Disk, Marker):
+        for engine in (SqliteEngine, MarkerEngine):
             self.path = self.path.with_name(engine.kind)
             store = self.open(engine)
             store.apply({b"%d" % n: b"x" * 50 for n in range(30)})
             store.close()
-            store = self.open(engine, limits=Limits(key=20, value=10, entries=5, total=100, batch=40))
-            with self.assertRaises(Full):
+            store = self.open(engine, limits=StoreLimits(key=20, value=10, entries=5, total=100, batch=40))
+            with self.assertRaises(StoreFullError):
                 store.apply({b"more": b""})
             store.apply({b"%d" % n: None for n in range(9)})
             store.apply({b"%d" % n: None for n in range(9, 29)})
             self.assertEqual(store.apply({b"more": b""}), 4)
             with self.assertRaises(ValueError):
-                self.open(engine, limits=Limits(key=engine.limits.key + 1))
+                self.open(engine, limits=StoreLimits(key=engine.limits.key + 1))
 
 
 class OffCase(unittest.TestCase):
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -15,9 +15,9 @@
 from frostspindle.predicates.normal import normal
 from frostspindle.predicates.values import FilterError
 from frostspindle.subscriptions import cover, cursor, interest, schema, stream, wire
-from frostspindle.subscriptions.fanout import Fanout, Item
-from frostspindle.subscriptions.hub import Hub
-from frostspindle.subscriptions.stream import Maker
+from frostspindle.subscriptions.fanout import BacklogItem, Fanout
+from frostspindle.subscriptions.hub import SubscriptionHub
+from frostspindle.subscriptions.stream import EventPublisher
 
 FILTERS = (
     "TRUE",
@@ -96,7 +96,7 @@
 @settings(max_examples=30, deadline=None)
 @given(LISTS, st.randoms(use_true_random=False), st.sampled_from((3, 30, 1_024)))
 def test_a_summary_covers_all_that_it_is_of_and_is_bounded(texts, draw, most):
-    held, left = interest.Interest(), {}
+    held, left = interest.CombinedInterest(), {}
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(interest, "MOST_BOXES", most)
         for number, text in enumerate(texts):
@@ -142,7 +142,7 @@
 
 
 def test_a_summary_of_too_many_joins_the_most_alike_and_of_far_too_many_names_what_they_have_in_common(monkeypatch):
-    held = interest.Interest()
+    held = interest.CombinedInterest()
     for number in range(500):
         held.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {500 + number % 70}"))
     held.add("far", parse("kind = 'engine' AND engine STARTS WITH 'e1'"))
@@ -159,11 +159,11 @@
     low, high, more = (cover.box(normal(parse(said))[0]) for said in ("ms < 5", "ms >= 40", "ms < 9"))
     assert cover.join(low, high) == frozenset() and cover.join(low, more) == cover.box(normal(parse("ms <= 9"))[0])
     monkeypatch.setattr(interest, "MOST_BOXES", 40)
-    held = interest.Interest()
+    held = interest.CombinedInterest()
     for number in range(100):  # what came since the last summary is bounded, whatever comes and goes
         held.add(number % 30, parse(f"kind = 'answer' AND tenant = 'a rather long name {number}'"))
         assert len(held._new) <= 40 and (number != 30 or held.parts())
-    held = interest.Interest()
+    held = interest.CombinedInterest()
     for number in range(500):
         held.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {number}"))
     assert held.parts() == ("kind = 'answer' AND tenant IN ('t0', 't1', 't2', 't3', 't4', 't5', 't6')",)
@@ -178,7 +178,7 @@
     monkeypatch.setattr(interest, "MOST_BOXES", most)
     long = "t" * 40
     for count, each in ((3, 10), (20, 1), (1, 23), (2, 60)):
-        held = interest.Interest()
+        held = interest.CombinedInterest()
         for n in range(count):
             names = ", ".join(f"'{long}{n}-{m}'" for m in range(each))
             held.add(n, parse(f"kind = 'answer' AND tenant IN ({names})"))
@@ -207,7 +207,7 @@
         "A" * 99_999,
         cursor.base64.urlsafe_b64encode(cursor._check(raw) + raw).decode(),
     ):
-        with pytest.raises(cursor.BadCursor):
+        with pytest.raises(cursor.InvalidCursorError):
             cursor.decode(bad)
     assert cursor.encode("TRUE", {f"c{n}": (1, 1) for n in range(cursor.MOST_MAKERS + 1)}) is None
     assert cursor.encode("x" * (cursor.MOST_FILTER + 1), {}) is None
@@ -215,7 +215,7 @@
 
 def test_what_is_no_message_is_refused_at_the_edge():
     told = wire.told(5, schema.make(schema.MEMBER, 1.0, "c1", "alive"))[0]
-    good = wire.Data(1, 0, 1, False, 4, 6, 500, False, (told,))
+    good = wire.EventBatch(1, 0, 1, False, 4, 6, 500, False, (told,))
     assert wire.decode(wire.encode(good)) == good
     replace = msgspec.structs.replace
     for bad in (
@@ -227,14 +227,14 @@
         replace(good, events=(replace(told, values=("c1",)),)),
         replace(good, events=(replace(told, values=("c1", 5)),)),
         replace(good, events=(replace(told, kind=9),)),
-        wire.Want(0, 1, 0, -2, ()),
-        wire.Want(0, 1, 0, 0, ("x" * 300,) * 3),
-        wire.Ack(-1, 0, 0),
+        wire.StreamRequest(0, 1, 0, -2, ()),
+        wire.StreamRequest(0, 1, 0, 0, ("x" * 300,) * 3),
+        wire.EventAck(-1, 0, 0),
     ):
-        with pytest.raises(wire.BadPacket):
+        with pytest.raises(wire.InvalidPacketError):
             wire.decode(wire.encode(bad))
     for data in (b"", b"\xc1", wire.encode(good)[:-1], wire.encode(good) * 20):
-        with pytest.raises(wire.BadPacket):
+        with pytest.raises(wire.InvalidPacketError):
             wire.decode(data)
 
 
@@ -248,22 +248,24 @@
 
     def give(who: int, numbers, maker="m"):
         for n in numbers:
-            fan.offer(who, Item(maker, (1, n), (1, n), b"%d" % n))
+            fan.offer(who, BacklogItem(maker, (1, n), (1, n), b"%d" % n))
 
     give(1, range(1, 8))
     give(2, range(1, 3))
     give(3, range(1, 6))
     assert [(who, len(items)) for who, items in fan.turn({3}, 100)] == [(2, 2), (1, 7)]
     assert fan.more(set()) and not fan.more({3})
-    fan.offer(3, Item("n", (1, 9), None))  # silent from 9 on
+    fan.offer(3, BacklogItem("n", (1, 9), None))  # silent from 9 on
     give(3, range(6, 9))
     assert fan.pending(3) == {"m": (1, 0), "n": (1, 8)}
-    assert [items for _, items in fan.turn(set(), 100)] == [[Item("m", (1, 1), (1, 8)), Item("n", (1, 9), None)]]
-    fan.offer(3, Item("n", (1, 9), None))
-    fan.offer(3, Item("n", (1, 9), (1, 8)))  # and heard again
+    assert [items for _, items in fan.turn(set(), 100)] == [
+        [BacklogItem("m", (1, 1), (1, 8)), BacklogItem("n", (1, 9), None)]
+    ]
+    fan.offer(3, BacklogItem("n", (1, 9), None))
+    fan.offer(3, BacklogItem("n", (1, 9), (1, 8)))  # and heard again
     give(3, range(9, 17))
     assert [items for _, items in fan.turn(set(), 100)] == [
-        [Item("n", (1, 9), (1, 8)), Item("m", (1, 9), (1, 15)), Item("m", (1, 16), (1, 16), b"16")]
+        [BacklogItem("n", (1, 9), (1, 8)), BacklogItem("m", (1, 9), (1, 15)), BacklogItem("m", (1, 16), (1, 16), b"16")]
     ]
     for who in (1, 2, 3):
         give(who, range(20, 27))  # 21 in all: one of the largest is cut
@@ -273,32 +275,32 @@
 # Streams.
 
 
-def pumped(maker: Maker, now: float) -> list[wire.Message]:
+def pumped(maker: EventPublisher, now: float) -> list[wire.Message]:
     maker.tick(now)
     out, maker.out[:] = [message for _, message in maker.out], []
     return out
 
 
 def test_a_maker_forgets_the_oldest_says_so_and_takes_a_receiver_up_anywhere():
-    maker = Maker("m", 7, most=10)
+    maker = EventPublisher("m", 7, most=10)
     for _ in range(25):
         maker.append(schema.make(schema.MEMBER, 1.0, "x", "alive"))
-    maker.hear(0.0, "r", 1, wire.Want(0, 1, 7, 3, ("TRUE",)))
+    maker.hear(0.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))
     lost, rest = pumped(maker, 0.0)
     assert (lost.lost, lost.after, lost.upto) == (True, 3, 15)
     assert [told.number for told in rest.events] == list(range(16, 26)) and (rest.after, rest.upto) == (15, 25)
-    maker.hear(1.0, "r", 1, wire.Want(0, 1, 7, 3, ("TRUE",)))  # doubled: nothing begins anew, it is answered
+    maker.hear(1.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))  # doubled: nothing begins anew, it is answered
     assert [(d.after, d.upto) for d in pumped(maker, 1.0)] == [(25, 25)]
-    maker.hear(2.0, "r", 1, wire.Want(0, 2, 6, 3, ("TRUE",)))  # a position of an earlier process
-    assert maker.out.pop() == ("r", wire.Stale(0, 2))
-    maker.hear(3.0, "r", 1, wire.Ack(5, 9, 3))  # a stream that it does not have
-    assert maker.out.pop() == ("r", wire.Stale(5, 9))
-    maker.hear(3.0, "r", 1, wire.Ack(0, 1, 99))  # more than was ever sent
+    maker.hear(2.0, "r", 1, wire.StreamRequest(0, 2, 6, 3, ("TRUE",)))  # a position of an earlier process
+    assert maker.out.pop() == ("r", wire.UnknownStream(0, 2))
+    maker.hear(3.0, "r", 1, wire.EventAck(5, 9, 3))  # a stream that it does not have
+    assert maker.out.pop() == ("r", wire.UnknownStream(5, 9))
+    maker.hear(3.0, "r", 1, wire.EventAck(0, 1, 99))  # more than was ever sent
     assert maker.streams["r", 0].acked == 3
     for sid in range(1, 200):
-        maker.hear(4.0, "r", 1, wire.Want(sid, 1, 7, 3, ("TRUE",)))
+        maker.hear(4.0, "r", 1, wire.StreamRequest(sid, 1, 7, 3, ("TRUE",)))
     assert len(maker.streams) == stream.MOST_OF_ONE
-    maker.hear(4.0, "s", 1, wire.Want(0, 1, 7, 3, ("nonsense ((",)))
+    maker.hear(4.0, "s", 1, wire.StreamRequest(0, 1, 7, 3, ("nonsense ((",)))
     assert ("s", 0) not in maker.streams
     maker.tick(stream.IDLE_MS + 5.0)
     assert not maker.streams
@@ -306,9 +308,9 @@
 
 def test_a_maker_matches_in_slices_and_finds_by_index_what_a_scan_finds():
     draw = random.Random(3)
-    maker = Maker("m", 7, slice_=10)
+    maker = EventPublisher("m", 7, slice_=10)
     for number, text in enumerate(FILTERS):
-        maker.hear(0.0, f"r{number}", 1, wire.Want(0, 1, 0, wire.HEAD, (text,)))
+        maker.hear(0.0, f"r{number}", 1, wire.StreamRequest(0, 1, 0, wire.HEAD, (text,)))
     pumped(maker, 0.0)
     events = [event(draw) for _ in range(95)]
     for one in events:
@@ -323,12 +325,12 @@
 
 
 def test_a_maker_sends_whole_messages_again_until_they_are_acknowledged():
-    maker = Maker("m", 7, slice_=10)
+    maker = EventPublisher("m", 7, slice_=10)
     for n in range(60):
         maker.append(schema.make(schema.ANSWER, 1.0, *["x" * 64, "y" * 64, n, "z" * 64, "e" * 64, "http", n]))
     got, now = [], 0.0
     for who in "rs":  # the second wants old ones when the first has caught up
-        maker.hear(now, who, 1, wire.Want(0, 1, 7, 0, ("ms >= 7",)))
+        maker.hear(now, who, 1, wire.StreamRequest(0, 1, 7, 0, ("ms >= 7",)))
         at, again = 0, 0
         while at < 60:
             now += 1.0
@@ -337,22 +339,22 @@
                 pass
             sent, maker.out[:] = [m for w, m in maker.out if w == who], []
             for message in sent:
-                assert message.after == at and len(wire.encode(message)) <= wire.MOST
+                assert message.after == at and len(wire.encode(message)) <= wire.MAX_MESSAGE_BYTES
                 got += [told.number for told in message.events]
                 at = message.upto
             if not again:  # none of them came: after a while they go again
                 assert len(sent) == stream.WINDOW_LEAST
                 assert pumped(maker, now + stream.RESEND_MS - 9.0) == []
                 now += stream.RESEND_MS
-                assert [m.after for m in pumped(maker, now) if isinstance(m, wire.Data) and m.of == 1][0] == 0
+                assert [m.after for m in pumped(maker, now) if isinstance(m, wire.EventBatch) and m.of == 1][0] == 0
                 again = 1
-            maker.hear(now, who, 1, wire.Ack(0, 1, at))
+            maker.hear(now, who, 1, wire.EventAck(0, 1, at))
     assert got == list(range(8, 61)) * 2
 
 
 def data(after, upto, *numbers, version=1, of=1, start=False, lost=False):
     told = tuple(wire.told(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
-    return wire.Data(of, 0, version, start, after, upto, 500, lost, told)
+    return wire.EventBatch(of, 0, version, start, after, upto, 500, lost, told)
 
 
 def test_a_receiver_takes_what_follows_and_nothing_else():
@@ -363,7 +365,7 @@
                 out += [(first, last) if one is None else first for first, last, one in inflow.take(5.0, message)]
         return out
 
-    inflow = stream.Inflow("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
+    inflow = stream.InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
     assert heard(data(9, 9)) == [] and inflow.pos is None and not inflow.confirmed  # not where it begins
     assert heard(data(4, 6, 5, start=True, of=2), data(4, 6, 5, start=True, version=0)) == []
     assert heard(data(4, 6, 5, start=True)) == [5] and inflow.pos == 6
@@ -374,7 +376,7 @@
     assert heard(*(data(n, n + 1) for n in range(30, 99))) == [] and len(inflow.held) == stream.HELD
     assert inflow.stuck(5.0 + stream.STUCK_MS) and not inflow.stuck(5.0)
     inflow.change(6.0, 2, ("TRUE",))
-    assert heard(data(20, 21, 21)) == [] and inflow.tick(6.0) == wire.Want(0, 2, 7, 20, ("TRUE",))
+    assert heard(data(20, 21, 21)) == [] and inflow.tick(6.0) == wire.StreamRequest(0, 2, 7, 20, ("TRUE",))
     assert heard(data(20, 21, 21, version=2)) == [21]
 
 
@@ -383,7 +385,7 @@
 
     def __init__(self, expected=(), **alive):
         self.now, self.alive = 0.0, alive
-        self.subs = Hub("me", 1, 0.0).subscribers
+        self.subs = SubscriptionHub("me", 1, 0.0).subscribers
         self.subs.expected = frozenset(expected)
         self.subs.members(0.0, alive)
 
@@ -396,7 +398,7 @@
         return out
 
     def wants(self, maker, ms=60.0):
-        return [m for who, m in self.go(ms) if who == maker and isinstance(m, wire.Want)][-1]
+        return [m for who, m in self.go(ms) if who == maker and isinstance(m, wire.StreamRequest)][-1]
 
     def say(self, maker, want, after, upto, *numbers, start=False, lost=False, epoch=None):
         told = tuple(wire.told(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
@@ -404,7 +406,7 @@
             self.now,
             maker,
             epoch or self.alive[maker],
-            wire.Data(1, want.sid, want.version, start, after, upto, 500, lost, told),
+            wire.EventBatch(1, want.sid, want.version, start, after, upto, 500, lost, told),
         )
 
     def told(self, number):
@@ -469,20 +471,20 @@
     pair.say("a", second, 12, 20, 13, 20)
     pair.go()
     assert pair.acked(one) and pair.acked(other) and (pair.told(one), pair.told(other)) == ([], [13, 20])
-    pair.subs.hear(pair.now, "a", 5, wire.Stale(0, second.version))  # the maker has forgotten the stream
+    pair.subs.hear(pair.now, "a", 5, wire.UnknownStream(0, second.version))  # the maker has forgotten the stream
     assert pair.wants("a").after == 20
 
 
 def test_a_resumed_one_replays_what_it_lacks_and_skips_what_it_knows():
     pair = Pair(a=5, b=6, c=7)
     one = pair.subs.subscribe(0.0, "TRUE")
-    wants = {who: m for who, m in pair.go() if isinstance(m, wire.Want)}
+    wants = {who: m for who, m in pair.go() if isinstance(m, wire.StreamRequest)}
     for maker in "abc":
         pair.say(maker, wants[maker], 10, 20, start=True)
     pair.go()
     at = {"a": (5, 14), "b": (6, 23), "c": (4, 99), "z": (3, 8)}
     two = pair.subs.resume(pair.now, cursor.encode("kind = 'member'", at))
-    replay = {who: m for who, m in pair.go() if isinstance(m, wire.Want)}
+    replay = {who: m for who, m in pair.go() if isinstance(m, wire.StreamRequest)}
     assert {who: (m.epoch, m.after) for who, m in replay.items()} == {"a": (5, 14), "c": (7, 0)}
     assert pair.acked(two) and pair.told(two) == [("c", (4, 100), (7, 0)), ("z", (3, 9), None)]
     assert cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 14), "b": (6, 23), "c": (7, 0), "z": (3, 8)}
@@ -501,7 +503,7 @@
         pair.go(500.0)
         pair.say("c", wants["c"], 24, 25)
     assert ("c", (7, 1), (7, 25)) in pair.told(two)  # the maker never answered for the replay
-    pair.subs.fanout.offer(two, Item("a", (5, 29), (5, 29), b"x"))
+    pair.subs.fanout.offer(two, BacklogItem("a", (5, 29), (5, 29), b"x"))
     assert cursor.decode(pair.subs.cursor(two)).at["a"] == (5, 28)
 
 
@@ -548,7 +550,7 @@
     met = pair.wants("b")
     assert met.after == wire.HEAD
     pair.say("b", met, 10, 10, start=True)
-    assert [(m.after, m.epoch) for who, m in pair.go() if who == "b" and isinstance(m, wire.Want)] == [(0, 6)]
+    assert [(m.after, m.epoch) for who, m in pair.go() if who == "b" and isinstance(m, wire.StreamRequest)] == [(0, 6)]
     pair.say("a", first, 10, 10, start=True)
 
 
@@ -611,7 +613,7 @@
         self.net: list[tuple[int, int, tuple[str, int, wire.Message]]] = []  # from, to, what
         self.cut: set[int] = set()
         self.asleep: set[int] = set()
-        self.hubs: list[Hub | None] = [None] * 3
+        self.hubs: list[SubscriptionHub | None] = [None] * 3
         self.judge = lab.Lab.__new__(lab.Lab)
         self.judge.made = {}
         self.judge.clients = [lab.Client(n, text) for n, text in enumerate(("kind = 'answer'", "tenant = 't1'"))]
@@ -621,7 +623,7 @@
     def start(self, n):
         if self.hubs[n] is None:
             self.lives += 1
-            self.hubs[n] = Hub(f"h{n}", 100 + self.lives, self.now, ring=24, fanout=Fanout(6, 40))
+            self.hubs[n] = SubscriptionHub(f"h{n}", 100 + self.lives, self.now, ring=24, fanout=Fanout(6, 40))
             self.hubs[n].subscribers.expected = frozenset(f"h{m}" for m in range(3) if m != n)
             self.judge.made[f"h{n}", 100 + self.lives] = []
             self.believe()
--- a/tests/test_subscriptions_model.py
+++ b/tests/test_subscriptions_model.py
@@ -8,7 +8,7 @@
 
 from frostspindle.lab.explore import explore
 from frostspindle.subscriptions import schema, stream, wire
-from frostspindle.subscriptions.stream import Inflow, Maker
+from frostspindle.subscriptions.stream import EventPublisher, InboundStream
 
 EVENT = schema.make(schema.MEMBER, 1.0, "x", "alive")
 LONG = -1e9  # ago: whatever waits is due
@@ -29,9 +29,9 @@
 
 class Model:
     def __init__(self):
-        self.maker = Maker("m", 7, most=1)
+        self.maker = EventPublisher("m", 7, most=1)
         self.maker._index = All()
-        self.inflow = Inflow("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
+        self.inflow = InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
         self.net = ()  # ("m", 0, message) to the maker, ("r", its epoch, message) to the receiver
         self.told, self.gaps, self.begin = (), (), None
         self.left = {"make": 3, "crash": 1, "forget": 1, "widen": 1}
@@ -42,7 +42,7 @@
         out.__dict__.update(self.__dict__)
         out.left, out.made = dict(self.left), dict(self.made)
         out.inflow = dataclasses.replace(self.inflow, held=dict(self.inflow.held), unacked=0)
-        maker = out.maker = Maker.__new__(Maker)
+        maker = out.maker = EventPublisher.__new__(EventPublisher)
         maker.__dict__.update(self.maker.__dict__)
         maker.out, maker._ring, maker.counted = [], list(self.maker._ring), Counter()
         maker.streams = {
@@ -103,7 +103,7 @@
                 self.gaps += (((i.epoch, i.pos + 1), (epoch, 0)),)
             i.epoch, i.pos = epoch, None if i.pos is None else 0
             i.change(0.0, i.version + 1, i.parts)
-        elif epoch == i.epoch and isinstance(message, wire.Stale):
+        elif epoch == i.epoch and isinstance(message, wire.UnknownStream):
             if message.version == i.version:
                 i.change(0.0, i.version + 1, i.parts)
         elif epoch == i.epoch and i.admit(0.0, message):
@@ -133,7 +133,7 @@
 
         def crash(o):
             o.left["crash"] = 0
-            o.maker = Maker("m", 8, most=1)
+            o.maker = EventPublisher("m", 8, most=1)
             o.maker._index = All()
 
         yield after("crash", crash)
@@ -204,7 +204,7 @@
     def careless(self, now, data):
         yield from self._take(data)
 
-    monkeypatch.setattr(stream.Inflow, "take", careless)
+    monkeypatch.setattr(stream.InboundStream, "take", careless)
     start = Model()
     start.left = {"make": 2, "crash": 0, "forget": 0, "widen": 0}
     assert "lost unsaid" in str(explore(start, steps, wrong, 60_000, key=Model.key).fault)
