--- a/frostspindle/predicates/language.py
+++ b/frostspindle/predicates/language.py
@@ -125,7 +125,7 @@
     def like(self, children: list) -> Predicate:
         pattern = _unquoted(children[-1])
         if not pattern.endswith("%") or "%" in pattern[:-1] or "_" in pattern:
-            raise _Stop(children[-1], "LIKE takes one % at the end and no _ (STARTS WITH takes any text)")
+            raise _ParseStoppedError(children[-1], "LIKE takes one % at the end and no _ (STARTS WITH takes any text)")
         return self._not(children, _at(children[-1], starts, children[0].value, pattern[:-1]))
 
     def started(self, children: list) -> Predicate:
@@ -157,7 +157,7 @@
         return replace(made, negated=True) if isinstance(made, In | Starts | IsNull) else negate(made)
 
 
-class _Stop(Exception):
+class _ParseStoppedError(Exception):
     """What a part of the text says can't be; `token` tells where."""
 
     def __init__(self, token: lark.Token, reason: str):
@@ -168,7 +168,7 @@
     try:
         return make(*values)
     except ValueError as error:
-        raise _Stop(token, getattr(error, "reason", str(error))) from None
+        raise _ParseStoppedError(token, getattr(error, "reason", str(error))) from None
 
 
 def _unquoted(token: lark.Token) -> str:
@@ -188,7 +188,7 @@
     _check_nesting(text)
     try:
         made = _parser().parse(text)
-    except _Stop as stop:
+    except _ParseStoppedError as stop:
         raise FilterError(stop.reason, stop.token.line, stop.token.column) from None
     except lark.UnexpectedInput as error:
         raise _unexpected(text, error) from None
