--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -24,7 +24,7 @@
 from frostspindle.net.fields import CallRejectedError
 from frostspindle.net.http.arrival_clock import ArrivalClock
 from frostspindle.net.http.calls import FRONT, PendingCall
-from frostspindle.net.http.connection_limits import BUSY, COMING, FRESH, IDLE, LEAVING
+from frostspindle.net.http.connection_limits import BUSY, CLOSING, IDLE, NEW, RECEIVING
 from frostspindle.telemetry import Telemetry
 
 BODY = 64 * 1024  # the longest statement
@@ -43,7 +43,7 @@
 
     loop: asyncio.AbstractEventLoop
     telemetry: Telemetry
-    looks: ArrivalClock
+    arrival_clock: ArrivalClock
     clients: set[ClientConnection]
 
     @property
@@ -99,12 +99,12 @@
     def state(self) -> int:
         """Return the connection's state, one of those of places.py: FRESH, COMING, IDLE, BUSY or LEAVING."""
         if self.leaving:
-            return LEAVING
+            return CLOSING
         if self.line:
             return BUSY
         if self.partial:
-            return COMING
-        return IDLE if self.spoken else FRESH
+            return RECEIVING
+        return IDLE if self.spoken else NEW
 
     # What asyncio calls.
 
@@ -113,7 +113,7 @@
         self.transport = transport  # type: ignore[assignment]
         self.transport.set_write_buffer_limits(0)  # it is told of each answer that the system does not take whole
         self.poll.register(transport.get_extra_info("socket").fileno(), _UNREAD | select.POLLRDHUP)
-        self.watched = self.front.looks.count
+        self.watched = self.front.arrival_clock.count
         self.front.joined(self)
 
     def eof_received(self) -> None:
@@ -151,7 +151,7 @@
     def pause_writing(self) -> None:
         """Stop reading while the client does not take its responses, and note since when."""
         self.stuck_at = self.now()
-        self._read_off(self.front.looks.now_ms)
+        self._read_off(self.front.arrival_clock.now_ms)
 
     def resume_writing(self) -> None:
         """Read again, unless too many calls are open; a connection that is ending starts its linger time now."""
@@ -167,7 +167,7 @@
 
     def _read_on(self) -> None:
         if self.stuck_at == math.inf and len(self.line) < AHEAD and not self.transport.is_reading():
-            self.watched = self.front.looks.count
+            self.watched = self.front.arrival_clock.count
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
@@ -183,7 +183,7 @@
                 self._read_off(0.0) if self.line else self.transport.abort()  # answers are owed before it ends
             return
         self.came += len(data)
-        self.came_ms = self.front.looks.earliest_ms(self.watched, self.unseen_ms)
+        self.came_ms = self.front.arrival_clock.earliest_ms(self.watched, self.unseen_ms)
         self.feeding = True
         try:
             self.parser.feed_data(data)
--- a/frostspindle/net/http/connection_limits.py
+++ b/frostspindle/net/http/connection_limits.py
@@ -1,85 +1,106 @@
-"""Whose connection ends, and when: time for a request to be whole, places when they run short, the way out of a drain.
+"""Decides which client connections are closed, and when: time-outs, scarce descriptors and draining.
 
-Owns the states of a client's connection and every bound in time and number that ends one. It must never choose a
-connection with a call at work, and never let those who say nothing keep the places of those who ask. No I/O and no
-clock: times are handed in, in seconds; platform.py carries out what is chosen.
+No I/O and no clock: times are given in seconds, and platform.py carries out what is decided. A connection with a call
+in progress is never closed here, and silent clients never keep descriptors from those that send requests.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-WHOLE_S = 2.4  # from connecting, or from a later request's first byte, until a request is whole
-IDLE_S = 4.6  # usual clients close after 4 s idle; this is for those that do not
-LINGER_S = 1.0  # so long what a refused client still sends is read and dropped
-STUCK_S = 5.0  # how long a client may leave its answers unread
-# In a drain: new connections come for another 0.3 s, idle ones end from EASE_S on, nothing is taken after TAKE_S.
-EASE_S, TAKE_S, QUIET_S = 0.4, 1.8, 0.3
-AWAITED_S = 1.0  # so long an idle one is left whose client is about to ask for a `next`
-RIPE_S = 0.1  # a connection that was shut is closed after this if others need its descriptor
-RIPE, YOUNG = 1.5, 1.0  # who gives way to a connection that is new; to one that asks also those that have just come
-CLIENT_PART, CROWDED_PART = 0.42, 0.34  # of all sockets; usual clients hold a third at most, of both processes
-FRESH, COMING, IDLE, BUSY, LEAVING = range(5)
-
-
-class Step(Enum):
+REQUEST_TIMEOUT_S = 2.4  # from connecting, or from a later request's first byte, until a request is complete
+IDLE_TIMEOUT_S = 4.6  # usual clients close after 4 s idle; this is for those that do not
+LINGER_TIMEOUT_S = 1.0  # after a rejection, what the client still sends is read and dropped for so long
+UNREAD_RESPONSE_TIMEOUT_S = 5.0  # how long a client may leave its responses unread
+# While draining: new connections are still served for DRAIN_NEW_CONNECTION_S, idle ones are closed from
+# DRAIN_IDLE_CLOSE_S on, and no request is accepted after DRAIN_LAST_REQUEST_S.
+DRAIN_IDLE_CLOSE_S = 0.4
+DRAIN_LAST_REQUEST_S = 1.8
+DRAIN_NEW_CONNECTION_S = 0.3
+DRAIN_POLL_GRACE_S = 1.0  # an idle connection is kept for so long if its client is about to poll a response path
+CLOSING_RECLAIM_S = 0.1  # a connection that was shut down may be closed after this if its descriptor is needed
+RECLAIM_FOR_CONNECTION = 1.5  # least reclaim score at which a connection is closed for a new one
+RECLAIM_FOR_REQUEST = 1.0  # the same for a request, which also displaces connections that are just made
+CLIENT_DESCRIPTOR_SHARE = 0.42  # of all descriptors
+SHARED_CLIENT_DESCRIPTOR_SHARE = 0.34  # while two processes share them; usual clients need a third at most
+
+# States of a client connection.
+NEW, RECEIVING, IDLE, BUSY, CLOSING = range(5)
+
+
+class ConnectionStep(Enum):
     """What is done with a connection."""
 
     KEEP = 0
     ABORT = 1
-    SLOW = 2  # refuse: a request was not whole in time
-    SILENT = 3  # end: nothing was said in time
-    LATE = 4  # refuse: nothing more is taken in this drain
-    AWAY = 5  # end: clients are being sent away
+    REQUEST_TOO_SLOW = 2  # reject: a request was not complete in time
+    CLOSE_SILENT = 3  # close: nothing was sent in time
+    REJECT_IN_DRAIN = 4  # reject: nothing more is accepted in this drain
+    CLOSE_IN_DRAIN = 5  # close: clients are sent away
 
 
-def most(sockets: int, crowded: bool) -> int:
-    """Return the most client connections; while another process serves too, both must fit into the descriptors."""
-    return max(16, int(sockets * (CROWDED_PART if crowded else CLIENT_PART)))
+def max_connections(descriptors: int, shared: bool) -> int:
+    """Return the bound on client connections; `shared`: another process uses the same descriptors."""
+    share = SHARED_CLIENT_DESCRIPTOR_SHARE if shared else CLIENT_DESCRIPTOR_SHARE
+    return max(16, int(descriptors * share))
 
 
-def reserve(most: int, crowded: bool) -> int:
-    """Return how many connections may exceed the bound: those that are ending, and those let in to be refused."""
-    return max(8, most // (32 if crowded else 8))
+def reserved_connections(bound: int, shared: bool) -> int:
+    """Return how many connections may exceed the bound: those being closed, and those accepted to be rejected."""
+    return max(8, bound // (32 if shared else 8))
 
 
-def takes(drained_s: float) -> bool:
-    """Return whether a new request is still taken so many seconds after a drain began (below 0: there is none)."""
-    return drained_s <= TAKE_S
+def accepts_requests(draining_s: float) -> bool:
+    """Return whether a new request is accepted so many seconds after a drain began (below 0: no drain)."""
+    return draining_s <= DRAIN_LAST_REQUEST_S
 
 
-def spare(state: int, waited_s: float) -> float:
-    """Return how well a connection can be closed for a new one after so many seconds in a state; 0: it must stay."""
+def reclaim_score(state: int, elapsed_s: float) -> float:
+    """Return how well a connection can be closed for another after `elapsed_s` in its state; 0: it must stay."""
     if state == BUSY:
         return 0.0
-    rank = {
-        LEAVING: 5.0,
-        FRESH: 4.0 if waited_s > 0.1 else 1.0,
-        COMING: 2.0 if waited_s > 0.5 else 0.5,
-        IDLE: 3.0 if waited_s > 1.0 else 1.5,
-    }[state]
-    return rank + min(waited_s, 9.0) / 20.0
+    scores = {
+        CLOSING: 5.0,
+        NEW: 4.0 if elapsed_s > 0.1 else 1.0,
+        RECEIVING: 2.0 if elapsed_s > 0.5 else 0.5,
+        IDLE: 3.0 if elapsed_s > 1.0 else 1.5,
+    }
+    return scores[state] + min(elapsed_s, 9.0) / 20.0
 
 
-def due(state: int, waited_s: float, stuck_s: float, drained_s: float, awaited: bool) -> Step:
+def next_step(state: int, elapsed_s: float, unread_s: float, draining_s: float, poll_expected: bool) -> ConnectionStep:
     """Return what is to be done with a connection by its times, in s.
 
-    `waited_s`: time in this state; `stuck_s`: how long its responses lie unread, `drained_s`: time since a drain began,
-    both below 0 for not at all; `awaited`: its client was given a `next` and has not called it yet.
+    `elapsed_s`: time in this state; `unread_s`: how long its responses lie unread, `draining_s`: time since a drain
+    began, both below 0 for not at all; `poll_expected`: its client was given a response path and has not polled it yet.
     """
-    # One that was shut lingers from when its last answer has left; where that lies unread, as long as a silent one.
-    if stuck_s > STUCK_S or (state == LEAVING and waited_s > (LINGER_S if stuck_s < 0.0 else IDLE_S)):
-        return Step.ABORT
-    if state == COMING:
-        if waited_s > WHOLE_S:
-            return Step.SLOW
-        return Step.LATE if waited_s > QUIET_S and not takes(drained_s) else Step.KEEP
-    if (state == FRESH and waited_s > WHOLE_S) or (state == IDLE and waited_s > IDLE_S):
-        return Step.SILENT
-    if (
-        state in (FRESH, IDLE)
-        and drained_s > EASE_S
-        and waited_s > (QUIET_S if state == FRESH else AWAITED_S if awaited else 0.0)
-    ):
-        return Step.AWAY
-    return Step.KEEP
+    if unread_s > UNREAD_RESPONSE_TIMEOUT_S:
+        return ConnectionStep.ABORT
+    if state == CLOSING:
+        # It lingers from when its last response has left; where that lies unread, as long as a silent connection.
+        linger_s = LINGER_TIMEOUT_S if unread_s < 0.0 else IDLE_TIMEOUT_S
+        return ConnectionStep.ABORT if elapsed_s > linger_s else ConnectionStep.KEEP
+    if state == RECEIVING:
+        return _step_while_receiving(elapsed_s, draining_s)
+    if state == BUSY:
+        return ConnectionStep.KEEP
+    return _step_while_waiting(state, elapsed_s, draining_s, poll_expected)
+
+
+def _step_while_receiving(elapsed_s: float, draining_s: float) -> ConnectionStep:
+    if elapsed_s > REQUEST_TIMEOUT_S:
+        return ConnectionStep.REQUEST_TOO_SLOW
+    if elapsed_s > DRAIN_NEW_CONNECTION_S and not accepts_requests(draining_s):
+        return ConnectionStep.REJECT_IN_DRAIN
+    return ConnectionStep.KEEP
+
+
+def _step_while_waiting(state: int, elapsed_s: float, draining_s: float, poll_expected: bool) -> ConnectionStep:
+    """Decide on a connection that is new or idle."""
+    if elapsed_s > (REQUEST_TIMEOUT_S if state == NEW else IDLE_TIMEOUT_S):
+        return ConnectionStep.CLOSE_SILENT
+    if draining_s <= DRAIN_IDLE_CLOSE_S:
+        return ConnectionStep.KEEP
+    idle_grace_s = DRAIN_POLL_GRACE_S if poll_expected else 0.0
+    grace_s = DRAIN_NEW_CONNECTION_S if state == NEW else idle_grace_s
+    return ConnectionStep.CLOSE_IN_DRAIN if elapsed_s > grace_s else ConnectionStep.KEEP
--- a/frostspindle/net/http/load_reports.py
+++ b/frostspindle/net/http/load_reports.py
@@ -14,8 +14,8 @@
 from frostspindle.policy import ProgressKind
 from frostspindle.telemetry import Telemetry
 
-MOST_COST_MS, MOST_MEMORY_MB = 3_600_000.0, 1e8  # of what an answer may say that its query needed
-NOTES = {b"pct": ProgressKind.PROGRESS, b"overflow": ProgressKind.SPILLS, b"queued": ProgressKind.WAITS}
+MAX_COST_MS, MAX_MEMORY_MB = 3_600_000.0, 1e8  # of what an answer may say that its query needed
+PROGRESS_KINDS = {b"pct": ProgressKind.PROGRESS, b"overflow": ProgressKind.SPILLS, b"queued": ProgressKind.WAITS}
 
 
 class LoadReportParser:
@@ -47,7 +47,7 @@
             cost_ms, memory_mb = (float(text) if text else 0.0 for text in said)
         except ValueError:
             cost_ms = math.nan
-        if not (0.0 <= cost_ms <= MOST_COST_MS and 0.0 <= memory_mb <= MOST_MEMORY_MB):
+        if not (0.0 <= cost_ms <= MAX_COST_MS and 0.0 <= memory_mb <= MAX_MEMORY_MB):
             self._unreadable("engine_bad_needs", "; ".join(said))
             return UNKNOWN_COST
         return MeasuredCost(cost_ms, memory_mb)
@@ -67,7 +67,7 @@
             value = float(reply.headers.get(b"x-value", b""))
         except ValueError:
             value = math.nan
-        if remark not in NOTES or not math.isfinite(value):
+        if remark not in PROGRESS_KINDS or not math.isfinite(value):
             self._unreadable("engine_bad_notes", f"{reply.text(b'x-remark')}: {reply.text(b'x-value')}")
             return None
-        return NOTES[remark], value
+        return PROGRESS_KINDS[remark], value
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -18,10 +18,10 @@
 from frostspindle.config import Address
 from frostspindle.telemetry import Telemetry
 
-LINE, CALLERS = 1024, 16  # the longest call, and how many callers may be connected
-LONG, STAYING = 65_536, 10_000  # the longest call of one who stays, and how many may
-WAITS = 65_536  # bytes that wait for one who stays before it counts as not reading
-WHOLE_S = 5.0  # from connecting until a call must be whole
+MAX_CALL_BYTES, MAX_CALLERS = 1024, 16  # the longest call, and how many callers may be connected
+MAX_STREAM_CALL_BYTES, MAX_STREAMS = 65_536, 10_000  # the longest call of one who stays, and how many may
+MAX_UNREAD_BYTES = 65_536  # bytes that wait for one who stays before it counts as not reading
+CALL_TIMEOUT_S = 5.0  # from connecting until a call must be whole
 _ENCODE = msgspec.json.Encoder().encode
 
 
@@ -34,7 +34,7 @@
     """The reason why a call is refused; it becomes the `NAK` line."""
 
 
-class StreamWriter(Protocol):
+class CallerStream(Protocol):
     """What writes to a caller that keeps its connection."""
 
     def paused(self, on: bool) -> None:
@@ -49,12 +49,12 @@
 
     def __init__(self, desk: OperatorServer) -> None:
         self.desk, self.line = desk, b""
-        self.stay: StreamWriter | None = None
+        self.stay: CallerStream | None = None
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.timer = asyncio.get_running_loop().call_later(WHOLE_S, self._late)
+        self.timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._late)
         self.desk.joined(self)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -69,7 +69,7 @@
             return
         self.line += data
         line, mark, _ = self.line.partition(b"\n")
-        if len(line) > (LONG if self.desk.lengthy(line) else LINE):
+        if len(line) > (MAX_STREAM_CALL_BYTES if self.desk.lengthy(line) else MAX_CALL_BYTES):
             self._say(b"NAK the call is too long\n")
         elif mark:
             self._take(line)
@@ -115,7 +115,7 @@
     def __init__(self, at: Address | str, does: dict[str, Callable[..., Any]], telemetry: Telemetry) -> None:
         self.at, self.does, self.telemetry = at, does, telemetry
         self.stays: dict[
-            str, Callable[[str, _OperatorConnection], StreamWriter]
+            str, Callable[[str, _OperatorConnection], CallerStream]
         ] = {}  # with the rest of the call's line
         self.takes: dict[str, str] = {}  # what a call takes, in words: one for each "a", "an" or "one", or "two ..."
         self.quiet = {"ready"}  # calls that come too often for a line each
@@ -128,9 +128,11 @@
         """Listen on the Unix socket or the TCP address; OSError if that can't be had."""
         loop = asyncio.get_running_loop()
         if isinstance(self.at, str):
-            self._server = await loop.create_unix_server(lambda: _OperatorConnection(self), self.at, backlog=CALLERS)
+            self._server = await loop.create_unix_server(
+                lambda: _OperatorConnection(self), self.at, backlog=MAX_CALLERS
+            )
         else:
-            self._server = await loop.create_server(lambda: _OperatorConnection(self), *self.at, backlog=CALLERS)
+            self._server = await loop.create_server(lambda: _OperatorConnection(self), *self.at, backlog=MAX_CALLERS)
 
     @property
     def port(self) -> int:
@@ -148,12 +150,12 @@
     def joined(self, caller: _OperatorConnection) -> None:
         """Register a caller; beyond CALLERS the one that has been connected longest without a call is dropped."""
         self.callers[caller] = None
-        if len(self.callers) > CALLERS:
+        if len(self.callers) > MAX_CALLERS:
             first = next(iter(self.callers))
             del self.callers[first]
             first.transport.abort()
 
-    def stay(self, line: bytes) -> Callable[[str, _OperatorConnection], StreamWriter] | None:
+    def stay(self, line: bytes) -> Callable[[str, _OperatorConnection], CallerStream] | None:
         """Return what opens a call that keeps its connection, or None if this is not one."""
         return self.stays.get(line[:32].split(b" ", 1)[0].strip().decode("ascii", "replace")) if self.stays else None
 
@@ -166,14 +168,14 @@
         )
 
     def open(
-        self, caller: _OperatorConnection, open_: Callable[[str, _OperatorConnection], StreamWriter], line: bytes
+        self, caller: _OperatorConnection, open_: Callable[[str, _OperatorConnection], CallerStream], line: bytes
     ) -> bytes | None:
         """Let a caller keep its connection and return None, or return the line that refuses it."""
         self.telemetry.count("operator_calls")
         name, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
         try:
-            if len(self.staying) >= STAYING:
-                raise OperatorError(f"{STAYING} callers stay already")
+            if len(self.staying) >= MAX_STREAMS:
+                raise OperatorError(f"{MAX_STREAMS} callers stay already")
             caller.stay = open_(rest.strip(), caller)
         except OperatorError as no:
             self.telemetry.count("operator_naks")
@@ -183,7 +185,7 @@
             self.telemetry.log("fault", error=repr(error), of=f"operator call {name}")
             return b"NAK a fault, see the log\n"
         caller.timer.cancel()
-        caller.transport.set_write_buffer_limits(WAITS)
+        caller.transport.set_write_buffer_limits(MAX_UNREAD_BYTES)
         self.callers.pop(caller, None)
         self.staying.add(caller)
         self.telemetry.log("operator", call=name)
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -22,7 +22,7 @@
 from frostspindle.net.http.arrival_clock import ArrivalClock
 from frostspindle.net.http.calls import FRONT, PendingCall
 from frostspindle.net.http.clients import AHEAD, ClientConnection
-from frostspindle.net.http.connection_limits import COMING, Step
+from frostspindle.net.http.connection_limits import RECEIVING, ConnectionStep
 from frostspindle.net.http.listener import Listener
 from frostspindle.net.http.request_registry import RequestRegistry
 from frostspindle.net.http.statements import schema, table_group
@@ -57,7 +57,7 @@
         self.config, self.core, self.telemetry = config, core, telemetry
         self.loop = asyncio.get_running_loop()
         self.sockets = config.limits.sockets  # this process's, of which clients have a part
-        self.looks = ArrivalClock.of(self.loop)
+        self.arrival_clock = ArrivalClock.of(self.loop)
         self.crowd(False)
         self.prefix = ""  # of paths: it names the worker among several
         self.relay: WorkerRelay | None = None
@@ -68,7 +68,7 @@
         self.most_memory = max((*core.settings.kind_memory_mb, 1.0))
         self.classes = {name.encode(): number for number, name in enumerate(config.classes)}
         self.clients: set[ClientConnection] = set()
-        self.door = Listener(self.loop, telemetry, lambda since_ms: ClientConnection(self, since_ms), self._room)
+        self.listener = Listener(self.loop, telemetry, lambda since_ms: ClientConnection(self, since_ms), self._room)
         self.paths = RequestRegistry(core, self.loop, int(config.limits.memory_mb * 2**20 / 24), self._released)
         self.gone = self.paths.gone
         self._sweeper: asyncio.TimerHandle | None = None
@@ -79,18 +79,18 @@
     def start(self) -> None:
         """Accept from the socket that the platform holds, or from a new one; OSError if that can't be had."""
         if self.relay is not None:
-            self.door.accepts = self.relay.accepts
-        self.door.start(self.config)
+            self.listener.may_accept = self.relay.accepts
+        self.listener.start(self.config)
         self._sweep()
 
     def leave(self) -> None:
         """Stop accepting; connections that queue at an inherited socket are left to the other process."""
-        self.door.leave()
+        self.listener.close()
 
     @property
     def port(self) -> int:
         """TCP port that is listened on; 0 before the start."""
-        return self.door.port
+        return self.listener.port
 
     @property
     def owing(self) -> int:
@@ -105,19 +105,19 @@
     @property
     def held(self) -> int:
         """Number of connections, with those that were accepted in this turn."""
-        return len(self.clients) + self.door.joining
+        return len(self.clients) + self.listener.joining
 
     @property
     def coming(self) -> bool:
         """Whether a request is partly read; `_sweep` ends each in time."""
-        return any(client.state() == COMING for client in self.clients)
+        return any(client.state() == RECEIVING for client in self.clients)
 
     def finish(self) -> None:
         """Take nothing more, as the program ends; a request that is partly read is refused and not just cut off."""
-        self.door.last()
+        self.listener.accept_queued()
         self._drained_at = -math.inf
         for client in list(self.clients):
-            if client.state() == COMING:
+            if client.state() == RECEIVING:
                 client.finish()
 
     async def close(self) -> None:
@@ -135,8 +135,8 @@
 
     def crowd(self, crowded: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
-        self.most_clients = connection_limits.most(self.sockets, crowded)
-        self.reserve = connection_limits.reserve(self.most_clients, crowded)
+        self.most_clients = connection_limits.max_connections(self.sockets, crowded)
+        self.reserve = connection_limits.reserved_connections(self.most_clients, crowded)
 
     # Draining.
 
@@ -158,7 +158,7 @@
     def joined(self, client: ClientConnection) -> None:
         """Register a connection; over the bound, one that can be spared is closed, else this one is marked `extra`."""
         self.clients.add(client)
-        client.extra = not self._make_room(client, connection_limits.RIPE)
+        client.extra = not self._make_room(client, connection_limits.RECLAIM_FOR_CONNECTION)
 
     def _make_room(self, newest: ClientConnection | None, least: float) -> bool:
         """End those that need their places least: silent, long idle or slow; never one with a call at work or unread.
@@ -168,7 +168,7 @@
         over, now = sum(not client.leaving for client in self.clients) - self.most_clients, self.loop.time()
         ranked = (
             [
-                (connection_limits.spare(client.state(), now - client.since), client)
+                (connection_limits.reclaim_score(client.state(), now - client.since), client)
                 for client in self.clients
                 if client is not newest and not client.leaving
             ]
@@ -188,10 +188,10 @@
         """Whether one more connection may be accepted, be it to hear that there is no place for it."""
         if self.held < self.most_clients + self.reserve:
             return True
-        self._make_room(None, connection_limits.RIPE)
+        self._make_room(None, connection_limits.RECLAIM_FOR_CONNECTION)
         now = self.loop.time()
         for client in list(self.clients):
-            if client.leaving and now - client.since > connection_limits.RIPE_S and not client.unread():
+            if client.leaving and now - client.since > connection_limits.CLOSING_RECLAIM_S and not client.unread():
                 self.clients.discard(client)
                 client.transport.abort()
         return self.held < self.most_clients + self.reserve
@@ -204,22 +204,22 @@
             # Nobody reads there, so that the client's end would not be noticed.
             if not client.leaving and not client.transport.is_reading() and not client.present():
                 continue
-            step = connection_limits.due(
+            step = connection_limits.next_step(
                 client.state(), now - client.since, now - client.stuck_at, now - self._drained_at, client.awaited
             )
-            if step is Step.KEEP:
+            if step is ConnectionStep.KEEP:
                 continue
-            if step is Step.ABORT:
+            if step is ConnectionStep.ABORT:
                 client.transport.abort()
-            elif step is Step.SLOW:
-                if client.unread() and now - client.since < connection_limits.WHOLE_S + 2 * SWEEP_S:
+            elif step is ConnectionStep.REQUEST_TOO_SLOW:
+                if client.unread() and now - client.since < connection_limits.REQUEST_TIMEOUT_S + 2 * SWEEP_S:
                     continue  # its end may lie there
                 self.telemetry.count("slow_clients", FRONT)
                 client.refuse(CallRejectedError(408, "the request did not come in time"))
-            elif step is Step.LATE:
+            elif step is ConnectionStep.REJECT_IN_DRAIN:
                 client.refuse(CallRejectedError(503, "Busy"))
             else:
-                if step is Step.SILENT:
+                if step is ConnectionStep.CLOSE_SILENT:
                     self.telemetry.count("silent_clients", FRONT)
                 client.end()
 
@@ -287,12 +287,12 @@
         client = slot.client
         if not client.present():
             return
-        client.extra = client.extra and not self._make_room(client, connection_limits.YOUNG)
+        client.extra = client.extra and not self._make_room(client, connection_limits.RECLAIM_FOR_REQUEST)
         if client.extra:
             self.telemetry.count("full", FRONT, self.core.classes[number][1])
             slot.reply(503, {"failure": "Busy"}, self.advice, last=True)
             return
-        if len(client.line) > AHEAD or not connection_limits.takes(self.loop.time() - self._drained_at):
+        if len(client.line) > AHEAD or not connection_limits.accepts_requests(self.loop.time() - self._drained_at):
             self.telemetry.count("full", FRONT, self.core.classes[number][1])
             slot.reply(503, {"failure": "Busy"}, self.advice)
             return
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -103,7 +103,7 @@
 
     async def test_silence_and_half_a_request_end_in_time_wherever_they_come(self):
         await self.start()
-        with unittest.mock.patch.multiple(connection_limits, WHOLE_S=0.3, IDLE_S=0.5):
+        with unittest.mock.patch.multiple(connection_limits, REQUEST_TIMEOUT_S=0.3, IDLE_TIMEOUT_S=0.5):
             silent, half, late = [
                 asyncio.create_task(self.said(data))
                 for data in (b"", post(1)[:-5], b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n" + post(2)[:-5])
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -56,7 +56,7 @@
         self.assertEqual(self.engine.of("POST"), [])
 
     async def test_a_bus_that_is_slow_on_each_new_connection_is_heard_in_the_end(self):
-        self.mocked(SILENT_S=0.1, SILENT_MOST_S=2.0)
+        self.mocked(SILENCE_TIMEOUT_S=0.1, MAX_SILENCE_TIMEOUT_S=2.0)
         bus = await self.joined()
 
         async def late(number: int) -> None:  # speaks only when twice the first patience is over
@@ -68,7 +68,7 @@
         await self.until(lambda: self.program.bus.spoke)
 
     async def test_a_pause_of_this_process_is_no_silence_of_the_bus(self):
-        self.mocked(SILENT_S=0.5)
+        self.mocked(SILENCE_TIMEOUT_S=0.5)
         bus = await self.joined()
         for _ in range(2):
             bus.say(1)  # lies unread in the system while nothing here runs for longer than the bus may be silent
@@ -77,7 +77,7 @@
         self.assertEqual((len(bus.froms), self.count("bus_reconnects")), (1, 0))
 
     async def test_half_a_line_that_drips_is_no_word(self):
-        self.mocked(SILENT_S=0.3)
+        self.mocked(SILENCE_TIMEOUT_S=0.3)
         bus = await self.joined()
 
         async def drip() -> None:
@@ -114,7 +114,7 @@
 
     async def test_a_line_without_bounds_ends_its_connection_and_a_long_list_does_not(self):
         bus = await self.joined()
-        bus.writers[-1].write(b"[" * (watching.LINE + 70_000))
+        bus.writers[-1].write(b"[" * (watching.MAX_LINE_BYTES + 70_000))
         await bus.joined(2)
         hosts = [host(f"s-{n:08x}", self.engine.port) for n in range(1, 5000)]
         bus.say(change(2, *hosts, whole=True))
@@ -150,7 +150,7 @@
         await self.until(lambda: self.program.core.engines[1].entry.health == DRAINING)
 
     async def test_a_move_while_a_connection_hangs_is_followed_at_once(self):
-        self.mocked(CONNECT_S=60.0)
+        self.mocked(CONNECT_TIMEOUT_S=60.0)
         hanging = socket.socket()  # a line of none that is full: further SYNs are dropped
         hanging.bind(("127.0.0.1", 0))
         hanging.listen(0)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -201,7 +201,7 @@
             plain.sendall(post(1))
             await self.until(lambda: client.leaving)
             self.assertGreater(client.transport.get_write_buffer_size(), 0)
-            client.since -= connection_limits.LINGER_S + 0.1
+            client.since -= connection_limits.LINGER_TIMEOUT_S + 0.1
             self.front._sweep()
             reader, writer = await asyncio.open_connection(sock=plain)
             ((status, _, body),) = await self.answers(reader)
@@ -241,7 +241,7 @@
             writer.write(post(1)[:50])
             await self.until(lambda: self.client.partial)
             writer.write(rest)
-            self.client.since -= connection_limits.WHOLE_S + 0.1
+            self.client.since -= connection_limits.REQUEST_TIMEOUT_S + 0.1
             self.front._sweep()
             self.assertEqual((await self.answers(reader, 1))[0][0], status)
 
@@ -338,12 +338,12 @@
         self.program.core.most_open = 0
         refused = [await self.newcomer(1, 503)]
         self.program.core.most_open = 100
-        self.front._drained_at = asyncio.get_running_loop().time() - connection_limits.TAKE_S - 1.0
+        self.front._drained_at = asyncio.get_running_loop().time() - connection_limits.DRAIN_LAST_REQUEST_S - 1.0
         refused.append(await self.newcomer(2, 503))
         reader, writer = await self.open()
         writer.write(post(3)[:50])
         await self.until(lambda: self.client.partial)
-        self.client.since -= connection_limits.QUIET_S + 0.1
+        self.client.since -= connection_limits.DRAIN_NEW_CONNECTION_S + 0.1
         self.front._sweep()
         refused.append((await self.answers(reader))[0][1])
         for head in refused:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -115,7 +115,7 @@
         self.addCleanup(engine.server.close)
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
-        with unittest.mock.patch("frostspindle.net.discovery.SILENT_S", 0.2):
+        with unittest.mock.patch("frostspindle.net.discovery.SILENCE_TIMEOUT_S", 0.2):
             await self.coordinator([host("s-00000000", engine.port)], bus=bus.port)
             await bus.joined()
             core = self.program.core
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -40,10 +40,10 @@
 
     async def test_callers_that_say_nothing_hold_up_nobody(self):
         await self.start()
-        with unittest.mock.patch.object(operator, "WHOLE_S", 0.3):
+        with unittest.mock.patch.object(operator, "CALL_TIMEOUT_S", 0.3):
             silent = [await asyncio.open_connection("127.0.0.1", self.program.desk.port) for _ in range(40)]
             self.assertEqual(await self.operate("ready"), ["ACK"])
-            self.assertLessEqual(len(self.program.desk.callers), operator.CALLERS)
+            self.assertLessEqual(len(self.program.desk.callers), operator.MAX_CALLERS)
             said = await asyncio.wait_for(silent[-1][0].read(), 2.0)
             self.assertTrue(said.startswith(b"NAK "))
         for _, writer in silent:
@@ -130,7 +130,7 @@
         engine.script = at_work(go)
         with (
             unittest.mock.patch.object(request_registry, "HOLD_S", 0.05),
-            unittest.mock.patch.object(connection_limits, "EASE_S", 0.0),
+            unittest.mock.patch.object(connection_limits, "DRAIN_IDLE_CLOSE_S", 0.0),
         ):
             reader, writer = await self.connect()
             writer.write((HEAD % 1).encode())
@@ -150,7 +150,7 @@
 
     async def test_late_in_a_drain_nothing_new_is_taken(self):
         (engine,) = await self.start()
-        with unittest.mock.patch.object(connection_limits, "TAKE_S", 0.0):
+        with unittest.mock.patch.object(connection_limits, "DRAIN_LAST_REQUEST_S", 0.0):
             await self.operate("drain")
             reader, writer = await self.connect()
             writer.write((HEAD % 1).encode())
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -231,7 +231,7 @@
         return self.program.bus.last == offset and not out & {int(engine.name[2:], 16) for engine in engines}
 
     @unittest.mock.patch(
-        "frostspindle.net.discovery.SILENT_S", 60.0
+        "frostspindle.net.discovery.SILENCE_TIMEOUT_S", 60.0
     )  # no word is lost over a new connection to the bus
     async def test_six_of_ten_engines_are_replaced_at_their_old_addresses_under_load(self):
         bus = await Bus().start()
--- a/tests/test_subscriptions_program.py
+++ b/tests/test_subscriptions_program.py
@@ -61,7 +61,7 @@
             ("subscribe kind IN (" + "'a'," * 600 + "'a')", "up to 2048"),
             ("resume x", "no cursor"),
             (f"resume {cursor.encode('nosuch = 1', {})}", "nosuch"),
-            ("subscribe " + "x" * (operator.LONG + 9), "too long"),
+            ("subscribe " + "x" * (operator.MAX_STREAM_CALL_BYTES + 9), "too long"),
             ("unsubscribe 7", "no such"),
             ("unsubscribe", "takes one number"),
             ("subscribing", "no such call"),
