--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -14,8 +14,8 @@
 from frostspindle.config import Config
 from frostspindle.core import Attempt, Core, EngineState, clock
 from frostspindle.net import TaskDriver
-from frostspindle.net.http.attempts import AttemptRunner, DirectAttempt, End
-from frostspindle.net.http.connection_pool import ANSWER_S, ConnectionPool, PoolExhaustedError
+from frostspindle.net.http.attempts import AttemptEnd, AttemptRunner, DirectAttempt
+from frostspindle.net.http.connection_pool import RESPONSE_TIMEOUT_S, ConnectionPool, PoolExhaustedError
 from frostspindle.net.http.engine_connection import ConnectionBrokenError
 from frostspindle.net.http.load_reports import LoadReportParser
 from frostspindle.net.http.replies import EngineReply, InvalidReplyError
@@ -23,7 +23,7 @@
 from frostspindle.pools import AttemptProgress
 from frostspindle.telemetry import Telemetry
 
-TIDY_S = 1.0  # so often idle connections are looked through
+IDLE_SWEEP_S = 1.0  # so often idle connections are looked through
 
 
 class HttpEngines(TaskDriver):
@@ -39,11 +39,11 @@
         self.sockets = config.limits.sockets
         self.crowd(False)
         self.opening = self.lines = self.waiters = 0
-        self.readings = LoadReportParser(telemetry, core.settings.load_report_columns)
-        self.life = AttemptRunner(core, telemetry, self.readings)
-        self.peers: dict[int, ConnectionPool] = {}
+        self.load_reports = LoadReportParser(telemetry, core.settings.load_report_columns)
+        self.runner = AttemptRunner(core, telemetry, self.load_reports)
+        self.pools: dict[int, ConnectionPool] = {}
         self.retired: set[ConnectionPool] = set()  # with calls that have yet to end
-        self._tidier = self.loop.call_later(TIDY_S, self._tidy)
+        self._tidier = self.loop.call_later(IDLE_SWEEP_S, self._tidy)
 
     def crowd(self, crowded: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
@@ -54,25 +54,25 @@
         """Number of connections to all engines together, with those that are being opened."""
         return self.lines + self.opening
 
-    def may_open(self, peer: ConnectionPool) -> bool:
+    def may_open(self, pool: ConnectionPool) -> bool:
         """Return whether the bounds allow one more connection; at the common one, an idle one is closed for it."""
         if self.connections < self.most:
-            return len(peer.lines) + peer.opening < self.most_each
-        self.spare(peer)
+            return len(pool.lines) + pool.opening < self.most_each
+        self.spare(pool)
         return False
 
-    def spare(self, peer: ConnectionPool) -> None:
+    def spare(self, pool: ConnectionPool) -> None:
         """Close an idle connection of another engine; its descriptor is free only once the loop has closed it."""
-        if spare := next((p for p in (*self.peers.values(), *self.retired) if p.idle and p is not peer), None):
+        if spare := next((p for p in (*self.pools.values(), *self.retired) if p.idle and p is not pool), None):
             spare.idle[0].drop()
 
     def _tidy(self) -> None:
-        self._tidier = self.loop.call_later(TIDY_S, self._tidy)
+        self._tidier = self.loop.call_later(IDLE_SWEEP_S, self._tidy)
         before = self.loop.time() - self.idle_s
-        for peer in self.peers.values():
-            while peer.idle and peer.idle[0].idle_at < before:
-                peer.idle.pop(0).drop()
-        self.retired = {peer for peer in self.retired if peer.lines}
+        for pool in self.pools.values():
+            while pool.idle and pool.idle[0].idle_at < before:
+                pool.idle.pop(0).drop()
+        self.retired = {pool for pool in self.retired if pool.lines}
 
     # The core's interface.
 
@@ -83,19 +83,19 @@
         on a connection to the process before.
         """
         number = engine.entry.engine
-        peer = self.peers.get(number)
-        restarted = peer is not None and (
-            peer.state.address != engine.address or engine.entry.since_ms > peer.state.entry.since_ms
+        pool = self.pools.get(number)
+        restarted = pool is not None and (
+            pool.state.address != engine.address or engine.entry.since_ms > pool.state.entry.since_ms
         )
-        if peer is not None and (restarted or engine.entry.health == Health.GONE):
-            del self.peers[number]
-            peer.retire()
-            self.retired.add(peer)
-            peer = None
-        if peer is not None:
-            peer.state = engine
+        if pool is not None and (restarted or engine.entry.health == Health.GONE):
+            del self.pools[number]
+            pool.retire()
+            self.retired.add(pool)
+            pool = None
+        if pool is not None:
+            pool.state = engine
         elif engine.entry.health != Health.GONE:
-            self.peers[number] = ConnectionPool(self, engine)
+            self.pools[number] = ConnectionPool(self, engine)
 
     def rank(self, attempt: Attempt) -> None:
         """Do nothing: the next poll, within 250 ms, carries the new priority; a call now would cost a connection."""
@@ -103,50 +103,50 @@
     async def close(self) -> None:
         """Cancel all attempts, wait until their ends are reported, and drop all connections."""
         self._tidier.cancel()
-        for peer in [*self.peers.values(), *self.retired]:
-            for line in list(peer.lines):
-                if isinstance(line.waiter, DirectAttempt):
-                    line.waiter.cancel()
+        for pool in [*self.pools.values(), *self.retired]:
+            for connection in list(pool.lines):
+                if isinstance(connection.waiter, DirectAttempt):
+                    connection.waiter.cancel()
         await super().close()
-        for peer in [*self.peers.values(), *self.retired]:
-            for line in list(peer.lines):
-                line.drop()
+        for pool in [*self.pools.values(), *self.retired]:
+            for connection in list(pool.lines):
+                connection.drop()
 
     # One attempt.
 
     def start(self, attempt: Attempt) -> None:
         """Send the attempt on an idle connection, without a task, unless its time may be up within ANSWER_S."""
-        peer = self.peers.get(attempt.engine)
-        if peer is None or not peer.idle or self.left_s(attempt) <= ANSWER_S:
+        pool = self.pools.get(attempt.engine)
+        if pool is None or not pool.idle or self.left_s(attempt) <= RESPONSE_TIMEOUT_S:
             super().start(attempt)
             return
-        first = DirectAttempt(self.life, peer, attempt, self._ended, self._on, self._off)
-        if (line := peer.take()) is None:
+        first = DirectAttempt(self.runner, pool, attempt, self._ended, self._on, self._off)
+        if (connection := pool.take()) is None:
             super().start(attempt)
         elif self.core.may_send(attempt):
-            first.send(line)
+            first.send(connection)
         else:
-            peer.release(line)
+            pool.release(connection)
             self.core.attempt_ended(attempt, attempt.unsent)
 
-    def _ended(self, attempt: Attempt, end: End) -> None:
+    def _ended(self, attempt: Attempt, end: AttemptEnd) -> None:
         self.core.attempt_ended(attempt, *end)
 
-    def _on(self, first: DirectAttempt, came: EngineReply | Exception) -> None:
+    def _on(self, first: DirectAttempt, received: EngineReply | Exception) -> None:
         """What the POST did not end is followed by a task."""
-        first.attempt.task = task = self.spawn(self.attempt(first.attempt, first.peer, first.course, came))
+        first.attempt.task = task = self.spawn(self.attempt(first.attempt, first.pool, first.progress, received))
         # One that is cancelled before its first step never runs, and the engine has the query.
         task.add_done_callback(lambda task: self._off(first) if task.cancelled() else None)
 
     def _off(self, first: DirectAttempt) -> None:
-        self.spawn(self._free(first.peer, first.attempt, first.course, AttemptOutcome.CANCELLED))
+        self.spawn(self._free(first.pool, first.attempt, first.progress, AttemptOutcome.CANCELLED))
 
     async def attempt(
         self,
         attempt: Attempt,
-        peer: ConnectionPool | None = None,
-        course: AttemptProgress | None = None,
-        came: EngineReply | Exception | None = None,
+        pool: ConnectionPool | None = None,
+        progress: AttemptProgress | None = None,
+        received: EngineReply | Exception | None = None,
     ) -> None:
         """Run an attempt to its end and report that once, by Core.attempt_ended.
 
@@ -154,21 +154,21 @@
         progress, and what came in answer to the POST. Where the engine may still be running the query, a further task
         frees the engine first and then reports.
         """
-        peer = peer or self.peers.get(attempt.engine)
-        if peer is None:
+        pool = pool or self.pools.get(attempt.engine)
+        if pool is None:
             self.core.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
             return
-        course = course or AttemptProgress(clock())
+        progress = progress or AttemptProgress(clock())
         try:
             async with asyncio.timeout(self.left_s(attempt)):
-                outcome, report, rows, needed = await self.life.follow(peer, attempt, course, came)
+                outcome, report, rows, needed = await self.runner.follow(pool, attempt, progress, received)
         except TimeoutError:
-            outcome = AttemptOutcome.TIMEOUT if course.wired[0] else attempt.unsent
+            outcome = AttemptOutcome.TIMEOUT if progress.wired[0] else attempt.unsent
         except asyncio.CancelledError:
             outcome = AttemptOutcome.CANCELLED
         except InvalidReplyError as error:
             self.telemetry.count("engine_bad_replies")
-            self.telemetry.log("engine_reply", engine=peer.state.name, ticket=attempt.request.ticket, error=str(error))
+            self.telemetry.log("engine_reply", engine=pool.state.name, ticket=attempt.request.ticket, error=str(error))
             outcome = AttemptOutcome.ERROR
         except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
             self.telemetry.count("faults")
@@ -181,11 +181,11 @@
                 self.core.attempt_ended(attempt, outcome, report, rows, needed)
                 return
         # A task of its own: a further cancel must not cut short what frees the engine.
-        self.spawn(self._free(peer, attempt, course, outcome))
+        self.spawn(self._free(pool, attempt, progress, outcome))
 
-    async def _free(self, peer: ConnectionPool, attempt: Attempt, course: AttemptProgress, outcome: int) -> None:
+    async def _free(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress, outcome: int) -> None:
         try:
-            await self.life.give_up(peer, attempt, course)
+            await self.runner.give_up(pool, attempt, progress)
         finally:
             self.core.attempt_ended(attempt, outcome)
 
@@ -194,8 +194,8 @@
 
         It is given up after `most_ms`. The caller accounts for it, and must be the fleet's owner of that work.
         """
-        peer, wired, path = self.peers.get(engine), [False], f"/v1/store/{ticket}"
-        if peer is None:
+        pool, wired, path = self.pools.get(engine), [False], f"/v1/store/{ticket}"
+        if pool is None:
             return False
         status, until = 0, clock() + most_ms
 
@@ -205,32 +205,32 @@
 
         try:
             async with asyncio.timeout(most_ms / 1000.0):
-                reply = await peer.call("POST", "/v1/store", head, statement.encode(), wired=wired, page=0)
+                reply = await pool.call("POST", "/v1/store", head, statement.encode(), wired=wired, page=0)
                 while reply.status == 202:
-                    reply = await peer.call("GET", f"{path}/0", page=0)
+                    reply = await pool.call("GET", f"{path}/0", page=0)
                 status = reply.status
         except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
             self.telemetry.count("warm_failed")
         finally:
             if wired[0] and status == 0:
-                self.spawn(self._drop(peer, path))
+                self.spawn(self._drop(pool, path))
         return status == 200
 
-    async def _drop(self, peer: ConnectionPool, path: str) -> None:
+    async def _drop(self, pool: ConnectionPool, path: str) -> None:
         try:
-            await peer.call("DELETE", path, within_s=0.3)
+            await pool.call("DELETE", path, within_s=0.3)
         except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
             self.telemetry.count("warm_left")  # the engine ends it by X-Max-Ms
 
     async def probing(self, engine: int) -> None:
         """Ask the engine for `/stats` within 0.3 s and report it with the load by Core.health_check_completed."""
-        began, peer, wired = clock(), self.peers.get(engine), [False]
+        began, pool, wired = clock(), self.pools.get(engine), [False]
         outcome, report = AttemptOutcome.CONNECT_FAILED, ()
-        if peer is not None:
+        if pool is not None:
             try:
-                reply = await peer.call("GET", "/stats", wired=wired, within_s=0.3)
+                reply = await pool.call("GET", "/stats", wired=wired, within_s=0.3)
                 outcome = AttemptOutcome.OK if reply.status == 200 else AttemptOutcome.ERROR
-                report = self.readings.report(reply)
+                report = self.load_reports.report(reply)
             except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError) as error:
                 if wired[0]:
                     outcome = AttemptOutcome.TIMEOUT if isinstance(error, TimeoutError) else AttemptOutcome.RESET
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -12,7 +12,13 @@
 from collections.abc import Callable
 
 from frostspindle.core import UNKNOWN_COST, Attempt, Core, MeasuredCost, clock
-from frostspindle.net.http.connection_pool import ANSWER_S, ASKS, ConnectionPool, EngineDrainedError, PoolExhaustedError
+from frostspindle.net.http.connection_pool import (
+    MAX_BROKEN_RESPONSES,
+    RESPONSE_TIMEOUT_S,
+    ConnectionPool,
+    EngineDrainedError,
+    PoolExhaustedError,
+)
 from frostspindle.net.http.engine_connection import ConnectionBrokenError, EngineConnection, RequestNotWrittenError
 from frostspindle.net.http.load_reports import LoadReportParser
 from frostspindle.net.http.replies import RESULT_BYTES, EngineReply, InvalidReplyError, Rows
@@ -20,22 +26,22 @@
 from frostspindle.pools import AttemptProgress
 from frostspindle.telemetry import Telemetry
 
-End = tuple[
+AttemptEnd = tuple[
     int, tuple[float, ...], tuple[Rows, int] | None, MeasuredCost
-]  # verdict, load report, rows with size, needs
-GIVE_UP_S = 0.3  # how long a DELETE may wait for its answer
-LOOK_S = 0.05  # so often it is looked whether an old connection has answered
+]  # outcome, load report, rows with size, needs
+CANCEL_TIMEOUT_S = 0.3  # how long a DELETE may wait for its answer
+CANCEL_POLL_S = 0.05  # so often it is looked whether an old connection has answered
 
 
 class AttemptRunner:
-    """The steps of attempts at HTTP engines; their state is in each attempt's Course."""
+    """The steps of attempts at HTTP engines; their state is in each attempt's AttemptProgress."""
 
     def __init__(self, core: Core, telemetry: Telemetry, readings: LoadReportParser) -> None:
-        self.core, self.telemetry, self.readings = core, telemetry, readings
+        self.core, self.telemetry, self.load_reports = core, telemetry, readings
 
-    def head(self, attempt: Attempt, course: AttemptProgress) -> str:
+    def head(self, attempt: Attempt, progress: AttemptProgress) -> str:
         """Return the header fields of the POST, made as it is written: time passes while a connection is awaited."""
-        course.priority = attempt.priority
+        progress.priority = attempt.priority
         grant = f"X-Memory-Mb: {attempt.grant_mb:.3f}\r\n" if attempt.grant_mb > 0 else ""
         nonce = f"X-Nonce: {attempt.request.idempotency_key}\r\n" if attempt.request.idempotency_key else ""
         return (
@@ -45,32 +51,32 @@
 
     async def follow(
         self,
-        peer: ConnectionPool,
+        pool: ConnectionPool,
         attempt: Attempt,
-        course: AttemptProgress,
-        came: EngineReply | Exception | None = None,
-    ) -> End:
+        progress: AttemptProgress,
+        received: EngineReply | Exception | None = None,
+    ) -> AttemptEnd:
         """Run an attempt from its POST, or from what came in answer to it, to the last page; return its end.
 
         The verdicts RESET and CANCELLED leave open whether the query has ended.
         """
         path = f"/v1/store/{attempt.request.ticket}/"
         report: tuple[float, ...] = ()
-        if came is None:
+        if received is None:
             try:
-                came = await peer.call(
+                received = await pool.call(
                     "POST",
                     "/v1/store",
-                    lambda: self.head(attempt, course),
+                    lambda: self.head(attempt, progress),
                     attempt.request.statement.encode(),
                     attempt,
-                    course.wired,
+                    progress.wired,
                     page=0,
                 )
             except EngineDrainedError:
                 return attempt.unsent, (), None, UNKNOWN_COST
             except PoolExhaustedError as error:  # nothing was written: proof that nothing ran
-                self.telemetry.log("connect", engine=peer.state.name, error=str(error))
+                self.telemetry.log("connect", engine=pool.state.name, error=str(error))
                 return (
                     (AttemptOutcome.OVERLOADED if error.full else AttemptOutcome.CONNECT_FAILED),
                     (),
@@ -78,40 +84,40 @@
                     UNKNOWN_COST,
                 )
             except (ConnectionBrokenError, InvalidReplyError, TimeoutError) as error:
-                came = error
-        reply = came if isinstance(came, EngineReply) else None
-        if isinstance(came, RequestNotWrittenError):
-            course.wired[0] = False
-            self.telemetry.log("connect", engine=peer.state.name, error=str(came))
+                received = error
+        reply = received if isinstance(received, EngineReply) else None
+        if isinstance(received, RequestNotWrittenError):
+            progress.wired[0] = False
+            self.telemetry.log("connect", engine=pool.state.name, error=str(received))
             return attempt.unsent, (), None, UNKNOWN_COST
-        if isinstance(came, Exception):
-            self._spoilt(peer, attempt, came)  # it may run: its news are asked for
-            course.doubted = True
+        if isinstance(received, Exception):
+            self._spoilt(pool, attempt, received)  # it may run: its news are asked for
+            progress.is_doubted = True
         while True:
             if reply is None:
-                if course.priority != attempt.priority:
-                    course.priority = attempt.priority
-                    await self._rank(peer, attempt, course)
-                reply = await self.news(peer, attempt, path, 0, course)
+                if progress.priority != attempt.priority:
+                    progress.priority = attempt.priority
+                    await self._rank(pool, attempt, progress)
+                reply = await self.news(pool, attempt, path, 0, progress)
                 if reply is None:
                     return AttemptOutcome.RESET, report, None, UNKNOWN_COST
-            report = self.readings.report(reply) or report
-            if course.doubted and reply.status == 500:
+            report = self.load_reports.report(reply) or report
+            if progress.is_doubted and reply.status == 500:
                 # The engine lives and does not know the query: the POST was lost, or the process that took it.
                 # That it never ran, or runs no more, is likely and unproven.
                 self.telemetry.count("queries_unknown")
                 return AttemptOutcome.CANCELLED, report, None, UNKNOWN_COST
             if reply.status == 202:
-                if (said := self.readings.note(reply)) is not None:
+                if (said := self.load_reports.note(reply)) is not None:
                     self.core.report_progress(attempt, *said)
                 reply = None
             elif reply.status == 200:
-                rows = await self._pages(peer, attempt, path, reply, course)
+                rows = await self._pages(pool, attempt, path, reply, progress)
                 return (
                     (AttemptOutcome.OK if rows is not None else AttemptOutcome.ERROR),
                     report,
                     rows,
-                    self.readings.needed(reply),
+                    self.load_reports.needed(reply),
                 )
             else:
                 return self._refused(reply), report, None, UNKNOWN_COST
@@ -120,35 +126,35 @@
         shed = reply.status in (503, 504) and reply.headers.get(b"x-shed") == b"1"
         return AttemptOutcome.OVERLOADED if shed else AttemptOutcome.ERROR
 
-    def told(self, reply: EngineReply) -> End | None:
+    def told(self, reply: EngineReply) -> AttemptEnd | None:
         """Return the end that the response to a POST gives by itself; None: there is more to come."""
         if reply.status == 202 or reply.pages > 1:
             return None
-        report = self.readings.report(reply)
+        report = self.load_reports.report(reply)
         if reply.status == 200:
-            return AttemptOutcome.OK, report, (reply.rows, len(reply.body)), self.readings.needed(reply)
+            return AttemptOutcome.OK, report, (reply.rows, len(reply.body)), self.load_reports.needed(reply)
         return self._refused(reply), report, None, UNKNOWN_COST
 
-    def _spoilt(self, peer: ConnectionPool, attempt: Attempt, error: Exception) -> None:
+    def _spoilt(self, pool: ConnectionPool, attempt: Attempt, error: Exception) -> None:
         if isinstance(error, InvalidReplyError):
             self.telemetry.count("engine_bad_replies")
-            self.telemetry.log("engine_reply", engine=peer.state.name, ticket=attempt.request.ticket, error=str(error))
+            self.telemetry.log("engine_reply", engine=pool.state.name, ticket=attempt.request.ticket, error=str(error))
         elif isinstance(error, ConnectionBrokenError):
             self.telemetry.count("engine_breaks")
 
     async def news(
-        self, peer: ConnectionPool, attempt: Attempt, path: str, number: int, course: AttemptProgress
+        self, pool: ConnectionPool, attempt: Attempt, path: str, number: int, progress: AttemptProgress
     ) -> EngineReply | None:
         """Poll for news or a page, on a new connection after a broken response.
 
         An engine repeats its response, so that a damaged one is not yet lost. Of ASKS broken connections or damaged
-        responses the last decides: None as if the process were gone, or BadReply. None also if the process is gone.
+        responses the last decides: None as if the process were gone, or InvalidReplyError. None also if it is gone.
         """
         broken, fresh = 0, False
         while True:
             wired, began = [False], clock()
             try:
-                reply = await peer.call("GET", f"{path}{number}", wired=wired, fresh=fresh, page=number, stay=True)
+                reply = await pool.call("GET", f"{path}{number}", wired=wired, fresh=fresh, page=number, stay=True)
                 wired[0] = reply.status != 500  # a process that does not know it keeps nothing going
                 return reply
             except PoolExhaustedError as error:
@@ -157,25 +163,25 @@
             except TimeoutError:
                 pass  # silent: ask again until the attempt's own time is over
             except (ConnectionBrokenError, InvalidReplyError) as error:
-                self._spoilt(peer, attempt, error)
+                self._spoilt(pool, attempt, error)
                 broken += 1
-                if broken >= ASKS:
+                if broken >= MAX_BROKEN_RESPONSES:
                     if isinstance(error, InvalidReplyError):
                         raise
                     return None
             finally:
                 if wired[0]:  # what had no connection can't have been an ask that keeps the query going
-                    course.asked_ms = began
-            fresh = course.doubted = True
+                    progress.asked_ms = began
+            fresh = progress.is_doubted = True
             await asyncio.sleep(0.0 if wired[0] else 0.2)
 
     async def _pages(
-        self, peer: ConnectionPool, attempt: Attempt, path: str, first: EngineReply, course: AttemptProgress
+        self, pool: ConnectionPool, attempt: Attempt, path: str, first: EngineReply, progress: AttemptProgress
     ) -> tuple[Rows, int] | None:
         """All rows of the result, in order; None: a page is lost."""
         rows, size = first.rows, len(first.body)
         for number in range(1, first.pages):
-            reply = await self.news(peer, attempt, path, number, course)
+            reply = await self.news(pool, attempt, path, number, progress)
             if reply is None or reply.status != 200:
                 return None
             size += len(reply.body)
@@ -184,7 +190,7 @@
             rows += reply.rows
         return rows, size
 
-    async def give_up(self, peer: ConnectionPool, attempt: Attempt, course: AttemptProgress) -> None:
+    async def give_up(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress) -> None:
         """Free the engine's work and return once the attempt can't be running any more.
 
         After a silence or a broken response the process that gets the DELETE may be a successor of the one that has the
@@ -192,19 +198,19 @@
         old as the query proves that the process is the same. What may never be sent again needs no such proof, unless
         its end lets the next request of its key go.
         """
-        if not course.wired[0]:
+        if not progress.wired[0]:
             return
         terms = self.core.settings.classes[attempt.request.cls]
         once = terms.idempotency == Idempotency.NON_IDEMPOTENT and not (terms.in_order and attempt.request.key)
         path = f"/v1/store/{attempt.request.ticket}"
         delete = [False]
         for fresh in (False, True):
-            unsure = course.unsure(clock())
+            unsure = progress.is_process_uncertain(clock())
             try:
-                reply = await peer.call(
-                    "DELETE", path, wired=delete, within_s=GIVE_UP_S, fresh=fresh, eldest=unsure, stay=True
+                reply = await pool.call(
+                    "DELETE", path, wired=delete, within_s=CANCEL_TIMEOUT_S, fresh=fresh, eldest=unsure, stay=True
                 )
-                if not unsure or once or course.same(reply.line_ms):
+                if not unsure or once or progress.same(reply.line_ms):
                     return
                 break
             except PoolExhaustedError as error:
@@ -216,16 +222,16 @@
                 if fresh and delete[0] and (once or not unsure):
                     return  # a live machine has the whole call; it merely does not answer
         told = clock() if delete[0] else math.inf  # without a DELETE no answer ends the wait
-        while (left := course.wait_ms(clock(), told, peer.lines)) > 0:
-            await asyncio.sleep(min(LOOK_S, left / 1000.0))
+        while (left := progress.wait_ms(clock(), told, pool.lines)) > 0:
+            await asyncio.sleep(min(CANCEL_POLL_S, left / 1000.0))
 
-    async def _rank(self, peer: ConnectionPool, attempt: Attempt, course: AttemptProgress) -> None:
+    async def _rank(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress) -> None:
         try:
-            reply = await peer.call("PUT", f"/v1/store/{attempt.request.ticket}", body=b"%d" % attempt.priority)
+            reply = await pool.call("PUT", f"/v1/store/{attempt.request.ticket}", body=b"%d" % attempt.priority)
             self.telemetry.count("ranked" if reply.status == 204 else "rank_failed")
         except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
             self.telemetry.count("rank_failed")
-            course.doubted = True
+            progress.is_doubted = True
 
 
 class DirectAttempt:
@@ -235,33 +241,33 @@
     that is not the end, or an error) and `off` (cancelled), once.
     """
 
-    __slots__ = ("life", "peer", "attempt", "course", "ended", "on", "off", "line", "over")
-    line: EngineConnection
+    __slots__ = ("runner", "pool", "attempt", "progress", "ended", "on", "off", "connection", "over")
+    connection: EngineConnection
 
     def __init__(
         self,
         life: AttemptRunner,
-        peer: ConnectionPool,
+        pool: ConnectionPool,
         attempt: Attempt,
-        ended: Callable[[Attempt, End], None],
+        ended: Callable[[Attempt, AttemptEnd], None],
         on: Callable[[DirectAttempt, EngineReply | Exception], None],
         off: Callable[[DirectAttempt], None],
     ) -> None:
-        self.life, self.peer, self.attempt, self.course = life, peer, attempt, AttemptProgress(clock())
+        self.runner, self.pool, self.attempt, self.progress = life, pool, attempt, AttemptProgress(clock())
         self.ended, self.on, self.off = ended, on, off
         self.over = False
 
-    def send(self, line: EngineConnection) -> None:
+    def send(self, connection: EngineConnection) -> None:
         """Write the POST; called once, in the turn in which the engine was found ready and the connection usable."""
-        self.line, self.attempt.task, self.course.wired[0] = line, self, True
-        self.peer.request(
-            line,
+        self.connection, self.attempt.task, self.progress.wired[0] = connection, self, True
+        self.pool.request(
+            connection,
             "POST",
             "/v1/store",
-            self.life.head(self.attempt, self.course),
+            self.runner.head(self.attempt, self.progress),
             self.attempt.request.statement.encode(),
             self.attempt,
-            ANSWER_S,
+            RESPONSE_TIMEOUT_S,
             self,
         )
 
@@ -274,19 +280,19 @@
     def set_result(self, reply: EngineReply) -> None:
         """Take the response to the POST: release the connection, then report the end or hand on to `on`.
 
-        A response that can't be read goes to `on` as a BadReply, and its connection is not used again.
+        A response that can't be read goes to `on` as a InvalidReplyError, and its connection is not used again.
         """
-        came: EngineReply | Exception = reply
-        end: End | None = None
+        received: EngineReply | Exception = reply
+        end: AttemptEnd | None = None
         try:
-            end = self.life.told(self.peer.heard(self.line, reply, 0))
+            end = self.runner.told(self.pool.heard(self.connection, reply, 0))
         except InvalidReplyError as error:
-            self.line.good, came = False, error
+            self.connection.good, received = False, error
         self._let_go()
         if end is not None:
             self.ended(self.attempt, end)
         else:
-            self.on(self, came)
+            self.on(self, received)
 
     def set_exception(self, error: Exception) -> None:
         """Release the connection and hand the error to `on`: the engine may have the query."""
@@ -295,21 +301,21 @@
 
     def _let_go(self) -> None:
         self.over, self.attempt.task = True, None  # a circle would be left to the collector
-        self.line.over()
-        self.peer.release(self.line)
+        self.connection.over()
+        self.pool.release(self.connection)
 
     # What the driver stops.
 
     def cancel(self) -> None:
         """Give the attempt up and hand it to `off`; no effect once it is over.
 
-        The connection is kept for the response that is still due where `Line.leave` allows it, else released. A POST
+        The connection is kept for a response still due where `EngineConnection.leave` allows it, else released. A POST
         that had not left whole counts as not sent.
         """
         if not self.over:
             self.over, self.attempt.task = True, None
-            if not self.line.leave():
-                self.line.over()
-                self.course.wired[0] = not self.line.unwritten
-                self.peer.release(self.line)
+            if not self.connection.leave():
+                self.connection.over()
+                self.progress.wired[0] = not self.connection.unwritten
+                self.pool.release(self.connection)
             self.off(self)
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -340,7 +340,7 @@
     def on_message_complete(self) -> None:
         """Queue the call and hand it to the front.
 
-        A Refusal becomes the connection's last response; any other exception a 500 for this call, logged as a fault.
+        A CallRejectedError becomes the connection's last response; any other exception a 500 for this call, logged.
         """
         self.came, self.partial, self.spoken, self.expects = 0, False, True, False
         self.ahead = self.ahead or bool(self.line)
--- a/frostspindle/net/http/connection_pool.py
+++ b/frostspindle/net/http/connection_pool.py
@@ -17,8 +17,8 @@
 from frostspindle.net.http.engine_connection import ConnectionSettings, EngineConnection, ResponseWaiter
 from frostspindle.net.http.replies import EngineReply, InvalidReplyError
 
-ANSWER_S = 0.5  # news come within 250 ms; an answer that is lost on the way is asked for again
-ASKS = 3  # so many broken or unreadable answers to one ask for news or a page are borne
+RESPONSE_TIMEOUT_S = 0.5  # news come within 250 ms; an answer that is lost on the way is asked for again
+MAX_BROKEN_RESPONSES = 3  # so many broken or unreadable answers to one ask for news or a page are borne
 NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
 
 
@@ -38,15 +38,15 @@
     """What the processes of all engines share."""
 
     core: Core
-    peers: dict[int, ConnectionPool]
+    pools: dict[int, ConnectionPool]
     opening: int
     lines: int  # connections that stand, of all peers
     waiters: int  # calls that wait for one
 
-    def may_open(self, peer: ConnectionPool) -> bool:
+    def may_open(self, pool: ConnectionPool) -> bool:
         """Return whether the bounds allow one more connection."""
 
-    def spare(self, peer: ConnectionPool) -> None:
+    def spare(self, pool: ConnectionPool) -> None:
         """Close an idle connection of another engine; its descriptor is free only once the loop has closed it."""
 
 
@@ -65,77 +65,77 @@
     def retire(self) -> None:
         """Drop the idle connections, as the process is gone; the others end with their calls."""
         self.gone = True
-        for line in self.idle:
-            line.drop()
+        for connection in self.idle:
+            connection.drop()
         self.idle.clear()
 
-    def joined(self, line: EngineConnection) -> None:
+    def connection_opened(self, connection: EngineConnection) -> None:
         """Count a connection that has been opened."""
-        self.lines.add(line)
+        self.lines.add(connection)
         self.driver.lines += 1
 
-    def lost(self, line: EngineConnection) -> None:
+    def connection_closed(self, connection: EngineConnection) -> None:
         """Forget a connection that has ended, and let the next waiting call have its place."""
-        if line in self.lines:
-            self.lines.remove(line)
+        if connection in self.lines:
+            self.lines.remove(connection)
             self.driver.lines -= 1
-        if line in self.idle:
-            self.idle.remove(line)
+        if connection in self.idle:
+            self.idle.remove(connection)
         self._next()
 
     def _next(self) -> None:
         """A line or a place is free: for a call that waits here, or else for one that waits for another engine."""
         if not self.driver.waiters:
             return  # as nearly always, and looking through a thousand engines takes longer than the call did
-        for peer in (self, *self.driver.peers.values()):
-            while peer.waiting:
-                waiter = peer.waiting.popleft()
+        for pool in (self, *self.driver.pools.values()):
+            while pool.waiting:
+                waiter = pool.waiting.popleft()
                 if not waiter.done():
                     waiter.set_result(None)
                     return
 
-    def release(self, line: EngineConnection) -> None:
+    def release(self, connection: EngineConnection) -> None:
         """Put a connection back as idle and wake the next waiting call; drop it if it or the process is not usable."""
-        if not line.good or self.gone:
-            line.drop()
+        if not connection.good or self.gone:
+            connection.drop()
             return
-        self.idle.append(line)
+        self.idle.append(connection)
         self._next()
 
     def take(self, eldest: bool = False) -> EngineConnection | None:
         """Take an idle connection, the last used or the eldest; None if no idle one is usable."""
         while self.idle:
-            line = pools.pick(self.idle, eldest)
-            if line is self.idle[-1]:
+            connection = pools.pick(self.idle, eldest)
+            if connection is self.idle[-1]:
                 self.idle.pop()
             else:
-                self.idle.remove(line)
-            if line.usable():
-                return line
-            line.drop()
+                self.idle.remove(connection)
+            if connection.is_usable():
+                return connection
+            connection.drop()
         return None
 
-    async def line(self, fresh: bool = False, eldest: bool = False, stay: bool = False) -> EngineConnection:
-        """Return an idle connection unless it must be fresh, else a new one; NoLine if there is none in time.
+    async def acquire(self, fresh: bool = False, eldest: bool = False, stay: bool = False) -> EngineConnection:
+        """Return an idle connection unless it must be fresh, else a new one; PoolExhaustedError if none comes in time.
 
         An engine that drains refuses new connections and serves the old ones: a call that must reach this very process
         (`stay`) then waits for one of those.
         """
-        if not fresh and (line := self.take(eldest)) is not None:
-            return line
+        if not fresh and (connection := self.take(eldest)) is not None:
+            return connection
         limit_s, resets, bound = self.driver.core.settings.connect_timeout_ms / 1000.0, 0, False
         try:
             async with asyncio.timeout(limit_s):
                 while True:
-                    if not fresh and (line := self.take(eldest)) is not None:
-                        return line
+                    if not fresh and (connection := self.take(eldest)) is not None:
+                        return connection
                     if self.driver.may_open(self):
                         # Reset when new: nothing was written yet, so that one more can be tried.
                         try:
-                            if (line := await self._open()) is not None:
-                                return line
+                            if (connection := await self._open()) is not None:
+                                return connection
                             resets += 1
-                            if resets >= ASKS:
+                            if resets >= MAX_BROKEN_RESPONSES:
                                 raise PoolExhaustedError("connections are reset as they open")
                             continue
                         except PoolExhaustedError as error:
@@ -160,7 +160,9 @@
         self.opening += 1
         self.driver.opening += 1
         try:
-            _, line = await self.driver.loop.create_connection(lambda: EngineConnection(self), *self.state.address)
+            _, connection = await self.driver.loop.create_connection(
+                lambda: EngineConnection(self), *self.state.address
+            )
         except ConnectionResetError:
             return None
         except OSError as error:
@@ -171,9 +173,9 @@
         finally:
             self.opening -= 1
             self.driver.opening -= 1
-        if line.usable():
-            return line
-        line.drop()
+        if connection.is_usable():
+            return connection
+        connection.drop()
         return None
 
     async def call(
@@ -184,7 +186,7 @@
         body: bytes = b"",
         sending: Attempt | None = None,
         wired: list[bool] | None = None,
-        within_s: float = ANSWER_S,
+        within_s: float = RESPONSE_TIMEOUT_S,
         fresh: bool = False,
         page: int | None = None,
         eldest: bool = False,
@@ -193,37 +195,37 @@
         """Send one call and return its response, checked as that of `page` if given; a bad one ends the connection.
 
         `wired[0]` is set once bytes may go out; `sending` is the attempt whose POST this is; `head` gives the header
-        fields as they are written. Raises NoLine or Drained if nothing was written; else Broken, BadReply, or
-        TimeoutError after `within_s`.
+        fields as they are written. Raises PoolExhaustedError or EngineDrainedError if nothing was written; else
+        ConnectionBrokenError, InvalidReplyError or TimeoutError after `within_s`.
         """
-        line = await self.line(fresh, eldest, stay)
+        connection = await self.acquire(fresh, eldest, stay)
         if sending is not None and not self.driver.core.may_send(sending):
-            self.release(line)
+            self.release(connection)
             raise EngineDrainedError("the engine drains")
         if wired is not None:
             wired[0] = True
         waiter: asyncio.Future[EngineReply] = self.driver.loop.create_future()
         try:
-            self.request(line, method, path, head(), body, sending, within_s, waiter)
-            return self.heard(line, await waiter, page)
+            self.request(connection, method, path, head(), body, sending, within_s, waiter)
+            return self.heard(connection, await waiter, page)
         except asyncio.CancelledError:
-            if not line.leave():
-                line.over()
-                if line.unwritten and wired is not None:
+            if not connection.leave():
+                connection.over()
+                if connection.unwritten and wired is not None:
                     wired[0] = False
             raise
         except InvalidReplyError:
-            line.good = False
+            connection.good = False
             raise
         finally:
-            if line.waiter is waiter:
-                line.over()
-            if line.waiter is None:  # else an answer is still to come
-                self.release(line)
+            if connection.waiter is waiter:
+                connection.over()
+            if connection.waiter is None:  # else an answer is still to come
+                self.release(connection)
 
     def request(
         self,
-        line: EngineConnection,
+        connection: EngineConnection,
         method: str,
         path: str,
         head: str,
@@ -235,14 +237,14 @@
         """Write a call on a connection; `waiter` gets its response or an error."""
         length = f"Content-Length: {len(body)}\r\n" if body or method in ("POST", "PUT") else ""
         call = f"{method} {path} HTTP/1.1\r\nHost: {self.host}\r\n{head}{length}\r\n".encode() + body
-        line.request(call, within_s, waiter)
-        if sending is not None and not line.transport.get_write_buffer_size():
+        connection.request(call, within_s, waiter)
+        if sending is not None and not connection.transport.get_write_buffer_size():
             self.driver.core.count_written(sending)
 
     @staticmethod
-    def heard(line: EngineConnection, reply: EngineReply, page: int | None) -> EngineReply:
-        """Note that a response has come and return it; BadReply if it can't be that of `page`."""
-        reply.line_ms, line.heard_ms = line.born_ms, clock()
+    def heard(connection: EngineConnection, reply: EngineReply, page: int | None) -> EngineReply:
+        """Note that a response has come and return it; InvalidReplyError if it can't be that of `page`."""
+        reply.line_ms, connection.heard_ms = connection.born_ms, clock()
         if page is not None:
             reply.read(page)
         return reply
--- a/frostspindle/net/http/engine_connection.py
+++ b/frostspindle/net/http/engine_connection.py
@@ -39,13 +39,13 @@
     def driver(self) -> ConnectionSettings:
         """What holds for the connections to all engines."""
 
-    def joined(self, line: EngineConnection) -> None:
+    def connection_opened(self, connection: EngineConnection) -> None:
         """Register a connection that has been opened."""
 
-    def lost(self, line: EngineConnection) -> None:
+    def connection_closed(self, connection: EngineConnection) -> None:
         """Forget a connection that has ended."""
 
-    def release(self, line: EngineConnection) -> None:
+    def release(self, connection: EngineConnection) -> None:
         """Take back a connection whose call is over; it may serve another one."""
 
 
@@ -59,14 +59,14 @@
         """Take the response."""
 
     def set_exception(self, error: BaseException, /) -> None:
-        """Take the error that came in place of a response: Broken, BadReply or TimeoutError."""
+        """Take the error that came in place of a response: ConnectionBrokenError, InvalidReplyError or TimeoutError."""
 
 
 class EngineConnection(asyncio.Protocol):
     """One connection to an engine; one call at a time, and nothing more after the first doubt."""
 
-    def __init__(self, peer: ConnectionOwner) -> None:
-        self.peer, self.loop = peer, peer.driver.loop
+    def __init__(self, pool: ConnectionOwner) -> None:
+        self.pool, self.loop = pool, pool.driver.loop
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
         self.parser = HttpResponseParser(self)
         self.waiter: ResponseWaiter | None = None
@@ -89,15 +89,15 @@
         """
         self.transport = transport  # type: ignore[assignment]
         self.transport.set_write_buffer_limits(0)  # to be told of every byte that it holds back
-        self.peer.joined(self)
+        self.pool.connection_opened(self)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel the timer, unregister, and fail the open call with Broken (Unwritten if it had not left whole)."""
+        """Cancel the timer, unregister, and fail the open call: ConnectionBrokenError or RequestNotWrittenError."""
         self.good = False
         if self.timer is not None:
             self.timer.cancel()
-        self.peer.lost(self)
+        self.pool.connection_closed(self)
         self._fail(ConnectionBrokenError(repr(error) if error else "the engine ended its connection"))
 
     def pause_writing(self) -> None:
@@ -150,21 +150,21 @@
     # What the parser calls.
 
     def on_message_begin(self) -> None:
-        """Reset headers and body; BadReply if a whole response to this call came already."""
+        """Reset headers and body; InvalidReplyError if a whole response to this call came already."""
         if self.whole:
             self.good = False
             raise InvalidReplyError("more than one answer")
         self.headers, self.body, self.fields = {}, [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header by its lower-case name; BadReply beyond FIELDS headers or FIELD bytes."""
+        """Keep a header by its lower-case name; InvalidReplyError beyond FIELDS headers or FIELD bytes."""
         self.fields += 1
         if self.fields > FIELDS or len(name) + len(value) > FIELD:
             raise InvalidReplyError("a head without bounds")
         self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """Check the head; BadReply if a final response has no length to show a cut, or one beyond PAGE_BYTES."""
+        """Check the head; InvalidReplyError if a final response has no length, or one beyond PAGE_BYTES."""
         self.status = self.parser.get_status_code()
         if (
             self.status >= 200
@@ -187,12 +187,12 @@
 
     # What the peer calls.
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Return whether a call may be written now: a hang-up, a reset or stray bytes may lie unread in the socket."""
         return (
             self.good
             and not self.transport.is_closing()
-            and self.loop.time() - self.idle_at < self.peer.driver.idle_s
+            and self.loop.time() - self.idle_at < self.pool.driver.idle_s
             and not self.poll.poll(0)
         )
 
@@ -202,7 +202,7 @@
         self.transport.abort()
 
     def expire(self) -> None:
-        """End an overdue call with TimeoutError (Unwritten if it had not left whole) and abort the connection."""
+        """End an overdue call with TimeoutError, or RequestNotWrittenError, and abort the connection."""
         self._fail(TimeoutError())  # type: ignore[arg-type]
         self.drop()
 
@@ -250,4 +250,4 @@
         self.waiter = None
         if waiter.cancelled() or waiter.exception() is not None:
             self.good = False
-        self.peer.release(self)
+        self.pool.release(self)
--- a/frostspindle/net/http/load_reports.py
+++ b/frostspindle/net/http/load_reports.py
@@ -41,7 +41,7 @@
             return ()
 
     def needed(self, reply: EngineReply) -> MeasuredCost:
-        """Return the ms and MB that the query needed, from its good end; UNTOLD if they can't be read."""
+        """Return the ms and MB that the query needed, from its good end; UNKNOWN_COST if they can't be read."""
         said = reply.text(b"x-cost-ms"), reply.text(b"x-needed-mb")
         try:
             cost_ms, memory_mb = (float(text) if text else 0.0 for text in said)
--- a/frostspindle/net/http/replies.py
+++ b/frostspindle/net/http/replies.py
@@ -26,7 +26,7 @@
         self.pages, self.rows, self.line_ms = 0, list[list[str]](), 0.0  # line_ms: when its connection came up
 
     def read(self, number: int) -> None:
-        """Check it as the response to a poll for page `number`, 0 being the news, and set `rows`; else BadReply."""
+        """Check it as the response to a poll for page `number`, 0: progress, and set `rows`; else InvalidReplyError."""
         if self.status not in (200, 202, 500, 503, 504):
             raise InvalidReplyError(f"status {self.status}")
         if self.status != 200:
@@ -46,7 +46,7 @@
 
 
 def rows_of(page: bytes) -> Rows:
-    """Return a page's rows: columns separated by tabs, rows ended by line feeds; BadReply if cut or not UTF-8."""
+    """Return a page's rows: columns by tabs, rows by line feeds; InvalidReplyError if cut or not UTF-8."""
     if not page:
         return []
     try:
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -91,7 +91,7 @@
         return [
             ColdEngine(number, core.engines[number].name, born(core.engines[number]))
             for number, believed in core.controller.engines.items()
-            if believed.ready and believed.cold(now) and number in core.engines and number in self.program.driver.peers
+            if believed.ready and believed.cold(now) and number in core.engines and number in self.program.driver.pools
         ]
 
     def _pay(self, engine: ColdEngine) -> bool:
--- a/frostspindle/pools.py
+++ b/frostspindle/pools.py
@@ -1,8 +1,8 @@
 """Connections to engines: how many, how long they are kept, and what one proves about the process behind it.
 
 Owns the bounds of a pool, which idle connection serves a call, and when a query that was given up can run no more. It
-does no I/O and reads no clock: net/http/peer.py carries it out. It must never take an answer for that of the process
-that has a query unless the connection is as old as the query.
+does no I/O and reads no clock: net/http/connection_pool.py carries it out. It must never take a response for that of
+the process that has a query unless the connection is as old as the query.
 """
 
 from __future__ import annotations
@@ -49,17 +49,17 @@
 class AttemptProgress:
     """The progress of one attempt on the wire; times are Unix ms."""
 
-    __slots__ = ("wired", "asked_ms", "began_ms", "doubted", "priority")
+    __slots__ = ("wired", "asked_ms", "began_ms", "is_doubted", "priority")
 
     def __init__(self, now_ms: float) -> None:
         self.wired = [False]  # bytes of its POST may have gone out
         self.asked_ms = self.began_ms = now_ms  # when the engine was last asked for this query, and first
         self.priority = -1  # the last that the engine was told
-        self.doubted = False  # an answer did not come as it should: the process may be another one by now
+        self.is_doubted = False  # an answer did not come as it should: the process may be another one by now
 
-    def unsure(self, now_ms: float) -> bool:
+    def is_process_uncertain(self, now_ms: float) -> bool:
         """Return whether the process that answers now may be a successor of the one that has the query."""
-        return self.doubted or now_ms - self.asked_ms > OVERDUE_MS
+        return self.is_doubted or now_ms - self.asked_ms > OVERDUE_MS
 
     def same(self, born_ms: float) -> bool:
         """Return whether a connection opened at `born_ms` leads to the process that has the query."""
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -302,11 +302,11 @@
         transports = []
         engine.script = lambda request, body: transports.append(request.transport)
         self.assertEqual((await self.ask(LOAD, number=1))[0], 200)
-        (line,) = self.program.driver.peers[0].idle
+        (line,) = self.program.driver.pools[0].idle
         with unittest.mock.patch.object(line, "connection_lost", lambda error: None):  # not yet told
             transports[0].abort()
             await self.until(lambda: line.poll.poll(0) or line.transport.is_closing())
-            self.assertFalse(line.usable())
+            self.assertFalse(line.is_usable())
         self.assertEqual((await self.ask(LOAD, number=2))[0], 200)
         self.assertEqual(len(engine.of("POST")), 2)
 
@@ -323,7 +323,7 @@
             await self.coordinator([host("s-00000000", engine.port)], bus=bus.port)
             await bus.joined()
             self.assertEqual((await self.ask(number=1))[0], 200)
-            before = self.program.driver.peers[0]
+            before = self.program.driver.pools[0]
             self.assertEqual(len(before.idle), 1)
             for n in range(1, 40):  # each takes the address of the one before
                 bus.say(
@@ -333,8 +333,8 @@
             core = self.program.core
             await self.until(lambda: set(core.engines) == set(core.controller.engines) == {39})
         driver = self.program.driver
-        self.assertEqual((set(driver.peers), self.program.bus._ids), ({39}, {"s-00000027": 39}))
-        self.assertEqual((before.idle, driver.peers[39].idle), ([], []))
+        self.assertEqual((set(driver.pools), self.program.bus._ids), ({39}, {"s-00000027": 39}))
+        self.assertEqual((before.idle, driver.pools[39].idle), ([], []))
         self.assertEqual((await self.ask(number=2))[0], 200)
 
     async def test_what_is_answered_is_let_go_of_long_before_the_clients_time_is_over(self):
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -36,9 +36,9 @@
         self.core, self.driver = self.program.core, self.program.driver
         self.core.settings = replace(self.core.settings, connect_timeout_ms=5000.0)
         if idle:
-            lines = [await peer._open() for peer in self.driver.peers.values()]
+            lines = [await peer._open() for peer in self.driver.pools.values()]
             for line in lines:
-                line.peer.release(line)
+                line.pool.release(line)
         self.asks, submit = [], self.core.submit
 
         def taken(ask):
@@ -260,7 +260,7 @@
         self.addCleanup(server.close)
         sock = server.sockets[0]
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        peer = self.driver.peers[0]
+        peer = self.driver.pools[0]
         peer.state.address = sock.getsockname()
         (line,) = [await peer._open()]
         line.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -313,7 +313,7 @@
         for engine in engines:
             accepted = []
             engine.script = lambda request, body, accepted=accepted: accepted.append(request.transport)
-        line = self.driver.peers[0].idle[0]
+        line = self.driver.pools[0].idle[0]
         self.core.controller.engines[0].slow = 0.1
         server = await asyncio.get_running_loop().create_server(Slow, "127.0.0.1", 0)
         self.addCleanup(server.close)
@@ -429,7 +429,7 @@
                 self.assertLess(asyncio.get_running_loop().time() - began, 0.9)
                 await self.until(lambda: not self.core._records)
                 self.assertEqual((len(engine.of("POST")), self.count("faults")), (1, 0))
-                idle = len(self.driver.peers[0].idle)
+                idle = len(self.driver.pools[0].idle)
                 await self.until(lambda open=transports, idle=idle: sum(not t.is_closing() for t in open) <= idle)
 
 
@@ -438,7 +438,7 @@
         for where in ("connection", "place"):
             with self.subTest(where):
                 await self.start()
-                peer, (go, awaited) = self.driver.peers[0], self.late()
+                peer, (go, awaited) = self.driver.pools[0], self.late()
                 may_open = unittest.mock.patch.object(self.driver, "may_open", lambda peer: False)
                 if where == "place":
                     may_open.start()
@@ -461,7 +461,7 @@
 
     async def test_a_want_of_descriptors_is_held_against_no_engine_and_makes_room(self):
         await self.start(2)
-        other = self.driver.peers[1]
+        other = self.driver.pools[1]
         other.release(await other._open())
         loop = asyncio.get_running_loop()
         fails = unittest.mock.patch.object(
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -16,7 +16,7 @@
         for engine in engines:
             engine.calls.clear()
         self.driver = self.program.driver
-        self.assertTrue(self.driver.peers[0].idle)
+        self.assertTrue(self.driver.pools[0].idle)
         return engines
 
 
@@ -28,7 +28,7 @@
     async def out(self, script):
         """A request whose POST is out on the idle connection: its client, the engine, the attempt."""
         (engine,) = await self.start()
-        line, engine.script = self.driver.peers[0].idle[0], script
+        line, engine.script = self.driver.pools[0].idle[0], script
         reader, writer = await self.open()
         writer.write(post(1))
         await engine.seen("POST")
@@ -44,7 +44,7 @@
         self.assertEqual((self.driver.tasks, line.waiter), (set(), attempt.task))
         go.set()
         await self.gone(attempt)
-        self.assertEqual((self.count("served"), self.driver.peers[0].idle), (2, [line]))
+        self.assertEqual((self.count("served"), self.driver.pools[0].idle), (2, [line]))
         self.assertIsNone(attempt.task, "nothing is left to the collector")
 
     async def test_a_client_that_leaves_frees_the_engine_and_the_connection_waits_for_its_answer(self):
@@ -55,7 +55,7 @@
         await self.gone(attempt)
         self.assertEqual(self.count("ended_cancelled"), 1)
         go.set()
-        await self.until(lambda: line in self.driver.peers[0].idle)
+        await self.until(lambda: line in self.driver.pools[0].idle)
         self.assertEqual((await self.ask(LOAD, number=2))[0], 200)
         self.assertEqual(len(engine.of("POST")), 2)
 
@@ -78,7 +78,7 @@
         (engine,) = await self.start()
         with unittest.mock.patch.object(self.program.core, "may_send", lambda attempt: False):
             await self.ask(LOAD)
-        self.assertEqual((engine.of("POST"), len(self.driver.peers[0].idle)), ([], 1))
+        self.assertEqual((engine.of("POST"), len(self.driver.pools[0].idle)), ([], 1))
         self.assertGreater(self.count("ended_connect_failed"), 0)
 
     async def test_a_time_that_may_be_up_before_an_answer_is_due_is_kept_by_a_task(self):
@@ -102,7 +102,7 @@
     async def test_a_connections_timer_rings_for_the_call_that_is_out(self):
         """One is left from an earlier call, for later."""
         await self.start()
-        line = self.driver.peers[0].take()
+        line = self.driver.pools[0].take()
         self.assertGreater(line.timer.when(), line.loop.time() + 0.1)
         with unittest.mock.patch.object(line, "transport"):
             line.request(b"", 0.1, asyncio.get_running_loop().create_future())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -203,7 +203,9 @@
 
 def test_only_a_connection_as_old_as_the_query_shows_that_its_process_is_the_same():
     course = pools.AttemptProgress(1000.0)
-    assert not course.unsure(1300.0) and course.unsure(1500.0), "an ask that is out for too long"
+    assert not course.is_process_uncertain(1300.0) and course.is_process_uncertain(1500.0), (
+        "an ask that is out for too long"
+    )
     for born, heard, wait in ((900.0, 1600.0, 0.0), (900.0, 1400.0, 1500.0), (1001.0, 1600.0, 1500.0)):
         assert course.wait_ms(1600.0, 1500.0, [Connection(born, heard)]) == wait
     assert course.wait_ms(4000.0, 1500.0, []) == 0.0
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -198,11 +198,11 @@
         self.assertEqual((await self.figures())["hosts_down"], 1)  # each once
         bus.say(change(3, host("s-00000001", second.port, "leaving")))
         await self.until(lambda: self.program.bus.last == 3)
-        before = self.program.driver.peers[0]
+        before = self.program.driver.pools[0]
         self.assertEqual(await self.operate("enable-server s-00000000"), ["ACK"])
         self.assertEqual((await self.ask(number=9))[0], 200)
         self.assertEqual(len(first.of("POST")), 1)
-        self.assertIsNot(self.program.driver.peers[0], before)  # no connection of before the restart is used
+        self.assertIsNot(self.program.driver.pools[0], before)  # no connection of before the restart is used
         believed = self.program.core.controller.engines[0]
         self.assertEqual((believed.suspect, believed.cold(clock())), (False, True))
 
--- a/tests/test_ownership_program.py
+++ b/tests/test_ownership_program.py
@@ -126,7 +126,7 @@
     async def warm():
         peer, tasks = Peer(*statuses), []
         driver = SimpleNamespace(
-            peers={1: peer},
+            pools={1: peer},
             telemetry=Telemetry("a", sink=io.BytesIO()),
             spawn=lambda work: tasks.append(asyncio.create_task(work)),
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -158,7 +158,7 @@
             [(method, engine is first) for method, engine in order if method != "GET"],
             [("POST", True), ("DELETE", True), ("POST", False)],
         )
-        self.assertEqual(len(self.program.driver.peers[engines.index(first)].idle), 1, "the connection was kept")
+        self.assertEqual(len(self.program.driver.pools[engines.index(first)].idle), 1, "the connection was kept")
 
     async def test_priorities_change_on_the_querys_own_connection(self):
         (engine,) = await self.start()
@@ -195,7 +195,7 @@
             course.asked_ms = 5.0
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.05):
-                    await self.program.driver.life.news(Peer(), None, "/v1/store/x/", 0, course)
+                    await self.program.driver.runner.news(Peer(), None, "/v1/store/x/", 0, course)
             self.assertEqual(course.asked_ms > 5.0, Peer.wired)
 
     async def test_a_clients_close_and_its_delete_free_the_engines_work(self):
@@ -291,15 +291,15 @@
     async def test_a_drain_told_while_an_attempt_waits_for_a_connection_stops_it(self):
         (engine,) = await self.start()
         core = self.program.core
-        peer = next(iter(self.program.driver.peers.values()))
-        plain = type(peer).line
+        peer = next(iter(self.program.driver.pools.values()))
+        plain = type(peer).acquire
 
         async def slow(self_, *how):
             # the drain comes while the connection is being made
             core.engines[0].entry = core.engines[0].entry._replace(health=2)
             return await plain(self_, *how)
 
-        with unittest.mock.patch.object(type(peer), "line", slow):
+        with unittest.mock.patch.object(type(peer), "acquire", slow):
             status, body, _ = await self.ask(LOAD, timeout=500.0)
         self.assertEqual((status, body), (503, {"failure": "Busy"}))
         self.assertEqual(engine.of("POST"), [])
@@ -310,7 +310,7 @@
         self.program.driver.most = 2
         answers = await asyncio.gather(self.ask(number=1), self.ask(number=2))
         self.assertEqual([status for status, _, _ in answers], [200, 200])
-        self.assertEqual(len(self.program.driver.peers[0].idle), 2)
+        self.assertEqual(len(self.program.driver.pools[0].idle), 2)
         await self.operate("enable-server s-00000001")
         await self.operate("disable-server s-00000000")
         began = asyncio.get_running_loop().time()
