--- a/bench/scale.py
+++ b/bench/scale.py
@@ -142,7 +142,7 @@
     async def settle() -> None:
         for _ in range(3):
             await asyncio.sleep(0)
-        while core._inbox or core._urgent:
+        while core.dispatcher.inbox or core.dispatcher.urgent:
             await asyncio.sleep(0)
 
     def end_one() -> None:
@@ -211,7 +211,7 @@
                 17,
             )
         )
-    while core._inbox:
+    while core.dispatcher.inbox:
         await asyncio.sleep(0)
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
@@ -457,7 +457,7 @@
     ("parsing", "readings.py", ()),
     ("answers, JSON", "http/calls.py", ()),
     ("answers, JSON", "http/paths.py", ()),
-    ("ledger, queue", "frostspindle/core.py", ()),
+    ("ledger, queue", "frostspindle/core/", ()),
     ("ledger, queue", "frostspindle/telemetry.py", ()),
     ("front", "net/platform.py", ()),
     ("attempt", "net/http/", ()),
--- /dev/null
+++ b/frostspindle/core/__init__.py
@@ -0,0 +1,41 @@
+"""The core: one task that owns the Controller, the ledger of requests and attempts, and the timers.
+
+`Core` (core.py) is the interface to it; the other names are the types that fronts, drivers and optional parts share
+with it. An event passes through dispatcher.py (queue and timers), event_handlers.py, the controller of
+frostspindle/policy, and actions.py, which carries out what the controller asks for.
+"""
+
+from frostspindle.core.attempts import Attempt, Cancellable
+from frostspindle.core.core import Core
+from frostspindle.core.drivers import Driver, EngineState
+from frostspindle.core.figures import CLASS_FIGURES
+from frostspindle.core.interfaces import AdmissionGate, EventObserver, KeyOrder, RequestInterceptor
+from frostspindle.core.requests import (
+    SUBREQUEST_FRONT,
+    UNKNOWN_COST,
+    ClientRequest,
+    MeasuredCost,
+    Response,
+    ResponseStatus,
+)
+from frostspindle.core.wall_clock import clock
+
+__all__ = [
+    "CLASS_FIGURES",
+    "SUBREQUEST_FRONT",
+    "UNKNOWN_COST",
+    "AdmissionGate",
+    "Attempt",
+    "Cancellable",
+    "ClientRequest",
+    "Core",
+    "Driver",
+    "EngineState",
+    "EventObserver",
+    "KeyOrder",
+    "MeasuredCost",
+    "RequestInterceptor",
+    "Response",
+    "ResponseStatus",
+    "clock",
+]
--- /dev/null
+++ b/frostspindle/core/event_handlers.py
@@ -0,0 +1,287 @@
+"""Processes the events of the core's queue, one handler for each type of event."""
+
+from __future__ import annotations
+
+import traceback
+from collections.abc import Callable, Sequence
+from typing import Any
+
+from frostspindle import policy
+from frostspindle.core.actions import ActionExecutor
+from frostspindle.core.dispatcher import EventDispatcher
+from frostspindle.core.endpoints import EndpointRegistry
+from frostspindle.core.interfaces import CoreHooks
+from frostspindle.core.ledger import RequestEntry, RequestLedger
+from frostspindle.core.messages import (
+    AdmissionDecided,
+    AttemptCompleted,
+    BansChanged,
+    ClientLeft,
+    DeadlinePassed,
+    EndpointsListed,
+    EngineDraining,
+    EngineExpired,
+    EnginesRestarted,
+    OpenLimitChanged,
+    SettingsChanged,
+    ShutdownStarted,
+)
+from frostspindle.core.requests import ClientRequest, Response, ResponseStatus
+from frostspindle.policy import AttemptOutcome
+from frostspindle.policy.controller import Controller
+from frostspindle.telemetry import Telemetry
+
+POLICY_TIMER_RETRY_MS = 20.0  # a timer event of the decision module that met a fault is repeated after this
+# Counters by outcome; their names are metric names, which stay.
+OUTCOME_COUNTERS = {
+    int(AttemptOutcome.OK): "ended_ok",
+    int(AttemptOutcome.NOT_SENT): "ended_moot",
+    int(AttemptOutcome.CANCELLED): "ended_cancelled",
+    int(AttemptOutcome.RESET): "ended_reset",
+    int(AttemptOutcome.CONNECT_FAILED): "ended_connect_failed",
+    int(AttemptOutcome.TIMEOUT): "ended_timeout",
+    int(AttemptOutcome.OVERLOADED): "ended_full",
+    int(AttemptOutcome.ERROR): "ended_error",
+}
+
+
+class EventHandlers:
+    """Translates events of fronts and drivers for the controller, in the core's task, and has its actions executed."""
+
+    def __init__(
+        self,
+        hooks: CoreHooks,
+        classes: Sequence[tuple[str, str]],
+        telemetry: Telemetry,
+        controller: Controller,
+        ledger: RequestLedger,
+        endpoints: EndpointRegistry,
+        dispatcher: EventDispatcher,
+        executor: ActionExecutor,
+    ) -> None:
+        self._hooks = hooks
+        self._classes = classes
+        self._telemetry = telemetry
+        self._controller = controller
+        self._ledger = ledger
+        self._endpoints = endpoints
+        self._dispatcher = dispatcher
+        self._executor = executor
+        self._handlers: dict[type, Callable[[float, Any], None]] = {
+            ClientRequest: self._on_request,
+            AdmissionDecided: self._on_admission_decided,
+            ClientLeft: self._on_client_left,
+            DeadlinePassed: self._on_deadline_passed,
+            AttemptCompleted: self._on_attempt_completed,
+            EndpointsListed: self._on_endpoints_listed,
+            BansChanged: self._on_bans_changed,
+            EngineDraining: self._on_engine_draining,
+            EnginesRestarted: self._on_engines_restarted,
+            EngineExpired: self._on_engine_expired,
+            OpenLimitChanged: self._on_open_limit_changed,
+            SettingsChanged: self._on_settings_changed,
+            ShutdownStarted: self._on_shutdown_started,
+            policy.KeyOrderReached: self._on_key_order_reached,
+            policy.ProgressReported: self._notify_policy,
+            policy.HealthCheckCompleted: self._notify_policy,
+            policy.WorkerLoadReported: self._notify_policy,
+            policy.TimerFired: self._notify_policy,
+        }
+
+    def handle(self, now: float, event: Any) -> None:
+        """Process one event; a fault in it costs the request that it is about, never the process."""
+        try:
+            self._handlers[type(event)](now, event)
+        except Exception as error:  # noqa: BLE001 - the boundary that keeps one fault from ending all
+            self._on_fault(now, event, error)
+
+    def _on_fault(self, now: float, event: Any, error: Exception) -> None:
+        number = self._request_number(event)
+        self._telemetry.count("faults")
+        self._telemetry.log(
+            "fault", error=repr(error), of=type(event).__name__, request=number, at=traceback.format_exc(limit=-3)
+        )
+        if isinstance(event, policy.TimerFired):
+            # Each timer of the decision module sets the next: one lost event would stop all its deadlines.
+            self._dispatcher.set_policy_timer(now + POLICY_TIMER_RETRY_MS, event.token)
+        self._ledger.fail_after_fault(number)
+
+    @staticmethod
+    def _request_number(event: Any) -> int:
+        """Return the number of the request that an event is about, 0 if it is about none."""
+        match event:
+            case AttemptCompleted():
+                return event.attempt.request.number
+            case ClientLeft():
+                return event.request.number
+            case ClientRequest() | DeadlinePassed():
+                return event.number
+            case _:
+                return getattr(event, "request", 0)
+
+    def _notify_policy(self, now: float, event: policy.Event) -> None:
+        self._executor.execute(now, self._controller.handle(now, event))
+
+    # Requests.
+
+    def _on_request(self, now: float, request: ClientRequest) -> None:
+        self._ledger.add(request)
+        has_turn: bool | None = True
+        if request.key and self._hooks.key_order is not None:
+            has_turn = self._hooks.key_order.enter(request.number, request.key)
+        if has_turn is None:  # its order can't be kept, so nothing may run
+            self._ledger.respond(request.number, Response(ResponseStatus.REJECTED))
+            return
+        gate = self._hooks.admission_gate
+        if gate is None or gate.enter(now, request, has_turn):
+            self._admit(now, request, has_turn)
+
+    def _admit(self, now: float, request: ClientRequest, has_turn: bool) -> None:
+        """Pass a request on to the decision module."""
+        remaining_ms = request.timeout_ms - (now - request.received_ms)
+        quota_allows = self._hooks.quota_allows
+        exceeds_quota = quota_allows is not None and not quota_allows(request.tenant)
+        self._notify_policy(
+            now,
+            policy.RequestArrived(
+                request.number,
+                request.cls,
+                request.tenant,
+                request.key,
+                remaining_ms,
+                request.cost_ms,
+                request.memory_mb,
+                float(request.group),
+                exceeds_quota,
+                has_turn,
+            ),
+        )
+
+    def _on_admission_decided(self, now: float, event: AdmissionDecided) -> None:
+        entry = self._ledger.entries.get(event.number)
+        if entry is None or entry.ending:
+            return
+        if event.response is not None:
+            self._ledger.respond(event.number, event.response)
+        else:
+            self._admit(now, entry.request, event.turn)
+
+    def _on_key_order_reached(self, now: float, event: policy.KeyOrderReached) -> None:
+        gate = self._hooks.admission_gate
+        if gate is not None and gate.turned(event.request):
+            return  # the gate passes the turn on together with the request
+        self._notify_policy(now, event)
+
+    def _on_client_left(self, now: float, event: ClientLeft) -> None:
+        self._drop(now, event.request.number, "left")
+
+    def _on_deadline_passed(self, now: float, event: DeadlinePassed) -> None:
+        # The decision module responds before the deadline; should it not have, the ledger still owes a response.
+        entry = self._ledger.entries.get(event.number)
+        if entry is None or entry.ending:
+            return
+        self._telemetry.log("overdue", request=event.number)
+        self._ledger.respond(event.number, Response(ResponseStatus.FAILED))
+        self._drop(now, event.number, "overdue")
+
+    def _drop(self, now: float, number: int, reason: str) -> None:
+        entry = self._ledger.entries.get(number)
+        if entry is None:
+            return
+        self._ledger.drop(entry, reason)
+        self._notify_policy(now, policy.ClientDisconnected(number))
+        self._ledger.remove_if_complete(entry)
+
+    def _on_shutdown_started(self, now: float, event: ShutdownStarted) -> None:
+        self._executor.execute(now, self._controller.give_up(now))
+        if self._hooks.admission_gate is None:
+            return
+        for number in self._hooks.admission_gate.close():
+            self._ledger.respond(number, Response(ResponseStatus.REJECTED))
+
+    # Attempts.
+
+    def _on_attempt_completed(self, now: float, event: AttemptCompleted) -> None:
+        attempt = event.attempt
+        request = attempt.request
+        entry = self._ledger.entries.get(request.number)
+        self._report_outcome(event)
+        if entry is not None and event.outcome == AttemptOutcome.OK and not entry.ending:
+            self._ledger.respond(request.number, Response(ResponseStatus.SERVED, event.result))
+        self._notify_policy(now, self._attempt_ended(event, entry))
+        if self._hooks.on_engine_changed is not None:
+            self._hooks.on_engine_changed(attempt.engine, event.report)
+        if entry is not None:
+            self._ledger.remove_if_complete(entry)
+        else:
+            self._ledger.release_key(request)  # a request that met a fault has at most one attempt in flight
+
+    def _report_outcome(self, event: AttemptCompleted) -> None:
+        """Tell the admission gate, the counters and, unless it is a usual outcome, the log."""
+        attempt = event.attempt
+        request = attempt.request
+        if self._hooks.admission_gate is not None:
+            engine = self._endpoints.engines.get(attempt.engine)
+            if engine is not None:
+                self._hooks.admission_gate.ended(engine.name, event.outcome)
+        self._telemetry.count(OUTCOME_COUNTERS[event.outcome], request.front, self._classes[request.cls][1])
+        if event.outcome not in (AttemptOutcome.OK, AttemptOutcome.CANCELLED):
+            self._telemetry.log(
+                "attempt",
+                request=request.number,
+                ticket=request.ticket,
+                attempt=attempt.number,
+                engine=self._endpoints.engines[attempt.engine].name,
+                outcome=AttemptOutcome(event.outcome).name,
+                ms=round(event.ended_at_ms - attempt.sent_ms, 1),
+            )
+
+    @staticmethod
+    def _attempt_ended(event: AttemptCompleted, entry: RequestEntry | None) -> policy.AttemptEnded:
+        attempt = event.attempt
+        is_settled = entry is None or bool(entry.ending)
+        return policy.AttemptEnded(
+            attempt.request.number,
+            attempt.number,
+            attempt.engine,
+            event.outcome,
+            event.ended_at_ms - attempt.sent_ms,
+            is_settled,
+            event.cost.cost_ms,
+            event.cost.memory_mb,
+            event.report,
+        )
+
+    # Engines.
+
+    def _on_endpoints_listed(self, now: float, event: EndpointsListed) -> None:
+        self._notify_policy(now, self._endpoints.apply_listing(now, event))
+
+    def _on_bans_changed(self, now: float, event: BansChanged) -> None:
+        self._notify_list_change(now, self._endpoints.apply_bans(event))
+
+    def _on_engine_draining(self, now: float, event: EngineDraining) -> None:
+        self._notify_list_change(now, self._endpoints.apply_draining(event))
+
+    def _on_engines_restarted(self, now: float, event: EnginesRestarted) -> None:
+        self._notify_list_change(now, self._endpoints.apply_restarts(event))
+
+    def _notify_list_change(self, now: float, change: policy.EndpointListUpdated | None) -> None:
+        if change is not None:
+            self._notify_policy(now, change)
+
+    def _on_engine_expired(self, now: float, event: EngineExpired) -> None:
+        if not self._endpoints.is_gone(event.engine):
+            return
+        if self._ledger.uses_engine(event.engine):
+            self._endpoints.schedule_expiry(now, event.engine)
+        else:
+            self._endpoints.remove(event.engine)
+
+    # Limits and settings.
+
+    def _on_open_limit_changed(self, now: float, event: OpenLimitChanged) -> None:
+        self._controller.most_open = event.max_open
+
+    def _on_settings_changed(self, now: float, event: SettingsChanged) -> None:
+        self._controller.s = event.settings
--- /dev/null
+++ b/frostspindle/core/figures.py
@@ -0,0 +1,116 @@
+"""What operators read of the core: its figures, its beliefs on engines, and the sizes of its tables.
+
+The keys of all these are read by operators, SIGUSR1 and SNMP and stay as they are.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Sequence
+from typing import Any
+
+from frostspindle.core.dispatcher import EventDispatcher
+from frostspindle.core.endpoints import EndpointRegistry
+from frostspindle.core.ledger import RequestLedger
+from frostspindle.core.requests import SUBREQUEST_FRONT
+from frostspindle.core.wall_clock import clock
+from frostspindle.policy import Health
+from frostspindle.policy.controller import Controller
+from frostspindle.telemetry import Telemetry
+
+# Figures of a class, and the counters behind each; lost: open when a worker died.
+CLASS_FIGURES = {"success": ("served",), "busy": ("refused", "full"), "failure": ("failed", "lost")}
+MAX_REPORT_AGE_MS = 1e6  # shown for engines without a load report
+
+
+def table_sizes(
+    ledger: RequestLedger, endpoints: EndpointRegistry, controller: Controller, dispatcher: EventDispatcher
+) -> dict[str, int]:
+    """Return the size of each of the core's tables; each is bounded, and a slow growth would show here."""
+    return {
+        "records": len(ledger.entries),
+        "timers": len(dispatcher.timers),
+        "engines": len(endpoints.engines),
+        "names": len(endpoints.names),
+        "believed": len(controller.engines),
+        "held": len(controller.held),
+    }
+
+
+def snapshot(
+    ledger: RequestLedger, endpoints: EndpointRegistry, controller: Controller, dispatcher: EventDispatcher
+) -> dict[str, Any]:
+    """Return the current beliefs on requests and engines, to compare with the traffic on the sockets."""
+    return {
+        "open": ledger.open_count,
+        "held": len(controller.held),
+        "records": len(ledger.entries),
+        "timers": len(dispatcher.timers),
+        "engines": _engine_rows(ledger, endpoints, controller),
+    }
+
+
+def _engine_rows(ledger: RequestLedger, endpoints: EndpointRegistry, controller: Controller) -> list[dict[str, Any]]:
+    in_flight = Counter(
+        attempt.engine for entry in ledger.entries.values() for attempt in entry.attempts if not attempt.is_finished
+    )
+    rows = []
+    for number, engine in endpoints.engines.items():
+        believed = controller.engines.get(number)
+        if believed is None:
+            continue
+        rows.append(
+            {
+                "name": engine.name,
+                "health": engine.entry.health,
+                "out": in_flight[number],
+                "threads": believed.threads,
+                "peers": believed.peers,
+                "bound": round(believed.bound, 1),
+                "slow": round(believed.slow, 2),
+                "fails": round(believed.fails, 2),
+                "granted_mb": round(believed.granted),
+                "suspect": believed.suspect,
+                "report_age_ms": round(min(clock() - believed.report_at, MAX_REPORT_AGE_MS)),
+            }
+        )
+    return rows
+
+
+def operator_figures(
+    classes: Sequence[tuple[str, str]],
+    telemetry: Telemetry,
+    ledger: RequestLedger,
+    endpoints: EndpointRegistry,
+    controller: Controller,
+) -> dict[str, Any]:
+    """Return the figures that operators, SIGUSR1 and SNMP all read, from the counters and the ledger."""
+    listed = [number for number, engine in endpoints.engines.items() if engine.entry.health != Health.GONE]
+    down = [number for number in listed if _is_down(number, endpoints, controller)]
+    return {
+        "calls": _calls_by_class(classes, telemetry),
+        "backend_calls": sum(count for (event, _, _), count in telemetry.counts.items() if event == "written"),
+        "inflight": ledger.open_count,
+        "hosts_listed": len(listed),
+        "hosts_down": len(down),
+    }
+
+
+def _calls_by_class(classes: Sequence[tuple[str, str]], telemetry: Telemetry) -> dict[str, dict[str, int]]:
+    """Return the figures of each class, summed over the fronts of clients."""
+    calls: dict[str, dict[str, int]] = {}
+    for front, class_name in classes:
+        if front == SUBREQUEST_FRONT:
+            continue
+        row = calls.setdefault(class_name, dict.fromkeys(CLASS_FIGURES, 0))
+        for figure, counters in CLASS_FIGURES.items():
+            row[figure] += sum(telemetry.counts[counter, front, class_name] for counter in counters)
+    return calls
+
+
+def _is_down(number: int, endpoints: EndpointRegistry, controller: Controller) -> bool:
+    """Return whether an engine is banned, or ejected by the decision module."""
+    if endpoints.engines[number].name in endpoints.banned:
+        return True
+    believed = controller.engines.get(number)
+    return believed is not None and bool(believed.suspect)
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -300,7 +300,7 @@
 
     def _row(self, engine: int, state: EngineState) -> EngineLoadRow:
         believed = self.core.controller.engines.get(engine)
-        listed = state.listed or state.entry
+        listed = state.listed_entry or state.entry
         at, report = self.reports.get(engine, (0.0, ()))
         spent, wished = self._cold.get(engine, (0.0, 0.0))
         suspect = believed is not None and believed.suspect and not believed.hearsay
--- a/frostspindle/cores/totals.py
+++ b/frostspindle/cores/totals.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from frostspindle.core import FIGURES
+from frostspindle.core import CLASS_FIGURES
 from frostspindle.cores.peer_workers import EngineLoadRow
 from frostspindle.policy import Health
 
@@ -74,8 +74,8 @@
     """Return the sums over all workers, in the form of a single process's `Core.figures`."""
     calls: dict[str, dict[str, int]] = {}
     for front, name in classes:
-        row = calls.setdefault(name, dict.fromkeys(FIGURES, 0))
-        for figure, counters in FIGURES.items():
+        row = calls.setdefault(name, dict.fromkeys(CLASS_FIGURES, 0))
+        for figure, counters in CLASS_FIGURES.items():
             row[figure] += sum(counts.get((what, front, name), 0) for what in counters)
     listed = [state for state in engines.values() if state.health != Health.GONE]
     return {
--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -82,7 +82,7 @@
             return False
         now, controller = clock(), self.core.controller
         believed = controller.engines.get(attempt.engine)
-        if believed is None or attempt.over or not believed.ready or not believed.cold(now):
+        if believed is None or attempt.is_finished or not believed.ready or not believed.cold(now):
             return True
         job = controller.jobs.get(attempt.request.number)
         if job is None or self.cold is None:
@@ -157,7 +157,7 @@
     """Return when the engine's process started, Unix ms, as the engine list has it: the same at all coordinators,
     whatever they have believed since.
     """
-    return (state.listed or state.entry).since_ms
+    return (state.listed_entry or state.entry).since_ms
 
 
 def attach(program: ProgramContext) -> SlowStartCoordinator:
--- a/frostspindle/net/__init__.py
+++ b/frostspindle/net/__init__.py
@@ -75,4 +75,4 @@
     @staticmethod
     def left_s(attempt: Attempt) -> float:
         """Return the seconds that the attempt still has; less than 0 if its time is up."""
-        return attempt.left_ms(clock()) / 1000.0
+        return attempt.remaining_ms(clock()) / 1000.0
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -127,7 +127,7 @@
             first.send(line)
         else:
             peer.release(line)
-            self.core.attempt_ended(attempt, attempt.unsent)
+            self.core.attempt_ended(attempt, attempt.unsent_outcome)
 
     def _ended(self, attempt: Attempt, end: End) -> None:
         self.core.attempt_ended(attempt, *end)
@@ -163,7 +163,7 @@
             async with asyncio.timeout(self.left_s(attempt)):
                 outcome, report, rows, needed = await self.life.follow(peer, attempt, course, came)
         except TimeoutError:
-            outcome = AttemptOutcome.TIMEOUT if course.wired[0] else attempt.unsent
+            outcome = AttemptOutcome.TIMEOUT if course.wired[0] else attempt.unsent_outcome
         except asyncio.CancelledError:
             outcome = AttemptOutcome.CANCELLED
         except InvalidReplyError as error:
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -40,7 +40,8 @@
         nonce = f"X-Nonce: {attempt.request.idempotency_key}\r\n" if attempt.request.idempotency_key else ""
         return (
             f"X-Ticket: {attempt.request.ticket}\r\nX-Queue: {attempt.class_name}\r\n"
-            f"X-Max-Ms: {max(1, int(attempt.left_ms(clock())))}\r\nX-Priority: {attempt.priority}\r\n{grant}{nonce}"
+            f"X-Max-Ms: {max(1, int(attempt.remaining_ms(clock())))}\r\n"
+            f"X-Priority: {attempt.priority}\r\n{grant}{nonce}"
         )
 
     async def follow(
@@ -68,7 +69,7 @@
                     page=0,
                 )
             except EngineDrainedError:
-                return attempt.unsent, (), None, UNKNOWN_COST
+                return attempt.unsent_outcome, (), None, UNKNOWN_COST
             except PoolExhaustedError as error:  # nothing was written: proof that nothing ran
                 self.telemetry.log("connect", engine=peer.state.name, error=str(error))
                 return (
@@ -83,7 +84,7 @@
         if isinstance(came, RequestNotWrittenError):
             course.wired[0] = False
             self.telemetry.log("connect", engine=peer.state.name, error=str(came))
-            return attempt.unsent, (), None, UNKNOWN_COST
+            return attempt.unsent_outcome, (), None, UNKNOWN_COST
         if isinstance(came, Exception):
             self._spoilt(peer, attempt, came)  # it may run: its news are asked for
             course.doubted = True
--- a/frostspindle/net/http/request_registry.py
+++ b/frostspindle/net/http/request_registry.py
@@ -87,7 +87,7 @@
     def _publish(self, opened: OpenRequest) -> None:
         """From here on the request outlives its connection: a poor link may break, the path stays."""
         self.open[opened.path] = opened
-        left_ms = opened.request.left_ms if opened.request is not None else 0.0
+        left_ms = opened.request.timeout_ms if opened.request is not None else 0.0
         opened.timer = self.loop.call_later(left_ms / 1000.0 + KEEP_S, self._drop, opened)
 
     def give(self, slot: PendingCall) -> None:
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -316,7 +316,7 @@
             tenant=tenant,
             key=said.key,
             idempotency_key=said.idempotency_key,
-            present=lambda: self.paths.present(opened, slot),
+            is_client_connected=lambda: self.paths.present(opened, slot),
         )
         if self.marks is not None:
             try:
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -108,7 +108,7 @@
             request.number,
             request.cls,
             request.key,
-            request.left_ms - (now - request.received_ms),
+            request.timeout_ms - (now - request.received_ms),
             request.cost_ms,
             not once,
         )
@@ -434,7 +434,7 @@
     def _listing(self) -> dict[str, wire.ListedEngine]:
         config, out = self.program.config, {}
         for state in self.core.engines.values():
-            entry = state.listed or state.entry
+            entry = state.listed_entry or state.entry
             if state.driver is self.program.driver and len(state.name) <= 64:
                 out[state.name] = wire.ListedEngine(
                     state.name,
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -239,7 +239,7 @@
 
     @staticmethod
     def _left_ms(request: ClientRequest) -> float:
-        return request.left_ms - (clock() - request.received_ms)
+        return request.timeout_ms - (clock() - request.received_ms)
 
     # Queries.
 
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -156,12 +156,12 @@
         room = math.inf if whole is None else math.floor(whole.value * self.part + 1e-9)
         if most == math.inf and room == math.inf:
             return True
-        sent = self._sent[attempt.engine] = [a for a in self._sent.get(attempt.engine, ()) if not a.over]
+        sent = self._sent[attempt.engine] = [a for a in self._sent.get(attempt.engine, ()) if not a.is_finished]
         if attempt in sent:
             return True
         if room != math.inf:
             for number in [number for number, rows in self._sent.items() if number != attempt.engine]:
-                self._sent[number] = rows = [a for a in self._sent[number] if not a.over]
+                self._sent[number] = rows = [a for a in self._sent[number] if not a.is_finished]
                 if not rows:
                     del self._sent[number]
         if len(sent) >= most or sum(map(len, self._sent.values())) >= room:
@@ -223,7 +223,7 @@
             if f"scope/{front}" in new and driver is not None:
                 for state in self.core.engines.values():
                     if state.driver is driver and (
-                        state.name in self._unlisted or (state.listed or state.entry).health == Health.READY
+                        state.name in self._unlisted or (state.listed_entry or state.entry).health == Health.READY
                     ):
                         engine = new.get(f"engine/{front}/{state.name}")
                         if engine is None or engine.state != "active":
--- a/frostspindle/timers.py
+++ b/frostspindle/timers.py
@@ -1,10 +1,9 @@
 """A hierarchical timer wheel: starting and cancelling cost the same however many timers there are.
 
-Owns when each timer is due, and in what order due ones come out. It has no I/O and no clock: times are handed in, Unix
-milliseconds, and its tick is one of them. It must never give out a timer before its time by the clock that it is
-handed, nor keep one for more than a tick after it, and never do more than a bounded part of its work in one call, so
-that 100,000 timers of one instant hold up nothing else. A step of the clock forward makes more of them due; after one
-backward they are filed anew, each for its own time.
+It does no I/O and reads no clock: times are handed in as Unix milliseconds, and its tick is one of them. It must never
+give out a timer before its time by the clock that it is handed, nor keep one for more than a tick after it, and never
+do more than a bounded part of its work in one call, so that 100,000 timers of one instant hold up nothing else. A step
+of the clock forward makes more timers due; after one backward they are filed anew, each for its own time.
 """
 
 from __future__ import annotations
@@ -13,20 +12,28 @@
 from collections import deque
 from typing import Any
 
-BITS, LEVELS = 8, 6  # 256 slots a level: of 1 ms, 256 ms, 65.5 s, 4.7 h, 50 days, 35 years
-SLOTS = 1 << BITS
-LAST = (1 << BITS * LEVELS) - 1  # what is due later is due then
-MOVES = 256  # timers that one call takes to a finer level before others get their turn
-OUT = -1  # the place of a timer that was given out or cancelled
+SLOT_BITS = 8
+LEVELS = 6  # their slots are of 1 ms, 256 ms, 65.5 s, 4.7 h, 50 days and 35 years
+SLOTS_PER_LEVEL = 1 << SLOT_BITS
+MAX_TICK = (1 << SLOT_BITS * LEVELS) - 1  # what is due later is due then
+MAX_MOVES_PER_CALL = 256  # timers that one call moves to a finer level before others get their turn
+NO_SLOT = -1  # the slot of a timer that was given out or cancelled
 
 
 class Timer:
-    """One timer; `what` is its owner's value."""
+    """One timer; `value` is its owner's, `tick` the time in Unix ms at which it is due."""
 
-    __slots__ = ("tick", "what", "place")
+    __slots__ = ("tick", "value", "slot")
 
-    def __init__(self, tick: int, what: Any) -> None:
-        self.tick, self.what, self.place = tick, what, OUT
+    def __init__(self, tick: int, value: Any) -> None:
+        self.tick = tick
+        self.value = value
+        self.slot = NO_SLOT
+
+    @property
+    def is_pending(self) -> bool:
+        """Whether it was neither given out nor cancelled."""
+        return self.slot != NO_SLOT
 
 
 class TimerWheel:
@@ -38,55 +45,61 @@
     """
 
     def __init__(self, now_ms: float) -> None:
-        self._now = int(now_ms)  # all that was due before this tick is out, or in line
-        self._slots: list[dict[Timer, None]] = [{} for _ in range(LEVELS * SLOTS)]
-        self._busy = [0] * LEVELS
-        self._line: deque[Timer] = deque()  # of the slot that is being emptied, with cancelled ones
-        self._next: float = math.inf  # no slot in use after now's begins before
+        self._now = int(now_ms)  # all that was due before this tick is given out or queued
+        self._slots: list[dict[Timer, None]] = [{} for _ in range(LEVELS * SLOTS_PER_LEVEL)]
+        self._used_slots = [0] * LEVELS  # a bit mask for each level
+        self._queue: deque[Timer] = deque()  # of the slot that is being emptied, with cancelled ones
+        self._next_slot_begins: float = math.inf  # tick; no slot in use after the current one begins before
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
-    def start(self, due_ms: float, what: Any) -> Timer:
-        """Start and return a timer for `due_ms` (Unix ms); one in the past is due at once."""
-        timer = Timer(math.ceil(due_ms) if due_ms < LAST or math.isnan(due_ms) else LAST, what)
+    def start(self, due_ms: float, value: Any) -> Timer:
+        """Start and return a timer for `due_ms` (Unix ms); one in the past is due at once. ValueError for NaN."""
+        tick = math.ceil(due_ms) if due_ms < MAX_TICK or math.isnan(due_ms) else MAX_TICK
+        timer = Timer(tick, value)
         self._count += 1
         self._file(timer)
         return timer
 
     def cancel(self, timer: Timer) -> None:
         """Remove a timer; no effect if it was given out or cancelled already."""
-        if timer.place != OUT:
+        if timer.slot != NO_SLOT:
             self._count -= 1
-            self._lift(timer)
+            self._remove_from_slot(timer)
 
     def pop(self, now_ms: float) -> Timer | None:
-        """Return one timer that is due; None: none is, or MOVES timers were moved and `next_ms` tells when to go on."""
-        limit = min(int(now_ms), LAST)
+        """Return one timer that is due.
+
+        None: there is none, or MAX_MOVES_PER_CALL timers were moved and `next_ms` tells when to go on.
+        """
+        limit = min(int(now_ms), MAX_TICK)
         if limit < self._now:
-            self._turn_back(limit)
-        if limit < self._next and not self._line:
+            self._set_back(limit)
+        if limit < self._next_slot_begins and not self._queue:
             return None  # as nearly always
         moves = 0
         while True:
-            while self._line:
-                timer = self._line.popleft()
-                if timer.place == OUT:
+            while self._queue:
+                timer = self._queue.popleft()
+                if timer.slot == NO_SLOT:
                     continue
-                self._lift(timer)
+                self._remove_from_slot(timer)
                 if timer.tick <= self._now:
                     self._count -= 1
                     return timer
                 self._file(timer)
-                if (moves := moves + 1) == MOVES:
+                moves += 1
+                if moves == MAX_MOVES_PER_CALL:
                     return None
-            place, tick = self._first()
-            if place == OUT or tick > limit:
-                self._now, self._next = limit, math.inf if place == OUT else tick
+            slot, begins = self._first_used_slot()
+            if slot == NO_SLOT or begins > limit:
+                self._now = limit
+                self._next_slot_begins = begins
                 return None
-            self._now = tick
-            self._line.extend(self._slots[place])
+            self._now = int(begins)
+            self._queue.extend(self._slots[slot])
 
     def next_ms(self) -> float | None:
         """Return when to call `pop` again after it gave None (Unix ms); None: there is no timer.
@@ -94,48 +107,57 @@
         It is never later than the next timer is due. For timers far away it is the time at which their slot begins;
         that of a cancelled one may stay.
         """
-        if self._line:
+        if self._queue:
             return float(self._now)
-        return float(self._next) if self._next < math.inf else None
+        return float(self._next_slot_begins) if self._next_slot_begins < math.inf else None
 
     def _file(self, timer: Timer) -> None:
+        """Put a timer into the slot of its tick, and into the queue if it is due."""
         tick = timer.tick
         if tick <= self._now:
             tick = self._now
-            self._line.append(timer)
-        level = (((tick ^ self._now) | 1).bit_length() - 1) // BITS
-        shift = level * BITS
-        index = (tick >> shift) % SLOTS
-        if tick > self._now and (begin := tick >> shift << shift) < self._next:
-            self._next = begin
-        timer.place = place = level * SLOTS + index
-        slot = self._slots[place]
+            self._queue.append(timer)
+        level = (((tick ^ self._now) | 1).bit_length() - 1) // SLOT_BITS
+        shift = level * SLOT_BITS
+        index = (tick >> shift) % SLOTS_PER_LEVEL
+        if tick > self._now:
+            begins = tick >> shift << shift
+            if begins < self._next_slot_begins:
+                self._next_slot_begins = begins
+        number = level * SLOTS_PER_LEVEL + index
+        slot = self._slots[number]
         if not slot:
-            self._busy[level] |= 1 << index
+            self._used_slots[level] |= 1 << index
         slot[timer] = None
+        timer.slot = number
 
-    def _lift(self, timer: Timer) -> None:
-        place, timer.place = timer.place, OUT
-        slot = self._slots[place]
+    def _remove_from_slot(self, timer: Timer) -> None:
+        number = timer.slot
+        timer.slot = NO_SLOT
+        slot = self._slots[number]
         del slot[timer]
         if not slot:
-            self._busy[place // SLOTS] ^= 1 << place % SLOTS
-
-    def _first(self) -> tuple[int, int]:
-        """The first slot in use after those that hold now, and its first tick."""
-        for level, busy in enumerate(self._busy):
-            here = self._now >> level * BITS
-            if ahead := busy >> here % SLOTS + 1:
-                at = here + (ahead & -ahead).bit_length()
-                return level * SLOTS + at % SLOTS, at << level * BITS
-        return OUT, 0
-
-    def _turn_back(self, now: int) -> None:
-        """The clock was set back: each timer keeps its time, and is filed as seen from now."""
+            self._used_slots[number // SLOTS_PER_LEVEL] ^= 1 << number % SLOTS_PER_LEVEL
+
+    def _first_used_slot(self) -> tuple[int, float]:
+        """Return the first slot in use after the current ones and its first tick; NO_SLOT and infinity for none."""
+        for level, used in enumerate(self._used_slots):
+            current = self._now >> level * SLOT_BITS
+            later = used >> current % SLOTS_PER_LEVEL + 1
+            if later:
+                lowest_bit = later & -later
+                found = current + lowest_bit.bit_length()
+                return level * SLOTS_PER_LEVEL + found % SLOTS_PER_LEVEL, found << level * SLOT_BITS
+        return NO_SLOT, math.inf
+
+    def _set_back(self, now: int) -> None:
+        """File all timers anew, each for its own time, because the clock was set back to tick `now`."""
         timers = [timer for slot in self._slots for timer in slot]
         for slot in self._slots:
             slot.clear()
-        self._line.clear()
-        self._busy, self._now, self._next = [0] * LEVELS, now, math.inf
+        self._queue.clear()
+        self._used_slots = [0] * LEVELS
+        self._now = now
+        self._next_slot_begins = math.inf
         for timer in timers:
             self._file(timer)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -103,6 +103,8 @@
 SERVES = {
     "frostspindle": "__main__ config core handover ledger net order policy pools program reserved_descriptor serving "
     "shared signals telemetry timers",
+    "frostspindle.core": "actions attempts core dispatcher drivers endpoints event_handlers figures interfaces ledger "
+    "messages requests wall_clock",
     "frostspindle.ledger": "tenants",
     "frostspindle.net": "discovery engines fields http operator platform",
     "frostspindle.net.http": "arrival_clock attempts calls clients connection_limits connection_pool engine_connection "
--- a/tests/test_cold_rights.py
+++ b/tests/test_cold_rights.py
@@ -347,8 +347,10 @@
             sent.append(action.request)
             todo += module.handle(now, policy.AttemptEnded(action.request, 0, 1, 0, 50.0, False, 0.0, 0.0, ()))
     assert 0.9 * whole < len(sent) * 130.0 <= whole
-    state = SimpleNamespace(name="x", listed=None, entry=module.engines[1].entry)
-    attempts = [SimpleNamespace(engine=1, over=False, request=SimpleNamespace(number=n), sent_ms=now) for n in sent]
+    state = SimpleNamespace(name="x", listed_entry=None, entry=module.engines[1].entry)
+    attempts = [
+        SimpleNamespace(engine=1, is_finished=False, request=SimpleNamespace(number=n), sent_ms=now) for n in sent
+    ]
     monkeypatch.setattr("frostspindle.fleet.slow_start_service.clock", lambda: now)
     monkeypatch.setattr("frostspindle.fleet.slow_start_service.monotonic", lambda: 10_000.0)
     job = SimpleNamespace(cost=100.0, hint=100.0, cls=0)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -317,7 +317,7 @@
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
         with (
-            unittest.mock.patch("frostspindle.core.GONE_ENGINE_RETENTION_MS", 0.0),
+            unittest.mock.patch("frostspindle.core.endpoints.GONE_ENGINE_RETENTION_MS", 0.0),
             unittest.mock.patch("frostspindle.policy.controller.ABSENT_MS", 0.0),
         ):
             await self.coordinator([host("s-00000000", engine.port)], bus=bus.port)
@@ -342,8 +342,8 @@
         for number in range(30):
             self.assertEqual((await self.ask(number=number, timeout=3900.0))[0], 200)
         paths = self.program.platform.paths
-        self.assertEqual((self.program.core._records, paths.open, paths.ids), ({}, {}, set()))
-        self.assertLess(len(self.program.core._timers), 5, "the module's reminders and no dead ones")
+        self.assertEqual((self.program.core.ledger.entries, paths.open, paths.ids), ({}, {}, set()))
+        self.assertLess(len(self.program.core.dispatcher.timers), 5, "the module's reminders and no dead ones")
 
     async def test_a_client_that_leaves_costs_nothing_further(self):
         (engine,) = await self.start()
@@ -354,8 +354,8 @@
         writer.close()
         await engine.seen("DELETE")
         with contextlib.suppress(TimeoutError):
-            await self.until(lambda: not self.program.core._records)
-        self.assertEqual((self.program.core._records, self.program.platform.paths.ids), ({}, set()))
+            await self.until(lambda: not self.program.core.ledger.entries)
+        self.assertEqual((self.program.core.ledger.entries, self.program.platform.paths.ids), ({}, set()))
 
 
 class OtherDeployments(EdgeCase):
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -16,7 +16,8 @@
 from peers import LOAD, LOOKUP, SQL, page
 from test_edge import Wire, post
 
-from frostspindle.core import EngineState, _ClientLeft, clock
+from frostspindle.core import EngineState, clock
+from frostspindle.core.messages import ClientLeft
 from frostspindle.policy import EndpointListKind, Health
 
 GOOD = b"HTTP/1.1 200 OK\r\nX-Pages: %d\r\n%sContent-Length: 6\r\n\r\na\t1\tx\n"
@@ -81,7 +82,7 @@
 
     async def quiet(self):
         """Nothing is out any more, and a later request is served: what was to come before has come."""
-        await self.until(lambda: not self.core._records)
+        await self.until(lambda: not self.core.ledger.entries)
         self.asks.clear()
         self.mark = lambda ask: None
         self.assertEqual((await self.ask(number=99))[0], 200)
@@ -99,7 +100,7 @@
         await awaited.wait()
         await asyncio.sleep(0.3)  # the time that passes is the story
         (ask,) = self.asks
-        left_ms = ask.received_ms + ask.left_ms - clock()
+        left_ms = ask.received_ms + ask.timeout_ms - clock()
         go.set()
         self.assertLessEqual(await asked, left_ms)
 
@@ -109,7 +110,7 @@
 
         def fence(state, attempt):
             time.sleep(0.1)
-            left.append(attempt.request.received_ms + attempt.request.left_ms - clock())
+            left.append(attempt.request.received_ms + attempt.request.timeout_ms - clock())
             return True
 
         self.core.may_start = fence
@@ -135,7 +136,7 @@
             start = self.driver.start
 
             def spent(attempt, start=start):
-                attempt.request.received_ms -= attempt.request.left_ms
+                attempt.request.received_ms -= attempt.request.timeout_ms
                 start(attempt)
 
             with (
@@ -156,10 +157,12 @@
         for idle in (False, True):
             with self.subTest(idle=idle):
                 looks = []
-                self.mark = lambda ask, looks=looks: setattr(ask, "present", lambda: looks.append(ask) is not None)
+                self.mark = lambda ask, looks=looks: setattr(
+                    ask, "is_client_connected", lambda: looks.append(ask) is not None
+                )
                 await self.start(2, idle)
                 _, writer = await self.client()
-                await self.until(lambda: self.asks and not self.core._records)
+                await self.until(lambda: self.asks and not self.core.ledger.entries)
                 self.nothing_sent()
                 writer.close()  # only now the front sees what the look saw
                 await self.until(lambda: not self.program.platform.paths.ids)
@@ -177,22 +180,22 @@
                 writer.close()
                 await self.until(lambda: self.count("left"))
                 go.set()
-                await self.until(lambda: not self.core._records)
+                await self.until(lambda: not self.core.ledger.entries)
                 self.nothing_sent()
 
     async def test_a_leave_that_is_still_in_line_at_the_core_counts_already(self):
         await self.start()
-        (go, awaited), guard, behind = self.late(), self.core._guard, []
-        self.core._guard = lambda now, event: (
-            behind.append((now, event)) if (behind or isinstance(event, _ClientLeft)) else guard(now, event)
+        (go, awaited), guard, behind = self.late(), self.core.event_handlers.handle, []
+        self.core.event_handlers.handle = lambda now, event: (
+            behind.append((now, event)) if (behind or isinstance(event, ClientLeft)) else guard(now, event)
         )
         _, writer = await self.client()
         await awaited.wait()
         writer.close()
         await self.until(lambda: behind)
-        (record,) = self.core._records.values()
+        (record,) = self.core.ledger.entries.values()
         go.set()
-        await self.until(lambda: record.attempts[0].over or self.posts())
+        await self.until(lambda: record.attempts[0].is_finished or self.posts())
         for event in behind:
             guard(*event)
         self.nothing_sent()
@@ -209,7 +212,7 @@
 
         self.core.attempt_ended = leaves
         await self.client()
-        await self.until(lambda: self.asks and not self.core._records)
+        await self.until(lambda: self.asks and not self.core.ledger.entries)
         self.assertEqual((len(self.posts()), self.count("left")), (1, 1))
 
     async def test_one_that_leaves_while_a_page_is_fetched_frees_the_engine_and_nothing_is_sent_again(self):
@@ -228,7 +231,7 @@
         writer.close()
         await engine.seen("DELETE")
         go.set()
-        await self.until(lambda: not self.core._records)
+        await self.until(lambda: not self.core.ledger.entries)
         self.assertEqual([method for method, *_ in engine.calls], ["POST", "GET", "DELETE"])
 
 
@@ -427,7 +430,7 @@
                 began = asyncio.get_running_loop().time()
                 self.assertIn((await self.ask(LOAD, timeout=900.0))[0], (502, 503))
                 self.assertLess(asyncio.get_running_loop().time() - began, 0.9)
-                await self.until(lambda: not self.core._records)
+                await self.until(lambda: not self.core.ledger.entries)
                 self.assertEqual((len(engine.of("POST")), self.count("faults")), (1, 0))
                 idle = len(self.driver.peers[0].idle)
                 await self.until(lambda open=transports, idle=idle: sum(not t.is_closing() for t in open) <= idle)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -377,12 +377,12 @@
                 plain = await self.plain()
                 plain.sendall(post(1) + post(2))
                 await self.until(lambda: len(asks) == 2)
-                self.assertTrue(asks[0].present() and asks[1].present())
+                self.assertTrue(asks[0].is_client_connected() and asks[1].is_client_connected())
                 if how == "behind bytes":
                     self.client.transport.pause_reading()
                     plain.sendall(PING * 9)
                 self.go_away(plain, how)
-                self.assertFalse(asks[1].present() or asks[0].present())
+                self.assertFalse(asks[1].is_client_connected() or asks[0].is_client_connected())
                 self.assertEqual(left, asks)
                 await self.until(lambda: not self.front.clients)
                 self.assertEqual((left, self.front.paths.ids), (asks, set()))
@@ -396,9 +396,9 @@
             ((_, _, body),) = await self.answers(reader, 1)
         writer.transport.abort()
         await self.until(lambda: not self.front.clients)
-        self.assertTrue(asks[0].present())
+        self.assertTrue(asks[0].is_client_connected())
         self.assertEqual((await self.call("DELETE", json.loads(body)["next"]))[0], 204)
-        self.assertFalse(asks[0].present())
+        self.assertFalse(asks[0].is_client_connected())
 
     async def test_a_client_that_went_before_it_was_given_a_path_has_left(self):
         await self.start()
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -32,11 +32,11 @@
         reader, writer = await self.open()
         writer.write(post(1))
         await engine.seen("POST")
-        (record,) = self.program.core._records.values()
+        (record,) = self.program.core.ledger.entries.values()
         return engine, line, record.attempts[0], writer
 
     async def gone(self, attempt):
-        await self.until(lambda: attempt.over and not self.program.core._records)
+        await self.until(lambda: attempt.is_finished and not self.program.core.ledger.entries)
 
     async def test_it_has_no_task_and_ends_with_its_answer(self):
         go = asyncio.Event()
@@ -71,7 +71,7 @@
 
         with unittest.mock.patch.object(attempt.task, "on", stopped):
             await engine.seen("DELETE")
-        await self.until(lambda: attempt.over)
+        await self.until(lambda: attempt.is_finished)
         self.assertEqual([method for method, *_ in engine.calls[:2]], ["POST", "DELETE"])
 
     async def test_an_engine_that_drains_gets_nothing_on_an_idle_connection(self):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -266,9 +266,10 @@
         await self.until(lambda: core.names)
         await self.operate("disable-server s-00000000")
         for number in range(5000):
-            core._remember([f"s-{number + 1:08x}"])
+            core.endpoints.remember_names([f"s-{number + 1:08x}"])
         self.assertEqual((len(core.names), "s-00000000" in core.names), (4096, True))
-        looked, core.engines = core.engines, unittest.mock.MagicMock(wraps=core.engines)
-        core._remember([f"s-{number + 6000:08x}" for number in range(100)])
-        self.assertEqual((core.engines.values.call_count, len(core.names)), (1, 4096))
-        core.engines = looked
+        looked = core.endpoints.engines
+        core.endpoints.engines = unittest.mock.MagicMock(wraps=looked)
+        core.endpoints.remember_names([f"s-{number + 6000:08x}" for number in range(100)])
+        self.assertEqual((core.endpoints.engines.values.call_count, len(core.names)), (1, 4096))
+        core.endpoints.engines = looked
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -568,7 +568,7 @@
                 return other.places(key_number(1, b"k"))
 
             self.assertEqual((await self.ask(LOAD_CLASS, 1, **{"X-Object": "k"}))[0], 502)
-            await self.until(lambda: not self.program.core._records)  # answered, and no attempt is out
+            await self.until(lambda: not self.program.core.ledger.entries)  # answered, and no attempt is out
             self.assertTrue(places() or not stands)
             await self.until(lambda stands=stands, places=places: stands or not places())
             self.assertEqual(self.program.order.sheets.keep_ms, FORGOTTEN_MS + pause_ms)  # of one that was killed, too
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -151,7 +151,7 @@
         await self.until(lambda: ("GET", order[0][1]) in order if order else False)
         first = order[0][1]
         first.server.close()  # the open connections stay
-        (record,) = self.program.core._records.values()
+        (record,) = self.program.core.ledger.entries.values()
         self.program.driver.stop(record.attempts[0])
         self.assertEqual((await asked)[0], 200)
         self.assertEqual(
@@ -175,7 +175,7 @@
         engine.script = lambda request, body: script(request)
         asked = asyncio.create_task(self.ask())
         await engine.seen("GET")
-        (record,) = self.program.core._records.values()
+        (record,) = self.program.core.ledger.entries.values()
         record.attempts[0].priority = 3
         self.program.driver.rank(record.attempts[0])
         self.assertEqual((await asked)[0], 200)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -227,7 +227,7 @@
 
     def left_alone(self, offset: int, engines: list[Engine]) -> bool:
         """The coordinator knows that they leave, and nothing is out there: 0.35 s are less on a busy machine."""
-        out = {a.engine for r in self.program.core._records.values() for a in r.attempts if not a.over}
+        out = {a.engine for r in self.program.core.ledger.entries.values() for a in r.attempts if not a.is_finished}
         return self.program.bus.last == offset and not out & {int(engine.name[2:], 16) for engine in engines}
 
     @unittest.mock.patch(
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -306,12 +306,12 @@
         passed = [self.applied.fence(states["toy-0" if n < 3 else "toy-1"], one) for n, one in enumerate(sent)]
         self.assertEqual((passed, len(looks)), ([True, True, False, True, False], 5))  # 2 of 5, and 3 of 7 in all
         self.assertTrue(self.applied.fence(states["toy-0"], sent[0]), "asked again for one that has passed")
-        sent[0].over = True
+        sent[0].is_finished = True
         self.assertTrue(self.applied.fence(states["toy-1"], sent[4]))
         self.assertFalse(self.applied.fence(states["toy-2"], attempt("toy-2")), "not on the list")
         self.applied.name = "c9"
         self.applied.act(ActiveRules(VERSION, (2,), table.set("limit/open_requests", Limit(50.0))))
-        sent[1].over = sent[3].over = sent[4].over = True
+        sent[1].is_finished = sent[3].is_finished = sent[4].is_finished = True
         self.assertFalse(self.applied.fence(states["toy-0"], attempt("toy-0")), "without a part nothing is let through")
 
     async def test_parts_that_a_change_does_not_touch_are_left_alone(self):
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -14,14 +14,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from frostspindle import core as core_module
-from frostspindle.core import ClientRequest, Core
+from frostspindle.core import ClientRequest, Core, clock, dispatcher
+from frostspindle.core.dispatcher import MAX_EVENTS_PER_TURN
+from frostspindle.core.messages import EngineExpired
 from frostspindle.telemetry import Telemetry
-from frostspindle.timers import LEVELS, MOVES, TimerWheel
+from frostspindle.timers import LEVELS, MAX_MOVES_PER_CALL, TimerWheel
 
 
 def drain(wheel, now):
-    """All that is due, however many calls it takes; at most MOVES moves between two of them."""
+    """All that is due, however many calls it takes; at most MAX_MOVES_PER_CALL moves between two of them."""
     out = []
     while True:
         timer = wheel.pop(now)
@@ -97,7 +98,7 @@
 def test_timers_come_in_the_order_of_their_time_and_those_of_one_tick_as_they_were_started():
     draw, wheel = random.Random(5), TimerWheel(0.0)
     timers = [wheel.start(draw.randrange(3000), number) for number in range(5000)]
-    assert [t.what for t in drain(wheel, 3000.0)] == [t.what for t in sorted(timers, key=lambda t: (t.tick, t.what))]
+    assert [t.value for t in drain(wheel, 3000.0)] == [t.value for t in sorted(timers, key=lambda t: (t.tick, t.value))]
 
 
 @pytest.mark.parametrize("ahead", [0.5, 200.0, 30_000.0, 1e6])
@@ -119,15 +120,15 @@
         given += wheel.pop(now) is not None
         most = max(most, filed)
         assert wheel.next_ms() is None or wheel.next_ms() <= now, "who has more to give says so"
-    assert given == 100_000 and most <= MOVES
-    assert calls <= 100_000 + LEVELS * 100_000 / MOVES
+    assert given == 100_000 and most <= MAX_MOVES_PER_CALL
+    assert calls <= 100_000 + LEVELS * 100_000 / MAX_MOVES_PER_CALL
 
 
 def test_a_clock_that_steps_forward_makes_all_due_without_counting_the_ticks():
     wheel = TimerWheel(1e12)
     for number in range(1000):
         wheel.start(1e12 + 25_000.0 * number, number)
-    assert [t.what for t in drain(wheel, 1e12 + 3e11)] == list(range(1000))  # ten years
+    assert [t.value for t in drain(wheel, 1e12 + 3e11)] == list(range(1000))  # ten years
 
 
 def test_a_clock_that_is_set_back_fires_nothing_early_and_new_timers_in_time():
@@ -165,7 +166,7 @@
         self.task.cancel()
 
     def ask(self, left_ms):
-        ask = ClientRequest("http", 0, "t", "SELECT 1", core_module.clock(), left_ms, self.answers.append)
+        ask = ClientRequest("http", 0, "t", "SELECT 1", dispatcher.clock(), left_ms, self.answers.append)
         self.assertTrue(self.core.submit(ask))
         return ask
 
@@ -178,41 +179,41 @@
 
     async def test_who_left_or_was_answered_leaves_no_timer(self):
         asks = [self.ask(25_000.0) for _ in range(60)]
-        await self.turns(lambda: len(self.core._timers) >= 60)
+        await self.turns(lambda: len(self.core.dispatcher.timers) >= 60)
         for ask in asks[:30]:
             self.core.client_disconnected(ask)
-        await self.turns(lambda: len(self.core._records) == 30)
+        await self.turns(lambda: len(self.core.ledger.entries) == 30)
         self.core.fail_open_requests()  # answers the others
         await self.turns(lambda: len(self.answers) == 30)
-        self.assertLess(len(self.core._timers), 3, "what is left is the module's")
+        self.assertLess(len(self.core.dispatcher.timers), 3, "what is left is the module's")
 
     async def test_100_000_due_at_once_do_not_keep_the_sockets_waiting(self):
         await self.turns(lambda: not self.core.has_pending_changes)
         for number in range(100_000):
-            self.core._at(core_module.clock() - 1.0, core_module._EngineExpired(number))
-        self.core._wake()
-        most, before = 0, len(self.core._timers)
-        while len(self.core._timers) > 10:
+            self.core.dispatcher.timers.start(clock() - 1.0, EngineExpired(number))
+        self.core.dispatcher.wake()
+        most, before = 0, len(self.core.dispatcher.timers)
+        while len(self.core.dispatcher.timers) > 10:
             await asyncio.sleep(0)  # so often sockets are looked at
-            most, before = max(most, before - len(self.core._timers)), len(self.core._timers)
-        self.assertLessEqual(most, core_module.TURN)
+            most, before = max(most, before - len(self.core.dispatcher.timers)), len(self.core.dispatcher.timers)
+        self.assertLessEqual(most, MAX_EVENTS_PER_TURN)
 
     async def test_a_clock_that_steps_answers_each_request_once_and_the_reminders_go_on(self):
-        now = core_module.clock()
-        with unittest.mock.patch("frostspindle.core.clock", lambda: now):
+        now = clock()
+        with unittest.mock.patch("frostspindle.core.dispatcher.clock", lambda: now):
             for _ in range(10):
                 self.ask(25_000.0)
-            await self.turns(lambda: len(self.core._records) == 10)
+            await self.turns(lambda: len(self.core.ledger.entries) == 10)
             now -= 3_600_000.0
             late = self.ask(2_000.0)
             await self.turns(lambda: late.number)
             self.assertEqual(self.answers, [], "an hour ago nobody's time was up")
             for _ in range(400):  # of 5 ms each
                 now += 5.0
-                self.core._wake()
-                await self.turns(lambda: not self.core._sleeper.done())
+                self.core.dispatcher.wake()
+                await self.turns(lambda: not self.core.dispatcher._sleeper.done())
             self.assertEqual([a.status for a in self.answers], ["refused"], "by the module, of the one after the step")
             now += 7_200_000.0
-            self.core._wake()
+            self.core.dispatcher.wake()
             await self.turns(lambda: len(self.answers) == 11)
-        self.assertEqual((self.core.open, len(self.core._records)), (0, 0))
+        self.assertEqual((self.core.open, len(self.core.ledger.entries)), (0, 0))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -259,7 +259,7 @@
         sent = self.count("sent")
         core.fail_open_requests()
         self.assertEqual({(await one)[0] for one in asked}, {503})  # lookups: a repeat does no harm
-        await self.until(lambda: not core._records)
+        await self.until(lambda: not core.ledger.entries)
         self.assertEqual((core.controller.jobs, self.count("faults")), ({}, 0))
         self.assertLessEqual(len(engine.of("POST")), sent)
 
@@ -277,9 +277,9 @@
         await most(59)  # the other has most in its line, and a fifth is for the new one all the same
         theirs[0] = 20
         await most(276)
-        core._open = 41
+        core.ledger.open_count = 41
         await self.until(lambda: other.theirs == 41)
-        core._open = 0
+        core.ledger.open_count = 0
         self.program.stopping.set()
         theirs[0] = 21
         await most(237)  # the one that ends keeps what it has, but for the new one's fifth
