--- /dev/null
+++ b/frostspindle/components/__init__.py
@@ -0,0 +1,1 @@
+"""The optional parts of a running coordinator behind one interface; `registry` states which there are."""
--- /dev/null
+++ b/frostspindle/components/operator_port.py
@@ -0,0 +1,41 @@
+"""The operators' port with its calls, and the metrics that it answers with, as components."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from frostspindle.components.base import Component
+from frostspindle.host import ProgramContext
+from frostspindle.net.operator import OperatorServer
+
+
+class OperatorPortComponent(Component):
+    """The server that answers operators' calls, those of the program and of its parts."""
+
+    def __init__(self, program: ProgramContext) -> None:
+        super().__init__(program)
+        assert program.config.desk is not None
+        self.server = OperatorServer(program.config.desk, program.operator_calls(), program.telemetry)
+        program.operator_server = self.server
+
+    async def start(self) -> None:
+        """Listen; OSError names LB_OPERATOR."""
+        try:
+            await self.server.start()
+        except OSError as error:
+            raise OSError(f"LB_OPERATOR: {error}") from None
+
+    async def stop(self) -> None:
+        """Close the port and all its connections."""
+        self.server.close()
+
+
+class MetricsComponent(Component):
+    """The call `metrics`, which gives the counters in Prometheus' text form."""
+
+    def operator_calls(self) -> dict[str, Callable[..., Any]]:
+        """Return the call `metrics`; loads the Prometheus library."""
+        from frostspindle.net import metrics  # the library costs memory that only its users pay
+
+        return {"metrics": lambda: metrics.text(self.program.core.figures())}
--- /dev/null
+++ b/frostspindle/descriptor_sharing.py
@@ -0,0 +1,52 @@
+"""The descriptors of this process, divided between clients and engines, and between two processes over an upgrade.
+
+Owns the limits that follow from their number: connections of the HTTP front and driver, and open requests. It must
+never decide what a request is worth.
+"""
+
+from __future__ import annotations
+
+from frostspindle.core import Core
+from frostspindle.handover import most_open
+from frostspindle.net.engines import HttpEngines
+from frostspindle.net.platform import HttpFront
+
+OPEN_REQUEST_PART = 0.29  # of all descriptors: past that, nobody finds a connection to an engine
+MIN_OPEN_REQUESTS = 16
+
+
+class DescriptorSharing:
+    """The limits of one process, which change as another process of the coordinator comes or goes."""
+
+    def __init__(self, sockets: int, core: Core, front: HttpFront, driver: HttpEngines) -> None:
+        self.sockets = sockets
+        self.agreed_open_limit: int | None = None  # on open requests, by the agreed settings
+        self._core = core
+        self._front = front
+        self._driver = driver
+
+    def resize(self, sockets: int, is_sharing: bool) -> None:
+        """Set the number of descriptors; connections past the new limits are closed as they become idle."""
+        self.sockets = sockets
+        self._front.sockets = sockets
+        self._driver.sockets = sockets
+        self._core.most_open = sockets // 2
+        self.limit_connections(is_sharing)
+
+    def limit_connections(self, is_sharing: bool) -> None:
+        """Apply the limits on connections; `is_sharing` says that another process runs."""
+        self._front.crowd(is_sharing)
+        self._driver.crowd(is_sharing)
+
+    def limit_open_requests(self, is_sharing: bool, open_elsewhere: int | None, is_stopping: bool) -> None:
+        """Apply the limit on open requests.
+
+        `open_elsewhere` is the number that the other process has open, None if it is not known; `is_stopping` says
+        that this process is the one that ends.
+        """
+        limit = int(self.sockets * OPEN_REQUEST_PART)
+        if is_sharing:
+            limit = most_open(limit, open_elsewhere, is_stopping)
+        if self.agreed_open_limit is not None:
+            limit = min(limit, self.agreed_open_limit)
+        self._core.set_open_limit(max(MIN_OPEN_REQUESTS, limit))
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -1,51 +1,44 @@
-"""One process that serves: its parts, their wiring, and what each signal does.
+"""One process that serves: its parts, and the order in which they start and stop.
 
-Owns the order in which the parts start and stop and what each signal does: SIGTERM and SIGINT end the
-program in good order, SIGUSR1 prints the counters, SIGHUP reads the configuration and the operator's file
-again. It decides nothing about requests, speaks no wire and reads no command line.
+Owns that order. It decides nothing about requests, speaks no wire and reads no command line; which optional parts
+there are is stated in `components/registry.py`.
 """
 
 from __future__ import annotations
 
 import asyncio
 import gc
-import os
-import signal
-import sys
 from collections.abc import Callable
 from pathlib import Path
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
-from frostspindle import config as configuration
 from frostspindle import signals
-from frostspindle.config import Config, ConfigError
+from frostspindle.components.base import BanListener
+from frostspindle.components.registry import Components, Phase
+from frostspindle.config import Config
 from frostspindle.core import SUBREQUEST_FRONT, Core
-from frostspindle.handover import most_open
-from frostspindle.ledger.tenants import RequestAttributes
+from frostspindle.descriptor_sharing import DescriptorSharing
+from frostspindle.memory_log import log_memory
 from frostspindle.net.discovery import EndpointWatcher
 from frostspindle.net.engines import HttpEngines
 from frostspindle.net.http.calls import FRONT
-from frostspindle.net.http.statements import schema, table_group
-from frostspindle.net.operator import OperatorError, OperatorServer
+from frostspindle.net.operator import OperatorError
 from frostspindle.net.platform import HttpFront
-from frostspindle.policy import EndpointListKind
-from frostspindle.reserved_descriptor import ReservedDescriptor
+from frostspindle.reload import Reloader
 from frostspindle.shared import Shared
 from frostspindle.telemetry import Telemetry
 
-if TYPE_CHECKING:
-    from frostspindle.net.tds.driver import TdsEngines
-    from frostspindle.net.tds.front import TdsFront
-
-ACCEPT_S = 0.75  # after SIGTERM new work still comes for up to 0.6 s, and is owed its answer
-OPEN_PART = 0.29  # of all descriptors, open requests
-KILL_S, LAST_S = 5.0, 0.5  # an upgrade kills after the longest deadline, KILL_S at most, and 0.7 s
+# After SIGTERM new work still comes for up to 0.6 s, and is owed its answer.
+ACCEPT_AFTER_SIGTERM_S = 0.75
 # The system may be told to kill so long after the longest deadline; all is answered and gone so long before that.
-MERCY_S, LEAVE_S = 0.7, 0.2
-LOOK_S = 0.02  # so often it is looked whether anything is still open
-FLUSH_S = 0.1  # for the last answers to leave
-MEMORY_EVERY_S = 60.0  # a line of what the process holds: growth shows over a long day, at no cost to requests
-PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 2**20
+KILL_GRACE_S = 0.7
+EXIT_RESERVE_S = 0.2
+# An upgrade kills after the longest deadline, at most after the first, and 0.7 s; the second is used of these 0.7 s.
+UPGRADE_LONGEST_DEADLINE_S = 5.0
+UPGRADE_GRACE_S = 0.5
+MIN_LONGEST_DEADLINE_S = 3.0  # where all classes have shorter deadlines
+DRAIN_POLL_INTERVAL_S = 0.02  # between looks at whether anything is still open
+RESPONSE_FLUSH_S = 0.1  # for the last responses to leave
 
 
 class WorkerLink(Protocol):
@@ -61,7 +54,7 @@
     def ending(self) -> bool:
         """Nobody else accepts any more."""
 
-    def bind(self, program: Program) -> None:
+    def bind(self, program: Any) -> None:
         """Take the program whose part this is, before it starts."""
 
     def start(self, told: Callable[[frozenset[str]], None], crowd: Callable[[bool], None]) -> None:
@@ -81,192 +74,81 @@
     """All parts of one running coordinator."""
 
     def __init__(self, config: Config, link: WorkerLink | None = None) -> None:
-        self.config, self.link = config, link
-        self.sockets = config.limits.sockets
+        self.config = config
+        self.link = link
         self.telemetry = Telemetry(config.name, worker=config.worker)
-        classes = [(FRONT, name) for name in config.classes] + [("tds", name) for name in config.plan.classes]
-        if config.scatter is not None:  # by class and site, in the order in which the settings have them
-            classes += [(SUBREQUEST_FRONT, config.classes[cls]) for cls, _ in config.scatter.classes]
-        self.core = Core(config.settings, classes, config.seed, self.telemetry, config.limits.sockets // 2)
+        self.core = Core(
+            config.settings, request_classes(config), config.seed, self.telemetry, config.limits.sockets // 2
+        )
         self.driver = HttpEngines(config, self.core, self.telemetry)
         self.bus = EndpointWatcher(config, self.core, self.driver, self.telemetry)
         self.platform = HttpFront(config, self.core, self.telemetry)
-        self.tds: TdsFront | None = None
-        self.tds_driver: TdsEngines | None = None
-        if tds := config.operator.tds:
-            from frostspindle.net.tds.driver import TdsEngines  # a tenth of a start's imports, only where it is set up
-            from frostspindle.net.tds.front import TdsFront
-
-            self.tds_driver = TdsEngines(tds, config.plan.kinds, self.core, self.telemetry)
-            self.tds = TdsFront(
-                tds,
-                configuration.address(tds.listen, "tds.listen"),
-                config.plan.classes,
-                config.seed,
-                self.core,
-                self.telemetry,
-                table_group,
-            )
-        if config.tenants.on:
-            self.platform.tenant = config.tenants.number
-            if self.tds:
-                self.tds.tenant = lambda login, at, statement: config.tenants.number(
-                    RequestAttributes("tds", at, {}, login.user, login.application, login.database, schema(statement))
-                )
-        self.order: Any = None
-        self.fleet = self._fleet() if config.operator.fleet else None
-        self.warming: Any = None
-        if config.operator.fleet and config.operator.fleet.cold:
-            from frostspindle.fleet import slow_start_service
+        self.descriptors = DescriptorSharing(config.limits.sockets, self.core, self.platform, self.driver)
+        self.serving = False
+        self.stopping = asyncio.Event()
+        self.failed = False
+        self.tasks: list[asyncio.Task[Any]] = []
 
-            self.warming = slow_start_service.attach(self)
-        self.scatter: Any = None
-        self.agent: Any = None
-        self.desk: OperatorServer | None = None
-        if config.desk:
-            self.desk = OperatorServer(
-                config.desk,
-                {
-                    "ready": self.ready,
-                    "show-stat": self.core.figures,
-                    "drain": self.drain,
-                    "resume": self.resume,
-                    "disable-server": self.disable,
-                    "enable-server": self.enable,
-                },
-                self.telemetry,
-            )
-            if self.fleet:
-                self.desk.does["show-fleet"] = self.fleet.figures
-            if config.operator.metrics:
-                from frostspindle.net import metrics  # the library costs memory that only its users pay
-
-                self.desk.does["metrics"] = lambda: metrics.text(self.core.figures())
-            if self.warming:
-                self.desk.does["show-cold"] = self.warming.figures
+        # The optional parts' services, set by their components; see `host.ProgramContext`.
+        self.tds: Any = None
+        self.tds_driver: Any = None
+        self.fleet: Any = None
+        self.warming: Any = None
+        self.operator_server: Any = None
         self.replica: Any = None
-        if config.operator.replica:
-            from frostspindle.replica.service import attach as replicate  # loads the Raft library
-
-            self.replica = replicate(self)
         self.owners: Any = None
-        if config.operator.ownership:
-            from frostspindle.ownership.wiring import attach as own  # only where it is set up
-
-            self.owners = own(self)
         self.recovery: Any = None
-        if config.operator.recovery:
-            from frostspindle.recovery.service import attach as recover  # only where it is set up
-
-            self.recovery = recover(self)
-        if config.scatter is not None:
-            from frostspindle.scatter.wiring import attach as spread  # loads the SQL parser
-
-            self.scatter = spread(self)
+        self.scatter: Any = None
         self.subscriptions: Any = None
-        if config.operator.subscriptions:
-            from frostspindle.subscriptions.wiring import attach  # lark and others are its users' only
-
-            self.subscriptions = attach(self)
-            if self.scatter:
-                self.scatter.loaded = self.subscriptions.loaded
-            if self.recovery:
-                self.recovery.staged = self.subscriptions.stage
-        self.most_open: int | None = None  # of the agreed settings
         self.settings: Any = None
-        if config.operator.settings:
-            from frostspindle.settings.wiring import attach as agree  # persistent maps, the log, the store
+        self.order: Any = None
+        self.agent: Any = None
+        self.components = Components()
+        self.components.create(self)
 
-            self.settings = agree(self)
         self.shared = link or Shared(config.environ, config.name, self.telemetry)
         if link is not None:
             link.bind(self)
-        self.files = ReservedDescriptor()  # for a reload, while clients hold all other descriptors
-        self.serving = False
-        self.stopping, self.failed = asyncio.Event(), False
-        self.tasks: list[asyncio.Task[Any]] = []
-
-    def _fleet(self) -> Any:
-        """This coordinator's part in a fleet, where the operator's file has one."""
-        from frostspindle.fleet.node import Budget, FleetSettings
-        from frostspindle.fleet.service import FleetService
-
-        fleet = self.config.operator.fleet
-        assert fleet is not None
-        terms = FleetSettings(
-            {seed.name: configuration.address(seed.address, "fleet.seed") for seed in fleet.seed},
-            tuple(Budget(b.name, b.units, b.window_ms) for b in fleet.budget),
-            fleet.lease_ms,
-            fleet.drift,
-            fleet.probe_ms,
-            fleet.timeout_ms,
-            fleet.judges,
-            fleet.verdict_ms,
-        )
-        service = FleetService(
-            fleet.name or self.config.name,
-            configuration.address(fleet.listen, "fleet.listen"),
-            configuration.address(fleet.advertise, "fleet.advertise") if fleet.advertise else None,
-            terms,
-            {self.config.tenants.numbers[b.tenant]: b.name for b in fleet.budget if b.tenant},
-            self.core,
-            self.telemetry,
-        )
-        if service.tenants:
-            self.core.quota_allows = service.within
-        return service
+        self.reloader = Reloader(config, self.components, self.bus, self.telemetry)
 
     async def start(self) -> None:
         """Start all parts; the HTTP front accepts last, once the core knows the engine list and the bans.
 
         Raises OSError, which names the setting for the operators', replica's and HTTP addresses, if one can't be had.
         """
-        if self.desk:
-            try:
-                await self.desk.start()
-            except OSError as error:
-                raise OSError(f"LB_OPERATOR: {error}") from None
+        await self.components.start(Phase.BEFORE_ENDPOINTS)
         self.bus.start()
-        self._bound(False)
+        self._start_sharing()
+        await self.components.start(Phase.WITH_ENGINES)
+        self._start_tasks()
+        await self.components.start(Phase.WITH_CORE)
+        await self._accept()
+
+    def _start_sharing(self) -> None:
+        """Begin to follow the bans and the other processes of this coordinator."""
+        self._limit_open_requests(False)
         if isinstance(self.shared, Shared):
-            self.shared.follow(lambda: self.core.open, lambda: self._bound(self.shared.crowded))
-        bans = self.recovery.bans if self.recovery else self.core.ban
-        self.shared.start(self.settings.applied.follow(bans) if self.settings else bans, self.crowd)
-        if self.shared.order is not None and any(cls.in_order for cls in self.config.settings.classes):
-            from frostspindle.order.service import KeyOrderService  # only where a class keeps order
-
-            try:
-                self.order = KeyOrderService(self.shared.order, self.core, self.telemetry)
-            except OSError as error:  # as with the bans: serving goes before what an upgrade needs
-                self.telemetry.log("order", folder=str(self.shared.order), error=repr(error))
+            self.shared.follow(lambda: self.core.open, self.update_open_limit)
+        on_bans_changed: BanListener = self.core.ban
+        for component in self.components:
+            on_bans_changed = component.wrap_ban_listener(on_bans_changed)
+        self.shared.start(on_bans_changed, self.crowd)
+
+    def _start_tasks(self) -> None:
         for work in (self.core.run(), self.bus.run()):
             task = asyncio.create_task(work)
-            task.add_done_callback(self._ended)
+            task.add_done_callback(self._on_task_done)
             self.tasks.append(task)
-        self.tasks.append(asyncio.create_task(self._memory()))
-        if self.recovery:
-            self.recovery.start()
-        if self.subscriptions:
-            self.subscriptions.start()
-        if self.fleet:
-            await self.fleet.start()
-        if self.replica:
-            try:
-                await self.replica.start()
-            except OSError as error:
-                raise OSError(f"replica.listen: {error}") from None
-        if self.owners:
-            self.owners.start()
-        if self.settings:
-            self.settings.start()
-        if self.tds and self.tds_driver:
-            self.tds_driver.configure(self.tds.tds.engine, EndpointListKind.FULL)
-            await self.tds.start(self.config.inherited is not None, self.config.tds_listener)
-        if snmp := self.config.operator.snmp:
-            from frostspindle.net.snmp import Agent  # pysnmp costs memory that only its users pay
-
-            self.agent = Agent(snmp, self.core, self.telemetry, self.sessions)
-            await self.agent.start(self.config.inherited is not None)
+        self.tasks.append(asyncio.create_task(log_memory(self.core, self.platform, self.telemetry)))
+
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
+        if not task.cancelled() and task.exception() is not None:
+            self.telemetry.log("fault", error=repr(task.exception()), of="task")
+            self.failed = True  # without its core or its engine list the program is of no use: a new start is
+            self.stopping.set()
+
+    async def _accept(self) -> None:
+        """Accept HTTP clients and say that the program is ready; OSError names LB_LISTEN."""
         while self.core.has_pending_changes and not self.stopping.is_set():
             await asyncio.sleep(0)  # who is accepted meets a core that knows engines and bans
         try:
@@ -279,167 +161,120 @@
         self.telemetry.log(
             "ready",
             listen=f"{self.config.listen[0]}:{self.platform.port}",
-            tds=self.tds.port if self.tds else None,
-            snmp=self.agent.port if self.agent else None,
+            tds=self.components.port("tds"),
+            snmp=self.components.port("snmp"),
         )
 
+    # Descriptors and other processes of this coordinator.
+
+    @property
+    def sockets(self) -> int:
+        """Number of descriptors that this process may use."""
+        return self.descriptors.sockets
+
+    @property
+    def agreed_open_limit(self) -> int | None:
+        """Limit on open requests by the agreed settings; None: none is agreed."""
+        return self.descriptors.agreed_open_limit
+
+    @agreed_open_limit.setter
+    def agreed_open_limit(self, limit: int | None) -> None:
+        self.descriptors.agreed_open_limit = limit
+
     def crowd(self, crowded: bool) -> None:
         """Another process of this coordinator has come or gone: an upgrade."""
-        self.platform.crowd(crowded)
-        self.driver.crowd(crowded)
-        self._bound(crowded)
+        self.descriptors.limit_connections(crowded)
+        self._limit_open_requests(crowded)
         self.telemetry.log("crowd", crowded=crowded)
 
-    def _bound(self, crowded: bool) -> None:
-        """Clients have a third of the descriptors, for both processes: past that, nobody finds a connection."""
-        whole = int(self.sockets * OPEN_PART)
-        if crowded:
-            whole = most_open(whole, self.shared.theirs, self.stopping.is_set())
-        self.core.set_open_limit(max(16, whole if self.most_open is None else min(whole, self.most_open)))
+    def _limit_open_requests(self, is_sharing: bool) -> None:
+        open_elsewhere = self.shared.theirs if is_sharing else None
+        self.descriptors.limit_open_requests(is_sharing, open_elsewhere, self.stopping.is_set())
 
-    def bound(self) -> None:
-        """The agreed bound on open requests has changed."""
-        self._bound(self.shared.crowded)
+    def update_open_limit(self) -> None:
+        """Apply the limit on open requests again: the agreed one, or what another process has open, has changed."""
+        self._limit_open_requests(self.shared.crowded)
 
     def resize(self, sockets: int) -> None:
         """So many descriptors are this process's from now on; who is over its part makes room."""
-        self.sockets = self.platform.sockets = self.driver.sockets = sockets
-        self.core.most_open = sockets // 2
-        self.platform.crowd(self.shared.crowded)
-        self.driver.crowd(self.shared.crowded)
-        self._bound(self.shared.crowded)
+        self.descriptors.resize(sockets, self.shared.crowded)
+        self.update_open_limit()
 
     # What operators call.
 
+    def operator_calls(self) -> dict[str, Callable[..., Any]]:
+        """Return the operators' calls of the program and of the components created so far."""
+        calls: dict[str, Callable[..., Any]] = {
+            "ready": self.ready,
+            "show-stat": self.core.figures,
+            "drain": self.drain,
+            "resume": self.resume,
+            "disable-server": self.disable,
+            "enable-server": self.enable,
+        }
+        for component in self.components:
+            calls |= component.operator_calls()
+        return calls
+
     def ready(self) -> None:
-        """Raise Nak unless the program serves and clients are not being sent away; for readiness checks."""
+        """Raise OperatorError unless the program serves and clients are not sent away; for readiness checks."""
         if not self.serving:
             raise OperatorError("not yet" if not self.stopping.is_set() else "the program ends")
         if self.platform.draining:
             raise OperatorError("clients are being sent away")
 
     def disable(self, name: str) -> None:
-        """Ban an engine from new work; Nak if no engine of that name was ever listed or the ban can't be kept."""
+        """Ban an engine from new work; OperatorError if none of that name was ever listed or the ban can't be kept."""
+        self._check_listed(name)
         self._ban(name, True)
 
     def enable(self, name: str) -> None:
-        """End an engine's ban; Nak if no engine of that name was ever listed or the ban can't be removed."""
+        """End an engine's ban; OperatorError if none of that name was ever listed or the ban can't be removed."""
+        self._check_listed(name)
+        for component in self.components:
+            component.on_engine_enabled(name)
         self._ban(name, False)
 
-    def _ban(self, name: str, on: bool) -> None:
+    def _check_listed(self, name: str) -> None:
         if name not in self.core.names:
             raise OperatorError(f"{name} was never listed")
-        if self.recovery and not on:
-            self.recovery.allow(name)
+
+    def _ban(self, name: str, is_banned: bool) -> None:
         try:
-            self.shared.ban(name, on)
+            self.shared.ban(name, is_banned)
         except OSError as error:
             raise OperatorError(f"the ban can't be kept: {error.strerror}") from None
 
     def drain(self) -> None:
         """Begin a drain of the HTTP and TDS fronts: open requests are finished, clients sent away."""
         self.platform.drain()
-        if self.tds:
-            self.tds.drain()
+        for component in self.components:
+            component.drain()
 
     def resume(self) -> None:
         """End a drain of the HTTP and TDS fronts."""
         self.platform.resume()
-        if self.tds:
-            self.tds.resume()
-
-    # What is told.
-
-    async def _memory(self) -> None:
-        """Every MEMORY_EVERY_S: resident MB, Python's blocks, and the sizes of what grows with load."""
-        while True:
-            await asyncio.sleep(MEMORY_EVERY_S)
-            try:
-                with open("/proc/self/statm", "rb") as statm:
-                    rss_mb: float | None = round(int(statm.read().split()[1]) * PAGE_MB, 1)
-            except (OSError, ValueError, IndexError):
-                rss_mb = None  # a host without /proc: the other figures still tell
-            self.telemetry.log(
-                "memory",
-                rss_mb=rss_mb,
-                blocks=sys.getallocatedblocks(),
-                open=self.core.open,
-                clients=self.platform.connections,
-                **self.core.sizes(),
-            )
+        for component in self.components:
+            component.resume()
+
+    # What is logged.
 
     def sessions(self) -> dict[str, int]:
-        """Connections that clients hold now, by front."""
-        return {FRONT: self.platform.connections, "tds": len(self.tds.sessions) if self.tds else 0}
+        """Return the number of connections that clients hold now, by front."""
+        return {FRONT: self.platform.connections, "tds": self.components.client_connections("tds")}
 
     def report(self) -> None:
-        """SIGUSR1 and the end: the counters, and what is believed of engines and requests."""
-        if self.link is not None:  # the supervisor tells the sums
+        """SIGUSR1 and the end: log the counters, and what is believed of engines and requests."""
+        if self.link is not None:  # the supervisor logs the sums
             self.telemetry.log("worker", clients=self.sessions(), **self.core.snapshot())
             return
         self.telemetry.report(clients=self.sessions(), figures=self.core.figures(), **self.core.snapshot())
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
-        if not task.cancelled() and task.exception() is not None:
-            self.telemetry.log("fault", error=repr(task.exception()), of="task")
-            self.failed = True  # without its core or its engine list the program is of no use: a new start is
-            self.stopping.set()
-
     def reload(self) -> None:
-        """SIGHUP: both files again. A file with a fault changes nothing, of the other neither."""
-        try:
-            with self.files.lent():
-                fresh = configuration.read(self.config.environ)
-            if fresh.operator.cores != self.config.operator.cores:
-                raise ConfigError("cores: needs a new start")
-            if fresh.operator.fleet != self.config.operator.fleet:
-                raise ConfigError("fleet: needs a new start")
-            if fresh.operator.recovery != self.config.operator.recovery:
-                raise ConfigError("recovery: needs a new start")
-            if fresh.operator.scatter != self.config.operator.scatter:
-                raise ConfigError("scatter: needs a new start")
-            if fresh.operator.subscriptions != self.config.operator.subscriptions:
-                raise ConfigError("subscriptions: needs a new start")
-            if fresh.operator.replica != self.config.operator.replica:
-                raise ConfigError("replica: needs a new start")
-            if fresh.operator.ownership != self.config.operator.ownership:
-                raise ConfigError("ownership: needs a new start")
-            if fresh.operator.settings != self.config.operator.settings:
-                raise ConfigError("settings: needs a new start")
-            if fresh.operator.tenant != self.config.operator.tenant:
-                raise ConfigError("tenant: needs a new start")
-            with self.files.lent():
-                rules = self.settings.file() if self.settings else None
-            if self.tds and self.tds_driver:
-                self._reload_tds(fresh.operator.tds)
-            if self.settings:
-                self.settings.reload(fresh.operator.tds, rules)
-        except Exception as error:  # noqa: BLE001 - whatever the files hold, the program goes on as it was
-            self.telemetry.count("reloads_failed")
-            self.telemetry.log("reload", error=str(error) if isinstance(error, ConfigError) else repr(error))
-            return
-        self.bus.move(fresh.bus)
-        self.telemetry.count("reloads")
-        self.telemetry.log("reload", bus=fresh.bus)
-
-    def _reload_tds(self, tds: configuration.Tds | None) -> None:
-        """Take engines, their states and logins; what the module was told at the start needs a new start."""
-        assert self.tds and self.tds_driver
-        if tds is None:
-            raise ConfigError("tds: can't be turned off while running")
-        for number, engine in enumerate(tds.engine):
-            if (engine.cores, engine.memory_mb) not in self.config.plan.kinds:
-                raise ConfigError(f"tds.engine[{number}].cores: a size that needs a new start")
-        for number, login in enumerate(tds.login):
-            if login.cls not in self.config.plan.classes:
-                raise ConfigError(f"tds.login[{number}].class: a class that needs a new start")
-        self.tds.tds = self.tds_driver.tds = tds
-        self.tds_driver.configure(tds.engine)
+        """SIGHUP: read both files again; a file with a fault changes nothing, of the other neither."""
+        self.reloader.reload()
 
-    @property
-    def _unsent(self) -> bool:
-        """Answers wait here for clients that read slowly: they would end with the process."""
-        return any(client.transport.get_write_buffer_size() for client in self.platform.clients)
+    # The end.
 
     async def stop(self) -> None:
         """Go on accepting for a while, finish what was taken, then let go of everything.
@@ -450,75 +285,84 @@
         self.serving = False
         if self.link is not None:
             self.link.leaving()
-        longest_s = max(3.0, *(c.deadline_ms / 1000.0 for c in self.config.settings.classes))
-        last = clock() + longest_s + MERCY_S - LEAVE_S
-        # Others accept at the same socket, or nobody does any more.
-        elsewhere = self.link is not None and not self.link.ending
-        if self.config.inherited is not None or elsewhere:
-            self.platform.leave()
-            self.drain()
-            self._bound(self.shared.crowded)
-            if self.tds:
-                self.tds.leave()
-            if self.agent:
-                self.agent.close()
-            last = clock() + min(longest_s, KILL_S) + LAST_S
-        self.telemetry.log("stopping", open=self.core.open, last_s=round(last - clock(), 2))
-        if self.owners:
-            self.tasks.append(asyncio.create_task(self.owners.close()))
-        await asyncio.sleep(ACCEPT_S)
-        # Also what is answered but not yet fetched, a long result comes in several calls; and what is half read.
-        while clock() < last and (self.core.open or self.platform.owing or self.platform.coming or self._unsent):
-            await asyncio.sleep(LOOK_S)
+        longest_s = longest_deadline_s(self.config)
+        deadline_s = clock() + longest_s + KILL_GRACE_S - EXIT_RESERVE_S
+        if self._has_successor:
+            self._hand_over()
+            deadline_s = clock() + min(longest_s, UPGRADE_LONGEST_DEADLINE_S) + UPGRADE_GRACE_S
+        self.telemetry.log("stopping", open=self.core.open, last_s=round(deadline_s - clock(), 2))
+        for component in self.components:
+            component.on_stopping()
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
+        while clock() < deadline_s and self._has_unfinished_work:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+        await self._finish_requests()
+        await self._close()
+
+    @property
+    def _has_successor(self) -> bool:
+        """Others accept at the same socket, or nobody does any more."""
+        return self.config.inherited is not None or (self.link is not None and not self.link.ending)
+
+    def _hand_over(self) -> None:
+        self.platform.leave()
+        self.drain()
+        self.update_open_limit()
+        for component in self.components:
+            component.hand_over()
+
+    @property
+    def _has_unfinished_work(self) -> bool:
+        """Something is open, answered but not yet fetched (a long result comes in several calls), or half read."""
+        return bool(self.core.open or self.platform.owing or self.platform.coming or self._has_unsent_responses)
+
+    @property
+    def _has_unsent_responses(self) -> bool:
+        """Responses wait here for clients that read slowly: they would end with the process."""
+        return any(client.transport.get_write_buffer_size() for client in self.platform.clients)
+
+    async def _finish_requests(self) -> None:
+        """Answer what is still open and give the responses time to leave."""
         self.platform.finish()
-        await asyncio.sleep(LOOK_S)  # the core takes what came before
-        if self.scatter:
-            self.scatter.give_up()
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)  # the core takes what came before
+        for component in self.components:
+            component.abandon_requests()
         self.core.fail_open_requests()
-        await asyncio.sleep(FLUSH_S)
+        await asyncio.sleep(RESPONSE_FLUSH_S)
+
+    async def _close(self) -> None:
         await self.platform.close()
-        if self.tds and self.tds_driver:
-            await self.tds.close()
-            await self.tds_driver.close()
-        if self.agent:
-            self.agent.close()
-        if self.desk:
-            self.desk.close()
-        if self.warming:
-            self.warming.close()
-        if self.settings:
-            await self.settings.close()
-        if self.replica:
-            await self.replica.close()
-        if self.recovery:
-            await self.recovery.close()
-        if self.scatter:
-            self.scatter.close()
-        if self.subscriptions:
-            self.subscriptions.close()
-        if self.fleet:
-            self.fleet.close()
+        await self.components.stop(Phase.WITH_CORE)
         await self.driver.close()
-        if self.order:
-            self.order.close()
+        await self.components.stop(Phase.WITH_ENGINES)
         self.shared.close()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
+def request_classes(config: Config) -> list[tuple[str, str]]:
+    """Return front and name of each request class, in the order in which the settings have them."""
+    classes = [(FRONT, name) for name in config.classes]
+    classes += [("tds", name) for name in config.plan.classes]
+    if config.scatter is not None:  # by class and site
+        classes += [(SUBREQUEST_FRONT, config.classes[number]) for number, _ in config.scatter.classes]
+    return classes
+
+
+def longest_deadline_s(config: Config) -> float:
+    """Return the longest time in s that a request may take."""
+    deadlines_s = [request_class.deadline_ms / 1000.0 for request_class in config.settings.classes]
+    return max(MIN_LONGEST_DEADLINE_S, *deadlines_s)
+
+
 async def run(config: Config, link: WorkerLink | None = None) -> int:
     """Run one process until SIGTERM or SIGINT; return 1 if the core or the bus reader failed, else 0.
 
     Raises ConfigError for a fault in a file that a part reads for itself, OSError for an address that can't be had.
     """
     program = Program(config, link)
-    loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, program.stopping.set)
-    loop.add_signal_handler(signal.SIGUSR1, program.report)
-    loop.add_signal_handler(signal.SIGHUP, program.reload)
-    signals.release()
+    signals.handle(asyncio.get_running_loop(), program.stopping.set, program.report, program.reload)
     await program.start()
     # What was built at the start stays: collections then need not walk it, which would hold up answers.
     gc.collect()
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -600,6 +600,6 @@
     service = RecoveryService(program, terms)
     if program.fleet is not None:
         program.fleet.parts.append(service)
-    if program.desk is not None:
-        program.desk.does["show-recovery"] = service.figures
+    if program.operator_server is not None:
+        program.operator_server.does["show-recovery"] = service.figures
     return service
--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -438,8 +438,8 @@
         times,
         config.most_open,
     )
-    if program.desk:
-        program.desk.does["show-replica"] = replica.figures
+    if program.operator_server:
+        program.operator_server.does["show-replica"] = replica.figures
     return replica
 
 
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -39,6 +39,6 @@
                 raise CallRejectedError(400, "X-Site: not a site of these tables")
 
     program.platform.marks = marks
-    if program.desk:
-        program.desk.does["show-scatter"] = scatter.figures
+    if program.operator_server:
+        program.operator_server.does["show-scatter"] = scatter.figures
     return scatter
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -232,8 +232,8 @@
 
     def _bounds(self, old: Rules, new: Rules) -> None:
         limit = new.get("limit/open_requests")
-        self.program.most_open = None if limit is None else int(limit.value)
-        self.program.bound()
+        self.program.agreed_open_limit = None if limit is None else int(limit.value)
+        self.program.update_open_limit()
         self.core.most_open = 0 if self.refuse else self.program.sockets // 2
 
     def _tune(self, old: Rules, new: Rules) -> None:
@@ -510,7 +510,7 @@
     """Create the settings of a program and register them at the operators' port."""
     wired = SettingsComponent(program)
     service = wired.service
-    if program.desk is not None:
+    if program.operator_server is not None:
         from frostspindle.net.operator import OperatorError
 
         def no(call: Callable[..., Any]) -> Callable[..., Any]:
@@ -527,7 +527,7 @@
                 raise InvalidSettingsError(f"not a version: {text!r:.40}")
             return int(text)
 
-        program.desk.does |= {
+        program.operator_server.does |= {
             "show-settings": service.figures,
             "settings-history": service.history,
             "settings-push": no(service.push_piece),
@@ -535,12 +535,12 @@
             "settings-rollback": no(lambda name, to: service.push_back(name, number(to))),
             "settings-diff": no(lambda one, two: service.diff(number(one), number(two))),
         }
-        program.desk.takes |= {
+        program.operator_server.takes |= {
             "settings-push": "an id, a place and a piece",
             "settings-outcome": "an id",
             "settings-rollback": "an id and a version",
             "settings-diff": "two versions",
         }
-        program.desk.long.add("settings-push")
-        program.desk.quiet.add("settings-outcome")
+        program.operator_server.long.add("settings-push")
+        program.operator_server.quiet.add("settings-outcome")
     return wired
--- a/frostspindle/subscriptions/wiring.py
+++ b/frostspindle/subscriptions/wiring.py
@@ -17,7 +17,7 @@
 def attach(program: ProgramContext) -> SubscriptionService:
     """Make the service and register it with the core, the operators' port and the fleet, if there is one."""
     terms = program.config.operator.subscriptions
-    assert terms is not None and program.desk is not None
+    assert terms is not None and program.operator_server is not None
     parse("TRUE")  # builds the parser, which takes tens of milliseconds, before anybody is served
     service = SubscriptionService(
         program.config.name,
@@ -32,6 +32,6 @@
     program.core.observer = service
     if program.fleet:
         program.fleet.parts.append(service)
-    program.desk.stays |= {"subscribe": service.subscribe, "resume": service.resume}
-    program.desk.does |= {"unsubscribe": service.unsubscribe, "show-subscriptions": service.figures}
+    program.operator_server.stays |= {"subscribe": service.subscribe, "resume": service.resume}
+    program.operator_server.does |= {"unsubscribe": service.unsubscribe, "show-subscriptions": service.figures}
     return service
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -332,7 +332,7 @@
             for part in (program.platform, program.tds, program.tds_driver, program.driver):
                 if part is not None:
                     await part.close()
-            program.desk.close()
+            program.operator_server.close()
             if program.order:
                 program.order.close()
             program.shared.close()
@@ -371,7 +371,7 @@
 
     async def operate(self, call: str) -> list[str]:
         """One call of an operator's: the lines of the answer."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.program.desk.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.program.operator_server.port)
         writer.write(call.encode() + b"\n")
         async with asyncio.timeout(30.0):
             answer = await reader.read()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -101,8 +101,9 @@
 # What a process that serves without optional parts may load, beside the standard library: a start costs processor time,
 # and a fleet starts together. Who adds a name here pays for it at each start of everybody.
 SERVES = {
-    "frostspindle": "__main__ config core handover ledger net order policy pools program reserved_descriptor serving "
-    "shared signals telemetry timers",
+    "frostspindle": "__main__ components config core descriptor_sharing handover host ledger memory_log net order "
+    "policy pools program reload reserved_descriptor serving shared signals telemetry timers",
+    "frostspindle.components": "base http_requests operator_port registry",
     "frostspindle.ledger": "tenants",
     "frostspindle.net": "discovery engines fields http operator platform",
     "frostspindle.net.http": "arrival_clock attempts calls clients connection_limits connection_pool engine_connection "
--- a/tests/test_endings_signals.py
+++ b/tests/test_endings_signals.py
@@ -142,7 +142,7 @@
         await self.engine.seen("POST", 1)
         last_s = await self.term()
         # What it plans is held against the time of the kill; how late a busy machine carries it out is the machine's.
-        self.assertLess(last_s + 2 * program.LOOK_S + program.FLUSH_S, longest_s + KILL_S)
+        self.assertLess(last_s + 2 * program.DRAIN_POLL_INTERVAL_S + program.RESPONSE_FLUSH_S, longest_s + KILL_S)
         clients.append(await self.client(call(9, LOOKUP, 30000)))  # on a connection that comes in the drain
         for signalled in (signal.SIGTERM, signal.SIGUSR1, signal.SIGHUP):  # changes nothing
             self.running.process.send_signal(signalled)
@@ -243,7 +243,7 @@
             await loop.sock_sendall(small, call(number))
             await engine.seen("POST", number)
             await self.until(lambda: not self.program.core.open)
-        with unittest.mock.patch.object(program, "ACCEPT_S", 0.01):
+        with unittest.mock.patch.object(program, "ACCEPT_AFTER_SIGTERM_S", 0.01):
             stopping = asyncio.create_task(self.program.stop())
             self.assertEqual((await asyncio.wait((stopping,), timeout=0.5))[0], set())  # else it was over by now
         data = bytearray()
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -20,6 +20,8 @@
     "ownership",
     "settings",
     "recovery scatter subscriptions",
+    "components",
+    "descriptor_sharing memory_log reload",
     "program",
     "cores",
     "serving",
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -28,7 +28,7 @@
     async def test_each_call_gets_one_line_however_it_is_cut_and_nonsense_is_a_no(self):
         await self.start()
         self.assertEqual(await self.operate("ready"), ["ACK"])
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.program.desk.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.program.operator_server.port)
         for byte in b"ready\r\n":
             writer.write(bytes((byte,)))
             await writer.drain()
@@ -41,9 +41,9 @@
     async def test_callers_that_say_nothing_hold_up_nobody(self):
         await self.start()
         with unittest.mock.patch.object(operator, "WHOLE_S", 0.3):
-            silent = [await asyncio.open_connection("127.0.0.1", self.program.desk.port) for _ in range(40)]
+            silent = [await asyncio.open_connection("127.0.0.1", self.program.operator_server.port) for _ in range(40)]
             self.assertEqual(await self.operate("ready"), ["ACK"])
-            self.assertLessEqual(len(self.program.desk.callers), operator.CALLERS)
+            self.assertLessEqual(len(self.program.operator_server.callers), operator.CALLERS)
             said = await asyncio.wait_for(silent[-1][0].read(), 2.0)
             self.assertTrue(said.startswith(b"NAK "))
         for _, writer in silent:
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -263,7 +263,7 @@
             config=self.config,
             core=self.core,
             telemetry=self.events,
-            desk=None,
+            operator_server=None,
             platform=platform,
             fleet=SimpleNamespace(parts=[], name="c1", node=None),
         )
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -321,7 +321,7 @@
         two = one.next(2, {"limit/open_requests": Limit(50.0)})
         for version in (one, two):
             machine.history.add(version)
-        self.program.bound = lambda: calls.append("bounds")
+        self.program.update_open_limit = lambda: calls.append("bounds")
         self.program.shared = SimpleNamespace(crowded=False)
         with mock.patch.object(self.core, "ban", side_effect=lambda names: calls.append(sorted(names))) as ban:
             self.applied._told = ban
@@ -383,7 +383,7 @@
         return self.program.telemetry.counts[what, "", ""]
 
     async def test_operators_calls_are_checked(self):
-        does = self.program.desk.does
+        does = self.program.operator_server.does
         for call, words in (
             ("settings-push", ("a", "0/0", "")),
             ("settings-push", ("a", "x", "")),
@@ -399,7 +399,7 @@
             with self.assertRaises(OperatorError, msg=(call, words)):
                 does[call](*words)
         self.assertEqual(does["show-settings"]()["mode"], "file")
-        desk = self.program.desk
+        desk = self.program.operator_server
         self.assertIn(b"NAK settings-diff takes two versions", desk.answer(b"settings-diff 1"))
         self.assertIn(b"NAK version", desk.answer(b"settings-diff 1 2"))
         self.assertTrue(desk.lengthy(b"settings-push a 0/1 eA==") and not desk.lengthy(b"ready"))
--- a/tests/test_subscriptions_program.py
+++ b/tests/test_subscriptions_program.py
@@ -19,7 +19,7 @@
 
 class ProgramCase(EdgeCase):
     async def subscriber(self, call: str) -> Reader:
-        one = await Reader.call(self.program.desk.port, call)
+        one = await Reader.call(self.program.operator_server.port, call)
         self.addCleanup(one.writer.close)
         return one
 
@@ -71,9 +71,9 @@
         for one in kept:
             await one.until("ack")
         self.assertIn("2 subscriptions already", (await (await self.subscriber("subscribe TRUE")).line())["nak"])
-        self.assertFalse(self.program.desk.callers)  # who stays takes no place of those who call
+        self.assertFalse(self.program.operator_server.callers)  # who stays takes no place of those who call
         kept[0].writer.close()
-        await self.until(lambda: len(self.program.desk.staying) == 1)
+        await self.until(lambda: len(self.program.operator_server.staying) == 1)
         await (await self.subscriber("subscribe TRUE")).until("ack")
 
     async def test_one_who_does_not_read_is_told_a_gap_and_holds_up_nobody(self):
