--- a/bench/order.py
+++ b/bench/order.py
@@ -30,7 +30,7 @@
 def process(folder: Path) -> tuple[SharedCellFolder, KeyQueue]:
     """Create the shared file of a process in the folder; return its view of all files there, and its turns."""
     sheets = SharedCellFolder(folder, clock, 2100.0)
-    return sheets, KeyQueue(sheets.own.owner, sheets.own, sheets.places)
+    return sheets, KeyQueue(sheets.own.owner, sheets.own, sheets.positions)
 
 
 def timed(folder: Path, others: int, requests: int, draw: random.Random) -> tuple[float, float]:
@@ -49,7 +49,7 @@
         at = time.perf_counter()
         assert turns.enter(number, key, number + 1000) is True
         mid = time.perf_counter()
-        turns.over(number)
+        turns.leave(number)
         enter.append(mid - at)
         leave.append(time.perf_counter() - mid)
     for sheets, _ in ((mine, turns), *there):
--- a/frostspindle/order/__init__.py
+++ b/frostspindle/order/__init__.py
@@ -1,5 +1,6 @@
-"""Order by key among the processes of one coordinator: an upgrade's two sides, several workers, a crash's successor.
+"""Order by key among the processes of one coordinator: workers, both sides of an upgrade, a restart after a crash.
 
-`turns.py` decides whose turn it is, without I/O or clock; `sheets.py` is the memory in which the processes read of each
-other; `service.py` ties both to the core. Within one process the decision module keeps the order by itself.
+`key_queue` decides which request is at the head of its key's queue, without I/O or clock; `shared_cells` is the mapped
+memory through which the processes read each other's positions; `service` ties both to the core. Within one process the
+decision module keeps the order by itself.
 """
--- a/frostspindle/order/key_queue.py
+++ b/frostspindle/order/key_queue.py
@@ -1,13 +1,14 @@
-"""Whose turn it is with a key of which several processes have requests.
+"""The queue of each key whose requests several processes have: Lamport's bakery algorithm over shared cells.
 
-Owns a process's places: each request that keeps an order draws a stamp above all that it sees for its key, and its turn
-has come once nobody's smaller stamp stands there. It does no I/O and reads no clock. It must never give a turn while an
-earlier place, or one that is still being drawn, stands elsewhere; and it never takes a place for over by itself: what a
-dead process left stands until `others` drops it.
+Each request that keeps an order draws a stamp above all that its process sees for the key, and is at the head of the
+queue once no smaller stamp is left in any process. No I/O, no clock. A request never reaches the head while an earlier
+position, or one whose stamp is still being chosen, exists elsewhere. This module never drops a position of another
+process by itself: those of a dead process count until `peer_positions` no longer returns them.
 
-This is Lamport's bakery (1974): a place is marked as being drawn before its stamp is chosen, so that of two processes
-in the same moment at least one sees the other, and equal stamps go by the owners' numbers. It needs no lock that a
-stopped process could hold, and no clock that agrees: time only keeps the stamps near the order of arrival.
+In the bakery algorithm (Lamport, 1974) a position is marked as being drawn before its stamp is chosen, so that of two
+processes in the same moment at least one sees the other, and equal stamps are ordered by the owners' numbers. It needs
+no lock that a stopped process could hold, and no synchronized clocks: time only keeps the stamps near the order of
+arrival.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Protocol
 
-DRAWING = 1  # stands in a cell while its stamp is being chosen: before every stamp
+DRAWING_STAMP = 1  # in a cell while its stamp is being chosen; smaller than every stamp
 
 
 class QueuePosition(NamedTuple):
-    """A request's place in the order of its key: smaller goes first."""
+    """A request's position in the queue of its key: the smaller one goes first."""
 
     stamp: int
     owner: int
@@ -28,67 +29,82 @@
 class CellWriter(Protocol):
     """This process's cells, which the other processes read."""
 
-    cells: int
+    cell_count: int
 
-    def put(self, cell: int, key: int, stamp: int) -> None:
-        """Write a cell so that others see it once this returns; a key of 0 frees the cell."""
+    def write_cell(self, cell: int, key: int, stamp: int) -> None:
+        """Write a cell so that other processes see it once this returns; a key of 0 frees the cell."""
 
 
 class KeyQueue:
-    """The places of one process. `others(key)` gives the places that other processes hold of that key now."""
-
-    def __init__(self, owner: int, sheet: CellWriter, others: Callable[[int], Iterable[QueuePosition]]) -> None:
-        self.owner, self.sheet, self.others = owner, sheet, others
-        self._free = list(range(sheet.cells - 1, -1, -1))
+    """The queue entries of one process; `peer_positions(key)` returns the positions of that key in other processes."""
+
+    def __init__(
+        self, owner: int, cell_file: CellWriter, peer_positions: Callable[[int], Iterable[QueuePosition]]
+    ) -> None:
+        self.owner: int = owner
+        self.cell_file: CellWriter = cell_file
+        self.peer_positions: Callable[[int], Iterable[QueuePosition]] = peer_positions
+        self._free_cells: list[int] = list(range(cell_file.cell_count - 1, -1, -1))
         self._cells: dict[int, tuple[int, int]] = {}  # by request: cell, key
-        self._waiting: dict[int, tuple[int, QueuePosition]] = {}  # by request: key, place
-        self._last = DRAWING
+        self._waiting: dict[int, tuple[int, QueuePosition]] = {}  # by request: key, position
+        self._last_stamp: int = DRAWING_STAMP
 
     @property
-    def open(self) -> int:
-        """Number of requests that hold a place."""
+    def entry_count(self) -> int:
+        """Number of requests that have a position."""
         return len(self._cells)
 
     @property
-    def waiting(self) -> int:
-        """Number of requests whose turn has not come yet."""
+    def waiting_count(self) -> int:
+        """Number of requests that have not reached the head of their queue."""
         return len(self._waiting)
 
-    def key(self, request: int) -> int:
-        """Return the key of which a request holds a place; 0: it holds none."""
-        return self._cells.get(request, (0, 0))[1]
+    def key_of(self, request: int) -> int:
+        """Return the key in whose queue a request is; 0 if it is in none."""
+        _, key = self._cells.get(request, (0, 0))
+        return key
 
-    def enter(self, request: int, key: int, now: int) -> bool | None:
-        """Draw a place: True if its turn has come, False if it has to wait, None if there is no cell for it.
+    def enter(self, request: int, key: int, now_us: int) -> bool | None:
+        """Draw a position: True if it is at the head, False if it has to wait, None if there is no free cell.
 
-        `now` is in microseconds, near enough to that of the other processes.
+        `now_us` is in microseconds, approximately that of the other processes.
         """
-        if not self._free:
+        if not self._free_cells:
             return None
-        cell = self._free.pop()
-        self._cells[request] = cell, key
-        self.sheet.put(cell, key, DRAWING)
-        stamp = self._last = max(now, self._last + 1, 1 + max((p.stamp for p in self.others(key)), default=0))
-        self.sheet.put(cell, key, stamp)
-        place = QueuePosition(stamp, self.owner)
-        if self._first(key, place):
+        cell = self._free_cells.pop()
+        self._cells[request] = (cell, key)
+        self.cell_file.write_cell(cell, key, DRAWING_STAMP)
+        stamp = self._next_stamp(key, now_us)
+        self.cell_file.write_cell(cell, key, stamp)
+        position = QueuePosition(stamp, self.owner)
+        if self._is_at_head(key, position):
             return True
-        self._waiting[request] = key, place
+        self._waiting[request] = (key, position)
         return False
 
-    def due(self) -> list[int]:
-        """Return the requests whose turn has come since the last call, the earliest place first."""
-        ready = sorted((place, request) for request, (key, place) in self._waiting.items() if self._first(key, place))
+    def pop_ready(self) -> list[int]:
+        """Return the requests that reached the head since the last call, the earliest position first."""
+        ready = sorted(
+            (position, request) for request, (key, position) in self._waiting.items() if self._is_at_head(key, position)
+        )
         for _, request in ready:
             del self._waiting[request]
         return [request for _, request in ready]
 
-    def over(self, request: int) -> None:
-        """Free the place of a request that is answered and of which nothing can run any more."""
+    def leave(self, request: int) -> None:
+        """Free the cell of a request that is answered and has no attempt in flight; no error if it has none."""
         self._waiting.pop(request, None)
-        if (entry := self._cells.pop(request, None)) is not None:
-            self.sheet.put(entry[0], 0, 0)
-            self._free.append(entry[0])
-
-    def _first(self, key: int, mine: QueuePosition) -> bool:
-        return all(mine < other for other in self.others(key))
+        entry = self._cells.pop(request, None)
+        if entry is None:
+            return
+        cell, _ = entry
+        self.cell_file.write_cell(cell, 0, 0)
+        self._free_cells.append(cell)
+
+    def _next_stamp(self, key: int, now_us: int) -> int:
+        highest_seen = max((position.stamp for position in self.peer_positions(key)), default=0)
+        self._last_stamp = max(now_us, self._last_stamp + 1, highest_seen + 1)
+        return self._last_stamp
+
+    def _is_at_head(self, key: int, position: QueuePosition) -> bool:
+        return all(position < other for other in self.peer_positions(key))
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -1,8 +1,8 @@
-"""Order among processes, tied to one process's core.
+"""Order by key among processes, tied to one process's core: polling, timers and the folder of cell files.
 
-Owns the folder's sheet of this process, the places of its requests, and how often it is looked whether the turn of one
-that waits has come. It must never hold up a request that keeps no order, and never decide about one: the core is told
-that a turn has come, the decision module what it is worth.
+Owns this process's cell file, the queue positions of its requests, and the polling of other processes for those that
+wait. Requests that keep no order are never delayed, and nothing is decided here: the core is notified that a request
+reached the head of its queue, and the decision module chooses what to do with it.
 """
 
 from __future__ import annotations
@@ -17,62 +17,71 @@
 from frostspindle.pools import FORGOTTEN_MS
 from frostspindle.telemetry import Telemetry
 
-LOOK_S = 0.02  # so often it is looked for those that wait
+POLL_INTERVAL_S = 0.02  # between two looks at other processes' positions while any request waits
 
 
 class KeyOrderService:
-    """Keeps the order of keys among processes for one core, as its `turns`."""
+    """Keeps the order of keys among processes for one core, as its `key_order`; runs in the event loop's thread."""
 
     def __init__(self, folder: Path, core: Core, telemetry: Telemetry) -> None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self.core, self.telemetry = core, telemetry
-        self.sheets = SharedCellFolder(
+        self.core: Core = core
+        self.telemetry: Telemetry = telemetry
+        self.cell_folder = SharedCellFolder(
             folder, lambda: time.monotonic() * 1000.0, FORGOTTEN_MS + core.settings.key_order_pause_ms
         )
-        self.turns = KeyQueue(self.sheets.own.owner, self.sheets.own, self.sheets.places)
-        self._timer: asyncio.TimerHandle | None = None
-        self._resting: dict[int, asyncio.TimerHandle] = {}  # requests that are over, of keys that rest
+        own_file = self.cell_folder.own
+        self.queue = KeyQueue(own_file.owner, own_file, self.cell_folder.positions)
+        self._poll_timer: asyncio.TimerHandle | None = None
+        # Requests that are answered while their key rests, and the end of that pause.
+        self._pause_timers: dict[int, asyncio.TimerHandle] = {}
         core.key_order = self
 
     def enter(self, number: int, key: int) -> bool | None:
-        """Draw a place for a request: True if its turn has come, False if it has to wait, None if no cell is free.
+        """Draw a position for a request: True if it is at the head, False if it has to wait, None without a free cell.
 
-        While any request waits, other processes' places are read every LOOK_S; Core.key_order_reached reports a turn.
+        While any request waits, other processes' positions are polled; Core.key_order_reached reports the head.
         """
-        turn = self.turns.enter(number, key, int(clock() * 1000.0))
-        if turn is False:
+        at_head = self.queue.enter(number, key, int(clock() * 1000.0))
+        if at_head is False:
             self.telemetry.count("turns_waited")
-            if self._timer is None:
-                self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._look)
-        elif turn is None:
+            if self._poll_timer is None:
+                self._schedule_poll()
+        elif at_head is None:
             self.telemetry.count("turns_full")
-        return turn
+        return at_head
 
     def over(self, number: int) -> None:
-        """Free the place, but not while its key rests here: the other processes do not hear of that otherwise."""
-        if number in self._resting:
+        """Free the position, but not while its key rests here: other processes would not know of that pause."""
+        if number in self._pause_timers:
             return
-        until = self.core.controller.rest_until.get(self.turns.key(number), 0.0)
-        if (left_ms := until - clock()) > 0.0:
-            self._resting[number] = asyncio.get_running_loop().call_later(left_ms / 1000.0, self._rested, number)
+        rests_until_ms = self.core.controller.rest_until.get(self.queue.key_of(number), 0.0)
+        pause_left_ms = rests_until_ms - clock()
+        if pause_left_ms > 0.0:
+            loop = asyncio.get_running_loop()
+            self._pause_timers[number] = loop.call_later(pause_left_ms / 1000.0, self._on_pause_over, number)
         else:
-            self.turns.over(number)
+            self.queue.leave(number)
 
-    def _rested(self, number: int) -> None:
-        del self._resting[number]
-        self.turns.over(number)
+    def close(self) -> None:
+        """Detach from the core, cancel the timers and close the cell files; the own one stays if a request is open."""
+        self.core.key_order = None  # first: a request that ends from now on has no cell any more
+        if self._poll_timer is not None:
+            self._poll_timer.cancel()
+        for timer in self._pause_timers.values():
+            timer.cancel()
+        self.cell_folder.close(clean=not self.queue.entry_count)
+
+    def _schedule_poll(self) -> None:
+        self._poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll)
 
-    def _look(self) -> None:
-        self._timer = None
-        for number in self.turns.due():
+    def _poll(self) -> None:
+        self._poll_timer = None
+        for number in self.queue.pop_ready():
             self.core.key_order_reached(number)
-        if self.turns.waiting:
-            self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._look)
+        if self.queue.waiting_count:
+            self._schedule_poll()
 
-    def close(self) -> None:
-        """Detach from the core, cancel the timers and close the sheets; the own file stays if a request is open."""
-        self.core.key_order = None  # what ends from now on has no sheet any more
-        for timer in (self._timer, *self._resting.values()):
-            if timer is not None:
-                timer.cancel()
-        self.sheets.close(clean=not self.turns.open)
+    def _on_pause_over(self, number: int) -> None:
+        del self._pause_timers[number]
+        self.queue.leave(number)
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -73,7 +73,7 @@
     with mock.patch("secrets.randbits", return_value=SHEET_OWNER), mock.patch("os.getpid", return_value=4711):
         own = OwnCellFile(folder)
     for cell, (key, stamp) in ORDER.items():
-        own.put(cell=cell, key=key, stamp=stamp)
+        own.write_cell(cell=cell, key=key, stamp=stamp)
     own.close(clean=False)
 
 
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -104,15 +104,15 @@
     with open(folder / stored.SHEET, "rb") as held:
         if lives:
             fcntl.flock(held, fcntl.LOCK_EX)
-        sheets = SharedCellFolder(folder=folder, clock=lambda: now[0], keep_ms=1_000.0)
+        sheets = SharedCellFolder(folder=folder, clock=lambda: now[0], retention_ms=1_000.0)
         wanted = {
             key: [(stamp, stored.SHEET_OWNER) for at, stamp in stored.ORDER.values() if at == key] for key in (77, 78)
         }
-        assert {key: sheets.places(key) for key in (77, 78)} == wanted
-        assert all(type(place) is QueuePosition for place in sheets.places(77))
+        assert {key: sheets.positions(key) for key in (77, 78)} == wanted
+        assert all(type(place) is QueuePosition for place in sheets.positions(77))
         now[0] = 1_000.0
-        assert len(sheets.places(78)) == lives
-        assert (sheets.places(79), sheets.unreadable) == ([], 0)
+        assert len(sheets.positions(78)) == lives
+        assert (sheets.positions(79), sheets.unreadable_files) == ([], 0)
         sheets.close(clean=True)
     assert (folder / stored.SHEET).exists() == lives
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -107,7 +107,7 @@
     "frostspindle.net": "discovery engines fields http operator platform",
     "frostspindle.net.http": "arrival_clock attempts calls clients connection_limits connection_pool engine_connection "
     "listener load_reports replies request_registry statements",
-    "frostspindle.order": "service sheets turns",  # only where a class keeps order
+    "frostspindle.order": "key_queue service shared_cells",  # only where a class keeps order
     "frostspindle.policy": "actions controller deadlines events indexes queues request_state settings settings_parser "
     "statistics",
 }
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -158,7 +158,7 @@
 
 
 class Scheduled:
-    """Lets one thread at a time take one step at the sheet, in the order of a schedule."""
+    """Lets one thread at a time take one step at the cells, in the order of a schedule."""
 
     def __init__(self, count, schedule):
         self.turn, self.left = [threading.Semaphore(0) for _ in range(count)], set(range(count))
@@ -196,13 +196,13 @@
     cells, inside, order, both = [{} for _ in range(count)], [], [], []
     plan = Scheduled(count, schedule)
 
-    class Sheet:
-        cells = 4
+    class InterleavedCells:
+        cell_count = 4
 
         def __init__(self, me):
             self.me = me
 
-        def put(self, cell, key, stamp):
+        def write_cell(self, cell, key, stamp):
             plan.step(self.me)
             if stamp == 1 and not draws:
                 return
@@ -219,16 +219,16 @@
 
     def worker(me):
         def work():
-            turns = KeyQueue(me, Sheet(me), others(me))
-            if not (turns.enter(1, 5, 100) or not looks):
-                while not turns.due():
+            queue = KeyQueue(me, InterleavedCells(me), others(me))
+            if not (queue.enter(1, 5, 100) or not looks):
+                while not queue.pop_ready():
                     pass
             inside.append(me)
             both.extend([list(inside)] if len(inside) > 1 else [])
             order.append(me)
             plan.step(me)
             inside.remove(me)
-            turns.over(1)
+            queue.leave(1)
 
         return work
 
@@ -244,13 +244,13 @@
 
 
 @pytest.mark.parametrize("count", [2, 3])
-def test_no_interleaving_gives_two_processes_a_turn_at_once(count):
+def test_no_interleaving_puts_two_processes_at_the_head_at_once(count):
     for seed in range(150):
         assert not play(schedules(count, seed), count), seed
 
 
 @pytest.mark.parametrize("broken", [{"draws": False}, {"looks": False}])
-def test_places_without_a_drawing_mark_or_a_second_look_are_caught(broken):
+def test_two_at_the_head_are_noticed_if_the_drawing_mark_or_the_wait_is_left_out(broken):
     assert any(play(schedules(2, seed), 2, **broken) for seed in range(250))
 
 
@@ -260,16 +260,16 @@
 from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.order.key_queue import KeyQueue
 sheets = SharedCellFolder(Path(sys.argv[1]), lambda: 0.0, 1e9)
-turns = KeyQueue(sheets.own.owner, sheets.own, sheets.places)
+queue = KeyQueue(sheets.own.owner, sheets.own, sheets.positions)
 for line in sys.stdin:
     what, request, key = line.split()
-    print(turns.enter(int(request), int(key), int(time.time() * 1e6)) if what == "enter" else turns.over(int(request)),
+    print(queue.enter(int(request), int(key), int(time.time() * 1e6)) if what == "enter" else queue.leave(int(request)),
           flush=True)
 """
 
 
 class Holder:
-    """Another process with a sheet in the same folder."""
+    """Another process with a cell file in the same folder."""
 
     def __init__(self, folder):
         self.process = subprocess.Popen(
@@ -296,8 +296,8 @@
 def two(tmp_path):
     clock = [0.0]
     mine, holder = SharedCellFolder(tmp_path, lambda: clock[0], 2100.0), Holder(str(tmp_path))
-    turns = KeyQueue(mine.own.owner, mine.own, mine.places)
-    yield turns, holder, clock, tmp_path
+    queue = KeyQueue(mine.own.owner, mine.own, mine.positions)
+    yield queue, holder, clock, tmp_path
     holder.process.send_signal(signal.SIGCONT)
     if holder.process.poll() is None:
         holder.end()
@@ -309,27 +309,27 @@
 
 
 def test_a_place_of_another_process_holds_until_it_is_over(two):
-    turns, holder, _, _ = two
-    assert holder.say("enter", 1, 77) == "True" and turns.enter(1, 77, now()) is False
-    assert turns.enter(2, 78, now()) is True and holder.say("enter", 2, 77) == "False"
-    assert turns.due() == []
+    queue, holder, _, _ = two
+    assert holder.say("enter", 1, 77) == "True" and queue.enter(1, 77, now()) is False
+    assert queue.enter(2, 78, now()) is True and holder.say("enter", 2, 77) == "False"
+    assert queue.pop_ready() == []
     holder.say("over", 1, 0)
-    assert turns.due() == [1] and turns.waiting == 0  # the later place there waits for this one in its turn
+    assert queue.pop_ready() == [1] and queue.waiting_count == 0  # the later position there now waits for this one
 
 
 def test_a_stopped_process_keeps_its_place_and_a_killed_one_for_as_long_as_its_work_may_run(two):
-    turns, holder, clock, folder = two
+    queue, holder, clock, folder = two
     holder.say("enter", 1, 77)
     holder.process.send_signal(signal.SIGSTOP)
-    assert turns.enter(1, 77, now()) is False
+    assert queue.enter(1, 77, now()) is False
     clock[0] += 60_000.0
-    assert turns.due() == []  # it will wake, and what it sent may be out
+    assert queue.pop_ready() == []  # it will wake, and what it sent may be out
     holder.end()
-    assert turns.due() == []
+    assert queue.pop_ready() == []
     clock[0] += 2_099.0
-    assert turns.due() == [] and len(list(folder.iterdir())) == 2
+    assert queue.pop_ready() == [] and len(list(folder.iterdir())) == 2
     clock[0] += 2.0
-    assert turns.due() == [1] and len(list(folder.iterdir())) == 1
+    assert queue.pop_ready() == [1] and len(list(folder.iterdir())) == 1
 
 
 def test_a_start_after_a_crash_waits_for_what_the_dead_one_left(tmp_path):
@@ -338,24 +338,24 @@
     holder.end()
     clock = [0.0]
     mine = SharedCellFolder(tmp_path, lambda: clock[0], 2100.0)
-    turns = KeyQueue(mine.own.owner, mine.own, mine.places)
-    assert turns.enter(1, 77, now()) is False and turns.enter(2, 78, now()) is True
+    queue = KeyQueue(mine.own.owner, mine.own, mine.positions)
+    assert queue.enter(1, 77, now()) is False and queue.enter(2, 78, now()) is True
     clock[0] = 2_101.0
-    assert turns.due() == [1]
+    assert queue.pop_ready() == [1]
     mine.close(True)
     assert list(tmp_path.iterdir()) == []
 
 
-def test_spoilt_and_foreign_files_count_for_nothing_and_a_full_sheet_says_so(tmp_path):
+def test_unreadable_files_are_ignored_and_a_full_cell_file_is_reported(tmp_path):
     (tmp_path / "turns-1-a").write_bytes(b"short")
-    (tmp_path / "turns-2-b").write_bytes(os.urandom(shared_cells.SIZE))
+    (tmp_path / "turns-2-b").write_bytes(os.urandom(shared_cells.FILE_BYTES))
     (tmp_path / "turns-3-c").mkdir()
-    with unittest.mock.patch.object(shared_cells.OwnCellFile, "cells", 3):
+    with unittest.mock.patch.object(shared_cells.OwnCellFile, "cell_count", 3):
         mine = SharedCellFolder(tmp_path, lambda: 0.0, 2100.0)
-        turns = KeyQueue(mine.own.owner, mine.own, mine.places)
-        assert [turns.enter(n, 77, 5) for n in range(4)] == [True, True, True, None]
-        turns.over(1)
-        assert turns.enter(4, 77, 5) is True and mine.unreadable == 3
+        queue = KeyQueue(mine.own.owner, mine.own, mine.positions)
+        assert [queue.enter(n, 77, 5) for n in range(4)] == [True, True, True, None]
+        queue.leave(1)
+        assert queue.enter(4, 77, 5) is True and mine.unreadable_files == 3
     mine.close(True)
 
 
@@ -479,9 +479,9 @@
         self.assertEqual((most[0], sent), (1, list(range(1, len(answers) + 1))))
 
     def taken(self):
-        """How many places each worker's sheet has."""
+        """How many positions each worker's cell file has."""
         for path in Path(self.coordinator.folder).glob("*/turns-*"):
-            words = memoryview(path.read_bytes()).cast("Q")[shared_cells.HEAD // 8 :]
+            words = memoryview(path.read_bytes()).cast("Q")[shared_cells.HEADER_BYTES // 8 :]
             yield sum(key > 0 for key in words[::2].tolist())
 
 
@@ -565,16 +565,18 @@
             self.addCleanup(other.close, True)
 
             def places(other=other):
-                return other.places(key_number(1, b"k"))
+                return other.positions(key_number(1, b"k"))
 
             self.assertEqual((await self.ask(LOAD_CLASS, 1, **{"X-Object": "k"}))[0], 502)
             await self.until(lambda: not self.program.core._records)  # answered, and no attempt is out
             self.assertTrue(places() or not stands)
             await self.until(lambda stands=stands, places=places: stands or not places())
-            self.assertEqual(self.program.order.sheets.keep_ms, FORGOTTEN_MS + pause_ms)  # of one that was killed, too
-            self.assertEqual((len(places()), self.program.order.turns.open), (int(stands), int(stands)))
+            self.assertEqual(
+                self.program.order.cell_folder.retention_ms, FORGOTTEN_MS + pause_ms
+            )  # of one that was killed, too
+            self.assertEqual((len(places()), self.program.order.queue.entry_count), (int(stands), int(stands)))
 
-    async def test_what_ends_after_the_sheet_is_closed_touches_it_no_more(self):
+    async def test_request_that_ends_after_close_does_not_use_the_cells(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
         (engine,) = await self.start(1, categories=classes)
@@ -586,17 +588,17 @@
         go.set()
         self.assertEqual(((await asked)[0], self.count("faults")), (200, 0))
 
-    async def test_a_request_without_a_place_is_refused_and_never_sent(self):
+    async def test_request_without_a_free_cell_is_rejected_and_never_sent(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
         (engine,) = await self.start(1, categories=classes)
         self.program.core.key_order = unittest.mock.Mock(enter=lambda number, key: None)
         status, body, _ = await self.ask(LOAD_CLASS, 1, **{"X-Object": "k"})
         self.assertEqual((status, body["failure"], engine.of("POST"), self.program.core.open), (503, "Busy", [], 0))
-        self.assertEqual((await self.ask(LOAD_CLASS, 2))[0], 200)  # without a key there is no place to draw
+        self.assertEqual((await self.ask(LOAD_CLASS, 2))[0], 200)  # without a key there is no position to draw
 
 
-def test_the_sheets_are_loaded_only_where_a_class_keeps_order():
+def test_order_package_is_loaded_only_where_a_class_keeps_order():
     code = (
         "import sys; from frostspindle import program; "
         "print(any(m.startswith('frostspindle.order') for m in sys.modules))"
