--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -28,12 +28,15 @@
 from frostspindle.lab.warming import Warming
 from frostspindle.policy import AttemptOutcome, ClassSettings, EndpointListKind, EngineEntry, Health, Idempotency
 from frostspindle.policy.controller import COLD_SAFETY, Controller
-from frostspindle.recovery import agreement, tickets, wire
+from frostspindle.recovery import agreement, wire
 from frostspindle.recovery.admission import AdmissionDecision, RecoveryAdmission, RequestClass, SlowStartCurve
 from frostspindle.recovery.admission import ReadyEngine as Bearing
-from frostspindle.recovery.node import ClaimResolved, MarkRestarted, OpenedStore, RecoveryNode, RecoverySettings
+from frostspindle.recovery.inputs import OpenedStore, RecoverySettings
+from frostspindle.recovery.node import RecoveryNode
+from frostspindle.recovery.outputs import ClaimResolved, MarkRestarted
 from frostspindle.recovery.stages import Stage, StageTimeouts, StageTransition
 from frostspindle.recovery.state_kinds import CooldownSettings
+from frostspindle.recovery.tickets import ClaimOutcome
 
 EPOCH = 1.7e12  # Unix ms at the run's begin
 LOSS_S, BACK_S, OVER_S = 8.0, 3.0, 10.0
@@ -266,8 +269,8 @@
     def keep(self) -> None:
         """Pass between store and cold engines' rights whether any are lent or wanted, so that a next life may know."""
         if self.up and self.warming is not None and self.node is not None:
-            self.node.quiet(self.warming.cold.quiet)
-            self.warming.cold.kept(self.w.now, self.node.marked, self.node.spared)
+            self.node.on_rights_idle(self.warming.cold.quiet)
+            self.warming.cold.kept(self.w.now, self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared)
             self.drain()
 
     def carried(self, target: int, data: bytes) -> None:
@@ -290,8 +293,7 @@
     def listed(self) -> None:
         """Tell the recovery node the list of engines as it stands here."""
         assert self.node is not None
-        self.node.holds(
-            self.w.now,
+        self.node.on_engine_list(
             EPOCH + self.w.now,
             self.spoken,
             {
@@ -313,13 +315,13 @@
     def on_store(self, life: int, opened: OpenedStore) -> None:
         """Tell the recovery node how the store was found."""
         if life == self.life and self.up and self.node:
-            self.node.opened(self.w.now, EPOCH + self.w.now, opened)
+            self.node.on_store_opened(self.w.now, EPOCH + self.w.now, opened)
             self.drain()
 
     def on_port(self, life: int) -> None:
         """Tell the recovery node that the fleet's port is bound."""
         if life == self.life and self.up and self.node:
-            self.node.begin(self.w.now, EPOCH + self.w.now, int(self.w.now) + 1)
+            self.node.on_port_bound(self.w.now, EPOCH + self.w.now, int(self.w.now) + 1)
             self.drain()
 
     def turn(self, life: int) -> None:
@@ -329,39 +331,41 @@
         if life != self.life or not self.up or node is None:
             return
         unix = EPOCH + now
-        if now - node.began >= node.terms.rests.rights_ms:
-            node.rested(now, unix)
-        if not node.stages.over:
+        if now - node.started_at >= node.settings.cooldowns.rights_ms:
+            node.on_cooldown_over(now, unix)
+        if not node.stages.finished:
             self.intake.engines = tuple(
                 Bearing(e.cores, e.entry.since_ms) for e in self.c.engines.values() if e.ready and not e.suspect
             )
             if node.stages.stage < Stage.SERVICE:
-                self.intake.expected = unix + max(0.0, node.stages.due() - now)
+                self.intake.expected_start = unix + max(0.0, node.stages.next_due() - now)
             elif not self.service_at:
-                self.service_at, self.intake.begun = unix, True
+                self.service_at, self.intake.service_started = unix, True
             elif unix - self.service_at >= 1_000.0:
-                self.intake.loads = True
-            node.backlog(now, unix, len(self.intake.waiting), self.intake.warm(unix))
+                self.intake.admits_non_idempotent = True
+            node.on_backlog(now, unix, len(self.intake.waiting), self.intake.warm_ratio(unix))
         node.tick(now, unix)
         self.keep()
         self.drain()
-        if not node.stages.over:
-            self.carry(self.intake.look(unix))
-        self.w.at(now + (TURN_MS if not node.stages.over else min(250.0, max(5.0, node.due() - now))), self.turn, life)
+        if not node.stages.finished:
+            self.carry(self.intake.poll(unix))
+        self.w.at(
+            now + (TURN_MS if not node.stages.finished else min(250.0, max(5.0, node.next_due() - now))),
+            self.turn,
+            life,
+        )
 
     def drain(self) -> None:
         """Carry out the recovery node's messages and effects until none are left, then begin to write its next
         batch, which takes 0.5 to 6 ms."""
         node = self.node
         assert node is not None
-        while node.effects or node.out:
-            out, node.out = node.out, []
-            for name, data in out:
+        while node.effects or node.outbox:
+            for name, data in node.take_messages():
                 self.w.post(self.number, int(name[1:]), data)
-            effects, node.effects = node.effects, []
-            for effect in effects:
+            for effect in node.take_effects():
                 self.effect(effect)
-        if (batch := node.batch()) is not None:
+        if (batch := node.next_batch()) is not None:
             self.w.at(self.w.now + self.w.random.uniform(0.5, 6.0), self.on_disk, self.life, batch)
 
     def on_disk(self, life: int, batch: dict[bytes, bytes | None]) -> None:
@@ -375,7 +379,7 @@
             else:
                 self.disk.entries[key] = value
         self.disk.generation += 1
-        self.node.written(self.w.now, EPOCH + self.w.now, True)
+        self.node.on_batch_written(self.w.now, EPOCH + self.w.now, True)
         self.keep()
         self.drain()
 
@@ -386,35 +390,37 @@
         if isinstance(effect, StageTransition):
             if effect.stage is Stage.OPEN:
                 self.opened_at = self.w.now
-                self.carry(self.intake.release())
+                self.carry(self.intake.open_gate())
         elif isinstance(effect, MarkRestarted):
             self.engines.update({int(name[1:]): start - EPOCH for name, start in effect.starts.items()})
             self.tell_list()
             self.listed()
         elif isinstance(effect, agreement.AgreedState):
-            if effect.enough and effect.number > self.spoken and effect.list:
-                self.spoken = effect.number
-                for engine in effect.list:
-                    born = engine.born_ms - EPOCH if engine.born_ms else 0.0
+            if effect.has_quorum and effect.last_event > self.spoken and effect.engines:
+                self.spoken = effect.last_event
+                for engine in effect.engines:
+                    born = engine.started_ms - EPOCH if engine.started_ms else 0.0
                     number = int(engine.name[1:])
                     self.engines[number] = max(self.engines.get(number, 0.0), born)
             self.withheld = {int(name[1:]) for name in effect.withheld}
             self.tell_list()
             self.listed()
         elif isinstance(effect, ClaimResolved) and effect.number in self.waits:
-            if effect.how == tickets.GO:
-                self.intake.clear(effect.number)
-                self.carry(self.intake.look(now))
+            if effect.outcome == ClaimOutcome.GRANTED:
+                self.intake.grant_ticket(effect.number)
+                self.carry(self.intake.poll(now))
             else:
-                if effect.how == tickets.UNSURE and self.node and not self.node.stages.over:
+                if effect.outcome == ClaimOutcome.NO_QUORUM and self.node and not self.node.stages.finished:
                     self.w.at(self.w.now + 250.0, self.claim, self.life, effect.number)
                     return
                 record = self.waits.pop(effect.number)
-                self.w.counted[f"claim_{effect.how.replace(' ', '_')}"] += 1
+                self.w.counted[f"claim_{effect.outcome.replace(' ', '_')}"] += 1
                 self.answer(
                     record,
-                    "failed" if effect.how == tickets.RAN else "refused",
-                    self.intake.wait_ms(now, now + (1_000.0 if effect.how == tickets.UNSURE else math.inf)),
+                    "failed" if effect.outcome == ClaimOutcome.MAY_HAVE_RUN else "refused",
+                    self.intake.retry_after_ms(
+                        now, now + (1_000.0 if effect.outcome == ClaimOutcome.NO_QUORUM else math.inf)
+                    ),
                 )
 
     def carry(self, outs: list[AdmissionDecision]) -> None:
@@ -422,7 +428,7 @@
         for out in outs:
             record = self.waits.pop(out.number, None)
             if record is not None and not record.answered:
-                if out.passes:
+                if out.admitted:
                     self.admit(record)
                 else:
                     self.w.counted["refused_at_gate"] += 1
@@ -443,7 +449,7 @@
             self.admit(record)
             return
         self.waits[record.number] = record
-        outs = self.intake.enter(
+        outs = self.intake.submit(
             EPOCH + self.w.now, record.number, client.cls, 0, client.ends - self.w.now, client.cost, not once
         )
         self.carry(outs)
@@ -453,7 +459,7 @@
     def claim(self, life: int, number: int) -> None:
         """Claim a waiting load's ticket in the fleet; the outcome comes as an effect."""
         if life == self.life and self.up and self.node and (record := self.waits.get(number)) is not None:
-            self.node.claim(self.w.now, EPOCH + self.w.now, number, f"{record.client.id:x}")
+            self.node.loads.claim(self.w.now, EPOCH + self.w.now, number, f"{record.client.id:x}")
             self.drain()
 
     def admit(self, record: Record) -> None:
@@ -544,7 +550,9 @@
             return
         record = attempt.record
         if self.node is not None and attempt.paid and verdict in (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED):
-            self.node.ended(EPOCH + self.w.now, f"e{attempt.engine}", verdict == AttemptOutcome.CONNECT_FAILED)
+            self.node.on_attempt_ended(
+                EPOCH + self.w.now, f"e{attempt.engine}", verdict == AttemptOutcome.CONNECT_FAILED
+            )
             self.drain()
         if verdict == AttemptOutcome.OK:
             self.answer(record, "served")
@@ -570,9 +578,9 @@
         record.answered = True
         if self.node is not None:
             self.waits.pop(record.number, None)
-            self.intake.drop(record.number)
+            self.intake.remove(record.number)
             ran = any(attempt.paid for attempt in record.attempts) and how != "refused"
-            self.node.settled(self.w.now, EPOCH + self.w.now, record.number, ran)
+            self.node.loads.on_load_ended(self.w.now, EPOCH + self.w.now, record.number, ran)
             self.drain()
         if len(self.records) > 4_096:
             self.records = {n: r for n, r in self.records.items() if not r.answered or n > self.numbers - 1_024}
@@ -692,7 +700,7 @@
         if fleet and there.up and there.warming is not None:
             there.warming.hear(self.now, source, data)
         elif not fleet and there.up and there.node is not None:
-            there.node.hear(self.now, EPOCH + self.now, self.coordinators[source].name, data)
+            there.node.on_message(self.now, EPOCH + self.now, self.coordinators[source].name, data)
             there.drain()
 
     def changed(self) -> None:
@@ -719,7 +727,7 @@
                 and (o.number not in side or one.number not in side or side[o.number] == side[one.number])
             }
             for name in sorted(seen ^ one.node.alive):
-                one.node.member(self.now, EPOCH + self.now, name, name in seen)
+                one.node.on_member(self.now, EPOCH + self.now, name, name in seen)
             one.intake.share = 1.0 / (1 + len(seen))
             one.drain()
 
@@ -910,8 +918,8 @@
         else sum(
             one.up
             and one.node is not None
-            and not one.node.stages.over
-            and world.now - one.node.began > one.node.terms.bounds.total_ms
+            and not one.node.stages.finished
+            and world.now - one.node.started_at > one.node.settings.timeouts.total_ms
             for one in world.coordinators
         )
     )
@@ -919,7 +927,7 @@
     weak: Counter[str] = Counter()
     for one in world.coordinators:
         if one.up and one.node is not None:
-            weak.update(stage.name.lower() for stage in one.node.stages.weak)
+            weak.update(stage.name.lower() for stage in one.node.stages.timed_out)
     return {
         "nodes": world.count,
         "seed": world.seed,
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -80,7 +80,7 @@
         recovery = getattr(self.program, "recovery", None)
         if self.program.platform.draining:
             return "draining"
-        if recovery is not None and not recovery.intake.open:
+        if recovery is not None and not recovery.admission.open:
             return "recovering"
         return ""
 
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -230,7 +230,7 @@
         self._bound(False)
         if isinstance(self.shared, Shared):
             self.shared.follow(lambda: self.core.open, lambda: self._bound(self.shared.crowded))
-        bans = self.recovery.bans if self.recovery else self.core.ban
+        bans = self.recovery.set_bans if self.recovery else self.core.ban
         self.shared.start(self.settings.applied.follow(bans) if self.settings else bans, self.crowd)
         if self.shared.order is not None and any(cls.in_order for cls in self.config.settings.classes):
             from frostspindle.order.service import KeyOrderService  # only where a class keeps order
@@ -330,7 +330,7 @@
         if name not in self.core.names:
             raise OperatorError(f"{name} was never listed")
         if self.recovery and not on:
-            self.recovery.allow(name)
+            self.recovery.readmit(name)
         try:
             self.shared.ban(name, on)
         except OSError as error:
--- a/frostspindle/recovery/admission.py
+++ b/frostspindle/recovery/admission.py
@@ -1,12 +1,12 @@
-"""Admission control while service returns: which requests pass to the module, which wait, which are refused at once.
+"""Admission control while service returns: which requests pass to the controller, wait, or are rejected at once.
 
-Owns the requests that wait, their order and the rate at which they go on. The module goes on deciding on each that is
-let through. It must never do I/O or read a clock, never let a request of a key pass an earlier one of it, never keep
-one that can't be done in its time even if it is next (it is refused at once, so that its client need not wait for
-nothing), and never grow past `most`: then what is worth least for its work is refused.
+No I/O and no clock. A request of a key never passes an earlier one of it; one that can't be done in its time is
+rejected even if it is next, so that its client need not wait for nothing; past `max_waiting` the one with the least
+priority for its work is rejected.
 
-What engines can bear now is told by the curve of cold engines; the gate lets through as much work as fits in HORIZON_MS
-of it, and more as answers come. Those that wait go by worth a unit of work, of equal worth the smallest first.
+What engines can bear now is known from the slow-start curve; as much work is admitted as fits in HORIZON_MS of it, and
+more as answers come. Those that wait go by priority weight per unit of work, of equal weight the smallest first. Work
+is in ms of one core.
 """
 
 from __future__ import annotations
@@ -20,54 +20,56 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-HORIZON_MS = 12_000.0  # work that may be with the module, in time at the present rate
-MARGIN_MS = 60.0  # before the client's time is over
-SPREAD = 0.5  # a wait that is told is drawn from 1 - SPREAD to 1 + SPREAD times what is expected
-STEP_MS, STEPS = 250.0, 160  # the curve is looked ahead so finely and so far
-KEPT_MS = 10_000.0  # of what was looked ahead so much may pass
-LEAST_MS = 50.0  # the shortest wait that is told
-RETOLD_MS = 50.0  # those who wait are looked over so often
+HORIZON_MS = 12_000.0  # work that may be with the controller, in time at the present rate
+DEADLINE_MARGIN_MS = 60.0  # before the client's time is over
+RETRY_JITTER = 0.5  # Retry-After is drawn from 1 - RETRY_JITTER to 1 + RETRY_JITTER times what is expected
+FORECAST_STEP_MS = 250.0
+FORECAST_STEPS = 160
+FORECAST_VALID_MS = 10_000.0  # a forecast is used for so long, as it is slow to compute
+MIN_RETRY_MS = 50.0
+REVIEW_MS = 50.0  # those who wait are looked over so often
 
 
 class RequestClass(NamedTuple):
     """What the gate needs to know of a class of requests."""
 
-    worth: float
-    harmless: bool  # a repeat does no harm
-    late_share: float
-    aim_ms: float
+    priority_weight: float
+    idempotent: bool
+    late_value_ratio: float
+    latency_objective_ms: float
     mean_cost_ms: float
 
 
 class ReadyEngine(NamedTuple):
-    """A ready engine as the slow-start curve needs it; `born_ms` 0: warm."""
+    """A ready engine as the slow-start curve needs it; `started_ms` in Unix ms, 0: warm."""
 
     cores: float
-    born_ms: float
+    started_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class SlowStartCurve:
-    """What a cold engine bears (slow start): a part of its cores at the start, all after `warm_ms`, growing with the
-    square.
-    """
+    """Slow start: an engine bears `initial_ratio` of its cores at first and all after `duration_ms`, by a square."""
 
-    capacity: float = 1.0
-    warm_ms: float = 0.0
+    initial_ratio: float = 1.0
+    duration_ms: float = 0.0
 
-    def part(self, age_ms: float) -> float:
-        """Return the part of its full capacity, up to 1.0, that an engine bears `age_ms` after its start (slow start).
+    def capacity_ratio(self, age_ms: float) -> float:
+        """Return the part of its full capacity, up to 1.0, that an engine bears `age_ms` after its start.
 
         A negative age counts as 0.
         """
-        if self.warm_ms <= 0 or age_ms >= self.warm_ms:
+        if self.duration_ms <= 0 or age_ms >= self.duration_ms:
             return 1.0
-        return self.capacity + (1.0 - self.capacity) * (max(0.0, age_ms) / self.warm_ms) ** 2
+        return self.initial_ratio + (1.0 - self.initial_ratio) * (max(0.0, age_ms) / self.duration_ms) ** 2
 
 
-def bears(engines: Iterable[ReadyEngine], curve: SlowStartCurve, at: float) -> float:
+def total_capacity(engines: Iterable[ReadyEngine], curve: SlowStartCurve, at: float) -> float:
     """Return the work in ms that all engines together do in a ms at the time `at` (Unix ms)."""
-    return sum(e.cores * (curve.part(at - e.born_ms) if e.born_ms > 0 else 1.0) for e in engines)
+    return sum(
+        engine.cores * (curve.capacity_ratio(at - engine.started_ms) if engine.started_ms > 0 else 1.0)
+        for engine in engines
+    )
 
 
 @dataclass(slots=True, eq=False)
@@ -75,225 +77,299 @@
     """A request that waits at the gate."""
 
     number: int
-    cls: int
+    class_index: int
     key: int
-    cost: float
-    arrived: float
-    ends: float  # the last moment at which an answer is of use
-    rank: tuple[float, int]
-    cleared: bool = True  # its ticket is granted, or it needs none
-    gone: bool = False
+    cost_ms: float
+    deadline: float  # the last moment at which an answer is of use
+    rank: tuple[float, int]  # the lowest goes first
+    ticket_granted: bool = True  # or none is needed
+    removed: bool = False  # still in its key's queue behind an earlier one
 
 
 class AdmissionDecision(NamedTuple):
-    """Decision on a request: let it through, or refuse it with a wait in ms."""
+    """Decision on a request: admit it, or reject it with a wait in ms."""
 
     number: int
-    passes: bool
+    admitted: bool
     retry_ms: float = 0.0
 
 
-@dataclass(slots=True)
-class _AdmittedRequest:
-    cost: float
-    cls: int
-
-
 class RecoveryAdmission:
-    """One coordinator's gate during recovery. Times are the core's, Unix ms."""
+    """One coordinator's admission control during recovery. Times are the core's, Unix ms."""
 
     def __init__(
         self,
         classes: tuple[RequestClass, ...],
         curve: SlowStartCurve,
         share: float,
-        most: int,
+        max_waiting: int,
         seed: int,
         max_retry_ms: float = 0.0,
     ) -> None:
-        self.classes, self.curve, self.share, self.most = classes, curve, share, most
-        self.max_retry_ms = max_retry_ms  # 0: no wait is told
+        self.classes: tuple[RequestClass, ...] = classes
+        self.curve: SlowStartCurve = curve
+        self.share: float = share  # this coordinator's part of the engines' capacity
+        self.max_waiting: int = max_waiting
+        self.max_retry_ms: float = max_retry_ms  # 0: no Retry-After is sent
         self.engines: tuple[ReadyEngine, ...] = ()
-        self.open = False  # True: nothing waits but loads for their tickets
-        self.begun = False  # service has: until then nothing goes on, whatever was expected
-        self.expected = math.inf  # before that: when it is expected to begin
-        self.loads = False  # requests that must not be repeated go on too
+
+        self.open: bool = False  # True: nothing waits but loads for their tickets
+        self.service_started: bool = False  # until then nothing is admitted, whatever was expected
+        self.expected_start: float = math.inf  # of service, before that
+        self.admits_non_idempotent: bool = False
+
         self.waiting: dict[int, WaitingRequest] = {}
-        self.lines: dict[int, deque[WaitingRequest]] = {}  # by key, in the order taken
-        self.let: dict[int, _AdmittedRequest] = {}  # with the module, unanswered
-        self.work = 0.0  # of these
-        self.refused = self.passed = self.deferred = 0
-        self.random = random.Random(seed)
-        self._looked = -math.inf
-        self._dirty = False
-        self._ahead: list[float] = []  # work that will have been done by the end of each step from `_from` on
-        self._ahead_of: tuple[tuple[ReadyEngine, ...], float] | None = None  # by these engines and this share
-        self._from = -math.inf
-
-    # What comes in.
-
-    def enter(
-        self, now: float, number: int, cls: int, key: int, left_ms: float, cost_ms: float, cleared: bool
+        self.queues: dict[int, deque[WaitingRequest]] = {}  # by key, in the order of arrival
+        self.in_flight: dict[int, float] = {}  # work of each request that was admitted and is unanswered
+        self.in_flight_ms: float = 0.0  # their sum
+        self.rejected: int = 0
+        self.admitted: int = 0
+
+        self.random: random.Random = random.Random(seed)
+        self._reviewed_at: float = -math.inf
+        self._changed: bool = False  # since the last selection
+        self._forecast: list[float] = []  # work that will have been done by the end of each step
+        self._forecast_inputs: tuple[tuple[ReadyEngine, ...], float] | None = None  # engines and share
+        self._forecast_start: float = -math.inf
+
+    # Arrivals and departures.
+
+    def submit(
+        self,
+        now: float,
+        number: int,
+        class_index: int,
+        key: int,
+        left_ms: float,
+        cost_ms: float,
+        ticket_granted: bool,
     ) -> list[AdmissionDecision]:
-        """Queue a request; return what is to be done at once, also with others.
+        """Queue a request with `left_ms` of its client's time; return all decisions that follow at once.
 
-        With more than `most` waiting, the one worth least for its work is refused.
+        With more than `max_waiting` waiting, the one with the least priority for its work is rejected.
         """
-        kind = self.classes[cls]
-        cost = max(1.0, cost_ms or kind.mean_cost_ms)
-        ends = now + (left_ms if kind.late_share > 0 else min(left_ms, kind.aim_ms)) - MARGIN_MS
-        waiting = WaitingRequest(number, cls, key, cost, now, ends, (-kind.worth / cost, number), cleared)
+        request = self._waiting_request(now, number, class_index, key, left_ms, cost_ms, ticket_granted)
         if key:
-            self.lines.setdefault(key, deque()).append(waiting)
-        self.waiting[number] = waiting
-        self.deferred += 1
-        self._dirty = True
-        out: list[AdmissionDecision] = []
-        if len(self.waiting) > self.most:
-            worst = max((w for w in self.waiting.values()), key=lambda w: w.rank)
-            out += self._refuse(now, worst, self.wait_ms(now, self._until(now, self._queued())))
-        return out + self.look(now, number if self.open else 0)
-
-    def clear(self, number: int) -> None:
-        """Note that the request's ticket is granted, so that it may be let through."""
-        if (waiting := self.waiting.get(number)) is not None:
-            waiting.cleared = True
-            self._dirty = True
-
-    def drop(self, number: int) -> None:
+            self.queues.setdefault(key, deque()).append(request)
+        self.waiting[number] = request
+        self._changed = True
+        decisions: list[AdmissionDecision] = []
+        if len(self.waiting) > self.max_waiting:
+            worst = max(self.waiting.values(), key=lambda one: one.rank)
+            done_at = self._completion_time(now, self._queued_ms())
+            decisions.append(self._reject(worst, self.retry_after_ms(now, done_at)))
+        return decisions + self.poll(now, number if self.open else 0)
+
+    def _waiting_request(
+        self,
+        now: float,
+        number: int,
+        class_index: int,
+        key: int,
+        left_ms: float,
+        cost_ms: float,
+        ticket_granted: bool,
+    ) -> WaitingRequest:
+        request_class = self.classes[class_index]
+        cost = max(1.0, cost_ms or request_class.mean_cost_ms)
+        if request_class.late_value_ratio <= 0:  # a late answer is worth nothing
+            left_ms = min(left_ms, request_class.latency_objective_ms)
+        return WaitingRequest(
+            number=number,
+            class_index=class_index,
+            key=key,
+            cost_ms=cost,
+            deadline=now + left_ms - DEADLINE_MARGIN_MS,
+            rank=(-request_class.priority_weight / cost, number),
+            ticket_granted=ticket_granted,
+        )
+
+    def grant_ticket(self, number: int) -> None:
+        """Note that the request's ticket is granted, so that it may be admitted."""
+        request = self.waiting.get(number)
+        if request is not None:
+            request.ticket_granted = True
+            self._changed = True
+
+    def remove(self, number: int) -> None:
         """Forget a request that was answered or whose client left; its work counts no more."""
-        if (waiting := self.waiting.pop(number, None)) is not None:
-            self._unline(waiting)
-        if (let := self.let.pop(number, None)) is not None:
-            self.work = max(0.0, self.work - let.cost) if self.let else 0.0
-        self._dirty = True
-
-    def _unline(self, waiting: WaitingRequest) -> None:
-        waiting.gone = True
-        line = self.lines.get(waiting.key)
-        while line and line[0].gone:
-            line.popleft()
-        if line is not None and not line:
-            del self.lines[waiting.key]
-
-    # What goes out.
-
-    def look(self, now: float, only: int = 0) -> list[AdmissionDecision]:
-        """Let through the requests that fit, refuse those that can't be served in time. `only`: the one request that
-        has changed, used with the gate open.
+        request = self.waiting.pop(number, None)
+        if request is not None:
+            self._dequeue(request)
+        cost_ms = self.in_flight.pop(number, None)
+        if cost_ms is not None:
+            # An empty set has no work in flight, whatever rounding has left of the sum.
+            self.in_flight_ms = max(0.0, self.in_flight_ms - cost_ms) if self.in_flight else 0.0
+        self._changed = True
+
+    def _dequeue(self, request: WaitingRequest) -> None:
+        request.removed = True
+        queue = self.queues.get(request.key)
+        while queue and queue[0].removed:
+            queue.popleft()
+        if queue is not None and not queue:
+            del self.queues[request.key]
+
+    # Decisions.
+
+    def poll(self, now: float, only: int = 0) -> list[AdmissionDecision]:
+        """Admit the requests that fit, reject those that can't be served in time.
+
+        `only`: the one request that has changed, used once `open`.
         """
-        out: list[AdmissionDecision] = []
         if self.open:
-            waiting = [self.waiting[only]] if only in self.waiting else list(self.waiting.values()) if not only else []
-            for one in waiting:
-                out += self._pass_line(one)
-            return out
-        most = self.rate(now) * HORIZON_MS
-        if self._dirty and self.begun and (self.work < most or not self.let):
-            self._dirty = False
-            heapq.heapify(order := [(w.rank, w) for w in self.waiting.values() if self._head(w)])
-            while order and (self.work < most or not self.let):
-                _, one = heapq.heappop(order)
-                if not self._may(one):
-                    continue
-                out += self._pass(one)
-                if one.key and (line := self.lines.get(one.key)):
-                    heapq.heappush(order, (line[0].rank, line[0]))
-        if now - self._looked >= RETOLD_MS:
-            self._looked, self._dirty = now, True  # engines bear more by now
-            out += self._hopeless(now)
-        return out
-
-    def _may(self, one: WaitingRequest) -> bool:
-        return one.cleared and (self.loads or self.classes[one.cls].harmless)
-
-    def _head(self, one: WaitingRequest) -> bool:
-        return not one.key or self.lines[one.key][0] is one
-
-    def _pass(self, one: WaitingRequest) -> list[AdmissionDecision]:
-        del self.waiting[one.number]
-        self._unline(one)
-        self.let[one.number] = _AdmittedRequest(one.cost, one.cls)
-        self.work += one.cost
-        self.passed += 1
-        return [AdmissionDecision(one.number, True)]
-
-    def _pass_line(self, one: WaitingRequest) -> list[AdmissionDecision]:
-        """With the gate open: this one, and those of its key that waited for it."""
-        out: list[AdmissionDecision] = []
-        while one.number in self.waiting and one.cleared and self._head(one):
-            out += self._pass(one)
-            if not one.key or not (line := self.lines.get(one.key)):
-                break
-            one = line[0]
-        return out
-
-    def _refuse(self, now: float, one: WaitingRequest, wait: float) -> list[AdmissionDecision]:
-        self.waiting.pop(one.number, None)
-        self._unline(one)
-        self.refused += 1
-        return [AdmissionDecision(one.number, False, wait)]
-
-    def _hopeless(self, now: float) -> list[AdmissionDecision]:
-        """Of those that wait, whoever would come too late even if it were next.
-
-        What is ahead of it is not held against it: the module takes the smallest first, and others leave. By the order
-        here more than twice as many were refused, and fewer served.
+            return self._admit_open(only)
+        decisions: list[AdmissionDecision] = []
+        limit_ms = self.work_rate(now) * HORIZON_MS
+        if self._changed and self.service_started and self._has_room(limit_ms):
+            self._changed = False
+            decisions += self._admit_by_rank(limit_ms)
+        if now - self._reviewed_at >= REVIEW_MS:
+            self._reviewed_at = now
+            self._changed = True  # engines bear more by now
+            decisions += self._reject_hopeless(now)
+        return decisions
+
+    def open_gate(self) -> list[AdmissionDecision]:
+        """Stop to limit admission; return the decisions on all that wait and need no ticket any more."""
+        self.open = True
+        self.service_started = True
+        self.admits_non_idempotent = True
+        return self.poll(self._reviewed_at)
+
+    def _has_room(self, limit_ms: float) -> bool:
+        return self.in_flight_ms < limit_ms or not self.in_flight
+
+    def _admit_by_rank(self, limit_ms: float) -> list[AdmissionDecision]:
+        decisions: list[AdmissionDecision] = []
+        heap = [(request.rank, request) for request in self.waiting.values() if self._first_of_key(request)]
+        heapq.heapify(heap)
+        while heap and self._has_room(limit_ms):
+            _, request = heapq.heappop(heap)
+            if not self._admissible(request):
+                continue
+            decisions.append(self._admit(request))
+            following = self._next_of_key(request)
+            if following is not None:
+                heapq.heappush(heap, (following.rank, following))
+        return decisions
+
+    def _admit_open(self, only: int) -> list[AdmissionDecision]:
+        """Once `open`: a request that needs no ticket any more, and those of its key that waited for it."""
+        if only in self.waiting:
+            requests = [self.waiting[only]]
+        elif not only:
+            requests = list(self.waiting.values())
+        else:
+            requests = []
+        decisions: list[AdmissionDecision] = []
+        for first in requests:
+            request: WaitingRequest | None = first
+            while (
+                request is not None
+                and request.number in self.waiting
+                and request.ticket_granted
+                and self._first_of_key(request)
+            ):
+                decisions.append(self._admit(request))
+                request = self._next_of_key(request)
+        return decisions
+
+    def _admissible(self, request: WaitingRequest) -> bool:
+        if not request.ticket_granted:
+            return False
+        return self.admits_non_idempotent or self.classes[request.class_index].idempotent
+
+    def _first_of_key(self, request: WaitingRequest) -> bool:
+        return not request.key or self.queues[request.key][0] is request
+
+    def _next_of_key(self, request: WaitingRequest) -> WaitingRequest | None:
+        """The first that waits of the key of a request that was just admitted."""
+        if not request.key:
+            return None
+        queue = self.queues.get(request.key)
+        return queue[0] if queue else None
+
+    def _admit(self, request: WaitingRequest) -> AdmissionDecision:
+        del self.waiting[request.number]
+        self._dequeue(request)
+        self.in_flight[request.number] = request.cost_ms
+        self.in_flight_ms += request.cost_ms
+        self.admitted += 1
+        return AdmissionDecision(request.number, True)
+
+    def _reject(self, request: WaitingRequest, retry_ms: float) -> AdmissionDecision:
+        self.waiting.pop(request.number, None)
+        self._dequeue(request)
+        self.rejected += 1
+        return AdmissionDecision(request.number, False, retry_ms)
+
+    def _reject_hopeless(self, now: float) -> list[AdmissionDecision]:
+        """Reject of those that wait whoever would come too late even if it were next.
+
+        What is ahead of it is not counted against it: the controller takes the smallest first, and others leave. With
+        the order here counted, more than twice as many were rejected, and fewer served.
         """
-        out: list[AdmissionDecision] = []
-        ahead = self.work
-        for one in sorted(self.waiting.values(), key=lambda w: w.rank):
-            if self._until(now, one.cost) > one.ends:
-                out += self._refuse(now, one, self.wait_ms(now, self._until(now, ahead + one.cost)))
+        decisions: list[AdmissionDecision] = []
+        ahead_ms = self.in_flight_ms
+        for request in sorted(self.waiting.values(), key=lambda one: one.rank):
+            if self._completion_time(now, request.cost_ms) > request.deadline:
+                done_at = self._completion_time(now, ahead_ms + request.cost_ms)
+                decisions.append(self._reject(request, self.retry_after_ms(now, done_at)))
             else:
-                ahead += one.cost
-        return out
+                ahead_ms += request.cost_ms
+        return decisions
 
-    # The curve.
+    # The slow-start curve.
 
-    def rate(self, at: float) -> float:
+    def work_rate(self, at: float) -> float:
         """Return this coordinator's share of the work in ms that the engines do in a ms."""
-        return self.share * bears(self.engines, self.curve, at)
-
-    def _queued(self) -> float:
-        return self.work + sum(w.cost for w in self.waiting.values())
-
-    def _until(self, now: float, work: float) -> float:
-        """When so much work will be done, from the beginning of service on."""
-        begins = now if self.begun or not math.isfinite(self.expected) else max(now, self.expected)
-        of, ahead = (self.engines, self.share), self._ahead
-        if of != self._ahead_of or not 0.0 <= begins - self._from < KEPT_MS:  # else as it was: it is long to tell
-            self._ahead_of, self._from, total, ahead = of, math.floor(begins / STEP_MS) * STEP_MS, 0.0, []
-            for step in range(STEPS):
-                total += STEP_MS * self.rate(self._from + (step + 0.5) * STEP_MS)
-                ahead.append(total)
-            self._ahead = ahead
-        past, part = divmod(begins - self._from, STEP_MS)
-        before = ahead[int(past) - 1] if past else 0.0
-        work += before + part / STEP_MS * (ahead[int(past)] - before)
-        place = bisect_left(ahead, work)
-        if place >= STEPS:
-            return math.inf if ahead[-1] <= 0 else self._from + STEPS * STEP_MS * work / ahead[-1]
-        before = ahead[place - 1] if place else 0.0
-        return self._from + (place + (work - before) / max(1e-9, ahead[place] - before)) * STEP_MS
-
-    def wait_ms(self, now: float, done: float) -> float:
-        """Return a Retry-After wait in ms until `done`, with jitter, so that clients refused together do not come back
-        together; 0 if none is told.
-        """
-        expected = min(self.max_retry_ms / (1.0 + SPREAD), max(LEAST_MS, done - now))
-        return min(self.max_retry_ms, expected * self.random.uniform(1.0 - SPREAD, 1.0 + SPREAD))
+        return self.share * total_capacity(self.engines, self.curve, at)
 
-    def warm(self, at: float) -> float:
+    def warm_ratio(self, at: float) -> float:
         """Return the part of the engines' full capacity that they can bear at the time `at`; 0 without engines."""
-        whole = sum(e.cores for e in self.engines)
-        return bears(self.engines, self.curve, at) / whole if whole else 0.0
+        cores = sum(engine.cores for engine in self.engines)
+        return total_capacity(self.engines, self.curve, at) / cores if cores else 0.0
 
-    def due(self, now: float) -> float:
-        """Return when to look again although nothing has changed; inf if the gate is open or nothing waits."""
-        return math.inf if self.open or not self.waiting else now + RETOLD_MS
+    def retry_after_ms(self, now: float, done_at: float) -> float:
+        """Return a Retry-After wait in ms until `done_at`; 0 if none is sent.
 
-    def release(self) -> list[AdmissionDecision]:
-        """Open the gate; return the decisions on all that wait and need no ticket any more."""
-        self.open = self.begun = self.loads = True
-        return self.look(self._looked)
+        It has jitter, so that clients rejected together do not come back together.
+        """
+        expected = min(self.max_retry_ms / (1.0 + RETRY_JITTER), max(MIN_RETRY_MS, done_at - now))
+        return min(self.max_retry_ms, expected * self.random.uniform(1.0 - RETRY_JITTER, 1.0 + RETRY_JITTER))
+
+    def _queued_ms(self) -> float:
+        return self.in_flight_ms + sum(request.cost_ms for request in self.waiting.values())
+
+    def _completion_time(self, now: float, work_ms: float) -> float:
+        """When so much work will be done, from the start of service on."""
+        starts_at = now
+        if not self.service_started and math.isfinite(self.expected_start):
+            starts_at = max(now, self.expected_start)
+        self._update_forecast(starts_at)
+        forecast = self._forecast
+        past, fraction = divmod(starts_at - self._forecast_start, FORECAST_STEP_MS)
+        before = forecast[int(past) - 1] if past else 0.0
+        work_ms += before + fraction / FORECAST_STEP_MS * (forecast[int(past)] - before)
+        step = bisect_left(forecast, work_ms)
+        if step >= FORECAST_STEPS:
+            if forecast[-1] <= 0:
+                return math.inf
+            return self._forecast_start + FORECAST_STEPS * FORECAST_STEP_MS * work_ms / forecast[-1]
+        before = forecast[step - 1] if step else 0.0
+        within = (work_ms - before) / max(1e-9, forecast[step] - before)
+        return self._forecast_start + (step + within) * FORECAST_STEP_MS
+
+    def _update_forecast(self, starts_at: float) -> None:
+        """Compute the work done over the next steps anew if engines have changed or time has passed."""
+        inputs = (self.engines, self.share)
+        if inputs == self._forecast_inputs and 0.0 <= starts_at - self._forecast_start < FORECAST_VALID_MS:
+            return
+        self._forecast_inputs = inputs
+        self._forecast_start = math.floor(starts_at / FORECAST_STEP_MS) * FORECAST_STEP_MS
+        self._forecast = []
+        total_ms = 0.0
+        for step in range(FORECAST_STEPS):
+            total_ms += FORECAST_STEP_MS * self.work_rate(self._forecast_start + (step + 0.5) * FORECAST_STEP_MS)
+            self._forecast.append(total_ms)
--- a/frostspindle/recovery/agreement.py
+++ b/frostspindle/recovery/agreement.py
@@ -1,7 +1,7 @@
-"""Agreement on engines and bans between coordinators: by the rules for a quorum of seeds, else by the safest.
+"""Agreement on engines and bans between coordinators: by a quorum of seeds, else by the safest of what is known.
 
-Owns the rules that `state.TABLE` names. It must never do I/O, and never let one word put an engine to use that another
-holds for draining, gone or banned, unless enough of the seeds say so.
+Holds the rules that `state_kinds.TABLE` names; no I/O. No single report puts an engine to use that another has as
+draining, gone or banned, unless a quorum of the seeds says so.
 """
 
 from __future__ import annotations
@@ -9,159 +9,178 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
+from frostspindle.policy import Health
 from frostspindle.recovery import state_kinds
 from frostspindle.recovery.state_kinds import ConflictRule
 from frostspindle.recovery.wire import BanStatement, ListedEngine
 
-GONE, READY, DRAINING = range(3)  # of the engine list, see frostspindle.policy.Health
-MOST_BANS = 1_000
-FORGET_MS = 7 * 86_400_000.0  # a ban that was ended so long ago is not told any more
-RAN_MS = 10_000.0  # who runs for less may have lost power with us
+MAX_BANS = 1_000
+LIFTED_BAN_RETENTION_MS = 7 * 86_400_000.0
+MIN_WITNESS_UPTIME_MS = 10_000.0  # a coordinator that runs for less may have lost power with us
 
 
 @dataclass(slots=True, frozen=True)
 class MemberReport:
-    """What one coordinator holds of engines, as it answers in a recovery."""
+    """What one coordinator reports of engines during a recovery."""
 
-    maker: str
-    number: int  # of the last event of the bus that it heard
+    origin: str
+    last_event: int  # number of the last event of the bus that it received
     engines: Mapping[str, ListedEngine]
-    firm: bool = False  # it runs, past its own agreement
-    blank: bool = False  # its store was lost, so that its silence on a ban says nothing
-    up_ms: float = 0.0
+    settled: bool = False  # it runs, past its own agreement
+    store_lost: bool = False  # so that the absence of a ban says nothing
+    uptime_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class AgreedState:
-    """Outcome of an agreement. `list`: the engine list to be taken whole, if its number is higher than the one here.
+    """Outcome of an agreement.
 
-    `withheld`: engines to leave out; `banned`: this coordinator's own bans; `starts`: of engines known to have run on,
-    when they started (Unix ms). All other engines are cold.
+    `engines` replaces the engine list here if `last_event` is higher than the one here. `withheld`: engines to leave
+    out; `banned`: this coordinator's own bans; `engine_starts`: of engines known to have run on, when they started
+    (Unix ms). All other engines are cold.
     """
 
-    enough: bool
-    number: int
-    list: tuple[ListedEngine, ...] = ()
+    has_quorum: bool
+    last_event: int
+    engines: tuple[ListedEngine, ...] = ()
     withheld: frozenset[str] = frozenset()
     banned: frozenset[str] = frozenset()
-    starts: Mapping[str, float] = field(default_factory=dict)
+    engine_starts: Mapping[str, float] = field(default_factory=dict)
 
 
 class BanTable:
-    """All coordinators' bans by hand: the newest statement by maker and engine."""
+    """All coordinators' bans by hand: the newest statement by origin and engine."""
 
-    def __init__(self, words: Iterable[BanStatement] = ()) -> None:
-        self.words: dict[tuple[str, str], BanStatement] = {}
-        for word in words:
-            self.hear(word)
+    def __init__(self, statements: Iterable[BanStatement] = ()) -> None:
+        self.statements: dict[tuple[str, str], BanStatement] = {}
+        for statement in statements:
+            self.merge(statement)
 
-    def hear(self, word: BanStatement) -> bool:
-        """Take a statement; return whether it was news.
+    def merge(self, statement: BanStatement) -> bool:
+        """Take a statement; return whether it changed the table.
 
-        Of two of one moment the ban wins. Full: the oldest lifted ban makes room, else it is not taken.
+        Of two of one moment the ban wins. A full table drops the oldest lifted ban, or else ignores the statement.
         """
-        key = word.maker, word.engine
-        old = self.words.get(key)
-        if old is not None and (old.at_ms, old.on) >= (word.at_ms, word.on):
+        key = statement.origin, statement.engine
+        old = self.statements.get(key)
+        if old is not None and (old.at_ms, old.banned) >= (statement.at_ms, statement.banned):
             return False
-        if old is None and len(self.words) >= MOST_BANS:
-            ended = [k for k, w in self.words.items() if not w.on]
-            if not ended:
+        if old is None and len(self.statements) >= MAX_BANS:
+            lifted = [other for other, known in self.statements.items() if not known.banned]
+            if not lifted:
                 return False
-            del self.words[min(ended, key=lambda k: self.words[k].at_ms)]
-        self.words[key] = word
+            del self.statements[min(lifted, key=lambda other: self.statements[other].at_ms)]
+        self.statements[key] = statement
         return True
 
     def prune(self, unix: float) -> list[tuple[str, str]]:
-        """Remove bans lifted more than FORGET_MS before `unix` (Unix ms); return their makers and engines.
+        """Remove bans lifted more than LIFTED_BAN_RETENTION_MS before `unix` (Unix ms); return origins and engines.
 
         Bans in force stay.
         """
-        old = [key for key, word in self.words.items() if not word.on and unix - word.at_ms > FORGET_MS]
+        old = [
+            key
+            for key, statement in self.statements.items()
+            if not statement.banned and unix - statement.at_ms > LIFTED_BAN_RETENTION_MS
+        ]
         for key in old:
-            del self.words[key]
+            del self.statements[key]
         return old
 
-    def of(self, maker: str) -> frozenset[str]:
+    def banned_by(self, origin: str) -> frozenset[str]:
         """Return the engines that this coordinator bans."""
-        return frozenset(engine for (by, engine), word in self.words.items() if by == maker and word.on)
+        return frozenset(
+            engine for (by, engine), statement in self.statements.items() if by == origin and statement.banned
+        )
 
-    def anybody(self) -> frozenset[str]:
+    def banned_by_any(self) -> frozenset[str]:
         """Return the engines that any coordinator bans."""
-        return frozenset(engine for (_, engine), word in self.words.items() if word.on)
-
-
-def _highest(words: list[MemberReport]) -> MemberReport:
-    return max(words, key=lambda word: (word.number, bool(word.engines), word.firm, word.maker))
-
-
-def _safest(words: list[MemberReport]) -> frozenset[str]:
-    """Engines to leave out: those that not all have, or that drain for anybody."""
-    lists = [word.engines for word in words if word.engines]
-    names = {name for engines in lists for name in engines}
-    return frozenset(
-        name for name in names if any(name not in engines or engines[name].health != READY for engines in lists)
-    )
+        return frozenset(engine for (_, engine), statement in self.statements.items() if statement.banned)
 
 
 _BANNED: dict[ConflictRule, Callable[[BanTable, str], frozenset[str]]] = {
-    ConflictRule.NEWEST: lambda bans, name: bans.of(name),
-    ConflictRule.UNION: lambda bans, name: bans.anybody(),
+    ConflictRule.NEWEST: lambda bans, name: bans.banned_by(name),
+    ConflictRule.UNION: lambda bans, name: bans.banned_by_any(),
 }
 
 
-def enough(words: Iterable[MemberReport], seeds: Iterable[str]) -> bool:
-    """Tell whether more than half of the seeds answered with what they kept or hold.
+def has_quorum(reports: Iterable[MemberReport], seeds: Iterable[str]) -> bool:
+    """Tell whether more than half of the seeds have reported; one whose store was lost does not count."""
+    seed_names = frozenset(seeds)
+    answered = {report.origin for report in reports if report.origin in seed_names and not report.store_lost}
+    return 2 * len(answered) > len(seed_names)
 
-    One whose store was lost does not count.
-    """
-    among = frozenset(seeds)
-    return 2 * len({word.maker for word in words if word.maker in among and not word.blank}) > len(among)
 
+def agree(name: str, reports: list[MemberReport], bans: BanTable, seeds: Iterable[str]) -> AgreedState:
+    """Agree for the coordinator `name` on engines and bans by the rules of `state_kinds.TABLE`.
 
-def agree(name: str, words: list[MemberReport], bans: BanTable, seeds: Iterable[str]) -> AgreedState:
-    """Settle what `words` (this coordinator's among them) and `bans` (of all of them) say, for the coordinator `name`,
-    by the rules of `state.TABLE`.
+    `reports` includes this coordinator's own; `bans` has the statements of all of them.
     """
-    are = enough(words, seeds)
-    heard = [word for word in words if not word.blank] or words
-    best = _highest(heard)
+    quorum = has_quorum(reports, seeds)
+    credible = [report for report in reports if not report.store_lost] or reports
+    best = max(credible, key=lambda report: (report.last_event, bool(report.engines), report.settled, report.origin))
+    engines: tuple[ListedEngine, ...] = ()
     withheld: frozenset[str] = frozenset()
-    listed: tuple[ListedEngine, ...] = ()
-    if state_kinds.rule("engines", are) is ConflictRule.HIGHEST:
-        listed = tuple(best.engines.values())
+    if state_kinds.conflict_rule("engines", quorum) is ConflictRule.HIGHEST:
+        engines = tuple(best.engines.values())
     else:
-        withheld = _safest(heard)
-        usable = {n for n, e in best.engines.items() if e.health == READY} - withheld
-        if not usable:  # nothing is in all lists: one that leaves nothing to serve with is of no use
-            withheld = frozenset(n for w in heard for n, e in w.engines.items() if e.health != READY)
-    banned = _BANNED[state_kinds.rule("bans", are)](bans, name)
-    if not are:
+        withheld = _withheld_without_quorum(credible, best)
+    banned = _BANNED[state_kinds.conflict_rule("bans", quorum)](bans, name)
+    if not quorum:
         withheld |= banned
-        banned = bans.of(name)
+        banned = bans.banned_by(name)
     starts: dict[str, float] = {}
-    if state_kinds.rule("warmth", are) is ConflictRule.WARMEST_KNOWN:
-        ran = [w for w in words if w.firm and w.up_ms >= RAN_MS and w.maker != name]
-        among = frozenset(seeds)
-        if 2 * sum(w.maker in among for w in ran) > len(among):  # they saw the engines run on through our loss
-            refuses = {engine.name for word in ran for engine in word.engines.values() if not engine.ran}
-            for word in ran:
-                for engine in word.engines.values():
-                    if engine.name not in refuses:  # who was turned away by one saw that it did not run on
-                        starts[engine.name] = max(starts.get(engine.name, 0.0), engine.born_ms)
-    return AgreedState(are, best.number, listed, withheld, banned, starts)
-
-
-def cold(
-    listed: Mapping[str, float], starts: Mapping[str, float], beat_ms: float | None, clean: bool
+    if state_kinds.conflict_rule("warmth", quorum) is ConflictRule.WARMEST_KNOWN:
+        starts = _starts_of_running_engines(name, reports, frozenset(seeds))
+    return AgreedState(quorum, best.last_event, engines, withheld, banned, starts)
+
+
+def _withheld_without_quorum(reports: list[MemberReport], best: MemberReport) -> frozenset[str]:
+    """Engines to leave out: those that are missing or not ready in any list, unless that leaves none to use."""
+    lists = [report.engines for report in reports if report.engines]
+    names = {name for engines in lists for name in engines}
+    withheld = frozenset(
+        name for name in names if any(name not in engines or engines[name].health != Health.READY for engines in lists)
+    )
+    usable = {name for name, engine in best.engines.items() if engine.health == Health.READY} - withheld
+    if usable:
+        return withheld
+    return frozenset(
+        name for report in reports for name, engine in report.engines.items() if engine.health != Health.READY
+    )
+
+
+def _starts_of_running_engines(name: str, reports: list[MemberReport], seeds: frozenset[str]) -> dict[str, float]:
+    """Starts (Unix ms) of the engines that a majority of the seeds saw run on through this coordinator's loss."""
+    witnesses = [
+        report
+        for report in reports
+        if report.settled and report.uptime_ms >= MIN_WITNESS_UPTIME_MS and report.origin != name
+    ]
+    if 2 * sum(report.origin in seeds for report in witnesses) <= len(seeds):
+        return {}
+    # One coordinator that was refused a connection is enough to know that the engine did not run on.
+    refusing = {engine.name for report in witnesses for engine in report.engines.values() if not engine.ran_on}
+    starts: dict[str, float] = {}
+    for report in witnesses:
+        for engine in report.engines.values():
+            if engine.name not in refusing:
+                starts[engine.name] = max(starts.get(engine.name, 0.0), engine.started_ms)
+    return starts
+
+
+def cold_engines(
+    listed: Mapping[str, float], starts: Mapping[str, float], last_heartbeat_ms: float | None, clean_shutdown: bool
 ) -> frozenset[str]:
     """Return the engines that must be taken for cold as of now.
 
-    `listed`: each engine's start as the list has it, Unix ms; `beat_ms`: when our last process was last known to live
-    (None: not known); `clean`: it ended in good order, and no power was lost.
+    `listed`: each engine's start as the list has it, Unix ms; `starts`: of those known to have run on;
+    `last_heartbeat_ms`: when the previous process was last known to run (None: unknown).
     """
-    if clean:
+    if clean_shutdown:
         return frozenset()
     return frozenset(
-        name for name, born in listed.items() if name not in starts and (beat_ms is None or born <= beat_ms)
+        name
+        for name, started_ms in listed.items()
+        if name not in starts and (last_heartbeat_ms is None or started_ms <= last_heartbeat_ms)
     )
--- /dev/null
+++ b/frostspindle/recovery/effect_handler.py
@@ -0,0 +1,168 @@
+"""Carries out a recovery node's effects: log lines, engines' starts, agreed lists and bans, outcomes of claims."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Protocol
+
+from frostspindle.config import BusEvent, Host, Recovery, Topology
+from frostspindle.core import Core, Response, ResponseStatus, clock
+from frostspindle.host import ProgramContext
+from frostspindle.policy import Health
+from frostspindle.recovery.admission import RecoveryAdmission
+from frostspindle.recovery.agreement import AgreedState
+from frostspindle.recovery.excluded_engines import MAX_LOGGED, ExcludedEngines
+from frostspindle.recovery.gate import RecoveryGate
+from frostspindle.recovery.node import RecoveryNode
+from frostspindle.recovery.outputs import ClaimResolved, Effect, MarkRestarted, WriteLogLine
+from frostspindle.recovery.stages import Stage, StageTransition
+from frostspindle.recovery.tickets import ClaimOutcome
+from frostspindle.recovery.wire import ListedEngine
+from frostspindle.telemetry import Telemetry
+
+CLAIM_RETRY_S = 0.25
+_HOST_STATE = {Health.READY: "active", Health.DRAINING: "leaving", Health.GONE: "left"}
+
+
+class EffectOwner(Protocol):
+    """What the effect handler needs of the recovery service."""
+
+    program: ProgramContext
+    core: Core
+    telemetry: Telemetry
+    config: Recovery
+    node: RecoveryNode
+    admission: RecoveryAdmission
+    gate: RecoveryGate
+    excluded: ExcludedEngines
+    staged: Callable[[str, str], None]
+
+    def claim_again(self, number: int) -> None:
+        """Claim the ticket of a load again, if it still waits."""
+
+
+class EffectHandler:
+    """Applies effects to the program of a recovery service; belongs to the event loop's thread."""
+
+    def __init__(self, service: EffectOwner) -> None:
+        self.restarts_marked: int = 0  # how often the core was told of engines' starts
+        self._service: EffectOwner = service
+
+    def apply(self, effect: Effect) -> None:
+        """Carry out one effect."""
+        match effect:
+            case StageTransition():
+                self._on_stage(effect)
+            case WriteLogLine():
+                self._service.telemetry.log(effect.event, **effect.fields)
+            case MarkRestarted():
+                self._mark_restarted(effect)
+            case AgreedState():
+                self.on_agreed(effect)
+            case ClaimResolved():
+                self.on_claim_resolved(effect)
+
+    def _on_stage(self, transition: StageTransition) -> None:
+        service = self._service
+        previous = transition.previous.name.lower()
+        stage = transition.stage.name.lower()
+        service.telemetry.log(
+            "recovery_stage",
+            stage=stage,
+            left=previous,
+            why=transition.reason,
+            weak=transition.timed_out,
+            ms=round(transition.duration_ms, 1),
+        )
+        service.staged(previous, "weak" if transition.timed_out else "done")
+        service.staged(stage, "begun")
+        if transition.stage is Stage.OPEN:
+            service.gate.apply(service.admission.open_gate())
+
+    def _mark_restarted(self, effect: MarkRestarted) -> None:
+        service = self._service
+        self.restarts_marked += 1
+        service.core.mark_restarted(effect.starts)
+        service.telemetry.log(
+            "recovery_cold",
+            engines=len(effect.starts),
+            names=sorted(effect.starts)[:MAX_LOGGED],
+            starts=sorted(set(effect.starts.values()))[:MAX_LOGGED],
+        )
+
+    def on_agreed(self, agreed: AgreedState) -> None:
+        """Apply lists and bans that a quorum has agreed on or, until then, the safest of what is known."""
+        service = self._service
+        service.telemetry.log(
+            "recovery_agreed",
+            enough=agreed.has_quorum,
+            number=agreed.last_event,
+            engines=len(agreed.engines),
+            banned=sorted(agreed.banned)[:MAX_LOGGED],
+            withheld=sorted(agreed.withheld)[:MAX_LOGGED],
+        )
+        agreed = self._share_bans(agreed)
+        bus = service.program.bus
+        if agreed.has_quorum and agreed.last_event > bus.last and agreed.engines:
+            hosts = [_host(engine) for engine in agreed.engines]
+            bus.restore(BusEvent(agreed.last_event, Topology(hosts, agreed.last_event, True)))
+        banned = service.node.bans.banned_by_any()
+        service.excluded.withhold(agreed.withheld, agreed.withheld - banned)
+
+    def _share_bans(self, agreed: AgreedState) -> AgreedState:
+        """Write our own bans to the shared folder; an engine whose ban can't be written is withheld."""
+        service = self._service
+        for name in agreed.banned - service.excluded.banned_by_hand:
+            try:
+                service.program.shared.ban(name, True)
+            except OSError as error:
+                service.telemetry.log("recovery_ban", name=name, error=error.strerror)
+                agreed = replace(agreed, withheld=agreed.withheld | {name})
+        return agreed
+
+    def on_claim_resolved(self, resolved: ClaimResolved) -> None:
+        """Admit a load whose ticket is granted; else claim it again or answer it."""
+        service = self._service
+        number = resolved.number
+        outcome = resolved.outcome
+        if outcome == ClaimOutcome.GRANTED:
+            service.admission.grant_ticket(number)
+            service.gate.apply(service.admission.poll(clock()))
+        elif number not in service.gate.waiting:
+            return
+        elif outcome == ClaimOutcome.NO_QUORUM and not service.node.stages.finished:
+            # Its replicas may be on their way back too: it waits on for as long as it has time.
+            asyncio.get_running_loop().call_later(CLAIM_RETRY_S, service.claim_again, number)
+        else:
+            del service.gate.waiting[number]
+            self._answer_load(number, outcome)
+
+    def _answer_load(self, number: int, outcome: ClaimOutcome) -> None:
+        service = self._service
+        may_have_run = outcome == ClaimOutcome.MAY_HAVE_RUN
+        service.telemetry.count("loads_repeated" if may_have_run else "loads_without_ticket")
+        if may_have_run:
+            response = Response(ResponseStatus.FAILED)
+        else:
+            # Replicas in cooldown stay so for long: a client that comes back soon is rejected again.
+            wait_ms = service.config.claim_ms if outcome == ClaimOutcome.NO_QUORUM else math.inf
+            retry_ms = service.admission.retry_after_ms(clock(), clock() + wait_ms)
+            response = Response(ResponseStatus.REJECTED, None, retry_ms)
+        service.core.reject_waiting(number, response)
+
+
+def _host(engine: ListedEngine) -> Host:
+    """An engine as the bus lists it, with its start as the bus had it."""
+    return Host(
+        engine.name,
+        engine.address,
+        engine.zone,
+        engine.kind,
+        engine.cell,
+        _HOST_STATE[Health(engine.health)],
+        engine.weight,
+        engine.published_start_ms,
+    )
--- /dev/null
+++ b/frostspindle/recovery/gate.py
@@ -0,0 +1,122 @@
+"""The core's admission gate: requests wait here during recovery, and loads for their tickets at any time."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Protocol
+
+from frostspindle.core import ClientRequest, Core, Response, ResponseStatus, clock
+from frostspindle.policy import AttemptOutcome
+from frostspindle.recovery.admission import AdmissionDecision, RecoveryAdmission
+from frostspindle.recovery.node import RecoveryNode
+from frostspindle.telemetry import Telemetry
+
+
+@dataclass(slots=True)
+class WaitingEntry:
+    """A request that waits at the gate, and whether its turn by key has come."""
+
+    request: ClientRequest
+    turn: bool
+
+
+class GateOwner(Protocol):
+    """What the gate needs of the recovery service."""
+
+    core: Core
+    telemetry: Telemetry
+    node: RecoveryNode
+
+    def claim_ticket(self, request: ClientRequest) -> None:
+        """Claim the ticket of a load."""
+
+    def on_load_ended(self, number: int, ran: bool) -> None:
+        """Take the end of a request that may have a claim."""
+
+    def drain(self) -> None:
+        """Send the node's messages and apply its effects."""
+
+
+class RecoveryGate:
+    """Implements core.AdmissionGate; belongs to the event loop's thread."""
+
+    def __init__(self, service: GateOwner, admission: RecoveryAdmission, non_idempotent: tuple[bool, ...]) -> None:
+        self.service: GateOwner = service
+        self.admission: RecoveryAdmission = admission
+        self.non_idempotent: tuple[bool, ...] = non_idempotent  # by request class
+        self.waiting: dict[int, WaitingEntry] = {}
+
+    def enter(self, now: float, request: ClientRequest, turn: bool) -> bool:
+        """Return whether the request goes on now; else it waits for Core.admit_waiting or Core.reject_waiting.
+
+        With the gate open, only loads wait (for their tickets), and requests whose key still has a queue. `turn` is
+        kept and given to Core.admit_waiting. Requests that this one lets through or displaces are admitted or rejected
+        at once.
+        """
+        is_load = self.non_idempotent[request.cls]
+        if self.admission.open and not is_load and request.key not in self.admission.queues:
+            return True
+        self.waiting[request.number] = WaitingEntry(request, turn)
+        decisions = self.admission.submit(
+            now,
+            request.number,
+            request.cls,
+            request.key,
+            left_ms=request.left_ms - (now - request.received_ms),
+            cost_ms=request.cost_ms,
+            ticket_granted=not is_load,
+        )
+        if is_load:
+            self.service.claim_ticket(request)
+        admitted = AdmissionDecision(request.number, True)
+        self.apply([decision for decision in decisions if decision != admitted])
+        if admitted not in decisions:
+            return False
+        del self.waiting[request.number]
+        return True
+
+    def apply(self, decisions: list[AdmissionDecision]) -> None:
+        """Tell the core what was decided on requests that still wait."""
+        for decision in decisions:
+            entry = self.waiting.pop(decision.number, None)
+            if entry is None:
+                continue
+            core = self.service.core
+            if decision.admitted:
+                core.admit_waiting(decision.number, entry.turn)
+            else:
+                self.service.telemetry.count("recovery_refused")
+                core.reject_waiting(decision.number, Response(ResponseStatus.REJECTED, None, decision.retry_ms))
+
+    def turned(self, number: int) -> bool:
+        """Note that the request's turn by key has come.
+
+        Return whether it still waits here, with the turn kept for Core.admit_waiting.
+        """
+        entry = self.waiting.get(number)
+        if entry is None:
+            return False
+        entry.turn = True
+        return True
+
+    def over(self, number: int, ran: bool) -> None:
+        """Forget a request that was answered or whose client left; `ran` False releases the ticket of a load."""
+        self.waiting.pop(number, None)
+        self.admission.remove(number)
+        self.service.on_load_ended(number, ran)
+
+    def ended(self, engine: str, outcome: int) -> None:
+        """Tell the node of an attempt's end, if it shows whether the engine takes connections.
+
+        Only an answer proves that one was taken: a broken connection may be older than a loss of power, and an attempt
+        that was stopped or cancelled need not have reached the engine.
+        """
+        node = self.service.node
+        if outcome in (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED):
+            node.on_attempt_ended(clock(), engine, outcome == AttemptOutcome.CONNECT_FAILED)
+        if node.effects:
+            self.service.drain()
+
+    def close(self) -> list[int]:
+        """Return the numbers of the requests that still wait, for the core to answer at shutdown."""
+        return list(self.waiting)
--- /dev/null
+++ b/frostspindle/recovery/outputs.py
@@ -0,0 +1,47 @@
+"""What a recovery node wants done: messages to other coordinators, effects in the program, counters."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import NamedTuple
+
+from frostspindle.recovery import wire
+from frostspindle.recovery.agreement import AgreedState
+from frostspindle.recovery.stages import StageTransition
+from frostspindle.recovery.tickets import ClaimOutcome
+
+
+class MarkRestarted(NamedTuple):
+    """Effect: take these engines as started at these times (Unix ms), unless the list has a later start."""
+
+    starts: dict[str, float]
+
+
+class ClaimResolved(NamedTuple):
+    """Effect: the claim of the load with this number has its outcome."""
+
+    number: int
+    outcome: ClaimOutcome
+
+
+class WriteLogLine(NamedTuple):
+    """Effect: write a log line."""
+
+    event: str
+    fields: dict[str, object]
+
+
+Effect = StageTransition | AgreedState | MarkRestarted | ClaimResolved | WriteLogLine
+
+
+class NodeOutputs:
+    """Collects what the parts of one node want done until the program takes it."""
+
+    def __init__(self) -> None:
+        self.messages: list[tuple[str, bytes]] = []  # receiver and bytes
+        self.effects: list[Effect] = []
+        self.counters: Counter[str] = Counter()
+
+    def send(self, receiver: str, message: wire.Message) -> None:
+        """Queue a message to another coordinator."""
+        self.messages.append((receiver, wire.encode(message)))
--- a/frostspindle/recovery/stages.py
+++ b/frostspindle/recovery/stages.py
@@ -1,7 +1,7 @@
-"""The stages of a recovery, which replace a start order: what each waits for, how long, and what follows.
+"""The stages of a recovery: what each waits for, for how long at most, and what follows.
 
-Owns which stage stands. It must never do I/O or read a clock, never go back, and never stay in a stage past its bound:
-what a stage goes on without is said in its `weak` text and in the log.
+No I/O and no clock. Stages never go back, and none lasts longer than its timeout: what is missing after a timeout is
+said in the stage's `timeout_reason` and in the log.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 class StageInputs:
     """What is known now; the stages decide by nothing else."""
 
-    store: str = ""  # the verdict on the store, or that there is none; "": not yet
-    usable: bool = False  # it was opened, and is written to
+    store_verdict: str = ""  # how the store was found, or that there is none; "": not yet known
+    store_usable: bool = False  # it was opened, and is written to
     epoch: int = 0  # of this process in the fleet; 0: no address yet
-    fleet: bool = True  # False: this coordinator is in no fleet, and nobody is asked
-    met: int = 0  # seeds that are alive, this one included
-    need: int = 1  # more than half of the seeds
-    all: int = 1  # all seeds
-    agreed: bool = False  # enough of the seeds have told all that they hold
-    rested: bool = False  # what must rest has
-    chilled: bool = False  # the core has taken engines for cold that are
-    backlog: int = 0  # requests that wait at the gate
-    warm: float = 0.0  # part of the engines' capacity that they can bear now
+    in_fleet: bool = True  # False: nobody is asked
+    seeds_alive: int = 0  # this coordinator included if it is one
+    quorum: int = 1  # more than half of the seeds
+    seed_count: int = 1
+    reported: bool = False  # a quorum of the seeds has reported all that it holds
+    cooldown_over: bool = False  # of rights
+    engines_marked: bool = False  # the core was told which engines have restarted
+    waiting: int = 0  # requests that wait at the gate
+    warm_ratio: float = 0.0  # part of the engines' capacity that they can bear now
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,74 +57,77 @@
 
     @property
     def total_ms(self) -> float:
-        """Longest time that a whole recovery may take, in ms: the sum of all bounds."""
-        return sum(getattr(self, step.bound) for step in STEPS.values())
+        """Longest time that a whole recovery may take, in ms: the sum of all timeouts."""
+        return sum(rule.timeout(self) for rule in RULES.values())
 
 
 @dataclass(slots=True, frozen=True)
 class StageRule:
-    """One stage: the guard that lets it end, its bound, and what holds if the bound ends it."""
+    """One stage: the guard that lets it end, its timeout in ms, and the texts for its end by either."""
 
     guard: Callable[[StageInputs], bool]
-    bound: str
-    done: str
-    weak: str
-    least_ms: float = 0.0  # it stays so long at least
-    hopeless: Callable[[StageInputs], bool] = lambda f: False  # the guard will never hold: no use in waiting
+    timeout: Callable[[StageTimeouts], float]
+    done_reason: str
+    timeout_reason: str
+    min_ms: float = 0.0
+    hopeless: Callable[[StageInputs], bool] = lambda inputs: False  # the guard will never hold: no use in waiting
 
 
 @dataclass(slots=True, frozen=True)
 class StageTransition:
-    """The change from one stage to the next: why, whether by its bound (`weak`), and how long it took in ms."""
+    """The change from one stage to the next; `timed_out`: the previous one ended without its guard."""
 
-    left: Stage
+    previous: Stage
     stage: Stage
-    why: str
-    weak: bool
-    took_ms: float
+    reason: str
+    timed_out: bool
+    duration_ms: float
 
 
-STEPS: Mapping[Stage, StageRule] = {
+RULES: Mapping[Stage, StageRule] = {
     Stage.STORE: StageRule(
-        lambda f: bool(f.store) and f.usable,
-        "store_ms",
+        lambda inputs: bool(inputs.store_verdict) and inputs.store_usable,
+        lambda timeouts: timeouts.store_ms,
         "the store is open",
         "without a store: nothing is remembered, and no load's ticket is granted here",
-        hopeless=lambda f: bool(f.store) and not f.usable,
+        hopeless=lambda inputs: bool(inputs.store_verdict) and not inputs.store_usable,
     ),
     Stage.ADDRESS: StageRule(
-        lambda f: f.epoch > 0 or not f.fleet,
-        "address_ms",
+        lambda inputs: inputs.epoch > 0 or not inputs.in_fleet,
+        lambda timeouts: timeouts.address_ms,
         "the address is ours",
         "without the fleet's port: serves alone",
     ),
     Stage.FIND: StageRule(
-        lambda f: f.met >= f.need, "find_ms", "more than half of the seeds are there", "with whom it has found"
+        lambda inputs: inputs.seeds_alive >= inputs.quorum,
+        lambda timeouts: timeouts.find_ms,
+        "more than half of the seeds are there",
+        "with whom it has found",
     ),
     Stage.AGREE: StageRule(
-        lambda f: f.agreed,
-        "agree_ms",
+        lambda inputs: inputs.reported,
+        lambda timeouts: timeouts.agree_ms,
         "lists and bans are agreed",
         "the safest of what is known: all bans, engines in all lists and draining in none",
     ),
     Stage.RIGHTS: StageRule(
-        lambda f: f.rested,
-        "rights_ms",
+        lambda inputs: inputs.cooldown_over,
+        lambda timeouts: timeouts.rights_ms,
         "rights have rested",
         "without rights until they have rested: what needs one goes last",
     ),
     Stage.ENGINES: StageRule(
-        lambda f: f.chilled,
-        "engines_ms",
+        lambda inputs: inputs.engines_marked,
+        lambda timeouts: timeouts.engines_ms,
         "engines are cold or known to have run on",
         "the list's word on engines' starts",
     ),
     Stage.SERVICE: StageRule(
-        lambda f: f.backlog == 0 and f.warm >= 0.9,
-        "service_ms",
+        lambda inputs: inputs.waiting == 0 and inputs.warm_ratio >= 0.9,
+        lambda timeouts: timeouts.service_ms,
         "engines are warm and nobody waits",
         "opened to all; the module goes on deciding",
-        least_ms=1_000.0,
+        min_ms=1_000.0,
     ),
 }
 
@@ -132,41 +135,53 @@
 class RecoveryStages:
     """The progress of one recovery through its stages."""
 
-    def __init__(self, bounds: StageTimeouts, now: float) -> None:
-        self.bounds, self.began, self.since = bounds, now, now
-        self.stage = Stage.STORE
-        self.moves: list[StageTransition] = []  # one for each stage at most
-        self.weak: set[Stage] = set()
+    def __init__(self, timeouts: StageTimeouts, now: float) -> None:
+        self.timeouts: StageTimeouts = timeouts
+        self.stage: Stage = Stage.STORE
+        self.entered_at: float = now
+        self.transitions: list[StageTransition] = []  # one for each stage at most
+        self.timed_out: set[Stage] = set()
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Whether the last stage is reached, and nothing is waited for any more."""
         return self.stage is Stage.OPEN
 
-    def due(self) -> float:
-        """Return when the stage's bound ends it, in ms of the caller's clock; inf after the last."""
-        return math.inf if self.over else self.since + getattr(self.bounds, STEPS[self.stage].bound)
-
-    def look(self, now: float, facts: StageInputs) -> list[StageTransition]:
-        """Leave every stage whose guard holds, whose bound has passed or which is hopeless; return the moves."""
-        out: list[StageTransition] = []
-        while not self.over:
-            step = STEPS[self.stage]
-            done = step.guard(facts) and now - self.since >= step.least_ms
-            if not done and now < self.due() and not step.hopeless(facts):
-                break
-            at = min(now, self.due())  # a stage that its bound ended did so then, however late it is looked at
-            move = StageTransition(
-                self.stage, Stage(self.stage + 1), step.done if done else step.weak, not done, at - self.since
-            )
-            if not done:
-                self.weak.add(self.stage)
-            self.stage, self.since = move.stage, at
-            out.append(move)
-        self.moves += out
-        return out
-
     @property
-    def alone(self) -> bool:
-        """Whether the agreement with enough of the seeds was given up at its bound."""
-        return Stage.AGREE in self.weak
+    def without_quorum(self) -> bool:
+        """Whether the agreement with a quorum of the seeds was given up at its timeout."""
+        return Stage.AGREE in self.timed_out
+
+    def next_due(self) -> float:
+        """Return when the stage times out, in ms of the caller's clock; inf after the last."""
+        if self.finished:
+            return math.inf
+        return self.entered_at + RULES[self.stage].timeout(self.timeouts)
+
+    def advance(self, now: float, inputs: StageInputs) -> list[StageTransition]:
+        """Leave every stage whose guard holds, which has timed out or which is hopeless; return the transitions."""
+        passed: list[StageTransition] = []
+        while not self.finished:
+            rule = RULES[self.stage]
+            done = rule.guard(inputs) and now - self.entered_at >= rule.min_ms
+            if not done and now < self.next_due() and not rule.hopeless(inputs):
+                break
+            # A stage ends at its timeout at the latest, however late it is looked at.
+            ended_at = min(now, self.next_due())
+            passed.append(self._leave(rule, done, ended_at))
+        self.transitions += passed
+        return passed
+
+    def _leave(self, rule: StageRule, done: bool, ended_at: float) -> StageTransition:
+        transition = StageTransition(
+            previous=self.stage,
+            stage=Stage(self.stage + 1),
+            reason=rule.done_reason if done else rule.timeout_reason,
+            timed_out=not done,
+            duration_ms=ended_at - self.entered_at,
+        )
+        if not done:
+            self.timed_out.add(self.stage)
+        self.stage = transition.stage
+        self.entered_at = ended_at
+        return transition
--- a/frostspindle/recovery/state_kinds.py
+++ b/frostspindle/recovery/state_kinds.py
@@ -1,7 +1,7 @@
 """The table of all kinds of state, and what of each is trusted after a loss of power.
 
-Owns which kinds are written to the store, which are asked of whom, what settles a disagreement, and which must rest.
-`node` and `service` look all of this up here, and a test compares docs/design/recovery.md with it. It must never do
+Says which kinds are written to the store, who is asked for them, which rule settles a conflict and which have a
+cooldown. The node and the service look all of this up here, and a test compares docs/design/recovery.md with it. No
 I/O.
 """
 
@@ -13,25 +13,25 @@
 
 
 class TrustLevel(StrEnum):
-    """How far a kind of state goes over a loss of power."""
+    """How far a kind of state is trusted after a loss of power."""
 
-    KEPT = "as kept"
-    RESTED = "after a rest"
-    ASKED = "asked of others"
+    PERSISTED = "as kept"
+    AFTER_COOLDOWN = "after a rest"
+    FROM_PEERS = "asked of others"
     NEVER = "never"
 
 
 class RespondersNeeded(StrEnum):
-    """How many other coordinators are asked for a kind of state."""
+    """Which other coordinators must answer for a kind of state."""
 
-    NOBODY = "nobody"
-    SEEDS = "more than half of the seeds"
-    HOMES = "more than half of its homes"
-    MAKERS = "its makers, each for its own"
+    NONE = "nobody"
+    MAJORITY_OF_SEEDS = "more than half of the seeds"
+    MAJORITY_OF_REPLICAS = "more than half of its homes"
+    ORIGINS = "its makers, each for its own"
 
 
 class ConflictRule(StrEnum):
-    """What settles a disagreement."""
+    """What settles a disagreement between coordinators."""
 
     NONE = "can't be"
     NEWEST = "its maker's newest word"
@@ -45,78 +45,108 @@
     REFUSED = "it is not had"
 
 
+class Cooldown(StrEnum):
+    """Which time of CooldownSettings a kind of state must wait after a start."""
+
+    NONE = ""
+    RIGHTS = "rights_ms"
+    TICKETS = "tickets_ms"
+
+
 @dataclass(slots=True, frozen=True)
 class StateKind:
-    """One kind of state. `agreed` holds with enough answers, `alone` without; `rest` names the time of Rests."""
+    """One kind of state, with the conflict rules that apply with a quorum of answers and without one."""
 
     trust: TrustLevel
-    who: RespondersNeeded = RespondersNeeded.NOBODY
-    agreed: ConflictRule = ConflictRule.NONE
-    alone: ConflictRule = ConflictRule.NONE
-    kept: bool = False  # written to the store
-    rest: str = ""
+    responders: RespondersNeeded = RespondersNeeded.NONE
+    with_quorum: ConflictRule = ConflictRule.NONE
+    without_quorum: ConflictRule = ConflictRule.NONE
+    persisted: bool = False  # written to the store
+    cooldown: Cooldown = Cooldown.NONE
 
 
 @dataclass(slots=True, frozen=True)
 class CooldownSettings:
-    """How long state that must rest does so after a start, in ms."""
+    """How long state with a cooldown is not used after a start, in ms."""
 
     rights_ms: float = 0.0  # the longest loan and a window, by the slower clock
-    tickets_ms: float = 0.0  # so long a client may repeat a load
+    tickets_ms: float = 0.0  # how long a client may repeat a load
 
 
 TABLE: Mapping[str, StateKind] = {
-    "bans": StateKind(TrustLevel.KEPT, RespondersNeeded.SEEDS, ConflictRule.NEWEST, ConflictRule.UNION, kept=True),
+    "bans": StateKind(
+        TrustLevel.PERSISTED,
+        RespondersNeeded.MAJORITY_OF_SEEDS,
+        ConflictRule.NEWEST,
+        ConflictRule.UNION,
+        persisted=True,
+    ),
     "engines": StateKind(
-        TrustLevel.ASKED, RespondersNeeded.SEEDS, ConflictRule.HIGHEST, ConflictRule.SAFEST, kept=True
+        TrustLevel.FROM_PEERS,
+        RespondersNeeded.MAJORITY_OF_SEEDS,
+        ConflictRule.HIGHEST,
+        ConflictRule.SAFEST,
+        persisted=True,
+    ),
+    "warmth": StateKind(
+        TrustLevel.FROM_PEERS,
+        RespondersNeeded.MAJORITY_OF_SEEDS,
+        ConflictRule.WARMEST_KNOWN,
+        ConflictRule.COLD,
     ),
-    "warmth": StateKind(TrustLevel.ASKED, RespondersNeeded.SEEDS, ConflictRule.WARMEST_KNOWN, ConflictRule.COLD),
     "tickets": StateKind(
-        TrustLevel.KEPT, RespondersNeeded.HOMES, ConflictRule.ANY, ConflictRule.REFUSED, kept=True, rest="tickets_ms"
+        TrustLevel.PERSISTED,
+        RespondersNeeded.MAJORITY_OF_REPLICAS,
+        ConflictRule.ANY,
+        ConflictRule.REFUSED,
+        persisted=True,
+        cooldown=Cooldown.TICKETS,
     ),
     "generations": StateKind(
-        TrustLevel.KEPT, RespondersNeeded.SEEDS, ConflictRule.HIGHEST, ConflictRule.HIGHEST, kept=True
+        TrustLevel.PERSISTED,
+        RespondersNeeded.MAJORITY_OF_SEEDS,
+        ConflictRule.HIGHEST,
+        ConflictRule.HIGHEST,
+        persisted=True,
     ),
-    "beat": StateKind(TrustLevel.KEPT, kept=True),
-    "verdicts": StateKind(TrustLevel.NEVER, RespondersNeeded.MAKERS, ConflictRule.NEWEST, ConflictRule.REFUSED),
-    "rights": StateKind(
-        TrustLevel.RESTED, RespondersNeeded.NOBODY, ConflictRule.NONE, ConflictRule.NONE, rest="rights_ms"
-    ),
-    # What is kept of them is that none are out; see Node.quiet.
-    "cold rights": StateKind(
-        TrustLevel.RESTED, RespondersNeeded.NOBODY, ConflictRule.NONE, ConflictRule.NONE, kept=True, rest="rights_ms"
-    ),
-    "counts": StateKind(TrustLevel.ASKED, RespondersNeeded.MAKERS, ConflictRule.JOIN, ConflictRule.JOIN),
+    "beat": StateKind(TrustLevel.PERSISTED, persisted=True),
+    "verdicts": StateKind(TrustLevel.NEVER, RespondersNeeded.ORIGINS, ConflictRule.NEWEST, ConflictRule.REFUSED),
+    "rights": StateKind(TrustLevel.AFTER_COOLDOWN, cooldown=Cooldown.RIGHTS),
+    # What is persisted is only that none are lent or used; see idle_mark.
+    "cold rights": StateKind(TrustLevel.AFTER_COOLDOWN, persisted=True, cooldown=Cooldown.RIGHTS),
+    "counts": StateKind(TrustLevel.FROM_PEERS, RespondersNeeded.ORIGINS, ConflictRule.JOIN, ConflictRule.JOIN),
     "learnt costs and latencies": StateKind(TrustLevel.NEVER),
-    "summaries": StateKind(TrustLevel.NEVER, RespondersNeeded.HOMES, ConflictRule.NEWEST, ConflictRule.REFUSED),
+    "summaries": StateKind(
+        TrustLevel.NEVER, RespondersNeeded.MAJORITY_OF_REPLICAS, ConflictRule.NEWEST, ConflictRule.REFUSED
+    ),
     "subscriptions": StateKind(TrustLevel.NEVER),
     "tenants' shares": StateKind(TrustLevel.NEVER),
 }
 
 
 def prefix(kind: str) -> bytes:
-    """Return the key prefix of a kind's entries in the store; KeyError for one that is not kept there."""
-    if not TABLE[kind].kept:
+    """Return the key prefix of a kind's entries in the store; KeyError for one that is not persisted."""
+    if not TABLE[kind].persisted:
         raise KeyError(f"{kind}: is not kept")
     return kind.encode() + b"/"
 
 
-def kept() -> list[str]:
+def persisted_kinds() -> list[str]:
     """Return the kinds that are written to the store."""
-    return [name for name, kind in TABLE.items() if kind.kept]
-
-
-def asked() -> list[str]:
-    """Return the kinds that the agreement stage must have from the seeds."""
-    return [name for name, kind in TABLE.items() if kind.who is RespondersNeeded.SEEDS]
+    return [name for name, kind in TABLE.items() if kind.persisted]
 
 
-def rest_ms(kind: str, rests: CooldownSettings) -> float:
-    """Return how long a kind rests from the start on, in ms; 0 if not at all."""
-    name = TABLE[kind].rest
-    return float(getattr(rests, name)) if name else 0.0
+def cooldown_ms(kind: str, settings: CooldownSettings) -> float:
+    """Return how long a kind is not used after the start, in ms; 0 if it has no cooldown."""
+    match TABLE[kind].cooldown:
+        case Cooldown.RIGHTS:
+            return settings.rights_ms
+        case Cooldown.TICKETS:
+            return settings.tickets_ms
+        case _:
+            return 0.0
 
 
-def rule(kind: str, enough: bool) -> ConflictRule:
-    """Return what settles a disagreement on a kind, with `enough` answers or without; KeyError for an unknown kind."""
-    return TABLE[kind].agreed if enough else TABLE[kind].alone
+def conflict_rule(kind: str, has_quorum: bool) -> ConflictRule:
+    """Return what settles a disagreement on a kind, with a quorum of answers or without; KeyError if unknown."""
+    return TABLE[kind].with_quorum if has_quorum else TABLE[kind].without_quorum
--- /dev/null
+++ b/frostspindle/recovery/store_opening.py
@@ -0,0 +1,52 @@
+"""Opening of the recovery's store: every fault of the disk becomes a verdict, and the coordinator serves without."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+
+from frostspindle.recovery.inputs import OpenedStore
+from frostspindle.recovery.wire import StoreState
+from frostspindle.store.base import Store, StoreError
+from frostspindle.store.memory import MemoryStore
+from frostspindle.store.opening import DurableStore, StoreLockedError, StoreRefusedError, open_store
+from frostspindle.store.opening_decision import OpeningAction, StoreCondition
+from frostspindle.store.sqlite_engine import SqliteEngine
+
+UNREADABLE = OpenedStore("unreadable", usable=False, trusted=False)
+
+
+def open_recovery_store(
+    folder: str, witness: str, owner: str, note: Callable[..., None]
+) -> tuple[Store | None, OpenedStore]:
+    """Open the store, or one in memory without a folder; blocks on the disk.
+
+    Any fault is returned as the verdict, except StoreLockedError if another process has the store.
+    """
+    if not folder:
+        return MemoryStore(), OpenedStore("none is set up", usable=True, trusted=False)
+    witness_path = Path(witness) if witness else None
+    try:
+        store = open_store(Path(folder), owner, SqliteEngine, witness=witness_path, note=note)
+    except StoreLockedError:
+        raise
+    except StoreRefusedError as error:
+        return None, OpenedStore(str(error.ruling.verdict), usable=False, trusted=False)
+    except (StoreError, OSError) as error:
+        note("store", folder=folder, verdict="unreadable", why=str(error))
+        return None, UNREADABLE
+    return store, _opened(store)
+
+
+def _opened(store: DurableStore) -> OpenedStore:
+    known = store.known
+    decision = store.ruling
+    return OpenedStore(
+        verdict=str(decision.verdict),
+        usable=True,
+        trusted=decision.action is OpeningAction.USE,
+        # In a later incarnation an earlier store of ours is known of, and lost.
+        fresh=decision.verdict is StoreCondition.FRESH and known.life == 1,
+        state=StoreState(known.id, known.life, known.generation),
+        entries=tuple(store.scan()),
+    )
--- a/frostspindle/recovery/tickets.py
+++ b/frostspindle/recovery/tickets.py
@@ -1,12 +1,12 @@
-"""The journal of loads: a load runs only once a quorum of its ticket's homes has durably recorded it as taken.
+"""The journal of loads: a load runs only once a majority of its ticket's replicas has durably recorded it as taken.
 
-Owns what a home has granted (`Journal`) and what a coordinator asks for a load that came to it (`Claims`). It must
-never do I/O or read a clock, never grant a ticket twice, nor before the record is durable, and never grant while
-records may be missing: after a start with a lost or older store a home rests as long as clients may repeat a load.
+`TicketJournal` is the replica's side, `TicketClaims` that of the coordinator that was asked to run a load. No I/O and
+no clock. A ticket is never granted twice, never before its record is durable, and never while records may be missing:
+after a start with a lost or older store a replica is in cooldown for as long as clients may repeat a load.
 
 A ticket is the hash of a request's X-Request-Id, so that a repeat is known wherever it comes. Any two majorities of the
-homes share one, so that two claims of a ticket can't both have more than half. A claim that was not granted, or whose
-load was refused before anything of it was sent, is freed; a free that is lost leaves a repeat answered as "may have
+replicas share one, so that two claims of a ticket can't both have a majority. A claim that was not granted, or whose
+load was refused before anything of it was sent, is released; if a release is lost, a repeat is answered as "may have
 run".
 """
 
@@ -15,40 +15,45 @@
 import math
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
 from hashlib import blake2b
 from typing import NamedTuple
 
 import msgspec
 
 from frostspindle.recovery import state_kinds
-from frostspindle.recovery.wire import FULL, GRANTED, RESTS, TAKEN, UNABLE
+from frostspindle.recovery.wire import TicketStatus
 
-MOST_TICKETS = 50_000
-MOST_BATCH = 256
-MOST_WAITERS = 8  # who wait for one ticket's record
-MOST_CLAIMS = 1_024
-HOMES = 5  # two that lost their stores, or are away, still leave more than half
+MAX_TICKETS = 50_000
+MAX_BATCH = 256
+MAX_WAITERS = 8  # claimants that wait for one ticket's record
+MAX_CLAIMS = 1_024
+REPLICAS = 5  # two that lost their stores, or are away, still leave a majority
 RESEND_MS = 150.0
-FREES = 3  # a free is sent so often: nobody answers it
+RELEASE_SENDS = 3  # a release is sent so often, as nobody answers it
 PREFIX = state_kinds.prefix("tickets")
 
 
-def ticket(text: str) -> bytes:
+def ticket_id(request_id: str) -> bytes:
     """Return the 16 bytes that stand for a request's id in stores and messages."""
-    return blake2b(text.encode(), digest_size=16, person=b"load").digest()
+    return blake2b(request_id.encode(), digest_size=16, person=b"load").digest()
 
 
-def homes(of: bytes, seeds: Iterable[str], many: int = HOMES) -> list[str]:
-    """Return the ticket's homes among the seeds: the same at all coordinators, whoever is alive."""
-    return sorted(seeds, key=lambda name: blake2b(of + name.encode(), digest_size=8, person=b"home").digest())[:many]
+def ticket_replicas(ticket: bytes, seeds: Iterable[str], count: int = REPLICAS) -> list[str]:
+    """Return the ticket's replicas among the seeds by rendezvous hashing: the same everywhere, whoever is alive."""
+
+    def weight(name: str) -> bytes:
+        return blake2b(ticket + name.encode(), digest_size=8, person=b"home").digest()
+
+    return sorted(seeds, key=weight)[:count]
 
 
 class TicketRecord(msgspec.Struct, array_like=True, frozen=True):
     """A ticket that is taken: by which coordinator, under which nonce, and when (Unix ms)."""
 
-    by: str
+    claimant: str
     nonce: int
-    at_ms: float  # Unix
+    at_ms: float
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -64,240 +69,281 @@
 
 
 class TicketJournal:
-    """The home's side: grants tickets. A claim is answered at once, or by `written` after the batch that holds it."""
+    """The replica's side: grants tickets.
+
+    A claim is answered at once, or by `on_batch_written` after the batch that holds its record.
+    """
 
     def __init__(
         self,
         entries: Iterable[tuple[bytes, bytes]],
         ticket_ms: float,
         unix: float,
-        rests: bool,
-        able: bool = True,
-        most: int = MOST_TICKETS,
+        in_cooldown: bool,
+        usable: bool = True,
+        max_tickets: int = MAX_TICKETS,
     ) -> None:
-        self.ticket_ms, self.most, self.able = ticket_ms, most, able
-        self.table: dict[bytes, TicketRecord] = {}
-        self.spoilt = 0
+        self.ticket_ms: float = ticket_ms
+        self.max_tickets: int = max_tickets
+        self.usable: bool = usable
+        self.records: dict[bytes, TicketRecord] = {}
+        self.corrupt: int = 0  # entries that could not be decoded
+        self._load(entries, unix)
+        # A record that can't be read is one that is missing.
+        self.cooldown_until_ms: float = unix + ticket_ms if in_cooldown or self.corrupt else -math.inf
+        self._pending: dict[bytes, TicketRecord | None] = {}  # to be written; None: deleted
+        self._writing: dict[bytes, TicketRecord | None] = {}
+        self._waiters: dict[bytes, list[PendingClaimant]] = {}
+
+    def _load(self, entries: Iterable[tuple[bytes, bytes]], unix: float) -> None:
         for key, value in entries:
             try:
-                held = _decode(value)
+                record = _decode(value)
             except msgspec.DecodeError:
-                self.spoilt += 1
-                rests = True  # a record that can't be read is one that is missing
+                self.corrupt += 1
                 continue
             # A clock that was set back keeps it for as long again, never longer.
-            self.table[key[len(PREFIX) :]] = msgspec.structs.replace(held, at_ms=min(held.at_ms, unix))
-        self.rests_until = unix + ticket_ms if rests else -math.inf
-        self._next: dict[bytes, TicketRecord | None] = {}  # to be written
-        self._out: dict[bytes, TicketRecord | None] = {}  # being written
-        self._waits: dict[bytes, list[PendingClaimant]] = {}
+            at_ms = min(record.at_ms, unix)
+            self.records[key[len(PREFIX) :]] = msgspec.structs.replace(record, at_ms=at_ms)
 
-    def rest(self, unix: float) -> None:
+    def start_cooldown(self, unix: float) -> None:
         """Grant nothing for `ticket_ms`, as the store was found to lag behind what others know of it."""
-        self.rests_until = max(self.rests_until, unix + self.ticket_ms)
+        self.cooldown_until_ms = max(self.cooldown_until_ms, unix + self.ticket_ms)
 
-    def trust(self) -> None:
-        """End the rest: enough others know that there was never a store before this one."""
-        self.rests_until = -math.inf
+    def end_cooldown(self) -> None:
+        """Grant from now on: enough others know that there was never a store before this one."""
+        self.cooldown_until_ms = -math.inf
 
-    def resting(self, unix: float) -> bool:
+    def in_cooldown(self, unix: float) -> bool:
         """Tell whether new claims are refused at `unix` (Unix ms) because records of earlier ones may be missing."""
-        return unix < self.rests_until
+        return unix < self.cooldown_until_ms
 
-    def ask(self, unix: float, who: str, of: bytes, nonce: int) -> int | None:
-        """Take a claim; return the answer (a code of `wire`), or None if `written` gives it once the record is durable.
+    def claim(self, unix: float, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
+        """Take a claim; return the answer, or None if `on_batch_written` gives it once the record is durable.
 
         A repeat of a claim gets the same answer.
         """
-        held = self.table.get(of)
-        if held is not None:
-            if (held.by, held.nonce) != (who, nonce):
-                return TAKEN
-            if of not in self._next and of not in self._out:
-                return GRANTED
-            waiters = self._waits.setdefault(of, [])
-            if len(waiters) < MOST_WAITERS and PendingClaimant(who, of, nonce) not in waiters:
-                waiters.append(PendingClaimant(who, of, nonce))
-            return None
-        if not self.able:
-            return UNABLE
-        if self.resting(unix):
-            return RESTS
-        if len(self.table) >= self.most:
-            return FULL
-        self.table[of] = self._next[of] = TicketRecord(who, nonce, unix)
-        self._waits[of] = [PendingClaimant(who, of, nonce)]
+        record = self.records.get(ticket)
+        if record is not None:
+            return self._claim_again(record, claimant, ticket, nonce)
+        if not self.usable:
+            return TicketStatus.UNABLE
+        if self.in_cooldown(unix):
+            return TicketStatus.IN_COOLDOWN
+        if len(self.records) >= self.max_tickets:
+            return TicketStatus.FULL
+        record = TicketRecord(claimant, nonce, unix)
+        self.records[ticket] = record
+        self._pending[ticket] = record
+        self._waiters[ticket] = [PendingClaimant(claimant, ticket, nonce)]
+        return None
+
+    def _claim_again(self, record: TicketRecord, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
+        if (record.claimant, record.nonce) != (claimant, nonce):
+            return TicketStatus.TAKEN
+        if ticket not in self._pending and ticket not in self._writing:
+            return TicketStatus.GRANTED
+        waiter = PendingClaimant(claimant, ticket, nonce)
+        waiters = self._waiters.setdefault(ticket, [])
+        if len(waiters) < MAX_WAITERS and waiter not in waiters:
+            waiters.append(waiter)
         return None
 
-    def free(self, who: str, of: bytes, nonce: int) -> None:
+    def release(self, claimant: str, ticket: bytes, nonce: int) -> None:
         """Release a ticket that this claimant holds with this nonce.
 
         Anything else is ignored, so that repeats are harmless.
         """
-        held = self.table.get(of)
-        if held is not None and (held.by, held.nonce) == (who, nonce):
-            self._drop(of)
+        record = self.records.get(ticket)
+        if record is not None and (record.claimant, record.nonce) == (claimant, nonce):
+            self._delete(ticket)
 
-    def _drop(self, of: bytes) -> None:
-        del self.table[of]
-        self._next[of] = None
-        self._waits.pop(of, None)
+    def _delete(self, ticket: bytes) -> None:
+        del self.records[ticket]
+        self._pending[ticket] = None
+        self._waiters.pop(ticket, None)
 
     def prune(self, unix: float) -> None:
         """Remove tickets older than `ticket_ms`, which no client repeats any more."""
-        old = [of for of, held in self.table.items() if unix - held.at_ms > self.ticket_ms and of not in self._waits]
-        for of in old:
-            self._drop(of)
-
-    def batch(self) -> Mapping[bytes, bytes | None] | None:
+        expired = [
+            ticket
+            for ticket, record in self.records.items()
+            if unix - record.at_ms > self.ticket_ms and ticket not in self._waiters
+        ]
+        for ticket in expired:
+            self._delete(ticket)
+
+    def next_batch(self) -> Mapping[bytes, bytes | None] | None:
         """Return the next batch for the store; None if there is nothing to write or one is still being written."""
-        if self._out or not self._next or not self.able:
+        if self._writing or not self._pending or not self.usable:
             return None
-        for of in list(self._next)[:MOST_BATCH]:
-            self._out[of] = self._next.pop(of)
-        return {PREFIX + of: None if held is None else _encode(held) for of, held in self._out.items()}
+        for ticket in list(self._pending)[:MAX_BATCH]:
+            self._writing[ticket] = self._pending.pop(ticket)
+        return {
+            PREFIX + ticket: None if record is None else _encode(record) for ticket, record in self._writing.items()
+        }
 
-    def written(self, ok: bool, full: bool = False) -> list[tuple[PendingClaimant, int]]:
-        """Settle the batch; return the answers to those that wait for it.
+    def on_batch_written(self, ok: bool, full: bool = False) -> list[tuple[PendingClaimant, TicketStatus]]:
+        """Take the batch's outcome; return the answers to those that wait for it.
 
-        `ok`: it is durable. `full`: nothing of it is. Neither: its outcome is unknown, and this home grants no more.
+        `ok`: it is durable. `full`: nothing of it is. Neither: its outcome is unknown, and this replica grants no more.
         """
-        out, self._out = self._out, {}
-        answers: list[tuple[PendingClaimant, int]] = []
+        written = self._writing
+        self._writing = {}
         if not ok and not full:
-            self.able = False
-        for of, held in out.items():
-            waiters = self._waits.pop(of, []) if of not in self._next else []
-            if held is None or self.table.get(of) != held:
-                if held is None and not ok and of not in self._next:
-                    self._next[of] = None
-                continue
-            if not ok and full:
-                del self.table[of]  # it is not there, and nobody was told that it is
-            # What may be there although the store broke stays taken: UNABLE grants nothing.
-            answers += [(waiter, GRANTED if ok else FULL if full else UNABLE) for waiter in waiters]
-        if not self.able:
-            answers += [(waiter, UNABLE) for waiters in self._waits.values() for waiter in waiters]
-            self._waits.clear()
+            self.usable = False
+        answers: list[tuple[PendingClaimant, TicketStatus]] = []
+        for ticket, record in written.items():
+            answers += self._on_record_written(ticket, record, ok, full)
+        if not self.usable:
+            answers += [(waiter, TicketStatus.UNABLE) for waiters in self._waiters.values() for waiter in waiters]
+            self._waiters.clear()
         return answers
 
+    def _on_record_written(
+        self, ticket: bytes, record: TicketRecord | None, ok: bool, full: bool
+    ) -> list[tuple[PendingClaimant, TicketStatus]]:
+        changed_since = ticket in self._pending
+        waiters = [] if changed_since else self._waiters.pop(ticket, [])
+        if record is None:
+            if not ok and not changed_since:
+                self._pending[ticket] = None
+            return []
+        if self.records.get(ticket) != record:
+            return []
+        if ok:
+            return [(waiter, TicketStatus.GRANTED) for waiter in waiters]
+        if full:
+            del self.records[ticket]  # it is not in the store, and nobody was told that it is
+            return [(waiter, TicketStatus.FULL) for waiter in waiters]
+        # What may be there although the store broke stays taken: UNABLE grants nothing.
+        return [(waiter, TicketStatus.UNABLE) for waiter in waiters]
 
-@dataclass(slots=True)
-class _PendingClaim:
+
+class TicketMessage(NamedTuple):
+    """A message to a replica: a claim or a release."""
+
+    replica: str
     ticket: bytes
     nonce: int
-    homes: list[str]
-    ends: float
-    again: float
-    said: dict[str, int] = field(default_factory=dict)
-    frees: int = 0
+    release: bool
 
 
-class TicketMessage(NamedTuple):
-    """A message to a home: a claim, or a free."""
+class ClaimOutcome(StrEnum):
+    """How the claim of a load ended; the values are part of counters' names."""
+
+    GRANTED = "go"  # once for a ticket
+    MAY_HAVE_RUN = "may have run"  # another claim has the ticket
+    NO_RECORD = "no record"  # too few replicas can record it
+    NO_QUORUM = "no word"  # too few replicas have answered
+
 
-    home: str
+_CANNOT_GRANT = (TicketStatus.FULL, TicketStatus.UNABLE, TicketStatus.IN_COOLDOWN)
+
+
+@dataclass(slots=True)
+class _PendingClaim:
     ticket: bytes
     nonce: int
-    free: bool
+    replicas: list[str]
+    deadline: float
+    resend_at: float
+    answers: dict[str, TicketStatus] = field(default_factory=dict)
+    releases_sent: int = 0
 
-
-GO, RAN, CANT, UNSURE = "go", "may have run", "no record", "no word"
+    def messages(self, release: bool) -> list[TicketMessage]:
+        """A message to each of its replicas."""
+        return [TicketMessage(replica, self.ticket, self.nonce, release) for replica in self.replicas]
 
 
 class TicketClaims:
-    """The side of the coordinator that was asked to run a load.
-
-    Outcomes by nonce: GO, once; RAN: another has it; CANT: too few homes can record it; UNSURE: too few have answered.
-    """
+    """The side of the coordinator that was asked to run a load. Times are ms of the caller's monotonic clock."""
 
     def __init__(self, claim_ms: float) -> None:
-        self.claim_ms = claim_ms
-        self.open: dict[int, _PendingClaim] = {}
-        self.frees: dict[int, _PendingClaim] = {}
-        self.held: dict[int, tuple[bytes, list[str]]] = {}  # granted, and not settled yet
-
-    def begin(self, now: float, of: bytes, nonce: int, at: list[str]) -> list[TicketMessage]:
-        """Open a claim; return the first messages. Empty if too many are open: then the outcome is UNSURE at once."""
-        if len(self.open) >= MOST_CLAIMS:
+        self.claim_ms: float = claim_ms
+        self.pending: dict[int, _PendingClaim] = {}  # by nonce, as all here
+        self.releasing: dict[int, _PendingClaim] = {}
+        self.granted: dict[int, tuple[bytes, list[str]]] = {}  # ticket and replicas of loads that have not ended
+
+    def begin(self, now: float, ticket: bytes, nonce: int, replicas: list[str]) -> list[TicketMessage]:
+        """Start a claim; return the first messages, none if too many are pending: the outcome is NO_QUORUM then."""
+        if len(self.pending) >= MAX_CLAIMS:
             return []
-        self.open[nonce] = _PendingClaim(of, nonce, at, now + self.claim_ms, now + RESEND_MS)
-        return [TicketMessage(home, of, nonce, False) for home in at]
-
-    def hear(self, now: float, home: str, nonce: int, how: int) -> tuple[str, list[TicketMessage]] | None:
-        """Take a home's answer; return the outcome and messages to send once it is known, else None."""
-        claim = self.open.get(nonce)
-        if claim is None or home not in claim.homes:
+        claim = _PendingClaim(ticket, nonce, replicas, deadline=now + self.claim_ms, resend_at=now + RESEND_MS)
+        self.pending[nonce] = claim
+        return claim.messages(release=False)
+
+    def on_reply(
+        self, now: float, replica: str, nonce: int, status: TicketStatus
+    ) -> tuple[ClaimOutcome, list[TicketMessage]] | None:
+        """Take a replica's answer; return the outcome and messages to send once it is known, else None."""
+        claim = self.pending.get(nonce)
+        if claim is None or replica not in claim.replicas:
             return None
-        claim.said[home] = how
-        granted = sum(said == GRANTED for said in claim.said.values())
-        if how == TAKEN:
-            return self._end(now, claim, RAN)
-        if 2 * granted > len(claim.homes):
-            self.held[nonce] = (claim.ticket, claim.homes)
-            del self.open[nonce]
-            return GO, []
-        lost = sum(said in (FULL, UNABLE, RESTS) for said in claim.said.values())
-        if 2 * (len(claim.homes) - lost) <= len(claim.homes):
-            return self._end(now, claim, CANT)
+        claim.answers[replica] = status
+        if status == TicketStatus.TAKEN:
+            return ClaimOutcome.MAY_HAVE_RUN, self._close(now, claim)
+        granted = sum(answer == TicketStatus.GRANTED for answer in claim.answers.values())
+        if 2 * granted > len(claim.replicas):
+            self.granted[nonce] = (claim.ticket, claim.replicas)
+            del self.pending[nonce]
+            return ClaimOutcome.GRANTED, []
+        lost = sum(answer in _CANNOT_GRANT for answer in claim.answers.values())
+        if 2 * (len(claim.replicas) - lost) <= len(claim.replicas):
+            return ClaimOutcome.NO_RECORD, self._close(now, claim)
         return None
 
-    def _end(self, now: float, claim: _PendingClaim, how: str) -> tuple[str, list[TicketMessage]]:
-        self.open.pop(claim.nonce, None)
-        return how, self._free(now, claim)
+    def _close(self, now: float, claim: _PendingClaim) -> list[TicketMessage]:
+        self.pending.pop(claim.nonce, None)
+        return self._release(now, claim)
 
-    def _free(self, now: float, claim: _PendingClaim) -> list[TicketMessage]:
-        claim.frees, claim.again = claim.frees + 1, now + RESEND_MS
-        if claim.frees < FREES and len(self.frees) < MOST_CLAIMS:
-            self.frees[claim.nonce] = claim
+    def _release(self, now: float, claim: _PendingClaim) -> list[TicketMessage]:
+        claim.releases_sent += 1
+        claim.resend_at = now + RESEND_MS
+        if claim.releases_sent < RELEASE_SENDS and len(self.releasing) < MAX_CLAIMS:
+            self.releasing[claim.nonce] = claim
         else:
-            self.frees.pop(claim.nonce, None)
-        return [TicketMessage(home, claim.ticket, claim.nonce, True) for home in claim.homes]
+            self.releasing.pop(claim.nonce, None)
+        return claim.messages(release=True)
 
-    def settled(self, now: float, nonce: int, ran: bool) -> list[TicketMessage]:
-        """Settle a granted load. `ran`: something of it was sent, and the ticket stays taken.
+    def on_load_ended(self, now: float, nonce: int, ran: bool) -> list[TicketMessage]:
+        """Take the end of a granted load. `ran`: something of it was sent, and the ticket stays taken.
 
-        Else return the messages that free it.
+        Else return the messages that release it.
         """
-        ticket_homes = self.held.pop(nonce, None)
-        if ticket_homes is None or ran:
+        granted = self.granted.pop(nonce, None)
+        if granted is None or ran:
             return []
-        return self._free(now, _PendingClaim(*ticket_homes[:1], nonce, ticket_homes[1], now, now))
+        ticket, replicas = granted
+        return self._release(now, _PendingClaim(ticket, nonce, replicas, deadline=now, resend_at=now))
 
-    def drop(self, now: float, nonce: int) -> list[TicketMessage]:
-        """Close the claim of a client that left before the outcome; return the messages that free it."""
-        claim = self.open.get(nonce)
-        return self._end(now, claim, UNSURE)[1] if claim is not None else []
+    def cancel(self, now: float, nonce: int) -> list[TicketMessage]:
+        """End the claim of a client that left before the outcome; return the messages that release it."""
+        claim = self.pending.get(nonce)
+        return self._close(now, claim) if claim is not None else []
 
-    def tick(self, now: float) -> tuple[list[TicketMessage], list[tuple[int, str]]]:
-        """Repeat claims and frees that are due, close claims that are out of time.
+    def tick(self, now: float) -> tuple[list[TicketMessage], list[tuple[int, ClaimOutcome]]]:
+        """Resend claims and releases that are due, close claims that are past their deadline.
 
         Return messages, and outcomes by nonce.
         """
-        sends: list[TicketMessage] = []
-        ended: list[tuple[int, str]] = []
-        for claim in list(self.open.values()):
-            if now >= claim.ends:
-                how, frees = self._end(now, claim, UNSURE)
-                sends += frees
-                ended.append((claim.nonce, how))
-            elif now >= claim.again:
-                claim.again = now + RESEND_MS
-                sends += [
-                    TicketMessage(home, claim.ticket, claim.nonce, False)
-                    for home in claim.homes
-                    if home not in claim.said
+        messages: list[TicketMessage] = []
+        ended: list[tuple[int, ClaimOutcome]] = []
+        for claim in list(self.pending.values()):
+            if now >= claim.deadline:
+                messages += self._close(now, claim)
+                ended.append((claim.nonce, ClaimOutcome.NO_QUORUM))
+            elif now >= claim.resend_at:
+                claim.resend_at = now + RESEND_MS
+                messages += [
+                    message for message in claim.messages(release=False) if message.replica not in claim.answers
                 ]
-        for claim in [claim for claim in self.frees.values() if now >= claim.again]:
-            sends += self._free(now, claim)
-        return sends, ended
-
-    def due(self) -> float:
-        """Return when `tick` must be called next, in ms of the caller's clock.
-
-        Inf if no claim or free is under way.
-        """
-        return min(
-            [min(c.again, c.ends) for c in self.open.values()] + [c.again for c in self.frees.values()],
-            default=math.inf,
-        )
+        for claim in [claim for claim in self.releasing.values() if now >= claim.resend_at]:
+            messages += self._release(now, claim)
+        return messages, ended
+
+    def next_due(self) -> float:
+        """Return when `tick` must be called next; inf if no claim or release is under way."""
+        claims = [min(claim.resend_at, claim.deadline) for claim in self.pending.values()]
+        releases = [claim.resend_at for claim in self.releasing.values()]
+        return min(claims + releases, default=math.inf)
--- a/frostspindle/recovery/wire.py
+++ b/frostspindle/recovery/wire.py
@@ -1,11 +1,13 @@
 """Recovery's messages, carried by the fleet: msgspec structs in msgpack, bounded in every part.
 
-Owns their form. It must never hold state; whatever can't be decoded is an error here.
+Holds no state. Messages are arrays, so the order of the fields and the tags are fixed and the names are not.
+`InvalidPacketError` is raised for whatever can't be decoded.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import IntEnum
 from typing import Annotated
 
 import msgspec
@@ -16,77 +18,91 @@
 from frostspindle.fleet.wire import reader
 
 CHANNEL = 1
-MOST_PAGES = 512
-ROOM = 820  # bytes of rows in one page; with the rest it stays below the fleet's MAX_MESSAGE_BYTES
-GRANTED, TAKEN, RESTS, FULL, UNABLE = range(5)
+MAX_PAGES = 512
+PAGE_BYTES = 820  # of rows in one page; with the rest it stays below the fleet's MAX_MESSAGE_BYTES
 
-Whole = Annotated[int, Meta(ge=0, le=2**63 - 1)]
+Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Word = Annotated[str, Meta(max_length=64)]
-Ms = Annotated[float, Meta(ge=0, le=1e15)]
-Ticket = Annotated[bytes, Meta(min_length=16, max_length=16)]
+ShortText = Annotated[str, Meta(max_length=64)]
+Milliseconds = Annotated[float, Meta(ge=0, le=1e15)]
+TicketId = Annotated[bytes, Meta(min_length=16, max_length=16)]
+
+
+class TicketStatus(IntEnum):
+    """A replica's answer to a claim."""
+
+    GRANTED = 0
+    TAKEN = 1  # by another claim
+    IN_COOLDOWN = 2
+    FULL = 3
+    UNABLE = 4  # the store is broken or missing
 
 
 class StoreState(Struct, array_like=True, frozen=True):
     """The last known state of a member's store."""
 
     id: Annotated[bytes, Meta(max_length=16)]
-    life: Whole
-    generation: Whole
+    incarnation: Count
+    generation: Count
+
+    @property
+    def version(self) -> tuple[int, int]:
+        """What orders two states of one member's stores."""
+        return self.incarnation, self.generation
 
 
 class BanStatement(Struct, array_like=True, frozen=True):
     """A coordinator's statement that staff bans an engine, or no longer does."""
 
-    maker: Name
+    origin: Name
     engine: Name
-    on: bool
-    at_ms: Ms
+    banned: bool
+    at_ms: Milliseconds  # Unix
 
 
 class ListedEngine(Struct, array_like=True, frozen=True):
-    """An engine as the bus listed it."""
+    """An engine of the endpoint list, as a coordinator believes it."""
 
     name: Name
-    dial: Word
-    site: Word
-    kind: Word
-    block: Annotated[int, Meta(ge=-(2**31), lt=2**31)]
+    address: ShortText
+    zone: ShortText
+    kind: ShortText
+    cell: Annotated[int, Meta(ge=-(2**31), lt=2**31)]
     health: Annotated[int, Meta(ge=0, le=2)]
-    share: Annotated[float, Meta(ge=0, le=1e6)]
-    born_ms: Ms  # as it is believed: an engine may be taken for started later than the bus has told
-    told_ms: Ms = 0.0  # as the bus has it: rights to a cold engine go by this, the same at all
-    ran: bool = True  # False: the teller has seen it refuse connections, and none accepted since
+    weight: Annotated[float, Meta(ge=0, le=1e6)]
+    started_ms: Milliseconds  # Unix; may be later than the bus has published
+    published_start_ms: Milliseconds = 0.0  # Unix, by the bus: rights to a cold engine go by this, the same everywhere
+    ran_on: bool = True  # False: the sender has seen it refuse connections, and none accepted since
 
 
 class ReportRequest(Struct, array_like=True, frozen=True, tag=0):
-    """Request for one page of what the receiver holds.
+    """Request for one page of the receiver's report.
 
-    `mine` is the state of the sender's own store, for the receiver to remember.
+    `own_store` is the state of the sender's own store, for the receiver to remember.
     """
 
-    seq: Whole
-    page: Annotated[int, Meta(ge=0, lt=MOST_PAGES)]
-    mine: StoreState | None
+    seq: Count
+    page: Annotated[int, Meta(ge=0, lt=MAX_PAGES)]
+    own_store: StoreState | None
 
 
 class ReportPage(Struct, array_like=True, frozen=True, tag=1):
-    """One page of what a coordinator holds. `digest` is of all pages together; `number` of the engine list.
+    """One page of a coordinator's report. `digest` is of all pages together.
 
-    `firm`: the sender is past its own agreement; `blank`: its store was lost; `yours`: what it knows of the receiver's
-    store; `mine`: of its own; `up_ms`: how long it has run.
+    `settled`: the sender is past its own agreement; `store_lost`: it lost its store; `your_store`: what it knows of the
+    receiver's store.
     """
 
-    seq: Whole
-    digest: Whole
-    page: Annotated[int, Meta(ge=0, lt=MOST_PAGES)]
-    pages: Annotated[int, Meta(ge=1, le=MOST_PAGES)]
-    number: Whole
-    up_ms: Ms
-    firm: bool
-    blank: bool
-    yours: StoreState | None
-    mine: StoreState | None
+    seq: Count
+    digest: Count
+    page: Annotated[int, Meta(ge=0, lt=MAX_PAGES)]
+    page_count: Annotated[int, Meta(ge=1, le=MAX_PAGES)]
+    last_event: Count  # of the bus that the engine list includes
+    uptime_ms: Milliseconds
+    settled: bool
+    store_lost: bool
+    your_store: StoreState | None
+    own_store: StoreState | None
     engines: Annotated[list[ListedEngine], Meta(max_length=64)]
     bans: Annotated[list[BanStatement], Meta(max_length=64)]
 
@@ -94,31 +110,28 @@
 class TicketClaim(Struct, array_like=True, frozen=True, tag=2):
     """Request to let the sender, and nobody else, run the load of this ticket."""
 
-    ticket: Ticket
-    nonce: Whole
+    ticket: TicketId
+    nonce: Count
 
 
 class TicketReply(Struct, array_like=True, frozen=True, tag=3):
-    """A home's answer to a Claim: GRANTED, TAKEN (by another), RESTS, FULL or UNABLE.
-
-    `mine` is the state of its own store.
-    """
+    """A replica's answer to a TicketClaim, with the state of its own store."""
 
-    ticket: Ticket
-    nonce: Whole
-    how: Annotated[int, Meta(ge=GRANTED, le=UNABLE)]
-    mine: StoreState | None
+    ticket: TicketId
+    nonce: Count
+    status: TicketStatus
+    own_store: StoreState | None
 
 
 class TicketRelease(Struct, array_like=True, frozen=True, tag=4):
     """Notice that nothing of this claim was run or ever will be; not answered."""
 
-    ticket: Ticket
-    nonce: Whole
+    ticket: TicketId
+    nonce: Count
 
 
 Message = ReportRequest | ReportPage | TicketClaim | TicketReply | TicketRelease
 decode: Callable[[bytes], Message] = reader(Message)
 decode_ban = msgspec.msgpack.Decoder(BanStatement).decode
-decode_known = msgspec.msgpack.Decoder(StoreState).decode
-decode_listed = msgspec.msgpack.Decoder(ListedEngine).decode
+decode_store_state = msgspec.msgpack.Decoder(StoreState).decode
+decode_listed_engine = msgspec.msgpack.Decoder(ListedEngine).decode
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -61,7 +61,7 @@
 
 def agreed():
     """Return all values by name, as JSON has them."""
-    ticket = tickets.ticket("request-1")
+    ticket = tickets.ticket_id("request-1")
     return {
         "budget definition": node().budgets["heavy"].digest,
         "scatter catalogue": CATALOGUE.digest,
@@ -71,7 +71,7 @@
             IncarnationChain(b"secret", 256).proof(incarnation).hex() for incarnation in (0, 3, 256)
         ],
         "load ticket": ticket.hex(),
-        "ticket homes": tickets.homes(ticket, [f"c{number}" for number in range(1, 9)]),
+        "ticket homes": tickets.ticket_replicas(ticket, [f"c{number}" for number in range(1, 9)]),
         "ticket of a part": part_ticket("request-1", "north"),
         "order key": key_number(cls=2, key=b"account-9"),
         "task rank": draw(task="export", holder="c1"),
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -14,7 +14,7 @@
 from frostspindle.ownership import lease_table, progress
 from frostspindle.recovery import tickets
 from frostspindle.recovery import wire as recovery
-from frostspindle.recovery.node import HeartbeatRecord
+from frostspindle.recovery.inputs import HeartbeatRecord
 from frostspindle.replica import wire as replica
 from frostspindle.scatter import wire as scatter
 from frostspindle.settings import agreement, schema
@@ -64,43 +64,45 @@
     for name, body in FLEET.items()
 }
 
-STORE = recovery.StoreState(id=ID, life=2, generation=40)
-OTHER_STORE = recovery.StoreState(id=TOKEN, life=3, generation=41)
-BAN = recovery.BanStatement(maker="c1", engine="e7", on=True, at_ms=1_700_000_000_123.0)
+STORE = recovery.StoreState(id=ID, incarnation=2, generation=40)
+OTHER_STORE = recovery.StoreState(id=TOKEN, incarnation=3, generation=41)
+BAN = recovery.BanStatement(origin="c1", engine="e7", banned=True, at_ms=1_700_000_000_123.0)
 LISTED = recovery.ListedEngine(
     name="e7",
-    dial="10.0.1.7:9000",
-    site="north",
+    address="10.0.1.7:9000",
+    zone="north",
     kind="large",
-    block=-4,
+    cell=-4,
     health=2,
-    share=1.5,
-    born_ms=1_700_000_000_000.0,
-    told_ms=1_699_999_999_000.0,
-    ran=False,
+    weight=1.5,
+    started_ms=1_700_000_000_000.0,
+    published_start_ms=1_699_999_999_000.0,
+    ran_on=False,
 )
 RECOVERY = {
-    "state request": recovery.ReportRequest(seq=61, page=2, mine=STORE),
+    "state request": recovery.ReportRequest(seq=61, page=2, own_store=STORE),
     "state page": recovery.ReportPage(
         seq=62,
         digest=63,
         page=1,
-        pages=4,
-        number=64,
-        up_ms=65.5,
-        firm=True,
-        blank=True,
-        yours=OTHER_STORE,
-        mine=STORE,
+        page_count=4,
+        last_event=64,
+        uptime_ms=65.5,
+        settled=True,
+        store_lost=True,
+        your_store=OTHER_STORE,
+        own_store=STORE,
         engines=[LISTED],
         bans=[BAN],
     ),
     "ticket claim": recovery.TicketClaim(ticket=ID, nonce=71),
-    "ticket reply": recovery.TicketReply(ticket=ID, nonce=72, how=recovery.RESTS, mine=STORE),
+    "ticket reply": recovery.TicketReply(
+        ticket=ID, nonce=72, status=recovery.TicketStatus.IN_COOLDOWN, own_store=STORE
+    ),
     "ticket release": recovery.TicketRelease(ticket=ID, nonce=73),
 }
-BEAT = HeartbeatRecord(at_ms=1_700_000_001_000.0, number=66, clean=True)
-TICKET = tickets.TicketRecord(by="c2", nonce=74, at_ms=1_700_000_002_000.0)
+BEAT = HeartbeatRecord(at_ms=1_700_000_001_000.0, last_event=66, clean_shutdown=True)
+TICKET = tickets.TicketRecord(claimant="c2", nonce=74, at_ms=1_700_000_002_000.0)
 
 CELLS = {"region": [(2, "north"), (1, "7")]}
 SCATTER = {
@@ -304,8 +306,8 @@
     "replica entry": (replica.read_body, body_out, {"proposal": ("settings", b"command", TOKEN)}),
     "replica snapshot": (replica.read_snapshot, snapshot_out, {"snapshot": SNAPSHOT}),
     "recovery ban": (recovery.decode_ban, recovery.encode, {"ban": BAN}),
-    "recovery store": (recovery.decode_known, recovery.encode, {"store": STORE}),
-    "recovery engine": (recovery.decode_listed, recovery.encode, {"engine": LISTED}),
+    "recovery store": (recovery.decode_store_state, recovery.encode, {"store": STORE}),
+    "recovery engine": (recovery.decode_listed_engine, recovery.encode, {"engine": LISTED}),
     "recovery heartbeat": (partial(decode, type=HeartbeatRecord), encode, {"heartbeat": BEAT}),
     "recovery ticket": (partial(decode, type=tickets.TicketRecord), encode, {"ticket": TICKET}),
     "store head": (records.head_in, records.head_out, {"head": HEAD}),
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -18,7 +18,7 @@
 from frostspindle.order.shared_cells import OwnCellFile
 from frostspindle.ownership.fence import TokenFence
 from frostspindle.recovery import state_kinds, tickets
-from frostspindle.recovery.node import MARK
+from frostspindle.recovery.idle_mark import MARK
 from frostspindle.replica import wire as replica
 from frostspindle.replica.disk import JournalFile as JournalFile
 from frostspindle.replica.journal import RaftJournal
@@ -48,7 +48,7 @@
     state_kinds.prefix("engines") + b"e7": encode(LISTED),
     state_kinds.prefix("generations") + b"c2": encode(STORE),
     state_kinds.prefix("beat"): encode(BEAT),
-    state_kinds.prefix("tickets") + tickets.ticket("request-1"): encode(TICKET),
+    state_kinds.prefix("tickets") + tickets.ticket_id("request-1"): encode(TICKET),
     MARK: b"",
 }
 
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -20,7 +20,8 @@
 from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.ownership.fence import TokenFence
 from frostspindle.recovery import tickets
-from frostspindle.recovery.node import OpenedStore, RecoveryNode, RecoverySettings
+from frostspindle.recovery.inputs import OpenedStore, RecoverySettings
+from frostspindle.recovery.node import RecoveryNode
 from frostspindle.replica import wire as replica
 from frostspindle.replica.disk import JournalCondition
 from frostspindle.replica.disk import JournalFile as JournalFile
@@ -131,15 +132,15 @@
     assert (kept.versions, kept.at_ms) == ((stored.VERSION_3, stored.VERSION_4), stored.KEPT_AT_MS)
     assert [version.rules for version in kept.versions] == [stored.VERSION_3.rules, stored.VERSION_4.rules]
     node = RecoveryNode(
-        terms=RecoverySettings(name="c1", seeds=("c1", "c2", "c3")), now=0.0, unix=TICKET.at_ms + 1.0, seed=1
+        settings=RecoverySettings(name="c1", seeds=("c1", "c2", "c3")), now=0.0, unix=TICKET.at_ms + 1.0, seed=1
     )
     opened = OpenedStore(verdict="good", usable=True, trusted=True, entries=tuple(store.scan()))
-    node.opened(now=0.0, unix=TICKET.at_ms + 1.0, store=opened)
-    assert node.bans.words == {(BAN.maker, BAN.engine): BAN}
-    assert (node.known, node.beat, node.marked) == ({"c2": STORE}, BEAT, True)
-    assert (node.kept.number, node.kept.engines) == (BEAT.number, {LISTED.name: LISTED})
-    assert node.journal.table == {tickets.ticket("request-1"): TICKET}
-    assert node.counted["recovery_spoilt"] == 0
+    node.on_store_opened(now=0.0, unix=TICKET.at_ms + 1.0, store=opened)
+    assert node.bans.statements == {(BAN.origin, BAN.engine): BAN}
+    assert (node.peer_stores.states, node.heartbeat, node.idle_mark.marked) == ({"c2": STORE}, BEAT, True)
+    assert (node.stored_report.last_event, node.stored_report.engines) == (BEAT.last_event, {LISTED.name: LISTED})
+    assert node.loads.journal.records == {tickets.ticket_id("request-1"): TICKET}
+    assert node.counters["recovery_spoilt"] == 0
 
 
 @pytest.mark.parametrize(("name", "engine", "witnessed"), STORES)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -13,18 +13,14 @@
 from frostspindle.recovery import agreement, state_kinds, tickets, wire
 from frostspindle.recovery.admission import ReadyEngine, RecoveryAdmission, RequestClass, SlowStartCurve
 from frostspindle.recovery.agreement import BanTable, MemberReport
-from frostspindle.recovery.node import (
-    MARK,
-    ClaimResolved,
-    HeartbeatRecord,
-    MarkRestarted,
-    OpenedStore,
-    RecoveryNode,
-    RecoverySettings,
-)
-from frostspindle.recovery.stages import STEPS, RecoveryStages, Stage, StageInputs, StageTimeouts
+from frostspindle.recovery.idle_mark import MARK
+from frostspindle.recovery.inputs import HeartbeatRecord, OpenedStore, RecoverySettings
+from frostspindle.recovery.node import RecoveryNode
+from frostspindle.recovery.outputs import ClaimResolved, MarkRestarted
+from frostspindle.recovery.stages import RULES, RecoveryStages, Stage, StageInputs, StageTimeouts
 from frostspindle.recovery.state_kinds import ConflictRule, CooldownSettings, RespondersNeeded, TrustLevel
-from frostspindle.recovery.wire import BanStatement, ListedEngine, StoreState
+from frostspindle.recovery.tickets import ClaimOutcome
+from frostspindle.recovery.wire import BanStatement, ListedEngine, StoreState, TicketStatus
 from frostspindle.store.opening import open_store
 from frostspindle.store.sqlite_engine import SqliteEngine
 
@@ -36,8 +32,8 @@
     return ListedEngine(name, "127.0.0.1:1", "z", "k", 0, health, 1.0, born)
 
 
-def word(maker: str, number: int, *engines: ListedEngine, **kw) -> MemberReport:
-    return MemberReport(maker, number, {e.name: e for e in engines}, **kw)
+def report(origin: str, last_event: int, *engines: ListedEngine, **kw) -> MemberReport:
+    return MemberReport(origin, last_event, {e.name: e for e in engines}, **kw)
 
 
 class TableCase(unittest.TestCase):
@@ -51,40 +47,47 @@
         for name, kind in state_kinds.TABLE.items():
             self.assertEqual(
                 told.get(name),
-                [kind.trust, kind.who, kind.agreed, kind.alone, "yes" if kind.kept else "no", kind.rest or "no"],
+                [
+                    kind.trust,
+                    kind.responders,
+                    kind.with_quorum,
+                    kind.without_quorum,
+                    "yes" if kind.persisted else "no",
+                    kind.cooldown or "no",
+                ],
                 name,
             )
 
     def test_what_the_table_does_not_keep_can_t_be_written(self):
         for name, kind in state_kinds.TABLE.items():
-            if kind.kept:
+            if kind.persisted:
                 self.assertEqual(state_kinds.prefix(name), name.encode() + b"/")
             else:
                 self.assertRaises(KeyError, state_kinds.prefix, name)
             # Never both trusted for nothing and kept; what rests has a time to rest by.
-            self.assertFalse(kind.kept and kind.trust is TrustLevel.NEVER)
+            self.assertFalse(kind.persisted and kind.trust is TrustLevel.NEVER)
             self.assertEqual(
-                state_kinds.rest_ms(name, CooldownSettings(3.0, 5.0)),
-                {"rights_ms": 3.0, "tickets_ms": 5.0, "": 0.0}[kind.rest],
+                state_kinds.cooldown_ms(name, CooldownSettings(3.0, 5.0)),
+                {"rights_ms": 3.0, "tickets_ms": 5.0, "": 0.0}[kind.cooldown],
             )
-            self.assertTrue(kind.trust is not TrustLevel.RESTED or kind.rest)
-        self.assertIs(state_kinds.TABLE["tickets"].who, RespondersNeeded.HOMES)
+            self.assertTrue(kind.trust is not TrustLevel.AFTER_COOLDOWN or kind.cooldown)
+        self.assertIs(state_kinds.TABLE["tickets"].responders, RespondersNeeded.MAJORITY_OF_REPLICAS)
 
 
 FACTS = st.builds(
     StageInputs,
-    store=st.sampled_from(["", "good", "unreadable"]),
-    usable=st.booleans(),
+    store_verdict=st.sampled_from(["", "good", "unreadable"]),
+    store_usable=st.booleans(),
     epoch=st.sampled_from([0, 5]),
-    fleet=st.booleans(),
-    met=st.integers(0, 3),
-    need=st.just(2),
-    all=st.just(3),
-    agreed=st.booleans(),
-    rested=st.booleans(),
-    chilled=st.booleans(),
-    backlog=st.integers(0, 1),
-    warm=st.sampled_from([0.0, 0.95]),
+    in_fleet=st.booleans(),
+    seeds_alive=st.integers(0, 3),
+    quorum=st.just(2),
+    seed_count=st.just(3),
+    reported=st.booleans(),
+    cooldown_over=st.booleans(),
+    engines_marked=st.booleans(),
+    waiting=st.integers(0, 1),
+    warm_ratio=st.sampled_from([0.0, 0.95]),
 )
 
 
@@ -92,27 +95,27 @@
     @settings(max_examples=60, deadline=None)
     @given(st.lists(st.tuples(st.floats(0.0, 9_000.0), FACTS), max_size=30))
     def test_whatever_is_known_stages_go_on_in_order_each_within_its_bound(self, looks):
-        bounds, now = StageTimeouts(), 1_000.0
-        stages = RecoveryStages(bounds, now)
+        timeouts, now = StageTimeouts(), 1_000.0
+        stages = RecoveryStages(timeouts, now)
         for wait, facts in looks:
             now += wait
             before = stages.stage
-            for move in stages.look(now, facts):
-                self.assertEqual((move.left, move.stage), (before, before + 1))
-                step = STEPS[move.left]
-                self.assertLessEqual(move.took_ms, getattr(bounds, step.bound) + 1e-6)
-                self.assertTrue(move.weak or step.guard(facts))
-                self.assertEqual(move.why, step.weak if move.weak else step.done)
+            for move in stages.advance(now, facts):
+                self.assertEqual((move.previous, move.stage), (before, before + 1))
+                rule = RULES[move.previous]
+                self.assertLessEqual(move.duration_ms, rule.timeout(timeouts) + 1e-6)
+                self.assertTrue(move.timed_out or rule.guard(facts))
+                self.assertEqual(move.reason, rule.timeout_reason if move.timed_out else rule.done_reason)
                 before = move.stage
-            self.assertLess(now, stages.due())
+            self.assertLess(now, stages.next_due())
         facts = StageInputs()  # nothing is known, nobody is there, the disk is dead: it opens all the same
-        stages.look(1_000.0 + bounds.total_ms, facts)
-        self.assertTrue(stages.over)
+        stages.advance(1_000.0 + timeouts.total_ms, facts)
+        self.assertTrue(stages.finished)
 
     def test_a_store_that_can_t_be_used_is_not_waited_for(self):
         stages = RecoveryStages(StageTimeouts(), 0.0)
-        [move] = stages.look(1.0, StageInputs(store="unreadable"))
-        self.assertTrue(move.weak)
+        [move] = stages.advance(1.0, StageInputs(store_verdict="unreadable"))
+        self.assertTrue(move.timed_out)
         self.assertIs(stages.stage, Stage.ADDRESS)
 
 
@@ -129,23 +132,26 @@
             ]
         )
         found = agreement.agree(
-            "a", [word("a", 1, listed("x")), word("b", 2, listed("x", 2), listed("y"))], bans, self.SEEDS
+            "a", [report("a", 1, listed("x")), report("b", 2, listed("x", 2), listed("y"))], bans, self.SEEDS
         )
-        self.assertTrue(found.enough)
-        self.assertEqual((found.number, {e.name: e.health for e in found.list}), (2, {"x": 2, "y": 1}))
+        self.assertTrue(found.has_quorum)
+        self.assertEqual((found.last_event, {e.name: e.health for e in found.engines}), (2, {"x": 2, "y": 1}))
         self.assertEqual((found.banned, found.withheld), ({"y"}, set()))
 
     def test_alone_all_bans_hold_and_engines_that_not_all_have_ready_are_withheld(self):
         bans = BanTable([BanStatement("b", "x", True, 1.0)])
-        own = word("a", 3, listed("x"), listed("y"), listed("z"))
-        for others in ([], [word("b", 2, listed("x"), listed("y", 2), blank=True)]):  # a lost store does not count
+        own = report("a", 3, listed("x"), listed("y"), listed("z"))
+        for others in (
+            [],
+            [report("b", 2, listed("x"), listed("y", 2), store_lost=True)],
+        ):  # a lost store does not count
             found = agreement.agree("a", [own, *others], bans, self.SEEDS)
-            self.assertFalse(found.enough)
-            self.assertEqual((found.withheld, found.banned, found.list), ({"x"}, set(), ()))
-        found = agreement.agree("d", [own, word("e", 2, listed("y", 2), listed("z"))], BanTable(), self.SEEDS)
+            self.assertFalse(found.has_quorum)
+            self.assertEqual((found.withheld, found.banned, found.engines), ({"x"}, set(), ()))
+        found = agreement.agree("d", [own, report("e", 2, listed("y", 2), listed("z"))], BanTable(), self.SEEDS)
         self.assertEqual(found.withheld, {"x", "y"})
         # Lists that share nothing would leave nothing to serve with.
-        found = agreement.agree("d", [word("d", 1, listed("p")), word("e", 2, listed("q"))], BanTable(), self.SEEDS)
+        found = agreement.agree("d", [report("d", 1, listed("p")), report("e", 2, listed("q"))], BanTable(), self.SEEDS)
         self.assertEqual(found.withheld, set())
 
     @settings(max_examples=40, deadline=None)
@@ -165,85 +171,87 @@
     def test_bans_come_to_the_same_in_any_order_and_twice(self, words, draw):
         mixed = words * 2
         draw.shuffle(mixed)
-        self.assertEqual(BanTable(words).words, BanTable(mixed).words)
-        self.assertLessEqual(BanTable(words).of("a"), BanTable(words).anybody())
+        self.assertEqual(BanTable(words).statements, BanTable(mixed).statements)
+        self.assertLessEqual(BanTable(words).banned_by("a"), BanTable(words).banned_by_any())
 
     def test_engines_are_cold_unless_somebody_saw_them_run_on_or_the_list_tells_of_a_new_start(self):
-        ran = [word(m, 5, listed("x", born=7.0), firm=True, up_ms=agreement.RAN_MS) for m in "bc"]
-        found = agreement.agree("a", [word("a", 5, listed("x")), *ran], BanTable(), self.SEEDS)
-        self.assertEqual(found.starts, {"x": 7.0})
+        ran = [
+            report(m, 5, listed("x", born=7.0), settled=True, uptime_ms=agreement.MIN_WITNESS_UPTIME_MS) for m in "bc"
+        ]
+        found = agreement.agree("a", [report("a", 5, listed("x")), *ran], BanTable(), self.SEEDS)
+        self.assertEqual(found.engine_starts, {"x": 7.0})
         late = agreement.agree(
             "a",
-            [word("a", 5, listed("x")), ran[0], word("c", 5, listed("x"), firm=True, up_ms=9.0)],
+            [report("a", 5, listed("x")), ran[0], report("c", 5, listed("x"), settled=True, uptime_ms=9.0)],
             BanTable(),
             self.SEEDS,
         )
-        self.assertEqual(late.starts, {})
-        one = msgspec.structs.replace(listed("x", born=7.0), ran=False)  # saw it refuse connections
+        self.assertEqual(late.engine_starts, {})
+        one = msgspec.structs.replace(listed("x", born=7.0), ran_on=False)  # saw it refuse connections
         seen = agreement.agree(
             "a",
             [
-                word("a", 5, listed("x")),
+                report("a", 5, listed("x")),
                 ran[0],
-                word("c", 5, one, listed("y", born=3.0), firm=True, up_ms=agreement.RAN_MS),
+                report("c", 5, one, listed("y", born=3.0), settled=True, uptime_ms=agreement.MIN_WITNESS_UPTIME_MS),
             ],
             BanTable(),
             self.SEEDS,
         )
-        self.assertEqual(seen.starts, {"y": 3.0})
+        self.assertEqual(seen.engine_starts, {"y": 3.0})
         born = {"x": 1.0, "y": 50.0}
-        self.assertEqual(agreement.cold(born, {}, 10.0, False), {"x"})
-        self.assertEqual(agreement.cold(born, {"x": 7.0}, 10.0, False), set())
-        self.assertEqual(agreement.cold(born, {}, None, False), {"x", "y"})
-        self.assertEqual(agreement.cold(born, {}, 10.0, True), set())
+        self.assertEqual(agreement.cold_engines(born, {}, 10.0, False), {"x"})
+        self.assertEqual(agreement.cold_engines(born, {"x": 7.0}, 10.0, False), set())
+        self.assertEqual(agreement.cold_engines(born, {}, None, False), {"x", "y"})
+        self.assertEqual(agreement.cold_engines(born, {}, 10.0, True), set())
 
 
 class JournalCase(unittest.TestCase):
     def test_a_ticket_is_granted_once_and_only_when_its_record_is_durable(self):
         journal = tickets.TicketJournal((), 1_000.0, UNIX, False)
-        of = tickets.ticket("1")
-        self.assertIsNone(journal.ask(UNIX, "a", of, 7))
-        self.assertEqual(journal.ask(UNIX, "b", of, 8), wire.TAKEN)
-        self.assertIsNone(journal.ask(UNIX, "a", of, 7))  # asked again before it is written: no earlier answer
-        batch = journal.batch()
+        of = tickets.ticket_id("1")
+        self.assertIsNone(journal.claim(UNIX, "a", of, 7))
+        self.assertEqual(journal.claim(UNIX, "b", of, 8), TicketStatus.TAKEN)
+        self.assertIsNone(journal.claim(UNIX, "a", of, 7))  # asked again before it is written: no earlier answer
+        batch = journal.next_batch()
         self.assertEqual(list(batch), [b"tickets/" + of])
-        self.assertIsNone(journal.batch())
-        self.assertEqual(journal.written(True), [(tickets.PendingClaimant("a", of, 7), wire.GRANTED)])
-        self.assertEqual(journal.ask(UNIX, "a", of, 7), wire.GRANTED)
-        journal.free("b", of, 8)  # not its own
-        self.assertEqual(journal.ask(UNIX, "b", of, 8), wire.TAKEN)
-        journal.free("a", of, 7)
-        self.assertEqual(journal.batch(), {b"tickets/" + of: None})
-        journal.written(True)
-        self.assertIsNone(journal.ask(UNIX, "b", of, 8))
+        self.assertIsNone(journal.next_batch())
+        self.assertEqual(journal.on_batch_written(True), [(tickets.PendingClaimant("a", of, 7), TicketStatus.GRANTED)])
+        self.assertEqual(journal.claim(UNIX, "a", of, 7), TicketStatus.GRANTED)
+        journal.release("b", of, 8)  # not its own
+        self.assertEqual(journal.claim(UNIX, "b", of, 8), TicketStatus.TAKEN)
+        journal.release("a", of, 7)
+        self.assertEqual(journal.next_batch(), {b"tickets/" + of: None})
+        journal.on_batch_written(True)
+        self.assertIsNone(journal.claim(UNIX, "b", of, 8))
 
     def test_a_home_without_its_records_grants_nothing(self):
-        of = tickets.ticket("1")
+        of = tickets.ticket_id("1")
         resting = tickets.TicketJournal((), 1_000.0, UNIX, True)
-        self.assertEqual(resting.ask(UNIX + 999.0, "a", of, 1), wire.RESTS)
-        self.assertIsNone(resting.ask(UNIX + 1_000.0, "a", of, 1))
-        spoilt = tickets.TicketJournal([(b"tickets/" + of, b"\xc1")], 1_000.0, UNIX, False)
-        self.assertEqual((spoilt.ask(UNIX, "a", of, 1), spoilt.spoilt), (wire.RESTS, 1))
-        full = tickets.TicketJournal((), 1_000.0, UNIX, False, most=1)
-        full.ask(UNIX, "a", of, 1)
-        self.assertEqual(full.ask(UNIX, "a", tickets.ticket("2"), 2), wire.FULL)
-        full.batch()
-        self.assertEqual(full.written(False, True), [(tickets.PendingClaimant("a", of, 1), wire.FULL)])
-        self.assertIsNone(full.ask(UNIX, "b", of, 9))  # nothing of it was written
-        full.batch()
-        self.assertEqual(full.written(False), [(tickets.PendingClaimant("b", of, 9), wire.UNABLE)])
-        self.assertEqual(full.ask(UNIX, "c", tickets.ticket("3"), 2), wire.UNABLE)
-        self.assertEqual(full.ask(UNIX, "c", of, 3), wire.TAKEN)  # it may be there
-        self.assertIsNone(full.batch())
+        self.assertEqual(resting.claim(UNIX + 999.0, "a", of, 1), TicketStatus.IN_COOLDOWN)
+        self.assertIsNone(resting.claim(UNIX + 1_000.0, "a", of, 1))
+        corrupt = tickets.TicketJournal([(b"tickets/" + of, b"\xc1")], 1_000.0, UNIX, False)
+        self.assertEqual((corrupt.claim(UNIX, "a", of, 1), corrupt.corrupt), (TicketStatus.IN_COOLDOWN, 1))
+        full = tickets.TicketJournal((), 1_000.0, UNIX, False, max_tickets=1)
+        full.claim(UNIX, "a", of, 1)
+        self.assertEqual(full.claim(UNIX, "a", tickets.ticket_id("2"), 2), TicketStatus.FULL)
+        full.next_batch()
+        self.assertEqual(full.on_batch_written(False, True), [(tickets.PendingClaimant("a", of, 1), TicketStatus.FULL)])
+        self.assertIsNone(full.claim(UNIX, "b", of, 9))  # nothing of it was written
+        full.next_batch()
+        self.assertEqual(full.on_batch_written(False), [(tickets.PendingClaimant("b", of, 9), TicketStatus.UNABLE)])
+        self.assertEqual(full.claim(UNIX, "c", tickets.ticket_id("3"), 2), TicketStatus.UNABLE)
+        self.assertEqual(full.claim(UNIX, "c", of, 3), TicketStatus.TAKEN)  # it may be there
+        self.assertIsNone(full.next_batch())
 
     def test_records_end_once_clients_repeat_no_more_also_after_a_clock_was_set_back(self):
-        of = tickets.ticket("1")
+        of = tickets.ticket_id("1")
         held = msgspec.msgpack.encode(tickets.TicketRecord("a", 1, UNIX + 5e9))
         journal = tickets.TicketJournal([(b"tickets/" + of, held)], 1_000.0, UNIX, False)
         journal.prune(UNIX + 1_000.0)
-        self.assertEqual(journal.ask(UNIX, "b", of, 2), wire.TAKEN)
+        self.assertEqual(journal.claim(UNIX, "b", of, 2), TicketStatus.TAKEN)
         journal.prune(UNIX + 1_001.0)
-        self.assertEqual(journal.batch(), {b"tickets/" + of: None})
+        self.assertEqual(journal.next_batch(), {b"tickets/" + of: None})
 
     def test_a_kill_at_every_write_point_never_has_a_granted_ticket_granted_again(self):
         """The store's contract has a batch whole or not at all at each of its own steps; what is left are these."""
@@ -252,63 +260,63 @@
                 folder = Path(at, str(cut))
                 store = open_store(folder, "a", SqliteEngine)
                 journal = tickets.TicketJournal((), 1e6, UNIX, False)
-                of = tickets.ticket("1")
-                journal.ask(UNIX, "a", of, 1)
-                batch = journal.batch()
+                of = tickets.ticket_id("1")
+                journal.claim(UNIX, "a", of, 1)
+                batch = journal.next_batch()
                 told = []
                 if cut:
                     store.apply(batch)
                 if cut == 2:
-                    told = journal.written(True)
-                    self.assertEqual(told[0][1], wire.GRANTED)
+                    told = journal.on_batch_written(True)
+                    self.assertEqual(told[0][1], TicketStatus.GRANTED)
                 store.close()
                 again = open_store(folder, "a", SqliteEngine)
                 back = tickets.TicketJournal(again.scan(b"tickets/"), 1e6, UNIX, False)
-                self.assertEqual(back.ask(UNIX, "b", of, 2), wire.TAKEN if cut else None)
+                self.assertEqual(back.claim(UNIX, "b", of, 2), TicketStatus.TAKEN if cut else None)
                 again.close()
 
 
 class ClaimsCase(unittest.TestCase):
-    HOMES = ["a", "b", "c"]
+    REPLICAS = ["a", "b", "c"]
 
     def begin(self):
         claims = tickets.TicketClaims(1_000.0)
-        sends = claims.begin(0.0, b"t" * 16, 1, self.HOMES)
-        self.assertEqual([(s.home, s.free) for s in sends], [(h, False) for h in self.HOMES])
+        sends = claims.begin(0.0, b"t" * 16, 1, self.REPLICAS)
+        self.assertEqual([(s.replica, s.release) for s in sends], [(h, False) for h in self.REPLICAS])
         return claims
 
     def test_more_than_half_let_it_go_and_it_is_freed_only_if_nothing_ran(self):
         for ran in (True, False):
             claims = self.begin()
-            self.assertIsNone(claims.hear(1.0, "a", 1, wire.GRANTED))
-            self.assertIsNone(claims.hear(1.0, "a", 1, wire.GRANTED))  # doubled on its way
-            self.assertIsNone(claims.hear(1.0, "z", 1, wire.GRANTED))  # no home of it
-            self.assertEqual(claims.hear(1.0, "b", 1, wire.GRANTED), (tickets.GO, []))
-            self.assertEqual(len(claims.settled(2.0, 1, ran)), 0 if ran else 3)
-            self.assertEqual(len(claims.frees), 0 if ran else 1)
+            self.assertIsNone(claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED))
+            self.assertIsNone(claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED))  # doubled on its way
+            self.assertIsNone(claims.on_reply(1.0, "z", 1, TicketStatus.GRANTED))  # no home of it
+            self.assertEqual(claims.on_reply(1.0, "b", 1, TicketStatus.GRANTED), (ClaimOutcome.GRANTED, []))
+            self.assertEqual(len(claims.on_load_ended(2.0, 1, ran)), 0 if ran else 3)
+            self.assertEqual(len(claims.releasing), 0 if ran else 1)
 
     def test_one_that_says_taken_or_too_few_that_can_grant_end_it(self):
         claims = self.begin()
-        how, frees = claims.hear(1.0, "c", 1, wire.TAKEN)
-        self.assertEqual((how, len(frees), frees[0].free), (tickets.RAN, 3, True))
+        how, frees = claims.on_reply(1.0, "c", 1, TicketStatus.TAKEN)
+        self.assertEqual((how, len(frees), frees[0].release), (ClaimOutcome.MAY_HAVE_RUN, 3, True))
         claims = self.begin()
-        self.assertIsNone(claims.hear(1.0, "a", 1, wire.RESTS))
-        self.assertEqual(claims.hear(1.0, "b", 1, wire.UNABLE)[0], tickets.CANT)
+        self.assertIsNone(claims.on_reply(1.0, "a", 1, TicketStatus.IN_COOLDOWN))
+        self.assertEqual(claims.on_reply(1.0, "b", 1, TicketStatus.UNABLE)[0], ClaimOutcome.NO_RECORD)
         claims = self.begin()
-        claims.hear(1.0, "a", 1, wire.GRANTED)
+        claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED)
         sends, ended = claims.tick(tickets.RESEND_MS)
-        self.assertEqual(([s.home for s in sends], ended), (["b", "c"], []))
-        self.assertEqual(claims.tick(1_000.0)[1], [(1, tickets.UNSURE)])
+        self.assertEqual(([s.replica for s in sends], ended), (["b", "c"], []))
+        self.assertEqual(claims.tick(1_000.0)[1], [(1, ClaimOutcome.NO_QUORUM)])
         for _ in range(5):
-            claims.tick(claims.due())
-        self.assertFalse(claims.frees)
+            claims.tick(claims.next_due())
+        self.assertFalse(claims.releasing)
 
     def test_homes_are_the_same_for_all_and_two_majorities_share_one(self):
         seeds = [f"s{n}" for n in range(9)]
         for number in range(50):
-            of = tickets.ticket(str(number))
-            self.assertEqual(tickets.homes(of, seeds), tickets.homes(of, reversed(seeds)))
-            self.assertEqual(len(set(tickets.homes(of, seeds))), tickets.HOMES)
+            of = tickets.ticket_id(str(number))
+            self.assertEqual(tickets.ticket_replicas(of, seeds), tickets.ticket_replicas(of, reversed(seeds)))
+            self.assertEqual(len(set(tickets.ticket_replicas(of, seeds))), tickets.REPLICAS)
 
 
 CLASSES = (
@@ -321,75 +329,75 @@
 def gate(cores: float = 8.0, most: int = 100, retry: float = 1_000.0, born: float = UNIX) -> RecoveryAdmission:
     intake = RecoveryAdmission(CLASSES, SlowStartCurve(0.3, 15_000.0), 1.0, most, 1, retry)
     intake.engines = (ReadyEngine(cores, born),)
-    intake.expected = UNIX
+    intake.expected_start = UNIX
     return intake
 
 
 class IntakeCase(unittest.TestCase):
     def test_nothing_goes_on_before_service_has_begun_however_late(self):
         intake = gate()
-        self.assertEqual(intake.enter(UNIX, 1, 0, 0, 7_500.0, 100.0, True), [])
-        self.assertEqual([o for o in intake.look(UNIX + 5_000.0) if o.passes], [])
-        intake.begun = True
-        self.assertEqual(intake.look(UNIX + 5_001.0), [(1, True, 0.0)])
+        self.assertEqual(intake.submit(UNIX, 1, 0, 0, 7_500.0, 100.0, True), [])
+        self.assertEqual([o for o in intake.poll(UNIX + 5_000.0) if o.admitted], [])
+        intake.service_started = True
+        self.assertEqual(intake.poll(UNIX + 5_001.0), [(1, True, 0.0)])
 
     def test_worth_a_unit_of_work_goes_first_and_loads_wait_for_their_tickets(self):
         intake = gate(born=0.0)
         for number, cls, cost in ((1, 1, 2_400.0), (2, 0, 900.0), (3, 0, 100.0), (4, 2, 10.0)):
-            intake.enter(UNIX, number, cls, 0, 60_000.0, cost, cls != 2)
-        intake.begun = True
-        self.assertEqual([o.number for o in intake.look(UNIX + 1.0)], [3, 1, 2])
-        intake.clear(4)
-        self.assertEqual(intake.look(UNIX + 2.0), [])
-        intake.loads = True
-        intake.clear(4)
-        self.assertEqual(intake.look(UNIX + 3.0), [(4, True, 0.0)])
+            intake.submit(UNIX, number, cls, 0, 60_000.0, cost, cls != 2)
+        intake.service_started = True
+        self.assertEqual([o.number for o in intake.poll(UNIX + 1.0)], [3, 1, 2])
+        intake.grant_ticket(4)
+        self.assertEqual(intake.poll(UNIX + 2.0), [])
+        intake.admits_non_idempotent = True
+        intake.grant_ticket(4)
+        self.assertEqual(intake.poll(UNIX + 3.0), [(4, True, 0.0)])
 
     def test_a_key_keeps_its_order_also_when_its_first_waits_for_a_ticket(self):
         for opened in (False, True):
             intake = gate(born=0.0)
-            intake.begun = intake.loads = True
+            intake.service_started = intake.admits_non_idempotent = True
             intake.open = opened
-            self.assertEqual(intake.enter(UNIX, 1, 2, 5, 9_000.0, 1_000.0, False), [])
-            self.assertEqual(intake.enter(UNIX, 2, 0, 5, 9_000.0, 10.0, True), [])
-            intake.clear(1)
-            self.assertEqual([o.number for o in intake.look(UNIX + 1.0)], [1, 2])
-            self.assertFalse(intake.lines)
+            self.assertEqual(intake.submit(UNIX, 1, 2, 5, 9_000.0, 1_000.0, False), [])
+            self.assertEqual(intake.submit(UNIX, 2, 0, 5, 9_000.0, 10.0, True), [])
+            intake.grant_ticket(1)
+            self.assertEqual([o.number for o in intake.poll(UNIX + 1.0)], [1, 2])
+            self.assertFalse(intake.queues)
 
     def test_who_can_t_be_done_in_time_is_told_at_once_and_the_waits_are_spread(self):
         intake, outs = gate(cores=1.0), []
         for number in range(1, 61):  # at 0.3 cores 200 ms take 667, and 2,000 more than 3 s
-            outs += intake.enter(UNIX, number, 0, 0, 3_000.0, 2_000.0 if number % 2 else 200.0, True)
-        outs += intake.look(UNIX + 60.0)
-        self.assertEqual({(o.number % 2, o.passes) for o in outs}, {(1, False)})
+            outs += intake.submit(UNIX, number, 0, 0, 3_000.0, 2_000.0 if number % 2 else 200.0, True)
+        outs += intake.poll(UNIX + 60.0)
+        self.assertEqual({(o.number % 2, o.admitted) for o in outs}, {(1, False)})
         self.assertEqual(len(outs), 30)
         waits = [o.retry_ms for o in outs]
         self.assertTrue(all(0.0 < wait <= 1_000.0 for wait in waits))
         self.assertGreater(len({round(wait / 50.0) for wait in waits}), 8)
         # The others may still be served, whoever is ahead; in the end nobody is kept for nothing.
-        self.assertEqual(intake.look(UNIX + 2_200.0), [])
-        self.assertEqual(len([o for o in intake.look(UNIX + 2_400.0) if not o.passes]), 30)
+        self.assertEqual(intake.poll(UNIX + 2_200.0), [])
+        self.assertEqual(len([o for o in intake.poll(UNIX + 2_400.0) if not o.admitted]), 30)
         untold = gate(cores=1.0, retry=0.0)
-        self.assertEqual(untold.enter(UNIX, 1, 0, 0, 3_000.0, 2_000.0, True), [(1, False, 0.0)])
+        self.assertEqual(untold.submit(UNIX, 1, 0, 0, 3_000.0, 2_000.0, True), [(1, False, 0.0)])
 
     def test_what_engines_will_have_done_is_told_anew_when_they_change_or_time_has_passed(self):
         intake = gate(cores=1.0, born=0.0)
-        intake.begun = True
+        intake.service_started = True
         for at in (0.0, 330.0, 9_990.0, 11_000.0, 90_000.0):
-            self.assertAlmostEqual(intake._until(UNIX + at, 1_000.0), UNIX + at + 1_000.0, delta=1.0)
+            self.assertAlmostEqual(intake._completion_time(UNIX + at, 1_000.0), UNIX + at + 1_000.0, delta=1.0)
         intake.share = 0.5
-        self.assertAlmostEqual(intake._until(UNIX + 90_010.0, 1_000.0), UNIX + 92_010.0, delta=1.0)
+        self.assertAlmostEqual(intake._completion_time(UNIX + 90_010.0, 1_000.0), UNIX + 92_010.0, delta=1.0)
         intake.engines = (ReadyEngine(2.0, 0.0),)
-        self.assertAlmostEqual(intake._until(UNIX + 90_020.0, 1_000.0), UNIX + 91_020.0, delta=1.0)
+        self.assertAlmostEqual(intake._completion_time(UNIX + 90_020.0, 1_000.0), UNIX + 91_020.0, delta=1.0)
         intake.engines = ()
-        self.assertEqual(intake._until(UNIX + 90_030.0, 1_000.0), math.inf)
+        self.assertEqual(intake._completion_time(UNIX + 90_030.0, 1_000.0), math.inf)
 
     def test_past_its_bound_what_is_worth_least_for_its_work_makes_way(self):
         intake = gate(most=2)
-        intake.enter(UNIX, 1, 0, 0, 7_500.0, 100.0, True)
-        intake.enter(UNIX, 2, 0, 0, 7_500.0, 900.0, True)
-        [out] = intake.enter(UNIX, 3, 0, 0, 7_500.0, 300.0, True)
-        self.assertEqual((out.number, out.passes, len(intake.waiting)), (2, False, 2))
+        intake.submit(UNIX, 1, 0, 0, 7_500.0, 100.0, True)
+        intake.submit(UNIX, 2, 0, 0, 7_500.0, 900.0, True)
+        [out] = intake.submit(UNIX, 3, 0, 0, 7_500.0, 300.0, True)
+        self.assertEqual((out.number, out.admitted, len(intake.waiting)), (2, False, 2))
 
     @settings(max_examples=30, deadline=None)
     @given(st.integers(0, 10_000))
@@ -399,33 +407,33 @@
         gone: set[int] = set()
         for number in range(1, 80):
             now += draw.choice((0.0, 1.0, 40.0, 300.0))
-            intake.begun |= draw.random() < 0.1
-            intake.loads |= draw.random() < 0.05
+            intake.service_started |= draw.random() < 0.1
+            intake.admits_non_idempotent |= draw.random() < 0.05
             cls, key = draw.randrange(3), draw.choice((0, 0, 1, 2))
             keys[number], left = key, draw.choice((300.0, 4_000.0, 20_000.0))
             ends[number] = now + left
-            outs = intake.enter(now, number, cls, key, left, draw.uniform(1.0, 3_000.0), cls != 2)
+            outs = intake.submit(now, number, cls, key, left, draw.uniform(1.0, 3_000.0), cls != 2)
             if draw.random() < 0.5:
-                intake.clear(number)
+                intake.grant_ticket(number)
             if draw.random() < 0.1:
                 gone.add(victim := draw.randrange(1, number + 1))
-                intake.drop(victim)
-            outs += intake.look(now + 60.0)
+                intake.remove(victim)
+            outs += intake.poll(now + 60.0)
             for one in outs:
                 self.assertNotIn(one.number, out)
-                out[one.number] = one.passes
-                if one.passes and keys[one.number]:
+                out[one.number] = one.admitted
+                if one.admitted and keys[one.number]:
                     earlier = [n for n in range(1, one.number) if keys[n] == keys[one.number]]
                     self.assertTrue(all(n in out or n in gone for n in earlier))
             now += 60.0
             for one in intake.waiting.values():
-                self.assertGreaterEqual(one.ends, now - 60.0)
-        intake.begun = intake.loads = True
+                self.assertGreaterEqual(one.deadline, now - 60.0)
+        intake.service_started = intake.admits_non_idempotent = True
         for number in list(intake.waiting):
-            intake.clear(number)
-        released = [o.number for o in intake.release()]
+            intake.grant_ticket(number)
+        released = [o.number for o in intake.open_gate()]
         self.assertFalse(intake.waiting)
-        self.assertFalse(intake.lines)
+        self.assertFalse(intake.queues)
         self.assertEqual(len(set(released)), len(released))
 
 
@@ -444,16 +452,18 @@
         if generation is not None:
             disk["generation"] = generation
         node = self.nodes[name] = RecoveryNode(
-            RecoverySettings(name, tuple(self.names), rests=CooldownSettings(0.0, self.ticket_ms), first_start=first),
+            RecoverySettings(
+                name, tuple(self.names), cooldowns=CooldownSettings(0.0, self.ticket_ms), first_start=first
+            ),
             self.now,
             UNIX + self.now,
             self.draw.getrandbits(30),
         )
         self.effects[name] = []
-        node.begin(self.now, UNIX + self.now, 1)
-        node.rested(self.now, UNIX + self.now)
-        node.holds(self.now, UNIX + self.now, 1, {"e": listed("e")})
-        node.opened(
+        node.on_port_bound(self.now, UNIX + self.now, 1)
+        node.on_cooldown_over(self.now, UNIX + self.now)
+        node.on_engine_list(UNIX + self.now, 1, {"e": listed("e")})
+        node.on_store_opened(
             self.now,
             UNIX + self.now,
             OpenedStore(
@@ -467,13 +477,13 @@
         )
         for other, there in self.nodes.items():
             if other != name:
-                there.member(self.now, UNIX + self.now, name, True)
-                node.member(self.now, UNIX + self.now, other, True)
+                there.on_member(self.now, UNIX + self.now, name, True)
+                node.on_member(self.now, UNIX + self.now, other, True)
 
     def kill(self, name):
         del self.nodes[name]
         for there in self.nodes.values():
-            there.member(self.now, UNIX + self.now, name, False)
+            there.on_member(self.now, UNIX + self.now, name, False)
 
     def run(self, ms, step=20.0):
         until = self.now + ms
@@ -482,34 +492,34 @@
             sent, self.way = self.way, []
             for source, target, data in sent:
                 if target in self.nodes:
-                    self.nodes[target].hear(self.now, UNIX + self.now, source, data)
+                    self.nodes[target].on_message(self.now, UNIX + self.now, source, data)
             for name, node in self.nodes.items():
                 node.tick(self.now, UNIX + self.now)
-                if (batch := node.batch()) is not None:
+                if (batch := node.next_batch()) is not None:
                     disk = self.disks[name]
                     for key, value in batch.items():
                         disk["entries"].pop(key, None) if value is None else disk["entries"].__setitem__(key, value)
                     disk["generation"] += 1
-                    node.written(self.now, UNIX + self.now, True)
-                for target, data in node.out:
+                    node.on_batch_written(self.now, UNIX + self.now, True)
+                for target, data in node.outbox:
                     for _ in range(self.draw.choice((1, 1, 2)) if self.loss else 1):
                         if self.draw.random() >= self.loss:
                             self.way.append((name, target, data))
                 self.draw.shuffle(self.way) if self.loss else None
                 for chill in [effect for effect in node.effects if isinstance(effect, MarkRestarted)]:
-                    node.holds(
-                        self.now,
+                    node.on_engine_list(
                         UNIX + self.now,
                         1,
                         {**node.engines, **{n: listed(n, born=s) for n, s in chill.starts.items()}},
                     )
                 self.effects[name] += node.effects
-                node.out, node.effects = [], []
+                node.outbox.clear()
+                node.effects.clear()
 
     def claim(self, name, number, text, ms=2_500.0):
-        self.nodes[name].claim(self.now, UNIX + self.now, number, text)
+        self.nodes[name].loads.claim(self.now, UNIX + self.now, number, text)
         self.run(ms)
-        return [e.how for e in self.effects[name] if isinstance(e, ClaimResolved) and e.number == number]
+        return [e.outcome for e in self.effects[name] if isinstance(e, ClaimResolved) and e.number == number]
 
 
 class NodeCase(unittest.TestCase):
@@ -523,9 +533,9 @@
     def test_a_load_is_granted_once_through_loss_a_loss_of_power_and_whoever_asks(self):
         for loss in (0.0, 0.3):
             net = self.fleet(5, loss=loss)
-            self.assertTrue(all(node.firm for node in net.nodes.values()))
-            self.assertEqual(net.claim("c0", 1, "load"), [tickets.GO])
-            self.assertEqual(net.claim("c1", 1, "load"), [tickets.RAN])
+            self.assertTrue(all(node.settled for node in net.nodes.values()))
+            self.assertEqual(net.claim("c0", 1, "load"), [ClaimOutcome.GRANTED])
+            self.assertEqual(net.claim("c1", 1, "load"), [ClaimOutcome.MAY_HAVE_RUN])
             for name in net.names:
                 net.kill(name)
             net.way = []
@@ -533,7 +543,7 @@
                 net.start(name, fresh=name == "c4", trusted=True)
             net.run(5_000.0)
             for name in net.names:
-                self.assertNotEqual(net.claim(name, 2, "load"), [tickets.GO])
+                self.assertNotEqual(net.claim(name, 2, "load"), [ClaimOutcome.GRANTED])
 
     def test_a_lost_or_older_store_is_known_by_others_and_grants_nothing(self):
         net = self.fleet(3)
@@ -542,16 +552,16 @@
             net.kill(name)
             net.start(name, **kw)
             net.run(3_000.0)
-            self.assertTrue(net.nodes[name].blank, name)
-            self.assertTrue(net.nodes[name].journal.resting(UNIX + net.now))
+            self.assertTrue(net.nodes[name].store_lost, name)
+            self.assertTrue(net.nodes[name].loads.journal.in_cooldown(UNIX + net.now))
         # Two of three homes rest: no load can be had, and none runs twice.
-        self.assertEqual(net.claim("c2", 5, "another"), [tickets.CANT])
+        self.assertEqual(net.claim("c2", 5, "another"), [ClaimOutcome.NO_RECORD])
 
     def test_a_store_set_back_by_seconds_is_known_by_others_also_after_a_loss_of_all(self):
         net = self.fleet(3)
         net.run(1_500.0)  # what the beats have written lies behind the copy, and the next ones are far
         before = net.disks["c0"]["generation"]
-        self.assertEqual(net.claim("c1", 1, "load", 1_900.0), [tickets.GO])
+        self.assertEqual(net.claim("c1", 1, "load", 1_900.0), [ClaimOutcome.GRANTED])
         self.assertGreater(net.disks["c0"]["generation"], before)
         for name in net.names:
             net.kill(name)
@@ -559,17 +569,17 @@
         for name in net.names:
             net.start(name, generation=before if name == "c0" else None)
         net.run(3_000.0)
-        self.assertEqual([net.nodes[name].blank for name in net.names], [True, False, False])
+        self.assertEqual([net.nodes[name].store_lost for name in net.names], [True, False, False])
 
     def test_its_own_bans_come_back_from_the_others(self):
         net = self.fleet(3)
-        net.nodes["c0"].ban(UNIX + net.now, "e", True)
+        net.nodes["c0"].record_ban(UNIX + net.now, "e", True)
         net.run(12_000.0)
         net.kill("c0")
         net.start("c0", fresh=True)
         net.run(3_000.0)
         agreed = net.nodes["c0"].agreed
-        self.assertTrue(agreed.enough)
+        self.assertTrue(agreed.has_quorum)
         self.assertEqual(agreed.banned, {"e"})
 
     def test_alone_with_a_dead_disk_it_serves_in_the_end(self):
@@ -577,9 +587,9 @@
         net.start("c0", usable=False, trusted=False)
         net.run(StageTimeouts().total_ms + 1_000.0)
         node = net.nodes["c0"]
-        self.assertTrue(node.stages.over)
-        self.assertLessEqual({Stage.STORE, Stage.FIND, Stage.AGREE}, node.stages.weak)
-        self.assertEqual(net.claim("c0", 1, "x"), [tickets.UNSURE])
+        self.assertTrue(node.stages.finished)
+        self.assertLessEqual({Stage.STORE, Stage.FIND, Stage.AGREE}, node.stages.timed_out)
+        self.assertEqual(net.claim("c0", 1, "x"), [ClaimOutcome.NO_QUORUM])
 
     def test_engines_are_cold_after_a_loss_at_all_by_one_start_and_not_after_a_good_end(self):
         for clean in (False, True):
@@ -587,7 +597,7 @@
             net.run(6_000.0)
             for name in net.names:
                 if clean:
-                    net.nodes[name].end(UNIX + net.now)
+                    net.nodes[name].on_shutdown(UNIX + net.now)
             net.run(40.0)
             for name in net.names:
                 net.kill(name)
@@ -606,38 +616,43 @@
             with self.subTest(case):
                 net = self.fleet(3)
                 node = net.nodes["c0"]
-                self.assertEqual((node.marked, node.spared, MARK in net.disks["c0"]["entries"]), (False, False, False))
-                node.quiet(True)
-                self.assertTrue(node.marked)  # from the moment on at which it may be written
+                self.assertEqual(
+                    (node.idle_mark.marked, node.idle_mark.cooldown_spared, MARK in net.disks["c0"]["entries"]),
+                    (False, False, False),
+                )
+                node.on_rights_idle(True)
+                self.assertTrue(node.idle_mark.marked)  # from the moment on at which it may be written
                 net.run(100.0)
                 self.assertIn(MARK, net.disks["c0"]["entries"])
                 if case == "in use":
-                    node.quiet(False)
-                    node.quiet(True)
-                    batch = node.batch()
-                    node.quiet(False)
+                    node.on_rights_idle(False)
+                    node.on_rights_idle(True)
+                    batch = node.next_batch()
+                    node.on_rights_idle(False)
                     net.disks["c0"]["entries"].update(batch)
                     net.disks["c0"]["generation"] += 1
-                    node.written(net.now, UNIX + net.now, True)
-                    self.assertTrue(node.marked)  # the disk still says so
+                    node.on_batch_written(net.now, UNIX + net.now, True)
+                    self.assertTrue(node.idle_mark.marked)  # the disk still says so
                     net.run(100.0)
-                    self.assertEqual((node.marked, MARK in net.disks["c0"]["entries"]), (False, False))
+                    self.assertEqual((node.idle_mark.marked, MARK in net.disks["c0"]["entries"]), (False, False))
                 net.run(6_000.0)
                 net.kill("c0")
                 net.start("c0", trusted=case != "older", fresh=case == "lost")
                 node = net.nodes["c0"]
-                self.assertEqual((node.marked, node.spared), (case in ("quiet", "older"), False))
+                self.assertEqual(
+                    (node.idle_mark.marked, node.idle_mark.cooldown_spared), (case in ("quiet", "older"), False)
+                )
                 net.run(100.0)
-                self.assertEqual((node.marked, node.spared), (False, spared))
+                self.assertEqual((node.idle_mark.marked, node.idle_mark.cooldown_spared), (False, spared))
 
     def test_an_engine_that_refuses_connections_for_a_while_comes_back_cold(self):
         net = self.fleet(3)
         node = net.nodes["c0"]
         for at, refused in ((0.0, True), (100.0, True), (150.0, False), (300.0, True), (450.0, True)):
-            node.ended(UNIX + at, "e", refused)
+            node.on_attempt_ended(UNIX + at, "e", refused)
         self.assertEqual(node.effects, [])
-        node.ended(UNIX + 500.0, "e", True)
-        node.ended(UNIX + 510.0, "e", True)  # told already
+        node.on_attempt_ended(UNIX + 500.0, "e", True)
+        node.on_attempt_ended(UNIX + 510.0, "e", True)  # told already
         [chill] = node.effects
         self.assertTrue(UNIX - 2_000.0 < chill.starts["e"] <= UNIX + 500.0)
 
@@ -655,19 +670,19 @@
                 net = self.fleet(3)
                 net.run(1_000.0)
                 for node in net.nodes.values():
-                    node.holds(net.now, UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
-                net.run(agreement.RAN_MS)
+                    node.on_engine_list(UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
+                net.run(agreement.MIN_WITNESS_UPTIME_MS)
                 net.kill("c0")
                 ran, before, looks = net.nodes["c1"], net.now, {"none": 0, "refuses": 1, "blip": 1}.get(seen, 3)
                 for _ in range(looks):
-                    ran.ended(UNIX + net.now, "e", True)
+                    ran.on_attempt_ended(UNIX + net.now, "e", True)
                     net.run(300.0)
                 net.run(3_000.0)
                 if seen in ("back", "blip"):  # the core has not yet told that it goes by the start
-                    ran.ended(UNIX + net.now, "e", False)
+                    ran.on_attempt_ended(UNIX + net.now, "e", False)
                     ran.effects.clear()
                 net.start("c0", fresh=True)  # its own word doesn't count, and it waits for both others'
-                net.nodes["c0"].holds(net.now, UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
+                net.nodes["c0"].on_engine_list(UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
                 net.run(1_500.0)
                 starts = {}
                 for effect in net.effects["c0"]:
@@ -683,37 +698,39 @@
     def test_a_start_that_the_bus_tells_is_not_moved_by_who_saw_the_engine_refuse(self):
         node = self.fleet(3).nodes["c0"]
         for at in (0.0, 300.0):
-            node.ended(UNIX + at, "e", True)
+            node.on_attempt_ended(UNIX + at, "e", True)
         node.effects.clear()
-        node.holds(0.0, UNIX, 2, {"e": msgspec.structs.replace(listed("e", born=UNIX + 9e3), told_ms=UNIX + 9e3)})
-        node.ended(UNIX + 20_000.0, "e", False)
+        node.on_engine_list(
+            UNIX, 2, {"e": msgspec.structs.replace(listed("e", born=UNIX + 9e3), published_start_ms=UNIX + 9e3)}
+        )
+        node.on_attempt_ended(UNIX + 20_000.0, "e", False)
         self.assertEqual(node.effects, [])
 
     def test_refusals_of_engines_that_have_left_the_list_are_forgotten(self):
         node = self.fleet(3).nodes["c0"]
-        node.ended(UNIX, "e", True)
-        self.assertEqual((set(node._refuses), set(node._doubts)), ({"e"}, {"e"}))
-        node.holds(0.0, UNIX, 2, {"f": listed("f")})
-        self.assertEqual((node._refuses, node._doubts), ({}, {}))
-        node.ended(UNIX, "f", True)
-        node.ended(UNIX + 50.0, "f", False)
+        node.on_attempt_ended(UNIX, "e", True)
+        self.assertEqual((set(node.restarts.refusals), set(node.restarts.doubted)), ({"e"}, {"e"}))
+        node.on_engine_list(UNIX, 2, {"f": listed("f")})
+        self.assertEqual((node.restarts.refusals, node.restarts.doubted), ({}, {}))
+        node.on_attempt_ended(UNIX, "f", True)
+        node.on_attempt_ended(UNIX + 50.0, "f", False)
         for at, doubted in ((60_000.0, True), (140_000.0, False)):
             node.tick(at, UNIX + at)
-            self.assertEqual("f" in node._doubts, doubted)
+            self.assertEqual("f" in node.restarts.doubted, doubted)
 
     def test_a_home_grants_nothing_before_it_has_asked_whether_its_store_is_the_last(self):
         net = Net(["c0", "c1", "c2"])
         net.start("c0")
         node = net.nodes["c0"]
-        node.hear(net.now, UNIX, "c1", wire.encode(wire.TicketClaim(tickets.ticket("x"), 1)))
+        node.on_message(net.now, UNIX, "c1", wire.encode(wire.TicketClaim(tickets.ticket_id("x"), 1)))
         self.assertIs(node.stages.stage, Stage.FIND)
-        self.assertEqual((node.out, node.journal.table), ([], {}))
+        self.assertEqual((node.outbox, node.loads.journal.records), ([], {}))
         # Nor does it write what others tell of their stores: its own would seem later than it is.
-        node.hear(net.now, UNIX, "c1", wire.encode(wire.ReportRequest(1, 0, StoreState(b"c1", 1, 9))))
+        node.on_message(net.now, UNIX, "c1", wire.encode(wire.ReportRequest(1, 0, StoreState(b"c1", 1, 9))))
         node.tick(net.now + 1_200.0, UNIX)
         self.assertIs(node.stages.stage, Stage.AGREE)
-        self.assertFalse([key for key in node.batch() or () if key.startswith(b"generations")])
-        self.assertGreater(node.due(), net.now + 1_200.0)
+        self.assertFalse([key for key in node.next_batch() or () if key.startswith(b"generations")])
+        self.assertGreater(node.next_due(), net.now + 1_200.0)
 
     def test_spoilt_entries_and_messages_are_counted_and_go_no_further(self):
         net = Net(["c0"])
@@ -724,11 +741,11 @@
         }
         net.start("c0")
         node = net.nodes["c0"]
-        node.hear(1.0, UNIX, "c9", b"\x00\x01")
+        node.on_message(1.0, UNIX, "c9", b"\x00\x01")
         page = wire.ReportPage(1, 1, 0, 1, 9, 0.0, True, False, None, None, [listed("q")], [])
-        node.hear(1.0, UNIX, "c9", wire.encode(page))
-        self.assertEqual((node.counted["recovery_spoilt"], node.counted["recovery_undecodable"]), (3, 1))
-        self.assertNotIn("c9", node._pulls)
+        node.on_message(1.0, UNIX, "c9", wire.encode(page))
+        self.assertEqual((node.counters["recovery_spoilt"], node.counters["recovery_undecodable"]), (3, 1))
+        self.assertNotIn("c9", node.transfer.transfers)
 
     def test_all_messages_fit_their_parcel(self):
         long = "x" * 64
@@ -736,24 +753,24 @@
         node = RecoveryNode(RecoverySettings("c0", ("c0",)), 0.0, UNIX, 1)
         node.bans = bans
         names = [f"{long[:60]}{n}" for n in range(50)]
-        node.holds(0.0, UNIX, 2**50, {n: ListedEngine(n, long, long, long, -(2**31), 1, 1e6, 1e15) for n in names})
-        node.known["q"] = StoreState(b"z" * 16, 2**62, 2**62)
-        _, pages = node._pages()
+        node.on_engine_list(UNIX, 2**50, {n: ListedEngine(n, long, long, long, -(2**31), 1, 1e6, 1e15) for n in names})
+        node.peer_stores.states["q"] = StoreState(b"z" * 16, 2**62, 2**62)
+        pages = node.paged_report().pages
         for page in range(len(pages)):
-            node.hear(1.0, UNIX, "q", wire.encode(wire.ReportRequest(2**53, page, None)))
-        self.assertEqual(len(node.out), len(pages))
-        self.assertLessEqual(max(len(data) for _, data in node.out), 960)
+            node.on_message(1.0, UNIX, "q", wire.encode(wire.ReportRequest(2**53, page, None)))
+        self.assertEqual(len(node.outbox), len(pages))
+        self.assertLessEqual(max(len(data) for _, data in node.outbox), 960)
 
 
 class OlderCase(unittest.TestCase):
     def test_what_is_kept_is_only_what_the_table_keeps(self):
         net = Net(["c0"])
         net.start("c0", fresh=True, first=True)
-        net.nodes["c0"].ban(UNIX, "e", True)
+        net.nodes["c0"].record_ban(UNIX, "e", True)
         net.run(6_000.0)
         kinds = {key.partition(b"/")[0].decode() for key in net.disks["c0"]["entries"]}
-        self.assertLessEqual(kinds, set(state_kinds.kept()))
+        self.assertLessEqual(kinds, set(state_kinds.persisted_kinds()))
         self.assertEqual(
-            msgspec.msgpack.decode(net.disks["c0"]["entries"][b"beat/"], type=HeartbeatRecord).clean, False
+            msgspec.msgpack.decode(net.disks["c0"]["entries"][b"beat/"], type=HeartbeatRecord).clean_shutdown, False
         )
-        self.assertIs(state_kinds.rule("bans", False), ConflictRule.UNION)
+        self.assertIs(state_kinds.conflict_rule("bans", False), ConflictRule.UNION)
--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -10,9 +10,10 @@
 
 from frostspindle.lab.explore import explore
 from frostspindle.recovery import tickets
-from frostspindle.recovery.tickets import GO, TicketClaims, TicketJournal
+from frostspindle.recovery.tickets import ClaimOutcome, TicketClaims, TicketJournal
+from frostspindle.recovery.wire import TicketStatus
 
-OF = tickets.ticket("the load")
+OF = tickets.ticket_id("the load")
 HOMES, NONCES = ("x", "y", "z"), {"a": 1, "b": 2}
 UNIX = 1e9
 
@@ -40,44 +41,44 @@
         """A journal that may be changed."""
         old, new = self.journals[home], object.__new__(TicketJournal)
         new.__dict__.update(old.__dict__)
-        new.table, new._next, new._out = dict(old.table), dict(old._next), dict(old._out)
-        new._waits = {of: list(waits) for of, waits in old._waits.items()}
+        new.records, new._pending, new._writing = dict(old.records), dict(old._pending), dict(old._writing)
+        new._waiters = {of: list(waits) for of, waits in old._waiters.items()}
         self.journals[home] = new
         return new
 
     def asker(self, name):
         old, new = self.claims[name], TicketClaims(1_000.0)
-        new.open = {
-            nonce: tickets._PendingClaim(c.ticket, nonce, c.homes, c.ends, c.again, dict(c.said))
-            for nonce, c in old.open.items()
+        new.pending = {
+            nonce: tickets._PendingClaim(c.ticket, nonce, c.replicas, c.deadline, c.resend_at, dict(c.answers))
+            for nonce, c in old.pending.items()
         }
-        new.held = dict(old.held)
+        new.granted = dict(old.granted)
         self.claims[name] = new
         return new
 
     def send(self, name, sends):
         """To all homes, always."""
-        self.sent |= {("free" if send.free else "claim", name) for send in sends}
+        self.sent |= {("free" if send.release else "claim", name) for send in sends}
 
     def begin(self, name):
         self.send(name, self.asker(name).begin(0.0, OF, NONCES[name], list(HOMES)))
 
     def claim(self, name, home, heard):
-        how = self.own(home).ask(UNIX, name, OF, NONCES[name])
+        how = self.own(home).claim(UNIX, name, OF, NONCES[name])
         if how is None and not self.durable:
-            how = tickets.GRANTED
-        if heard and how is not None and (found := self.asker(name).hear(1.0, home, NONCES[name], how)) is not None:
+            how = TicketStatus.GRANTED
+        if heard and how is not None and (found := self.asker(name).on_reply(1.0, home, NONCES[name], how)) is not None:
             self.over(name, *found)
 
     def free(self, name, home):
-        self.own(home).free(name, OF, NONCES[name])
+        self.own(home).release(name, OF, NONCES[name])
 
     def over(self, name, how, sends):
         self.outcomes[name] = how
         self.send(name, sends)
 
     def write(self, home):
-        self.batches[home] = tuple((self.own(home).batch() or {}).items())
+        self.batches[home] = tuple((self.own(home).next_batch() or {}).items())
         if not self.split:
             self.written(home)
 
@@ -85,7 +86,7 @@
         disk = {**self.disks[home], **dict(self.batches[home])}
         self.disks[home] = {key: value for key, value in disk.items() if value is not None}
         self.batches[home] = None
-        self.own(home).written(True)
+        self.own(home).on_batch_written(True)
 
     def loss(self, home, gone):
         self.losses -= 1
@@ -101,7 +102,7 @@
     def end(self, name, ran):
         self.outcomes[name] = "ran" if ran else "refused"
         self.runs += (name,) * ran
-        self.send(name, self.asker(name).settled(2.0, NONCES[name], ran))
+        self.send(name, self.asker(name).on_load_ended(2.0, NONCES[name], ran))
 
 
 def key(world):
@@ -109,13 +110,13 @@
 
     def at(home):
         journal = world.journals[home]
-        return tuple(str(part.get(OF)) for part in (journal.table, journal._next, journal._out)) + (
-            OF in journal._next,
-            OF in journal._out,
-            journal.rests_until > UNIX,
+        return tuple(str(part.get(OF)) for part in (journal.records, journal._pending, journal._writing)) + (
+            OF in journal._pending,
+            OF in journal._writing,
+            journal.cooldown_until_ms > UNIX,
             str(world.disks[home]),
             str(world.batches[home]),
-            *(c.open[NONCES[name]].said.get(home, -1) if c.open else -2 for name, c in world.claims.items()),
+            *(c.pending[NONCES[name]].answers.get(home, -1) if c.pending else -2 for name, c in world.claims.items()),
         )
 
     return (
@@ -134,29 +135,29 @@
 
     for kind, name in sorted(world.sent):
         for home in HOMES:
-            held = world.journals[home].table.get(OF)
+            held = world.journals[home].records.get(OF)
             if kind == "free":
-                if held is not None and held.by == name:  # else nothing changes
+                if held is not None and held.claimant == name:  # else nothing changes
                     yield step("free", World.free, name, home)
             else:
-                if held is None and not world.journals[home].resting(UNIX):
+                if held is None and not world.journals[home].in_cooldown(UNIX):
                     yield step("claim", World.claim, name, home, False)
-                if NONCES[name] in world.claims[name].open:
+                if NONCES[name] in world.claims[name].pending:
                     yield step("answer", World.claim, name, home, True)
     for home in HOMES:
         if world.batches[home] is not None:
             yield step("written", World.written, home)
-        elif world.journals[home]._next:
+        elif world.journals[home]._pending:
             yield step("write", World.write, home)
         if world.losses:
             yield step("loss", World.loss, home, False)
             yield step("lost-store", World.loss, home, True)
-    if "b" not in world.outcomes and not world.claims["b"].open:
+    if "b" not in world.outcomes and not world.claims["b"].pending:
         yield step("begin", World.begin, "b")  # the client repeats it there
     for name in NONCES:
-        if world.claims[name].open:
+        if world.claims[name].pending:
             yield step("late", World.late, name)
-        if world.outcomes.get(name) == GO:
+        if world.outcomes.get(name) == ClaimOutcome.GRANTED:
             yield step("ran", World.end, name, True)
             yield step("refused", World.end, name, False)
 
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -18,11 +18,12 @@
 from frostspindle.config import ConfigError
 from frostspindle.lab.engines import document
 from frostspindle.policy import AttemptOutcome
-from frostspindle.recovery import tickets
 from frostspindle.recovery.admission import RecoveryAdmission, SlowStartCurve
 from frostspindle.recovery.agreement import AgreedState
-from frostspindle.recovery.node import ClaimResolved
-from frostspindle.recovery.service import RecoveryGate, RecoveryService
+from frostspindle.recovery.effect_handler import EffectHandler
+from frostspindle.recovery.gate import RecoveryGate
+from frostspindle.recovery.outputs import ClaimResolved
+from frostspindle.recovery.tickets import ClaimOutcome
 from frostspindle.recovery.wire import ListedEngine
 
 ROOT = Path(__file__).parent.parent
@@ -116,19 +117,19 @@
         said, quiet = [], lambda *a, **kw: None
         service = SimpleNamespace(
             telemetry=SimpleNamespace(log=quiet),
-            files=frozenset(),
-            withheld=frozenset(),
-            _withhold=quiet,
+            excluded=SimpleNamespace(banned_by_hand=frozenset(), withhold=quiet),
             program=SimpleNamespace(bus=SimpleNamespace(last=1, restore=said.append)),
-            node=SimpleNamespace(bans=SimpleNamespace(anybody=frozenset)),
+            node=SimpleNamespace(bans=SimpleNamespace(banned_by_any=frozenset)),
         )
         engine = ListedEngine("e", "127.0.0.1:1", "z", "k", 0, 1, 1.0, 1.7e12 + 9.0, 1.7e12)
-        RecoveryService._agreed(service, AgreedState(True, 2, (engine,), frozenset(), frozenset(), {}))
+        EffectHandler(service).on_agreed(AgreedState(True, 2, (engine,), frozenset(), frozenset(), {}))
         self.assertEqual([host.born_ms for event in said for host in event.topology.hosts], [1.7e12])
 
     def test_what_engines_do_with_connections_is_told_to_the_node_by_the_core(self):
         told, drained = [], []
-        node = SimpleNamespace(effects=[1], ended=lambda unix, engine, refused: told.append((engine, refused)))
+        node = SimpleNamespace(
+            effects=[1], on_attempt_ended=lambda unix, engine, refused: told.append((engine, refused))
+        )
         gate = RecoveryGate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
         for verdict in AttemptOutcome:  # a connection that breaks may be of before a loss
             gate.ended("e", verdict)
@@ -137,19 +138,19 @@
 
     def test_a_load_whose_homes_rest_is_told_to_wait_as_long_as_may_be(self):
         """They rest for minutes, and who came back within a second was refused again and again."""
-        for how, least, most in ((tickets.UNSURE, 500.0, 1_500.0), (tickets.CANT, 1_000.0, 3_000.0)):
+        for how, least, most in ((ClaimOutcome.NO_QUORUM, 500.0, 1_500.0), (ClaimOutcome.NO_RECORD, 1_000.0, 3_000.0)):
             waits: list[float] = []
             service = SimpleNamespace(
-                gate=SimpleNamespace(asks={}),
+                gate=SimpleNamespace(waiting={}),
                 telemetry=SimpleNamespace(count=lambda what: None),
                 config=SimpleNamespace(claim_ms=1_000.0),
-                intake=RecoveryAdmission((), SlowStartCurve(), 1.0, 9, 1, 3_000.0),
-                node=SimpleNamespace(stages=SimpleNamespace(over=True)),
+                admission=RecoveryAdmission((), SlowStartCurve(), 1.0, 9, 1, 3_000.0),
+                node=SimpleNamespace(stages=SimpleNamespace(finished=True)),
                 core=SimpleNamespace(reject_waiting=lambda n, answer, waits=waits: waits.append(answer.retry_after_ms)),
             )
             for number in range(40):
-                service.gate.asks[number] = None
-                RecoveryService._settle(service, ClaimResolved(number, how))
+                service.gate.waiting[number] = None
+                EffectHandler(service).on_claim_resolved(ClaimResolved(number, how))
             self.assertTrue(all(least - 1.0 <= wait <= most + 1.0 for wait in waits), waits)
             self.assertGreater(max(waits), 0.8 * most)
 
