--- a/frostspindle/components/registry.py
+++ b/frostspindle/components/registry.py
@@ -190,7 +190,7 @@
                 component = registration.create(program)
                 self._by_name[registration.name] = component
                 if program.operator_server is not None:  # it asked the parts created before it for their calls
-                    program.operator_server.does |= component.operator_calls()
+                    program.operator_server.handlers |= component.operator_calls()
 
     def __iter__(self) -> Iterator[Component]:
         return iter(self._by_name.values())
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -110,7 +110,7 @@
         if self.desk and config.operator.metrics:
             from frostspindle.net import metrics  # the library costs memory that only its users pay
 
-            self.desk.does["metrics"] = lambda: metrics.text(self.figures())
+            self.desk.handlers["metrics"] = lambda: metrics.text(self.figures())
         self.agent: Any = None
         self.listener: socket.socket | None = None
         self.tds: socket.socket | None = None
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -1,10 +1,7 @@
-"""The operators' port: one line a connection, one answer, then a close; or lines for as long as a caller stays.
+"""The operators' port: one line a connection, one answer, then a close; or a stream of lines to a caller that stays.
 
-Owns the listening socket that operators' staff call and how long and how large a call may be. A call that is one of
-`stays` keeps its connection: whoever took it writes to it, and is told when it stops reading. It must never keep
-a caller waiting behind client work (each answer is made in the callback that brings the call's last byte), never
-let those who say nothing keep out those who ask, and never decide anything about requests: what a call does is
-done by the parts that it is given.
+Runs in the event loop and answers each call in the callback that brings its last byte, never behind client work. What a
+call does is given by the parts of the program as handlers; nothing about requests is decided here.
 """
 
 from __future__ import annotations
@@ -18,16 +15,16 @@
 from frostspindle.config import Address
 from frostspindle.telemetry import Telemetry
 
-MAX_CALL_BYTES, MAX_CALLERS = 1024, 16  # the longest call, and how many callers may be connected
-MAX_STREAM_CALL_BYTES, MAX_STREAMS = 65_536, 10_000  # the longest call of one who stays, and how many may
-MAX_UNREAD_BYTES = 65_536  # bytes that wait for one who stays before it counts as not reading
-CALL_TIMEOUT_S = 5.0  # from connecting until a call must be whole
-_ENCODE = msgspec.json.Encoder().encode
-
-
-def _words(takes: str) -> int:
-    """How many words a call takes."""
-    return 2 * takes.startswith("two ") + sum(word in ("a", "an", "one") for word in takes.split())
+MAX_CALL_BYTES = 1024
+MAX_CALLERS = 16  # connected at once; streams are counted apart
+MAX_STREAM_CALL_BYTES = 65_536  # the longest call that opens a stream
+MAX_STREAMS = 10_000
+MAX_UNREAD_BYTES = 65_536  # bytes that wait for a stream before its caller counts as not reading
+CALL_TIMEOUT_S = 5.0  # from connecting until a call must be complete
+MAX_WORDS = 5  # of a call that are read
+_NAME_BYTES = 32  # of a call's line, in which its name stands
+_ARGUMENTS = {"unsubscribe": "one number", "release-owner": "one task"}
+_encode = msgspec.json.Encoder().encode
 
 
 class OperatorError(Exception):
@@ -45,46 +42,51 @@
 
 
 class _OperatorConnection(asyncio.Protocol):
-    """One connection: it reads up to the first line feed, answers, and closes, or stays."""
+    """One connection: it reads up to the first line feed, answers, and closes, or becomes a stream."""
 
-    def __init__(self, desk: OperatorServer) -> None:
-        self.desk, self.line = desk, b""
-        self.stay: CallerStream | None = None
+    def __init__(self, server: OperatorServer) -> None:
+        self.server = server
+        self.received = b""
+        self.stream: CallerStream | None = None
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._late)
-        self.desk.joined(self)
+        self.timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self._time_out)
+        self.server.connected(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.timer.cancel()
-        self.desk.callers.pop(self, None)
-        self.desk.staying.discard(self)
-        if self.stay is not None:
-            self.stay.gone()
+        self.server.callers.pop(self, None)
+        self.server.streams.discard(self)
+        if self.stream is not None:
+            self.stream.gone()
 
     def data_received(self, data: bytes) -> None:
-        if self.transport.is_closing() or self.stay is not None:
+        if self.transport.is_closing() or self.stream is not None:
             return
-        self.line += data
-        line, mark, _ = self.line.partition(b"\n")
-        if len(line) > (MAX_STREAM_CALL_BYTES if self.desk.lengthy(line) else MAX_CALL_BYTES):
-            self._say(b"NAK the call is too long\n")
-        elif mark:
-            self._take(line)
+        self.received += data
+        line, line_feed, _ = self.received.partition(b"\n")
+        if len(line) > self.server.max_bytes(line):
+            self._answer(b"NAK the call is too long\n")
+        elif line_feed:
+            self._run(line)
 
     def eof_received(self) -> None:
-        if self.line and self.stay is None and not self.transport.is_closing():
-            self._take(self.line)  # a caller that ends its line by ending its stream; one who stays must not
-
-    def _take(self, line: bytes) -> None:
-        if (open_ := self.desk.stay(line)) is None:
-            self._say(self.desk.answer(line))
-        elif (no := self.desk.open(self, open_, line)) is not None:
-            self._say(no)
+        # A caller may end its line by ending its side of the connection, unless it wants a stream.
+        if self.received and self.stream is None and not self.transport.is_closing():
+            self._run(self.received)
+
+    def _run(self, line: bytes) -> None:
+        open_stream = self.server.stream_handler(line)
+        if open_stream is None:
+            self._answer(self.server.answer(line))
+            return
+        refusal = self.server.open_stream(self, open_stream, line)
+        if refusal is not None:
+            self._answer(refusal)
 
-    # Of one who stays.
+    # Streams.
 
     def write(self, data: bytes) -> None:
         self.transport.write(data)
@@ -93,46 +95,54 @@
         self.transport.close()
 
     def pause_writing(self) -> None:
-        if self.stay is not None:
-            self.stay.paused(True)
+        if self.stream is not None:
+            self.stream.paused(True)
 
     def resume_writing(self) -> None:
-        if self.stay is not None:
-            self.stay.paused(False)
+        if self.stream is not None:
+            self.stream.paused(False)
 
-    def _late(self) -> None:
-        self._say(b"NAK no call came\n")
+    def _time_out(self) -> None:
+        self._answer(b"NAK no call came\n")
 
-    def _say(self, answer: bytes) -> None:
+    def _answer(self, answer: bytes) -> None:
         self.timer.cancel()
         self.transport.write(answer)
         self.transport.close()
 
 
+StreamHandler = Callable[[str, _OperatorConnection], CallerStream]
+
+
 class OperatorServer:
-    """The operators' port: all callers, and what each call does."""
-
-    def __init__(self, at: Address | str, does: dict[str, Callable[..., Any]], telemetry: Telemetry) -> None:
-        self.at, self.does, self.telemetry = at, does, telemetry
-        self.stays: dict[
-            str, Callable[[str, _OperatorConnection], CallerStream]
-        ] = {}  # with the rest of the call's line
-        self.takes: dict[str, str] = {}  # what a call takes, in words: one for each "a", "an" or "one", or "two ..."
-        self.quiet = {"ready"}  # calls that come too often for a line each
-        self.long: set[str] = set()  # calls that may be as long as those of who stays
+    """The operators' port: all callers, and the handler of each call.
+
+    `handlers` answer at once; `stream_handlers` are given the rest of the call's line and keep the connection.
+    """
+
+    def __init__(self, at: Address | str, handlers: dict[str, Callable[..., Any]], telemetry: Telemetry) -> None:
+        self.at = at
+        self.handlers = handlers
+        self.telemetry = telemetry
+        self.stream_handlers: dict[str, StreamHandler] = {}
+        # What a call takes, in words: one argument for each "a", "an" or "one", or "two ...".
+        self.arguments: dict[str, str] = {}
+        self.unlogged_calls = {"ready"}  # they come too often for a line each
+        self.long_calls: set[str] = set()  # calls that may be as long as those that open a stream
         self.callers: dict[_OperatorConnection, None] = {}  # in the order in which they came
-        self.staying: set[_OperatorConnection] = set()
+        self.streams: set[_OperatorConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Listen on the Unix socket or the TCP address; OSError if that can't be had."""
         loop = asyncio.get_running_loop()
         if isinstance(self.at, str):
-            self._server = await loop.create_unix_server(
-                lambda: _OperatorConnection(self), self.at, backlog=MAX_CALLERS
-            )
+            self._server = await loop.create_unix_server(self._make_protocol, self.at, backlog=MAX_CALLERS)
         else:
-            self._server = await loop.create_server(lambda: _OperatorConnection(self), *self.at, backlog=MAX_CALLERS)
+            self._server = await loop.create_server(self._make_protocol, *self.at, backlog=MAX_CALLERS)
+
+    def _make_protocol(self) -> _OperatorConnection:
+        return _OperatorConnection(self)
 
     @property
     def port(self) -> int:
@@ -144,81 +154,90 @@
         """Stop listening and close the connections of all callers."""
         if self._server is not None:
             self._server.close()
-        for caller in [*self.callers, *self.staying]:
+        for caller in [*self.callers, *self.streams]:
             caller.transport.close()
 
-    def joined(self, caller: _OperatorConnection) -> None:
-        """Register a caller; beyond CALLERS the one that has been connected longest without a call is dropped."""
+    def connected(self, caller: _OperatorConnection) -> None:
+        """Register a caller; beyond MAX_CALLERS the one that has been connected longest without a call is dropped."""
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
             first = next(iter(self.callers))
             del self.callers[first]
             first.transport.abort()
 
-    def stay(self, line: bytes) -> Callable[[str, _OperatorConnection], CallerStream] | None:
-        """Return what opens a call that keeps its connection, or None if this is not one."""
-        return self.stays.get(line[:32].split(b" ", 1)[0].strip().decode("ascii", "replace")) if self.stays else None
-
-    def lengthy(self, line: bytes) -> bool:
-        """Return whether a call may be up to LONG bytes and not LINE."""
-        return (
-            self.stay(line) is not None
-            or bool(self.long)
-            and line[:32].split(b" ", 1)[0].decode("ascii", "replace") in self.long
-        )
-
-    def open(
-        self, caller: _OperatorConnection, open_: Callable[[str, _OperatorConnection], CallerStream], line: bytes
-    ) -> bytes | None:
+    def stream_handler(self, line: bytes) -> StreamHandler | None:
+        """Return the handler of a call that opens a stream, or None if this is another call."""
+        if not self.stream_handlers:
+            return None
+        return self.stream_handlers.get(_name_in(line).strip())
+
+    def max_bytes(self, line: bytes) -> int:
+        """Return how long the call that begins so may be."""
+        if self.stream_handler(line) is not None or (self.long_calls and _name_in(line) in self.long_calls):
+            return MAX_STREAM_CALL_BYTES
+        return MAX_CALL_BYTES
+
+    def open_stream(self, caller: _OperatorConnection, handler: StreamHandler, line: bytes) -> bytes | None:
         """Let a caller keep its connection and return None, or return the line that refuses it."""
         self.telemetry.count("operator_calls")
         name, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
         try:
-            if len(self.staying) >= MAX_STREAMS:
+            if len(self.streams) >= MAX_STREAMS:
                 raise OperatorError(f"{MAX_STREAMS} callers stay already")
-            caller.stay = open_(rest.strip(), caller)
-        except OperatorError as no:
-            self.telemetry.count("operator_naks")
-            return f"NAK {no}\n".encode()
-        except Exception as error:  # noqa: BLE001 - as below
-            self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of=f"operator call {name}")
-            return b"NAK a fault, see the log\n"
+            caller.stream = handler(rest.strip(), caller)
+        except OperatorError as refusal:
+            return self._refuse(refusal)
+        except Exception as error:  # noqa: BLE001 - a caller's fault is its own
+            return self._log_exception(name, error)
         caller.timer.cancel()
         caller.transport.set_write_buffer_limits(MAX_UNREAD_BYTES)
         self.callers.pop(caller, None)
-        self.staying.add(caller)
+        self.streams.add(caller)
         self.telemetry.log("operator", call=name)
         return None
 
     def answer(self, line: bytes) -> bytes:
         """Run one call and return its response; an exception in it is logged and answered with a `NAK` line."""
-        name, *words = line.decode("utf-8", "replace").split()[:5] or [""]
+        name, *words = line.decode("utf-8", "replace").split()[:MAX_WORDS] or [""]
         self.telemetry.count("operator_calls")
         try:
-            if name not in self.does:
-                raise OperatorError(f"no such call; there are {', '.join(sorted((*self.does, *self.stays)))}")
-            takes = (
-                "one engine"
-                if name.endswith("-server")
-                else "one number"
-                if name == "unsubscribe"
-                else "one task"
-                if name == "release-owner"
-                else self.takes.get(name, "")
-            )
-            if len(words) != _words(takes):
-                raise OperatorError(f"{name} takes {takes or 'nothing more'}")
-            result = self.does[name](*words)
-        except OperatorError as no:
-            self.telemetry.count("operator_naks")
-            return f"NAK {no}\n".encode()
+            self._check(name, words)
+            result = self.handlers[name](*words)
+        except OperatorError as refusal:
+            return self._refuse(refusal)
         except Exception as error:  # noqa: BLE001 - a caller's fault is its own
-            self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of=f"operator call {name}")
-            return b"NAK a fault, see the log\n"
-        if name not in self.quiet:
-            self.telemetry.log("operator", call=name, of=words if name not in self.long else words[:2])
+            return self._log_exception(name, error)
+        if name not in self.unlogged_calls:
+            self.telemetry.log("operator", call=name, of=words[:2] if name in self.long_calls else words)
         if isinstance(result, bytes):  # it has its own form and end
             return result
-        return b"ACK\n" if result is None else _ENCODE(result) + b"\n--\n"
+        return b"ACK\n" if result is None else _encode(result) + b"\n--\n"
+
+    def _check(self, name: str, words: list[str]) -> None:
+        """Raise OperatorError unless there is such a call and it has as many arguments as it takes."""
+        if name not in self.handlers:
+            calls = ", ".join(sorted((*self.handlers, *self.stream_handlers)))
+            raise OperatorError(f"no such call; there are {calls}")
+        wanted = _ARGUMENTS.get(name) or self.arguments.get(name, "")
+        if name.endswith("-server"):
+            wanted = "one engine"
+        if len(words) != _count_arguments(wanted):
+            raise OperatorError(f"{name} takes {wanted or 'nothing more'}")
+
+    def _refuse(self, refusal: OperatorError) -> bytes:
+        self.telemetry.count("operator_naks")
+        return f"NAK {refusal}\n".encode()
+
+    def _log_exception(self, name: str, error: Exception) -> bytes:
+        self.telemetry.count("faults")
+        self.telemetry.log("fault", error=repr(error), of=f"operator call {name}")
+        return b"NAK a fault, see the log\n"
+
+
+def _name_in(line: bytes) -> str:
+    return line[:_NAME_BYTES].split(b" ", 1)[0].decode("ascii", "replace")
+
+
+def _count_arguments(wanted: str) -> int:
+    """Return how many arguments a description in words stands for."""
+    return 2 * wanted.startswith("two ") + sum(word in ("a", "an", "one") for word in wanted.split())
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -72,8 +72,8 @@
         self.cost_ms = config.warm.cost_ms if config.warm is not None else 0.0
         self.runner = JobRunner(self.owners, program.telemetry, jobs, weights)
         if program.operator_server:
-            program.operator_server.does["show-owners"] = self.figures
-            program.operator_server.does["release-owner"] = self.release
+            program.operator_server.handlers["show-owners"] = self.figures
+            program.operator_server.handlers["release-owner"] = self.release
 
     def busy(self) -> str:
         """Return why this coordinator may take no lease now (draining, recovering); empty if it may."""
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -335,5 +335,5 @@
     if program.fleet is not None:
         program.fleet.parts.append(service)
     if program.operator_server is not None:
-        program.operator_server.does["show-recovery"] = service.figures
+        program.operator_server.handlers["show-recovery"] = service.figures
     return service
--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -439,7 +439,7 @@
         config.most_open,
     )
     if program.operator_server:
-        program.operator_server.does["show-replica"] = replica.figures
+        program.operator_server.handlers["show-replica"] = replica.figures
     return replica
 
 
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -40,5 +40,5 @@
 
     program.platform.marks = marks
     if program.operator_server:
-        program.operator_server.does["show-scatter"] = scatter.figures
+        program.operator_server.handlers["show-scatter"] = scatter.figures
     return scatter
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -527,7 +527,7 @@
                 raise InvalidSettingsError(f"not a version: {text!r:.40}")
             return int(text)
 
-        program.operator_server.does |= {
+        program.operator_server.handlers |= {
             "show-settings": service.figures,
             "settings-history": service.history,
             "settings-push": no(service.push_piece),
@@ -535,12 +535,12 @@
             "settings-rollback": no(lambda name, to: service.push_back(name, number(to))),
             "settings-diff": no(lambda one, two: service.diff(number(one), number(two))),
         }
-        program.operator_server.takes |= {
+        program.operator_server.arguments |= {
             "settings-push": "an id, a place and a piece",
             "settings-outcome": "an id",
             "settings-rollback": "an id and a version",
             "settings-diff": "two versions",
         }
-        program.operator_server.long.add("settings-push")
-        program.operator_server.quiet.add("settings-outcome")
+        program.operator_server.long_calls.add("settings-push")
+        program.operator_server.unlogged_calls.add("settings-outcome")
     return wired
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -21,7 +21,7 @@
 from frostspindle.lab import settings as playing
 from frostspindle.lab.engines import document, host
 from frostspindle.lab.faults.script import parse
-from frostspindle.net.operator import OperatorError
+from frostspindle.net.operator import MAX_CALL_BYTES, MAX_STREAM_CALL_BYTES, OperatorError
 from frostspindle.program import Program
 from frostspindle.replica.local import LocalLog
 from frostspindle.settings import agreement
@@ -383,7 +383,7 @@
         return self.program.telemetry.counts[what, "", ""]
 
     async def test_operators_calls_are_checked(self):
-        does = self.program.operator_server.does
+        does = self.program.operator_server.handlers
         for call, words in (
             ("settings-push", ("a", "0/0", "")),
             ("settings-push", ("a", "x", "")),
@@ -402,7 +402,8 @@
         desk = self.program.operator_server
         self.assertIn(b"NAK settings-diff takes two versions", desk.answer(b"settings-diff 1"))
         self.assertIn(b"NAK version", desk.answer(b"settings-diff 1 2"))
-        self.assertTrue(desk.lengthy(b"settings-push a 0/1 eA==") and not desk.lengthy(b"ready"))
+        self.assertEqual(desk.max_bytes(b"settings-push a 0/1 eA=="), MAX_STREAM_CALL_BYTES)
+        self.assertEqual(desk.max_bytes(b"ready"), MAX_CALL_BYTES)
 
 
 class ServiceCase(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_subscriptions_program.py
+++ b/tests/test_subscriptions_program.py
@@ -73,7 +73,7 @@
         self.assertIn("2 subscriptions already", (await (await self.subscriber("subscribe TRUE")).line())["nak"])
         self.assertFalse(self.program.operator_server.callers)  # who stays takes no place of those who call
         kept[0].writer.close()
-        await self.until(lambda: len(self.program.operator_server.staying) == 1)
+        await self.until(lambda: len(self.program.operator_server.streams) == 1)
         await (await self.subscriber("subscribe TRUE")).until("ack")
 
     async def test_one_who_does_not_read_is_told_a_gap_and_holds_up_nobody(self):
