--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -213,7 +213,7 @@
         self.admission.engines = tuple(
             ReadyEngine(engine.cores, engine.entry.since_ms)
             for engine in self.core.controller.engines.values()
-            if engine.ready and not engine.suspect
+            if engine.ready and not engine.ejected
         )
         if self.node.stages.stage < Stage.SERVICE:
             self.admission.expected_start = unix + max(0.0, self.node.stages.next_due() - monotonic())
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -277,7 +277,7 @@
             (await self.client("loads")).ask(f"SELECT {number}")
         await engine.until(lambda: len(engine.statements) == 3)  # none is answered
         self.assertEqual(
-            ({job.key for job in self.program.core.controller.jobs.values()}, self.program.order.queue.entry_count),
+            ({job.key for job in self.program.core.controller.requests.values()}, self.program.order.queue.entry_count),
             ({0}, 0),
         )
 
