--- a/frostspindle/cli.py
+++ b/frostspindle/cli.py
@@ -103,7 +103,7 @@
     values: dict[str, Any] = {
         "name": config.name,
         "listen": place(config.listen) if config.inherited is None else f"descriptor {config.inherited}",
-        "operator": place(config.desk),
+        "operator": place(config.operator_address),
         "bus": place(config.bus),
         "limits.memory_mb": config.limits.memory_mb,
         "limits.sockets": config.limits.sockets,
@@ -181,7 +181,7 @@
 def stat(at: str | None, config_file: str | None, as_json: bool) -> None:
     """Ask a running coordinator for its figures."""
     try:
-        place = at or configuration.read(environment(config_file, None, None)).desk
+        place = at or configuration.read(environment(config_file, None, None)).operator_address
         if place is None:
             raise ConfigError("operator: not set, and no --at")
         if isinstance(place, str) and not place.startswith("/"):
--- a/frostspindle/components/operator_port.py
+++ b/frostspindle/components/operator_port.py
@@ -15,8 +15,8 @@
 
     def __init__(self, program: ProgramContext) -> None:
         super().__init__(program)
-        assert program.config.desk is not None
-        self.server = OperatorServer(program.config.desk, program.operator_calls(), program.telemetry)
+        assert program.config.operator_address is not None
+        self.server = OperatorServer(program.config.operator_address, program.operator_calls(), program.telemetry)
         program.operator_server = self.server
 
     async def start(self) -> None:
--- a/frostspindle/components/registry.py
+++ b/frostspindle/components/registry.py
@@ -122,7 +122,7 @@
 
 
 def _has_metrics(config: Config) -> bool:
-    return bool(config.desk) and config.operator.metrics
+    return bool(config.operator_address) and config.operator.metrics
 
 
 def _has_key_order(config: Config) -> bool:
@@ -136,7 +136,7 @@
     Registration("fleet", lambda config: config.operator.fleet is not None, _fleet),
     Registration("metrics", _has_metrics, _metrics),
     Registration("slow_start", _has_slow_start, _slow_start),
-    Registration("operator_port", lambda config: bool(config.desk), _operator_port),
+    Registration("operator_port", lambda config: bool(config.operator_address), _operator_port),
     Registration("replica", lambda config: config.operator.replica is not None, _replica),
     Registration("ownership", lambda config: config.operator.ownership is not None, _ownership),
     Registration("recovery", lambda config: config.operator.recovery is not None, _recovery),
--- /dev/null
+++ b/frostspindle/config/__init__.py
@@ -0,0 +1,36 @@
+"""The configuration: environment, JSON file and operator's file, read once into the values used."""
+
+from frostspindle.config.addresses import Address, address
+from frostspindle.config.cores import CoresSection
+from frostspindle.config.document import REPORTED, STATES, BusEvent, Host, Limits, Topology
+from frostspindle.config.errors import ConfigError
+from frostspindle.config.operator_calls import SubscriptionsSection
+from frostspindle.config.operator_file import OperatorFile, SnmpSection, read_operator
+from frostspindle.config.reader import Config, read
+from frostspindle.config.tds import TdsEngine, TdsLogin, TdsPlan, TdsSection
+from frostspindle.config.tenants import Tenant, TenantRule
+
+__all__ = [
+    "REPORTED",
+    "STATES",
+    "Address",
+    "BusEvent",
+    "Config",
+    "ConfigError",
+    "CoresSection",
+    "Host",
+    "Limits",
+    "OperatorFile",
+    "SnmpSection",
+    "SubscriptionsSection",
+    "TdsEngine",
+    "TdsLogin",
+    "TdsPlan",
+    "TdsSection",
+    "Tenant",
+    "TenantRule",
+    "Topology",
+    "address",
+    "read",
+    "read_operator",
+]
--- /dev/null
+++ b/frostspindle/config/tds.py
@@ -0,0 +1,131 @@
+"""`[tds]` of the operator's file: its form, its checks, and the classes and kinds that it adds to the settings."""
+
+from __future__ import annotations
+
+import dataclasses
+from typing import Annotated
+
+import msgspec
+from msgspec import Meta, Struct
+
+from frostspindle.config.addresses import address
+from frostspindle.config.document import STATES, Limits
+from frostspindle.config.errors import ConfigError
+from frostspindle.policy import Settings
+
+Positive = Annotated[float, Meta(gt=0)]
+Count = Annotated[int, Meta(gt=0)]
+SOCKETS_PER_SESSION = 6  # of limits.sockets
+# A message is held up to three times: as it comes, whole, and as it goes out.
+COPIES_OF_MESSAGE = 3
+MAX_MEMORY_PART = 0.5  # of limits.memory_mb
+BYTES_PER_MB = 2**20
+
+
+class TdsEngine(Struct, forbid_unknown_fields=True):
+    """An engine that speaks TDS."""
+
+    name: Annotated[str, Meta(min_length=1)]
+    dial: str
+    cores: Positive = 8.0
+    memory_mb: Positive = 16384.0
+    state: str = "active"
+
+
+class TdsLogin(Struct, forbid_unknown_fields=True):
+    """The terms of a TDS log-in: application and database must match whole, an empty one matches any."""
+
+    cls: Annotated[str, Meta(min_length=1)] = msgspec.field(name="class")
+    application: str = ""
+    database: str = ""
+    deadline_ms: Positive = 10_000.0
+    cost_ms: Annotated[float, Meta(ge=0)] = 0.0
+    memory_mb: Annotated[float, Meta(ge=0)] = 0.0
+
+
+class TdsSection(Struct, forbid_unknown_fields=True):
+    """The TDS front and its engines."""
+
+    listen: str
+    login: Annotated[list[TdsLogin], Meta(min_length=1)]
+    engine: list[TdsEngine] = []
+    max_sessions: Count = 64
+    max_batch_bytes: Count = 128 * 1024
+    max_result_bytes: Count = 256 * 1024
+    login_ms: Positive = 2_400.0
+    idle_ms: Positive = 600_000.0
+    engine_user: str = "frostspindle"
+    engine_password: str = ""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class TdsPlan:
+    """What the module is told of TDS: its classes and kinds stand behind the platform's."""
+
+    classes: dict[str, int]
+    kinds: dict[tuple[float, float], int]
+
+
+def check_tds(tds: TdsSection, classes: tuple[str, ...], limits: Limits) -> None:
+    """Raise ConfigError, which names the key, for what does not fit the platform's classes and limits."""
+    address(tds.listen, "tds.listen")
+    _check_limits(tds, limits)
+    _check_engines(tds.engine)
+    for number, login in enumerate(tds.login):
+        if login.cls not in classes:
+            raise ConfigError(f"tds.login[{number}].class: the settings have no class {login.cls!r}")
+
+
+def _check_limits(tds: TdsSection, limits: Limits) -> None:
+    if tds.max_sessions > limits.sockets // SOCKETS_PER_SESSION:
+        raise ConfigError(f"tds.max_sessions: more than a sixth of {limits.sockets} sockets")
+    held_bytes = COPIES_OF_MESSAGE * tds.max_sessions * (tds.max_batch_bytes + tds.max_result_bytes)
+    if held_bytes > limits.memory_mb * BYTES_PER_MB * MAX_MEMORY_PART:
+        raise ConfigError(
+            "tds.max_result_bytes: with max_sessions and max_batch_bytes it may take more than "
+            f"half of {limits.memory_mb:g} MB"
+        )
+
+
+def _check_engines(engines: list[TdsEngine]) -> None:
+    names = set()
+    for number, engine in enumerate(engines):
+        address(engine.dial, f"tds.engine[{number}].dial")
+        if engine.state not in STATES:
+            raise ConfigError(f"tds.engine[{number}].state: not one of {', '.join(STATES)}")
+        if engine.name in names:
+            raise ConfigError(f"tds.engine[{number}].name: {engine.name!r} stands there twice")
+        names.add(engine.name)
+
+
+def with_tds(settings: Settings, names: tuple[str, ...], tds: TdsSection) -> tuple[Settings, TdsPlan]:
+    """Return the decision module's settings with the TDS classes and kinds added.
+
+    A request stays among engines that speak its client's protocol. The module's own placement rule sees to that: the
+    classes of each front are bound to the kinds of that front's engines.
+    """
+    first = len(settings.kind_cores)
+    kinds: dict[tuple[float, float], int] = {}
+    for engine in tds.engine:
+        kinds.setdefault((engine.cores, engine.memory_mb), first + len(kinds))
+    plan = TdsPlan({}, kinds)
+    http_kinds = frozenset(range(first))
+    tds_kinds = frozenset(kinds.values())
+    classes = [
+        dataclasses.replace(request_class, only_kinds=request_class.only_kinds or http_kinds)
+        for request_class in settings.classes
+    ]
+    for login in tds.login:
+        if login.cls in plan.classes:
+            continue
+        plan.classes[login.cls] = len(classes)
+        request_class = settings.classes[names.index(login.cls)]
+        classes.append(dataclasses.replace(request_class, only_kinds=tds_kinds, only_zones=None))
+    memory = (settings.kind_memory_mb + (0.0,) * first)[:first]
+    settings = dataclasses.replace(
+        settings,
+        classes=tuple(classes),
+        kind_cores=settings.kind_cores + tuple(cores for cores, _ in kinds),
+        kind_memory_mb=memory + tuple(memory_mb for _, memory_mb in kinds),
+    )
+    return settings, plan
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -93,7 +93,7 @@
         self.stopping, self.failed, self.once_ready = asyncio.Event(), False, False
         self.desk = (
             OperatorServer(
-                config.desk,
+                config.operator_address,
                 {
                     "ready": self.ready,
                     "show-stat": self.figures,
@@ -104,7 +104,7 @@
                 },
                 self.telemetry,
             )
-            if config.desk
+            if config.operator_address
             else None
         )
         if self.desk and config.operator.metrics:
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -36,7 +36,7 @@
     )
     return dataclasses.replace(
         config,
-        desk=None,
+        operator_address=None,
         worker=passport.slot,
         seed=config.seed ^ (0x9E3779B97F4A7C15 * (passport.slot + 1)),
         operator=msgspec.structs.replace(operator, snmp=None, tds=tds),
--- a/frostspindle/lab/warming.py
+++ b/frostspindle/lab/warming.py
@@ -13,7 +13,7 @@
 from frostspindle.fleet.slow_start import SlowStartBudgets, exact, gathers, wished
 from frostspindle.policy.controller import COLD_SAFETY, Controller
 
-PORT, LEASE_MS, TICK_MS, IDLE_MS = 4_000, 1_500.0, 20.0, 250.0  # the last three as in fleet/warming.py, config.py
+PORT, LEASE_MS, TICK_MS, IDLE_MS = 4_000, 1_500.0, 20.0, 250.0  # the last three as in fleet/warming.py, config/fleet.py
 CHAIN, WAITING = 512, 64
 
 
--- a/frostspindle/net/snmp.py
+++ b/frostspindle/net/snmp.py
@@ -22,7 +22,7 @@
 from pysnmp.smi import error
 from pysnmp.smi.instrum import AbstractMibInstrumController
 
-from frostspindle.config import Snmp, address
+from frostspindle.config import SnmpSection, address
 from frostspindle.core import Core
 from frostspindle.telemetry import Telemetry
 
@@ -117,7 +117,9 @@
 class Agent:
     """The agent's UDP socket and its SNMP engine."""
 
-    def __init__(self, snmp: Snmp, core: Core, telemetry: Telemetry, sessions: Callable[[], dict[str, int]]) -> None:
+    def __init__(
+        self, snmp: SnmpSection, core: Core, telemetry: Telemetry, sessions: Callable[[], dict[str, int]]
+    ) -> None:
         self.snmp = snmp
         self.objects = Objects(core, telemetry, sessions)
         self.port = 0
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -13,7 +13,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from frostspindle.config import STATES, Tds, TdsEngine, address
+from frostspindle.config import STATES, TdsEngine, TdsSection, address
 from frostspindle.core import Attempt, Core, EngineState, clock
 from frostspindle.net import TaskDriver
 from frostspindle.net.tds import codec
@@ -47,7 +47,7 @@
         self._stray: asyncio.Task[bytes] | None = None
 
     @classmethod
-    async def open(cls, at: tuple[str, int], tds: Tds, database: str, most: int) -> _Connection:
+    async def open(cls, at: tuple[str, int], tds: TdsSection, database: str, most: int) -> _Connection:
         try:
             reader, writer = await asyncio.open_connection(*at, limit=64 * 1024)
         except OSError as error:
@@ -60,7 +60,7 @@
             raise
         return connection
 
-    async def _log_in(self, tds: Tds, database: str) -> None:
+    async def _log_in(self, tds: TdsSection, database: str) -> None:
         try:
             self.writer.write(
                 codec.packets(
@@ -142,7 +142,9 @@
 class TdsEngines(TaskDriver):
     """The driver of the TDS engines in the operator's file."""
 
-    def __init__(self, tds: Tds, kinds: dict[tuple[float, float], int], core: Core, telemetry: Telemetry) -> None:
+    def __init__(
+        self, tds: TdsSection, kinds: dict[tuple[float, float], int], core: Core, telemetry: Telemetry
+    ) -> None:
         super().__init__(core)
         self.tds, self.kinds, self.telemetry = tds, kinds, telemetry
         self.states: dict[int, EngineState] = {}
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -16,7 +16,7 @@
 import socket
 from collections.abc import Awaitable, Callable, Iterable
 
-from frostspindle.config import Address, Tds, TdsLogin
+from frostspindle.config import Address, TdsLogin, TdsSection
 from frostspindle.core import ClientRequest, Core, Response, ResponseStatus, clock
 from frostspindle.net.tds import codec
 from frostspindle.telemetry import Telemetry
@@ -241,7 +241,7 @@
 
     def __init__(
         self,
-        tds: Tds,
+        tds: TdsSection,
         listen: Address,
         classes: dict[str, int],
         seed: int,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -103,6 +103,8 @@
 SERVES = {
     "frostspindle": "__main__ components config core descriptor_sharing handover host ledger memory_log net order "
     "policy pools program reload reserved_descriptor serving shared signals telemetry timers",
+    "frostspindle.config": "addresses agreed_settings cores document errors fleet operator_calls operator_file "
+    "ownership reader recovery replica tds tenants",
     "frostspindle.components": "base http_requests operator_port registry",
     "frostspindle.ledger": "tenants",
     "frostspindle.net": "discovery engines fields http operator platform",
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -7,7 +7,9 @@
 from peers import SQL, EdgeCase, page, settings
 
 from frostspindle import policy
-from frostspindle.config import ConfigError, Operator, Tenant, TenantRule, _named, _tenants
+from frostspindle.config import ConfigError, Tenant, TenantRule
+from frostspindle.config.document import entry_names
+from frostspindle.config.tenants import join_tenants
 from frostspindle.ledger.tenants import RequestAttributes, Rule, Tenants, UnknownTenantError
 from frostspindle.net.fields import TEXT, CallRejectedError, key_number, read
 
@@ -152,4 +154,4 @@
 def test_tenants_of_the_settings_that_can_t_be_used_are_named(parties, word):
     with pytest.raises(ConfigError, match=word):
         rule = TenantRule(front="tds")
-        _tenants(_named({"parties": parties}, "parties"), Operator(tenant=[Tenant("b", rule=[rule])]))
+        join_tenants(entry_names({"parties": parties}, "parties"), [Tenant("b", rule=[rule])], "default")
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -98,6 +98,6 @@
         json.dumps({"listen": "127.0.0.1:0", "seed": "1", "operator": desk, "settings": settings()})
     )
     (tmp_path / "o.toml").write_text("metrics = true")
-    monkeypatch.setattr(configuration.importlib.util, "find_spec", lambda name: found or None)
+    monkeypatch.setattr("importlib.util.find_spec", lambda name: found or None)
     with pytest.raises(ConfigError, match=f"metrics: {word}"):
         configuration.read({"LB_CONFIG": str(tmp_path / "c.json"), "FROSTSPINDLE_OPERATOR": str(tmp_path / "o.toml")})
--- a/tests/test_subscriptions_program.py
+++ b/tests/test_subscriptions_program.py
@@ -8,8 +8,8 @@
 import test_fleet_program
 from peers import LOAD, EdgeCase
 
-from frostspindle import config as configuration
 from frostspindle.config import ConfigError
+from frostspindle.config.operator_calls import check_subscriptions
 from frostspindle.lab.faults.spread import Reader
 from frostspindle.net import operator
 from frostspindle.subscriptions import cursor
@@ -155,9 +155,7 @@
             with self.assertRaisesRegex(ConfigError, key):
                 test_fleet_program.ConfigCase.read(self, text)
         with self.assertRaisesRegex(ConfigError, "LB_OPERATOR"):
-            configuration._check_subscriptions(
-                configuration.Operator(subscriptions=configuration.Subscriptions()), False
-            )
+            check_subscriptions(workers=1, has_operator_port=False)
 
 
 if __name__ == "__main__":
