--- a/bench/settings.py
+++ b/bench/settings.py
@@ -411,7 +411,7 @@
     """
     from frostspindle.lab.bench import SPAWN, coordinator, engines
     from frostspindle.lab.engines import document, host
-    from frostspindle.operator_client import operate
+    from frostspindle.operator_client import call_operator
 
     rng, settle = random.Random(seed), 0.5  # the end of what the window before left is not measured
     pushed = [side for _ in range(windows // 2) for side in rng.sample((False, True), 2)]
@@ -441,10 +441,10 @@
         cpu, lasts, load = [], [], []
         for begin in begins:
             time.sleep(max(0.0, begin + settle - time.time()))
-            before, last = processor_s(pid), json.loads(operate(desk, "show-settings").splitlines()[0])["last"]
+            before, last = processor_s(pid), json.loads(call_operator(desk, "show-settings").splitlines()[0])["last"]
             time.sleep(max(0.0, begin + seconds - time.time()))
             cpu.append(processor_s(pid) - before)
-            lasts.append(json.loads(operate(desk, "show-settings").splitlines()[0])["last"] - last)
+            lasts.append(json.loads(call_operator(desk, "show-settings").splitlines()[0])["last"] - last)
             load.append(os.getloadavg()[0])
         total, rows = pipes[0].recv()
         outcomes = pipes[1].recv()
--- a/bench/spike_cores.py
+++ b/bench/spike_cores.py
@@ -23,7 +23,7 @@
 
 from frostspindle.lab.bench import SPAWN, WARM_S, client_process, coordinator, cpu_s, engines, one
 from frostspindle.lab.engines import document, host
-from frostspindle.operator_client import operate
+from frostspindle.operator_client import call_operator
 
 
 def apart(count: int, clients: int, connections: int, ports: dict[str, int], seconds: float) -> dict[str, float]:
@@ -57,7 +57,7 @@
 
         def served() -> int:
             return sum(
-                json.loads(operate(desk, "show-stat").splitlines()[0])["calls"]["lookup"]["success"]
+                json.loads(call_operator(desk, "show-stat").splitlines()[0])["calls"]["lookup"]["success"]
                 for _, (desk, _) in each
             )
 
--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.cli import operate
+from frostspindle.cli import call_operator
 from frostspindle.lab.bench import cpu_s, engines
 from frostspindle.lab.engines import document, host
 from frostspindle.predicates.index import FilterIndex
@@ -240,7 +240,7 @@
             began = cpu_s([child.pid])
             await load(port, count)
             took = cpu_s([child.pid]) - began
-            assert json.loads(operate(desk, "show-stat").splitlines()[0])["calls"]["lookup"]["success"] >= count
+            assert json.loads(call_operator(desk, "show-stat").splitlines()[0])["calls"]["lookup"]["success"] >= count
             for writer in kept:
                 writer.close()
             return took * 1e3 / count
--- a/frostspindle/catalogue.py
+++ b/frostspindle/catalogue.py
@@ -18,8 +18,14 @@
 
 from frostspindle.policy import Settings
 
-MOST_SITES, MOST_GROUPS, MOST_KEYS = 64, 256, 1_024
-INTEGER, DECIMAL, TEXT, TIME, FLOAT = "integer", "decimal", "text", "time", "float"
+MAX_SITES = 64
+MAX_GROUPS = 256
+MAX_SUMMARIES = 1_024  # pairs of a group and a site
+INTEGER = "integer"
+DECIMAL = "decimal"
+TEXT = "text"
+TIME = "time"
+FLOAT = "float"
 CELLS = "\0"  # behind a column's name: the numbers of the cells that its values lie in; in no statement
 TYPES = (INTEGER, DECIMAL, TEXT, TIME, FLOAT)
 DIALECTS = ("sqlite", "tsql", "postgres", "mysql")
@@ -53,7 +59,7 @@
     step: Annotated[int, Meta(ge=0, le=10**15)] = 0  # 0: none
 
 
-class Group(Struct, forbid_unknown_fields=True, frozen=True):
+class TableGroup(Struct, forbid_unknown_fields=True, frozen=True):
     """Tables of one schema whose rows are spread over sites; a column's name means the same in all of them."""
 
     schema: Annotated[str, Meta(min_length=3, max_length=64)]
@@ -69,11 +75,11 @@
         return int(found.group(1)) % (1 << 24) if found else -1
 
 
-class Scatter(Struct, forbid_unknown_fields=True, frozen=True):
+class ScatterSection(Struct, forbid_unknown_fields=True, frozen=True):
     """The operator's `[scatter]`."""
 
-    site: Annotated[list[Site], Meta(min_length=1, max_length=MOST_SITES)]
-    group: Annotated[list[Group], Meta(min_length=1, max_length=MOST_GROUPS)]
+    site: Annotated[list[Site], Meta(min_length=1, max_length=MAX_SITES)]
+    group: Annotated[list[TableGroup], Meta(min_length=1, max_length=MAX_GROUPS)]
     dialect: str = "sqlite"
     binary: bool = False  # engines tell texts apart and order them by code point, blanks and cases too
     null: Annotated[str, Meta(max_length=16)] = "\\N"  # what an engine writes for null
@@ -90,8 +96,8 @@
 class Catalogue:
     """The checked `[scatter]`, indexed. `classes` has the module's number of a class of parts, by class and site."""
 
-    terms: Scatter
-    groups: dict[int, Group]
+    terms: ScatterSection
+    groups: dict[int, TableGroup]
     sites: dict[str, Site]
     classes: dict[tuple[int, str], int]
     loads: frozenset[int]  # classes of loads
@@ -145,85 +151,105 @@
     return max(homes, key=lambda name: blake2b(f"{key}:{name}".encode(), digest_size=8).digest())
 
 
-def read(raw: Any) -> Scatter:
+def read(raw: Any) -> ScatterSection:
     """Check the operator's table and return it; CatalogueError names the key that can't be used."""
     try:
-        terms = msgspec.convert(raw, Scatter)
+        section = msgspec.convert(raw, ScatterSection)
     except msgspec.ValidationError as error:
         raise CatalogueError(f"scatter: {' '.join(str(error).split())}") from None
-    _unique("scatter.site", [site.name for site in terms.site])
-    _unique("scatter.group", [group.schema.lower() for group in terms.group])
-    if terms.dialect not in DIALECTS:
+    _check_unique("scatter.site", [site.name for site in section.site])
+    _check_unique("scatter.group", [group.schema.lower() for group in section.group])
+    if section.dialect not in DIALECTS:
         raise CatalogueError(f"scatter.dialect: not one of {', '.join(DIALECTS)}")
-    names = {site.name for site in terms.site}
-    for at, site in enumerate(terms.site):
+    _check_site_names(section.site)
+    site_names = {site.name for site in section.site}
+    for number, group in enumerate(section.group):
+        _check_group(group, f"scatter.group[{number}]", site_names)
+    _check_unique("scatter.group numbers", [group.number for group in section.group])
+    if sum(len(group.sites or site_names) for group in section.group) > MAX_SUMMARIES:
+        raise CatalogueError(f"scatter.group: more than {MAX_SUMMARIES} pairs of a group and a site")
+    return section
+
+
+def _check_site_names(sites: Sequence[Site]) -> None:
+    for number, site in enumerate(sites):
         if "/" in site.name or not site.name.isascii() or not site.name.isprintable():
-            raise CatalogueError(f"scatter.site[{at}].name: not plain, or with a slash: {site.name!r}")
-    for at, group in enumerate(terms.group):
-        key = f"scatter.group[{at}]"
-        if group.number < 0:
-            raise CatalogueError(f"{key}.schema: not of the form name_17 in small letters: {group.schema!r}")
-        _unique(f"{key}.tables", group.tables)
-        _unique(f"{key}.column", [column.name for column in group.column])
-        for name in (*group.tables, *(column.name for column in group.column)):
-            if not _NAME.fullmatch(name) or name != name.lower():
-                raise CatalogueError(f"{key}: not a plain name in small letters: {name!r}")
-        for column in group.column:
-            if column.type not in TYPES:
-                raise CatalogueError(f"{key}.column {column.name}: type: not one of {', '.join(TYPES)}")
-            if column.step and column.type not in (INTEGER, DECIMAL):
-                raise CatalogueError(f"{key}.column {column.name}: step: only of integers and decimals")
-        if missing := [name for name in group.sites if name not in names]:
-            raise CatalogueError(f"{key}.sites: there is no [[scatter.site]] {missing[0]!r}")
-        if missing := [name for name in group.by if name not in {column.name for column in group.column}]:
-            raise CatalogueError(f"{key}.by: no column {missing[0]!r}")
-    _unique("scatter.group numbers", [group.number for group in terms.group])
-    if sum(len(group.sites or names) for group in terms.group) > MOST_KEYS:
-        raise CatalogueError(f"scatter.group: more than {MOST_KEYS} pairs of a group and a site")
-    return terms
-
-
-def _unique(key: str, names: Sequence[Any]) -> None:
-    for at, name in enumerate(names):
-        if name in names[:at]:
-            raise CatalogueError(f"{key}[{at}]: {name!r} stands there twice")
+            raise CatalogueError(f"scatter.site[{number}].name: not plain, or with a slash: {site.name!r}")
+
+
+def _check_group(group: TableGroup, key: str, site_names: set[str]) -> None:
+    if group.number < 0:
+        raise CatalogueError(f"{key}.schema: not of the form name_17 in small letters: {group.schema!r}")
+    column_names = [column.name for column in group.column]
+    _check_unique(f"{key}.tables", group.tables)
+    _check_unique(f"{key}.column", column_names)
+    for name in (*group.tables, *column_names):
+        if not _NAME.fullmatch(name) or name != name.lower():
+            raise CatalogueError(f"{key}: not a plain name in small letters: {name!r}")
+    for column in group.column:
+        if column.type not in TYPES:
+            raise CatalogueError(f"{key}.column {column.name}: type: not one of {', '.join(TYPES)}")
+        if column.step and column.type not in (INTEGER, DECIMAL):
+            raise CatalogueError(f"{key}.column {column.name}: step: only of integers and decimals")
+    for name in group.sites:
+        if name not in site_names:
+            raise CatalogueError(f"{key}.sites: there is no [[scatter.site]] {name!r}")
+    for name in group.by:
+        if name not in column_names:
+            raise CatalogueError(f"{key}.by: no column {name!r}")
+
+
+def _check_unique(key: str, names: Sequence[Any]) -> None:
+    for number, name in enumerate(names):
+        if name in names[:number]:
+            raise CatalogueError(f"{key}[{number}]: {name!r} stands there twice")
 
 
 def with_scatter(
     settings: Settings, classes: Sequence[str], zones: Sequence[str], raw: Any
 ) -> tuple[Settings, Catalogue]:
-    """The module's settings with a class of parts for each class and site added, and the catalogue.
+    """Return the decision module's settings with a class of parts for each class and site added, and the catalogue.
 
     A part runs on engines of its site only. The module itself sees to that, by its rule on placement: each class of
     parts is bound to its site's failure domains.
     """
-    terms = read(raw)
-    if terms.learn_class and terms.learn_class not in classes:
-        raise CatalogueError(f"scatter.learn_class: the settings have no class {terms.learn_class!r}")
-    made, numbers = list(settings.classes), dict[tuple[int, str], int]()
-    taken: dict[str, str] = {}
-    for at, site in enumerate(terms.site):
-        own = site.zones or [site.name]
-        for zone in own:
-            if zone not in zones:
-                raise CatalogueError(f"scatter.site[{at}].zones: the settings have no failure domain {zone!r}")
-            if zone in taken:
-                raise CatalogueError(f"scatter.site[{at}].zones: {zone!r} is of {taken[zone]!r}")
-            taken[zone] = site.name
-        here = frozenset(zones.index(zone) for zone in own)
-        for number in range(len(classes)):
-            cls = settings.classes[number]
-            allowed = here if cls.only_zones is None else here & cls.only_zones
+    section = read(raw)
+    if section.learn_class and section.learn_class not in classes:
+        raise CatalogueError(f"scatter.learn_class: the settings have no class {section.learn_class!r}")
+    all_classes = list(settings.classes)
+    numbers: dict[tuple[int, str], int] = {}
+    site_by_zone: dict[str, str] = {}
+    for at, site in enumerate(section.site):
+        key = f"scatter.site[{at}].zones"
+        site_zones = _zone_numbers(site, zones, site_by_zone, key)
+        for number, name in enumerate(classes):
+            request_class = settings.classes[number]
+            only_zones = request_class.only_zones
+            allowed = site_zones if only_zones is None else site_zones & only_zones
             if not allowed:
-                raise CatalogueError(f"scatter.site[{at}].zones: none is open to class {classes[number]!r}")
-            numbers[number, site.name] = len(made)
-            made.append(dataclasses.replace(cls, only_zones=allowed))
+                raise CatalogueError(f"{key}: none is open to class {name!r}")
+            numbers[number, site.name] = len(all_classes)
+            all_classes.append(dataclasses.replace(request_class, only_zones=allowed))
     catalogue = Catalogue(
-        terms,
-        {group.number: group for group in terms.group},
-        {site.name: site for site in terms.site},
+        section,
+        {group.number: group for group in section.group},
+        {site.name: site for site in section.site},
         numbers,
         frozenset(number for number in range(len(classes)) if settings.classes[number].is_load),
-        classes.index(terms.learn_class) if terms.learn_class else -1,
+        classes.index(section.learn_class) if section.learn_class else -1,
     )
-    return dataclasses.replace(settings, classes=tuple(made)), catalogue
+    return dataclasses.replace(settings, classes=tuple(all_classes)), catalogue
+
+
+def _zone_numbers(site: Site, zones: Sequence[str], site_by_zone: dict[str, str], key: str) -> frozenset[int]:
+    """Return the numbers of a site's failure domains and note them as the site's; CatalogueError if one is unknown or
+    another site's.
+    """
+    site_zones = site.zones or [site.name]
+    for zone in site_zones:
+        if zone not in zones:
+            raise CatalogueError(f"{key}: the settings have no failure domain {zone!r}")
+        if zone in site_by_zone:
+            raise CatalogueError(f"{key}: {zone!r} is of {site_by_zone[zone]!r}")
+        site_by_zone[zone] = site.name
+    return frozenset(zones.index(zone) for zone in site_zones)
--- a/frostspindle/cli.py
+++ b/frostspindle/cli.py
@@ -16,6 +16,7 @@
 import secrets
 import sys
 import time
+from collections.abc import Iterable
 from typing import Any
 
 import click
@@ -23,11 +24,16 @@
 from frostspindle import __version__
 from frostspindle import config as configuration
 from frostspindle.config import ConfigError
-from frostspindle.operator_client import AWAY, BAD, ask, operate
+from frostspindle.effective_config import effective
+from frostspindle.operator_client import EXIT_BAD_CALL, EXIT_UNREACHABLE, call_operator, send_query
 from frostspindle.operator_client import figures as figures_of
+from frostspindle.operator_tables import fleet_lines, owner_lines, stat_lines
 
-SERVED, REFUSED, FAILED = 0, 3, 4
-_files = [
+# Exit codes of `call`, beside those of operator_client.
+EXIT_SERVED = 0
+EXIT_REJECTED = 3
+EXIT_FAILED = 4
+_FILE_OPTIONS = [
     click.option("--config", "config_file", type=click.Path(), help="The JSON file; else LB_CONFIG names it."),
     click.option(
         "--operator",
@@ -41,7 +47,7 @@
 
 def files(command: Any) -> Any:
     """Add the options `--config`, `--operator` and `--workers` to a click command; used as a decorator."""
-    for option in reversed(_files):
+    for option in reversed(_FILE_OPTIONS):
         command = option(command)
     return command
 
@@ -56,6 +62,11 @@
     return {**os.environ, **{key: value for key, value in given.items() if value is not None}}
 
 
+def _print_lines(lines: Iterable[str]) -> None:
+    for line in lines:
+        click.echo(line)
+
+
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="frostspindle")
 def cli() -> None:
@@ -83,7 +94,7 @@
         config = configuration.read(environment(config_file, operator_file, workers))
     except ConfigError as error:
         click.echo(f"frostspindle: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_CALL)
     values = effective(config)
     if as_json:
         click.echo(json.dumps(values, indent=2))
@@ -93,54 +104,6 @@
         click.echo(f"{key:<{width}}  {value}")
 
 
-def effective(config: configuration.Config) -> dict[str, Any]:
-    """Return the values that the program would use, without secrets."""
-
-    def place(at: Any) -> str:
-        return "off" if at is None else at if isinstance(at, str) else f"{at[0]}:{at[1]}"
-
-    cores, tds, snmp = config.operator.cores, config.operator.tds, config.operator.snmp
-    values: dict[str, Any] = {
-        "name": config.name,
-        "listen": place(config.listen) if config.inherited is None else f"descriptor {config.inherited}",
-        "operator": place(config.operator_address),
-        "bus": place(config.bus),
-        "limits.memory_mb": config.limits.memory_mb,
-        "limits.sockets": config.limits.sockets,
-        "known.offset": config.known_offset,
-        "known.engines": len({host.host for event in config.known if event.topology for host in event.topology.hosts}),
-        "classes": ", ".join(
-            f"{name} (in order)" if config.settings.classes[number].in_order else name
-            for number, name in enumerate(config.classes)
-        ),
-        "cores.workers": cores.workers,
-    }
-    if cores.workers > 1:
-        values |= {
-            "cores.hang_ms": cores.hang_ms,
-            "cores.crashes": cores.crashes,
-            "cores.within_ms": cores.within_ms,
-            "each worker": f"{config.limits.sockets // cores.workers} descriptors, "
-            f"{config.limits.memory_mb / cores.workers:g} MB",
-        }
-    shares = config.settings.tenant_quotas_per_s[1:]  # the first is the default's
-    values["tenants"] = (
-        ", ".join(
-            f"{name} ({share:g}/s)" if share else name for name, share in zip(config.tenants.names, shares, strict=True)
-        )
-        or "off"
-    )
-    values["tds.listen"] = tds.listen if tds else "off"
-    if tds:
-        values |= {
-            "tds.max_sessions": tds.max_sessions,
-            "tds.login": len(tds.login),
-            "tds.engine": ", ".join(engine.name for engine in tds.engine),
-        }
-    values["snmp.listen"] = snmp.listen if snmp else "off"
-    return values
-
-
 @cli.command()
 @click.argument("cls", metavar="CLASS")
 @click.argument("sql")
@@ -159,10 +122,10 @@
     """
     began = time.monotonic()
     try:
-        how, rows, wait_ms = ask(at, cls, sql, ticket or secrets.token_hex(8), timeout_ms, cost_ms, memory)
+        how, rows, wait_ms = send_query(at, cls, sql, ticket or secrets.token_hex(8), timeout_ms, cost_ms, memory)
     except (OSError, http.client.HTTPException) as error:
         click.echo(f"frostspindle: {at}: {error}", err=True)
-        sys.exit(AWAY)
+        sys.exit(EXIT_UNREACHABLE)
     took_ms = (time.monotonic() - began) * 1000.0
     if as_json:
         click.echo(json.dumps({"how": how, "rows": rows, "retry_after_ms": wait_ms, "ms": round(took_ms, 1)}))
@@ -171,7 +134,7 @@
             click.echo("\t".join(row))
         note = f"; come back in {wait_ms:g} ms" if wait_ms else ""
         click.echo(f"{how}: {len(rows)} rows in {took_ms:.0f} ms{note}", err=True)
-    sys.exit({"served": SERVED, "refused": REFUSED}.get(how, FAILED))
+    sys.exit({"served": EXIT_SERVED, "refused": EXIT_REJECTED}.get(how, EXIT_FAILED))
 
 
 @cli.command()
@@ -188,28 +151,17 @@
             place = configuration.address(place, "--at")
     except ConfigError as error:
         click.echo(f"frostspindle: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_CALL)
     try:
-        answer = operate(place, "show-stat")
+        answer = call_operator(place, "show-stat")
     except OSError as error:
         click.echo(f"frostspindle: {place}: {error}", err=True)
-        sys.exit(AWAY)
+        sys.exit(EXIT_UNREACHABLE)
     figures = json.loads(answer.splitlines()[0])
     if as_json:
         click.echo(json.dumps(figures, indent=2))
         return
-    for key, value in figures.items():
-        if not isinstance(value, (dict, list)):
-            click.echo(f"{key:<14}{value:>10}")
-    click.echo(f"\n{'class':<14}{'success':>10}{'busy':>10}{'failure':>10}")
-    for name, row in figures["calls"].items():
-        click.echo(f"{name:<14}{row['success']:>10}{row['busy']:>10}{row['failure']:>10}")
-    if workers := figures.get("workers"):
-        click.echo(f"\n{'worker':<14}{'state':>10}{'inflight':>10}{'clients':>10}{'restarts':>10}")
-        for row in workers:
-            click.echo(
-                f"{row['worker']:<14}{row['state']:>10}{row['inflight']:>10}{row['clients']:>10}{row['restarts']:>10}"
-            )
+    _print_lines(stat_lines(figures))
 
 
 @cli.command()
@@ -277,25 +229,7 @@
     if as_json or "members" not in figures:
         click.echo(json.dumps(figures, indent=2))
         return
-    stale = figures["stale_ms"]
-    click.echo(
-        f"{figures['name']}: {figures['size']} coordinators, health {figures['health']} (0 is well), "
-        f"{figures['false_suspicions']} false suspicions"
-    )
-    click.echo(f"\n{'member':<24}{'state':>10}{'word, s old':>14}")
-    for name, state in figures["members"].items():
-        click.echo(f"{name:<24}{state:>10}{stale[name] / 1000.0 if name in stale else float('nan'):>14.1f}")
-    columns = ("units", "own", "held", "ready", "lent", "borrowed", "need", "spent", "denied")
-    click.echo("\n" + f"{'budget':<17}" + "".join(f"{column:>10}" for column in columns))
-    for name, row in figures["budgets"].items():
-        click.echo(f"{name:<17}" + "".join(f"{row[column]:>10}" for column in columns))
-    for key, value in figures["sums"].items():
-        click.echo(f"fleet {key:<24}{value:>12}")
-    for row in figures["verdicts"]:
-        click.echo(
-            f"{row['engine']} {row['kind']}: {row['judges']} others{', and we' if row['own'] else ''}"
-            f"{'; counts' if row['counts'] else ''}"
-        )
+    _print_lines(fleet_lines(figures))
 
 
 _AT = click.option("--at", default="127.0.0.1:6566", show_default=True, help="The operators' address.")
@@ -314,20 +248,7 @@
     if as_json:
         click.echo(json.dumps(figures, indent=2))
         return
-    state = f"stands for nothing: {figures['waits']}" if figures["waits"] else f"wants {figures['wants']} tasks"
-    click.echo(f"{figures['name']}: leader {figures['leader'] or 'unknown'}, index {figures['index']}, {state}")
-    click.echo(f"\n{'task':<24}{'holder':<20}{'token':>10}{'left, s':>10}{'renewed':>10}")
-    for row in figures["owners"]:
-        notes = "".join((" here" if row["here"] else "", " released by an operator" if row["forced"] else ""))
-        click.echo(
-            f"{row['task']:<24}{row['holder']:<20}{row['token']:>10}{row['left_ms'] / 1000.0:>10.1f}"
-            f"{row['renewals']:>10}{notes}"
-        )
-    for task in figures["free"]:
-        click.echo(f"{task:<24}{'nobody':<20}")
-    click.echo(f"\n{figures['acted']} actions, {figures['refused']} refused")
-    for row in figures["refusals"]:
-        click.echo(f"refused: {row['task']} {row['action']} under {row['token']}, {row['highest']} was seen")
+    _print_lines(owner_lines(figures))
 
 
 @owners.command("release")
@@ -348,7 +269,7 @@
             return
         time.sleep(0.05)
     click.echo(f"frostspindle: {task}: not released within {wait_s:g} s", err=True)
-    sys.exit(REFUSED)
+    sys.exit(EXIT_REJECTED)
 
 
 class _Settings(click.Group):
--- a/frostspindle/lab/bench.py
+++ b/frostspindle/lab/bench.py
@@ -26,7 +26,7 @@
 from httptools import HttpResponseParser
 
 from frostspindle.lab.engines import Bus, Engine, document, host
-from frostspindle.operator_client import operate
+from frostspindle.operator_client import call_operator
 
 WARM_S = 1.0  # of each run, not measured
 SQL = b"SELECT agent FROM calls_17.notes"
@@ -203,7 +203,7 @@
             until = time.time() + 60.0
             while True:
                 try:
-                    if operate(desk, "ready").startswith("ACK"):
+                    if call_operator(desk, "ready").startswith("ACK"):
                         break
                 except OSError:
                     pass
@@ -230,7 +230,7 @@
 
     config = document([host(name, port) for name, port in ports.items()])
     with coordinator(config, workers, source) as (port, (desk, pid)):
-        began = json.loads(operate(desk, "show-stat").splitlines()[0])
+        began = json.loads(call_operator(desk, "show-stat").splitlines()[0])
         pids = [pid, *(row["pid"] for row in began.get("workers", []))]
         at = time.time() + 0.7
         pipes = []
@@ -254,11 +254,11 @@
             process.start()
             pipes.append((here, process))
         time.sleep(max(0.0, at + WARM_S - time.time()))
-        cpu, asked = cpu_s(pids), json.loads(operate(desk, "show-stat").splitlines()[0])
+        cpu, asked = cpu_s(pids), json.loads(call_operator(desk, "show-stat").splitlines()[0])
         start = time.time()
         time.sleep(max(0.0, at + WARM_S + seconds - time.time()))
         cpu, took, memory = cpu_s(pids) - cpu, time.time() - start, rss_mb(pids)
-        stat = json.loads(operate(desk, "show-stat").splitlines()[0])
+        stat = json.loads(call_operator(desk, "show-stat").splitlines()[0])
         histogram, statuses, broken = HdrHistogram(1, LONGEST_US, 3), dict[int, int](), 0
         for here, process in pipes:
             encoded, counts, lost = here.recv()
@@ -395,7 +395,7 @@
             bus.say(host(names[0], ports[names[0]], "leaving"))
             await asyncio.sleep(seconds / 2 + 0.5)
             results = [await asyncio.to_thread(here.recv) for here, _ in processes]
-            stat = json.loads((await asyncio.to_thread(operate, desk, "show-stat")).splitlines()[0])
+            stat = json.loads((await asyncio.to_thread(call_operator, desk, "show-stat")).splitlines()[0])
         finally:
             await asyncio.to_thread(context.__exit__, None, None, None)
             bus.server.close()
--- a/frostspindle/lab/demo.py
+++ b/frostspindle/lab/demo.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from frostspindle.lab.engines import Bus, Engine, document, host
-from frostspindle.operator_client import ask, operate
+from frostspindle.operator_client import call_operator, send_query
 
 SQL = "SELECT agent, max(note) FROM calls_17.notes GROUP BY agent"
 WAIT_S = 60.0  # a busy machine takes a while to start two interpreters
@@ -53,14 +53,14 @@
             async with asyncio.timeout(WAIT_S):
                 while not ended.is_set():
                     try:
-                        if (await asyncio.to_thread(operate, ("127.0.0.1", port + 1), "ready")).startswith("ACK"):
+                        if (await asyncio.to_thread(call_operator, ("127.0.0.1", port + 1), "ready")).startswith("ACK"):
                             break
                     except OSError:
                         pass
                     await asyncio.sleep(0.05)
             if not ended.is_set():
                 how, rows, _ = await asyncio.to_thread(
-                    ask, f"127.0.0.1:{port}", "lookup", SQL, "00000000000000a1", 5000.0, 300.0, 96.0
+                    send_query, f"127.0.0.1:{port}", "lookup", SQL, "00000000000000a1", 5000.0, 300.0, 96.0
                 )
                 print(f"\n{SQL}\n{how}: {rows}\n", flush=True)
                 print(
--- a/frostspindle/lab/faults/runner.py
+++ b/frostspindle/lab/faults/runner.py
@@ -22,7 +22,7 @@
 from frostspindle.lab.engines import Bus, Engine, document, host
 from frostspindle.lab.faults.relay import Relay
 from frostspindle.lab.faults.script import Script
-from frostspindle.operator_client import operate
+from frostspindle.operator_client import call_operator
 
 SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP, "cont": signal.SIGCONT}
 READY_S = 60.0  # of a busy machine
@@ -109,7 +109,7 @@
 
     async def figures(self, call: str = "show-fleet") -> dict[str, Any]:
         """Return the operators' port's answer to `call`, a JSON object."""
-        answer = await asyncio.to_thread(operate, ("127.0.0.1", self.desk), call)
+        answer = await asyncio.to_thread(call_operator, ("127.0.0.1", self.desk), call)
         return dict(json.loads(answer.splitlines()[0]))
 
     def send_signal(self, number: int) -> None:
--- a/frostspindle/lab/faults/spread.py
+++ b/frostspindle/lab/faults/spread.py
@@ -21,7 +21,7 @@
 from frostspindle.lab.faults.runner import Fleet, demand
 from frostspindle.lab.faults.script import parse
 from frostspindle.lab.rows import RowsEngine, Site
-from frostspindle.operator_client import ask
+from frostspindle.operator_client import send_query
 from frostspindle.predicates import Predicate, language, match
 from frostspindle.subscriptions import cursor
 
@@ -122,7 +122,7 @@
         self.tickets += 1
         at = f"127.0.0.1:{self.fleet.processes[process].http}"
         try:
-            return await asyncio.to_thread(ask, at, cls, sql, f"{self.tickets:016x}", timeout_ms, 5.0, 8.0)
+            return await asyncio.to_thread(send_query, at, cls, sql, f"{self.tickets:016x}", timeout_ms, 5.0, 8.0)
         except BROKEN:
             return "away", [], 0.0
 
--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -18,7 +18,7 @@
 from frostspindle.config import STATES, Address, BusEvent, Config, Host, address
 from frostspindle.core import Core, Driver, EngineState
 from frostspindle.policy import EndpointListKind, EngineEntry, Health
-from frostspindle.reserved_descriptor import FULL, ReservedDescriptor
+from frostspindle.reserved_descriptor import NO_DESCRIPTOR_ERRORS, ReservedDescriptor
 from frostspindle.telemetry import Telemetry
 
 # The bus writes a line every second, and its events count as notified after 7 s. Each further connection on which
@@ -217,7 +217,7 @@
         try:
             return socket.socket(family, socket.SOCK_STREAM)
         except OSError as error:
-            if error.errno not in FULL or not self.reserve.free():
+            if error.errno not in NO_DESCRIPTOR_ERRORS or not self.reserve.free():
                 raise
             self.telemetry.count("bus_spare_used")
             return socket.socket(family, socket.SOCK_STREAM)
--- a/frostspindle/operator_client.py
+++ b/frostspindle/operator_client.py
@@ -16,7 +16,11 @@
 from frostspindle import config as configuration
 from frostspindle.config import ConfigError
 
-BAD, AWAY = 2, 5  # exit codes: a call or an address that is no good; nobody there
+# Exit codes of a command.
+EXIT_BAD_CALL = 2  # a call or an address that can't be used
+EXIT_UNREACHABLE = 5
+REJECTED_STATUSES = (429, 503)  # of a request that may be sent again
+OPERATOR_TIMEOUT_S = 5.0
 
 
 class FiguresUnavailableError(click.ClickException):
@@ -31,7 +35,7 @@
         click.echo(f"frostspindle: {self.message}", err=True)
 
 
-def ask(
+def send_query(
     at: str, cls: str, sql: str, ticket: str, timeout_ms: float, cost_ms: float, memory: float
 ) -> tuple[str, list[list[str]], float]:
     """Send one request as a client does; return how it ended, its rows, and the advised wait in ms.
@@ -40,63 +44,72 @@
     longer than `timeout_ms` and a second.
     """
     address, port = configuration.address(at, "--at")
-    line = http.client.HTTPConnection(address, port, timeout=timeout_ms / 1000.0 + 1.0)
+    connection = http.client.HTTPConnection(address, port, timeout=timeout_ms / 1000.0 + 1.0)
+    headers = {
+        "X-Request-Id": ticket,
+        "X-Timeout-Ms": f"{timeout_ms:.1f}",
+        "X-Cost-Ms": f"{cost_ms:.1f}",
+        "X-Memory": f"{memory:.1f}",
+    }
     try:
-        line.request(
-            "POST",
-            f"/call/{cls}",
-            sql.encode(),
-            {
-                "X-Request-Id": ticket,
-                "X-Timeout-Ms": f"{timeout_ms:.1f}",
-                "X-Cost-Ms": f"{cost_ms:.1f}",
-                "X-Memory": f"{memory:.1f}",
-            },
-        )
-        rows: list[list[str]] = []
-        while True:
-            answer = line.getresponse()
-            body = answer.read()
-            page = json.loads(body) if body else {}
-            if answer.status in (429, 503):
-                return "refused", rows, float(answer.headers.get("Retry-After-Ms", 0.0))
-            if answer.status != 200 or page.get("failure"):
-                return "failed", rows, 0.0
-            rows += page.get("rows") or []
-            if not page.get("next"):
-                return "served", rows, 0.0
-            line.request("GET", page["next"])
+        connection.request("POST", f"/call/{cls}", sql.encode(), headers)
+        return _read_pages(connection)
     finally:
-        line.close()
-
-
-def operate(place: Any, text: str) -> str:
-    """Send one call to the operators' address and return the response; OSError, after 5 s of silence too."""
-    family = socket.AF_UNIX if isinstance(place, str) else socket.AF_INET6 if ":" in place[0] else socket.AF_INET
-    with socket.socket(family, socket.SOCK_STREAM) as line:
-        line.settimeout(5.0)
-        line.connect(place)
-        line.sendall(text.encode() + b"\n")
+        connection.close()
+
+
+def _read_pages(connection: http.client.HTTPConnection) -> tuple[str, list[list[str]], float]:
+    """Read the response to a request that was sent, and fetch its further pages."""
+    rows: list[list[str]] = []
+    while True:
+        response = connection.getresponse()
+        body = response.read()
+        page = json.loads(body) if body else {}
+        if response.status in REJECTED_STATUSES:
+            return "refused", rows, float(response.headers.get("Retry-After-Ms", 0.0))
+        if response.status != 200 or page.get("failure"):
+            return "failed", rows, 0.0
+        rows += page.get("rows") or []
+        if not page.get("next"):
+            return "served", rows, 0.0
+        connection.request("GET", page["next"])
+
+
+def call_operator(place: Any, text: str) -> str:
+    """Send one call to the operators' address and return the response; OSError, after 5 s of silence too.
+
+    `place` is the path of a Unix socket, or IP address and port.
+    """
+    with socket.socket(_family(place), socket.SOCK_STREAM) as connection:
+        connection.settimeout(OPERATOR_TIMEOUT_S)
+        connection.connect(place)
+        connection.sendall(text.encode() + b"\n")
         parts = []
-        while part := line.recv(65536):
+        while part := connection.recv(65536):
             parts.append(part)
     return b"".join(parts).decode()
 
 
+def _family(place: Any) -> socket.AddressFamily:
+    if isinstance(place, str):
+        return socket.AF_UNIX
+    return socket.AF_INET6 if ":" in place[0] else socket.AF_INET
+
+
 def figures(at: str, text: str, what: str = "") -> Any:
     """Return the decoded response of one call to the operators' address `at`.
 
-    Raises NoFigures for a bad address, a refused call or no connection; `what` tells in the message what a refusal
-    means.
+    Raises FiguresUnavailableError for a bad address, a refused call or no connection; `what` tells in the message what
+    a refusal means.
     """
     try:
-        answer = operate(at if at.startswith("/") else configuration.address(at, "--at"), text)
+        place = at if at.startswith("/") else configuration.address(at, "--at")
+        response = call_operator(place, text)
     except ConfigError as error:
-        raise FiguresUnavailableError(str(error), BAD) from None
+        raise FiguresUnavailableError(str(error), EXIT_BAD_CALL) from None
     except OSError as error:
-        raise FiguresUnavailableError(f"{at}: {error}", AWAY) from None
-    if answer.startswith("NAK"):
-        raise FiguresUnavailableError(
-            ": ".join(part for part in (at, what, answer.removeprefix("NAK").strip()) if part), BAD
-        )
-    return json.loads(answer.splitlines()[0])
+        raise FiguresUnavailableError(f"{at}: {error}", EXIT_UNREACHABLE) from None
+    if response.startswith("NAK"):
+        parts = (at, what, response.removeprefix("NAK").strip())
+        raise FiguresUnavailableError(": ".join(part for part in parts if part), EXIT_BAD_CALL)
+    return json.loads(response.splitlines()[0])
--- a/frostspindle/reserved_descriptor.py
+++ b/frostspindle/reserved_descriptor.py
@@ -11,7 +11,7 @@
 import os
 from collections.abc import Iterator
 
-FULL = frozenset((errno.EMFILE, errno.ENFILE))
+NO_DESCRIPTOR_ERRORS = frozenset((errno.EMFILE, errno.ENFILE))
 
 
 class ReservedDescriptor:
--- a/frostspindle/settings/commands.py
+++ b/frostspindle/settings/commands.py
@@ -17,7 +17,7 @@
 
 import click
 
-from frostspindle.operator_client import AWAY, BAD, figures
+from frostspindle.operator_client import EXIT_BAD_CALL, EXIT_UNREACHABLE, figures
 from frostspindle.settings import schema
 from frostspindle.settings.schema import InvalidSettingsError
 from frostspindle.settings.versions import cut, pack
@@ -52,7 +52,7 @@
         what = f"version {told['version']}: {told['state']}" if told["version"] else told["state"]
         click.echo(f"{what}{': ' + told['why'] if told['why'] else ''}")
     if told["state"] not in ("live", "proven"):
-        sys.exit(TURNED_DOWN if told["state"] in ("turned down", "withdrawn", "rolled back") else AWAY)
+        sys.exit(TURNED_DOWN if told["state"] in ("turned down", "withdrawn", "rolled back") else EXIT_UNREACHABLE)
 
 
 @_command("push")
@@ -65,7 +65,7 @@
         rules = schema.read(Path(file).read_bytes())
     except (OSError, InvalidSettingsError) as error:
         click.echo(f"frostspindle: {file}: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_CALL)
     if check:
         click.echo(f"{file}: {len(rules)} entries, good")
         return
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -2,7 +2,7 @@
 
 from compatibility.messages import RULES
 
-from frostspindle.catalogue import Catalogue, Column, Group, Scatter, Site, home_of
+from frostspindle.catalogue import Catalogue, Column, ScatterSection, Site, TableGroup, home_of
 from frostspindle.fleet import slow_start
 from frostspindle.fleet.incarnation import IncarnationChain
 from frostspindle.fleet.node import Budget, FleetNode, FleetSettings
@@ -15,10 +15,10 @@
 from frostspindle.settings.versions import EMPTY
 
 SEEDS = ("c1", "c2", "c3")
-TABLE = Scatter(
+TABLE = ScatterSection(
     site=[Site(name="north", zones=["n1", "n2"], foreign_loads=True), Site(name="south")],
     group=[
-        Group(
+        TableGroup(
             schema="sales_7",
             tables=["facts"],
             column=[Column(name="region", type="text"), Column(name="price", type="decimal", scale=2, step=100)],
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from frostspindle.lab.engines import Bus, Engine, document, host
-from frostspindle.operator_client import operate
+from frostspindle.operator_client import call_operator
 
 ROOT = Path(__file__).parent.parent
 SQL = "SELECT name FROM calls_17.notes"
@@ -168,7 +168,7 @@
         return await asyncio.to_thread(call, *args, **kw)
 
     async def operate(self, text: str) -> list[str]:
-        return (await asyncio.to_thread(operate, self.desk, text)).splitlines()
+        return (await asyncio.to_thread(call_operator, self.desk, text)).splitlines()
 
     async def figures(self) -> dict[str, Any]:
         return json.loads((await self.operate("show-stat"))[0])
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -5,11 +5,11 @@
 from faults import UNITS, FaultsCase, spans
 
 from frostspindle.lab.faults.runner import demand, overspent
-from frostspindle.operator_client import operate
+from frostspindle.operator_client import call_operator
 
 
 async def operated(process, call: str) -> str:
-    return await asyncio.to_thread(operate, ("127.0.0.1", process.desk), call)
+    return await asyncio.to_thread(call_operator, ("127.0.0.1", process.desk), call)
 
 
 class ProcessesCase(FaultsCase):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -15,7 +15,7 @@
     "catalogue division handover ledger pools predicates reserved_descriptor signals store telemetry timers",
     "config core",
     "host",
-    "fleet net operator_client order shared",
+    "effective_config fleet net operator_client operator_tables order shared",
     "replica",
     "ownership",
     "settings",
--- a/tests/test_replica_program.py
+++ b/tests/test_replica_program.py
@@ -68,7 +68,7 @@
 
 class ProgramCase(FleetCase):
     async def test_three_coordinators_agree_and_end_in_order(self):
-        from frostspindle.operator_client import operate
+        from frostspindle.operator_client import call_operator
 
         await self.stand_ins(1)
         config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port)
@@ -95,7 +95,8 @@
         }
         self.assertEqual(len(leaders), 1)
         for one, desk in all_:
-            figures = json.loads((await self.in_thread(operate, ("127.0.0.1", desk), "show-replica")).splitlines()[0])
+            answer = await self.in_thread(call_operator, ("127.0.0.1", desk), "show-replica")
+            figures = json.loads(answer.splitlines()[0])
             self.assertEqual((figures["votes"], figures["stopped"], len(figures["voters"])), (True, "", 3))
             one.process.send_signal(signal.SIGTERM)
         for one, _ in all_:
