--- a/bench/fleet_state.py
+++ b/bench/fleet_state.py
@@ -115,9 +115,9 @@
             if self.messages % self.SAMPLE == 0:
                 packet = wire.decode(data)
                 sizes = {
-                    "claims passed on": sum(map(wire.size, (*packet.news, *packet.doubts))),
+                    "claims passed on": sum(map(wire.size, (*packet.claims, *packet.suspicions))),
                     "rows passed on": sum(map(wire.size, packet.rows)),
-                    "sender": wire.size(packet.me),
+                    "sender": wire.size(packet.sender),
                 }
                 name = type(packet.body).__name__
                 self.kinds.update({**sizes, name: len(data) - sum(sizes.values()), f"{name} (messages)": 1})
@@ -160,7 +160,7 @@
                     "events_a_cpu_s": round((e.events - seen["events"]) / (cpu - seen["cpu"])),
                     "cpu_s": round(cpu - began),
                     "agreed_s": e.agreed_at,
-                    "suspected": sum(n.members.false_suspicions for n in e.live()),
+                    "suspected": sum(n.membership.false_suspicions for n in e.live()),
                     "parts": {
                         name: round(size if name.endswith(")") else size / whole, 3)
                         for name, size in kinds.most_common()
@@ -210,12 +210,12 @@
     units = 5 * each
     emulator = Emulator(5, 1, parse("20-60 cut 0-1|2-4", 5), 60.0, units, demand=lambda n: each * 2.0)
     emulator.run()
-    rights = emulator.processes[0].node.budgets["shared"].rights
+    account = emulator.processes[0].node.budgets.states["shared"].account
     out = {"units_each": each, "overspend": measure(emulator)["overspend"]}
     for name, side in (("two", (0, 1)), ("three", (2, 3, 4))):
         used = sum(at >= 30_000.0 and n in side for at, n in emulator.spends) / 30.0
         out[name] = round(used / (len(side) * each), 3)
-    return out | {"most_possible": round(1_000.0 / (rights.rest_ms + rights.grain / 2), 3)}
+    return out | {"most_possible": round(1_000.0 / (account.cooldown_ms + account.granularity_ms / 2), 3)}
 
 
 def detection(seed: int) -> dict[str, Any]:
@@ -223,7 +223,7 @@
     emulator = Emulator(9, seed, parse("0- loss 0.3; 30 kill 8", 9), 90.0, 180, demand=lambda n: 1.0)
     emulator.run()
     figures = measure(emulator)
-    dead = sum(node.members.deaths for node in emulator.live())
+    dead = sum(node.membership.deaths for node in emulator.live())
     return {
         "detect_s": [round(at / 1e3, 2) for at in sorted(emulator.detected.get(8, []))],
         "false_suspicions": figures["false_suspicions"],
--- a/frostspindle/fleet/engine_verdicts.py
+++ b/frostspindle/fleet/engine_verdicts.py
@@ -1,125 +1,141 @@
-"""Judgements on engines: what other coordinators say of an engine, and when that may count.
+"""Verdicts on engines: what other coordinators report of an engine, and the quorum from which that may count.
 
-Owns each coordinator's standing word on engines and the rule by which words of several become one that the decision
-module may hear. It must never take one coordinator's word twice or passed on by another, never let fewer than `judges`
-of them or a word older than `lasts_ms` count, and decides nothing about requests. Times are ms.
+A verdict is taken from its maker only, never passed on by another; it counts for `valid_ms`, and only if at least
+`quorum` coordinators share it. Decides nothing about requests. No I/O and no clock: times are ms of the own monotonic
+clock.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Collection
+from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
 from frostspindle.fleet.wire import Verdict
 
 SICK, SLOW, BANNED, COLD = range(4)
 KINDS = ("sick", "slow", "banned", "cold")
-MOST = 16  # of one coordinator: as many as a message holds
-TELL_MS, MOST_TOLD = 500.0, 24  # how often some members hear the own word, and how many at the most
+MAX_VERDICTS = 16  # of one coordinator: as many as a message holds
+MAX_EVIDENCE = 4  # numbers of one verdict
+PUBLISH_INTERVAL_MS = 500.0  # how often some members get the own verdicts
+MAX_RECIPIENTS = 24  # at a time
+MAX_NAMED = 8  # coordinators named in the operators' table
 
+EngineKind = tuple[str, int]  # engine, kind
+Evidence = tuple[float, ...]
 
-@dataclass(slots=True)
+
+@dataclass(slots=True, frozen=True)
+class _OwnVerdict:
+    since: float
+    evidence: Evidence
+
+
+@dataclass(slots=True, frozen=True)
 class _PeerVerdict:
-    kind: int
-    made: float
-    evidence: tuple[float, ...]
+    received_at: float
+    evidence: Evidence
 
 
 class EngineVerdicts:
-    """This coordinator's judgements on engines and those heard of others."""
+    """This coordinator's verdicts on engines, and those received of others."""
 
-    def __init__(self, judges: int, lasts_ms: float) -> None:
-        self.judges, self.lasts_ms = judges, lasts_ms
-        self.own: dict[tuple[str, int], tuple[float, tuple[float, ...]]] = {}  # engine, kind: since, evidence
-        self._heard: dict[str, dict[tuple[str, int], _PeerVerdict]] = {}  # by coordinator
-        self._untold: set[str] = set()  # who has yet to hear that the own word has ended
+    def __init__(self, quorum: int, valid_ms: float) -> None:
+        self.quorum = quorum
+        self.valid_ms = valid_ms
+        self.own: dict[EngineKind, _OwnVerdict] = {}
+        self._received: dict[str, dict[EngineKind, _PeerVerdict]] = {}  # by coordinator
+        self._to_notify: set[str] = set()  # members that have yet to receive the last change
 
-    # The own word.
+    # The own verdicts.
 
-    def judge(self, now: float, standing: dict[tuple[str, int], tuple[float, ...]], members: Collection[str]) -> bool:
-        """Set the judgements that hold here now, the first MOST of them, with their evidence.
+    def set_own(self, now: float, verdicts: Mapping[EngineKind, Evidence], members: Collection[str]) -> bool:
+        """Set the verdicts that hold here now, the first MAX_VERDICTS of them, with their evidence.
 
-        Return whether the set has changed.
+        Return whether the set has changed; then all `members` are to be notified.
         """
-        kept = dict(list(standing.items())[:MOST])
+        kept = dict(list(verdicts.items())[:MAX_VERDICTS])
         changed = kept.keys() != self.own.keys()
         self.own = {
-            place: (self.own[place][0] if place in self.own else now, evidence) for place, evidence in kept.items()
+            place: _OwnVerdict(self.own[place].since if place in self.own else now, evidence)
+            for place, evidence in kept.items()
         }
         if changed:
-            self._untold = set(members)
+            self._to_notify = set(members)
         return changed
 
-    def many(self, size: int) -> int:
-        """Return how many members to tell at a time, so that each hears the judgements three times before they expire,
-        up to MOST_TOLD.
+    def recipients_at_a_time(self, size: int) -> int:
+        """Return how many members to send to at a time in a fleet of `size`: each gets the verdicts three times before
+        they expire. At most MAX_RECIPIENTS.
         """
-        return min(MOST_TOLD, math.ceil(3.0 * size * TELL_MS / self.lasts_ms))
+        return min(MAX_RECIPIENTS, math.ceil(3.0 * size * PUBLISH_INTERVAL_MS / self.valid_ms))
 
-    def word(self, now: float, to: str) -> list[Verdict]:
-        """Return the judgements to tell one member; empty if there are none (any more)."""
-        self._untold.discard(to)
+    def digest_for(self, now: float, member: str) -> list[Verdict]:
+        """Return the verdicts to send to a member, which counts as notified; empty if there are none (any more)."""
+        self._to_notify.discard(member)
         return [
-            Verdict(engine, kind, min(1e9, max(0.0, now - since)), list(evidence[:4]))
-            for (engine, kind), (since, evidence) in self.own.items()
+            Verdict(engine, kind, min(1e9, max(0.0, now - own.since)), list(own.evidence[:MAX_EVIDENCE]))
+            for (engine, kind), own in self.own.items()
         ]
 
     @property
-    def speaks(self) -> bool:
-        """Whether any member needs to be told: there are judgements, or some have yet to hear that they ended."""
-        return bool(self.own or self._untold)
+    def has_recipients(self) -> bool:
+        """Whether any member is to get a digest: there are verdicts, or some have yet to learn that they ended."""
+        return bool(self.own or self._to_notify)
 
-    def tells(self, name: str) -> bool:
-        """Tell whether that member needs to be told."""
-        return bool(self.own) or name in self._untold
+    def is_recipient(self, member: str) -> bool:
+        """Tell whether that member is to get a digest."""
+        return bool(self.own) or member in self._to_notify
 
-    # Others' words.
+    # Others' verdicts.
 
-    def hear(self, now: float, name: str, verdicts: list[Verdict]) -> None:
-        """Replace a coordinator's judgements by those that it sent itself; what is missing is withdrawn.
+    def on_digest(self, now: float, sender: str, verdicts: list[Verdict]) -> None:
+        """Replace a coordinator's verdicts by those that it sent itself; what is missing is withdrawn.
 
-        A judgement's age counts from now, as its maker states only what holds.
+        A verdict's age counts from now, as its maker states only what holds.
         """
-        self._heard[name] = {(v.engine, v.kind): _PeerVerdict(v.kind, now, tuple(v.evidence)) for v in verdicts}
         if not verdicts:
-            del self._heard[name]
+            self._received.pop(sender, None)
+            return
+        self._received[sender] = {
+            (verdict.engine, verdict.kind): _PeerVerdict(now, tuple(verdict.evidence)) for verdict in verdicts
+        }
 
-    def gone(self, name: str) -> None:
-        """Drop the judgements of a coordinator that has left the fleet or was lost."""
-        self._heard.pop(name, None)
-        self._untold.discard(name)
+    def remove_member(self, name: str) -> None:
+        """Drop the verdicts of a coordinator that has left the fleet or was lost."""
+        self._received.pop(name, None)
+        self._to_notify.discard(name)
 
-    def judges_of(self, now: float, engine: str, kind: int) -> list[str]:
-        """Return the other coordinators whose judgement of this kind on the engine is not older than `lasts_ms`."""
-        return sorted(
-            name
-            for name, words in self._heard.items()
-            if (word := words.get((engine, kind))) is not None and now - word.made <= self.lasts_ms
-        )
+    def makers(self, now: float, engine: str, kind: int) -> list[str]:
+        """Return the other coordinators whose verdict of this kind on the engine is not older than `valid_ms`."""
+        names = []
+        for name, verdicts in self._received.items():
+            verdict = verdicts.get((engine, kind))
+            if verdict is not None and now - verdict.received_at <= self.valid_ms:
+                names.append(name)
+        return sorted(names)
 
     def agreed(self, now: float, kind: int) -> set[str]:
-        """Return the engines that at least `judges` others judge so (quorum): the only ones on which their word may
-        count.
-        """
-        engines = {engine for words in self._heard.values() for engine, of in words if of == kind}
-        return {engine for engine in engines if len(self.judges_of(now, engine, kind)) >= self.judges}
+        """Return the engines on which a quorum of others shares a verdict: the only ones on which it may count."""
+        engines = {
+            engine for verdicts in self._received.values() for engine, verdict_kind in verdicts if verdict_kind == kind
+        }
+        return {engine for engine in engines if len(self.makers(now, engine, kind)) >= self.quorum}
 
     def table(self, now: float) -> list[dict[str, object]]:
-        """Return for the operators' port each engine and kind, by whom it is judged so, and whether that counts."""
-        places = {place for words in self._heard.values() for place in words} | self.own.keys()
-        out: list[dict[str, object]] = []
-        for engine, kind in sorted(places):
-            others = self.judges_of(now, engine, kind)
-            out.append(
-                {
-                    "engine": engine,
-                    "kind": KINDS[kind],
-                    "own": (engine, kind) in self.own,
-                    "judges": len(others),
-                    "by": others[:8],
-                    "counts": len(others) >= self.judges,
-                    "evidence": {name: list(self._heard[name][engine, kind].evidence) for name in others[:8]},
-                }
-            )
-        return out
+        """Return for the operators' port each engine and kind, by whom it is reported so, and whether that counts."""
+        places = {place for verdicts in self._received.values() for place in verdicts} | self.own.keys()
+        return [self._table_row(now, engine, kind) for engine, kind in sorted(places)]
+
+    def _table_row(self, now: float, engine: str, kind: int) -> dict[str, object]:
+        makers = self.makers(now, engine, kind)
+        named = makers[:MAX_NAMED]
+        return {
+            "engine": engine,
+            "kind": KINDS[kind],
+            "own": (engine, kind) in self.own,
+            "judges": len(makers),
+            "by": named,
+            "counts": len(makers) >= self.quorum,
+            "evidence": {name: list(self._received[name][engine, kind].evidence) for name in named},
+        }
--- a/frostspindle/fleet/incarnation.py
+++ b/frostspindle/fleet/incarnation.py
@@ -1,47 +1,49 @@
-"""Proofs of incarnations: each carries a value that only the member itself can have made.
+"""Proofs of incarnations: each incarnation number carries a value that only the member itself can have made.
 
-Owns a hash chain (Lamport, 1981): a process draws a secret, its incarnation 0 carries the secret hashed LENGTH times,
-incarnation k the secret hashed LENGTH - k times. Whoever knows one incarnation's value can check any later one by
-hashing, and nobody but the owner can name a later one. It must never send or log the secret.
+A hash chain (Lamport, 1981): a process draws a secret; its incarnation 0 carries the secret hashed CHAIN_LENGTH times,
+incarnation k the secret hashed CHAIN_LENGTH - k times. Whoever knows one incarnation's proof can check any later one by
+hashing, and nobody but the owner can make a later one. No I/O; the secret is never sent or logged.
 """
 
 from __future__ import annotations
 
 from hashlib import blake2b
 
-from frostspindle.fleet.wire import PROOF
+from frostspindle.fleet.errors import ChainExhaustedError
+from frostspindle.fleet.wire import PROOF_BYTES
 
-LENGTH = 16_384  # incarnations of one process; past that it can't refute any more
-LEAP = 1_024  # so many may be missed between two claims; a check costs a hash each
-STRIDE = 128  # every so many values of the own chain are kept
+CHAIN_LENGTH = 16_384  # incarnations of one process; beyond that it can't refute any more
+MAX_SKIPPED = 1_024  # incarnations that may be missed between two claims; a check costs one hash for each
+STRIDE = 128  # the owner keeps one value of its chain out of so many
 
 
-def _step(value: bytes, times: int) -> bytes:
+def _hash_repeatedly(value: bytes, times: int) -> bytes:
     for _ in range(times):
-        value = blake2b(value, digest_size=PROOF).digest()
+        value = blake2b(value, digest_size=PROOF_BYTES).digest()
     return value
 
 
 class IncarnationChain:
     """The owner's side of the hash chain: makes the proofs of its incarnations."""
 
-    def __init__(self, secret: bytes, length: int = LENGTH) -> None:
+    def __init__(self, secret: bytes, length: int = CHAIN_LENGTH) -> None:
         self.length = length
-        self._marks = [_step(secret, 1)]  # hashed 1, 1 + STRIDE, ... times
-        while len(self._marks) * STRIDE < length + 1:
-            self._marks.append(_step(self._marks[-1], STRIDE))
+        self._checkpoints = [_hash_repeatedly(secret, 1)]  # hashed 1, 1 + STRIDE, ... times
+        while len(self._checkpoints) * STRIDE < length + 1:
+            self._checkpoints.append(_hash_repeatedly(self._checkpoints[-1], STRIDE))
 
     def proof(self, incarnation: int) -> bytes:
-        """Return the proof of an incarnation from 0 to `length`; ValueError beyond."""
+        """Return the proof of an incarnation from 0 to `length`; ChainExhaustedError beyond."""
         if not 0 <= incarnation <= self.length:
-            raise ValueError("the chain is used up")
-        mark, rest = divmod(self.length - incarnation, STRIDE)
-        return _step(self._marks[mark], rest)
+            raise ChainExhaustedError("the chain is used up")
+        checkpoint, remainder = divmod(self.length - incarnation, STRIDE)
+        return _hash_repeatedly(self._checkpoints[checkpoint], remainder)
 
 
-def owned(known: int, known_proof: bytes, told: int, proof: bytes) -> bool:
-    """Tell whether the owner of a known incarnation made the told one.
+def is_successor(known: int, known_proof: bytes, claimed: int, claimed_proof: bytes) -> bool:
+    """Tell whether the owner of a known incarnation also made the claimed one.
 
-    False for one that is older, or more than LEAP later.
+    False for one that is older, or more than MAX_SKIPPED later.
     """
-    return 0 <= told - known <= LEAP and _step(proof, told - known) == known_proof
+    skipped = claimed - known
+    return 0 <= skipped <= MAX_SKIPPED and _hash_repeatedly(claimed_proof, skipped) == known_proof
--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -1,8 +1,8 @@
-"""The fleet's socket and clock: one UDP socket, one timer, and what the node says put into log, figures and module.
+"""The fleet's socket and clock: one UDP socket and one timer around a FleetNode, its log, figures and verdicts.
 
-Owns the socket, the process's secret and epoch, and when the node is called. It must never decide anything about the
-fleet or requests, never take more datagrams in a turn than TURN, and never serve under an address that another process
-still holds: a process that finds its port in use waits for it, and holds no rights until then.
+Owns the socket, the process's secret and epoch, and when the node is called; decides nothing about the fleet or
+requests. At most DATAGRAMS_PER_TURN datagrams are read in one turn of the event loop. A process that finds its port in
+use waits for it, and has no quota until then. Belongs to the event loop.
 """
 
 from __future__ import annotations
@@ -17,16 +17,19 @@
 
 from frostspindle import policy
 from frostspindle.fleet import engine_verdicts, wire
+from frostspindle.fleet.engine_verdicts import EngineKind, Evidence
+from frostspindle.fleet.member_table import Address
 from frostspindle.fleet.node import Datagram, FleetNode, FleetSettings
 from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
     from frostspindle.core import Core
 
-TURN = 64  # datagrams read at a time
-AGAIN_S = 0.25  # a port that is in use is tried again after this
-LOOK_S = 0.25  # how often the own judgements are taken from the module, and spending is logged
-SLOW = 3.0  # an engine whose recent latency is so many times its best is judged slow
+DATAGRAMS_PER_TURN = 64
+BIND_RETRY_S = 0.25  # a port that is in use is tried again after this
+UPDATE_INTERVAL_S = 0.25  # how often the own verdicts are taken from the module, and spending is logged
+SLOW_FACTOR = 3.0  # an engine whose recent latency is so many times its best is reported as slow
+FINAL_FIGURES = frozenset({"sums", "counted", "bytes_in", "bytes_out"})  # logged at the end
 
 
 def monotonic() -> float:
@@ -40,7 +43,7 @@
     channel: int  # of wire.CHANNELS, its own
 
     def begin(self, now: float, node: FleetNode) -> None:
-        """Start: the UDP port is this process's, and Service.post reaches members from now on."""
+        """Start: the UDP port is this process's, and FleetService.post reaches members from now on."""
 
     def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Take a message whose sender was verified; as any datagram it may be lost, late or doubled."""
@@ -50,28 +53,34 @@
 
 
 class FleetService:
-    """One process's part in the fleet: socket, timer, log and figures around a Node."""
+    """One process's part in the fleet: socket, timer, log and figures around a FleetNode."""
 
     def __init__(
         self,
         name: str,
-        listen: tuple[str, int],
-        advertise: tuple[str, int] | None,
+        listen: Address,
+        advertise: Address | None,
         terms: FleetSettings,
         tenants: dict[int, str],
         core: Core,
         telemetry: Telemetry,
     ) -> None:
-        self.name, self.listen, self.advertise, self.terms = name, listen, advertise, terms
-        self.tenants, self.core, self.telemetry = tenants, core, telemetry  # tenants: the module's number, its budget
+        """`tenants`: the budget of each tenant that has one, by the module's number of the tenant."""
+        self.name = name
+        self.listen = listen
+        self.advertise = advertise
+        self.terms = terms
+        self.tenants = tenants
+        self.core = core
+        self.telemetry = telemetry
         self.node: FleetNode | None = None
         self.parts: list[FleetChannel] = []  # set before start
         self.socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
-        self._spent: Counter[str] = Counter()
-        self._since = time.time()
-        self._heard: set[str] = set()
+        self._spent: Counter[str] = Counter()  # by budget, since the last log event
+        self._spent_since = time.time()
+        self._agreed_sick: set[str] = set()  # engines that a quorum of others reports as sick, as the module knows it
 
     async def start(self) -> None:
         """Start the task that binds the UDP port, waiting while another process holds it, and then runs the node.
@@ -81,64 +90,74 @@
         self._task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
-        """Take the port, then look over judgements and figures until cancelled."""
-        loop = asyncio.get_running_loop()
-        waits = False
-        while self.socket is None:
-            line = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            line.setblocking(False)
+        """Bind the port, start the node, then update verdicts and log spending until cancelled."""
+        self.socket = await self._bind()
+        if self.socket is None:
+            return
+        self._start_node(self.socket)
+        while True:
+            await asyncio.sleep(UPDATE_INTERVAL_S)
+            self._update()
+
+    async def _bind(self) -> socket.socket | None:
+        """Return a socket bound to the port, once no other process holds it; None, with a log event, on an error."""
+        is_waiting = False
+        while True:
+            bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            bound.setblocking(False)
             try:
-                line.bind(self.listen)
-                self.socket = line
+                bound.bind(self.listen)
+                return bound
             except OSError as error:
-                line.close()
+                bound.close()
                 if error.errno != errno.EADDRINUSE:
                     self.telemetry.log("fleet_off", error=error.strerror)
-                    return
-                if not waits:  # our predecessor: its rights are its own until it lets go of the port
-                    self.telemetry.log("fleet_waits", listen=f"{self.listen[0]}:{self.listen[1]}")
-                waits = True
-                await asyncio.sleep(AGAIN_S)
-        here = self.advertise or self.socket.getsockname()
-        self.node = FleetNode(self.name, here, int(time.time() * 1e6), secrets.token_bytes(16), self.terms, monotonic())
-        self.node.note = self.telemetry.log
+                    return None
+            if not is_waiting:  # our predecessor: its quota is its own until it lets go of the port
+                self.telemetry.log("fleet_waits", listen=f"{self.listen[0]}:{self.listen[1]}")
+            is_waiting = True
+            await asyncio.sleep(BIND_RETRY_S)
+
+    def _start_node(self, bound: socket.socket) -> None:
+        address = self.advertise or bound.getsockname()
+        epoch = int(time.time() * 1e6)
+        self.node = FleetNode(self.name, address, epoch, secrets.token_bytes(16), self.terms, monotonic())
+        self.node.log = self.telemetry.log
         for part in self.parts:
             self.node.channels[part.channel] = part.hear
             self.node.watchers.append(part.member)
-        loop.add_reader(self.socket, self._read)
-        self.telemetry.log("fleet", listen=self.socket.getsockname(), advertise=here, epoch=self.node.epoch)
+        asyncio.get_running_loop().add_reader(bound, self._read)
+        self.telemetry.log("fleet", listen=bound.getsockname(), advertise=address, epoch=epoch)
         for part in self.parts:
             part.begin(monotonic(), self.node)
         self._tick()
-        while True:
-            await asyncio.sleep(LOOK_S)
-            self._look()
 
     # The socket.
 
     def _read(self) -> None:
         assert self.socket is not None and self.node is not None
-        for _ in range(TURN):
+        for _ in range(DATAGRAMS_PER_TURN):
             try:
-                data, source = self.socket.recvfrom(wire.MOST_BYTES + 1)
+                data, source = self.socket.recvfrom(wire.MAX_PACKET_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:
-                continue  # word of an earlier datagram that nobody took
+                continue  # an ICMP error for an earlier datagram that nobody took
             self._send(self.node.receive(monotonic(), source, data))
-        self._plan()
+        self._schedule()
 
     def _tick(self) -> None:
         assert self.node is not None
         self._send(self.node.tick(monotonic(), time.time() * 1000.0))
-        self._plan()
+        self._schedule()
 
-    def _plan(self) -> None:
+    def _schedule(self) -> None:
+        """Set the timer to when the node is due, at least 1 ms from now."""
         assert self.node is not None
         if self._timer is not None:
             self._timer.cancel()
-        wait_s = max(0.001, (self.node.due() - monotonic()) / 1000.0)
-        self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
+        delay_s = max(0.001, (self.node.due() - monotonic()) / 1000.0)
+        self._timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
 
     def _send(self, datagrams: list[Datagram]) -> None:
         assert self.socket is not None
@@ -155,8 +174,8 @@
         if self.node is not None and self.socket is not None:
             self._send(self.node.post(monotonic(), name, channel, data))
 
-    def within(self, tenant: int) -> bool:
-        """Book one request of a tenant on the fleet's budget for it; return whether it is within.
+    def within_budget(self, tenant: int) -> bool:
+        """Spend one unit of a tenant's budget on a request; return whether there was one.
 
         True for a tenant without a budget, False while the node does not serve.
         """
@@ -169,51 +188,67 @@
         self._spent[budget] += 1
         return True
 
-    def _look(self) -> None:
-        """Log what was spent, judge engines by what the module holds of them, pass on what enough others say."""
+    # Spending and verdicts.
+
+    def _update(self) -> None:
+        """Log what was spent, publish the own verdicts, and tell the module what a quorum of others reports."""
         assert self.node is not None
-        now = time.time()
+        unix_s = time.time()
+        self._log_spent(unix_s)
+        now = monotonic()
+        self.node.set_verdicts(now, self._own_verdicts(unix_s * 1000.0))
+        agreed = self.node.verdicts.agreed(now, engine_verdicts.SICK)
+        if agreed != self._agreed_sick:
+            changed_names = agreed ^ self._agreed_sick
+            self._agreed_sick = agreed
+            self._report_agreed(changed_names)
+
+    def _log_spent(self, until: float) -> None:
         for budget, units in self._spent.items():
             self.telemetry.log(
-                "fleet_spent", budget=budget, units=units, since=round(self._since, 4), until=round(now, 4)
+                "fleet_spent", budget=budget, units=units, since=round(self._spent_since, 4), until=round(until, 4)
             )
         self._spent.clear()
-        self._since = time.time()
-        at = monotonic()
-        self.node.judge(at, self._standing(now * 1000.0))
-        agreed = self.node.verdicts.agreed(at, engine_verdicts.SICK)
-        if agreed != self._heard:
-            changed = [number for number, state in self.core.engines.items() if state.name in agreed ^ self._heard]
-            self._heard = agreed
-            if changed:
-                parts = {n: believed.part for n, believed in self.core.controller.engines.items()}
-                self.core.update_worker_loads(
-                    tuple(
-                        policy.WorkerLoad(
-                            number, 0, 0.0, self.core.engines[number].name in agreed, parts.get(number, 1.0), (), 0.0
-                        )
-                        for number in changed
-                    )
-                )
-                self.telemetry.log("fleet_verdict", sick=sorted(agreed)[:16])
-
-    def _standing(self, now: float) -> dict[tuple[str, int], tuple[float, ...]]:
-        """The own judgements: never what was only heard, else a rumour would keep itself alive."""
-        out: dict[tuple[str, int], tuple[float, ...]] = {}
+        self._spent_since = time.time()
+
+    def _report_agreed(self, changed_names: set[str]) -> None:
+        """Tell the module about the engines on which the others' agreement has changed."""
+        changed = [number for number, state in self.core.engines.items() if state.name in changed_names]
+        if not changed:
+            return
+        parts = {number: believed.part for number, believed in self.core.controller.engines.items()}
+        loads = tuple(
+            policy.WorkerLoad(
+                number,
+                0,
+                0.0,
+                self.core.engines[number].name in self._agreed_sick,
+                parts.get(number, 1.0),
+                (),
+                0.0,
+            )
+            for number in changed
+        )
+        self.core.update_worker_loads(loads)
+        self.telemetry.log("fleet_verdict", sick=sorted(self._agreed_sick)[:16])
+
+    def _own_verdicts(self, unix_ms: float) -> dict[EngineKind, Evidence]:
+        """The own verdicts: never what others reported, else a report would keep itself alive."""
+        verdicts: dict[EngineKind, Evidence] = {}
         for number, state in self.core.engines.items():
             believed = self.core.controller.engines.get(number)
             if believed is None or state.entry.health == policy.Health.GONE:
                 continue
             evidence = (round(believed.fails, 3), round(believed.slow, 3), float(len(believed.attempts)))
             if believed.suspect and not believed.hearsay:
-                out[state.name, engine_verdicts.SICK] = evidence
+                verdicts[state.name, engine_verdicts.SICK] = evidence
             if state.name in self.core.banned:
-                out[state.name, engine_verdicts.BANNED] = evidence
-            if believed.slow > SLOW:
-                out[state.name, engine_verdicts.SLOW] = evidence
-            if believed.cold(now):
-                out[state.name, engine_verdicts.COLD] = evidence
-        return out
+                verdicts[state.name, engine_verdicts.BANNED] = evidence
+            if believed.slow > SLOW_FACTOR:
+                verdicts[state.name, engine_verdicts.SLOW] = evidence
+            if believed.cold(unix_ms):
+                verdicts[state.name, engine_verdicts.COLD] = evidence
+        return verdicts
 
     def figures(self) -> dict[str, Any]:
         """Return the figures for the operators' port."""
@@ -228,16 +263,10 @@
         if self._timer is not None:
             self._timer.cancel()
         if self.node is not None and self.socket is not None:
-            self._look()
+            self._update()
             self._send(self.node.leave(monotonic()))
-            self.telemetry.log(
-                "fleet_end",
-                **{
-                    key: value
-                    for key, value in self.figures().items()
-                    if key in ("sums", "counted", "bytes_in", "bytes_out")
-                },
-            )
+            final = {key: value for key, value in self.figures().items() if key in FINAL_FIGURES}
+            self.telemetry.log("fleet_end", **final)
             asyncio.get_running_loop().remove_reader(self.socket)
             self.socket.close()
         self.node = None
--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -1,8 +1,8 @@
-"""Cold engines' rights in the running program: between the decision module, the core's fence and the fleet's node.
+"""Slow-start quota in the running program: between the decision module, the core and the fleet's node.
 
-Owns the timer that tells the module its part of each cold engine's budget, and the last word before a first byte to
-one. It must never decide how much anybody may send (`cold.py` does), nor which engine or query (the module does), and
-where the fleet's port is not ours yet, nothing passes to a cold engine.
+Owns the timer that tells the module its part of each budget, and the last check before a first byte to an engine in
+slow start. How much anybody may send is decided in `slow_start`, which engine and query in the module. Until the
+fleet's port is bound, nothing is sent to an engine in slow start. Belongs to the event loop.
 """
 
 from __future__ import annotations
@@ -14,146 +14,148 @@
 from frostspindle.core import Attempt, EngineState, clock
 from frostspindle.fleet.node import FleetNode
 from frostspindle.fleet.service import monotonic
-from frostspindle.fleet.slow_start import SlowStartBudgets, exact, gathers, wished
+from frostspindle.fleet.slow_start import SlowStartBudgets, budget_factor, requests_at, work_to_request
 from frostspindle.policy.controller import COLD_SAFETY
 
 if TYPE_CHECKING:
     from frostspindle.host import ProgramContext
 
-CHANNEL = 4  # kept for it: its rights move by the messages that all budgets' do
-TICK_S, IDLE_S = 0.02, 0.25  # with an engine cold, and without
-WAITING = 64  # of those that are held, the first so many are looked at
+CHANNEL = 4  # reserved: this quota moves by the messages of all budgets
+TICK_S = 0.02  # with an engine in slow start
+IDLE_TICK_S = 0.25  # without one
+MAX_QUEUED = 64  # queued requests that are looked at, the first ones
 
 
 class SlowStartCoordinator:
-    """One process's side of cold engines' rights; a Part of the fleet's Service."""
+    """One process's side of slow-start quota; a FleetChannel of the fleet's service."""
 
     channel = CHANNEL
 
     def __init__(self, program: ProgramContext) -> None:
         fleet = program.config.operator.fleet
         assert fleet is not None
-        self.core, self.telemetry, self.lease_ms, self.outside = (
-            program.core,
-            program.telemetry,
-            fleet.cold_lease_ms,
-            fleet.cold_outside,
-        )
-        self.cold: SlowStartBudgets | None = None
+        self.core = program.core
+        self.telemetry = program.telemetry
+        self.lease_ms = fleet.cold_lease_ms
+        self.outside = fleet.cold_outside
+        self.budgets: SlowStartBudgets | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._passed, self.core.may_start = self.core.may_start, self.fence
+        self._next_fence = self.core.may_start
+        self.core.may_start = self.fence
 
     def begin(self, now: float, node: FleetNode) -> None:
-        """Create the accounts of cold engines on the fleet's node and start the timer.
+        """Create the accounts of engines in slow start on the fleet's node and start the timer.
 
-        Called once the port is ours.
+        Called once the port is bound.
         """
         settings = self.core.settings
-        self.cold = SlowStartBudgets(
+        self.budgets = SlowStartBudgets(
             node, settings.slow_start_window_ms, settings.coordinators, self.outside, self.lease_ms, now, clock()
         )
-        self.cold.count = self.telemetry.count
+        self.budgets.count = self.telemetry.count
         self._tick()
 
     def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
-        """Count a message on this channel as undecodable: none is defined, as cold engines' rights use the messages of
-        all budgets.
-        """
+        """Count a message on this channel as undecodable: none is defined."""
         self.telemetry.count("cold_undecodable")
 
     def member(self, now: float, name: str, state: str) -> None:
-        """Do nothing: rights end by time, whatever is believed of a member."""
+        """Do nothing: leases end by time, whatever is believed of a member."""
 
     def close(self) -> None:
-        """Stop the timer and pay nothing any more.
+        """Stop the timer and allow no more sends.
 
         Called before the fleet's port is closed, so that what is borrowed can be returned.
         """
-        self.cold = None
+        self.budgets = None
         if self._timer is not None:
             self._timer.cancel()
 
     def fence(self, state: EngineState, attempt: Attempt) -> bool:
         """Return whether an attempt may send its first byte.
 
-        To a cold engine only against rights, and never before `begin` or after `close`.
+        To an engine in slow start only against quota, and never before `begin` or after `close`.
         """
-        if self._passed is not None and not self._passed(state, attempt):
+        if self._next_fence is not None and not self._next_fence(state, attempt):
             return False
-        now, controller = clock(), self.core.controller
+        unix_ms = clock()
+        controller = self.core.controller
         believed = controller.engines.get(attempt.engine)
-        if believed is None or attempt.over or not believed.ready or not believed.cold(now):
+        if believed is None or attempt.over or not believed.ready or not believed.cold(unix_ms):
             return True
         job = controller.jobs.get(attempt.request.number)
-        if job is None or self.cold is None:
+        if job is None or self.budgets is None:
             self.telemetry.count("cold_stopped")
             return False
-        return self.cold.pay(
+        return self.budgets.spend(
             monotonic(),
             state.name,
-            born(state),
+            started_ms(state),
             attempt.sent_ms,
             controller.cold_work(job),
-            self._times * controller.cold_budget(believed, now),
+            self._budget_factor * controller.cold_budget(believed, unix_ms),
         )
 
     @property
-    def _times(self) -> float:
+    def _budget_factor(self) -> float:
         controller = self.core.controller
-        return exact(controller.s.coordinators, self.outside, controller.sparse, COLD_SAFETY)
+        return budget_factor(controller.s.coordinators, self.outside, controller.sparse, COLD_SAFETY)
 
     def _tick(self) -> None:
-        wait_s = IDLE_S
+        delay_s = IDLE_TICK_S
         try:
-            if self._step():
-                wait_s = TICK_S
+            if self.budgets is not None and self._update_parts(self.budgets):
+                delay_s = TICK_S
         except Exception as error:  # noqa: BLE001 - the next tick looks at all again
             self.telemetry.count("faults")
             self.telemetry.log("fault", error=repr(error), of="warming")
-        self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
+        self._timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
 
-    def _step(self) -> bool:
-        """Tell the module its parts that have changed; whether any engine is cold."""
-        if (cold := self.cold) is None:
-            return False
-        now, mono, controller = clock(), monotonic(), self.core.controller
-        cold.tick(mono)
-        words, times = [], self._times
-        needs = controller.cold_need(now)
-        works = [controller.cold_work(job) for *_, job in controller.held[:WAITING]] if needs else []
+    def _update_parts(self, budgets: SlowStartBudgets) -> bool:
+        """Tell the module its parts that have changed; return whether any engine is in slow start."""
+        unix_ms = clock()
+        now = monotonic()
+        controller = self.core.controller
+        budgets.tick(now)
+        needs = controller.cold_need(unix_ms)
+        queued_work = [controller.cold_work(job) for *_, job in controller.held[:MAX_QUEUED]] if needs else []
+        factor = self._budget_factor
+        updates = []
         for place, number in enumerate(sorted(needs)):
-            state, believed = self.core.engines.get(number), controller.engines[number]
-            if state is not None:
-                whole = times * controller.cold_budget(believed, now)
-                wish, least = wished(works, len(needs), whole / controller.s.coordinators)
-                here = gathers(controller.s.number, cold.node.name, cold.node.members.alive, place, len(needs))
-                part = times * cold.look(
-                    mono,
-                    now,
-                    state.name,
-                    born(state),
-                    whole,
-                    needs[number][0] / times,
-                    here * wish / whole,
-                    least / whole,
-                    TICK_S * 1e3,
+            state = self.core.engines.get(number)
+            if state is None:
+                continue
+            believed = controller.engines[number]
+            budget_work = factor * controller.cold_budget(believed, unix_ms)
+            even_share = budget_work / controller.s.coordinators
+            wanted, smallest = work_to_request(queued_work, len(needs), even_share)
+            alive = budgets.node.membership.alive
+            requests_here = requests_at(controller.s.number, budgets.node.name, alive, place, len(needs))
+            part = factor * budgets.usable_part(
+                now,
+                unix_ms,
+                state.name,
+                started_ms(state),
+                budget_work,
+                needs[number][0] / factor,
+                requests_here * wanted / budget_work,
+                smallest / budget_work,
+                TICK_S * 1e3,
+            )
+            if part != believed.part:
+                updates.append(
+                    policy.WorkerLoad(number, believed.peers, believed.peers_memory, believed.hearsay, part, (), 0.0)
                 )
-                if part != believed.part:
-                    words.append(
-                        policy.WorkerLoad(
-                            number, believed.peers, believed.peers_memory, believed.hearsay, part, (), 0.0
-                        )
-                    )
-        if words:
-            self.core.update_worker_loads(tuple(words))
+        if updates:
+            self.core.update_worker_loads(tuple(updates))
         return bool(needs)
 
     def figures(self) -> dict[str, Any]:
         """Return the figures for the operators' port; empty while not running."""
-        return self.cold.figures(monotonic()) if self.cold is not None else {}
+        return self.budgets.figures(monotonic()) if self.budgets is not None else {}
 
 
-def born(state: EngineState) -> float:
+def started_ms(state: EngineState) -> float:
     """Return when the engine's process started, Unix ms, as the engine list has it: the same at all coordinators,
     whatever they have believed since.
     """
@@ -161,10 +163,10 @@
 
 
 def attach(program: ProgramContext) -> SlowStartCoordinator:
-    """Create and register the part, if the operator has cold engines' budgets shared.
+    """Create and register the part, if the operator has slow-start budgets shared.
 
     Must be called before the fleet starts.
     """
-    warming = SlowStartCoordinator(program)
-    program.fleet.parts.append(warming)
-    return warming
+    coordinator = SlowStartCoordinator(program)
+    program.fleet.parts.append(coordinator)
+    return coordinator
--- a/frostspindle/lab/cold.py
+++ b/frostspindle/lab/cold.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from frostspindle.fleet.slow_start import UNITS, SlowStartBudgets
+from frostspindle.fleet.slow_start import UNITS_PER_START, SlowStartBudgets
 from frostspindle.lab.faults.script import Script
 from frostspindle.lab.fleet import Emulator, Process, excess
 
@@ -120,11 +120,11 @@
             room = self._room(number, side, now, unix, name, born, budget, sum(w for w, _ in side.waiting) / len(ages))
             while side.waiting and side.waiting[0][0] <= room * budget:
                 work = side.waiting[0][0]
-                if not self.plain and not side.cold.pay(now, name, born, unix, work, budget):
+                if not self.plain and not side.cold.spend(now, name, born, unix, work, budget):
                     break
                 side.waiting.pop(0)
                 room -= work / budget
-                units = math.ceil(work * UNITS / budget - 1e-9)
+                units = math.ceil(work * UNITS_PER_START / budget - 1e-9)
                 self.sent[number] += units
                 self.paid[name, born].extend([self.now] * units)
                 self.arrived[name, self.born.get(name, 0.0)].extend([self.now] * units)
@@ -141,7 +141,7 @@
         if self.plain:
             return 1.0 / self.count - spent
         return (
-            side.cold.look(
+            side.cold.usable_part(
                 now, unix, name, born, budget, spent, wished / budget, sum(self.sizes) / 2.0 / budget, STEP_MS
             )
             - spent
@@ -154,12 +154,12 @@
         over = most = used = 0
         offered = 0.0
         for times in self.paid.values():
-            more, peak = excess(times, UNITS, WINDOW_MS)
+            more, peak = excess(times, UNITS_PER_START, WINDOW_MS)
             over, most = over + more, max(most, peak)
         for (_, born), times in self.paid.items():  # from 3 s after the start, that all have heard, to its end
             begins, ends = born - 1.7e12 + 3_000.0, min(born - 1.7e12 + WARM_MS, self.seconds * 1e3) - 300.0
             if ends > begins:
-                offered += UNITS * (ends - begins) / WINDOW_MS
+                offered += UNITS_PER_START * (ends - begins) / WINDOW_MS
                 used += sum(begins <= at < ends for at in times)
         return {
             "nodes": self.count,
@@ -167,8 +167,10 @@
             "plain": self.plain,
             "cold_overruns": over,
             "most_in_a_window": most,
-            "units": UNITS,
-            "at_one_process": max((excess(at, UNITS, WINDOW_MS)[1] for at in self.arrived.values()), default=0),
+            "units": UNITS_PER_START,
+            "at_one_process": max(
+                (excess(at, UNITS_PER_START, WINDOW_MS)[1] for at in self.arrived.values()), default=0
+            ),
             "paid": sum(map(len, self.paid.values())),
             "use": round(used / offered, 4) if offered else None,
             "first": round(self.sent[0] / max(1, sum(self.sent)), 3),
--- a/frostspindle/lab/fleet.py
+++ b/frostspindle/lab/fleet.py
@@ -98,10 +98,10 @@
             else:
                 self.network.at(self.random.uniform(0.0, join_s * 1_000.0), n, "start")
         if joined:
-            claims = [node.members.me for node in self.live()]
+            claims = [node.membership.me for node in self.live()]
             for process in self.processes:
                 assert process.node is not None
-                process.node.members.know(self.clock(process), claims)
+                process.node.membership.add_known(self.clock(process), claims)
 
     # Time.
 
@@ -163,7 +163,7 @@
     def _act(self, number: int, process: Process, what: str) -> None:
         if what == "kill":
             if process.node is not None:
-                self.false_suspicions += process.node.members.false_suspicions
+                self.false_suspicions += process.node.membership.false_suspicions
                 process.node = None
                 self.killed_at[number] = self.now
         elif what == "start":
@@ -186,7 +186,7 @@
             if event == "fleet_member":
                 self._noted(fields["member"], fields["state"])
 
-        node.note = note
+        node.log = note
         self._plan(number, process, True)
         if process.lives == 1 and process.demand > 0:
             process.arrives = self.now
@@ -243,7 +243,7 @@
         live = self.live()
         if len(live) > LOOKED_AT:
             live = random.Random(self.seed).sample(live, LOOKED_AT)
-        return len({tuple(sorted(node.counts.sums().items())) for node in live}) == 1
+        return len({tuple(sorted(node.counters.sums().items())) for node in live}) == 1
 
 
 def excess(times: list[float], units: int, window_ms: float) -> tuple[int, int]:
@@ -284,7 +284,7 @@
         "utilisation": round(used / min(budget, wanted), 4) if min(budget, wanted) > 0 else None,
         "demand_over_budget": round(wanted / budget, 3) if budget else None,
         "converge_s": e.agreed_at,
-        "false_suspicions": e.false_suspicions + sum(node.members.false_suspicions for node in live),
+        "false_suspicions": e.false_suspicions + sum(node.membership.false_suspicions for node in live),
         "detect_s": {"p50": round(detected[len(detected) // 2] / 1e3, 2), "max": round(detected[-1] / 1e3, 2)}
         if detected
         else None,
@@ -295,8 +295,8 @@
         "messages": e.messages,
         "events": e.events,
         "members": {
-            "least": min((n.members.size for n in live), default=0),
-            "most": max((n.members.size for n in live), default=0),
+            "least": min((n.membership.size for n in live), default=0),
+            "most": max((n.membership.size for n in live), default=0),
         },
         "counted": dict(sorted(sum((n.counted for n in live), start=type(live[0].counted)()).items())) if live else {},
     }
--- a/frostspindle/lab/network.py
+++ b/frostspindle/lab/network.py
@@ -26,7 +26,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from frostspindle.fleet.wire import MOST_BYTES
+from frostspindle.fleet.wire import MAX_PACKET_BYTES
 from frostspindle.lab.faults.script import Script, Weather
 
 WAITING = 200  # messages that a stopped place's socket holds
@@ -61,7 +61,7 @@
     def send(self, source: int, target: int, data: bytes) -> bool:
         """Send a message; return False, and count it, if it is longer than a datagram may be. True does not mean
         that it arrives: the script may lose it, or UNDER_WAY things may be scheduled already (`counted`)."""
-        if len(data) > MOST_BYTES:
+        if len(data) > MAX_PACKET_BYTES:
             self.counted["too_long"] += 1
             return False
         now, queue = self.now, self._queue
--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -192,7 +192,7 @@
         if w.cold:
             self.warming = Warming(self.number, w.seeds, terms, w.secrets.randbytes(16), now, EPOCH + now, self.carried)
             w.at(now, self.warm, self.life)
-            self.warming.cold.woken = lambda: w.at(w.now, self.keep)
+            self.warming.cold.on_blocked = lambda: w.at(w.now, self.keep)
         if not w.naive:
             self.begin_recovery(first)
         if w.bus_up:
@@ -266,8 +266,8 @@
     def keep(self) -> None:
         """Pass between store and cold engines' rights whether any are lent or wanted, so that a next life may know."""
         if self.up and self.warming is not None and self.node is not None:
-            self.node.quiet(self.warming.cold.quiet)
-            self.warming.cold.kept(self.w.now, self.node.marked, self.node.spared)
+            self.node.quiet(self.warming.cold.idle)
+            self.warming.cold.set_store_state(self.w.now, self.node.marked, self.node.spared)
             self.drain()
 
     def carried(self, target: int, data: bytes) -> None:
--- a/frostspindle/lab/warming.py
+++ b/frostspindle/lab/warming.py
@@ -10,7 +10,7 @@
 
 from frostspindle import policy
 from frostspindle.fleet.node import Datagram, FleetNode, FleetSettings
-from frostspindle.fleet.slow_start import SlowStartBudgets, exact, gathers, wished
+from frostspindle.fleet.slow_start import SlowStartBudgets, budget_factor, requests_at, work_to_request
 from frostspindle.policy.controller import COLD_SAFETY, Controller
 
 PORT, LEASE_MS, TICK_MS, IDLE_MS = 4_000, 1_500.0, 20.0, 250.0  # the last three as in fleet/warming.py, config.py
@@ -76,15 +76,15 @@
         cold = any(e.ready and e.cold(unix) for e in controller.engines.values())
         self.look_at = now + (TICK_MS if cold else IDLE_MS)
         self.cold.tick(now)
-        times, words = exact(controller.s.coordinators, 0, controller.sparse, COLD_SAFETY), []
+        times, words = budget_factor(controller.s.coordinators, 0, controller.sparse, COLD_SAFETY), []
         needs = controller.cold_need(unix)
         works = [controller.cold_work(job) for *_, job in controller.held[:WAITING]] if needs else []
         for place, number in enumerate(sorted(needs)):
             engine = controller.engines[number]
             whole = times * controller.cold_budget(engine, unix)
-            wish, least = wished(works, len(needs), whole / controller.s.coordinators)
-            here = gathers(controller.s.number, self.node.name, self.node.members.alive, place, len(needs))
-            part = times * self.cold.look(
+            wish, least = work_to_request(works, len(needs), whole / controller.s.coordinators)
+            here = requests_at(controller.s.number, self.node.name, self.node.membership.alive, place, len(needs))
+            part = times * self.cold.usable_part(
                 now,
                 unix,
                 f"e{number}",
@@ -111,7 +111,7 @@
         believed, job = controller.engines.get(engine), controller.jobs.get(request)
         if believed is None or not believed.ready or not believed.cold(unix):
             return True
-        times = exact(controller.s.coordinators, 0, controller.sparse, COLD_SAFETY)
-        return job is not None and self.cold.pay(
+        times = budget_factor(controller.s.coordinators, 0, controller.sparse, COLD_SAFETY)
+        return job is not None and self.cold.spend(
             now, f"e{engine}", born, unix, controller.cold_work(job), times * controller.cold_budget(believed, unix)
         )
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -10,7 +10,7 @@
 from frostspindle import config as configuration
 from frostspindle.core import clock
 from frostspindle.fleet.service import monotonic
-from frostspindle.fleet.slow_start_service import born
+from frostspindle.fleet.slow_start_service import started_ms
 from frostspindle.net.operator import OperatorError
 from frostspindle.ownership.export import ExportJob
 from frostspindle.ownership.holder import LeaseSettings
@@ -89,7 +89,7 @@
         core = self.program.core
         now = clock()
         return [
-            ColdEngine(number, core.engines[number].name, born(core.engines[number]))
+            ColdEngine(number, core.engines[number].name, started_ms(core.engines[number]))
             for number, believed in core.controller.engines.items()
             if believed.ready and believed.cold(now) and number in core.engines and number in self.program.driver.peers
         ]
@@ -98,10 +98,10 @@
         """The fleet's rights for one statement."""
         now, core, warming = clock(), self.program.core, getattr(self.program, "warming", None)
         believed = core.controller.engines.get(engine.number)
-        if believed is None or warming is None or warming.cold is None or engine.name in core.banned:
+        if believed is None or warming is None or warming.budgets is None or engine.name in core.banned:
             return False
         return bool(
-            warming.cold.pay(
+            warming.budgets.spend(
                 monotonic(), engine.name, engine.born_ms, now, self.cost_ms, core.controller.cold_budget(believed, now)
             )
         )
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -213,7 +213,7 @@
             self.telemetry,
         )
         if service.tenants:
-            self.core.quota_allows = service.within
+            self.core.quota_allows = service.within_budget
         return service
 
     async def start(self) -> None:
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -396,10 +396,10 @@
     def _keep(self) -> None:
         """What the store says of cold engines' rights, and is to say."""
         if (warming := self.program.warming) is not None:
-            cold = warming.cold
-            self.node.quiet(cold is None or cold.quiet)
+            cold = warming.budgets
+            self.node.quiet(cold is None or cold.idle)
             if cold is not None:
-                cold.kept(monotonic(), self.node.marked, self.node.spared)
+                cold.set_store_state(monotonic(), self.node.marked, self.node.spared)
 
     def _begin_service(self, unix: float) -> None:
         """The gate's times: when service is expected to begin, and that loads go on a little later."""
--- a/frostspindle/recovery/wire.py
+++ b/frostspindle/recovery/wire.py
@@ -12,8 +12,8 @@
 from msgspec import Meta, Struct
 
 from frostspindle.fleet.wire import InvalidPacketError as InvalidPacketError
+from frostspindle.fleet.wire import decoder
 from frostspindle.fleet.wire import encode as encode
-from frostspindle.fleet.wire import reader
 
 CHANNEL = 1
 MOST_PAGES = 512
@@ -118,7 +118,7 @@
 
 
 Message = ReportRequest | ReportPage | TicketClaim | TicketReply | TicketRelease
-decode: Callable[[bytes], Message] = reader(Message)
+decode: Callable[[bytes], Message] = decoder(Message)
 decode_ban = msgspec.msgpack.Decoder(BanStatement).decode
 decode_known = msgspec.msgpack.Decoder(StoreState).decode
 decode_listed = msgspec.msgpack.Decoder(ListedEngine).decode
--- a/frostspindle/scatter/wire.py
+++ b/frostspindle/scatter/wire.py
@@ -13,8 +13,8 @@
 
 from frostspindle.fleet.wire import MAX_MESSAGE_BYTES as MAX_MESSAGE_BYTES
 from frostspindle.fleet.wire import InvalidPacketError as InvalidPacketError
+from frostspindle.fleet.wire import decoder
 from frostspindle.fleet.wire import encode as encode
-from frostspindle.fleet.wire import reader
 
 PIECE = 800  # bytes of a summary in one message
 MOST_PIECES = 1_024
@@ -145,7 +145,7 @@
     | LoadRecorded
     | ReleaseLease
 )
-decode: Callable[[bytes], Message] = reader(Message)
+decode: Callable[[bytes], Message] = decoder(Message)
 
 
 def chunks(cells: dict[str, list[tuple[int, str]]]) -> list[Cells] | None:
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -274,7 +274,7 @@
         """Who is alive, and which engines the module holds for sick."""
         self._look_at = now + LOOK_MS
         if self.node is not None:
-            hub.members(now, {name: member.claim.epoch for name, member in self.node.members.alive.items()})
+            hub.members(now, {name: member.claim.epoch for name, member in self.node.membership.alive.items()})
         else:
             hub.members(now, {})
         core = self.core
--- a/frostspindle/subscriptions/wire.py
+++ b/frostspindle/subscriptions/wire.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct
 
 from frostspindle.fleet.wire import MAX_MESSAGE_BYTES as MAX_MESSAGE_BYTES
-from frostspindle.fleet.wire import InvalidPacketError, encode, reader
+from frostspindle.fleet.wire import InvalidPacketError, decoder, encode
 from frostspindle.subscriptions.schema import NAMES, TEXT_MOST, Event, fits
 
 MOST_PARTS, PARTS_BYTES = 24, 800  # of what a coordinator's subscribers want, its texts together
@@ -87,7 +87,7 @@
 
 
 Message = StreamRequest | EventBatch | EventAck | StreamStop | UnknownStream
-_read = reader(Message)
+_read = decoder(Message)
 
 
 def decode(data: bytes) -> Message:
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -63,10 +63,10 @@
     """Return all values by name, as JSON has them."""
     ticket = tickets.ticket("request-1")
     return {
-        "budget definition": node().budgets["heavy"].digest,
+        "budget definition": node().budgets.states["heavy"].digest,
         "scatter catalogue": CATALOGUE.digest,
         "summary home": home_of(key="north/7", homes=SEEDS),
-        "cold budget name": slow_start.named(engine="e7", born_ms=1_700_000_000_000.0),
+        "cold budget name": slow_start.budget_name(engine="e7", started_ms=1_700_000_000_000.0),
         "incarnation proofs": [
             IncarnationChain(b"secret", 256).proof(incarnation).hex() for incarnation in (0, 3, 256)
         ],
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -26,14 +26,14 @@
 
 ID, TOKEN = bytes(range(16)), bytes(range(16, 32))
 CLAIM = fleet.MemberState(
-    name="c1", host="10.0.0.1", port=7101, state=fleet.ALIVE, epoch=171, incarnation=3, proof=ID, by="c2"
+    name="c1", host="10.0.0.1", port=7101, state=fleet.ALIVE, epoch=171, incarnation=3, proof=ID, suspected_by="c2"
 )
-DOUBT = fleet.Suspicion(name="c3", state=fleet.SUSPECT, epoch=172, incarnation=4, by="c1")
+DOUBT = fleet.Suspicion(name="c3", state=fleet.SUSPECT, epoch=172, incarnation=4, suspected_by="c1")
 ROW = fleet.CounterRow(
     origin="c1",
     epoch=171,
     stream=5,
-    base=8,
+    base_version=8,
     version=9,
     age_ms=12.5,
     entries=[("team-a", 4, 17, 2), ("", 5, 1, 0)],
@@ -42,25 +42,34 @@
 
 # Bodies of the datagrams between coordinators; each travels in a Packet.
 FLEET = {
-    "ping": fleet.Ping(seq=11),
-    "acknowledgement": fleet.Ack(seq=12),
-    "indirect ping": fleet.PingRequest(seq=13, target="c3"),
-    "negative acknowledgement": fleet.Nack(seq=14),
+    "ping": fleet.Ping(sequence=11),
+    "acknowledgement": fleet.Ack(sequence=12),
+    "indirect ping": fleet.PingRequest(sequence=13, target="c3"),
+    "negative acknowledgement": fleet.Nack(sequence=14),
     "membership pull": fleet.MembersRequest(after="c2"),
     "membership page": fleet.MembersPage(last="c9"),
     "gossip only": fleet.Gossip(),
     "verdicts": fleet.VerdictDigest(verdicts=[VERDICT]),
     "loan request": fleet.QuotaRequest(
-        budget="cold", terms=21, seq=22, lender=23, series=24, returned=25, closed=26, want=27
+        budget="cold",
+        budget_digest=21,
+        sequence=22,
+        lender_epoch=23,
+        loan=24,
+        returned=25,
+        closed_loan=26,
+        wanted=27,
     ),
-    "loan grant": fleet.QuotaGrant(budget="cold", terms=31, seq=32, series=33, given=34, keep=35, spare=36),
-    "loan return": fleet.QuotaReturn(budget="cold", lender=41, series=42, returned=43),
-    "comparison": fleet.CountersRequest(begin=2**40 + 1, bits=6, salt=51, marks=b"\x01\x02\xff"),
-    "count rows": fleet.CountersPage(next=2**41 + 1, rows=[ROW]),
+    "loan grant": fleet.QuotaGrant(
+        budget="cold", budget_digest=31, sequence=32, loan=33, granted=34, limit=35, available=36
+    ),
+    "loan return": fleet.QuotaReturn(budget="cold", lender_epoch=41, loan=42, returned=43),
+    "comparison": fleet.CountersRequest(begin=2**40 + 1, range_bits=6, salt=51, fingerprints=b"\x01\x02\xff"),
+    "count rows": fleet.CountersPage(next_begin=2**41 + 1, rows=[ROW]),
     "application message": fleet.ApplicationMessage(channel=3, data=b"payload"),
 }
 FLEET_PACKETS = {
-    name: fleet.Packet(me=CLAIM, to="c2", body=body, news=[CLAIM], rows=[ROW], doubts=[DOUBT])
+    name: fleet.Packet(sender=CLAIM, recipient="c2", body=body, claims=[CLAIM], rows=[ROW], suspicions=[DOUBT])
     for name, body in FLEET.items()
 }
 
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -100,10 +100,10 @@
     def __init__(self, heard: Callable[[tuple[str, int], bytes], None], node: FleetNode | None = None) -> None:
         self.heard, self.node = heard, node
         self.verdicts = SimpleNamespace(agreed=lambda *args: set())
-        self.members = SimpleNamespace(false_suspicions=0)
+        self.membership = SimpleNamespace(false_suspicions=0)
 
     def receive(self, now: float, source: tuple[str, int], data: bytes) -> list[Datagram]:
-        if self.node is not None and len(data) > wire.MOST_BYTES:
+        if self.node is not None and len(data) > wire.MAX_PACKET_BYTES:
             assert not self.node.receive(now, source, data)
         else:
             self.heard(source, data)
@@ -117,7 +117,7 @@
     def due(self) -> float:
         return FAR_MS
 
-    def judge(self, *args: Any) -> None: ...
+    def set_verdicts(self, *args: Any) -> None: ...
 
     def figures(self, *args: Any) -> dict[str, Any]:
         return {}
@@ -126,7 +126,7 @@
 class Fleet(Transport):
     """The fleet's UDP socket."""
 
-    most, bound = wire.MOST_BYTES, service.TURN
+    most, bound = wire.MAX_PACKET_BYTES, service.DATAGRAMS_PER_TURN
 
     async def start(self) -> None:
         core = SimpleNamespace(engines={}, banned=frozenset())
@@ -245,7 +245,7 @@
 class Emulated(Transport):
     """The emulator's network."""
 
-    most, bound, faults = wire.MOST_BYTES, network.WAITING, True
+    most, bound, faults = wire.MAX_PACKET_BYTES, network.WAITING, True
 
     async def start(self) -> None:
         self.network = network.Network(COUNT, self.script, 5)
--- a/tests/test_cold_rights.py
+++ b/tests/test_cold_rights.py
@@ -12,14 +12,24 @@
 from frostspindle.fleet import quota_flow
 from frostspindle.fleet.node import Budget, FleetNode, FleetSettings
 from frostspindle.fleet.quota_escrow import QuotaAccount
-from frostspindle.fleet.slow_start import MOST, SKEW_MS, UNITS, SlowStartBudgets, exact, gathers, named, read, wished
+from frostspindle.fleet.slow_start import (
+    MAX_CLOCK_SKEW_MS,
+    MAX_STARTS,
+    UNITS_PER_START,
+    SlowStartBudgets,
+    budget_factor,
+    budget_name,
+    parse_budget_name,
+    requests_at,
+    work_to_request,
+)
 from frostspindle.fleet.slow_start_service import SlowStartCoordinator
 from frostspindle.lab.cold import ColdEmulator
 from frostspindle.lab.faults.script import parse
 from frostspindle.lab.fleet import excess
 from frostspindle.policy import Controller, EndpointListKind
 
-WINDOW, LEASE, UNIX = 1_000.0, 1_500.0, 1.7e12
+UNITS, WINDOW, LEASE, UNIX = UNITS_PER_START, 1_000.0, 1_500.0, 1.7e12
 NAMES, ENGINES = "abc", ("x", "y")
 names, engines = strategies.sampled_from(NAMES), strategies.sampled_from(ENGINES)
 
@@ -52,7 +62,7 @@
         self.nodes[name] = node
         self.colds[name] = cold = SlowStartBudgets(node, WINDOW, 3, 0, LEASE, self.clock(name), UNIX + self.now)
         self.spares[name] = name in self.disk
-        cold.kept(self.clock(name), name in self.disk, False)
+        cold.set_store_state(self.clock(name), name in self.disk, False)
         self.stopped.discard(name)
 
     @initialize()
@@ -60,7 +70,7 @@
         for name in NAMES:
             self.start(name)
         for node in self.nodes.values():
-            node.members.know(self.now, [other.members.me for other in self.nodes.values()])
+            node.membership.add_known(self.now, [other.membership.me for other in self.nodes.values()])
         self.wait(4_000.0)
 
     def send(self, name, datagrams):
@@ -82,7 +92,8 @@
                 now, cold = self.clock(name), self.colds[name]
                 cold.tick(now)
                 for engine, born in self.heard[name].items():
-                    cold.look(now, UNIX + self.now, engine, born, UNITS, 0.0, self.wish.get((name, engine), 0.0))
+                    wish = self.wish.get((name, engine), 0.0)
+                    cold.usable_part(now, UNIX + self.now, engine, born, UNITS, 0.0, wish)
                 self.send(name, self.nodes[name].tick(now, UNIX + self.now))
             while self.queue:
                 self.carry(*self.queue.pop(0))
@@ -106,7 +117,9 @@
     def pay(self, name, engine, units):
         if name not in self.stopped:
             for part in (units, units // 2, units // 4):
-                if part and self.colds[name].pay(self.clock(name), engine, self.heard[name][engine], 0.0, part, UNITS):
+                if part and self.colds[name].spend(
+                    self.clock(name), engine, self.heard[name][engine], 0.0, part, UNITS
+                ):
                     self.paid[engine] += [self.now] * part
 
     @rule(engine=engines)
@@ -120,7 +133,7 @@
     @rule(name=names)
     def kill(self, name):
         self.start(name)
-        self.nodes[name].members.know(self.clock(name), [n.members.me for n in self.nodes.values()])
+        self.nodes[name].membership.add_known(self.clock(name), [n.membership.me for n in self.nodes.values()])
 
     @rule(name=names)
     def write(self, name):
@@ -128,12 +141,12 @@
         cold, now = self.colds[name], self.clock(name)
         if name in self.stopped:
             return
-        if cold.marked and not (cold.quiet and not self.spares[name]):
+        if cold.blocked and not (cold.idle and not self.spares[name]):
             self.disk.discard(name)
-            cold.kept(now, False, self.spares[name])
-        elif cold.quiet:
+            cold.set_store_state(now, False, self.spares[name])
+        elif cold.idle:
             self.disk.add(name)
-            cold.kept(now, True, False)
+            cold.set_store_state(now, True, False)
 
     @rule(name=names)
     def stop_or_go_on(self, name):
@@ -167,40 +180,40 @@
 )
 def test_who_hears_nobody_uses_its_own_units_after_a_rest_and_others_nothing(name, seeds, outside, part):
     cold = alone(name, seeds, outside=outside)
-    assert cold.look(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0  # a predecessor may have used or lent all
+    assert cold.usable_part(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0  # a predecessor may have used or lent all
     rested = LEASE * 1.055 / 0.945 + WINDOW * 1.055 + 10.0
     cold.node.tick(rested, UNIX)
-    assert cold.look(rested, UNIX + rested, "x", UNIX, 1e3, 0.0, 1.0) == pytest.approx(part)
-    assert cold.pay(rested, "x", UNIX, UNIX + rested, part * 1e3 + 1.5, 1e3) is False
+    assert cold.usable_part(rested, UNIX + rested, "x", UNIX, 1e3, 0.0, 1.0) == pytest.approx(part)
+    assert cold.spend(rested, "x", UNIX, UNIX + rested, part * 1e3 + 1.5, 1e3) is False
     if part:
-        assert cold.pay(rested, "x", UNIX, UNIX + rested, part * 1e3, 1e3)
+        assert cold.spend(rested, "x", UNIX, UNIX + rested, part * 1e3, 1e3)
         # The module still counts it, and nothing is ready until it has rested.
-        assert cold.look(rested, UNIX + rested, "x", UNIX, 1e3, part, 0.0) == pytest.approx(part)
-        assert cold.look(rested + 1_040.0, UNIX + rested + 1_040.0, "x", UNIX, 1e3, 0.0, 0.0) == 0.0
-        assert cold.pay(rested + 1_070.0, "x", UNIX, UNIX, part * 1e3, 1e3)
+        assert cold.usable_part(rested, UNIX + rested, "x", UNIX, 1e3, part, 0.0) == pytest.approx(part)
+        assert cold.usable_part(rested + 1_040.0, UNIX + rested + 1_040.0, "x", UNIX, 1e3, 0.0, 0.0) == 0.0
+        assert cold.spend(rested + 1_070.0, "x", UNIX, UNIX, part * 1e3, 1e3)
 
 
 def test_a_later_start_stops_what_goes_by_the_one_before_and_takes_over_what_of_that_is_not_out():
     cold, counted = alone(now=0.0), []
     cold.count = counted.append
     now = 10_000.0
-    assert cold.pay(now, "x", UNIX, UNIX, 500.0, 1e3)
-    assert cold.asked_for(now, named("x", UNIX)) and cold.asked_for(now, named("x", UNIX + 5.0))
-    assert not cold.pay(now, "x", UNIX, UNIX, 1.0, 1e3)
-    assert not cold.asked_for(now, named("x", UNIX))
-    assert cold.look(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
+    assert cold.spend(now, "x", UNIX, UNIX, 500.0, 1e3)
+    assert cold.may_open(now, budget_name("x", UNIX)) and cold.may_open(now, budget_name("x", UNIX + 5.0))
+    assert not cold.spend(now, "x", UNIX, UNIX, 1.0, 1e3)
+    assert not cold.may_open(now, budget_name("x", UNIX))
+    assert cold.usable_part(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
     # Half is ready; the other half is in its window still, and the module counts it.
-    assert cold.look(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0) == 1.0
-    assert not cold.pay(now, "x", UNIX + 5.0, UNIX, 501.0, 1e3)
-    assert cold.look(now + 1_040.0, UNIX + 1_040.0, "x", UNIX + 5.0, 1e3, 0.0, 1.0) == 0.5
-    assert cold.pay(now + 1_070.0, "x", UNIX + 5.0, UNIX + 1_070.0, 1e3, 1e3)
+    assert cold.usable_part(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0) == 1.0
+    assert not cold.spend(now, "x", UNIX + 5.0, UNIX, 501.0, 1e3)
+    assert cold.usable_part(now + 1_040.0, UNIX + 1_040.0, "x", UNIX + 5.0, 1e3, 0.0, 1.0) == 0.5
+    assert cold.spend(now + 1_070.0, "x", UNIX + 5.0, UNIX + 1_070.0, 1e3, 1e3)
     cold.tick(now + 3_000.0)
-    assert cold.look(now, UNIX, "y", UNIX, 1e3, 0.0, 1.0) == 1.0  # another engine is another matter
+    assert cold.usable_part(now, UNIX, "y", UNIX, 1e3, 0.0, 1.0) == 1.0  # another engine is another matter
     cold.node.tick(now + 9_000.0, UNIX)
     cold.tick(now + 9_000.0)  # the earlier one is forgotten, and not taken up again by who still believes in it
-    assert cold.look(now + 9_000.0, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 0.0) == 1.0
-    assert cold.look(now + 9_000.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
-    assert list(cold.starts) == [named("x", UNIX + 5.0)]
+    assert cold.usable_part(now + 9_000.0, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 0.0) == 1.0
+    assert cold.usable_part(now + 9_000.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
+    assert list(cold.starts) == [budget_name("x", UNIX + 5.0)]
     assert counted == ["cold_old_start", "cold_unpaid", "cold_old_start"]
 
 
@@ -217,61 +230,70 @@
         "~0123456789abcdef@1e3",
         "~0123456789abcdef@inf",
         "~0123456789abcdef@1_0.000",
-        named("x", UNIX + SKEW_MS + 1e6),
+        budget_name("x", UNIX + MAX_CLOCK_SKEW_MS + 1e6),
     ],
 )
 def test_what_is_no_start_of_an_engine_is_not_opened(name):
     cold = alone()
-    assert not cold.asked_for(0.0, name)
-    assert not cold.starts and not cold.node.budgets
+    assert not cold.may_open(0.0, name)
+    assert not cold.starts and not cold.node.budgets.states
 
 
 def test_what_is_lent_of_the_start_before_comes_over_when_it_is_back_and_not_before():
     cold, now = alone(), 10_000.0
-    cold.look(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0)
-    before = cold.starts[named("x", UNIX)].rights
-    loan = before.on_ask(now, "b", 1, False, 0, 0, 0, 300)
+    cold.usable_part(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0)
+    before = cold.starts[budget_name("x", UNIX)].account
+    loan = before.on_request(now, "b", 1, False, 0, 0, 0, 300)
     before.lend(loan, 300)
-    cold.look(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0)
-    after = cold.starts[named("x", UNIX + 5.0)].rights
-    assert (before.own, before.in_hand, after.own, after.ready(now)) == (300, 0, UNITS - 300, UNITS - 300)
-    before.on_back(now + 500.0, "b", 1, loan.series, 100)  # these have rested at the borrower
+    cold.usable_part(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0)
+    after = cold.starts[budget_name("x", UNIX + 5.0)].account
+    assert (before.owned, before.in_hand, after.owned, after.ready(now)) == (
+        300,
+        0,
+        UNITS - 300,
+        UNITS - 300,
+    )
+    before.on_return(now + 500.0, "b", 1, loan.number, 100)  # these have rested at the borrower
     cold.tick(now + 500.0)
-    assert (before.own, after.own, after.ready(now + 500.0)) == (200, UNITS - 200, UNITS - 200)
-    cold.tick(now + before.back_ms + 10.0)  # the others are over there, and rest
-    assert (before.own, after.own, after.ready(now + before.back_ms + 10.0)) == (0, UNITS, UNITS - 200)
-    assert after.ready(now + before.back_ms + before.rest_ms + 30.0) == UNITS
+    assert (before.owned, after.owned, after.ready(now + 500.0)) == (200, UNITS - 200, UNITS - 200)
+    cold.tick(now + before.reclaim_ms + 10.0)  # the others are over there, and rest
+    assert (before.owned, after.owned, after.ready(now + before.reclaim_ms + 10.0)) == (
+        0,
+        UNITS,
+        UNITS - 200,
+    )
+    assert after.ready(now + before.reclaim_ms + before.cooldown_ms + 30.0) == UNITS
 
 
 def test_a_store_that_says_none_are_out_spares_the_rest_and_while_it_may_say_so_none_go_out():
     cold, woken = alone(), []
-    cold.woken = lambda: woken.append(True)
-    cold.kept(0.0, True, False)  # as the store was found
-    assert cold.look(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0 and woken
-    cold.kept(10.0, False, True)  # it says so no more
-    assert cold.look(10.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 1.0
-    assert cold.look(10.0, UNIX, "y", UNIX, 1e3, 0.0, 1.0) == 1.0
-    cold.kept(10.0, True, True)
-    assert not cold.asked_for(10.0, named("x", UNIX)) and not cold.pay(10.0, "x", UNIX, UNIX, 1.0, 1e3)
-    assert cold.look(10.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
+    cold.on_blocked = lambda: woken.append(True)
+    cold.set_store_state(0.0, True, False)  # as the store was found
+    assert cold.usable_part(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0 and woken
+    cold.set_store_state(10.0, False, True)  # it says so no more
+    assert cold.usable_part(10.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 1.0
+    assert cold.usable_part(10.0, UNIX, "y", UNIX, 1e3, 0.0, 1.0) == 1.0
+    cold.set_store_state(10.0, True, True)
+    assert not cold.may_open(10.0, budget_name("x", UNIX)) and not cold.spend(10.0, "x", UNIX, UNIX, 1.0, 1e3)
+    assert cold.usable_part(10.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
     # The word that comes late frees nothing that rests from our own use.
     late = alone()
-    assert late.pay(10_000.0, "x", UNIX, UNIX, 1e3, 1e3)
-    late.kept(10_100.0, False, True)
-    assert not late.pay(10_200.0, "x", UNIX, UNIX, 1.0, 1e3)
+    assert late.spend(10_000.0, "x", UNIX, UNIX, 1e3, 1e3)
+    late.set_store_state(10_100.0, False, True)
+    assert not late.spend(10_200.0, "x", UNIX, UNIX, 1.0, 1e3)
 
 
 def test_a_coordinator_asks_for_its_even_shares_at_one_engine_the_smallest_first():
-    assert wished([], 3, 100.0) == (0.0, 0.0)
-    assert wished([250.0, 90.0, 40.0], 3, 100.0) == (130.0, 40.0)
-    assert wished([900.0, 800.0], 3, 100.0) == (800.0, 800.0)  # one at least
-    assert [exact(9, *case, (0.75, 0.5)) for case in ((0, True), (1, True), (0, False))] == [1.5, 1.0, 1.0]
+    assert work_to_request([], 3, 100.0) == (0.0, 0.0)
+    assert work_to_request([250.0, 90.0, 40.0], 3, 100.0) == (130.0, 40.0)
+    assert work_to_request([900.0, 800.0], 3, 100.0) == (800.0, 800.0)  # one at least
+    assert [budget_factor(9, *case, (0.75, 0.5)) for case in ((0, True), (1, True), (0, False))] == [1.5, 1.0, 1.0]
 
 
 def test_the_few_who_are_there_gather_at_cold_engines_in_turn_and_many_by_their_numbers():
     def places(numbers):
         here = [f"c{n}" for n in numbers]
-        rows = [[gathers(n, f"c{n}", [c for c in here if c != f"c{n}"], p, 3) for p in range(3)] for n in numbers]
+        rows = [[requests_at(n, f"c{n}", [c for c in here if c != f"c{n}"], p, 3) for p in range(3)] for n in numbers]
         assert all(sum(row) == 1 for row in rows)
         return [row.index(True) for row in rows]
 
@@ -282,39 +304,40 @@
 def test_starts_are_bounded_and_forgotten_once_nothing_is_out():
     cold, counted = alone(), []
     cold.count = counted.append
-    for n in range(MOST + 1):
-        cold.look(10_000.0, UNIX, f"x{n}", UNIX, 1e3, 0.0, 1.0)
-    assert (len(cold.starts), counted) == (MOST, ["cold_full"])
+    for n in range(MAX_STARTS + 1):
+        cold.usable_part(10_000.0, UNIX, f"x{n}", UNIX, 1e3, 0.0, 1.0)
+    assert (len(cold.starts), counted) == (MAX_STARTS, ["cold_full"])
     cold.tick(11_000.0)  # none is wanted any more, and none forgotten while others may count a loan to us
-    assert len(cold.starts) == MOST and not any(start.wish.units for start in cold.starts.values())
-    start = cold.starts[named("x0", UNIX)]
-    loan = start.rights.on_ask(11_000.0, "b", 1, False, 0, 0, 0, 5)
-    start.rights.lend(loan, 5)
-    start.rights.on_back(11_000.0, "b", 1, loan.series, 5)
-    assert cold.pay(14_000.0, "x1", UNIX, UNIX, 1e3, 1e3)
+    assert len(cold.starts) == MAX_STARTS and not any(start.demand.units for start in cold.starts.values())
+    start = cold.starts[budget_name("x0", UNIX)]
+    loan = start.account.on_request(11_000.0, "b", 1, False, 0, 0, 0, 5)
+    start.account.lend(loan, 5)
+    start.account.on_return(11_000.0, "b", 1, loan.number, 5)
+    assert cold.spend(14_000.0, "x1", UNIX, UNIX, 1e3, 1e3)
     cold.tick(14_100.0)
-    assert cold.node.open(14_100.0, Budget("~", 9, WINDOW), LEASE, 0.0)[0].series == loan.series  # no number twice
-    assert cold.node.shut(18_000.0, "~")
-    assert list(cold.starts) == [named("x1", UNIX)] == list(cold.node.budgets)
+    account, _ = cold.node.budgets.open(14_100.0, Budget("~", 9, WINDOW), LEASE, 0.0)
+    assert account.last_loan == loan.number  # no number twice
+    assert cold.node.budgets.close(18_000.0, "~")
+    assert list(cold.starts) == [budget_name("x1", UNIX)] == list(cold.node.budgets.states)
     cold.tick(20_000.0)
-    assert not cold.starts and not cold.newest and not cold.node.budgets
-    assert read(named("x", float("inf"))) == (named("x", 0.0)[1:17], 1e14)
+    assert not cold.starts and not cold.newest and not cold.node.budgets.states
+    assert parse_budget_name(budget_name("x", float("inf"))) == (budget_name("x", 0.0)[1:17], 1e14)
 
 
 def test_shares_too_small_for_a_query_go_round_and_small_claims_are_met_all_the_same():
     rights = QuotaAccount(60, WINDOW, LEASE, 0.055, float("-inf"))
     loans = {
-        name: rights.on_ask(0.0, name, 1, False, 0, 0, 0, want)
+        name: rights.on_request(0.0, name, 1, False, 0, 0, 0, want)
         for name, want in (("b", 4), ("c", 50), ("d", 50), ("e", 50))
     }
     offers = {
-        turn: {name: quota_flow.in_turn(rights, 0, loan, name, "a", turn, 40)[1] for name, loan in loans.items()}
+        turn: {name: quota_flow.offer_in_turn(rights, 0, loan, name, "a", turn, 40)[1] for name, loan in loans.items()}
         for turn in range(20)
     }
     assert {tuple(sorted(row.values())) for row in offers.values()} == {(0, 4, 6, 50)}
     assert all(row["b"] == 4 for row in offers.values())
     assert {name for row in offers.values() for name, units in row.items() if units == 50} == {"c", "d", "e"}
-    even = {name: quota_flow.in_turn(rights, 0, loan, name, "a", 1, 10)[1] for name, loan in loans.items()}
+    even = {name: quota_flow.offer_in_turn(rights, 0, loan, name, "a", 1, 10)[1] for name, loan in loans.items()}
     assert sorted(even.values()) == [4, 18, 19, 19]
 
 
@@ -337,7 +360,7 @@
     warming = SlowStartCoordinator(program)
     assert program.core.may_start == warming.fence
     (spent, wished) = module.cold_need(now)[1]
-    part = cold.look(10_000.0, now, "x", now - 1.0, whole, spent, wished)
+    part = cold.usable_part(10_000.0, now, "x", now - 1.0, whole, spent, wished)
     sent, todo = (
         [],
         list(module.handle(now, policy.WorkerLoadReported((policy.WorkerLoad(1, 0, 0.0, False, part, (), 0.0),)))),
@@ -354,7 +377,7 @@
     job = SimpleNamespace(cost=100.0, hint=100.0, cls=0)
     module.jobs = dict.fromkeys(sent, job)  # as before their answers
     assert not warming.fence(state, attempts[0])  # the fleet's port is not ours yet
-    warming.cold = cold
+    warming.budgets = cold
     assert all(warming.fence(state, attempt) for attempt in attempts)
     assert not warming.fence(state, attempts[0])  # all is paid out
     module.handle(now, policy.EndpointListUpdated(EndpointListKind.DELTA, 1, (entry(1, since=0.0),)))
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -148,10 +148,10 @@
 
     def say(self, *names: str, sick: bool = True) -> None:
         for name in names:
-            self.service.node.verdicts.hear(
+            self.service.node.verdicts.on_digest(
                 monotonic(), name, [wire.Verdict("e-1", engine_verdicts.SICK, 0.0, [0.9])] if sick else []
             )
-        self.service._look()
+        self.service._update()
 
     def test_two_are_not_enough_three_are_and_their_withdrawal_ends_it(self):
         self.say("b", "c")
@@ -159,17 +159,17 @@
         self.say("d")
         self.assertEqual([(peer.engine, peer.suspect, peer.part) for peer in self.heard], [(1, True, 1.0)])
         self.assertTrue(self.module.engines[1].suspect)
-        self.service._look()
+        self.service._update()
         self.assertEqual(len(self.heard), 1)  # told once: a test passed here is not overruled by the same word again
         self.say("b", sick=False)
         self.assertFalse(self.module.engines[1].suspect)
 
     def test_what_was_only_heard_is_not_passed_on_as_seen(self):
         self.say("b", "c", "d")
-        self.service._look()
+        self.service._update()
         self.assertEqual(set(self.service.node.verdicts.own), {("e-2", engine_verdicts.BANNED)})
         self.module.engines[3].suspect = True  # as the module itself found
-        self.service._look()
+        self.service._update()
         self.assertIn(("e-3", engine_verdicts.SICK), self.service.node.verdicts.own)
 
 
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -10,11 +10,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from frostspindle.division import fair, level
-from frostspindle.fleet import engine_verdicts, quota_flow, wire
-from frostspindle.fleet.counters import PUBLISH_MS, FleetCounters, interval
+from frostspindle.fleet import engine_verdicts, lender_selector, quota_flow, wire
+from frostspindle.fleet.counters import MIN_PUBLISH_INTERVAL_MS, FleetCounters, publish_interval
 from frostspindle.fleet.gossip_buffer import GossipBuffer
-from frostspindle.fleet.incarnation import IncarnationChain, owned
-from frostspindle.fleet.membership import resends
+from frostspindle.fleet.incarnation import IncarnationChain, is_successor
+from frostspindle.fleet.membership import retransmissions
 from frostspindle.fleet.node import FleetNode, FleetSettings
 from frostspindle.fleet.quota_escrow import QuotaAccount
 from frostspindle.lab.faults.script import InvalidScriptError, Weather, parse
@@ -73,13 +73,13 @@
         # Each answer takes so long that the borrower is dead when its grant comes.
         emulator, figures = self.play(3, "0- delay 40-60; 12-12.2 loss 1 0; 12.1 kill 0", 45.0, hot=30.0, over=1.2)
         self.assertEqual(figures["overspend"], 0)
-        lenders = [p.node.budgets["shared"].rights for p in emulator.processes[1:]]
-        self.assertEqual([rights.in_hand for rights in lenders], [rights.own for rights in lenders])
+        lenders = [p.node.budgets.states["shared"].account for p in emulator.processes[1:]]
+        self.assertEqual([rights.in_hand for rights in lenders], [rights.owned for rights in lenders])
 
     def test_killed_and_started_anew_without_memory_it_holds_nothing_and_earns_rights_back(self):
         emulator = Emulator(3, 5, parse("15 kill 0; 15.5 start 0", 3), 15.6, 60, demand=lambda n: 40.0)
         emulator.run()
-        rights = emulator.processes[0].node.budgets["shared"].rights
+        rights = emulator.processes[0].node.budgets.states["shared"].account
         self.assertEqual(rights.ready(emulator.clock(emulator.processes[0])), 0)
         emulator, figures = self.play(3, "15 kill 0; 15.1 start 0; 22 kill 0-2; 22.1 start 0-2", 60.0, over=2.0)
         self.assertEqual(figures["overspend"], 0)
@@ -94,9 +94,9 @@
 
             def trusting(number, process, begin=begin):
                 begin(number, process)
-                rights = process.node.budgets["shared"].rights
+                rights = process.node.budgets.states["shared"].account
                 rights.pool = type(rights.pool)()
-                rights.pool.ready = rights.own
+                rights.pool.ready = rights.owned
 
             emulator._begin = trusting
             emulator.run()
@@ -135,7 +135,7 @@
     def test_three_hundred_join_within_a_second(self):
         emulator = Emulator(300, 2, parse("", 300), 12.0, 6_000, demand=lambda n: 0.0, join_s=1.0)
         emulator.run()
-        self.assertEqual({node.members.size for node in emulator.live()}, {300})
+        self.assertEqual({node.membership.size for node in emulator.live()}, {300})
 
     def test_uneven_demand_uses_most_of_the_budget(self):
         _, figures = self.play(9, "", 40.0, units=1_800, hot=10.0, over=2.0)
@@ -151,7 +151,7 @@
         self.assertEqual(len(emulator.detected[6]), 6)
         self.assertLess(figures["detect_s"]["max"], 40.0)
         for node in emulator.live():  # what the dead one had spent is still counted
-            self.assertEqual(node.counts.sums()["spent:shared"], emulator.live()[0].counts.sums()["spent:shared"])
+            self.assertEqual(node.counters.sums()["spent:shared"], emulator.live()[0].counters.sums()["spent:shared"])
 
     def test_a_node_is_never_due_at_once_again_and_again(self):
         emulator = Emulator(
@@ -171,7 +171,7 @@
         emulator.run()
         self.assertGreater(
             min(
-                sum(member.claim.state != wire.ALIVE for member in node.members.members.values())
+                sum(member.claim.state != wire.ALIVE for member in node.membership.members.values())
                 for node in emulator.live()
             ),
             20,
@@ -204,36 +204,38 @@
         return tuple(made)
 
     def carry(self, nodes, out, source=None):
-        places = {node.members.me.address: node for node in nodes}
+        places = {node.membership.me.address: node for node in nodes}
         queue = [(d, None) for d in out]
         for _ in range(200):
             if not queue:
                 return
             (address, data), _ = queue.pop(0)
-            sender = wire.decode(data).me.address
+            sender = wire.decode(data).sender.address
             queue += [(d, None) for d in places[address].receive(1_000.0, sender, data)]
 
     def test_an_incarnation_that_is_not_its_owners_is_dropped(self):
         a, b, _ = self.nodes()
-        known = b.members.members["c"].claim
+        known = b.membership.members["c"].claim
         for incarnation, proof in ((1, bytes(16)), (1, known.proof), (0, bytes(16)), (2**40, known.proof)):
             forged = wire.MemberState("c", known.host, known.port, wire.DEAD, known.epoch, incarnation, proof)
             b.receive(
-                1_000.0, a.members.me.address, wire.encode(wire.Packet(a.members.me, "b", wire.Gossip(), [forged]))
+                1_000.0,
+                a.membership.me.address,
+                wire.encode(wire.Packet(a.membership.me, "b", wire.Gossip(), [forged])),
             )
-            self.assertEqual(b.members.members["c"].claim, known)
+            self.assertEqual(b.membership.members["c"].claim, known)
         self.assertEqual(b.counted["fleet_forged"], 4)
 
     def test_who_speaks_in_anothers_name_or_from_elsewhere_is_not_heard(self):
         a, b, c = self.nodes()
         word = wire.encode(
-            wire.Packet(c.members.me, "b", wire.VerdictDigest([wire.Verdict("e", engine_verdicts.SICK, 0.0, [])]))
+            wire.Packet(c.membership.me, "b", wire.VerdictDigest([wire.Verdict("e", engine_verdicts.SICK, 0.0, [])]))
         )
-        b.receive(1_000.0, a.members.me.address, word)
+        b.receive(1_000.0, a.membership.me.address, word)
         self.assertEqual(b.counted["fleet_spoofed"], 1)
-        self.assertEqual(b.verdicts.judges_of(1_000.0, "e", engine_verdicts.SICK), [])
-        b.receive(1_000.0, c.members.me.address, word)
-        self.assertEqual(b.verdicts.judges_of(1_000.0, "e", engine_verdicts.SICK), ["c"])
+        self.assertEqual(b.verdicts.makers(1_000.0, "e", engine_verdicts.SICK), [])
+        b.receive(1_000.0, c.membership.me.address, word)
+        self.assertEqual(b.verdicts.makers(1_000.0, "e", engine_verdicts.SICK), ["c"])
 
     def test_another_parts_message_comes_whole_from_its_proven_sender_or_is_counted(self):
         a, b, c = self.nodes()
@@ -244,81 +246,80 @@
         self.carry([a, b, c], a.post(1_000.0, "b", 3, most) + a.post(1_000.0, "b", 4, b"x"))
         self.assertEqual((heard, b.counted["fleet_no_such_channel"]), ([("a", 10, most)], 1))
         self.assertEqual(a.post(1_000.0, "nobody", 3, b"x"), [])
-        word = wire.encode(wire.Packet(c.members.me, "b", wire.ApplicationMessage(3, b"x")))
-        b.receive(1_000.0, a.members.me.address, word)  # in another's name
+        word = wire.encode(wire.Packet(c.membership.me, "b", wire.ApplicationMessage(3, b"x")))
+        b.receive(1_000.0, a.membership.me.address, word)  # in another's name
         long = wire.encode(
-            wire.Packet(c.members.me, "b", wire.ApplicationMessage(3, bytes(wire.MAX_MESSAGE_BYTES + 1)))
+            wire.Packet(c.membership.me, "b", wire.ApplicationMessage(3, bytes(wire.MAX_MESSAGE_BYTES + 1)))
         )
-        b.receive(1_000.0, c.members.me.address, long)
+        b.receive(1_000.0, c.membership.me.address, long)
         self.assertEqual((len(heard), b.counted["fleet_spoofed"], b.counted["fleet_undecodable"]), (1, 1, 1))
         self.carry([a, b, c], c.leave(1_000.0))
         self.assertEqual(seen, [("c", "left")])
 
     def test_a_new_process_in_a_living_members_name_is_asked_for_at_its_address_first(self):
         a, b, c = self.nodes()
-        known = b.members.members["c"].claim
+        known = b.membership.members["c"].claim
         stolen = wire.MemberState("c", known.host, known.port, wire.ALIVE, known.epoch + 1, 0, bytes(16))
         out = b.receive(
-            1_000.0, a.members.me.address, wire.encode(wire.Packet(a.members.me, "b", wire.Gossip(), [stolen]))
+            1_000.0, a.membership.me.address, wire.encode(wire.Packet(a.membership.me, "b", wire.Gossip(), [stolen]))
         )
-        self.assertEqual(b.members.members["c"].claim, known)
+        self.assertEqual(b.membership.members["c"].claim, known)
         self.assertEqual([d.address for d in out if isinstance(wire.decode(d.data).body, wire.Ping)], [known.address])
 
     def test_a_suspected_member_refutes_with_its_next_incarnation(self):
         a, b, c = self.nodes()
-        b.members.told(
+        b.membership.on_claim(
             1_000.0,
             wire.MemberState(
-                *[getattr(b.members.members["c"].claim, f) for f in ("name", "host", "port")],
+                *[getattr(b.membership.members["c"].claim, f) for f in ("name", "host", "port")],
                 wire.SUSPECT,
                 10,
                 0,
-                b.members.members["c"].claim.proof,
+                b.membership.members["c"].claim.proof,
             ),
             "a",
         )
-        self.assertEqual(b.members.members["c"].claim.state, wire.SUSPECT)
-        b.members.send("c", wire.Ping(1))
+        self.assertEqual(b.membership.members["c"].claim.state, wire.SUSPECT)
+        b.membership.send("c", wire.Ping(1))
         self.carry((a, b, c), b._flush(1_000.0))
-        self.assertEqual((c.members.me.incarnation, b.members.members["c"].claim.state), (1, wire.ALIVE))
+        self.assertEqual((c.membership.me.incarnation, b.membership.members["c"].claim.state), (1, wire.ALIVE))
 
     def test_a_doubt_is_of_the_incarnation_that_is_known_or_nothing_is_believed(self):
         a, b, _ = self.nodes()
 
         def doubt(name, state, epoch, incarnation, by="a"):
             word = wire.Suspicion(name, state, epoch, incarnation, by)
-            return b.receive(
-                1_000.0, a.members.me.address, wire.encode(wire.Packet(a.members.me, "b", wire.Gossip(), doubts=[word]))
-            )
+            packet = wire.Packet(a.membership.me, "b", wire.Gossip(), suspicions=[word])
+            return b.receive(1_000.0, a.membership.me.address, wire.encode(packet))
 
-        known = b.members.members["c"].claim
+        known = b.membership.members["c"].claim
         for place, (epoch, incarnation) in enumerate(((10, 1), (11, 0), (9, 5), (10, 2**40))):
             doubt("c", wire.DEAD, epoch, incarnation)
-            self.assertEqual(b.members.members["c"].claim, known)
+            self.assertEqual(b.membership.members["c"].claim, known)
             self.assertEqual(b.counted["fleet_unproven"], (1, 2, 2, 3)[place])
         doubt("nobody", wire.SUSPECT, 10, 0)
-        self.assertNotIn("nobody", b.members.members)
+        self.assertNotIn("nobody", b.membership.members)
         doubt("c", wire.SUSPECT, 10, 0)
-        told = b.members.members["c"]
+        told = b.membership.members["c"]
         self.assertEqual(
             (told.claim.state, told.claim.proof, told.claim.address, told.confirmers),
             (wire.SUSPECT, known.proof, known.address, frozenset("a")),
         )
         doubt("c", wire.SUSPECT, 10, 0, "d")
         doubt("c", wire.SUSPECT, 10, 0, "a")
-        self.assertEqual(b.members.members["c"].confirmers, {"a", "d"})
+        self.assertEqual(b.membership.members["c"].confirmers, {"a", "d"})
         doubt("b", wire.DEAD, 10, 3)
-        self.assertEqual((b.counted["fleet_forged"], b.members.me.incarnation), (1, 0))
+        self.assertEqual((b.counted["fleet_forged"], b.membership.me.incarnation), (1, 0))
         doubt("b", wire.SUSPECT, 10, 0)
-        self.assertEqual(b.members.me.incarnation, 1)
-        claims, doubts, _ = b.members.news("a", 1_000)
+        self.assertEqual(b.membership.me.incarnation, 1)
+        claims, doubts, _ = b.membership.piggyback("a", 1_000)
         self.assertEqual(([claim.name for claim in claims], [one.name for one in doubts]), (["b"], ["c"]))
 
     @given(strategies.integers(0, 60), strategies.integers(0, 60))
     def test_only_a_later_value_of_the_chain_is_owned(self, first, second):
         chain = IncarnationChain(b"s" * 16, 64)
-        self.assertEqual(owned(first, chain.proof(first), second, chain.proof(second)), second >= first)
-        self.assertFalse(owned(first, chain.proof(first), second, IncarnationChain(b"t" * 16, 64).proof(second)))
+        self.assertEqual(is_successor(first, chain.proof(first), second, chain.proof(second)), second >= first)
+        self.assertFalse(is_successor(first, chain.proof(first), second, IncarnationChain(b"t" * 16, 64).proof(second)))
 
 
 class SpoiltCase(unittest.TestCase):
@@ -353,9 +354,9 @@
     counts = FleetCounters("o", 1, 0.0)
     for key, plus, minus, window in values:
         counts.add(f"k{key}", plus, minus, window)
-        counts._published = -1e9
+        counts._published_at = -1e9
         counts.publish(0.0, 1)
-        yield from counts.news(0.0, 2_000)
+        yield from counts.updates(0.0, 2_000)
 
 
 _adds = strategies.lists(
@@ -382,13 +383,13 @@
                 whole.add(f"k{key}", plus, minus, window)
             place = ("o", 1, 0)
             if sent:
-                whole.origins[place].version = 10**6
-                whole._changed[0] = dict.fromkeys(whole.origins[place].values, 10**6 + 1)
+                whole.streams[place].version = 10**6
+                whole._changed[0] = dict.fromkeys(whole.streams[place].values, 10**6 + 1)
                 whole.publish(10**6, 1)
-                view.merge(0.0, whole._row(0.0, place, 0, ()))
-                view.merge(0.0, whole._row(0.0, place, 0, ()))
-                self.assertEqual(view.origins[place].values, whole.origins[place].values)
-            views.append({place: origin.values for place, origin in view.origins.items()})
+                view.merge(0.0, whole._table.row(0.0, place, 0, ()))
+                view.merge(0.0, whole._table.row(0.0, place, 0, ()))
+                self.assertEqual(view.streams[place].values, whole.streams[place].values)
+            views.append({place: origin.values for place, origin in view.streams.items()})
         self.assertEqual(views[0], views[1])
         self.assertEqual(views[1], views[2])
 
@@ -398,7 +399,7 @@
         early.merge(0.0, wire.CounterRow("o", 1, 0, 0, 1, 0, [("k", 0, 1, 0)]))
         late.merge(0.0, wire.CounterRow("o", 1, 0, 0, 1, 0, [("k", 0, 6, 0)]))
         self.assertEqual((early.sums(), late.sums()), ({"k": 1}, {"k": 6}))
-        for row in late.differing(5_000.0, early.compare(0, 1), 1_000).rows:
+        for row in late.answer_request(5_000.0, early.request_rows(0, 1), 1_000).rows:
             early.merge(5_000.0, row)
         self.assertEqual(early.sums(), {"k": 6})
         self.assertTrue(early.pending)
@@ -409,16 +410,16 @@
             other = FleetCounters("o", epoch, 0.0)
             other.add("spent", 5)
             other.publish(10**6, 1)
-            view.merge(0.0, other._row(0.0, ("o", epoch, 0), 0, ()))
+            view.merge(0.0, other._table.row(0.0, ("o", epoch, 0), 0, ()))
         self.assertEqual(view.sums(), {"spent": 40})
-        self.assertEqual(len([place for place in view.origins if place[0] == "o"]), 8)
+        self.assertEqual(len([place for place in view.streams if place[0] == "o"]), 8)
 
     def test_old_windows_are_let_go_of_and_ages_are_told(self):
         view = FleetCounters("v", 1, 1_000.0)
         view.add("x", 3, window=7)
-        view.turn(7)
+        view.start_window(7)
         self.assertEqual(view.sums(7), {"x": 3})
-        view.turn(10)
+        view.start_window(10)
         self.assertEqual(view.sums(7), {})
         view.merge(5_000.0, wire.CounterRow("o", 1, 0, 0, 1, 700.0, [("x", 0, 1, 0)]))
         self.assertEqual(view.staleness(6_000.0), {"v": 0.0, "o": 1_700.0})
@@ -439,15 +440,15 @@
     def ask(self, asker: FleetCounters, other: FleetCounters, salt: int, now: float = 10_000.0, room: int = 500) -> int:
         begin = told = 0
         for _ in range(1_000):
-            answer = other.differing(now, asker.compare(begin, salt), room)
+            answer = other.answer_request(now, asker.request_rows(begin, salt), room)
             self.assertLessEqual(sum(map(wire.size, answer.rows[1:])), room)
             told += len(answer.rows)
             for row in answer.rows:
                 asker.merge(now, row)
-            if not answer.next:
+            if not answer.next_begin:
                 return told
-            self.assertGreater(answer.next, begin)  # else it would go on for ever
-            begin = answer.next
+            self.assertGreater(answer.next_begin, begin)  # else it would go on for ever
+            begin = answer.next_begin
         raise AssertionError("never at the end")
 
     @given(
@@ -468,13 +469,13 @@
         for number, pair in pairs.items():
             place = (f"o{number}", 1, number % 3)
             if max(pair):
-                self.assertEqual([view.origins[place].version for view in (first, second)], [max(pair)] * 2)
+                self.assertEqual([view.streams[place].version for view in (first, second)], [max(pair)] * 2)
         self.assertEqual(first.sums(), second.sums())
 
     def test_only_what_is_newer_is_told_and_what_is_on_its_way_is_not(self):
         held = dict.fromkeys(range(300), 5)
         newer, older = self.fill(held | {7: 6, 8: 7}), self.fill(held | {9: 6})
-        self.assertEqual(older.differing(10_000.0, newer.compare(0, 15), 1_000).rows[0].origin, "o9")
+        self.assertEqual(older.answer_request(10_000.0, newer.request_rows(0, 15), 1_000).rows[0].origin, "o9")
         self.assertEqual(self.ask(older, newer, 15, now=1_000.0), 0)  # it was written a second ago
         self.assertEqual(self.ask(older, newer, 15), 2)
         self.assertEqual(self.ask(older, newer, 15), 0)
@@ -492,20 +493,23 @@
         strategies.integers(0, 2**48 - 1),
         strategies.integers(0, 10),
         strategies.integers(0, 2**53),
-        strategies.binary(max_size=wire.MOST_MARKS),
+        strategies.binary(max_size=wire.MAX_FINGERPRINT_BYTES),
     )
     def test_marks_of_any_kind_are_answered_within_bounds(self, begin, bits, salt, marks):
         view = self.fill(dict.fromkeys(range(40), 3))
-        answer = view.differing(10_000.0, wire.CountersRequest(begin, bits, salt, marks), 500)
+        answer = view.answer_request(10_000.0, wire.CountersRequest(begin, bits, salt, marks), 500)
         self.assertLessEqual(sum(map(wire.size, answer.rows[1:])), 500)
-        self.assertTrue(0 <= answer.next < 2**48)
+        self.assertTrue(0 <= answer.next_begin < 2**48)
 
     def test_marks_cut_short_are_answered_as_far_as_they_go(self):
         view = self.fill(dict.fromkeys(range(40), 3))
-        ask = view.compare(0, 15)
-        for length in range(len(ask.marks)):
+        ask = view.request_rows(0, 15)
+        for length in range(len(ask.fingerprints)):
             self.assertEqual(
-                view.differing(10_000.0, wire.CountersRequest(0, ask.bits, 15, ask.marks[:length]), 500).rows, []
+                view.answer_request(
+                    10_000.0, wire.CountersRequest(0, ask.range_bits, 15, ask.fingerprints[:length]), 500
+                ).rows,
+                [],
             )
 
     def test_who_answers_for_ever_is_asked_a_bounded_number_of_times(self):
@@ -513,7 +517,7 @@
         node, liar = (
             FleetNode(name, seeds[name], 10, name.encode() * 16, FleetSettings(seeds, chain=64), 0.0) for name in seeds
         )
-        word = wire.encode(wire.Packet(liar.members.me, "a", wire.CountersPage(5, [])))
+        word = wire.encode(wire.Packet(liar.membership.me, "a", wire.CountersPage(5, [])))
         asked = sum(
             isinstance(wire.decode(out.data).body, wire.CountersRequest)
             for _ in range(500)
@@ -525,41 +529,41 @@
         seeds = {"a": ("127.0.0.1", 1)}
         node = FleetNode("a", seeds["a"], 10, b"a" * 16, FleetSettings(seeds, chain=64), 0.0)
         claims = [wire.MemberState(f"m{n}", "127.0.0.1", 100 + n, wire.ALIVE, 1, 0, bytes(16)) for n in range(60)]
-        node.members.know(0.0, claims)
+        node.membership.add_known(0.0, claims)
         for claim in claims:
-            node.members.told(
+            node.membership.on_claim(
                 1.0, wire.MemberState(claim.name, claim.host, claim.port, wire.DEAD, 1, 0, bytes(16)), "m0"
             )
-        node.counts.add("k", 1)
-        node.counts.publish(10**6, 60)
+        node.counters.add("k", 1)
+        node.counters.publish(10**6, 60)
         packet = node._packet(1.0, "m0", wire.Gossip())
-        self.assertGreater(len(packet.doubts), 20)
+        self.assertGreater(len(packet.suspicions), 20)
         self.assertEqual(len(packet.rows), 1)
-        node.members.out.clear()
+        node.membership.outbox.clear()
         for number, claim in enumerate(claims):  # a later process of each speaks
-            node.members.heard(
+            node.membership.verify_sender(
                 10_000.0 + number,
                 wire.MemberState(claim.name, claim.host, claim.port, wire.ALIVE, 2, 0, bytes(16)),
                 claim.address,
             )
-        self.assertEqual([type(out.body) for out in node.members.out], [wire.MembersRequest])
+        self.assertEqual([type(out.body) for out in node.membership.outbox], [wire.MembersRequest])
 
     def test_what_is_told_of_a_version_stays_the_same(self):
         origin = FleetCounters("o", 1, 0.0)
         origin.add("k", 1)
         origin.publish(10**6, 1)
-        first = origin.news(0.0, 2_000)[0]
+        first = origin.updates(0.0, 2_000)[0]
         origin.add("k", 5)
-        self.assertEqual(origin.news(0.0, 2_000)[0].entries, first.entries)
+        self.assertEqual(origin.updates(0.0, 2_000)[0].entries, first.entries)
         origin.publish(2 * 10**6, 1)
-        self.assertEqual(origin.news(0.0, 2_000)[0].entries, [("k", 0, 6, 0)])
+        self.assertEqual(origin.updates(0.0, 2_000)[0].entries, [("k", 0, 6, 0)])
 
     def test_a_key_is_named_once_in_a_row_and_a_row_that_begins_without_one_is_refused(self):
         origin, view = FleetCounters("o", 1, 0.0), FleetCounters("v", 1, 0.0)
         for key, window in (("k", 0), ("k", 1), ("k", 2), ("l", 0), ("l", 2), ("k", 3)):
             origin.add(key, 1 + window, window=window)
         origin.publish(10**6, 1)
-        row = origin.news(0.0, 2_000)[0]
+        row = origin.updates(0.0, 2_000)[0]
         self.assertEqual([entry[0] for entry in row.entries], ["k", "", "", "l", "", "k"])
         view.merge(
             0.0,
@@ -569,22 +573,22 @@
                 )
             ).rows[0],
         )
-        self.assertEqual(view.origins["o", 1, 0].values, origin.origins["o", 1, 0].values)
-        self.assertEqual(view.news(0.0, 2_000)[0].entries, row.entries)
+        self.assertEqual(view.streams["o", 1, 0].values, origin.streams["o", 1, 0].values)
+        self.assertEqual(view.updates(0.0, 2_000)[0].entries, row.entries)
         refused = []
         view.count = refused.append
         view.merge(0.0, wire.CounterRow("p", 1, 0, 0, 1, 0, [("", 0, 1, 0)]))
-        self.assertEqual((view.sums()["k"], refused, len(view.origins)), (1, ["fleet_undecodable"], 2))
+        self.assertEqual((view.sums()["k"], refused, len(view.streams)), (1, ["fleet_undecodable"], 2))
 
     def test_a_delta_reaches_who_missed_the_last_three(self):
         origin, view = FleetCounters("o", 1, 0.0), FleetCounters("v", 1, 0.0)
         for number in range(1, 7):
             origin.add(f"k{number}", 1)
             origin.publish(number * 1e6, 1)
-            row = origin.news(0.0, 2_000)[0]
+            row = origin.updates(0.0, 2_000)[0]
             if number in (2, 6):
                 view.merge(0.0, row)
-        self.assertEqual((row.base, view.origins["o", 1, 0].version, len(view.sums())), (2, 6, 6))
+        self.assertEqual((row.base_version, view.streams["o", 1, 0].version, len(view.sums())), (2, 6, 6))
 
     def test_who_has_nothing_to_tell_writes_half_as_often_in_a_large_fleet(self):
         for size, most in ((30, 20), (300, 10)):
@@ -593,18 +597,23 @@
                 busy.add("k", 1)
                 for counts in (idle, busy):
                     counts.publish(number * 1e6, size)
-            self.assertEqual((idle.origins["o", 1, 0].version, busy.origins["o", 1, 0].version), (most, 20))
+            self.assertEqual((idle.streams["o", 1, 0].version, busy.streams["o", 1, 0].version), (most, 20))
 
     def test_a_large_fleet_that_starts_together_writes_spread_over_an_interval(self):
         many = [FleetCounters(f"c{n}", 1, 0.0) for n in range(1_000)]
         for size, least in ((3, 0.0), (1_000, 1.0)):
             spans = Counter(
-                int(10.0 * (one.due(size) - PUBLISH_MS) / (interval(size) - PUBLISH_MS or 1e9)) for one in many
+                int(
+                    10.0
+                    * (one.due(size) - MIN_PUBLISH_INTERVAL_MS)
+                    / (publish_interval(size) - MIN_PUBLISH_INTERVAL_MS or 1e9)
+                )
+                for one in many
             )
             self.assertTrue(least * 50 <= min(spans.values()) and len(spans) == (10 if least else 1), spans)
         for one in many:
             one.publish(one.due(1_000), 1_000)
-        self.assertEqual({round(one.due(1_000) - one._published) for one in many}, {round(interval(1_000))})
+        self.assertEqual({round(one.due(1_000) - one._published_at) for one in many}, {round(publish_interval(1_000))})
 
     def test_forty_agree_soon_after_a_cut(self):
         emulator = Emulator(40, 1, parse("3-12 cut 0-19|20-39", 40), 40.0, 800, demand=lambda n: 2.0)
@@ -620,19 +629,19 @@
             news.put(key, str(key))
         sent = Counter()
         while news.keys:
-            pieces = news.next(32)
+            pieces = news.peek(32)
             self.assertEqual(len({key for key, _ in pieces}), len(pieces))
             for key, _ in pieces:
-                news.sent(key, 3)
+                news.mark_transmitted(key, 3)
                 sent[key] += 1
         self.assertEqual(set(sent.values()), {3})
         counts = FleetCounters("o", 1, 0.0)
         counts.add("k", 1)
         counts.publish(1e6, 1)
-        self.assertEqual(len(counts.news(0.0, 2_000)), 1)  # there is room for more copies
+        self.assertEqual(len(counts.updates(0.0, 2_000)), 1)  # there is room for more copies
 
     def test_news_is_passed_on_as_often_as_the_logarithm_of_the_fleet_says(self):
-        self.assertEqual([resends(size) for size in (2, 9, 30, 100, 300, 999, 3_000)], [4, 4, 6, 9, 10, 12, 14])
+        self.assertEqual([retransmissions(size) for size in (2, 9, 30, 100, 300, 999, 3_000)], [4, 4, 6, 9, 10, 12, 14])
 
     @given(
         strategies.lists(strategies.tuples(strategies.integers(0, 9), strategies.integers(1, 9)), max_size=40),
@@ -645,28 +654,28 @@
                 news.put(key, (number, size))
             room, most, times, but = draw.randrange(30), draw.randrange(1, 12), draw.randrange(1, 4), draw.randrange(12)
             left, expected = room, []
-            for name, (piece, size) in other.next(most):
+            for name, (piece, size) in other.peek(most):
                 if size > left:
                     break
-                other.sent(name, times)
+                other.mark_transmitted(name, times)
                 if name != but:
                     left -= size
                     expected.append(piece)
             self.assertEqual(one.take(room, most, times, but), (expected, left))
-            self.assertEqual(one.next(99), other.next(99))
+            self.assertEqual(one.peek(99), other.peek(99))
 
 
 class LendersCase(unittest.TestCase):
     def test_one_of_many_homes_is_asked_at_a_time_while_nobody_has_any_left(self):
-        for count, most in ((quota_flow.FEW, 3), (quota_flow.FEW + 1, 1)):
-            homes, lenders = [f"c{n:02d}" for n in range(count)], quota_flow.LenderSelector(1)
+        for count, most in ((lender_selector.SMALL_FLEET, 3), (lender_selector.SMALL_FLEET + 1, 1)):
+            homes, lenders = [f"c{n:02d}" for n in range(count)], lender_selector.LenderSelector(1)
             first = lenders.choose(0.0, homes, homes, ())
             self.assertEqual(len(first), 3)
             for name in first:
-                lenders.answered(0.0, name, 0, 0)
+                lenders.on_answer(0.0, name, 0, 0)
             self.assertEqual(len(lenders.choose(0.0, homes, homes, ())), most)
             self.assertFalse(set(first) & set(lenders.choose(0.0, homes, homes, ())))  # they rest
-            lenders.answered(1.0, homes[-1], 1, 5)
+            lenders.on_answer(1.0, homes[-1], 1, 5)
             self.assertEqual((len(chosen := lenders.choose(1.0, homes, homes, ())), chosen[0]), (3, homes[-1]))
             self.assertLessEqual(set(first), {lenders.choose(5_000.0, [*homes], first, ())[0] for _ in range(99)})
 
@@ -690,18 +699,18 @@
         words = engine_verdicts.EngineVerdicts(3, 1_000.0)
         sick = [wire.Verdict("e", engine_verdicts.SICK, 0.0, [0.9])]
         for _ in range(5):  # one that says it five times is one
-            words.hear(0.0, "liar", sick)
-        words.hear(0.0, "b", sick)
+            words.on_digest(0.0, "liar", sick)
+        words.on_digest(0.0, "b", sick)
         self.assertEqual(words.agreed(0.0, engine_verdicts.SICK), set())
-        words.hear(500.0, "c", sick)
+        words.on_digest(500.0, "c", sick)
         self.assertEqual(words.agreed(900.0, engine_verdicts.SICK), {"e"})
         self.assertEqual(words.agreed(1_001.0, engine_verdicts.SICK), set())  # two are too old
-        words.hear(1_001.0, "liar", sick)
-        words.hear(1_001.0, "b", sick)
-        words.gone("c")
+        words.on_digest(1_001.0, "liar", sick)
+        words.on_digest(1_001.0, "b", sick)
+        words.remove_member("c")
         self.assertEqual(words.agreed(1_001.0, engine_verdicts.SICK), set())
-        words.hear(1_001.0, "b", [])
-        self.assertEqual(words.judges_of(1_001.0, "e", engine_verdicts.SICK), ["liar"])
+        words.on_digest(1_001.0, "b", [])
+        self.assertEqual(words.makers(1_001.0, "e", engine_verdicts.SICK), ["liar"])
 
 
 class ScriptCase(unittest.TestCase):
@@ -725,27 +734,27 @@
         rights = QuotaAccount(0, 1_000.0, 3_000.0, DRIFT, 0.0)
         self.assertEqual(rights.ready(0.0), 0)
         for seq, units in ((1, 5), (2, 8)):
-            rights.asking(0.0, "a", 1, seq)
+            rights.start_request(0.0, "a", 1, seq)
             self.assertTrue(rights.on_grant(10.0, "a", 1, seq, 1, units, units))
             if seq == 1:
-                rights.owe(20.0, "a", 7)
+                rights.schedule_return(20.0, "a", 7)
                 self.assertEqual(rights.ready(20.0), 0)
-        self.assertEqual((rights.ready(2_999.0), rights.borrowed["a"].aside), (1, 7))
-        self.assertEqual((rights.ready(3_000.0), rights.held), (0, 0))
+        self.assertEqual((rights.ready(2_999.0), rights.borrowed["a"].set_aside), (1, 7))
+        self.assertEqual((rights.ready(3_000.0), rights.total), (0, 0))
 
     def test_what_comes_back_is_in_hand_again_by_word_or_by_time(self):
         rights = QuotaAccount(10, 1_000.0, 3_000.0, DRIFT, 0.0)
-        now = rights.back_ms + rights.rest_ms
+        now = rights.reclaim_ms + rights.cooldown_ms
         for name, want in (("b", 6), ("c", 4), ("b", 3)):
-            loan = rights.on_ask(now, name, 1, name in rights.lent, 1, 2 if name in rights.lent else 0, 0, want)
-            rights.lend(loan, 0 if loan.given else want)
+            loan = rights.on_request(now, name, 1, name in rights.lent, 1, 2 if name in rights.lent else 0, 0, want)
+            rights.lend(loan, 0 if loan.granted else want)
         self.assertEqual((rights.in_hand, rights.claims), (2, [(3, "b"), (4, "c")]))
-        rights.on_back(now, "c", 1, 2, 4)
+        rights.on_return(now, "c", 1, 2, 4)
         self.assertEqual((rights.in_hand, rights.pool.ready), (6, 6))
-        rights.on_ask(now, "b", 2, False, 0, 0, 0, 1)  # its next process: the last one's loan ends in time
+        rights.on_request(now, "b", 2, False, 0, 0, 0, 1)  # its next process: the last one's loan ends in time
         self.assertEqual((rights.in_hand, rights.claims), (6, [(1, "b"), (4, "c")]))
-        rights.tick(now + rights.back_ms)
-        self.assertEqual((rights.in_hand, rights.claims, rights.pool.resting), (10, [], 4))
+        rights.tick(now + rights.reclaim_ms)
+        self.assertEqual((rights.in_hand, rights.claims, rights.pool.cooling), (10, [], 4))
 
 
 class LoanMachine(RuleBasedStateMachine):
@@ -790,7 +799,7 @@
     @rule(name=strategies.sampled_from("bc"), want=strategies.integers(0, 12))
     def ask(self, name, want):
         self.seq += 1
-        words = self.rights[name].asking(self.clock(name), "a", self.epochs["a"], self.seq)
+        words = self.rights[name].start_request(self.clock(name), "a", self.epochs["a"], self.seq)
         self.post.append(("ask", name, self.epochs[name], self.seq, words, want))
 
     @rule(name=strategies.sampled_from("bc"), units=strategies.integers(1, 12))
@@ -798,8 +807,8 @@
         rights = self.rights[name]
         rights.tick(self.clock(name))
         if "a" in rights.borrowed:
-            rights.owe(self.clock(name), "a", units)
-            if word := rights.give_back(self.clock(name), "a"):
+            rights.schedule_return(self.clock(name), "a", units)
+            if word := rights.take_return(self.clock(name), "a"):
                 self.post.append(("back", name, self.epochs[name], word))
 
     @rule(place=strategies.integers(0, 30), again=strategies.booleans(), lose=strategies.booleans())
@@ -815,12 +824,12 @@
             seq, (of, series, returned, closed), want = rest
             if epoch != self.epochs[name]:
                 return  # membership does not hear a process that was followed by another
-            loan = lender.on_ask(now, name, epoch, of == self.epochs["a"], series, returned, closed, want)
+            loan = lender.on_request(now, name, epoch, of == self.epochs["a"], series, returned, closed, want)
             give, keep = quota_flow.offer(lender, 2, loan, name)
             lender.lend(loan, give)
-            self.post.append(("grant", name, epoch, self.epochs["a"], seq, loan.series, loan.given, keep))
+            self.post.append(("grant", name, epoch, self.epochs["a"], seq, loan.number, loan.granted, keep))
         elif kind == "back" and epoch == self.epochs[name] and rest[0][0] == self.epochs["a"]:
-            lender.on_back(now, name, epoch, rest[0][1], rest[0][2])
+            lender.on_return(now, name, epoch, rest[0][1], rest[0][2])
         elif kind == "grant" and epoch == self.epochs[name] and rest[0] == self.epochs["a"]:
             self.rights[name].on_grant(self.clock(name), "a", *rest)
 
@@ -837,13 +846,14 @@
     def sums_kept_are_those_of_the_loans(self):
         for name, rights in self.rights.items():
             loans = rights.borrowed.values()
-            assert rights.in_hand == rights.own - sum(loan.out for loan in [*rights.lent.values(), *rights.lapsing])
-            assert rights.held == rights.in_hand + sum(loan.held for loan in loans)
+            lent = [*rights.lent.values(), *rights.abandoned]
+            assert rights.in_hand == rights.owned - sum(loan.outstanding for loan in lent)
+            assert rights.total == rights.in_hand + sum(loan.outstanding for loan in loans)
             assert rights.ready(self.clock(name)) == rights.pool.ready + sum(loan.pool.ready for loan in loans)
-            assert rights.claims == sorted((loan.want, borrower) for borrower, loan in rights.lent.items())
-            assert not any(loan.aside < loan.owed and loan.pool.ready for loan in loans)
-            assert not any(loan.ends <= self.clock(name) for loan in loans)
-            assert not any(pool.ready_at() <= self.clock(name) for pool in (rights.pool, *[o.pool for o in loans]))
+            assert rights.claims == sorted((loan.wanted, borrower) for borrower, loan in rights.lent.items())
+            assert not any(loan.set_aside < loan.to_return and loan.pool.ready for loan in loans)
+            assert not any(loan.expires_at <= self.clock(name) for loan in loans)
+            assert not any(pool.next_ready_at() <= self.clock(name) for pool in (rights.pool, *[o.pool for o in loans]))
 
 
 LoanCase = LoanMachine.TestCase
