--- a/bench/compiled.py
+++ b/bench/compiled.py
@@ -27,6 +27,7 @@
     for name in (
         "division",
         "fleet/budgets",
+        "fleet/claims",
         "fleet/counter_sync",
         "fleet/counter_table",
         "fleet/counters",
@@ -37,6 +38,7 @@
         "fleet/incarnation",
         "fleet/lender_selector",
         "fleet/member_table",
+        "fleet/member_updates",
         "fleet/membership",
         "fleet/node",
         "fleet/quota_demand",
--- a/frostspindle/fleet/budgets.py
+++ b/frostspindle/fleet/budgets.py
@@ -18,7 +18,7 @@
 from frostspindle.fleet.membership import Membership
 from frostspindle.fleet.quota_demand import EstimatedDemand, StatedDemand
 from frostspindle.fleet.quota_escrow import QuotaAccount
-from frostspindle.fleet.quota_loans import NO_LIMIT
+from frostspindle.fleet.quota_loans import NO_LIMIT, LentQuota
 from frostspindle.fleet.wire import MemberState
 
 ANSWER_TIMEOUT_MS = 4.0 * quota_flow.REQUEST_INTERVAL_MS
@@ -237,7 +237,7 @@
         )
         self._membership.send(sender.name, grant)
 
-    def _offer(self, state: BudgetState, needed: int, loan: quota_flow.LentQuota, borrower: str) -> quota_flow.Offer:
+    def _offer(self, state: BudgetState, needed: int, loan: LentQuota, borrower: str) -> quota_flow.Offer:
         demand = state.demand
         if isinstance(demand, EstimatedDemand):
             return quota_flow.offer(state.account, needed, loan, borrower)
--- a/frostspindle/fleet/failure_detector.py
+++ b/frostspindle/fleet/failure_detector.py
@@ -31,6 +31,7 @@
 
     @property
     def next_deadline(self) -> float:
+        """When the probe goes on to other members, or has failed."""
         return self.deadline if self.indirect else self.direct_deadline
 
 
--- a/frostspindle/fleet/member_table.py
+++ b/frostspindle/fleet/member_table.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import heapq
 import math
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
@@ -17,6 +18,8 @@
 
 Address = tuple[str, int]
 
+MAX_PAGE = 32  # claims in one page
+
 
 class OutgoingMessage(NamedTuple):
     """One message to be sent: address, recipient's name and body."""
@@ -49,6 +52,11 @@
         self._alive_names: list[str] = []  # keys of `alive` in order of arrival, for random draws
         self._sequence = 0
 
+    @property
+    def size(self) -> int:
+        """Number of members that are alive or suspected, this one included."""
+        return len(self.alive) + 1
+
     def add_alive(self, name: str, member: Member) -> None:
         """Put a member among those alive."""
         self.alive[name] = member
@@ -91,6 +99,19 @@
         """Return the last claims of the members that are believed dead."""
         return [member.claim for member in self.members.values() if member.claim.state == wire.DEAD]
 
+    def page(self, after: str, room: int) -> tuple[list[MemberState], str]:
+        """Return claims after the name `after`, in order of names and within `room` bytes, and the last name ("" at the
+        end).
+        """
+        claims: list[MemberState] = []
+        for name in heapq.nsmallest(MAX_PAGE + 1, (name for name in self.members if name > after)):
+            claim = self.members[name].claim
+            room -= wire.size(claim)
+            if room < 0 or len(claims) == MAX_PAGE:
+                return claims, claims[-1].name if claims else ""
+            claims.append(claim)
+        return claims, ""
+
     def add_known(self, now: float, claims: Iterable[MemberState], own_name: str) -> None:
         """Take members as alive that are not known yet, except the own name."""
         for claim in claims:
--- a/frostspindle/fleet/membership.py
+++ b/frostspindle/fleet/membership.py
@@ -8,28 +8,23 @@
 
 from __future__ import annotations
 
-import heapq
 import math
 import random
 from collections.abc import Callable, Collection, Iterable
-from functools import lru_cache
 from typing import NamedTuple
 
-import msgspec
-
 from frostspindle.fleet import wire
+from frostspindle.fleet.claims import is_proven, is_takeover, precedence, with_state
 from frostspindle.fleet.failure_detector import FailureDetector
-from frostspindle.fleet.gossip_buffer import GossipBuffer
-from frostspindle.fleet.incarnation import ChainExhaustedError, IncarnationChain, is_successor
+from frostspindle.fleet.incarnation import ChainExhaustedError, IncarnationChain
 from frostspindle.fleet.member_table import Address, Member, MemberTable, OutgoingMessage
+from frostspindle.fleet.member_updates import MemberUpdates, Piggyback
 from frostspindle.fleet.suspicion import MAX_CONFIRMATIONS, SuspicionTimers
 from frostspindle.fleet.wire import ALIVE, DEAD, LEFT, SUSPECT, MemberState, Suspicion
 
 MAX_MEMBERS = 8_192  # those dead or gone too; beyond that no new member is taken
 GOSSIP_FANOUT = 3  # members that get updates at a time
 GOSSIP_INTERVAL_MS = 200.0
-MAX_UPDATES = 32  # in one message
-RETRANSMIT_FACTOR = 4  # times log10 of the fleet's size, and no less: transmissions of an update by each member
 REJOIN_INTERVAL_MS = 5_000.0
 FIRST_JOIN_DELAY_MS = 250.0
 SYNC_INTERVAL_MS = 30_000.0
@@ -45,25 +40,6 @@
     reason: str
 
 
-class Piggyback(NamedTuple):
-    """Updates that travel with a message, and the bytes left over."""
-
-    claims: list[MemberState]
-    suspicions: list[Suspicion]
-    room: int
-
-
-@lru_cache(256)
-def retransmissions(size: int) -> int:
-    """Return how often each member transmits an update in a fleet of `size`: 10 times for 300, 13 for 1,000."""
-    return max(RETRANSMIT_FACTOR, math.ceil(RETRANSMIT_FACTOR * math.log10(size + 1)))
-
-
-def precedence(claim: MemberState) -> tuple[int, int, int]:
-    """Return the sort key of claims on one member: later process, then later incarnation, then graver state."""
-    return claim.epoch, claim.incarnation, claim.state
-
-
 class Membership:
     """One member's view of the fleet: states, suspicions and gossip."""
 
@@ -98,8 +74,8 @@
         self.false_suspicions = 0
         self.deaths = 0
         self.rejoined = False  # a member was met that may know much that we do not; the owner sets it back
-        # Gossip: the update on each member, with its size in bytes.
-        self._updates: GossipBuffer[str, tuple[MemberState | Suspicion, int]] = GossipBuffer()
+        # Gossip.
+        self._updates = MemberUpdates(self._table)
         self._gossip_at = now + self.random.random() * GOSSIP_INTERVAL_MS
         # Joining and synchronization.
         self._rejoin_at = now
@@ -126,6 +102,14 @@
         # A member that knows all needs no early sync: in a fleet of 3,000 that were four fifths of all bytes for 30 s.
         self._sync_at = now + self._sync_interval_ms() * self.random.random()
 
+    def piggyback(self, recipient: str, room: int) -> Piggyback:
+        """Return the updates to send with a message to a member, within `room` bytes; see `member_updates`."""
+        return self._updates.piggyback(recipient, room)
+
+    def page(self, after: str, room: int) -> tuple[list[MemberState], str]:
+        """Return a page of the members known here after a name; see `MemberTable.page`."""
+        return self._table.page(after, room)
+
     def draw_peers(self, count: int) -> list[str]:
         """Return up to `count` live members, drawn uniformly."""
         return self._table.draw_peers(count)
@@ -144,7 +128,7 @@
         return due
 
     def _has_updates(self) -> bool:
-        return bool(self._updates.keys or self.other_updates)
+        return bool(self._updates.pending or self.other_updates)
 
     def tick(self, now: float) -> None:
         """Do what is due at `now` (ms of the monotonic clock): time out probes, end suspicions, start the next probe.
@@ -169,12 +153,12 @@
         for name, member in list(self._suspicion.suspects.items()):
             if now < self._suspicion.deadline(member, self.size):
                 continue
-            self._apply(now, _with_state(member.claim, DEAD), "did not answer its suspicion")
+            self._apply(now, with_state(member.claim, DEAD), "did not answer its suspicion")
             if name not in self._suspicion.suspects:
                 self.deaths += 1
 
     def _suspect(self, now: float, member: Member) -> None:
-        self._apply(now, _with_state(member.claim, SUSPECT, self.me.name), "no answer to a probe")
+        self._apply(now, with_state(member.claim, SUSPECT, self.me.name), "no answer to a probe")
 
     def _sync_interval_ms(self) -> float:
         return SYNC_INTERVAL_MS * max(1.0, self.size / 100.0)
@@ -212,42 +196,6 @@
         for name, address in chosen:
             self._table.ping(address, name)
 
-    # Gossip.
-
-    def piggyback(self, recipient: str, room: int) -> Piggyback:
-        """Return the updates to send with a message to a member, within `room` bytes.
-
-        If the recipient itself is believed not to be alive, that goes first, so that it can refute.
-        """
-        claims: list[MemberState] = []
-        suspicions: list[Suspicion] = []
-        member = self.members.get(recipient)
-        if member is not None and member.claim.state != ALIVE:
-            suspicions.append(_suspicion_of(member.claim))
-            room -= wire.size(suspicions[0])
-        if self._updates.keys:
-            count = MAX_UPDATES - len(suspicions)
-            updates, room = self._updates.take(room, count, retransmissions(self.size), recipient)
-            for update in updates:
-                if isinstance(update, Suspicion):
-                    suspicions.append(update)
-                else:
-                    claims.append(update)
-        return Piggyback(claims, suspicions, room)
-
-    def page(self, after: str, room: int) -> tuple[list[MemberState], str]:
-        """Return claims after the name `after`, in order of names and within `room` bytes, and the last name ("" at the
-        end).
-        """
-        claims: list[MemberState] = []
-        for name in heapq.nsmallest(MAX_UPDATES + 1, (name for name in self.members if name > after)):
-            claim = self.members[name].claim
-            room -= wire.size(claim)
-            if room < 0 or len(claims) == MAX_UPDATES:
-                return claims, claims[-1].name if claims else ""
-            claims.append(claim)
-        return claims, ""
-
     # Messages.
 
     def verify_sender(self, now: float, sender: MemberState, source: Address) -> bool:
@@ -265,7 +213,7 @@
         if source != sender.address:
             self.count("fleet_spoofed")
             return False
-        if known is not None and _moved_while_alive(known.claim, sender):
+        if known is not None and is_takeover(known.claim, sender):
             self._contest(now, known)
             return False
         if not self._apply(now, sender, "spoke", direct=True):
@@ -304,7 +252,7 @@
         if suspicion.epoch == claim.epoch and suspicion.incarnation == claim.incarnation:
             confirms = suspicion.state == SUSPECT == claim.state and suspicion.suspected_by not in known.confirmers
             if suspicion.state > claim.state or confirms:  # most are known already
-                self._apply(now, _with_state(claim, suspicion.state, suspicion.suspected_by), f"told by {sender}")
+                self._apply(now, with_state(claim, suspicion.state, suspicion.suspected_by), f"told by {sender}")
         elif (suspicion.epoch, suspicion.incarnation) > (claim.epoch, claim.incarnation):
             self.count("fleet_unproven")
 
@@ -317,7 +265,7 @@
     def leave(self) -> None:
         """Announce the own departure to a few members, which gossip it; no more probes from then on."""
         self.leaving = True
-        self.me = _with_state(self.me, LEFT)
+        self.me = with_state(self.me, LEFT)
         for name in self.draw_peers(3 * GOSSIP_FANOUT):
             self.send(name, wire.Gossip())
 
@@ -341,11 +289,7 @@
             self.count("fleet_chain_used_up")
             return
         self.me = MemberState(self.me.name, self.me.host, self.me.port, ALIVE, self.me.epoch, incarnation, proof)
-        self._enqueue_update(self.me)
-
-    def _enqueue_update(self, claim: MemberState) -> None:
-        update = claim if claim.state == ALIVE else _suspicion_of(claim)
-        self._updates.put(claim.name, (update, wire.size(update)))
+        self._updates.put(self.me)
 
     def _contest(self, now: float, known: Member) -> None:
         """Ping the address of a living member in whose name a new process was claimed.
@@ -367,7 +311,7 @@
             return self._add(now, claim, reason)
         old = known.claim
         if claim.epoch == old.epoch:
-            if not _is_proven(old, claim):
+            if not is_proven(old, claim):
                 self.count("fleet_forged")
                 return False
         elif claim.epoch > old.epoch and not direct and old.state in (ALIVE, SUSPECT):
@@ -397,7 +341,7 @@
         if suspecter and suspecter not in known.confirmers and len(known.confirmers) <= MAX_CONFIRMATIONS:
             known.confirmers |= {suspecter}
             self._suspicion.invalidate()
-            self._enqueue_update(claim)
+            self._updates.put(claim)
 
     def _set_claim(self, now: float, member: Member, claim: MemberState, reason: str) -> None:
         """Store a claim that is believed, with all that follows from the change of state."""
@@ -416,7 +360,7 @@
         member.claim = claim
         self._suspicion.invalidate()
         self._place(name, member)
-        self._enqueue_update(claim)
+        self._updates.put(claim)
         revived = claim.state == ALIVE and before.state in (DEAD, LEFT)
         joins = len(self.alive) == 1 and claim.state in (ALIVE, SUSPECT)
         if joins or (revived and now - self._rejoined_at > REVIVAL_SYNC_MS):
@@ -441,23 +385,3 @@
         self._rejoined_at = now
         self.rejoined = True
         self.send(name, wire.MembersRequest(""))
-
-
-def _is_proven(old: MemberState, claim: MemberState) -> bool:
-    """Whether the owner of a believed claim made the incarnation of another one of the same process."""
-    if claim.incarnation > old.incarnation:
-        return claim.address == old.address and is_successor(old.incarnation, old.proof, claim.incarnation, claim.proof)
-    return claim.incarnation < old.incarnation or claim.proof == old.proof
-
-
-def _moved_while_alive(known: MemberState, sender: MemberState) -> bool:
-    """Whether a later process speaks from another address in the name of a member that is alive."""
-    return known.state == ALIVE and known.epoch < sender.epoch and known.address != sender.address
-
-
-def _with_state(claim: MemberState, state: int, suspected_by: str = "") -> MemberState:
-    return msgspec.structs.replace(claim, state=state, suspected_by=suspected_by)
-
-
-def _suspicion_of(claim: MemberState) -> Suspicion:
-    return Suspicion(claim.name, claim.state, claim.epoch, claim.incarnation, claim.suspected_by)
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -14,7 +14,7 @@
 from frostspindle.fleet.counters import MIN_PUBLISH_INTERVAL_MS, FleetCounters, publish_interval
 from frostspindle.fleet.gossip_buffer import GossipBuffer
 from frostspindle.fleet.incarnation import IncarnationChain, is_successor
-from frostspindle.fleet.membership import retransmissions
+from frostspindle.fleet.member_updates import retransmissions
 from frostspindle.fleet.node import FleetNode, FleetSettings
 from frostspindle.fleet.quota_escrow import QuotaAccount
 from frostspindle.lab.faults.script import InvalidScriptError, Weather, parse
