--- a/frostspindle/lab/warming.py
+++ b/frostspindle/lab/warming.py
@@ -10,7 +10,7 @@
 
 from frostspindle import policy
 from frostspindle.fleet.node import Datagram, FleetNode, FleetSettings
-from frostspindle.fleet.slow_start import SlowStartBudgets, exact, gathers, wished
+from frostspindle.fleet.slow_start import SlowStartBudgets, budget_factor, requests_at, work_to_request
 from frostspindle.policy.controller import Controller
 from frostspindle.policy.slow_start import SLOW_START_SAFETY
 
@@ -77,15 +77,20 @@
         cold = any(e.ready and e.in_slow_start(unix) for e in controller.engines.values())
         self.look_at = now + (TICK_MS if cold else IDLE_MS)
         self.cold.tick(now)
-        times, words = exact(controller.settings.coordinators, 0, controller.fractional_share, SLOW_START_SAFETY), []
+        times, words = (
+            budget_factor(controller.settings.coordinators, 0, controller.fractional_share, SLOW_START_SAFETY),
+            [],
+        )
         needs = controller.slow_start.needs(unix)
         works = [controller.slow_start.work_ms(job) for *_, job in controller.waiting_queue[:WAITING]] if needs else []
         for place, number in enumerate(sorted(needs)):
             engine = controller.engines[number]
             whole = times * controller.slow_start.budget_ms(engine, unix)
-            wish, least = wished(works, len(needs), whole / controller.settings.coordinators)
-            here = gathers(controller.settings.number, self.node.name, self.node.members.alive, place, len(needs))
-            part = times * self.cold.look(
+            wish, least = work_to_request(works, len(needs), whole / controller.settings.coordinators)
+            here = requests_at(
+                controller.settings.number, self.node.name, self.node.membership.alive, place, len(needs)
+            )
+            part = times * self.cold.usable_part(
                 now,
                 unix,
                 f"e{number}",
@@ -114,8 +119,8 @@
         believed, job = controller.engines.get(engine), controller.requests.get(request)
         if believed is None or not believed.ready or not believed.in_slow_start(unix):
             return True
-        times = exact(controller.settings.coordinators, 0, controller.fractional_share, SLOW_START_SAFETY)
-        return job is not None and self.cold.pay(
+        times = budget_factor(controller.settings.coordinators, 0, controller.fractional_share, SLOW_START_SAFETY)
+        return job is not None and self.cold.spend(
             now,
             f"e{engine}",
             born,
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -25,7 +25,8 @@
 from frostspindle.recovery.store_worker import StoreWorker
 
 if TYPE_CHECKING:
-    from frostspindle.config import Config, Fleet
+    from frostspindle.config import Config
+    from frostspindle.config.fleet import FleetSection
     from frostspindle.host import ProgramContext
 
 RECOVERING_TICK_S = 0.05  # the timer's longest wait until recovery is over
@@ -166,10 +167,10 @@
         warming = self.program.warming
         if warming is None:
             return
-        cold = warming.cold
-        self.node.on_rights_idle(cold is None or cold.quiet)
+        cold = warming.budgets
+        self.node.on_rights_idle(cold is None or cold.idle)
         if cold is not None:
-            cold.kept(monotonic(), self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared)
+            cold.set_store_state(monotonic(), self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared)
 
     def drain(self, wake_writer: bool = True) -> None:
         """Send the node's messages, apply its effects and wake the store's writer."""
@@ -291,7 +292,7 @@
     )
 
 
-def _rights_cooldown_ms(config: Config, fleet: Fleet | None) -> float:
+def _rights_cooldown_ms(config: Config, fleet: FleetSection | None) -> float:
     """Return for how long after a start a previous process's rights may still be in use, by the slower clock."""
     if fleet is None:
         return 0.0
--- a/frostspindle/recovery/store_worker.py
+++ b/frostspindle/recovery/store_worker.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol
 
-from frostspindle.config import Recovery
+from frostspindle.config.recovery import RecoverySection
 from frostspindle.core import clock
 from frostspindle.recovery.inputs import OpenedStore, RecoverySettings
 from frostspindle.recovery.monotonic_clock import monotonic
@@ -23,7 +23,7 @@
     """What the store's worker needs of the recovery service."""
 
     settings: RecoverySettings
-    config: Recovery
+    config: RecoverySection
     telemetry: Telemetry
     node: RecoveryNode
 
