--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -360,10 +360,10 @@
         batch, which takes 0.5 to 6 ms."""
         node = self.node
         assert node is not None
-        while node.effects or node.outbox:
-            for name, data in node.take_messages():
+        while node.outputs.pending:
+            for name, data in node.outputs.take_messages():
                 self.w.post(self.number, int(name[1:]), data)
-            for effect in node.take_effects():
+            for effect in node.outputs.take_effects():
                 self.effect(effect)
         if (batch := node.next_batch()) is not None:
             self.w.at(self.w.now + self.w.random.uniform(0.5, 6.0), self.on_disk, self.life, batch)
--- /dev/null
+++ b/frostspindle/recovery/figures.py
@@ -0,0 +1,34 @@
+"""A recovery node's figures for the operators' port."""
+
+from __future__ import annotations
+
+from frostspindle.recovery.node import RecoveryNode
+
+MAX_WITHHELD_SHOWN = 64
+
+
+def node_figures(node: RecoveryNode, now: float, unix: float) -> dict[str, object]:
+    """Return the figures; the keys are fixed by docs/recovery.md. `now` in ms monotonic, `unix` in Unix ms."""
+    stages = node.stages
+    journal = node.loads.journal
+    return {
+        "stage": stages.stage.name.lower(),
+        "since_ms": round(now - stages.entered_at),
+        "weak": sorted(stage.name.lower() for stage in stages.timed_out),
+        "moves": [
+            [passed.previous.name.lower(), passed.reason, passed.timed_out, round(passed.duration_ms)]
+            for passed in stages.transitions
+        ],
+        "store": node.store.opened.verdict,
+        "blank": node.store.lost,
+        "generation": node.store.generation,
+        "seeds_met": node.inputs.seeds_alive,
+        "seeds": node.inputs.seed_count,
+        "agreed": node.has_quorum,
+        "withheld": sorted(node.agreed.withheld)[:MAX_WITHHELD_SHOWN] if node.agreed else [],
+        "bans_known": len(node.bans.statements),
+        "tickets": len(journal.records),
+        "tickets_rest_ms": round(max(0.0, journal.cooldown_until_ms - unix)),
+        "claims_open": len(node.loads.claims.pending),
+        "counted": dict(sorted(node.outputs.counters.items())),
+    }
--- a/frostspindle/recovery/gate.py
+++ b/frostspindle/recovery/gate.py
@@ -114,7 +114,7 @@
         node = self.service.node
         if outcome in (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED):
             node.on_attempt_ended(clock(), engine, outcome == AttemptOutcome.CONNECT_FAILED)
-        if node.effects:
+        if node.outputs.effects:
             self.service.drain()
 
     def close(self) -> list[int]:
--- a/frostspindle/recovery/outputs.py
+++ b/frostspindle/recovery/outputs.py
@@ -45,3 +45,20 @@
     def send(self, receiver: str, message: wire.Message) -> None:
         """Queue a message to another coordinator."""
         self.messages.append((receiver, wire.encode(message)))
+
+    @property
+    def pending(self) -> bool:
+        """Whether there are messages or effects."""
+        return bool(self.messages or self.effects)
+
+    def take_messages(self) -> list[tuple[str, bytes]]:
+        """Return the messages and forget them."""
+        messages = self.messages
+        self.messages = []
+        return messages
+
+    def take_effects(self) -> list[Effect]:
+        """Return the effects and forget them."""
+        effects = self.effects
+        self.effects = []
+        return effects
--- /dev/null
+++ b/frostspindle/recovery/published_state.py
@@ -0,0 +1,86 @@
+"""The engine list and the bans that a node reports to others, and what of them its store must have."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping
+
+from frostspindle.recovery import wire
+from frostspindle.recovery.agreement import BanTable, MemberReport
+from frostspindle.recovery.engine_restarts import EngineRestarts
+from frostspindle.recovery.outputs import NodeOutputs
+from frostspindle.recovery.report import PagedReport, paginate
+from frostspindle.recovery.wire import BanStatement, ListedEngine
+from frostspindle.recovery.write_buffer import WriteBuffer
+
+MAX_ENGINES = 4_000  # of a list; more are not reported or stored
+
+
+class PublishedState:
+    """One node's engine list, with what it saw of engines itself, and all coordinators' bans. No I/O."""
+
+    def __init__(self, name: str, outputs: NodeOutputs, buffer: WriteBuffer) -> None:
+        self.last_event: int = 0  # of the bus, that the engine list includes
+        self.engines: dict[str, ListedEngine] = {}
+        self.bans: BanTable = BanTable()
+        self.restarts: EngineRestarts = EngineRestarts(outputs, on_change=self.invalidate)
+        self.stored: MemberReport | None = None  # the engine list as the store has it from the previous process
+        self._name: str = name
+        self._buffer: WriteBuffer = buffer
+        self._paged: PagedReport | None = None  # None: to be built anew
+
+    def invalidate(self) -> None:
+        """Note that what is reported may have changed."""
+        self._paged = None
+
+    def set_engines(self, last_event: int, listed: Mapping[str, ListedEngine], store: bool) -> None:
+        """Take the engine list as it stands, up to MAX_ENGINES; `store`: write what has changed."""
+        engines = dict(list(listed.items())[:MAX_ENGINES])
+        if (last_event, engines) == (self.last_event, self.engines):
+            return
+        if store:
+            self._store_engines(engines)
+        self.last_event = last_event
+        self.engines = engines
+        self.invalidate()
+        self.restarts.on_engine_list(engines)
+
+    def store_all_engines(self) -> None:
+        """Write the engine list in place of the previous process's."""
+        self._store_engines(self.engines, self.stored.engines if self.stored else ())
+
+    def _store_engines(self, engines: Mapping[str, ListedEngine], stored: Collection[str] = ()) -> None:
+        """Write what differs from the last list, or all if the store has names of the previous process."""
+        for name in (*self.engines, *stored):
+            if name not in engines:
+                self._buffer.delete("engines", name)
+        for name, engine in engines.items():
+            if stored or self.engines.get(name) != engine:
+                self._buffer.put("engines", name, wire.encode(engine))
+
+    def merge_ban(self, statement: BanStatement) -> None:
+        """Take a statement on a ban, and write it if it changes the table."""
+        if self.bans.merge(statement):
+            self._buffer.put("bans", f"{statement.origin}/{statement.engine}", wire.encode(statement))
+            self.invalidate()
+
+    def prune(self, unix: float) -> None:
+        """Forget refusals and lifted bans that are old at `unix` (Unix ms)."""
+        self.restarts.prune(unix)
+        for origin, engine in self.bans.prune(unix):
+            self._buffer.delete("bans", f"{origin}/{engine}")
+
+    def own_report(self, store_lost: bool, past_agreement: bool) -> MemberReport:
+        """Return the present list, or until the agreement is over the stored one if that has a later event."""
+        last_event = self.last_event
+        engines: Mapping[str, ListedEngine] = self.engines
+        if self.stored is not None and self.stored.last_event > last_event and not past_agreement:
+            last_event = self.stored.last_event
+            engines = self.stored.engines
+        return MemberReport(self._name, last_event, engines, settled=False, store_lost=store_lost)
+
+    def paged(self, own: MemberReport) -> PagedReport:
+        """Return all that others may ask for in pages, given this node's report."""
+        if self._paged is None:
+            engines = map(self.restarts.as_reported, own.engines.values())
+            self._paged = paginate(own.last_event, engines, self.bans.statements.values())
+        return self._paged
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -16,10 +16,11 @@
 from frostspindle.recovery.admission import ReadyEngine, RecoveryAdmission, RequestClass, SlowStartCurve
 from frostspindle.recovery.effect_handler import EffectHandler
 from frostspindle.recovery.excluded_engines import ExcludedEngines
+from frostspindle.recovery.figures import MAX_WITHHELD_SHOWN, node_figures
 from frostspindle.recovery.gate import RecoveryGate
 from frostspindle.recovery.inputs import OpenedStore, RecoverySettings
 from frostspindle.recovery.monotonic_clock import monotonic
-from frostspindle.recovery.node import MAX_WITHHELD_SHOWN, RecoveryNode
+from frostspindle.recovery.node import RecoveryNode
 from frostspindle.recovery.stages import Stage, StageTimeouts
 from frostspindle.recovery.state_kinds import CooldownSettings
 from frostspindle.recovery.store_worker import StoreWorker
@@ -98,7 +99,7 @@
         admission = self.admission
         return {
             "name": self.settings.name,
-            **self.node.figures(monotonic(), clock()),
+            **node_figures(self.node, monotonic(), clock()),
             "waiting": len(admission.waiting),
             "passed": admission.admitted,
             "refused_at_gate": admission.rejected,
@@ -173,12 +174,12 @@
 
     def drain(self, wake_writer: bool = True) -> None:
         """Send the node's messages, apply its effects and wake the store's writer."""
-        node = self.node
-        while node.effects or node.outbox:
-            for name, data in node.take_messages():
+        outputs = self.node.outputs
+        while outputs.pending:
+            for name, data in outputs.take_messages():
                 if self.program.fleet is not None:
                     self.program.fleet.post(name, self.channel, data)
-            for effect in node.take_effects():
+            for effect in outputs.take_effects():
                 self.effects.apply(effect)
         if wake_writer:
             self.store_worker.wake()
--- a/frostspindle/recovery/tickets.py
+++ b/frostspindle/recovery/tickets.py
@@ -43,6 +43,7 @@
     """Return the ticket's replicas among the seeds by rendezvous hashing: the same everywhere, whoever is alive."""
 
     def weight(name: str) -> bytes:
+        """Return what the seeds are sorted by."""
         return blake2b(ticket + name.encode(), digest_size=8, person=b"home").digest()
 
     return sorted(seeds, key=weight)[:count]
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -135,12 +135,12 @@
         settings=RecoverySettings(name="c1", seeds=("c1", "c2", "c3")), now=0.0, unix=TICKET.at_ms + 1.0, seed=1
     )
     opened = OpenedStore(verdict="good", usable=True, trusted=True, entries=tuple(store.scan()))
-    node.on_store_opened(now=0.0, unix=TICKET.at_ms + 1.0, store=opened)
+    node.on_store_opened(now=0.0, unix=TICKET.at_ms + 1.0, opened=opened)
     assert node.bans.statements == {(BAN.origin, BAN.engine): BAN}
-    assert (node.peer_stores.states, node.heartbeat, node.idle_mark.marked) == ({"c2": STORE}, BEAT, True)
-    assert (node.stored_report.last_event, node.stored_report.engines) == (BEAT.last_event, {LISTED.name: LISTED})
+    assert (node.peer_stores.states, node.store.heartbeat, node.idle_mark.marked) == ({"c2": STORE}, BEAT, True)
+    assert (node.published.stored.last_event, node.published.stored.engines) == (BEAT.last_event, {LISTED.name: LISTED})
     assert node.loads.journal.records == {tickets.ticket_id("request-1"): TICKET}
-    assert node.counters["recovery_spoilt"] == 0
+    assert node.outputs.counters["recovery_spoilt"] == 0
 
 
 @pytest.mark.parametrize(("name", "engine", "witnessed"), STORES)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -501,20 +501,20 @@
                         disk["entries"].pop(key, None) if value is None else disk["entries"].__setitem__(key, value)
                     disk["generation"] += 1
                     node.on_batch_written(self.now, UNIX + self.now, True)
-                for target, data in node.outbox:
+                for target, data in node.outputs.messages:
                     for _ in range(self.draw.choice((1, 1, 2)) if self.loss else 1):
                         if self.draw.random() >= self.loss:
                             self.way.append((name, target, data))
                 self.draw.shuffle(self.way) if self.loss else None
-                for chill in [effect for effect in node.effects if isinstance(effect, MarkRestarted)]:
+                for chill in [effect for effect in node.outputs.effects if isinstance(effect, MarkRestarted)]:
                     node.on_engine_list(
                         UNIX + self.now,
                         1,
-                        {**node.engines, **{n: listed(n, born=s) for n, s in chill.starts.items()}},
+                        {**node.published.engines, **{n: listed(n, born=s) for n, s in chill.starts.items()}},
                     )
-                self.effects[name] += node.effects
-                node.outbox.clear()
-                node.effects.clear()
+                self.effects[name] += node.outputs.effects
+                node.outputs.messages.clear()
+                node.outputs.effects.clear()
 
     def claim(self, name, number, text, ms=2_500.0):
         self.nodes[name].loads.claim(self.now, UNIX + self.now, number, text)
@@ -552,7 +552,7 @@
             net.kill(name)
             net.start(name, **kw)
             net.run(3_000.0)
-            self.assertTrue(net.nodes[name].store_lost, name)
+            self.assertTrue(net.nodes[name].store.lost, name)
             self.assertTrue(net.nodes[name].loads.journal.in_cooldown(UNIX + net.now))
         # Two of three homes rest: no load can be had, and none runs twice.
         self.assertEqual(net.claim("c2", 5, "another"), [ClaimOutcome.NO_RECORD])
@@ -569,7 +569,7 @@
         for name in net.names:
             net.start(name, generation=before if name == "c0" else None)
         net.run(3_000.0)
-        self.assertEqual([net.nodes[name].store_lost for name in net.names], [True, False, False])
+        self.assertEqual([net.nodes[name].store.lost for name in net.names], [True, False, False])
 
     def test_its_own_bans_come_back_from_the_others(self):
         net = self.fleet(3)
@@ -650,10 +650,10 @@
         node = net.nodes["c0"]
         for at, refused in ((0.0, True), (100.0, True), (150.0, False), (300.0, True), (450.0, True)):
             node.on_attempt_ended(UNIX + at, "e", refused)
-        self.assertEqual(node.effects, [])
+        self.assertEqual(node.outputs.effects, [])
         node.on_attempt_ended(UNIX + 500.0, "e", True)
         node.on_attempt_ended(UNIX + 510.0, "e", True)  # told already
-        [chill] = node.effects
+        [chill] = node.outputs.effects
         self.assertTrue(UNIX - 2_000.0 < chill.starts["e"] <= UNIX + 500.0)
 
     def test_who_ran_on_does_not_vouch_for_an_engine_that_it_saw_refuse_connections(self):
@@ -680,7 +680,7 @@
                 net.run(3_000.0)
                 if seen in ("back", "blip"):  # the core has not yet told that it goes by the start
                     ran.on_attempt_ended(UNIX + net.now, "e", False)
-                    ran.effects.clear()
+                    ran.outputs.effects.clear()
                 net.start("c0", fresh=True)  # its own word doesn't count, and it waits for both others'
                 net.nodes["c0"].on_engine_list(UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
                 net.run(1_500.0)
@@ -699,24 +699,24 @@
         node = self.fleet(3).nodes["c0"]
         for at in (0.0, 300.0):
             node.on_attempt_ended(UNIX + at, "e", True)
-        node.effects.clear()
+        node.outputs.effects.clear()
         node.on_engine_list(
             UNIX, 2, {"e": msgspec.structs.replace(listed("e", born=UNIX + 9e3), published_start_ms=UNIX + 9e3)}
         )
         node.on_attempt_ended(UNIX + 20_000.0, "e", False)
-        self.assertEqual(node.effects, [])
+        self.assertEqual(node.outputs.effects, [])
 
     def test_refusals_of_engines_that_have_left_the_list_are_forgotten(self):
         node = self.fleet(3).nodes["c0"]
         node.on_attempt_ended(UNIX, "e", True)
-        self.assertEqual((set(node.restarts.refusals), set(node.restarts.doubted)), ({"e"}, {"e"}))
+        self.assertEqual((set(node.published.restarts.refusals), set(node.published.restarts.doubted)), ({"e"}, {"e"}))
         node.on_engine_list(UNIX, 2, {"f": listed("f")})
-        self.assertEqual((node.restarts.refusals, node.restarts.doubted), ({}, {}))
+        self.assertEqual((node.published.restarts.refusals, node.published.restarts.doubted), ({}, {}))
         node.on_attempt_ended(UNIX, "f", True)
         node.on_attempt_ended(UNIX + 50.0, "f", False)
         for at, doubted in ((60_000.0, True), (140_000.0, False)):
             node.tick(at, UNIX + at)
-            self.assertEqual("f" in node.restarts.doubted, doubted)
+            self.assertEqual("f" in node.published.restarts.doubted, doubted)
 
     def test_a_home_grants_nothing_before_it_has_asked_whether_its_store_is_the_last(self):
         net = Net(["c0", "c1", "c2"])
@@ -724,7 +724,7 @@
         node = net.nodes["c0"]
         node.on_message(net.now, UNIX, "c1", wire.encode(wire.TicketClaim(tickets.ticket_id("x"), 1)))
         self.assertIs(node.stages.stage, Stage.FIND)
-        self.assertEqual((node.outbox, node.loads.journal.records), ([], {}))
+        self.assertEqual((node.outputs.messages, node.loads.journal.records), ([], {}))
         # Nor does it write what others tell of their stores: its own would seem later than it is.
         node.on_message(net.now, UNIX, "c1", wire.encode(wire.ReportRequest(1, 0, StoreState(b"c1", 1, 9))))
         node.tick(net.now + 1_200.0, UNIX)
@@ -744,22 +744,24 @@
         node.on_message(1.0, UNIX, "c9", b"\x00\x01")
         page = wire.ReportPage(1, 1, 0, 1, 9, 0.0, True, False, None, None, [listed("q")], [])
         node.on_message(1.0, UNIX, "c9", wire.encode(page))
-        self.assertEqual((node.counters["recovery_spoilt"], node.counters["recovery_undecodable"]), (3, 1))
+        self.assertEqual(
+            (node.outputs.counters["recovery_spoilt"], node.outputs.counters["recovery_undecodable"]), (3, 1)
+        )
         self.assertNotIn("c9", node.transfer.transfers)
 
     def test_all_messages_fit_their_parcel(self):
         long = "x" * 64
         bans = BanTable([BanStatement(long, long[:60] + str(n), True, 1e14) for n in range(200)])
         node = RecoveryNode(RecoverySettings("c0", ("c0",)), 0.0, UNIX, 1)
-        node.bans = bans
+        node.published.bans = bans
         names = [f"{long[:60]}{n}" for n in range(50)]
         node.on_engine_list(UNIX, 2**50, {n: ListedEngine(n, long, long, long, -(2**31), 1, 1e6, 1e15) for n in names})
         node.peer_stores.states["q"] = StoreState(b"z" * 16, 2**62, 2**62)
-        pages = node.paged_report().pages
+        pages = node.published.paged(node._own_report()).pages
         for page in range(len(pages)):
             node.on_message(1.0, UNIX, "q", wire.encode(wire.ReportRequest(2**53, page, None)))
-        self.assertEqual(len(node.outbox), len(pages))
-        self.assertLessEqual(max(len(data) for _, data in node.outbox), 960)
+        self.assertEqual(len(node.outputs.messages), len(pages))
+        self.assertLessEqual(max(len(data) for _, data in node.outputs.messages), 960)
 
 
 class OlderCase(unittest.TestCase):
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -128,7 +128,8 @@
     def test_what_engines_do_with_connections_is_told_to_the_node_by_the_core(self):
         told, drained = [], []
         node = SimpleNamespace(
-            effects=[1], on_attempt_ended=lambda unix, engine, refused: told.append((engine, refused))
+            outputs=SimpleNamespace(effects=[1]),
+            on_attempt_ended=lambda unix, engine, refused: told.append((engine, refused)),
         )
         gate = RecoveryGate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
         for verdict in AttemptOutcome:  # a connection that breaks may be of before a loss
