--- a/bench/settings.py
+++ b/bench/settings.py
@@ -38,10 +38,12 @@
 
 from frostspindle.lab import settings as playing  # noqa: E402
 from frostspindle.lab.faults.script import parse  # noqa: E402
-from frostspindle.settings.decisions import REFUSE, AgreementSettings  # noqa: E402
-from frostspindle.settings.meet import adjacent, meet  # noqa: E402
+from frostspindle.settings.active_rules import RulesMode  # noqa: E402
+from frostspindle.settings.agreement_settings import AgreementSettings  # noqa: E402
+from frostspindle.settings.intersection import intersect, intersect_with_child  # noqa: E402
 from frostspindle.settings.schema import Ban, Class, Engine, ListScope  # noqa: E402
-from frostspindle.settings.versions import EMPTY, cut, diff, pack  # noqa: E402
+from frostspindle.settings.version_encoding import pack_changes, split_into_pieces  # noqa: E402
+from frostspindle.settings.versions import EMPTY_VERSION, diff_rules  # noqa: E402
 
 
 def spread(values: list[float]) -> dict[str, float]:
@@ -76,7 +78,7 @@
             seed,
             "drawn",
             seconds,
-            terms=AgreementSettings(2_000.0, 0.01, 4_000.0, REFUSE if refuse else "meet"),
+            terms=AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else "meet"),
         )
         rows.append(playing.measure(world))
     click.echo(
@@ -134,13 +136,13 @@
         out[name + "_ms"] = round((time.perf_counter() - began) * 1e3 / times, 4)
         return result
 
-    first = timed("first_version", lambda: EMPTY.next(1, rules))
-    timed("pack_whole", lambda: pack(rules), 5)
+    first = timed("first_version", lambda: EMPTY_VERSION.child(1, rules))
+    timed("pack_whole", lambda: pack_changes(rules), 5)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     kept = [first]
     for n in range(count):
-        kept.append(kept[-1].next(n + 2, {f"ban/e{n}": Ban(f"e{n}")}))
+        kept.append(kept[-1].child(n + 2, {f"ban/e{n}": Ban(f"e{n}")}))
     out["persistent_kb_a_version"] = round((tracemalloc.get_traced_memory()[0] - before) / count / 1024, 2)
     before = tracemalloc.get_traced_memory()[0]
     copies = [dict(first.rules)]
@@ -148,7 +150,7 @@
         copies.append({**copies[-1], f"ban/e{n}": Ban(f"e{n}")})
     out["copied_kb_a_version"] = round((tracemalloc.get_traced_memory()[0] - before) / 21 / 1024, 1)
     tracemalloc.stop()
-    timed("persistent_next", lambda: first.next(2, {"ban/e1": Ban("e1")}), 500)
+    timed("persistent_next", lambda: first.child(2, {"ban/e1": Ban("e1")}), 500)
     plain = copies[0]
 
     def copied() -> dict[str, Any]:
@@ -157,10 +159,10 @@
         return made
 
     timed("copied_next", copied, 100)
-    two = first.next(2, {"ban/e1": Ban("e1"), "engine/http/e5": None})
-    timed("diff_by_walk", lambda: diff(first.rules, two.rules), 20)
-    timed("meet_whole", lambda: meet(first.rules, two.rules), 10)
-    timed("meet_of_neighbours", lambda: adjacent(first.rules, two.rules, two.changes), 500)
+    two = first.child(2, {"ban/e1": Ban("e1"), "engine/http/e5": None})
+    timed("diff_by_walk", lambda: diff_rules(first.rules, two.rules), 20)
+    timed("meet_whole", lambda: intersect(first.rules, two.rules), 10)
+    timed("meet_of_neighbours", lambda: intersect_with_child(first.rules, two.rules, two.changes), 500)
     click.echo(json.dumps(out))
 
 
@@ -358,11 +360,11 @@
         }  # a push has the whole file
         if number % 4 == 0:
             rules["class/lookup"] = Class("lookup", 1_500.0 + number % 3)
-        data, kind = pack(rules), rng.choice(("valid", "valid", "broken", "cut short"))
+        data, kind = pack_changes(rules), rng.choice(("valid", "valid", "broken", "cut short"))
         kind = "valid" if listed else kind
         data = data[:-2] + b"xx" if kind == "broken" else data[:-5] if kind == "cut short" else data
         told["pushes"] += 1
-        pieces = cut(data, 32_768)
+        pieces = split_into_pieces(data, 32_768)
         for at, piece in enumerate(pieces):
             answer = await call(f"settings-push p{number} {at}/{len(pieces)} {base64.b64encode(piece).decode()}")
             if answer.startswith("NAK"):
@@ -694,7 +696,7 @@
             "nodes": nodes,
             "lease_ms": 1_000,
             "contradiction_ms": round(found.longest_ms, 3),
-            "whole_ms": round(found.whole_ms, 3),
+            "whole_ms": round(found.total_ms, 3),
             "live_versions": len(versions),
             "leases_lost": meets,
             "command_to_applied_ms": [round(x[1], 1) for x in pushes],
--- a/frostspindle/cli.py
+++ b/frostspindle/cli.py
@@ -357,13 +357,13 @@
     def list_commands(self, ctx: click.Context) -> list[str]:
         if importlib.util.find_spec("immutables") is None:
             raise click.UsageError("settings needs the extra: pip install -e '.[settings]'")
-        from frostspindle.settings.commands import COMMANDS
+        from frostspindle.settings.cli_commands import COMMANDS
 
         return sorted(COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
         self.list_commands(ctx)
-        from frostspindle.settings.commands import COMMANDS
+        from frostspindle.settings.cli_commands import COMMANDS
 
         return COMMANDS.get(name)
 
--- a/frostspindle/lab/commands.py
+++ b/frostspindle/lab/commands.py
@@ -147,7 +147,7 @@
     if importlib.util.find_spec("immutables") is None:
         raise click.UsageError("settings needs the extra: pip install -e '.[settings]'")
     from frostspindle.lab import settings as playing
-    from frostspindle.settings.decisions import AgreementSettings
+    from frostspindle.settings.member_decisions import AgreementSettings
 
     world = playing.play(nodes, seed, faults, seconds, terms=AgreementSettings(lease_ms, 0.01, 2.0 * lease_ms))
     figures = playing.measure(world)
--- a/frostspindle/lab/faults/settled.py
+++ b/frostspindle/lab/faults/settled.py
@@ -20,7 +20,12 @@
 from frostspindle.lab.faults.runner import Process, free_port
 from frostspindle.lab.faults.script import Script
 from frostspindle.lab.faults.streams import Streams
-from frostspindle.settings.audit import AuditResult, contradictions, longest, spans
+from frostspindle.settings.audit import (
+    AuditResult,
+    find_longest_contradiction,
+    read_active_periods,
+    read_contradictions,
+)
 
 TERMS = "lease_ms = 1000\ntrial_ms = 2000\n"
 
@@ -159,7 +164,7 @@
     def found(self) -> AuditResult:
         """Return the longest time that two coordinators acted plainly on contradicting versions, by all logs."""
         lines = [line for process in self.processes for line in process.lines]
-        return longest(spans(lines, last=boot_ms()), contradictions(lines))
+        return find_longest_contradiction(read_active_periods(lines, last=boot_ms()), read_contradictions(lines))
 
     async def close(self) -> list[int | None]:
         """End all processes with SIGTERM, close the relay and delete the files; return the exit codes, None for a
--- a/frostspindle/lab/settings.py
+++ b/frostspindle/lab/settings.py
@@ -3,7 +3,7 @@
 Owns the simulated world: pushes, who publishes, a replicated log whose consensus is taken as given (its entries are one
 list; a leader commits only with answers of a majority of the voters, over the same network), and the spans of time in
 which each coordinator acted plainly on a version, by true time. It must never decide about a version by itself: what is
-played is `settings/deciding.py` and `agreement.py`.
+played is the decisions and the state machine of `frostspindle/settings`.
 """
 
 from __future__ import annotations
@@ -19,20 +19,18 @@
 
 from frostspindle.lab.faults.script import Script, parse
 from frostspindle.lab.network import Network
-from frostspindle.settings import agreement
-from frostspindle.settings.agreement import DraftPiece, SettingsStateMachine
-from frostspindle.settings.audit import ActivePeriod, longest
-from frostspindle.settings.decisions import (
-    MEET,
-    VERSION,
-    AgreementSettings,
-    MemberDecisions,
-    PublisherDecisions,
-    RestoredVersions,
-)
-from frostspindle.settings.meet import below, contradicts
+from frostspindle.settings import log_commands
+from frostspindle.settings.active_rules import RestoredVersions, RulesMode
+from frostspindle.settings.agreement_settings import AgreementSettings
+from frostspindle.settings.audit import ActivePeriod, find_longest_contradiction
+from frostspindle.settings.intersection import contradicts, permits_no_more
+from frostspindle.settings.log_commands import DraftPiece
+from frostspindle.settings.member_decisions import MemberDecisions
+from frostspindle.settings.publisher_decisions import PublisherDecisions
 from frostspindle.settings.schema import Ban, Coordinator, Limit, ListScope, Tenant
-from frostspindle.settings.versions import EMPTY, Version, pack
+from frostspindle.settings.state_machine import SettingsStateMachine
+from frostspindle.settings.version_encoding import pack_changes
+from frostspindle.settings.versions import EMPTY_VERSION, Version
 
 TICK_MS, SPREAD_MS, AGAIN_MS = 50.0, 25.0, 150.0  # a coordinator's look; the leader's word to others; proposals again
 ELECT_MS, BATCH = 400.0, 1_100  # without a leader; bytes of entries in one message
@@ -51,7 +49,7 @@
     life: int = 0
     at: int = 0  # entries applied
     machine: SettingsStateMachine = field(default_factory=SettingsStateMachine)
-    holder: MemberDecisions | None = None
+    member: MemberDecisions | None = None
     publisher: PublisherDecisions | None = None
     waiting: dict[str, tuple[bytes, float, float]] = field(default_factory=dict)  # proposals: command, until, sent
     proposed: int = 0
@@ -92,7 +90,7 @@
         self.leader, self.epoch, self.without = -1, 0, 0.0
         self.heard_at = [0] * count  # by the leader: how far each has applied
         self.spans: list[ActivePeriod] = []
-        self.tables: dict[int, Version] = {0: EMPTY}
+        self.tables: dict[int, Version] = {0: EMPTY_VERSION}
         self.live_at: dict[int, float] = {}
         self.pushed: dict[str, float] = {}  # by draft when
         self.took: dict[int, list[float]] = {}  # by version: when each coordinator acted on it plainly, once all live
@@ -124,7 +122,7 @@
         place.at, place.machine = 0, SettingsStateMachine()
         place.waiting, place.keeping, place.publishing = {}, False, ""
         now = self.clock(place)
-        place.holder = MemberDecisions(f"c{n}", place.life, self.terms, place.machine, now, kept=place.kept)
+        place.member = MemberDecisions(f"c{n}", place.life, self.terms, place.machine, now, restored=place.kept)
         place.publisher = PublisherDecisions(self.terms, place.machine)
         place.since = (0, self.network.now)
         self.network.at(self.network.now + self.random.uniform(0.0, TICK_MS), n, f"tick {place.life}")
@@ -132,13 +130,13 @@
     def _end(self, n: int) -> None:
         place = self.places[n]
         self._cut(place, self.network.now)
-        place.holder = place.publisher = None
+        place.member = place.publisher = None
 
     def _cut(self, place: Place, at: float) -> None:
         """The coordinator acts no more as it did."""
         version, since = place.since
-        if version and place.holder is not None:
-            ends = min(at, max(since, self.true(place, place.holder.until)))
+        if version and place.member is not None:
+            ends = min(at, max(since, self.true(place, place.member.lease_until_ms)))
             if ends > since:
                 self.spans.append(ActivePeriod(f"c{place.number}", version, since, ends))
         place.since = (0, at)
@@ -236,7 +234,7 @@
                 self.network.send(self.leader, n, _OUT(["e", begin, rows, self.epoch]))
 
     def _apply(self, place: Place, begin: int, rows: list[tuple[str, bytes]]) -> None:
-        if place.holder is None:
+        if place.member is None:
             return
         for index, (pid, entry) in enumerate(rows, begin):
             if index != place.at:
@@ -244,57 +242,57 @@
             place.at += 1
             place.waiting.pop(pid, None)
             result = place.machine.apply(place.at, entry)
-            place.holder.told(self.clock(place), entry, result)
+            place.member.on_entry_applied(self.clock(place), entry, result)
             machine = place.machine
-            for number in (machine.live, machine.pending):
+            for number in (machine.active_version, machine.pending_version):
                 if number and number not in self.tables:
                     self.tables[number] = machine.version(number)
-            if machine.live not in self.live_at:
-                self.live_at[machine.live] = self.network.now
+            if machine.active_version not in self.live_at:
+                self.live_at[machine.active_version] = self.network.now
             self._look(place)
         self._step(place)
 
     # A coordinator's turn.
 
     def _look(self, place: Place) -> None:
-        holder = place.holder
+        holder = place.member
         assert holder is not None
-        acting = holder.look(self.clock(place))
-        plain = acting.versions[0] if acting.mode == VERSION else 0
+        acting = holder.current_rules(self.clock(place))
+        plain = acting.versions[0] if acting.mode == RulesMode.VERSION else 0
         if plain != place.since[0]:
             self._cut(place, self.network.now)
             place.since = (plain, self.network.now)
             if plain:
                 self.took.setdefault(plain, []).append(self.network.now)
-        holder.took(acting)
+        holder.on_rules_applied(acting)
 
     def _step(self, place: Place) -> None:
-        holder, publisher, n = place.holder, place.publisher, place.number
+        holder, publisher, n = place.member, place.publisher, place.number
         if holder is None or publisher is None:
             return
         now = self.clock(place)
         self._look(place)
-        if not place.keeping and (versions := holder.to_keep()):
+        if not place.keeping and (versions := holder.versions_to_persist()):
             place.keeping = True
             self.network.at(self.network.now + self.random.uniform(1.0, 20.0), n, _Keep(place.life, versions))
-        if (hold := holder.holds(now)) is not None:
-            self._propose(place, agreement.encode(hold), self.terms.lease_ms)
+        if (hold := holder.next_renewal(now)) is not None:
+            self._propose(place, log_commands.encode_command(hold), self.terms.lease_ms)
         if place.publishing and place.publishing not in place.waiting:
             place.publishing = ""
-        if publisher.token and not place.publishing and (word := publisher.decide(now)) is not None:
-            place.publishing = self._propose(place, agreement.encode(word), 1_000.0)
+        if publisher.token and not place.publishing and (word := publisher.next_command(now)) is not None:
+            place.publishing = self._propose(place, log_commands.encode_command(word), 1_000.0)
 
     def _blind(self, place: Place) -> None:
         """How long a coordinator on a meet permits what the live version forbids: what it can't know."""
-        holder, n = place.holder, place.number
+        holder, n = place.member, place.number
         now = self.network.now
         live = max(self.live_at, default=0)
         bad = False
         if holder is not None and not self.network.paused[n] and live:
-            acting = holder.look(self.clock(place))
-            if acting.mode == MEET:
+            acting = holder.current_rules(self.clock(place))
+            if acting.mode == RulesMode.INTERSECTION:
                 self.meets[n] += TICK_MS
-                bad = acting.why != "pending" and not below(acting.rules, self.tables[live].rules)
+                bad = acting.reason != "pending" and not permits_no_more(acting.rules, self.tables[live].rules)
         if bad and self.blind_since[n] == math.inf:
             self.blind_since[n] = now
         elif not bad and self.blind_since[n] < math.inf:
@@ -302,11 +300,11 @@
             self.blind_since[n] = math.inf
 
     def _push(self) -> None:
-        able = [place for place in self.places if place.holder is not None and self._runs(place.number)]
+        able = [place for place in self.places if place.member is not None and self._runs(place.number)]
         if not able:
             return
         place, draw = self.random.choice(able), self.random
-        live = place.machine.version(place.machine.live)
+        live = place.machine.version(place.machine.active_version)
         number = len(self.pushed) + 1
         kind = draw.choice(("ban", "ban", "part", "limit", "share", "back", "bad", "stale"))
         engine = f"e{draw.randrange(6)}"
@@ -322,17 +320,17 @@
             changes = {"limit/open_requests": Limit(float(draw.randrange(20, 400)))}
         elif kind == "share":
             changes = {"tenant/blue": Tenant("blue", float(draw.randrange(100)))}
-        made = live.next(live.number + 1, changes)
-        base, digest, to = live.number, made.sum, -1
+        made = live.child(live.number + 1, changes)
+        base, digest, to = live.number, made.digest_bytes, -1
         if kind == "back" and live.number > 2:
             base, to = -1, live.number - draw.randrange(1, 3)
         elif kind == "bad":
             digest = bytes(16)
         elif kind == "stale":
             base = max(0, base - 1)
-        draft = DraftPiece(f"c{place.number}", place.life, number, base, digest, 0, 1, pack(changes), to)
+        draft = DraftPiece(f"c{place.number}", place.life, number, base, digest, 0, 1, pack_changes(changes), to)
         self.pushed[draft.key] = self.network.now
-        self._propose(place, agreement.encode(draft), 2_000.0)
+        self._propose(place, log_commands.encode_command(draft), 2_000.0)
 
     # The world.
 
@@ -355,14 +353,14 @@
             elif what == "kill":
                 self._end(n)
             elif what == "start":
-                if self.places[n].holder is None:
+                if self.places[n].member is None:
                     self._start(n)
             elif what == "stop":
-                if self.places[n].holder is not None:
+                if self.places[n].member is not None:
                     self._cut(self.places[n], now)
                     self.counted["stops"] += 1
             elif what == "cont":
-                if self.places[n].holder is not None:
+                if self.places[n].member is not None:
                     self.network.at(now, n, f"tick {self.places[n].life}")
             else:
                 self._timer(n, what)
@@ -373,7 +371,7 @@
     def _timer(self, n: int, what: str) -> None:
         place = self.places[n]
         word, _, number = what.partition(" ")
-        if place.holder is None or place.publisher is None or self.network.paused[n]:
+        if place.member is None or place.publisher is None or self.network.paused[n]:
             if word == "own" and int(number) == self.epoch:
                 self.network.at(self.network.now + 500.0, n, what)
             return
@@ -384,19 +382,19 @@
                 self._blind(place)
                 self.network.at(self.network.now + TICK_MS, n, what)
         elif word == "own" and int(number) == self.epoch:
-            place.publisher.take(self.clock(place), 1_000 * self.epoch)
+            place.publisher.on_lease_acquired(self.clock(place), 1_000 * self.epoch)
         elif word == "disown" and n != self.leader:
-            place.publisher.lose()
+            place.publisher.on_lease_lost()
 
     def _kept(self, n: int, keep: _Keep) -> None:
         place = self.places[n]
-        if place.holder is None or place.life != keep.life:
+        if place.member is None or place.life != keep.life:
             return
         if self.network.paused[n]:
             self.network.at(self.network.now + 50.0, n, keep)
             return
         place.kept = RestoredVersions(keep.versions, self.network.now)
-        place.holder.was_kept(keep.versions)
+        place.member.on_persisted(keep.versions)
         place.keeping = False
         self._step(place)
 
@@ -412,7 +410,7 @@
             self._commit(word[1])
         elif word[0] == "e":
             self._apply(place, word[1], word[2])
-            if place.holder is not None:
+            if place.member is not None:
                 self.network.send(n, source, _OUT(["t", place.at, word[3], place.life]))
         elif word[0] == "t" and n == self.leader and word[2] == self.epoch:
             # A process that began anew lacks all: its word goes down again.
@@ -473,16 +471,16 @@
             memo[key] = contradicts(world.tables[one].rules, world.tables[two].rules)
         return memo[key]
 
-    found = longest(world.spans, clash)
-    machine = max((place.machine for place in world.places), key=lambda machine: machine.index)
+    found = find_longest_contradiction(world.spans, clash)
+    machine = max((place.machine for place in world.places), key=lambda machine: machine.applied_index)
     ran = sum(clash(one, two) for one, two in zip(sorted(world.live_at), sorted(world.live_at)[1:], strict=False))
-    ends = {place.machine.live for place in world.places if place.holder is not None}
+    ends = {place.machine.active_version for place in world.places if place.member is not None}
     times = sorted(
-        all_at - world.pushed[version.by]
+        all_at - world.pushed[version.author]
         for number, version in world.tables.items()
-        if version.by in world.pushed
+        if version.author in world.pushed
         and len(took := world.took.get(number, [])) >= world.count
-        and (all_at := max(took[: world.count])) > world.pushed[version.by]
+        and (all_at := max(took[: world.count])) > world.pushed[version.author]
     )
     blind = sorted([*world.blind, *(world.network.now - since for since in world.blind_since if since < math.inf)])
     return {
@@ -490,10 +488,10 @@
         "seconds": world.seconds,
         "lease_ms": world.terms.lease_ms,
         "contradiction_ms": round(found.longest_ms, 3),
-        "contradictions_ms": round(found.whole_ms, 3),
+        "contradictions_ms": round(found.total_ms, 3),
         "blind_ms": round(max(blind, default=0.0), 1),
-        "versions": machine.last,
-        "live": machine.live,
+        "versions": machine.last_version,
+        "live": machine.active_version,
         "contradicting_versions": ran,
         "pushed": len(world.pushed),
         "leaders": world.epoch,
--- a/frostspindle/settings/__init__.py
+++ b/frostspindle/settings/__init__.py
@@ -1,5 +1,8 @@
-"""Settings and lists in agreed versions: no two coordinators act on contradicting rules for longer than a stated time.
+"""Settings as agreed versions: no two coordinators act on contradicting rules for longer than a stated time.
 
-Loaded only for a `[settings]` in the operator's file. `schema`, `versions`, `meet`, `agreement`, `deciding`,
-`harm` and `audit` have no I/O and no clock; `keep` stands on the store, `service` has the timers, `wiring` the ties.
+Loaded only for a `[settings]` in the operator's file. Without I/O and clock: the entries and their checks (`schema`,
+`document`, `validation`, `applicability`), versions (`versions`, `version_encoding`, `intersection`), the replicated
+state machine (`log_commands`, `state_machine`), the decisions (`member_decisions`, `publisher_decisions`, `canary`) and
+the `audit`. `version_store` is the durable store, `service` and `pushes` have the timers and tasks, `applied_rules` and
+`wiring` tie all to the core and the operators' port.
 """
--- a/frostspindle/settings/audit.py
+++ b/frostspindle/settings/audit.py
@@ -1,11 +1,8 @@
-"""Audit of log lines: whether any two coordinators acted on contradicting versions outside the meet, and for how long.
+"""Audit of log lines: for how long any two coordinators acted on contradicting versions outside an intersection.
 
-Owns the reading of log lines `settings_acting` and `settings_version` and the search over spans of time. It must never
-do I/O and never take a coordinator's word on whether versions contradict each other: that follows from their rules, or
-from the keys that lines of the versions name.
-
-A span is one coordinator acting plainly on one version, [begins, ends) in ms of one clock. Lines of processes on one
-host bear that host's monotonic clock (`mono_ms`).
+No I/O. Reads the lines `settings_acting` and `settings_version`. Whether versions contradict each other is never taken
+from a coordinator's word: it follows from their rules, or from the keys that the lines of the versions name. Lines of
+processes on one host bear that host's clock (`mono_ms`).
 """
 
 from __future__ import annotations
@@ -13,12 +10,12 @@
 import math
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 
 @dataclass(slots=True, frozen=True)
 class ActivePeriod:
-    """Time in which one coordinator acted plainly on one version: [begins, ends) in ms of one clock."""
+    """Time in which one coordinator acted on one version alone: [begins, ends) in ms of one clock."""
 
     node: str
     version: int
@@ -28,90 +25,126 @@
 
 @dataclass(slots=True, frozen=True)
 class AuditResult:
-    """The longest unbroken time in ms in which any two coordinators contradicted each other, all such time, and who
-    did.
-    """
+    """The longest unbroken and the total time of contradictions, in ms, and the pair of periods of the longest."""
 
     longest_ms: float = 0.0
-    whole_ms: float = 0.0
-    who: tuple[ActivePeriod, ActivePeriod] | None = None
-
-
-def longest(spans: Iterable[ActivePeriod], contradict: Callable[[int, int], bool]) -> AuditResult:
-    """Search all pairs of coordinators for contradictions; times of different pairs that touch count as one."""
-    rows = sorted((span for span in spans if span.ends > span.begins), key=lambda span: span.begins)
-    live: list[ActivePeriod] = []
-    clashes: list[tuple[float, float, ActivePeriod, ActivePeriod]] = []
-    for span in rows:
-        live = [other for other in live if other.ends > span.begins]
-        for other in live:
-            if other.node != span.node and other.version != span.version and contradict(other.version, span.version):
-                clashes.append((span.begins, min(span.ends, other.ends), other, span))
-        live.append(span)
-    best, whole, until, begun, who = AuditResult(), 0.0, -math.inf, 0.0, None
-    for begins, ends, one, two in sorted(clashes, key=lambda clash: clash[:2]):
-        if begins > until:
-            begun, who, until = begins, (one, two), begins
-        whole += max(0.0, ends - until)
-        until = max(until, ends)
-        if until - begun > best.longest_ms:
-            best = AuditResult(until - begun, 0.0, who)
-    return AuditResult(best.longest_ms, whole, best.who)
-
-
-def spans(
+    total_ms: float = 0.0
+    pair: tuple[ActivePeriod, ActivePeriod] | None = None
+
+
+class _Contradiction(NamedTuple):
+    begins: float
+    ends: float
+    pair: tuple[ActivePeriod, ActivePeriod]
+
+
+def find_longest_contradiction(periods: Iterable[ActivePeriod], contradict: Callable[[int, int], bool]) -> AuditResult:
+    """Search all pairs of coordinators; times of different pairs that touch each other count as one."""
+    longest_ms = 0.0
+    longest_pair: tuple[ActivePeriod, ActivePeriod] | None = None
+    total_ms = 0.0
+    run_begins = 0.0  # of the contradictions that touch each other
+    run_ends = -math.inf
+    run_pair: tuple[ActivePeriod, ActivePeriod] | None = None
+    found = _find_contradictions(periods, contradict)
+    for contradiction in sorted(found, key=lambda found: (found.begins, found.ends)):
+        if contradiction.begins > run_ends:
+            run_begins = contradiction.begins
+            run_ends = contradiction.begins
+            run_pair = contradiction.pair
+        total_ms += max(0.0, contradiction.ends - run_ends)
+        run_ends = max(run_ends, contradiction.ends)
+        if run_ends - run_begins > longest_ms:
+            longest_ms = run_ends - run_begins
+            longest_pair = run_pair
+    return AuditResult(longest_ms, total_ms, longest_pair)
+
+
+def _find_contradictions(
+    periods: Iterable[ActivePeriod], contradict: Callable[[int, int], bool]
+) -> list[_Contradiction]:
+    found: list[_Contradiction] = []
+    overlapping: list[ActivePeriod] = []
+    nonempty = (period for period in periods if period.ends > period.begins)
+    for period in sorted(nonempty, key=lambda period: period.begins):
+        overlapping = [other for other in overlapping if other.ends > period.begins]
+        for other in overlapping:
+            if (
+                other.node != period.node
+                and other.version != period.version
+                and contradict(other.version, period.version)
+            ):
+                found.append(_Contradiction(period.begins, min(period.ends, other.ends), (other, period)))
+        overlapping.append(period)
+    return found
+
+
+class _OpenPeriod(NamedTuple):
+    """A period whose end is not known yet, but that it is not after `ends_by`."""
+
+    version: int
+    begins: float
+    ends_by: float
+
+
+def read_active_periods(
     lines: Iterable[Mapping[str, Any]], ends: Mapping[str, float] | None = None, last: float = math.inf
 ) -> list[ActivePeriod]:
-    """Return the spans that log lines tell of.
+    """Return the periods that log lines speak of.
 
-    `ends`: until when a process that was killed can have acted, by node. A lease that ran out ends its span by itself:
-    the line comes late, but names the time (`until_ms`).
+    `ends`: until when a process that was killed can have acted, by node. A lease that ran out ends its period by
+    itself: the line comes late, but names the time (`until_ms`). `last`: the end of all that are still open.
     """
-    found, open_ = [], dict[str, tuple[int, float, float]]()
+    periods: list[ActivePeriod] = []
+    open_periods: dict[str, _OpenPeriod] = {}
 
     def close(node: str, at: float) -> None:
-        if (was := open_.pop(node, None)) is not None:
-            version, begins, until = was
-            found.append(ActivePeriod(node, version, begins, min(at, until)))
+        period = open_periods.pop(node, None)
+        if period is not None:
+            periods.append(ActivePeriod(node, period.version, period.begins, min(at, period.ends_by)))
 
     for line in lines:
         if line.get("event") != "settings_acting":
             continue
-        node, at = str(line["node"]), float(line["mono_ms"])
-        close(node, min(at, float(line.get("until_ms") or math.inf)))
+        node = str(line["node"])
+        begins = float(line["mono_ms"])
+        close(node, min(begins, float(line.get("until_ms") or math.inf)))
         if line["mode"] == "version":
-            open_[node] = (int(line["versions"][0]), at, (ends or {}).get(node, math.inf))
-    for node in list(open_):
+            ends_by = (ends or {}).get(node, math.inf)
+            open_periods[node] = _OpenPeriod(int(line["versions"][0]), begins, ends_by)
+    for node in list(open_periods):
         close(node, last)
-    return found
+    return periods
 
 
-def contradictions(lines: Iterable[Mapping[str, Any]]) -> Callable[[int, int], bool]:
+def read_contradictions(lines: Iterable[Mapping[str, Any]]) -> Callable[[int, int], bool]:
     """Return a test of whether two versions contradict each other, from lines `settings_version`.
 
     Each line names the keys in which a version contradicts its parent. Two versions contradict each other if any on the
-    way from one to the other does so, which errs to more.
+    path from one to the other does so, which errs to more.
     """
-    parent: dict[int, int] = {}
-    clash: dict[int, bool] = {}
+    parents: dict[int, int] = {}
+    contradicts_parent: dict[int, bool] = {}
     for line in lines:
-        if line.get("event") == "settings_version":
-            number = int(line["version"])
-            if int(line["parent"]) >= 0:
-                parent[number] = int(line["parent"])
-                clash[number] = bool(line["contradicts"])
-            else:  # of one that had it from a snapshot, or the disk: it can't tell
-                clash.setdefault(number, True)
-
-    def contradict(one: int, two: int) -> bool:
-        ways = []
-        for at in (one, two):
-            way = []
-            while at and at in clash:
-                way.append(at)
-                at = parent.get(at, 0)
-            ways.append(way)
-        apart = set(ways[0]) ^ set(ways[1])
-        return any(clash[number] for number in apart) or not apart
+        if line.get("event") != "settings_version":
+            continue
+        number = int(line["version"])
+        parent = int(line["parent"])
+        if parent >= 0:
+            parents[number] = parent
+            contradicts_parent[number] = bool(line["contradicts"])
+        else:  # of a coordinator that has it from a snapshot or the store: it can't tell
+            contradicts_parent.setdefault(number, True)
+
+    def ancestry(number: int) -> list[int]:
+        path: list[int] = []
+        while number and number in contradicts_parent:
+            path.append(number)
+            number = parents.get(number, 0)
+        return path
+
+    def contradict(first: int, second: int) -> bool:
+        between = set(ancestry(first)) ^ set(ancestry(second))
+        return any(contradicts_parent[number] for number in between) or not between
 
     return contradict
--- a/frostspindle/settings/commands.py
+++ b/frostspindle/settings/cli_commands.py
@@ -1,8 +1,8 @@
 """The commands of `frostspindle settings`.
 
-Owns their options, how an answer is told and the exit codes: 0 done, 2 a bad file or call, 3 turned down or rolled
-back, 5 no coordinator there or no word of the outcome in time. It must never print a secret, and never call a push done
-before the version is live.
+Owns their options, the form of their output and the exit codes: 0 done, 2 an invalid file or call, 3 turned down or
+rolled back, 5 no coordinator reached or no outcome in time. A push is never called done before the version is active,
+and no secret is printed.
 """
 
 from __future__ import annotations
@@ -12,24 +12,28 @@
 import secrets
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import click
 
 from frostspindle.operator_client import AWAY, BAD, figures
-from frostspindle.settings import schema
+from frostspindle.settings.document import json_schema, parse_document
 from frostspindle.settings.schema import InvalidSettingsError
-from frostspindle.settings.versions import cut, pack
-
-TURNED_DOWN = 3
-PIECE = 32_768  # bytes in one call, whose line has 64 KiB
-EVERY_S = 0.1
+from frostspindle.settings.version_encoding import pack_changes, split_into_pieces
+
+EXIT_TURNED_DOWN = 3
+PIECE_BYTES = 32_768  # in one call, whose line has 64 KiB
+POLL_INTERVAL_S = 0.1
+UNDECIDED_STATES = ("coming", "drafted", "published")
+ACTIVE_STATES = ("live", "proven")
+FAILED_STATES = ("turned down", "withdrawn", "rolled back")
 COMMANDS: dict[str, click.Command] = {}
 
 
-def _command(name: str) -> Any:
-    def made(function: Any) -> click.Command:
+def _command(name: str) -> Callable[[Callable[..., None]], click.Command]:
+    def register(function: Callable[..., None]) -> click.Command:
         function = click.option("--json", "as_json", is_flag=True, help="Print JSON.")(function)
         function = click.option(
             "--at", default="127.0.0.1:6566", show_default=True, help="The operators' address of any coordinator."
@@ -37,22 +41,24 @@
         COMMANDS[name] = click.command(name)(function)
         return COMMANDS[name]
 
-    return made
+    return register
 
 
-def _follow(at: str, name: str, wait_s: float, as_json: bool) -> None:
-    """Ask what became of a push until it is over."""
-    until, told = time.monotonic() + wait_s, {"state": "drafted", "version": 0, "why": ""}
-    while told["state"] in ("coming", "drafted", "published") and time.monotonic() < until:
-        told = figures(at, f"settings-outcome {name}")
-        time.sleep(EVERY_S)
+def _follow_push(at: str, name: str, wait_s: float, as_json: bool) -> None:
+    """Poll the outcome of a push until it is decided or the time is over, print it, and exit accordingly."""
+    deadline = time.monotonic() + wait_s
+    outcome: dict[str, Any] = {"state": "drafted", "version": 0, "why": ""}
+    while outcome["state"] in UNDECIDED_STATES and time.monotonic() < deadline:
+        outcome = figures(at, f"settings-outcome {name}")
+        time.sleep(POLL_INTERVAL_S)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(outcome))
     else:
-        what = f"version {told['version']}: {told['state']}" if told["version"] else told["state"]
-        click.echo(f"{what}{': ' + told['why'] if told['why'] else ''}")
-    if told["state"] not in ("live", "proven"):
-        sys.exit(TURNED_DOWN if told["state"] in ("turned down", "withdrawn", "rolled back") else AWAY)
+        state = f"version {outcome['version']}: {outcome['state']}" if outcome["version"] else outcome["state"]
+        reason = f": {outcome['why']}" if outcome["why"] else ""
+        click.echo(f"{state}{reason}")
+    if outcome["state"] not in ACTIVE_STATES:
+        sys.exit(EXIT_TURNED_DOWN if outcome["state"] in FAILED_STATES else AWAY)
 
 
 @_command("push")
@@ -62,17 +68,18 @@
 def push(file: str, wait_s: float, check: bool, at: str, as_json: bool) -> None:
     """Make a file the next version: checked here, then by all coordinators, then live."""
     try:
-        rules = schema.read(Path(file).read_bytes())
+        rules = parse_document(Path(file).read_bytes())
     except (OSError, InvalidSettingsError) as error:
         click.echo(f"frostspindle: {file}: {error}", err=True)
         sys.exit(BAD)
     if check:
         click.echo(f"{file}: {len(rules)} entries, good")
         return
-    name, pieces = secrets.token_hex(8), cut(pack(rules), PIECE)
+    name = secrets.token_hex(8)
+    pieces = split_into_pieces(pack_changes(rules), PIECE_BYTES)
     for number, piece in enumerate(pieces):
         figures(at, f"settings-push {name} {number}/{len(pieces)} {base64.b64encode(piece).decode()}")
-    _follow(at, name, wait_s, as_json)
+    _follow_push(at, name, wait_s, as_json)
 
 
 @_command("rollback")
@@ -82,25 +89,26 @@
     """Make the rules of an earlier version live again, under a new number; without one, of the version before."""
     name = secrets.token_hex(8)
     figures(at, f"settings-rollback {name} {version or 0}")
-    _follow(at, name, wait_s, as_json)
+    _follow_push(at, name, wait_s, as_json)
 
 
 @_command("status")
 def status(at: str, as_json: bool) -> None:
     """Who runs which version, who turned one down and why, who is on the meet."""
-    told = figures(at, "show-settings")
+    reply = figures(at, "show-settings")
     if as_json:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(reply, indent=2))
         return
-    numbers = ", ".join(map(str, told["versions"]))
+    numbers = ", ".join(map(str, reply["versions"]))
+    reason = f" ({reply['why']})" if reply["why"] else ""
     click.echo(
-        f"{told['name']}: {told['mode']} of {numbers}{' (' + told['why'] + ')' if told['why'] else ''}, "
-        f"{told['entries']} entries; lease {told['left_ms']:.0f} ms more"
+        f"{reply['name']}: {reply['mode']} of {numbers}{reason}, "
+        f"{reply['entries']} entries; lease {reply['left_ms']:.0f} ms more"
     )
-    trial = " (on trial)" if told["on_trial"] else ""
-    click.echo(f"live {told['live']}{trial}, proven {told['proven']}, pending {told['pending'] or '-'}")
+    trial = " (on trial)" if reply["on_trial"] else ""
+    click.echo(f"live {reply['live']}{trial}, proven {reply['proven']}, pending {reply['pending'] or '-'}")
     click.echo(f"\n{'coordinator':<24}{'acts on':>10}{'acknowledged':>14}  turned down")
-    for name, row in told["members"].items():
+    for name, row in reply["members"].items():
         refused = f"{row['refused']}: {row['why']}" if row["refused"] else ""
         click.echo(f"{name:<24}{row['acting'] or 'meet':>10}{row['acked']:>14}  {refused}")
 
@@ -108,15 +116,15 @@
 @_command("history")
 def history(at: str, as_json: bool) -> None:
     """The versions that are kept, and what happened to them."""
-    told = figures(at, "settings-history")
+    reply = figures(at, "settings-history")
     if as_json:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(reply, indent=2))
         return
     click.echo(f"{'version':>8}{'entries':>9}{'changes':>9}  {'digest':<34}by")
-    for row in told["versions"]:
+    for row in reply["versions"]:
         click.echo(f"{row['version']:>8}{row['entries']:>9}{row['changes']:>9}  {row['digest']:<34}{row['by']}")
     click.echo("")
-    for row in told["news"]:
+    for row in reply["news"]:
         click.echo(f"{row['version'] or '-':>8}  {row['what']:<12}{row['why']}")
 
 
@@ -125,17 +133,17 @@
 @click.argument("two", type=click.IntRange(0))
 def difference(one: int, two: int, at: str, as_json: bool) -> None:
     """What leads from one kept version to another."""
-    told = figures(at, f"settings-diff {one} {two}")
+    reply = figures(at, f"settings-diff {one} {two}")
     if as_json:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(reply, indent=2))
         return
-    for key, entry in told["shown"].items():
+    for key, entry in reply["shown"].items():
         click.echo(f"- {key}" if entry is None else f"+ {key}  {json.dumps(entry)}")
-    if told["changes"] > len(told["shown"]):
-        click.echo(f"and {told['changes'] - len(told['shown'])} more")
+    if reply["changes"] > len(reply["shown"]):
+        click.echo(f"and {reply['changes'] - len(reply['shown'])} more")
 
 
 @_command("schema")
 def print_schema(at: str, as_json: bool) -> None:
     """Print the JSON Schema of the file."""
-    click.echo(json.dumps(schema.json_schema(), indent=2))
+    click.echo(json.dumps(json_schema(), indent=2))
--- /dev/null
+++ b/frostspindle/settings/send_limits.py
@@ -0,0 +1,57 @@
+"""The limits on queries at engines at once, of which this coordinator has its share. No I/O."""
+
+from __future__ import annotations
+
+import math
+
+from frostspindle.core import Attempt
+from frostspindle.settings.schema import Rules
+
+ROUNDING = 1e-9  # so that a share of a limit that is a whole number in decimals is not rounded down
+
+
+class SendLimits:
+    """The attempts that were let through and are not over, counted against the limits of the rules."""
+
+    def __init__(self) -> None:
+        self.share: float = 1.0  # of what is limited for all coordinators together
+        self._in_flight: dict[int, list[Attempt]] = {}  # by engine number
+
+    def set_share(self, rules: Rules, name: str) -> None:
+        """Take the share of the coordinator of that name; one without an entry has none where shares are held."""
+        entry = rules.get(f"coordinator/{name}")
+        if "scope/coordinator" not in rules:
+            self.share = 1.0
+        elif entry is None:
+            self.share = 0.0
+        else:
+            self.share = entry.part
+
+    def admit(self, rules: Rules, engine_key: str, attempt: Attempt) -> bool:
+        """Whether an attempt is within the limits; if so it counts until it is over."""
+        engine = rules.get(engine_key)
+        total = rules.get("limit/out")
+        engine_limit = self._own_part(None if engine is None else engine.most)
+        total_limit = self._own_part(None if total is None else total.value)
+        if engine_limit == math.inf and total_limit == math.inf:
+            return True
+        in_flight = self._prune(attempt.engine)
+        if attempt in in_flight:
+            return True
+        if total_limit != math.inf:
+            for number in [number for number in self._in_flight if number != attempt.engine]:
+                if not self._prune(number):
+                    del self._in_flight[number]
+        if len(in_flight) >= engine_limit or sum(map(len, self._in_flight.values())) >= total_limit:
+            return False
+        in_flight.append(attempt)
+        return True
+
+    def _own_part(self, limit: float | None) -> float:
+        return math.inf if limit is None else math.floor(limit * self.share + ROUNDING)
+
+    def _prune(self, engine: int) -> list[Attempt]:
+        """Forget an engine's attempts that are over; return the others."""
+        in_flight = [attempt for attempt in self._in_flight.get(engine, ()) if not attempt.over]
+        self._in_flight[engine] = in_flight
+        return in_flight
--- a/frostspindle/settings/service.py
+++ b/frostspindle/settings/service.py
@@ -1,51 +1,42 @@
-"""Settings in a running coordinator: the timer, the log, the disk, what the core is told, what operators are told.
+"""Settings in a running coordinator: when the decisions are asked, and where their results go.
 
-Owns when the decisions are asked and where their outcomes go. It must never decide about a version by itself, never
-hold the event loop for the log or the disk, and never write a secret or a statement into a line of the log.
-
-Lines of the log: `settings_version` (a version is known here: its digest, and in what it contradicts its parent),
-`settings_acting` (what is acted on from `mono_ms` on; of a lease that ran out, since when: `until_ms`; CLOCK_BOOTTIME),
-`settings_news` (of the publisher: published, live, withdrawn, turned down, rolled back, proven), `settings_unfit`,
-`settings_store`, `settings_keep_failed`.
+Owns the timer, the proposals to the log, the writes to the store and their tasks; runs in the event loop's thread, with
+one more thread for the store. It decides nothing about a version by itself and never blocks the event loop for the log
+or the disk. Log lines: see rollout_log; besides `settings_publisher` and `settings_keep_failed`.
 """
 
 from __future__ import annotations
 
 import asyncio
-import base64
-import binascii
 import time
 from collections import Counter
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
 from concurrent.futures import ThreadPoolExecutor
-from contextlib import suppress
-from typing import Any, Protocol
+from typing import Any
 
 from frostspindle.replica.base import LogUnavailableError, OutcomeUnknownError, ReplicatedLog
-from frostspindle.settings import agreement, schema
-from frostspindle.settings.agreement import TASK, TOPIC, DraftPiece, PublishVersion, SettingsStateMachine
+from frostspindle.settings.active_rules import ActiveRules, RestoredVersions
+from frostspindle.settings.agreement_settings import AgreementSettings
 from frostspindle.settings.canary import CanaryCheck
-from frostspindle.settings.decisions import (
-    ActiveRules,
-    AgreementSettings,
-    MemberDecisions,
-    PublisherDecisions,
-    RestoredVersions,
-)
-from frostspindle.settings.meet import contradictions
-from frostspindle.settings.schema import InvalidSettingsError
-from frostspindle.settings.slices import SLICE, Steps, T
+from frostspindle.settings.log_commands import TASK, TOPIC, PublishVersion, encode_command
+from frostspindle.settings.member_decisions import MemberDecisions
+from frostspindle.settings.publisher_decisions import PublisherDecisions
+from frostspindle.settings.pushes import PushService
+from frostspindle.settings.rollout_log import RolloutLog
+from frostspindle.settings.state_machine import SettingsStateMachine
+from frostspindle.settings.task_ownership import TaskLease, TaskOwnership
 from frostspindle.settings.version_store import VersionStore
-from frostspindle.settings.versions import MOST_PACKED, PIECE, Version, cut, diff, pack, unpacking
+from frostspindle.settings.versions import Version
 from frostspindle.store.base import StoreError
 from frostspindle.telemetry import Telemetry
 
 TICK_S = 0.05
-ASK_S, PUSH_S = 1.0, 15.0
-REFRESH_S = 30.0  # what is kept bears the time when it was last known to be current
-LESS_S = 1.0  # what need not be kept any more may stay for so long, so that a run of versions is a batch each
-MOST_PUSHES, PUSHES_KEPT = 4, 32  # under way, and whose outcome is remembered
-PIECES_IN = 1 + MOST_PACKED // 32_768
+PUBLISH_TIMEOUT_S = 1.0
+LEAVE_TIMEOUT_S = 0.5
+REFRESH_S = 30.0  # what is stored bears the time when it was last known to be current
+# What need not be stored any more may stay for so long, so that a run of versions is one batch each.
+REMOVAL_DELAY_S = 1.0
+MAX_ERROR_LENGTH = 200
 
 
 def clock() -> float:
@@ -53,53 +44,6 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
-class TaskOwnership(Protocol):
-    """What is needed of task ownership; see frostspindle/ownership."""
-
-    def lease(self, task: str) -> Any:
-        """Return this coordinator's lease on a task (`token`, `holds()`); None while it has none."""
-
-
-class LocalOwnership:
-    """Ownership for a coordinator that is alone with its own log: it always holds each task's lease."""
-
-    class _Lease:
-        token = 1
-
-        def holds(self) -> bool:
-            return True
-
-    def lease(self, task: str) -> Any:
-        """Return a lease that always holds, with token 1."""
-        return self._Lease()
-
-
-async def _in_turn(steps: Steps[T]) -> T:
-    """A slice in each turn of the event loop."""
-    while True:
-        try:
-            next(steps)
-        except StopIteration as end:
-            made: T = end.value
-            return made
-        await asyncio.sleep(0)
-
-
-class PendingPush:
-    """One push of this coordinator: its pieces as they arrive, and its outcome."""
-
-    def __init__(self) -> None:
-        self.pieces: list[bytes] = []
-        self.of = 0
-        self.state, self.version, self.why = "coming", 0, ""
-        self.draft = ""
-        self.settled = asyncio.Event()
-
-    def told(self) -> dict[str, Any]:
-        """Return state, version and reason for the operator's port."""
-        return {"state": self.state, "version": self.version, "why": self.why}
-
-
 class SettingsService:
     """One coordinator's settings in operation; must be made before its log starts."""
 
@@ -107,47 +51,48 @@
         self,
         log: ReplicatedLog,
         name: str,
-        terms: AgreementSettings,
+        settings: AgreementSettings,
         telemetry: Telemetry,
-        act: Callable[[ActiveRules], None],
-        fits: Callable[[Version], str],
-        seen: Callable[[], tuple[int, ...]],
-        owners: TaskOwnership,
-        keeper: VersionStore | None,
-        kept: RestoredVersions,
-        judge: CanaryCheck | None,
+        apply_rules: Callable[[ActiveRules], None],
+        why_not_applicable: Callable[[Version], str],
+        figures: Callable[[], tuple[int, ...]],
+        ownership: TaskOwnership,
+        store: VersionStore | None,
+        restored: RestoredVersions,
+        canary: CanaryCheck | None,
         now: Callable[[], float] = clock,
     ) -> None:
-        """`act` has the core act on something from then on; it must not fail. `seen`: this coordinator's figures."""
-        self.log, self.name, self.terms, self.telemetry, self.act, self.seen, self.owners, self.now = (
-            log,
-            name,
-            terms,
-            telemetry,
-            act,
-            seen,
-            owners,
-            now,
-        )
+        """`apply_rules` has the core act on rules from then on; it must not fail. `figures`: of this coordinator."""
+        self.log: ReplicatedLog = log
+        self.name: str = name
+        self.settings: AgreementSettings = settings
+        self.telemetry: Telemetry = telemetry
+        self.apply_rules: Callable[[ActiveRules], None] = apply_rules
+        self.figures: Callable[[], tuple[int, ...]] = figures
+        self.ownership: TaskOwnership = ownership
+        self.store: VersionStore | None = store  # None: nothing is durable, so nothing is acknowledged
+        self.restored: RestoredVersions = restored
+        self.now: Callable[[], float] = now
+
         self.machine = SettingsStateMachine()
         process = int(time.time() * 1000.0)
-        self.holder = MemberDecisions(name, process, terms, self.machine, now(), fits, kept)
-        self.publisher = PublisherDecisions(terms, self.machine, judge)
-        self.keeper, self.kept = keeper, kept
-        self.acting: ActiveRules | None = None
-        self.pushes: dict[str, PendingPush] = {}
+        self.member = MemberDecisions(name, process, settings, self.machine, now(), why_not_applicable, restored)
+        self.publisher = PublisherDecisions(settings, self.machine, canary)
+        self.active_rules: ActiveRules | None = None
         self.counts: Counter[str] = Counter()
-        self._pool = ThreadPoolExecutor(1, "settings")
+        self.executor = ThreadPoolExecutor(1, "settings")
+        self.pushes = PushService(self)
+
+        self._rollout_log = RolloutLog(self.machine, self.member, telemetry)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._publishing = self._keeping = self._making = self._closed = False
-        self._kept_at = 0.0
-        self._drafts = 0
-        self._logged: dict[int, None] = {}
-        self._news = 0
-        self._unfit = 0
+        self._is_publishing: bool = False
+        self._is_persisting: bool = False
+        self._is_building: bool = False
+        self._is_closed: bool = False
+        self._persisted_at: float = 0.0
         log.attach(TOPIC, self.machine)
-        log.watch(TOPIC, self._told)
+        log.watch(TOPIC, self._on_entry_applied)
 
     # Timer and log.
 
@@ -157,443 +102,200 @@
         self._tick()
 
     def _tick(self) -> None:
-        if self._closed:
+        if self._is_closed:
             return
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
         try:
             self.step()
         except Exception as error:  # noqa: BLE001 - the next tick looks at all again
-            self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of="settings")
+            self._report_fault(error)
 
-    def _told(self, index: int, command: bytes, result: bytes) -> None:
-        self.holder.told(self.now(), command, result)
+    def _on_entry_applied(self, index: int, command: bytes, result: bytes) -> None:
+        self.member.on_entry_applied(self.now(), command, result)
         self.step()
 
-    def look(self) -> ActiveRules:
-        """Return what is acted on now, after telling the core if that has just changed; called before each send."""
-        now = self.now()
-        acting = self.holder.look(now)
-        if acting is not self.acting:
-            self._act(acting, now)
-        return acting
-
     def step(self) -> None:
-        """Check everything once: log lines, lease, store, holds, drafts, publication. Does nothing after `close`."""
-        if self._closed:
+        """Check everything once: events, lease, store, renewal, drafts, publication. Does nothing after `close`."""
+        if self._is_closed:
             return
-        self._tell()
-        self.look()
+        self._report_events()
+        self.refresh()
         now = self.now()
-        versions = self.holder.to_keep(now - self._kept_at >= LESS_S * 1000.0)
-        if (
-            self.keeper is not None
-            and not self._keeping
-            and (versions or (self.holder.heard and self.holder.durable and now - self._kept_at > REFRESH_S * 1000.0))
-        ):
-            self._keeping = True
-            self._spawn(
-                self._keep(
-                    self.keeper, versions or tuple(self.machine.version(number) for number in self.holder.durable)
-                )
-            )
-        seen = self.seen() if self.publisher.judge is not None else ()
-        if (hold := self.holder.holds(now, seen)) is not None:
-            self._spawn(self._propose(agreement.encode(hold), self.terms.lease_ms / 1000.0))
-        if not self._making and self.machine.unmade:
-            self._making = True
-            self._spawn(self._make())
+        self._persist_if_needed(now)
+        self._renew_if_due(now)
+        self._build_ahead()
         self._publish(now)
 
-    async def _make(self) -> None:
-        """Make a long draft's version ahead of its publication, in turn with others."""
-        try:
-            while self.machine.unmade:
-                self.machine.make()
-                await asyncio.sleep(0)
-        finally:
-            self._making = False
-        self.step()
+    def _report_events(self) -> None:
+        self._rollout_log.log_versions()
+        for event in self._rollout_log.take_new_events():
+            self.pushes.on_event(event)
+            if self.publisher.token:
+                self._rollout_log.log_event(event, self.now())
+
+    # Active rules.
+
+    def refresh(self) -> ActiveRules:
+        """Return what is acted on now, after telling the core if that has just changed; called before each send."""
+        now = self.now()
+        rules = self.member.current_rules(now)
+        if rules is not self.active_rules:
+            self._set_active_rules(rules, now)
+        return rules
 
-    def between(self, old: ActiveRules, new: ActiveRules) -> set[str] | None:
-        """Return the keys in which two actings may differ, if all their versions follow one another.
+    def _set_active_rules(self, rules: ActiveRules, now: float) -> None:
+        previous = self.active_rules
+        self.active_rules = rules
+        self.apply_rules(rules)
+        self.member.on_rules_applied(rules)
+        self._rollout_log.log_active_rules(previous, rules, self.restored, now)
+
+    def changed_keys(self, old: ActiveRules, new: ActiveRules) -> set[str] | None:
+        """Return the keys in which two active rules may differ, if all their versions follow one another.
 
         Else None (any).
         """
         numbers = {*old.versions, *new.versions}
         keys: set[str] = set()
         for number in numbers - {min(numbers)}:
-            version = self.machine.history.get(number)
+            version = self.machine.versions.get(number)
             if version is None or version.parent not in numbers:
                 return None
             keys.update(version.changes)
-        return keys | ({"limit/out"} if "limit/out" in new.rules or "limit/out" in old.rules else set())
-
-    def _act(self, acting: ActiveRules, now: float) -> None:
-        was, self.acting = self.acting, acting
-        self.act(acting)
-        self.holder.took(acting)
-        lost = acting.why in ("alone",) and was is not None and was.why != "alone"
-        self.telemetry.count("settings_acting", acting.mode)
-        self.telemetry.log(
-            "settings_acting",
-            mode=acting.mode,
-            versions=acting.versions,
-            why=acting.why,
-            entries=len(acting.rules),
-            mono_ms=round(now, 3),
-            **({"until_ms": round(self.holder.until, 3)} if lost else {}),
-            **(
-                {"age_s": round(time.time() - self.kept.at_ms / 1000.0, 1)}
-                if acting.why == "start" and self.kept.versions
-                else {}
-            ),
-        )
-
-    def _publish(self, now: float) -> None:
-        lease = self.owners.lease(TASK)
-        token = lease.token if lease is not None else 0
-        if token != self.publisher.token:
-            if token:
-                self.publisher.take(now, token)
-            else:
-                self.publisher.lose()
-            self.telemetry.log("settings_publisher", token=token)
-        command = self.publisher.decide(now)
-        if (
-            command is None
-            or self._publishing
-            or lease is None
-            or not lease.holds()
-            or (self._making and isinstance(command, PublishVersion))
-        ):
-            return
-        self._publishing = True
-        self._spawn(self._propose_as_publisher(agreement.encode(command)))
-
-    async def _propose_as_publisher(self, command: bytes) -> None:
-        try:
-            await self._propose(command, ASK_S)
-        finally:
-            self._publishing = False
-        self.step()
+        if "limit/out" in new.rules or "limit/out" in old.rules:
+            keys.add("limit/out")  # an intersection may lower it
+        return keys
 
-    async def _propose(self, command: bytes, within_s: float) -> bytes | None:
-        try:
-            return (await self.log.propose(TOPIC, command, within_s)).result
-        except LogUnavailableError:
-            self.counts["unavailable"] += 1
-        except OutcomeUnknownError:
-            self.counts["uncertain"] += 1
-        return None
+    # Store.
 
-    async def _keep(self, keeper: VersionStore, versions: tuple[Version, ...]) -> None:
+    def _persist_if_needed(self, now: float) -> None:
+        age_ms = now - self._persisted_at
+        versions = self.member.versions_to_persist(include_removals=age_ms >= REMOVAL_DELAY_S * 1000.0)
+        if self.store is None or self._is_persisting:
+            return
+        durable = self.member.durable_digests
+        if not versions and self.member.has_renewed and durable and age_ms > REFRESH_S * 1000.0:
+            versions = tuple(self.machine.version(number) for number in durable)
+        if versions:
+            self._is_persisting = True
+            self.spawn(self._persist(self.store, versions))
+
+    async def _persist(self, store: VersionStore, versions: tuple[Version, ...]) -> None:
         unix_ms = time.time() * 1000.0
         try:
-            await asyncio.get_running_loop().run_in_executor(self._pool, keeper.keep, versions, unix_ms)
+            await asyncio.get_running_loop().run_in_executor(self.executor, store.save, versions, unix_ms)
         except (StoreError, OSError, KeyError) as error:
             self.counts["keep_failed"] += 1
             self.telemetry.count("settings_keep_failed")
-            self.telemetry.log("settings_keep_failed", error=str(error)[:200])
-            self.keeper = None  # nothing is acknowledged any more: the fleet waits a lease for this coordinator
+            self.telemetry.log("settings_keep_failed", error=str(error)[:MAX_ERROR_LENGTH])
+            self.store = None  # nothing is acknowledged any more: the fleet waits a lease for this coordinator
         else:
-            self.holder.was_kept(versions)
-            self._kept_at = self.now()
+            self.member.on_persisted(versions)
+            self._persisted_at = self.now()
         finally:
-            self._keeping = False
+            self._is_persisting = False
         self.step()
 
-    def _tell(self) -> None:
-        """Lines of what the machine has new."""
-        machine = self.machine
-        for number in (machine.live, machine.pending):
-            if number and number not in self._logged:
-                self._logged[number] = None
-                while len(self._logged) > 64:
-                    del self._logged[next(iter(self._logged))]
-                version = machine.version(number)
-                parent = machine.history.get(version.parent) if version.parent >= 0 else None
-                clash = (
-                    contradictions(parent.rules, version.rules)
-                    if parent is not None and (len(version.changes) > 64)
-                    else sorted(
-                        key
-                        for key in version.changes
-                        if schema.KINDS[schema.kind_of(key)].agreed
-                        and (not key.startswith("limit/") or key == "limit/out")
-                    )[:8]
-                )
-                self.telemetry.log(
-                    "settings_version",
-                    version=number,
-                    parent=version.parent,
-                    digest=version.sum.hex(),
-                    entries=len(version.rules),
-                    by=version.by,
-                    contradicts=clash,
-                )
-        unfit = self.holder.unfit(machine.pending or machine.live)
-        if unfit and self._unfit != (machine.pending or machine.live):
-            self._unfit = machine.pending or machine.live
-            self.telemetry.count("settings_unfit")
-            self.telemetry.log("settings_unfit", version=self._unfit, why=unfit)
-        fresh = [news for news in machine.news if news.index > self._news]
-        if fresh:
-            self._news = fresh[-1].index
-        for news in fresh:
-            self._settle(news)
-            if self.publisher.token:
-                self.telemetry.log(
-                    "settings_news",
-                    what=news.what,
-                    version=news.version,
-                    by=news.by,
-                    why=news.why,
-                    mono_ms=round(self.now(), 3),
-                )
-
-    def _settle(self, news: agreement.HistoryEvent) -> None:
-        """What became of this coordinator's pushes."""
-        for push in self.pushes.values():
-            if (
-                push.draft
-                and push.draft == news.by
-                and push.state == "drafted"
-                and news.what in ("published", "turned down")
-            ):
-                push.state, push.version, push.why = news.what, news.version, news.why
-                push.settled.set()
-            elif push.version and push.version == news.version and push.state in ("published", "live"):
-                push.state, push.why = news.what, news.why
-
-    # Pushes.
-
-    def push_piece(self, name: str, place: str, data: str) -> dict[str, Any]:
-        """Take one piece of a push, `AT/OF`, base64 of packed rules; return the push's state.
-
-        The last piece has it read, checked and drafted. BadSettings for a bad place, a gap, or too many pushes under
-        way.
-        """
-        at, _, of = place.partition("/")
-        if not (at.isdecimal() and of.isdecimal() and 0 <= int(at) < int(of) <= PIECES_IN) or len(name) > 64:
-            raise InvalidSettingsError(f"a push has pieces 0/N to N-1/N, N at most {PIECES_IN}")
-        push = self.pushes.get(name)
-        if push is None or int(at) == 0:
-            open_ = [key for key, other in self.pushes.items() if other.state in ("coming", "drafted")]
-            coming = [key for key in open_ if self.pushes[key].state == "coming"]
-            if len(open_) >= MOST_PUSHES and not coming:
-                self.counts["pushes_refused"] += 1
-                raise InvalidSettingsError(f"full: {MOST_PUSHES} pushes are under way")
-            if len(open_) >= MOST_PUSHES:
-                del self.pushes[coming[0]]
-            push = self.pushes[name] = PendingPush()
-            push.of = int(of)
-            while len(self.pushes) > PUSHES_KEPT:
-                del self.pushes[next(iter(self.pushes))]
-        if int(at) != len(push.pieces) or int(of) != push.of:
-            raise InvalidSettingsError(f"gap: piece {len(push.pieces)} of {push.of} is next")
-        try:
-            push.pieces.append(base64.b64decode(data, validate=True))
-        except (binascii.Error, ValueError):
-            raise InvalidSettingsError("a piece is not base64") from None
-        if len(push.pieces) == push.of:
-            packed, push.pieces, push.state = b"".join(push.pieces), [], "drafted"
-            self._spawn(self._draft(push, lambda live: self._changes(packed, live)))
-        return push.told()
+    # Proposals.
 
-    def push_rules(self, name: str, rules: dict[str, Any]) -> None:
-        """Push rules that are already read, such as those of this coordinator's own file."""
-        push = self.pushes[name] = PendingPush()
-        push.state = "drafted"
+    def _renew_if_due(self, now: float) -> None:
+        figures = self.figures() if self.publisher.canary is not None else ()
+        renewal = self.member.next_renewal(now, figures)
+        if renewal is not None:
+            self.spawn(self.propose(encode_command(renewal), self.settings.lease_ms / 1000.0))
 
-        self._spawn(self._draft(push, lambda live: self._changes(rules, live)))
+    def _build_ahead(self) -> None:
+        if not self._is_building and self.machine.has_unbuilt_draft:
+            self._is_building = True
+            self.spawn(self._build_draft())
 
-    def push_back(self, name: str, number: int) -> dict[str, Any]:
-        """Push a return to an earlier version (0: the one before the live one) under a new number.
+    async def _build_draft(self) -> None:
+        """Build a long draft's version ahead of its publication, one slice in each iteration of the event loop."""
+        try:
+            while self.machine.has_unbuilt_draft:
+                self.machine.build_slice()
+                await asyncio.sleep(0)
+        finally:
+            self._is_building = False
+        self.step()
 
-        BadSettings if it is not kept or is the live one.
-        """
-        if number == 0:
-            earlier = [version.number for version in self.machine.history if version.number < self.machine.live]
-            if not earlier:
-                raise InvalidSettingsError("there is no earlier version")
-            number = earlier[-1]
-        if self.machine.history.get(number) is None or number == self.machine.live:
-            raise InvalidSettingsError(f"version {number} is not kept, or is the live one")
-        push = self.pushes[name] = PendingPush()
-        push.state = "drafted"
-
-        async def changes(live: Version) -> tuple[int, bytes, int, list[bytes]]:
-            return -1, bytes(16), number, [b""]
-
-        self._spawn(self._draft(push, changes))
-        return push.told()
-
-    async def _changes(self, file: bytes | dict[str, Any], live: Version) -> tuple[int, bytes, int, list[bytes]]:
-        """What leads from the live version to a file's rules. In slices in the event loop: a thread that computes holds
-        the interpreter for 5 ms at a time."""
-        rules = await _in_turn(unpacking(file)) if isinstance(file, bytes) else file
-        version = await _in_turn(live.following(live.number + 1, diff(live.rules, rules)))
-        await _in_turn(schema.checking(version.rules, version.changes))  # the live one's entries have passed
-        if len(version.changes) <= SLICE:
-            packed = pack(version.changes)
-        else:  # most of it is compression, which leaves the interpreter to others
-            packed = await asyncio.get_running_loop().run_in_executor(self._pool, pack, version.changes)
-        return live.number, version.sum, -1, cut(packed, PIECE)
-
-    async def _draft(
-        self, push: PendingPush, make: Callable[[Version], Awaitable[tuple[int, bytes, int, list[bytes]]]]
-    ) -> None:
-        """Propose it, again where the live version moved on meanwhile, until it is a version or turned down."""
-        until = self.now() + PUSH_S * 1000.0
+    def _publish(self, now: float) -> None:
+        lease = self.ownership.lease(TASK)
+        self._follow_lease(lease, now)
+        command = self.publisher.next_command(now)
+        if command is None or self._is_publishing or lease is None or not lease.holds():
+            return
+        if self._is_building and isinstance(command, PublishVersion):
+            return
+        self._is_publishing = True
+        self.spawn(self._propose_as_publisher(encode_command(command)))
+
+    def _follow_lease(self, lease: TaskLease | None, now: float) -> None:
+        token = lease.token if lease is not None else 0
+        if token == self.publisher.token:
+            return
+        if token:
+            self.publisher.on_lease_acquired(now, token)
+        else:
+            self.publisher.on_lease_lost()
+        self.telemetry.log("settings_publisher", token=token)
+
+    async def _propose_as_publisher(self, command: bytes) -> None:
         try:
-            while self.now() < until:
-                if self.machine.pending or not self.holder.heard:
-                    await asyncio.sleep(TICK_S)
-                    continue
-                live = self.machine.version(self.machine.live)
-                base, digest, to, pieces = await make(live)
-                if to < 0 and digest == live.sum and live.number:
-                    push.state, push.version, push.why = "live", live.number, "these are the rules of the live version"
-                    return
-                self._drafts += 1
-                push.draft, push.state, push.why = f"{self.name}/{self.holder.process}/{self._drafts}", "drafted", ""
-                number = self._drafts
-                for at, data in enumerate(pieces):
-                    piece = agreement.encode(
-                        DraftPiece(self.name, self.holder.process, number, base, digest, at, len(pieces), data, to)
-                    )
-                    while True:  # what may have come before is a repeat, which changes nothing
-                        result = await self._propose(piece, ASK_S * 2)
-                        if push.state != "drafted":
-                            return
-                        if result is not None or self.now() >= until:
-                            break
-                        await asyncio.sleep(TICK_S * 4.0)
-                    if result not in (agreement.OK, b"no: repeat"):
-                        push.state, push.why = "turned down", (result or b"no: the log does not answer").decode()
-                        if result is not None and result.startswith(b"no: full"):
-                            self.counts["pushes_refused"] += 1
-                        if result is None:
-                            push.state = "uncertain"
-                        return
-                if push.state == "drafted":
-                    with suppress(TimeoutError):
-                        async with asyncio.timeout(max(0.0, until - self.now()) / 1000.0):
-                            await push.settled.wait()
-                push.settled.clear()
-                if not (push.state == "turned down" and push.why.startswith("base: ")):
-                    return
-                push.state = "drafted"
-            push.state, push.why = "uncertain", f"no publisher took it within {PUSH_S:g} s"
-        except InvalidSettingsError as error:
-            push.state, push.why = "turned down", str(error)
-
-    # Operators.
-
-    def outcome(self, name: str) -> dict[str, Any]:
-        """Return what became of a push made here; BadSettings if none of that name is remembered."""
-        if (push := self.pushes.get(name)) is None:
-            raise InvalidSettingsError("no such push here")
-        return push.told()
-
-    def figures(self) -> dict[str, Any]:
-        """Return state, lease and members for the operators' port: who runs which version, turned one down, or is on
-        the meet.
-        """
-        machine, now, acting = self.machine, self.now(), self.look()
-        members = {
-            name: {
-                "acked": m.hold.acked,
-                "acting": m.hold.acting,
-                "on_meet": not m.hold.acting,
-                "refused": m.hold.refused,
-                "why": m.hold.why,
-            }
-            for name, m in sorted(machine.members.items())
-        }
-        return {
-            "name": self.name,
-            "mode": acting.mode,
-            "versions": acting.versions,
-            "why": acting.why,
-            "live": machine.live,
-            "pending": machine.pending,
-            "proven": machine.proven,
-            "on_trial": bool(machine.trial),
-            "last": machine.last,
-            "publisher": bool(self.publisher.token),
-            "leader": self.log.leader,
-            "lease_ms": self.terms.lease_ms,
-            "left_ms": round(max(0.0, self.holder.until - now), 1) if self.holder.heard else 0.0,
-            "heard": self.holder.heard,
-            "kept": sorted(self.holder.durable),
-            "kept_age_s": round(time.time() - self.kept.at_ms / 1000.0, 1) if self.kept.versions else None,
-            "keeps": self.keeper is not None,
-            "entries": len(acting.rules),
-            "members": members,
-            "drafts": len(machine.drafts),
-            "refused_tokens": machine.counts["stale"],
-            "counts": {**machine.counts, **self.holder.counts, **self.counts},
-        }
-
-    def history(self) -> dict[str, Any]:
-        """Return the events, oldest first, and the versions that are kept."""
-        return {
-            "live": self.machine.live,
-            "proven": self.machine.proven,
-            "versions": [
-                {
-                    "version": v.number,
-                    "by": v.by,
-                    "digest": v.sum.hex(),
-                    "entries": len(v.rules),
-                    "changes": len(v.changes),
-                }
-                for v in self.machine.history
-            ],
-            "news": [{"what": n.what, "version": n.version, "by": n.by, "why": n.why} for n in self.machine.news],
-        }
-
-    def diff(self, one: int, two: int, most: int = 500) -> dict[str, Any]:
-        """Return up to `most` changes from one kept version to another, without secrets.
-
-        BadSettings if one is not kept.
-        """
+            await self.propose(command, PUBLISH_TIMEOUT_S)
+        finally:
+            self._is_publishing = False
+        self.step()
+
+    async def propose(self, command: bytes, timeout_s: float) -> bytes | None:
+        """Propose a command and return its result, None without one in time."""
         try:
-            changes = self.machine.history.changes(one, two)
-        except KeyError as error:
-            raise InvalidSettingsError(f"version {error} is not kept") from None
-        shown = {key: None if entry is None else schema.shown(entry) for key, entry in sorted(changes.items())[:most]}
-        return {"from": one, "to": two, "changes": len(changes), "shown": shown}
+            entry = await self.log.propose(TOPIC, command, timeout_s)
+            return entry.result
+        except LogUnavailableError:
+            self.counts["unavailable"] += 1
+        except OutcomeUnknownError:
+            self.counts["uncertain"] += 1
+        return None
+
+    # Tasks and the end.
 
-    # The end.
+    def count(self, event: str) -> None:
+        """Count an event for the operators' port."""
+        self.counts[event] += 1
 
-    def _spawn(self, work: Any) -> None:
+    def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
+        """Run work in a task that `close` cancels; a fault of it is logged."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()) is not None:
-            self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of="settings")
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error is not None:
+            self._report_fault(error)
+
+    def _report_fault(self, error: BaseException) -> None:
+        self.telemetry.count("faults")
+        self.telemetry.log("fault", error=repr(error), of="settings")
 
     async def close(self) -> None:
         """Give up the lease and say so in the log, so that the others need not wait for this coordinator."""
-        if self._closed:
+        if self._is_closed:
             return
-        leave = self.holder.leave()
-        self.look()
-        self._closed = True
+        leaving = self.member.leave()
+        self.refresh()
+        self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
         if self.log.leader is not None:
-            await self._propose(agreement.encode(leave), 0.5)
+            await self.propose(encode_command(leaving), LEAVE_TIMEOUT_S)
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._pool.shutdown(wait=True)
-        if self.keeper is not None:
-            self.keeper.store.close()
+        self.executor.shutdown(wait=True)
+        if self.store is not None:
+            self.store.store.close()
--- a/frostspindle/settings/slices.py
+++ b/frostspindle/settings/slices.py
@@ -1,7 +1,7 @@
-"""Work that is cut into slices, so that a long version doesn't hold the event loop.
+"""Work that is cut into slices, so that a long version does not block the event loop.
 
-Owns how long a slice is. Steps are generators that yield after each slice and return what they made; they must never do
-I/O, and give the same whether they are run at once or with others' turns in between.
+Sliced work is a generator that yields after each slice and returns its result. It does no I/O and gives the same result
+whether it is run at once or with other work between its slices.
 """
 
 from __future__ import annotations
@@ -9,23 +9,23 @@
 from collections.abc import Generator, Iterable, Iterator
 from typing import TypeVar
 
-SLICE = 100  # entries, about 0.2 ms
+SLICE_ENTRIES = 100  # about 0.2 ms
 
 T = TypeVar("T")
-Steps = Generator[None, None, T]
+SlicedWork = Generator[None, None, T]
 
 
-def whole(steps: Steps[T]) -> T:
-    """Run all steps at once and return what they make."""
+def run_to_end(work: SlicedWork[T]) -> T:
+    """Run all slices at once and return the result."""
     while True:
         try:
-            next(steps)
+            next(work)
         except StopIteration as end:
-            made: T = end.value
-            return made
+            result: T = end.value
+            return result
 
 
-def sliced(entries: Iterable[T]) -> Iterator[tuple[T, bool]]:
-    """Iterate over the entries, each with whether a slice ends before the next one: after every SLICE entries."""
-    for place, entry in enumerate(entries, 1):
-        yield entry, place % SLICE == 0
+def iterate_in_slices(entries: Iterable[T]) -> Iterator[tuple[T, bool]]:
+    """Iterate over the entries, each with whether a slice ends before the next one: after every SLICE_ENTRIES."""
+    for count, entry in enumerate(entries, 1):
+        yield entry, count % SLICE_ENTRIES == 0
--- a/frostspindle/settings/versions.py
+++ b/frostspindle/settings/versions.py
@@ -1,34 +1,26 @@
-"""Numbered versions as persistent maps: digests, diffs, the last K of them, and the pieces in which they travel.
+"""Numbered versions of the rules as persistent maps, with digests, and the last ones as a history.
 
-Owns the form of changes on the wire, a version's digest, what history keeps, and how pieces are put together. It must
-never do I/O, never walk a whole version for one change, and never take a piece that does not follow the one before.
-
-The maps are hash array mapped tries (Bagwell 2001; Steindorfer and Vinju, OOPSLA 2015) of `immutables`: a changed copy
-shares all but the path of what changed. The digest is the sum of the entries' sums modulo 2^128 (an incremental hash as
-in Bellare and Micciancio, EUROCRYPT 1997, and the store's): it tells accidents, not somebody who forges entries.
+No I/O. A change never walks a whole version: the maps are hash array mapped tries (Bagwell 2001; Steindorfer and
+Vinju, OOPSLA 2015) of `immutables`, where a changed copy shares all but the path of what changed. The digest is the sum
+of the entries' sums modulo 2^128 (an incremental hash as in Bellare and Micciancio, EUROCRYPT 1997, and the store's):
+it detects accidents, not somebody who forges entries.
 """
 
 from __future__ import annotations
 
-import zlib
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
-import msgspec
 from immutables import Map
 
-from frostspindle.settings import schema
-from frostspindle.settings.schema import ENCODE, MOST_BYTES, MOST_ENTRIES, InvalidSettingsError
-from frostspindle.settings.slices import Steps, sliced, whole
-from frostspindle.store.base import SUM, CorruptDataError, entry_sum, seal, unseal
+from frostspindle.settings.schema import encode_msgpack
+from frostspindle.settings.slices import SlicedWork, iterate_in_slices, run_to_end
+from frostspindle.store.base import SUM, entry_sum
 
-PIECE = 48 * 1024  # bytes of a version in one command of the log, whose own bound is 64 KiB
-MOST_PACKED = 512 << 10  # bytes of one version, compressed
-MOST_PIECES = 1 + MOST_PACKED // PIECE
-KEPT = 16
-Changes = Mapping[str, Any]  # by key the new entry, or None: it is taken out
-MODULUS = 1 << 8 * SUM
+KEPT_VERSIONS = 16
+DIGEST_MODULUS = 1 << 8 * SUM
+Changes = Mapping[str, Any]  # by key the new entry, or None for a removed one
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,172 +32,122 @@
     digest: int
     parent: int = field(default=0, compare=False)
     changes: Changes = field(default_factory=dict, compare=False)
-    by: str = ""
+    author: str = ""  # key of the draft
     size: int = 0  # bytes of its keys and entries
-    moved: int = field(default=0, compare=False)  # and of its changes
+    changes_size: int = field(default=0, compare=False)  # bytes of the keys and entries of `changes`
 
     @property
-    def sum(self) -> bytes:
+    def digest_bytes(self) -> bytes:
         """The digest as bytes, for the wire."""
         return self.digest.to_bytes(SUM, "big")
 
-    def next(self, number: int, changes: Changes, by: str = "") -> Version:
+    def child(self, number: int, changes: Changes, author: str = "") -> Version:
         """Return the version that these changes make, at a cost that grows with the changes alone."""
-        return whole(self.following(number, changes, by))
-
-    def following(self, number: int, changes: Changes, by: str = "") -> Steps[Version]:
-        """Make the version as `next` does, in slices."""
-        digest, real, size, moved = self.digest, {}, self.size, 0
+        return run_to_end(self.child_in_slices(number, changes, author))
+
+    def child_in_slices(self, number: int, changes: Changes, author: str = "") -> SlicedWork[Version]:
+        """Make the version as `child` does, in slices."""
+        digest = self.digest
+        size = self.size
+        changes_size = 0
+        effective_changes: dict[str, Any] = {}  # without those that change nothing
         with self.rules.mutate() as table:
-            for (key, entry), turn in sliced(changes.items()):
-                if turn:
+            for (key, entry), slice_ends in iterate_in_slices(changes.items()):
+                if slice_ends:
                     yield
-                was = self.rules.get(key)
-                if was == entry:
+                previous = self.rules.get(key)
+                if previous == entry:
                     continue
-                real[key] = entry
+                effective_changes[key] = entry
                 name = key.encode()
-                moved += len(name)
-                if was is not None:
-                    old = ENCODE(was)
-                    digest -= entry_sum(name, old)
-                    size -= len(name) + len(old)
+                changes_size += len(name)
+                if previous is not None:
+                    previous_bytes = encode_msgpack(previous)
+                    digest -= entry_sum(name, previous_bytes)
+                    size -= len(name) + len(previous_bytes)
                 if entry is None:
                     del table[key]
                 else:
-                    new = ENCODE(entry)
-                    digest += entry_sum(name, new)
-                    size, moved = size + len(name) + len(new), moved + len(new)
+                    entry_bytes = encode_msgpack(entry)
+                    digest += entry_sum(name, entry_bytes)
+                    size += len(name) + len(entry_bytes)
+                    changes_size += len(entry_bytes)
                     table[key] = entry
             rules = table.finish()
-        return Version(number, rules, digest % MODULUS, self.number, real, by, size, moved)
+        return Version(
+            number, rules, digest % DIGEST_MODULUS, self.number, effective_changes, author, size, changes_size
+        )
 
 
-EMPTY = Version(0, Map(), 0)
+EMPTY_VERSION = Version(0, Map(), 0)
 
 
-def diff(old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
+def diff_rules(old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
     """Return the changes from one table to another, by walking both; None stands for a removed entry."""
     changes = {key: None for key in old if key not in new}
     changes.update((key, entry) for key, entry in new.items() if old.get(key) != entry)
     return changes
 
 
-def pack(changes: Changes) -> bytes:
-    """Encode changes as compressed bytes with a checksum."""
-    rows = [(key, entry if entry is None else ENCODE(entry)) for key, entry in sorted(changes.items())]
-    return seal(zlib.compress(ENCODE(rows), 3))
-
-
-_ROWS = msgspec.msgpack.Decoder(list[tuple[str, bytes | None]])
-
-
-def unpack(data: bytes, most: int = 2 * MOST_BYTES) -> dict[str, Any]:
-    """Decode changes; BadSettings says what can't be read, or that they are more than `most` bytes."""
-    return whole(unpacking(data, most))
-
-
-def unpacking(data: bytes, most: int = 2 * MOST_BYTES) -> Steps[dict[str, Any]]:
-    """Decode as `unpack` does, in slices."""
-    try:
-        stream = zlib.decompressobj()
-        text = stream.decompress(unseal(data), most)
-        if not stream.eof:
-            raise InvalidSettingsError(f"changes of more than {most} bytes, or some cut short")
-        rows = _ROWS.decode(text)
-    except (CorruptDataError, zlib.error, msgspec.MsgspecError) as error:
-        raise InvalidSettingsError(f"the version's bytes: {error}") from None
-    if len(rows) > 2 * MOST_ENTRIES or len({key for key, _ in rows}) < len(rows):
-        raise InvalidSettingsError("too many entries, or one twice")
-    changes = {}
-    for (key, entry), turn in sliced(rows):
-        if turn:
-            yield
-        changes[key] = None if entry is None else schema.entry_in(key, entry)
-    return changes
-
-
-def cut(data: bytes, size: int = PIECE) -> list[bytes]:
-    """Split a version's bytes into pieces of `size` bytes, at least one."""
-    return [data[at : at + size] for at in range(0, len(data), size)] or [b""]
-
-
-@dataclass(slots=True)
-class VersionAssembly:
-    """A version as its pieces arrive, in order."""
-
-    of: int
-    pieces: list[bytes] = field(default_factory=list)
-
-    def add(self, at: int, of: int, data: bytes) -> str:
-        """Take the next piece; return "" if taken, else what is wrong with it. A repeat changes nothing."""
-        if of != self.of or not 0 <= at < of <= MOST_PIECES or len(data) > PIECE:
-            return "bounds"
-        if at > len(self.pieces):
-            return f"gap {len(self.pieces)}"
-        if at < len(self.pieces):
-            return "repeat" if self.pieces[at] == data else "other"
-        self.pieces.append(data)
-        return ""
-
-    @property
-    def whole(self) -> bool:
-        """Whether all pieces are here."""
-        return len(self.pieces) == self.of
-
-    @property
-    def size(self) -> int:
-        """Number of bytes of the pieces that are here."""
-        return sum(map(len, self.pieces))
-
-
 class VersionHistory:
-    """The last K versions, and those that are pinned, such as the proven one that rollback goes to."""
+    """The last versions, up to `capacity`, and those that are pinned, such as the one that a rollback goes to."""
 
-    def __init__(self, most: int = KEPT) -> None:
-        self.most = most
-        self._kept: dict[int, Version] = {}
+    def __init__(self, capacity: int = KEPT_VERSIONS) -> None:
+        self.capacity: int = capacity
+        self._versions: dict[int, Version] = {}
 
     def __iter__(self) -> Iterator[Version]:
-        return iter(self._kept.values())
+        return iter(self._versions.values())
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._versions)
 
     def get(self, number: int) -> Version | None:
         """Return a version; None if it is not kept. 0 is the empty version, which always is."""
-        return EMPTY if number == 0 else self._kept.get(number)
+        return EMPTY_VERSION if number == 0 else self._versions.get(number)
 
     def add(self, version: Version, pinned: Iterable[int] = ()) -> None:
-        """Keep one more version; the oldest that is not pinned is dropped if there are too many."""
-        self._kept[version.number] = version
-        kept = {*pinned, version.number}
-        while len(self._kept) > self.most:
-            gone = next((number for number in self._kept if number not in kept), None)
-            if gone is None:
+        """Keep one more version; the oldest that is not pinned is removed if there are too many."""
+        self._versions[version.number] = version
+        pinned_numbers = {*pinned, version.number}
+        while len(self._versions) > self.capacity:
+            oldest = next((number for number in self._versions if number not in pinned_numbers), None)
+            if oldest is None:
                 break
-            del self._kept[gone]
+            del self._versions[oldest]
 
-    def drop(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Remove a version; no error if it is not kept."""
-        self._kept.pop(number, None)
+        self._versions.pop(number, None)
 
-    def changes(self, old: int, new: int) -> dict[str, Any]:
+    def changes_between(self, old: int, new: int) -> dict[str, Any]:
         """Return the changes that lead from one version to another; KeyError if one is not kept.
 
         Put together from the versions' changes where these follow one another, else by walking both tables.
         """
-        one, two = self.get(old), self.get(new)
-        if one is None or two is None:
-            raise KeyError(old if one is None else new)
-        way, at = [], two
-        while at.number > old and at.number:
-            way.append(at)
-            parent = self.get(at.parent)
-            if parent is None or len(way) > self.most:
-                return diff(one.rules, two.rules)
-            at = parent
-        if at.number != old:
-            return diff(one.rules, two.rules)
-        touched = {key for version in way for key in version.changes}
-        return {key: two.rules.get(key) for key in touched if one.rules.get(key) != two.rules.get(key)}
+        old_version = self.get(old)
+        new_version = self.get(new)
+        if old_version is None:
+            raise KeyError(old)
+        if new_version is None:
+            raise KeyError(new)
+        descendants = self._path_up_to(new_version, old)
+        if descendants is None:
+            return diff_rules(old_version.rules, new_version.rules)
+        changed_keys = {key for version in descendants for key in version.changes}
+        return {
+            key: new_version.rules.get(key)
+            for key in changed_keys
+            if old_version.rules.get(key) != new_version.rules.get(key)
+        }
+
+    def _path_up_to(self, version: Version, ancestor: int) -> list[Version] | None:
+        """The versions from `version` up to, without, an ancestor; None if it is none or one between is not kept."""
+        path: list[Version] = []
+        while version.number > ancestor and version.number:
+            path.append(version)
+            parent = self.get(version.parent)
+            if parent is None or len(path) > self.capacity:
+                return None
+            version = parent
+        return path if version.number == ancestor else None
--- a/tests/agreeing.py
+++ b/tests/agreeing.py
@@ -5,27 +5,26 @@
 import copy
 from dataclasses import replace
 
-from frostspindle.settings import agreement
-from frostspindle.settings.agreement import DraftPiece, SettingsStateMachine
+from frostspindle.settings import log_commands
+from frostspindle.settings.active_rules import RestoredVersions, RulesMode
+from frostspindle.settings.agreement_settings import AgreementSettings
 from frostspindle.settings.audit import ActivePeriod
-from frostspindle.settings.decisions import (
-    VERSION,
-    AgreementSettings,
-    MemberDecisions,
-    PublisherDecisions,
-    RestoredVersions,
-)
-from frostspindle.settings.meet import below, contradicts
+from frostspindle.settings.intersection import contradicts, permits_no_more
+from frostspindle.settings.log_commands import DraftPiece
+from frostspindle.settings.member_decisions import MemberDecisions
+from frostspindle.settings.publisher_decisions import PublisherDecisions
 from frostspindle.settings.schema import Ban
-from frostspindle.settings.versions import Version, pack
+from frostspindle.settings.state_machine import SettingsStateMachine
+from frostspindle.settings.version_encoding import pack_changes
+from frostspindle.settings.versions import Version
 
 TERMS = AgreementSettings(2_000.0, 0.0, 4_000.0)
 
 
 def draft(base: Version, changes, number=1, by="op", process=1):
     """One that fits into one piece, and the version that it would make."""
-    made = base.next(base.number + 1, changes, by)
-    return DraftPiece(by, process, number, base.number, made.sum, 0, 1, pack(made.changes)), made
+    made = base.child(base.number + 1, changes, by)
+    return DraftPiece(by, process, number, base.number, made.digest_bytes, 0, 1, pack_changes(made.changes)), made
 
 
 def ban(name):
@@ -39,7 +38,7 @@
         self.name, self.process = name, process
         self.machine, self.at = SettingsStateMachine(), 0  # entries of the log that it has applied
         self.kept = kept
-        self.holder = MemberDecisions(name, process, terms, self.machine, now, fits, kept)
+        self.member = MemberDecisions(name, process, terms, self.machine, now, fits, kept)
         self.publisher = PublisherDecisions(terms, self.machine)
 
     def copy(self):
@@ -47,20 +46,20 @@
         machine = self.machine
         other.machine = replace(
             machine,
-            history=copy.copy(machine.history),
+            versions=copy.copy(machine.versions),
             drafts=copy.deepcopy(machine.drafts),
             members=dict(machine.members),
-            heard=dict(machine.heard),
-            bad=dict(machine.bad),
-            news=list(machine.news),
+            updated_members=dict(machine.updated_members),
+            rolled_back_digests=dict(machine.rolled_back_digests),
+            events=list(machine.events),
             counts=machine.counts.copy(),
         )
-        other.machine.history._kept = dict(machine.history._kept)
-        other.holder, other.publisher = copy.copy(self.holder), copy.copy(self.publisher)
-        other.holder.machine = other.publisher.machine = other.machine
-        other.publisher._seen = dict(self.publisher._seen)
-        for name in ("durable", "_asked", "_unfit", "counts"):
-            setattr(other.holder, name, copy.copy(getattr(self.holder, name)))
+        other.machine.versions._versions = dict(machine.versions._versions)
+        other.member, other.publisher = copy.copy(self.member), copy.copy(self.publisher)
+        other.member.machine = other.publisher.machine = other.machine
+        other.publisher._last_renewals = dict(self.publisher._last_renewals)
+        for name in ("durable_digests", "_renewals_in_flight", "_rejection_reasons", "counts"):
+            setattr(other.member, name, copy.copy(getattr(self.member, name)))
         return other
 
 
@@ -95,7 +94,7 @@
         del self.nodes[name]
 
     def propose(self, command):
-        self.log.append(command if isinstance(command, bytes) else agreement.encode(command))
+        self.log.append(command if isinstance(command, bytes) else log_commands.encode_command(command))
 
     def apply(self, name, most=1):
         node = self.nodes[name]
@@ -106,29 +105,29 @@
             node.at += 1
             result = node.machine.apply(node.at, command)
             assert self.results.setdefault(node.at, result) == result, "the same entries, the same answers"
-            node.holder.told(self.now, command, result)
+            node.member.on_entry_applied(self.now, command, result)
             self.look(name)
 
     def look(self, name):
-        holder = self.nodes[name].holder
-        holder.took(holder.look(self.now))
+        holder = self.nodes[name].member
+        holder.on_rules_applied(holder.current_rules(self.now))
 
     def hold(self, name):
-        word = self.nodes[name].holder.holds(self.now)
+        word = self.nodes[name].member.next_renewal(self.now)
         if word is not None:
             self.propose(word)
         return word
 
     def keep(self, name, less=True):
-        holder = self.nodes[name].holder
-        versions = holder.to_keep(less)
+        holder = self.nodes[name].member
+        versions = holder.versions_to_persist(less)
         if versions:
             self.disks[name] = RestoredVersions(versions, self.now)
-            holder.was_kept(versions)
+            holder.on_persisted(versions)
         return bool(versions)
 
     def publish(self, name):
-        word = self.nodes[name].publisher.decide(self.now)
+        word = self.nodes[name].publisher.next_command(self.now)
         if word is not None:
             self.propose(word)
         return word
@@ -151,24 +150,26 @@
 
     # What must hold.
 
-    def acting(self):
-        return {name: node.holder.look(self.now) for name, node in self.nodes.items()}
+    def active_rules(self):
+        return {name: node.member.current_rules(self.now) for name, node in self.nodes.items()}
 
     def fault(self):
         """What is wrong now; None: nothing."""
-        told = self.acting()
-        plain = [(name, acting) for name, acting in told.items() if acting.mode == VERSION]
+        told = self.active_rules()
+        plain = [(name, acting) for name, acting in told.items() if acting.mode == RulesMode.VERSION]
         for place, (name, one) in enumerate(plain):
             for other, two in plain[place + 1 :]:
-                if one.plain != two.plain and contradicts(one.rules, two.rules):
-                    return f"{name} acts on {one.plain}, {other} on {two.plain}"
+                if one.sole_version != two.sole_version and contradicts(one.rules, two.rules):
+                    return f"{name} acts on {one.sole_version}, {other} on {two.sole_version}"
         for name, acting in told.items():
             node = self.nodes[name]
-            if acting.mode == VERSION and (
-                self.fits(name, node.machine.version(acting.plain)) or not node.holder.heard
+            if acting.mode == RulesMode.VERSION and (
+                self.fits(name, node.machine.version(acting.sole_version)) or not node.member.has_renewed
+            ):
+                return f"{name} acts on {acting.sole_version} plainly, which it can't take or has not heard of"
+            if not node.member.has_renewed and any(
+                not permits_no_more(acting.rules, version.rules) for version in node.kept.versions
             ):
-                return f"{name} acts on {acting.plain} plainly, which it can't take or has not heard of"
-            if not node.holder.heard and any(not below(acting.rules, version.rules) for version in node.kept.versions):
                 return f"{name} permits after its start what a version that may be live does not"
         for name, kept in self.disks.items():
             if any(self.fits(name, version) for version in kept.versions):
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -12,7 +12,7 @@
 from frostspindle.recovery import tickets
 from frostspindle.replica.links import FrameChecksums, proof
 from frostspindle.scatter.service import ticket as part_ticket
-from frostspindle.settings.versions import EMPTY
+from frostspindle.settings.versions import EMPTY_VERSION
 
 SEEDS = ("c1", "c2", "c3")
 TABLE = Scatter(
@@ -75,7 +75,7 @@
         "ticket of a part": part_ticket("request-1", "north"),
         "order key": key_number(cls=2, key=b"account-9"),
         "task rank": draw(task="export", holder="c1"),
-        "settings digest": EMPTY.next(number=1, changes=RULES).sum.hex(),
+        "settings digest": EMPTY_VERSION.child(number=1, changes=RULES).digest_bytes.hex(),
         "connection proof": proof(b"secret", b"label", b"hello", b"nonce").hex(),
         "frame sums": [sums.next(b"payload").hex() for sums in [FrameChecksums(b"key")] for _ in range(2)],
         "summary": summary().encode().hex(),
--- a/tests/compatibility/machines.py
+++ b/tests/compatibility/machines.py
@@ -3,32 +3,41 @@
 from compatibility.messages import RULES, WARMING_NOTE
 
 from frostspindle.ownership import lease_table, progress
-from frostspindle.settings import agreement, schema
-from frostspindle.settings.versions import EMPTY, pack
+from frostspindle.settings import log_commands, schema, state_machine
+from frostspindle.settings.version_encoding import pack_changes
+from frostspindle.settings.versions import EMPTY_VERSION
 
-FIRST = EMPTY.next(number=1, changes=RULES)
+FIRST = EMPTY_VERSION.child(number=1, changes=RULES)
 BANNED = {"ban/e10": schema.Ban(engine="e10", why="fan")}
-SECOND = FIRST.next(number=2, changes=BANNED)
+SECOND = FIRST.child(number=2, changes=BANNED)
 COMMANDS = (
-    agreement.DraftPiece(by="c1", process=1, number=1, base=0, digest=FIRST.sum, data=pack(RULES)),
-    agreement.PublishVersion(token=11, draft="c1/1/1"),
-    agreement.Activate(token=11, version=1, usual=(0.5,)),
-    agreement.Confirm(token=11, version=1),
-    agreement.DraftPiece(by="c1", process=1, number=2, base=1, digest=SECOND.sum, data=pack(BANNED)),
-    agreement.PublishVersion(token=12, draft="c1/1/2"),
-    agreement.Activate(token=12, version=2, usual=(0.5, 1.5)),
-    agreement.RenewLease(name="c1", process=1, number=3, acked=2, acting=2, seen=(4, 5)),
-    agreement.RenewLease(name="c2", process=7, number=1, acked=1, acting=1, refused=2, why="class/batch", seen=(6,)),
-    agreement.Rollback(token=12, version=2, why="errors"),
-    agreement.DraftPiece(by="c2", process=7, number=2, base=-1, digest=FIRST.sum, to=1),
+    log_commands.DraftPiece(
+        author="c1", process=1, number=1, base_version=0, digest=FIRST.digest_bytes, data=pack_changes(RULES)
+    ),
+    log_commands.PublishVersion(token=11, draft="c1/1/1"),
+    log_commands.Activate(token=11, version=1, baseline=(0.5,)),
+    log_commands.Confirm(token=11, version=1),
+    log_commands.DraftPiece(
+        author="c1", process=1, number=2, base_version=1, digest=SECOND.digest_bytes, data=pack_changes(BANNED)
+    ),
+    log_commands.PublishVersion(token=12, draft="c1/1/2"),
+    log_commands.Activate(token=12, version=2, baseline=(0.5, 1.5)),
+    log_commands.RenewLease(name="c1", process=1, number=3, acknowledged=2, active=2, figures=(4, 5)),
+    log_commands.RenewLease(
+        name="c2", process=7, number=1, acknowledged=1, active=1, rejected=2, reason="class/batch", figures=(6,)
+    ),
+    log_commands.Rollback(token=12, version=2, reason="errors"),
+    log_commands.DraftPiece(
+        author="c2", process=7, number=2, base_version=-1, digest=FIRST.digest_bytes, target_version=1
+    ),
 )
 OK = (b"ok", b"ok 1", b"ok", b"ok", b"ok", b"ok 2", b"ok", b"ok", b"ok", b"ok 3", b"ok")
 
 
 def settings():
     """Three versions, the second of which was rolled back; a draft that waits and two coordinators."""
-    machine = agreement.SettingsStateMachine()
-    answers = [machine.apply(index, agreement.encode(command)) for index, command in enumerate(COMMANDS, 21)]
+    machine = state_machine.SettingsStateMachine()
+    answers = [machine.apply(index, log_commands.encode_command(command)) for index, command in enumerate(COMMANDS, 21)]
     assert tuple(answers) == OK
     return machine
 
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -17,7 +17,7 @@
 from frostspindle.recovery.node import HeartbeatRecord
 from frostspindle.replica import wire as replica
 from frostspindle.scatter import wire as scatter
-from frostspindle.settings import agreement, schema
+from frostspindle.settings import log_commands, schema
 from frostspindle.store import records
 from frostspindle.store.base import StoreDigest
 from frostspindle.store.opening_decision import HeadRecord, KnownStore, MetaRecord
@@ -201,19 +201,34 @@
     "limit/open_requests": schema.Limit(value=512.0),
 }
 SETTINGS = {
-    "draft": agreement.DraftPiece(
-        by="c1", process=141, number=142, base=3, digest=ID, at=1, of=2, data=b"changes", to=4
+    "draft": log_commands.DraftPiece(
+        author="c1",
+        process=141,
+        number=142,
+        base_version=3,
+        digest=ID,
+        piece_index=1,
+        piece_count=2,
+        data=b"changes",
+        target_version=4,
     ),
-    "publish": agreement.PublishVersion(token=143, draft="c1/141/142"),
-    "hold": agreement.RenewLease(
-        name="c1", process=144, number=145, acked=5, acting=4, refused=6, why="class/batch", seen=(7, 8, 9)
+    "publish": log_commands.PublishVersion(token=143, draft="c1/141/142"),
+    "hold": log_commands.RenewLease(
+        name="c1",
+        process=144,
+        number=145,
+        acknowledged=5,
+        active=4,
+        rejected=6,
+        reason="class/batch",
+        figures=(7, 8, 9),
     ),
-    "live": agreement.Activate(token=146, version=5, usual=(0.5, 1.25)),
-    "withdraw": agreement.Withdraw(token=147, version=5, why="refused by c2"),
-    "proven": agreement.Confirm(token=148, version=5),
-    "rollback": agreement.Rollback(token=149, version=5, why="errors"),
-    "forget": agreement.RemoveMember(token=150, name="c2", process=151, number=152),
-    "leave": agreement.MemberLeaving(name="c1", process=153),
+    "live": log_commands.Activate(token=146, version=5, baseline=(0.5, 1.25)),
+    "withdraw": log_commands.Withdraw(token=147, version=5, reason="refused by c2"),
+    "proven": log_commands.Confirm(token=148, version=5),
+    "rollback": log_commands.Rollback(token=149, version=5, reason="errors"),
+    "forget": log_commands.RemoveMember(token=150, name="c2", process=151, number=152),
+    "leave": log_commands.MemberLeaving(name="c1", process=153),
 }
 
 # The replication library's messages: dicts with its own keys, which are not ours to rename.
@@ -299,7 +314,7 @@
     "ownership": (lease_table.read, lease_table.encode, OWNERSHIP),
     "ownership answer": (lease_table.said, lease_table.encode, {"refused": OWNERSHIP_ANSWER}),
     "warming": (partial(decode, type=progress.RecordProgress), progress.encode, {"note": WARMING_NOTE}),
-    "settings": (agreement.read, agreement.encode, SETTINGS),
+    "settings": (log_commands.decode_command, log_commands.encode_command, SETTINGS),
     "replica": (replica.message_in, replica.message_out, REPLICA),
     "replica entry": (replica.read_body, body_out, {"proposal": ("settings", b"command", TOKEN)}),
     "replica snapshot": (replica.read_snapshot, snapshot_out, {"snapshot": SNAPSHOT}),
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -24,7 +24,7 @@
 from frostspindle.replica.journal import RaftJournal
 from frostspindle.settings import schema
 from frostspindle.settings.version_store import VersionStore
-from frostspindle.settings.versions import EMPTY
+from frostspindle.settings.versions import EMPTY_VERSION
 from frostspindle.shared import Shared
 from frostspindle.store.opening import open_store
 from frostspindle.telemetry import Telemetry
@@ -39,9 +39,9 @@
 EXPORT = b"team-a 17\n"
 KEPT_AT_MS = 1_700_000_003_000.0
 CHANGES = {**RULES, "ban/removed": None}
-VERSION_3 = EMPTY.next(number=3, changes=RULES, by="c1/141/142")
-VERSION_4 = VERSION_3.next(
-    number=4, changes={"ban/e8": None, "limit/tds_sessions": schema.Limit(value=64.0)}, by="c2/1/2"
+VERSION_3 = EMPTY_VERSION.child(number=3, changes=RULES, author="c1/141/142")
+VERSION_4 = VERSION_3.child(
+    number=4, changes={"ban/e8": None, "limit/tds_sessions": schema.Limit(value=64.0)}, author="c2/1/2"
 )
 RECOVERY_ENTRIES = {
     state_kinds.prefix("bans") + b"c1/e7": encode(BAN),
@@ -83,7 +83,7 @@
     TokenFence(store).check(task="export", token=9)
     Sink(store).begin(period="2026-07", token=9)
     Sink(store).take(period="2026-07", token=9, rows=EXPORT)
-    VersionStore(store).keep(versions=(VERSION_3, VERSION_4), unix_ms=KEPT_AT_MS)
+    VersionStore(store).save(versions=(VERSION_3, VERSION_4), unix_ms=KEPT_AT_MS)
 
 
 def durable_store(folder, engine):
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -20,8 +20,8 @@
 from frostspindle.recovery import wire as recovery
 from frostspindle.replica import wire as replica
 from frostspindle.scatter import wire as scatter
-from frostspindle.settings import agreement, schema
-from frostspindle.settings.versions import pack, unpack
+from frostspindle.settings import log_commands, schema, state_machine
+from frostspindle.settings.version_encoding import pack_changes, unpack_changes
 from frostspindle.store.base import unseal
 from frostspindle.subscriptions import wire as subscriptions
 
@@ -55,7 +55,7 @@
         (scatter.Message, FAMILIES["scatter"][2]),
         (subscriptions.Message, FAMILIES["subscriptions"][2]),
         (lease_table.Command, FAMILIES["ownership"][2]),
-        (agreement.Command, FAMILIES["settings"][2]),
+        (log_commands.Command, FAMILIES["settings"][2]),
     ):
         assert {type(sample) for sample in samples.values()} == set(union.__args__)
     assert {data[1] for data in STORED["replica"].values()} == {number for number, _, _ in replica._FORMS.values()}
@@ -65,15 +65,15 @@
 @pytest.mark.parametrize("key", STORED["settings entry"])
 def test_settings_entry_is_read_to_its_value_and_written_to_its_bytes(key):
     data = STORED["settings entry"][key]
-    assert schema.entry_in(key, data) == RULES[key]
-    assert schema.ENCODE(RULES[key]) == data
+    assert schema.decode_entry(key, data) == RULES[key]
+    assert schema.encode_msgpack(RULES[key]) == data
 
 
 def test_settings_changes_are_read_to_their_values_and_written_to_the_same_text():
     data = STORED["settings changes"]["packed"]
-    assert unpack(data) == CHANGES
+    assert unpack_changes(data) == CHANGES
     # What is compressed must be alike; how it is compressed depends on the zlib that is installed.
-    assert zlib.decompress(unseal(pack(CHANGES))) == zlib.decompress(unseal(data))
+    assert zlib.decompress(unseal(pack_changes(CHANGES))) == zlib.decompress(unseal(data))
 
 
 def test_worker_relays_a_call_in_the_same_frames():
@@ -85,19 +85,25 @@
 
 
 def test_settings_snapshot_is_restored_and_written_alike():
-    data, made, machine = STORED["snapshot"]["settings"], machines.settings(), agreement.SettingsStateMachine()
-    machine.restore(made.index, data)
+    data, made, machine = STORED["snapshot"]["settings"], machines.settings(), state_machine.SettingsStateMachine()
+    machine.restore(made.applied_index, data)
     assert zlib.decompress(machine.state()) == zlib.decompress(made.state()) == zlib.decompress(data)
-    assert (machine.token, machine.last, machine.live, machine.proven, machine.pending) == (12, 3, 2, 1, 3)
-    assert (machine.trial, machine.usual, machine.index) == (27, (0.5, 1.5), 31)
-    assert [version.number for version in machine.history] == [1, 2, 3]
+    assert (
+        machine.highest_token,
+        machine.last_version,
+        machine.active_version,
+        machine.confirmed_version,
+        machine.pending_version,
+    ) == (12, 3, 2, 1, 3)
+    assert (machine.trial_index, machine.baseline, machine.applied_index) == (27, (0.5, 1.5), 31)
+    assert [version.number for version in machine.versions] == [1, 2, 3]
     assert dict(machine.version(3).rules) == dict(machine.version(1).rules) == RULES
     assert dict(machine.version(2).rules) == {**RULES, **machines.BANNED}
-    assert (machine.members, machine.drafts, machine.bad, machine.news) == (
+    assert (machine.members, machine.drafts, machine.rolled_back_digests, machine.events) == (
         made.members,
         made.drafts,
-        made.bad,
-        made.news,
+        made.rolled_back_digests,
+        made.events,
     )
 
 
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -128,7 +128,7 @@
     assert Sink(store).rows(period="2026-07") == stored.EXPORT
     assert Sink(store).take(period="2026-07", token=9, rows=stored.EXPORT) is False
     kept = VersionStore(store).load()
-    assert (kept.versions, kept.at_ms) == ((stored.VERSION_3, stored.VERSION_4), stored.KEPT_AT_MS)
+    assert (kept.versions, kept.saved_at_ms) == ((stored.VERSION_3, stored.VERSION_4), stored.KEPT_AT_MS)
     assert [version.rules for version in kept.versions] == [stored.VERSION_3.rules, stored.VERSION_4.rules]
     node = RecoveryNode(
         terms=RecoverySettings(name="c1", seeds=("c1", "c2", "c3")), now=0.0, unix=TICKET.at_ms + 1.0, seed=1
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -14,7 +14,7 @@
 from compatibility.messages import CALL, FAMILIES, REPLY, RULES
 
 from frostspindle.settings import schema
-from frostspindle.settings.versions import pack
+from frostspindle.settings.version_encoding import pack_changes
 from frostspindle.store.base import StoreBrokenError
 from frostspindle.store.marker_engine import MarkerEngine
 from frostspindle.store.sqlite_engine import SqliteEngine
@@ -42,8 +42,8 @@
         section: {name: encode(value).hex() for name, value in samples.items()}
         for section, (_, encode, samples) in FAMILIES.items()
     }
-    sections["settings entry"] = {key: schema.ENCODE(entry).hex() for key, entry in RULES.items()}
-    sections["settings changes"] = {"packed": pack(stored.CHANGES).hex()}
+    sections["settings entry"] = {key: schema.encode_msgpack(entry).hex() for key, entry in RULES.items()}
+    sections["settings changes"] = {"packed": pack_changes(stored.CHANGES).hex()}
     sections["mesh"] = {"call": call_frame(*CALL).hex(), "reply": reply_frame(REPLY).hex()}
     sections["snapshot"] = {
         "settings": machines.settings().state().hex(),
--- a/tests/contracts/test_settings_keep.py
+++ b/tests/contracts/test_settings_keep.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 from stores import Child, files, lay
 
-from frostspindle.settings.decisions import RestoredVersions
+from frostspindle.settings.active_rules import RestoredVersions
 from frostspindle.settings.schema import Ban, InvalidSettingsError
-from frostspindle.settings.version_store import CHAIN, META, VersionStore
-from frostspindle.settings.versions import EMPTY, VersionHistory
+from frostspindle.settings.version_store import MAX_CHAIN_LENGTH, METADATA_KEY, VersionStore
+from frostspindle.settings.versions import EMPTY_VERSION, VersionHistory
 from frostspindle.store.marker_engine import MarkerEngine
 from frostspindle.store.memory import MemoryStore
 from frostspindle.store.opening import open_store
@@ -34,10 +34,10 @@
 
 def chain(count, wide=40):
     """Versions that follow one another, the first of many entries."""
-    versions, at = [], EMPTY
+    versions, at = [], EMPTY_VERSION
     for number in range(1, count + 1):
         changes = {f"ban/w{n}": Ban(f"w{n}") for n in range(wide)} if number == 1 else {}
-        at = at.next(number, changes | {f"ban/e{number}": Ban(f"e{number}", "x" * 50), f"ban/e{number - 3}": None})
+        at = at.child(number, changes | {f"ban/e{number}": Ban(f"e{number}", "x" * 50), f"ban/e{number - 3}": None})
         versions.append(at)
     return versions
 
@@ -54,12 +54,12 @@
     for step, back, again in steps:
         at = min(len(versions) - 1, at + step)
         needed = tuple(versions[max(0, at - back) : at + 1])
-        keeper.keep(needed, 5.0)
+        keeper.save(needed, 5.0)
         if again:
             keeper = VersionStore(store)
             assert keeper.load() == RestoredVersions(needed, 5.0)
         assert VersionStore(store).load().versions == needed
-    assert len(store.scan()) <= CHAIN + 12, "what nobody needs is taken out"
+    assert len(store.scan()) <= MAX_CHAIN_LENGTH + 12, "what nobody needs is taken out"
 
 
 def test_a_change_writes_little_and_a_long_chain_is_written_whole_again():
@@ -72,7 +72,7 @@
 
     keeper = VersionStore(Counted())
     for one, two in zip(versions, versions[1:], strict=False):
-        keeper.keep((one, two), 1.0)
+        keeper.save((one, two), 1.0)
     assert sorted(wrote)[len(wrote) // 2] < max(wrote) / 5
     assert 2 <= sum(size > max(wrote) / 2 for size in wrote) <= 6
 
@@ -83,15 +83,15 @@
         lambda s: s.apply({b"settings/v/2/0": None}),
         lambda s: s.apply({b"settings/v/2/0": b"x"}),
         lambda s: s.apply({b"settings/v/3/0": s.get(b"settings/v/2/0")}),
-        lambda s: s.apply({META: b"x"}),
-        lambda s: s.apply({META: s.get(META)[:-1]}),
-        lambda s: s.apply({META: b"\x94\x07\x00\x90\x90"}),
+        lambda s: s.apply({METADATA_KEY: b"x"}),
+        lambda s: s.apply({METADATA_KEY: s.get(METADATA_KEY)[:-1]}),
+        lambda s: s.apply({METADATA_KEY: b"\x94\x07\x00\x90\x90"}),
     ):
         store = MemoryStore()
-        VersionStore(store).keep(tuple(versions[:2]), 1.0)
+        VersionStore(store).save(tuple(versions[:2]), 1.0)
         keeper = VersionStore(store)
         keeper.load()
-        keeper.keep(tuple(versions[1:3]), 2.0)
+        keeper.save(tuple(versions[1:3]), 2.0)
         spoil(store)
         with pytest.raises(InvalidSettingsError):
             VersionStore(store).load()
@@ -105,7 +105,7 @@
         history.add(version)
     store = open_store(folder, "c1", MarkerEngine)
     keeper = VersionStore(store)
-    keeper.keep(tuple(versions[:2]), 1.0)
+    keeper.save(tuple(versions[:2]), 1.0)
     points = []
     for name, call in ((name, getattr(os, name)) for name in ("open", "write", "fsync", "replace", "unlink")):
 
@@ -114,7 +114,7 @@
             return call(*args, **kw)
 
         monkeypatch.setattr(os, name, step)
-    keeper.keep(tuple(versions[1:4]), 2.0)
+    keeper.save(tuple(versions[1:4]), 2.0)
     monkeypatch.undo()
     points.append(files(folder / "store"))
     store.close()
@@ -144,7 +144,7 @@
     store = open_store(folder, "c1", SqliteEngine)
     keeper = VersionStore(store)
     for at in range(5):
-        keeper.keep(tuple(versions[at : at + 2]), 1.0)
+        keeper.save(tuple(versions[at : at + 2]), 1.0)
     content = files(folder)
     store.close()
     told = set()
@@ -173,7 +173,7 @@
         keeper = VersionStore(store)
         first = (numbers(keeper.load()) or [0])[-1]
         for at in range(first, 199):
-            keeper.keep(tuple(versions[max(0, at - 1) : at + 1]), 1.0)
+            keeper.save(tuple(versions[max(0, at - 1) : at + 1]), 1.0)
             tell(at + 1)
 
     told = 0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,10 +12,29 @@
 from immutables import Map
 
 from frostspindle.config import TenantRule
-from frostspindle.settings import meet as meeting
-from frostspindle.settings import schema
-from frostspindle.settings.canary import BUCKETS, CALM, HEAD, OPEN, CanaryCheck, CanaryThresholds, bucket, wilson
-from frostspindle.settings.meet import TOP, adjacent, below, contradictions, contradicts, meet, settled
+from frostspindle.settings import document, schema, secret_hash, validation
+from frostspindle.settings import intersection as meeting
+from frostspindle.settings.applicability import RunningProgram, why_not_applicable
+from frostspindle.settings.canary import (
+    HEADER_FIGURES,
+    LATENCY_BUCKETS,
+    OPEN_REQUESTS,
+    PASSED,
+    CanaryCheck,
+    CanaryThresholds,
+    latency_bucket,
+    wilson_interval,
+)
+from frostspindle.settings.document import parse_document
+from frostspindle.settings.intersection import (
+    NO_RULES,
+    contradictions,
+    contradicts,
+    intersect,
+    intersect_with_child,
+    limit_to_capacity,
+    permits_no_more,
+)
 from frostspindle.settings.schema import (
     Ban,
     Class,
@@ -25,15 +44,18 @@
     Limit,
     ListScope,
     Login,
-    RunningProgram,
     Tenant,
-    check,
-    fits,
-    hashed,
-    read,
-    secret_holds,
 )
-from frostspindle.settings.versions import EMPTY, KEPT, PIECE, VersionAssembly, VersionHistory, cut, diff, pack, unpack
+from frostspindle.settings.secret_hash import hash_secret, verify_secret
+from frostspindle.settings.validation import validate
+from frostspindle.settings.version_encoding import (
+    PIECE_BYTES,
+    VersionAssembly,
+    pack_changes,
+    split_into_pieces,
+    unpack_changes,
+)
+from frostspindle.settings.versions import EMPTY_VERSION, KEPT_VERSIONS, VersionHistory, diff_rules
 
 ROOT = Path(__file__).parent.parent
 ENGINE = '[[engine]]\nname = "e1"\ndial = "127.0.0.1:1"\n'
@@ -67,7 +89,7 @@
 POOL = [(schema.key_of(kind, entry), entry) for kind, entry in pool()]
 POOL += [("limit/out", Limit(value)) for value in (0.0, 6.0, 12.0)]
 POOL += [("limit/open_requests", Limit(value)) for value in (20.0, 25.0)]
-POOL += [(f"scope/{name}", ListScope()) for name in schema.SCOPES for _ in range(2)]
+POOL += [(f"scope/{name}", ListScope()) for name in schema.LIST_SCOPES for _ in range(2)]
 
 
 def table_of(items):
@@ -76,10 +98,10 @@
         {
             schema.scope_of(key, entry): ListScope()
             for key, entry in items
-            if not schema.KINDS[schema.kind_of(key)].either
+            if not schema.KINDS[schema.kind_of(key)].in_either
         }
     )
-    return settled(Map(table))
+    return limit_to_capacity(Map(table))
 
 
 def rules():
@@ -88,7 +110,7 @@
 
 class TestSchema:
     def test_the_file_is_read_and_the_example_and_the_json_schema_are_good(self):
-        table = read(
+        table = parse_document(
             (
                 ENGINE + "most = 9\n" + PARTS + '[limits]\nout = 9\nopen_requests = 99\n[[ban]]\nengine = "e1x"\n'
                 '[[tenant]]\nname = "blue"\nshare_per_s = 5\n[[tenant.rule]]\nheader = "X=1"\n'
@@ -97,9 +119,9 @@
         )
         assert table["engine/http/e1"].most == 9 and table["tenant/blue"].rule == (TenantRule(header="X=1"),)
         assert {key for key in table if key.startswith("scope/")} == {"scope/http", "scope/coordinator", "scope/login"}
-        told = json.dumps(schema.json_schema())
+        told = json.dumps(document.json_schema())
         assert '"Document"' in told and '"share_per_s"' in told
-        assert read((ROOT / "deploy" / "settings" / "version.toml").read_bytes())
+        assert parse_document((ROOT / "deploy" / "settings" / "version.toml").read_bytes())
 
     @pytest.mark.parametrize(
         "text, key",
@@ -132,7 +154,7 @@
     )
     def test_each_fault_is_named_by_its_key_and_no_secret_is_shown(self, text, key):
         with pytest.raises(InvalidSettingsError, match=key) as told:
-            read(text.encode("latin-1"))
+            parse_document(text.encode("latin-1"))
         assert "hunter2" not in str(told.value) and "\n" not in str(told.value)
 
     def test_what_needs_a_new_start_is_turned_down_naming_the_key(self):
@@ -163,8 +185,10 @@
             (Login("a", "r"), ""),
         ):
             place = schema.key_of(type(entry).__name__.lower(), entry)
-            assert key in fits({place: entry}, here) and bool(fits({place: entry}, here)) == bool(key)
-            assert fits(TOP, here, {place: None}) == ""
+            assert key in why_not_applicable({place: entry}, here) and bool(
+                why_not_applicable({place: entry}, here)
+            ) == bool(key)
+            assert why_not_applicable(NO_RULES, here, {place: None}) == ""
         bare = RunningProgram()
         for table, key in (
             ({"engine/tds/e1": tds}, "needs a new"),
@@ -174,92 +198,100 @@
             ({"engine/http/e1": Engine("e1", "127.0.0.1:1", zone="z")}, "zone"),
             ({"engine/http/e1": Engine("e1", "127.0.0.1:1", kind="z")}, "kind"),
         ):
-            assert key in fits(table, bare)
+            assert key in why_not_applicable(table, bare)
         sizes = {
             f"limit/{n}": Limit(v)
             for n, v in (("tds_sessions", 90.0), ("tds_batch_bytes", 1e6), ("tds_result_bytes", 1e6))
         }
-        assert "tds_result_bytes" in fits(sizes, here) and "sixth" in fits({"limit/tds_sessions": Limit(101.0)}, here)
+        assert "tds_result_bytes" in why_not_applicable(sizes, here) and "sixth" in why_not_applicable(
+            {"limit/tds_sessions": Limit(101.0)}, here
+        )
 
     def test_secrets_are_salted_hashes(self):
-        kept = hashed("hunter2", b"salt" * 4, 1_000)
-        assert schema.SECRET.fullmatch(kept) and secret_holds(kept, "hunter2") and not secret_holds(kept, "hunter3")
-        assert not secret_holds("env:WORD", "WORD") and hashed("hunter2", b"pepp" * 4, 1_000) != kept
+        kept = hash_secret("hunter2", b"salt" * 4, 1_000)
+        assert (
+            secret_hash.SECRET_FORM.fullmatch(kept)
+            and verify_secret(kept, "hunter2")
+            and not verify_secret(kept, "hunter3")
+        )
+        assert not verify_secret("env:WORD", "WORD") and hash_secret("hunter2", b"pepp" * 4, 1_000) != kept
 
 
 class TestVersions:
     @runs(quick, max_examples=40)
     @given(st.lists(rules(), min_size=2, max_size=4))
     def test_a_chain_of_changes_has_the_rules_and_digest_of_the_whole(self, tables):
-        history, at = VersionHistory(), EMPTY
+        history, at = VersionHistory(), EMPTY_VERSION
         for number, table in enumerate(tables, 1):
-            at = at.next(number, diff(at.rules, table))
+            at = at.child(number, diff_rules(at.rules, table))
             history.add(at)
-            whole = EMPTY.next(number, table)
+            whole = EMPTY_VERSION.child(number, table)
             assert (at.rules, at.digest, at.size) == (table, whole.digest, whole.size)
-            assert unpack(pack(at.changes)) == dict(at.changes)
+            assert unpack_changes(pack_changes(at.changes)) == dict(at.changes)
             check_at = {key for key in at.changes if key.startswith(("class/", "login/"))}
             try:
-                check(table)
+                validate(table)
             except InvalidSettingsError:
                 continue
             if not check_at:
-                check(table, at.changes)
+                validate(table, at.changes)
         for one in range(len(tables) + 1):
             for two in range(len(tables) + 1):
-                assert history.changes(one, two) == diff(history.get(one).rules, history.get(two).rules)
+                assert history.changes_between(one, two) == diff_rules(history.get(one).rules, history.get(two).rules)
 
     def test_history_keeps_the_last_and_what_is_pinned_and_shares_what_does_not_change(self):
         table = {f"engine/http/e{n}": Engine(f"e{n}", "127.0.0.1:1") for n in range(500)} | {"scope/http": ListScope()}
-        history, at = VersionHistory(4), EMPTY.next(1, table)
+        history, at = VersionHistory(4), EMPTY_VERSION.child(1, table)
         history.add(at)
         for number in range(2, 12):
-            at = at.next(number, {"ban/e1": Ban("e1", str(number))})
+            at = at.child(number, {"ban/e1": Ban("e1", str(number))})
             history.add(at, (1, number - 1))
         assert [version.number for version in history] == [1, 9, 10, 11]
         assert history.get(1).rules["engine/http/e7"] is at.rules["engine/http/e7"], "nothing was copied"
-        assert history.changes(1, 11) == {"ban/e1": Ban("e1", "11")} and history.changes(11, 1) == {"ban/e1": None}
+        assert history.changes_between(1, 11) == {"ban/e1": Ban("e1", "11")} and history.changes_between(11, 1) == {
+            "ban/e1": None
+        }
         with pytest.raises(KeyError):
-            history.changes(5, 11)
-        assert len(VersionHistory(KEPT)) == 0
+            history.changes_between(5, 11)
+        assert len(VersionHistory(KEPT_VERSIONS)) == 0
 
     def test_spoilt_long_and_doubled_changes_are_noticed(self):
-        data = pack({"ban/e1": Ban("e1")})
+        data = pack_changes({"ban/e1": Ban("e1")})
         for spoilt in (data[:-1], data[:20], b"", data[:-1] + bytes([data[-1] ^ 1])):
             with pytest.raises(InvalidSettingsError):
-                unpack(spoilt)
+                unpack_changes(spoilt)
         with pytest.raises(InvalidSettingsError, match="more than 100 bytes"):
-            unpack(pack({f"ban/e{n}": Ban(f"e{n}") for n in range(50)}), 100)
+            unpack_changes(pack_changes({f"ban/e{n}": Ban(f"e{n}") for n in range(50)}), 100)
         for key, entry in (("bann/e1", b"\x80"), ("ban/", b"\x80"), ("ban/e1", b"\x80"), ("ban/e1", b"\xc1")):
             with pytest.raises(InvalidSettingsError, match=key):
-                schema.entry_in(key, entry)
+                schema.decode_entry(key, entry)
 
     def test_pieces_are_taken_in_order_only(self):
-        whole = random.Random(1).randbytes(3 * PIECE + 5)
-        pieces, at = cut(whole), VersionAssembly(4)
-        assert len(pieces) == 4 and cut(b"") == [b""]
+        whole = random.Random(1).randbytes(3 * PIECE_BYTES + 5)
+        pieces, at = split_into_pieces(whole), VersionAssembly(4)
+        assert len(pieces) == 4 and split_into_pieces(b"") == [b""]
         assert at.add(1, 4, pieces[1]) == "gap 0" and at.add(0, 4, pieces[0]) == ""
         assert at.add(0, 4, pieces[0]) == "repeat" and at.add(0, 4, pieces[1]) == "other"
         assert at.add(3, 4, pieces[3]) == "gap 1" and at.add(1, 5, pieces[1]) == "bounds"
-        assert at.add(1, 4, whole[: PIECE + 1]) == "bounds" and at.add(-1, 4, b"") == "bounds"
+        assert at.add(1, 4, whole[: PIECE_BYTES + 1]) == "bounds" and at.add(-1, 4, b"") == "bounds"
         for number in range(1, 4):
-            assert not at.whole and at.add(number, 4, pieces[number]) == ""
-        assert at.whole and b"".join(at.pieces) == whole and at.size == len(whole)
+            assert not at.is_complete and at.add(number, 4, pieces[number]) == ""
+        assert at.is_complete and b"".join(at.pieces) == whole and at.size == len(whole)
 
 
 class TestMeet:
     @quick
     @given(rules(), rules(), rules())
     def test_it_is_a_semilattice_and_the_empty_table_is_its_unit(self, one, two, three):
-        assert meet(one, one) == one == meet(one, TOP) == meet(TOP, one)
-        assert meet(one, two) == meet(two, one)
-        assert meet(meet(one, two), three) == meet(one, meet(two, three))
-        assert below(meet(one, two), one) and below(meet(one, two), two)
+        assert intersect(one, one) == one == intersect(one, NO_RULES) == intersect(NO_RULES, one)
+        assert intersect(one, two) == intersect(two, one)
+        assert intersect(intersect(one, two), three) == intersect(one, intersect(two, three))
+        assert permits_no_more(intersect(one, two), one) and permits_no_more(intersect(one, two), two)
 
     @quick
     @given(rules(), rules())
     def test_it_permits_only_what_both_permit(self, one, two):
-        both = meet(one, two)
+        both = intersect(one, two)
         for front in ("http", "tds"):
             holders = [table for table in (one, two) if f"scope/{front}" in table]
             for name in ("e1", "e2"):
@@ -282,9 +314,9 @@
                     assert entry.share_per_s is None or other.share_per_s <= entry.share_per_s
                     assert set(entry.rule) <= set(other.rule)
                 elif key.startswith("class/"):
-                    assert schema.EFFECT_RANK[other.effect] <= schema.EFFECT_RANK[entry.effect]
+                    assert schema.IDEMPOTENCY_RANK[other.effect] <= schema.IDEMPOTENCY_RANK[entry.effect]
         if "limit/out" in both:
-            assert both["limit/out"].value <= schema.capacity(both)
+            assert both["limit/out"].value <= validation.engine_capacity(both)
         for key, entry in both.items():
             if key.startswith("coordinator/"):
                 assert all(table[key].part >= entry.part for table in (one, two) if "scope/coordinator" in table)
@@ -294,7 +326,7 @@
     @quick
     @given(rules(), rules())
     def test_the_cheap_meet_of_neighbours_is_the_meet(self, one, two):
-        assert adjacent(one, two, diff(one, two)) == meet(one, two)
+        assert intersect_with_child(one, two, diff_rules(one, two)) == intersect(one, two)
 
     @quick
     @given(rules(), rules())
@@ -306,17 +338,17 @@
         assert set(contradictions(one, two, 99)) == agreed
 
     def test_a_drain_takes_the_room_that_anothers_limit_relies_on(self):
-        base = read((ENGINE + "most = 9\n" + ENGINE.replace("e1", "e2") + "most = 6\n" + PARTS).encode())
+        base = parse_document((ENGINE + "most = 9\n" + ENGINE.replace("e1", "e2") + "most = 6\n" + PARTS).encode())
         drains = base | {"drain/e1": Ban("e1")}
         relies = base | {"limit/out": Limit(15.0)}
-        check(drains)
-        check(relies)
-        both = meet(Map(drains), Map(relies))
+        validate(drains)
+        validate(relies)
+        both = intersect(Map(drains), Map(relies))
         assert both["limit/out"].value == 6.0 and "drain/e1" in both
         with pytest.raises(InvalidSettingsError, match="limits.out: 15 at once rely on engines that let 6"):
-            check(drains | {"limit/out": Limit(15.0)}, {"limit/out": Limit(15.0)})
+            validate(drains | {"limit/out": Limit(15.0)}, {"limit/out": Limit(15.0)})
         with pytest.raises(InvalidSettingsError, match="limits.out"):
-            check(relies | {"drain/e1": Ban("e1")}, {"drain/e1": Ban("e1")})
+            validate(relies | {"drain/e1": Ban("e1")}, {"drain/e1": Ban("e1")})
 
     def test_parts_that_add_up_past_the_whole_when_mixed_meet_below_it(self):
         one, two = (
@@ -328,31 +360,34 @@
             for a in (0.75, 0.25)
         )
         assert contradicts(one, two)
-        both = meet(Map(one), Map(two))
+        both = intersect(Map(one), Map(two))
         assert sum(entry.part for key, entry in both.items() if key.startswith("coordinator/")) <= 1.0
 
 
 def row(answered, failed=0, refused=0, slow=0, slow_ms=5_000.0):
-    out = [0] * (HEAD + BUCKETS)
+    out = [0] * (HEADER_FIGURES + LATENCY_BUCKETS)
     out[:3] = [answered, failed, refused]
-    out[HEAD + bucket(20.0)] = answered - slow
-    out[HEAD + bucket(slow_ms)] += slow
+    out[HEADER_FIGURES + latency_bucket(20.0)] = answered - slow
+    out[HEADER_FIGURES + latency_bucket(slow_ms)] += slow
     return out
 
 
 def played(before, after, guard=CanaryThresholds(), members=3, waiting=(0, 0)):  # noqa: B008
     """The verdict on windows of figures; when it came, in windows since the version went live. `waiting`: open
     requests at each member, before and since."""
-    judge, total, now = CanaryCheck(guard), [[0] * (HEAD + BUCKETS) for _ in range(members)], 0.0
+    judge, total, now = CanaryCheck(guard), [[0] * (HEADER_FIGURES + LATENCY_BUCKETS) for _ in range(members)], 0.0
 
     def step(told):
         nonlocal now
         for place, figure in enumerate(told):
             total[(place + int(now)) % members][place] += figure
-        judge.feed(
+        judge.observe(
             now,
             {
-                f"c{n}": (1, (*total[n][:OPEN], waiting[judge._begun is not None], *total[n][HEAD:]))
+                f"c{n}": (
+                    1,
+                    (*total[n][:OPEN_REQUESTS], waiting[judge._trial_began_at is not None], *total[n][HEADER_FIGURES:]),
+                )
                 for n in range(members)
             },
         )
@@ -360,7 +395,7 @@
 
     for told in before:
         step(told)
-    judge.begin(now)
+    judge.start_trial(now)
     for number, told in enumerate(after):
         step(told)
         if verdict := judge.verdict(now):
@@ -376,23 +411,23 @@
             assert verdict.startswith(word) and at <= 6, (verdict, at)
 
     def test_few_requests_a_single_bad_window_and_a_gain_are_no_harm(self):
-        assert played([row(2)] * 30, [row(2, 2)] * 16)[0] == CALM
+        assert played([row(2)] * 30, [row(2, 2)] * 16)[0] == PASSED
         calm, spike = [row(200, 1, 2, 2)] * 30, [row(200, 1)] * 5 + [row(200, 150)] + [row(200, 1)] * 10
-        assert played(calm, spike)[0] == CALM
-        assert played([row(200, 100, 50, 60)] * 30, [row(200)] * 16)[0] == CALM
-        assert played([], [row(200, 150)] * 16)[0] == CALM, "nothing tells what was usual"
+        assert played(calm, spike)[0] == PASSED
+        assert played([row(200, 100, 50, 60)] * 30, [row(200)] * 16)[0] == PASSED
+        assert played([], [row(200, 150)] * 16)[0] == PASSED, "nothing tells what was usual"
 
     def test_hardly_any_answers_while_requests_wait_are_a_stall_and_without_requests_none(self):
         verdict, at = played([row(200)] * 30, [row(3)] * 14, waiting=(4, 4))
         assert verdict == "stalled: 12 answers, usually 800; 12 requests wait" and at <= 6
-        assert played([row(200)] * 30, [row(3)] * 16, waiting=(4, 0))[0] == CALM
-        assert played([row(8)] * 30, [row(0)] * 16, waiting=(1, 1))[0] == CALM, "few were usual"
+        assert played([row(200)] * 30, [row(3)] * 16, waiting=(4, 0))[0] == PASSED
+        assert played([row(8)] * 30, [row(0)] * 16, waiting=(1, 1))[0] == PASSED, "few were usual"
 
     def test_what_was_as_bad_before_is_no_harm_and_a_restart_takes_nothing_back(self):
-        assert played([row(200, 40, 30, 20)] * 30, [row(200, 42, 30, 20)] * 16)[0] == CALM
+        assert played([row(200, 40, 30, 20)] * 30, [row(200, 42, 30, 20)] * 16)[0] == PASSED
         judge = CanaryCheck()
-        judge.feed(0.0, {"c1": (1, tuple(row(100)))})
-        judge.feed(600.0, {"c1": (2, tuple(row(10))), "c2": (1, (1, 2))})
+        judge.observe(0.0, {"c1": (1, tuple(row(100)))})
+        judge.observe(600.0, {"c1": (2, tuple(row(10))), "c2": (1, (1, 2))})
         assert sum(sum(window) for window in judge._windows) == 0, "a new process, and figures of another form"
 
     def test_calm_series_with_noise_and_bursts_are_hardly_ever_called_harmful(self):
@@ -413,18 +448,18 @@
                 fails = min(count, hits(count, heavy))
                 return row(count, fails, fails // 2, hits(count, 0.01))
 
-            called += played([window() for _ in range(30)], [window() for _ in range(14)])[0] != CALM
+            called += played([window() for _ in range(30)], [window() for _ in range(14)])[0] != PASSED
         assert called <= 2, f"{called} of 200"
 
     def test_versions_in_a_row_are_held_against_the_time_before_the_first(self):
-        judge, total, now = CanaryCheck(), [0] * (HEAD + BUCKETS), 0.0
+        judge, total, now = CanaryCheck(), [0] * (HEADER_FIGURES + LATENCY_BUCKETS), 0.0
         for number in range(60):
             told = row(200, 1) if number < 30 else row(200, 40)
             total = [a + b for a, b in zip(total, told, strict=True)]
-            judge.feed(now, {"c1": (1, tuple(total))})
+            judge.observe(now, {"c1": (1, tuple(total))})
             now += 500.0
             if number in (29, 32, 35):
-                judge.begin(now)
+                judge.start_trial(now)
         assert judge.verdict(now).startswith("failed")
 
     def test_nothing_is_judged_anew_that_has_not_changed(self):
@@ -437,13 +472,13 @@
 
         judge, told = CanaryCheck(), {"c1": (1, Told(row(100)))}
         for now in range(0, 450, 50):
-            judge.feed(float(now), told)
+            judge.observe(float(now), told)
         assert Told.reads == 0, "it was heard once, and nothing since"
         for number in range(30):
-            judge.feed(500.0 * (number + 1), {"c1": (1, tuple(row(200 * (number + 2))))})
+            judge.observe(500.0 * (number + 1), {"c1": (1, tuple(row(200 * (number + 2))))})
             if number == 20:
-                judge.begin(500.0 * (number + 1))
-        with mock.patch("frostspindle.settings.canary.wilson", wraps=wilson) as bounds:
+                judge.start_trial(500.0 * (number + 1))
+        with mock.patch("frostspindle.settings.canary.wilson_interval", wraps=wilson_interval) as bounds:
             for _ in range(50):
                 judge.verdict(16_000.0)
         assert 0 < bounds.call_count <= 6, "once for a window"
@@ -451,4 +486,4 @@
 
 def test_meeting_costs_nothing_for_one_table():
     table = Map({"ban/e1": Ban("e1")})
-    assert meeting.meet(table, table) is table
+    assert meeting.intersect(table, table) is table
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -10,8 +10,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
 
 from frostspindle.lab.explore import explore
-from frostspindle.settings import agreement
-from frostspindle.settings.agreement import (
+from frostspindle.settings import drafts, log_commands, state_machine
+from frostspindle.settings.active_rules import RulesMode
+from frostspindle.settings.agreement_settings import AgreementSettings
+from frostspindle.settings.audit import find_longest_contradiction, read_active_periods, read_contradictions
+from frostspindle.settings.canary import HEADER_FIGURES, LATENCY_BUCKETS, CanaryCheck
+from frostspindle.settings.log_commands import (
     Activate,
     Confirm,
     DraftPiece,
@@ -20,23 +24,15 @@
     RemoveMember,
     RenewLease,
     Rollback,
-    SettingsStateMachine,
     Withdraw,
-    encode,
-)
-from frostspindle.settings.audit import contradictions, longest, spans
-from frostspindle.settings.canary import BUCKETS, HEAD, CanaryCheck
-from frostspindle.settings.decisions import (
-    FILE,
-    MEET,
-    REFUSE,
-    VERSION,
-    AgreementSettings,
-    MemberDecisions,
-    PublisherDecisions,
+    encode_command,
 )
+from frostspindle.settings.member_decisions import MemberDecisions
+from frostspindle.settings.publisher_decisions import PublisherDecisions
 from frostspindle.settings.schema import Ban, Engine, Limit, ListScope
-from frostspindle.settings.versions import EMPTY, KEPT, PIECE, cut, pack
+from frostspindle.settings.state_machine import SettingsStateMachine
+from frostspindle.settings.version_encoding import PIECE_BYTES, pack_changes, split_into_pieces
+from frostspindle.settings.versions import EMPTY_VERSION, KEPT_VERSIONS
 
 
 class Fed:
@@ -47,24 +43,26 @@
 
     def __call__(self, command):
         self.index += 2
-        return self.machine.apply(self.index, command if isinstance(command, bytes) else encode(command)).decode()
+        return self.machine.apply(
+            self.index, command if isinstance(command, bytes) else encode_command(command)
+        ).decode()
 
     def draft(self, changes):
         self.drafts += 1
-        live = self.machine.version(self.machine.live)
-        made = live.next(live.number + 1, changes)
-        pieces = cut(pack(made.changes))
+        live = self.machine.version(self.machine.active_version)
+        made = live.child(live.number + 1, changes)
+        pieces = split_into_pieces(pack_changes(made.changes))
         for at, data in enumerate(pieces):
-            assert self(DraftPiece("me", 1, self.drafts, live.number, made.sum, at, len(pieces), data)) == "ok"
+            assert self(DraftPiece("me", 1, self.drafts, live.number, made.digest_bytes, at, len(pieces), data)) == "ok"
         return made
 
     def push(self, changes, token=5, live=True, proven=True):
         made = self.draft(changes)
-        assert self(PublishVersion(token, f"me/1/{self.drafts}")) == f"ok {self.machine.last}"
+        assert self(PublishVersion(token, f"me/1/{self.drafts}")) == f"ok {self.machine.last_version}"
         if live:
-            assert self(Activate(token, self.machine.last)) == "ok"
+            assert self(Activate(token, self.machine.last_version)) == "ok"
             if proven:
-                assert self(Confirm(token, self.machine.last)) == "ok"
+                assert self(Confirm(token, self.machine.last_version)) == "ok"
         return made
 
 
@@ -72,8 +70,8 @@
     def test_versions_go_from_draft_to_live_one_at_a_time(self):
         fed = Fed()
         fed.push(ban("e1"), live=False)
-        assert fed.machine.open == (0, 1)
-        word, _ = draft(EMPTY, ban("e2"), 7)
+        assert fed.machine.candidate_versions == (0, 1)
+        word, _ = draft(EMPTY_VERSION, ban("e2"), 7)
         assert fed(word) == "ok" and fed(PublishVersion(5, word.key)) == "no: pending 1"
         assert (
             fed(Activate(5, 2)) == "no: not pending"
@@ -81,10 +79,18 @@
             and fed(Activate(5, 1)) == "no: not pending"
         )
         assert fed(PublishVersion(5, word.key)).startswith("no: base: drafted on version 0, the live one is 1")
-        assert fed(Confirm(5, 2)) == "no: not on trial" and fed(Confirm(5, 1)) == "ok" and fed.machine.open == (1,)
+        assert (
+            fed(Confirm(5, 2)) == "no: not on trial"
+            and fed(Confirm(5, 1)) == "ok"
+            and fed.machine.candidate_versions == (1,)
+        )
         fed.push(ban("e2"), live=False)
-        assert fed(Withdraw(5, 2, "c2: engine: no")) == "ok" and fed.machine.open == (1,) and fed.machine.last == 2
-        assert fed.machine.news[-1].why == "c2: engine: no" and fed.machine.history.get(2) is None
+        assert (
+            fed(Withdraw(5, 2, "c2: engine: no")) == "ok"
+            and fed.machine.candidate_versions == (1,)
+            and fed.machine.last_version == 2
+        )
+        assert fed.machine.events[-1].reason == "c2: engine: no" and fed.machine.versions.get(2) is None
         assert fed.push(ban("e3")).rules == fed.machine.version(3).rules
 
     def test_a_publisher_of_the_past_is_refused_whatever_it_says(self):
@@ -103,16 +109,16 @@
             Activate(-1, 2),
         ):
             assert fed(word) == "no: stale", word
-        assert fed.machine.counts["stale"] == 9 and fed.machine.token == 9 and fed(Activate(9, 2)) == "ok"
+        assert fed.machine.counts["stale"] == 9 and fed.machine.highest_token == 9 and fed(Activate(9, 2)) == "ok"
 
     def test_a_version_that_came_twice_out_of_order_with_a_gap_or_spoilt_is_none(self):
         fed = Fed()
         changes = {f"ban/e{n}": Ban(f"e{n}", random.Random(n).randbytes(90).hex()) for n in range(1_500)}
-        made = EMPTY.next(1, changes)
-        pieces = cut(pack(changes))
+        made = EMPTY_VERSION.child(1, changes)
+        pieces = split_into_pieces(pack_changes(changes))
         assert len(pieces) > 2
 
-        def piece(at, number=1, data=None, digest=made.sum):
+        def piece(at, number=1, data=None, digest=made.digest_bytes):
             return fed(DraftPiece("op", 1, number, 0, digest, at, len(pieces), pieces[at] if data is None else data))
 
         assert piece(1) == "no: gap 0" and piece(0) == "ok" and piece(2) == "no: gap 1"
@@ -125,15 +131,18 @@
         spoilt = b"".join(pieces)[:-1] + b"x"
         for number, digest, data in (
             (2, b"x" * 16, b"".join(pieces)),
-            (3, made.sum, spoilt),
-            (4, made.sum, spoilt[:99]),
+            (3, made.digest_bytes, spoilt),
+            (4, made.digest_bytes, spoilt[:99]),
         ):
-            for at, part in enumerate(cut(data)):
-                assert fed(DraftPiece("op", 1, number, 0, digest, at, len(cut(data)), part)) == "ok"
+            for at, part in enumerate(split_into_pieces(data)):
+                assert fed(DraftPiece("op", 1, number, 0, digest, at, len(split_into_pieces(data)), part)) == "ok"
             assert fed(PublishVersion(5, f"op/1/{number}")).startswith(("no: checksum", "no: the version's bytes"))
         assert fed(PublishVersion(5, "op/1/1")) == "ok 1" and fed.machine.version(1).rules == made.rules
         assert fed(PublishVersion(5, "op/1/1")) == "no: unknown", "the same publication twice"
-        assert fed.machine.apply(fed.index, encode(Activate(5, 1))) == b"no: old" and fed.machine.live == 0
+        assert (
+            fed.machine.apply(fed.index, encode_command(Activate(5, 1))) == b"no: old"
+            and fed.machine.active_version == 0
+        )
         assert {fed.machine.counts[what] for what in ("gap", "repeat", "other", "old")} >= {1}
 
     def test_a_long_version_is_made_ahead_in_slices_and_its_publication_makes_nothing(self):
@@ -141,75 +150,85 @@
         for one in (fed, twin):
             one.draft(changes)
         slices = 0
-        while fed.machine.unmade:
-            fed.machine.make()
+        while fed.machine.has_unbuilt_draft:
+            fed.machine.build_slice()
             slices += 1
         assert slices > 60
-        with mock.patch("frostspindle.settings.agreement.unpacking", side_effect=AssertionError("made again")):
+        with mock.patch(
+            "frostspindle.settings.version_build.unpack_changes_in_slices", side_effect=AssertionError("made again")
+        ):
             assert fed(PublishVersion(5, "me/1/1")) == "ok 1"
-        with mock.patch("frostspindle.settings.decisions.adjacent", side_effect=AssertionError("met again")):
+        with mock.patch(
+            "frostspindle.settings.member_decisions.intersect_with_child", side_effect=AssertionError("met again")
+        ):
             holder = MemberDecisions("c1", 1, TERMS, fed.machine, 0.0)
-            assert len(holder._meet((EMPTY, fed.machine.version(1)), "pending").rules) == 3_000
+            assert len(holder._intersection((EMPTY_VERSION, fed.machine.version(1)), "pending").rules) == 3_000
         assert twin(PublishVersion(5, "me/1/1")) == "ok 1" and twin.machine.state() == fed.machine.state()
         assert fed(Activate(5, 1)) == "ok" and fed(Confirm(5, 1)) == "ok"
         # What a draft would go back to may be gone until it is published; a bad one says so at its publication.
-        assert fed(DraftPiece("me", 1, 99, -1, b"x" * 16, 0, 1, bytes(9_000), to=0)) == "ok" and not fed.machine.unmade
+        assert (
+            fed(DraftPiece("me", 1, 99, -1, b"x" * 16, 0, 1, bytes(9_000), target_version=0)) == "ok"
+            and not fed.machine.has_unbuilt_draft
+        )
         assert fed(PublishVersion(5, "me/1/99")).startswith("ok")
         assert fed(Withdraw(5, 2, "")) == "ok"
-        made = fed.machine.version(1).next(2, {f"ban/f{n}": Ban(f"f{n}", "x" * 40) for n in range(3_000)})
-        assert fed(DraftPiece("me", 1, 100, 1, b"x" * 16, 0, 1, pack(made.changes))) == "ok"
-        while fed.machine.unmade:
-            fed.machine.make()
+        made = fed.machine.version(1).child(2, {f"ban/f{n}": Ban(f"f{n}", "x" * 40) for n in range(3_000)})
+        assert fed(DraftPiece("me", 1, 100, 1, b"x" * 16, 0, 1, pack_changes(made.changes))) == "ok"
+        while fed.machine.has_unbuilt_draft:
+            fed.machine.build_slice()
         assert fed(PublishVersion(5, "me/1/100")).startswith("no: checksum")
 
     def test_what_harmed_is_rolled_back_under_a_new_number_and_not_taken_again(self):
         fed = Fed()
         good, bad = fed.push(ban("e1")), fed.push(ban("e2"), proven=False)
         assert fed(Rollback(5, 1, "")) == "no: not on trial"
-        assert fed(Rollback(5, 2, "failed: 40%")) == "ok 3" and fed.machine.open == (1, 2, 3)
+        assert fed(Rollback(5, 2, "failed: 40%")) == "ok 3" and fed.machine.candidate_versions == (1, 2, 3)
         assert fed.machine.version(3).rules == good.rules and fed(Rollback(5, 2, "")) == "no: not on trial"
         assert fed(Activate(5, 3)) == "ok" and fed(Rollback(5, 3, "")).startswith("no: its rules are the proven ones")
         assert fed(Confirm(5, 3)) == "ok"
         word, made = draft(fed.machine.version(3), ban("e2"), 50)
         assert made.digest == bad.digest and fed(word) == "ok"
         assert fed(PublishVersion(5, word.key)).startswith("no: harmful: these are the rules of version 2")
-        assert fed(DraftPiece("op", 1, 51, -1, b"\0" * 16, to=2)) == "ok"
+        assert fed(DraftPiece("op", 1, 51, -1, b"\0" * 16, target_version=2)) == "ok"
         assert fed(PublishVersion(5, "op/1/51")).startswith("no: harmful")
         fed.push(ban("e3"))
 
     def test_rollback_goes_to_any_of_the_last_versions_and_no_further(self):
         fed = Fed()
-        tables = [fed.push(ban(f"e{n}")).rules for n in range(KEPT + 4)]
-        assert len(fed.machine.history) == KEPT
-        for number, to in enumerate((KEPT + 3, 6, 1, KEPT + 4, 99), 100):
-            assert fed(DraftPiece("op", 1, number, -1, b"\0" * 16, to=to)) == "ok"
-        assert fed(PublishVersion(5, "op/1/100")) == f"ok {KEPT + 5}"
-        assert fed.machine.version(KEPT + 5).rules == tables[KEPT + 2] and fed(Activate(5, KEPT + 5)) == "ok"
+        tables = [fed.push(ban(f"e{n}")).rules for n in range(KEPT_VERSIONS + 4)]
+        assert len(fed.machine.versions) == KEPT_VERSIONS
+        for number, to in enumerate((KEPT_VERSIONS + 3, 6, 1, KEPT_VERSIONS + 4, 99), 100):
+            assert fed(DraftPiece("op", 1, number, -1, b"\0" * 16, target_version=to)) == "ok"
+        assert fed(PublishVersion(5, "op/1/100")) == f"ok {KEPT_VERSIONS + 5}"
+        assert (
+            fed.machine.version(KEPT_VERSIONS + 5).rules == tables[KEPT_VERSIONS + 2]
+            and fed(Activate(5, KEPT_VERSIONS + 5)) == "ok"
+        )
         assert (
             fed(PublishVersion(5, "op/1/101")).startswith("ok")
-            and fed.machine.version(fed.machine.last).rules == tables[5]
+            and fed.machine.version(fed.machine.last_version).rules == tables[5]
         )
-        assert fed(Activate(5, fed.machine.last)) == "ok"
+        assert fed(Activate(5, fed.machine.last_version)) == "ok"
         for number, why in ((102, "version 1 is not kept"), (103, ""), (104, "version 99 is not kept")):
             assert why in fed(PublishVersion(5, f"op/1/{number}"))
-            if fed.machine.pending:
-                fed(Activate(5, fed.machine.pending))
+            if fed.machine.pending_version:
+                fed(Activate(5, fed.machine.pending_version))
 
     def test_every_table_is_bounded_and_says_so(self):
         fed = Fed()
-        for number in range(agreement.MOST_DRAFTS):
-            assert fed(draft(EMPTY, ban("e1"), number, f"op{number}")[0]) == "ok"
-        assert fed(draft(EMPTY, ban("e1"), 99)[0]).startswith("no: full") and fed.machine.counts["full"] == 1
+        for number in range(drafts.MAX_DRAFTS):
+            assert fed(draft(EMPTY_VERSION, ban("e1"), number, f"op{number}")[0]) == "ok"
+        assert fed(draft(EMPTY_VERSION, ban("e1"), 99)[0]).startswith("no: full") and fed.machine.counts["full"] == 1
         fed = Fed()
         for number in range(4):  # who begins anew gives up the draft that it left half-way
-            assert fed(DraftPiece("op", 1, number, 0, b"x" * 16, 0, 9, b"y" * PIECE)) == "ok"
+            assert fed(DraftPiece("op", 1, number, 0, b"x" * 16, 0, 9, b"y" * PIECE_BYTES)) == "ok"
         assert len(fed.machine.drafts) == 1
         for number in range(30):
-            told = fed(DraftPiece(f"o{number}", 1, 1, 0, b"x" * 16, 0, 9, b"y" * PIECE))
-        assert told.startswith("no: full") and fed.machine._waiting() <= agreement.DRAFT_BYTES
-        for number in range(agreement.MOST_MEMBERS + 1):
+            told = fed(DraftPiece(f"o{number}", 1, 1, 0, b"x" * 16, 0, 9, b"y" * PIECE_BYTES))
+        assert told.startswith("no: full") and drafts.total_bytes(fed.machine.drafts) <= drafts.MAX_DRAFT_BYTES
+        for number in range(state_machine.MAX_MEMBERS + 1):
             told = fed(RenewLease(f"c{number}", 1, 1))
-        assert told.startswith("no: full") and len(fed.machine.members) == agreement.MOST_MEMBERS
+        assert told.startswith("no: full") and len(fed.machine.members) == state_machine.MAX_MEMBERS
         assert [fed(word) for word in (RenewLease("c1", 1, 2), RenewLease("c1", 1, 2), RenewLease("c1", 0, 9))] == [
             "ok",
             "no: old",
@@ -217,9 +236,9 @@
         ]
         for word in (
             RenewLease("c" * 65, 1, 1),
-            RenewLease("c1", 1, 5, why="x" * 999),
-            RenewLease("c1", 1, 5, seen=(-1,)),
-            RenewLease("c1", 1, 5, seen=(0,) * 65),
+            RenewLease("c1", 1, 5, reason="x" * 999),
+            RenewLease("c1", 1, 5, figures=(-1,)),
+            RenewLease("c1", 1, 5, figures=(0,) * 65),
         ):
             assert fed(word) == "no: bounds"
         assert fed(RemoveMember(5, "c1", 1, 1)) == "no: heard since" and fed(RemoveMember(5, "c1", 1, 2)) == "ok"
@@ -230,9 +249,12 @@
         )
         for _ in range(100):
             fed.push(ban(str(fed.index)), proven=False)
-            fed(Rollback(5, fed.machine.live, "x"))
-            fed(Activate(5, fed.machine.pending))
-        assert len(fed.machine.bad) == agreement.MOST_BAD and len(fed.machine.news) == agreement.MOST_NEWS
+            fed(Rollback(5, fed.machine.active_version, "x"))
+            fed(Activate(5, fed.machine.pending_version))
+        assert (
+            len(fed.machine.rolled_back_digests) == state_machine.MAX_ROLLED_BACK
+            and len(fed.machine.events) == state_machine.MAX_EVENTS
+        )
 
     def test_versions_too_large_for_a_snapshot_are_refused_and_others_go_on(self):
         fed = Fed()
@@ -245,7 +267,10 @@
 
     def test_whatever_the_bytes_nothing_is_raised(self):
         fed, rng = Fed(), random.Random(3)
-        good = [encode(word) for word in (draft(EMPTY, ban("e1"))[0], RenewLease("c1", 1, 1), Activate(5, 1))]
+        good = [
+            encode_command(word)
+            for word in (draft(EMPTY_VERSION, ban("e1"))[0], RenewLease("c1", 1, 1), Activate(5, 1))
+        ]
         for _ in range(600):
             data = bytearray(rng.choice(good) if rng.random() < 0.8 else rng.randbytes(rng.randrange(60)))
             for _ in range(rng.randrange(4)):
@@ -268,34 +293,40 @@
             if step % 10 == 0:
                 twin = SettingsStateMachine()
                 twin.restore(fed.index, fed.machine.state())
-                word, _ = draft(fed.machine.version(fed.machine.live), ban("g"), 999)
+                word, _ = draft(fed.machine.version(fed.machine.active_version), ban("g"), 999)
                 for machine in (twin, fed.machine):
-                    machine.apply(fed.index + 1, encode(word))
-                    told = machine.apply(fed.index + 2, encode(PublishVersion(5, word.key)))
-                    machine.apply(fed.index + 3, encode(Withdraw(5, machine.pending, "")))
+                    machine.apply(fed.index + 1, encode_command(word))
+                    told = machine.apply(fed.index + 2, encode_command(PublishVersion(5, word.key)))
+                    machine.apply(fed.index + 3, encode_command(Withdraw(5, machine.pending_version, "")))
                     assert told.startswith(b"ok")
                 fed.index += 4
-                assert (twin.open, twin.members, twin.bad) == (fed.machine.open, fed.machine.members, fed.machine.bad)
+                assert (twin.candidate_versions, twin.members, twin.rolled_back_digests) == (
+                    fed.machine.candidate_versions,
+                    fed.machine.members,
+                    fed.machine.rolled_back_digests,
+                )
         data = fed.machine.state()
         for spoilt in (data[:-3], b"", b"x", data[:40] + b"x" + data[41:]):
             with pytest.raises(ValueError):
                 twin.restore(1, spoilt)
-        assert twin.live
+        assert twin.active_version
 
 
 def agreed(count=3, **more):
     """A world whose coordinators act on version 1 plainly, with e1 banned."""
     world = World(count, **more)
-    world.nodes["c0"].publisher.take(0.0, 10)
-    world.propose(draft(EMPTY, ban("e1"))[0])
+    world.nodes["c0"].publisher.on_lease_acquired(0.0, 10)
+    world.propose(draft(EMPTY_VERSION, ban("e1"))[0])
     world.settle(16)
-    assert {acting.plain for acting in world.acting().values()} == {1} and world.nodes["c0"].machine.proven == 1
+    assert {acting.sole_version for acting in world.active_rules().values()} == {1} and world.nodes[
+        "c0"
+    ].machine.confirmed_version == 1
     return world
 
 
 def push(world, changes, number, base=None):
     node = next(iter(world.nodes.values()))
-    word, _ = draft(base or node.machine.version(node.machine.live), changes, number)
+    word, _ = draft(base or node.machine.version(node.machine.active_version), changes, number)
     world.propose(word)
 
 
@@ -306,26 +337,26 @@
         world.apply("c0", 99)
         assert isinstance(world.publish("c0"), PublishVersion)
         world.apply("c1", 99)
-        c1 = world.nodes["c1"].holder
-        assert (c1.applied.mode, c1.applied.versions, c1.applied.why) == (MEET, (1, 2), "pending")
-        assert c1._acked() == 1, "not kept yet"
-        assert world.keep("c1") and world.hold("c1").acked == 2
+        c1 = world.nodes["c1"].member
+        assert (c1.applied.mode, c1.applied.versions, c1.applied.reason) == (RulesMode.INTERSECTION, (1, 2), "pending")
+        assert c1._acknowledged_version() == 1, "not kept yet"
+        assert world.keep("c1") and world.hold("c1").acknowledged == 2
         world.apply("c0", 99)
         assert world.publish("c0") is None, "c2 has not said a word, and may act on version 1"
         world.settle(3)
-        assert {acting.plain for acting in world.acting().values()} == {2}
+        assert {acting.sole_version for acting in world.active_rules().values()} == {2}
 
     def test_a_lease_counts_from_before_its_hold_was_proposed_however_late_that_is_applied(self):
         world = agreed()
-        holder = world.nodes["c1"].holder
+        holder = world.nodes["c1"].member
         world.pass_time(500.0)
         assert world.hold("c1") is not None
         asked = world.now
         world.pass_time(1_300.0)
         world.apply("c1", 99)
-        assert holder.until == asked + TERMS.own_ms
+        assert holder.lease_until_ms == asked + TERMS.own_lease_ms
         world.pass_time(701.0)
-        assert world.acting()["c1"].why == "alone"
+        assert world.active_rules()["c1"].reason == "alone"
 
     def test_a_start_whose_log_is_behind_what_it_kept_goes_on_keeping_that(self):
         world = agreed()
@@ -335,11 +366,11 @@
         world.crash("c1")
         world.start("c1")
         node = world.nodes["c1"]
-        while node.machine.live < 1:
+        while node.machine.active_version < 1:
             world.apply("c1")
-        assert not world.keep("c1") and node.holder.look(world.now).versions == (1, 2)
+        assert not world.keep("c1") and node.member.current_rules(world.now).versions == (1, 2)
         world.settle(3)
-        assert world.acting()["c1"].plain == 2
+        assert world.active_rules()["c1"].sole_version == 2
 
     def test_who_does_not_hear_stops_acting_plainly_before_the_next_version_is_live(self):
         world = agreed()
@@ -354,30 +385,32 @@
                 world.apply(name, 99)
                 world.keep(name)
             world.pass_time(50.0)
-            if live_at is None and world.nodes["c0"].machine.live == 2:
+            if live_at is None and world.nodes["c0"].machine.active_version == 2:
                 live_at = world.now
-                assert world.acting()["c2"].mode == MEET
+                assert world.active_rules()["c2"].mode == RulesMode.INTERSECTION
             assert world.fault() is None
-        assert live_at is not None and world.acting()["c2"].why == "alone"
-        assert world.nodes["c2"].holder.counts["leases_lost"] == 1
+        assert live_at is not None and world.active_rules()["c2"].reason == "alone"
+        assert world.nodes["c2"].member.counts["leases_lost"] == 1
         world.settle(4)
-        assert {acting.plain for acting in world.acting().values()} == {2}
+        assert {acting.sole_version for acting in world.active_rules().values()} == {2}
 
     def test_alone_in_the_strict_mode_it_refuses(self):
-        world = agreed(terms=AgreementSettings(2_000.0, 0.0, 4_000.0, alone=REFUSE))
+        world = agreed(terms=AgreementSettings(2_000.0, 0.0, 4_000.0, isolation_mode=RulesMode.REJECT))
         world.pass_time(2_000.0)
-        assert {(acting.mode, acting.why) for acting in world.acting().values()} == {(REFUSE, "alone")}
+        assert {(acting.mode, acting.reason) for acting in world.active_rules().values()} == {
+            (RulesMode.REJECT, "alone")
+        }
         world.crash("c1")
         world.start("c1")
-        assert world.acting()["c1"].mode == REFUSE
+        assert world.active_rules()["c1"].mode == RulesMode.REJECT
         world.crash("c2")
         world.disks["c2"] = type(world.disks["c2"])()
         world.start("c2")
-        assert world.acting()["c2"].mode == FILE, "nothing was ever agreed as far as it knows"
+        assert world.active_rules()["c2"].mode == RulesMode.LOCAL_FILES, "nothing was ever agreed as far as it knows"
 
     def test_a_clock_that_is_slow_by_the_drift_is_still_covered(self):
         terms = AgreementSettings(2_000.0, 0.05)
-        assert terms.own_ms / (1.0 - terms.drift) <= terms.lease_ms <= terms.wait_ms / (1.0 + terms.drift)
+        assert terms.own_lease_ms / (1.0 - terms.drift) <= terms.lease_ms <= terms.peer_lease_ms / (1.0 + terms.drift)
 
     def test_one_that_can_not_take_it_has_it_withdrawn_and_says_why(self):
         world = agreed(
@@ -385,13 +418,13 @@
         )
         push(world, ban("e2"), 2)
         world.settle(4)
-        news = world.nodes["c0"].machine.news
-        assert [(line.what, line.version, line.why) for line in news][-1] == (
+        news = world.nodes["c0"].machine.events
+        assert [(line.what, line.version, line.reason) for line in news][-1] == (
             "withdrawn",
             2,
             "c2: limits.x: needs a new start",
         )
-        assert {acting.plain for acting in world.acting().values()} == {1} and world.fault() is None
+        assert {acting.sole_version for acting in world.active_rules().values()} == {1} and world.fault() is None
 
     def test_one_that_starts_late_and_can_not_take_the_live_one_acts_on_the_meet(self):
         world = agreed(fits=lambda name, version: "no" * (name == "c2" and "ban/e2" in version.rules))
@@ -399,12 +432,12 @@
         world.pass_time(5_000.0)
         push(world, ban("e2"), 2)
         world.settle(20)
-        assert world.nodes["c0"].machine.live == 2
+        assert world.nodes["c0"].machine.active_version == 2
         world.start("c2")
         world.settle(6)
-        acting = world.acting()["c2"]
-        assert (acting.mode, acting.why) == (MEET, "unfit") and world.fault() is None
-        assert world.nodes["c0"].machine.members["c2"].hold.refused == 2
+        acting = world.active_rules()["c2"]
+        assert (acting.mode, acting.reason) == (RulesMode.INTERSECTION, "unfit") and world.fault() is None
+        assert world.nodes["c0"].machine.members["c2"].renewal.rejected == 2
 
     def test_a_publisher_that_dies_between_the_log_and_its_acknowledgements_is_followed_by_the_next(self):
         world = agreed()
@@ -412,20 +445,20 @@
         world.apply("c0", 99)
         assert isinstance(world.publish("c0"), PublishVersion)
         world.crash("c0")
-        world.nodes["c1"].publisher.take(world.now, 20)
+        world.nodes["c1"].publisher.on_lease_acquired(world.now, 20)
         for _ in range(12):
             world.settle(1)
             assert world.fault() is None
-        assert {acting.plain for acting in world.acting().values()} == {2}
+        assert {acting.sole_version for acting in world.active_rules().values()} == {2}
 
     def test_two_publishers_at_once_never_have_two_versions_live(self):
         world = agreed()
-        world.nodes["c1"].publisher.take(world.now, 20)  # c0 has not noticed
+        world.nodes["c1"].publisher.on_lease_acquired(world.now, 20)  # c0 has not noticed
         for number in range(2, 8):
             push(world, ban(f"e{number}"), number)
             world.settle(4)
             assert world.fault() is None
-        assert world.nodes["c2"].machine.counts["stale"] and world.nodes["c2"].machine.live == 7
+        assert world.nodes["c2"].machine.counts["stale"] and world.nodes["c2"].machine.active_version == 7
 
     def test_a_start_without_the_fleet_meets_all_that_may_be_live(self):
         world = agreed()
@@ -438,28 +471,28 @@
         assert world.keep("c1")
         world.crash("c1")
         world.start("c1")
-        acting = world.acting()["c1"]
-        assert (acting.mode, acting.versions, acting.why) == (MEET, (1, 2), "start")
+        acting = world.active_rules()["c1"]
+        assert (acting.mode, acting.versions, acting.reason) == (RulesMode.INTERSECTION, (1, 2), "start")
         assert set(acting.rules) == {"ban/e1", "ban/e2"}
         world.settle(4)
-        assert {acting.plain for acting in world.acting().values()} == {2}
+        assert {acting.sole_version for acting in world.active_rules().values()} == {2}
 
     def test_members_that_fell_silent_are_forgotten_and_one_that_left_is_not_waited_for(self):
         world = agreed()
         world.crash("c2")
         push(world, ban("e2"), 2)
         before = world.now
-        while world.nodes["c0"].machine.live == 1:
+        while world.nodes["c0"].machine.active_version == 1:
             world.settle(1, 50.0)
         assert 1_500.0 <= world.now - before <= 2_200.0, "the silent one is waited for, its lease long"
         world.settle(14)
         assert set(world.nodes["c0"].machine.members) == {"c0", "c1"}
-        world.propose(world.nodes["c1"].holder.leave())
-        assert world.acting()["c1"].mode == MEET, "who leaves acts on nothing plainly any more"
+        world.propose(world.nodes["c1"].member.leave())
+        assert world.active_rules()["c1"].mode == RulesMode.INTERSECTION, "who leaves acts on nothing plainly any more"
         world.crash("c1")
         push(world, ban("e3"), 3)
         before = world.now
-        while world.nodes["c0"].machine.live == 2:
+        while world.nodes["c0"].machine.active_version == 2:
             world.settle(1, 50.0)
         assert world.now - before <= 400.0
 
@@ -474,38 +507,38 @@
         publisher = PublisherDecisions(TERMS, fed.machine, CanaryCheck())
         for n in range(9):
             assert fed(RenewLease(f"c{n}", 1, 1)) == "ok"
-        publisher.take(0.0, 5)
-        assert publisher.decide(0.0) is None
+        publisher.on_lease_acquired(0.0, 5)
+        assert publisher.next_command(0.0) is None
         for n in (*range(3), *range(4, 9)):
-            assert fed(RenewLease(f"c{n}", 1, 2, seen=(*range(4), *[0] * BUCKETS))) == "ok"
+            assert fed(RenewLease(f"c{n}", 1, 2, figures=(*range(4), *[0] * LATENCY_BUCKETS))) == "ok"
         plain, fed.machine.members = fed.machine.members, Many(fed.machine.members)
-        assert publisher.decide(3_000.0) is None and publisher.judge._windows[-1][3] == 24
-        assert publisher.decide(4_000.0) == RemoveMember(5, "c3", 1, 1)
+        assert publisher.next_command(3_000.0) is None and publisher.canary._windows[-1][3] == 24
+        assert publisher.next_command(4_000.0) == RemoveMember(5, "c3", 1, 1)
         fed.machine.members = plain
         assert fed(RemoveMember(5, "c3", 1, 1)) == "ok" and fed(MemberLeaving("c8", 1)) == "ok"
-        publisher.decide(4_100.0)
-        assert publisher._seen.keys() == plain.keys() and publisher.judge._windows[-1][3] == 21
+        publisher.next_command(4_100.0)
+        assert publisher._last_renewals.keys() == plain.keys() and publisher.canary._windows[-1][3] == 21
         late = SettingsStateMachine()
         for n in (1, 99):
-            late.apply(n, encode(RenewLease(f"c{n}", 1, 9)))
+            late.apply(n, encode_command(RenewLease(f"c{n}", 1, 9)))
         fed.machine.restore(fed.index, late.state())
-        publisher.decide(4_200.0)
-        assert publisher._seen.keys() == {"c1", "c99"} and not publisher.judge._windows[-1][3]
-        publisher.take(4_300.0, 6)
-        assert publisher.decide(4_300.0) is None and publisher.decide(8_400.0).name == "c1"
+        publisher.next_command(4_200.0)
+        assert publisher._last_renewals.keys() == {"c1", "c99"} and not publisher.canary._windows[-1][3]
+        publisher.on_lease_acquired(4_300.0, 6)
+        assert publisher.next_command(4_300.0) is None and publisher.next_command(8_400.0).name == "c1"
 
     def test_harm_is_rolled_back_by_the_publisher_and_the_next_version_is_taken(self):
-        world, figures = agreed(1), [0] * (HEAD + BUCKETS)
+        world, figures = agreed(1), [0] * (HEADER_FIGURES + LATENCY_BUCKETS)
         node = world.nodes["c0"]
-        node.publisher.judge = CanaryCheck()
-        holder = node.holder
+        node.publisher.canary = CanaryCheck()
+        holder = node.member
 
         def run(fails, steps):
             for _ in range(steps):
                 figures[0] += 100
                 figures[1] += fails
-                figures[HEAD + 3] += 100
-                word = holder.holds(world.now, tuple(figures))
+                figures[HEADER_FIGURES + 3] += 100
+                word = holder.next_renewal(world.now, tuple(figures))
                 if word is not None:
                     world.propose(word)
                 world.apply("c0", 99)
@@ -517,28 +550,28 @@
         run(0, 120)
         push(world, ban("e2"), 2)
         run(0, 8)
-        assert node.machine.live == 2 and node.machine.trial
+        assert node.machine.active_version == 2 and node.machine.trial_index
         run(30, 40)
-        news = [line for line in node.machine.news if line.what == "rolled back"]
-        assert len(news) == 1 and news[0].why.startswith("failed: ")
-        assert node.machine.version(node.machine.live).rules == node.machine.version(1).rules
+        news = [line for line in node.machine.events if line.what == "rolled back"]
+        assert len(news) == 1 and news[0].reason.startswith("failed: ")
+        assert node.machine.version(node.machine.active_version).rules == node.machine.version(1).rules
         push(world, ban("e2"), 3)
         run(0, 10)
-        assert node.machine.news[-1].why.startswith("harmful")
+        assert node.machine.events[-1].reason.startswith("harmful")
         push(world, ban("e4"), 4)
         run(0, 10)
-        assert "ban/e4" in node.machine.version(node.machine.live).rules
+        assert "ban/e4" in node.machine.version(node.machine.active_version).rules
 
     def test_the_next_publisher_judges_by_what_was_usual_before_the_version_and_rolls_it_back(self):
-        world, counts = agreed(), {name: [0] * (HEAD + BUCKETS) for name in ("c0", "c1", "c2")}
+        world, counts = agreed(), {name: [0] * (HEADER_FIGURES + LATENCY_BUCKETS) for name in ("c0", "c1", "c2")}
 
         def run(fails, until, steps=100):
             for _ in range(steps):
                 for name, node in world.nodes.items():
-                    node.publisher.judge = node.publisher.judge or CanaryCheck()
-                    for place, more in ((0, 50), (1, fails), (HEAD + 3, 50)):
+                    node.publisher.canary = node.publisher.canary or CanaryCheck()
+                    for place, more in ((0, 50), (1, fails), (HEADER_FIGURES + 3, 50)):
                         counts[name][place] += more
-                    if (word := node.holder.holds(world.now, tuple(counts[name]))) is not None:
+                    if (word := node.member.next_renewal(world.now, tuple(counts[name]))) is not None:
                         world.propose(word)
                     world.publish(name)
                 for name in world.nodes:
@@ -551,9 +584,9 @@
 
         run(0, lambda machine: world.now > 30_000.0, 400)
         push(world, ban("e2"), 2)
-        run(0, lambda machine: machine.live == 2)
-        trial = world.nodes["c0"].machine.usual
-        assert trial[1] > 1_000 and world.nodes["c0"].machine.trial
+        run(0, lambda machine: machine.active_version == 2)
+        trial = world.nodes["c0"].machine.baseline
+        assert trial[1] > 1_000 and world.nodes["c0"].machine.trial_index
         # Its publisher dies, and so do the others, who saw the time before it; one that has seen none of it publishes.
         state, at = world.nodes["c1"].machine.state(), world.nodes["c1"].at
         for name in ("c0", "c1", "c2"):
@@ -562,12 +595,12 @@
         node = world.nodes["c1"]
         node.machine.restore(at, state)
         node.at = at
-        assert node.machine.usual == trial
-        node.publisher.take(world.now, 20)
-        run(20, lambda machine: machine.pending)
-        assert node.machine.news[-1].what == "rolled back" and node.machine.news[-1].why.startswith("failed: ")
-        run(20, lambda machine: machine.live == 3)
-        assert node.machine.version(3).rules == node.machine.version(1).rules and node.machine.usual == trial
+        assert node.machine.baseline == trial
+        node.publisher.on_lease_acquired(world.now, 20)
+        run(20, lambda machine: machine.pending_version)
+        assert node.machine.events[-1].what == "rolled back" and node.machine.events[-1].reason.startswith("failed: ")
+        run(20, lambda machine: machine.active_version == 3)
+        assert node.machine.version(3).rules == node.machine.version(1).rules and node.machine.baseline == trial
         fed = Fed()
         fed.push(ban("e1"), live=False)
         for usual in ((1.0,) * 17, (-1.0,), (float("nan"),), (float("inf"),)):
@@ -577,13 +610,16 @@
 class TestAudit:
     def test_the_longest_contradiction_is_found_over_all_pairs(self):
         always = lambda one, two: True  # noqa: E731
-        assert longest([span("a", 1, 0, 10), span("b", 2, 10, 20)], always).longest_ms == 0
-        found = longest([span("a", 1, 0, 10), span("b", 2, 6, 20), span("c", 1, 9, 13)], always)
-        assert (found.longest_ms, found.whole_ms) == (7.0, 7.0)
-        assert longest([span("a", 1, 0, 10), span("a", 2, 5, 20)], always).longest_ms == 0
-        assert longest([span("a", 1, 0, 10), span("b", 2, 5, 20)], lambda one, two: False).longest_ms == 0
-        found = longest([span("a", 1, 0, 4), span("b", 2, 2, 9), span("c", 3, 8, 20)], always)
-        assert (found.longest_ms, found.whole_ms, found.who[0].node) == (2.0, 3.0, "a")
+        assert find_longest_contradiction([span("a", 1, 0, 10), span("b", 2, 10, 20)], always).longest_ms == 0
+        found = find_longest_contradiction([span("a", 1, 0, 10), span("b", 2, 6, 20), span("c", 1, 9, 13)], always)
+        assert (found.longest_ms, found.total_ms) == (7.0, 7.0)
+        assert find_longest_contradiction([span("a", 1, 0, 10), span("a", 2, 5, 20)], always).longest_ms == 0
+        assert (
+            find_longest_contradiction([span("a", 1, 0, 10), span("b", 2, 5, 20)], lambda one, two: False).longest_ms
+            == 0
+        )
+        found = find_longest_contradiction([span("a", 1, 0, 4), span("b", 2, 2, 9), span("c", 3, 8, 20)], always)
+        assert (found.longest_ms, found.total_ms, found.pair[0].node) == (2.0, 3.0, "a")
 
     def test_lines_of_logs_are_read_with_leases_that_ran_out_and_processes_that_were_killed(self):
         def line(node, at, mode, version, until=None):
@@ -603,12 +639,12 @@
             line("a", 50, "meet", 1, 40),
             line("a", 60, "version", 2),
         ]
-        assert sorted(spans(lines, {"b": 30.0}, 100.0), key=lambda s: (s.node, s.begins)) == [
+        assert sorted(read_active_periods(lines, {"b": 30.0}, 100.0), key=lambda s: (s.node, s.begins)) == [
             span("a", 1, 0, 40),
             span("a", 2, 60, 100),
             span("b", 1, 5, 30),
         ]
-        told = contradictions(
+        told = read_contradictions(
             [
                 {"event": "settings_version", "version": v, "parent": p, "contradicts": keys}
                 for v, p, keys in ((1, 0, []), (2, 1, ["ban/e1"]), (3, 2, []), (2, -1, []), (5, -1, []))
@@ -641,7 +677,7 @@
         while (
             node.at < len(world.log)
             and not node.publisher.token
-            and isinstance(word := agreement.read(world.log[node.at]), RenewLease)
+            and isinstance(word := log_commands.decode_command(world.log[node.at]), RenewLease)
             and word.name != name
         ):
             world.apply(name)
@@ -676,7 +712,7 @@
                 if node.publisher.token and other.publish(name) is not None:
                     yield f"publish {name}", other
             waits = any(
-                isinstance(word := agreement.read(entry), RenewLease)
+                isinstance(word := log_commands.decode_command(entry), RenewLease)
                 and word.name == name
                 and word.process == node.process
                 for entry in world.log[node.at :]
@@ -687,7 +723,7 @@
                     yield f"hold {name}", other
             if world.left["grants"] and not node.publisher.token:
                 other = spend("grants")
-                other.nodes[name].publisher.take(other.now, 20)
+                other.nodes[name].publisher.on_lease_acquired(other.now, 20)
                 yield f"grant {name}", other
             other = spend()
             if other.keep(name):
@@ -701,21 +737,21 @@
         def of(node):
             if node is None:
                 return None
-            holder, publisher, machine = node.holder, node.publisher, node.machine
+            holder, publisher, machine = node.member, node.publisher, node.machine
             return (
                 node.at,
                 node.process,
-                holder.heard,
-                max(-1.0, holder.until - world.now),
-                holder._said,
-                tuple(sorted(holder.durable)),
-                max(-1.0, holder._due - world.now),
-                machine.open,
-                machine.token,
-                tuple((n, at - world.now) for n, at in holder._asked.items()),
+                holder.has_renewed,
+                max(-1.0, holder.lease_until_ms - world.now),
+                holder._last_reported,
+                tuple(sorted(holder.durable_digests)),
+                max(-1.0, holder._renewal_due_ms - world.now),
+                machine.candidate_versions,
+                machine.highest_token,
+                tuple((n, at - world.now) for n, at in holder._renewals_in_flight.items()),
                 publisher.token,
-                publisher._pending[0],
-                max(-3e3, publisher._pending[1] - world.now),
+                publisher._pending_since[0],
+                max(-3e3, publisher._pending_since[1] - world.now),
             )
 
         return (
@@ -750,7 +786,7 @@
     def __init__(self):
         super().__init__()
         self.world, self.number, self.tokens = World(3, TERMS), 0, 10
-        self.world.nodes["c0"].publisher.take(0.0, 10)
+        self.world.nodes["c0"].publisher.on_lease_acquired(0.0, 10)
 
     names = st.sampled_from(["c0", "c1", "c2"])
 
@@ -764,7 +800,7 @@
         if node is None or len(self.world.log) > 400:
             return
         self.number += 1
-        live = node.machine.version(node.machine.live)
+        live = node.machine.version(node.machine.active_version)
         changes = {f"ban/e{engine}": None if f"ban/e{engine}" in live.rules else Ban(f"e{engine}")}
         if kind == "relies":
             changes = {
@@ -776,17 +812,17 @@
         word, _ = draft(live, changes, self.number)
         if kind in ("checksum", "cut", "gap", "base"):
             word = DraftPiece(
-                word.by,
+                word.author,
                 1,
                 word.number,
-                word.base + (kind == "base"),
+                word.base_version + (kind == "base"),
                 b"x" * 16 if kind == "checksum" else word.digest,
                 kind == "gap",
                 1 + (kind == "gap"),
                 word.data[:-3] if kind == "cut" else word.data,
             )
         elif kind == "back":
-            word = DraftPiece("op", 1, self.number, -1, word.digest, to=max(0, live.number - engine))
+            word = DraftPiece("op", 1, self.number, -1, word.digest, target_version=max(0, live.number - engine))
         for _ in range(2 if kind == "twice" else 1):
             self.world.propose(word)
 
@@ -814,7 +850,7 @@
     def grant(self, name):
         if name in self.world.nodes:
             self.tokens += 1
-            self.world.nodes[name].publisher.take(self.world.now, self.tokens)
+            self.world.nodes[name].publisher.on_lease_acquired(self.world.now, self.tokens)
 
     @rule(ms=st.sampled_from([10.0, 300.0, 900.0, 2_500.0]))
     def pass_time(self, ms):
@@ -844,7 +880,7 @@
         if donor.at > late.at:
             late.machine.restore(donor.at, donor.machine.state())
             late.at = donor.at
-            late.holder.told(self.world.now, b"", b"")
+            late.member.on_entry_applied(self.world.now, b"", b"")
             self.world.look(name)
 
     @invariant()
@@ -852,20 +888,23 @@
         assert self.world.fault() is None
         for node in self.world.nodes.values():
             machine = node.machine
-            assert machine.proven <= machine.live <= machine.last and machine.pending in (0, machine.last)
-            assert machine.pending == 0 or machine.pending > machine.live
-            for number in machine.open:
+            assert (
+                machine.confirmed_version <= machine.active_version <= machine.last_version
+                and machine.pending_version in (0, machine.last_version)
+            )
+            assert machine.pending_version == 0 or machine.pending_version > machine.active_version
+            for number in machine.candidate_versions:
                 machine.version(number)
 
     def teardown(self):
         if not self.world.nodes:
             self.world.start("c0")
         self.tokens += 1
-        next(iter(self.world.nodes.values())).publisher.take(self.world.now, self.tokens)
+        next(iter(self.world.nodes.values())).publisher.on_lease_acquired(self.world.now, self.tokens)
         self.world.settle(30)
-        told = self.world.acting()
-        assert len({acting.plain for acting in told.values()}) == 1 and all(
-            acting.mode in (VERSION, FILE) for acting in told.values()
+        told = self.world.active_rules()
+        assert len({acting.sole_version for acting in told.values()}) == 1 and all(
+            acting.mode in (RulesMode.VERSION, RulesMode.LOCAL_FILES) for acting in told.values()
         ), told
 
 
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -11,7 +11,7 @@
 from frostspindle.lab.faults.script import parse
 from frostspindle.lab.faults.settled import Agreeing
 from frostspindle.settings.schema import Ban, Class
-from frostspindle.settings.versions import pack
+from frostspindle.settings.version_encoding import pack_changes
 
 
 def bans(*names: str) -> str:
@@ -46,7 +46,7 @@
     rules = {"ban/x": Ban("x", str(number))}
     if kind == "unfit":
         rules["class/lookup"] = Class("lookup", effect="once")  # needs a new start
-    data = pack(rules)
+    data = pack_changes(rules)
     data = {"broken": data[:-2] + b"??", "cut": data[:-5]}.get(kind, data)
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"settings-push p{number} 0/1 {base64.b64encode(data).decode()}\n".encode())
