--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -24,14 +24,19 @@
 from frostspindle.net.operator import OperatorError
 from frostspindle.program import Program
 from frostspindle.replica.local import LocalLog
-from frostspindle.settings import agreement
-from frostspindle.settings.agreement import PublishVersion, SettingsStateMachine
-from frostspindle.settings.canary import BUCKETS, HEAD
-from frostspindle.settings.decisions import MEET, REFUSE, VERSION, ActiveRules, AgreementSettings, RestoredVersions
+from frostspindle.settings import log_commands
+from frostspindle.settings.active_rules import ActiveRules, RestoredVersions, RulesMode
+from frostspindle.settings.agreement_settings import AgreementSettings
+from frostspindle.settings.canary import HEADER_FIGURES, LATENCY_BUCKETS
+from frostspindle.settings.log_commands import PublishVersion
+from frostspindle.settings.operator_calls import OperatorCalls
 from frostspindle.settings.schema import Ban, Class, Coordinator, Engine, Limit, ListScope, Login, Tenant
-from frostspindle.settings.service import LocalOwnership, SettingsService
+from frostspindle.settings.service import SettingsService
+from frostspindle.settings.state_machine import SettingsStateMachine
+from frostspindle.settings.task_ownership import LocalOwnership
+from frostspindle.settings.version_encoding import pack_changes, split_into_pieces
 from frostspindle.settings.version_store import VersionStore
-from frostspindle.settings.versions import EMPTY, cut, pack
+from frostspindle.settings.versions import EMPTY_VERSION
 from frostspindle.store.base import StoreBrokenError
 from frostspindle.store.memory import MemoryStore
 from frostspindle.telemetry import Telemetry
@@ -164,7 +169,7 @@
 
     def test_with_the_strict_mode_nobody_permits_what_it_has_not_heard_is_forbidden(self):
         for refuse in (True, False):
-            terms = AgreementSettings(2_000.0, 0.01, 4_000.0, REFUSE if refuse else MEET)
+            terms = AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else RulesMode.INTERSECTION)
             blind = [
                 playing.measure(playing.play(5, seed, "5-13 cut 4|0-3", 18.0, terms=terms))["blind_ms"]
                 for seed in range(2)
@@ -180,7 +185,10 @@
         self.program = Program(read("[settings]\n" + TDS + TENANT, hosts, LB_OPERATOR="127.0.0.1:0"))
         self.addAsyncCleanup(self.close)
         self.core, self.applied = self.program.core, self.program.settings.applied
-        self.between, self.applied.between = self.applied.between, lambda old, new: None  # versions are of no machine
+        self.changed_keys, self.applied.changed_keys = (
+            self.applied.changed_keys,
+            lambda old, new: None,
+        )  # versions are of no machine
         self.program.bus.start()
         self.task = asyncio.create_task(self.core.run())
         self.bans = self.applied.follow(self.core.ban)
@@ -194,61 +202,65 @@
     async def quiet(self):
         for _ in range(400):
             await asyncio.sleep(0)
-            if not self.core.has_pending_changes and self.applied._listing is None:
+            if not self.core.has_pending_changes and self.applied.engine_list.task is None:
                 return
 
-    async def act(self, mode=VERSION, **rules):
-        table = EMPTY.rules
+    async def apply(self, mode=RulesMode.VERSION, **rules):
+        table = EMPTY_VERSION.rules
         for key, entry in rules.items():
             table = table.set(key.replace("__", "/", 2).replace("_dash_", "-"), entry)
-        self.applied.act(ActiveRules(mode, (1,), table))
+        self.applied.apply(ActiveRules(mode, (1,), table))
         await self.quiet()
         return {state.name: int(state.entry.health) for state in self.core.engines.values()}
 
     async def test_bans_and_drains_lie_over_the_staffs_and_go_with_their_version(self):
         self.bans(frozenset({"toy-0"}))
-        told = await self.act(ban__x=Ban("toy-1"), drain__y=Ban("toy-2"))
+        told = await self.apply(ban__x=Ban("toy-1"), drain__y=Ban("toy-2"))
         self.assertEqual((self.core.banned, set(told.values())), ({"toy-0", "toy-1", "toy-2"}, {2}))
         self.bans(frozenset())
         self.assertEqual(self.core.banned, {"toy-1", "toy-2"})
-        self.assertEqual(await self.act(), {"toy-0": 1, "toy-1": 1, "toy-2": 1})
+        self.assertEqual(await self.apply(), {"toy-0": 1, "toy-1": 1, "toy-2": 1})
 
     async def test_a_list_of_engines_takes_the_files_place_and_gives_it_back(self):
         rules = {"scope__http": ListScope(), "e0": None}
         del rules["e0"]
-        table = EMPTY.rules.set("scope/http", ListScope()).set("engine/http/toy-0", Engine("toy-0", "127.0.0.1:9000"))
+        table = EMPTY_VERSION.rules.set("scope/http", ListScope()).set(
+            "engine/http/toy-0", Engine("toy-0", "127.0.0.1:9000")
+        )
         table = table.set("engine/http/new", Engine("new", "127.0.0.1:9009"))
         for n in range(250):
             table = table.set(f"engine/http/x{n}", Engine(f"x{n}", "127.0.0.1:9", state="leaving"))
-        self.applied.act(ActiveRules(VERSION, (1,), table))
+        self.applied.apply(ActiveRules(RulesMode.VERSION, (1,), table))
         self.assertTrue({"toy-1", "toy-2"} <= self.core.banned, "who is not on the list gets nothing more, at once")
         for _ in range(3_000):
             await asyncio.sleep(0)
         told = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual([told[name] for name in ("toy-0", "toy-1", "new", "x7", "x249")], [1, 0, 1, 2, 2])
         with mock.patch.object(self.core, "ban", wraps=self.core.ban) as ban:
-            self.applied._told = ban
-            self.applied.act(ActiveRules(VERSION, (2,), table))
-            self.assertEqual((ban.call_count, "x7" in self.applied.out), (0, False), "it was never sent to")
-        self.applied.act(
-            ActiveRules(VERSION, (3,), table.set("engine/http/new", Engine("new", "127.0.0.1:9009", state="leaving")))
+            self.applied._set_bans = ban
+            self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), table))
+            self.assertEqual((ban.call_count, "x7" in self.applied.excluded), (0, False), "it was never sent to")
+        self.applied.apply(
+            ActiveRules(
+                RulesMode.VERSION, (3,), table.set("engine/http/new", Engine("new", "127.0.0.1:9009", state="leaving"))
+            )
         )
         self.assertIn("new", self.core.banned)
-        self.applied.act(ActiveRules(VERSION, (4,), EMPTY.rules))
+        self.applied.apply(ActiveRules(RulesMode.VERSION, (4,), EMPTY_VERSION.rules))
         await self.quiet()
         told = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual([told[name] for name in ("toy-0", "toy-1", "new", "x7")], [1, 1, 0, 0])
 
     async def test_shares_and_times_reach_the_module_and_the_starts_come_back(self):
         before = self.core.controller.s
-        await self.act(tenant__blue=Tenant("blue", 7.0), class__lookup=Class("lookup", 900.0, worth=9.0))
+        await self.apply(tenant__blue=Tenant("blue", 7.0), class__lookup=Class("lookup", 900.0, worth=9.0))
         now = self.core.controller.s
         self.assertEqual(
             (now.tenant_quotas_per_s[1], now.classes[0].latency_objective_ms, now.classes[0].priority_weight),
             (7.0, 900.0, 9.0),
         )
         self.assertEqual(now.classes[0].deadline_ms, before.classes[0].deadline_ms)
-        await self.act(tenant__blue=Tenant("blue", 0.0), class__report=Class("report", 800.0))
+        await self.apply(tenant__blue=Tenant("blue", 0.0), class__report=Class("report", 800.0))
         now = self.core.controller.s
         self.assertLess(0.0, now.tenant_quotas_per_s[1])
         self.assertLess(now.tenant_quotas_per_s[1], 0.001, "nothing is no bound to the module")
@@ -256,14 +268,14 @@
             [now.classes[n].latency_objective_ms for n in (0, 1, 3)],
             [before.classes[0].latency_objective_ms, 800.0, 800.0],
         )
-        await self.act()
+        await self.apply()
         self.assertEqual(self.core.controller.s, before)
 
     async def test_bounds_and_tds_reach_their_parts(self):
         program = self.program
         program.shared = SimpleNamespace(crowded=False)
         with mock.patch.object(self.core, "set_open_limit") as bound:
-            await self.act(
+            await self.apply(
                 limit__open_requests=Limit(40.0),
                 limit__tds_sessions=Limit(3.0),
                 scope__login=ListScope(),
@@ -274,16 +286,16 @@
         self.assertEqual((program.tds.tds.max_sessions, program.tds.tds.login[0].application), (3, "app"))
         self.assertEqual(program.tds_driver.tds.engine, [])
         fresh = read("[settings]\n" + TDS.replace("t1", "t2")).operator.tds
-        self.applied.again(fresh)  # SIGHUP: the file has another engine, but the version holds the list
+        self.applied.reapply(fresh)  # SIGHUP: the file has another engine, but the version holds the list
         self.assertEqual((program.tds.tds.max_sessions, program.tds.tds.engine), (3, []))
-        await self.act(mode=REFUSE)
+        await self.apply(mode=RulesMode.REJECT)
         self.assertEqual((self.core.most_open, [e.name for e in program.tds.tds.engine]), (0, ["t2"]))
-        await self.act()
+        await self.apply()
         self.assertGreater(self.core.most_open, 100)
 
     async def test_the_fence_holds_each_coordinators_part_of_a_bound_and_looks_first(self):
         self.applied.name = "c1"
-        table = EMPTY.rules
+        table = EMPTY_VERSION.rules
         for key, entry in (
             ("scope/http", ListScope()),
             ("scope/coordinator", ListScope()),
@@ -292,46 +304,48 @@
             *((f"engine/http/toy-{n}", Engine(f"toy-{n}", f"127.0.0.1:{9_000 + n}", most=5)) for n in range(2)),
         ):
             table = table.set(key, entry)
-        self.applied.act(ActiveRules(VERSION, (1,), table))
+        self.applied.apply(ActiveRules(RulesMode.VERSION, (1,), table))
         await self.quiet()
         states = {state.name: state for state in self.core.engines.values()}
         looks = []
-        self.applied.look = lambda: looks.append(1)
+        self.applied.refresh = lambda: looks.append(1)
 
         def attempt(name):
             ask = ClientRequest("http", 0, "t", "s", 0.0, 1.0, lambda answer: None)
             return Attempt(ask, 0, states[name].entry.engine, 0.0, 1.0, "lookup", 0.0, 1)
 
         sent = [attempt("toy-0") for _ in range(3)] + [attempt("toy-1") for _ in range(2)]
-        passed = [self.applied.fence(states["toy-0" if n < 3 else "toy-1"], one) for n, one in enumerate(sent)]
+        passed = [self.applied.may_send(states["toy-0" if n < 3 else "toy-1"], one) for n, one in enumerate(sent)]
         self.assertEqual((passed, len(looks)), ([True, True, False, True, False], 5))  # 2 of 5, and 3 of 7 in all
-        self.assertTrue(self.applied.fence(states["toy-0"], sent[0]), "asked again for one that has passed")
+        self.assertTrue(self.applied.may_send(states["toy-0"], sent[0]), "asked again for one that has passed")
         sent[0].over = True
-        self.assertTrue(self.applied.fence(states["toy-1"], sent[4]))
-        self.assertFalse(self.applied.fence(states["toy-2"], attempt("toy-2")), "not on the list")
+        self.assertTrue(self.applied.may_send(states["toy-1"], sent[4]))
+        self.assertFalse(self.applied.may_send(states["toy-2"], attempt("toy-2")), "not on the list")
         self.applied.name = "c9"
-        self.applied.act(ActiveRules(VERSION, (2,), table.set("limit/open_requests", Limit(50.0))))
+        self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), table.set("limit/open_requests", Limit(50.0))))
         sent[1].over = sent[3].over = sent[4].over = True
-        self.assertFalse(self.applied.fence(states["toy-0"], attempt("toy-0")), "without a part nothing is let through")
+        self.assertFalse(
+            self.applied.may_send(states["toy-0"], attempt("toy-0")), "without a part nothing is let through"
+        )
 
     async def test_parts_that_a_change_does_not_touch_are_left_alone(self):
         machine, calls = self.program.settings.service.machine, []
-        self.applied.between = self.between
-        one = EMPTY.next(1, {"ban/toy-1": Ban("toy-1")})
-        two = one.next(2, {"limit/open_requests": Limit(50.0)})
+        self.applied.changed_keys = self.changed_keys
+        one = EMPTY_VERSION.child(1, {"ban/toy-1": Ban("toy-1")})
+        two = one.child(2, {"limit/open_requests": Limit(50.0)})
         for version in (one, two):
-            machine.history.add(version)
+            machine.versions.add(version)
         self.program.bound = lambda: calls.append("bounds")
         self.program.shared = SimpleNamespace(crowded=False)
         with mock.patch.object(self.core, "ban", side_effect=lambda names: calls.append(sorted(names))) as ban:
-            self.applied._told = ban
+            self.applied._set_bans = ban
             for acting in (
-                ActiveRules(VERSION, (1,), one.rules),
-                ActiveRules(MEET, (1, 2), two.rules),
-                ActiveRules(VERSION, (2,), two.rules),
-                ActiveRules(VERSION, (1,), one.rules),
+                ActiveRules(RulesMode.VERSION, (1,), one.rules),
+                ActiveRules(RulesMode.INTERSECTION, (1, 2), two.rules),
+                ActiveRules(RulesMode.VERSION, (2,), two.rules),
+                ActiveRules(RulesMode.VERSION, (1,), one.rules),
             ):
-                self.applied.act(acting)
+                self.applied.apply(acting)
         self.assertEqual(calls, [["toy-1"], "bounds", "bounds", "bounds"])
 
     async def test_a_ban_among_many_entries_costs_what_it_touches(self):
@@ -340,8 +354,8 @@
                 raise AssertionError("all entries are looked through")
 
         one = {f"ban/b{n}": Ban(f"b{n}") for n in range(50)} | {"scope/http": ListScope()}
-        await self.act(**{key.replace("/", "__"): entry for key, entry in one.items()})
-        self.assertEqual((len(self.applied.out), "toy-1" in self.applied.out), (53, True))
+        await self.apply(**{key.replace("/", "__"): entry for key, entry in one.items()})
+        self.assertEqual((len(self.applied.excluded), "toy-1" in self.applied.excluded), (53, True))
         two = {
             **one,
             "drain/b0": Ban("b0"),
@@ -351,15 +365,15 @@
             "tenant/blue": Tenant("blue", 7.0),
         }
         del two["ban/b0"], two["ban/b1"]
-        self.applied.between = lambda old, new: {"engine/http/toy-1", "class/lookup", "tenant/blue"}
-        self.applied.act(ActiveRules(VERSION, (2,), Long(two)))
+        self.applied.changed_keys = lambda old, new: {"engine/http/toy-1", "class/lookup", "tenant/blue"}
+        self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), Long(two)))
         await self.quiet()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
             (self.core.controller.s.classes[0].latency_objective_ms, states["toy-1"], states["toy-2"]), (900.0, 1, 0)
         )
         del two["class/lookup"], two["engine/http/toy-1"]
-        self.applied.act(ActiveRules(VERSION, (2,), Long(two)))
+        self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), Long(two)))
         await self.quiet()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
@@ -370,12 +384,12 @@
             ),
             (self.program.config.settings.classes[0].latency_objective_ms, 7.0, 0),
         )
-        self.applied.between = lambda old, new: {"ban/b0", "ban/b1", "drain/b0", "ban/new"}
-        with mock.patch.object(self.applied, "_not_listed", side_effect=AssertionError("all engines are")):
-            self.applied.act(ActiveRules(VERSION, (2,), Long(two)))
+        self.applied.changed_keys = lambda old, new: {"ban/b0", "ban/b1", "drain/b0", "ban/new"}
+        with mock.patch.object(self.applied, "_find_unlisted", side_effect=AssertionError("all engines are")):
+            self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), Long(two)))
         self.assertEqual(self.events_of("faults"), 0)
         self.assertEqual(
-            (len(self.applied.out), "b0" in self.core.banned, "b1" in self.core.banned, "new" in self.core.banned),
+            (len(self.applied.excluded), "b0" in self.core.banned, "b1" in self.core.banned, "new" in self.core.banned),
             (53, True, False, True),
         )
 
@@ -416,7 +430,7 @@
             events,
             lambda acting: None,
             lambda version: "",
-            lambda: (0,) * (HEAD + BUCKETS),
+            lambda: (0,) * (HEADER_FIGURES + LATENCY_BUCKETS),
             owners or LocalOwnership(),
             keeper,
             RestoredVersions(),
@@ -431,9 +445,9 @@
                 await asyncio.sleep(0.01)
 
     def push(self, service, name, rules, spoil=lambda data: data):
-        pieces = cut(spoil(pack(rules)), 20_000)
+        pieces = split_into_pieces(spoil(pack_changes(rules)), 20_000)
         for at, data in enumerate(pieces):
-            told = service.push_piece(name, f"{at}/{len(pieces)}", base64.b64encode(data).decode())
+            told = service.pushes.receive_piece(name, f"{at}/{len(pieces)}", base64.b64encode(data).decode())
         return told
 
     async def test_a_flood_of_versions_good_broken_and_cut_short_ends_with_the_last_good_one(self):
@@ -443,7 +457,7 @@
         two = self.service(other, "c2", VersionStore(MemoryStore()), mock.Mock(lease=lambda task: None))
         one.start()
         two.start()
-        await self.until(lambda: one.holder.heard and two.holder.heard)
+        await self.until(lambda: one.member.has_renewed and two.member.has_renewed)
         outcomes, last = [], {}
         for number in range(60):
             service = rng.choice((one, two))
@@ -458,15 +472,17 @@
             self.push(service, f"p{number}", rules, spoil)
             await self.until(
                 lambda s=service, n=number: (
-                    s.outcome(f"p{n}")["state"] in ("live", "turned down", "proven", "uncertain")
+                    s.pushes.outcome(f"p{n}")["state"] in ("live", "turned down", "proven", "uncertain")
                 )
             )
-            outcomes.append((kind, service.outcome(f"p{number}")["state"]))
+            outcomes.append((kind, service.pushes.outcome(f"p{number}")["state"]))
             last = rules if kind == "good" else last
         self.assertEqual({state for kind, state in outcomes if kind == "good"} - {"proven"}, {"live"})
         self.assertEqual({state for kind, state in outcomes if kind != "good"}, {"turned down"})
-        await self.until(lambda: two.machine.live == one.machine.live and two.acting.mode == "version")
-        self.assertEqual((dict(one.acting.rules), dict(two.acting.rules)), (last, last))
+        await self.until(
+            lambda: two.machine.active_version == one.machine.active_version and two.active_rules.mode == "version"
+        )
+        self.assertEqual((dict(one.active_rules.rules), dict(two.active_rules.rules)), (last, last))
         self.assertNotIn("hunter2", str(told))
 
     async def test_where_the_log_or_the_disk_fails_it_goes_on_and_says_so(self):
@@ -477,24 +493,27 @@
         log, told = LocalLog("c1"), []
         service = self.service(log, keeper=VersionStore(Failing()), told=told)
         service.start()
-        await self.until(lambda: service.holder.heard)
+        await self.until(lambda: service.member.has_renewed)
         self.push(service, "p", {"ban/e1": Ban("e1")})
-        await self.until(lambda: service.acting.mode == "version")
-        self.assertTrue(service.figures()["counts"]["keep_failed"])
-        self.assertEqual((service.figures()["members"]["c1"]["acked"], service.figures()["keeps"]), (0, False))
+        await self.until(lambda: service.active_rules.mode == "version")
+        self.assertTrue(OperatorCalls(service).status()["counts"]["keep_failed"])
+        self.assertEqual(
+            (OperatorCalls(service).status()["members"]["c1"]["acked"], OperatorCalls(service).status()["keeps"]),
+            (0, False),
+        )
         self.assertIn("settings_keep_failed", [event for event, _ in told])
         log.lead(False)
-        await self.until(lambda: service.acting.why == "alone")
-        self.assertTrue(service.figures()["counts"]["unavailable"])
+        await self.until(lambda: service.active_rules.reason == "alone")
+        self.assertTrue(OperatorCalls(service).status()["counts"]["unavailable"])
         lost = [more for event, more in told if event == "settings_acting" and more["why"] == "alone"]
         self.assertLessEqual(lost[0]["until_ms"], lost[0]["mono_ms"])
-        with mock.patch("frostspindle.settings.service.PUSH_S", 0.5):
+        with mock.patch("frostspindle.settings.pushes.PUSH_TIMEOUT_S", 0.5):
             self.push(service, "q", {"ban/e2": Ban("e2")})
-            await self.until(lambda: service.outcome("q")["state"] == "uncertain")
+            await self.until(lambda: service.pushes.outcome("q")["state"] == "uncertain")
         self.push(service, "r", {"ban/e3": Ban("e3")})
         await asyncio.sleep(0.3)
         log.lead(True)
-        await self.until(lambda: service.acting.mode == "version" and "ban/e3" in service.acting.rules)
+        await self.until(lambda: service.active_rules.mode == "version" and "ban/e3" in service.active_rules.rules)
 
     async def test_a_run_of_versions_is_a_batch_each_and_what_is_left_goes_later(self):
         store, batches = MemoryStore(), []
@@ -503,45 +522,50 @@
             mock.patch.object(
                 store, "apply", side_effect=lambda changes, apply=store.apply: (batches.append(1), apply(changes))
             ),
-            mock.patch("frostspindle.settings.service.LESS_S", 1e9),
+            mock.patch("frostspindle.settings.service.REMOVAL_DELAY_S", 1e9),
         ):
             service.start()
-            await self.until(lambda: service.holder.heard)
+            await self.until(lambda: service.member.has_renewed)
             for number in range(6):
                 self.push(service, f"p{number}", {"ban/e": Ban("e", str(number))})
-                await self.until(lambda n=number: service.outcome(f"p{n}")["state"] in ("live", "proven"))
+                await self.until(lambda n=number: service.pushes.outcome(f"p{n}")["state"] in ("live", "proven"))
             self.assertEqual(len(batches), 6)
-        await self.until(lambda: tuple(sorted(service.holder.durable)) == tuple(n for n in service.machine.open if n))
+        await self.until(
+            lambda: (
+                tuple(sorted(service.member.durable_digests))
+                == tuple(n for n in service.machine.candidate_versions if n)
+            )
+        )
 
     async def test_a_long_version_is_made_in_turn_with_others_before_it_is_published(self):
         service, slices, published = self.service(LocalLog("c1"), keeper=VersionStore(MemoryStore())), [], []
         machine = service.machine
-        make, apply = SettingsStateMachine.make, SettingsStateMachine.apply
+        make, apply = SettingsStateMachine.build_slice, SettingsStateMachine.apply
 
         def applied(self, index, command):
-            if isinstance(agreement.read(command), PublishVersion):
-                published.append(self.unmade)
+            if isinstance(log_commands.decode_command(command), PublishVersion):
+                published.append(self.has_unbuilt_draft)
             return apply(self, index, command)
 
         with (
-            mock.patch.object(SettingsStateMachine, "make", lambda self: (slices.append(1), make(self))),
+            mock.patch.object(SettingsStateMachine, "build_slice", lambda self: (slices.append(1), make(self))),
             mock.patch.object(SettingsStateMachine, "apply", applied),
         ):
             service.start()
-            await self.until(lambda: service.holder.heard)
+            await self.until(lambda: service.member.has_renewed)
             self.push(service, "p", {f"ban/e{n}": Ban(f"e{n}") for n in range(3_000)})
             self.push(service, "q", {"ban/e": Ban("e")})  # on the same base: one of both is drafted again
-            await self.until(lambda: machine.live == 2, 8.0)
+            await self.until(lambda: machine.active_version == 2, 8.0)
         self.assertEqual(({*published}, len(slices) > 60), ({False}, True))
 
     async def test_pushes_are_bounded_and_a_gap_is_told(self):
         service = self.service(LocalLog("c1"))
         for number in range(9):
-            service.push_piece(f"p{number}", "0/3", "")
-        self.assertLessEqual(len(service.pushes), 5)
+            service.pushes.receive_piece(f"p{number}", "0/3", "")
+        self.assertLessEqual(len(service.pushes.pushes), 5)
         with self.assertRaisesRegex(ValueError, "gap: piece 1 of 3 is next"):
-            service.push_piece("p8", "2/3", "")
-        for push in service.pushes.values():
+            service.pushes.receive_piece("p8", "2/3", "")
+        for push in service.pushes.pushes.values():
             push.state = "drafted"
         with self.assertRaisesRegex(ValueError, "full: 4 pushes"):
-            service.push_piece("more", "0/1", "")
+            service.pushes.receive_piece("more", "0/1", "")
