--- a/bench/choices.py
+++ b/bench/choices.py
@@ -119,6 +119,44 @@
     return subprocess.run(["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True).stdout
 
 
+CLASSES: tuple[dict[str, Any], ...] = (
+    {
+        "latency_objective_ms": 1000,
+        "deadline_ms": 5000,
+        "objective_stretch": 1.5,
+        "idempotency": Idempotency.IDEMPOTENT,
+    },
+    {
+        "latency_objective_ms": 2000,
+        "deadline_ms": 20000,
+        "objective_stretch": 2.5,
+        "late_value_ratio": 0.4,
+        "priority_weight": 6,
+        "threads": 2,
+        "idempotency": Idempotency.IDEMPOTENT,
+        "blocked_by_loads": True,
+    },
+    {
+        "latency_objective_ms": 3000,
+        "deadline_ms": 25000,
+        "late_value_ratio": 0.5,
+        "priority_weight": 3,
+        "threads": 2,
+        "is_load": True,
+        "in_order": True,
+        "idempotency": Idempotency.NON_IDEMPOTENT,
+    },
+    {
+        "latency_objective_ms": 3000,
+        "deadline_ms": 25000,
+        "threads": 2,
+        "idempotency": Idempotency.WITH_KEY,
+        "idempotency_window_ms": 5000,
+        "dedup_scope": "zone",
+    },
+)
+
+
 def settings(version: PolicyVersion, site: str) -> Any:
     """Return the settings of a site; an unknown name gives those of `plain`.
 
@@ -128,45 +166,9 @@
     ids at every thousandth request.
     """
     few = "many" not in site
-    classes = (
-        {
-            "latency_objective_ms": 1000,
-            "deadline_ms": 5000,
-            "objective_stretch": 1.5,
-            "idempotency": Idempotency.IDEMPOTENT,
-        },
-        {
-            "latency_objective_ms": 2000,
-            "deadline_ms": 20000,
-            "objective_stretch": 2.5,
-            "late_value_ratio": 0.4,
-            "priority_weight": 6,
-            "threads": 2,
-            "idempotency": Idempotency.IDEMPOTENT,
-            "blocked_by_loads": True,
-        },
-        {
-            "latency_objective_ms": 3000,
-            "deadline_ms": 25000,
-            "late_value_ratio": 0.5,
-            "priority_weight": 3,
-            "threads": 2,
-            "is_load": True,
-            "in_order": True,
-            "idempotency": Idempotency.NON_IDEMPOTENT,
-        },
-        {
-            "latency_objective_ms": 3000,
-            "deadline_ms": 25000,
-            "threads": 2,
-            "idempotency": Idempotency.WITH_KEY,
-            "idempotency_window_ms": 5000,
-            "dedup_scope": "zone",
-        },
-    )
     return version.settings(
         "Settings",
-        classes=tuple(version.settings("ClassSettings", **values) for values in classes),
+        classes=tuple(version.settings("ClassSettings", **values) for values in CLASSES),
         coordinators=1 if few else 40,
         number=0 if few else 7,
         kind_cores=(8.0, 8.0),
@@ -201,7 +203,7 @@
     """Return a controller of that version for the site; at `shed` it may have 90% of `target` requests open."""
     out = version.package.Controller(settings(version, site), seed)
     if site == "shed":
-        setattr(out, "most_open" if version.former else "max_open_requests", int(0.9 * target))
+        setattr(out, "most_open" if hasattr(out, "most_open") else "max_open_requests", int(0.9 * target))
     return out
 
 
--- a/frostspindle/policy/controller.py
+++ b/frostspindle/policy/controller.py
@@ -7,6 +7,8 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Callable
+from typing import Any
 
 from frostspindle.policy import actions, events
 from frostspindle.policy.admission import ConcurrencyLimiter, EngineCapacity, TenantQuotas
@@ -76,7 +78,10 @@
         self.last_event_at_ms = math.inf
         self._examined_at_ms = -math.inf
         self._subscribe_at_ms = math.inf
-        self.handlers = {
+        self.handlers = self._event_handlers()
+
+    def _event_handlers(self) -> dict[type, Callable[[float, Any], None]]:
+        return {
             events.EndpointListUpdated: self._on_endpoint_list,
             events.RequestArrived: self._on_request,
             events.ResponseStarted: self._on_response_started,
@@ -180,7 +185,7 @@
         self.retries.record_arrival(now)
         self.selector.record_arrival(request)
         self.estimates.add_request(request)
-        request.over_quota = event.over or self.quotas.is_over(request, now)
+        request.over_quota = event.over_quota or self.quotas.is_over(request, now)
         end_at_ms = self.completion.add_deadline(request)
         if end_at_ms < now + EXAMINE_MS:  # before the next regular timer
             state.actions.append(actions.SetTimer(EXTRA_TIMER, max(now, end_at_ms)))
@@ -273,7 +278,7 @@
                 continue
             engine.peer_threads = load.threads
             engine.peer_memory_mb = load.memory_mb
-            engine.slow_start_share = load.part
+            engine.slow_start_share = load.slow_start_share
             reported_at_ms = now - load.report_age_ms
             if load.report and reported_at_ms > engine.load_report_at_ms:
                 self.capacity.add_load_report(engine, load.report, reported_at_ms)
--- a/frostspindle/policy/deadlines.py
+++ b/frostspindle/policy/deadlines.py
@@ -116,15 +116,16 @@
         Entries of discarded items are compacted once they outnumber the others.
         """
         for key, (kind, work, limit) in self.new.items():
-            self.live[key] = entry = (limit - work * self.bounds[kind], key, kind, work, limit)
+            entry = (limit - work * self.bounds[kind], key, kind, work, limit)
+            self.live[key] = entry
             heapq.heappush(self.ahead[kind], entry)
         self.new = {}
         out = []
         for kind, pace in enumerate(paces):
-            ahead, near = self.ahead[kind], self.near[kind]
             if pace > self.bounds[kind] or pace * PACE_MARGIN * PACE_MARGIN < self.bounds[kind]:
                 self._order(kind, pace * PACE_MARGIN)
-                ahead, near = self.ahead[kind], self.near[kind]
+            ahead = self.ahead[kind]
+            near = self.near[kind]
             while ahead and ahead[0][0] <= now + 1.0:  # a little early: sums are rounded
                 near.append(heapq.heappop(ahead))
             kept = []
@@ -146,8 +147,10 @@
     def _order(self, kind: int, bound: float) -> None:
         self.bounds[kind] = bound
         entries = [e for e in self.ahead[kind] + self.near[kind] if self.live.get(e[1]) is e]
-        self.ahead[kind], self.near[kind] = [], []
+        self.ahead[kind] = []
+        self.near[kind] = []
         for _, key, _, work, limit in entries:
-            self.live[key] = entry = (limit - work * bound, key, kind, work, limit)
+            entry = (limit - work * bound, key, kind, work, limit)
+            self.live[key] = entry
             self.ahead[kind].append(entry)
         heapq.heapify(self.ahead[kind])
--- a/frostspindle/policy/events.py
+++ b/frostspindle/policy/events.py
@@ -84,8 +84,10 @@
     cost_ms: float
     memory_mb: float
     group: float  # of tables, by number; -1: none
-    over: bool = False  # over the tenant's share, as all coordinators together count it
-    turn: bool = True  # False: one of its key, taken earlier elsewhere, is not over; KeyOrderReached tells when it is
+    over_quota: bool = False  # over the tenant's quota, as all coordinators together count it
+    key_order_reached: bool = (
+        True  # False: one of its key, taken earlier elsewhere, is not over; KeyOrderReached tells when it is
+    )
 
 
 class ResponseStarted(NamedTuple):
@@ -97,7 +99,7 @@
 
 
 class ProgressReported(NamedTuple):
-    """Event: news of a running attempt; value: the part done, 0 to 1 (PROGRESS), or 1: in line for memory (WAITS)."""
+    """Event: progress of an attempt; value: the part done, 0 to 1 (PROGRESS), or 1: queued for memory (WAITS)."""
 
     request: int
     attempt: int
@@ -154,14 +156,14 @@
 class WorkerLoad(NamedTuple):
     """The load that the other workers of this coordinator have at an engine, and their latest load report of it.
 
-    `part` is this worker's part of the coordinator's budget for the engine while it is cold, from 0 to 1.
+    `slow_start_share` is this worker's part of the coordinator's budget for the engine in slow start, from 0 to 1.
     """
 
     engine: int
     threads: int
     memory_mb: float
     ejected: bool
-    part: float
+    slow_start_share: float
     report: tuple[float, ...]
     report_age_ms: float
 
--- a/frostspindle/policy/indexes.py
+++ b/frostspindle/policy/indexes.py
@@ -67,18 +67,19 @@
         if step == 1 and not without:
             return self.members
         few = self.members[first::step]
-        gone = [rank for member in without if (rank := self.rank.get(member, -1)) >= 0 and rank % step == first]
+        ranks = [self.rank.get(member, -1) for member in without]
+        gone = [rank for rank in ranks if rank >= 0 and rank % step == first]
         for rank in sorted(gone, reverse=True):
             del few[(rank - first) // step]
         return few
 
     def order(self, marked: Sequence[Any], step: int, first: int, without: Mapping[int, int]) -> list[Any]:
         """Return those of `marked` that `every` would return with these arguments, each once and in order of rank."""
-        found = {
-            rank: member
-            for member in marked
-            if (rank := self.rank.get(member.id, -1)) >= 0 and rank % step == first and member.id not in without
-        }
+        found = {}
+        for member in marked:
+            rank = self.rank.get(member.id, -1)
+            if rank >= 0 and rank % step == first and member.id not in without:
+                found[rank] = member
         return [found[rank] for rank in sorted(found)]
 
 
@@ -109,8 +110,14 @@
         if self.kept:
             self.pop(member.id, None)
             self[member.id] = member
-            while self and not (first := next(iter(self.values()))).connections.any(now, 0):
-                del self[first.id]
+            self._drop_expired(now)
+
+    def _drop_expired(self, now: float) -> None:
+        while self:
+            first = next(iter(self.values()))
+            if first.connections.any(now, 0):
+                return
+            del self[first.id]
 
     def last(self, most: int, take: int) -> list[Any]:
         """Return the members, latest freed first: all where there are at most `most`, else the first `take`."""
--- a/frostspindle/policy/request_state.py
+++ b/frostspindle/policy/request_state.py
@@ -83,7 +83,7 @@
         self.class_settings = class_settings
         self.tenant = event.tenant
         self.key = event.key
-        self.key_order_reached = event.turn
+        self.key_order_reached = event.key_order_reached
         self.group = int(event.group)
         self.lane = -1  # of the waiting queue: the table group of an ordered load
         if class_settings.is_load and class_settings.in_order and self.group >= 0:
--- a/frostspindle/policy/selection.py
+++ b/frostspindle/policy/selection.py
@@ -79,7 +79,6 @@
         threads = request.class_settings.threads
         wanted_mb = self._estimates.memory_wanted_mb(request)
         scale = settings.coordinators if state.fractional_share and settings.load_report_columns else 1
-        has_penalties = settings.handshake_penalty > 0 or settings.cross_zone_penalty > 0
         any_in_slow_start = state.slow_start_engines
         draw = state.random.random
         best = None
@@ -98,19 +97,25 @@
             busy_threads = engine.threads + engine.peer_threads + threads + other_threads
             busy_ratio = busy_threads / max(engine.thread_limit * scale, threads)
             score = engine.slowdown * (1.0 + busy_ratio) * (SPREAD_FROM + SPREAD * draw())
-            if engine.id in request.avoided_engines:
-                score *= AVOIDED_FACTOR
-            if engine.in_slow_start(now):
-                score *= SLOW_START_FACTOR
-            if request.group >= 0:
-                score *= self._group_factor(request, engine)
-            if has_penalties:
-                score *= self._penalty_factor(request, engine, now)
+            score = self._weigh(score, request, engine, now)
             if score < best_score:
                 best = engine
                 best_score = score
         return best
 
+    def _weigh(self, score: float, request: RequestState, engine: EngineState, now: float) -> float:
+        """Return a score, an expected time, times the factors for what speaks for or against the engine."""
+        settings = self._state.settings
+        if engine.id in request.avoided_engines:
+            score *= AVOIDED_FACTOR
+        if engine.in_slow_start(now):
+            score *= SLOW_START_FACTOR
+        if request.group >= 0:
+            score *= self._group_factor(request, engine)
+        if settings.handshake_penalty > 0 or settings.cross_zone_penalty > 0:
+            score *= self._penalty_factor(request, engine, now)
+        return score
+
     def _may_be_sent(self, request: RequestState, now: float) -> bool:
         if request.finished or len(request.attempts) >= self._state.settings.max_attempts:
             return False
--- a/frostspindle/policy/settings_parser.py
+++ b/frostspindle/policy/settings_parser.py
@@ -1,8 +1,6 @@
-"""The settings parser, shared by the adapter and the coordinator.
+"""Parser of settings, as path=value lines or as nested JSON, for the simulator adapter and the coordinator.
 
-Owns the names under which an instance's settings come, as path=value lines or as nested JSON, and
-their conversion to `policy.Settings`. It never fills in a site's figures by itself beyond
-the defaults of that class, and never looks at files or the environment.
+It adds no defaults of its own to those of `policy.Settings`, and reads neither files nor the environment.
 """
 
 from __future__ import annotations
@@ -109,74 +107,128 @@
 
 
 def read_settings(values: dict[str, str]) -> Settings:
-    """The settings of one instance, from flattened pairs."""
-    p = Pairs(values)
-    count = int(p.number("categories.count"))
-    threads, loads = p.numbers("domain.classThreads", 1.0), p.items("domain.classLoad")
-    waits = p.items("domain.blockedByLoads")
-    classes = []
-    for i in range(count):
-        c = f"categories.{i}."
-        effect = p.text(c + "effect")
-        if effect not in EFFECTS:
-            raise ValueError(f"{c}effect: unknown effect {effect!r}")
-        classes.append(
-            ClassSettings(
-                latency_objective_ms=p.number(c + "promise", above=0.0),
-                deadline_ms=p.number(c + "hardLimit", above=0.0),
-                priority_weight=p.number(c + "worth", 1.0),
-                objective_stretch=p.number(c + "aimStretch", 0.0),
-                late_value_ratio=p.number(c + "lateShare", 0.0),
-                idempotency=EFFECTS[effect],
-                dedup_scope=p.text(c + "dedupScope", "all"),
-                idempotency_window_ms=p.number(c + "window", 0.0),
-                in_order=p.flag(c + "inOrder"),
-                stream=p.flag(c + "stream"),
-                threads=int(threads[i]) if i < len(threads) else 1,
-                is_load=i < len(loads) and loads[i] == "true",
-                blocked_by_loads=i < len(waits) and waits[i] == "true",
-                only_kinds=p.places(c + "servedOn"),
-                only_zones=p.places(c + "failureDomainsOpen"),
-            )
-        )
-    parties = int(p.number("parties.count", 0))
+    """Read the settings of one instance from flattened pairs; raise ValueError with the path of a bad value."""
+    pairs = Pairs(values)
     return Settings(
-        classes=tuple(classes),
-        coordinators=int(p.number("balancers", 1, 1.0)),
-        number=int(p.number("me", 0)),
-        tenant_quotas_per_s=tuple(p.number(f"parties.{i}.allowancePerS", 0.0) for i in range(parties)),
-        kind_cores=tuple(p.numbers("domain.kindCores", above=0.0)) or (1.0,),
-        kind_memory_mb=tuple(p.numbers("domain.sizeMb")) or (0.0,),
-        max_grant_ratio=p.number("domain.mostGrant", 1.0),
-        grants=p.flag("domain.grants"),
-        priorities=p.flag("domain.priorities"),
-        reports_cost=p.flag("domain.saysCost"),
-        progress_interval_ms=p.number("domain.notePeriod", 0.0),
-        memory_shortage_mode=p.text("domain.whenShort", "wait"),
-        load_report_columns=tuple(p.items("report.columns")),
-        load_reports_in_responses=p.text("report.how", "silent") == "piggyback",
-        subscribe_endpoints=p.text("discovery", "automatic") == "subscribe",
-        subscribe_within_ms=p.number("rules.mustAskIn", 0.0),
-        may_cancel=p.flag("limits.cancel"),
-        may_check_health=p.flag("limits.probes"),
-        hedged_requests=p.flag("limits.secondCopies"),
-        retry_after=p.flag("limits.retryAfter"),
-        max_retry_after_ms=p.number("limits.maxRetryAfter", 0.0),
-        max_attempts=int(p.number("limits.mostTries", 1, 1.0)),
-        connect_timeout_ms=p.number("limits.dialTimeout", 250.0),
-        drain_grace_ms=p.number("rules.stopSendingWithin", 0.0),
-        slow_start_capacity=p.number("rules.startCapacity", 1.0),
-        slow_start_duration_ms=p.number("rules.warmWithin", 0.0),
-        slow_start_overload_ratio=p.number("rules.tipMultiple", 1.0),
-        slow_start_window_ms=p.number("rules.fall", 1000.0),
-        key_order_pause_ms=p.number("rules.orderPause", 0.0),
-        retry_budget_min=p.number("rules.extraFloor", 0.0),
-        retry_budget_ratio=p.number("rules.extraRatio", 0.0),
-        retry_budget_window_ms=p.number("rules.resendSpan", 0.0),
-        over_quota_weight=p.number("overShareWorth", 1.0),
-        zone=int(p.number("locality", 0, -math.inf)),
-        handshake_penalty=p.number("deductions.handshake", 0.0, -math.inf),
-        cross_zone_penalty=p.number("deductions.crossZone", 0.0, -math.inf),
-        connection_idle_ms=p.number("limits.connIdle", 0.0),
-        streams_per_connection=int(p.number("limits.streamsPerConn", 1)),
+        classes=_read_classes(pairs),
+        **_read_tenants(pairs),
+        **_read_engines(pairs),
+        **_read_load_reports(pairs),
+        **_read_attempts(pairs),
+        **_read_slow_start(pairs),
+        **_read_retry_budget(pairs),
+        **_read_connections(pairs),
+    )
+
+
+def _read_classes(pairs: Pairs) -> tuple[ClassSettings, ...]:
+    count = int(pairs.number("categories.count"))
+    threads = pairs.numbers("domain.classThreads", 1.0)
+    loads = pairs.items("domain.classLoad")
+    blocked = pairs.items("domain.blockedByLoads")
+    return tuple(
+        _read_class(
+            pairs,
+            f"categories.{number}.",
+            threads=int(threads[number]) if number < len(threads) else 1,
+            is_load=number < len(loads) and loads[number] == "true",
+            blocked_by_loads=number < len(blocked) and blocked[number] == "true",
+        )
+        for number in range(count)
     )
+
+
+def _read_class(pairs: Pairs, path: str, threads: int, is_load: bool, blocked_by_loads: bool) -> ClassSettings:
+    effect = pairs.text(path + "effect")
+    if effect not in EFFECTS:
+        raise ValueError(f"{path}effect: unknown effect {effect!r}")
+    return ClassSettings(
+        latency_objective_ms=pairs.number(path + "promise", above=0.0),
+        deadline_ms=pairs.number(path + "hardLimit", above=0.0),
+        priority_weight=pairs.number(path + "worth", 1.0),
+        objective_stretch=pairs.number(path + "aimStretch", 0.0),
+        late_value_ratio=pairs.number(path + "lateShare", 0.0),
+        idempotency=EFFECTS[effect],
+        dedup_scope=pairs.text(path + "dedupScope", "all"),
+        idempotency_window_ms=pairs.number(path + "window", 0.0),
+        in_order=pairs.flag(path + "inOrder"),
+        stream=pairs.flag(path + "stream"),
+        threads=threads,
+        is_load=is_load,
+        blocked_by_loads=blocked_by_loads,
+        only_kinds=pairs.places(path + "servedOn"),
+        only_zones=pairs.places(path + "failureDomainsOpen"),
+    )
+
+
+def _read_tenants(pairs: Pairs) -> dict[str, Any]:
+    count = int(pairs.number("parties.count", 0))
+    return {
+        "coordinators": int(pairs.number("balancers", 1, 1.0)),
+        "number": int(pairs.number("me", 0)),
+        "tenant_quotas_per_s": tuple(pairs.number(f"parties.{i}.allowancePerS", 0.0) for i in range(count)),
+    }
+
+
+def _read_engines(pairs: Pairs) -> dict[str, Any]:
+    return {
+        "kind_cores": tuple(pairs.numbers("domain.kindCores", above=0.0)) or (1.0,),
+        "kind_memory_mb": tuple(pairs.numbers("domain.sizeMb")) or (0.0,),
+        "max_grant_ratio": pairs.number("domain.mostGrant", 1.0),
+        "grants": pairs.flag("domain.grants"),
+        "priorities": pairs.flag("domain.priorities"),
+        "reports_cost": pairs.flag("domain.saysCost"),
+        "progress_interval_ms": pairs.number("domain.notePeriod", 0.0),
+        "memory_shortage_mode": pairs.text("domain.whenShort", "wait"),
+    }
+
+
+def _read_load_reports(pairs: Pairs) -> dict[str, Any]:
+    return {
+        "load_report_columns": tuple(pairs.items("report.columns")),
+        "load_reports_in_responses": pairs.text("report.how", "silent") == "piggyback",
+        "subscribe_endpoints": pairs.text("discovery", "automatic") == "subscribe",
+        "subscribe_within_ms": pairs.number("rules.mustAskIn", 0.0),
+    }
+
+
+def _read_attempts(pairs: Pairs) -> dict[str, Any]:
+    return {
+        "may_cancel": pairs.flag("limits.cancel"),
+        "may_check_health": pairs.flag("limits.probes"),
+        "hedged_requests": pairs.flag("limits.secondCopies"),
+        "retry_after": pairs.flag("limits.retryAfter"),
+        "max_retry_after_ms": pairs.number("limits.maxRetryAfter", 0.0),
+        "max_attempts": int(pairs.number("limits.mostTries", 1, 1.0)),
+        "connect_timeout_ms": pairs.number("limits.dialTimeout", 250.0),
+        "drain_grace_ms": pairs.number("rules.stopSendingWithin", 0.0),
+    }
+
+
+def _read_slow_start(pairs: Pairs) -> dict[str, Any]:
+    return {
+        "slow_start_capacity": pairs.number("rules.startCapacity", 1.0),
+        "slow_start_duration_ms": pairs.number("rules.warmWithin", 0.0),
+        "slow_start_overload_ratio": pairs.number("rules.tipMultiple", 1.0),
+        "slow_start_window_ms": pairs.number("rules.fall", 1000.0),
+    }
+
+
+def _read_retry_budget(pairs: Pairs) -> dict[str, Any]:
+    return {
+        "key_order_pause_ms": pairs.number("rules.orderPause", 0.0),
+        "retry_budget_min": pairs.number("rules.extraFloor", 0.0),
+        "retry_budget_ratio": pairs.number("rules.extraRatio", 0.0),
+        "retry_budget_window_ms": pairs.number("rules.resendSpan", 0.0),
+        "over_quota_weight": pairs.number("overShareWorth", 1.0),
+    }
+
+
+def _read_connections(pairs: Pairs) -> dict[str, Any]:
+    return {
+        "zone": int(pairs.number("locality", 0, -math.inf)),
+        "handshake_penalty": pairs.number("deductions.handshake", 0.0, -math.inf),
+        "cross_zone_penalty": pairs.number("deductions.crossZone", 0.0, -math.inf),
+        "connection_idle_ms": pairs.number("limits.connIdle", 0.0),
+        "streams_per_connection": int(pairs.number("limits.streamsPerConn", 1)),
+    }
--- a/frostspindle/simulator_adapter.py
+++ b/frostspindle/simulator_adapter.py
@@ -26,22 +26,23 @@
 HEADER = struct.Struct(">IId")
 REPLY = struct.Struct(">II")
 RECORD = struct.Struct(">BI")
-WHO = struct.Struct(">I")
+INSTANCE = struct.Struct(">I")
 HELLO = struct.Struct(">IQI")
 DIRECTORY = struct.Struct(">BI")
-ENTRY = struct.Struct(">IBHHBfd")
+ENGINE_ENTRY = struct.Struct(">IBHHBfd")
 DISCOVERY = struct.Struct(">IBQB")
 REQUEST = struct.Struct(">IQHHQddffB")
-STARTED = struct.Struct(">IQHId")
-NOTE = struct.Struct(">IQHIBf")
-ENDED = struct.Struct(">IQHIHdBIB")
-LEFT = struct.Struct(">IQ")
-DUE = struct.Struct(">II")
-CHECKED = struct.Struct(">IIHdB")
+RESPONSE_STARTED = struct.Struct(">IQHId")
+PROGRESS = struct.Struct(">IQHIBf")
+ATTEMPT_ENDED = struct.Struct(">IQHIHdBIB")
+CLIENT_DISCONNECTED = struct.Struct(">IQ")
+TIMER_FIRED = struct.Struct(">II")
+HEALTH_CHECK = struct.Struct(">IIHdB")
 
 COST_HINT_BIT = 1
 COST_UNIT = 4096
 MEMORY_UNIT_MB = 4
+MAX_TEXT_BYTES = 65535
 
 
 def _finite(value: float) -> float:
@@ -54,120 +55,160 @@
     return tuple(_finite(v) for v in struct.unpack_from(f">{count}f", fields, at))
 
 
-def _known(kind: type, value: int, what: str) -> int:
+def _enum_value(kind: type, value: int, what: str) -> int:
     try:
         return int(kind(value))
     except ValueError:
         raise WireError(f"unknown {what} {value}") from None
 
 
-def read_request(f: bytes) -> tuple[int, policy.Event]:
-    """Decode a request record into its instance number and a Request event.
+def read_request(fields: bytes) -> tuple[int, policy.Event]:
+    """Decode a request record into its instance number and a RequestArrived event.
 
     Without the cost hint bit the cost is 0 (unknown); values that are not finite become 0. Raise struct.error where the
     record is too short.
     """
-    who, request, cls, tenant, key, left, cost, memory, group, bits = REQUEST.unpack_from(f)
+    instance, request, cls, tenant, key, left, cost, memory, group, bits = REQUEST.unpack_from(fields)
     cost = _finite(cost) if bits & COST_HINT_BIT else 0.0
-    return who, policy.RequestArrived(request, cls, tenant, key, _finite(left), cost, _finite(memory), _finite(group))
+    event = policy.RequestArrived(request, cls, tenant, key, _finite(left), cost, _finite(memory), _finite(group))
+    return instance, event
 
 
-def read_started(f: bytes) -> tuple[int, policy.Event]:
-    """Decode a started record into its instance number and a Started event; its last field is not used."""
-    who, request, attempt, engine, _ = STARTED.unpack_from(f)
-    return who, policy.ResponseStarted(request, attempt, engine)
+def read_response_started(fields: bytes) -> tuple[int, policy.Event]:
+    """Decode a started record into its instance number and a ResponseStarted event; its last field is not used."""
+    instance, request, attempt, engine, _ = RESPONSE_STARTED.unpack_from(fields)
+    return instance, policy.ResponseStarted(request, attempt, engine)
 
 
-def read_note(f: bytes) -> tuple[int, policy.Event]:
-    """Decode a progress note into its instance number and a Note event.
+def read_progress(fields: bytes) -> tuple[int, policy.Event]:
+    """Decode a progress note into its instance number and a ProgressReported event.
 
-    Raise WireError for an unknown kind of note; a value that is not finite becomes 0.
+    Raise WireError for an unknown kind of progress; a value that is not finite becomes 0.
     """
-    who, request, attempt, engine, kind, value = NOTE.unpack_from(f)
-    return who, policy.ProgressReported(
-        request, attempt, engine, _known(policy.ProgressKind, kind, "kind of note"), _finite(value)
+    instance, request, attempt, engine, kind, value = PROGRESS.unpack_from(fields)
+    return instance, policy.ProgressReported(
+        request, attempt, engine, _enum_value(policy.ProgressKind, kind, "kind of note"), _finite(value)
     )
 
 
-def read_ended(f: bytes) -> tuple[int, policy.Event]:
-    """Decode the end of an attempt into its instance number and an Ended event.
+def read_attempt_ended(fields: bytes) -> tuple[int, policy.Event]:
+    """Decode the end of an attempt into its instance number and an AttemptEnded event.
 
     The cost field holds milliseconds in units of COST_UNIT and, as the rest, memory in units of MEMORY_UNIT_MB. Raise
-    WireError for an unknown verdict or a load report that is longer than the record.
+    WireError for an unknown outcome or a load report that is longer than the record.
     """
-    who, request, attempt, engine, outcome, elapsed, last, cost, count = ENDED.unpack_from(f)
-    return who, policy.AttemptEnded(
+    instance, request, attempt, engine, outcome, elapsed, last, cost, count = ATTEMPT_ENDED.unpack_from(fields)
+    return instance, policy.AttemptEnded(
         request,
         attempt,
         engine,
-        _known(policy.AttemptOutcome, outcome, "verdict"),
+        _enum_value(policy.AttemptOutcome, outcome, "verdict"),
         _finite(elapsed),
         bool(last),
         float(cost // COST_UNIT),
         float(cost % COST_UNIT * MEMORY_UNIT_MB),
-        _report(f, ENDED.size, count),
+        _report(fields, ATTEMPT_ENDED.size, count),
     )
 
 
-def read_left(f: bytes) -> tuple[int, policy.Event]:
-    """Decode a left record (the client has gone) into its instance number and a Left event."""
-    who, request = LEFT.unpack_from(f)
-    return who, policy.ClientDisconnected(request)
+def read_client_disconnected(fields: bytes) -> tuple[int, policy.Event]:
+    """Decode a left record (the client has gone) into its instance number and a ClientDisconnected event."""
+    instance, request = CLIENT_DISCONNECTED.unpack_from(fields)
+    return instance, policy.ClientDisconnected(request)
 
 
-def read_due(f: bytes) -> tuple[int, policy.Event]:
-    """Decode a due record (a timer has expired) into its instance number and a Due event."""
-    who, token = DUE.unpack_from(f)
-    return who, policy.TimerFired(token)
+def read_timer_fired(fields: bytes) -> tuple[int, policy.Event]:
+    """Decode a due record (a timer has expired) into its instance number and a TimerFired event."""
+    instance, token = TIMER_FIRED.unpack_from(fields)
+    return instance, policy.TimerFired(token)
 
 
-def read_checked(f: bytes) -> tuple[int, policy.Event]:
-    """Decode a health check's result into its instance number and a Probed event.
+def read_health_check(fields: bytes) -> tuple[int, policy.Event]:
+    """Decode a health check's result into its instance number and a HealthCheckCompleted event.
 
-    Raise WireError for an unknown verdict or a load report that is longer than the record.
+    Raise WireError for an unknown outcome or a load report that is longer than the record.
     """
-    who, engine, outcome, elapsed, count = CHECKED.unpack_from(f)
-    return who, policy.HealthCheckCompleted(
-        engine, _known(policy.AttemptOutcome, outcome, "verdict"), _finite(elapsed), _report(f, CHECKED.size, count)
+    instance, engine, outcome, elapsed, count = HEALTH_CHECK.unpack_from(fields)
+    return instance, policy.HealthCheckCompleted(
+        engine,
+        _enum_value(policy.AttemptOutcome, outcome, "verdict"),
+        _finite(elapsed),
+        _report(fields, HEALTH_CHECK.size, count),
     )
 
 
 READERS: dict[int, Callable[[bytes], tuple[int, policy.Event]]] = {
-    0: read_started,
+    0: read_response_started,
     1: read_request,
-    3: read_left,
-    4: read_ended,
-    7: read_due,
-    10: read_note,
-    11: read_checked,
+    3: read_client_disconnected,
+    4: read_attempt_ended,
+    7: read_timer_fired,
+    10: read_progress,
+    11: read_health_check,
 }
-HELLO_CODE, DISCOVERY_CODE, SHUTDOWN_CODE, DIRECTORY_CODE, MEMO_CODE = 9, 2, 5, 6, 8
+DISCOVERY_CODE = 2
+SHUTDOWN_CODE = 5
+DIRECTORY_CODE = 6
+MEMO_CODE = 8
+HELLO_CODE = 9
+
+
+def _start_attempt(instance: int, action: policy.StartAttempt) -> tuple[int, bytes]:
+    return 1, struct.pack(">IQdI", instance, action.request, action.timeout_ms, action.engine)
+
+
+def _update_priority(instance: int, action: policy.UpdatePriority) -> tuple[int, bytes]:
+    return 2, struct.pack(">IQBf", instance, action.request, action.priority, action.memory_mb)
+
+
+def _cancel_attempt(instance: int, action: policy.CancelAttempt) -> tuple[int, bytes]:
+    return 4, struct.pack(">IQH", instance, action.request, action.attempt)
+
+
+def _reject_request(instance: int, action: policy.RejectRequest) -> tuple[int, bytes]:
+    return 9, struct.pack(">IQd", instance, action.request, action.retry_after_ms)
+
+
+def _fail_request(instance: int, action: policy.FailRequest) -> tuple[int, bytes]:
+    return 10, struct.pack(">IQ", instance, action.request)
+
+
+def _run_health_check(instance: int, action: policy.RunHealthCheck) -> tuple[int, bytes]:
+    return 6, struct.pack(">II", instance, action.engine)
+
+
+def _set_timer(instance: int, action: policy.SetTimer) -> tuple[int, bytes]:
+    return 7, struct.pack(">IId", instance, action.token, action.due_at_ms)
+
+
+def _subscribe_endpoints(instance: int, action: policy.SubscribeEndpoints) -> tuple[int, bytes]:
+    return 0, struct.pack(">IB", instance, action.on)
 
 
-def _send(who: int, a: Any) -> tuple[int, bytes]:
-    return 1, struct.pack(">IQdI", who, a.request, a.timeout_ms, a.engine)
+def _write_log(instance: int, action: policy.WriteLog) -> tuple[int, bytes]:
+    return 12, _text(instance, action.text)
 
 
-def _text(who: int, text: str) -> bytes:
-    data = text.encode()[:65535]
-    return struct.pack(">IH", who, len(data)) + data
+def _text(instance: int, text: str) -> bytes:
+    data = text.encode()[:MAX_TEXT_BYTES]
+    return struct.pack(">IH", instance, len(data)) + data
 
 
 WRITERS: dict[type, Callable[[int, Any], tuple[int, bytes]]] = {
-    policy.StartAttempt: _send,
-    policy.UpdatePriority: lambda who, a: (2, struct.pack(">IQBf", who, a.request, a.priority, a.memory_mb)),
-    policy.CancelAttempt: lambda who, a: (4, struct.pack(">IQH", who, a.request, a.attempt)),
-    policy.RejectRequest: lambda who, a: (9, struct.pack(">IQd", who, a.request, a.retry_after_ms)),
-    policy.FailRequest: lambda who, a: (10, struct.pack(">IQ", who, a.request)),
-    policy.RunHealthCheck: lambda who, a: (6, struct.pack(">II", who, a.engine)),
-    policy.SetTimer: lambda who, a: (7, struct.pack(">IId", who, a.token, a.due_at_ms)),
-    policy.SubscribeEndpoints: lambda who, a: (0, struct.pack(">IB", who, a.on)),
-    policy.WriteLog: lambda who, a: (12, _text(who, a.text)),
+    policy.StartAttempt: _start_attempt,
+    policy.UpdatePriority: _update_priority,
+    policy.CancelAttempt: _cancel_attempt,
+    policy.RejectRequest: _reject_request,
+    policy.FailRequest: _fail_request,
+    policy.RunHealthCheck: _run_health_check,
+    policy.SetTimer: _set_timer,
+    policy.SubscribeEndpoints: _subscribe_endpoints,
+    policy.WriteLog: _write_log,
 }
 BAIL_OUT_CODE = 5
 
 
-class Host:
+class AdapterHost:
     """All instances of one process, each with a controller of its own and no state shared between them."""
 
     def __init__(self) -> None:
@@ -176,36 +217,36 @@
         self.lists: dict[int, tuple[policy.EngineEntry, ...]] = {}
         self.settings: dict[bytes, policy.Settings] = {}
 
-    def _read_hello(self, f: bytes) -> tuple[int, int, bytes]:
-        who, seed, size = HELLO.unpack_from(f)
-        if HELLO.size + size > len(f):
+    def _read_hello(self, fields: bytes) -> tuple[int, int, bytes]:
+        instance, seed, size = HELLO.unpack_from(fields)
+        if HELLO.size + size > len(fields):
             raise WireError("the settings run past their record")
-        return who, seed, f[HELLO.size : HELLO.size + size]
+        return instance, seed, fields[HELLO.size : HELLO.size + size]
 
-    def _read_directory(self, f: bytes) -> None:
-        number, count = DIRECTORY.unpack_from(f)
-        end = DIRECTORY.size + count * ENTRY.size
-        if end > len(f):
+    def _read_directory(self, fields: bytes) -> None:
+        number, count = DIRECTORY.unpack_from(fields)
+        end = DIRECTORY.size + count * ENGINE_ENTRY.size
+        if end > len(fields):
             raise WireError("an engine list runs past its record")
-        entries = tuple(policy.EngineEntry(*e) for e in ENTRY.iter_unpack(f[DIRECTORY.size : end]))
+        entries = tuple(policy.EngineEntry(*e) for e in ENGINE_ENTRY.iter_unpack(fields[DIRECTORY.size : end]))
         for entry in entries:
-            _known(policy.Health, entry.health, "health")
+            _enum_value(policy.Health, entry.health, "health")
         self.lists[number] = entries
 
-    def _read_discovery(self, f: bytes) -> tuple[int, policy.Event]:
-        who, how, version, number = DISCOVERY.unpack_from(f)
-        if _known(policy.EndpointListKind, how, "kind of list") == policy.EndpointListKind.FAILED:
-            return who, policy.EndpointListUpdated(how, version, ())
+    def _read_discovery(self, fields: bytes) -> tuple[int, policy.Event]:
+        instance, how, version, number = DISCOVERY.unpack_from(fields)
+        if _enum_value(policy.EndpointListKind, how, "kind of list") == policy.EndpointListKind.FAILED:
+            return instance, policy.EndpointListUpdated(how, version, ())
         if number not in self.lists:
             raise WireError(f"engine list {number} was never sent")
-        return who, policy.EndpointListUpdated(how, version, self.lists[number])
+        return instance, policy.EndpointListUpdated(how, version, self.lists[number])
 
-    def _start(self, who: int, seed: int, setup: bytes) -> None:
+    def _start(self, instance: int, seed: int, setup: bytes) -> None:
         if setup not in self.settings:
             self.settings[setup] = parse_settings(setup.decode())
-        self.controllers[who] = Controller(self.settings[setup], seed)
+        self.controllers[instance] = Controller(self.settings[setup], seed)
 
-    def record(self, now_ms: float, code: int, f: bytes) -> list[tuple[int, bytes]]:
+    def record(self, now_ms: float, code: int, fields: bytes) -> list[tuple[int, bytes]]:
         """Handle one event record and return the reply records that it caused, as pairs of code and fields.
 
         Raise WireError for an unknown code or a malformed record, struct.error for one that is too short; these end the
@@ -213,38 +254,38 @@
         instance's events are ignored until its next hello.
         """
         if code == DIRECTORY_CODE:
-            self._read_directory(f)
+            self._read_directory(fields)
             return []
         if code == MEMO_CODE:
             return []
         if code == SHUTDOWN_CODE:
-            self.controllers.pop(WHO.unpack_from(f)[0], None)
+            self.controllers.pop(INSTANCE.unpack_from(fields)[0], None)
             return []
         event: policy.Event | None = None
         hello = (0, b"")
         if code == HELLO_CODE:
-            who, *hello_rest = self._read_hello(f)
+            instance, *hello_rest = self._read_hello(fields)
             hello = (hello_rest[0], hello_rest[1])
-            self.failed.discard(who)
+            self.failed.discard(instance)
         elif code == DISCOVERY_CODE:
-            who, event = self._read_discovery(f)
+            instance, event = self._read_discovery(fields)
         elif code in READERS:
-            who, event = READERS[code](f)
+            instance, event = READERS[code](fields)
         else:
             raise WireError(f"unknown event code {code}")
-        if who in self.failed:
+        if instance in self.failed:
             return []
         try:
             if event is None:
-                self._start(who, *hello)
+                self._start(instance, *hello)
                 return []
-            if who not in self.controllers:
+            if instance not in self.controllers:
                 return []
-            actions = self.controllers[who].handle(now_ms, event)
-            return [WRITERS[type(action)](who, action) for action in actions]
+            actions = self.controllers[instance].handle(now_ms, event)
+            return [WRITERS[type(action)](instance, action) for action in actions]
         except Exception as error:  # noqa: BLE001 - any fault of one instance ends that instance alone
-            self.failed.add(who)
-            return [(BAIL_OUT_CODE, _text(who, f"{type(error).__name__}: {error}"))]
+            self.failed.add(instance)
+            return [(BAIL_OUT_CODE, _text(instance, f"{type(error).__name__}: {error}"))]
 
     def batch(self, count: int, now_ms: float, body: bytes) -> bytes:
         """Handle one batch of `count` records, all of time `now_ms`, and return the whole reply frame.
@@ -279,8 +320,11 @@
     Raise WireError for a malformed batch, where the input ends within one, or where a header has a negative length or a
     time that is not finite.
     """
-    host = Host()
-    while head := source.read(HEADER.size):
+    host = AdapterHost()
+    while True:
+        head = source.read(HEADER.size)
+        if not head:
+            return
         if len(head) < HEADER.size:
             raise WireError("the input ends inside a header")
         size, count, now_ms = HEADER.unpack(head)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A rule keeper for tests: it plays a script against a controller and checks every action by the rules."""
+"""A rule harness for tests: it plays a script against a controller and checks every action by the rules."""
 
 from __future__ import annotations
 
@@ -70,11 +70,13 @@
     return EngineEntry(engine, zone, kind, cell, health, 1.0, since)
 
 
-class Keeper:
+class ControllerHarness:
     """Feeds events to a controller, keeps the open attempts and asserts the rules on what comes back."""
 
-    def __init__(self, s: Settings, engines: int = 4, seed: int = 1, now: float = 1000.0) -> None:
-        self.s, self.now, self.c = s, now, Controller(s, seed)
+    def __init__(self, settings: Settings, engines: int = 4, seed: int = 1, now: float = 1000.0) -> None:
+        self.settings = settings
+        self.now = now
+        self.controller = Controller(settings, seed)
         self.sent: list[tuple[int, int, int]] = []  # request, attempt, engine
         self.open: dict[tuple[int, int], int] = {}
         self.requests: dict[int, policy.RequestArrived] = {}
@@ -91,7 +93,7 @@
         self.list(*(entry(i + 1) for i in range(engines)), how=EndpointListKind.CACHED)
 
     def feed(self, event: policy.Event) -> list[policy.Action]:
-        actions = self.c.handle(self.now, event)
+        actions = self.controller.handle(self.now, event)
         for action in actions:
             self.check(action)
         return actions
@@ -102,7 +104,7 @@
         elif isinstance(a, (policy.RejectRequest, policy.FailRequest)):
             assert a.request in self.requests and a.request not in self.answers, "one final answer"
             if isinstance(a, policy.RejectRequest):
-                cls = self.s.classes[self.requests[a.request].cls]
+                cls = self.settings.classes[self.requests[a.request].cls]
                 ran = [t for t in self.attempts[a.request] if t["verdict"] not in NEVER_RAN]
                 assert (
                     cls.idempotency == Idempotency.IDEMPOTENT
@@ -123,12 +125,12 @@
 
     def check_send(self, a: policy.StartAttempt) -> None:
         request = self.requests[a.request]
-        cls = self.s.classes[request.cls]
+        cls = self.settings.classes[request.cls]
         earlier = self.attempts[a.request]
         assert a.request not in self.answers, "nothing goes out after the answer"
         alone = all(t["verdict"] is not None for t in earlier)
-        assert alone or self.s.hedged_requests, "no two attempts at once"
-        assert len(earlier) < self.s.max_attempts
+        assert alone or self.settings.hedged_requests, "no two attempts at once"
+        assert len(earlier) < self.settings.max_attempts
         ran = [t for t in earlier if t["verdict"] not in NEVER_RAN]
         if cls.idempotency == Idempotency.NON_IDEMPOTENT:
             assert not ran, "an unsafe request is not repeated"
@@ -139,18 +141,18 @@
                 mine = getattr(self.entries[a.engine], place)
                 assert all(getattr(self.entries[t["engine"]], place) == mine for t in ran), "the keyed group"
         if a.engine in self.stopped:
-            assert self.now - self.stopped[a.engine] <= self.s.drain_grace_ms, "drain grace"
+            assert self.now - self.stopped[a.engine] <= self.settings.drain_grace_ms, "drain grace"
         place = self.entries[a.engine]
         assert cls.only_kinds is None or place.kind in cls.only_kinds, "placement by kind"
         assert cls.only_zones is None or place.zone in cls.only_zones, "placement by zone"
         if cls.in_order and request.key:
             self.check_order(a.request, request.key)
-        if earlier and self.s.retry_budget_window_ms:
+        if earlier and self.settings.retry_budget_window_ms:
             self.extras.append(self.now)
-            since = self.now - self.s.retry_budget_window_ms
+            since = self.now - self.settings.retry_budget_window_ms
             taken = sum(at > since for at in self.taken_at.values())
             count = sum(at >= since for at in self.extras)
-            assert count <= self.s.retry_budget_min + self.s.retry_budget_ratio * taken, "retry budget"
+            assert count <= self.settings.retry_budget_min + self.settings.retry_budget_ratio * taken, "retry budget"
         self.open[(a.request, len(earlier))] = a.engine
         self.sent.append((a.request, len(earlier), a.engine))
         earlier.append({"engine": a.engine, "at": self.now, "verdict": None})
@@ -159,12 +161,12 @@
         for other, r in self.requests.items():
             if other == request:
                 return
-            if r.key == key and self.s.classes[r.cls].in_order:
+            if r.key == key and self.settings.classes[r.cls].in_order:
                 assert other in self.answers, "order: an earlier one is unfinished"
                 for t in self.attempts[other]:
                     assert t["verdict"] is not None, "order: an earlier attempt is out"
                     if t["verdict"] in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
-                        assert self.now >= t["ended"] + self.s.key_order_pause_ms, "order: the key rests"
+                        assert self.now >= t["ended"] + self.settings.key_order_pause_ms, "order: the key rests"
 
     def answer(self, request: int, how: str) -> None:
         assert self.now <= self.taken_at[request] + self.requests[request].left_ms + 20.0, "answered in time"
@@ -192,7 +194,7 @@
         group: int = 0,
         tenant: int = 0,
     ) -> None:
-        left = self.s.classes[cls].deadline_ms if left is None else left
+        left = self.settings.classes[cls].deadline_ms if left is None else left
         event = policy.RequestArrived(number, cls, tenant, key, left, cost, memory, float(group))
         self.requests[number], self.taken_at[number], self.attempts[number] = event, self.now, []
         self.feed(event)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -77,13 +77,13 @@
     )
     assert who == 3
     assert event == policy.RequestArrived(0xF51375D3A91C4, 0, 0, 0x91F03B7C55D20A64, 240.0, 12.0, 384.0, 11.0)
-    who, event = simulator_adapter.read_ended(
+    who, event = simulator_adapter.read_attempt_ended(
         bytes.fromhex("00000003000f51375d3a91c4000003124a0700004032800000000000010001106000")
     )
     assert event == policy.AttemptEnded(0xF51375D3A91C4, 0, 0x03124A07, AttemptOutcome.OK, 18.5, True, 17.0, 384.0, ())
-    who, event = simulator_adapter.read_note(bytes.fromhex("00000003000f51375d3a91c4000003124a07013f000000"))
+    who, event = simulator_adapter.read_progress(bytes.fromhex("00000003000f51375d3a91c4000003124a07013f000000"))
     assert event == policy.ProgressReported(0xF51375D3A91C4, 0, 0x03124A07, 1, 0.5)
-    who, event = simulator_adapter.read_checked(bytes.fromhex("0000000303124a0700003ff666666666666600"))
+    who, event = simulator_adapter.read_health_check(bytes.fromhex("0000000303124a0700003ff666666666666600"))
     assert event == policy.HealthCheckCompleted(0x03124A07, 0, 1.4, ())
 
 
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -5,7 +5,7 @@
 import argparse
 
 import pytest
-from helpers import READ, Keeper, entry, settings
+from helpers import READ, ControllerHarness, entry, settings
 
 from bench import cold_ramp
 from frostspindle import policy
@@ -47,7 +47,7 @@
     """It knows nothing of what the one before it sent."""
 
     def sent(began: float, since: float) -> int:
-        k = Keeper(settings(READ, coordinators=coordinators), engines=0, now=began)
+        k = ControllerHarness(settings(READ, coordinators=coordinators), engines=0, now=began)
         k.list(entry(1, since=since), how=EndpointListKind.FULL)
         for i in range(40):
             k.request(i, 0, cost=200.0)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from helpers import HEAVY, READ, Keeper, entry, settings
+from helpers import HEAVY, READ, ControllerHarness, entry, settings
 
 from frostspindle import policy
 from frostspindle.policy import AttemptOutcome
@@ -14,7 +14,9 @@
     """Three coordinators that each fill an engine's memory make it page (zagreb-booking big-2, i209e2b)."""
 
     def sends(reported: float) -> int:
-        k = Keeper(settings(READ, HEAVY, load_report_columns=("concurrent", "x0"), coordinators=3), engines=1)
+        k = ControllerHarness(
+            settings(READ, HEAVY, load_report_columns=("concurrent", "x0"), coordinators=3), engines=1
+        )
         for i in range(40):
             k.request(i, 0, cost=100)
             engine = k.open.pop((i, 0))
@@ -31,7 +33,7 @@
 
 def test_one_late_answer_is_no_silence():
     """A single slow query on a quiet engine once had all its work cancelled (ie0bbd0, i209e2b)."""
-    k = Keeper(settings(READ, HEAVY), engines=3)
+    k = ControllerHarness(settings(READ, HEAVY), engines=3)
     k.warm_up(60)
     k.request(1, 1, cost=300)
     k.wait(2200)
@@ -40,7 +42,7 @@
 
 def test_silence_of_one_engine_stops_new_work_there_and_moves_what_it_holds():
     """An engine that answers nothing (hang, lost host, lost network) while its peers go on."""
-    k = Keeper(settings(READ, HEAVY), engines=4)
+    k = ControllerHarness(settings(READ, HEAVY), engines=4)
     k.warm_up(60)
     for i in range(200):
         k.request(i, 0, cost=100)
@@ -56,7 +58,7 @@
 
 def test_quick_failures_trip_the_breaker_and_do_not_draw_traffic():
     """An engine that fails at once looks idle; it must not become the best choice."""
-    k = Keeper(settings(READ), engines=4)
+    k = ControllerHarness(settings(READ), engines=4)
     k.warm_up(60)
     for i in range(150):
         k.request(i, 0, cost=100)
@@ -70,17 +72,17 @@
 
 def test_never_more_than_half_are_suspected():
     """All silent together is a shared cause, not a fault of each."""
-    k = Keeper(settings(READ), engines=4)
+    k = ControllerHarness(settings(READ), engines=4)
     k.warm_up(60)
     for i in range(100):
         k.request(i, 0, cost=100)
         k.wait(50)
-    assert sum(e.ejected for e in k.c.engines.values()) <= 2
+    assert sum(e.ejected for e in k.controller.engines.values()) <= 2
 
 
 def test_engines_slow_all_alike_keep_most_of_their_bound():
     """A shared slowdown cut every bound to one thread, and it stayed so (montevideo, a fresh day)."""
-    k = Keeper(settings(READ), engines=3)
+    k = ControllerHarness(settings(READ), engines=3)
     k.warm_up(60)
     for i in range(150):
         k.request(i, 0, cost=100)
@@ -88,13 +90,13 @@
         for request, number in list(k.open):
             if k.now - k.attempts[request][number]["at"] > 500 and number == len(k.attempts[request]) - 1:
                 k.end(request)
-    assert max(e.slowdown for e in k.c.engines.values()) > 3.0, "all are slow"
-    assert min(e.thread_limit for e in k.c.engines.values()) >= 8.0
+    assert max(e.slowdown for e in k.controller.engines.values()) > 3.0, "all are slow"
+    assert min(e.thread_limit for e in k.controller.engines.values()) >= 8.0
 
 
 def test_late_ones_in_a_keys_line_make_way_for_one_that_can_be_in_time():
     """A key with more loads than it can serve had every one of them end late (i9e36e9)."""
-    k = Keeper(settings(), engines=3)
+    k = ControllerHarness(settings(), engines=3)
     k.request(1, 2, cost=2000, key=9)
     for i in range(2, 6):
         k.wait(2000)
@@ -107,7 +109,7 @@
 
 
 def test_a_probe_decides_where_it_is_allowed():
-    k = Keeper(settings(READ, HEAVY, may_check_health=True), engines=1)
+    k = ControllerHarness(settings(READ, HEAVY, may_check_health=True), engines=1)
     k.warm_up(60)
     k.request(1, 1, cost=300)
     before = len(k.logs)
@@ -121,7 +123,7 @@
 
 def test_what_an_engine_keeps_without_a_note_is_moved_though_others_there_go_on():
     """Two engines kept small lookups for their whole time and answered other ones meanwhile (a churn day)."""
-    k = Keeper(settings(READ, HEAVY, progress_interval_ms=500.0), engines=3)
+    k = ControllerHarness(settings(READ, HEAVY, progress_interval_ms=500.0), engines=3)
     k.warm_up(60)
     k.request(1, 0, cost=200)  # less would be a bad plan sooner
     first = k.open[(1, 0)]
@@ -138,7 +140,7 @@
 @pytest.mark.parametrize("sign", [None, "note", "answer"])
 def test_what_a_mute_engine_keeps_is_moved_after_a_period_however_long_it_may_run(sign):
     """Two of five engines hung; long queries there were given up by their own length, seconds later (a long day)."""
-    k = Keeper(settings(READ, HEAVY, progress_interval_ms=500.0), engines=1)
+    k = ControllerHarness(settings(READ, HEAVY, progress_interval_ms=500.0), engines=1)
     k.warm_up(60)
     k.request(1, 1, cost=8000)  # 4 s alone
     k.request(2, 0, cost=100)
@@ -154,31 +156,31 @@
 
 
 def test_an_engine_that_is_suspected_again_at_once_is_tested_less_and_less_often():
-    k = Keeper(settings(READ), engines=4)
+    k = ControllerHarness(settings(READ), engines=4)
     k.warm_up(60)
-    engine, waits = k.c.engines[1], []
+    engine, waits = k.controller.engines[1], []
     for _ in range(4):
-        k.c.outliers.eject(engine, k.now, "fails")
+        k.controller.outliers.eject(engine, k.now, "fails")
         waits.append(engine.half_open_at_ms - k.now)
         engine.ejected, engine.readmitted_at_ms = False, k.now
-    k.c.outliers.eject(engine, k.now + 6000.0, "fails")
+    k.controller.outliers.eject(engine, k.now + 6000.0, "fails")
     assert waits == [1000.0, 2000.0, 4000.0, 8000.0] and engine.half_open_backoff_ms == 1000.0
 
 
 def test_a_request_that_fails_everywhere_costs_no_engine_its_standing():
     """Requests of bad clients met an error at each engine and had all of them suspected in turn (a rude day)."""
-    k = Keeper(settings(READ), engines=4)
+    k = ControllerHarness(settings(READ), engines=4)
     k.warm_up(60)
     for i in range(20):
         k.request(i, 0, cost=100)
         while i not in k.answers:
             k.end(i, AttemptOutcome.ERROR)
-        assert not any(e.ejected for e in k.c.engines.values())
-    assert max(e.failure_rate for e in k.c.engines.values()) < 0.01
+        assert not any(e.ejected for e in k.controller.engines.values())
+    assert max(e.failure_rate for e in k.controller.engines.values()) < 0.01
 
 
 def test_a_refusal_says_when_what_is_held_will_have_been_worked_off():
-    k = Keeper(settings(READ, retry_after=True, max_retry_after_ms=800.0), engines=1)
+    k = ControllerHarness(settings(READ, retry_after=True, max_retry_after_ms=800.0), engines=1)
     k.warm_up(60)
     for i in range(40):
         k.request(i, 0, cost=2000, left=3000 if i else 300)
@@ -193,7 +195,7 @@
 
 def test_what_an_engine_sheds_goes_to_another_one():
     """An engine that shuts down shed the same requests until their attempts were used up (r9acf3a)."""
-    k = Keeper(settings(READ), engines=3)
+    k = ControllerHarness(settings(READ), engines=3)
     k.warm_up(60)
     for i in range(30):
         k.request(i, 0, cost=100)
@@ -205,13 +207,13 @@
 
 def test_too_many_open_requests_cost_those_held_with_the_least_worth_for_their_work():
     """125 of 128 connections of clients held by waiting requests, and nobody else found one (upgrade+hand)."""
-    k = Keeper(settings(READ, HEAVY), engines=1)
+    k = ControllerHarness(settings(READ, HEAVY), engines=1)
     k.warm_up(60)
-    k.c.max_open_requests = 20
+    k.controller.max_open_requests = 20
     for i in range(60):
         k.request(i, i % 2, cost=100 if i % 2 == 0 else 900)
     shed = [i for i in range(60) if k.answers.get(i) == "RejectRequest"]
-    assert len(shed) == 40 and len(k.c.requests) == 20
+    assert len(shed) == 40 and len(k.controller.requests) == 20
     assert 2 * sum(i % 2 for i in shed) > len(shed), "heavy before light"
     assert not [request for request, _, _ in k.sent if request in shed], "only what was held"
 
@@ -220,7 +222,7 @@
     """Three engines just started stood nearly idle while 60 requests were held (upgrade+hand)."""
 
     def taken(age: float, cost: float, count: int = 60) -> int:
-        k = Keeper(
+        k = ControllerHarness(
             settings(
                 READ,
                 coordinators=3,
@@ -247,7 +249,7 @@
 
 def test_attempts_that_fail_together_put_off_the_test_of_their_engine_once():
     """Four failed connects in one moment kept an engine out for 8 s in place of 1 s (upgrade+hand+scrape)."""
-    k = Keeper(settings(READ), engines=3)
+    k = ControllerHarness(settings(READ), engines=3)
     k.warm_up(60)
     for i in range(60):
         k.request(i, 0, cost=100)
@@ -255,14 +257,14 @@
     assert len(lost) >= 4
     for request, _ in lost:
         k.end(request, AttemptOutcome.CONNECT_FAILED)
-    assert k.c.engines[1].ejected and k.c.engines[1].half_open_at_ms <= k.now + 1000.0
+    assert k.controller.engines[1].ejected and k.controller.engines[1].half_open_at_ms <= k.now + 1000.0
 
 
 def kept(sick: tuple[int, ...], share: float, period: float) -> float:
     """Of the lookups while engines keep a share of theirs, for 8 s: the part answered past their aim."""
     read = replace(READ, latency_objective_ms=1500.0, deadline_ms=7500.0, late_value_ratio=0.1)
     k, chance, number = (
-        Keeper(settings(read, HEAVY, progress_interval_ms=period, coordinators=3), engines=5),
+        ControllerHarness(settings(read, HEAVY, progress_interval_ms=period, coordinators=3), engines=5),
         Random(3),
         0,
     )
@@ -274,7 +276,7 @@
                 k.request(number, cls, cost=min(9000.0, chance.lognormvariate(usual, 1.0)))
         for sent in [one for one in k.open if one not in ends and one not in lost]:
             job = k.requests[sent[0]]
-            ends[sent] = k.now + job.cost_ms / k.s.classes[job.cls].threads
+            ends[sent] = k.now + job.cost_ms / k.settings.classes[job.cls].threads
             notes[sent] = k.now + period
             if 0.0 <= k.now - start < 8000.0 and job.cls == 0 and k.open[sent] in sick and chance.random() < share:
                 lost.add(sent)
@@ -301,26 +303,26 @@
 
 @pytest.mark.parametrize("elsewhere", [True, False])
 def test_the_last_engine_for_a_class_gets_it_though_it_keeps_it(elsewhere):
-    k = Keeper(settings(READ, HEAVY, progress_interval_ms=500.0), engines=2)
+    k = ControllerHarness(settings(READ, HEAVY, progress_interval_ms=500.0), engines=2)
     k.warm_up(60)
-    k.c.engines[1].withheld_until_ms = {} if elsewhere else {0: k.now + 60_000.0}
-    k.c.engines[2].slowdown = 0.1  # the first choice
+    k.controller.engines[1].withheld_until_ms = {} if elsewhere else {0: k.now + 60_000.0}
+    k.controller.engines[2].slowdown = 0.1  # the first choice
     for number in (1, 3):
         k.request(number, 0, cost=200)
-        k.c.engines[2].slowdown = 0.1
+        k.controller.engines[2].slowdown = 0.1
     assert [k.open[number, 0] for number in (1, 3)] == [2, 2]
     for number in range(100, 114):  # both answer others
         k.request(number, 1, cost=50)
         k.wait(100)
         k.end(number)
-    k.c.engines[2].slowdown = 0.1
+    k.controller.engines[2].slowdown = 0.1
     k.request(2, 0, cost=200)
     assert k.open[(2, 0)] == (1 if elsewhere else 2)
 
 
 def test_one_request_without_notes_speaks_for_no_engine_that_keeps_its_class():
     """A connection that fell silent loses the notes of one: five engines of five were without reports for 5 s each."""
-    k = Keeper(settings(READ, HEAVY, progress_interval_ms=500.0), engines=2)
+    k = ControllerHarness(settings(READ, HEAVY, progress_interval_ms=500.0), engines=2)
     k.warm_up(60)
     k.request(1, 0, cost=200)
     engine = k.open[(1, 0)]
@@ -329,14 +331,16 @@
         k.wait(100)
         k.end(number)
     assert len(k.attempts[1]) == 2, "it is moved all the same"
-    assert k.c.engines[engine].withheld_until_ms[0] <= k.now and not [line for line in k.logs if "keeps class" in line]
+    assert k.controller.engines[engine].withheld_until_ms[0] <= k.now and not [
+        line for line in k.logs if "keeps class" in line
+    ]
 
 
 def test_what_an_engine_keeps_of_a_class_in_doubt_is_moved_after_one_missed_note():
-    k = Keeper(settings(READ, HEAVY, progress_interval_ms=500.0), engines=2)
+    k = ControllerHarness(settings(READ, HEAVY, progress_interval_ms=500.0), engines=2)
     k.warm_up(60)
     k.request(1, 0, cost=400)
-    k.c.engines[k.open[(1, 0)]].withheld_until_ms[0] = k.now + 5000.0
+    k.controller.engines[k.open[(1, 0)]].withheld_until_ms[0] = k.now + 5000.0
     for number in range(100, 110):
         k.request(number, 1, cost=50)
         k.wait(100)
@@ -346,10 +350,10 @@
 
 def test_a_test_that_was_never_sent_says_nothing_about_its_engine():
     """A client left while its request, the test of a suspected engine, waited for a connection."""
-    k = Keeper(settings(), engines=3)
+    k = ControllerHarness(settings(), engines=3)
     k.warm_up()
-    engine = k.c.engines[1]
-    k.c.outliers.eject(engine, k.now, "fails")
+    engine = k.controller.engines[1]
+    k.controller.outliers.eject(engine, k.now, "fails")
     k.wait(engine.half_open_at_ms - k.now + 600.0)  # looked over again by then
     tested = next(number for number in range(1, 50) if k.request(number, 0, 50.0) or k.open.get((number, 0)) == 1)
     before = engine.half_open_backoff_ms, engine.half_open_at_ms
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,14 +5,14 @@
 import unittest.mock
 
 import pytest
-from helpers import HEAVY, LOAD, READ, Keeper, entry, settings
+from helpers import HEAVY, LOAD, READ, ControllerHarness, entry, settings
 from peers import Bus, EdgeCase, HttpEngine, at_work, change, host
 
 from frostspindle import policy, pools
 from frostspindle.policy import AttemptOutcome, EndpointListKind, Health
 
 
-def fleet(count: int, engines: int, **changes: object) -> list[Keeper]:
+def fleet(count: int, engines: int, **changes: object) -> list[ControllerHarness]:
     """So many coordinators, each with its own number and seed, at the same engines."""
     out = []
     for number in range(count):
@@ -28,7 +28,7 @@
                 **changes,
             },
         )
-        out.append(Keeper(s, engines=0, seed=1000 + number))
+        out.append(ControllerHarness(s, engines=0, seed=1000 + number))
         out[-1].list(*(entry(i) for i in range(engines)), how=EndpointListKind.FULL)
     return out
 
@@ -59,7 +59,7 @@
         for engine in {e for _, _, e in k.sent}:
             met[engine].add(number)
         (last,) = {e for _, _, e in k.sent[-1:]}
-        k.c.engines[last].slowdown = 6.0
+        k.controller.engines[last].slowdown = 6.0
         before = len(k.sent)
         for i in range(100, 110):
             k.request(i, 0, cost=100.0)
@@ -71,11 +71,11 @@
 
 
 def test_requests_held_for_an_engine_that_is_replaced_go_to_its_successor():
-    k = Keeper(settings(READ, HEAVY, LOAD, coordinators=40), engines=1)
+    k = ControllerHarness(settings(READ, HEAVY, LOAD, coordinators=40), engines=1)
     k.wait(600)
     for i in range(6):
         k.request(i, 1, cost=3000.0, left=60000.0)
-    held = [job for *_, job in k.c.waiting_queue]
+    held = [job for *_, job in k.controller.waiting_queue]
     assert held, "the bound of one engine is reached"
     k.list(entry(1, health=Health.GONE))
     k.list(entry(77))  # long warm, under an id of its own
@@ -93,7 +93,9 @@
 def test_a_report_that_is_seconds_late_does_not_shut_an_engine_off():
     """It says that the memory is full, as it was when the report was made."""
     columns = ("load_share", "depth", "x0")
-    k = Keeper(settings(READ, HEAVY, LOAD, kind_memory_mb=(16384.0, 16384.0), load_report_columns=columns), engines=1)
+    k = ControllerHarness(
+        settings(READ, HEAVY, LOAD, kind_memory_mb=(16384.0, 16384.0), load_report_columns=columns), engines=1
+    )
     for i in range(2):
         k.request(i, 0, cost=100.0)
     k.end(0)
@@ -156,8 +158,8 @@
     for k in fleet(40, 8, load_report_columns=("load_share", "depth", "x0")):
         for engine in range(8):  # one answer from each, half of them with all cores in use and a line
             report = (1.0, 6.0, 0.5) if engine % 2 else (0.1, 0.0, 0.1)
-            k.c.engines[engine].connections.free(k.now)
-            k.c.capacity.add_load_report(k.c.engines[engine], report, k.now)
+            k.controller.engines[engine].connections.free(k.now)
+            k.controller.capacity.add_load_report(k.controller.engines[engine], report, k.now)
         for i in range(3):
             k.request(i, 0, cost=100.0)
         full += sum(engine % 2 for _, _, engine in k.sent)
@@ -169,7 +171,7 @@
     """Once the budget held a query for each of 40, all got their share of it, less than one: nobody sent any."""
     sent = 0
     for number in range(40):
-        k = Keeper(settings(READ, HEAVY, LOAD, coordinators=40, number=number), engines=0, now=101000.0)
+        k = ControllerHarness(settings(READ, HEAVY, LOAD, coordinators=40, number=number), engines=0, now=101000.0)
         k.list(entry(7, since=96000.0), how=EndpointListKind.FULL)
         for i in range(60):
             k.request(i, 0, cost=100.0)
@@ -184,7 +186,7 @@
     def takers(warm: range) -> list[int]:
         out = []
         for number in range(40):
-            k = Keeper(
+            k = ControllerHarness(
                 settings(READ, HEAVY, LOAD, coordinators=40, number=number), engines=0, seed=number, now=101000.0
             )
             k.list(entry(7, since=96000.0), *(entry(i) for i in warm), how=EndpointListKind.FULL)
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -157,7 +157,7 @@
         self.say("b", "c")
         self.assertEqual((self.heard, self.module.engines[1].ejected), ([], False))
         self.say("d")
-        self.assertEqual([(peer.engine, peer.ejected, peer.part) for peer in self.heard], [(1, True, 1.0)])
+        self.assertEqual([(peer.engine, peer.ejected, peer.slow_start_share) for peer in self.heard], [(1, True, 1.0)])
         self.assertTrue(self.module.engines[1].ejected)
         self.service._look()
         self.assertEqual(len(self.heard), 1)  # told once: a test passed here is not overruled by the same word again
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,12 +1,13 @@
 """Limits of the module, determinism, the README's example, and random event sequences."""
 
+import ast
 import re
 import tomllib
 from dataclasses import replace
 from pathlib import Path
 
 import pytest
-from helpers import HEAVY, KEYED, LOAD, READ, Keeper, entry, settings
+from helpers import HEAVY, KEYED, LOAD, READ, ControllerHarness, entry, settings
 from hypothesis import HealthCheck, given, strategies
 from hypothesis import settings as hypothesis_settings
 
@@ -18,6 +19,7 @@
 
 POLICY_FILES = sorted((ROOT / "frostspindle/policy").glob("*.py"))
 MAX_MODULE_LINES = 400
+MAX_FUNCTION_LINES = 40
 
 
 def test_the_deploy_file_names_every_decision_module_and_each_stays_small():
@@ -75,7 +77,7 @@
 
 
 def script(seed: int) -> list:
-    k = Keeper(settings(), seed=seed)
+    k = ControllerHarness(settings(), seed=seed)
     k.warm_up(40)
     for i in range(30):
         k.request(i, i % 4, cost=100.0 * (1 + i % 7), key=i % 3)
@@ -89,7 +91,7 @@
 
 
 def test_odd_events_are_bounded_or_ignored():
-    k = Keeper(settings(load_report_columns=("concurrent", "x0")))
+    k = ControllerHarness(settings(load_report_columns=("concurrent", "x0")))
     k.request(1, 0, cost=0.0, memory=0.0)
     k.request(2, 1, left=-5.0)
     ended = policy.AttemptEnded(1, 0, k.sent[0][2], AttemptOutcome.OK, 0.0, True, 0.0, 0.0, (-3.0, float("nan")))
@@ -140,7 +142,7 @@
 def test_random_days_keep_every_rule(steps, scope, rationed):
     budget = {"retry_budget_min": 2.0, "retry_budget_ratio": 0.1, "retry_budget_window_ms": 5000.0} if rationed else {}
     keyed = replace(KEYED, dedup_scope=scope, in_order=True)
-    k = Keeper(settings(READ, replace(HEAVY, only_kinds=frozenset({1})), LOAD, keyed, **budget), engines=0)
+    k = ControllerHarness(settings(READ, replace(HEAVY, only_kinds=frozenset({1})), LOAD, keyed, **budget), engines=0)
     k.list(*(entry(i, kind=i % 2, zone=i % 2, cell=i // 2) for i in range(1, 5)), how=EndpointListKind.FULL)
     number = 0
     for step in steps:
@@ -174,10 +176,24 @@
 def test_times_of_requests_are_kept_for_the_retry_span_only():
     # A long day without retries: every request's time was kept for ever (0.1 MB an hour per request a second).
     for span in (0.0, 1000.0):
-        keeper = Keeper(settings(retry_budget_window_ms=span, retry_budget_ratio=0.1, retry_budget_min=2.0))
-        keeper.list(*(entry(n) for n in range(1, 5)), how=EndpointListKind.FULL)
+        harness = ControllerHarness(settings(retry_budget_window_ms=span, retry_budget_ratio=0.1, retry_budget_min=2.0))
+        harness.list(*(entry(n) for n in range(1, 5)), how=EndpointListKind.FULL)
         for number in range(1, 2001):
-            keeper.request(number)
-            keeper.end(number)
-            keeper.now += 10.0  # 100 a second, 20 s in all
-        assert len(keeper.c.retries.arrivals) <= max(1, span / 10.0 + 1), (span, len(keeper.c.retries.arrivals))
+            harness.request(number)
+            harness.end(number)
+            harness.now += 10.0  # 100 a second, 20 s in all
+        assert len(harness.controller.retries.arrivals) <= max(1, span / 10.0 + 1), (
+            span,
+            len(harness.controller.retries.arrivals),
+        )
+
+
+def test_every_function_of_the_decision_module_stays_short():
+    functions = [
+        (path.name, node.name, node.end_lineno - node.lineno + 1)
+        for path in POLICY_FILES
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.FunctionDef)
+    ]
+    assert len(functions) > 100
+    assert [function for function in functions if function[2] > MAX_FUNCTION_LINES] == []
--- a/tests/test_module_indexes.py
+++ b/tests/test_module_indexes.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import pytest
-from helpers import HEAVY, KEYED, LOAD, READ, Keeper, entry, settings
+from helpers import HEAVY, KEYED, LOAD, READ, ControllerHarness, entry, settings
 from hypothesis import given, strategies
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
@@ -174,7 +174,7 @@
 @given(steps=strategies.lists(STEP, min_size=15, max_size=60))
 def test_indexes_and_truth_never_drift_apart(few, steps):
     waiter = replace(HEAVY, blocked_by_loads=True)
-    k = Keeper(
+    k = ControllerHarness(
         settings(
             READ,
             waiter,
@@ -203,7 +203,7 @@
                 k.end(request, step[2])
             else:
                 k.feed(policy.ProgressReported(request, attempt, k.open[(request, attempt)], step[2], step[3]))
-        audit(k.c)
+        audit(k.controller)
 
 
 @hypothesis_settings(derandomize=True, max_examples=100, deadline=None)
@@ -231,8 +231,8 @@
     assert not tally.groups
 
 
-def crowd(count: int, held: int, **changes: object) -> Keeper:
-    k = Keeper(settings(READ, HEAVY, LOAD, **changes), engines=0)
+def crowd(count: int, held: int, **changes: object) -> ControllerHarness:
+    k = ControllerHarness(settings(READ, HEAVY, LOAD, **changes), engines=0)
     k.list(*(entry(n) for n in range(1, count + 1)), how=EndpointListKind.FULL)
     k.wait(200)
     for i in range(held):
@@ -243,15 +243,15 @@
 def test_a_thousand_engines_replaced_while_requests_are_held():
     """Every one is new and cold: the held leave for them within their budgets, and none for the old ones."""
     k = crowd(1000, 12_500)
-    held = len(k.c.waiting_queue)
+    held = len(k.controller.waiting_queue)
     assert held > 200, "the bound of all engines is reached"
     old = len(k.sent)
     k.list(*(entry(n, since=k.now) for n in range(2001, 3001)), how=EndpointListKind.FULL)
     k.wait(3000, step=50.0)
-    audit(k.c)
+    audit(k.controller)
     later = Counter(engine for _, _, engine in k.sent[old:])
-    assert min(later) > 2000 and sum(later.values()) > 200 and len(k.c.state.slow_start_turns) <= 1000
-    budget = max(k.c.slow_start.budget_ms(e, k.now) for e in k.c.engines.values() if e.id > 2000)
+    assert min(later) > 2000 and sum(later.values()) > 200 and len(k.controller.state.slow_start_turns) <= 1000
+    budget = max(k.controller.slow_start.budget_ms(e, k.now) for e in k.controller.engines.values() if e.id > 2000)
     assert max(later.values()) * 3000.0 <= 4.0 * budget, "three windows, and one that began before"
 
 
@@ -269,21 +269,21 @@
             assert number == 0
             k.end(request)
         k.wait(50)
-    audit(k.c)
+    audit(k.controller)
     assert {engine for _, _, engine in k.sent[old:]} == {7, 8}
     assert len(k.sent) - old > 100, "the two are kept busy"
 
 
 def test_a_queue_of_ten_thousand_whose_head_cannot_be_placed_is_not_walked():
     """Loads of one group go to one engine each; all others behind them used to be asked at every event."""
-    k = Keeper(settings(READ, HEAVY, LOAD), engines=4)
-    asked, met, looked_at, fits = [], [], k.c.selector.candidates, k.c.limiter.fits
-    k.c.selector.candidates = lambda request, now: asked.append(request.number) or looked_at(request, now)
-    k.c.limiter.fits = lambda request: met.append(request.number) or fits(request)
+    k = ControllerHarness(settings(READ, HEAVY, LOAD), engines=4)
+    asked, met, looked_at, fits = [], [], k.controller.selector.candidates, k.controller.limiter.fits
+    k.controller.selector.candidates = lambda request, now: asked.append(request.number) or looked_at(request, now)
+    k.controller.limiter.fits = lambda request: met.append(request.number) or fits(request)
     for i in range(10_000):
         assert len(met) <= 3 * i, "a few of the queue at an event"
-        k.c.handle(k.now, policy.RequestArrived(i, 2, 0, i + 1, 600_000.0, 100.0 + i, 0.0, 5.0))
-    assert len(k.c.waiting_queue) == 9_996
+        k.controller.handle(k.now, policy.RequestArrived(i, 2, 0, i + 1, 600_000.0, 100.0 + i, 0.0, 5.0))
+    assert len(k.controller.waiting_queue) == 9_996
     asked.clear()
     for i in range(10_000, 10_020):  # what is larger than all of them still finds its place at once
         k.request(i, 0, cost=15_000.0, left=600_000.0, group=1)
@@ -292,10 +292,10 @@
 
 def test_of_many_cold_engines_those_with_a_turn_are_looked_at():
     s = settings(READ, HEAVY, LOAD, coordinators=40, number=3)
-    k = Keeper(s, engines=0, now=100_000.0)
+    k = ControllerHarness(s, engines=0, now=100_000.0)
     k.list(*(entry(n, since=99_000.0) for n in range(1, 1001)), how=EndpointListKind.FULL)
     k.wait(150)
-    assert MANY < 1000 and 0 < len(k.c.state.slow_start_turns) < 200
+    assert MANY < 1000 and 0 < len(k.controller.state.slow_start_turns) < 200
     for i in range(40):
         k.request(i, 0, cost=100.0)
     assert len(k.sent) > 20, "a sample of all thousand would find a turn for a few only"
@@ -303,12 +303,12 @@
 
 def test_of_many_standing_connections_the_last_used_are_looked_at():
     s = settings(READ, coordinators=3, connection_idle_ms=15_000.0, handshake_penalty=0.08)
-    k = Keeper(s, engines=0)
+    k = ControllerHarness(s, engines=0)
     k.list(*(entry(n) for n in range(1, 1001)), how=EndpointListKind.FULL)
     draw = Random(3)
     used = draw.sample(range(1, 1001), 400)
     for engine in used[-24:] + used:  # those used last were also used first
-        k.c.engines[engine].connections.free(k.now)
+        k.controller.engines[engine].connections.free(k.now)
     for i in range(30):
         k.request(i, 0, cost=100.0)
     met = {engine for _, _, engine in k.sent}
@@ -317,10 +317,12 @@
 
 def test_too_many_open_what_is_worth_least_goes_and_what_is_past_hope_in_its_order():
     """Against a scan of all held, as of the last ranking; the structures may hold more than what is held still."""
-    k, draw, shed = Keeper(settings(READ, HEAVY, LOAD), engines=1), Random(5), 0
-    k.c.max_open_requests = 60
+    k, draw, shed = ControllerHarness(settings(READ, HEAVY, LOAD), engines=1), Random(5), 0
+    k.controller.max_open_requests = 60
     for i in range(1, 300):
-        held = {request.number: k.c.waiting.value(request, k.now) for *_, request in k.c.waiting_queue}
+        held = {
+            request.number: k.controller.waiting.value(request, k.now) for *_, request in k.controller.waiting_queue
+        }
         k.requests[i], k.taken_at[i], k.attempts[i] = None, k.now, []
         event = policy.RequestArrived(i, draw.randrange(2), 0, 0, 60_000.0, draw.uniform(50.0, 9000.0), 0.0, -1.0)
         k.requests[i] = event
@@ -329,21 +331,21 @@
         if gone:
             shed += 1
             new = {i: event.cost_ms} if i not in held else {}
-            worth = {**held, **{n: k.s.classes[event.cls].priority_weight / cost for n, cost in new.items()}}
+            worth = {**held, **{n: k.settings.classes[event.cls].priority_weight / cost for n, cost in new.items()}}
             assert gone == [min(worth, key=worth.get)], i
         if i % 40 == 39 and k.open:
             k.end(next(iter(k.open))[0])
     assert shed > 100
-    k.c.max_open_requests = 1000
+    k.controller.max_open_requests = 1000
     k.now += 100.0
-    k.c.handle(k.now, policy.TimerFired(0))
-    order, k.now = [row[2] for row in k.c.waiting_queue], k.now + 300.0
+    k.controller.handle(k.now, policy.TimerFired(0))
+    order, k.now = [row[2] for row in k.controller.waiting_queue], k.now + 300.0
     k.now += 50_000.0
-    k.c.handle(k.now, policy.TimerFired(0))
+    k.controller.handle(k.now, policy.TimerFired(0))
     k.now += 200.0
     gone = [
         a.request
-        for a in k.c.handle(k.now, policy.TimerFired(0))
+        for a in k.controller.handle(k.now, policy.TimerFired(0))
         if isinstance(a, (policy.RejectRequest, policy.FailRequest))
     ]
     assert gone == [n for n in order if n in gone] and len(gone) > 5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED, LOAD, READ, Keeper, entry, settings
+from helpers import KEYED, LOAD, READ, ControllerHarness, entry, settings
 
 from frostspindle.policy import (
     AttemptOutcome,
@@ -16,7 +16,7 @@
 
 
 def test_every_request_is_answered_before_its_client_gives_up():
-    k = Keeper(settings(), engines=0)
+    k = ControllerHarness(settings(), engines=0)
     k.request(1, 0, left=800)
     k.request(2, 2, key=7, left=900)
     k.request(3, 3, left=1000)
@@ -25,7 +25,7 @@
 
 
 def test_an_attempt_that_never_answers_ends_in_one_failure():
-    k = Keeper(settings(replace(LOAD, in_order=False)), engines=1)
+    k = ControllerHarness(settings(replace(LOAD, in_order=False)), engines=1)
     k.request(1, 0, cost=500, left=3000)
     k.wait(3100)
     assert k.answers == {1: "FailRequest"}, "what may have run is not refused"
@@ -35,7 +35,7 @@
     "verdict", [AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED]
 )
 def test_unsafe_is_sent_once_when_it_may_have_run(verdict):
-    k = Keeper(settings())
+    k = ControllerHarness(settings())
     k.request(1, 2)
     k.wait(50)
     k.end(1, verdict)
@@ -44,7 +44,7 @@
 
 
 def test_unsafe_goes_out_again_after_proof_that_it_never_ran():
-    k = Keeper(settings())
+    k = ControllerHarness(settings())
     k.request(1, 2)
     k.wait(50)
     k.end(1, AttemptOutcome.CONNECT_FAILED)
@@ -53,7 +53,7 @@
 
 
 def test_keyed_repeat_stays_in_its_window_and_group():
-    k = Keeper(settings(replace(KEYED, dedup_scope="cell")), engines=0)
+    k = ControllerHarness(settings(replace(KEYED, dedup_scope="cell")), engines=0)
     k.list(entry(1, cell=1), entry(2, cell=2), entry(3, cell=1), how=EndpointListKind.FULL)
     k.request(1, 0, cost=300)
     first = k.sent[0][2]
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("health", [0, 2])
 def test_a_drained_engine_gets_nothing_new(health):
-    k = Keeper(settings(), engines=2)
+    k = ControllerHarness(settings(), engines=2)
     k.list(entry(1, health=health))
     for i in range(6):
         k.request(i, 0)
@@ -78,7 +78,7 @@
 
 
 def test_an_engine_missing_from_a_full_list_gets_nothing_new():
-    k = Keeper(settings(), engines=2)
+    k = ControllerHarness(settings(), engines=2)
     k.list(entry(2), how=EndpointListKind.FULL)
     for i in range(6):
         k.request(i, 0)
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("coordinators", [1, 3])
 def test_a_cold_engine_is_not_pushed_over(coordinators):
     s = settings(coordinators=coordinators)
-    k = Keeper(s, engines=0, now=100000.0)
+    k = ControllerHarness(s, engines=0, now=100000.0)
     k.list(entry(1, since=99000.0), how=EndpointListKind.FULL)
     for i in range(200):
         k.request(i, i % 2, cost=300.0 if i % 2 == 0 else 4000.0)
@@ -105,7 +105,7 @@
 
 
 def test_order_runs_one_key_at_a_time_and_rests_after_a_timeout():
-    k = Keeper(settings())
+    k = ControllerHarness(settings())
     k.request(1, 2, key=5)
     k.request(2, 2, key=5)
     k.request(3, 2, key=6)
@@ -119,7 +119,7 @@
 
 
 def test_order_waits_for_an_attempt_whose_client_has_left():
-    k = Keeper(settings(may_cancel=False))
+    k = ControllerHarness(settings(may_cancel=False))
     k.request(1, 2, key=5)
     k.request(2, 2, key=5)
     k.answer(1, "ClientDisconnected")
@@ -133,7 +133,7 @@
 
 def test_placement_holds_when_the_only_match_is_full_or_gone():
     bound = replace(READ, only_kinds=frozenset({1}), only_zones=frozenset({2}))
-    k = Keeper(settings(bound), engines=0)
+    k = ControllerHarness(settings(bound), engines=0)
     k.list(entry(1, kind=0, zone=2), entry(2, kind=1, zone=0), entry(3, kind=1, zone=2), how=EndpointListKind.FULL)
     k.request(1, 0)
     k.wait(10)
@@ -146,7 +146,7 @@
 
 def test_retry_budget_is_kept_over_any_span():
     s = settings(READ, retry_budget_min=2.0, retry_budget_ratio=0.1, retry_budget_window_ms=5000.0, max_attempts=3)
-    k = Keeper(s, engines=6)
+    k = ControllerHarness(s, engines=6)
     for i in range(80):
         k.request(i, 0)
         k.wait(30)
@@ -157,13 +157,13 @@
 
 
 def test_the_engine_list_is_subscribed_to_and_asked_for_again_after_a_failure():
-    k = Keeper(settings(subscribe_endpoints=True), engines=0)
+    k = ControllerHarness(settings(subscribe_endpoints=True), engines=0)
     first = k.feed(EndpointListUpdated(EndpointListKind.CACHED, 1, (entry(1),)))
     assert first.count(SubscribeEndpoints(True)) == 1
     failed = k.feed(EndpointListUpdated(EndpointListKind.FAILED, 1, ()))
     assert SubscribeEndpoints(True) not in failed, "not at once: the list's service may be overloaded"
     k.now += 600
     assert SubscribeEndpoints(True) in k.feed(TimerFired(0))
-    assert SubscribeEndpoints(True) not in Keeper(settings(), engines=0).feed(
+    assert SubscribeEndpoints(True) not in ControllerHarness(settings(), engines=0).feed(
         EndpointListUpdated(EndpointListKind.CACHED, 1, ())
     )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,7 +1,7 @@
 """What only shows when many coordinators meet many engines, as small cases without the bench."""
 
 import pytest
-from helpers import HEAVY, LOAD, READ, Keeper, entry, settings
+from helpers import HEAVY, LOAD, READ, ControllerHarness, entry, settings
 
 from frostspindle import policy
 from frostspindle.policy import AttemptOutcome, EndpointListKind, ProgressKind
@@ -15,7 +15,7 @@
     """170 coordinators once put a query each on every idle engine: engines were full or paged."""
 
     def out(coordinators: int) -> int:
-        k = Keeper(many(coordinators=coordinators), engines=30)
+        k = ControllerHarness(many(coordinators=coordinators), engines=30)
         k.wait(600)
         for i in range(60):
             k.request(i, 1, cost=4000.0)
@@ -26,7 +26,7 @@
 
 
 def test_one_query_may_always_be_out():
-    k = Keeper(many(coordinators=1000), engines=2)
+    k = ControllerHarness(many(coordinators=1000), engines=2)
     k.wait(600)
     k.request(1, 1, cost=4000.0)
     k.request(2, 1, cost=4000.0)
@@ -34,14 +34,17 @@
 
 
 def test_small_work_passes_the_bound_by_as_much_again():
-    k = Keeper(many(), engines=30)
+    k = ControllerHarness(many(), engines=30)
     k.warm_up(60)
     for i in range(40):
         k.request(i, 1, cost=4000.0)
     heavy = len(k.open)
     for i in range(100, 140):
         k.request(i, 0, cost=100.0)
-    assert heavy < len(k.open) and k.c.state.threads <= 2 * k.c.limiter.widening * k.c.state.thread_limit_sum
+    assert (
+        heavy < len(k.open)
+        and k.controller.state.threads <= 2 * k.controller.limiter.widening * k.controller.state.thread_limit_sum
+    )
 
 
 def test_reported_memory_holds_also_for_engines_with_nothing_of_ours():
@@ -49,7 +52,9 @@
 
     def sends(reported: float) -> int:
         memory, columns = (16384.0, 16384.0), ("concurrent", "x0")
-        k = Keeper(many(kind_memory_mb=memory, memory_shortage_mode="page", load_report_columns=columns), engines=20)
+        k = ControllerHarness(
+            many(kind_memory_mb=memory, memory_shortage_mode="page", load_report_columns=columns), engines=20
+        )
         k.wait(600)
         for i in range(60):
             k.request(i, 0, cost=100)
@@ -67,7 +72,7 @@
 
 def test_grants_keep_a_margin_while_few_answers_told_the_need():
     def grant(answers: int) -> float:
-        k = Keeper(many(kind_memory_mb=(16384.0, 16384.0), reports_cost=True), engines=30)
+        k = ControllerHarness(many(kind_memory_mb=(16384.0, 16384.0), reports_cost=True), engines=30)
         k.wait(600)
         for i in range(answers):
             k.request(i, 0, cost=100.0, memory=100.0)
@@ -82,12 +87,12 @@
 @pytest.mark.parametrize("jump", [2000.0, 60000.0])
 def test_an_own_stall_is_no_silence_of_engines(jump):
     """A dispatcher that stood still finds answers late; no engine is to blame and none is suspected."""
-    k = Keeper(many(coordinators=4), engines=4)
+    k = ControllerHarness(many(coordinators=4), engines=4)
     k.warm_up(60)
     for i in range(4):
         k.request(i, 1, cost=1000.0, left=100000.0)
     k.wait(200)
-    slow = max(e.slowdown for e in k.c.engines.values())
+    slow = max(e.slowdown for e in k.controller.engines.values())
     k.now += jump
     sent = len(k.sent)
     k.request(50, 0, cost=100.0)
@@ -96,7 +101,7 @@
         k.end(i)
     k.wait(300)
     assert not any("silent" in line for line in k.logs)
-    assert max(e.slowdown for e in k.c.engines.values()) <= slow, "its late answers teach no latency"
+    assert max(e.slowdown for e in k.controller.engines.values()) <= slow, "its late answers teach no latency"
     assert (50, 0) in [(r, n) for r, n, _ in k.sent], "then the pile leaves"
 
 
@@ -106,7 +111,7 @@
     turns = 0
     for number in range(200):
         s = many(coordinators=200, number=number)
-        k = Keeper(s, engines=0, now=100000.0)
+        k = ControllerHarness(s, engines=0, now=100000.0)
         k.list(entry(7, since=99000.0), how=EndpointListKind.FULL)
         for i in range(12):
             k.request(i, 1 if i % 4 == 3 else 0, cost=4000.0 if i % 4 == 3 else 300.0)
@@ -124,7 +129,7 @@
 
 
 def test_one_failure_trips_where_an_engine_is_met_seldom():
-    k = Keeper(many(), engines=30)
+    k = ControllerHarness(many(), engines=30)
     k.warm_up(60)
     k.request(1, 0, cost=100.0)
     bad = k.sent[-1][2]
@@ -139,7 +144,7 @@
 
 @pytest.mark.parametrize("coordinators,engines", [(1, 0), (1, 1), (1000, 1), (1000, 300)])
 def test_any_size_is_served_or_answered(coordinators, engines):
-    k = Keeper(many(coordinators=coordinators), engines=engines)
+    k = ControllerHarness(many(coordinators=coordinators), engines=engines)
     for i in range(30):
         k.request(i, 0, cost=100.0)
         k.wait(50)
@@ -157,7 +162,7 @@
 
 
 def test_an_engine_from_the_future_or_of_unknown_kind_does_no_harm():
-    k = Keeper(many(), engines=0)
+    k = ControllerHarness(many(), engines=0)
     k.list(entry(1, since=10**9, kind=9, zone=77, cell=4000), how=EndpointListKind.FULL)
     k.request(1, 0, cost=100.0)
     k.list(how=EndpointListKind.FULL)
@@ -169,14 +174,14 @@
     """Where engines page, a share of three threads let a quiet fleet run one report at a time."""
 
     def out(reported: float) -> int:
-        k = Keeper(
+        k = ControllerHarness(
             many(
                 kind_memory_mb=(16384.0, 16384.0), memory_shortage_mode="page", load_report_columns=("concurrent", "x0")
             ),
             engines=30,
         )
         k.warm_up(60)
-        for engine in k.c.engines:
+        for engine in k.controller.engines:
             k.request(engine + 5000, 0, cost=100.0)
             at = k.open.pop((engine + 5000, 0))
             k.attempts[engine + 5000][0]["verdict"] = AttemptOutcome.OK
@@ -196,7 +201,7 @@
 
     def opened(**prices: float) -> tuple[int, int]:
         s = settings(READ, HEAVY, LOAD, coordinators=coordinators, connection_idle_ms=15000.0, zone=0, **prices)
-        k = Keeper(s, engines=0)
+        k = ControllerHarness(s, engines=0)
         k.list(*(entry(i, zone=i % 3) for i in range(30)), how=EndpointListKind.FULL)
         new, idle = 0, dict.fromkeys(range(30), 0)
         for i in range(200):
@@ -209,7 +214,7 @@
                 for (request, _), engine in list(k.open.items()):
                     idle[engine] += 1
                     k.end(request)
-        return new, sum(k.c.engines[engine].entry.zone != 0 for _, _, engine in k.sent)
+        return new, sum(k.controller.engines[engine].entry.zone != 0 for _, _, engine in k.sent)
 
     plain, priced = opened(), opened(handshake_penalty=0.08)
     assert priced[0] * 2 < plain[0]
@@ -218,13 +223,13 @@
 
 
 def test_an_engine_that_is_busy_or_slow_is_left_for_a_new_connection():
-    k = Keeper(
+    k = ControllerHarness(
         settings(READ, HEAVY, LOAD, coordinators=3, connection_idle_ms=15000.0, handshake_penalty=0.08), engines=4
     )
     k.request(1, 0, cost=100.0)
     used = k.sent[-1][2]
     k.end(1)
-    k.c.engines[used].slowdown = 5.0
+    k.controller.engines[used].slowdown = 5.0
     k.request(2, 0, cost=100.0)
     assert k.sent[-1][2] != used
 
@@ -234,7 +239,7 @@
     window, work = 1000.0, list[tuple[float, float]]()
     for number in range(40):
         s = settings(READ, HEAVY, LOAD, coordinators=40, number=number, slow_start_window_ms=window)
-        k = Keeper(s, engines=0, now=100000.0)
+        k = ControllerHarness(s, engines=0, now=100000.0)
         k.list(entry(7, since=99000.0), how=EndpointListKind.FULL)
         for i in range(4):
             k.request(i, 1, cost=2500.0, left=100000.0)
@@ -252,7 +257,7 @@
     """No notes come from the line: engines under load were suspected, and their queries moved to others."""
 
     def logs(note: bool) -> list[str]:
-        k = Keeper(settings(READ, HEAVY, LOAD, coordinators=40, progress_interval_ms=400.0), engines=4)
+        k = ControllerHarness(settings(READ, HEAVY, LOAD, coordinators=40, progress_interval_ms=400.0), engines=4)
         k.warm_up(60)
         k.request(1, 0, cost=100.0, left=60000.0)
         if note:
@@ -265,7 +270,7 @@
 
 
 def test_time_in_an_engines_line_speaks_for_no_bad_plan():
-    k = Keeper(settings(READ, HEAVY, LOAD, progress_interval_ms=400.0, may_cancel=True), engines=4)
+    k = ControllerHarness(settings(READ, HEAVY, LOAD, progress_interval_ms=400.0, may_cancel=True), engines=4)
     k.warm_up(60)
     k.request(1, 0, cost=100.0, left=60000.0)
     engine = k.sent[-1][2]
