--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -42,13 +42,13 @@
 
     channel: int  # of wire.CHANNELS, its own
 
-    def begin(self, now: float, node: FleetNode) -> None:
+    def on_started(self, now: float, node: FleetNode) -> None:
         """Start: the UDP port is this process's, and FleetService.post reaches members from now on."""
 
-    def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
+    def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Take a message whose sender was verified; as any datagram it may be lost, late or doubled."""
 
-    def member(self, now: float, name: str, state: str) -> None:
+    def on_member_changed(self, now: float, name: str, state: str) -> None:
         """Take a member's new state: alive, suspect, dead or left."""
 
 
@@ -124,12 +124,12 @@
         self.node = FleetNode(self.name, address, epoch, secrets.token_bytes(16), self.terms, monotonic())
         self.node.log = self.telemetry.log
         for part in self.parts:
-            self.node.channels[part.channel] = part.hear
-            self.node.watchers.append(part.member)
+            self.node.channels[part.channel] = part.on_message
+            self.node.watchers.append(part.on_member_changed)
         asyncio.get_running_loop().add_reader(bound, self._read)
         self.telemetry.log("fleet", listen=bound.getsockname(), advertise=address, epoch=epoch)
         for part in self.parts:
-            part.begin(monotonic(), self.node)
+            part.on_started(monotonic(), self.node)
         self._tick()
 
     # The socket.
--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -43,7 +43,7 @@
         self._next_fence = self.core.may_start
         self.core.may_start = self.fence
 
-    def begin(self, now: float, node: FleetNode) -> None:
+    def on_started(self, now: float, node: FleetNode) -> None:
         """Create the accounts of engines in slow start on the fleet's node and start the timer.
 
         Called once the port is bound.
@@ -55,11 +55,11 @@
         self.budgets.count = self.telemetry.count
         self._tick()
 
-    def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
+    def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Count a message on this channel as undecodable: none is defined."""
         self.telemetry.count("cold_undecodable")
 
-    def member(self, now: float, name: str, state: str) -> None:
+    def on_member_changed(self, now: float, name: str, state: str) -> None:
         """Do nothing: leases end by time, whatever is believed of a member."""
 
     def close(self) -> None:
@@ -74,7 +74,7 @@
     def fence(self, state: EngineState, attempt: Attempt) -> bool:
         """Return whether an attempt may send its first byte.
 
-        To an engine in slow start only against quota, and never before `begin` or after `close`.
+        To an engine in slow start only against quota, and never before `on_started` or after `close`.
         """
         if self._next_fence is not None and not self._next_fence(state, attempt):
             return False
--- a/frostspindle/lab/cold.py
+++ b/frostspindle/lab/cold.py
@@ -1,7 +1,8 @@
 """Cold engines in the fleet's emulator: starts of engines, a bus that tells each coordinator late, queries that wait.
 
 Owns the engines' starts, each coordinator's list of them, its queries, and every payment at its true time. It must
-never move a right by itself: what passes is what `fleet/cold.py` lets pass, or in plain runs each one's plain share.
+never move a right by itself: what passes is what `fleet/slow_start.py` lets pass, or in plain runs each one's
+plain share.
 """
 
 from __future__ import annotations
--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -261,7 +261,7 @@
                 self.w.broken(record.client)
         self.records = {}
 
-    # Cold engines' rights, as in fleet/warming.py.
+    # Cold engines' rights, as in fleet/slow_start_service.py.
 
     def keep(self) -> None:
         """Pass between store and cold engines' rights whether any are lent or wanted, so that a next life may know."""
--- a/frostspindle/lab/warming.py
+++ b/frostspindle/lab/warming.py
@@ -1,7 +1,7 @@
 """Cold engines' rights in the emulator of power losses: one coordinator's fleet node, as the program ties it.
 
 Owns the node's life and timer, what its module is told of its parts, and the payment at the first byte. It must never
-move a right by itself, nor choose what is sent: `fleet/cold.py` and the module do.
+move a right by itself, nor choose what is sent: `fleet/slow_start.py` and the module do.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from frostspindle.fleet.slow_start import SlowStartBudgets, budget_factor, requests_at, work_to_request
 from frostspindle.policy.controller import COLD_SAFETY, Controller
 
-PORT, LEASE_MS, TICK_MS, IDLE_MS = 4_000, 1_500.0, 20.0, 250.0  # the last three as in fleet/warming.py, config.py
+PORT, LEASE_MS, TICK_MS, IDLE_MS = 4_000, 1_500.0, 20.0, 250.0  # the last three as in slow_start_service, config
 CHAIN, WAITING = 512, 64
 
 
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -256,7 +256,7 @@
 
     # The fleet's calls.
 
-    def begin(self, now: float, node: Any) -> None:
+    def on_started(self, now: float, node: Any) -> None:
         """Tell the node that the fleet's port is ours and under which epoch.
 
         The rest of rights counts anew from `now` (monotonic ms).
@@ -265,12 +265,12 @@
         self.node.begin(now, clock(), node.epoch)
         self._drain()
 
-    def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
+    def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Hand a member's message on the recovery channel to the node; `epoch` is not used."""
         self.node.hear(now, clock(), name, data)
         self._drain()
 
-    def member(self, now: float, name: str, state: str) -> None:
+    def on_member_changed(self, now: float, name: str, state: str) -> None:
         """Tell the node of a member's new state (suspect counts as alive).
 
         When one becomes alive, set this coordinator's share of the intake rate to one part of all live members, itself
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -99,7 +99,7 @@
 
     # What the fleet calls.
 
-    def begin(self, now: float, node: FleetNode) -> None:
+    def on_started(self, now: float, node: FleetNode) -> None:
         """Create the lease cores under the node's epoch, with the summaries whose home this process is, and start
         learning sites; called once the fleet's port is ours.
         """
@@ -111,7 +111,7 @@
         )
         self._search()
 
-    def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
+    def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Decode and dispatch a member's message, then send what the lease cores answer.
 
         An undecodable one is counted.
@@ -119,7 +119,7 @@
         self._hear(now, name, epoch, data)
         self._flush(now)
 
-    def member(self, now: float, name: str, state: str) -> None:
+    def on_member_changed(self, now: float, name: str, state: str) -> None:
         """Do nothing: leases end by time alone, as a member that is held for dead may only be cut off."""
 
     def _hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -97,7 +97,7 @@
         if self.post is None:
             self._open(monotonic(), int(time.time() * 1e6))
 
-    def begin(self, now: float, node: FleetNode) -> None:
+    def on_started(self, now: float, node: FleetNode) -> None:
         """Start with the fleet's name and epoch of this process, once the fleet's port is bound."""
         self.node = node
         self._open(now, node.epoch)
@@ -151,7 +151,7 @@
         """Make an event of a recovery stage that begins or ends."""
         self._make(schema.RECOVERY, clock(), stage, state)
 
-    def member(self, now: float, name: str, state: str) -> None:
+    def on_member_changed(self, now: float, name: str, state: str) -> None:
         """Make an event of a member's new state, and look at the members in the next tick."""
         self._make(schema.MEMBER, clock(), name, state)
         self._look_at = 0.0
@@ -168,7 +168,7 @@
         if self.hub.maker.streams:
             self.soon()
 
-    def hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
+    def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Take in a member's datagram; one that can't be decoded is counted and dropped."""
         if self.hub is None:
             return
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -125,7 +125,7 @@
     async def begin(self, learnt=True):
         now = monotonic()
         with unittest.mock.patch.object(ScatterService, "_search"):  # what is learnt is told below
-            self.scatter.begin(now - 60_000.0, self.scatter.fleet.node)
+            self.scatter.on_started(now - 60_000.0, self.scatter.fleet.node)
         for key in self.scatter.home.shelves if learnt else ():
             self.scatter.home.begin(key)
             cells = {"agent": [(2, key[0])], "at": [], "note": [(1, "5")], "note\0": [(1, "0")]}
