--- a/frostspindle/fleet/counter_sync.py
+++ b/frostspindle/fleet/counter_sync.py
@@ -164,6 +164,7 @@
     """Their versions without that of the stream that we lack, likely a new one: which, the versions tell."""
 
     def streams_behind(candidate: bytes) -> int:
+        """For how many of our streams their version would be older."""
         return sum(
             version - entry.stream.version & 255 > MAX_VERSIONS_AHEAD
             for version, entry in zip(candidate, entries, strict=True)
--- a/frostspindle/fleet/gossip_buffer.py
+++ b/frostspindle/fleet/gossip_buffer.py
@@ -7,10 +7,11 @@
 
 from collections.abc import Hashable
 from itertools import islice
-from typing import Any, Generic, TypeVar
+from typing import Generic, TypeVar
 
 Key = TypeVar("Key", bound=Hashable)
 Value = TypeVar("Value")
+Update = TypeVar("Update")
 
 
 class GossipBuffer(Generic[Key, Value]):
@@ -50,19 +51,35 @@
                 break
         return chosen
 
-    def take(self, room: int, count: int, max_transmissions: int, excluded: Key) -> tuple[list[Any], int]:
+    def _level(self, number: int) -> dict[Key, Value]:
+        """A level, which is made if it is the next one."""
+        if number == len(self._levels):
+            self._levels.append({})
+        return self._levels[number]
+
+    def mark_transmitted(self, key: Key, max_transmissions: int) -> None:
+        """Count one more transmission of an update; after `max_transmissions` it is dropped."""
+        number = self._level_of.pop(key)
+        value = self._levels[number].pop(key)
+        if number + 1 < max_transmissions:
+            self._level(number + 1)[key] = value
+            self._level_of[key] = number + 1
+
+
+class SizedGossipBuffer(GossipBuffer[Key, tuple[Update, int]]):
+    """Updates with their sizes in bytes, which are taken until a message is full."""
+
+    def take(self, room: int, count: int, max_transmissions: int, excluded: Key) -> tuple[list[Update], int]:
         """Return those of the next `count` updates that fit in `room` bytes, and the room left.
 
-        Values must be pairs of an update and its size. All taken count as transmitted; the update under the key
-        `excluded` does too, and is left out.
+        All taken count as transmitted; the update under the key `excluded` does too, and is left out.
         """
-        taken: list[Any] = []
+        taken: list[Update] = []
         for number, candidates in self._next_by_level(count):
             level = self._levels[number]
             later = self._level(number + 1) if number + 1 < max_transmissions else None
             for key, value in candidates:
-                pair: Any = value
-                update, size = pair
+                update, size = value
                 if size > room:
                     return taken, room
                 del level[key]
@@ -76,7 +93,7 @@
                     taken.append(update)
         return taken, room
 
-    def _next_by_level(self, count: int) -> list[tuple[int, list[tuple[Key, Value]]]]:
+    def _next_by_level(self, count: int) -> list[tuple[int, list[tuple[Key, tuple[Update, int]]]]]:
         """The next `count` updates with the level that each group is on, before any of them moves."""
         groups = []
         for number, level in enumerate(self._levels):
@@ -87,17 +104,3 @@
                 if not count:
                     break
         return groups
-
-    def _level(self, number: int) -> dict[Key, Value]:
-        """A level, which is made if it is the next one."""
-        if number == len(self._levels):
-            self._levels.append({})
-        return self._levels[number]
-
-    def mark_transmitted(self, key: Key, max_transmissions: int) -> None:
-        """Count one more transmission of an update; after `max_transmissions` it is dropped."""
-        number = self._level_of.pop(key)
-        value = self._levels[number].pop(key)
-        if number + 1 < max_transmissions:
-            self._level(number + 1)[key] = value
-            self._level_of[key] = number + 1
--- a/frostspindle/fleet/member_updates.py
+++ b/frostspindle/fleet/member_updates.py
@@ -11,7 +11,7 @@
 
 from frostspindle.fleet import wire
 from frostspindle.fleet.claims import suspicion_of
-from frostspindle.fleet.gossip_buffer import GossipBuffer
+from frostspindle.fleet.gossip_buffer import SizedGossipBuffer
 from frostspindle.fleet.member_table import MemberTable
 from frostspindle.fleet.wire import ALIVE, MemberState, Suspicion
 
@@ -38,7 +38,7 @@
 
     def __init__(self, table: MemberTable) -> None:
         self._table = table
-        self._buffer: GossipBuffer[str, tuple[MemberState | Suspicion, int]] = GossipBuffer()  # with its size in bytes
+        self._buffer: SizedGossipBuffer[str, MemberState | Suspicion] = SizedGossipBuffer()
         self.pending = self._buffer.keys  # members with an update to transmit; a live view
 
     def put(self, claim: MemberState) -> None:
--- a/frostspindle/fleet/quota_escrow.py
+++ b/frostspindle/fleet/quota_escrow.py
@@ -62,7 +62,7 @@
         self._lent_units = 0
         self._borrowed_units = 0
         self._borrowed_ready = 0
-        self._settle_at = -math.inf
+        self._update_at = -math.inf
         self._lent_expire_at = -math.inf
 
     # Use.
@@ -89,7 +89,7 @@
 
         Loans whose lease is over at `now` are closed first.
         """
-        self._settle(now)
+        self._update(now)
         return self.pool.ready + self._borrowed_ready
 
     def spend(self, now: float, units: int) -> bool:
@@ -97,12 +97,12 @@
 
         Each cools down for a window, stretched by the drift.
         """
-        self._settle(now)
+        self._update(now)
         if units > self.pool.ready + self._borrowed_ready:
             self.denied += units
             return False
         until = now + self.cooldown_ms
-        self._settle_at = min(self._settle_at, until)
+        self._update_at = min(self._update_at, until)
         from_own = min(units, self.pool.ready)
         if from_own:
             self.pool.spend(from_own, until, self.granularity_ms)
@@ -121,30 +121,30 @@
                 if not units:
                     return
 
-    def _settle(self, now: float) -> None:
+    def _update(self, now: float) -> None:
         """Make ready what has cooled down, and close loans whose lease is over before anything is used."""
-        if now < self._settle_at:
+        if now < self._update_at:
             return
-        self.pool.settle(now)
-        next_settle_at = self.pool.next_ready_at()
+        self.pool.end_cooldowns(now)
+        next_update_at = self.pool.next_ready_at()
         expired = []
         for lender, loan in self.borrowed.items():
             if now >= loan.expires_at:
                 expired.append((lender, loan))
             else:
-                next_settle_at = min(next_settle_at, loan.expires_at, self._settle_loan(now, loan))
+                next_update_at = min(next_update_at, loan.expires_at, self._update_loan(now, loan))
         for lender, loan in expired:
             self._close(lender, loan)
         # Cooldowns and leases only move to later; whatever else there is comes with a call of its own.
-        self._settle_at = next_settle_at
+        self._update_at = next_update_at
 
-    def _settle_loan(self, now: float, loan: BorrowedQuota) -> float:
+    def _update_loan(self, now: float, loan: BorrowedQuota) -> float:
         """Make ready what has cooled down of a loan, and set aside what is to be returned; when the next is ready."""
         pool = loan.pool
         next_ready_at = pool.next_ready_at()
         if next_ready_at <= now:
             before = pool.ready
-            pool.settle(now)
+            pool.end_cooldowns(now)
             self._borrowed_ready += pool.ready - before
             next_ready_at = pool.next_ready_at()
         if loan.to_return > loan.set_aside and pool.ready:
@@ -172,7 +172,7 @@
             target.owned += units
             if ready_at > now:
                 target.pool.add_cooling(units, ready_at, target.granularity_ms)
-                target._settle_at = min(target._settle_at, ready_at)
+                target._update_at = min(target._update_at, ready_at)
             else:
                 target.pool.ready += units
 
@@ -189,7 +189,7 @@
 
     def tick(self, now: float) -> None:
         """Reclaim what was lent and whose lease is over; it cools down for a window."""
-        self._settle(now)
+        self._update(now)
         if now < self._lent_expire_at:
             return
         for borrower, loan in list(self.lent.items()):
@@ -206,7 +206,7 @@
         """Take units that were lent in hand again, cooling down."""
         self._lent_units -= units
         self.pool.add_cooling(units, ready_at, self.granularity_ms)
-        self._settle_at = min(self._settle_at, ready_at)
+        self._update_at = min(self._update_at, ready_at)
 
     def _remove_lent(self, borrower: str) -> LentQuota:
         """Remove and return a loan; its units are still counted as lent."""
@@ -294,7 +294,7 @@
 
     def start_request(self, now: float, lender: str, lender_epoch: int, sequence: int) -> LoanReference:
         """Record that a request is sent to a lender at `now`; return what it must say of the loan."""
-        self._settle(now)
+        self._update(now)
         requests = self.requested_at.setdefault(lender, {})
         while requests:
             oldest = next(iter(requests))  # in the order of sending
@@ -318,7 +318,7 @@
 
         False: of no use, as it is late, was not requested, or is of a loan that is over.
         """
-        self._settle(now)
+        self._update(now)
         requested_at = self.requested_at.get(lender, {}).get(sequence)
         if requested_at is None or now >= requested_at + self.lease_ms:
             return False
@@ -352,21 +352,21 @@
             loan.granted = granted
         loan.expires_at = max(loan.expires_at, expires_at)
         if loan.to_return == loan.set_aside:
-            self._settle_at = min(self._settle_at, loan.expires_at)
+            self._update_at = min(self._update_at, loan.expires_at)
         else:
-            self._settle_at = -math.inf
+            self._update_at = -math.inf
 
     def schedule_return(self, now: float, lender: str, units: int) -> None:
         """Set aside `units` in all for return to a lender, each as soon as it has cooled down."""
         loan = self.borrowed[lender]
         loan.to_return = max(units, loan.set_aside)
         if loan.to_return > loan.set_aside:
-            self._settle_at = -math.inf
-        self._settle(now)
+            self._update_at = -math.inf
+        self._update(now)
 
     def take_return(self, now: float, lender: str) -> ReturnedUnits | None:
         """Return the units set aside to the lender: what its QuotaReturn must say; None if there are none."""
-        self._settle(now)
+        self._update(now)
         loan = self.borrowed.get(lender)
         if loan is None or not loan.set_aside:
             return None
--- a/frostspindle/fleet/quota_pool.py
+++ b/frostspindle/fleet/quota_pool.py
@@ -32,7 +32,7 @@
         """Number of units in hand, ready or cooling."""
         return self.ready + self.cooling
 
-    def settle(self, now: float) -> None:
+    def end_cooldowns(self, now: float) -> None:
         """Make ready the units whose cooldown is over at `now`."""
         while self._batches and self._batches[0][1] <= now:
             units = int(self._batches.popleft()[2])
--- a/frostspindle/fleet/wire.py
+++ b/frostspindle/fleet/wire.py
@@ -240,6 +240,7 @@
     msgpack_decoder = msgspec.msgpack.Decoder(message_type)
 
     def decode_message(data: bytes) -> Any:
+        """Decode one message."""
         if len(data) > max_bytes:
             raise InvalidPacketError("too long")
         try:
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -12,7 +12,7 @@
 from frostspindle.division import fair, level
 from frostspindle.fleet import engine_verdicts, lender_selector, quota_flow, wire
 from frostspindle.fleet.counters import MIN_PUBLISH_INTERVAL_MS, FleetCounters, publish_interval
-from frostspindle.fleet.gossip_buffer import GossipBuffer
+from frostspindle.fleet.gossip_buffer import GossipBuffer, SizedGossipBuffer
 from frostspindle.fleet.incarnation import IncarnationChain, is_successor
 from frostspindle.fleet.member_updates import retransmissions
 from frostspindle.fleet.node import FleetNode, FleetSettings
@@ -648,7 +648,7 @@
         strategies.randoms(use_true_random=False),
     )
     def test_what_is_taken_at_once_is_what_is_next_and_sent_one_by_one(self, pieces, draw):
-        one, other = GossipBuffer(), GossipBuffer()
+        one, other = SizedGossipBuffer(), SizedGossipBuffer()
         for number, (key, size) in enumerate(pieces):
             for news in (one, other):
                 news.put(key, (number, size))
