--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -9,6 +9,7 @@
 from pathlib import Path
 from types import SimpleNamespace
 
+import pytest
 from click.testing import CliRunner
 from faults import FaultsCase
 from helpers import entry, settings
@@ -44,8 +45,8 @@
 
     def test_the_example_is_good_and_off_is_off(self):
         fleet = self.read(GOOD.read_text()).operator.fleet
-        self.assertEqual([seed.name for seed in fleet.seed], ["c1", "c2", "c3"])
-        self.assertIsNone(self.read("").operator.fleet)
+        assert [seed.name for seed in fleet.seed] == ["c1", "c2", "c3"]
+        assert self.read("").operator.fleet is None
 
     def test_each_fault_is_named_by_its_key(self):
         good = GOOD.read_text()
@@ -58,16 +59,16 @@
             ("judges = 3", "judges = 1", "judges"),
             ("units = 60 ", "units = 0 ", "units"),
         ):
-            self.assertIn(old, good)
-            with self.assertRaisesRegex(ConfigError, key):
+            assert old in good
+            with pytest.raises(ConfigError, match=key):
                 self.read(good.replace(old, new, 1))
-        with self.assertRaisesRegex(ConfigError, "fleet: needs cores.workers"):
+        with pytest.raises(ConfigError, match="fleet: needs cores.workers"):
             self.read(good + "\n[cores]\nworkers = 2\n")
-        with self.assertRaisesRegex(ConfigError, "fleet.cold: 1 balancers"):
+        with pytest.raises(ConfigError, match="fleet.cold: 1 balancers"):
             self.read(good.replace("[fleet]\n", "[fleet]\ncold = true\n", 1))
         # Each is to the module one of several workers, so that it counts on nothing until it is told its part.
         shared = self.read(good.replace("[fleet]\n", "[fleet]\ncold = true\n", 1), balancers=3).settings
-        self.assertEqual((shared.coordinators, shared.workers), (3, 3))
+        assert (shared.coordinators, shared.workers) == (3, 3)
 
 
 class OffCase(unittest.TestCase):
@@ -78,8 +79,8 @@
             text=True,
             check=True,
         ).stdout.split()
-        self.assertIn("frostspindle.program", loaded)
-        self.assertEqual([name for name in loaded if name.startswith(("frostspindle.fleet", "frostspindle.lab"))], [])
+        assert "frostspindle.program" in loaded
+        assert [name for name in loaded if name.startswith(("frostspindle.fleet", "frostspindle.lab"))] == []
 
 
 class CommandCase(unittest.TestCase):
@@ -99,15 +100,15 @@
         ]
         first, second = (CliRunner().invoke(cli, call) for _ in range(2))
         figures = json.loads(first.output)
-        self.assertEqual(first.output, second.output)
-        self.assertEqual(figures["overspend"], 0)
-        self.assertLessEqual({"utilisation", "converge_s", "false_suspicions", "bytes_per_node_s"}, figures.keys())
+        assert first.output == second.output
+        assert figures["overspend"] == 0
+        assert {"utilisation", "converge_s", "false_suspicions", "bytes_per_node_s"} <= figures.keys()
         bad = CliRunner().invoke(cli, ["lab", "fleet", "--faults", "1 rain 2"])
-        self.assertEqual(bad.exit_code, 2)
-        self.assertIn("1 rain 2", bad.output)
+        assert bad.exit_code == 2
+        assert "1 rain 2" in bad.output
 
     def test_fleet_says_who_is_not_there(self):
-        self.assertEqual(CliRunner().invoke(cli, ["fleet", "--at", "127.0.0.1:1"]).exit_code, 5)
+        assert CliRunner().invoke(cli, ["fleet", "--at", "127.0.0.1:1"]).exit_code == 5
 
 
 class ModuleCase(unittest.TestCase):
@@ -115,9 +116,9 @@
         module = Controller(settings(), 1)
         for number, over in ((1, True), (2, False)):  # no engine yet: both are held
             module.handle(1_000.0, policy.RequestArrived(number, 0, 0, 0, 5_000.0, 100.0, 10.0, 0.0, over))
-        self.assertEqual([job.request for *_, job in module.held], [2, 1])
+        assert [job.request for *_, job in module.held] == [2, 1]
         actions = module.handle(1_001.0, policy.EndpointListUpdated(policy.EndpointListKind.FULL, 1, (entry(1),)))
-        self.assertEqual([a.request for a in actions if isinstance(a, policy.StartAttempt)][:1], [2])
+        assert [a.request for a in actions if isinstance(a, policy.StartAttempt)][:1] == [2]
 
 
 class WordCase(unittest.TestCase):
@@ -155,22 +156,22 @@
 
     def test_two_are_not_enough_three_are_and_their_withdrawal_ends_it(self):
         self.say("b", "c")
-        self.assertEqual((self.heard, self.module.engines[1].suspect), ([], False))
+        assert (self.heard, self.module.engines[1].suspect) == ([], False)
         self.say("d")
-        self.assertEqual([(peer.engine, peer.suspect, peer.part) for peer in self.heard], [(1, True, 1.0)])
-        self.assertTrue(self.module.engines[1].suspect)
+        assert [(peer.engine, peer.suspect, peer.part) for peer in self.heard] == [(1, True, 1.0)]
+        assert self.module.engines[1].suspect
         self.service._update()
-        self.assertEqual(len(self.heard), 1)  # told once: a test passed here is not overruled by the same word again
+        assert len(self.heard) == 1  # told once: a test passed here is not overruled by the same word again
         self.say("b", sick=False)
-        self.assertFalse(self.module.engines[1].suspect)
+        assert not self.module.engines[1].suspect
 
     def test_what_was_only_heard_is_not_passed_on_as_seen(self):
         self.say("b", "c", "d")
         self.service._update()
-        self.assertEqual(set(self.service.node.verdicts.own), {("e-2", engine_verdicts.BANNED)})
+        assert set(self.service.node.verdicts.own) == {("e-2", engine_verdicts.BANNED)}
         self.module.engines[3].suspect = True  # as the module itself found
         self.service._update()
-        self.assertIn(("e-3", engine_verdicts.SICK), self.service.node.verdicts.own)
+        assert ("e-3", engine_verdicts.SICK) in self.service.node.verdicts.own
 
 
 class PortCase(FaultsCase):
@@ -178,14 +179,14 @@
         fleet = await self.fleet(2, "")
         first = fleet.processes[0]
         old = first.child, first.reader
-        self.assertEqual((await first.figures())["budgets"]["blue"]["own"], 50)
+        assert (await first.figures())["budgets"]["blue"]["own"] == 50
         desk, http = first.desk, first.http
         first.desk = first.http = 0  # a successor beside it: other ports for clients and operators, the same fleet's
         await first.start()
         await first.until(lambda: first.events("fleet_waits"))
-        self.assertEqual(len(first.events("fleet")), 1)
+        assert len(first.events("fleet")) == 1
         old[0].terminate()
-        self.assertEqual(await old[0].wait(), 0)
+        assert await old[0].wait() == 0
         await old[1]
         await first.until(lambda: len(first.events("fleet")) == 2)
         first.desk, first.http = desk, http
