--- a/frostspindle/recovery/store_opening.py
+++ b/frostspindle/recovery/store_opening.py
@@ -8,8 +8,10 @@
 from frostspindle.recovery.inputs import OpenedStore
 from frostspindle.recovery.wire import StoreState
 from frostspindle.store.base import Store, StoreError
+from frostspindle.store.durable_store import DurableStore
+from frostspindle.store.lock import StoreLockedError
 from frostspindle.store.memory import MemoryStore
-from frostspindle.store.opening import DurableStore, StoreLockedError, StoreRefusedError, open_store
+from frostspindle.store.opening import StoreRefusedError, open_store
 from frostspindle.store.opening_decision import OpeningAction, StoreCondition
 from frostspindle.store.sqlite_engine import SqliteEngine
 
@@ -17,7 +19,7 @@
 
 
 def open_recovery_store(
-    folder: str, witness: str, owner: str, note: Callable[..., None]
+    folder: str, witness: str, owner: str, log: Callable[..., None]
 ) -> tuple[Store | None, OpenedStore]:
     """Open the store, or one in memory without a folder; blocks on the disk.
 
@@ -27,26 +29,26 @@
         return MemoryStore(), OpenedStore("none is set up", usable=True, trusted=False)
     witness_path = Path(witness) if witness else None
     try:
-        store = open_store(Path(folder), owner, SqliteEngine, witness=witness_path, note=note)
+        store = open_store(Path(folder), owner, SqliteEngine, witness=witness_path, log=log)
     except StoreLockedError:
         raise
     except StoreRefusedError as error:
-        return None, OpenedStore(str(error.ruling.verdict), usable=False, trusted=False)
+        return None, OpenedStore(str(error.decision.condition), usable=False, trusted=False)
     except (StoreError, OSError) as error:
-        note("store", folder=folder, verdict="unreadable", why=str(error))
+        log("store", folder=folder, verdict="unreadable", why=str(error))
         return None, UNREADABLE
     return store, _opened(store)
 
 
 def _opened(store: DurableStore) -> OpenedStore:
     known = store.known
-    decision = store.ruling
+    decision = store.decision
     return OpenedStore(
-        verdict=str(decision.verdict),
+        verdict=str(decision.condition),
         usable=True,
         trusted=decision.action is OpeningAction.USE,
         # In a later incarnation an earlier store of ours is known of, and lost.
-        fresh=decision.verdict is StoreCondition.FRESH and known.life == 1,
-        state=StoreState(known.id, known.life, known.generation),
+        fresh=decision.condition is StoreCondition.FRESH and known.incarnation == 1,
+        state=StoreState(known.id, known.incarnation, known.generation),
         entries=tuple(store.scan()),
     )
--- a/frostspindle/recovery/store_worker.py
+++ b/frostspindle/recovery/store_worker.py
@@ -13,7 +13,7 @@
 from frostspindle.recovery.stages import Stage
 from frostspindle.recovery.store_opening import UNREADABLE, open_recovery_store
 from frostspindle.store.base import Store, StoreFullError
-from frostspindle.store.opening import StoreLockedError
+from frostspindle.store.lock import StoreLockedError
 from frostspindle.telemetry import Telemetry
 
 LOCK_RETRY_S = 0.25  # a store that another process holds is tried again
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -456,7 +456,7 @@
         try:
             keeper = VersionStore(
                 open_store(
-                    folder, name, SqliteEngine, note=lambda event, **more: telemetry.log(f"settings_{event}", **more)
+                    folder, name, SqliteEngine, log=lambda event, **more: telemetry.log(f"settings_{event}", **more)
                 )
             )
             return keeper, keeper.load()
--- a/frostspindle/store/__init__.py
+++ b/frostspindle/store/__init__.py
@@ -1,6 +1,6 @@
 """Small persistent state: a table of byte keys and values, changed by atomic batches, behind one interface.
 
-Owns what a store is (`base`), the three there are (`memory`, `disk`, `marker`), how a durable one is opened (`opening`)
-and the verdict on what was found there (`judge`). It must never hand out state that is not whole, of another owner or
-older than is known here, and nothing of it is loaded by programs that do not use it.
+`base` has the interface, `memory` the store without durability, `opening` makes a `durable_store` with one of the
+engines `sqlite_engine` and `marker_engine`, by the rules of `opening_decision`; `lock`, `witness` and `records` have
+its files. Loaded only by programs that use it.
 """
--- a/frostspindle/store/base.py
+++ b/frostspindle/store/base.py
@@ -1,11 +1,8 @@
-"""The stores' common part: interface, bounds, errors, and the checksums by which corrupt state is detected.
+"""What all stores have in common: interface, limits, errors, and the checksums by which corrupt state is detected.
 
-Owns the rules that hold alike for all stores: what a batch may hold, when a store is full, and what an entry's sum is.
-It must never do I/O.
-
-All or nothing: a batch is applied whole or not at all, also over a power loss. `apply` of a durable store returns when
-the batch is durable; `sync` also records it with the witness (see `opening`), whose failure is only logged. One caller
-at a time: a store may be handed from thread to thread, but two calls must not overlap, and a durable `apply` blocks its
+No I/O. A batch is applied whole or not at all, also over a power loss. `apply` of a durable store returns when the
+batch is durable; `sync` also records it with the witness (see `witness`), whose failure is only logged. One caller at a
+time: a store may be handed from thread to thread, but two calls must not overlap, and a durable `apply` blocks its
 thread.
 """
 
@@ -16,8 +13,8 @@
 from hashlib import blake2b
 from typing import Protocol
 
-SUM = 16  # bytes of a checksum: spoilt bytes are noticed, somebody who forges them is not
-Changes = Mapping[bytes, bytes | None]  # by key the new value, or None: the entry is taken out
+SUM = 16  # bytes of a checksum, which detects corruption but no forgery
+Changes = Mapping[bytes, bytes | None]  # by key the new value, or None: the entry is removed
 
 
 class StoreError(Exception):
@@ -71,7 +68,10 @@
         """Return all entries whose keys begin with `prefix`, in byte order, as they stand at this generation."""
 
     def apply(self, changes: Changes) -> int:
-        """Apply a batch and return its generation; BadBatch, Full or Broken. Durable on return if the store is."""
+        """Apply a batch and return its generation; durable on return if the store is.
+
+        Raises InvalidBatchError, StoreFullError or StoreBrokenError.
+        """
 
     def sync(self) -> None:
         """Return once all that was applied is durable and the witness was told; its failure is only logged.
@@ -80,7 +80,7 @@
         """
 
     def close(self) -> None:
-        """Close the store; every later call except `close` raises Broken."""
+        """Close the store; every later call except `close` raises StoreBrokenError."""
 
 
 def entry_sum(key: bytes, value: bytes) -> int:
@@ -97,7 +97,7 @@
 
 
 def unseal(data: bytes) -> bytes:
-    """Return the data that `seal` was given; Spoilt if the checksum does not hold."""
+    """Return the data that `seal` was given; CorruptDataError if the checksum does not hold."""
     if len(data) < SUM or blake2b(data[SUM:], digest_size=SUM).digest() != data[:SUM]:
         raise CorruptDataError("a checksum does not hold")
     return data[SUM:]
@@ -106,7 +106,9 @@
 def successor(prefix: bytes) -> bytes | None:
     """Return the first key after all that begin with `prefix`; None if no key comes after them."""
     stem = prefix.rstrip(b"\xff")
-    return stem[:-1] + bytes([stem[-1] + 1]) if stem else None
+    if not stem:
+        return None
+    return stem[:-1] + bytes([stem[-1] + 1])
 
 
 @dataclass(slots=True, frozen=True)
@@ -119,35 +121,47 @@
     size: int = 0
     digest: int = 0
 
-    def add(self, key: bytes, value: bytes, sign: int = 1) -> StoreDigest:
-        """Return the tally with one entry added (`sign` 1) or removed (`sign` -1); this tally stays as it is."""
+    def add(self, key: bytes, value: bytes) -> StoreDigest:
+        """Return the digest with one entry added."""
+        return self._changed(key, value, 1)
+
+    def remove(self, key: bytes, value: bytes) -> StoreDigest:
+        """Return the digest with one entry removed."""
+        return self._changed(key, value, -1)
+
+    def _changed(self, key: bytes, value: bytes, sign: int) -> StoreDigest:
         return StoreDigest(
             self.entries + sign,
             self.size + sign * (len(key) + len(value)),
             (self.digest + sign * entry_sum(key, value)) % (1 << 8 * SUM),
         )
 
-    def after(self, changes: Changes, old: Callable[[bytes], bytes | None], limits: StoreLimits) -> StoreDigest:
-        """Return the tally after a batch, given the old values.
+    def after(self, changes: Changes, old_value: Callable[[bytes], bytes | None], limits: StoreLimits) -> StoreDigest:
+        """Return the digest after a batch, given how to look up the old values.
 
-        BadBatch if a bound of keys, values or the batch is broken, Full if the result has no room. A batch that grows
-        neither the number of entries nor their bytes is never Full.
+        InvalidBatchError if a limit of keys, values or the batch is passed, StoreFullError if the result has no room. A
+        batch that grows neither the number of entries nor their bytes never finds the store full.
         """
         if len(changes) > limits.batch:
             raise InvalidBatchError(f"{len(changes)} entries in a batch, at most {limits.batch}")
-        tally = self
+        result = self
         for key, value in changes.items():
-            if not isinstance(key, bytes) or not 0 < len(key) <= limits.key:
-                raise InvalidBatchError(f"a key of 1 to {limits.key} bytes: {key!r:.80}")
-            if value is not None and (not isinstance(value, bytes) or len(value) > limits.value):
-                raise InvalidBatchError(f"the value of {key!r:.80}: at most {limits.value} bytes")
-            if (was := old(key)) is not None:
-                tally = tally.add(key, was, -1)
+            _check_entry(key, value, limits)
+            old = old_value(key)
+            if old is not None:
+                result = result.remove(key, old)
             if value is not None:
-                tally = tally.add(key, value)
-        # What shrinks is always let through: else a store over a bound that was lowered could never be emptied.
-        if tally.entries > max(limits.entries, self.entries):
-            raise StoreFullError(f"{tally.entries} entries, at most {limits.entries}")
-        if tally.size > max(limits.total, self.size):
-            raise StoreFullError(f"{tally.size} bytes, at most {limits.total}")
-        return tally
+                result = result.add(key, value)
+        # What shrinks is always let through: else a store over a limit that was lowered could never be emptied.
+        if result.entries > max(limits.entries, self.entries):
+            raise StoreFullError(f"{result.entries} entries, at most {limits.entries}")
+        if result.size > max(limits.total, self.size):
+            raise StoreFullError(f"{result.size} bytes, at most {limits.total}")
+        return result
+
+
+def _check_entry(key: bytes, value: bytes | None, limits: StoreLimits) -> None:
+    if not isinstance(key, bytes) or not 0 < len(key) <= limits.key:
+        raise InvalidBatchError(f"a key of 1 to {limits.key} bytes: {key!r:.80}")
+    if value is not None and (not isinstance(value, bytes) or len(value) > limits.value):
+        raise InvalidBatchError(f"the value of {key!r:.80}: at most {limits.value} bytes")
--- a/frostspindle/store/marker_engine.py
+++ b/frostspindle/store/marker_engine.py
@@ -1,8 +1,7 @@
-"""The marker store's engine: a file an entry, its name the quoted key, as bans are kept (see frostspindle/shared.py).
+"""The marker engine: a file an entry, its name the quoted key, and a journal that makes a batch of files atomic.
 
-Owns the files of one folder and the journal by which a batch of several files is whole or not at all. It must never
-take a folder for a state when files in it are missing, left over or of another batch. For few entries that change
-seldom and that staff may want to list with `ls`: each batch costs about four syncs and one more a file.
+For few entries that change seldom and that staff may want to list with `ls`: each batch costs about four syncs and one
+more a file. A folder with files missing, left over or of another batch is refused as corrupt.
 """
 
 from __future__ import annotations
@@ -17,82 +16,89 @@
 from frostspindle.store.memory import SortedTable
 from frostspindle.store.opening_decision import MetaRecord
 
-STATE, BATCH, NEW, ENTRY, STAGED = "state", "batch", "new", "entry-", "staged-"
-MOST_RECORD = 256
+STATE = "state"
+HEAD = "head"  # written by `opening`
+BATCH = "batch"
+NEW_BATCH = "new"
+ENTRY_PREFIX = "entry-"
+STAGED_PREFIX = "staged-"
+MAX_RECORD_BYTES = 256
+OTHER_FILES = 16  # beside the entries
 
 
 class MarkerEngine:
-    """The engine of one opened folder; opening raises OSError or Spoilt."""
+    """The engine of one opened folder; opening raises OSError or CorruptDataError."""
 
     kind = "marker"
     limits = StoreLimits(key=80, value=4_096, entries=4_096, total=1 << 20, batch=256)  # a name has 255 bytes
 
     def __init__(self, folder: Path, limits: StoreLimits) -> None:
-        self._folder, self._table = (
-            folder,
-            SortedTable(),
-        )  # what is read is bounded by the class's limits, not lowered ones
-        self.meta = self._recover()
-        self._read()
+        self._folder: Path = folder
+        self._table: SortedTable = SortedTable()
+        # What is read is bounded by the class's limits, not by lowered ones.
+        self.meta: MetaRecord = self._recover()
+        self._read_entries()
 
     @classmethod
-    def make(cls, folder: Path, number: bytes) -> None:
-        """Write the state record of an empty store with the id `number`; durable on return, OSError on failure."""
-        records.write(folder / STATE, records.meta_out(MetaRecord(number, 0, StoreDigest())))
+    def create(cls, folder: Path, store_id: bytes) -> None:
+        """Write the state record of an empty store with this id; durable on return, OSError on failure."""
+        records.write_synced(folder / STATE, records.encode_meta(MetaRecord(store_id, 0, StoreDigest())))
         records.sync_folder(folder)
 
     def _path(self, key: bytes) -> Path:
-        return self._folder / (ENTRY + quote_from_bytes(key, safe=""))
+        return self._folder / (ENTRY_PREFIX + quote_from_bytes(key, safe=""))
 
     def _recover(self) -> MetaRecord:
         """The meta record, once a batch that was whole when its process ended has been brought to its end."""
-        meta = self._state()
+        meta = self._read_meta()
+        max_bytes = 4_096 + self.limits.batch * (self.limits.key + 16)
         try:
-            most = 4_096 + self.limits.batch * (self.limits.key + 16)
-            goal, moves = records.batch_in(records.read(self._folder / BATCH, most))
+            data = records.read_bounded(self._folder / BATCH, max_bytes)
         except FileNotFoundError:
-            pass
-        else:
-            if goal.id != meta.id or goal.generation - meta.generation not in (0, 1):
-                raise CorruptDataError("a batch of another state")
-            self._carry(moves, goal)
-            meta = self._state()
-        self._clear()
+            self._remove_unfinished()
+            return meta
+        batch_meta, moves = records.decode_batch(data)
+        if batch_meta.id != meta.id or batch_meta.generation - meta.generation not in (0, 1):
+            raise CorruptDataError("a batch of another state")
+        self._carry_out(moves, batch_meta)
+        meta = self._read_meta()
+        self._remove_unfinished()
         return meta
 
-    def _state(self) -> MetaRecord:
+    def _read_meta(self) -> MetaRecord:
         try:
-            return records.meta_in(records.read(self._folder / STATE, MOST_RECORD))
+            return records.decode_meta(records.read_bounded(self._folder / STATE, MAX_RECORD_BYTES))
         except FileNotFoundError:
             raise CorruptDataError("no state record") from None
 
-    def _clear(self) -> None:
-        """Take away what a batch that never was has left."""
+    def _remove_unfinished(self) -> None:
+        """Remove what is left of a batch that was not recorded."""
         with os.scandir(self._folder) as found:
-            left = [
+            unfinished = [
                 item.path
                 for item in islice(found, 2 * self.limits.entries)
-                if item.name == NEW or item.name.startswith(STAGED)
+                if item.name == NEW_BATCH or item.name.startswith(STAGED_PREFIX)
             ]
-        for path in left:
+        for path in unfinished:
             os.unlink(path)
 
-    def _read(self) -> None:
-        tally = StoreDigest()
+    def _read_entries(self) -> None:
+        contents = StoreDigest()
         with os.scandir(self._folder) as found:
-            for at, item in enumerate(found):
-                if at > self.limits.entries + 16:
+            for count, item in enumerate(found):
+                if count > self.limits.entries + OTHER_FILES:
                     raise CorruptDataError("more files than entries can be")
-                if item.name == STATE or item.name == "head":
+                if item.name in (STATE, HEAD):
                     continue
-                key = unquote_to_bytes(item.name.removeprefix(ENTRY))
+                key = unquote_to_bytes(item.name.removeprefix(ENTRY_PREFIX))
                 if self._path(key).name != item.name or not item.is_file(follow_symlinks=False):
                     raise CorruptDataError(f"{item.name:.80} is no entry")
-                value = records.read(Path(item.path), self.limits.value)
-                tally = tally.add(key, value)
+                value = records.read_bounded(Path(item.path), self.limits.value)
+                contents = contents.add(key, value)
                 self._table.change({key: value})
-        if tally != self.meta.tally:
-            raise CorruptDataError(f"{tally.entries} entries that are no state of generation {self.meta.generation}")
+        if contents != self.meta.contents:
+            generation = self.meta.generation
+            raise CorruptDataError(f"{contents.entries} entries that are no state of generation {generation}")
 
     def get(self, key: bytes) -> bytes | None:
         """Return an entry's value from memory, None if there is none."""
@@ -102,12 +108,14 @@
         """Return all entries whose keys begin with `prefix`, in byte order, from memory."""
         return self._table.scan(prefix)
 
-    def _staged(self, meta: MetaRecord, what: int | str) -> Path:
-        """Named by the generation, so that a batch brought to its end twice never takes what a later one staged."""
-        return self._folder / f"{STAGED}{meta.generation}-{what}"
+    def _staged_path(self, meta: MetaRecord, part: int | str) -> Path:
+        """Path by the generation, so that a batch brought to its end twice never takes what a later one staged."""
+        return self._folder / f"{STAGED_PREFIX}{meta.generation}-{part}"
 
     def commit(self, changes: Changes, meta: MetaRecord) -> None:
-        """Write a batch. Full: nothing was changed. OSError: the outcome is unknown, and the engine must be closed.
+        """Write a batch.
+
+        StoreFullError: nothing was changed. OSError: the outcome is unknown, and the engine must be closed.
 
         All that needs room is written before the batch record is put in place; after that there are only renames and
         removals.
@@ -117,36 +125,36 @@
             for number, (key, value) in enumerate(changes.items()):
                 moves[key] = None if value is None else number
                 if value is not None:
-                    records.write(self._staged(meta, number), value)
-            records.write(self._staged(meta, STATE), records.meta_out(meta))
-            records.write(self._folder / NEW, records.batch_out(meta, moves))
+                    records.write_synced(self._staged_path(meta, number), value)
+            records.write_synced(self._staged_path(meta, STATE), records.encode_meta(meta))
+            records.write_synced(self._folder / NEW_BATCH, records.encode_batch(meta, moves))
         except OSError as error:
             if error.errno not in records.NO_ROOM:
                 raise
-            self._clear()
+            self._remove_unfinished()
             raise StoreFullError(f"no room for the batch: {error}") from error
-        os.replace(self._folder / NEW, self._folder / BATCH)
-        records.sync_folder(self._folder)  # from here on the batch is
-        self._carry(moves, meta)
+        os.replace(self._folder / NEW_BATCH, self._folder / BATCH)
+        records.sync_folder(self._folder)  # from here on the batch is applied, if need be by the next opening
+        self._carry_out(moves, meta)
         self._table.change(changes)
 
-    def _carry(self, moves: dict[bytes, int | None], meta: MetaRecord) -> None:
-        """What a batch says, done to the files; doing it again changes nothing."""
+    def _carry_out(self, moves: dict[bytes, int | None], meta: MetaRecord) -> None:
+        """Apply a recorded batch to the files; doing it again changes nothing."""
         for key, number in moves.items():
             if number is None:
                 self._path(key).unlink(missing_ok=True)
             else:
-                self._move(self._staged(meta, number), self._path(key))
-        self._move(self._staged(meta, STATE), self._folder / STATE)
+                self._move(self._staged_path(meta, number), self._path(key))
+        self._move(self._staged_path(meta, STATE), self._folder / STATE)
         records.sync_folder(self._folder)
         (self._folder / BATCH).unlink()
 
     @staticmethod
-    def _move(staged: Path, to: Path) -> None:
+    def _move(staged: Path, target: Path) -> None:
         try:
-            os.replace(staged, to)
+            os.replace(staged, target)
         except FileNotFoundError:
-            pass  # moved already: what is truly missing shows in the sum over all entries
+            pass  # moved already: a missing file shows in the checksum over all entries
 
     def close(self) -> None:
         """Drop the entries in memory; no file is held open between calls."""
--- a/frostspindle/store/memory.py
+++ b/frostspindle/store/memory.py
@@ -1,7 +1,4 @@
-"""The store that is not durable, and the table in memory that the marker store uses too.
-
-Owns the entries and their order. It must never change an entry before the whole batch was found good.
-"""
+"""The store that is not durable, and the sorted table in memory that the marker engine uses too."""
 
 from __future__ import annotations
 
@@ -25,9 +22,10 @@
         """Return all entries whose keys begin with `prefix`, in byte order."""
         if self._order is None:
             self._order = sorted(self.entries)
+        first = bisect_left(self._order, prefix)
         after = successor(prefix)
         last = len(self._order) if after is None else bisect_left(self._order, after)
-        return [(key, self.entries[key]) for key in self._order[bisect_left(self._order, prefix) : last]]
+        return [(key, self.entries[key]) for key in self._order[first:last]]
 
     def change(self, changes: Changes) -> None:
         """Apply a batch without checks: None removes a key, and removing a missing key is no error."""
@@ -47,37 +45,39 @@
     durable = False
 
     def __init__(self, limits: StoreLimits | None = None) -> None:
-        self.limits = limits or StoreLimits()
-        self.generation = 0
-        self._table, self._tally, self._closed = SortedTable(), StoreDigest(), False
+        self.limits: StoreLimits = limits or StoreLimits()
+        self.generation: int = 0
+        self._table: SortedTable = SortedTable()
+        self._contents: StoreDigest = StoreDigest()
+        self._closed: bool = False
 
-    def _open(self) -> SortedTable:
+    def _open_table(self) -> SortedTable:
         if self._closed:
             raise StoreBrokenError("the store is closed")
         return self._table
 
     def get(self, key: bytes) -> bytes | None:
-        """Return an entry's value, None if there is none; Broken after `close`."""
-        return self._open().get(key)
+        """Return an entry's value, None if there is none; StoreBrokenError after `close`."""
+        return self._open_table().get(key)
 
     def scan(self, prefix: bytes = b"") -> list[tuple[bytes, bytes]]:
-        """Return all entries whose keys begin with `prefix`, in byte order; Broken after `close`."""
-        return self._open().scan(prefix)
+        """Return all entries whose keys begin with `prefix`, in byte order; StoreBrokenError after `close`."""
+        return self._open_table().scan(prefix)
 
     def apply(self, changes: Changes) -> int:
         """Check and apply a batch, return the new generation.
 
-        BadBatch or Full (nothing was changed), Broken after `close`.
+        InvalidBatchError or StoreFullError (nothing was changed), StoreBrokenError after `close`.
         """
-        table = self._open()
-        self._tally = self._tally.after(changes, table.get, self.limits)
+        table = self._open_table()
+        self._contents = self._contents.after(changes, table.get, self.limits)
         table.change(changes)
         self.generation += 1
         return self.generation
 
     def sync(self) -> None:
-        """Do nothing, as nothing is durable here; Broken after `close`."""
-        self._open()
+        """Do nothing, as nothing is durable here; StoreBrokenError after `close`."""
+        self._open_table()
 
     def close(self) -> None:
         """Drop all entries; closing twice is no error."""
--- a/frostspindle/store/opening_decision.py
+++ b/frostspindle/store/opening_decision.py
@@ -1,7 +1,7 @@
-"""The verdict on what was found in a store's place, and the action on it, from facts gathered by `opening`.
+"""The decision on what was found in a store's place, from facts gathered by `opening`.
 
-Owns the rules and their order. It must never do I/O or read a clock, and never say `use` of state that is not shown to
-be whole, of this owner, and not older than anything that is known of it here.
+No I/O and no clock. A store is used only if it is shown to be whole, of this owner, and not older than anything that is
+known of it here.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
+from typing import NamedTuple
 
 from frostspindle.store.base import StoreDigest
 
@@ -31,19 +32,19 @@
 class OpeningAction(StrEnum):
     """What the opener does with what was found."""
 
-    BEGIN = "begin"  # make an empty store
+    CREATE = "begin"  # make an empty store
     USE = "use"
-    ASIDE = "aside"  # rename it, and make an empty store
+    SET_ASIDE = "aside"  # rename it, and make an empty store
     REFUSE = "refuse"  # touch nothing; the opener gets an error
 
 
 @dataclass(slots=True, frozen=True)
 class KnownStore:
-    """What somebody holds of an owner's last store: the witness beside it, or other coordinators."""
+    """What somebody knows of an owner's last store: the witness beside it, or other coordinators."""
 
     owner: str
     id: bytes
-    life: int
+    incarnation: int
     generation: int
 
 
@@ -55,7 +56,7 @@
     kind: str
     owner: str
     id: bytes
-    life: int  # of the owner's stores, this one is the so-manieth: lives and generations have an order, ids have none
+    incarnation: int  # counts the owner's stores: incarnations and generations have an order, ids have none
     inode: int  # of this very file: a copy of the folder has another
 
 
@@ -65,39 +66,39 @@
 
     id: bytes
     generation: int
-    tally: StoreDigest
+    contents: StoreDigest
 
 
 @dataclass(slots=True, frozen=True)
 class OpeningFacts:
-    """What was found, the input of `judge`. An empty text stands for no fault."""
+    """What was found, the input of `decide_opening`. An empty text stands for no fault."""
 
     owner: str  # who opens
-    kind: str
+    kind: str  # of the engine that opens
     found: bool = False  # something is at the store's place
-    unreadable: str = ""  # the system's or engine's word on why it could not be read
-    unwritable: str = ""  # likewise for the folder or what is in it
-    room: bool = True  # False once making an empty store failed for lack of it
-    spoilt: str = ""  # which check does not hold
+    unreadable: str = ""  # the error that kept it from being read
+    unwritable: str = ""  # the error that keeps the folder or what is in it from being written
+    has_room: bool = True  # False once making an empty store failed for lack of it
+    corruption: str = ""  # which check does not hold
     head: HeadRecord | None = None
-    inode: int = 0  # of the first file, as it is now
+    inode: int = 0  # of the head's file, as it is now
     meta: MetaRecord | None = None
     witness: KnownStore | None = None
-    apart: bool = False  # the witness is kept elsewhere, so that a copy of the folder does not carry it along
-    told: KnownStore | None = None  # by others
-    moved: bool = False  # the operator's word that this copy is the latest
+    witness_apart: bool = False  # it is kept elsewhere, so that a copy of the folder does not carry it along
+    known_by_peers: KnownStore | None = None
+    copy_approved: bool = False  # the operator's assurance that this copy is the latest
 
 
 @dataclass(slots=True, frozen=True)
 class OpeningDecision:
-    """Outcome of `judge`: what was found, what to do with it, and the reason as text for the log and the operator."""
+    """What was found, what to do with it, and the reason as text for the log and the operator."""
 
-    verdict: StoreCondition
+    condition: StoreCondition
     action: OpeningAction
-    why: str
+    reason: str
 
 
-def behind(facts: OpeningFacts, known: KnownStore | None) -> bool:
+def is_behind(facts: OpeningFacts, known: KnownStore | None) -> bool:
     """Tell whether a later state of this owner's store than the one found is known; False without such knowledge.
 
     Needs head and meta.
@@ -105,78 +106,121 @@
     if known is None or known.owner != facts.owner:
         return False
     assert facts.head is not None and facts.meta is not None
-    if facts.head.life != known.life:
-        return facts.head.life < known.life
+    if facts.head.incarnation != known.incarnation:
+        return facts.head.incarnation < known.incarnation
     return facts.head.id != known.id or facts.meta.generation < known.generation
 
 
-def copied(facts: OpeningFacts) -> bool:
+def is_unproven_copy(facts: OpeningFacts) -> bool:
     """Tell whether the store is a copy of a folder that nothing shows to be the latest state.
 
     A witness in the same folder is copied along and shows nothing. Others' knowledge lags: it can show that a copy is
     too old, not that it is the latest.
     """
     assert facts.head is not None
-    vouched = facts.apart and facts.witness is not None and facts.witness.id == facts.head.id
-    return facts.head.inode != facts.inode and not vouched and not facts.moved
+    if facts.head.inode == facts.inode or facts.copy_approved:
+        return False
+    vouched = facts.witness_apart and facts.witness is not None and facts.witness.id == facts.head.id
+    return not vouched
+
+
+class OpeningRule(NamedTuple):
+    """One row of the table: a test of the facts, and the decision if it holds; `reason` is formatted with the facts."""
+
+    holds: Callable[[OpeningFacts], bool]
+    condition: StoreCondition
+    action: OpeningAction
+    reason: str
 
 
 # The first row that holds. docs/design/store.md has the same table.
-RULES: tuple[tuple[Callable[[OpeningFacts], bool], StoreCondition, OpeningAction, str], ...] = (
-    (lambda f: bool(f.unreadable), StoreCondition.UNREADABLE, OpeningAction.REFUSE, "can't be read: {0.unreadable}"),
-    (lambda f: bool(f.unwritable), StoreCondition.READ_ONLY, OpeningAction.REFUSE, "can't be written: {0.unwritable}"),
-    (lambda f: not f.room, StoreCondition.FULL, OpeningAction.REFUSE, "no room on the disk"),
-    (
-        lambda f: f.apart and f.witness is not None and f.witness.owner != f.owner,
+RULES: tuple[OpeningRule, ...] = (
+    OpeningRule(
+        lambda facts: bool(facts.unreadable),
+        StoreCondition.UNREADABLE,
+        OpeningAction.REFUSE,
+        "can't be read: {0.unreadable}",
+    ),
+    OpeningRule(
+        lambda facts: bool(facts.unwritable),
+        StoreCondition.READ_ONLY,
+        OpeningAction.REFUSE,
+        "can't be written: {0.unwritable}",
+    ),
+    OpeningRule(lambda facts: not facts.has_room, StoreCondition.FULL, OpeningAction.REFUSE, "no room on the disk"),
+    OpeningRule(
+        lambda facts: facts.witness_apart and facts.witness is not None and facts.witness.owner != facts.owner,
         StoreCondition.FOREIGN,
         OpeningAction.REFUSE,
         "the witness is of {0.witness.owner!r}",
     ),
-    (
-        lambda f: not f.found and f.witness is None and f.told is None,
+    OpeningRule(
+        lambda facts: not facts.found and facts.witness is None and facts.known_by_peers is None,
         StoreCondition.FRESH,
-        OpeningAction.BEGIN,
+        OpeningAction.CREATE,
         "nothing was there",
     ),
-    (
-        lambda f: not f.found,
+    OpeningRule(
+        lambda facts: not facts.found,
         StoreCondition.FRESH,
-        OpeningAction.BEGIN,
+        OpeningAction.CREATE,
         "nothing was there, though a store is known of: it is lost",
     ),
-    (lambda f: f.head is None, StoreCondition.CORRUPT, OpeningAction.ASIDE, "no whole head: {0.spoilt}"),
-    (
-        lambda f: f.head.format > FORMAT,
+    OpeningRule(
+        lambda facts: facts.head is None,
+        StoreCondition.CORRUPT,
+        OpeningAction.SET_ASIDE,
+        "no whole head: {0.corruption}",
+    ),
+    OpeningRule(
+        lambda facts: facts.head.format > FORMAT,
         StoreCondition.UNREADABLE,
         OpeningAction.REFUSE,
         "format {0.head.format} of a later version",
     ),
-    (lambda f: f.head.owner != f.owner, StoreCondition.FOREIGN, OpeningAction.ASIDE, "a store of {0.head.owner!r}"),
-    (
-        lambda f: f.head.kind != f.kind,
+    OpeningRule(
+        lambda facts: facts.head.owner != facts.owner,
+        StoreCondition.FOREIGN,
+        OpeningAction.SET_ASIDE,
+        "a store of {0.head.owner!r}",
+    ),
+    OpeningRule(
+        lambda facts: facts.head.kind != facts.kind,
         StoreCondition.UNREADABLE,
         OpeningAction.REFUSE,
         "a store of another kind: {0.head.kind}",
     ),
-    (lambda f: f.meta is None, StoreCondition.CORRUPT, OpeningAction.ASIDE, "{0.spoilt}"),
-    (
-        lambda f: f.meta.id != f.head.id,
+    OpeningRule(lambda facts: facts.meta is None, StoreCondition.CORRUPT, OpeningAction.SET_ASIDE, "{0.corruption}"),
+    OpeningRule(
+        lambda facts: facts.meta.id != facts.head.id,
         StoreCondition.CORRUPT,
-        OpeningAction.ASIDE,
+        OpeningAction.SET_ASIDE,
         "files of two stores in one folder",
     ),
-    (lambda f: behind(f, f.witness), StoreCondition.OLDER, OpeningAction.ASIDE, "the witness knows of a later state"),
-    (lambda f: behind(f, f.told), StoreCondition.OLDER, OpeningAction.ASIDE, "others know of a later state"),
-    (copied, StoreCondition.OLDER, OpeningAction.ASIDE, "a copy that nothing shows to be the latest"),
-    (lambda f: True, StoreCondition.GOOD, OpeningAction.USE, "whole, and not older than is known"),
+    OpeningRule(
+        lambda facts: is_behind(facts, facts.witness),
+        StoreCondition.OLDER,
+        OpeningAction.SET_ASIDE,
+        "the witness knows of a later state",
+    ),
+    OpeningRule(
+        lambda facts: is_behind(facts, facts.known_by_peers),
+        StoreCondition.OLDER,
+        OpeningAction.SET_ASIDE,
+        "others know of a later state",
+    ),
+    OpeningRule(
+        is_unproven_copy, StoreCondition.OLDER, OpeningAction.SET_ASIDE, "a copy that nothing shows to be the latest"
+    ),
+    OpeningRule(lambda facts: True, StoreCondition.GOOD, OpeningAction.USE, "whole, and not older than is known"),
 )
 
 
-def judge(facts: OpeningFacts) -> OpeningDecision:
-    """Return the verdict on what was found and the action, by the first of RULES that holds."""
-    for holds, verdict, action, why in RULES:
-        if holds(facts):
-            return OpeningDecision(verdict, action, why.format(facts))
+def decide_opening(facts: OpeningFacts) -> OpeningDecision:
+    """Return the decision of the first of RULES that holds."""
+    for rule in RULES:
+        if rule.holds(facts):
+            return OpeningDecision(rule.condition, rule.action, rule.reason.format(facts))
     raise AssertionError("the last rule always holds")
 
 
@@ -192,15 +236,8 @@
     )
 
 
-def next_life(facts: OpeningFacts) -> int:
-    """Return the life number of an empty store that replaces what was found: one above all that are known of this
-    owner.
-    """
-    return 1 + max(
-        (
-            known.life
-            for known in (facts.head, facts.witness, facts.told)
-            if known is not None and known.owner == facts.owner
-        ),
-        default=0,
-    )
+def next_incarnation(facts: OpeningFacts) -> int:
+    """Return the incarnation of an empty store that replaces what was found: above all that are known of this owner."""
+    known = (facts.head, facts.witness, facts.known_by_peers)
+    incarnations = [store.incarnation for store in known if store is not None and store.owner == facts.owner]
+    return 1 + max(incarnations, default=0)
--- a/frostspindle/store/sqlite_engine.py
+++ b/frostspindle/store/sqlite_engine.py
@@ -1,10 +1,8 @@
-"""The disk store's engine: one SQLite file with its write-ahead log.
-
-Owns the database's form, how it is opened, and the check of every entry. It must never let SQLite make what is not
-there, run code that a file brings along, or hand out an entry whose sum does not hold.
+"""The SQLite engine: one file with its write-ahead log, every entry checked at the opening.
 
 SQLite by itself keeps whole batches over a crash (the log's frames have checksums); it has none on the pages of the
-file, so each entry has its own sum, and the sum of all sums stands in the meta record, which each batch renews.
+file, so each entry has its own sum, and the sum of all sums is in the meta record, which each batch renews. SQLite
+never creates a missing file at an opening, and runs no code that a file brings along.
 """
 
 from __future__ import annotations
@@ -28,15 +26,15 @@
 from frostspindle.store.opening_decision import MetaRecord
 
 FILE = "db"
-PAGE = 4096
+PAGE = 4096  # bytes
 LOG_PAGES = 1_000  # the log is written back to the file at this length
-SPARE = 3  # pages are at least a third full, and a batch's old pages are free only after it
+SPARE_FACTOR = 3  # pages are at least a third full, and a batch's old pages are free only after it
 SCHEMA = (
     "CREATE TABLE entry(key BLOB PRIMARY KEY, value BLOB NOT NULL, sum BLOB NOT NULL) WITHOUT ROWID",
     "CREATE TABLE meta(one INTEGER PRIMARY KEY, record BLOB NOT NULL)",
 )
 # Errors of the system, not of the file's bytes, by SQLite's primary code.
-SYSTEM = {
+SYSTEM_ERRORS = {
     sqlite3.SQLITE_PERM,
     sqlite3.SQLITE_BUSY,
     sqlite3.SQLITE_NOMEM,
@@ -46,24 +44,28 @@
 }
 
 
-def most_pages(limits: StoreLimits) -> int:
+def max_pages(limits: StoreLimits) -> int:
     """Return how many pages the file may have: thrice the entries with checksums and cells, and the fixed pages."""
-    return 64 + SPARE * (limits.total + limits.entries * (SUM + 32)) // PAGE
+    return 64 + SPARE_FACTOR * (limits.total + limits.entries * (SUM + 32)) // PAGE
+
 
+def translate_error(error: sqlite3.Error) -> Exception:
+    """Return the exception to raise for an SQLite error.
 
-def translated(error: sqlite3.Error) -> Exception:
-    """Return the exception to raise for an SQLite error: Full if the disk or `max_page_count` is exhausted, OSError for
-    errors of the system (SYSTEM), else Spoilt.
+    StoreFullError if the disk or `max_page_count` is exhausted, OSError for errors of the system, CorruptDataError for
+    all others.
     """
     code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     text = f"{error} ({getattr(error, 'sqlite_errorname', 'no code')})"
     if code == sqlite3.SQLITE_FULL:
         return StoreFullError(text)
-    return OSError(text) if code in SYSTEM else CorruptDataError(text)
+    if code in SYSTEM_ERRORS:
+        return OSError(text)
+    return CorruptDataError(text)
 
 
 class SqliteEngine:
-    """The SQLite engine of one opened database; opening raises OSError, Full or Spoilt."""
+    """The SQLite engine of one opened database; opening raises OSError, StoreFullError or CorruptDataError."""
 
     kind = "sqlite"
     limits = StoreLimits()
@@ -72,19 +74,19 @@
         path = folder / FILE
         if not path.is_file() or path.is_symlink():
             raise CorruptDataError("no database there")
-        if path.stat().st_size > 2 * most_pages(self.limits) * PAGE:
+        if path.stat().st_size > 2 * max_pages(self.limits) * PAGE:
             raise CorruptDataError("the database is longer than can be")
         try:
             self._db = self._connect(folder, "rw")
         except sqlite3.Error as error:
-            raise translated(error) from error
+            raise translate_error(error) from error
         try:
-            self._db.execute(f"PRAGMA max_page_count={most_pages(limits)}")
+            self._db.execute(f"PRAGMA max_page_count={max_pages(limits)}")
             self.meta = self._check()
         except (sqlite3.Error, CorruptDataError, ValueError, OverflowError) as error:
             self._db.close()
             if isinstance(error, sqlite3.Error):
-                raise translated(error) from error
+                raise translate_error(error) from error
             raise CorruptDataError(str(error)) from error
 
     @staticmethod
@@ -117,10 +119,10 @@
         return db
 
     @classmethod
-    def make(cls, folder: Path, number: bytes) -> None:
-        """Create an empty database with the store's id `number`, whole and durable on return.
+    def create(cls, folder: Path, store_id: bytes) -> None:
+        """Create an empty database with this store id, whole and durable on return.
 
-        Raises Full, OSError or Spoilt.
+        Raises StoreFullError, OSError or CorruptDataError.
         """
         try:
             db = cls._connect(folder, "rwc")
@@ -128,51 +130,56 @@
                 db.execute("BEGIN IMMEDIATE")
                 for table in SCHEMA:
                     db.execute(table)
-                db.execute("INSERT INTO meta VALUES (1, ?)", (records.meta_out(MetaRecord(number, 0, StoreDigest())),))
+                record = records.encode_meta(MetaRecord(store_id, 0, StoreDigest()))
+                db.execute("INSERT INTO meta VALUES (1, ?)", (record,))
                 db.execute("COMMIT")
             finally:
                 db.close()
         except sqlite3.Error as error:
-            raise translated(error) from error
+            raise translate_error(error) from error
 
     def _check(self) -> MetaRecord:
         """Read every entry once; nothing is served before."""
         schema = {sql for (sql,) in self._db.execute("SELECT sql FROM sqlite_schema")}
         if schema != set(SCHEMA):
             raise CorruptDataError("other tables than a store's")
-        if (found := self._db.execute("PRAGMA integrity_check(1)").fetchone()[0]) != "ok":
-            raise CorruptDataError(str(found)[:120])
+        integrity = self._db.execute("PRAGMA integrity_check(1)").fetchone()[0]
+        if integrity != "ok":
+            raise CorruptDataError(str(integrity)[:120])
         rows = self._db.execute("SELECT one, record FROM meta").fetchall()
         if len(rows) != 1 or rows[0][0] != 1 or not isinstance(rows[0][1], bytes):
             raise CorruptDataError("no one meta record")
-        meta = records.meta_in(rows[0][1])
-        entries = size = digest = 0
-        for key, value, total in self._rows("SELECT key, value, sum FROM entry", ()):
-            entries, size, digest = entries + 1, size + len(key) + len(value), digest + total
-        tally = StoreDigest(entries, size, digest % (1 << 8 * SUM))
-        if tally != meta.tally:
+        meta = records.decode_meta(rows[0][1])
+        entries = 0
+        size = 0
+        digest = 0
+        for key, value, checksum in self._rows("SELECT key, value, sum FROM entry", ()):
+            entries += 1
+            size += len(key) + len(value)
+            digest += checksum
+        if StoreDigest(entries, size, digest % (1 << 8 * SUM)) != meta.contents:
             raise CorruptDataError(f"{entries} entries that are no state of generation {meta.generation}")
         return meta
 
     def _rows(self, query: str, values: tuple[bytes, ...]) -> Iterator[tuple[bytes, bytes, int]]:
-        for key, value, stated in self._db.execute(query, values):
-            if not (isinstance(key, bytes) and isinstance(value, bytes) and isinstance(stated, bytes)):
+        for key, value, stored_sum in self._db.execute(query, values):
+            if not (isinstance(key, bytes) and isinstance(value, bytes) and isinstance(stored_sum, bytes)):
                 raise CorruptDataError("an entry of another type")
-            total = entry_sum(key, value)
-            if total.to_bytes(SUM, "big") != stated:
+            checksum = entry_sum(key, value)
+            if checksum.to_bytes(SUM, "big") != stored_sum:
                 raise CorruptDataError(f"the sum of {key!r:.80} does not hold")
-            yield key, value, total
+            yield key, value, checksum
 
     def _read(self, query: str, values: tuple[bytes, ...]) -> list[tuple[bytes, bytes]]:
         try:
             return [(key, value) for key, value, _ in self._rows(query, values)]
         except sqlite3.Error as error:
-            raise translated(error) from error
+            raise translate_error(error) from error
 
     def get(self, key: bytes) -> bytes | None:
         """Return an entry's value, None if there is none.
 
-        Spoilt if its checksum does not hold, OSError if it can't be read.
+        CorruptDataError if its checksum does not hold, OSError if it can't be read.
         """
         rows = self._read("SELECT key, value, sum FROM entry WHERE key = ?", (key,))
         return rows[0][1] if rows else None
@@ -180,16 +187,17 @@
     def scan(self, prefix: bytes) -> list[tuple[bytes, bytes]]:
         """Return all entries whose keys begin with `prefix`, in byte order; raises as `get` does."""
         after = successor(prefix)
-        query, values = "SELECT key, value, sum FROM entry WHERE key >= ?", (prefix,)
-        if after is not None:
-            query, values = query + " AND key < ?", (prefix, after)
-        return self._read(query + " ORDER BY key", values)
+        query = "SELECT key, value, sum FROM entry WHERE key >= ?"
+        if after is None:
+            return self._read(f"{query} ORDER BY key", (prefix,))
+        return self._read(f"{query} AND key < ? ORDER BY key", (prefix, after))
 
     def commit(self, changes: Changes, meta: MetaRecord) -> None:
         """Write a batch and its meta record in one transaction.
 
-        Full: nothing was changed. Any other error: the outcome is unknown, and the engine must be closed.
+        StoreFullError: nothing was changed. Any other error: the outcome is unknown, and the engine must be closed.
         """
+        deletes = [(key,) for key, value in changes.items() if value is None]
         puts = [
             (key, value, entry_sum(key, value).to_bytes(SUM, "big"))
             for key, value in changes.items()
@@ -197,20 +205,22 @@
         ]
         try:
             self._db.execute("BEGIN IMMEDIATE")
-            self._db.executemany("DELETE FROM entry WHERE key = ?", [(k,) for k, v in changes.items() if v is None])
+            self._db.executemany("DELETE FROM entry WHERE key = ?", deletes)
             self._db.executemany("INSERT OR REPLACE INTO entry VALUES (?, ?, ?)", puts)
-            self._db.execute("UPDATE meta SET record = ? WHERE one = 1", (records.meta_out(meta),))
+            self._db.execute("UPDATE meta SET record = ? WHERE one = 1", (records.encode_meta(meta),))
             self._db.execute("COMMIT")
         except sqlite3.Error as error:
-            outcome = translated(error)
-            if not isinstance(outcome, StoreFullError):
-                raise outcome from error
-            try:
-                if self._db.in_transaction:  # SQLite may have rolled back by itself
-                    self._db.execute("ROLLBACK")
-            except sqlite3.Error as second:
-                raise StoreBrokenError(f"no room, and no way back: {second}") from error
-            raise outcome from error
+            translated = translate_error(error)
+            if isinstance(translated, StoreFullError):
+                self._roll_back(error)
+            raise translated from error
+
+    def _roll_back(self, cause: sqlite3.Error) -> None:
+        try:
+            if self._db.in_transaction:  # SQLite may have rolled back by itself
+                self._db.execute("ROLLBACK")
+        except sqlite3.Error as error:
+            raise StoreBrokenError(f"no room, and no way back: {error}") from cause
 
     def close(self) -> None:
         """Close the database; an error is ignored, as the next opening reads the write-ahead log."""
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -253,9 +253,9 @@
 }
 SNAPSHOT = (ENTRIES[0], ENTRIES[1], ["c1", "c2", "c3"], {"settings": b"state", "ownership": b"rows"})
 
-HEAD = HeadRecord(format=1, kind="sqlite", owner="c1", id=ID, life=2, inode=171)
-META = MetaRecord(id=ID, generation=40, tally=StoreDigest(entries=3, size=120, digest=2**100 + 1))
-WITNESSED = KnownStore(owner="c1", id=ID, life=2, generation=40)
+HEAD = HeadRecord(format=1, kind="sqlite", owner="c1", id=ID, incarnation=2, inode=171)
+META = MetaRecord(id=ID, generation=40, contents=StoreDigest(entries=3, size=120, digest=2**100 + 1))
+WITNESSED = KnownStore(owner="c1", id=ID, incarnation=2, generation=40)
 MOVES = {b"kept": 0, b"removed": None}
 
 
@@ -279,7 +279,7 @@
 
 def batch_out(batch):
     meta, moves = batch
-    return records.batch_out(meta, moves)
+    return records.encode_batch(meta, moves)
 
 
 def snapshot_out(parts):
@@ -310,10 +310,10 @@
     "recovery engine": (recovery.decode_listed_engine, recovery.encode, {"engine": LISTED}),
     "recovery heartbeat": (partial(decode, type=HeartbeatRecord), encode, {"heartbeat": BEAT}),
     "recovery ticket": (partial(decode, type=tickets.TicketRecord), encode, {"ticket": TICKET}),
-    "store head": (records.head_in, records.head_out, {"head": HEAD}),
-    "store state": (records.meta_in, records.meta_out, {"state": META}),
-    "store witness": (records.known_in, records.known_out, {"witness": WITNESSED}),
-    "store batch": (records.batch_in, batch_out, {"batch": (META, MOVES)}),
+    "store head": (records.decode_head, records.encode_head, {"head": HEAD}),
+    "store state": (records.decode_meta, records.encode_meta, {"state": META}),
+    "store witness": (records.decode_known, records.encode_known, {"witness": WITNESSED}),
+    "store batch": (records.decode_batch, batch_out, {"batch": (META, MOVES)}),
     "worker start": (partial(json.decode, type=WorkerBootstrap), json.encode, {"worker": PASSPORT}),
     "subscription cursor": (
         lambda data: cursor.decode(data.decode()),
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -30,9 +30,10 @@
 from frostspindle.shared import Shared
 from frostspindle.store.marker_engine import MarkerEngine
 from frostspindle.store.memory import MemoryStore
-from frostspindle.store.opening import WitnessFile, open_store
+from frostspindle.store.opening import open_store
 from frostspindle.store.opening_decision import KnownStore, OpeningAction, StoreCondition
 from frostspindle.store.sqlite_engine import SqliteEngine
+from frostspindle.store.witness import WitnessFile
 from frostspindle.telemetry import Telemetry
 
 DATA = Path(__file__).with_name("data")
@@ -146,10 +147,10 @@
 @pytest.mark.parametrize(("name", "engine", "witnessed"), STORES)
 def test_durable_store_is_opened_with_all_its_entries(copy, name, engine, witnessed):
     folder = copy(name)
-    assert WitnessFile(folder / "witness").read() == KnownStore(owner="c1", id=ID, life=1, generation=witnessed)
-    store = open_store(folder=folder, owner="c1", engine=engine, moved=True)  # a copy has another inode
-    assert (store.ruling.verdict, store.ruling.action) == (StoreCondition.GOOD, OpeningAction.USE)
-    assert store.known == KnownStore(owner="c1", id=ID, life=1, generation=GENERATION)
+    assert WitnessFile(folder / "witness").read() == KnownStore(owner="c1", id=ID, incarnation=1, generation=witnessed)
+    store = open_store(folder=folder, owner="c1", engine=engine, copy_approved=True)  # a copy has another inode
+    assert (store.decision.condition, store.decision.action) == (StoreCondition.GOOD, OpeningAction.USE)
+    assert store.known == KnownStore(owner="c1", id=ID, incarnation=1, generation=GENERATION)
     made = MemoryStore()
     stored.fill_store(made)
     assert store.scan() == made.scan()
@@ -162,12 +163,12 @@
     folder = copy(name)
     witness = shutil.copy(folder / "witness", tmp_path / "witness-apart")
     store = open_store(folder=folder, owner="c1", engine=engine, witness=Path(witness))
-    assert (store.ruling.verdict, store.generation) == (StoreCondition.GOOD, GENERATION)
+    assert (store.decision.condition, store.generation) == (StoreCondition.GOOD, GENERATION)
     store.close()
     again = shutil.copytree(DATA / name, tmp_path / "again")
     store = open_store(folder=Path(again), owner="c1", engine=engine)
-    assert (store.ruling.verdict, store.ruling.action) == (StoreCondition.OLDER, OpeningAction.ASIDE)
-    assert (store.known.life, store.scan()) == (2, [])
+    assert (store.decision.condition, store.decision.action) == (StoreCondition.OLDER, OpeningAction.SET_ASIDE)
+    assert (store.known.incarnation, store.scan()) == (2, [])
     store.close()
 
 
--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -14,9 +14,11 @@
 from typing import Any
 
 from frostspindle.store.base import Store, StoreLimits
+from frostspindle.store.durable_store import DurableStore
+from frostspindle.store.engine import StoreEngine
 from frostspindle.store.marker_engine import MarkerEngine
 from frostspindle.store.memory import MemoryStore
-from frostspindle.store.opening import DurableStore, StoreEngine, open_store
+from frostspindle.store.opening import open_store
 from frostspindle.store.sqlite_engine import SqliteEngine
 
 SMALL = StoreLimits(key=6, value=40, entries=12, total=200, batch=8)
--- a/tests/contracts/test_settings_keep.py
+++ b/tests/contracts/test_settings_keep.py
@@ -122,9 +122,9 @@
 
     def start():
         (folder / "witness").unlink(missing_ok=True)
-        found = open_store(folder, "c1", MarkerEngine, moved=True)
+        found = open_store(folder, "c1", MarkerEngine, copy_approved=True)
         try:
-            return numbers(VersionStore(found).load()) if found.ruling.verdict == "good" else "aside"
+            return numbers(VersionStore(found).load()) if found.decision.condition == "good" else "aside"
         finally:
             found.close()
 
@@ -157,9 +157,9 @@
                 data[rng.randrange(len(data))] ^= 1 + rng.randrange(255)
             lay(folder, {**content, name: bytes(data)})
             (folder / "witness").unlink()
-            found = open_store(folder, "c1", SqliteEngine, moved=True)
+            found = open_store(folder, "c1", SqliteEngine, copy_approved=True)
             kept = VersionStore(found).load()
-            told.add(str(found.ruling.verdict))
+            told.add(str(found.decision.condition))
             assert numbers(kept) in ([[at, at + 1] for at in range(1, 6)] + [[]])
             found.close()
     assert "corrupt" in told
--- a/tests/contracts/test_store_contract.py
+++ b/tests/contracts/test_store_contract.py
@@ -15,7 +15,8 @@
 
 from frostspindle.store import records
 from frostspindle.store.base import InvalidBatchError, StoreBrokenError, StoreFullError, StoreLimits
-from frostspindle.store.opening import KEPT, StoreLockedError, StoreRefusedError
+from frostspindle.store.lock import StoreLockedError
+from frostspindle.store.opening import MAX_SET_ASIDE, StoreRefusedError
 from frostspindle.store.opening_decision import KnownStore, StoreCondition
 
 NOBODY = 65_534
@@ -81,7 +82,7 @@
         self.store.sync()
         self.store.close()
         self.store = self.kind.open(self.path)
-        assert self.store.ruling.verdict is StoreCondition.GOOD
+        assert self.store.decision.condition is StoreCondition.GOOD
 
     @invariant()
     def same(self):
@@ -123,9 +124,9 @@
 def outcome(kind, path: Path, states, **more):
     """Open what lies there: a whole state, or an empty store and the old one aside. The verdict is returned."""
     told = []
-    store = kind.open(path, ROOMY, moved=True, note=lambda event, **fields: told.append((event, fields)), **more)
+    store = kind.open(path, ROOMY, copy_approved=True, log=lambda event, **fields: told.append((event, fields)), **more)
     try:
-        verdict = store.ruling.verdict
+        verdict = store.decision.condition
         assert [event for event, _ in told] == ["store"]
         if verdict is StoreCondition.GOOD:
             assert store.scan() == states[store.generation]
@@ -270,7 +271,7 @@
             acknowledged = max([acknowledged, *words])
             child.wait()
             store = kind.open(path, ROOMY)  # the lock went with its process
-            assert store.ruling.verdict is StoreCondition.GOOD, store.ruling
+            assert store.decision.condition is StoreCondition.GOOD, store.decision
             assert acknowledged <= store.generation <= acknowledged + 1
             assert {store.get(b"%d" % place) for place in range(8)} == {b"%d" % store.generation * 40}
             store.close()
@@ -312,7 +313,7 @@
             outcomes.add(name)
             assert entries is None or dict(entries) == states[generation]
             store = kind.open(path, ROOMY)
-            assert store.ruling.verdict is StoreCondition.GOOD, store.ruling
+            assert store.decision.condition is StoreCondition.GOOD, store.decision
             assert 0 <= store.generation - generation <= (name == "broken")
             assert dict(store.scan()) == states[store.generation]
             before = store.generation
@@ -327,7 +328,7 @@
         try:
             kind.open(path, ROOMY)
         except StoreRefusedError as refused:
-            tell(refused.ruling.verdict)
+            tell(refused.decision.condition)
 
     with folder() as path:
         filled(kind, path, 3)[0].close()
@@ -395,21 +396,25 @@
             lay(path, content)
             store = kind.open(path, ROOMY, **more)
             try:
-                good = store.ruling.verdict is StoreCondition.GOOD
+                good = store.decision.condition is StoreCondition.GOOD
                 assert store.scan() == (states[store.generation] if good else [])
-                return str(store.ruling.verdict)
+                return str(store.decision.condition)
             finally:
                 store.close()
 
-        later = KnownStore("c1", b"i" * 16, known.life + 1, 0)
-        assert [found(now), found(now, moved=True)] == ["older", "good"]
-        assert found(week, moved=True, witness=None) == "good"  # nothing here can know better: see docs/design/store.md
-        assert found({**week, "witness": inside}, moved=True) == "older"
-        assert found(week, moved=True, told=known) == "older"
-        assert found(now, moved=True, told=known) == "good"
-        assert found(now, moved=True, told=later) == "older"
-        assert found(now, moved=True, told=KnownStore("c2", b"i" * 16, 9, 9)) == "good"  # of somebody else's
-        assert found(now, moved=True, owner="c2") == "foreign"
+        later = KnownStore("c1", b"i" * 16, known.incarnation + 1, 0)
+        assert [found(now), found(now, copy_approved=True)] == ["older", "good"]
+        assert (
+            found(week, copy_approved=True, witness=None) == "good"
+        )  # nothing here can know better: see docs/design/store.md
+        assert found({**week, "witness": inside}, copy_approved=True) == "older"
+        assert found(week, copy_approved=True, known_by_peers=known) == "older"
+        assert found(now, copy_approved=True, known_by_peers=known) == "good"
+        assert found(now, copy_approved=True, known_by_peers=later) == "older"
+        assert (
+            found(now, copy_approved=True, known_by_peers=KnownStore("c2", b"i" * 16, 9, 9)) == "good"
+        )  # of somebody else's
+        assert found(now, copy_approved=True, owner="c2") == "foreign"
         witnessed = apart.read_bytes()
         assert found(now, witness=apart) == "good"  # the witness elsewhere shows that the copy is the latest
         assert found(week, witness=apart) == "older"
@@ -418,12 +423,12 @@
         for turn in range(5):
             kind.open(path, ROOMY, owner=f"o{turn}").close()
         asides = [name for name in os.listdir(path) if name.startswith("aside-")]
-        assert (len(asides), max(asides)[-7:]) == (KEPT, "foreign")
+        assert (len(asides), max(asides)[-7:]) == (MAX_SET_ASIDE, "foreign")
 
 
 def records_of(known: KnownStore) -> bytes:
     """A witness's file with this in its first slot."""
-    data = records.known_out(known)
+    data = records.encode_known(known)
     return len(data).to_bytes(2, "big") + data
 
 
@@ -433,7 +438,7 @@
         try:
             kind.open(path, ROOMY, owner="c2")
         except StoreRefusedError as refused:
-            tell(refused.ruling.verdict)
+            tell(refused.decision.condition)
 
     with folder() as path:
         filled(kind, path, 3)[0].close()
@@ -445,5 +450,5 @@
                 name: data for name, data in content.items() if name.startswith("store/")
             }
         store = kind.open(path, ROOMY, owner="c2")
-        assert store.ruling.verdict is StoreCondition.FOREIGN
+        assert store.decision.condition is StoreCondition.FOREIGN
         store.close()
--- a/tests/test_ownership_program.py
+++ b/tests/test_ownership_program.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import io
-import os
 import subprocess
 import sys
 import tempfile
@@ -75,7 +74,7 @@
     fence.check("x", 5)
     assert sink.begin("2026-11", 5) is True and sink.take("2026-11", 5, b"rows") is True
     store._engine.close()  # as a kill: nothing is told to the witness, nothing is closed in order
-    os.close(store._lock)
+    store._lock.close()
 
     store = open_store(folder, "sink", MarkerEngine)
     fence, sink = TokenFence(store), Sink(store)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,8 +19,8 @@
     KnownStore,
     MetaRecord,
     OpeningFacts,
-    judge,
-    next_life,
+    decide_opening,
+    next_incarnation,
     worth_opening,
 )
 from frostspindle.store.sqlite_engine import SqliteEngine
@@ -35,46 +35,46 @@
         at = KnownStore("c1", A, 3, 40)
         for changed, outcome in (
             ({}, "good use"),
-            ({"told": replace(at, life=4)}, "older aside"),
+            ({"known_by_peers": replace(at, incarnation=4)}, "older aside"),
             ({"witness": at}, "good use"),
             ({"witness": replace(at, generation=39)}, "good use"),
             ({"witness": replace(at, generation=41)}, "older aside"),
-            ({"told": replace(at, life=2, generation=99)}, "good use"),
+            ({"known_by_peers": replace(at, incarnation=2, generation=99)}, "good use"),
             ({"witness": replace(at, id=B, generation=1)}, "older aside"),  # two stores of one life
             ({"witness": replace(at, owner="c2", generation=99)}, "good use"),
-            ({"witness": replace(at, owner="c2"), "apart": True}, "foreign refuse"),
+            ({"witness": replace(at, owner="c2"), "witness_apart": True}, "foreign refuse"),
             ({"inode": 78}, "older aside"),
-            ({"inode": 78, "moved": True}, "good use"),
+            ({"inode": 78, "copy_approved": True}, "good use"),
             ({"inode": 78, "witness": at}, "older aside"),
-            ({"inode": 78, "told": at}, "older aside"),
-            ({"inode": 78, "witness": at, "apart": True}, "good use"),
-            ({"inode": 78, "witness": replace(at, life=2, id=B), "apart": True}, "older aside"),
+            ({"inode": 78, "known_by_peers": at}, "older aside"),
+            ({"inode": 78, "witness": at, "witness_apart": True}, "good use"),
+            ({"inode": 78, "witness": replace(at, incarnation=2, id=B), "witness_apart": True}, "older aside"),
             ({"head": replace(HEAD, owner="c2"), "meta": None}, "foreign aside"),
             ({"head": replace(HEAD, format=FORMAT + 1), "meta": None}, "unreadable refuse"),
             ({"head": replace(HEAD, kind="marker"), "meta": None}, "unreadable refuse"),
             ({"meta": replace(META, id=B)}, "corrupt aside"),
-            ({"meta": None, "spoilt": "x"}, "corrupt aside"),
+            ({"meta": None, "corruption": "x"}, "corrupt aside"),
             ({"head": None}, "corrupt aside"),
             ({"found": False, "head": None}, "fresh begin"),
             ({"found": False, "head": None, "witness": at}, "fresh begin"),
             ({"unreadable": "x", "head": None}, "unreadable refuse"),
             ({"unwritable": "x"}, "read-only refuse"),
-            ({"room": False, "head": None}, "full refuse"),
-            ({"room": False, "unwritable": "x"}, "read-only refuse"),
+            ({"has_room": False, "head": None}, "full refuse"),
+            ({"has_room": False, "unwritable": "x"}, "read-only refuse"),
         ):
-            ruling = judge(replace(GOOD, **changed))
-            self.assertEqual(f"{ruling.verdict} {ruling.action}", outcome, changed)
-        self.assertIn("lost", judge(replace(GOOD, found=False, witness=at)).why)
+            decision = decide_opening(replace(GOOD, **changed))
+            self.assertEqual(f"{decision.condition} {decision.action}", outcome, changed)
+        self.assertIn("lost", decide_opening(replace(GOOD, found=False, witness=at)).reason)
 
     def test_an_empty_store_has_a_later_life_than_all_that_is_known_of_its_owner(self):
         told = KnownStore("c1", B, 7, 1)
         self.assertEqual(
             [
-                next_life(facts)
+                next_incarnation(facts)
                 for facts in (
                     OpeningFacts("c1", "sqlite"),
                     GOOD,
-                    replace(GOOD, told=told),
+                    replace(GOOD, known_by_peers=told),
                     replace(GOOD, witness=replace(told, owner="c2")),
                 )
             ],
@@ -89,7 +89,7 @@
 
     def open(self, engine=SqliteEngine, **more):
         store = open_store(
-            self.path, "c1", engine, **more, note=lambda event, **fields: self.told.append((event, fields))
+            self.path, "c1", engine, **more, log=lambda event, **fields: self.told.append((event, fields))
         )
         self.addCleanup(store.close)
         return store
@@ -107,11 +107,11 @@
         self.assertEqual(self.told[-1][1]["verdict"], "unreadable")
 
     def test_a_full_database_says_so_keeps_the_old_state_and_goes_on(self):
-        was, sqlite_engine.most_pages = sqlite_engine.most_pages, lambda limits: 12
+        was, sqlite_engine.max_pages = sqlite_engine.max_pages, lambda limits: 12
         try:
             store = self.open()
         finally:
-            sqlite_engine.most_pages = was
+            sqlite_engine.max_pages = was
         with self.assertRaises(StoreFullError):
             for number in range(20):
                 store.apply({b"%d" % number: b"x" * 4_000, b"last": b"%d" % number})
@@ -147,7 +147,7 @@
                 db.execute(change)
             db.close()
             store = self.open()
-            self.assertEqual((store.ruling.verdict, store.scan()), ("corrupt", []), change)
+            self.assertEqual((store.decision.condition, store.scan()), ("corrupt", []), change)
             store.close()
 
     def test_an_old_row_with_its_own_good_sum_is_no_state_together_with_newer_ones(self):
@@ -157,15 +157,15 @@
         store.apply({b"a": b"2", b"b": b"2"})
         store._engine._db.execute("UPDATE entry SET value = ?, sum = ? WHERE key = x'61'", old)
         store.close()
-        self.assertEqual(self.open().ruling.verdict, "corrupt")
+        self.assertEqual(self.open().decision.condition, "corrupt")
 
     def test_what_no_state_of_ours_can_be_so_long_is_not_read(self):
         store = self.open(MarkerEngine)
         store.close()
         (self.path / "store" / "state").write_bytes(b"x" * 100_000)
-        self.assertEqual(self.open(MarkerEngine).ruling.why, "state is longer than 256 bytes")
+        self.assertEqual(self.open(MarkerEngine).decision.reason, "state is longer than 256 bytes")
         with self.assertRaises(CorruptDataError):
-            records.head_in(records.seal(b"\xff\xff"))
+            records.decode_head(records.seal(b"\xff\xff"))
 
     def test_children_swapped_in_an_inner_page_are_noticed_though_every_entry_is_there(self):
         store = self.open()
@@ -179,13 +179,13 @@
         one, two = (page * sqlite_engine.PAGE + int.from_bytes(root[at : at + 2], "big") for at in (12, 14))
         data[one : one + 4], data[two : two + 4] = data[two : two + 4], data[one : one + 4]
         path.write_bytes(data)
-        self.assertEqual(self.open().ruling.verdict, "corrupt")
+        self.assertEqual(self.open().decision.condition, "corrupt")
 
     def test_a_database_longer_than_can_be_is_not_read(self):
         self.open().close()
         with open(self.path / "store" / sqlite_engine.FILE, "r+b") as file:
             file.truncate(1 << 30)  # nothing of it is on the disk
-        self.assertEqual(self.open().ruling.why, "the database is longer than can be")
+        self.assertEqual(self.open().decision.reason, "the database is longer than can be")
 
     def test_each_commit_is_synced_and_nobody_else_gets_at_an_open_database(self):
         store = self.open()
@@ -228,11 +228,11 @@
             for value in (b"1", b"2", b"3"):
                 store.apply({b"a": value})
                 if value == b"1":
-                    old = records.batch_out(store._meta, {b"a": 0})
+                    old = records.encode_batch(store._meta, {b"a": 0})
             store.close()
             change(self.path / "store")
             store = self.open(Few)
-            self.assertEqual((store.ruling.verdict, store.ruling.why), ("corrupt", why))
+            self.assertEqual((store.decision.condition, store.decision.reason), ("corrupt", why))
             store.close()
 
     def test_no_room_to_look_into_a_good_store_leaves_it_where_it_is(self):
@@ -242,7 +242,7 @@
             self.assertRaises(StoreRefusedError),
         ):
             self.open(MarkerEngine)
-        self.assertEqual([self.told[-1][1]["verdict"], self.open(MarkerEngine).ruling.verdict], ["full", "good"])
+        self.assertEqual([self.told[-1][1]["verdict"], self.open(MarkerEngine).decision.condition], ["full", "good"])
 
     def test_a_link_or_a_file_in_the_stores_place_is_set_aside_and_what_it_leads_to_stays(self):
         for link in (True, False):
@@ -252,7 +252,7 @@
             place.rename(elsewhere)
             place.symlink_to(elsewhere) if link else place.touch()
             store = self.open(MarkerEngine)
-            self.assertEqual(store.ruling.why, "no whole head: no folder of its own")
+            self.assertEqual(store.decision.reason, "no whole head: no folder of its own")
             self.assertEqual({path.name for path in elsewhere.iterdir()}, {"head", "state"})
 
     def test_a_witness_that_cant_be_read_or_written(self):
@@ -276,14 +276,14 @@
         shutil.copytree(self.path, copy)
         self.path = copy
         for moved in (True, False):
-            store = self.open(MarkerEngine, moved=moved)
-            self.assertEqual(store.ruling.verdict, "good")
+            store = self.open(MarkerEngine, copy_approved=moved)
+            self.assertEqual(store.decision.condition, "good")
             store.close()
 
     def test_a_batch_done_before_takes_nothing_that_a_later_one_had_staged(self):
         store = self.open(MarkerEngine)
         store.apply({b"a": b"1"})
-        done = records.batch_out(store._meta, {b"a": 0})
+        done = records.encode_batch(store._meta, {b"a": 0})
         with mock.patch("os.replace", side_effect=OSError(errno.EIO, "no")), self.assertRaises(StoreBrokenError):
             store.apply({b"a": b"2"})  # staged, and no more
         store.close()
@@ -303,7 +303,9 @@
             path.unlink()
         for name, content in old.items():
             (self.path / "store" / name).write_bytes(content)
-        self.assertEqual(self.open(MarkerEngine, moved=True).ruling.why, "the witness knows of a later state")
+        self.assertEqual(
+            self.open(MarkerEngine, copy_approved=True).decision.reason, "the witness knows of a later state"
+        )
 
     def test_a_torn_slot_of_the_witness_leaves_the_one_before_it(self):
         store = self.open(MarkerEngine)
@@ -312,14 +314,14 @@
         for value in (b"2", b"3"):
             store.apply({b"a": value})
         data = (self.path / "witness").read_bytes()
-        last = store._witness._turn ^ 1
+        last = store._witness._next_slot ^ 1
         store._witness.write = lambda known, sync=False: None
         store.close()
         (self.path / "witness").write_bytes(data[: last * 256 + 10] + b"torn" + data[last * 256 + 14 :])
         for name, content in old.items():
             if name != "head":
                 (self.path / "store" / name).write_bytes(content)
-        self.assertEqual(self.open(MarkerEngine).ruling.why, "the witness knows of a later state")
+        self.assertEqual(self.open(MarkerEngine).decision.reason, "the witness knows of a later state")
 
     def test_a_store_over_bounds_that_were_lowered_is_good_and_can_be_emptied(self):
         for engine in (SqliteEngine, MarkerEngine):
