--- a/frostspindle/store/durable_store.py
+++ b/frostspindle/store/durable_store.py
@@ -46,6 +46,11 @@
         """Number of batches applied since the store was made."""
         return self._meta.generation
 
+    @property
+    def entry_count(self) -> int:
+        """Number of entries."""
+        return self._meta.contents.entries
+
     @property
     def known(self) -> KnownStore:
         """Owner, id, incarnation and generation, for others to remember and to give back at the next opening."""
--- a/frostspindle/store/opening.py
+++ b/frostspindle/store/opening.py
@@ -94,17 +94,11 @@
         opening.gather_facts()
         decision = opening.act()
         if decision.action is OpeningAction.REFUSE:
-            log(
-                "store",
-                folder=str(folder),
-                verdict=decision.condition,
-                action=decision.action,
-                why=decision.reason,
-            )
+            log("store", **opening.log_fields(decision))
             raise StoreRefusedError(folder, decision)
         store = opening.finish(decision, log)
         store.sync()
-        opening.log_opened(store, log)
+        log("store", **opening.log_fields(decision), **opening.opened_fields(store))
         return store
     except BaseException:
         opening.abandon()
@@ -260,24 +254,29 @@
             records.write_synced(self.store_path / HEAD, records.encode_head(self.head))
         return DurableStore(self.opened, self.head, self.limits, self.witness, self.lock, decision, log)
 
-    def log_opened(self, store: DurableStore, log: Callable[..., None]) -> None:
-        """Log the outcome."""
-        fields: dict[str, object] = {
+    def log_fields(self, decision: OpeningDecision) -> dict[str, object]:
+        """Return what is logged of every outcome."""
+        return {
             "folder": str(self.folder),
-            "verdict": store.decision.condition,
-            "action": store.decision.action,
-            "why": store.decision.reason,
+            "verdict": decision.condition,
+            "action": decision.action,
+            "why": decision.reason,
+        }
+
+    def opened_fields(self, store: DurableStore) -> dict[str, object]:
+        """Return what is logged of an opened store besides."""
+        fields: dict[str, object] = {
             "kind": self.engine.kind,
             "generation": store.generation,
             "life": store.head.incarnation,
-            "entries": self.opened.meta.contents.entries if self.opened else 0,
+            "entries": store.entry_count,
         }
         if self.facts.witness is not None:
             fields["witness"] = self.facts.witness.generation
         if self.aside:
             fields["aside"] = self.aside
             fields["dropped"] = list(self.dropped)
-        log("store", **fields)
+        return fields
 
     def _close_engine(self) -> None:
         if self.opened is not None:
