--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,12 +1,12 @@
-"""Recovery's decisions: the table, stages, agreement, journal of loads and gate; and the node over lossy messages."""
+"""Recovery without I/O: state kinds, stages, agreement, tickets and admission; and nodes over lossy messages."""
 
 import math
 import random
 import tempfile
-import unittest
 from pathlib import Path
 
 import msgspec
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -36,42 +36,38 @@
     return MemberReport(origin, last_event, {e.name: e for e in engines}, **kw)
 
 
-class TableCase(unittest.TestCase):
-    def test_the_docs_say_what_the_table_says(self):
-        rows = [
-            line.split("|")
-            for line in (ROOT / "docs/design/recovery.md").read_text().splitlines()
-            if line.startswith("| ") and line.count("|") == 8
-        ]
-        told = {row[1].strip(): [cell.strip() for cell in row[2:8]] for row in rows}
-        for name, kind in state_kinds.TABLE.items():
-            self.assertEqual(
-                told.get(name),
-                [
-                    kind.trust,
-                    kind.responders,
-                    kind.with_quorum,
-                    kind.without_quorum,
-                    "yes" if kind.persisted else "no",
-                    kind.cooldown or "no",
-                ],
-                name,
-            )
-
-    def test_what_the_table_does_not_keep_can_t_be_written(self):
-        for name, kind in state_kinds.TABLE.items():
-            if kind.persisted:
-                self.assertEqual(state_kinds.prefix(name), name.encode() + b"/")
-            else:
-                self.assertRaises(KeyError, state_kinds.prefix, name)
-            # Never both trusted for nothing and kept; what rests has a time to rest by.
-            self.assertFalse(kind.persisted and kind.trust is TrustLevel.NEVER)
-            self.assertEqual(
-                state_kinds.cooldown_ms(name, CooldownSettings(3.0, 5.0)),
-                {"rights_ms": 3.0, "tickets_ms": 5.0, "": 0.0}[kind.cooldown],
-            )
-            self.assertTrue(kind.trust is not TrustLevel.AFTER_COOLDOWN or kind.cooldown)
-        self.assertIs(state_kinds.TABLE["tickets"].responders, RespondersNeeded.MAJORITY_OF_REPLICAS)
+def test_documented_table_of_state_kinds_matches_the_code():
+    rows = [
+        line.split("|")
+        for line in (ROOT / "docs/design/recovery.md").read_text().splitlines()
+        if line.startswith("| ") and line.count("|") == 8
+    ]
+    told = {row[1].strip(): [cell.strip() for cell in row[2:8]] for row in rows}
+    for name, kind in state_kinds.TABLE.items():
+        assert told.get(name) == [
+            kind.trust,
+            kind.responders,
+            kind.with_quorum,
+            kind.without_quorum,
+            "yes" if kind.persisted else "no",
+            kind.cooldown or "no",
+        ], name
+
+
+def test_only_persisted_kinds_have_a_key_prefix_and_cooldowns_have_a_time():
+    for name, kind in state_kinds.TABLE.items():
+        if kind.persisted:
+            assert state_kinds.prefix(name) == name.encode() + b"/"
+        else:
+            pytest.raises(KeyError, state_kinds.prefix, name)
+        # Never both trusted for nothing and kept; what rests has a time to rest by.
+        assert not (kind.persisted and kind.trust is TrustLevel.NEVER)
+        assert (
+            state_kinds.cooldown_ms(name, CooldownSettings(3.0, 5.0))
+            == {"rights_ms": 3.0, "tickets_ms": 5.0, "": 0.0}[kind.cooldown]
+        )
+        assert kind.trust is not TrustLevel.AFTER_COOLDOWN or kind.cooldown
+    assert state_kinds.TABLE["tickets"].responders is RespondersNeeded.MAJORITY_OF_REPLICAS
 
 
 FACTS = st.builds(
@@ -91,232 +87,238 @@
 )
 
 
-class StagesCase(unittest.TestCase):
-    @settings(max_examples=60, deadline=None)
-    @given(st.lists(st.tuples(st.floats(0.0, 9_000.0), FACTS), max_size=30))
-    def test_whatever_is_known_stages_go_on_in_order_each_within_its_bound(self, looks):
-        timeouts, now = StageTimeouts(), 1_000.0
-        stages = RecoveryStages(timeouts, now)
-        for wait, facts in looks:
-            now += wait
-            before = stages.stage
-            for move in stages.advance(now, facts):
-                self.assertEqual((move.previous, move.stage), (before, before + 1))
-                rule = RULES[move.previous]
-                self.assertLessEqual(move.duration_ms, rule.timeout(timeouts) + 1e-6)
-                self.assertTrue(move.timed_out or rule.guard(facts))
-                self.assertEqual(move.reason, rule.timeout_reason if move.timed_out else rule.done_reason)
-                before = move.stage
-            self.assertLess(now, stages.next_due())
-        facts = StageInputs()  # nothing is known, nobody is there, the disk is dead: it opens all the same
-        stages.advance(1_000.0 + timeouts.total_ms, facts)
-        self.assertTrue(stages.finished)
-
-    def test_a_store_that_can_t_be_used_is_not_waited_for(self):
-        stages = RecoveryStages(StageTimeouts(), 0.0)
-        [move] = stages.advance(1.0, StageInputs(store_verdict="unreadable"))
-        self.assertTrue(move.timed_out)
-        self.assertIs(stages.stage, Stage.ADDRESS)
-
-
-class AgreeCase(unittest.TestCase):
-    SEEDS = ("a", "b", "c")
-
-    def test_with_enough_seeds_the_highest_number_and_its_maker_s_newest_word_hold(self):
-        bans = BanTable(
-            [
-                BanStatement("a", "x", True, 1.0),
-                BanStatement("a", "x", False, 2.0),
-                BanStatement("a", "y", True, 3.0),
-                BanStatement("b", "z", True, 9.0),
-            ]
-        )
-        found = agreement.agree(
-            "a", [report("a", 1, listed("x")), report("b", 2, listed("x", 2), listed("y"))], bans, self.SEEDS
-        )
-        self.assertTrue(found.has_quorum)
-        self.assertEqual((found.last_event, {e.name: e.health for e in found.engines}), (2, {"x": 2, "y": 1}))
-        self.assertEqual((found.banned, found.withheld), ({"y"}, set()))
-
-    def test_alone_all_bans_hold_and_engines_that_not_all_have_ready_are_withheld(self):
-        bans = BanTable([BanStatement("b", "x", True, 1.0)])
-        own = report("a", 3, listed("x"), listed("y"), listed("z"))
-        for others in (
-            [],
-            [report("b", 2, listed("x"), listed("y", 2), store_lost=True)],
-        ):  # a lost store does not count
-            found = agreement.agree("a", [own, *others], bans, self.SEEDS)
-            self.assertFalse(found.has_quorum)
-            self.assertEqual((found.withheld, found.banned, found.engines), ({"x"}, set(), ()))
-        found = agreement.agree("d", [own, report("e", 2, listed("y", 2), listed("z"))], BanTable(), self.SEEDS)
-        self.assertEqual(found.withheld, {"x", "y"})
-        # Lists that share nothing would leave nothing to serve with.
-        found = agreement.agree("d", [report("d", 1, listed("p")), report("e", 2, listed("q"))], BanTable(), self.SEEDS)
-        self.assertEqual(found.withheld, set())
-
-    @settings(max_examples=40, deadline=None)
-    @given(
-        st.lists(
-            st.builds(
-                BanStatement,
-                st.sampled_from("ab"),
-                st.sampled_from("xy"),
-                st.booleans(),
-                st.sampled_from([1.0, 2.0, 3.0]),
-            ),
-            max_size=8,
+@settings(max_examples=60, deadline=None)
+@given(st.lists(st.tuples(st.floats(0.0, 9_000.0), FACTS), max_size=30))
+def test_stages_advance_in_order_each_within_its_timeout(looks):
+    timeouts, now = StageTimeouts(), 1_000.0
+    stages = RecoveryStages(timeouts, now)
+    for wait, facts in looks:
+        now += wait
+        before = stages.stage
+        for move in stages.advance(now, facts):
+            assert (move.previous, move.stage) == (before, before + 1)
+            rule = RULES[move.previous]
+            assert move.duration_ms <= rule.timeout(timeouts) + 1e-6
+            assert move.timed_out or rule.guard(facts)
+            assert move.reason == (rule.timeout_reason if move.timed_out else rule.done_reason)
+            before = move.stage
+        assert now < stages.next_due()
+    facts = StageInputs()  # nothing is known, nobody is there, the disk is dead: it opens all the same
+    stages.advance(1_000.0 + timeouts.total_ms, facts)
+    assert stages.finished
+
+
+def test_unusable_store_is_not_waited_for():
+    stages = RecoveryStages(StageTimeouts(), 0.0)
+    [move] = stages.advance(1.0, StageInputs(store_verdict="unreadable"))
+    assert move.timed_out
+    assert stages.stage is Stage.ADDRESS
+
+
+SEEDS = ("a", "b", "c")
+
+
+def test_quorum_takes_the_latest_list_and_each_origin_s_newest_ban():
+    bans = BanTable(
+        [
+            BanStatement("a", "x", True, 1.0),
+            BanStatement("a", "x", False, 2.0),
+            BanStatement("a", "y", True, 3.0),
+            BanStatement("b", "z", True, 9.0),
+        ]
+    )
+    found = agreement.agree(
+        "a", [report("a", 1, listed("x")), report("b", 2, listed("x", 2), listed("y"))], bans, SEEDS
+    )
+    assert found.has_quorum
+    assert (found.last_event, {e.name: e.health for e in found.engines}) == (2, {"x": 2, "y": 1})
+    assert (found.banned, found.withheld) == ({"y"}, set())
+
+
+def test_without_quorum_all_bans_hold_and_engines_not_ready_in_all_lists_are_withheld():
+    bans = BanTable([BanStatement("b", "x", True, 1.0)])
+    own = report("a", 3, listed("x"), listed("y"), listed("z"))
+    for others in (
+        [],
+        [report("b", 2, listed("x"), listed("y", 2), store_lost=True)],
+    ):  # a lost store does not count
+        found = agreement.agree("a", [own, *others], bans, SEEDS)
+        assert not found.has_quorum
+        assert (found.withheld, found.banned, found.engines) == ({"x"}, set(), ())
+    found = agreement.agree("d", [own, report("e", 2, listed("y", 2), listed("z"))], BanTable(), SEEDS)
+    assert found.withheld == {"x", "y"}
+    # Lists that share nothing would leave nothing to serve with.
+    found = agreement.agree("d", [report("d", 1, listed("p")), report("e", 2, listed("q"))], BanTable(), SEEDS)
+    assert found.withheld == set()
+
+
+@settings(max_examples=40, deadline=None)
+@given(
+    st.lists(
+        st.builds(
+            BanStatement,
+            st.sampled_from("ab"),
+            st.sampled_from("xy"),
+            st.booleans(),
+            st.sampled_from([1.0, 2.0, 3.0]),
         ),
-        st.randoms(),
+        max_size=8,
+    ),
+    st.randoms(),
+)
+def test_ban_statements_merge_alike_in_any_order_and_repeated(words, draw):
+    mixed = words * 2
+    draw.shuffle(mixed)
+    assert BanTable(words).statements == BanTable(mixed).statements
+    assert BanTable(words).banned_by("a") <= BanTable(words).banned_by_any()
+
+
+def test_engines_are_cold_unless_witnessed_running_or_listed_with_a_later_start():
+    ran = [report(m, 5, listed("x", born=7.0), settled=True, uptime_ms=agreement.MIN_WITNESS_UPTIME_MS) for m in "bc"]
+    found = agreement.agree("a", [report("a", 5, listed("x")), *ran], BanTable(), SEEDS)
+    assert found.engine_starts == {"x": 7.0}
+    late = agreement.agree(
+        "a",
+        [report("a", 5, listed("x")), ran[0], report("c", 5, listed("x"), settled=True, uptime_ms=9.0)],
+        BanTable(),
+        SEEDS,
     )
-    def test_bans_come_to_the_same_in_any_order_and_twice(self, words, draw):
-        mixed = words * 2
-        draw.shuffle(mixed)
-        self.assertEqual(BanTable(words).statements, BanTable(mixed).statements)
-        self.assertLessEqual(BanTable(words).banned_by("a"), BanTable(words).banned_by_any())
-
-    def test_engines_are_cold_unless_somebody_saw_them_run_on_or_the_list_tells_of_a_new_start(self):
-        ran = [
-            report(m, 5, listed("x", born=7.0), settled=True, uptime_ms=agreement.MIN_WITNESS_UPTIME_MS) for m in "bc"
-        ]
-        found = agreement.agree("a", [report("a", 5, listed("x")), *ran], BanTable(), self.SEEDS)
-        self.assertEqual(found.engine_starts, {"x": 7.0})
-        late = agreement.agree(
-            "a",
-            [report("a", 5, listed("x")), ran[0], report("c", 5, listed("x"), settled=True, uptime_ms=9.0)],
-            BanTable(),
-            self.SEEDS,
-        )
-        self.assertEqual(late.engine_starts, {})
-        one = msgspec.structs.replace(listed("x", born=7.0), ran_on=False)  # saw it refuse connections
-        seen = agreement.agree(
-            "a",
-            [
-                report("a", 5, listed("x")),
-                ran[0],
-                report("c", 5, one, listed("y", born=3.0), settled=True, uptime_ms=agreement.MIN_WITNESS_UPTIME_MS),
-            ],
-            BanTable(),
-            self.SEEDS,
-        )
-        self.assertEqual(seen.engine_starts, {"y": 3.0})
-        born = {"x": 1.0, "y": 50.0}
-        self.assertEqual(agreement.cold_engines(born, {}, 10.0, False), {"x"})
-        self.assertEqual(agreement.cold_engines(born, {"x": 7.0}, 10.0, False), set())
-        self.assertEqual(agreement.cold_engines(born, {}, None, False), {"x", "y"})
-        self.assertEqual(agreement.cold_engines(born, {}, 10.0, True), set())
-
-
-class JournalCase(unittest.TestCase):
-    def test_a_ticket_is_granted_once_and_only_when_its_record_is_durable(self):
-        journal = tickets.TicketJournal((), 1_000.0, UNIX, False)
-        of = tickets.ticket_id("1")
-        self.assertIsNone(journal.claim(UNIX, "a", of, 7))
-        self.assertEqual(journal.claim(UNIX, "b", of, 8), TicketStatus.TAKEN)
-        self.assertIsNone(journal.claim(UNIX, "a", of, 7))  # asked again before it is written: no earlier answer
-        batch = journal.next_batch()
-        self.assertEqual(list(batch), [b"tickets/" + of])
-        self.assertIsNone(journal.next_batch())
-        self.assertEqual(journal.on_batch_written(True), [(tickets.PendingClaimant("a", of, 7), TicketStatus.GRANTED)])
-        self.assertEqual(journal.claim(UNIX, "a", of, 7), TicketStatus.GRANTED)
-        journal.release("b", of, 8)  # not its own
-        self.assertEqual(journal.claim(UNIX, "b", of, 8), TicketStatus.TAKEN)
-        journal.release("a", of, 7)
-        self.assertEqual(journal.next_batch(), {b"tickets/" + of: None})
-        journal.on_batch_written(True)
-        self.assertIsNone(journal.claim(UNIX, "b", of, 8))
-
-    def test_a_home_without_its_records_grants_nothing(self):
-        of = tickets.ticket_id("1")
-        resting = tickets.TicketJournal((), 1_000.0, UNIX, True)
-        self.assertEqual(resting.claim(UNIX + 999.0, "a", of, 1), TicketStatus.IN_COOLDOWN)
-        self.assertIsNone(resting.claim(UNIX + 1_000.0, "a", of, 1))
-        corrupt = tickets.TicketJournal([(b"tickets/" + of, b"\xc1")], 1_000.0, UNIX, False)
-        self.assertEqual((corrupt.claim(UNIX, "a", of, 1), corrupt.corrupt), (TicketStatus.IN_COOLDOWN, 1))
-        full = tickets.TicketJournal((), 1_000.0, UNIX, False, max_tickets=1)
-        full.claim(UNIX, "a", of, 1)
-        self.assertEqual(full.claim(UNIX, "a", tickets.ticket_id("2"), 2), TicketStatus.FULL)
-        full.next_batch()
-        self.assertEqual(full.on_batch_written(False, True), [(tickets.PendingClaimant("a", of, 1), TicketStatus.FULL)])
-        self.assertIsNone(full.claim(UNIX, "b", of, 9))  # nothing of it was written
-        full.next_batch()
-        self.assertEqual(full.on_batch_written(False), [(tickets.PendingClaimant("b", of, 9), TicketStatus.UNABLE)])
-        self.assertEqual(full.claim(UNIX, "c", tickets.ticket_id("3"), 2), TicketStatus.UNABLE)
-        self.assertEqual(full.claim(UNIX, "c", of, 3), TicketStatus.TAKEN)  # it may be there
-        self.assertIsNone(full.next_batch())
-
-    def test_records_end_once_clients_repeat_no_more_also_after_a_clock_was_set_back(self):
-        of = tickets.ticket_id("1")
-        held = msgspec.msgpack.encode(tickets.TicketRecord("a", 1, UNIX + 5e9))
-        journal = tickets.TicketJournal([(b"tickets/" + of, held)], 1_000.0, UNIX, False)
-        journal.prune(UNIX + 1_000.0)
-        self.assertEqual(journal.claim(UNIX, "b", of, 2), TicketStatus.TAKEN)
-        journal.prune(UNIX + 1_001.0)
-        self.assertEqual(journal.next_batch(), {b"tickets/" + of: None})
-
-    def test_a_kill_at_every_write_point_never_has_a_granted_ticket_granted_again(self):
-        """The store's contract has a batch whole or not at all at each of its own steps; what is left are these."""
-        with tempfile.TemporaryDirectory() as at:
-            for cut in range(3):  # killed before the batch is in the store, after it, and after that was told
-                folder = Path(at, str(cut))
-                store = open_store(folder, "a", SqliteEngine)
-                journal = tickets.TicketJournal((), 1e6, UNIX, False)
-                of = tickets.ticket_id("1")
-                journal.claim(UNIX, "a", of, 1)
-                batch = journal.next_batch()
-                told = []
-                if cut:
-                    store.apply(batch)
-                if cut == 2:
-                    told = journal.on_batch_written(True)
-                    self.assertEqual(told[0][1], TicketStatus.GRANTED)
-                store.close()
-                again = open_store(folder, "a", SqliteEngine)
-                back = tickets.TicketJournal(again.scan(b"tickets/"), 1e6, UNIX, False)
-                self.assertEqual(back.claim(UNIX, "b", of, 2), TicketStatus.TAKEN if cut else None)
-                again.close()
-
-
-class ClaimsCase(unittest.TestCase):
-    REPLICAS = ["a", "b", "c"]
-
-    def begin(self):
-        claims = tickets.TicketClaims(1_000.0)
-        sends = claims.begin(0.0, b"t" * 16, 1, self.REPLICAS)
-        self.assertEqual([(s.replica, s.release) for s in sends], [(h, False) for h in self.REPLICAS])
-        return claims
-
-    def test_more_than_half_let_it_go_and_it_is_freed_only_if_nothing_ran(self):
-        for ran in (True, False):
-            claims = self.begin()
-            self.assertIsNone(claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED))
-            self.assertIsNone(claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED))  # doubled on its way
-            self.assertIsNone(claims.on_reply(1.0, "z", 1, TicketStatus.GRANTED))  # no home of it
-            self.assertEqual(claims.on_reply(1.0, "b", 1, TicketStatus.GRANTED), (ClaimOutcome.GRANTED, []))
-            self.assertEqual(len(claims.on_load_ended(2.0, 1, ran)), 0 if ran else 3)
-            self.assertEqual(len(claims.releasing), 0 if ran else 1)
-
-    def test_one_that_says_taken_or_too_few_that_can_grant_end_it(self):
-        claims = self.begin()
-        how, frees = claims.on_reply(1.0, "c", 1, TicketStatus.TAKEN)
-        self.assertEqual((how, len(frees), frees[0].release), (ClaimOutcome.MAY_HAVE_RUN, 3, True))
-        claims = self.begin()
-        self.assertIsNone(claims.on_reply(1.0, "a", 1, TicketStatus.IN_COOLDOWN))
-        self.assertEqual(claims.on_reply(1.0, "b", 1, TicketStatus.UNABLE)[0], ClaimOutcome.NO_RECORD)
-        claims = self.begin()
-        claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED)
-        sends, ended = claims.tick(tickets.RESEND_MS)
-        self.assertEqual(([s.replica for s in sends], ended), (["b", "c"], []))
-        self.assertEqual(claims.tick(1_000.0)[1], [(1, ClaimOutcome.NO_QUORUM)])
-        for _ in range(5):
-            claims.tick(claims.next_due())
-        self.assertFalse(claims.releasing)
-
-    def test_homes_are_the_same_for_all_and_two_majorities_share_one(self):
-        seeds = [f"s{n}" for n in range(9)]
-        for number in range(50):
-            of = tickets.ticket_id(str(number))
-            self.assertEqual(tickets.ticket_replicas(of, seeds), tickets.ticket_replicas(of, reversed(seeds)))
-            self.assertEqual(len(set(tickets.ticket_replicas(of, seeds))), tickets.REPLICAS)
+    assert late.engine_starts == {}
+    one = msgspec.structs.replace(listed("x", born=7.0), ran_on=False)  # saw it refuse connections
+    seen = agreement.agree(
+        "a",
+        [
+            report("a", 5, listed("x")),
+            ran[0],
+            report("c", 5, one, listed("y", born=3.0), settled=True, uptime_ms=agreement.MIN_WITNESS_UPTIME_MS),
+        ],
+        BanTable(),
+        SEEDS,
+    )
+    assert seen.engine_starts == {"y": 3.0}
+    born = {"x": 1.0, "y": 50.0}
+    assert agreement.cold_engines(born, {}, 10.0, False) == {"x"}
+    assert agreement.cold_engines(born, {"x": 7.0}, 10.0, False) == set()
+    assert agreement.cold_engines(born, {}, None, False) == {"x", "y"}
+    assert agreement.cold_engines(born, {}, 10.0, True) == set()
+
+
+def test_ticket_is_granted_once_and_only_when_its_record_is_durable():
+    journal = tickets.TicketJournal((), 1_000.0, UNIX, False)
+    of = tickets.ticket_id("1")
+    assert journal.claim(UNIX, "a", of, 7) is None
+    assert journal.claim(UNIX, "b", of, 8) == TicketStatus.TAKEN
+    assert journal.claim(UNIX, "a", of, 7) is None  # asked again before it is written: no earlier answer
+    batch = journal.next_batch()
+    assert list(batch) == [b"tickets/" + of]
+    assert journal.next_batch() is None
+    assert journal.on_batch_written(True) == [(tickets.PendingClaimant("a", of, 7), TicketStatus.GRANTED)]
+    assert journal.claim(UNIX, "a", of, 7) == TicketStatus.GRANTED
+    journal.release("b", of, 8)  # not its own
+    assert journal.claim(UNIX, "b", of, 8) == TicketStatus.TAKEN
+    journal.release("a", of, 7)
+    assert journal.next_batch() == {b"tickets/" + of: None}
+    journal.on_batch_written(True)
+    assert journal.claim(UNIX, "b", of, 8) is None
+
+
+def test_replica_without_its_records_grants_nothing():
+    of = tickets.ticket_id("1")
+    resting = tickets.TicketJournal((), 1_000.0, UNIX, True)
+    assert resting.claim(UNIX + 999.0, "a", of, 1) == TicketStatus.IN_COOLDOWN
+    assert resting.claim(UNIX + 1_000.0, "a", of, 1) is None
+    corrupt = tickets.TicketJournal([(b"tickets/" + of, b"\xc1")], 1_000.0, UNIX, False)
+    assert (corrupt.claim(UNIX, "a", of, 1), corrupt.corrupt) == (TicketStatus.IN_COOLDOWN, 1)
+    full = tickets.TicketJournal((), 1_000.0, UNIX, False, max_tickets=1)
+    full.claim(UNIX, "a", of, 1)
+    assert full.claim(UNIX, "a", tickets.ticket_id("2"), 2) == TicketStatus.FULL
+    full.next_batch()
+    assert full.on_batch_written(False, True) == [(tickets.PendingClaimant("a", of, 1), TicketStatus.FULL)]
+    assert full.claim(UNIX, "b", of, 9) is None  # nothing of it was written
+    full.next_batch()
+    assert full.on_batch_written(False) == [(tickets.PendingClaimant("b", of, 9), TicketStatus.UNABLE)]
+    assert full.claim(UNIX, "c", tickets.ticket_id("3"), 2) == TicketStatus.UNABLE
+    assert full.claim(UNIX, "c", of, 3) == TicketStatus.TAKEN  # it may be there
+    assert full.next_batch() is None
+
+
+def test_ticket_records_expire_also_after_a_clock_was_set_back():
+    of = tickets.ticket_id("1")
+    held = msgspec.msgpack.encode(tickets.TicketRecord("a", 1, UNIX + 5e9))
+    journal = tickets.TicketJournal([(b"tickets/" + of, held)], 1_000.0, UNIX, False)
+    journal.prune(UNIX + 1_000.0)
+    assert journal.claim(UNIX, "b", of, 2) == TicketStatus.TAKEN
+    journal.prune(UNIX + 1_001.0)
+    assert journal.next_batch() == {b"tickets/" + of: None}
+
+
+def test_kill_at_any_write_point_never_grants_a_ticket_twice():
+    """The store's contract has a batch whole or not at all at each of its own steps; what is left are these."""
+    with tempfile.TemporaryDirectory() as at:
+        for cut in range(3):  # killed before the batch is in the store, after it, and after that was told
+            folder = Path(at, str(cut))
+            store = open_store(folder, "a", SqliteEngine)
+            journal = tickets.TicketJournal((), 1e6, UNIX, False)
+            of = tickets.ticket_id("1")
+            journal.claim(UNIX, "a", of, 1)
+            batch = journal.next_batch()
+            told = []
+            if cut:
+                store.apply(batch)
+            if cut == 2:
+                told = journal.on_batch_written(True)
+                assert told[0][1] == TicketStatus.GRANTED
+            store.close()
+            again = open_store(folder, "a", SqliteEngine)
+            back = tickets.TicketJournal(again.scan(b"tickets/"), 1e6, UNIX, False)
+            assert back.claim(UNIX, "b", of, 2) == (TicketStatus.TAKEN if cut else None)
+            again.close()
+
+
+REPLICAS = ["a", "b", "c"]
+
+
+def begin():
+    claims = tickets.TicketClaims(1_000.0)
+    sends = claims.begin(0.0, b"t" * 16, 1, REPLICAS)
+    assert [(s.replica, s.release) for s in sends] == [(h, False) for h in REPLICAS]
+    return claims
+
+
+def test_majority_grants_a_claim_that_is_released_only_if_nothing_ran():
+    for ran in (True, False):
+        claims = begin()
+        assert claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED) is None
+        assert claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED) is None  # doubled on its way
+        assert claims.on_reply(1.0, "z", 1, TicketStatus.GRANTED) is None  # no home of it
+        assert claims.on_reply(1.0, "b", 1, TicketStatus.GRANTED) == (ClaimOutcome.GRANTED, [])
+        assert len(claims.on_load_ended(2.0, 1, ran)) == (0 if ran else 3)
+        assert len(claims.releasing) == (0 if ran else 1)
+
+
+def test_claim_ends_by_one_taken_or_too_few_replicas_that_can_grant():
+    claims = begin()
+    how, frees = claims.on_reply(1.0, "c", 1, TicketStatus.TAKEN)
+    assert (how, len(frees), frees[0].release) == (ClaimOutcome.MAY_HAVE_RUN, 3, True)
+    claims = begin()
+    assert claims.on_reply(1.0, "a", 1, TicketStatus.IN_COOLDOWN) is None
+    assert claims.on_reply(1.0, "b", 1, TicketStatus.UNABLE)[0] == ClaimOutcome.NO_RECORD
+    claims = begin()
+    claims.on_reply(1.0, "a", 1, TicketStatus.GRANTED)
+    sends, ended = claims.tick(tickets.RESEND_MS)
+    assert ([s.replica for s in sends], ended) == (["b", "c"], [])
+    assert claims.tick(1_000.0)[1] == [(1, ClaimOutcome.NO_QUORUM)]
+    for _ in range(5):
+        claims.tick(claims.next_due())
+    assert not claims.releasing
+
+
+def test_ticket_replicas_do_not_depend_on_the_order_of_seeds():
+    seeds = [f"s{n}" for n in range(9)]
+    for number in range(50):
+        of = tickets.ticket_id(str(number))
+        assert tickets.ticket_replicas(of, seeds) == tickets.ticket_replicas(of, reversed(seeds))
+        assert len(set(tickets.ticket_replicas(of, seeds))) == tickets.REPLICAS
 
 
 CLASSES = (
@@ -327,114 +329,119 @@
 
 
 def gate(cores: float = 8.0, most: int = 100, retry: float = 1_000.0, born: float = UNIX) -> RecoveryAdmission:
-    intake = RecoveryAdmission(CLASSES, SlowStartCurve(0.3, 15_000.0), 1.0, most, 1, retry)
-    intake.engines = (ReadyEngine(cores, born),)
-    intake.expected_start = UNIX
-    return intake
-
-
-class IntakeCase(unittest.TestCase):
-    def test_nothing_goes_on_before_service_has_begun_however_late(self):
-        intake = gate()
-        self.assertEqual(intake.submit(UNIX, 1, 0, 0, 7_500.0, 100.0, True), [])
-        self.assertEqual([o for o in intake.poll(UNIX + 5_000.0) if o.admitted], [])
-        intake.service_started = True
-        self.assertEqual(intake.poll(UNIX + 5_001.0), [(1, True, 0.0)])
-
-    def test_worth_a_unit_of_work_goes_first_and_loads_wait_for_their_tickets(self):
-        intake = gate(born=0.0)
-        for number, cls, cost in ((1, 1, 2_400.0), (2, 0, 900.0), (3, 0, 100.0), (4, 2, 10.0)):
-            intake.submit(UNIX, number, cls, 0, 60_000.0, cost, cls != 2)
-        intake.service_started = True
-        self.assertEqual([o.number for o in intake.poll(UNIX + 1.0)], [3, 1, 2])
-        intake.grant_ticket(4)
-        self.assertEqual(intake.poll(UNIX + 2.0), [])
-        intake.admits_non_idempotent = True
-        intake.grant_ticket(4)
-        self.assertEqual(intake.poll(UNIX + 3.0), [(4, True, 0.0)])
-
-    def test_a_key_keeps_its_order_also_when_its_first_waits_for_a_ticket(self):
-        for opened in (False, True):
-            intake = gate(born=0.0)
-            intake.service_started = intake.admits_non_idempotent = True
-            intake.open = opened
-            self.assertEqual(intake.submit(UNIX, 1, 2, 5, 9_000.0, 1_000.0, False), [])
-            self.assertEqual(intake.submit(UNIX, 2, 0, 5, 9_000.0, 10.0, True), [])
-            intake.grant_ticket(1)
-            self.assertEqual([o.number for o in intake.poll(UNIX + 1.0)], [1, 2])
-            self.assertFalse(intake.queues)
-
-    def test_who_can_t_be_done_in_time_is_told_at_once_and_the_waits_are_spread(self):
-        intake, outs = gate(cores=1.0), []
-        for number in range(1, 61):  # at 0.3 cores 200 ms take 667, and 2,000 more than 3 s
-            outs += intake.submit(UNIX, number, 0, 0, 3_000.0, 2_000.0 if number % 2 else 200.0, True)
-        outs += intake.poll(UNIX + 60.0)
-        self.assertEqual({(o.number % 2, o.admitted) for o in outs}, {(1, False)})
-        self.assertEqual(len(outs), 30)
-        waits = [o.retry_ms for o in outs]
-        self.assertTrue(all(0.0 < wait <= 1_000.0 for wait in waits))
-        self.assertGreater(len({round(wait / 50.0) for wait in waits}), 8)
-        # The others may still be served, whoever is ahead; in the end nobody is kept for nothing.
-        self.assertEqual(intake.poll(UNIX + 2_200.0), [])
-        self.assertEqual(len([o for o in intake.poll(UNIX + 2_400.0) if not o.admitted]), 30)
-        untold = gate(cores=1.0, retry=0.0)
-        self.assertEqual(untold.submit(UNIX, 1, 0, 0, 3_000.0, 2_000.0, True), [(1, False, 0.0)])
-
-    def test_what_engines_will_have_done_is_told_anew_when_they_change_or_time_has_passed(self):
-        intake = gate(cores=1.0, born=0.0)
-        intake.service_started = True
-        for at in (0.0, 330.0, 9_990.0, 11_000.0, 90_000.0):
-            self.assertAlmostEqual(intake._completion_time(UNIX + at, 1_000.0), UNIX + at + 1_000.0, delta=1.0)
-        intake.share = 0.5
-        self.assertAlmostEqual(intake._completion_time(UNIX + 90_010.0, 1_000.0), UNIX + 92_010.0, delta=1.0)
-        intake.engines = (ReadyEngine(2.0, 0.0),)
-        self.assertAlmostEqual(intake._completion_time(UNIX + 90_020.0, 1_000.0), UNIX + 91_020.0, delta=1.0)
-        intake.engines = ()
-        self.assertEqual(intake._completion_time(UNIX + 90_030.0, 1_000.0), math.inf)
-
-    def test_past_its_bound_what_is_worth_least_for_its_work_makes_way(self):
-        intake = gate(most=2)
-        intake.submit(UNIX, 1, 0, 0, 7_500.0, 100.0, True)
-        intake.submit(UNIX, 2, 0, 0, 7_500.0, 900.0, True)
-        [out] = intake.submit(UNIX, 3, 0, 0, 7_500.0, 300.0, True)
-        self.assertEqual((out.number, out.admitted, len(intake.waiting)), (2, False, 2))
-
-    @settings(max_examples=30, deadline=None)
-    @given(st.integers(0, 10_000))
-    def test_each_has_one_outcome_keys_keep_order_and_nobody_is_kept_past_hope(self, seed):
-        draw = random.Random(seed)
-        intake, now, out, keys, ends = gate(cores=draw.choice((1.0, 8.0))), UNIX, {}, {}, {}
-        gone: set[int] = set()
-        for number in range(1, 80):
-            now += draw.choice((0.0, 1.0, 40.0, 300.0))
-            intake.service_started |= draw.random() < 0.1
-            intake.admits_non_idempotent |= draw.random() < 0.05
-            cls, key = draw.randrange(3), draw.choice((0, 0, 1, 2))
-            keys[number], left = key, draw.choice((300.0, 4_000.0, 20_000.0))
-            ends[number] = now + left
-            outs = intake.submit(now, number, cls, key, left, draw.uniform(1.0, 3_000.0), cls != 2)
-            if draw.random() < 0.5:
-                intake.grant_ticket(number)
-            if draw.random() < 0.1:
-                gone.add(victim := draw.randrange(1, number + 1))
-                intake.remove(victim)
-            outs += intake.poll(now + 60.0)
-            for one in outs:
-                self.assertNotIn(one.number, out)
-                out[one.number] = one.admitted
-                if one.admitted and keys[one.number]:
-                    earlier = [n for n in range(1, one.number) if keys[n] == keys[one.number]]
-                    self.assertTrue(all(n in out or n in gone for n in earlier))
-            now += 60.0
-            for one in intake.waiting.values():
-                self.assertGreaterEqual(one.deadline, now - 60.0)
-        intake.service_started = intake.admits_non_idempotent = True
-        for number in list(intake.waiting):
-            intake.grant_ticket(number)
-        released = [o.number for o in intake.open_gate()]
-        self.assertFalse(intake.waiting)
-        self.assertFalse(intake.queues)
-        self.assertEqual(len(set(released)), len(released))
+    admission = RecoveryAdmission(CLASSES, SlowStartCurve(0.3, 15_000.0), 1.0, most, 1, retry)
+    admission.engines = (ReadyEngine(cores, born),)
+    admission.expected_start = UNIX
+    return admission
+
+
+def test_nothing_is_admitted_before_service_has_started():
+    admission = gate()
+    assert admission.submit(UNIX, 1, 0, 0, 7_500.0, 100.0, True) == []
+    assert [o for o in admission.poll(UNIX + 5_000.0) if o.admitted] == []
+    admission.service_started = True
+    assert admission.poll(UNIX + 5_001.0) == [(1, True, 0.0)]
+
+
+def test_admission_by_priority_per_work_and_loads_wait_for_their_tickets():
+    admission = gate(born=0.0)
+    for number, cls, cost in ((1, 1, 2_400.0), (2, 0, 900.0), (3, 0, 100.0), (4, 2, 10.0)):
+        admission.submit(UNIX, number, cls, 0, 60_000.0, cost, cls != 2)
+    admission.service_started = True
+    assert [o.number for o in admission.poll(UNIX + 1.0)] == [3, 1, 2]
+    admission.grant_ticket(4)
+    assert admission.poll(UNIX + 2.0) == []
+    admission.admits_non_idempotent = True
+    admission.grant_ticket(4)
+    assert admission.poll(UNIX + 3.0) == [(4, True, 0.0)]
+
+
+def test_requests_of_a_key_keep_their_order_while_the_first_waits_for_a_ticket():
+    for opened in (False, True):
+        admission = gate(born=0.0)
+        admission.service_started = admission.admits_non_idempotent = True
+        admission.open = opened
+        assert admission.submit(UNIX, 1, 2, 5, 9_000.0, 1_000.0, False) == []
+        assert admission.submit(UNIX, 2, 0, 5, 9_000.0, 10.0, True) == []
+        admission.grant_ticket(1)
+        assert [o.number for o in admission.poll(UNIX + 1.0)] == [1, 2]
+        assert not admission.queues
+
+
+def test_hopeless_requests_are_rejected_at_once_with_jittered_retry_after():
+    admission, outs = gate(cores=1.0), []
+    for number in range(1, 61):  # at 0.3 cores 200 ms take 667, and 2,000 more than 3 s
+        outs += admission.submit(UNIX, number, 0, 0, 3_000.0, 2_000.0 if number % 2 else 200.0, True)
+    outs += admission.poll(UNIX + 60.0)
+    assert {(o.number % 2, o.admitted) for o in outs} == {(1, False)}
+    assert len(outs) == 30
+    waits = [o.retry_ms for o in outs]
+    assert all(0.0 < wait <= 1_000.0 for wait in waits)
+    assert len({round(wait / 50.0) for wait in waits}) > 8
+    # The others may still be served, whoever is ahead; in the end nobody is kept for nothing.
+    assert admission.poll(UNIX + 2_200.0) == []
+    assert len([o for o in admission.poll(UNIX + 2_400.0) if not o.admitted]) == 30
+    untold = gate(cores=1.0, retry=0.0)
+    assert untold.submit(UNIX, 1, 0, 0, 3_000.0, 2_000.0, True) == [(1, False, 0.0)]
+
+
+def test_completion_forecast_follows_engines_share_and_time():
+    admission = gate(cores=1.0, born=0.0)
+    admission.service_started = True
+    for at in (0.0, 330.0, 9_990.0, 11_000.0, 90_000.0):
+        assert admission._completion_time(UNIX + at, 1_000.0) == pytest.approx(UNIX + at + 1_000.0, abs=1.0, rel=0.0)
+    admission.share = 0.5
+    assert admission._completion_time(UNIX + 90_010.0, 1_000.0) == pytest.approx(UNIX + 92_010.0, abs=1.0, rel=0.0)
+    admission.engines = (ReadyEngine(2.0, 0.0),)
+    assert admission._completion_time(UNIX + 90_020.0, 1_000.0) == pytest.approx(UNIX + 91_020.0, abs=1.0, rel=0.0)
+    admission.engines = ()
+    assert admission._completion_time(UNIX + 90_030.0, 1_000.0) == math.inf
+
+
+def test_full_queue_rejects_the_lowest_priority_per_work():
+    admission = gate(most=2)
+    admission.submit(UNIX, 1, 0, 0, 7_500.0, 100.0, True)
+    admission.submit(UNIX, 2, 0, 0, 7_500.0, 900.0, True)
+    [out] = admission.submit(UNIX, 3, 0, 0, 7_500.0, 300.0, True)
+    assert (out.number, out.admitted, len(admission.waiting)) == (2, False, 2)
+
+
+@settings(max_examples=30, deadline=None)
+@given(st.integers(0, 10_000))
+def test_each_request_has_one_outcome_keys_keep_order_and_deadlines_hold(seed):
+    draw = random.Random(seed)
+    admission, now, out, keys, ends = gate(cores=draw.choice((1.0, 8.0))), UNIX, {}, {}, {}
+    gone: set[int] = set()
+    for number in range(1, 80):
+        now += draw.choice((0.0, 1.0, 40.0, 300.0))
+        admission.service_started |= draw.random() < 0.1
+        admission.admits_non_idempotent |= draw.random() < 0.05
+        cls, key = draw.randrange(3), draw.choice((0, 0, 1, 2))
+        keys[number], left = key, draw.choice((300.0, 4_000.0, 20_000.0))
+        ends[number] = now + left
+        outs = admission.submit(now, number, cls, key, left, draw.uniform(1.0, 3_000.0), cls != 2)
+        if draw.random() < 0.5:
+            admission.grant_ticket(number)
+        if draw.random() < 0.1:
+            gone.add(victim := draw.randrange(1, number + 1))
+            admission.remove(victim)
+        outs += admission.poll(now + 60.0)
+        for one in outs:
+            assert one.number not in out
+            out[one.number] = one.admitted
+            if one.admitted and keys[one.number]:
+                earlier = [n for n in range(1, one.number) if keys[n] == keys[one.number]]
+                assert all(n in out or n in gone for n in earlier)
+        now += 60.0
+        for one in admission.waiting.values():
+            assert one.deadline >= now - 60.0
+    admission.service_started = admission.admits_non_idempotent = True
+    for number in list(admission.waiting):
+        admission.grant_ticket(number)
+    released = [o.number for o in admission.open_gate()]
+    assert not admission.waiting
+    assert not admission.queues
+    assert len(set(released)) == len(released)
 
 
 class Net:
@@ -522,257 +529,263 @@
         return [e.outcome for e in self.effects[name] if isinstance(e, ClaimResolved) and e.number == number]
 
 
-class NodeCase(unittest.TestCase):
-    def fleet(self, count=3, **kw):
-        net = Net([f"c{n}" for n in range(count)], **kw)
+def fleet(count=3, **kw):
+    net = Net([f"c{n}" for n in range(count)], **kw)
+    for name in net.names:
+        net.start(name, fresh=True, first=True)
+    net.run(6_000.0)
+    return net
+
+
+def test_load_is_granted_once_through_message_loss_and_power_loss():
+    for loss in (0.0, 0.3):
+        net = fleet(5, loss=loss)
+        assert all(node.settled for node in net.nodes.values())
+        assert net.claim("c0", 1, "load") == [ClaimOutcome.GRANTED]
+        assert net.claim("c1", 1, "load") == [ClaimOutcome.MAY_HAVE_RUN]
         for name in net.names:
-            net.start(name, fresh=True, first=True)
-        net.run(6_000.0)
-        return net
-
-    def test_a_load_is_granted_once_through_loss_a_loss_of_power_and_whoever_asks(self):
-        for loss in (0.0, 0.3):
-            net = self.fleet(5, loss=loss)
-            self.assertTrue(all(node.settled for node in net.nodes.values()))
-            self.assertEqual(net.claim("c0", 1, "load"), [ClaimOutcome.GRANTED])
-            self.assertEqual(net.claim("c1", 1, "load"), [ClaimOutcome.MAY_HAVE_RUN])
-            for name in net.names:
-                net.kill(name)
-            net.way = []
-            for name in net.names:
-                net.start(name, fresh=name == "c4", trusted=True)
-            net.run(5_000.0)
-            for name in net.names:
-                self.assertNotEqual(net.claim(name, 2, "load"), [ClaimOutcome.GRANTED])
-
-    def test_a_lost_or_older_store_is_known_by_others_and_grants_nothing(self):
-        net = self.fleet(3)
-        net.run(12_000.0)  # others hear of each one's generations
-        for name, kw in (("c0", {"fresh": True, "first": True}), ("c1", {"generation": 1})):
             net.kill(name)
-            net.start(name, **kw)
-            net.run(3_000.0)
-            self.assertTrue(net.nodes[name].store.lost, name)
-            self.assertTrue(net.nodes[name].loads.journal.in_cooldown(UNIX + net.now))
-        # Two of three homes rest: no load can be had, and none runs twice.
-        self.assertEqual(net.claim("c2", 5, "another"), [ClaimOutcome.NO_RECORD])
-
-    def test_a_store_set_back_by_seconds_is_known_by_others_also_after_a_loss_of_all(self):
-        net = self.fleet(3)
-        net.run(1_500.0)  # what the beats have written lies behind the copy, and the next ones are far
-        before = net.disks["c0"]["generation"]
-        self.assertEqual(net.claim("c1", 1, "load", 1_900.0), [ClaimOutcome.GRANTED])
-        self.assertGreater(net.disks["c0"]["generation"], before)
+        net.way = []
+        for name in net.names:
+            net.start(name, fresh=name == "c4", trusted=True)
+        net.run(5_000.0)
+        for name in net.names:
+            assert net.claim(name, 2, "load") != [ClaimOutcome.GRANTED]
+
+
+def test_lost_or_older_store_is_recognised_by_peers_and_grants_nothing():
+    net = fleet(3)
+    net.run(12_000.0)  # others hear of each one's generations
+    for name, kw in (("c0", {"fresh": True, "first": True}), ("c1", {"generation": 1})):
+        net.kill(name)
+        net.start(name, **kw)
+        net.run(3_000.0)
+        assert net.nodes[name].store.lost, name
+        assert net.nodes[name].loads.journal.in_cooldown(UNIX + net.now)
+    # Two of three homes rest: no load can be had, and none runs twice.
+    assert net.claim("c2", 5, "another") == [ClaimOutcome.NO_RECORD]
+
+
+def test_store_set_back_by_seconds_is_recognised_after_all_lost_power():
+    net = fleet(3)
+    net.run(1_500.0)  # what the beats have written lies behind the copy, and the next ones are far
+    before = net.disks["c0"]["generation"]
+    assert net.claim("c1", 1, "load", 1_900.0) == [ClaimOutcome.GRANTED]
+    assert net.disks["c0"]["generation"] > before
+    for name in net.names:
+        net.kill(name)
+    net.way = []
+    for name in net.names:
+        net.start(name, generation=before if name == "c0" else None)
+    net.run(3_000.0)
+    assert [net.nodes[name].store.lost for name in net.names] == [True, False, False]
+
+
+def test_own_bans_are_restored_from_peers():
+    net = fleet(3)
+    net.nodes["c0"].record_ban(UNIX + net.now, "e", True)
+    net.run(12_000.0)
+    net.kill("c0")
+    net.start("c0", fresh=True)
+    net.run(3_000.0)
+    agreed = net.nodes["c0"].agreed
+    assert agreed.has_quorum
+    assert agreed.banned == {"e"}
+
+
+def test_node_alone_with_a_dead_disk_finishes_recovery():
+    net = Net(["c0", "c1", "c2"])
+    net.start("c0", usable=False, trusted=False)
+    net.run(StageTimeouts().total_ms + 1_000.0)
+    node = net.nodes["c0"]
+    assert node.stages.finished
+    assert {Stage.STORE, Stage.FIND, Stage.AGREE} <= node.stages.timed_out
+    assert net.claim("c0", 1, "x") == [ClaimOutcome.NO_QUORUM]
+
+
+def test_engines_are_marked_restarted_alike_everywhere_unless_shut_down_cleanly():
+    for clean in (False, True):
+        net = fleet(3)
+        net.run(6_000.0)
+        for name in net.names:
+            if clean:
+                net.nodes[name].on_shutdown(UNIX + net.now)
+        net.run(40.0)
         for name in net.names:
             net.kill(name)
         net.way = []
-        for name in net.names:
-            net.start(name, generation=before if name == "c0" else None)
         net.run(3_000.0)
-        self.assertEqual([net.nodes[name].store.lost for name in net.names], [True, False, False])
-
-    def test_its_own_bans_come_back_from_the_others(self):
-        net = self.fleet(3)
-        net.nodes["c0"].record_ban(UNIX + net.now, "e", True)
-        net.run(12_000.0)
-        net.kill("c0")
-        net.start("c0", fresh=True)
+        for name in net.names:
+            net.start(name)
+            net.run(40.0 if name != "c1" else 5_000.0)  # the last one comes long after the others
         net.run(3_000.0)
-        agreed = net.nodes["c0"].agreed
-        self.assertTrue(agreed.has_quorum)
-        self.assertEqual(agreed.banned, {"e"})
-
-    def test_alone_with_a_dead_disk_it_serves_in_the_end(self):
-        net = Net(["c0", "c1", "c2"])
-        net.start("c0", usable=False, trusted=False)
-        net.run(StageTimeouts().total_ms + 1_000.0)
-        node = net.nodes["c0"]
-        self.assertTrue(node.stages.finished)
-        self.assertLessEqual({Stage.STORE, Stage.FIND, Stage.AGREE}, node.stages.timed_out)
-        self.assertEqual(net.claim("c0", 1, "x"), [ClaimOutcome.NO_QUORUM])
-
-    def test_engines_are_cold_after_a_loss_at_all_by_one_start_and_not_after_a_good_end(self):
-        for clean in (False, True):
-            net = self.fleet(3)
-            net.run(6_000.0)
-            for name in net.names:
-                if clean:
-                    net.nodes[name].on_shutdown(UNIX + net.now)
-            net.run(40.0)
-            for name in net.names:
-                net.kill(name)
-            net.way = []
-            net.run(3_000.0)
-            for name in net.names:
-                net.start(name)
-                net.run(40.0 if name != "c1" else 5_000.0)  # the last one comes long after the others
-            net.run(3_000.0)
-            starts = [e.starts for name in net.names for e in net.effects[name] if isinstance(e, MarkRestarted)]
-            self.assertEqual(len(starts), 0 if clean else 3)
-            self.assertLessEqual(len({start["e"] for start in starts}), 1)
-
-    def test_the_store_keeps_that_no_cold_rights_are_out_only_while_none_are(self):
-        for case, spared in (("quiet", True), ("in use", False), ("older", False), ("lost", False)):
-            with self.subTest(case):
-                net = self.fleet(3)
-                node = net.nodes["c0"]
-                self.assertEqual(
-                    (node.idle_mark.marked, node.idle_mark.cooldown_spared, MARK in net.disks["c0"]["entries"]),
-                    (False, False, False),
-                )
-                node.on_rights_idle(True)
-                self.assertTrue(node.idle_mark.marked)  # from the moment on at which it may be written
-                net.run(100.0)
-                self.assertIn(MARK, net.disks["c0"]["entries"])
-                if case == "in use":
-                    node.on_rights_idle(False)
-                    node.on_rights_idle(True)
-                    batch = node.next_batch()
-                    node.on_rights_idle(False)
-                    net.disks["c0"]["entries"].update(batch)
-                    net.disks["c0"]["generation"] += 1
-                    node.on_batch_written(net.now, UNIX + net.now, True)
-                    self.assertTrue(node.idle_mark.marked)  # the disk still says so
-                    net.run(100.0)
-                    self.assertEqual((node.idle_mark.marked, MARK in net.disks["c0"]["entries"]), (False, False))
-                net.run(6_000.0)
-                net.kill("c0")
-                net.start("c0", trusted=case != "older", fresh=case == "lost")
-                node = net.nodes["c0"]
-                self.assertEqual(
-                    (node.idle_mark.marked, node.idle_mark.cooldown_spared), (case in ("quiet", "older"), False)
-                )
-                net.run(100.0)
-                self.assertEqual((node.idle_mark.marked, node.idle_mark.cooldown_spared), (False, spared))
-
-    def test_an_engine_that_refuses_connections_for_a_while_comes_back_cold(self):
-        net = self.fleet(3)
-        node = net.nodes["c0"]
-        for at, refused in ((0.0, True), (100.0, True), (150.0, False), (300.0, True), (450.0, True)):
-            node.on_attempt_ended(UNIX + at, "e", refused)
-        self.assertEqual(node.outputs.effects, [])
-        node.on_attempt_ended(UNIX + 500.0, "e", True)
-        node.on_attempt_ended(UNIX + 510.0, "e", True)  # told already
-        [chill] = node.outputs.effects
-        self.assertTrue(UNIX - 2_000.0 < chill.starts["e"] <= UNIX + 500.0)
-
-    def test_who_ran_on_does_not_vouch_for_an_engine_that_it_saw_refuse_connections(self):
-        """The bus is away, and tells nobody that it restarted: who comes back is told, and takes no word of the other
-        engines for less."""
-        for seen, cold in (
-            ("none", set()),
-            ("refuses", {"e"}),
-            ("back", {"e"}),
-            ("not looked at again", {"e"}),
-            ("blip", {"e"}),
-        ):
-            with self.subTest(seen):
-                net = self.fleet(3)
-                net.run(1_000.0)
-                for node in net.nodes.values():
-                    node.on_engine_list(UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
-                net.run(agreement.MIN_WITNESS_UPTIME_MS)
-                net.kill("c0")
-                ran, before, looks = net.nodes["c1"], net.now, {"none": 0, "refuses": 1, "blip": 1}.get(seen, 3)
-                for _ in range(looks):
-                    ran.on_attempt_ended(UNIX + net.now, "e", True)
-                    net.run(300.0)
-                net.run(3_000.0)
-                if seen in ("back", "blip"):  # the core has not yet told that it goes by the start
-                    ran.on_attempt_ended(UNIX + net.now, "e", False)
-                    ran.outputs.effects.clear()
-                net.start("c0", fresh=True)  # its own word doesn't count, and it waits for both others'
-                net.nodes["c0"].on_engine_list(UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
-                net.run(1_500.0)
-                starts = {}
-                for effect in net.effects["c0"]:
-                    if isinstance(effect, MarkRestarted):
-                        starts |= effect.starts
-                self.assertEqual(set(starts), cold)
-                # Not by the start before it was seen to refuse, and once it was seen back not by one before that.
-                self.assertTrue(
-                    all(start > UNIX + before - 2_000.0 + 2_000.0 * (seen == "back") for start in starts.values()),
-                    starts,
-                )
-
-    def test_a_start_that_the_bus_tells_is_not_moved_by_who_saw_the_engine_refuse(self):
-        node = self.fleet(3).nodes["c0"]
-        for at in (0.0, 300.0):
-            node.on_attempt_ended(UNIX + at, "e", True)
-        node.outputs.effects.clear()
-        node.on_engine_list(
-            UNIX, 2, {"e": msgspec.structs.replace(listed("e", born=UNIX + 9e3), published_start_ms=UNIX + 9e3)}
-        )
-        node.on_attempt_ended(UNIX + 20_000.0, "e", False)
-        self.assertEqual(node.outputs.effects, [])
-
-    def test_refusals_of_engines_that_have_left_the_list_are_forgotten(self):
-        node = self.fleet(3).nodes["c0"]
-        node.on_attempt_ended(UNIX, "e", True)
-        self.assertEqual((set(node.published.restarts.refusals), set(node.published.restarts.doubted)), ({"e"}, {"e"}))
-        node.on_engine_list(UNIX, 2, {"f": listed("f")})
-        self.assertEqual((node.published.restarts.refusals, node.published.restarts.doubted), ({}, {}))
-        node.on_attempt_ended(UNIX, "f", True)
-        node.on_attempt_ended(UNIX + 50.0, "f", False)
-        for at, doubted in ((60_000.0, True), (140_000.0, False)):
-            node.tick(at, UNIX + at)
-            self.assertEqual("f" in node.published.restarts.doubted, doubted)
-
-    def test_a_home_grants_nothing_before_it_has_asked_whether_its_store_is_the_last(self):
-        net = Net(["c0", "c1", "c2"])
-        net.start("c0")
-        node = net.nodes["c0"]
-        node.on_message(net.now, UNIX, "c1", wire.encode(wire.TicketClaim(tickets.ticket_id("x"), 1)))
-        self.assertIs(node.stages.stage, Stage.FIND)
-        self.assertEqual((node.outputs.messages, node.loads.journal.records), ([], {}))
-        # Nor does it write what others tell of their stores: its own would seem later than it is.
-        node.on_message(net.now, UNIX, "c1", wire.encode(wire.ReportRequest(1, 0, StoreState(b"c1", 1, 9))))
-        node.tick(net.now + 1_200.0, UNIX)
-        self.assertIs(node.stages.stage, Stage.AGREE)
-        self.assertFalse([key for key in node.next_batch() or () if key.startswith(b"generations")])
-        self.assertGreater(node.next_due(), net.now + 1_200.0)
-
-    def test_spoilt_entries_and_messages_are_counted_and_go_no_further(self):
-        net = Net(["c0"])
-        net.disks["c0"] = {
-            "entries": {b"bans/c0/e": b"\xc1", b"beat/": b"", b"generations/x": b"\x93"},
-            "generation": 3,
-            "life": 1,
-        }
-        net.start("c0")
-        node = net.nodes["c0"]
-        node.on_message(1.0, UNIX, "c9", b"\x00\x01")
-        page = wire.ReportPage(1, 1, 0, 1, 9, 0.0, True, False, None, None, [listed("q")], [])
-        node.on_message(1.0, UNIX, "c9", wire.encode(page))
-        self.assertEqual(
-            (node.outputs.counters["recovery_spoilt"], node.outputs.counters["recovery_undecodable"]), (3, 1)
-        )
-        self.assertNotIn("c9", node.transfer.transfers)
-
-    def test_all_messages_fit_their_parcel(self):
-        long = "x" * 64
-        bans = BanTable([BanStatement(long, long[:60] + str(n), True, 1e14) for n in range(200)])
-        node = RecoveryNode(RecoverySettings("c0", ("c0",)), 0.0, UNIX, 1)
-        node.published.bans = bans
-        names = [f"{long[:60]}{n}" for n in range(50)]
-        node.on_engine_list(UNIX, 2**50, {n: ListedEngine(n, long, long, long, -(2**31), 1, 1e6, 1e15) for n in names})
-        node.peer_stores.states["q"] = StoreState(b"z" * 16, 2**62, 2**62)
-        pages = node.published.paged(node._own_report()).pages
-        for page in range(len(pages)):
-            node.on_message(1.0, UNIX, "q", wire.encode(wire.ReportRequest(2**53, page, None)))
-        self.assertEqual(len(node.outputs.messages), len(pages))
-        self.assertLessEqual(max(len(data) for _, data in node.outputs.messages), 960)
-
-
-class OlderCase(unittest.TestCase):
-    def test_what_is_kept_is_only_what_the_table_keeps(self):
-        net = Net(["c0"])
-        net.start("c0", fresh=True, first=True)
-        net.nodes["c0"].record_ban(UNIX, "e", True)
-        net.run(6_000.0)
-        kinds = {key.partition(b"/")[0].decode() for key in net.disks["c0"]["entries"]}
-        self.assertLessEqual(kinds, set(state_kinds.persisted_kinds()))
-        self.assertEqual(
-            msgspec.msgpack.decode(net.disks["c0"]["entries"][b"beat/"], type=HeartbeatRecord).clean_shutdown, False
-        )
-        self.assertIs(state_kinds.conflict_rule("bans", False), ConflictRule.UNION)
+        starts = [e.starts for name in net.names for e in net.effects[name] if isinstance(e, MarkRestarted)]
+        assert len(starts) == (0 if clean else 3)
+        assert len({start["e"] for start in starts}) <= 1
+
+
+@pytest.mark.parametrize(("case", "spared"), (("quiet", True), ("in use", False), ("older", False), ("lost", False)))
+def test_idle_mark_is_stored_only_while_no_cold_rights_are_in_use(case, spared):
+    net = fleet(3)
+    node = net.nodes["c0"]
+    assert (node.idle_mark.marked, node.idle_mark.cooldown_spared, MARK in net.disks["c0"]["entries"]) == (
+        False,
+        False,
+        False,
+    )
+    node.on_rights_idle(True)
+    assert node.idle_mark.marked  # from the moment on at which it may be written
+    net.run(100.0)
+    assert MARK in net.disks["c0"]["entries"]
+    if case == "in use":
+        node.on_rights_idle(False)
+        node.on_rights_idle(True)
+        batch = node.next_batch()
+        node.on_rights_idle(False)
+        net.disks["c0"]["entries"].update(batch)
+        net.disks["c0"]["generation"] += 1
+        node.on_batch_written(net.now, UNIX + net.now, True)
+        assert node.idle_mark.marked  # the disk still says so
+        net.run(100.0)
+        assert (node.idle_mark.marked, MARK in net.disks["c0"]["entries"]) == (False, False)
+    net.run(6_000.0)
+    net.kill("c0")
+    net.start("c0", trusted=case != "older", fresh=case == "lost")
+    node = net.nodes["c0"]
+    assert (node.idle_mark.marked, node.idle_mark.cooldown_spared) == (case in ("quiet", "older"), False)
+    net.run(100.0)
+    assert (node.idle_mark.marked, node.idle_mark.cooldown_spared) == (False, spared)
+
+
+def test_engine_that_refuses_connections_for_a_while_is_marked_restarted():
+    net = fleet(3)
+    node = net.nodes["c0"]
+    for at, refused in ((0.0, True), (100.0, True), (150.0, False), (300.0, True), (450.0, True)):
+        node.on_attempt_ended(UNIX + at, "e", refused)
+    assert node.outputs.effects == []
+    node.on_attempt_ended(UNIX + 500.0, "e", True)
+    node.on_attempt_ended(UNIX + 510.0, "e", True)  # told already
+    [chill] = node.outputs.effects
+    assert UNIX - 2_000.0 < chill.starts["e"] <= UNIX + 500.0
+
+
+@pytest.mark.parametrize(
+    ("seen", "cold"),
+    (
+        ("none", set()),
+        ("refuses", {"e"}),
+        ("back", {"e"}),
+        ("not looked at again", {"e"}),
+        ("blip", {"e"}),
+    ),
+)
+def test_peer_does_not_vouch_for_an_engine_that_refused_its_connections(seen, cold):
+    """The bus is away, and tells nobody that it restarted: who comes back is told, and takes no word of the other
+    engines for less."""
+    net = fleet(3)
+    net.run(1_000.0)
+    for node in net.nodes.values():
+        node.on_engine_list(UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
+    net.run(agreement.MIN_WITNESS_UPTIME_MS)
+    net.kill("c0")
+    ran, before, looks = net.nodes["c1"], net.now, {"none": 0, "refuses": 1, "blip": 1}.get(seen, 3)
+    for _ in range(looks):
+        ran.on_attempt_ended(UNIX + net.now, "e", True)
+        net.run(300.0)
+    net.run(3_000.0)
+    if seen in ("back", "blip"):  # the core has not yet told that it goes by the start
+        ran.on_attempt_ended(UNIX + net.now, "e", False)
+        ran.outputs.effects.clear()
+    net.start("c0", fresh=True)  # its own word doesn't count, and it waits for both others'
+    net.nodes["c0"].on_engine_list(UNIX + net.now, 1, {"e": listed("e"), "f": listed("f")})
+    net.run(1_500.0)
+    starts = {}
+    for effect in net.effects["c0"]:
+        if isinstance(effect, MarkRestarted):
+            starts |= effect.starts
+    assert set(starts) == cold
+    # Not by the start before it was seen to refuse, and once it was seen back not by one before that.
+    assert all(start > UNIX + before - 2_000.0 + 2_000.0 * (seen == "back") for start in starts.values()), starts
+
+
+def test_published_start_is_not_replaced_after_refused_connections():
+    node = fleet(3).nodes["c0"]
+    for at in (0.0, 300.0):
+        node.on_attempt_ended(UNIX + at, "e", True)
+    node.outputs.effects.clear()
+    node.on_engine_list(
+        UNIX, 2, {"e": msgspec.structs.replace(listed("e", born=UNIX + 9e3), published_start_ms=UNIX + 9e3)}
+    )
+    node.on_attempt_ended(UNIX + 20_000.0, "e", False)
+    assert node.outputs.effects == []
+
+
+def test_refusals_of_engines_that_left_the_list_are_forgotten():
+    node = fleet(3).nodes["c0"]
+    node.on_attempt_ended(UNIX, "e", True)
+    assert (set(node.published.restarts.refusals), set(node.published.restarts.doubted)) == ({"e"}, {"e"})
+    node.on_engine_list(UNIX, 2, {"f": listed("f")})
+    assert (node.published.restarts.refusals, node.published.restarts.doubted) == ({}, {})
+    node.on_attempt_ended(UNIX, "f", True)
+    node.on_attempt_ended(UNIX + 50.0, "f", False)
+    for at, doubted in ((60_000.0, True), (140_000.0, False)):
+        node.tick(at, UNIX + at)
+        assert ("f" in node.published.restarts.doubted) == doubted
+
+
+def test_replica_grants_nothing_before_the_agreement():
+    net = Net(["c0", "c1", "c2"])
+    net.start("c0")
+    node = net.nodes["c0"]
+    node.on_message(net.now, UNIX, "c1", wire.encode(wire.TicketClaim(tickets.ticket_id("x"), 1)))
+    assert node.stages.stage is Stage.FIND
+    assert (node.outputs.messages, node.loads.journal.records) == ([], {})
+    # Nor does it write what others tell of their stores: its own would seem later than it is.
+    node.on_message(net.now, UNIX, "c1", wire.encode(wire.ReportRequest(1, 0, StoreState(b"c1", 1, 9))))
+    node.tick(net.now + 1_200.0, UNIX)
+    assert node.stages.stage is Stage.AGREE
+    assert not [key for key in node.next_batch() or () if key.startswith(b"generations")]
+    assert node.next_due() > net.now + 1_200.0
+
+
+def test_corrupt_entries_and_messages_are_counted_and_ignored():
+    net = Net(["c0"])
+    net.disks["c0"] = {
+        "entries": {b"bans/c0/e": b"\xc1", b"beat/": b"", b"generations/x": b"\x93"},
+        "generation": 3,
+        "life": 1,
+    }
+    net.start("c0")
+    node = net.nodes["c0"]
+    node.on_message(1.0, UNIX, "c9", b"\x00\x01")
+    page = wire.ReportPage(1, 1, 0, 1, 9, 0.0, True, False, None, None, [listed("q")], [])
+    node.on_message(1.0, UNIX, "c9", wire.encode(page))
+    assert (node.outputs.counters["recovery_spoilt"], node.outputs.counters["recovery_undecodable"]) == (3, 1)
+    assert "c9" not in node.transfer.transfers
+
+
+def test_report_pages_fit_a_fleet_message():
+    long = "x" * 64
+    bans = BanTable([BanStatement(long, long[:60] + str(n), True, 1e14) for n in range(200)])
+    node = RecoveryNode(RecoverySettings("c0", ("c0",)), 0.0, UNIX, 1)
+    node.published.bans = bans
+    names = [f"{long[:60]}{n}" for n in range(50)]
+    node.on_engine_list(UNIX, 2**50, {n: ListedEngine(n, long, long, long, -(2**31), 1, 1e6, 1e15) for n in names})
+    node.peer_stores.states["q"] = StoreState(b"z" * 16, 2**62, 2**62)
+    pages = node.published.paged(node._own_report()).pages
+    for page in range(len(pages)):
+        node.on_message(1.0, UNIX, "q", wire.encode(wire.ReportRequest(2**53, page, None)))
+    assert len(node.outputs.messages) == len(pages)
+    assert max(len(data) for _, data in node.outputs.messages) <= 960
+
+
+def test_store_has_only_entries_of_persisted_kinds():
+    net = Net(["c0"])
+    net.start("c0", fresh=True, first=True)
+    net.nodes["c0"].record_ban(UNIX, "e", True)
+    net.run(6_000.0)
+    kinds = {key.partition(b"/")[0].decode() for key in net.disks["c0"]["entries"]}
+    assert kinds <= set(state_kinds.persisted_kinds())
+    heartbeat = msgspec.msgpack.decode(net.disks["c0"]["entries"][b"beat/"], type=HeartbeatRecord)
+    assert heartbeat.clean_shutdown is False
+    assert state_kinds.conflict_rule("bans", False) is ConflictRule.UNION
