--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -171,7 +171,7 @@
             if self.scatter:
                 self.scatter.loaded = self.subscriptions.loaded
             if self.recovery:
-                self.recovery.staged = self.subscriptions.stage
+                self.recovery.on_stage = self.subscriptions.stage
         self.most_open: int | None = None  # of the agreed settings
         self.settings: Any = None
         if config.operator.settings:
--- a/frostspindle/recovery/effect_handler.py
+++ b/frostspindle/recovery/effect_handler.py
@@ -38,7 +38,7 @@
     admission: RecoveryAdmission
     gate: RecoveryGate
     excluded: ExcludedEngines
-    staged: Callable[[str, str], None]
+    on_stage: Callable[[str, str], None]
 
     def claim_again(self, number: int) -> None:
         """Claim the ticket of a load again, if it still waits."""
@@ -77,8 +77,8 @@
             weak=transition.timed_out,
             ms=round(transition.duration_ms, 1),
         )
-        service.staged(previous, "weak" if transition.timed_out else "done")
-        service.staged(stage, "begun")
+        service.on_stage(previous, "weak" if transition.timed_out else "done")
+        service.on_stage(stage, "begun")
         if transition.stage is Stage.OPEN:
             service.gate.apply(service.admission.open_gate())
 
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -50,7 +50,9 @@
         self.telemetry = program.telemetry
         self.config = config
         self.settings: RecoverySettings = settings
-        self.staged: Callable[[str, str], None] = lambda stage, state: None  # told of each: begun, done or weak
+        self.on_stage: Callable[[str, str], None] = lambda stage, state: (
+            None
+        )  # called with a stage and "begun", "done" or "weak"
 
         self.node: RecoveryNode = RecoveryNode(settings, monotonic(), clock(), secrets.randbits(60))
         self.admission: RecoveryAdmission = _admission(program)
--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -1,9 +1,9 @@
 """One load that two coordinators are asked for: every order of claims, answers, writes, frees and one loss of power.
 
-Three homes, which are alike: states that differ only by which is which are taken for one. What was sent may come at any
-time, often or never. An answer comes at once or never: a no that is late is a claim that never came, a grant that is
-late changes nothing but when the load begins, which is a step of its own. The answer that waits for the disk is lost,
-and the claim comes again. A claim ends at any time.
+Three replicas, which are alike: states that differ only by which is which are taken for one. What was sent may come at
+any time, often or never. An answer comes at once or never: a no that is late is a claim that never came, a grant that
+is late changes nothing but when the load begins, which is a step of its own. The answer that waits for the disk is
+lost, and the claim comes again. A claim ends at any time.
 """
 
 import pytest
@@ -14,18 +14,18 @@
 from frostspindle.recovery.wire import TicketStatus
 
 OF = tickets.ticket_id("the load")
-HOMES, NONCES = ("x", "y", "z"), {"a": 1, "b": 2}
+REPLICAS, NONCES = ("x", "y", "z"), {"a": 1, "b": 2}
 UNIX = 1e9
 
 
 class World:
-    """`rests`, `durable`: guards that may be out; `split`: others may act while a batch is on its way to the disk."""
+    """`cooldown`, `durable`: guards, may be off; `split`: others may act while a batch is on its way to the disk."""
 
-    def __init__(self, rests=True, durable=True, split=False, losses=1):
-        self.rests, self.durable, self.split, self.losses = rests, durable, split, losses
-        self.journals = {home: TicketJournal((), 1e6, UNIX, False) for home in HOMES}
-        self.disks = {home: {} for home in HOMES}
-        self.batches = dict.fromkeys(HOMES)
+    def __init__(self, cooldown=True, durable=True, split=False, losses=1):
+        self.cooldown, self.durable, self.split, self.losses = cooldown, durable, split, losses
+        self.journals = {replica: TicketJournal((), 1e6, UNIX, False) for replica in REPLICAS}
+        self.disks = {replica: {} for replica in REPLICAS}
+        self.batches = dict.fromkeys(REPLICAS)
         self.claims = {name: TicketClaims(1_000.0) for name in NONCES}
         self.outcomes, self.sent, self.runs = {}, frozenset(), ()
         self.begin("a")
@@ -37,13 +37,13 @@
         out.disks, out.batches, out.outcomes = dict(self.disks), dict(self.batches), dict(self.outcomes)
         return out
 
-    def own(self, home):
+    def own(self, replica):
         """A journal that may be changed."""
-        old, new = self.journals[home], object.__new__(TicketJournal)
+        old, new = self.journals[replica], object.__new__(TicketJournal)
         new.__dict__.update(old.__dict__)
         new.records, new._pending, new._writing = dict(old.records), dict(old._pending), dict(old._writing)
         new._waiters = {of: list(waits) for of, waits in old._waiters.items()}
-        self.journals[home] = new
+        self.journals[replica] = new
         return new
 
     def asker(self, name):
@@ -57,43 +57,47 @@
         return new
 
     def send(self, name, sends):
-        """To all homes, always."""
+        """To all replicas, always."""
         self.sent |= {("free" if send.release else "claim", name) for send in sends}
 
     def begin(self, name):
-        self.send(name, self.asker(name).begin(0.0, OF, NONCES[name], list(HOMES)))
+        self.send(name, self.asker(name).begin(0.0, OF, NONCES[name], list(REPLICAS)))
 
-    def claim(self, name, home, heard):
-        how = self.own(home).claim(UNIX, name, OF, NONCES[name])
+    def claim(self, name, replica, heard):
+        how = self.own(replica).claim(UNIX, name, OF, NONCES[name])
         if how is None and not self.durable:
             how = TicketStatus.GRANTED
-        if heard and how is not None and (found := self.asker(name).on_reply(1.0, home, NONCES[name], how)) is not None:
+        if (
+            heard
+            and how is not None
+            and (found := self.asker(name).on_reply(1.0, replica, NONCES[name], how)) is not None
+        ):
             self.over(name, *found)
 
-    def free(self, name, home):
-        self.own(home).release(name, OF, NONCES[name])
+    def free(self, name, replica):
+        self.own(replica).release(name, OF, NONCES[name])
 
     def over(self, name, how, sends):
         self.outcomes[name] = how
         self.send(name, sends)
 
-    def write(self, home):
-        self.batches[home] = tuple((self.own(home).next_batch() or {}).items())
+    def write(self, replica):
+        self.batches[replica] = tuple((self.own(replica).next_batch() or {}).items())
         if not self.split:
-            self.written(home)
+            self.written(replica)
 
-    def written(self, home):
-        disk = {**self.disks[home], **dict(self.batches[home])}
-        self.disks[home] = {key: value for key, value in disk.items() if value is not None}
-        self.batches[home] = None
-        self.own(home).on_batch_written(True)
+    def written(self, replica):
+        disk = {**self.disks[replica], **dict(self.batches[replica])}
+        self.disks[replica] = {key: value for key, value in disk.items() if value is not None}
+        self.batches[replica] = None
+        self.own(replica).on_batch_written(True)
 
-    def loss(self, home, gone):
+    def loss(self, replica, gone):
         self.losses -= 1
         if gone:
-            self.disks[home] = {}
-        self.batches[home] = None
-        self.journals[home] = TicketJournal(self.disks[home].items(), 1e6, UNIX, gone and self.rests)
+            self.disks[replica] = {}
+        self.batches[replica] = None
+        self.journals[replica] = TicketJournal(self.disks[replica].items(), 1e6, UNIX, gone and self.cooldown)
 
     def late(self, name):
         sends, ended = self.asker(name).tick(1_000.0)
@@ -106,21 +110,24 @@
 
 
 def key(world):
-    """All that matters, by home, in no order of homes."""
+    """All that matters, by replica, in no order of replicas."""
 
-    def at(home):
-        journal = world.journals[home]
+    def at(replica):
+        journal = world.journals[replica]
         return tuple(str(part.get(OF)) for part in (journal.records, journal._pending, journal._writing)) + (
             OF in journal._pending,
             OF in journal._writing,
             journal.cooldown_until_ms > UNIX,
-            str(world.disks[home]),
-            str(world.batches[home]),
-            *(c.pending[NONCES[name]].answers.get(home, -1) if c.pending else -2 for name, c in world.claims.items()),
+            str(world.disks[replica]),
+            str(world.batches[replica]),
+            *(
+                c.pending[NONCES[name]].answers.get(replica, -1) if c.pending else -2
+                for name, c in world.claims.items()
+            ),
         )
 
     return (
-        *sorted(at(home) for home in HOMES),
+        *sorted(at(replica) for replica in REPLICAS),
         world.sent,
         tuple(sorted(world.outcomes.items())),
         tuple(sorted(world.runs)),
@@ -134,24 +141,24 @@
         return label, out
 
     for kind, name in sorted(world.sent):
-        for home in HOMES:
-            held = world.journals[home].records.get(OF)
+        for replica in REPLICAS:
+            held = world.journals[replica].records.get(OF)
             if kind == "free":
                 if held is not None and held.claimant == name:  # else nothing changes
-                    yield step("free", World.free, name, home)
+                    yield step("free", World.free, name, replica)
             else:
-                if held is None and not world.journals[home].in_cooldown(UNIX):
-                    yield step("claim", World.claim, name, home, False)
+                if held is None and not world.journals[replica].in_cooldown(UNIX):
+                    yield step("claim", World.claim, name, replica, False)
                 if NONCES[name] in world.claims[name].pending:
-                    yield step("answer", World.claim, name, home, True)
-    for home in HOMES:
-        if world.batches[home] is not None:
-            yield step("written", World.written, home)
-        elif world.journals[home]._pending:
-            yield step("write", World.write, home)
+                    yield step("answer", World.claim, name, replica, True)
+    for replica in REPLICAS:
+        if world.batches[replica] is not None:
+            yield step("written", World.written, replica)
+        elif world.journals[replica]._pending:
+            yield step("write", World.write, replica)
         if world.losses:
-            yield step("loss", World.loss, home, False)
-            yield step("lost-store", World.loss, home, True)
+            yield step("loss", World.loss, replica, False)
+            yield step("lost-store", World.loss, replica, True)
     if "b" not in world.outcomes and not world.claims["b"].pending:
         yield step("begin", World.begin, "b")  # the client repeats it there
     for name in NONCES:
@@ -166,7 +173,7 @@
     return f"it ran at {world.runs}" if len(world.runs) > 1 else None
 
 
-def test_no_order_of_two_claims_a_loss_of_power_and_frees_runs_a_load_twice():
+def test_no_interleaving_of_two_claims_power_loss_and_releases_runs_a_load_twice():
     found = explore(World(), steps, twice, 400_000, key=key)
     assert found.holds, str(found)
     assert all(
@@ -175,7 +182,7 @@
     ), found.labels
 
 
-@pytest.mark.parametrize("out", ["rests", "durable"])
-def test_without_the_rest_or_the_wait_for_the_disk_a_way_to_a_second_run_is_found(out):
+@pytest.mark.parametrize("out", ["cooldown", "durable"])
+def test_without_cooldown_or_durable_records_a_second_run_is_found(out):
     found = explore(World(**{out: False}), steps, twice, 400_000, key=key)
     assert found.fault is not None and found.trace is not None, str(found)
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -37,7 +37,7 @@
         for n in range(5):
             self.assertEqual([line["stage"] for line in power.moves(n)], STAGES)
 
-    async def test_all_killed_two_with_lost_stores_and_one_with_last_weeks(self):
+    async def test_five_killed_two_lose_their_stores_and_one_has_an_older_one(self):
         power = await self.lose("", (0, 3), (1,), 11)
         process = power.fleet.processes
         trusted = [[line["trusted"] for line in p.events("recovery_store", life=2)] for p in process]
@@ -47,7 +47,7 @@
         self.assertEqual(await power.client.load(process[2].http, 50), 503)
         await self.judge(power)
 
-    async def test_all_killed_while_the_two_that_remember_are_cut_off_from_the_three_that_do_not(self):
+    async def test_five_killed_and_two_with_stores_are_partitioned_from_three_without(self):
         power = await self.lose("0.001- cut 0-1|2-4; 0- loss 0.05", (2, 3), (4,), 12)
         process = power.fleet.processes
         for n in (0, 1):
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -6,10 +6,10 @@
 import subprocess
 import sys
 import tempfile
-import unittest
 from pathlib import Path
 from types import SimpleNamespace
 
+import pytest
 from click.testing import CliRunner
 from faults import TENANTS, FaultsCase
 
@@ -49,111 +49,114 @@
     return int(head.split()[1])
 
 
-class ConfigCase(unittest.TestCase):
-    def read(self, text: str, **environ: str) -> configuration.Config:
-        with tempfile.TemporaryDirectory() as folder:
-            config, operator = Path(folder, "config.json"), Path(folder, "operator.toml")
-            config.write_text(json.dumps(document([])))
-            operator.write_text(text)
-            return configuration.read(
-                {
-                    "LB_CONFIG": str(config),
-                    "FROSTSPINDLE_OPERATOR": str(operator),
-                    "LB_LISTEN": "127.0.0.1:0",
-                    **environ,
-                }
-            )
+def read(text: str, **environ: str) -> configuration.Config:
+    with tempfile.TemporaryDirectory() as folder:
+        config, operator = Path(folder, "config.json"), Path(folder, "operator.toml")
+        config.write_text(json.dumps(document([])))
+        operator.write_text(text)
+        return configuration.read(
+            {
+                "LB_CONFIG": str(config),
+                "FROSTSPINDLE_OPERATOR": str(operator),
+                "LB_LISTEN": "127.0.0.1:0",
+                **environ,
+            }
+        )
+
+
+def test_example_configuration_is_valid_and_each_fault_names_its_key():
+    good = (ROOT / "deploy" / "recovery.toml").read_text()
+    assert read(good).operator.recovery.folder
+    assert read("").operator.recovery is None
+    for text, key in (
+        ('[recovery]\nfolder = "here"', "recovery.folder"),
+        ("[recovery]\nticket_ms = 1", "ticket_ms"),
+        ("[recovery]\nfoldr = ''", "foldr"),
+        ("[recovery]\n[cores]\nworkers = 2", "recovery: needs cores.workers"),
+    ):
+        with pytest.raises(ConfigError, match=key):
+            read(text)
+    with pytest.raises(ConfigError, match="recovery: needs a name"):
+        read("[recovery]", LB_NAME="n" * 65)
+
+
+def test_process_without_recovery_does_not_import_it():
+    loaded = subprocess.run(
+        [sys.executable, "-c", "import sys, frostspindle.program; print(*sys.modules)"],
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stdout.split()
+    assert [m for m in loaded if m.startswith(("frostspindle.recovery", "frostspindle.store"))] == []
+
+
+def test_lab_power_prints_the_same_object_for_the_same_seed():
+    words = [
+        "lab",
+        "power",
+        "--nodes",
+        "3",
+        "--seed",
+        "5",
+        "--seconds",
+        "30",
+        "--json",
+        "--no-naive",
+        "--faults",
+        "12-15 cut 0|1-2; 0- loss 0.1",
+    ]
+    first, second = (CliRunner().invoke(cli, words) for _ in range(2))
+    figures = json.loads(first.output)
+    assert first.output == second.output
+    assert [figures[k] for k in ("overspend", "cold_overruns", "loads_doubled", "stuck")] == [0] * 4
+    assert figures["served"] > 50
+    assert CliRunner().invoke(cli, ["lab", "power", "--faults", "1 rain"]).exit_code == 2
+
+
+def test_agreed_list_is_restored_with_the_published_engine_starts():
+    """Theirs had been taken for started later: rights by that start shut out for good who went by the bus's."""
+    said, quiet = [], lambda *a, **kw: None
+    service = SimpleNamespace(
+        telemetry=SimpleNamespace(log=quiet),
+        excluded=SimpleNamespace(banned_by_hand=frozenset(), withhold=quiet),
+        program=SimpleNamespace(bus=SimpleNamespace(last=1, restore=said.append)),
+        node=SimpleNamespace(bans=SimpleNamespace(banned_by_any=frozenset)),
+    )
+    engine = ListedEngine("e", "127.0.0.1:1", "z", "k", 0, 1, 1.0, 1.7e12 + 9.0, 1.7e12)
+    EffectHandler(service).on_agreed(AgreedState(True, 2, (engine,), frozenset(), frozenset(), {}))
+    assert [host.born_ms for event in said for host in event.topology.hosts] == [1.7e12]
+
 
-    def test_the_example_is_good_and_each_fault_is_named_by_its_key(self):
-        good = (ROOT / "deploy" / "recovery.toml").read_text()
-        self.assertTrue(self.read(good).operator.recovery.folder)
-        self.assertIsNone(self.read("").operator.recovery)
-        for text, key in (
-            ('[recovery]\nfolder = "here"', "recovery.folder"),
-            ("[recovery]\nticket_ms = 1", "ticket_ms"),
-            ("[recovery]\nfoldr = ''", "foldr"),
-            ("[recovery]\n[cores]\nworkers = 2", "recovery: needs cores.workers"),
-        ):
-            with self.assertRaisesRegex(ConfigError, key):
-                self.read(text)
-        with self.assertRaisesRegex(ConfigError, "recovery: needs a name"):
-            self.read("[recovery]", LB_NAME="n" * 65)
-
-    def test_a_process_without_recovery_loads_nothing_of_it(self):
-        loaded = subprocess.run(
-            [sys.executable, "-c", "import sys, frostspindle.program; print(*sys.modules)"],
-            capture_output=True,
-            text=True,
-            check=True,
-        ).stdout.split()
-        self.assertEqual([m for m in loaded if m.startswith(("frostspindle.recovery", "frostspindle.store"))], [])
-
-    def test_lab_power_prints_one_object_the_same_for_the_same_seed(self):
-        words = [
-            "lab",
-            "power",
-            "--nodes",
-            "3",
-            "--seed",
-            "5",
-            "--seconds",
-            "30",
-            "--json",
-            "--no-naive",
-            "--faults",
-            "12-15 cut 0|1-2; 0- loss 0.1",
-        ]
-        first, second = (CliRunner().invoke(cli, words) for _ in range(2))
-        figures = json.loads(first.output)
-        self.assertEqual(first.output, second.output)
-        self.assertEqual([figures[k] for k in ("overspend", "cold_overruns", "loads_doubled", "stuck")], [0] * 4)
-        self.assertGreater(figures["served"], 50)
-        self.assertEqual(CliRunner().invoke(cli, ["lab", "power", "--faults", "1 rain"]).exit_code, 2)
-
-
-class ServiceCase(unittest.TestCase):
-    def test_a_list_that_others_give_tells_engines_starts_as_the_bus_had_them(self):
-        """Theirs had been taken for started later: rights by that start shut out for good who went by the bus's."""
-        said, quiet = [], lambda *a, **kw: None
+def test_gate_notifies_the_node_of_answers_and_refused_connections_only():
+    told, drained = [], []
+    node = SimpleNamespace(
+        outputs=SimpleNamespace(effects=[1]),
+        on_attempt_ended=lambda unix, engine, refused: told.append((engine, refused)),
+    )
+    gate = RecoveryGate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
+    for verdict in AttemptOutcome:  # a connection that breaks may be of before a loss
+        gate.ended("e", verdict)
+    assert told == [("e", False), ("e", True)]
+    assert drained
+
+
+def test_load_rejected_by_replicas_in_cooldown_gets_the_longest_retry_after():
+    """They rest for minutes, and who came back within a second was refused again and again."""
+    for how, least, most in ((ClaimOutcome.NO_QUORUM, 500.0, 1_500.0), (ClaimOutcome.NO_RECORD, 1_000.0, 3_000.0)):
+        waits: list[float] = []
         service = SimpleNamespace(
-            telemetry=SimpleNamespace(log=quiet),
-            excluded=SimpleNamespace(banned_by_hand=frozenset(), withhold=quiet),
-            program=SimpleNamespace(bus=SimpleNamespace(last=1, restore=said.append)),
-            node=SimpleNamespace(bans=SimpleNamespace(banned_by_any=frozenset)),
+            gate=SimpleNamespace(waiting={}),
+            telemetry=SimpleNamespace(count=lambda what: None),
+            config=SimpleNamespace(claim_ms=1_000.0),
+            admission=RecoveryAdmission((), SlowStartCurve(), 1.0, 9, 1, 3_000.0),
+            node=SimpleNamespace(stages=SimpleNamespace(finished=True)),
+            core=SimpleNamespace(reject_waiting=lambda n, answer, waits=waits: waits.append(answer.retry_after_ms)),
         )
-        engine = ListedEngine("e", "127.0.0.1:1", "z", "k", 0, 1, 1.0, 1.7e12 + 9.0, 1.7e12)
-        EffectHandler(service).on_agreed(AgreedState(True, 2, (engine,), frozenset(), frozenset(), {}))
-        self.assertEqual([host.born_ms for event in said for host in event.topology.hosts], [1.7e12])
-
-    def test_what_engines_do_with_connections_is_told_to_the_node_by_the_core(self):
-        told, drained = [], []
-        node = SimpleNamespace(
-            outputs=SimpleNamespace(effects=[1]),
-            on_attempt_ended=lambda unix, engine, refused: told.append((engine, refused)),
-        )
-        gate = RecoveryGate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
-        for verdict in AttemptOutcome:  # a connection that breaks may be of before a loss
-            gate.ended("e", verdict)
-        self.assertEqual(told, [("e", False), ("e", True)])
-        self.assertTrue(drained)
-
-    def test_a_load_whose_homes_rest_is_told_to_wait_as_long_as_may_be(self):
-        """They rest for minutes, and who came back within a second was refused again and again."""
-        for how, least, most in ((ClaimOutcome.NO_QUORUM, 500.0, 1_500.0), (ClaimOutcome.NO_RECORD, 1_000.0, 3_000.0)):
-            waits: list[float] = []
-            service = SimpleNamespace(
-                gate=SimpleNamespace(waiting={}),
-                telemetry=SimpleNamespace(count=lambda what: None),
-                config=SimpleNamespace(claim_ms=1_000.0),
-                admission=RecoveryAdmission((), SlowStartCurve(), 1.0, 9, 1, 3_000.0),
-                node=SimpleNamespace(stages=SimpleNamespace(finished=True)),
-                core=SimpleNamespace(reject_waiting=lambda n, answer, waits=waits: waits.append(answer.retry_after_ms)),
-            )
-            for number in range(40):
-                service.gate.waiting[number] = None
-                EffectHandler(service).on_claim_resolved(ClaimResolved(number, how))
-            self.assertTrue(all(least - 1.0 <= wait <= most + 1.0 for wait in waits), waits)
-            self.assertGreater(max(waits), 0.8 * most)
+        for number in range(40):
+            service.gate.waiting[number] = None
+            EffectHandler(service).on_claim_resolved(ClaimResolved(number, how))
+        assert all(least - 1.0 <= wait <= most + 1.0 for wait in waits), waits
+        assert max(waits) > 0.8 * most
 
 
 class ProcessesCase(FaultsCase):
@@ -165,13 +168,13 @@
                 ]
             )
 
-    async def test_three_killed_at_once_come_back_and_no_load_runs_twice(self):
+    async def test_three_killed_at_once_recover_and_no_load_runs_twice(self):
         fleet = await self.fleet(3, "", tenants=TENANTS + RECOVERY)
         await self.up(fleet, 1)
-        self.assertEqual(await call(fleet.processes[0].http, "load", 7), 200)
-        self.assertEqual([await call(p.http, "load", 7) for p in fleet.processes], [502] * 3)
+        assert (await call(fleet.processes[0].http, "load", 7)) == 200
+        assert [await call(p.http, "load", 7) for p in fleet.processes] == [502] * 3
         answer = await fleet.processes[1].figures("show-recovery")
-        self.assertTrue(answer["agreed"])
+        assert answer["agreed"]
         for process in fleet.processes:
             await process.end(signal.SIGKILL)
         for process in fleet.processes:
@@ -179,21 +182,21 @@
         await self.up(fleet, 2)
         for process in fleet.processes:
             lines = [line for line in process.events("recovery_stage") if line["life"] == 2]
-            self.assertEqual([line["stage"] for line in lines][:6], STAGES)
-            self.assertEqual([line["verdict"] for line in process.events("recovery_store")][-1], "good")
-            self.assertTrue([line for line in process.events("recovery_cold") if line["life"] == 2])
-        self.assertEqual([await call(p.http, "load", 7) for p in fleet.processes], [502] * 3)
-        self.assertEqual(await call(fleet.processes[2].http, "lookup", 8), 200)
-        self.assertEqual(sum(engine.posts for engine in fleet.engines), 2)
+            assert [line["stage"] for line in lines][:6] == STAGES
+            assert [line["verdict"] for line in process.events("recovery_store")][-1] == "good"
+            assert [line for line in process.events("recovery_cold") if line["life"] == 2]
+        assert [await call(p.http, "load", 7) for p in fleet.processes] == [502] * 3
+        assert (await call(fleet.processes[2].http, "lookup", 8)) == 200
+        assert sum(engine.posts for engine in fleet.engines) == 2
         self.codes = await fleet.close()
-        self.assertEqual(self.codes, [0] * 3)
-        self.assertEqual([x for p in fleet.processes for x in p.lines if x["event"] in ("fault", "text")], [])
+        assert self.codes == [0] * 3
+        assert [x for p in fleet.processes for x in p.lines if x["event"] in ("fault", "text")] == []
 
-    async def test_alone_with_a_dead_disk_queries_are_served_and_loads_are_not(self):
+    async def test_coordinator_alone_with_a_dead_disk_serves_queries_but_no_loads(self):
         fleet = await self.fleet(1, "", tenants=TENANTS + RECOVERY.replace("FOLDER/store", "FOLDER/config.json"))
         [process] = fleet.processes
         await self.up(fleet, 1)  # what comes before may be refused, on a slow machine
-        self.assertEqual(await call(process.http, "lookup", 1), 200)
-        self.assertEqual(await call(process.http, "load", 2), 503)
-        self.assertEqual(fleet.engines[0].posts + fleet.engines[1].posts, 1)
-        self.assertTrue(process.events("recovery_stage", left="store", weak=True))
+        assert (await call(process.http, "lookup", 1)) == 200
+        assert (await call(process.http, "load", 2)) == 503
+        assert fleet.engines[0].posts + fleet.engines[1].posts == 1
+        assert process.events("recovery_stage", left="store", weak=True)
