--- a/frostspindle/components/statements.py
+++ b/frostspindle/components/statements.py
@@ -37,7 +37,7 @@
         if program.scatter:
             program.scatter.loaded = self.service.loaded
         if program.recovery:
-            program.recovery.staged = self.service.stage
+            program.recovery.on_stage = self.service.stage
 
     async def start(self) -> None:
         """Start publishing."""
