--- a/bench/settings.py
+++ b/bench/settings.py
@@ -208,7 +208,7 @@
 @click.option("--limit", default=100_000)
 def explore(limit: int) -> None:
     """Search more orders of apply, keep, crash and publish for a fault than the tests do."""
-    from agreeing import World
+    from settings_cluster import SettingsCluster
     from test_settings_agreement import model
 
     from frostspindle.lab.explore import explore as search
@@ -222,7 +222,7 @@
     ):
         world, steps, key = model(*case)
         began = time.perf_counter()
-        found = search(world, steps, World.fault, limit, key=key)
+        found = search(world, steps, SettingsCluster.fault, limit, key=key)
         click.echo(
             json.dumps(
                 {
--- a/tests/contracts/test_settings_keep.py
+++ b/tests/contracts/test_settings_keep.py
@@ -48,7 +48,7 @@
 
 @runs(max_examples=40, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 2), st.booleans()), min_size=1, max_size=60))
-def test_what_is_kept_is_what_is_loaded_whatever_was_kept_before(steps):
+def test_saved_versions_are_loaded_whatever_was_saved_before(steps):
     versions, store, at = chain(120, 5), MemoryStore(), 0
     keeper = VersionStore(store)
     for step, back, again in steps:
@@ -62,7 +62,7 @@
     assert len(store.scan()) <= MAX_CHAIN_LENGTH + 12, "what nobody needs is taken out"
 
 
-def test_a_change_writes_little_and_a_long_chain_is_written_whole_again():
+def test_change_writes_little_and_a_long_chain_is_compacted():
     versions, wrote = chain(80, 3_000), []
 
     class Counted(MemoryStore):
@@ -77,7 +77,7 @@
     assert 2 <= sum(size > max(wrote) / 2 for size in wrote) <= 6
 
 
-def test_records_that_do_not_hold_are_never_served():
+def test_records_that_do_not_match_their_digest_are_never_loaded():
     versions = chain(4)
     for spoil in (
         lambda s: s.apply({b"settings/v/2/0": None}),
@@ -139,7 +139,7 @@
     assert set(map(str, seen)) == {"[1, 2]", "[2, 3, 4]"} and seen == sorted(seen, key=len)
 
 
-def test_a_torn_or_spoilt_database_is_a_whole_state_or_none(folder):
+def test_torn_or_corrupt_database_gives_a_complete_state_or_none(folder):
     versions, rng = chain(6), random.Random(9)
     store = open_store(folder, "c1", SqliteEngine)
     keeper = VersionStore(store)
@@ -165,7 +165,7 @@
     assert "corrupt" in told
 
 
-def test_after_kill_9_what_was_kept_is_there(folder):
+def test_saved_versions_survive_kill_9(folder):
     versions, rng = chain(200), random.Random(7)
 
     def write(tell):
--- a/tests/agreeing.py
+++ b/tests/settings_cluster.py
@@ -1,4 +1,4 @@
-"""A few coordinators on one log, in memory and on a clock of the test's: for the model check and the state machine."""
+"""Coordinators on one log in memory and on a simulated clock, for tests of the state machine and the decisions."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from frostspindle.settings.version_encoding import pack_changes
 from frostspindle.settings.versions import Version
 
-TERMS = AgreementSettings(2_000.0, 0.0, 4_000.0)
+SETTINGS = AgreementSettings(2_000.0, 0.0, 4_000.0)
 
 
 def draft(base: Version, changes, number=1, by="op", process=1):
-    """One that fits into one piece, and the version that it would make."""
+    """A draft of one piece, and the version that it makes."""
     made = base.child(base.number + 1, changes, by)
     return DraftPiece(by, process, number, base.number, made.digest_bytes, 0, 1, pack_changes(made.changes)), made
 
@@ -31,15 +31,17 @@
     return {f"ban/{name}": Ban(name)}
 
 
-class Node:
+class ClusterMember:
     """One coordinator's process, and its disk."""
 
-    def __init__(self, name, process, now, kept, terms, fits):
-        self.name, self.process = name, process
-        self.machine, self.at = SettingsStateMachine(), 0  # entries of the log that it has applied
-        self.kept = kept
-        self.member = MemberDecisions(name, process, terms, self.machine, now, fits, kept)
-        self.publisher = PublisherDecisions(terms, self.machine)
+    def __init__(self, name, process, now, restored, settings, why_not_applicable):
+        self.name = name
+        self.process = process
+        self.machine = SettingsStateMachine()
+        self.applied = 0  # entries of the log
+        self.restored = restored
+        self.member = MemberDecisions(name, process, settings, self.machine, now, why_not_applicable, restored)
+        self.publisher = PublisherDecisions(settings, self.machine)
 
     def copy(self):
         other = copy.copy(self)
@@ -55,7 +57,8 @@
             counts=machine.counts.copy(),
         )
         other.machine.versions._versions = dict(machine.versions._versions)
-        other.member, other.publisher = copy.copy(self.member), copy.copy(self.publisher)
+        other.member = copy.copy(self.member)
+        other.publisher = copy.copy(self.publisher)
         other.member.machine = other.publisher.machine = other.machine
         other.publisher._last_renewals = dict(self.publisher._last_renewals)
         for name in ("durable_digests", "_renewals_in_flight", "_rejection_reasons", "counts"):
@@ -63,15 +66,17 @@
         return other
 
 
-class World:
-    """All of them. A step of the log's index is an entry."""
+class SettingsCluster:
+    """The coordinators, their disks and the log; each entry has the next index."""
 
-    def __init__(self, count, terms=TERMS, fits=lambda name, version: ""):
-        self.now, self.terms, self.fits = 0.0, terms, fits
+    def __init__(self, count, settings=SETTINGS, why_not_applicable=lambda name, version: ""):
+        self.now = 0.0
+        self.settings = settings
+        self.why_not_applicable = why_not_applicable
         self.log: list[bytes] = []
         self.results: dict[int, bytes] = {}
         self.processes = 0
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, ClusterMember] = {}
         self.disks = {f"c{n}": RestoredVersions() for n in range(count)}
         for name in self.disks:
             self.start(name)
@@ -86,8 +91,13 @@
 
     def start(self, name):
         self.processes += 1
-        self.nodes[name] = Node(
-            name, self.processes, self.now, self.disks[name], self.terms, lambda version: self.fits(name, version)
+        self.nodes[name] = ClusterMember(
+            name,
+            self.processes,
+            self.now,
+            self.disks[name],
+            self.settings,
+            lambda version: self.why_not_applicable(name, version),
         )
 
     def crash(self, name):
@@ -99,81 +109,81 @@
     def apply(self, name, most=1):
         node = self.nodes[name]
         for _ in range(most):
-            if node.at == len(self.log):
+            if node.applied == len(self.log):
                 return
-            command = self.log[node.at]
-            node.at += 1
-            result = node.machine.apply(node.at, command)
-            assert self.results.setdefault(node.at, result) == result, "the same entries, the same answers"
+            command = self.log[node.applied]
+            node.applied += 1
+            result = node.machine.apply(node.applied, command)
+            assert self.results.setdefault(node.applied, result) == result, "the same entries, the same answers"
             node.member.on_entry_applied(self.now, command, result)
-            self.look(name)
+            self.refresh(name)
 
-    def look(self, name):
-        holder = self.nodes[name].member
-        holder.on_rules_applied(holder.current_rules(self.now))
+    def refresh(self, name):
+        member = self.nodes[name].member
+        member.on_rules_applied(member.current_rules(self.now))
 
-    def hold(self, name):
-        word = self.nodes[name].member.next_renewal(self.now)
-        if word is not None:
-            self.propose(word)
-        return word
+    def renew(self, name):
+        command = self.nodes[name].member.next_renewal(self.now)
+        if command is not None:
+            self.propose(command)
+        return command
 
-    def keep(self, name, less=True):
-        holder = self.nodes[name].member
-        versions = holder.versions_to_persist(less)
+    def persist(self, name, include_removals=True):
+        member = self.nodes[name].member
+        versions = member.versions_to_persist(include_removals)
         if versions:
             self.disks[name] = RestoredVersions(versions, self.now)
-            holder.on_persisted(versions)
+            member.on_persisted(versions)
         return bool(versions)
 
     def publish(self, name):
-        word = self.nodes[name].publisher.next_command(self.now)
-        if word is not None:
-            self.propose(word)
-        return word
+        command = self.nodes[name].publisher.next_command(self.now)
+        if command is not None:
+            self.propose(command)
+        return command
 
     def pass_time(self, ms):
         self.now += ms
         for name in self.nodes:
-            self.look(name)
+            self.refresh(name)
 
     def settle(self, rounds=12, ms=400.0):
-        """All is heard, kept and said, for a while."""
+        """Renew, publish, apply and persist everywhere for a while."""
         for _ in range(rounds):
             for name in self.nodes:
-                self.hold(name)
+                self.renew(name)
                 self.publish(name)
             for name in self.nodes:
                 self.apply(name, 1_000)
-                self.keep(name)
+                self.persist(name)
             self.pass_time(ms)
 
-    # What must hold.
+    # Invariants.
 
     def active_rules(self):
         return {name: node.member.current_rules(self.now) for name, node in self.nodes.items()}
 
     def fault(self):
-        """What is wrong now; None: nothing."""
-        told = self.active_rules()
-        plain = [(name, acting) for name, acting in told.items() if acting.mode == RulesMode.VERSION]
-        for place, (name, one) in enumerate(plain):
-            for other, two in plain[place + 1 :]:
+        """Return which invariant is violated now; None if none is."""
+        rules_by_name = self.active_rules()
+        sole_rules = [(name, rules) for name, rules in rules_by_name.items() if rules.mode == RulesMode.VERSION]
+        for place, (name, one) in enumerate(sole_rules):
+            for other, two in sole_rules[place + 1 :]:
                 if one.sole_version != two.sole_version and contradicts(one.rules, two.rules):
                     return f"{name} acts on {one.sole_version}, {other} on {two.sole_version}"
-        for name, acting in told.items():
+        for name, rules in rules_by_name.items():
             node = self.nodes[name]
-            if acting.mode == RulesMode.VERSION and (
-                self.fits(name, node.machine.version(acting.sole_version)) or not node.member.has_renewed
+            if rules.mode == RulesMode.VERSION and (
+                self.why_not_applicable(name, node.machine.version(rules.sole_version)) or not node.member.has_renewed
             ):
-                return f"{name} acts on {acting.sole_version} plainly, which it can't take or has not heard of"
+                return f"{name} acts on {rules.sole_version} alone, which it can't apply or without a renewal"
             if not node.member.has_renewed and any(
-                not permits_no_more(acting.rules, version.rules) for version in node.kept.versions
+                not permits_no_more(rules.rules, version.rules) for version in node.restored.versions
             ):
-                return f"{name} permits after its start what a version that may be live does not"
+                return f"{name} permits after its start what a version that may be active does not"
         for name, kept in self.disks.items():
-            if any(self.fits(name, version) for version in kept.versions):
-                return f"{name} keeps a version that it can't take"
+            if any(self.why_not_applicable(name, version) for version in kept.versions):
+                return f"{name} persists a version that it can't apply"
         return None
 
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -29,6 +29,7 @@
 from frostspindle.net.fields import key_number
 from frostspindle.order import shared_cells
 from frostspindle.order.key_queue import KeyQueue, QueuePosition
+from frostspindle.order.service import KeyOrderService
 from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.policy import AttemptOutcome, Controller, EndpointListKind
 from frostspindle.pools import FORGOTTEN_MS
@@ -140,7 +141,7 @@
     assert not audit.out and not any(audit.lines.values()) and not (audit.c.lines or audit.c.jobs or audit.c.rest_until)
 
 
-def test_nine_behind_one_that_may_still_run_wait_for_it_and_end_by_their_own_time():
+def test_requests_behind_one_that_may_still_run_wait_until_their_own_deadlines():
     audit = Audit(2)
     audit.draw = unittest.mock.Mock(random=lambda: 1.0, uniform=lambda a, b: b)  # all are silent
     audit.take(1, 7, 20_000.0)
@@ -308,7 +309,7 @@
     return int(time.time() * 1e6)
 
 
-def test_a_place_of_another_process_holds_until_it_is_over(two):
+def test_position_of_another_process_counts_until_it_is_left(two):
     queue, holder, _, _ = two
     assert holder.say("enter", 1, 77) == "True" and queue.enter(1, 77, now()) is False
     assert queue.enter(2, 78, now()) is True and holder.say("enter", 2, 77) == "False"
@@ -317,7 +318,7 @@
     assert queue.pop_ready() == [1] and queue.waiting_count == 0  # the later position there now waits for this one
 
 
-def test_a_stopped_process_keeps_its_place_and_a_killed_one_for_as_long_as_its_work_may_run(two):
+def test_stopped_process_keeps_its_position_and_a_killed_one_for_the_retention_time(two):
     queue, holder, clock, folder = two
     holder.say("enter", 1, 77)
     holder.process.send_signal(signal.SIGSTOP)
@@ -332,7 +333,7 @@
     assert queue.pop_ready() == [1] and len(list(folder.iterdir())) == 1
 
 
-def test_a_start_after_a_crash_waits_for_what_the_dead_one_left(tmp_path):
+def test_start_after_a_crash_waits_for_positions_of_the_dead_process(tmp_path):
     holder = Holder(str(tmp_path))
     holder.say("enter", 1, 77)
     holder.end()
@@ -410,7 +411,7 @@
         await old.event("stopping")
         return old, new, one, self.session()
 
-    async def test_what_one_side_took_is_over_before_the_other_sends(self):
+    async def test_upgrade_sends_only_after_requests_of_the_other_side_are_over(self):
         old, _, one, later = await self.sides()
         two = asyncio.create_task(self.keyed(later, 2, "k"))
         self.assertIn("rows", await self.keyed(self.session(), 3, "other"))  # a further key waits for nobody
@@ -423,7 +424,7 @@
         self.assertEqual(self.sent[-1], "2")
         self.assertEqual(await asyncio.to_thread(old.process.wait, 60), 0)
 
-    async def test_a_side_that_is_killed_holds_its_key_while_its_query_may_run(self):
+    async def test_killed_side_of_an_upgrade_holds_its_key_while_its_query_may_run(self):
         old, _, one, later = await self.sides()
         killed = time.monotonic()
         old.process.kill()
@@ -435,7 +436,7 @@
 
 
 class Workers(FleetCase):
-    async def test_one_key_at_several_workers_goes_one_at_a_time_in_the_order_of_arrival(self):
+    async def test_one_key_at_several_workers_is_sent_one_at_a_time_in_order_of_arrival(self):
         engine = await HttpEngine().start()
         self.addCleanup(engine.server.close)
         running, most, sent, release = set(), [0], [], asyncio.Event()
@@ -486,7 +487,7 @@
 
 
 class Edge(EdgeCase):
-    async def test_a_silent_engine_holds_the_key_until_its_query_can_run_no_more(self):
+    async def test_silent_engine_holds_the_key_until_its_query_can_not_run_any_more(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True, "hardLimit": 700.0}
         (engine,) = await self.start(1, categories=classes)
@@ -513,7 +514,7 @@
             self.assertEqual(sent, [1, 30])
             self.assertGreater(asked[-1] - asked[-2], 1.45)  # not before the engine has forgotten what it may run
 
-    async def test_a_place_stands_while_its_request_may_run_and_no_longer(self):
+    async def test_position_exists_exactly_while_its_request_may_run(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
         (engine,) = await self.start(1, categories=classes)
@@ -555,7 +556,7 @@
         self.assertEqual(len(engine.of("POST")), 3)
 
     @unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 100.0)
-    async def test_other_processes_wait_while_a_key_rests_after_what_may_still_run(self):
+    async def test_other_processes_wait_while_a_key_rests(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
         for pause_ms, stands in ((60_000.0, True), (50.0, False)):
@@ -571,10 +572,11 @@
             await self.until(lambda: not self.program.core._records)  # answered, and no attempt is out
             self.assertTrue(places() or not stands)
             await self.until(lambda stands=stands, places=places: stands or not places())
-            self.assertEqual(
-                self.program.order.cell_folder.retention_ms, FORGOTTEN_MS + pause_ms
-            )  # of one that was killed, too
-            self.assertEqual((len(places()), self.program.order.queue.entry_count), (int(stands), int(stands)))
+            order = self.program.order
+            self.assertIsInstance(order, KeyOrderService)  # imported above, so not under the patch of FORGOTTEN_MS
+            # The positions of a process that was killed count for the pause, too.
+            self.assertEqual(order.cell_folder.retention_ms, FORGOTTEN_MS + pause_ms)
+            self.assertEqual((len(places()), order.queue.entry_count), (int(stands), int(stands)))
 
     async def test_request_that_ends_after_close_does_not_use_the_cells(self):
         classes = settings()["categories"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -109,7 +109,7 @@
 
 
 class TestSchema:
-    def test_the_file_is_read_and_the_example_and_the_json_schema_are_good(self):
+    def test_document_is_parsed_and_example_and_json_schema_are_valid(self):
         table = parse_document(
             (
                 ENGINE + "most = 9\n" + PARTS + '[limits]\nout = 9\nopen_requests = 99\n[[ban]]\nengine = "e1x"\n'
@@ -152,12 +152,12 @@
             (ENGINE + "most = 9\n" + PARTS + '[limits]\nout = 9\n[[drain]]\nengine = "e1"', "let 0 through"),
         ],
     )
-    def test_each_fault_is_named_by_its_key_and_no_secret_is_shown(self, text, key):
+    def test_invalid_document_is_rejected_by_key_without_showing_secrets(self, text, key):
         with pytest.raises(InvalidSettingsError, match=key) as told:
             parse_document(text.encode("latin-1"))
         assert "hunter2" not in str(told.value) and "\n" not in str(told.value)
 
-    def test_what_needs_a_new_start_is_turned_down_naming_the_key(self):
+    def test_version_that_needs_a_restart_is_not_applicable_and_names_the_key(self):
         here = RunningProgram(
             {"r": "once"},
             {"blue": ()},
@@ -220,7 +220,7 @@
 class TestVersions:
     @runs(quick, max_examples=40)
     @given(st.lists(rules(), min_size=2, max_size=4))
-    def test_a_chain_of_changes_has_the_rules_and_digest_of_the_whole(self, tables):
+    def test_chain_of_changes_gives_the_same_rules_and_digest_as_one_version(self, tables):
         history, at = VersionHistory(), EMPTY_VERSION
         for number, table in enumerate(tables, 1):
             at = at.child(number, diff_rules(at.rules, table))
@@ -239,7 +239,7 @@
             for two in range(len(tables) + 1):
                 assert history.changes_between(one, two) == diff_rules(history.get(one).rules, history.get(two).rules)
 
-    def test_history_keeps_the_last_and_what_is_pinned_and_shares_what_does_not_change(self):
+    def test_history_keeps_last_and_pinned_versions_and_shares_unchanged_entries(self):
         table = {f"engine/http/e{n}": Engine(f"e{n}", "127.0.0.1:1") for n in range(500)} | {"scope/http": ListScope()}
         history, at = VersionHistory(4), EMPTY_VERSION.child(1, table)
         history.add(at)
@@ -255,7 +255,7 @@
             history.changes_between(5, 11)
         assert len(VersionHistory(KEPT_VERSIONS)) == 0
 
-    def test_spoilt_long_and_doubled_changes_are_noticed(self):
+    def test_corrupt_oversized_and_duplicate_changes_are_rejected(self):
         data = pack_changes({"ban/e1": Ban("e1")})
         for spoilt in (data[:-1], data[:20], b"", data[:-1] + bytes([data[-1] ^ 1])):
             with pytest.raises(InvalidSettingsError):
@@ -266,7 +266,7 @@
             with pytest.raises(InvalidSettingsError, match=key):
                 schema.decode_entry(key, entry)
 
-    def test_pieces_are_taken_in_order_only(self):
+    def test_pieces_are_accepted_in_order_only(self):
         whole = random.Random(1).randbytes(3 * PIECE_BYTES + 5)
         pieces, at = split_into_pieces(whole), VersionAssembly(4)
         assert len(pieces) == 4 and split_into_pieces(b"") == [b""]
@@ -282,7 +282,7 @@
 class TestMeet:
     @quick
     @given(rules(), rules(), rules())
-    def test_it_is_a_semilattice_and_the_empty_table_is_its_unit(self, one, two, three):
+    def test_intersection_is_a_semilattice_with_the_empty_table_as_unit(self, one, two, three):
         assert intersect(one, one) == one == intersect(one, NO_RULES) == intersect(NO_RULES, one)
         assert intersect(one, two) == intersect(two, one)
         assert intersect(intersect(one, two), three) == intersect(one, intersect(two, three))
@@ -290,7 +290,7 @@
 
     @quick
     @given(rules(), rules())
-    def test_it_permits_only_what_both_permit(self, one, two):
+    def test_intersection_permits_only_what_both_permit(self, one, two):
         both = intersect(one, two)
         for front in ("http", "tds"):
             holders = [table for table in (one, two) if f"scope/{front}" in table]
@@ -325,19 +325,19 @@
 
     @quick
     @given(rules(), rules())
-    def test_the_cheap_meet_of_neighbours_is_the_meet(self, one, two):
+    def test_intersection_with_a_child_equals_the_full_intersection(self, one, two):
         assert intersect_with_child(one, two, diff_rules(one, two)) == intersect(one, two)
 
     @quick
     @given(rules(), rules())
-    def test_versions_contradict_unless_all_that_is_agreed_is_alike(self, one, two):
+    def test_versions_contradict_unless_all_fleet_wide_entries_are_equal(self, one, two):
         assert contradicts(one, two) == contradicts(two, one)
         assert not contradicts(one, one)
         differ = {key for key in {*one, *two} if one.get(key) != two.get(key)}
         agreed = {key for key in differ if not key.startswith(("scope/", "limit/open"))}
         assert set(contradictions(one, two, 99)) == agreed
 
-    def test_a_drain_takes_the_room_that_anothers_limit_relies_on(self):
+    def test_intersection_lowers_a_limit_to_the_capacity_that_a_drain_leaves(self):
         base = parse_document((ENGINE + "most = 9\n" + ENGINE.replace("e1", "e2") + "most = 6\n" + PARTS).encode())
         drains = base | {"drain/e1": Ban("e1")}
         relies = base | {"limit/out": Limit(15.0)}
@@ -350,7 +350,7 @@
         with pytest.raises(InvalidSettingsError, match="limits.out"):
             validate(relies | {"drain/e1": Ban("e1")}, {"drain/e1": Ban("e1")})
 
-    def test_parts_that_add_up_past_the_whole_when_mixed_meet_below_it(self):
+    def test_intersection_of_shares_never_exceeds_the_whole(self):
         one, two = (
             {
                 "scope/coordinator": ListScope(),
@@ -404,33 +404,33 @@
 
 
 class TestHarm:
-    def test_each_figure_that_leaves_its_band_is_found_within_seconds_and_named(self):
+    def test_each_figure_beyond_its_guard_band_fails_the_canary_check_within_seconds(self):
         calm = [row(200, 1, 2, 2)] * 30
         for worse, word in ((row(200, 30), "failed"), (row(200, 0, 60), "refused"), (row(200, 1, 2, 40), "slow")):
             verdict, at = played(calm, [worse] * 14)
             assert verdict.startswith(word) and at <= 6, (verdict, at)
 
-    def test_few_requests_a_single_bad_window_and_a_gain_are_no_harm(self):
+    def test_few_requests_one_bad_window_or_an_improvement_pass_the_canary_check(self):
         assert played([row(2)] * 30, [row(2, 2)] * 16)[0] == PASSED
         calm, spike = [row(200, 1, 2, 2)] * 30, [row(200, 1)] * 5 + [row(200, 150)] + [row(200, 1)] * 10
         assert played(calm, spike)[0] == PASSED
         assert played([row(200, 100, 50, 60)] * 30, [row(200)] * 16)[0] == PASSED
         assert played([], [row(200, 150)] * 16)[0] == PASSED, "nothing tells what was usual"
 
-    def test_hardly_any_answers_while_requests_wait_are_a_stall_and_without_requests_none(self):
+    def test_few_answers_are_a_stall_only_while_requests_wait(self):
         verdict, at = played([row(200)] * 30, [row(3)] * 14, waiting=(4, 4))
         assert verdict == "stalled: 12 answers, usually 800; 12 requests wait" and at <= 6
         assert played([row(200)] * 30, [row(3)] * 16, waiting=(4, 0))[0] == PASSED
         assert played([row(8)] * 30, [row(0)] * 16, waiting=(1, 1))[0] == PASSED, "few were usual"
 
-    def test_what_was_as_bad_before_is_no_harm_and_a_restart_takes_nothing_back(self):
+    def test_figures_as_bad_as_the_baseline_pass_and_a_restart_subtracts_nothing(self):
         assert played([row(200, 40, 30, 20)] * 30, [row(200, 42, 30, 20)] * 16)[0] == PASSED
         judge = CanaryCheck()
         judge.observe(0.0, {"c1": (1, tuple(row(100)))})
         judge.observe(600.0, {"c1": (2, tuple(row(10))), "c2": (1, (1, 2))})
         assert sum(sum(window) for window in judge._windows) == 0, "a new process, and figures of another form"
 
-    def test_calm_series_with_noise_and_bursts_are_hardly_ever_called_harmful(self):
+    def test_noise_and_bursts_hardly_ever_fail_the_canary_check(self):
         rng, called = random.Random(4), 0
 
         def hits(count, rate):  # of a Poisson count, by its gaps
@@ -451,7 +451,7 @@
             called += played([window() for _ in range(30)], [window() for _ in range(14)])[0] != PASSED
         assert called <= 2, f"{called} of 200"
 
-    def test_versions_in_a_row_are_held_against_the_time_before_the_first(self):
+    def test_versions_in_a_row_are_compared_with_the_baseline_of_the_first(self):
         judge, total, now = CanaryCheck(), [0] * (HEADER_FIGURES + LATENCY_BUCKETS), 0.0
         for number in range(60):
             told = row(200, 1) if number < 30 else row(200, 40)
@@ -462,7 +462,7 @@
                 judge.start_trial(now)
         assert judge.verdict(now).startswith("failed")
 
-    def test_nothing_is_judged_anew_that_has_not_changed(self):
+    def test_verdict_is_computed_once_for_each_finished_window(self):
         class Told(tuple):
             reads = 0
 
@@ -484,6 +484,6 @@
         assert 0 < bounds.call_count <= 6, "once for a window"
 
 
-def test_meeting_costs_nothing_for_one_table():
+def test_intersection_of_a_table_with_itself_is_that_table():
     table = Map({"ban/e1": Ban("e1")})
     assert meeting.intersect(table, table) is table
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -4,10 +4,10 @@
 from unittest import mock
 
 import pytest
-from agreeing import TERMS, World, ban, draft, span
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
+from settings_cluster import SETTINGS, SettingsCluster, ban, draft, span
 
 from frostspindle.lab.explore import explore
 from frostspindle.settings import drafts, log_commands, state_machine
@@ -67,7 +67,7 @@
 
 
 class TestMachine:
-    def test_versions_go_from_draft_to_live_one_at_a_time(self):
+    def test_one_version_at_a_time_goes_from_draft_to_active(self):
         fed = Fed()
         fed.push(ban("e1"), live=False)
         assert fed.machine.candidate_versions == (0, 1)
@@ -93,7 +93,7 @@
         assert fed.machine.events[-1].reason == "c2: engine: no" and fed.machine.versions.get(2) is None
         assert fed.push(ban("e3")).rules == fed.machine.version(3).rules
 
-    def test_a_publisher_of_the_past_is_refused_whatever_it_says(self):
+    def test_stale_fencing_token_is_refused_for_every_command(self):
         fed = Fed()
         fed.push(ban("e1"), token=5, proven=False)
         fed.push(ban("e2"), token=9, live=False)
@@ -111,7 +111,7 @@
             assert fed(word) == "no: stale", word
         assert fed.machine.counts["stale"] == 9 and fed.machine.highest_token == 9 and fed(Activate(9, 2)) == "ok"
 
-    def test_a_version_that_came_twice_out_of_order_with_a_gap_or_spoilt_is_none(self):
+    def test_draft_pieces_repeated_out_of_order_missing_or_corrupt_make_no_version(self):
         fed = Fed()
         changes = {f"ban/e{n}": Ban(f"e{n}", random.Random(n).randbytes(90).hex()) for n in range(1_500)}
         made = EMPTY_VERSION.child(1, changes)
@@ -145,7 +145,7 @@
         )
         assert {fed.machine.counts[what] for what in ("gap", "repeat", "other", "old")} >= {1}
 
-    def test_a_long_version_is_made_ahead_in_slices_and_its_publication_makes_nothing(self):
+    def test_large_version_is_built_ahead_in_slices_and_not_again_at_publication(self):
         fed, twin, changes = Fed(), Fed(), {f"ban/e{n}": Ban(f"e{n}") for n in range(3_000)}
         for one in (fed, twin):
             one.draft(changes)
@@ -161,8 +161,8 @@
         with mock.patch(
             "frostspindle.settings.member_decisions.intersect_with_child", side_effect=AssertionError("met again")
         ):
-            holder = MemberDecisions("c1", 1, TERMS, fed.machine, 0.0)
-            assert len(holder._intersection((EMPTY_VERSION, fed.machine.version(1)), "pending").rules) == 3_000
+            decisions = MemberDecisions("c1", 1, SETTINGS, fed.machine, 0.0)
+            assert len(decisions._intersection((EMPTY_VERSION, fed.machine.version(1)), "pending").rules) == 3_000
         assert twin(PublishVersion(5, "me/1/1")) == "ok 1" and twin.machine.state() == fed.machine.state()
         assert fed(Activate(5, 1)) == "ok" and fed(Confirm(5, 1)) == "ok"
         # What a draft would go back to may be gone until it is published; a bad one says so at its publication.
@@ -178,7 +178,7 @@
             fed.machine.build_slice()
         assert fed(PublishVersion(5, "me/1/100")).startswith("no: checksum")
 
-    def test_what_harmed_is_rolled_back_under_a_new_number_and_not_taken_again(self):
+    def test_rollback_makes_a_new_version_and_refuses_the_failed_rules_afterwards(self):
         fed = Fed()
         good, bad = fed.push(ban("e1")), fed.push(ban("e2"), proven=False)
         assert fed(Rollback(5, 1, "")) == "no: not on trial"
@@ -193,7 +193,7 @@
         assert fed(PublishVersion(5, "op/1/51")).startswith("no: harmful")
         fed.push(ban("e3"))
 
-    def test_rollback_goes_to_any_of_the_last_versions_and_no_further(self):
+    def test_draft_can_return_to_any_kept_version(self):
         fed = Fed()
         tables = [fed.push(ban(f"e{n}")).rules for n in range(KEPT_VERSIONS + 4)]
         assert len(fed.machine.versions) == KEPT_VERSIONS
@@ -214,7 +214,7 @@
             if fed.machine.pending_version:
                 fed(Activate(5, fed.machine.pending_version))
 
-    def test_every_table_is_bounded_and_says_so(self):
+    def test_every_table_is_bounded_and_refuses_when_full(self):
         fed = Fed()
         for number in range(drafts.MAX_DRAFTS):
             assert fed(draft(EMPTY_VERSION, ban("e1"), number, f"op{number}")[0]) == "ok"
@@ -256,7 +256,7 @@
             and len(fed.machine.events) == state_machine.MAX_EVENTS
         )
 
-    def test_versions_too_large_for_a_snapshot_are_refused_and_others_go_on(self):
+    def test_version_too_large_for_a_snapshot_is_refused_and_others_are_not(self):
         fed = Fed()
         text = {f"ban/e{n}": Ban(f"e{n}", "x" * 180) for n in range(9_000)}
         fed.push(text, proven=False)
@@ -265,7 +265,7 @@
         fed.push(ban("f1"))
         assert len(fed.machine.state()) < 4 << 20
 
-    def test_whatever_the_bytes_nothing_is_raised(self):
+    def test_apply_never_raises_for_any_bytes(self):
         fed, rng = Fed(), random.Random(3)
         good = [
             encode_command(word)
@@ -278,7 +278,7 @@
                     data[rng.randrange(len(data))] = rng.randrange(256)
             assert fed(bytes(data[: rng.randrange(len(data) + 1)])).startswith(("ok", "no: "))
 
-    def test_a_machine_from_a_snapshot_goes_on_as_the_one_it_is_of(self):
+    def test_restored_machine_continues_like_the_original(self):
         fed, rng = Fed(), random.Random(8)
         twin = None
         for step in range(120):
@@ -313,190 +313,198 @@
 
 
 def agreed(count=3, **more):
-    """A world whose coordinators act on version 1 plainly, with e1 banned."""
-    world = World(count, **more)
-    world.nodes["c0"].publisher.on_lease_acquired(0.0, 10)
-    world.propose(draft(EMPTY_VERSION, ban("e1"))[0])
-    world.settle(16)
-    assert {acting.sole_version for acting in world.active_rules().values()} == {1} and world.nodes[
+    """A cluster whose coordinators act on version 1 plainly, with e1 banned."""
+    cluster = SettingsCluster(count, **more)
+    cluster.nodes["c0"].publisher.on_lease_acquired(0.0, 10)
+    cluster.propose(draft(EMPTY_VERSION, ban("e1"))[0])
+    cluster.settle(16)
+    assert {acting.sole_version for acting in cluster.active_rules().values()} == {1} and cluster.nodes[
         "c0"
     ].machine.confirmed_version == 1
-    return world
+    return cluster
 
 
-def push(world, changes, number, base=None):
-    node = next(iter(world.nodes.values()))
+def push(cluster, changes, number, base=None):
+    node = next(iter(cluster.nodes.values()))
     word, _ = draft(base or node.machine.version(node.machine.active_version), changes, number)
-    world.propose(word)
+    cluster.propose(word)
 
 
 class TestDecisions:
-    def test_a_version_is_met_then_kept_then_acknowledged_then_live(self):
-        world = agreed()
-        push(world, ban("e2"), 2)
-        world.apply("c0", 99)
-        assert isinstance(world.publish("c0"), PublishVersion)
-        world.apply("c1", 99)
-        c1 = world.nodes["c1"].member
+    def test_version_is_intersected_persisted_acknowledged_then_activated(self):
+        cluster = agreed()
+        push(cluster, ban("e2"), 2)
+        cluster.apply("c0", 99)
+        assert isinstance(cluster.publish("c0"), PublishVersion)
+        cluster.apply("c1", 99)
+        c1 = cluster.nodes["c1"].member
         assert (c1.applied.mode, c1.applied.versions, c1.applied.reason) == (RulesMode.INTERSECTION, (1, 2), "pending")
         assert c1._acknowledged_version() == 1, "not kept yet"
-        assert world.keep("c1") and world.hold("c1").acknowledged == 2
-        world.apply("c0", 99)
-        assert world.publish("c0") is None, "c2 has not said a word, and may act on version 1"
-        world.settle(3)
-        assert {acting.sole_version for acting in world.active_rules().values()} == {2}
-
-    def test_a_lease_counts_from_before_its_hold_was_proposed_however_late_that_is_applied(self):
-        world = agreed()
-        holder = world.nodes["c1"].member
-        world.pass_time(500.0)
-        assert world.hold("c1") is not None
-        asked = world.now
-        world.pass_time(1_300.0)
-        world.apply("c1", 99)
-        assert holder.lease_until_ms == asked + TERMS.own_lease_ms
-        world.pass_time(701.0)
-        assert world.active_rules()["c1"].reason == "alone"
-
-    def test_a_start_whose_log_is_behind_what_it_kept_goes_on_keeping_that(self):
-        world = agreed()
-        push(world, ban("e2"), 2)
-        world.settle(3)
-        assert [version.number for version in world.disks["c1"].versions] == [1, 2]
-        world.crash("c1")
-        world.start("c1")
-        node = world.nodes["c1"]
+        assert cluster.persist("c1") and cluster.renew("c1").acknowledged == 2
+        cluster.apply("c0", 99)
+        assert cluster.publish("c0") is None, "c2 has not said a word, and may act on version 1"
+        cluster.settle(3)
+        assert {acting.sole_version for acting in cluster.active_rules().values()} == {2}
+
+    def test_lease_counts_from_the_proposal_of_its_renewal_however_late_that_is_applied(self):
+        cluster = agreed()
+        decisions = cluster.nodes["c1"].member
+        cluster.pass_time(500.0)
+        assert cluster.renew("c1") is not None
+        asked = cluster.now
+        cluster.pass_time(1_300.0)
+        cluster.apply("c1", 99)
+        assert decisions.lease_until_ms == asked + SETTINGS.own_lease_ms
+        cluster.pass_time(701.0)
+        assert cluster.active_rules()["c1"].reason == "alone"
+
+    def test_start_with_a_log_behind_the_store_keeps_the_stored_versions(self):
+        cluster = agreed()
+        push(cluster, ban("e2"), 2)
+        cluster.settle(3)
+        assert [version.number for version in cluster.disks["c1"].versions] == [1, 2]
+        cluster.crash("c1")
+        cluster.start("c1")
+        node = cluster.nodes["c1"]
         while node.machine.active_version < 1:
-            world.apply("c1")
-        assert not world.keep("c1") and node.member.current_rules(world.now).versions == (1, 2)
-        world.settle(3)
-        assert world.active_rules()["c1"].sole_version == 2
-
-    def test_who_does_not_hear_stops_acting_plainly_before_the_next_version_is_live(self):
-        world = agreed()
-        push(world, ban("e2"), 2)
-        heard = [name for name in world.nodes if name != "c2"]
+            cluster.apply("c1")
+        assert not cluster.persist("c1") and node.member.current_rules(cluster.now).versions == (1, 2)
+        cluster.settle(3)
+        assert cluster.active_rules()["c1"].sole_version == 2
+
+    def test_isolated_member_stops_using_one_version_before_the_next_is_activated(self):
+        cluster = agreed()
+        push(cluster, ban("e2"), 2)
+        heard = [name for name in cluster.nodes if name != "c2"]
         live_at = None
         for _ in range(80):
             for name in heard:
-                world.hold(name)
-                world.publish(name)
+                cluster.renew(name)
+                cluster.publish(name)
             for name in heard:
-                world.apply(name, 99)
-                world.keep(name)
-            world.pass_time(50.0)
-            if live_at is None and world.nodes["c0"].machine.active_version == 2:
-                live_at = world.now
-                assert world.active_rules()["c2"].mode == RulesMode.INTERSECTION
-            assert world.fault() is None
-        assert live_at is not None and world.active_rules()["c2"].reason == "alone"
-        assert world.nodes["c2"].member.counts["leases_lost"] == 1
-        world.settle(4)
-        assert {acting.sole_version for acting in world.active_rules().values()} == {2}
-
-    def test_alone_in_the_strict_mode_it_refuses(self):
-        world = agreed(terms=AgreementSettings(2_000.0, 0.0, 4_000.0, isolation_mode=RulesMode.REJECT))
-        world.pass_time(2_000.0)
-        assert {(acting.mode, acting.reason) for acting in world.active_rules().values()} == {
+                cluster.apply(name, 99)
+                cluster.persist(name)
+            cluster.pass_time(50.0)
+            if live_at is None and cluster.nodes["c0"].machine.active_version == 2:
+                live_at = cluster.now
+                assert cluster.active_rules()["c2"].mode == RulesMode.INTERSECTION
+            assert cluster.fault() is None
+        assert live_at is not None and cluster.active_rules()["c2"].reason == "alone"
+        assert cluster.nodes["c2"].member.counts["leases_lost"] == 1
+        cluster.settle(4)
+        assert {acting.sole_version for acting in cluster.active_rules().values()} == {2}
+
+    def test_isolated_member_rejects_in_the_strict_mode(self):
+        cluster = agreed(settings=AgreementSettings(2_000.0, 0.0, 4_000.0, isolation_mode=RulesMode.REJECT))
+        cluster.pass_time(2_000.0)
+        assert {(acting.mode, acting.reason) for acting in cluster.active_rules().values()} == {
             (RulesMode.REJECT, "alone")
         }
-        world.crash("c1")
-        world.start("c1")
-        assert world.active_rules()["c1"].mode == RulesMode.REJECT
-        world.crash("c2")
-        world.disks["c2"] = type(world.disks["c2"])()
-        world.start("c2")
-        assert world.active_rules()["c2"].mode == RulesMode.LOCAL_FILES, "nothing was ever agreed as far as it knows"
-
-    def test_a_clock_that_is_slow_by_the_drift_is_still_covered(self):
-        terms = AgreementSettings(2_000.0, 0.05)
-        assert terms.own_lease_ms / (1.0 - terms.drift) <= terms.lease_ms <= terms.peer_lease_ms / (1.0 + terms.drift)
-
-    def test_one_that_can_not_take_it_has_it_withdrawn_and_says_why(self):
-        world = agreed(
-            fits=lambda name, version: "limits.x: needs a new start" * (name == "c2" and "ban/e2" in version.rules)
+        cluster.crash("c1")
+        cluster.start("c1")
+        assert cluster.active_rules()["c1"].mode == RulesMode.REJECT
+        cluster.crash("c2")
+        cluster.disks["c2"] = type(cluster.disks["c2"])()
+        cluster.start("c2")
+        assert cluster.active_rules()["c2"].mode == RulesMode.LOCAL_FILES, "nothing was ever agreed as far as it knows"
+
+    def test_clock_slow_by_the_drift_is_covered_by_the_publishers_wait(self):
+        settings = AgreementSettings(2_000.0, 0.05)
+        assert (
+            settings.own_lease_ms / (1.0 - settings.drift)
+            <= settings.lease_ms
+            <= settings.peer_lease_ms / (1.0 + settings.drift)
+        )
+
+    def test_version_rejected_by_one_member_is_withdrawn_with_its_reason(self):
+        cluster = agreed(
+            why_not_applicable=lambda name, version: (
+                "limits.x: needs a new start" * (name == "c2" and "ban/e2" in version.rules)
+            )
         )
-        push(world, ban("e2"), 2)
-        world.settle(4)
-        news = world.nodes["c0"].machine.events
+        push(cluster, ban("e2"), 2)
+        cluster.settle(4)
+        news = cluster.nodes["c0"].machine.events
         assert [(line.what, line.version, line.reason) for line in news][-1] == (
             "withdrawn",
             2,
             "c2: limits.x: needs a new start",
         )
-        assert {acting.sole_version for acting in world.active_rules().values()} == {1} and world.fault() is None
-
-    def test_one_that_starts_late_and_can_not_take_the_live_one_acts_on_the_meet(self):
-        world = agreed(fits=lambda name, version: "no" * (name == "c2" and "ban/e2" in version.rules))
-        world.crash("c2")
-        world.pass_time(5_000.0)
-        push(world, ban("e2"), 2)
-        world.settle(20)
-        assert world.nodes["c0"].machine.active_version == 2
-        world.start("c2")
-        world.settle(6)
-        acting = world.active_rules()["c2"]
-        assert (acting.mode, acting.reason) == (RulesMode.INTERSECTION, "unfit") and world.fault() is None
-        assert world.nodes["c0"].machine.members["c2"].renewal.rejected == 2
-
-    def test_a_publisher_that_dies_between_the_log_and_its_acknowledgements_is_followed_by_the_next(self):
-        world = agreed()
-        push(world, ban("e2"), 2)
-        world.apply("c0", 99)
-        assert isinstance(world.publish("c0"), PublishVersion)
-        world.crash("c0")
-        world.nodes["c1"].publisher.on_lease_acquired(world.now, 20)
+        assert {acting.sole_version for acting in cluster.active_rules().values()} == {1} and cluster.fault() is None
+
+    def test_late_member_that_can_not_apply_the_active_version_uses_the_intersection(self):
+        cluster = agreed(why_not_applicable=lambda name, version: "no" * (name == "c2" and "ban/e2" in version.rules))
+        cluster.crash("c2")
+        cluster.pass_time(5_000.0)
+        push(cluster, ban("e2"), 2)
+        cluster.settle(20)
+        assert cluster.nodes["c0"].machine.active_version == 2
+        cluster.start("c2")
+        cluster.settle(6)
+        acting = cluster.active_rules()["c2"]
+        assert (acting.mode, acting.reason) == (RulesMode.INTERSECTION, "unfit") and cluster.fault() is None
+        assert cluster.nodes["c0"].machine.members["c2"].renewal.rejected == 2
+
+    def test_next_publisher_continues_after_one_that_died_while_a_version_was_pending(self):
+        cluster = agreed()
+        push(cluster, ban("e2"), 2)
+        cluster.apply("c0", 99)
+        assert isinstance(cluster.publish("c0"), PublishVersion)
+        cluster.crash("c0")
+        cluster.nodes["c1"].publisher.on_lease_acquired(cluster.now, 20)
         for _ in range(12):
-            world.settle(1)
-            assert world.fault() is None
-        assert {acting.sole_version for acting in world.active_rules().values()} == {2}
+            cluster.settle(1)
+            assert cluster.fault() is None
+        assert {acting.sole_version for acting in cluster.active_rules().values()} == {2}
 
-    def test_two_publishers_at_once_never_have_two_versions_live(self):
-        world = agreed()
-        world.nodes["c1"].publisher.on_lease_acquired(world.now, 20)  # c0 has not noticed
+    def test_two_publishers_at_once_never_activate_two_versions(self):
+        cluster = agreed()
+        cluster.nodes["c1"].publisher.on_lease_acquired(cluster.now, 20)  # c0 has not noticed
         for number in range(2, 8):
-            push(world, ban(f"e{number}"), number)
-            world.settle(4)
-            assert world.fault() is None
-        assert world.nodes["c2"].machine.counts["stale"] and world.nodes["c2"].machine.active_version == 7
-
-    def test_a_start_without_the_fleet_meets_all_that_may_be_live(self):
-        world = agreed()
-        push(world, {"ban/e1": None, **ban("e2")}, 2)
-        for name in world.nodes:
-            world.apply(name, 99)
-        world.publish("c0")
-        for name in world.nodes:
-            world.apply(name, 99)
-        assert world.keep("c1")
-        world.crash("c1")
-        world.start("c1")
-        acting = world.active_rules()["c1"]
+            push(cluster, ban(f"e{number}"), number)
+            cluster.settle(4)
+            assert cluster.fault() is None
+        assert cluster.nodes["c2"].machine.counts["stale"] and cluster.nodes["c2"].machine.active_version == 7
+
+    def test_start_without_the_fleet_intersects_all_versions_that_may_be_active(self):
+        cluster = agreed()
+        push(cluster, {"ban/e1": None, **ban("e2")}, 2)
+        for name in cluster.nodes:
+            cluster.apply(name, 99)
+        cluster.publish("c0")
+        for name in cluster.nodes:
+            cluster.apply(name, 99)
+        assert cluster.persist("c1")
+        cluster.crash("c1")
+        cluster.start("c1")
+        acting = cluster.active_rules()["c1"]
         assert (acting.mode, acting.versions, acting.reason) == (RulesMode.INTERSECTION, (1, 2), "start")
         assert set(acting.rules) == {"ban/e1", "ban/e2"}
-        world.settle(4)
-        assert {acting.sole_version for acting in world.active_rules().values()} == {2}
-
-    def test_members_that_fell_silent_are_forgotten_and_one_that_left_is_not_waited_for(self):
-        world = agreed()
-        world.crash("c2")
-        push(world, ban("e2"), 2)
-        before = world.now
-        while world.nodes["c0"].machine.active_version == 1:
-            world.settle(1, 50.0)
-        assert 1_500.0 <= world.now - before <= 2_200.0, "the silent one is waited for, its lease long"
-        world.settle(14)
-        assert set(world.nodes["c0"].machine.members) == {"c0", "c1"}
-        world.propose(world.nodes["c1"].member.leave())
-        assert world.active_rules()["c1"].mode == RulesMode.INTERSECTION, "who leaves acts on nothing plainly any more"
-        world.crash("c1")
-        push(world, ban("e3"), 3)
-        before = world.now
-        while world.nodes["c0"].machine.active_version == 2:
-            world.settle(1, 50.0)
-        assert world.now - before <= 400.0
-
-    def test_a_word_of_one_coordinator_costs_no_look_at_all_and_who_fell_silent_is_found_all_the_same(self):
+        cluster.settle(4)
+        assert {acting.sole_version for acting in cluster.active_rules().values()} == {2}
+
+    def test_silent_members_are_removed_and_one_that_left_is_not_waited_for(self):
+        cluster = agreed()
+        cluster.crash("c2")
+        push(cluster, ban("e2"), 2)
+        before = cluster.now
+        while cluster.nodes["c0"].machine.active_version == 1:
+            cluster.settle(1, 50.0)
+        assert 1_500.0 <= cluster.now - before <= 2_200.0, "the silent one is waited for, its lease long"
+        cluster.settle(14)
+        assert set(cluster.nodes["c0"].machine.members) == {"c0", "c1"}
+        cluster.propose(cluster.nodes["c1"].member.leave())
+        assert cluster.active_rules()["c1"].mode == RulesMode.INTERSECTION, (
+            "who leaves acts on nothing plainly any more"
+        )
+        cluster.crash("c1")
+        push(cluster, ban("e3"), 3)
+        before = cluster.now
+        while cluster.nodes["c0"].machine.active_version == 2:
+            cluster.settle(1, 50.0)
+        assert cluster.now - before <= 400.0
+
+    def test_publisher_looks_at_updated_members_alone_and_still_finds_silent_ones(self):
         class Many(dict):
             def items(self):
                 raise AssertionError("all are looked at")
@@ -504,7 +512,7 @@
             values = keys = __iter__ = items
 
         fed = Fed()
-        publisher = PublisherDecisions(TERMS, fed.machine, CanaryCheck())
+        publisher = PublisherDecisions(SETTINGS, fed.machine, CanaryCheck())
         for n in range(9):
             assert fed(RenewLease(f"c{n}", 1, 1)) == "ok"
         publisher.on_lease_acquired(0.0, 5)
@@ -527,76 +535,76 @@
         publisher.on_lease_acquired(4_300.0, 6)
         assert publisher.next_command(4_300.0) is None and publisher.next_command(8_400.0).name == "c1"
 
-    def test_harm_is_rolled_back_by_the_publisher_and_the_next_version_is_taken(self):
-        world, figures = agreed(1), [0] * (HEADER_FIGURES + LATENCY_BUCKETS)
-        node = world.nodes["c0"]
+    def test_version_that_fails_the_canary_check_is_rolled_back_and_the_next_accepted(self):
+        cluster, figures = agreed(1), [0] * (HEADER_FIGURES + LATENCY_BUCKETS)
+        node = cluster.nodes["c0"]
         node.publisher.canary = CanaryCheck()
-        holder = node.member
+        decisions = node.member
 
         def run(fails, steps):
             for _ in range(steps):
                 figures[0] += 100
                 figures[1] += fails
                 figures[HEADER_FIGURES + 3] += 100
-                word = holder.next_renewal(world.now, tuple(figures))
+                word = decisions.next_renewal(cluster.now, tuple(figures))
                 if word is not None:
-                    world.propose(word)
-                world.apply("c0", 99)
-                world.publish("c0")
-                world.apply("c0", 99)
-                world.keep("c0")
-                world.pass_time(100.0)
+                    cluster.propose(word)
+                cluster.apply("c0", 99)
+                cluster.publish("c0")
+                cluster.apply("c0", 99)
+                cluster.persist("c0")
+                cluster.pass_time(100.0)
 
         run(0, 120)
-        push(world, ban("e2"), 2)
+        push(cluster, ban("e2"), 2)
         run(0, 8)
         assert node.machine.active_version == 2 and node.machine.trial_index
         run(30, 40)
         news = [line for line in node.machine.events if line.what == "rolled back"]
         assert len(news) == 1 and news[0].reason.startswith("failed: ")
         assert node.machine.version(node.machine.active_version).rules == node.machine.version(1).rules
-        push(world, ban("e2"), 3)
+        push(cluster, ban("e2"), 3)
         run(0, 10)
         assert node.machine.events[-1].reason.startswith("harmful")
-        push(world, ban("e4"), 4)
+        push(cluster, ban("e4"), 4)
         run(0, 10)
         assert "ban/e4" in node.machine.version(node.machine.active_version).rules
 
-    def test_the_next_publisher_judges_by_what_was_usual_before_the_version_and_rolls_it_back(self):
-        world, counts = agreed(), {name: [0] * (HEADER_FIGURES + LATENCY_BUCKETS) for name in ("c0", "c1", "c2")}
+    def test_next_publisher_rolls_back_by_the_baseline_of_the_one_before(self):
+        cluster, counts = agreed(), {name: [0] * (HEADER_FIGURES + LATENCY_BUCKETS) for name in ("c0", "c1", "c2")}
 
         def run(fails, until, steps=100):
             for _ in range(steps):
-                for name, node in world.nodes.items():
+                for name, node in cluster.nodes.items():
                     node.publisher.canary = node.publisher.canary or CanaryCheck()
                     for place, more in ((0, 50), (1, fails), (HEADER_FIGURES + 3, 50)):
                         counts[name][place] += more
-                    if (word := node.member.next_renewal(world.now, tuple(counts[name]))) is not None:
-                        world.propose(word)
-                    world.publish(name)
-                for name in world.nodes:
-                    world.apply(name, 99)
-                    world.keep(name)
-                world.pass_time(100.0)
-                if until(next(iter(world.nodes.values())).machine):
+                    if (word := node.member.next_renewal(cluster.now, tuple(counts[name]))) is not None:
+                        cluster.propose(word)
+                    cluster.publish(name)
+                for name in cluster.nodes:
+                    cluster.apply(name, 99)
+                    cluster.persist(name)
+                cluster.pass_time(100.0)
+                if until(next(iter(cluster.nodes.values())).machine):
                     return
             raise AssertionError("it did not come to that")
 
-        run(0, lambda machine: world.now > 30_000.0, 400)
-        push(world, ban("e2"), 2)
+        run(0, lambda machine: cluster.now > 30_000.0, 400)
+        push(cluster, ban("e2"), 2)
         run(0, lambda machine: machine.active_version == 2)
-        trial = world.nodes["c0"].machine.baseline
-        assert trial[1] > 1_000 and world.nodes["c0"].machine.trial_index
+        trial = cluster.nodes["c0"].machine.baseline
+        assert trial[1] > 1_000 and cluster.nodes["c0"].machine.trial_index
         # Its publisher dies, and so do the others, who saw the time before it; one that has seen none of it publishes.
-        state, at = world.nodes["c1"].machine.state(), world.nodes["c1"].at
+        state, at = cluster.nodes["c1"].machine.state(), cluster.nodes["c1"].applied
         for name in ("c0", "c1", "c2"):
-            world.crash(name)
-        world.start("c1")
-        node = world.nodes["c1"]
+            cluster.crash(name)
+        cluster.start("c1")
+        node = cluster.nodes["c1"]
         node.machine.restore(at, state)
-        node.at = at
+        node.applied = at
         assert node.machine.baseline == trial
-        node.publisher.on_lease_acquired(world.now, 20)
+        node.publisher.on_lease_acquired(cluster.now, 20)
         run(20, lambda machine: machine.pending_version)
         assert node.machine.events[-1].what == "rolled back" and node.machine.events[-1].reason.startswith("failed: ")
         run(20, lambda machine: machine.active_version == 3)
@@ -621,7 +629,7 @@
         found = find_longest_contradiction([span("a", 1, 0, 4), span("b", 2, 2, 9), span("c", 3, 8, 20)], always)
         assert (found.longest_ms, found.total_ms, found.pair[0].node) == (2.0, 3.0, "a")
 
-    def test_lines_of_logs_are_read_with_leases_that_ran_out_and_processes_that_were_killed(self):
+    def test_audit_reads_expired_leases_and_killed_processes_from_log_lines(self):
         def line(node, at, mode, version, until=None):
             return {
                 "event": "settings_acting",
@@ -658,51 +666,53 @@
 
 
 def model(count, ticks, crashes, grants, holds, unfit=""):
-    """The steps of a small world in which version 2, that contradicts 1, is on its way: each coordinator proposes,
+    """The steps of a small cluster in which version 2, that contradicts 1, is on its way: each coordinator proposes,
     applies, keeps, crashes and starts; publishers publish; time passes by half a lease. Others' holds are applied along
     with what comes before them where nobody reads them there: they change nothing but the publisher's view."""
-    world = agreed(count, fits=lambda name, version: "no" * (name == unfit and "ban/e2" in version.rules))
-    names = list(world.disks)
+    cluster = agreed(
+        count, why_not_applicable=lambda name, version: "no" * (name == unfit and "ban/e2" in version.rules)
+    )
+    names = list(cluster.disks)
     for name in names:
-        world.hold(name)
-    live = world.nodes["c0"].machine.version(1)
-    world.propose(draft(live, {"ban/e1": None, **ban("e2")}, 99)[0])
+        cluster.renew(name)
+    live = cluster.nodes["c0"].machine.version(1)
+    cluster.propose(draft(live, {"ban/e1": None, **ban("e2")}, 99)[0])
     for name in names:
-        world.apply(name, 99)
-    start = len(world.log)
-    world.left = {"ticks": ticks, "crashes": crashes, "grants": grants, **dict.fromkeys(names, holds)}
+        cluster.apply(name, 99)
+    start = len(cluster.log)
+    cluster.left = {"ticks": ticks, "crashes": crashes, "grants": grants, **dict.fromkeys(names, holds)}
 
-    def hush(world, name):
-        node = world.nodes[name]
+    def hush(cluster, name):
+        node = cluster.nodes[name]
         while (
-            node.at < len(world.log)
+            node.applied < len(cluster.log)
             and not node.publisher.token
-            and isinstance(word := log_commands.decode_command(world.log[node.at]), RenewLease)
+            and isinstance(word := log_commands.decode_command(cluster.log[node.applied]), RenewLease)
             and word.name != name
         ):
-            world.apply(name)
+            cluster.apply(name)
 
-    def steps(world):
+    def steps(cluster):
         def spend(what=None):
-            other = world.copy()
-            other.left = dict(world.left)
+            other = cluster.copy()
+            other.left = dict(cluster.left)
             if what is not None:
                 other.left[what] -= 1
             return other
 
-        if world.left["ticks"]:
+        if cluster.left["ticks"]:
             other = spend("ticks")
             other.pass_time(1_000.0)
             yield "tick", other
         for name in names:
-            node = world.nodes.get(name)
+            node = cluster.nodes.get(name)
             if node is None:
                 other = spend()
                 other.start(name)
                 hush(other, name)
                 yield f"start {name}", other
                 continue
-            if node.at < len(world.log):
+            if node.applied < len(cluster.log):
                 other = spend()
                 other.apply(name)
                 hush(other, name)
@@ -715,63 +725,65 @@
                 isinstance(word := log_commands.decode_command(entry), RenewLease)
                 and word.name == name
                 and word.process == node.process
-                for entry in world.log[node.at :]
+                for entry in cluster.log[node.applied :]
             )
-            if world.left[name] and not waits:
+            if cluster.left[name] and not waits:
                 other = spend(name)
-                if other.hold(name) is not None:
+                if other.renew(name) is not None:
                     yield f"hold {name}", other
-            if world.left["grants"] and not node.publisher.token:
+            if cluster.left["grants"] and not node.publisher.token:
                 other = spend("grants")
                 other.nodes[name].publisher.on_lease_acquired(other.now, 20)
                 yield f"grant {name}", other
             other = spend()
-            if other.keep(name):
+            if other.persist(name):
                 yield f"keep {name}", other
-            if world.left["crashes"]:
+            if cluster.left["crashes"]:
                 other = spend("crashes")
                 other.crash(name)
                 yield f"crash {name}", other
 
-    def key(world):
+    def key(cluster):
         def of(node):
             if node is None:
                 return None
-            holder, publisher, machine = node.member, node.publisher, node.machine
+            decisions, publisher, machine = node.member, node.publisher, node.machine
             return (
-                node.at,
+                node.applied,
                 node.process,
-                holder.has_renewed,
-                max(-1.0, holder.lease_until_ms - world.now),
-                holder._last_reported,
-                tuple(sorted(holder.durable_digests)),
-                max(-1.0, holder._renewal_due_ms - world.now),
+                decisions.has_renewed,
+                max(-1.0, decisions.lease_until_ms - cluster.now),
+                decisions._last_reported,
+                tuple(sorted(decisions.durable_digests)),
+                max(-1.0, decisions._renewal_due_ms - cluster.now),
                 machine.candidate_versions,
                 machine.highest_token,
-                tuple((n, at - world.now) for n, at in holder._renewals_in_flight.items()),
+                tuple((n, at - cluster.now) for n, at in decisions._renewals_in_flight.items()),
                 publisher.token,
                 publisher._pending_since[0],
-                max(-3e3, publisher._pending_since[1] - world.now),
+                max(-3e3, publisher._pending_since[1] - cluster.now),
             )
 
         return (
-            tuple(world.log[start:]),
-            tuple(world.left.values()),
-            tuple((of(world.nodes.get(name)), tuple(v.number for v in world.disks[name].versions)) for name in names),
+            tuple(cluster.log[start:]),
+            tuple(cluster.left.values()),
+            tuple(
+                (of(cluster.nodes.get(name)), tuple(v.number for v in cluster.disks[name].versions)) for name in names
+            ),
         )
 
-    return world, steps, key
+    return cluster, steps, key
 
 
 @pytest.mark.parametrize(
     "count, ticks, crashes, grants, holds, unfit, limit",
     [(2, 2, 0, 0, 1, "", 4_000), (2, 1, 1, 1, 1, "", 1_200), (3, 1, 1, 0, 1, "c1", 800)],
 )
-def test_in_every_order_of_apply_keep_and_crash_no_two_act_on_contradicting_versions(
+def test_no_order_of_apply_persist_and_crash_lets_two_act_on_contradicting_versions(
     count, ticks, crashes, grants, holds, unfit, limit
 ):
-    world, steps, key = model(count, ticks, crashes, grants, holds, unfit)
-    found = explore(world, steps, World.fault, limit, key=key)
+    cluster, steps, key = model(count, ticks, crashes, grants, holds, unfit)
+    found = explore(cluster, steps, SettingsCluster.fault, limit, key=key)
     assert found.fault is None, str(found)
     assert found.holds or found.states == limit, str(found)  # longer searches: bench/settings.py
     assert found.labels["publish"] and found.labels["apply"] and found.labels["hold"] and found.labels["keep"]
@@ -785,8 +797,8 @@
 
     def __init__(self):
         super().__init__()
-        self.world, self.number, self.tokens = World(3, TERMS), 0, 10
-        self.world.nodes["c0"].publisher.on_lease_acquired(0.0, 10)
+        self.cluster, self.number, self.tokens = SettingsCluster(3, SETTINGS), 0, 10
+        self.cluster.nodes["c0"].publisher.on_lease_acquired(0.0, 10)
 
     names = st.sampled_from(["c0", "c1", "c2"])
 
@@ -796,8 +808,8 @@
         node=names,
     )
     def draft(self, kind, engine, node):
-        node = self.world.nodes.get(node)
-        if node is None or len(self.world.log) > 400:
+        node = self.cluster.nodes.get(node)
+        if node is None or len(self.cluster.log) > 400:
             return
         self.number += 1
         live = node.machine.version(node.machine.active_version)
@@ -824,69 +836,69 @@
         elif kind == "back":
             word = DraftPiece("op", 1, self.number, -1, word.digest, target_version=max(0, live.number - engine))
         for _ in range(2 if kind == "twice" else 1):
-            self.world.propose(word)
+            self.cluster.propose(word)
 
     @rule(name=names, most=st.integers(1, 6))
     def apply(self, name, most):
-        if name in self.world.nodes:
-            self.world.apply(name, most)
+        if name in self.cluster.nodes:
+            self.cluster.apply(name, most)
 
     @rule(name=names)
-    def hold(self, name):
-        if name in self.world.nodes:
-            self.world.hold(name)
+    def renew(self, name):
+        if name in self.cluster.nodes:
+            self.cluster.renew(name)
 
-    @rule(name=names, less=st.booleans())
-    def keep(self, name, less):
-        if name in self.world.nodes:
-            self.world.keep(name, less)
+    @rule(name=names, include_removals=st.booleans())
+    def persist(self, name, include_removals):
+        if name in self.cluster.nodes:
+            self.cluster.persist(name, include_removals)
 
     @rule(name=names)
     def publish(self, name):
-        if name in self.world.nodes:
-            self.world.publish(name)
+        if name in self.cluster.nodes:
+            self.cluster.publish(name)
 
     @rule(name=names)
     def grant(self, name):
-        if name in self.world.nodes:
+        if name in self.cluster.nodes:
             self.tokens += 1
-            self.world.nodes[name].publisher.on_lease_acquired(self.world.now, self.tokens)
+            self.cluster.nodes[name].publisher.on_lease_acquired(self.cluster.now, self.tokens)
 
     @rule(ms=st.sampled_from([10.0, 300.0, 900.0, 2_500.0]))
     def pass_time(self, ms):
-        self.world.pass_time(ms)
+        self.cluster.pass_time(ms)
 
     @rule(rounds=st.integers(1, 4))
     def calm(self, rounds):
-        self.world.settle(rounds, 200.0)
+        self.cluster.settle(rounds, 200.0)
 
-    @precondition(lambda self: len(self.world.nodes) > 1)
+    @precondition(lambda self: len(self.cluster.nodes) > 1)
     @rule(name=names)
     def crash(self, name):
-        if name in self.world.nodes:
-            self.world.crash(name)
+        if name in self.cluster.nodes:
+            self.cluster.crash(name)
 
     @rule(name=names)
     def start(self, name):
-        if name not in self.world.nodes:
-            self.world.start(name)
+        if name not in self.cluster.nodes:
+            self.cluster.start(name)
 
     @rule(name=names)
     def snapshot(self, name):
         """A late one gets another's state in place of entries."""
-        if name not in self.world.nodes:
+        if name not in self.cluster.nodes:
             return
-        late, donor = self.world.nodes[name], max(self.world.nodes.values(), key=lambda node: node.at)
-        if donor.at > late.at:
-            late.machine.restore(donor.at, donor.machine.state())
-            late.at = donor.at
-            late.member.on_entry_applied(self.world.now, b"", b"")
-            self.world.look(name)
+        late, donor = self.cluster.nodes[name], max(self.cluster.nodes.values(), key=lambda node: node.applied)
+        if donor.applied > late.applied:
+            late.machine.restore(donor.applied, donor.machine.state())
+            late.applied = donor.applied
+            late.member.on_entry_applied(self.cluster.now, b"", b"")
+            self.cluster.refresh(name)
 
     @invariant()
     def holds(self):
-        assert self.world.fault() is None
-        for node in self.world.nodes.values():
+        assert self.cluster.fault() is None
+        for node in self.cluster.nodes.values():
             machine = node.machine
             assert (
                 machine.confirmed_version <= machine.active_version <= machine.last_version
@@ -897,18 +909,18 @@
                 machine.version(number)
 
     def teardown(self):
-        if not self.world.nodes:
-            self.world.start("c0")
+        if not self.cluster.nodes:
+            self.cluster.start("c0")
         self.tokens += 1
-        next(iter(self.world.nodes.values())).publisher.on_lease_acquired(self.world.now, self.tokens)
-        self.world.settle(30)
-        told = self.world.active_rules()
+        next(iter(self.cluster.nodes.values())).publisher.on_lease_acquired(self.cluster.now, self.tokens)
+        self.cluster.settle(30)
+        told = self.cluster.active_rules()
         assert len({acting.sole_version for acting in told.values()}) == 1 and all(
             acting.mode in (RulesMode.VERSION, RulesMode.LOCAL_FILES) for acting in told.values()
         ), told
 
 
-def test_any_order_of_pushes_leases_crashes_and_snapshots_ends_in_one_version():
+def test_random_pushes_leases_crashes_and_snapshots_converge_to_one_version():
     run_state_machine_as_test(
         Versions, settings=runs(max_examples=40, stateful_step_count=30, deadline=None, derandomize=True, database=None)
     )
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -60,7 +60,7 @@
 
 
 class ConfigCase(unittest.TestCase):
-    def test_the_example_is_good_and_each_fault_is_named_by_its_key(self):
+    def test_example_section_is_valid_and_each_fault_names_its_key(self):
         self.assertEqual(read((ROOT / "deploy" / "settings.toml").read_text()).operator.settings.lease_ms, 2_000)
         self.assertIsNone(read("").operator.settings)
         for text, key in (
@@ -81,7 +81,7 @@
         ):
             read("[settings]")
 
-    def test_a_bad_file_of_settings_ends_the_start_with_its_key(self):
+    def test_invalid_settings_file_ends_the_start_naming_the_key(self):
         with tempfile.TemporaryDirectory() as folder:
             files = {name: Path(folder, name) for name in ("config.json", "operator.toml", "version.toml")}
             files["config.json"].write_text(json.dumps(document([])))
@@ -98,7 +98,7 @@
         self.assertEqual(ended.returncode, 2, ended.stderr)
         self.assertIn("settings.file: class/lookup.effect: needs a new start", ended.stderr.splitlines()[-1])
 
-    def test_a_process_without_it_loads_nothing_of_it(self):
+    def test_process_without_settings_loads_none_of_its_modules(self):
         loaded = subprocess.run(
             [sys.executable, "-c", "import sys, frostspindle.program, frostspindle.cli; print(*sys.modules)"],
             capture_output=True,
@@ -116,7 +116,7 @@
             [],
         )
 
-    def test_the_schema_is_printed_and_a_bad_file_ends_with_its_key(self):
+    def test_schema_is_printed_and_invalid_file_names_the_key(self):
         told = CliRunner().invoke(cli, ["settings", "schema"])
         self.assertIn("share_per_s", json.loads(told.output)["$defs"]["Tenant"]["properties"])
         good = CliRunner().invoke(cli, ["settings", "push", "--check", str(ROOT / "deploy/settings/version.toml")])
@@ -137,7 +137,7 @@
         self.assertEqual(json.loads(first.output)["contradiction_ms"], 0.0)
         self.assertEqual(CliRunner().invoke(cli, ["lab", "settings", "--faults", "1 rain"]).exit_code, 2)
 
-    def test_under_drawn_faults_no_two_act_on_contradicting_versions_for_longer_than_a_lease(self):
+    def test_no_contradiction_lasts_longer_than_a_lease_under_random_faults(self):
         versions = contradicting = leaders = 0
         for seed in range(10):
             world = playing.play(5 + 2 * (seed % 2), seed, "drawn", 18.0)
@@ -150,7 +150,7 @@
         self.assertGreater(min(versions, contradicting), 30)
         self.assertGreater(leaders, 11)
 
-    def test_a_version_pushed_during_a_cut_reaches_the_majority_in_a_lease_and_the_rest_when_it_heals(self):
+    def test_version_pushed_during_a_partition_reaches_the_majority_in_a_lease(self):
         world = playing.Emulator(5, 3, parse("4-9 cut 0,1|2-4", 5), 14.0).run()
         during = [at for number, at in world.live_at.items() if 4_500.0 < at < 9_000.0]
         self.assertTrue(during)
@@ -158,7 +158,7 @@
         self.assertEqual(meets, [], "who is cut off acts on nothing plainly past its lease")
         self.assertEqual(len(playing.measure(world)["lives_at_the_end"]), 1)
 
-    def test_one_that_is_stopped_across_three_versions_acts_on_none_of_them_when_it_wakes(self):
+    def test_process_stopped_over_three_versions_acts_on_none_of_them_when_it_wakes(self):
         world = playing.Emulator(5, 9, parse("4 stop 3; 11 cont 3", 5), 16.0, push_s=(0.5, 0.9)).run()
         live = max(number for number, at in world.live_at.items() if at < 11_000.0)
         before = max(number for number, at in world.live_at.items() if at < 4_000.0)
@@ -167,7 +167,7 @@
         self.assertGreaterEqual(woke[0].version, live)
         self.assertEqual([span for span in world.spans if span.node == "c3" and 4_000.0 < span.ends < 11_000.0], [])
 
-    def test_with_the_strict_mode_nobody_permits_what_it_has_not_heard_is_forbidden(self):
+    def test_strict_mode_bounds_the_time_in_which_an_unknown_ban_is_ignored(self):
         for refuse in (True, False):
             terms = AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else RulesMode.INTERSECTION)
             blind = [
@@ -213,7 +213,7 @@
         await self.quiet()
         return {state.name: int(state.entry.health) for state in self.core.engines.values()}
 
-    async def test_bans_and_drains_lie_over_the_staffs_and_go_with_their_version(self):
+    async def test_bans_and_drains_add_to_manual_bans_and_end_with_their_version(self):
         self.bans(frozenset({"toy-0"}))
         told = await self.apply(ban__x=Ban("toy-1"), drain__y=Ban("toy-2"))
         self.assertEqual((self.core.banned, set(told.values())), ({"toy-0", "toy-1", "toy-2"}, {2}))
@@ -221,7 +221,7 @@
         self.assertEqual(self.core.banned, {"toy-1", "toy-2"})
         self.assertEqual(await self.apply(), {"toy-0": 1, "toy-1": 1, "toy-2": 1})
 
-    async def test_a_list_of_engines_takes_the_files_place_and_gives_it_back(self):
+    async def test_engine_list_of_a_version_replaces_that_of_the_file_and_is_undone(self):
         rules = {"scope__http": ListScope(), "e0": None}
         del rules["e0"]
         table = EMPTY_VERSION.rules.set("scope/http", ListScope()).set(
@@ -251,7 +251,7 @@
         told = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual([told[name] for name in ("toy-0", "toy-1", "new", "x7")], [1, 1, 0, 0])
 
-    async def test_shares_and_times_reach_the_module_and_the_starts_come_back(self):
+    async def test_quotas_and_objectives_reach_the_policy_and_are_undone(self):
         before = self.core.controller.s
         await self.apply(tenant__blue=Tenant("blue", 7.0), class__lookup=Class("lookup", 900.0, worth=9.0))
         now = self.core.controller.s
@@ -271,7 +271,7 @@
         await self.apply()
         self.assertEqual(self.core.controller.s, before)
 
-    async def test_bounds_and_tds_reach_their_parts(self):
+    async def test_limits_and_tds_section_are_applied(self):
         program = self.program
         program.shared = SimpleNamespace(crowded=False)
         with mock.patch.object(self.core, "set_open_limit") as bound:
@@ -293,7 +293,7 @@
         await self.apply()
         self.assertGreater(self.core.most_open, 100)
 
-    async def test_the_fence_holds_each_coordinators_part_of_a_bound_and_looks_first(self):
+    async def test_each_coordinator_sends_within_its_share_of_limits_after_checking_the_lease(self):
         self.applied.name = "c1"
         table = EMPTY_VERSION.rules
         for key, entry in (
@@ -328,7 +328,7 @@
             self.applied.may_send(states["toy-0"], attempt("toy-0")), "without a part nothing is let through"
         )
 
-    async def test_parts_that_a_change_does_not_touch_are_left_alone(self):
+    async def test_change_is_applied_only_to_the_parts_that_it_concerns(self):
         machine, calls = self.program.settings.service.machine, []
         self.applied.changed_keys = self.changed_keys
         one = EMPTY_VERSION.child(1, {"ban/toy-1": Ban("toy-1")})
@@ -348,7 +348,7 @@
                 self.applied.apply(acting)
         self.assertEqual(calls, [["toy-1"], "bounds", "bounds", "bounds"])
 
-    async def test_a_ban_among_many_entries_costs_what_it_touches(self):
+    async def test_ban_among_many_entries_does_not_walk_the_others(self):
         class Long(dict):
             def items(self):
                 raise AssertionError("all entries are looked through")
@@ -450,7 +450,7 @@
             told = service.pushes.receive_piece(name, f"{at}/{len(pieces)}", base64.b64encode(data).decode())
         return told
 
-    async def test_a_flood_of_versions_good_broken_and_cut_short_ends_with_the_last_good_one(self):
+    async def test_many_valid_corrupt_and_truncated_pushes_end_with_the_last_valid_one(self):
         log, told, rng = LocalLog("c1"), [], random.Random(5)
         other = log.join("c2")
         one = self.service(log, keeper=VersionStore(MemoryStore()), told=told)
@@ -485,7 +485,7 @@
         self.assertEqual((dict(one.active_rules.rules), dict(two.active_rules.rules)), (last, last))
         self.assertNotIn("hunter2", str(told))
 
-    async def test_where_the_log_or_the_disk_fails_it_goes_on_and_says_so(self):
+    async def test_log_and_store_failures_are_reported_and_survived(self):
         class Failing(MemoryStore):
             def apply(self, changes):
                 raise StoreBrokenError("the disk")
@@ -515,7 +515,7 @@
         log.lead(True)
         await self.until(lambda: service.active_rules.mode == "version" and "ban/e3" in service.active_rules.rules)
 
-    async def test_a_run_of_versions_is_a_batch_each_and_what_is_left_goes_later(self):
+    async def test_each_version_of_a_run_is_one_batch_and_removals_come_later(self):
         store, batches = MemoryStore(), []
         service = self.service(LocalLog("c1"), keeper=VersionStore(store))
         with (
@@ -537,7 +537,7 @@
             )
         )
 
-    async def test_a_long_version_is_made_in_turn_with_others_before_it_is_published(self):
+    async def test_large_version_is_built_in_slices_before_it_is_published(self):
         service, slices, published = self.service(LocalLog("c1"), keeper=VersionStore(MemoryStore())), [], []
         machine = service.machine
         make, apply = SettingsStateMachine.build_slice, SettingsStateMachine.apply
@@ -558,7 +558,7 @@
             await self.until(lambda: machine.active_version == 2, 8.0)
         self.assertEqual(({*published}, len(slices) > 60), ({False}, True))
 
-    async def test_pushes_are_bounded_and_a_gap_is_told(self):
+    async def test_pushes_are_bounded_and_a_gap_is_reported(self):
         service = self.service(LocalLog("c1"))
         for number in range(9):
             service.pushes.receive_piece(f"p{number}", "0/3", "")
