--- a/frostspindle/settings/active_rules.py
+++ b/frostspindle/settings/active_rules.py
@@ -4,11 +4,8 @@
 
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any
 
-from immutables import Map
-
-from frostspindle.settings.versions import EMPTY_VERSION, Version
+from frostspindle.settings.versions import EMPTY_VERSION, Table, Version
 
 
 class RulesMode(StrEnum):
@@ -35,7 +32,7 @@
 
     mode: str  # a RulesMode
     versions: tuple[int, ...]
-    rules: Map[str, Any]
+    rules: Table
     reason: str = ""  # a RulesReason
 
     @property
--- a/frostspindle/settings/applicability.py
+++ b/frostspindle/settings/applicability.py
@@ -4,10 +4,9 @@
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
-from typing import Any
 
 from frostspindle.config import TenantRule
-from frostspindle.settings.schema import Class, Engine, Limit, Login, Rules, Tenant
+from frostspindle.settings.schema import Class, Engine, Entry, Limit, Login, Rules, Tenant
 from frostspindle.settings.versions import EMPTY_VERSION, Version
 
 MAX_REMEMBERED_VERSIONS = 64
@@ -111,7 +110,7 @@
     return ""
 
 
-_CHECKS_BY_KIND: dict[str, Callable[[str, str, Any, RunningProgram], str]] = {
+_CHECKS_BY_KIND: dict[str, Callable[[str, str, Entry, RunningProgram], str]] = {
     "engine": _why_not_engine,
     "class": _why_not_class,
     "tenant": _why_not_tenant,
--- a/frostspindle/settings/applied_rules.py
+++ b/frostspindle/settings/applied_rules.py
@@ -1,6 +1,6 @@
 """The active rules as the parts of this program apply them: bans, drains, engines, limits, quotas, classes, TDS logins.
 
-Runs in the event loop's thread. A long engine list never blocks the event loop, as it is told in slices; but engines
+Runs in the event loop's thread. A long engine list never blocks the event loop, as it is sent in slices; but engines
 that nothing may be sent to are banned at once. What a version has no entry for stays as the program's own files say.
 """
 
@@ -11,7 +11,6 @@
 from typing import Any
 
 import msgspec
-from immutables import Map
 
 from frostspindle.config import TdsEngine, TdsLogin
 from frostspindle.core import Attempt, EngineState
@@ -21,7 +20,7 @@
 from frostspindle.settings.policy_overrides import PolicyOverrides
 from frostspindle.settings.schema import Rules, kind_of
 from frostspindle.settings.send_limits import SendLimits
-from frostspindle.settings.versions import EMPTY_VERSION
+from frostspindle.settings.versions import EMPTY_VERSION, Table
 
 TDS_FIELDS_BY_LIMIT = {
     "tds_sessions": "max_sessions",
@@ -52,12 +51,12 @@
         self.base_tds = program.config.operator.tds  # of the own files
 
         self.active: ActiveRules = NOTHING_AGREED
-        self.rules: Map[str, Any] = EMPTY_VERSION.rules
+        self.rules: Table = EMPTY_VERSION.rules
         self.rejects_all: bool = False
         # Both are set once the settings service exists: the keys in which two active rules may differ (None: any), and
         # a call before each send that takes note of a lease that has run out.
         self.changed_keys: Callable[[ActiveRules, ActiveRules], set[str] | None] = lambda old, new: None
-        self.refresh: Callable[[], Any] = lambda: None
+        self.refresh: Callable[[], object] = lambda: None
 
         self.manually_banned: frozenset[str] = frozenset()
         self.excluded: frozenset[str] = frozenset()  # engines that the rules exclude: the union of the two below
@@ -136,7 +135,7 @@
         self._apply_tds(self.rules, None)
 
     def close(self) -> None:
-        """Cancel the task that tells the core a long engine list; what it has told stays."""
+        """Cancel the task that sends the core a long engine list; what it has sent stays."""
         self.engine_list.close()
 
     def _apply_exclusions(self, rules: Rules, changed_keys: set[str] | None) -> None:
--- a/frostspindle/settings/document.py
+++ b/frostspindle/settings/document.py
@@ -16,6 +16,7 @@
     Class,
     Coordinator,
     Engine,
+    Entry,
     InvalidSettingsError,
     Limit,
     ListScope,
@@ -49,10 +50,10 @@
     return msgspec.json.schema(Document)
 
 
-def parse_document(text: bytes) -> dict[str, Any]:
+def parse_document(text: bytes) -> dict[str, Entry]:
     """Return the rules of an operator's file; InvalidSettingsError names the key at fault and shows no secret."""
     document = _decode(text)
-    rules: dict[str, Any] = {}
+    rules: dict[str, Entry] = {}
     for name, value in document.limits.items():
         _add(rules, f"limit/{name}", Limit(value), f"limits.{name}")
     for kind, entries in _entries_by_kind(document).items():
@@ -79,7 +80,7 @@
         raise InvalidSettingsError(re.sub(r"(secret\S*\s*=?\s*)\S+", r"\1...", line)) from None
 
 
-def _entries_by_kind(document: Document) -> dict[str, list[Any]]:
+def _entries_by_kind(document: Document) -> dict[str, list[Entry]]:
     return {
         "engine": document.engine,
         "ban": document.ban,
@@ -91,7 +92,7 @@
     }
 
 
-def _add(rules: dict[str, Any], key: str, entry: Any, location: str) -> None:
+def _add(rules: dict[str, Entry], key: str, entry: Entry, location: str) -> None:
     if key in rules:
         raise InvalidSettingsError(f"{location}: {key.rpartition('/')[2]!r} stands there twice")
     rules[key] = entry
--- a/frostspindle/settings/engine_list.py
+++ b/frostspindle/settings/engine_list.py
@@ -1,6 +1,6 @@
-"""The HTTP engines of a version, told to the core as events of its endpoint list.
+"""The HTTP engines of a version, sent to the core as events of its endpoint list.
 
-Owns the task that tells a long list in slices. Where no version holds the list, the list is that of the program's own
+Owns the task that sends a long list in slices. Where no version holds the list, the list is that of the program's own
 files.
 """
 
@@ -12,7 +12,7 @@
 from frostspindle.config import BusEvent, Host, Topology
 from frostspindle.settings.schema import Engine, Rules
 
-SLICE_ENGINES = 100  # told to the core in one iteration of the event loop
+SLICE_ENGINES = 100  # sent to the core in one iteration of the event loop
 KEY_PREFIX = "engine/http/"
 
 
@@ -24,20 +24,20 @@
         self._core = program.core
         self._config = program.config
         self._is_from_version: bool = False
-        self._engines: dict[str, Engine] = {}  # as told to the core
+        self._engines: dict[str, Engine] = {}  # as sent to the core
         self.task: asyncio.Task[None] | None = None
 
     def apply(self, rules: Rules, changed_keys: set[str] | None) -> None:
-        """Tell the core what has changed; `changed_keys`: the keys that may differ, None for any."""
+        """Send the core what has changed; `changed_keys`: the keys that may differ, None for any."""
         if "scope/http" not in rules and not self._is_from_version:
             return
-        all_told = self._has_told_all()
+        all_sent = self._has_sent_all()
         self.close()
         self.task = None
         if "scope/http" not in rules:
             self._restore_own_list()
             return
-        if all_told and self._is_from_version and changed_keys is not None and "scope/http" not in changed_keys:
+        if all_sent and self._is_from_version and changed_keys is not None and "scope/http" not in changed_keys:
             names = [key.removeprefix(KEY_PREFIX) for key in changed_keys if key.startswith(KEY_PREFIX)]
             engines = {name: rules[KEY_PREFIX + name] for name in names if KEY_PREFIX + name in rules}
         else:
@@ -49,16 +49,16 @@
             known = {state.name for state in self._core.engines.values() if state.driver is self._program.driver}
             changed += known - engines.keys()
         if len(changed) <= SLICE_ENGINES:
-            self._tell(changed, engines)
+            self._send_engines(changed, engines)
         else:
-            self.task = asyncio.create_task(self._tell_in_slices(changed, engines))
+            self.task = asyncio.create_task(self._send_in_slices(changed, engines))
 
     def close(self) -> None:
-        """Cancel the task that tells a long list; what it has told stays."""
+        """Cancel the task that sends a long list; what it has sent stays."""
         if self.task is not None:
             self.task.cancel()
 
-    def _has_told_all(self) -> bool:
+    def _has_sent_all(self) -> bool:
         task = self.task
         return task is None or (task.done() and not task.cancelled() and task.exception() is None)
 
@@ -66,10 +66,10 @@
         hosts = {host.host: host for event in self._config.known if event.topology for host in event.topology.hosts}
         self._is_from_version = False
         self._engines = {}
-        self._send(Topology(list(hosts.values()), whole=True))
+        self._send_topology(Topology(list(hosts.values()), whole=True))
 
-    def _tell(self, names: list[str], engines: dict[str, Engine]) -> None:
-        """Tell the core these engines as they are, or that they have left."""
+    def _send_engines(self, names: list[str], engines: dict[str, Engine]) -> None:
+        """Send these engines as they are, or as left."""
         if not names:
             return
         for name in names:
@@ -77,11 +77,11 @@
                 self._engines[name] = engines[name]
             else:
                 self._engines.pop(name, None)
-        self._send(Topology([self._host(name, engines.get(name)) for name in names]))
+        self._send_topology(Topology([self._host(name, engines.get(name)) for name in names]))
 
-    async def _tell_in_slices(self, names: list[str], engines: dict[str, Engine]) -> None:
+    async def _send_in_slices(self, names: list[str], engines: dict[str, Engine]) -> None:
         for start in range(0, len(names), SLICE_ENGINES):
-            self._tell(names[start : start + SLICE_ENGINES], engines)
+            self._send_engines(names[start : start + SLICE_ENGINES], engines)
             await asyncio.sleep(0)
             while self._core.has_pending_changes:
                 await asyncio.sleep(0)
@@ -101,6 +101,6 @@
             engine.weight,
         )
 
-    def _send(self, topology: Topology) -> None:
+    def _send_topology(self, topology: Topology) -> None:
         bus = self._program.bus
         bus.restore(BusEvent(bus.last + 1, topology))
--- a/frostspindle/settings/intersection.py
+++ b/frostspindle/settings/intersection.py
@@ -9,18 +9,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from functools import reduce
 from typing import Any
 
 from immutables import Map
 from msgspec import structs
 
-from frostspindle.settings.schema import FIELD_RANKS, KINDS, Limit, Rules, is_fleet_wide, kind_of, scope_of
+from frostspindle.settings.schema import FIELD_RANKS, KINDS, Entry, Limit, Rules, is_fleet_wide, kind_of, scope_of
 from frostspindle.settings.slices import SlicedWork, iterate_in_slices, run_to_end
 from frostspindle.settings.validation import engine_capacity
+from frostspindle.settings.versions import Changes, Table
 
-Table = Map[str, Any]
 NO_RULES: Table = Map()
 
 
@@ -34,7 +34,7 @@
     return min(first, second, key=rank.__getitem__) if rank else min(first, second)
 
 
-def intersect_entries(kind: str, first: Any, second: Any) -> Any:
+def intersect_entries(kind: str, first: Entry, second: Entry) -> Entry | None:
     """Return the intersection of two entries of one name; None if they have none."""
     if first == second:
         return first
@@ -54,7 +54,7 @@
     return type(first)(**fields)
 
 
-def _stays_alone(key: str, entry: Any, other: Rules) -> bool:
+def _stays_alone(key: str, entry: Entry, other: Rules) -> bool:
     """Whether an entry that the other table lacks is in the intersection of both."""
     return KINDS[kind_of(key)].in_either or scope_of(key, entry) not in other
 
@@ -74,7 +74,7 @@
     """Return the intersection of two tables, at a cost that grows with their length unless they are one object."""
     if first is second:
         return first
-    table: dict[str, Any] = {}
+    table: dict[str, Entry] = {}
     for key, entry in first.items():
         other = second.get(key)
         if other is not None:
@@ -94,7 +94,7 @@
     return reduce(intersect, tables, NO_RULES)
 
 
-def intersect_with_child(parent: Table, child: Table, changes: Mapping[str, Any]) -> Table:
+def intersect_with_child(parent: Table, child: Table, changes: Changes) -> Table:
     """Return the intersection of a version and its child: the same as `intersect`, at the cost of the changes alone.
 
     What both have alike is in it whatever the lists. Where a limit relies on all engines, the tables are walked.
@@ -102,7 +102,7 @@
     return run_to_end(intersect_with_child_in_slices(parent, child, changes))
 
 
-def intersect_with_child_in_slices(parent: Table, child: Table, changes: Mapping[str, Any]) -> SlicedWork[Table]:
+def intersect_with_child_in_slices(parent: Table, child: Table, changes: Changes) -> SlicedWork[Table]:
     """Compute `intersect_with_child` in slices."""
     if "limit/out" in parent or "limit/out" in child:
         return intersect(parent, child)
@@ -119,7 +119,7 @@
         return table.finish()
 
 
-def _common_entry(key: str, parent: Table, child: Table) -> Any:
+def _common_entry(key: str, parent: Table, child: Table) -> Entry | None:
     """The entry that the intersection of two tables has under a key of which at least one has an entry, or None."""
     old_entry = parent.get(key)
     new_entry = child.get(key)
--- a/frostspindle/settings/operator_calls.py
+++ b/frostspindle/settings/operator_calls.py
@@ -25,9 +25,9 @@
         member = service.member
         now = service.now()
         rules = service.refresh()
-        restored = service.restored
+        restored = member.restored
         return {
-            "name": service.name,
+            "name": member.name,
             "mode": str(rules.mode),
             "versions": rules.versions,
             "why": str(rules.reason),
--- a/frostspindle/settings/policy_overrides.py
+++ b/frostspindle/settings/policy_overrides.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import Any
 
-from frostspindle.settings.schema import Class, Rules
+from frostspindle.settings.schema import Class, Entry, Rules, Tenant
 
 KINDS = ("tenant/", "class/")
 MIN_QUOTA_PER_S = 1e-6  # 0 is no limit to the policy: with so little nothing is within the quota
@@ -17,7 +17,7 @@
     def __init__(self, program: Any) -> None:
         self._core = program.core
         self._config = program.config
-        self._entries: dict[str, Any] = {}
+        self._entries: dict[str, Entry] = {}
 
     def apply(self, rules: Rules, changed_keys: set[str] | None) -> None:
         """Have the core use the rules' entries; `changed_keys`: the keys that may differ, None for any."""
@@ -41,18 +41,18 @@
             )
         )
 
-    def _select(self, rules: Rules, changed_keys: set[str] | None) -> dict[str, Any]:
+    def _select(self, rules: Rules, changed_keys: set[str] | None) -> dict[str, Entry]:
         """The entries of the rules; of known changes, the rules are not walked."""
         if changed_keys is None:
             return {key: entry for key, entry in rules.items() if key.startswith(KINDS)}
-        entries: dict[str, Any] = {}
+        entries: dict[str, Entry] = {}
         for key in (*self._entries, *(key for key in changed_keys if key.startswith(KINDS))):
             entry = rules.get(key)
             if entry is not None:
                 entries[key] = entry
         return entries
 
-    def _override_quota(self, quotas: list[float], entry: Any) -> None:
+    def _override_quota(self, quotas: list[float], entry: Tenant) -> None:
         number = self._config.tenants.numbers.get(entry.name)
         if number is not None and number < len(quotas) and entry.share_per_s is not None:
             quotas[number] = max(entry.share_per_s, MIN_QUOTA_PER_S)
--- a/frostspindle/settings/pushes.py
+++ b/frostspindle/settings/pushes.py
@@ -20,7 +20,7 @@
 from frostspindle.settings.history_event import EventKind, HistoryEvent
 from frostspindle.settings.log_commands import DraftPiece, encode_command
 from frostspindle.settings.member_decisions import MemberDecisions
-from frostspindle.settings.schema import InvalidSettingsError
+from frostspindle.settings.schema import InvalidSettingsError, Rules
 from frostspindle.settings.slices import SLICE_ENTRIES, SlicedWork, T
 from frostspindle.settings.state_machine import OK
 from frostspindle.settings.validation import validate_in_slices
@@ -153,7 +153,7 @@
             self._start_drafting(push, lambda active: self._content_of_packed(packed, active))
         return push.report()
 
-    def push_rules(self, name: str, rules: dict[str, Any]) -> None:
+    def push_rules(self, name: str, rules: Rules) -> None:
         """Push rules that are already read, such as those of this coordinator's own file."""
         push = PendingPush()
         self.pushes[name] = push
@@ -235,7 +235,7 @@
     async def _content_of_packed(self, packed: bytes, active: Version) -> _DraftContent:
         return await self._content_of_rules(await _run_in_event_loop(unpack_changes_in_slices(packed)), active)
 
-    async def _content_of_rules(self, rules: dict[str, Any], active: Version) -> _DraftContent:
+    async def _content_of_rules(self, rules: Rules, active: Version) -> _DraftContent:
         """The changes that lead from the active version to these rules."""
         changes = diff_rules(active.rules, rules)
         version = await _run_in_event_loop(active.child_in_slices(active.number + 1, changes))
--- a/frostspindle/settings/schema.py
+++ b/frostspindle/settings/schema.py
@@ -139,7 +139,8 @@
     "scope": EntryKind(ListScope, True, fleet_wide=False),
 }
 LIST_SCOPES = ("http", "tds", "login", "coordinator")
-Rules = Mapping[str, Any]  # `KIND/NAME` to an entry
+Entry = Any  # one of the structs above; which one follows from the key
+Rules = Mapping[str, Entry]  # by key `KIND/NAME`
 encode_msgpack = msgspec.msgpack.Encoder().encode
 ENTRY_DECODERS = {name: msgspec.msgpack.Decoder(kind.entry).decode for name, kind in KINDS.items()}
 
@@ -149,7 +150,7 @@
     return key.partition("/")[0]
 
 
-def key_of(kind: str, entry: Any) -> str:
+def key_of(kind: str, entry: Entry) -> str:
     """Return the key of an entry. Engines are keyed by front too, as a version may hold the list of one front alone."""
     if kind == "engine":
         return f"engine/{entry.front}/{entry.name}"
@@ -158,7 +159,7 @@
     return f"{kind}/{entry.name}"
 
 
-def scope_of(key: str, entry: Any) -> str:
+def scope_of(key: str, entry: Entry) -> str:
     """Return the key of the list that an entry is on: engines by front, others by kind."""
     return f"scope/{entry.front}" if key.startswith("engine/") else f"scope/{kind_of(key)}"
 
@@ -171,7 +172,7 @@
     return not key.startswith("limit/") or key == "limit/out"
 
 
-def decode_entry(key: str, data: bytes) -> Any:
+def decode_entry(key: str, data: bytes) -> Entry:
     """Decode an entry from the wire; InvalidSettingsError if it is malformed or of an unknown kind."""
     kind, _, name = key.partition("/")
     if kind not in KINDS or not 0 < len(name) <= 80:
@@ -182,7 +183,7 @@
         raise InvalidSettingsError(f"{key:.80}: {' '.join(str(error).split())}") from None
 
 
-def redact(entry: Any) -> dict[str, Any]:
+def redact(entry: Entry) -> dict[str, Any]:
     """Return an entry as plain data for operators, without its secret."""
     fields: dict[str, Any] = msgspec.to_builtins(entry)
     if fields.get("secret"):
--- a/frostspindle/settings/service.py
+++ b/frostspindle/settings/service.py
@@ -47,6 +47,13 @@
 class SettingsService:
     """One coordinator's settings in operation; must be made before its log starts."""
 
+    _timer: asyncio.TimerHandle | None = None
+    _is_publishing: bool = False
+    _is_persisting: bool = False
+    _is_building: bool = False
+    _is_closed: bool = False
+    _persisted_at: float = 0.0
+
     def __init__(
         self,
         log: ReplicatedLog,
@@ -64,18 +71,16 @@
     ) -> None:
         """`apply_rules` has the core act on rules from then on; it must not fail. `figures`: of this coordinator."""
         self.log: ReplicatedLog = log
-        self.name: str = name
         self.settings: AgreementSettings = settings
         self.telemetry: Telemetry = telemetry
         self.apply_rules: Callable[[ActiveRules], None] = apply_rules
         self.figures: Callable[[], tuple[int, ...]] = figures
         self.ownership: TaskOwnership = ownership
         self.store: VersionStore | None = store  # None: nothing is durable, so nothing is acknowledged
-        self.restored: RestoredVersions = restored
         self.now: Callable[[], float] = now
 
-        self.machine = SettingsStateMachine()
         process = int(time.time() * 1000.0)
+        self.machine = SettingsStateMachine()
         self.member = MemberDecisions(name, process, settings, self.machine, now(), why_not_applicable, restored)
         self.publisher = PublisherDecisions(settings, self.machine, canary)
         self.active_rules: ActiveRules | None = None
@@ -85,12 +90,6 @@
 
         self._rollout_log = RolloutLog(self.machine, self.member, telemetry)
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._timer: asyncio.TimerHandle | None = None
-        self._is_publishing: bool = False
-        self._is_persisting: bool = False
-        self._is_building: bool = False
-        self._is_closed: bool = False
-        self._persisted_at: float = 0.0
         log.attach(TOPIC, self.machine)
         log.watch(TOPIC, self._on_entry_applied)
 
@@ -148,7 +147,7 @@
         self.active_rules = rules
         self.apply_rules(rules)
         self.member.on_rules_applied(rules)
-        self._rollout_log.log_active_rules(previous, rules, self.restored, now)
+        self._rollout_log.log_active_rules(previous, rules, self.member.restored, now)
 
     def changed_keys(self, old: ActiveRules, new: ActiveRules) -> set[str] | None:
         """Return the keys in which two active rules may differ, if all their versions follow one another.
--- a/frostspindle/settings/validation.py
+++ b/frostspindle/settings/validation.py
@@ -9,7 +9,7 @@
 import math
 import re
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
@@ -21,8 +21,10 @@
     LIST_SCOPES,
     MAX_ENTRIES,
     Engine,
+    Entry,
     InvalidSettingsError,
     Limit,
+    ListScope,
     Login,
     Rules,
     Tenant,
@@ -68,7 +70,7 @@
     return sum(math.inf if engine.most is None else engine.most for engine in engines if accepts_queries(rules, engine))
 
 
-def is_divided(key: str, entry: Any) -> bool:
+def is_divided(key: str, entry: Entry) -> bool:
     """Whether an entry is a limit of which each coordinator has its share."""
     return key == "limit/out" or (key.startswith("engine/") and entry.most is not None)
 
@@ -140,7 +142,7 @@
         )
 
 
-def _check_entry(key: str, entry: Any) -> None:
+def _check_entry(key: str, entry: Entry) -> None:
     kind, _, name = key.partition("/")
     if kind not in KINDS or type(entry) is not KINDS[kind].entry:
         raise InvalidSettingsError(f"{key}: no such kind of entry")
@@ -152,7 +154,7 @@
         check_kind(key, name, entry)
 
 
-def _check_values(key: str, entry: Any, fields: tuple[str, ...]) -> None:
+def _check_values(key: str, entry: Entry, fields: tuple[str, ...]) -> None:
     for field in fields:
         value = getattr(entry, field)
         if field in FIELD_RANKS and value not in FIELD_RANKS[field]:
@@ -185,7 +187,7 @@
         raise InvalidSettingsError(f"{key}.secret: not pbkdf2:ROUNDS:SALT:HASH, env:NAME or file:/PATH")
 
 
-def _check_scope(key: str, name: str, scope: Any) -> None:
+def _check_scope(key: str, name: str, scope: ListScope) -> None:
     if name not in LIST_SCOPES:
         raise InvalidSettingsError(f"{key}: not one of {', '.join(LIST_SCOPES)}")
 
@@ -198,7 +200,7 @@
             raise InvalidSettingsError(f"{key}.rule[{number}]: {error}") from None
 
 
-_CHECKS_BY_KIND: dict[str, Callable[[str, str, Any], None]] = {
+_CHECKS_BY_KIND: dict[str, Callable[[str, str, Entry], None]] = {
     "engine": _check_engine,
     "limit": _check_limit,
     "login": _check_login,
--- a/frostspindle/settings/version_encoding.py
+++ b/frostspindle/settings/version_encoding.py
@@ -4,13 +4,13 @@
 
 import zlib
 from dataclasses import dataclass, field
-from typing import Any
 
 import msgspec
 
 from frostspindle.settings.schema import (
     MAX_ENTRIES,
     MAX_VERSION_BYTES,
+    Entry,
     InvalidSettingsError,
     decode_entry,
     encode_msgpack,
@@ -34,12 +34,12 @@
     return seal(zlib.compress(encode_msgpack(rows), COMPRESSION_LEVEL))
 
 
-def unpack_changes(data: bytes, max_bytes: int = MAX_CHANGES_BYTES) -> dict[str, Any]:
+def unpack_changes(data: bytes, max_bytes: int = MAX_CHANGES_BYTES) -> dict[str, Entry | None]:
     """Decode changes; InvalidSettingsError if they can't be read or are more than `max_bytes`."""
     return run_to_end(unpack_changes_in_slices(data, max_bytes))
 
 
-def unpack_changes_in_slices(data: bytes, max_bytes: int = MAX_CHANGES_BYTES) -> SlicedWork[dict[str, Any]]:
+def unpack_changes_in_slices(data: bytes, max_bytes: int = MAX_CHANGES_BYTES) -> SlicedWork[dict[str, Entry | None]]:
     """Decode as `unpack_changes` does, in slices."""
     try:
         stream = zlib.decompressobj()
@@ -51,7 +51,7 @@
         raise InvalidSettingsError(f"the version's bytes: {error}") from None
     if len(rows) > 2 * MAX_ENTRIES or len({key for key, _ in rows}) < len(rows):
         raise InvalidSettingsError("too many entries, or one twice")
-    changes: dict[str, Any] = {}
+    changes: dict[str, Entry | None] = {}
     for (key, entry), slice_ends in iterate_in_slices(rows):
         if slice_ends:
             yield
--- a/frostspindle/settings/version_store.py
+++ b/frostspindle/settings/version_store.py
@@ -7,15 +7,13 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 from msgspec import Struct
 
 from frostspindle.settings.active_rules import RestoredVersions
 from frostspindle.settings.schema import InvalidSettingsError
 from frostspindle.settings.version_encoding import pack_changes, split_into_pieces, unpack_changes
-from frostspindle.settings.versions import EMPTY_VERSION, Version, diff_rules
+from frostspindle.settings.versions import EMPTY_VERSION, Changes, Version, diff_rules
 from frostspindle.store.base import Store
 
 METADATA_KEY = b"settings/kept"
@@ -117,7 +115,7 @@
         self.store.apply(writes)
         self._rows = ordered
 
-    def _base_of(self, version: Version, previous: Version, compact: bool) -> tuple[int, Any]:
+    def _base_of(self, version: Version, previous: Version, compact: bool) -> tuple[int, Changes]:
         """The number of the version that a new one is stored on, and the changes from there.
 
         That is the one saved before it in this batch; the first of a batch is stored on its parent if that is stored.
--- a/frostspindle/settings/versions.py
+++ b/frostspindle/settings/versions.py
@@ -10,17 +10,17 @@
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
-from typing import Any
 
 from immutables import Map
 
-from frostspindle.settings.schema import encode_msgpack
+from frostspindle.settings.schema import Entry, Rules, encode_msgpack
 from frostspindle.settings.slices import SlicedWork, iterate_in_slices, run_to_end
 from frostspindle.store.base import SUM, entry_sum
 
 KEPT_VERSIONS = 16
 DIGEST_MODULUS = 1 << 8 * SUM
-Changes = Mapping[str, Any]  # by key the new entry, or None for a removed one
+Table = Map[str, Entry]  # rules as a persistent map
+Changes = Mapping[str, Entry | None]  # by key the new entry, or None for a removed one
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     """One version: its rules, and `changes` from its parent's rules."""
 
     number: int
-    rules: Map[str, Any]
+    rules: Table
     digest: int
     parent: int = field(default=0, compare=False)
     changes: Changes = field(default_factory=dict, compare=False)
@@ -50,7 +50,7 @@
         digest = self.digest
         size = self.size
         changes_size = 0
-        effective_changes: dict[str, Any] = {}  # without those that change nothing
+        effective_changes: dict[str, Entry | None] = {}  # without those that change nothing
         with self.rules.mutate() as table:
             for (key, entry), slice_ends in iterate_in_slices(changes.items()):
                 if slice_ends:
@@ -82,9 +82,9 @@
 EMPTY_VERSION = Version(0, Map(), 0)
 
 
-def diff_rules(old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
+def diff_rules(old: Rules, new: Rules) -> dict[str, Entry | None]:
     """Return the changes from one table to another, by walking both; None stands for a removed entry."""
-    changes = {key: None for key in old if key not in new}
+    changes: dict[str, Entry | None] = {key: None for key in old if key not in new}
     changes.update((key, entry) for key, entry in new.items() if old.get(key) != entry)
     return changes
 
@@ -120,7 +120,7 @@
         """Remove a version; no error if it is not kept."""
         self._versions.pop(number, None)
 
-    def changes_between(self, old: int, new: int) -> dict[str, Any]:
+    def changes_between(self, old: int, new: int) -> dict[str, Entry | None]:
         """Return the changes that lead from one version to another; KeyError if one is not kept.
 
         Put together from the versions' changes where these follow one another, else by walking both tables.
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from frostspindle.config import Config, ConfigError
+from frostspindle.config import Config, ConfigError, TenantRule
 from frostspindle.core import clock
 from frostspindle.ownership.holder import LeaseSettings
 from frostspindle.ownership.service import LeaseManager
@@ -26,7 +26,7 @@
 from frostspindle.settings.log_commands import TASK
 from frostspindle.settings.operator_calls import OperatorCalls
 from frostspindle.settings.response_figures import ResponseFigures
-from frostspindle.settings.schema import InvalidSettingsError
+from frostspindle.settings.schema import InvalidSettingsError, Rules
 from frostspindle.settings.service import SettingsService
 from frostspindle.settings.task_ownership import LocalOwnership
 from frostspindle.settings.version_store import VersionStore
@@ -45,7 +45,7 @@
 
 def describe_program(config: Config) -> RunningProgram:
     """Return what this coordinator was started with, as far as it decides which versions are applicable."""
-    tenant_rules: dict[str, tuple[Any, ...]] = dict.fromkeys(config.tenants.names, ())
+    tenant_rules: dict[str, tuple[TenantRule, ...]] = dict.fromkeys(config.tenants.names, ())
     tenant_rules.update({tenant.name: tuple(tenant.rule) for tenant in config.operator.tenant})
     return RunningProgram(
         classes={
@@ -171,7 +171,7 @@
         if self._rules_of_start is not None:
             self.service.pushes.push_rules("file", self._rules_of_start)
 
-    def reload(self, tds: Any, rules: dict[str, Any] | None) -> None:
+    def reload(self, tds: Any, rules: Rules | None) -> None:
         """Apply the program's own files again (SIGHUP).
 
         The active rules have precedence; a coordinator that is alone pushes its file as its next version.
@@ -180,7 +180,7 @@
         if rules is not None:
             self.service.pushes.push_rules(f"file-{clock():.0f}", rules)
 
-    def file(self) -> dict[str, Any] | None:
+    def file(self) -> Rules | None:
         """Return the rules of the file of a coordinator that is alone, None without one; ConfigError names the key."""
         if not self.is_alone or not self.section.file:
             return None
@@ -196,7 +196,7 @@
         return rules
 
     async def close(self) -> None:
-        """Stop telling engine lists, then the settings service, then this coordinator's own task leases."""
+        """Stop sending engine lists, then the settings service, then this coordinator's own task leases."""
         self.applied.close()
         await self.service.close()
         if self.lease_manager is not None:
