--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -53,7 +53,7 @@
             error = answer.get("error")
             if error is None:
                 self.assertEqual(times.get(text), [answer["index"]])
-            elif error == "Unavailable":
+            elif error == "LogUnavailableError":
                 self.assertNotIn(text, times)
             else:
                 self.assertLess(len(times.get(text, [])), 2)
@@ -89,13 +89,13 @@
         self.answers["late"] = await late
         await self.same()
 
-        # Cut off: it steps down and says Unavailable within the time, the others go on.
+        # Cut off: it steps down and answers LogUnavailableError within the time, the others go on.
         leader = await logs.leader()
         logs.streams.cut = {leader.number}
         told = await self.say([leader], 3, 1.0)
         await leader.until(lambda: leader.events("replica_leader", leader=None))
         async with asyncio.timeout(60.0):
-            while [answer.get("error") for answer in told[-3:]] != ["Unavailable"] * 3:
+            while [answer.get("error") for answer in told[-3:]] != ["LogUnavailableError"] * 3:
                 told += await self.say([leader], 3, 1.0)
         self.assertNotIn(None, [answer.get("error") for answer in told])
         self.assertLess(max(answer["took_s"] for answer in told), 3.0)
@@ -150,7 +150,7 @@
         self.assertNotIn(None, [answer.get("error") for answer in told])
         await asyncio.gather(*(m.until(lambda m=m: m.events("replica_leader")[-1]["leader"] is None) for m in rest))
         async with asyncio.timeout(60.0):  # none is taken, and in the end all are told so for certain
-            while {answer.get("error") for answer in told} != {"Unavailable"}:
+            while {answer.get("error") for answer in told} != {"LogUnavailableError"}:
                 told = await self.say(rest, 6, 0.5)
                 self.assertNotIn(None, [answer.get("error") for answer in told])
         self.assertLess(max(answer["took_s"] for answer in told), 2.0)
