--- a/bench/replica.py
+++ b/bench/replica.py
@@ -45,7 +45,7 @@
     counted: Counter[str] = Counter({"journals lost": run.lost, "votes again": len(run.lab.told)})
     for node in run.lab.nodes:
         if node.member is not None:
-            counted += node.member.counted
+            counted += node.member.counters
     return {"seed": seed, "bad": run.bad[:3], "ends": dict(ends), "counted": dict(counted), "script": run.script}
 
 
@@ -104,7 +104,7 @@
             "a second": round(many * size / took_s),
             "cpu_us an entry, all five": round((cpu() - used) * 1e6 / (many * size)),
             "longest turn, cpu ms": round(max(log.worst_turn_s for log in logs) * 1e3, 1),
-            "syncs": leader.counted["syncs"],
+            "syncs": leader.counters["syncs"],
             "longest sync ms": round(max(log.worst_sync_s for log in logs) * 1e3, 1),
         }
         used, began = cpu(), time.perf_counter()
--- a/frostspindle/lab/replica.py
+++ b/frostspindle/lab/replica.py
@@ -29,9 +29,11 @@
 from frostspindle.lab.faults.script import Script, parse
 from frostspindle.lab.network import Network
 from frostspindle.replica import wire
-from frostspindle.replica.base import MOST_OPEN, AppliedEntry, LogUnavailableError, StateMachine, Told
+from frostspindle.replica.base import MAX_OPEN_PROPOSALS, AppliedEntry, EntryListener, LogUnavailableError, StateMachine
 from frostspindle.replica.journal import PendingWrite, RaftJournal, Record
-from frostspindle.replica.member import KEEP, LogMember, Outcome, RaftTimeouts
+from frostspindle.replica.member import SNAPSHOT_AFTER_ENTRIES, LogMember
+from frostspindle.replica.proposals import Outcome
+from frostspindle.replica.raft import RaftTimeouts
 
 TICK_MS = 50.0
 AGAIN_MS = 200.0  # a segment that was lost is sent again, and connections are tried, so often
@@ -96,7 +98,7 @@
     @property
     def index(self) -> int:
         """Index of the last entry that was applied here."""
-        return self._member.desk.index
+        return self._member.registry.index
 
     @property
     def leader(self) -> str | None:
@@ -106,19 +108,19 @@
     def attach(self, topic: str, machine: StateMachine) -> None:
         """Have a topic's entries applied by a machine. RuntimeError once an entry was applied; ValueError for a bad
         name, or a topic that has a machine."""
-        if self._member.desk.index:
+        if self._member.registry.index:
             raise RuntimeError("the log has started")
-        self._member.desk.attach(topic, machine)
+        self._member.registry.attach(topic, machine)
 
-    def watch(self, topic: str, told: Told) -> None:
-        """Have `told` called with each entry of a topic, in order, after it was applied."""
-        self._member.desk.watch(topic, told)
+    def watch(self, topic: str, listener: EntryListener) -> None:
+        """Have `listener` called with each entry of a topic, in order, after it was applied."""
+        self._member.registry.watch(topic, listener)
 
     def submit(self, topic: str, command: bytes, within_s: float, done: Callable[[Outcome], None]) -> None:
         """Propose a command and hand the outcome (Applied, Unavailable or Uncertain) to `done`, in simulated time.
         ValueError for a command that can't be appended; a topic of "" proposes a no-op."""
         if topic:
-            self._member.desk.check(topic, command)
+            self._member.registry.check(topic, command)
         lab, node = self._lab, self._lab.nodes[self._number]
         if node.member is not self._member:
             done(LogUnavailableError("the log has stopped"))
@@ -129,7 +131,7 @@
     async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         """Append a command and return once it is applied here; ValueError for one that can't be appended, else
         Unavailable (never appended) or Uncertain (it may be) after `within_s` simulated seconds."""
-        self._member.desk.check(topic, command)
+        self._member.registry.check(topic, command)
         return await self._ask(topic, command, within_s)
 
     async def barrier(self, within_s: float) -> int:
@@ -158,8 +160,8 @@
         attach: Callable[[int, EmulatedLog], None] = lambda number, log: None,
         times: RaftTimeouts | None = None,
         sync_ms: tuple[float, float] = (0.1, 5.0),
-        keep: int = KEEP,
-        most_open: int = MOST_OPEN,
+        keep: int = SNAPSHOT_AFTER_ENTRIES,
+        most_open: int = MAX_OPEN_PROPOSALS,
     ) -> None:
         script = parse(script, nodes) if isinstance(script, str) else script
         self.network = Network(nodes, script, seed)
@@ -197,7 +199,7 @@
 
     def leaders(self) -> list[int]:
         """Return the members that take themselves for the leader; after a cut there may be two for a while."""
-        return [n for n, node in enumerate(self.nodes) if node.member is not None and node.member.leads]
+        return [n for n, node in enumerate(self.nodes) if node.member is not None and node.member.is_leader]
 
     def advance(self, ms: float) -> None:
         """Let so many ms of simulated time pass."""
@@ -356,12 +358,12 @@
                         if peer not in member.peers:
                             peer = "~" + peer
                         assert source is None or peer in member.peers
-                        member.receive(peer, wire.message_in(frame.data))
-                member.step(self.clock(number))
+                        member.receive(peer, wire.decode_message(frame.data))
+                member.tick(self.clock(number))
         except Exception as error:  # noqa: BLE001 - as the service: the member stops, the run tells
             self._fault(number, node, member, error)
             return
-        node.unsynced = member.journal.take()
+        node.unsynced = member.journal.take_pending_write()
         if node.unsynced is not None:
             node.syncing = True
             self.network.at(self.now + self.random.uniform(*self.sync_ms), number, _Word("synced", node.life))
@@ -382,19 +384,19 @@
             other = int(peer.lstrip("~c"))
             stream = self.streams.get((number, other))
             if stream is not None and node.conns.get(other) == stream.conn:
-                stream.segments.append(wire.message_out(message))
+                stream.segments.append(wire.encode_message(message))
                 self._push(number, other)
         for peer in full:
             self._break(number, int(peer.lstrip("~c")))
         with self._as(number):
             try:
-                while member.drain():
+                while member.apply_committed():
                     pass
                 member.compact()
             except Exception as error:  # noqa: BLE001
                 self._fault(number, node, member, error)
                 return
-            if member.wants_vote:
+            if member.ready_to_vote:
                 for other in range(len(self.nodes)):
                     self._break(number, other)
                 for peer in list(member.peers):
@@ -405,7 +407,7 @@
 
     @staticmethod
     def _keep(node: _Node, writing: PendingWrite) -> None:
-        node.records = list(writing.records) if writing.whole else [*node.records, *writing.records]
+        node.records = list(writing.records) if writing.replaces_all else [*node.records, *writing.records]
 
     # Streams.
 
--- a/frostspindle/lab/replica_runs.py
+++ b/frostspindle/lab/replica_runs.py
@@ -14,7 +14,7 @@
 
 from frostspindle.lab.replica import EmulatedLog, EmulatedReplicas
 from frostspindle.replica.base import AppliedEntry, LogUnavailableError
-from frostspindle.replica.member import Outcome
+from frostspindle.replica.proposals import Outcome
 
 
 class Sum:
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -146,7 +146,7 @@
                 self.desk.does["show-cold"] = self.warming.figures
         self.replica: Any = None
         if config.operator.replica:
-            from frostspindle.replica.service import attach as replicate  # loads the Raft library
+            from frostspindle.replica.wiring import attach as replicate  # loads the Raft library
 
             self.replica = replicate(self)
         self.owners: Any = None
--- a/frostspindle/replica/disk.py
+++ b/frostspindle/replica/disk.py
@@ -1,14 +1,13 @@
-"""A member's journal on disk: one append-only file of checksummed frames, replaced whole when a snapshot is taken.
+"""A member's journal on disk: one append-only file of checksummed frames, replaced when a snapshot is taken.
 
-Owns the file, its lock, its frames, and what can be said of one that was found: whole, torn at its end by a crash,
-spoilt before its end, or not there. It must never say that something is durable before fsync said so, and never mend
-silently.
+Locks, reads and writes the file, and classifies one that was found: complete, torn at its end by a crash, corrupt
+before its end, or missing. Calls block their thread. Nothing is reported durable before fsync has returned, and nothing
+is repaired without being reported.
 
-A frame is MAGIC, the length of its payload, its number, a checksum over number and payload, the payload (msgpack of
+A frame is MAGIC, the length of its payload, its number, a checksum over number and payload, and the payload (msgpack of
 the records). Frame n + 1 is written only after frame n was synced; so a bad frame with a good one of a higher number
-behind it was spoilt after it was synced, while a bad one at the end is a write that was cut off, and nothing that
-depended on it was ever sent. What this can't tell: bytes of the very last synced frame that were spoilt later look
-like a torn write.
+behind it was corrupted after it was synced, while a bad one at the end is a write that was cut off, and nothing that
+depended on it was ever sent. Limit: corruption of the very last synced frame looks like a torn write.
 """
 
 from __future__ import annotations
@@ -19,128 +18,162 @@
 from enum import StrEnum
 from hashlib import blake2b
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
+from frostspindle.replica.base import ReplicaError
 from frostspindle.replica.journal import PendingWrite, Record
 from frostspindle.store.records import sync_folder
 
 MAGIC = b"FSLJ"
-_HEAD = struct.Struct("<4sIQ16s")
-MOST_FILE = 256 << 20
-NAME = "journal"
+_HEADER = struct.Struct("<4sIQ16s")
+MAX_FILE_BYTES = 256 << 20
+FILE_NAME = "journal"
 
 
 class JournalCondition(StrEnum):
-    """What the journal's file was found to be at its reading."""
+    """The condition in which the journal's file was found."""
 
     FRESH = "fresh"  # there is no file
     WHOLE = "whole"
-    TORN = "torn"  # the last write was cut off; what it began is cut off here
+    TORN = "torn"  # the last write was cut off; its beginning is removed
     SPOILT = "spoilt"  # something that was synced can't be read
 
 
-class FolderLockedError(Exception):
+class FolderLockedError(ReplicaError):
     """Another process holds the lock of this folder."""
 
 
-def frame(number: int, payload: bytes) -> bytes:
+class ParsedJournal(NamedTuple):
+    """What the bytes of a journal were parsed to."""
+
+    condition: JournalCondition
+    records: list[Record]  # of the good frames
+    end: int  # offset behind the last good frame
+    next_number: int  # of the next frame to be written
+
+
+class _Frame(NamedTuple):
+    number: int
+    payload: bytes
+    end: int  # offset behind it
+
+
+def encode_frame(number: int, payload: bytes) -> bytes:
     """Encode one frame: magic, length, number, checksum over number and payload, payload."""
-    return _HEAD.pack(MAGIC, len(payload), number, _sum(number, payload)) + payload
+    return _HEADER.pack(MAGIC, len(payload), number, _checksum(number, payload)) + payload
 
 
-def _sum(number: int, payload: bytes) -> bytes:
+def _checksum(number: int, payload: bytes) -> bytes:
     return blake2b(number.to_bytes(8, "little") + payload, digest_size=16).digest()
 
 
-def _frame_at(data: bytes, at: int) -> tuple[int, bytes, int] | None:
-    """Number, payload and end of a good frame."""
-    if at + _HEAD.size > len(data):
+def _frame_at(data: bytes, offset: int) -> _Frame | None:
+    """Return the frame at an offset; None if it is cut off or its checksum is wrong."""
+    payload_start = offset + _HEADER.size
+    if payload_start > len(data):
         return None
-    magic, length, number, said = _HEAD.unpack_from(data, at)
-    payload = data[at + _HEAD.size : at + _HEAD.size + length]
-    if magic != MAGIC or len(payload) < length or _sum(number, payload) != said:
+    magic, length, number, checksum = _HEADER.unpack_from(data, offset)
+    payload = data[payload_start : payload_start + length]
+    if magic != MAGIC or len(payload) < length or _checksum(number, payload) != checksum:
         return None
-    return number, payload, at + _HEAD.size + length
+    return _Frame(number, payload, payload_start + length)
 
 
-def read(data: bytes) -> tuple[JournalCondition, list[Record], int, int]:
-    """Parse a journal's bytes; return state, records of the good frames, where those end, and the next frame's number.
+def parse_journal(data: bytes) -> ParsedJournal:
+    """Parse a journal's bytes.
 
     A bad frame at the end is torn, unless it is the first; one with a good frame of a higher number behind it is
-    spoilt.
+    spoilt. Records of a spoilt journal must not be used.
     """
     records: list[Record] = []
-    at = number = 0
-    while at < len(data):
-        found = _frame_at(data, at)
-        if found is None or found[0] != number:
-            later = at
-            while (later := data.find(MAGIC, later + 1)) >= 0:
-                other = _frame_at(data, later)
-                if other is not None and other[0] > number:
-                    return JournalCondition.SPOILT, [], at, number
-            # Frame 0 comes with a rename, after its sync: nothing tears it.
-            return (JournalCondition.TORN if number and found is None else JournalCondition.SPOILT), records, at, number
+    offset = 0
+    number = 0
+    while offset < len(data):
+        frame = _frame_at(data, offset)
+        if frame is None or frame.number != number:
+            if _has_later_frame(data, offset, number):
+                return ParsedJournal(JournalCondition.SPOILT, [], offset, number)
+            # Frame 0 is put in place by a rename after its sync, so that a crash can't tear it.
+            is_torn = number > 0 and frame is None
+            condition = JournalCondition.TORN if is_torn else JournalCondition.SPOILT
+            return ParsedJournal(condition, records, offset, number)
         try:
-            records += [tuple(one) for one in msgspec.msgpack.decode(found[1], type=list[list])]
+            decoded = msgspec.msgpack.decode(frame.payload, type=list[list])
         except (msgspec.DecodeError, UnicodeDecodeError):
-            return JournalCondition.SPOILT, [], at, number
-        at, number = found[2], number + 1
-    return (JournalCondition.WHOLE if number else JournalCondition.SPOILT), records, at, number
+            return ParsedJournal(JournalCondition.SPOILT, [], offset, number)
+        records += [tuple(record) for record in decoded]
+        offset = frame.end
+        number += 1
+    condition = JournalCondition.WHOLE if number else JournalCondition.SPOILT
+    return ParsedJournal(condition, records, offset, number)
+
+
+def _has_later_frame(data: bytes, offset: int, number: int) -> bool:
+    """Whether a good frame with a higher number begins behind an offset."""
+    later = data.find(MAGIC, offset + 1)
+    while later >= 0:
+        frame = _frame_at(data, later)
+        if frame is not None and frame.number > number:
+            return True
+        later = data.find(MAGIC, later + 1)
+    return False
 
 
 class JournalFile:
     """The journal's file, open and locked for one process."""
 
     def __init__(self, folder: Path) -> None:
-        """Create the folder if need be and lock it; Held if another process has it, OSError."""
+        """Create the folder if need be and lock it; FolderLockedError if another process has it, OSError."""
         folder.mkdir(parents=True, exist_ok=True, mode=0o700)
-        self.folder, self.path = folder, folder / NAME
-        self._lock = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self.folder: Path = folder
+        self.path: Path = folder / FILE_NAME
+        self.broken: bool = False  # a write has failed
+        self._file: int = -1  # descriptor; -1: not open
+        self._next_number: int = 0
+        self._lock: int = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock)
             raise FolderLockedError(str(folder)) from None
-        self._file = -1
-        self._number = 0
-        self.broken = False
 
     def load(self) -> tuple[JournalCondition, list[Record]]:
-        """Read the file, once, and return what it was and its records; a torn end is cut off.
+        """Read the file, once, and return its condition and records; a torn end is cut off.
 
-        A spoilt file, also one of over MOST_FILE bytes, is renamed to `.spoilt` for later inspection. OSError.
+        A spoilt file, also one of over MAX_FILE_BYTES, is renamed to `.spoilt` for later inspection. OSError.
         """
         try:
-            data = self.path.read_bytes() if self.path.stat().st_size <= MOST_FILE else b""
+            data = self.path.read_bytes() if self.path.stat().st_size <= MAX_FILE_BYTES else b""
         except FileNotFoundError:
             return JournalCondition.FRESH, []
-        found, records, end, self._number = read(data)
-        if found is JournalCondition.SPOILT:
+        parsed = parse_journal(data)
+        self._next_number = parsed.next_number
+        if parsed.condition is JournalCondition.SPOILT:
             os.replace(self.path, self.path.with_suffix(".spoilt"))
-            return found, []
+            return parsed.condition, []
         self._file = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
-        if found is JournalCondition.TORN:
-            os.ftruncate(self._file, end)
+        if parsed.condition is JournalCondition.TORN:
+            os.ftruncate(self._file, parsed.end)
             os.fsync(self._file)
-        return found, records
+        return parsed.condition, parsed.records
 
     def write(self, writing: PendingWrite) -> int:
         """Append the records, or replace the file with them, and sync; return the payload's bytes. Blocks its thread.
 
-        After an OSError all further writes fail: what was written may be there or not, until the file is read anew.
+        After an OSError all further writes fail, as it is not known what was written until the file is read anew.
         """
         if self.broken:
             raise OSError("the journal failed before")
         payload = msgspec.msgpack.encode(writing.records)
         try:
-            if writing.whole or self._file < 0:
-                self._replace(frame(0, payload))
+            if writing.replaces_all or self._file < 0:
+                self._replace(encode_frame(0, payload))
             else:
-                self._append(self._file, frame(self._number, payload))
+                self._append(self._file, encode_frame(self._next_number, payload))
                 os.fdatasync(self._file)
-                self._number += 1
+                self._next_number += 1
         except BaseException:
             self.broken = True
             raise
@@ -159,7 +192,8 @@
             raise
         if self._file >= 0:
             os.close(self._file)
-        self._file, self._number = handle, 1
+        self._file = handle
+        self._next_number = 1
 
     @staticmethod
     def _append(handle: int, data: bytes) -> None:
--- a/frostspindle/replica/journal.py
+++ b/frostspindle/replica/journal.py
@@ -1,15 +1,15 @@
-"""A member's journal in memory and what of it must be written: entries, term and vote, and the snapshot under them.
+"""A member's journal in memory, and the records of it that must be written: entries, term and vote, snapshot.
 
-Owns the list that the library reads and writes, and the records of what changed since the last `take`. It must never
-do I/O: who owns it writes the records and syncs them before anything that depends on them is sent. It never cuts off
-an entry that was applied: that is Diverged, and the member must stop.
+Holds the list of entries that the library reads and writes, and records what changed since the last
+`take_pending_write`. No I/O: the owner writes the records and syncs them before anything that depends on them is sent.
+An entry that was applied is never removed: LogDivergedError is raised instead, and the member must stop.
 
-Records, in the order in which they are replayed:
-    (0, kind, data, index, term)      an entry, see wire.plain
-    (1, index)                        all entries from this one on are gone
+Records, in the order in which they are replayed; the first number is the `RecordKind`:
+    (0, kind, data, index, term)      an entry, see wire.to_plain
+    (1, index)                        all entries from this index on are removed
     (2, term, vote)                   the current term, and who has the vote in it ("": nobody)
-    (3, snapshot, entries, term, vote, forgot) all of it anew; only as the first record
-    (4, forgot)                       whether a lost journal's votes are still not made up for, see member.promote
+    (3, snapshot, entries, term, vote, votes_lost) replaces everything; only as the first record
+    (4, votes_lost)                   whether a lost journal's votes still count as unknown, see LogMember.promote
 """
 
 from __future__ import annotations
@@ -18,69 +18,87 @@
 import socket
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from enum import IntEnum
+from itertools import pairwise
 from typing import Any
 
-from pysyncobj.journal import Journal as Interface
+from pysyncobj.journal import Journal as LibraryJournal
 
 from frostspindle.replica import wire
+from frostspindle.replica.base import ReplicaError
 from frostspindle.replica.wire import Entry
 
-socket.inet_ntop = _socket.inet_ntop  # guard 11: what the library's import has put there works on Windows alone
+socket.inet_ntop = _socket.inet_ntop  # guard 11: the library's import replaces it by one that works on Windows alone
 
 Record = tuple[Any, ...]
-_FIRST: Entry = (bytes([wire.NO_OP]), 1, 0)  # what the library has every log begin with
+_FIRST: Entry = (bytes([wire.NO_OP]), 1, 0)  # the library begins every log with it
 
 
-class LogDivergedError(Exception):
-    """An entry that was applied here was to be replaced by another: no leader of a sound log asks for that."""
+class RecordKind(IntEnum):
+    """The first value of a record."""
+
+    ENTRY = 0
+    TRUNCATED = 1
+    VOTE = 2
+    SNAPSHOT = 3
+    VOTES_LOST = 4
+
+
+class LogDivergedError(ReplicaError):
+    """An entry that was applied here would be replaced by another, which no leader of a sound log asks for."""
 
 
 @dataclass(slots=True)
 class PendingWrite:
     """Records that must be durable before anything more is sent."""
 
-    whole: bool  # replaces all that was written before
+    replaces_all: bool  # everything that was written before is replaced
     records: list[Record] = field(default_factory=list)
 
 
-class RaftJournal(Interface):
+class RaftJournal(LibraryJournal):
     """The journal in memory, in the interface that the library expects of its own."""
 
     def __init__(self, records: Iterable[Record] = ()) -> None:
         """Replay the records that were kept; ValueError where they do not follow on each other."""
         self.entries: list[Entry] = [_FIRST]
-        self.term, self.vote = 0, ""
-        self.snapshot = b""
-        self.forgot = False
-        self.applied = 1  # nothing up to here may be cut off
-        self.size = 0
+        self.term: int = 0
+        self.vote: str = ""  # name of the node voted for in this term; empty: nobody
+        self.snapshot: bytes = b""
+        self.votes_lost: bool = False
+        self.applied: int = 1  # index up to which no entry may be removed
         self._records: list[Record] = []
-        self._whole = True
+        self._rewrite_due: bool = True  # the next write replaces everything
         for number, record in enumerate(records):
             self._replay(number, record)
-            self._whole = False
-        self.size = sum(len(one[0]) for one in self.entries)
+            self._rewrite_due = False
+        self.size: int = _command_bytes(self.entries)
 
     def _replay(self, number: int, record: Record) -> None:
-        kind, *rest = record
-        if kind == 3 and number == 0:
-            self.snapshot, entries, self.term, self.vote, self.forgot = rest
-            self.entries = [wire.entry(tuple(one)) for one in entries]
-            if any(b[1] != a[1] + 1 for a, b in zip(self.entries, self.entries[1:], strict=False)):
-                raise ValueError("entries with a gap")
-        elif kind == 0 and rest[2] == self.last[1] + 1:
-            self.entries.append(wire.entry(tuple(rest)))
-        elif kind == 1 and self.entries[0][1] < rest[0] <= self.last[1]:
-            del self.entries[rest[0] - self.entries[0][1] :]
-        elif kind == 2:
-            self.term, self.vote = rest
-        elif kind == 4:
-            self.forgot = bool(rest[0])
-        else:
-            raise ValueError(f"record {number}, of kind {kind!r:.9}, is out of place")
+        kind, *values = record
+        match kind:
+            case RecordKind.SNAPSHOT if number == 0:
+                self._replay_snapshot(values)
+            case RecordKind.ENTRY if values[2] == self.last[1] + 1:
+                self.entries.append(wire.from_plain(tuple(values)))
+            case RecordKind.TRUNCATED if self.entries[0][1] < values[0] <= self.last[1]:
+                del self.entries[values[0] - self.entries[0][1] :]
+            case RecordKind.VOTE:
+                self.term, self.vote = values
+            case RecordKind.VOTES_LOST:
+                self.votes_lost = bool(values[0])
+            case _:
+                raise ValueError(f"record {number}, of kind {kind!r:.9}, is out of place")
         if not self.entries:
             raise ValueError("no entry is left")
 
+    def _replay_snapshot(self, values: list[Any]) -> None:
+        self.snapshot, plain_entries, self.term, self.vote, self.votes_lost = values
+        self.entries = [wire.from_plain(tuple(plain)) for plain in plain_entries]
+        for previous, following in pairwise(self.entries):
+            if following[1] != previous[1] + 1:
+                raise ValueError("entries with a gap")
+
     @property
     def last(self) -> Entry:
         """The last entry, as (command, index, term)."""
@@ -88,43 +106,50 @@
 
     @property
     def dirty(self) -> bool:
-        """Whether `take` has something to write."""
-        return self._whole or bool(self._records)
+        """Whether `take_pending_write` has something to write."""
+        return self._rewrite_due or bool(self._records)
 
     def term_at(self, index: int) -> int | None:
         """Return the term of the entry with this index; None: it is not here."""
-        place = index - self.entries[0][1]
-        return self.entries[place][2] if 0 <= place < len(self.entries) else None
+        position = index - self.entries[0][1]
+        return self.entries[position][2] if 0 <= position < len(self.entries) else None
 
-    def between(self, after: int, upto: int) -> list[Entry]:
-        """Return the entries with an index over `after` and up to `upto`; the one at `after` + 1 must be here."""
+    def entries_between(self, after: int, up_to: int) -> list[Entry]:
+        """Return the entries with an index over `after` and up to `up_to`; the one at `after` + 1 must be here."""
         first = self.entries[0][1]
-        return self.entries[after + 1 - first : upto + 1 - first]
+        return self.entries[after + 1 - first : up_to + 1 - first]
 
-    def take(self) -> PendingWrite | None:
+    def take_pending_write(self) -> PendingWrite | None:
         """Return the changes since the last call, to be written and synced; None: there are none."""
-        if self._whole:
-            self._whole, self._records = False, []
-            return PendingWrite(
-                True, [(3, self.snapshot, [wire.plain(one) for one in self.entries], self.term, self.vote, self.forgot)]
-            )
+        if self._rewrite_due:
+            self._rewrite_due = False
+            self._records = []
+            return PendingWrite(True, [self._snapshot_record()])
         if not self._records:
             return None
-        out, self._records = PendingWrite(False, self._records), []
-        return out
-
-    def rebase(self, snapshot: bytes, before: Entry, last: Entry) -> None:
-        """Replace all entries up to `last` by a snapshot; later ones stay where they follow on it."""
-        keep = self.between(last[1], self.last[1]) if self.term_at(last[1]) == last[2] else []
-        self.snapshot, self.entries = snapshot, [before, last, *keep]
-        self.size = sum(len(one[0]) for one in self.entries)
-        self._whole = True
-
-    def forget(self, forgot: bool) -> None:
-        """Record whether votes that were lost with an earlier journal are still not made up for."""
-        if forgot != self.forgot:
-            self.forgot = forgot
-            self._records.append((4, forgot))
+        records = self._records
+        self._records = []
+        return PendingWrite(False, records)
+
+    def _snapshot_record(self) -> Record:
+        entries = [wire.to_plain(entry) for entry in self.entries]
+        return RecordKind.SNAPSHOT, self.snapshot, entries, self.term, self.vote, self.votes_lost
+
+    def compact(self, snapshot: bytes, before: Entry, last: Entry) -> None:
+        """Replace all entries up to `last` by a snapshot; later ones stay if they follow on it."""
+        later = []
+        if self.term_at(last[1]) == last[2]:
+            later = self.entries_between(last[1], self.last[1])
+        self.snapshot = snapshot
+        self.entries = [before, last, *later]
+        self.size = _command_bytes(self.entries)
+        self._rewrite_due = True
+
+    def set_votes_lost(self, lost: bool) -> None:
+        """Record whether votes of an earlier journal, which was lost, still count as unknown."""
+        if lost != self.votes_lost:
+            self.votes_lost = lost
+            self._records.append((RecordKind.VOTES_LOST, lost))
 
     # The library's calls.
 
@@ -132,23 +157,26 @@
         """Append an entry; ValueError if its index does not follow on the last."""
         if self.entries and idx != self.last[1] + 1:
             raise ValueError(f"entry {idx} after {self.last[1]}")
-        one = (command, idx, term)
-        self.entries.append(one)
+        entry = (command, idx, term)
+        self.entries.append(entry)
         self.size += len(command)
-        self._records.append((0, *wire.plain(one)))
+        self._records.append((RecordKind.ENTRY, *wire.to_plain(entry)))
 
     def clear(self) -> None:
         """Drop all entries, before a snapshot from the leader is put here; the library then adds its two entries."""
-        self.entries, self.size, self._whole = [], 0, True
+        self.entries = []
+        self.size = 0
+        self._rewrite_due = True
 
     def deleteEntriesFrom(self, entryFrom: int) -> None:
-        """Drop the entries from this position on, counted from the first here; Diverged if one was applied."""
+        """Drop the entries from this position on, counted from the first here; LogDivergedError if one was
+        applied."""
         index = self.entries[0][1] + entryFrom
         if index <= self.applied:
             raise LogDivergedError(f"entry {index} was to go, and {self.applied} are applied")
-        self.size -= sum(len(one[0]) for one in self.entries[entryFrom:])
+        self.size -= _command_bytes(self.entries[entryFrom:])
         del self.entries[entryFrom:]
-        self._records.append((1, index))
+        self._records.append((RecordKind.TRUNCATED, index))
 
     def deleteEntriesTo(self, entryTo: int) -> None:
         """Raise NotImplementedError: the library's compaction is off, the member takes its snapshots itself."""
@@ -160,7 +188,8 @@
     def __len__(self) -> int:
         return len(self.entries)
 
-    def _destroy(self) -> None: ...
+    def _destroy(self) -> None:
+        pass
 
     def setRaftCommitIndex(self, raftCommitIndex: int) -> None:
         """Do nothing: the commit index is not kept, a leader sends it again."""
@@ -171,10 +200,12 @@
 
     def setCurrentTerm(self, term: int, votedForNodeId: str | None) -> None:
         """Set term and vote (None: nobody has it), recorded only if they change."""
-        if (term, votedForNodeId or "") == (self.term, self.vote):
+        vote = votedForNodeId or ""
+        if (term, vote) == (self.term, self.vote):
             return
-        self.term, self.vote = term, votedForNodeId or ""
-        self._records.append((2, self.term, self.vote))
+        self.term = term
+        self.vote = vote
+        self._records.append((RecordKind.VOTE, term, vote))
 
     def getCurrentTerm(self) -> int:
         """Return the current term; 0 in a fresh journal."""
@@ -183,3 +214,7 @@
     def getVotedForNodeId(self) -> str | None:
         """Return the id of the node that has the vote in the current term; None: nobody."""
         return self.vote or None
+
+
+def _command_bytes(entries: list[Entry]) -> int:
+    return sum(len(command) for command, _, _ in entries)
--- /dev/null
+++ b/frostspindle/replica/library_log.py
@@ -0,0 +1,27 @@
+"""The Raft library's warnings as log lines and a counter of the program."""
+
+from __future__ import annotations
+
+import logging
+
+from frostspindle.telemetry import Telemetry
+
+
+class TelemetryLogHandler(logging.Handler):
+    """Passes records of warnings and errors to the telemetry, cut to 200 characters."""
+
+    def __init__(self, telemetry: Telemetry) -> None:
+        super().__init__(logging.WARNING)
+        self.telemetry: Telemetry = telemetry
+
+    def emit(self, record: logging.LogRecord) -> None:
+        """Count and log a record."""
+        self.telemetry.count("replica_library")
+        self.telemetry.log("replica_library", level=record.levelname, text=record.getMessage()[:200])
+
+
+def redirect_library_log(telemetry: Telemetry) -> None:
+    """Have the library's logger write to this telemetry alone."""
+    logger = logging.getLogger("pysyncobj")
+    logger.handlers = [TelemetryLogHandler(telemetry)]
+    logger.propagate = False
--- a/frostspindle/replica/links.py
+++ b/frostspindle/replica/links.py
@@ -1,89 +1,51 @@
-"""Connections between members: TCP, a hello that both ends prove a shared secret in, then frames with a keyed sum each.
+"""Connections between members over TCP: dialling, accepting, heartbeats, and frames with a keyed checksum.
 
-Owns sockets, hellos, frames, their bounds, and who is connected as whom. It must never unpickle, never hand on a byte
-of who has not proved the secret, and never log the secret or what is in a frame.
-
-Hello, HMAC-like by keyed BLAKE2b (RFC 7693) as in any challenge and response (ISO 9798-4): the dialler sends its id,
-whom it wants and 16 random bytes; the other answers 16 random bytes and a proof over all that; the dialler sends its
-own proof. Ids: a voter's name, or `~name` of a follower. A frame: its length (4 bytes), 16 bytes of sum over its
-number and payload under a key of this connection and direction, its payload (wire.message_out, or nothing, which
-says: still here). Whatever is out of form, too long, late or not proved ends its connection with a count and a log
-line.
+A connection begins with the handshake (`handshake`). Then each frame is its length (4 bytes), a checksum of
+CHECKSUM_BYTES over its number and payload under a key of this connection and direction, and its payload
+(wire.encode_message; empty for a heartbeat). Whatever is malformed, too long, late or not authenticated ends its
+connection, with a counter and a log line that tells no content. Nothing of an unauthenticated peer is passed on.
 """
 
 from __future__ import annotations
 
 import asyncio
 import hmac
-import os
 import random
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from contextlib import suppress
-from hashlib import blake2b
 from typing import Any
 
-from frostspindle.replica import wire
-
-HELLO = b"FSL1"
-HELLO_S = 2.0
-SILENT_S = 2.0  # without a frame: the connection is given up
-HERE_S = 0.5  # so often each end says that it is there
-AGAIN_S = (0.1, 0.4)  # between tries to connect, drawn
-STRANGERS = 32  # connections that have not proved the secret yet
-MOST_OUT = 32 << 20  # bytes that wait for one peer
-MOST_IN = 32 << 20  # bytes of messages that wait for the member; then nothing is read
-MOST_HELLO = 512
-SUM = 16
-
-
-class LinkRefusedError(Exception):
-    """A connection was closed on purpose: `why`, one word for the counter, then a text that is safe to log."""
-
-    def __init__(self, why: str, text: str = "") -> None:
-        super().__init__(f"{why}: {text}" if text else why)
-        self.why = why
-
-
-def proof(secret: bytes, who: bytes, hello: bytes, nonce: bytes) -> bytes:
-    """Return a keyed BLAKE2b of 32 bytes over a label, the hello and the answer's nonce.
-
-    With the labels of the hello it proves knowledge of the secret, with those of a direction it is that direction's
-    key.
-    """
-    return blake2b(who + hello + nonce, key=blake2b(secret, digest_size=32).digest(), digest_size=32).digest()
+from frostspindle.replica import handshake, wire
+from frostspindle.replica.handshake import CHECKSUM_BYTES, LinkRefusedError, Session
 
-
-class FrameChecksums:
-    """Checksums of one direction's frames, numbered, so that none can be left out, repeated, changed or inserted."""
-
-    def __init__(self, key: bytes) -> None:
-        self._key, self._number = key, 0
-
-    def next(self, payload: bytes) -> bytes:
-        """Return the sum of the direction's next frame, SUM bytes; each call advances the frame's number."""
-        self._number += 1
-        return blake2b(self._number.to_bytes(8, "big") + payload, key=self._key, digest_size=SUM).digest()
+HANDSHAKE_TIMEOUT_S = 2.0
+SILENCE_TIMEOUT_S = 2.0  # without a frame: the connection is closed
+HEARTBEAT_S = 0.5
+RECONNECT_DELAY_S = (0.1, 0.4)  # between attempts to connect, drawn
+MAX_UNAUTHENTICATED = 32  # connections whose handshake is not complete
+MAX_QUEUED_OUT_BYTES = 32 << 20  # that wait for one peer
+MAX_QUEUED_IN_BYTES = 32 << 20  # of messages that wait for the member; then nothing is read
+BACKPRESSURE_POLL_S = 0.005
+STREAM_BUFFER_BYTES = 1 << 17
+_LENGTH_BYTES = 4
 
 
 class MemberLink:
     """One connection whose peer has proved that it knows the secret."""
 
-    def __init__(
-        self,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-        peer: str,
-        here: FrameChecksums,
-        there: FrameChecksums,
-    ) -> None:
-        self.reader, self.writer, self.peer, self._here, self._there = reader, writer, peer, here, there
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, session: Session) -> None:
+        self.reader: asyncio.StreamReader = reader
+        self.writer: asyncio.StreamWriter = writer
+        self.peer: str = session.peer
+        self._outgoing = session.outgoing
+        self._incoming = session.incoming
 
     def send(self, payload: bytes) -> bool:
-        """Queue a frame; False, and nothing is queued, if more than MOST_OUT bytes would wait."""
-        if self.writer.transport.get_write_buffer_size() + len(payload) > MOST_OUT:
+        """Queue a frame; False, and nothing is queued, if more than MAX_QUEUED_OUT_BYTES would wait."""
+        if self.writer.transport.get_write_buffer_size() + len(payload) > MAX_QUEUED_OUT_BYTES:
             return False
-        self.writer.write(len(payload).to_bytes(4, "big") + self._here.next(payload))
+        self.writer.write(len(payload).to_bytes(_LENGTH_BYTES, "big") + self._outgoing.next(payload))
         if payload:
             self.writer.write(payload)
         return True
@@ -91,75 +53,91 @@
     async def receive(self) -> bytes:
         """Return the next frame's payload, empty for a heartbeat.
 
-        Refused for a wrong sum or length, TimeoutError after SILENT_S of silence, OSError or IncompleteReadError when
-        the connection ends.
+        LinkRefusedError for a wrong checksum or length, TimeoutError after SILENCE_TIMEOUT_S without a frame, OSError
+        or IncompleteReadError when the connection ends.
         """
-        async with asyncio.timeout(SILENT_S):
-            head = await self.reader.readexactly(4 + SUM)
-            length = int.from_bytes(head[:4], "big")
-            if length > wire.MOST_FRAME:
+        async with asyncio.timeout(SILENCE_TIMEOUT_S):
+            head = await self.reader.readexactly(_LENGTH_BYTES + CHECKSUM_BYTES)
+            length = int.from_bytes(head[:_LENGTH_BYTES], "big")
+            if length > wire.MAX_FRAME_BYTES:
                 raise LinkRefusedError("too_long", f"{length} bytes")
             payload = await self.reader.readexactly(length)
-        if not hmac.compare_digest(self._there.next(payload), head[4:]):
+        if not hmac.compare_digest(self._incoming.next(payload), head[_LENGTH_BYTES:]):
             raise LinkRefusedError("sum")
         return payload
 
+    async def receive_message(self) -> tuple[dict[str, Any] | None, int]:
+        """Return the next message and its length in bytes, or None for a heartbeat; errors as `receive`."""
+        payload = await self.receive()
+        if not payload:
+            return None, 0
+        try:
+            return wire.decode_message(payload), len(payload)
+        except ValueError as error:
+            raise LinkRefusedError("spoilt", str(error)[:120]) from None
+
 
 class MemberLinks:
-    """All connections of one member; `up`, `down` and `heard` are called in the event loop."""
+    """All connections of one member; the callbacks are called in the event loop."""
 
     def __init__(
         self,
         name: str,
         secret: bytes,
-        up: Callable[[str], None],
-        down: Callable[[str], None],
-        heard: Callable[[str, dict[str, Any], int], None],
-        knows: Callable[[str], bool],
-        room: Callable[[], bool],
-        note: Callable[..., None],
+        on_connected: Callable[[str], None],
+        on_disconnected: Callable[[str], None],
+        on_message: Callable[[str, dict[str, Any], int], None],
+        is_known: Callable[[str], bool],
+        has_capacity: Callable[[], bool],
+        log_event: Callable[..., None],
     ) -> None:
         """Start sending heartbeats; a running event loop is needed.
 
-        `knows`: whether this id may connect now; `note(event, **fields)` logs; `room`: whether more may be read.
+        `on_message`: called with peer, message and its length in bytes. `is_known`: whether this id may connect now.
+        `has_capacity`: whether more may be read. `log_event(event, **fields)` counts and logs.
         """
-        self.name, self._secret, self.note = name, secret, note
-        self._up, self._down, self._heard, self._knows, self._room = up, down, heard, knows, room
-        self.id = name
-        self.links: dict[str, MemberLink] = {}
-        self.counted: Counter[str] = Counter()
+        self.name: str = name
+        self.id: str = name  # `~name` while it is a follower
+        self.links: dict[str, MemberLink] = {}  # by peer
+        self.counters: Counter[str] = Counter()
+        self._secret: bytes = secret
+        self._on_connected: Callable[[str], None] = on_connected
+        self._on_disconnected: Callable[[str], None] = on_disconnected
+        self._on_message: Callable[[str, dict[str, Any], int], None] = on_message
+        self._is_known: Callable[[str], bool] = is_known
+        self._has_capacity: Callable[[], bool] = has_capacity
+        self._log_event: Callable[..., None] = log_event
         self._server: asyncio.Server | None = None
-        self._dials: dict[str, asyncio.Task[None]] = {}
-        self._served: set[asyncio.Task[Any]] = set()
-        self._strangers = 0
-        self._here = asyncio.create_task(self._say_here())
+        self._dial_tasks: dict[str, asyncio.Task[None]] = {}  # by the peer's name
+        self._accepted_tasks: set[asyncio.Task[None]] = set()
+        self._unauthenticated: int = 0
+        self._heartbeat_task: asyncio.Task[None] = asyncio.create_task(self._send_heartbeats())
 
     async def listen(self, host: str, port: int) -> int:
         """Accept connections at an address; return the port, as chosen by the system if it was 0. OSError."""
-        self._server = await asyncio.start_server(self._accept, host, port, limit=1 << 17)
+        self._server = await asyncio.start_server(self._accept, host, port, limit=STREAM_BUFFER_BYTES)
         return int(self._server.sockets[0].getsockname()[1])
 
-    def aim(self, ident: str, targets: dict[str, str]) -> None:
-        """Be `ident` from now on and keep connections to these voters, by name `IP:PORT`.
+    def set_targets(self, own_id: str, targets: dict[str, str]) -> None:
+        """Be `own_id` from now on and keep connections to these voters, by name `IP:PORT`.
 
         With another id than before, all connections end first. Of two voters the one with the lower name dials.
         """
-        if ident != self.id:
+        if own_id != self.id:
             for peer in list(self.links):
                 self.drop(peer)
-            for task in self._dials.values():
+            for task in self._dial_tasks.values():
                 task.cancel()
-            self._dials.clear()
-        self.id = ident
-        wanted = {
-            name: at
-            for name, at in targets.items()
-            if at and name != self.name and (ident.startswith("~") or ident < name)
-        }
-        for name in self._dials.keys() - wanted.keys():
-            self._dials.pop(name).cancel()
-        for name in wanted.keys() - self._dials.keys():
-            self._dials[name] = asyncio.create_task(self._dial(name, wanted[name]))
+            self._dial_tasks.clear()
+        self.id = own_id
+        wanted = {name: address for name, address in targets.items() if address and self._is_dialled_here(name)}
+        for name in self._dial_tasks.keys() - wanted.keys():
+            self._dial_tasks.pop(name).cancel()
+        for name in wanted.keys() - self._dial_tasks.keys():
+            self._dial_tasks[name] = asyncio.create_task(self._keep_connected(name, wanted[name]))
+
+    def _is_dialled_here(self, name: str) -> bool:
+        return name != self.name and (self.id.startswith("~") or self.id < name)
 
     def send(self, peer: str, message: dict[str, Any]) -> None:
         """Send one of the library's messages to a peer; nothing happens if it is not connected.
@@ -171,142 +149,117 @@
         if link is None:
             return
         try:
-            payload = wire.message_out(message)
-            if len(payload) > wire.MOST_FRAME:
+            payload = wire.encode_message(message)
+            if len(payload) > wire.MAX_FRAME_BYTES:
                 raise ValueError
         except ValueError:
-            self.counted["too_long"] += 1  # a fault of ours: nobody would read it
+            self.counters["too_long"] += 1  # a fault of this end: nobody would read it
             return
         if not link.send(payload):
-            self.counted["crowded"] += 1
+            self.counters["crowded"] += 1
             self.drop(peer)
 
     def drop(self, peer: str) -> None:
-        """End a peer's connection, with a call of `down`; whichever end dials opens it anew."""
+        """End a peer's connection, with a call of `on_disconnected`; whichever end dials opens it anew."""
         link = self.links.pop(peer, None)
         if link is not None:
             link.writer.transport.abort()
-            self._down(peer)
+            self._on_disconnected(peer)
 
     async def close(self) -> None:
-        """Stop listening, end all connections, each with a call of `down`, and wait until their tasks have ended."""
-        self._here.cancel()
+        """Stop listening, end all connections, each with a call of `on_disconnected`, and wait for their tasks."""
+        self._heartbeat_task.cancel()
         if self._server is not None:
             self._server.close()
-        for task in (*self._dials.values(), *self._served):
+        tasks = (*self._dial_tasks.values(), *self._accepted_tasks)
+        for task in tasks:
             task.cancel()
         for link in self.links.values():
             link.writer.transport.abort()
-        await asyncio.gather(*self._dials.values(), *self._served, self._here, return_exceptions=True)
+        await asyncio.gather(*tasks, self._heartbeat_task, return_exceptions=True)
         self.links.clear()
 
-    async def _say_here(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(HERE_S)
+            await asyncio.sleep(HEARTBEAT_S)
             for peer, link in list(self.links.items()):
                 if not link.send(b""):
                     self.drop(peer)
 
-    async def _dial(self, name: str, at: str) -> None:
-        host, _, port = at.rpartition(":")
+    async def _keep_connected(self, name: str, address: str) -> None:
+        host, _, port = address.rpartition(":")
         while True:
             try:
-                async with asyncio.timeout(HELLO_S):
-                    reader, writer = await asyncio.open_connection(host.strip("[]"), int(port), limit=1 << 17)
+                async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+                    reader, writer = await asyncio.open_connection(
+                        host.strip("[]"), int(port), limit=STREAM_BUFFER_BYTES
+                    )
             except (OSError, TimeoutError):
                 pass
             else:
-                await self._serve(writer, self._greet(reader, writer, name))
-            await asyncio.sleep(random.uniform(*AGAIN_S))
+                session = handshake.dial(reader, writer, self._secret, self.id, name)
+                await self._serve(reader, writer, session)
+            await asyncio.sleep(random.uniform(*RECONNECT_DELAY_S))
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._strangers >= STRANGERS:
-            self.counted["strangers"] += 1
+        if self._unauthenticated >= MAX_UNAUTHENTICATED:
+            self.counters["strangers"] += 1
             writer.transport.abort()
             return
-        task = asyncio.create_task(self._serve(writer, self._greeted(reader, writer)))
-        self._served.add(task)
-        task.add_done_callback(self._served.discard)
-
-    async def _serve(self, writer: asyncio.StreamWriter, greeting: Any) -> None:
-        """A connection from its hello to its end."""
-        link = None
-        self._strangers += 1
+        session = handshake.accept(reader, writer, self._secret, self._is_acceptable)
+        task = asyncio.create_task(self._serve(reader, writer, session))
+        self._accepted_tasks.add(task)
+        task.add_done_callback(self._accepted_tasks.discard)
+
+    def _is_acceptable(self, peer: str, wanted: str) -> bool:
+        return wanted == self.id and self._is_known(peer)
+
+    async def _serve(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        shake_hands: Coroutine[Any, Any, Session],
+    ) -> None:
+        """Run a connection from its handshake to its end."""
+        link: MemberLink | None = None
         try:
-            try:
-                async with asyncio.timeout(HELLO_S):
-                    link = await greeting
-            finally:
-                self._strangers -= 1
-            self.drop(link.peer)  # an older one: its other end has given it up, or will
+            link = MemberLink(reader, writer, await self._authenticate(shake_hands))
+            self.drop(link.peer)  # an older connection: its other end has closed it, or will
             self.links[link.peer] = link
-            self._up(link.peer)
-            while True:
-                payload = await link.receive()
-                if payload:
-                    try:
-                        message = wire.message_in(payload)
-                    except ValueError as error:
-                        raise LinkRefusedError("spoilt", str(error)[:120]) from None
-                    if self.links.get(link.peer) is link:
-                        self._heard(link.peer, message, len(payload))
-                    while not self._room():
-                        await asyncio.sleep(0.005)
+            self._on_connected(link.peer)
+            await self._read_messages(link)
         except LinkRefusedError as error:
-            self.counted[error.why] += 1
-            self.note("replica_refused", why=str(error), peer=link.peer if link else _where(writer))
+            self.counters[error.why] += 1
+            self._log_event("replica_refused", why=str(error), peer=link.peer if link else _address_of(writer))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            self.counted["unproved" if link is None else "broken"] += 1  # silent or gone before its proof; later
+            self.counters["unproved" if link is None else "broken"] += 1  # silent or gone before its proof; later
         finally:
             writer.transport.abort()
             if link is not None and self.links.get(link.peer) is link:
                 del self.links[link.peer]
-                self._down(link.peer)
-
-    async def _greet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, name: str) -> MemberLink:
-        hello = b"\0".join((HELLO, self.id.encode(), name.encode(), os.urandom(16).hex().encode()))
-        writer.write(len(hello).to_bytes(2, "big") + hello)
-        answer = await reader.readexactly(48)
-        nonce, said = answer[:16], answer[16:]
-        if not hmac.compare_digest(said, proof(self._secret, b"answers", hello, nonce)):
-            raise LinkRefusedError("not_proved", f"who answers for {name} does not know the secret")
-        writer.write(proof(self._secret, b"dials", hello, nonce))
-        return MemberLink(
-            reader,
-            writer,
-            name,
-            FrameChecksums(proof(self._secret, b"to", hello, nonce)),
-            FrameChecksums(proof(self._secret, b"from", hello, nonce)),
-        )
-
-    async def _greeted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> MemberLink:
-        length = int.from_bytes(await reader.readexactly(2), "big")
-        if not 0 < length <= MOST_HELLO:
-            raise LinkRefusedError("hello", "of another length")
-        hello = await reader.readexactly(length)
-        parts = hello.split(b"\0")
-        if len(parts) != 4 or parts[0] != HELLO:
-            raise LinkRefusedError("hello", "of another form")
+                self._on_disconnected(link.peer)
+
+    async def _authenticate(self, shake_hands: Coroutine[Any, Any, Session]) -> Session:
+        self._unauthenticated += 1
         try:
-            peer, wanted = parts[1].decode("ascii"), parts[2].decode("ascii")
-        except UnicodeDecodeError:
-            raise LinkRefusedError("hello", "of another form") from None
-        nonce = os.urandom(16)
-        writer.write(nonce + proof(self._secret, b"answers", hello, nonce))
-        if not hmac.compare_digest(await reader.readexactly(32), proof(self._secret, b"dials", hello, nonce)):
-            raise LinkRefusedError("not_proved")
-        if wanted != self.id or not self._knows(peer):
-            raise LinkRefusedError("unknown", f"{peer!r:.80} wants {wanted!r:.80}")
-        return MemberLink(
-            reader,
-            writer,
-            peer,
-            FrameChecksums(proof(self._secret, b"from", hello, nonce)),
-            FrameChecksums(proof(self._secret, b"to", hello, nonce)),
-        )
-
-
-def _where(writer: asyncio.StreamWriter) -> str:
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+                return await shake_hands
+        finally:
+            self._unauthenticated -= 1
+
+    async def _read_messages(self, link: MemberLink) -> None:
+        """Pass messages on until the connection ends; while the member has no capacity, nothing is read."""
+        while True:
+            message, size = await link.receive_message()
+            if message is None:
+                continue
+            if self.links.get(link.peer) is link:
+                self._on_message(link.peer, message, size)
+            while not self._has_capacity():
+                await asyncio.sleep(BACKPRESSURE_POLL_S)
+
+
+def _address_of(writer: asyncio.StreamWriter) -> str:
     with suppress(Exception):
         host, port, *_ = writer.get_extra_info("peername")
         return f"{host}:{port}"
--- a/frostspindle/replica/local.py
+++ b/frostspindle/replica/local.py
@@ -1,8 +1,7 @@
-"""A log in memory: one or more members in one process, for tests and for a coordinator that is alone.
+"""A replicated log in memory: members in one process, for tests and for a coordinator that is alone.
 
-Owns an order of entries and who has applied how many of them. Members apply at once, unless they are held (`hold`), or
-the log has no leader (`lead(False)`): so users are tested against late members and Unavailable. It must never do I/O,
-and nothing of it outlives its process.
+Members apply entries at once, unless they are paused (`hold`) or the log has no leader (`lead(False)`), so that users
+can be tested against late members and LogUnavailableError. No I/O; nothing outlives the process.
 """
 
 from __future__ import annotations
@@ -10,137 +9,125 @@
 import asyncio
 
 from frostspindle.replica.base import (
-    MOST_OPEN,
+    MAX_OPEN_PROPOSALS,
     AppliedEntry,
     LogUnavailableError,
     OutcomeUnknownError,
-    StateMachine,
-    StateMachineRegistry,
-    Told,
+    RegistryLog,
 )
 
-KEEP = 1_024  # entries; who is further behind is given a snapshot
+MAX_ENTRIES = 1_024  # that are kept; a member that is further behind gets a snapshot
 
 
-class LocalLog:
-    """One member of a log in memory. The first is made by itself, more by `join`."""
+class LocalLog(RegistryLog):
+    """One member of a log in memory. The first is made directly, more by `join`."""
 
-    def __init__(self, name: str = "local", shared: _Shared | None = None) -> None:
-        self.name, self._shared, self._desk = name, shared or _Shared(), StateMachineRegistry()
-        self._held = self._stopped = False
-        self._open = 0
-        self._arrived = asyncio.Event()
+    def __init__(self, name: str = "local", entries: _SharedEntries | None = None) -> None:
+        super().__init__()
+        self.name: str = name
+        self._shared: _SharedEntries = entries or _SharedEntries()
+        self._paused: bool = False
+        self._stopped: bool = False
+        self._open_proposals: int = 0
+        self._applied: asyncio.Event = asyncio.Event()  # replaced whenever entries were applied
         self._shared.members.append(self)
 
     def join(self, name: str) -> LocalLog:
         """Return one more member of the same log; it applies nothing before the next entry or `catch_up`."""
         return LocalLog(name, self._shared)
 
-    @property
-    def index(self) -> int:
-        """Index of the last entry applied by this member; 0: none."""
-        return self._desk.index
-
     @property
     def leader(self) -> str | None:
-        """Name of the first member while the log is led; None if it is not, or this member has stopped."""
-        return self._shared.members[0].name if self._shared.led and not self._stopped else None
-
-    def attach(self, topic: str, machine: StateMachine) -> None:
-        """See base.Log; RuntimeError once this member has applied an entry."""
-        if self._desk.index:
-            raise RuntimeError("the log has started")
-        self._desk.attach(topic, machine)
-
-    def watch(self, topic: str, told: Told) -> None:
-        """See base.Log; a watcher is also told, with an empty command, when a snapshot was restored."""
-        self._desk.watch(topic, told)
-
-    async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
-        """See base.Log; applied at once unless this member is held or has stopped."""
-        self._desk.check(topic, command)
-        return await self._append(topic, command, within_s)
-
-    async def barrier(self, within_s: float) -> int:
-        """See base.Log; a no-op without a topic is appended."""
-        return (await self._append("", b"", within_s)).index
+        """Name of the first member while the log has a leader; None if it has none, or this member has stopped."""
+        if self._shared.has_leader and not self._stopped:
+            return self._shared.members[0].name
+        return None
 
     def hold(self, held: bool = True) -> None:
-        """Apply nothing for now; `hold(False)` applies what has come meanwhile, in order."""
-        self._held = held
+        """Apply nothing for now; `hold(False)` applies what was appended meanwhile, in order."""
+        self._paused = held
         if not held:
             self.catch_up()
 
     def lead(self, led: bool) -> None:
-        """Set whether the log has a leader; without one, all members' proposals end in Unavailable."""
-        self._shared.led = led
+        """Set whether the log has a leader; without one, all members' proposals raise LogUnavailableError."""
+        self._shared.has_leader = led
 
     def stop(self) -> None:
         """Stop this member for good: it applies nothing more, and open and later proposals fail."""
         self._stopped = True
-        self._arrived.set()
+        self._applied.set()
 
     def catch_up(self) -> None:
-        """Apply all entries that have come since, or another member's snapshot where they are gone."""
-        if self._held or self._stopped:
+        """Apply all entries appended since, or another member's snapshot if they are no longer kept."""
+        if self._paused or self._stopped:
             return
         shared = self._shared
-        if self.index < shared.first - 1:
-            donor = max((m for m in shared.members if m is not self), key=lambda member: member.index)
-            self._desk.restore(donor.index, donor._desk.states())
-        for topic, command in shared.entries[max(0, self.index + 1 - shared.first) :]:
+        if self.index < shared.first_index - 1:
+            others = [member for member in shared.members if member is not self]
+            donor = max(others, key=lambda member: member.index)
+            self._registry.restore(donor.index, donor._registry.states())
+        for topic, command in shared.entries_after(self.index):
             index = self.index + 1
+            result = b""
             if topic:
-                result = self._desk.apply(index, topic, command)
+                result = self._registry.apply(index, topic, command)
             else:
-                self._desk.pass_to(index)
-                result = b""
+                self._registry.advance_to(index)
             shared.results[self, index] = result
-        self._arrived.set()
-        self._arrived = asyncio.Event()
+        self._applied.set()
+        self._applied = asyncio.Event()
+
+    def _has_started(self) -> bool:
+        return self._registry.index > 0
 
     async def _append(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         if self._stopped:
             raise LogUnavailableError("the log has stopped")
-        if not self._shared.led:
+        if not self._shared.has_leader:
             raise LogUnavailableError("no leader is heard of")
-        if self._open >= MOST_OPEN:
-            raise LogUnavailableError(f"{MOST_OPEN} proposals are open")
-        self._open += 1
+        if self._open_proposals >= MAX_OPEN_PROPOSALS:
+            raise LogUnavailableError(f"{MAX_OPEN_PROPOSALS} proposals are open")
+        self._open_proposals += 1
         try:
             index = self._shared.append(topic, command)
             async with asyncio.timeout(within_s):
                 while self.index < index and not self._stopped:
-                    await self._arrived.wait()
+                    await self._applied.wait()
                 await asyncio.sleep(0)
         except TimeoutError:
             raise OutcomeUnknownError(f"not applied here within {within_s:g} s") from None
         finally:
-            self._open -= 1
+            self._open_proposals -= 1
         if self.index < index:
             raise OutcomeUnknownError("the log has stopped")
         return AppliedEntry(index, self._shared.results.pop((self, index), b""))
 
 
-class _Shared:
-    """The order of one log and its members."""
+class _SharedEntries:
+    """The entries of one log and its members."""
 
     def __init__(self) -> None:
-        self.entries: list[tuple[str, bytes]] = []
-        self.first = 1  # the index of entries[0]
+        self.entries: list[tuple[str, bytes]] = []  # topic and command
+        self.first_index: int = 1  # of entries[0]
         self.members: list[LocalLog] = []
         self.results: dict[tuple[LocalLog, int], bytes] = {}
-        self.led = True
+        self.has_leader: bool = True
+
+    def entries_after(self, index: int) -> list[tuple[str, bytes]]:
+        """Return the kept entries with a greater index."""
+        return self.entries[max(0, index + 1 - self.first_index) :]
 
     def append(self, topic: str, command: bytes) -> int:
+        """Append an entry, have all members apply it and return its index."""
         self.entries.append((topic, bytes(command)))
-        index = self.first + len(self.entries) - 1
+        index = self.first_index + len(self.entries) - 1
         for member in self.members:
             member.catch_up()
-        over = len(self.entries) - KEEP
-        if over > 0 and any(member.index == index for member in self.members):
-            del self.entries[:over]
-            self.first += over
-        if len(self.results) > KEEP * len(self.members):
-            self.results = {key: value for key, value in self.results.items() if key[1] > index - KEEP}
+        excess = len(self.entries) - MAX_ENTRIES
+        if excess > 0 and any(member.index == index for member in self.members):
+            del self.entries[:excess]
+            self.first_index += excess
+        if len(self.results) > MAX_ENTRIES * len(self.members):
+            self.results = {key: result for key, result in self.results.items() if key[1] > index - MAX_ENTRIES}
         return index
--- /dev/null
+++ b/frostspindle/replica/proposals.py
@@ -0,0 +1,135 @@
+"""Proposals of one member that wait for their outcome: their bound, time limits, and when they are submitted again.
+
+No I/O and no clock: times are seconds of a monotonic clock, passed in.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from pysyncobj import FAIL_REASON
+
+from frostspindle.replica import wire
+from frostspindle.replica.base import AppliedEntry, LogUnavailableError, OutcomeUnknownError
+
+MAX_SUBMITTED_PER_TICK = 64
+NOT_APPENDED = {
+    FAIL_REASON.QUEUE_FULL,
+    FAIL_REASON.MISSING_LEADER,
+    FAIL_REASON.NOT_LEADER,
+    FAIL_REASON.REQUEST_DENIED,
+    FAIL_REASON.DISCARDED,  # another term's entry was committed at its index, so it is never committed
+}
+
+Outcome = AppliedEntry | LogUnavailableError | OutcomeUnknownError
+ResponseHandler = Callable[[Any, int], None]  # result and FAIL_REASON, as the library calls it
+Submit = Callable[[bytes, ResponseHandler], None]
+
+
+@dataclass(slots=True)
+class PendingProposal:
+    """A proposal that waits for its outcome here."""
+
+    command: bytes
+    deadline: float
+    on_done: Callable[[Outcome], None]
+    is_no_op: bool
+    min_remaining: float  # with less time left it is not submitted, as no outcome could arrive any more
+    submitted: bool = False
+
+    def is_expired(self, now: float) -> bool:
+        """Whether its time is over, or too little is left to submit it."""
+        reserve = 0.0 if self.submitted else self.min_remaining
+        return now >= self.deadline - reserve
+
+    def fail(self, unknown_text: str, unavailable_text: str) -> None:
+        """End it: with OutcomeUnknownError if it was submitted, else with LogUnavailableError."""
+        if self.submitted:
+            self.on_done(OutcomeUnknownError(unknown_text))
+        else:
+            self.on_done(LogUnavailableError(unavailable_text))
+
+
+class ProposalQueue:
+    """The open proposals of one member, by the token that their entries carry."""
+
+    def __init__(self, token_prefix: bytes, max_open: int, heartbeat_s: float) -> None:
+        """`token_prefix`: 8 bytes that no other incarnation of any member uses."""
+        self.pending: dict[bytes, PendingProposal] = {}
+        self._token_prefix: bytes = token_prefix
+        self._max_open: int = max_open
+        self._heartbeat_s: float = heartbeat_s
+        self._last_number: int = 0
+
+    def add(self, now: float, topic: str, command: bytes, timeout_s: float, on_done: Callable[[Outcome], None]) -> None:
+        """Queue a proposal; an empty topic makes it a no-op. Fails at once if too many are open."""
+        if len(self.pending) >= self._max_open:
+            on_done(LogUnavailableError(f"{self._max_open} proposals are open"))
+            return
+        self._last_number += 1
+        token = self._token_prefix + self._last_number.to_bytes(8, "big")
+        self.pending[token] = PendingProposal(
+            command=wire.encode_body(topic, command, token),
+            deadline=now + timeout_s,
+            on_done=on_done,
+            is_no_op=not topic,
+            min_remaining=min(self._heartbeat_s, timeout_s / 4.0),
+        )
+
+    @property
+    def has_unsubmitted(self) -> bool:
+        """Whether a proposal waits to be submitted."""
+        return any(not proposal.submitted for proposal in self.pending.values())
+
+    def expire_and_submit(self, now: float, leader_is_known: Callable[[], bool], submit: Submit) -> None:
+        """End the proposals whose time is over, and submit up to MAX_SUBMITTED_PER_TICK others if there is a leader."""
+        submitted = 0
+        for token, proposal in list(self.pending.items()):
+            if proposal.is_expired(now):
+                del self.pending[token]
+                proposal.fail("the time was over first", "no leader was heard of in time")
+            elif not proposal.submitted and submitted < MAX_SUBMITTED_PER_TICK and leader_is_known():
+                proposal.submitted = True
+                submitted += 1
+                submit(proposal.command, self._response_handler(token))
+
+    def _response_handler(self, token: bytes) -> ResponseHandler:
+        def on_response(_result: Any, error: int) -> None:
+            proposal = self.pending.get(token)
+            if proposal is None:
+                return
+            if error in NOT_APPENDED:
+                proposal.submitted = False  # it was appended nowhere and never will be: submit it again in time
+            elif error == FAIL_REASON.UNKNOWN_OUTCOME:
+                self._on_covered_by_snapshot(token, proposal)
+
+        return on_response
+
+    def _on_covered_by_snapshot(self, token: bytes, proposal: PendingProposal) -> None:
+        """A snapshot may cover the entry, and its result is not known; a no-op may be submitted again."""
+        if proposal.is_no_op:
+            proposal.submitted = False
+            return
+        del self.pending[token]
+        proposal.on_done(OutcomeUnknownError("a snapshot may hold it"))
+
+    def resubmit_no_ops(self) -> None:
+        """Submit all no-ops again, after a snapshot was restored that may cover them."""
+        for proposal in self.pending.values():
+            if proposal.is_no_op:
+                proposal.submitted = False
+
+    def complete(self, token: bytes, index: int, result: bytes) -> None:
+        """End the proposal of an applied entry, if it is one of this member."""
+        proposal = self.pending.pop(token, None)
+        if proposal is not None:
+            proposal.on_done(AppliedEntry(index, result))
+
+    def close(self) -> None:
+        """End all proposals; later ones fail at once."""
+        self._max_open = 0
+        for proposal in self.pending.values():
+            proposal.fail("the log stops", "the log stops")
+        self.pending.clear()
--- /dev/null
+++ b/frostspindle/replica/voters.py
@@ -0,0 +1,36 @@
+"""Voters by name and address, and how the entries of a journal change them. No I/O."""
+
+from __future__ import annotations
+
+from pysyncobj.node import Node
+
+from frostspindle.replica import wire
+from frostspindle.replica.journal import RaftJournal
+
+
+class VoterNode(Node):
+    """A voter, given as `name=address` or by its name alone; nodes are equal by name."""
+
+    def __init__(self, text: str) -> None:
+        name, _, address = text.partition("=")
+        super().__init__(name, address=address)
+
+    @property
+    def text(self) -> str:
+        """The node as `name=address`, or its name if it has no address."""
+        return f"{self.id}={self.address}" if self.address else str(self.id)
+
+
+def apply_voter_changes(voters: list[VoterNode], journal: RaftJournal) -> list[VoterNode]:
+    """Return the voters after the latest of the journal's entries, committed or not, as Raft requires."""
+    by_name = {node.id: node for node in voters}
+    for command, _, _ in journal.entries_between(journal.applied, journal.last[1]):
+        change = wire.decode_voter_change(command)
+        if change is None:
+            continue
+        node = VoterNode(change.voter)
+        if change.kind == "add":
+            by_name.setdefault(node.id, node)
+        else:
+            by_name.pop(node.id, None)
+    return list(by_name.values())
--- a/frostspindle/replica/wire.py
+++ b/frostspindle/replica/wire.py
@@ -1,123 +1,156 @@
-"""The log's messages and entries as plain bytes: what the library holds as dicts and pickles never leaves in that form.
+"""Encoding of the log's messages, entries and snapshots, without pickles.
 
-Owns the forms on the wire and in the journal, and the translation to and from the library's. It must never unpickle
-what came from outside: a command is of one of three known kinds, and that of a change of voters, which the library
-keeps pickled, is written anew from two plain strings. What is of no known form is a ValueError.
+Translates between the library's messages (dicts and pickled commands) and the bytes on the wire and in the journal.
+Nothing from outside is unpickled: a command is of one of three known kinds, and a voter change, which the library
+pickles, is pickled here from two plain strings. Input of no known form raises ValueError.
 
-A frame's payload is msgpack: [message type, term, ...]; see the table `_FORMS`. Sizes are bounded by MOST_FRAME.
+A frame's payload is msgpack: [message type, term, ...]; see the table `_MESSAGE_FORMATS`. Sizes are bounded by
+MAX_FRAME_BYTES.
 """
 
 from __future__ import annotations
 
 import io
 import pickle
-from typing import Annotated, Any
+from typing import Annotated, Any, NamedTuple
 
 import msgspec
 from msgspec import Meta
 
-from frostspindle.replica.base import MAX_COMMAND, MAX_TOPIC
+from frostspindle.replica.base import MAX_COMMAND_BYTES, MAX_TOPIC_BYTES
 from frostspindle.store.base import CorruptDataError, seal, unseal
 
-BATCH = 256 << 10  # bytes of entries or of a snapshot in one message; above a command, so that none goes in pieces
-MOST_FRAME = BATCH + 2 * MAX_COMMAND
-NO_OP, VOTERS, ENTRY = 1, 2, 7  # kinds of commands; the library passes over kinds that it does not know
-TOKEN = 16
-MOST_BODY = MAX_COMMAND + 200  # of an entry: a command, its topic and token
+BATCH_BYTES = 256 << 10  # of entries or of a snapshot in one message; above a command, so that none is split
+MAX_FRAME_BYTES = BATCH_BYTES + 2 * MAX_COMMAND_BYTES
+# Kinds of commands; the library passes over kinds that it does not know.
+NO_OP = 1
+VOTER_CHANGE = 2
+ENTRY = 7
+TOKEN_BYTES = 16
+MAX_BODY_BYTES = MAX_COMMAND_BYTES + 200  # of an entry: a command, its topic and token
 
 Entry = tuple[bytes, int, int]  # command, index, term: as the library holds them
 Index = Annotated[int, Meta(ge=0, le=2**53)]
-_Plain = tuple[Annotated[int, Meta(ge=0, le=255)], Annotated[bytes, Meta(max_length=MOST_BODY)], Index, Index]
+_Plain = tuple[Annotated[int, Meta(ge=0, le=255)], Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)], Index, Index]
 _Id = Annotated[str, Meta(min_length=1, max_length=128)]
 _encode = msgspec.msgpack.encode
 _CHANGE = msgspec.msgpack.Decoder(tuple[Annotated[str, Meta(pattern="^(add|rem)$")], _Id])
 _BODY = msgspec.msgpack.Decoder(
     tuple[
-        Annotated[str, Meta(max_length=MAX_TOPIC)],
-        Annotated[bytes, Meta(max_length=MAX_COMMAND)],
-        Annotated[bytes, Meta(min_length=TOKEN, max_length=TOKEN)],
+        Annotated[str, Meta(max_length=MAX_TOPIC_BYTES)],
+        Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)],
+        Annotated[bytes, Meta(min_length=TOKEN_BYTES, max_length=TOKEN_BYTES)],
     ]
 )
 _SNAPSHOT = msgspec.msgpack.Decoder(tuple[_Plain, _Plain, list[_Id], dict[str, bytes]])
 
 
-class _Strings(pickle.Unpickler):
-    """Reads a pickle of plain values made in this process; a name of anything else is refused."""
+class EntryBody(NamedTuple):
+    """A proposal as an entry carries it."""
+
+    topic: str  # empty: a no-op
+    command: bytes
+    token: bytes  # by which its proposer recognizes it
+
+
+NO_BODY = EntryBody("", b"", b"")  # of an entry that is no proposal
+
+
+class VoterChange(NamedTuple):
+    """A change of the voters."""
+
+    kind: str  # "add" or "rem"
+    voter: str  # `name=address`
+
+
+class SnapshotContents(NamedTuple):
+    """What a snapshot holds."""
+
+    before: Entry  # the one before `last`
+    last: Entry  # the last entry that the snapshot covers
+    voters: list[str]  # as `name=address`
+    states: dict[str, bytes]  # of each machine, by topic
+
+
+class _PlainValueUnpickler(pickle.Unpickler):
+    """Reads a pickle of plain values made in this process; a name of anything else is rejected."""
 
     def find_class(self, module: str, name: str) -> Any:
+        """Reject any class or function."""
         raise ValueError(f"no plain value: {module}.{name}")
 
 
-def body(topic: str, command: bytes, token: bytes) -> bytes:
+def encode_body(topic: str, command: bytes, token: bytes) -> bytes:
     """Encode a proposal as an entry carries it; the token tells its proposer which one it was."""
     return _encode((topic, command, token))
 
 
-def read_body(data: bytes) -> tuple[str, bytes, bytes]:
-    """Decode an entry's body to topic, command and token; ValueError if it has another form."""
-    return _decoded(_BODY, data)
+def decode_body(data: bytes) -> EntryBody:
+    """Decode an entry's body; ValueError if it has another form."""
+    return EntryBody(*_decode(_BODY, data))
 
 
-def change(kind: str, voter: str) -> bytes:
+def encode_voter_change(kind: str, voter: str) -> bytes:
     """Return the library's command that adds or removes ("add", "rem") a voter."""
-    return bytes([VOTERS]) + pickle.dumps([kind, voter], 2)
+    return bytes([VOTER_CHANGE]) + pickle.dumps([kind, voter], 2)
 
 
-def read_change(command: bytes) -> tuple[str, str] | None:
-    """Return kind and voter of a change of voters; None for any other command."""
-    if command[:1] != bytes([VOTERS]):
+def decode_voter_change(command: bytes) -> VoterChange | None:
+    """Return the voter change in a command; None for any other command."""
+    if command[:1] != bytes([VOTER_CHANGE]):
         return None
-    kind, voter, *_ = _Strings(io.BytesIO(command[1:])).load()
-    return str(kind), str(voter)
+    kind, voter, *_ = _PlainValueUnpickler(io.BytesIO(command[1:])).load()
+    return VoterChange(str(kind), str(voter))
 
 
-def plain(entry: Entry) -> tuple[int, bytes, int, int]:
+def to_plain(entry: Entry) -> tuple[int, bytes, int, int]:
     """Return one of the library's entries as (kind, data, index, term), without a pickle."""
     command, index, term = entry
-    told = read_change(command)
-    return command[0], _encode(told) if told else bytes(command[1:]), index, term
+    change = decode_voter_change(command)
+    data = _encode(change) if change else bytes(command[1:])
+    return command[0], data, index, term
 
 
-def entry(told: tuple[int, bytes, int, int]) -> Entry:
-    """Rebuild the library's entry from the form of `plain`; ValueError for an unknown kind."""
-    kind, data, index, term = told
-    return command(kind, data), index, term
+def from_plain(plain: tuple[int, bytes, int, int]) -> Entry:
+    """Rebuild the library's entry from the form of `to_plain`; ValueError for an unknown kind."""
+    kind, data, index, term = plain
+    return build_command(kind, data), index, term
 
 
-def command(kind: int, data: bytes) -> bytes:
+def build_command(kind: int, data: bytes) -> bytes:
     """Build a command from kind and data; ValueError for any kind not written here: the library would unpickle some."""
     if kind == ENTRY:
         return bytes([ENTRY]) + data
     if kind == NO_OP and not data:
         return bytes([NO_OP])
-    if kind == VOTERS:
-        return change(*_decoded(_CHANGE, data))
+    if kind == VOTER_CHANGE:
+        return encode_voter_change(*_decode(_CHANGE, data))
     raise ValueError(f"a command of kind {kind}")
 
 
-def snapshot(before: Entry, last: Entry, voters: list[str], states: dict[str, bytes]) -> bytes:
+def encode_snapshot(before: Entry, last: Entry, voters: list[str], states: dict[str, bytes]) -> bytes:
     """Encode and seal a snapshot: the last entry that it holds and the one before, the voters, each machine's state."""
-    return seal(_encode((plain(before), plain(last), sorted(voters), states)))
+    return seal(_encode((to_plain(before), to_plain(last), sorted(voters), states)))
 
 
-def read_snapshot(data: bytes) -> tuple[Entry, Entry, list[str], dict[str, bytes]]:
+def decode_snapshot(data: bytes) -> SnapshotContents:
     """Decode a sealed snapshot; ValueError if its seal does not match or it has another form."""
     try:
-        before, last, voters, states = _decoded(_SNAPSHOT, unseal(data))
+        before, last, voters, states = _decode(_SNAPSHOT, unseal(data))
     except CorruptDataError as error:
         raise ValueError(str(error)) from None
-    return entry(before), entry(last), voters, states
+    return SnapshotContents(from_plain(before), from_plain(last), voters, states)
 
 
-def _decoded(decoder: Any, data: bytes) -> Any:
+def _decode(decoder: Any, data: bytes) -> Any:
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ValueError(f"of another form: {error}") from None
 
 
-# By the library's type: the number on the wire, the form behind it, and the fields in that order.
-_FORMS: dict[str, tuple[int, Any, tuple[str, ...]]] = {
+# By the library's message type: the number on the wire, the types behind it, and the fields in that order.
+_MESSAGE_FORMATS: dict[str, tuple[int, Any, tuple[str, ...]]] = {
     "request_vote": (0, tuple[int, Index, Index, Index], ("term", "last_log_index", "last_log_term")),
     "response_vote": (1, tuple[int, Index], ("term",)),
     "append_entries": (
@@ -127,13 +160,13 @@
     ),
     "snapshot": (
         3,
-        tuple[int, Index, Index, tuple[Annotated[bytes, Meta(max_length=BATCH)], bool, bool] | None],
+        tuple[int, Index, Index, tuple[Annotated[bytes, Meta(max_length=BATCH_BYTES)], bool, bool] | None],
         ("term", "commit_index", "serialized"),
     ),
     "next_node_idx": (4, tuple[int, Index, Index, bool, bool], ("term", "next_node_idx", "reset", "success")),
     "apply_command": (
         5,
-        tuple[int, Index, tuple[int, Annotated[bytes, Meta(max_length=MOST_BODY)]]],
+        tuple[int, Index, tuple[int, Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)]]],
         ("request_id", "command"),
     ),
     "apply_command_response": (
@@ -142,47 +175,55 @@
         ("request_id", "error", "log_idx", "log_term"),
     ),
 }
-_BY_NUMBER = {number: (name, msgspec.msgpack.Decoder(form), fields) for name, (number, form, fields) in _FORMS.items()}
-_NUMBER = msgspec.msgpack.Decoder(list[msgspec.Raw])
+_FORMAT_BY_NUMBER = {
+    number: (name, msgspec.msgpack.Decoder(form), fields) for name, (number, form, fields) in _MESSAGE_FORMATS.items()
+}
+_RAW_LIST = msgspec.msgpack.Decoder(list[msgspec.Raw])
+_NUMBER = msgspec.msgpack.Decoder(int)
 
 
-def message_out(message: dict[str, Any]) -> bytes:
+def encode_message(message: dict[str, Any]) -> bytes:
     """Encode one of the library's messages; ValueError if it is of a type that is not spoken here, or too long."""
     name = message["type"]
     if name == "append_entries" and "serialized" in message:
         name = "snapshot"
-    if name not in _FORMS or "transmission" in message:
+    if name not in _MESSAGE_FORMATS or "transmission" in message:
         raise ValueError(f"no message of this form is sent: {name}")
-    number, _, fields = _FORMS[name]
+    number, _, fields = _MESSAGE_FORMATS[name]
     values = [message.get(field, 0) for field in fields]
     if name == "append_entries":
-        values[-1] = [plain(one) for one in values[-1]]
+        values[-1] = [to_plain(entry) for entry in values[-1]]
     elif name == "apply_command":
-        values[-1] = plain((values[-1], 0, 0))[:2]
-        if len(values[-1][1]) > MOST_BODY:
+        values[-1] = to_plain((values[-1], 0, 0))[:2]
+        if len(values[-1][1]) > MAX_BODY_BYTES:
             raise ValueError("a command that is too long")
     return _encode((number, *values))
 
 
-def message_in(data: bytes) -> dict[str, Any]:
-    """Decode a message, the reverse of `message_out`; ValueError for whatever can't be read."""
-    raw = _decoded(_NUMBER, data)
-    known = _BY_NUMBER.get(_decoded(msgspec.msgpack.Decoder(int), bytes(raw[0])) if raw else -1)
+def _format_of(data: bytes) -> tuple[str, Any, tuple[str, ...]]:
+    """Return type, decoder and fields of an encoded message; ValueError for an unknown number."""
+    raw = _decode(_RAW_LIST, data)
+    number = _decode(_NUMBER, bytes(raw[0])) if raw else -1
+    known = _FORMAT_BY_NUMBER.get(number)
     if known is None:
         raise ValueError("a message of no known type")
-    name, decoder, fields = known
-    message: dict[str, Any] = dict(zip(fields, _decoded(decoder, data)[1:], strict=True))
+    return known
+
+
+def decode_message(data: bytes) -> dict[str, Any]:
+    """Decode a message, the reverse of `encode_message`; ValueError for whatever can't be read."""
+    name, decoder, fields = _format_of(data)
+    message: dict[str, Any] = dict(zip(fields, _decode(decoder, data)[1:], strict=True))
     message["type"] = name
     if name == "snapshot":
         message["type"] = "append_entries"
     elif name == "append_entries":
-        message["entries"] = [entry(one) for one in message["entries"]]
-        at = message["prevLogIdx"]
-        for number, (_, index, _) in enumerate(message["entries"], at + 1):
-            if index != number:
+        message["entries"] = [from_plain(plain) for plain in message["entries"]]
+        for expected, (_, index, _) in enumerate(message["entries"], message["prevLogIdx"] + 1):
+            if index != expected:
                 raise ValueError("entries with a gap")
     elif name == "apply_command":
-        message["command"] = command(*message["command"])
+        message["command"] = build_command(*message["command"])
     elif name == "apply_command_response":
         if message["error"]:
             del message["log_idx"], message["log_term"]
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -10,7 +10,7 @@
 from frostspindle.ownership.holder import draw
 from frostspindle.predicates.summaries import Summary
 from frostspindle.recovery import tickets
-from frostspindle.replica.links import FrameChecksums, proof
+from frostspindle.replica.handshake import FrameChecksums, proof
 from frostspindle.scatter.service import ticket as part_ticket
 from frostspindle.settings.versions import EMPTY
 
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -219,8 +219,8 @@
 # The replication library's messages: dicts with its own keys, which are not ours to rename.
 ENTRIES = [
     (bytes([replica.NO_OP]), 5, 2),
-    (replica.command(replica.ENTRY, replica.body("settings", b"command", TOKEN)), 6, 2),
-    (replica.change("add", "c4"), 7, 3),
+    (replica.build_command(replica.ENTRY, replica.encode_body("settings", b"command", TOKEN)), 6, 2),
+    (replica.encode_voter_change("add", "c4"), 7, 3),
 ]
 REPLICA = {
     "vote request": {"type": "request_vote", "term": 3, "last_log_index": 7, "last_log_term": 2},
@@ -282,12 +282,12 @@
 
 def snapshot_out(parts):
     before, last, voters, states = parts
-    return replica.snapshot(before, last, voters, states)
+    return replica.encode_snapshot(before, last, voters, states)
 
 
 def body_out(parts):
     topic, command, token = parts
-    return replica.body(topic, command, token)
+    return replica.encode_body(topic, command, token)
 
 
 # By the file's section: decoder, encoder, and the samples by name.
@@ -300,9 +300,9 @@
     "ownership answer": (lease_table.said, lease_table.encode, {"refused": OWNERSHIP_ANSWER}),
     "warming": (partial(decode, type=progress.RecordProgress), progress.encode, {"note": WARMING_NOTE}),
     "settings": (agreement.read, agreement.encode, SETTINGS),
-    "replica": (replica.message_in, replica.message_out, REPLICA),
-    "replica entry": (replica.read_body, body_out, {"proposal": ("settings", b"command", TOKEN)}),
-    "replica snapshot": (replica.read_snapshot, snapshot_out, {"snapshot": SNAPSHOT}),
+    "replica": (replica.decode_message, replica.encode_message, REPLICA),
+    "replica entry": (replica.decode_body, body_out, {"proposal": ("settings", b"command", TOKEN)}),
+    "replica snapshot": (replica.decode_snapshot, snapshot_out, {"snapshot": SNAPSHOT}),
     "recovery ban": (recovery.decode_ban, recovery.encode, {"ban": BAN}),
     "recovery store": (recovery.decode_known, recovery.encode, {"store": STORE}),
     "recovery engine": (recovery.decode_listed, recovery.encode, {"engine": LISTED}),
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -98,16 +98,16 @@
     """A journal with a snapshot, an appended entry, a cut end, a new term and vote, and the mark of lost votes."""
     journal, file = RaftJournal(), JournalFile(folder)
     before, last, later = ENTRIES
-    journal.rebase(snapshot=replica.snapshot(*SNAPSHOT), before=before, last=last)
+    journal.compact(snapshot=replica.encode_snapshot(*SNAPSHOT), before=before, last=last)
     journal.setCurrentTerm(3, "c2")
-    file.write(journal.take())
+    file.write(journal.take_pending_write())
     journal.add(*later)
-    journal.add(replica.command(replica.ENTRY, replica.body("ownership", b"cut off", TOKEN)), 8, 3)
-    file.write(journal.take())
+    journal.add(replica.build_command(replica.ENTRY, replica.encode_body("ownership", b"cut off", TOKEN)), 8, 3)
+    file.write(journal.take_pending_write())
     journal.deleteEntriesFrom(3)
     journal.setCurrentTerm(4, None)
-    journal.forget(True)
-    file.write(journal.take())
+    journal.set_votes_lost(True)
+    file.write(journal.take_pending_write())
     file.close()
 
 
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -58,7 +58,9 @@
         (agreement.Command, FAMILIES["settings"][2]),
     ):
         assert {type(sample) for sample in samples.values()} == set(union.__args__)
-    assert {data[1] for data in STORED["replica"].values()} == {number for number, _, _ in replica._FORMS.values()}
+    assert {data[1] for data in STORED["replica"].values()} == {
+        number for number, _, _ in replica._MESSAGE_FORMATS.values()
+    }
     assert {schema.kind_of(key) for key in STORED["settings entry"]} == schema.KINDS.keys()
 
 
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -192,8 +192,8 @@
     journal = RaftJournal(records)
     assert found is JournalCondition.WHOLE
     assert journal.entries == ENTRIES
-    assert (journal.term, journal.getVotedForNodeId(), journal.forgot) == (4, None, True)
-    before, last, voters, states = replica.read_snapshot(journal.snapshot)
+    assert (journal.term, journal.getVotedForNodeId(), journal.votes_lost) == (4, None, True)
+    before, last, voters, states = replica.decode_snapshot(journal.snapshot)
     assert (before, last, voters, states) == SNAPSHOT
 
 
@@ -206,7 +206,7 @@
     file.close()
     journal = RaftJournal(records)
     assert found is JournalCondition.TORN
-    assert (len(journal.entries), journal.term, journal.vote, journal.forgot) == (4, 3, "c2", False)
+    assert (len(journal.entries), journal.term, journal.vote, journal.votes_lost) == (4, 3, "c2", False)
 
 
 def test_replica_journal_is_written_alike(tmp_path):
--- a/tests/contracts/logs.py
+++ b/tests/contracts/logs.py
@@ -15,7 +15,7 @@
 
 from frostspindle.lab.faults.runner import free_port
 from frostspindle.lab.replica import EmulatedReplicas
-from frostspindle.replica.base import MOST_OPEN
+from frostspindle.replica.base import MAX_OPEN_PROPOSALS
 from frostspindle.replica.local import LocalLog
 from frostspindle.replica.service import ReplicaService
 from frostspindle.telemetry import Telemetry
@@ -48,7 +48,7 @@
 class Local:
     """In memory."""
 
-    open = MOST_OPEN
+    open = MAX_OPEN_PROPOSALS
 
     async def start(self, count: int = COUNT) -> None:
         first = LocalLog("m0")
@@ -78,7 +78,7 @@
 class Emulated:
     """The members on the Raft library in simulated time: two would vote, so all three do."""
 
-    open = MOST_OPEN
+    open = MAX_OPEN_PROPOSALS
 
     async def start(self, count: int = COUNT) -> None:
         self.books = [Book() for _ in range(count)]
@@ -112,7 +112,7 @@
 class Sockets:
     """The same members over TCP, each with a journal on disk; the third does not vote."""
 
-    open = MOST_OPEN
+    open = MAX_OPEN_PROPOSALS
 
     async def start(self, count: int = COUNT) -> None:
         self.folder = tempfile.TemporaryDirectory()
@@ -150,11 +150,11 @@
 
     def part(self, log: Any, joined: bool) -> None:
         links = log._links
-        links._knows = log._knows if joined else lambda peer: False
+        links._is_known = log._is_known_peer if joined else lambda peer: False
         if joined:
-            log._aim()
+            log._update_targets()
         else:
-            links.aim(links.id, {})
+            links.set_targets(links.id, {})
             for peer in list(links.links):
                 links.drop(peer)
 
--- a/tests/contracts/test_log_contract.py
+++ b/tests/contracts/test_log_contract.py
@@ -7,11 +7,13 @@
 from hypothesis import strategies as st
 from logs import COUNT, LOGS, Book
 
-from frostspindle.replica.base import MAX_COMMAND, AppliedEntry, LogUnavailableError, OutcomeUnknownError
+from frostspindle.replica.base import MAX_COMMAND_BYTES, AppliedEntry, LogUnavailableError, OutcomeUnknownError
 
 each = pytest.mark.parametrize("kind", LOGS, ids=lambda kind: kind.__name__)
 commands = st.lists(
-    st.tuples(st.integers(0, COUNT - 1), st.binary(max_size=40) | st.just(b"\x80\x04.") | st.just(b"x" * MAX_COMMAND)),
+    st.tuples(
+        st.integers(0, COUNT - 1), st.binary(max_size=40) | st.just(b"\x80\x04.") | st.just(b"x" * MAX_COMMAND_BYTES)
+    ),
     min_size=1,
     max_size=12,
 )
@@ -58,7 +60,7 @@
 @each
 def test_what_is_too_long_or_of_no_known_topic_is_refused_and_leaves_nothing(kind):
     async def call(one):
-        for topic, command in (("t", b"x" * (MAX_COMMAND + 1)), ("", b"x"), ("t" * 33, b"x"), ("u", b"x")):
+        for topic, command in (("t", b"x" * (MAX_COMMAND_BYTES + 1)), ("", b"x"), ("t" * 33, b"x"), ("u", b"x")):
             assert isinstance((await one.finish(one.logs[0].propose(topic, command, 5.0)))[0], ValueError)
         await one.finish(one.logs[0].barrier(20.0))
         assert one.books[0].entries == []
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -22,7 +22,7 @@
 from frostspindle.lab.faults import relay
 from frostspindle.lab.faults.script import parse
 from frostspindle.replica import links
-from frostspindle.replica.base import MAX_COMMAND
+from frostspindle.replica.base import MAX_COMMAND_BYTES
 from frostspindle.telemetry import Telemetry
 
 COUNT = 3
@@ -347,7 +347,7 @@
 class Replicas(Transport):
     """The log's links. What may wait is counted in bytes there: a test of its own holds that bound."""
 
-    most, bound = MAX_COMMAND + 200, None
+    most, bound = MAX_COMMAND_BYTES + 200, None
 
     async def start(self) -> None:
         self.all, ports, self.ended = [], [], set()
@@ -367,7 +367,7 @@
             ports.append(await self.all[-1].listen("127.0.0.1", 0))
         self.ports = ports
         for one in self.all:
-            one.aim(one.name, {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(ports)})
+            one.set_targets(one.name, {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(ports)})
         async with asyncio.timeout(10.0):
             while any(len(one.links) < COUNT - 1 for one in self.all):
                 await asyncio.sleep(0.01)
@@ -383,8 +383,8 @@
     def counted(self) -> Counter[str]:
         out: Counter[str] = Counter()
         for one in self.all:
-            out["refused"] += one.counted["too_long"]
-            out["unknown"] += one.counted["hello"] + one.counted["not_proved"]
+            out["refused"] += one.counters["too_long"]
+            out["unknown"] += one.counters["hello"] + one.counters["not_proved"]
         return out
 
     def stranger(self, target: int, data: bytes) -> Any:
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -26,13 +26,20 @@
 from frostspindle.lab.faults.runner import free_port
 from frostspindle.lab.replica import EmulatedReplicas
 from frostspindle.lab.replica_runs import Run, Sum
-from frostspindle.replica import links, wire
-from frostspindle.replica import member as members
-from frostspindle.replica.base import MAX_COMMAND, MAX_STATE, AppliedEntry, LogUnavailableError, OutcomeUnknownError
-from frostspindle.replica.disk import FolderLockedError, JournalCondition, JournalFile, read
+from frostspindle.replica import links, outbox, raft, snapshot_transfer, wire
+from frostspindle.replica.base import (
+    MAX_COMMAND_BYTES,
+    MAX_STATE_BYTES,
+    AppliedEntry,
+    LogUnavailableError,
+    OutcomeUnknownError,
+)
+from frostspindle.replica.disk import FolderLockedError, JournalCondition, JournalFile, parse_journal
 from frostspindle.replica.journal import LogDivergedError, RaftJournal
-from frostspindle.replica.member import LogMember, RaftTimeouts
+from frostspindle.replica.member import LogMember
+from frostspindle.replica.raft import RaftTimeouts
 from frostspindle.replica.service import ReplicaService
+from frostspindle.replica.voters import VoterNode
 from frostspindle.telemetry import Telemetry
 
 indexes = st.integers(0, 2**53)
@@ -41,8 +48,8 @@
 
 def command(told):
     if told is None:
-        return wire.command(wire.NO_OP, b"")
-    return wire.change(*told) if isinstance(told, tuple) else wire.command(wire.ENTRY, told)
+        return wire.build_command(wire.NO_OP, b"")
+    return wire.encode_voter_change(*told) if isinstance(told, tuple) else wire.build_command(wire.ENTRY, told)
 
 
 class WireCase(unittest.TestCase):
@@ -68,7 +75,7 @@
             {"type": "apply_command_response", "request_id": at, "log_idx": commit, "log_term": term},
             *({"type": "apply_command", "request_id": at, "command": one[0]} for one in many),
         ):
-            self.assertEqual(wire.message_in(wire.message_out(message)), message)
+            self.assertEqual(wire.decode_message(wire.encode_message(message)), message)
 
     @settings(max_examples=25, deadline=None)
     @given(
@@ -83,7 +90,7 @@
             mock.patch.object(pickle, "loads", side_effect=AssertionError),
             mock.patch.object(pickle, "load", side_effect=AssertionError),
         ):
-            for reader in (wire.message_in, wire.read_body, wire.read_snapshot):
+            for reader in (wire.decode_message, wire.decode_body, wire.decode_snapshot):
                 with contextlib.suppress(ValueError):
                     reader(data)
 
@@ -91,15 +98,15 @@
         evil = pickle.dumps(os.getcwd)
         for kind in (0, 3, 4, 255):
             with self.assertRaises(ValueError):
-                wire.message_in(msgspec.msgpack.encode((5, 1, (kind, evil))))
+                wire.decode_message(msgspec.msgpack.encode((5, 1, (kind, evil))))
             with self.assertRaises(ValueError):
-                wire.message_in(msgspec.msgpack.encode((2, 1, 1, 1, 1, [(kind, evil, 2, 1)])))
+                wire.decode_message(msgspec.msgpack.encode((2, 1, 1, 1, 1, [(kind, evil, 2, 1)])))
         with self.assertRaises(ValueError):
-            wire.message_in(msgspec.msgpack.encode((5, 1, (wire.VOTERS, evil))))
+            wire.decode_message(msgspec.msgpack.encode((5, 1, (wire.VOTER_CHANGE, evil))))
         with self.assertRaises(ValueError):
-            wire.read_change(bytes([wire.VOTERS]) + evil)
+            wire.decode_voter_change(bytes([wire.VOTER_CHANGE]) + evil)
         with self.assertRaises(ValueError):
-            wire.message_out(
+            wire.encode_message(
                 {
                     "type": "append_entries",
                     "transmission": "start",
@@ -111,7 +118,7 @@
                 }
             )
         with self.assertRaisesRegex(ValueError, "gap"):
-            wire.message_in(msgspec.msgpack.encode((2, 1, 1, 1, 1, [(7, b"", 3, 1)])))
+            wire.decode_message(msgspec.msgpack.encode((2, 1, 1, 1, 1, [(7, b"", 3, 1)])))
 
 
 class DiskCase(unittest.TestCase):
@@ -128,7 +135,7 @@
             if number:
                 journal.add(command(b"%d" % number), number + 1, number)
                 journal.setCurrentTerm(number, "c1")
-            disk.write(journal.take())
+            disk.write(journal.take_pending_write())
             lengths.append(disk.path.stat().st_size)
             states.append((list(journal.entries), journal.term, journal.vote))
         disk.close()
@@ -138,7 +145,7 @@
         lengths, states = self.fill()
         data = (self.folder / "journal").read_bytes()
         for size in range(len(data) + 1):
-            found, records, end, number = read(data[:size])
+            found, records, end, number = parse_journal(data[:size])
             whole = sum(length <= size for length in lengths)
             if not whole:
                 self.assertEqual(found, JournalCondition.SPOILT)  # the first frame comes whole, by a rename
@@ -156,7 +163,7 @@
             self.assertEqual(found, JournalCondition.TORN if more == 1 else JournalCondition.WHOLE)
             journal = RaftJournal(records)
             journal.add(command(b"more"), journal.last[1] + 1, 9)
-            disk.write(journal.take())
+            disk.write(journal.take_pending_write())
             disk.close()
         self.assertEqual([one[0] for one in journal.entries[-2:]], [command(b"more")] * 2)
 
@@ -166,7 +173,7 @@
         for place in range(0, lengths[-2]):
             spoilt = bytearray(data)
             spoilt[place] ^= 1 << place % 8
-            self.assertEqual(read(bytes(spoilt))[0], JournalCondition.SPOILT, place)
+            self.assertEqual(parse_journal(bytes(spoilt))[0], JournalCondition.SPOILT, place)
         (self.folder / "journal").write_bytes(bytes(spoilt))
         disk = JournalFile(self.folder)
         self.assertEqual(disk.load(), (JournalCondition.SPOILT, []))
@@ -182,7 +189,7 @@
         for sync in (mock.patch("os.fdatasync", side_effect=OSError(5, "io")), mock.patch("os.fdatasync")):
             journal.setCurrentTerm(journal.term + 1, None)
             with sync, self.assertRaises(OSError):
-                disk.write(journal.take())
+                disk.write(journal.take_pending_write())
         disk.close()
 
     def test_an_applied_entry_is_never_cut_off_and_records_must_follow(self):
@@ -199,13 +206,13 @@
                 RaftJournal(records)
 
 
-def voter(log=(), term=5, keep=1_024):
+def voter(log=(), term=5, snapshot_after=1_024):
     """A member c0 of three with these (index, term) after the first entry, that hears c1 and c2."""
     journal = RaftJournal()
     for index, its in log:
         journal.add(command(b"%d" % index), index, its)
     journal.setCurrentTerm(term, None)
-    member = LogMember("c0", ["c0", "c1", "c2"], journal, b"t" * 8, keep=keep)
+    member = LogMember("c0", ["c0", "c1", "c2"], journal, b"t" * 8, snapshot_after=snapshot_after)
     for peer in ("c1", "c2"):
         member.connected(peer, True)
     return member
@@ -234,12 +241,12 @@
                     "c0",
                     [],
                     library.SyncObjConf(autoTick=False),
-                    nodeClass=members.VoterNode,
-                    transport=members._Outbox(mock.Mock()),
+                    nodeClass=VoterNode,
+                    transport=raft.RaftTransport(mock.Mock(), mock.Mock()),
                 )
             )
         ) | set(vars(library.SyncObj))
-        source = ast.parse(inspect.getsource(members))
+        source = ast.parse(inspect.getsource(raft))
         used = {
             node.attr
             for node in ast.walk(source)
@@ -250,22 +257,22 @@
 
     def test_1_an_answer_of_another_term_counts_for_nothing(self):
         member = voter([(2, 1), (3, 1)])
-        member.step(0.0)
+        member.tick(0.0)
         member._raft._SyncObj__raftElectionDeadline = 0.0
-        member.step(0.0)
+        member.tick(0.0)
         member.receive("c1", {"type": "response_vote", "term": member.term})
-        self.assertTrue(member.leads)
+        self.assertTrue(member.is_leader)
         for term in (member.term - 1, member.term + 1):
             member.receive(
                 "c1", {"type": "next_node_idx", "term": term, "next_node_idx": 5, "reset": False, "success": True}
             )
-        member.step(0.1)
-        self.assertEqual((member.committed, member.counted["stale"]), (1, 2))
+        member.tick(0.1)
+        self.assertEqual((member.commit_index, member.counters["stale"]), (1, 2))
         member.receive(
             "c1", {"type": "next_node_idx", "term": member.term, "next_node_idx": 5, "reset": False, "success": True}
         )
-        member.step(0.2)
-        self.assertEqual(member.committed, 4)
+        member.tick(0.2)
+        self.assertEqual(member.commit_index, 4)
 
     def test_2_an_older_message_takes_nothing_away(self):
         for log in ([(2, 5), (3, 5), (4, 5)], [(2, 4), (3, 4), (4, 4)]):
@@ -277,14 +284,14 @@
                 answer = member.take_outbox()[0][-1][1]
                 compared = older["prevLogIdx"] + len(older["entries"])
                 self.assertEqual((answer["success"], answer["next_node_idx"]), (True, compared + 1))
-                self.assertLessEqual(member.committed, compared)
+                self.assertLessEqual(member.commit_index, compared)
         member = voter([(2, 4), (3, 4), (4, 4)])
         member.receive("c1", append(2, 4, [(3, 5)]))
         self.assertEqual((member.journal.last[1:], member.take_outbox()[0][-1][1]["next_node_idx"]), ((3, 5), 4))
 
     def test_3_a_snapshot_of_what_is_here_takes_nothing_away(self):
         member = voter([(2, 4), (3, 4), (4, 4)])
-        data = wire.snapshot((command(b"2"), 2, 4), (command(b"3"), 3, 4), ["c0", "c1", "c2"], {})
+        data = wire.encode_snapshot((command(b"2"), 2, 4), (command(b"3"), 3, 4), ["c0", "c1", "c2"], {})
         for part in ((data, True, False), (b"", False, True)):
             member.receive("c1", {"type": "append_entries", "term": 5, "commit_index": 4, "serialized": part})
         self.assertEqual(member.journal.last[1], 4)
@@ -294,43 +301,43 @@
         member.receive(
             "c1", {"type": "append_entries", "term": 5, "commit_index": 90, "serialized": (b"x", True, False)}
         )
-        member.step(0.0)
-        self.assertEqual(member.committed, 1)
+        member.tick(0.0)
+        self.assertEqual(member.commit_index, 1)
 
     def test_a_leader_counts_while_it_is_heard_and_the_journals_changes_of_voters_from_the_start_on(self):
         member = voter([(2, 5)])
-        member.step(10.0)
+        member.tick(10.0)
         member.receive("c1", append(2, 5))
-        member.step(10.2)
+        member.tick(10.2)
         self.assertEqual(member.leader, "c1")
-        member.step(10.0 + RaftTimeouts().election_max + 0.1)
+        member.tick(10.0 + RaftTimeouts().election_max + 0.1)
         self.assertIsNone(member.leader)
         journal = RaftJournal()
         for index, change in enumerate((("add", "c3=1.2.3.4:5"), ("rem", "c1")), 2):
-            journal.add(wire.change(*change), index, 1)
+            journal.add(wire.encode_voter_change(*change), index, 1)
         self.assertEqual(sorted(LogMember("c0", ["c0", "c1", "c2"], journal, b"t" * 8).voters), ["c0", "c2", "c3"])
 
     def test_a_state_that_is_too_long_stops_no_log(self):
-        member = LogMember("c0", ["c0"], RaftJournal(), b"t" * 8, keep=10)
-        machine = mock.Mock(**{"apply.return_value": b"", "state.return_value": b"x" * (MAX_STATE + 1)})
-        member.desk.attach("t", machine)
+        member = LogMember("c0", ["c0"], RaftJournal(), b"t" * 8, snapshot_after=10)
+        machine = mock.Mock(**{"apply.return_value": b"", "state.return_value": b"x" * (MAX_STATE_BYTES + 1)})
+        member.registry.attach("t", machine)
         member._raft._SyncObj__raftElectionDeadline = 0.0
         for number in range(60):
             member.propose(float(number), "t", b"x", 5.0, lambda outcome: None)
-            member.step(float(number))
-            member.drain()
+            member.tick(float(number))
+            member.apply_committed()
             member.compact()
-        self.assertGreater(member.desk.index, 50)
+        self.assertGreater(member.registry.index, 50)
         self.assertEqual((machine.state.call_count, member.journal.snapshot), (3, b""))
 
     def test_a_spoilt_or_endless_snapshot_is_refused(self):
         member = voter([(2, 1)])
-        good = wire.snapshot((command(b"8"), 8, 4), (command(b"9"), 9, 4), ["c0"], {"t": b"x" * 200})
-        with mock.patch.object(members, "MOST_SNAPSHOT", 100):
+        good = wire.encode_snapshot((command(b"8"), 8, 4), (command(b"9"), 9, 4), ["c0"], {"t": b"x" * 200})
+        with mock.patch.object(snapshot_transfer, "MAX_SNAPSHOT_BYTES", 100):
             for data in (good, b"x" * 90):
                 for part in ((data, True, False), (b"", False, True)):
                     member.receive("c1", {"type": "append_entries", "term": 5, "commit_index": 9, "serialized": part})
-        self.assertEqual((member.counted["snapshots_refused"], member.journal.last[1], member.restoring), (2, 2, None))
+        self.assertEqual((member.counters["snapshots_refused"], member.journal.last[1], member.restoring), (2, 2, None))
 
     def test_who_is_no_voter_neither_leads_nor_gets_votes_and_a_peer_that_takes_nothing_is_given_up(self):
         member = voter([(2, 1)])
@@ -340,8 +347,8 @@
             {"type": "request_vote", "term": 99, "last_log_index": 9, "last_log_term": 9},
         ):
             member.receive("~c9", message)
-        self.assertEqual((member.term, member.counted["refused"]), (5, 2))
-        with mock.patch.object(members, "MOST_OUT", 300):
+        self.assertEqual((member.term, member.counters["refused"]), (5, 2))
+        with mock.patch.object(outbox, "MAX_QUEUED_BYTES", 300):
             for _ in range(9):
                 member.receive("c1", append(1, 0))
             out, full = member.take_outbox()
@@ -349,10 +356,10 @@
 
     def test_a_vote_is_on_the_disk_before_it_is_sent_and_given_once(self):
         member = voter([(2, 1)])
-        member.journal.take()
+        member.journal.take_pending_write()
         for peer in ("c1", "c2"):
             member.receive(peer, {"type": "request_vote", "term": 6, "last_log_index": 2, "last_log_term": 1})
-        self.assertIn((2, 6, "c1"), member.journal.take().records)
+        self.assertIn((2, 6, "c1"), member.journal.take_pending_write().records)
         self.assertEqual([(peer, m["type"]) for peer, m in member.take_outbox()[0]], [("c1", "response_vote")])
         again = LogMember("c0", ["c0", "c1", "c2"], RaftJournal([(3, b"", [(1, b"", 1, 0)], 6, "c1", False)]), b"t" * 8)
         again.connected("c2", True)
@@ -365,7 +372,7 @@
     run = Run(seed, seconds=9)
     assert run.bad == [], run.script
     assert sum(isinstance(told[0], AppliedEntry) for told in run.answers.values()) > 100
-    assert any(node.member.counted["snapshots"] for node in run.lab.nodes)
+    assert any(node.member.counters["snapshots"] for node in run.lab.nodes)
 
 
 class EmulatedCase(unittest.TestCase):
@@ -468,7 +475,7 @@
         lab = self.lab(3, 3, times=RaftTimeouts())
         lab.advance(3_000.0)
         member = lab.nodes[0].member
-        with mock.patch.object(members.LogMember, "leader", new_callable=mock.PropertyMock, return_value=None) as leads:
+        with mock.patch.object(LogMember, "leader", new_callable=mock.PropertyMock, return_value=None) as leads:
             out = []
             lab.member(0).submit("t", b"late", 0.5, out.append)
             lab.advance(440.0)
@@ -478,7 +485,7 @@
             lab.member(0).submit("t", b"short", 0.05, out.append)  # one that has little time from the first
             lab.advance(200.0)
             self.assertIsInstance(out[1], AppliedEntry)
-        self.assertFalse(member.waiting)
+        self.assertFalse(member.proposals.pending)
 
     def test_a_cut_off_leader_commits_nothing_and_steps_down(self):
         lab = self.lab(5, 5, times=RaftTimeouts())
@@ -511,7 +518,7 @@
             leader = lab.leaders()[0]
             for number in range(3):
                 if (number == leader) == (lacking == "follower"):
-                    lab.nodes[number].member.desk.attach("u", Sum(mock.Mock(entries={}, sums={}, bad=[])))
+                    lab.nodes[number].member.registry.attach("u", Sum(mock.Mock(entries={}, sums={}, bad=[])))
             one = next(number for number in range(3) if (number == leader) == (lacking == "follower"))
             out = []
             lab.member(one).submit("u", b"x", 2.0, out.append)
@@ -532,7 +539,7 @@
             )
             log.attach("t", Sum(mock.Mock(entries={}, sums={}, bad=[])))
             await log.start()
-            self.assertIsInstance(await log.propose("t", b"x" * MAX_COMMAND, 5.0), AppliedEntry)
+            self.assertIsInstance(await log.propose("t", b"x" * MAX_COMMAND_BYTES, 5.0), AppliedEntry)
             with mock.patch("os.fdatasync", side_effect=OSError(5, "Input/output error")):
                 with self.assertRaises(OutcomeUnknownError):
                     await log.propose("t", b"lost", 5.0)
@@ -546,7 +553,7 @@
             again.attach("t", machine)
             await again.start()
             await again.barrier(5.0)
-            self.assertIn(b"x" * MAX_COMMAND, machine.run.entries.values())
+            self.assertIn(b"x" * MAX_COMMAND_BYTES, machine.run.entries.values())
             await again.close()
 
     async def test_a_follower_that_listens_becomes_a_voter_and_stays_one(self):
@@ -588,7 +595,7 @@
             logs[3] = ReplicaService("c3", voters, Path(folder, "c3"), b"s" * 16, Telemetry("c3", BytesIO()), at[3])
             logs[3].attach("t", Sum(run))
             await logs[3].start()
-            self.assertTrue(logs[3]._member.journal.forgot)  # though its own list never had it among the voters
+            self.assertTrue(logs[3]._member.journal.votes_lost)  # though its own list never had it among the voters
             await logs[3].close()
             self.assertEqual(run.bad, [])
 
@@ -655,7 +662,7 @@
             )
             self.addAsyncCleanup(made[-1].close)
         port = await made[1].listen("127.0.0.1", 0)
-        made[0].aim("m0", {"m1": f"127.0.0.1:{port}"})
+        made[0].set_targets("m0", {"m1": f"127.0.0.1:{port}"})
         await self.until(lambda: made[0].links and made[1].links)
         return made
 
@@ -667,45 +674,45 @@
     async def test_a_frame_that_is_changed_repeated_or_too_long_ends_its_connection(self):
         one, other = await self.pair()
         vote = {"type": "response_vote", "term": 3}
-        payload = wire.message_out(vote)
+        payload = wire.encode_message(vote)
         for kind in ("sum", "repeated", "too_long", "spoilt"):
             link = one.links["m1"]
             if kind == "sum":
                 link.writer.write(len(payload).to_bytes(4, "big") + b"\0" * 16 + payload)
             elif kind == "repeated":
-                frame = len(payload).to_bytes(4, "big") + link._here.next(payload) + payload
+                frame = len(payload).to_bytes(4, "big") + link._outgoing.next(payload) + payload
                 link.writer.write(frame + frame)
             elif kind == "too_long":
-                link.writer.write((wire.MOST_FRAME + 1).to_bytes(4, "big") + b"\0" * 16)
+                link.writer.write((wire.MAX_FRAME_BYTES + 1).to_bytes(4, "big") + b"\0" * 16)
             else:
                 link.send(b"\x93\xff\x80\x04.")
             await self.until(lambda link=link: one.links.get("m1") not in (None, link) and "m0" in other.links)
-        self.assertEqual((other.counted["sum"], other.counted["too_long"], other.counted["spoilt"]), (2, 1, 1))
+        self.assertEqual((other.counters["sum"], other.counters["too_long"], other.counters["spoilt"]), (2, 1, 1))
         self.assertEqual(self.heard, [vote])  # the repeated one's first
 
     async def test_who_is_silent_or_goes_before_its_proof_is_counted(self):
         one, other = await self.pair()
         port = other._server.sockets[0].getsockname()[1]
-        before = other.counted["unproved"]
-        with mock.patch.object(links, "HELLO_S", 0.1):
+        before = other.counters["unproved"]
+        with mock.patch.object(links, "HANDSHAKE_TIMEOUT_S", 0.1):
             _, writer = await asyncio.open_connection("127.0.0.1", port)
-            await self.until(lambda: other.counted["unproved"] == before + 1)
+            await self.until(lambda: other.counters["unproved"] == before + 1)
         writer.close()
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"\x00")
         writer.close()
-        await self.until(lambda: other.counted["unproved"] == before + 2)
+        await self.until(lambda: other.counters["unproved"] == before + 2)
 
     async def test_what_waits_for_a_peer_that_takes_nothing_is_bounded_and_the_peer_given_up(self):
         one, other = await self.pair(room=lambda: False)
-        message = {"type": "apply_command", "request_id": 1, "command": b"\7" + b"x" * MAX_COMMAND}
-        with mock.patch.object(links, "MOST_OUT", 4 << 20):
+        message = {"type": "apply_command", "request_id": 1, "command": b"\7" + b"x" * MAX_COMMAND_BYTES}
+        with mock.patch.object(links, "MAX_QUEUED_OUT_BYTES", 4 << 20):
             for number in range(1_000):
                 if number % 50 == 0:
                     await asyncio.sleep(0)
                 one.send("m1", message)
-                if one.counted["crowded"]:
+                if one.counters["crowded"]:
                     break
                 self.assertLessEqual(one.links["m1"].writer.transport.get_write_buffer_size(), 5 << 20)
-        self.assertEqual((one.counted["crowded"], self.downs[:1]), (1, ["m1"]))
+        self.assertEqual((one.counters["crowded"], self.downs[:1]), (1, ["m1"]))
         self.assertLess(len(self.heard), 2)
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -8,7 +8,7 @@
 from frostspindle.lab.faults.logs import Logs
 from frostspindle.lab.faults.script import parse
 from frostspindle.replica.disk import MAGIC
-from frostspindle.replica.links import HELLO
+from frostspindle.replica.handshake import HELLO_MAGIC
 
 
 class ProcessesCase(unittest.IsolatedAsyncioTestCase):
@@ -127,7 +127,7 @@
 
         # Nobody who does not know the secret gets a word in, nor is it, or what they send, ever logged.
         host, port = logs.streams.inside[0]
-        known = HELLO + b"\0c1\0c0\0" + b"00" * 16
+        known = HELLO_MAGIC + b"\0c1\0c0\0" + b"00" * 16
         known = len(known).to_bytes(2, "big") + known  # but not the secret
         for hello in (b"\x00\x03abc", b"\xff\xff", known, b"\x80\x04\x95cos\nsystem\n."):
             before = len(logs.members[0].events("replica_refused"))
