--- a/frostspindle/components/agreement.py
+++ b/frostspindle/components/agreement.py
@@ -14,7 +14,7 @@
     """This coordinator's member of the replicated log."""
 
     def __init__(self, program: ProgramContext) -> None:
-        from frostspindle.replica.service import attach  # loads the Raft library
+        from frostspindle.replica.wiring import attach  # loads the Raft library
 
         super().__init__(program)
         self.service = attach(program)
