--- a/frostspindle/cores/__init__.py
+++ b/frostspindle/cores/__init__.py
@@ -1,6 +1,7 @@
-"""Several processes that serve as one coordinator.
+"""Several worker processes that serve as one coordinator.
 
-`supervisor.py` starts the workers and holds no request; `worker.py` is one of them, a whole coordinator of its own;
-`link.py` ties it to the others by the board (`board.py`, in the form of `layout.py`) and by `mesh.py`. What is decided
-here stands in modules without I/O or clocks: `leases.py`, `limits.py`, `restarts.py`, `ownership.py`, `fleet.py`.
+`supervisor.py` starts the workers and serves no request itself; `worker.py` is one of them, a complete coordinator
+process. `link.py` connects a worker to the others by shared memory (`shared_memory.py`, in the layout of `layout.py`)
+and by Unix sockets (`mesh.py`). Decisions are made in modules without I/O or clock: `leases.py`, `limits.py`,
+`restarts.py`, `ownership.py`, `peer_workers.py` and `totals.py`.
 """
--- a/frostspindle/cores/layout.py
+++ b/frostspindle/cores/layout.py
@@ -1,12 +1,13 @@
-"""The form of the memory that the supervisor and its workers share.
+"""Binary layout of the memory that the supervisor and its workers share.
 
-Owns every offset and the packing of a row with its checksum. It must never map, allocate or wait: it works on a buffer
-that board.py holds. Each cell has one writer: the header and the two control pages the supervisor, a slot's region the
-worker in that slot (and the supervisor once that worker is dead). Numbers are little-endian; aligned cells of eight
-bytes are written in one store, anything longer stands behind a CRC-32, so that a torn or unfinished one shows.
+Defines every offset and the encoding of rows, control pages and counter names with their checksums. It works on a
+buffer that shared_memory.py maps and does no I/O itself. Each cell has one writer: the supervisor writes the header,
+the two control pages and the lease expiries, the worker in a slot writes that slot's region (and the supervisor once
+that worker is dead). Numbers are little-endian. Aligned cells of eight bytes are written in one store; anything longer
+is preceded by a CRC-32, so that a reader detects a torn or unfinished write.
 
-    header | control: version, 2 pages | horizons | ids | region of slot 0 | region of slot 1 | ...
-    ids: of each bucket, the cells of slot 0, then those of slot 1, ...: one look finds an id at any worker
+    header | control: version, 2 pages | lease expiries | request ids | region of slot 0 | region of slot 1 | ...
+    request ids: of each bucket, the cells of slot 0, then those of slot 1, ...: one read finds an id at any worker
     region: head cells | counter values | counter names | row sequences | rows
 """
 
@@ -15,36 +16,68 @@
 import struct
 import zlib
 from dataclasses import dataclass
+from enum import IntEnum
 from typing import NamedTuple
 
 from frostspindle.cores.peer_workers import EngineLoadRow
 
-MAGIC, VERSION = b"FSBOARD\x00", 1
+MAGIC = b"FSBOARD\x00"
+VERSION = 1
 HEADER = struct.Struct("<8sIIIIIQQ")  # magic, version, slots, engines, counters, buckets, nonce, size
-HEAD_BYTES = 128
-PAGE = 1024 * 1024  # one control page: length, CRC, blob; only what is written of it takes memory
-PAGE_HEAD = struct.Struct("<II")
-CELLS = 32  # of a region's head, eight bytes each
-NAME_BYTES = 96  # of a counter: what, front and class
-WAYS = 16  # ids in one bucket
+HEADER_BYTES = 128  # reserved for the header
+CONTROL_PAGE_BYTES = 1024 * 1024  # one control page: length, CRC, content; only the part written occupies memory
+PAGE_HEADER = struct.Struct("<II")
+REGION_HEAD_CELLS = 32  # cells of eight bytes at the start of a region
+COUNTER_NAME_BYTES = 96  # encoded name of a counter: what, front and class
+WAYS = 16  # request ids that one slot can store in a bucket
 ROW = struct.Struct("<IIQIIIIddd8dffII64s32s")
 ROW_BYTES = 320
 _CRC = struct.Struct("<I")
-REPORT = 8
+REPORT_VALUES = 8  # values of a load report that a row has room for
 
 
-class IncompatibleMemoryError(Exception):
-    """The memory is no board of this program's version, or belongs to another instance."""
+class SharedMemoryError(Exception):
+    """Base class of the errors of the shared memory."""
 
 
-# A region's head, by cell number. Integers are u64, times f64.
-INCARNATION, PID, STATE, OPEN, CLIENTS, SOCKETS, FLUSHES, URGENT, ROWS, NAMES, SEEN, TDS, HEARTBEAT = range(13)
-STARTING, SERVING, LEAVING, ENDED = range(4)  # STATE
+class IncompatibleMemoryError(SharedMemoryError):
+    """The memory has another format or version than this program's, or belongs to another instance."""
+
+
+class ControlPageTooLongError(SharedMemoryError, ValueError):
+    """The content does not fit into a control page."""
+
+
+class HeadCell(IntEnum):
+    """Numbers of the cells in a region's head. All are u64 except HEARTBEAT, which is f64."""
+
+    INCARNATION = 0
+    PID = 1
+    STATE = 2  # a WorkerState
+    OPEN_REQUESTS = 3
+    CLIENT_CONNECTIONS = 4
+    DESCRIPTORS_USED = 5
+    ROW_UPDATES = 6  # incremented after rows were written
+    URGENT_UPDATES = 7  # incremented when an engine has left service
+    ROW_COUNT = 8  # row places ever used
+    COUNTER_COUNT = 9
+    CONTROL_VERSION = 10  # the newest control page that the worker has applied
+    TDS_SESSIONS = 11
+    HEARTBEAT = 12  # ms of CLOCK_MONOTONIC
+
+
+class WorkerState(IntEnum):
+    """Values of the cell STATE."""
+
+    STARTING = 0
+    SERVING = 1
+    DRAINING = 2
+    ENDED = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes and byte offsets of the board, all derived from four counts."""
+    """Sizes and byte offsets of the shared memory, all derived from four counts."""
 
     slots: int
     engines: int = 1024
@@ -52,58 +85,58 @@
     buckets: int = 512
 
     @property
-    def control(self) -> int:
+    def control_offset(self) -> int:
         """Offset of the control area: a version of 8 bytes, then two pages."""
-        return HEAD_BYTES
+        return HEADER_BYTES
 
     @property
-    def horizons(self) -> int:
-        """Offset of the lease horizons: one f64 a slot, ms of CLOCK_MONOTONIC."""
-        return self.control + 8 + 2 * PAGE
+    def lease_expiries(self) -> int:
+        """Offset of the lease expiries: one f64 a slot, ms of CLOCK_MONOTONIC."""
+        return self.control_offset + 8 + 2 * CONTROL_PAGE_BYTES
 
     @property
-    def ids(self) -> int:
+    def request_ids(self) -> int:
         """Offset of the buckets of request ids; aligned to 64 bytes."""
-        return (self.horizons + 8 * self.slots + 63) // 64 * 64
+        return (self.lease_expiries + 8 * self.slots + 63) // 64 * 64
 
     @property
     def regions(self) -> int:
-        """Offset of slot 0's region, right behind the request ids."""
-        return self.ids + 8 * WAYS * self.slots * self.buckets
+        """Offset of slot 0's region, directly after the request ids."""
+        return self.request_ids + 8 * WAYS * self.slots * self.buckets
 
     @property
-    def values(self) -> int:
+    def counter_values(self) -> int:
         """Offset of the counter values within a region."""
-        return 8 * CELLS
+        return 8 * REGION_HEAD_CELLS
 
     @property
-    def names(self) -> int:
+    def counter_names(self) -> int:
         """Offset of the counter names within a region."""
-        return self.values + 8 * self.counters
+        return self.counter_values + 8 * self.counters
 
     @property
-    def sequences(self) -> int:
-        """Offset of the rows' change numbers within a region."""
-        return self.names + NAME_BYTES * self.counters
+    def row_sequences(self) -> int:
+        """Offset of the rows' sequence numbers within a region."""
+        return self.counter_names + COUNTER_NAME_BYTES * self.counters
 
     @property
     def rows(self) -> int:
         """Offset of the engine rows within a region."""
-        return self.sequences + 8 * self.engines
+        return self.row_sequences + 8 * self.engines
 
     @property
-    def region(self) -> int:
+    def region_bytes(self) -> int:
         """Bytes of one region, rounded up to a multiple of 64."""
         return (self.rows + ROW_BYTES * self.engines + 63) // 64 * 64
 
     @property
     def size(self) -> int:
-        """Bytes of the whole board."""
-        return self.regions + self.slots * self.region
+        """Bytes of the whole shared memory."""
+        return self.regions + self.slots * self.region_bytes
 
-    def at(self, slot: int) -> int:
-        """Return the offset of a slot's region within the board."""
-        return self.regions + slot * self.region
+    def region_offset(self, slot: int) -> int:
+        """Return the offset of a slot's region within the shared memory."""
+        return self.regions + slot * self.region_bytes
 
 
 def write_header(buffer: memoryview, layout: Layout, nonce: int) -> None:
@@ -116,11 +149,11 @@
 
 
 def read_header(buffer: memoryview, nonce: int) -> Layout:
-    """Return the layout; BadBoard if it is of another program, version or instance, too short, or damaged."""
-    if len(buffer) < HEAD_BYTES:
+    """Return the layout; IncompatibleMemoryError for another program, version or instance, or a damaged header."""
+    if len(buffer) < HEADER_BYTES:
         raise IncompatibleMemoryError("it is shorter than a header")
     head = bytes(buffer[: HEADER.size])
-    magic, version, slots, engines, counters, buckets, written, size = HEADER.unpack(head)
+    magic, version, slots, engines, counters, buckets, written_nonce, size = HEADER.unpack(head)
     if magic != MAGIC:
         raise IncompatibleMemoryError("it is no board")
     if version != VERSION:
@@ -130,28 +163,28 @@
     layout = Layout(slots, engines, counters, buckets)
     if size != layout.size or len(buffer) < size:
         raise IncompatibleMemoryError(f"it has {len(buffer)} bytes in place of {layout.size}")
-    if written != nonce:
+    if written_nonce != nonce:
         raise IncompatibleMemoryError("it belongs to another instance")
     return layout
 
 
-def cut(text: str, most: int) -> bytes:
-    """Return the text as UTF-8 of `most` bytes at most.
+def truncated(text: str, max_bytes: int) -> bytes:
+    """Return the text as UTF-8 of at most `max_bytes` bytes.
 
-    A text that is cut ends with a CRC-32 of the whole, so that two long names with the same start stay distinct.
+    A truncated text ends with a CRC-32 of the whole, so that two long names with the same start stay distinct.
     """
     data = text.encode()
-    if len(data) <= most:
+    if len(data) <= max_bytes:
         return data
-    return data[: most - 9].decode("utf-8", "ignore").encode() + b"~%08x" % zlib.crc32(data)
+    return data[: max_bytes - 9].decode("utf-8", "ignore").encode() + b"~%08x" % zlib.crc32(data)
 
 
 def pack_row(row: EngineLoadRow) -> bytes:
-    """Encode a row behind a CRC-32; at most REPORT figures of its report are kept, long names are cut."""
-    report = (*row.report[:REPORT], *(0.0,) * (REPORT - len(row.report)))
+    """Encode a row, preceded by its CRC-32; its report is limited to REPORT_VALUES values, long names are truncated."""
+    report = (*row.report[:REPORT_VALUES], *(0.0,) * (REPORT_VALUES - len(row.report)))
     body = ROW.pack(
         row.engine,
-        len(row.report[:REPORT]),
+        len(row.report[:REPORT_VALUES]),
         row.version,
         row.health,
         row.suspect,
@@ -159,55 +192,58 @@
         0,
         row.granted_mb,
         row.since_ms,
-        row.report_at,
+        row.reported_at_ms,
         *report,
         row.spent,
-        row.wished,
-        row.seen,
+        row.wanted,
+        row.lease_serial,
         0,
-        cut(row.name, 64),
-        cut(row.address, 32),
+        truncated(row.name, 64),
+        truncated(row.address, 32),
     )
     return _CRC.pack(zlib.crc32(body)) + body
 
 
 def unpack_row(data: bytes) -> EngineLoadRow | None:
-    """Decode a row; None if its checksum does not match: it is being written, or never was."""
+    """Decode a row; None if its checksum does not match: it is being written, or was never written."""
     body = data[4 : 4 + ROW.size]
     if _CRC.unpack_from(data)[0] != zlib.crc32(body):
         return None
-    (engine, count, version, health, suspect, threads, _, granted, since, report_at, *rest) = ROW.unpack(body)
-    report, (spent, wished, seen, _, name, address) = rest[:REPORT], rest[REPORT:]
+    engine, report_length, version, health, suspect, threads, _, granted_mb, since_ms, reported_at_ms, *rest = (
+        ROW.unpack(body)
+    )
+    report = rest[:REPORT_VALUES]
+    spent, wanted, lease_serial, _, name, address = rest[REPORT_VALUES:]
     return EngineLoadRow(
         engine,
         version,
         health,
         bool(suspect),
         threads,
-        granted,
-        since,
-        report_at,
-        tuple(report[:count]),
+        granted_mb,
+        since_ms,
+        reported_at_ms,
+        tuple(report[:report_length]),
         spent,
-        wished,
-        seen,
+        wanted,
+        lease_serial,
         name.rstrip(b"\0").decode("utf-8", "replace"),
         address.rstrip(b"\0").decode("latin-1"),
     )
 
 
-def pack_page(blob: bytes) -> bytes:
-    """Encode a control page: length, CRC-32, content. ValueError: the content is longer than a page."""
-    if len(blob) > PAGE - PAGE_HEAD.size:
-        raise ValueError(f"{len(blob)} bytes do not fit into a control page")
-    return PAGE_HEAD.pack(len(blob), zlib.crc32(blob)) + blob
+def pack_page(content: bytes) -> bytes:
+    """Encode a control page: length, CRC-32, content. ControlPageTooLongError if the content does not fit."""
+    if len(content) > CONTROL_PAGE_BYTES - PAGE_HEADER.size:
+        raise ControlPageTooLongError(f"{len(content)} bytes do not fit into a control page")
+    return PAGE_HEADER.pack(len(content), zlib.crc32(content)) + content
 
 
 def unpack_page(data: bytes | memoryview) -> bytes | None:
     """Decode a control page; None if its checksum does not match: it is being written."""
-    length, crc = PAGE_HEAD.unpack_from(data)
-    blob = bytes(data[PAGE_HEAD.size : PAGE_HEAD.size + length])
-    return blob if len(blob) == length and zlib.crc32(blob) == crc else None
+    length, checksum = PAGE_HEADER.unpack_from(data)
+    content = bytes(data[PAGE_HEADER.size : PAGE_HEADER.size + length])
+    return content if len(content) == length and zlib.crc32(content) == checksum else None
 
 
 class CounterName(NamedTuple):
@@ -218,14 +254,17 @@
     cls: str
 
 
-def pack_name(name: CounterName) -> bytes:
-    """Encode a counter's name to NAME_BYTES: length, CRC-32, text. One cut within front or class won't decode."""
+def pack_counter_name(name: CounterName) -> bytes:
+    """Encode a counter's name to COUNTER_NAME_BYTES: length, CRC-32, text.
+
+    A name truncated before its class can't be decoded again.
+    """
     text = "\x1f".join(name)
-    data = cut(text, NAME_BYTES - 5)
-    return (bytes((len(data),)) + _CRC.pack(zlib.crc32(data)) + data).ljust(NAME_BYTES, b"\0")
+    data = truncated(text, COUNTER_NAME_BYTES - 5)
+    return (bytes((len(data),)) + _CRC.pack(zlib.crc32(data)) + data).ljust(COUNTER_NAME_BYTES, b"\0")
 
 
-def unpack_name(data: bytes) -> CounterName | None:
+def unpack_counter_name(data: bytes) -> CounterName | None:
     """Decode a counter's name; None if it is empty, fails its checksum, or has not three parts."""
     text = data[5 : 5 + data[0]]
     if not text or _CRC.unpack_from(data, 1)[0] != zlib.crc32(text):
--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -1,18 +1,18 @@
-"""How a cold engine's budget is leased to workers: the sum never passes the whole, whatever a worker does.
+"""Leases on the budget of a cold (warming up) engine: the workers together never exceed it, whatever one of them does.
 
-Owns the units of each cold engine: which slot holds how many, which were taken back and not yet confirmed, and which
-cool. It must never read a clock or a socket, never hand a unit to one worker while another's sends under it may still
-count in the rule's window, and never judge an engine: what the budget is in work, the decision module knows.
+Keeps the units of each cold engine: which slot holds how many, which were revoked and not yet confirmed, and which are
+cooling. No I/O and no clock. A unit is not granted to one worker while another's sends under it may still count in the
+window of the rule. How much work the budget is, the decision module determines.
 
 The rule is a budget over any window of W ms. A worker with u of UNITS units sends at most u/UNITS of the budget in
-any W ms. A unit may change hands only when nothing that was sent under it lies within W:
+any W ms. A unit may be granted to another worker only when nothing that was sent under it lies within W:
 
-    granted --take back--> pending --worker confirms--> cooling (W + the time a decided send may still wait for its
+    granted --revoke--> pending --worker confirms--> cooling (W + the time a decided send may still wait for its
     connection) --> free --> granted
 
-A worker that hangs confirms nothing: its leases end by themselves at their horizon, which is renewed only while its
-heart beats, and it compares the horizon with the clock before each use. A worker that dies has its units cooled from
-its death on. All times are milliseconds of CLOCK_MONOTONIC, which the processes of one machine share.
+A worker that hangs confirms nothing: its leases end by themselves at their expiry, which is renewed only by heartbeats,
+and it compares the expiry with the clock before each use. The units of a worker that dies are cooling from its death
+on. All times are milliseconds of CLOCK_MONOTONIC, which the processes of one machine share.
 """
 
 from __future__ import annotations
@@ -24,26 +24,39 @@
 from frostspindle.division import fair
 
 UNITS = 240  # of one engine's budget; divisible by most numbers of workers
-RESERVE = 4  # a live worker keeps a RESERVE-th of its even share, so that a first request need not wait
-LEASE_MS = 300.0  # a lease that is not renewed ends after this
+RESERVE_DIVISOR = 4  # a live worker keeps this part of its even share, so that a first request need not wait
+LEASE_MS = 300.0  # a lease that is not renewed expires after this
 
 
 @dataclass(slots=True, frozen=True)
 class BudgetDemand:
-    """A worker's report on one cold engine: parts of the whole budget, and the newest lease serial that it obeys."""
+    """A worker's report on one cold engine: fractions of the budget, and the serial of the newest applied lease."""
 
     spent: float = 0.0
-    wished: float = 0.0
-    seen: int = 0
+    wanted: float = 0.0
+    lease_serial: int = 0
 
 
 @dataclass(slots=True)
 class HeldUnits:
-    """The units of one engine that one slot holds, and those taken back from it and not yet confirmed."""
+    """The units of one engine that one slot holds, and those revoked from it and not yet confirmed."""
 
     units: int = 0
     serial: int = 0  # of the last change
-    pending: list[tuple[int, int]] = field(default_factory=list)  # serial, units: taken back, not yet confirmed
+    pending: list[tuple[int, int]] = field(default_factory=list)  # serial and units of each unconfirmed revocation
+
+    @property
+    def pending_units(self) -> int:
+        """Number of units that were revoked and not yet confirmed."""
+        return sum(units for _, units in self.pending)
+
+    def revoke_all(self) -> int:
+        """Take back all units, also those pending, without waiting for a confirmation; return their number."""
+        units = self.units + self.pending_units
+        self.units = 0
+        self.pending = []
+        self.serial += 1
+        return units
 
 
 @dataclass(slots=True)
@@ -52,116 +65,128 @@
 
     slots: list[HeldUnits]
     units: int = UNITS
-    cooling: list[tuple[float, int]] = field(default_factory=list)  # free at, units
-    heard_at: float = 0.0
+    cooling: list[tuple[float, int]] = field(default_factory=list)  # when they are free, units
+    last_demand_at: float = 0.0
+
+    @property
+    def cooling_units(self) -> int:
+        """Number of units whose former use may still count in the window."""
+        return sum(units for _, units in self.cooling)
 
     @property
     def free(self) -> int:
-        """Number of units that no slot holds, that are not awaiting confirmation and do not cool."""
-        held = sum(s.units + sum(units for _, units in s.pending) for s in self.slots)
-        return self.units - held - sum(units for _, units in self.cooling)
+        """Number of units that no slot holds, and that are neither pending nor cooling."""
+        held = sum(slot.units + slot.pending_units for slot in self.slots)
+        return self.units - held - self.cooling_units
 
 
-def wanted(need: BudgetDemand, slots: int, whole: int = UNITS) -> int:
-    """Return the units for a need, at least the reserve; one more than the need, to make up for rounding down."""
-    reserve = whole // (slots * RESERVE)
-    if not (need.spent or need.wished):
+def units_wanted(demand: BudgetDemand, slots: int, total: int = UNITS) -> int:
+    """Return the units for a demand, at least the reserve; one more than the demand, to make up for rounding down."""
+    reserve = total // (slots * RESERVE_DIVISOR)
+    if not (demand.spent or demand.wanted):
         return reserve
-    return max(reserve, min(whole, math.ceil((need.spent + need.wished) * whole) + 1))
+    return max(reserve, min(total, math.ceil((demand.spent + demand.wanted) * total) + 1))
 
 
 class LeaseArbiter:
     """The supervisor's side of the leases: one ledger for each cold engine; times in ms of CLOCK_MONOTONIC."""
 
     def __init__(
-        self, slots: int, window_ms: float, settle_ms: float, lease_ms: float = LEASE_MS, units: int = UNITS
+        self, slots: int, window_ms: float, max_send_delay_ms: float, lease_ms: float = LEASE_MS, units: int = UNITS
     ) -> None:
         self.units = units
-        self.count, self.cool_ms, self.lease_ms = slots, window_ms + settle_ms, lease_ms
+        self.slot_count = slots
+        self.cooling_ms = window_ms + max_send_delay_ms
+        self.lease_ms = lease_ms
         self.engines: dict[int, BudgetLedger] = {}
-        self.horizons = [-math.inf] * slots
-        self.lives = [False] * slots
-        self.changed = False
-
-    def up(self, slot: int) -> None:
-        """Note that a new process serves in the slot; it holds nothing yet."""
-        self.lives[slot] = True
-
-    def down(self, slot: int, now: float) -> None:
-        """Note that the slot's process has ended: the units that it held cool from `now` on."""
-        self.lives[slot], self.horizons[slot] = False, -math.inf
+        self.lease_expiries = [-math.inf] * slots  # by slot
+        self.alive = [False] * slots
+        self.changed = False  # leases differ from those last published; the caller resets it
+
+    def worker_started(self, slot: int) -> None:
+        """Record that a new process serves in the slot; it holds nothing yet."""
+        self.alive[slot] = True
+
+    def worker_ended(self, slot: int, now: float) -> None:
+        """Record that the slot's process has ended: the units that it held are cooling from `now` on."""
+        self.alive[slot] = False
+        self.lease_expiries[slot] = -math.inf
         for ledger in self.engines.values():
-            held = ledger.slots[slot]
-            units = held.units + sum(units for _, units in held.pending)
+            units = ledger.slots[slot].revoke_all()
             if units:
-                ledger.cooling.append((now + self.cool_ms, units))
+                ledger.cooling.append((now + self.cooling_ms, units))
                 self.changed = True
-            held.units, held.pending = 0, []
-            held.serial += 1
 
-    def beat(self, slot: int, now: float) -> None:
+    def renew(self, slot: int, now: float) -> None:
         """Renew the leases of a live slot after its heartbeat, for `lease_ms` from `now`."""
-        if self.lives[slot]:
-            self.horizons[slot] = now + self.lease_ms
+        if self.alive[slot]:
+            self.lease_expiries[slot] = now + self.lease_ms
 
-    def step(self, now: float, needs: Mapping[int, Mapping[int, BudgetDemand]]) -> None:
-        """Settle what was confirmed or has run out, then divide each cold engine's units anew.
+    def rebalance(self, now: float, demands: Mapping[int, Mapping[int, BudgetDemand]]) -> None:
+        """Reclaim what was confirmed or has expired, then divide each cold engine's units anew.
 
-        `needs`: for each engine that some worker holds cold, the report of each slot. An engine that no worker has
-        named for the cooling time and a lease is forgotten.
+        `demands`: for each engine that is cold for some worker, the report of each slot. An engine that no worker has
+        reported for the cooling time and a lease is forgotten.
         """
-        for engine in needs.keys() - self.engines.keys():
-            self.engines[engine] = BudgetLedger([HeldUnits() for _ in range(self.count)], self.units)
+        for engine in demands.keys() - self.engines.keys():
+            self.engines[engine] = BudgetLedger([HeldUnits() for _ in range(self.slot_count)], self.units)
         for engine, ledger in list(self.engines.items()):
-            if engine in needs:
-                ledger.heard_at = now
-            elif now - ledger.heard_at > self.cool_ms + self.lease_ms:
+            if engine in demands:
+                ledger.last_demand_at = now
+            elif now - ledger.last_demand_at > self.cooling_ms + self.lease_ms:
                 del self.engines[engine]  # warm or gone for all of them
                 self.changed = True
                 continue
-            self._settle(ledger, now, needs.get(engine, {}))
-            self._share(ledger, now, needs.get(engine, {}))
+            self._reclaim(ledger, now, demands.get(engine, {}))
+            self._divide(ledger, now, demands.get(engine, {}))
 
-    def _settle(self, ledger: BudgetLedger, now: float, needs: Mapping[int, BudgetDemand]) -> None:
-        """What was confirmed, or has run out unconfirmed, cools; what has cooled is free."""
+    def _reclaim(self, ledger: BudgetLedger, now: float, demands: Mapping[int, BudgetDemand]) -> None:
+        """Let units cool whose revocation is confirmed or whose lease has expired, and free those that have cooled."""
         for slot, held in enumerate(ledger.slots):
-            seen = needs[slot].seen if slot in needs else -1
+            confirmed_serial = demands[slot].lease_serial if slot in demands else -1
             for serial, units in list(held.pending):
-                if seen >= serial:
+                if confirmed_serial >= serial:
                     held.pending.remove((serial, units))
-                    ledger.cooling.append((now + self.cool_ms, units))
-            if now >= self.horizons[slot] and (held.units or held.pending):
-                units = held.units + sum(units for _, units in held.pending)
-                held.units, held.pending, held.serial = 0, [], held.serial + 1
-                ledger.cooling.append((max(now, self.horizons[slot]) + self.cool_ms, units))
+                    ledger.cooling.append((now + self.cooling_ms, units))
+            if now >= self.lease_expiries[slot] and (held.units or held.pending):
+                ledger.cooling.append((max(now, self.lease_expiries[slot]) + self.cooling_ms, held.revoke_all()))
                 self.changed = True
         ledger.cooling = [(at, units) for at, units in ledger.cooling if now < at]
 
-    def _share(self, ledger: BudgetLedger, now: float, needs: Mapping[int, BudgetDemand]) -> None:
-        live = [slot for slot in range(self.count) if self.lives[slot] and now < self.horizons[slot]]
-        target = fair(
-            {slot: wanted(needs.get(slot, BudgetDemand()), self.count, self.units) for slot in live}, self.units
-        )
-        short = sum(max(0, target[slot] - ledger.slots[slot].units) for slot in live)
-        missing = (
-            short
-            - ledger.free
-            - sum(units for _, units in ledger.cooling)
-            - sum(units for held in ledger.slots for _, units in held.pending)
-        )
-        for slot in live:  # take back no more than others lack: what nobody asks for may stay where it is
+    def _divide(self, ledger: BudgetLedger, now: float, demands: Mapping[int, BudgetDemand]) -> None:
+        """Move units towards a max-min fair division by demand: revoke what others lack, grant what is free."""
+        live = [slot for slot in range(self.slot_count) if self.alive[slot] and now < self.lease_expiries[slot]]
+        wants = {slot: units_wanted(demands.get(slot, BudgetDemand()), self.slot_count, self.units) for slot in live}
+        target = fair(wants, self.units)
+        self._revoke(ledger, target)
+        self._grant(ledger, target)
+
+    def _revoke(self, ledger: BudgetLedger, target: Mapping[int, int]) -> None:
+        """Take back units above the target, but no more than others lack: units that nobody wants stay in place."""
+        lacking = sum(max(0, units - ledger.slots[slot].units) for slot, units in target.items())
+        coming = ledger.free + ledger.cooling_units + sum(held.pending_units for held in ledger.slots)
+        missing = lacking - coming
+        for slot, target_units in target.items():
             held = ledger.slots[slot]
-            if (back := min(held.units - target[slot], missing)) > 0:
-                held.units, held.serial, missing = held.units - back, held.serial + 1, missing - back
-                held.pending.append((held.serial, back))
+            revoked = min(held.units - target_units, missing)
+            if revoked > 0:
+                held.units -= revoked
+                held.serial += 1
+                held.pending.append((held.serial, revoked))
+                missing -= revoked
                 self.changed = True
-        for slot in live:
+
+    def _grant(self, ledger: BudgetLedger, target: Mapping[int, int]) -> None:
+        """Give free units to slots below the target."""
+        for slot, target_units in target.items():
             held = ledger.slots[slot]
-            if (more := min(target[slot] - held.units, ledger.free)) > 0:
-                held.units, held.serial = held.units + more, held.serial + 1
+            granted = min(target_units - held.units, ledger.free)
+            if granted > 0:
+                held.units += granted
+                held.serial += 1
                 self.changed = True
 
 
-def part(units: int, horizon_ms: float, now: float) -> float:
-    """Return a worker's part of the whole budget now, 0 to 1; 0 once its lease has run out. Checked before each use."""
-    return units / UNITS if now < horizon_ms else 0.0
+def budget_fraction(units: int, lease_expiry_ms: float, now: float) -> float:
+    """Return a worker's fraction of the budget now, 0 to 1; 0 once its lease has expired. Checked before each use."""
+    return units / UNITS if now < lease_expiry_ms else 0.0
--- a/frostspindle/cores/limits.py
+++ b/frostspindle/cores/limits.py
@@ -1,8 +1,8 @@
-"""How a limit of the whole coordinator is divided among its workers, and divided anew when they come and go.
+"""Division of a limit of the whole coordinator among its workers, repeated whenever workers start or end.
 
-Owns who may use how much of one limit (descriptors, memory, open requests, connections an engine). It must never
-give to one worker what another may still use: a share grows only by what is free of all shares and of all use. It
-reads nothing and enforces nothing; a worker holds itself to its share and says what it uses.
+Decides how much of one limit (descriptors, memory, open requests, connections an engine) each worker may use. A quota
+grows only by what is free of all quotas and of all use, so that no worker is given what another may still use. No I/O
+and no enforcement: each worker keeps to its quota and publishes what it uses.
 """
 
 from __future__ import annotations
@@ -13,41 +13,42 @@
 
 
 class LimitDivider:
-    """The shares of one limit, by slot."""
+    """The quotas of one limit, by slot."""
 
-    def __init__(self, whole: int, least: int = 0) -> None:
-        self.whole, self.least = whole, least
-        self.shares: dict[int, int] = {}
+    def __init__(self, total: int, minimum: int = 0) -> None:
+        self.total = total
+        self.minimum = minimum  # a worker that has yet to start gets this much or nothing
+        self.quotas: dict[int, int] = {}
 
-    def step(self, used: Mapping[int, int]) -> dict[int, int]:
-        """Return the new share of each live worker; 0 for one that has to wait until others have let go.
+    def divide(self, used: Mapping[int, int]) -> dict[int, int]:
+        """Return the new quota of each live worker; 0 for one that has to wait until others have shrunk to theirs.
 
-        `used`: what each live worker uses now. Invariant: the sum over workers of the greater of share and use stays
-        within the whole, as long as each worker's use stays within the share that it was told last.
+        `used`: what each live worker uses now. Invariant: the sum over workers of the greater of quota and use stays
+        within the total, as long as each worker's use stays within the quota that it has received last.
         """
-        self.shares = {slot: share for slot, share in self.shares.items() if slot in used}
+        self.quotas = {slot: quota for slot, quota in self.quotas.items() if slot in used}
         slots = sorted(used)
-        target = dict(zip(slots, even(self.whole, len(slots)), strict=True))
-        for slot in slots:  # shrink first: to the target, but not under what is in use now
-            share = self.shares.get(slot, 0)
-            if share > target[slot]:
-                self.shares[slot] = max(target[slot], min(share, used[slot]))
-        free = self.whole - sum(max(self.shares.get(slot, 0), used[slot]) for slot in slots)
+        target = dict(zip(slots, even(self.total, len(slots)), strict=True))
+        for slot in slots:  # shrink first, to the target, but not below what is in use now
+            quota = self.quotas.get(slot, 0)
+            if quota > target[slot]:
+                self.quotas[slot] = max(target[slot], min(quota, used[slot]))
+        free = self.total - sum(max(self.quotas.get(slot, 0), used[slot]) for slot in slots)
         for slot in slots:
-            share = self.shares.get(slot, 0)
-            # One that has yet to start gets nothing rather than less than it can run with.
-            more = min(target[slot] - share, free)
-            if more > 0 and share + more >= min(self.least, target[slot]):
-                self.shares[slot] = share + more
-                free -= more
+            quota = self.quotas.get(slot, 0)
+            # A worker that has yet to start gets nothing rather than less than it can run with.
+            growth = min(target[slot] - quota, free)
+            if growth > 0 and quota + growth >= min(self.minimum, target[slot]):
+                self.quotas[slot] = quota + growth
+                free -= growth
             else:
-                self.shares.setdefault(slot, 0)
-        return dict(self.shares)
+                self.quotas.setdefault(slot, 0)
+        return dict(self.quotas)
 
 
-def memory_share(whole_mb: float, workers: int, supervisor_mb: float) -> float:
-    """Return the megabytes of each worker, after the supervisor's own are taken off.
+def memory_quota(total_mb: float, workers: int, supervisor_mb: float) -> float:
+    """Return the megabytes of each worker, after those of the supervisor are subtracted.
 
-    Memory that was used can't be taken back, so it is divided once, by the number of slots.
+    Memory that was used can't be reclaimed, so it is divided once, by the number of slots.
     """
-    return (whole_mb - supervisor_mb) / workers
+    return (total_mb - supervisor_mb) / workers
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -16,8 +16,8 @@
 
 from frostspindle.config import Config
 from frostspindle.core import Attempt, EngineState, clock
-from frostspindle.cores import layout as form
 from frostspindle.cores import leases, ownership, peer_workers
+from frostspindle.cores.layout import HeadCell, WorkerState
 from frostspindle.cores.mesh import WorkerGoneError, WorkerMesh
 from frostspindle.cores.ownership import RequestOwner, Route
 from frostspindle.cores.peer_workers import EngineLoadRow, PeerWorker
@@ -30,10 +30,12 @@
 TICK_S = 0.02  # how often the others' rows are read and the heart beats
 FLUSH_S = 0.005  # changes of own rows are written together, so late at most
 ALL_TICKS = 25  # every so many ticks all engines are looked at, for what ages without a change
-DECIDED_MS = 400.0  # a send to a cold engine that has waited longer for a connection counts under no lease any more
+MAX_SEND_DELAY_MS = (
+    400.0  # a send to a cold engine that has waited longer for a connection counts under no lease any more
+)
 
 
-def mono() -> float:
+def monotonic_ms() -> float:
     """Return CLOCK_MONOTONIC in ms, which all processes of one machine share."""
     return time.monotonic() * 1000.0
 
@@ -100,13 +102,13 @@
         self.program, self.core, self.telemetry = program, program.core, program.telemetry
         self.loop = asyncio.get_running_loop()
         self.region.clear()
-        put = self.region.put
-        put(form.PID, 0)
-        put(form.INCARNATION, self.me.incarnation)
-        put(form.STATE, form.STARTING)
-        self.telemetry.mirror = self.region.count
+        put = self.region.write_cell
+        put(HeadCell.PID, 0)
+        put(HeadCell.INCARNATION, self.me.incarnation)
+        put(HeadCell.STATE, WorkerState.STARTING)
+        self.telemetry.mirror = self.region.store_counter
         self.core.may_start, self.core.on_engine_changed = self.fence, self.watch
-        program.platform.relay, program.platform.prefix = self, ownership.prefix(self.me)
+        program.platform.relay, program.platform.prefix = self, ownership.path_prefix(self.me)
         self.mesh = WorkerMesh(self.passport.mesh, self.passport.paths, program.platform)
 
     def start(self, told: Callable[[frozenset[str]], None], crowd: Callable[[bool], None]) -> None:
@@ -124,11 +126,11 @@
 
     def serving(self) -> None:
         """Tell the supervisor that this worker accepts clients; readiness needs it of all workers."""
-        self.region.put(form.STATE, form.SERVING)
+        self.region.write_cell(HeadCell.STATE, WorkerState.SERVING)
 
     def leaving(self) -> None:
         """Tell the others that this worker drains, so that its connections no longer count in `accepts`."""
-        self.region.put(form.STATE, form.LEAVING)
+        self.region.write_cell(HeadCell.STATE, WorkerState.DRAINING)
 
     def close(self) -> None:
         """Cancel timers and open relayed calls, write the last state to the board and mark the worker as ended."""
@@ -140,7 +142,7 @@
         self.mesh.close()
         self._flush()
         self._head()
-        self.region.put(form.STATE, form.ENDED)
+        self.region.write_cell(HeadCell.STATE, WorkerState.ENDED)
 
     # The board to the core.
 
@@ -168,18 +170,20 @@
 
     def _head(self) -> None:
         region, program = self.region, self.program
-        region.beat = mono()
-        region.put(form.OPEN, self.core.open)
-        region.put(form.CLIENTS, program.platform.connections)
-        region.put(form.TDS, len(program.tds.sessions) if program.tds else 0)
-        region.put(form.SOCKETS, program.platform.connections + program.driver.connections + SPARE)
-        region.put(form.SEEN, self.version)
+        region.heartbeat_ms = monotonic_ms()
+        region.write_cell(HeadCell.OPEN_REQUESTS, self.core.open)
+        region.write_cell(HeadCell.CLIENT_CONNECTIONS, program.platform.connections)
+        region.write_cell(HeadCell.TDS_SESSIONS, len(program.tds.sessions) if program.tds else 0)
+        region.write_cell(
+            HeadCell.DESCRIPTORS_USED, program.platform.connections + program.driver.connections + RESERVED_DESCRIPTORS
+        )
+        region.write_cell(HeadCell.CONTROL_VERSION, self.version)
 
     def _obey(self) -> bool:
         """Take the supervisor's newest word; False if it could not be read."""
         if self.board.version == self.version:
             return True
-        if (read := self.board.control()) is None:
+        if (read := self.board.read_control()) is None:
             self.telemetry.count("board_torn")
             return False
         before, (self.version, self.told) = self.told, read
@@ -206,10 +210,10 @@
     def _look(self, slot: int) -> set[int]:
         """Another worker's rows; its word on engines that end goes over our list at once."""
         sight = self.sights[slot]
-        torn = sight.torn
-        urgent = sight.region.get(form.URGENT)
-        changed = sight.look()
-        if sight.torn != torn:
+        torn = sight.torn_reads
+        urgent = sight.region.read_cell(HeadCell.URGENT_UPDATES)
+        changed = sight.poll()
+        if sight.torn_reads != torn:
             self.telemetry.count("board_torn")
         if changed and urgent != self._urgent[slot]:
             siblings = [PeerWorker(0.0, sight.rows)]
@@ -218,7 +222,7 @@
                 if (
                     state is not None
                     and state.version
-                    and (word := peer_workers.stop(engine, state.version, siblings)) is not None
+                    and (word := peer_workers.newest_end_of_service(engine, state.version, siblings)) is not None
                 ):
                     self.core.mark_draining(state.name, word[0])
         self._urgent[slot] = urgent
@@ -229,19 +233,19 @@
         if self.me.slot >= len(units):
             return 0.0
         self.seen[engine] = serials[self.me.slot]
-        return leases.part(units[self.me.slot], self.board.horizon(self.me.slot), mono())
+        return leases.budget_fraction(units[self.me.slot], self.board.lease_expiry(self.me.slot), monotonic_ms())
 
     def _hear(self, engines: set[int]) -> None:
         """Tell the module what the others have out, think and know, where that has changed."""
-        now, beat = clock(), mono()
+        now, beat = clock(), monotonic_ms()
         siblings = [
-            PeerWorker(beat - sight.region.beat, sight.rows)
+            PeerWorker(beat - sight.region.heartbeat_ms, sight.rows)
             for slot, sight in self.sights.items()
             if slot in self.told.living
         ]  # what a dead one left is told as ghosts
         entries = []
         for engine in engines & self.core.engines.keys():
-            entry = peer_workers.peer(engine, siblings, self.told.ghosts, now, self._part(engine))
+            entry = peer_workers.combined_load(engine, siblings, self.told.ghosts, now, self._part(engine))
             before = self.peers.get(engine)
             if before is None or before[:5] != entry[:5] or (entry.report and entry.report != before.report):
                 entries.append(entry)
@@ -258,13 +262,13 @@
         if engine not in self.core.engines:
             for table in (self.reports, self.peers, self.seen):
                 table.pop(engine, None)
-            self.region.erase(engine)
+            self.region.erase_row(engine)
             return
         self.dirty.add(engine)
         state = self.core.engines[engine]
         if state.entry.health != Health.READY and state.version:
             self._flush()  # an end that was told here is the others' affair at once
-            self.region.bump(form.URGENT)
+            self.region.increment_cell(HeadCell.URGENT_UPDATES)
         elif self._flusher is None:
             self._flusher = self.loop.call_later(FLUSH_S, self._flush)
 
@@ -291,12 +295,14 @@
             self._flusher = None
         dirty, self.dirty = self.dirty, set()
         for engine in dirty:
-            if (state := self.core.engines.get(engine)) is not None and not self.region.write(self._row(engine, state)):
+            if (state := self.core.engines.get(engine)) is not None and not self.region.write_row(
+                self._row(engine, state)
+            ):
                 if not self._full:
                     self._full = True
                     self.telemetry.log("board", error="more engines than it has rows for", engine=state.name)
         if dirty:
-            self.region.bump(form.FLUSHES)
+            self.region.increment_cell(HeadCell.ROW_UPDATES)
 
     def _row(self, engine: int, state: EngineState) -> EngineLoadRow:
         believed = self.core.controller.engines.get(engine)
@@ -331,13 +337,15 @@
         """
         self._obey()
         for slot, sight in self.sights.items():
-            if sight.region.get(form.URGENT) != self._urgent[slot]:
+            if sight.region.read_cell(HeadCell.URGENT_UPDATES) != self._urgent[slot]:
                 self._look(slot)
         since = state.entry.since_ms
         if (
             since > 0
             and clock() - since < self.core.settings.slow_start_duration_ms
-            and (clock() - attempt.sent_ms > DECIDED_MS or mono() >= self.board.horizon(self.me.slot))
+            and (
+                clock() - attempt.sent_ms > MAX_SEND_DELAY_MS or monotonic_ms() >= self.board.lease_expiry(self.me.slot)
+            )
         ):
             self.telemetry.count("cold_stopped")
             return False
@@ -347,14 +355,17 @@
 
     def accepts(self) -> bool:
         """Return whether to take a new connection now, by what the workers that live and serve hold."""
-        now, mine = mono(), self.program.platform.held
-        self.region.put(form.CLIENTS, mine)  # at once: others compare while a burst is being accepted
+        now, mine = monotonic_ms(), self.program.platform.held
+        self.region.write_cell(
+            HeadCell.CLIENT_CONNECTIONS, mine
+        )  # at once: others compare while a burst is being accepted
         others = [
-            sight.region.get(form.CLIENTS)
+            sight.region.read_cell(HeadCell.CLIENT_CONNECTIONS)
             for sight in self.sights.values()
-            if sight.region.get(form.STATE) == form.SERVING and now - sight.region.beat < peer_workers.FRESH_MS
+            if sight.region.read_cell(HeadCell.STATE) == WorkerState.SERVING
+            and now - sight.region.heartbeat_ms < peer_workers.HEARTBEAT_FRESH_MS
         ]
-        return ownership.accepts(mine, others)
+        return ownership.should_accept(mine, others)
 
     def claim(self, ticket: str) -> CallRejectedError | None:
         """Enter a request's id (hex) for this worker; return the refusal if it can't be had.
@@ -369,18 +380,18 @@
         if number in self.lost:
             return CallRejectedError(502, "Failed")
         # Written first, then looked for elsewhere: of two workers at the same moment at least one sees the other.
-        if not self.region.add(number):
+        if not self.region.add_request(number):
             self.telemetry.count("full", FRONT)
             return CallRejectedError(503, "Busy")
-        if self.region.elsewhere(number):
-            self.region.remove(number)
+        if self.region.open_elsewhere(number):
+            self.region.remove_request(number)
             return CallRejectedError(409, "X-Request-Id: this request is already open")
         return None
 
     def release(self, ticket: str) -> None:
         """Take a settled request's id (hex) off the board."""
         if number := int(ticket, 16):
-            self.region.remove(number)
+            self.region.remove_request(number)
 
     def passes(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
         """Return whether a call on a path unknown here belongs to another worker, and see to its answer.
@@ -392,9 +403,9 @@
             return False
         self._obey()  # a worker that has just died is known to have
         way = ownership.route(path, self.me, self.told.living)
-        if way is Route.DIED:
+        if way is Route.OWNER_ENDED:
             slot.reply(204) if method == b"DELETE" else slot.reply(502, {"failure": "Failed"})
-        elif way is Route.ASK:
+        elif way is Route.RELAY:
             owner = ownership.owner_of(path)
             assert owner is not None
             task = self.loop.create_task(self._ask(slot, owner.slot, method, path, url))
@@ -405,7 +416,7 @@
     async def _ask(self, slot: PendingCall, owner: int, method: bytes, path: str, url: bytes) -> None:
         self.telemetry.count("relayed", FRONT)
         try:
-            status, body, extra, last = await self.mesh.ask(owner, method, url)
+            status, body, extra, last = await self.mesh.call(owner, method, url)
         except WorkerGoneError as gone:
             self.telemetry.log("relay", owner=owner, error=str(gone))
             if method == b"DELETE":
@@ -416,4 +427,4 @@
         slot.reply(status, body, extra, last)
 
 
-SPARE = 12  # descriptors of a worker beside its connections
+RESERVED_DESCRIPTORS = 12  # descriptors of a worker beside its connections
--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -1,9 +1,8 @@
-"""Calls that a client made at one worker and that another one answers.
+"""Relay of calls between workers: a client made the call at one worker, another one owns the request and answers.
 
-Owns the Unix sockets between workers, one connection to each other worker that is called, and the form of what
-crosses them: a length of four bytes, then msgpack. It must never keep a client waiting longer than a call may be held,
-never pass on what the front has not checked, and never answer for the owner: what the owner's front says goes back
-unchanged.
+Owns the Unix sockets between workers, one connection to each other worker that is called, and the framing on them: a
+length of four bytes, then msgpack. A call waits CALL_TIMEOUT_S at most, is passed on only after the front has checked
+it, and the owner's reply is returned unchanged. All of it runs in the worker's event loop.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 import socket
 import sys
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -21,21 +20,33 @@
 from frostspindle.net.http.calls import PendingCall
 from frostspindle.net.platform import HttpFront
 
-LONGEST = 1 << 20  # a page and its frame are far shorter
-MOST = 512  # calls of one worker that wait at another
-WITHIN_S = 1.5  # a call is held for 1 s at its owner
+MAX_FRAME_BYTES = 1 << 20  # a result page with its frame is far shorter
+MAX_PENDING_CALLS = 512  # of one worker at another
+CALL_TIMEOUT_S = 1.5  # the owner holds a call (long poll) for 1 s
 _ENCODE = msgspec.msgpack.Encoder().encode
-Reply = tuple[int, Any, str, bool]  # status, body, further headers, whether it ends the connection
 _CALL = msgspec.msgpack.Decoder(tuple[int, bytes, bytes])  # number, method, URL
 _REPLY = msgspec.msgpack.Decoder(tuple[int, int, Any, str, bool])
 
 
-class WorkerGoneError(Exception):
+class RelayedReply(NamedTuple):
+    """An owner's reply to a relayed call; its fields follow the call's number in the frame."""
+
+    status: int
+    body: Any
+    extra_headers: str
+    last: bool  # whether the client's connection ends with it
+
+
+class MeshError(Exception):
+    """Base class of the errors of the mesh."""
+
+
+class WorkerGoneError(MeshError):
     """The other worker has closed the connection, does not answer in time, or has too many calls waiting."""
 
 
 class _FrameProtocol(asyncio.Protocol):
-    """Frames of one connection; one that can't be read ends it."""
+    """Frames of one connection; a frame that can't be decoded ends the connection."""
 
     decoder: msgspec.msgpack.Decoder[Any]
 
@@ -50,8 +61,8 @@
         self.buffer += data
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "little")
-            if length > LONGEST:
-                self.broken()
+            if length > MAX_FRAME_BYTES:
+                self.abort_malformed()
                 return
             if len(self.buffer) < 4 + length:
                 return
@@ -60,15 +71,15 @@
             try:
                 content = self.decoder.decode(message)
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-                self.broken()
+                self.abort_malformed()
                 return
-            self.frame(content)
+            self.frame_received(content)
 
-    def broken(self) -> None:
+    def abort_malformed(self) -> None:
         self.buffer.clear()
         self.transport.abort()
 
-    def frame(self, message: Any) -> None:
+    def frame_received(self, message: Any) -> None:
         raise NotImplementedError
 
     def send(self, message: Any) -> None:
@@ -78,7 +89,7 @@
 
 
 class _NoConnection:
-    """Stands where a slot has its client: this one is another worker's."""
+    """Takes the place of a pending call's client connection, which is at another worker."""
 
     line: tuple[()] = ()
 
@@ -86,147 +97,161 @@
 class _RemoteCall(PendingCall):
     """A call of another worker's client."""
 
-    __slots__ = ("answer",)
+    __slots__ = ("on_reply",)
 
-    def __init__(self, answer: Callable[[Reply], None]) -> None:
+    def __init__(self, on_reply: Callable[[RelayedReply], None]) -> None:
         super().__init__(_NoConnection())  # type: ignore[arg-type]
-        self.answer = answer
+        self.on_reply = on_reply
 
     def reply(self, status: int, body: Any = None, extra: str = "", last: bool = False) -> None:
         if self.data is None:
             self.data = b""
-            self.answer((status, body, extra, last))
+            self.on_reply(RelayedReply(status, body, extra, last))
 
 
 class _OwnerConnection(_FrameProtocol):
-    """The owner's side: another worker's calls, answered by this worker's front."""
+    """Incoming connection: another worker's calls, answered by this worker's front."""
 
     decoder = _CALL
 
-    def __init__(self, front: HttpFront, all_of: set[_OwnerConnection]) -> None:
+    def __init__(self, front: HttpFront, connections: set[_OwnerConnection]) -> None:
         super().__init__()
-        self.front, self.all_of = front, all_of
-        self.slots: set[_RemoteCall] = set()
+        self.front = front
+        self.connections = connections  # all of the mesh
+        self.pending_calls: set[_RemoteCall] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.all_of.add(self)
-        # The address has no owner in any file system: only processes of this user are listened to.
+        self.connections.add(self)
+        # An abstract address has no file permissions: accept only processes of this user.
         credentials = transport.get_extra_info("socket").getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
         if int.from_bytes(credentials[4:8], sys.byteorder) != os.geteuid():
             self.front.telemetry.count("mesh_strangers")
             self.transport.abort()
 
-    def broken(self) -> None:
+    def abort_malformed(self) -> None:
         self.front.telemetry.count("mesh_broken")
-        super().broken()
+        super().abort_malformed()
 
-    def frame(self, message: Any) -> None:
+    def frame_received(self, message: Any) -> None:
         number, method, url = message
-        slot = _RemoteCall(lambda reply: self._answer(number, slot, reply))
-        if len(self.slots) >= MOST:
-            slot.reply(503, {"failure": "Busy"})
+        call = _RemoteCall(lambda reply: self._send_reply(number, call, reply))
+        if len(self.pending_calls) >= MAX_PENDING_CALLS:
+            call.reply(503, {"failure": "Busy"})
             return
-        self.slots.add(slot)
+        self.pending_calls.add(call)
         self.front.telemetry.count("relayed_in", "http")
         try:
-            self.front.call(slot, method, url, {}, b"")
-        except CallRejectedError as refusal:
-            slot.reply(refusal.status, {"failure": refusal.text}, last=True)
-        except Exception as error:  # noqa: BLE001 - a fault ends one call
+            self.front.call(call, method, url, {}, b"")
+        except CallRejectedError as rejection:
+            call.reply(rejection.status, {"failure": rejection.text}, last=True)
+        except Exception as error:  # noqa: BLE001 - a fault ends this call only
             self.front.telemetry.count("faults")
             self.front.telemetry.log("fault", error=repr(error), of="relayed call")
-            slot.reply(500, {"failure": "Failed"}, last=True)
+            call.reply(500, {"failure": "Failed"}, last=True)
 
-    def _answer(self, number: int, slot: _RemoteCall, reply: Reply) -> None:
-        self.slots.discard(slot)
+    def _send_reply(self, number: int, call: _RemoteCall, reply: RelayedReply) -> None:
+        self.pending_calls.discard(call)
         self.send((number, *reply))
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.all_of.discard(self)
-        for slot in self.slots:
-            slot.data = b""
-            self.front.gone(slot)
-        self.slots.clear()
+        self.connections.discard(self)
+        for call in self.pending_calls:
+            call.data = b""
+            self.front.gone(call)
+        self.pending_calls.clear()
 
 
 class _CallerConnection(_FrameProtocol):
-    """The side of the worker that a client called."""
+    """Outgoing connection of the worker that a client called, to the owner of the request."""
 
     decoder = _REPLY
 
     def __init__(self) -> None:
         super().__init__()
-        self.waiting: dict[int, asyncio.Future[Reply]] = {}
-        self.numbers = 0
+        self.pending: dict[int, asyncio.Future[RelayedReply]] = {}  # by number of the call
+        self.last_number = 0
 
-    def frame(self, message: Any) -> None:
+    def frame_received(self, message: Any) -> None:
         number, status, body, extra, last = message
-        if (future := self.waiting.pop(number, None)) is not None and not future.done():
-            future.set_result((status, body, extra, last))
+        future = self.pending.pop(number, None)
+        if future is not None and not future.done():
+            future.set_result(RelayedReply(status, body, extra, last))
 
     def connection_lost(self, error: Exception | None) -> None:
-        for future in self.waiting.values():
+        for future in self.pending.values():
             if not future.done():
                 future.set_exception(WorkerGoneError("the owner ended its connection"))
-        self.waiting.clear()
+        self.pending.clear()
 
-    async def ask(self, method: bytes, url: bytes) -> Reply:
-        if len(self.waiting) >= MOST:
+    async def call(self, method: bytes, url: bytes) -> RelayedReply:
+        if len(self.pending) >= MAX_PENDING_CALLS:
             raise WorkerGoneError("too many calls wait there")
-        self.numbers += 1
-        number = self.numbers
-        future = self.waiting[number] = asyncio.get_running_loop().create_future()
+        self.last_number += 1
+        number = self.last_number
+        future: asyncio.Future[RelayedReply] = asyncio.get_running_loop().create_future()
+        self.pending[number] = future
         self.send((number, method, url))
         try:
-            async with asyncio.timeout(WITHIN_S):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await future
         except TimeoutError:
             raise WorkerGoneError("the owner does not answer") from None
         finally:
-            self.waiting.pop(number, None)
+            self.pending.pop(number, None)
 
 
 class WorkerMesh:
     """This worker's listening Unix socket and its connections to the other workers."""
 
-    def __init__(self, listening: int, paths: dict[int, str], front: HttpFront) -> None:
-        self.listening, self.paths, self.front = socket.socket(fileno=listening), paths, front
-        self.askers: dict[int, _CallerConnection] = {}
-        self.owners: set[_OwnerConnection] = set()  # the others' connections here
-        self._opening: dict[int, asyncio.Lock] = {}
+    def __init__(self, listening_fd: int, paths: dict[int, str], front: HttpFront) -> None:
+        self.listening_socket = socket.socket(fileno=listening_fd)
+        self.paths = paths  # address by slot
+        self.front = front
+        self.outgoing: dict[int, _CallerConnection] = {}  # by slot
+        self.incoming: set[_OwnerConnection] = set()
+        self._connect_locks: dict[int, asyncio.Lock] = {}
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Accept the other workers' connections; their calls are answered by this worker's front."""
-        self.listening.setblocking(False)
+        self.listening_socket.setblocking(False)
         self._server = await asyncio.get_running_loop().create_unix_server(
-            lambda: _OwnerConnection(self.front, self.owners), sock=self.listening
+            lambda: _OwnerConnection(self.front, self.incoming), sock=self.listening_socket
         )
 
     def close(self) -> None:
-        """Stop accepting, close the others' connections after what was written, and abort our own to them."""
+        """Stop accepting, close incoming connections after what was written, and abort outgoing ones."""
         if self._server is not None:
-            self._server.close()  # this ends no connection that was taken
-        for owner in self.owners:
-            owner.transport.close()
-        for asker in self.askers.values():
-            asker.transport.abort()
-
-    async def ask(self, slot: int, method: bytes, url: bytes) -> Reply:
-        """Relay a call to the worker in that slot and return its reply; Gone if there is none in time."""
-        if (asker := self._asker(slot)) is None:
-            try:  # one at a time: calls that come together would each open a connection, and all but one be lost
-                async with asyncio.timeout(WITHIN_S), self._opening.setdefault(slot, asyncio.Lock()):
-                    if (asker := self._asker(slot)) is None:
-                        _, asker = await asyncio.get_running_loop().create_unix_connection(
-                            _CallerConnection, self.paths[slot]
-                        )
-                        self.askers[slot] = asker
+            self._server.close()  # this ends no connection that was accepted
+        for incoming in self.incoming:
+            incoming.transport.close()
+        for outgoing in self.outgoing.values():
+            outgoing.transport.abort()
+
+    async def call(self, slot: int, method: bytes, url: bytes) -> RelayedReply:
+        """Relay a call to the worker in that slot and return its reply; WorkerGoneError if there is none in time."""
+        connection = self._open_connection(slot)
+        if connection is None:
+            try:
+                connection = await self._connect(slot)
             except (OSError, TimeoutError) as error:
                 raise WorkerGoneError(repr(error)) from None
-        return await asker.ask(method, url)
-
-    def _asker(self, slot: int) -> _CallerConnection | None:
-        asker = self.askers.get(slot)
-        return None if asker is None or asker.transport.is_closing() else asker
+        return await connection.call(method, url)
+
+    async def _connect(self, slot: int) -> _CallerConnection:
+        """Return an open connection to a worker; concurrent calls wait for one connection rather than open several."""
+        async with asyncio.timeout(CALL_TIMEOUT_S), self._connect_locks.setdefault(slot, asyncio.Lock()):
+            connection = self._open_connection(slot)
+            if connection is None:
+                _, connection = await asyncio.get_running_loop().create_unix_connection(
+                    _CallerConnection, self.paths[slot]
+                )
+                self.outgoing[slot] = connection
+            return connection
+
+    def _open_connection(self, slot: int) -> _CallerConnection | None:
+        connection = self.outgoing.get(slot)
+        if connection is None or connection.transport.is_closing():
+            return None
+        return connection
--- a/frostspindle/cores/peer_workers.py
+++ b/frostspindle/cores/peer_workers.py
@@ -1,8 +1,8 @@
-"""What a worker makes of the other workers' rows: their load, their suspicions, their newest report on each engine.
+"""Evaluation of the other workers' rows: their load, their ejections and the newest load report of each engine.
 
-Owns the rules by which rows are believed: whose load counts, for how long, and whose report of an engine's end of
-service overrides a worker's own list. It must never read the board or a clock and decides nothing about requests: what
-it makes is an event for the decision module, or an overlay on the engine list.
+Defines whose load counts, for how long, and whose report of an engine's end of service overrides a worker's own
+endpoint list. Functions without I/O or clock; the results become an event for the decision module or an overlay on the
+endpoint list.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 
 from frostspindle.policy import Health, WorkerLoad
 
-FORGOTTEN_MS = 2_100.0  # an engine drops what has not been asked for in 2 s (the platform's protocol)
-FRESH_MS = 1_000.0  # a worker whose heart is older than this has no opinions
+ENGINE_FORGETS_AFTER_MS = 2_100.0  # an engine drops a query that nobody has polled for 2 s (the platform's protocol)
+HEARTBEAT_FRESH_MS = 1_000.0  # with an older heartbeat a worker's ejections and load reports don't count
 
 
 class EngineLoadRow(NamedTuple):
     """One worker's report on one engine; times are Unix ms, as the decision module's are."""
 
     engine: int
-    version: int  # of the list event that told of it; 0: the list has no common numbers
+    version: int  # of the endpoint list's event with this health; 0: the list has no common numbers
     health: int
     suspect: bool
     threads: int
     granted_mb: float
     since_ms: float
-    report_at: float
-    report: tuple[float, ...]
-    spent: float
-    wished: float
-    seen: int
+    reported_at_ms: float
+    report: tuple[float, ...]  # the newest load report
+    spent: float  # fractions of a cold engine's budget
+    wanted: float
+    lease_serial: int  # of the newest lease that the worker has applied
     name: str
     address: str
 
 
 class OrphanedLoad(NamedTuple):
-    """Load that a worker which died left at an engine: it runs there until the engine forgets it."""
+    """Load of a dead worker at an engine: it runs there until the engine drops it."""
 
     engine: int
     threads: int
@@ -49,55 +49,70 @@
 class PeerWorker:
     """Another worker: the age of its last heartbeat in ms, and its rows by engine."""
 
-    beat_age_ms: float
+    heartbeat_age_ms: float
     rows: Mapping[int, EngineLoadRow]
 
 
-def ghosts(rows: Iterable[EngineLoadRow], died_ms: float) -> list[OrphanedLoad]:
-    """Return the load that a worker which died at `died_ms` (Unix ms) left, counted for FORGOTTEN_MS from then."""
+def orphaned_loads(rows: Iterable[EngineLoadRow], died_ms: float) -> list[OrphanedLoad]:
+    """Return the load that a worker left when it died (Unix ms); it counts for ENGINE_FORGETS_AFTER_MS from then."""
     return [
-        OrphanedLoad(row.engine, row.threads, row.granted_mb, died_ms + FORGOTTEN_MS) for row in rows if row.threads
+        OrphanedLoad(row.engine, row.threads, row.granted_mb, died_ms + ENGINE_FORGETS_AFTER_MS)
+        for row in rows
+        if row.threads
     ]
 
 
-def peer(
-    engine: int, siblings: Iterable[PeerWorker], dead: Iterable[OrphanedLoad], now: float, part: float
+def combined_load(
+    engine: int,
+    peers: Iterable[PeerWorker],
+    orphaned: Iterable[OrphanedLoad],
+    now_ms: float,
+    budget_fraction: float,
 ) -> WorkerLoad:
     """Return what all other workers together report of one engine, in the form of the decision module's event.
 
-    `now` is in Unix ms. A worker without a heartbeat for FORGOTTEN_MS counts for no load, one without for FRESH_MS for
-    no suspicion and no report. `part` is this worker's part of a cold engine's budget.
+    `now_ms` is Unix time. The load of a worker without a heartbeat for ENGINE_FORGETS_AFTER_MS does not count; without
+    one for HEARTBEAT_FRESH_MS its ejection and load report don't. `budget_fraction` is this worker's fraction of a cold
+    engine's budget.
     """
-    threads, memory, suspect = 0, 0.0, False
+    threads = 0
+    memory_mb = 0.0
+    suspect = False
     report: tuple[float, ...] = ()
-    report_at = 0.0
-    for sibling in siblings:
-        row = sibling.rows.get(engine)
+    reported_at_ms = 0.0
+    for peer in peers:
+        row = peer.rows.get(engine)
         if row is None:
             continue
-        if sibling.beat_age_ms < FORGOTTEN_MS:  # a hung worker asks for nothing, so its queries end like a dead one's
+        if (
+            peer.heartbeat_age_ms < ENGINE_FORGETS_AFTER_MS
+        ):  # a hung worker does not poll either: its queries are dropped
             threads += row.threads
-            memory += row.granted_mb
-        if sibling.beat_age_ms < FRESH_MS:
+            memory_mb += row.granted_mb
+        if peer.heartbeat_age_ms < HEARTBEAT_FRESH_MS:
             suspect |= row.suspect
-            if row.report and row.report_at > report_at:
-                report, report_at = row.report, row.report_at
-    for ghost in dead:
-        if ghost.engine == engine and now < ghost.until_ms:
-            threads += ghost.threads
-            memory += ghost.granted_mb
-    return WorkerLoad(engine, threads, memory, suspect, part, report, max(0.0, now - report_at) if report else 0.0)
-
-
-def stop(engine: int, version: int, siblings: Iterable[PeerWorker]) -> tuple[int, int] | None:
-    """Return version and health of the newest report that the engine takes nothing new, if newer than our `version`.
-
-    Only ends of service cross, never starts: a late start costs a moment, a late end breaks a rule. The age of the row
-    does not matter: the list was received, whatever became of the worker that received it.
+            if row.report and row.reported_at_ms > reported_at_ms:
+                report = row.report
+                reported_at_ms = row.reported_at_ms
+    for load in orphaned:
+        if load.engine == engine and now_ms < load.until_ms:
+            threads += load.threads
+            memory_mb += load.granted_mb
+    report_age_ms = max(0.0, now_ms - reported_at_ms) if report else 0.0
+    return WorkerLoad(engine, threads, memory_mb, suspect, budget_fraction, report, report_age_ms)
+
+
+def newest_end_of_service(engine: int, version: int, peers: Iterable[PeerWorker]) -> tuple[int, int] | None:
+    """Return version and health of the newest list event by which the engine accepts nothing new, if after `version`.
+
+    Only ends of service are taken from other workers, never starts: a late start costs a moment, a late end breaks a
+    rule. The age of the row does not matter: the event was received, even if that worker has died since.
     """
     newest: tuple[int, int] | None = None
-    for sibling in siblings:
-        row = sibling.rows.get(engine)
+    for peer in peers:
+        row = peer.rows.get(engine)
         if row is not None and row.version > max(version, newest[0] if newest else 0):
             newest = (row.version, row.health)
-    return newest if newest is not None and newest[1] != Health.READY else None
+    if newest is None or newest[1] == Health.READY:
+        return None
+    return newest
--- a/frostspindle/cores/restarts.py
+++ b/frostspindle/cores/restarts.py
@@ -1,7 +1,6 @@
-"""When a worker that ended is started again, when one that hangs is given up, and when it is no use any more.
+"""Restart policy of worker processes: backoff before a restart, detection of hung workers and of crash loops.
 
-Owns the waits before restarts and the bound on crashes. It must never start or kill anything by itself, and reads no
-clock: all times are milliseconds of one clock that the caller reads.
+It starts and kills nothing itself and reads no clock: all times are milliseconds of one clock that the caller reads.
 """
 
 from __future__ import annotations
@@ -9,9 +8,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-FIRST_MS, MOST_MS = 100.0, 5_000.0  # waits grow twofold from the first to the longest
-STEADY_MS = 10_000.0  # one that ran for so long starts anew with the first wait
-STARTING_MS = 15_000.0  # until the first heartbeat; a start reads configuration and imports
+INITIAL_BACKOFF_MS = 100.0  # doubled with each crash in a row
+MAX_BACKOFF_MS = 5_000.0
+STABLE_AFTER_MS = 10_000.0  # a crash after a run of this length begins with the initial backoff again
+START_TIMEOUT_MS = 15_000.0  # from start to first heartbeat: the process imports modules and reads its configuration
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
     """The history of one worker slot's starts and failures."""
 
     started_at: float = 0.0
-    failures: int = 0  # in a row
+    crashes_in_a_row: int = 0
     starts: int = 0
 
 
@@ -27,42 +27,44 @@
 class RestartPolicy:
     """The restart policy for all slots."""
 
-    crashes: int  # so many within within_ms are a loop
+    crashes: int  # this number of crashes within `within_ms` is a crash loop
     within_ms: float
-    hang_ms: float
+    hang_ms: float  # without a heartbeat for longer a worker counts as hung
     slots: dict[int, SlotHistory] = field(default_factory=dict)
-    times: deque[float] = field(default_factory=deque)
+    crash_times: deque[float] = field(default_factory=deque)
 
-    def started(self, slot: int, now: float) -> None:
-        """Note that a process was started in the slot at `now`, in ms."""
-        place = self.slots.setdefault(slot, SlotHistory())
-        place.started_at = now
-        place.starts += 1
+    def worker_started(self, slot: int, now: float) -> None:
+        """Record that a process was started in the slot at `now`, in ms."""
+        history = self.slots.setdefault(slot, SlotHistory())
+        history.started_at = now
+        history.starts += 1
 
-    def ended(self, slot: int, now: float, crashed: bool) -> float | None:
-        """Return how long to wait before the next start, in ms; None: a crash loop, give up.
+    def backoff_after_end(self, slot: int, now: float, crashed: bool) -> float | None:
+        """Record the end of the slot's process; return the wait before its restart, in ms, or None in a crash loop.
 
-        A crash doubles the wait, from FIRST_MS up to MOST_MS; a run of STEADY_MS begins anew with the first. A worker
-        that was asked to end did not crash: its successor starts at once and nothing counts against it.
+        A crash doubles the wait, from INITIAL_BACKOFF_MS up to MAX_BACKOFF_MS; after a run of STABLE_AFTER_MS it begins
+        with the first again. A worker that was asked to end did not crash: its successor starts at once.
         """
-        place = self.slots[slot]
+        history = self.slots[slot]
         if not crashed:
-            place.failures = 0
+            history.crashes_in_a_row = 0
             return 0.0
-        self.times.append(now)
-        while self.times and self.times[0] <= now - self.within_ms:
-            self.times.popleft()
-        if len(self.times) >= self.crashes:
+        self.crash_times.append(now)
+        while self.crash_times and self.crash_times[0] <= now - self.within_ms:
+            self.crash_times.popleft()
+        if len(self.crash_times) >= self.crashes:
             return None
-        place.failures = 1 if now - place.started_at >= STEADY_MS else place.failures + 1
-        return min(MOST_MS, FIRST_MS * 2.0 ** (place.failures - 1))
+        if now - history.started_at >= STABLE_AFTER_MS:
+            history.crashes_in_a_row = 0
+        history.crashes_in_a_row += 1
+        return min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2.0 ** (history.crashes_in_a_row - 1))
 
-    def hangs(self, slot: int, now: float, beat_at: float) -> bool:
-        """Return whether the slot's process has hung: no heartbeat for `hang_ms`, or none within STARTING_MS of its
-        start.
+    def is_hung(self, slot: int, now: float, heartbeat_ms: float) -> bool:
+        """Return whether the slot's process has hung: no heartbeat for `hang_ms`, or none within START_TIMEOUT_MS
+        of its start.
 
-        `beat_at`: its last heartbeat in ms; 0: there was none yet.
+        `heartbeat_ms`: its last heartbeat; 0: there was none yet.
         """
-        if not beat_at:
-            return now - self.slots[slot].started_at > STARTING_MS
-        return now - beat_at > self.hang_ms
+        if not heartbeat_ms:
+            return now - self.slots[slot].started_at > START_TIMEOUT_MS
+        return now - heartbeat_ms > self.hang_ms
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -26,14 +26,15 @@
 from frostspindle import signals
 from frostspindle.config import Config, ConfigError
 from frostspindle.core import clock
-from frostspindle.cores import layout as form
+from frostspindle.cores import layout as memory_layout
 from frostspindle.cores import peer_workers, totals
+from frostspindle.cores.layout import HeadCell, WorkerState
 from frostspindle.cores.leases import BudgetDemand, LeaseArbiter
 from frostspindle.cores.limits import LimitDivider
-from frostspindle.cores.link import DECIDED_MS, SPARE, WorkerBootstrap, mono
+from frostspindle.cores.link import MAX_SEND_DELAY_MS, RESERVED_DESCRIPTORS, WorkerBootstrap, monotonic_ms
 from frostspindle.cores.restarts import RestartPolicy
 from frostspindle.cores.shared_memory import ControlPage, RowSnapshot, SharedMemoryBoard, WorkerRegion
-from frostspindle.cores.worker import PASSPORT
+from frostspindle.cores.worker import BOOTSTRAP_VARIABLE
 from frostspindle.net.http.calls import FRONT
 from frostspindle.net.http.listener import BACKLOG
 from frostspindle.net.operator import OperatorError, OperatorServer
@@ -63,7 +64,7 @@
     killed: bool = False
     restarts: int = 0
     timer: asyncio.TimerHandle | None = None
-    past: Counter[totals.Key] = field(default_factory=Counter)  # of processes that ended
+    past: Counter[totals.CounterKey] = field(default_factory=Counter)  # of processes that ended
 
 
 class Supervisor:
@@ -78,13 +79,13 @@
         buckets = 1 << max(8, (config.limits.sockets // 4 - 1).bit_length())
         self.order = ""  # the folder in which the workers keep the order of their keys
         self._folder: tempfile.TemporaryDirectory[str] | None = None  # that, where it is for them only
-        self.board = SharedMemoryBoard.create(form.Layout(count, buckets=buckets))
+        self.board = SharedMemoryBoard.create(memory_layout.Layout(count, buckets=buckets))
         self.control = ControlPage()
         settings = config.settings
-        self.arbiter = LeaseArbiter(count, settings.slow_start_window_ms, DECIDED_MS)
+        self.arbiter = LeaseArbiter(count, settings.slow_start_window_ms, MAX_SEND_DELAY_MS)
         self.restarts = RestartPolicy(self.cores.crashes, self.cores.within_ms, self.cores.hang_ms)
         self.reserved = RESERVED + 4 * count
-        self.divider = LimitDivider(config.limits.sockets - self.reserved, least=LEAST_SOCKETS)
+        self.divider = LimitDivider(config.limits.sockets - self.reserved, minimum=LEAST_SOCKETS)
         self.longest_s = max(3.0, *(c.deadline_ms / 1000.0 for c in settings.classes))
         self.workers: list[Worker] = []
         self.lost: list[tuple[float, int]] = []
@@ -187,7 +188,7 @@
         worker.killed = False
         worker.region.clear()
         self.control.living[worker.slot] = worker.incarnation
-        self.arbiter.up(worker.slot)
+        self.arbiter.worker_started(worker.slot)
         self._launch(worker)
 
     def _launch(self, worker: Worker) -> None:
@@ -224,9 +225,9 @@
         worker.process = subprocess.Popen(
             [sys.executable, "-m", "frostspindle.cores.worker"],
             pass_fds=fds,
-            env={**self.config.environ, PASSPORT: msgspec.json.encode(passport).decode()},
+            env={**self.config.environ, BOOTSTRAP_VARIABLE: msgspec.json.encode(passport).decode()},
         )
-        self.restarts.started(worker.slot, mono())
+        self.restarts.worker_started(worker.slot, monotonic_ms())
         worker.pidfd = os.pidfd_open(worker.process.pid)
         self.loop.add_reader(worker.pidfd, self._ended, worker)
         self.telemetry.log("worker_started", slot=worker.slot, pid=worker.process.pid, incarnation=worker.incarnation)
@@ -237,25 +238,25 @@
         self.loop.remove_reader(worker.pidfd)
         os.close(worker.pidfd)
         code, worker.process = worker.process.wait(), None
-        now = mono()
+        now = monotonic_ms()
         counts = Counter(dict(worker.region.counters()))
-        gone = totals.lost(counts)
+        gone = totals.lost_requests(counts)
         worker.past.update(counts)
         worker.past.update(gone)
-        ids = worker.region.ids()
+        ids = worker.region.request_ids()
         if code != 0:
-            self.control.ghosts = [*self.control.ghosts, *peer_workers.ghosts(worker.region.rows(), clock())]
+            self.control.ghosts = [*self.control.ghosts, *peer_workers.orphaned_loads(worker.region.rows(), clock())]
             until = now + (self.longest_s + KEEP_LOST_S) * 1000.0
             self.lost = [*self.lost, *((until, ticket) for ticket in ids)][-MOST_LOST:]
         self.control.living.pop(worker.slot, None)
-        self.arbiter.down(worker.slot, now)
+        self.arbiter.worker_ended(worker.slot, now)
         self._divide()
         self._publish()
         self.telemetry.count("worker_ends")
-        self.telemetry.log("worker_ended", slot=worker.slot, code=code, lost=sum(gone.values()), ids=len(ids))
+        self.telemetry.log("worker_ended", slot=worker.slot, code=code, lost=sum(gone.values()), request_ids=len(ids))
         if self.stopping.is_set():
             return
-        wait_ms = self.restarts.ended(worker.slot, now, code != 0)
+        wait_ms = self.restarts.backoff_after_end(worker.slot, now, code != 0)
         if wait_ms is None:
             self.telemetry.log("crash_loop", crashes=self.cores.crashes, within_ms=self.cores.within_ms)
             self.failed = True
@@ -314,14 +315,14 @@
 
     def _tick(self) -> None:
         self._ticker = self.loop.call_later(TICK_S, self._tick)
-        now = mono()
+        now = monotonic_ms()
         for worker in self.workers:
             if worker.process is None:
                 continue
-            beat = worker.region.beat
+            beat = worker.region.heartbeat_ms
             if beat and now - beat < self.arbiter.lease_ms:
-                self.arbiter.beat(worker.slot, now)
-            if not worker.killed and self.restarts.hangs(worker.slot, now, beat):
+                self.arbiter.renew(worker.slot, now)
+            if not worker.killed and self.restarts.is_hung(worker.slot, now, beat):
                 worker.killed = True
                 self.telemetry.log(
                     "worker_killed",
@@ -341,7 +342,7 @@
         if (
             not self.once_ready
             and not self.stopping.is_set()
-            and all(w.region.get(form.STATE) == form.SERVING for w in self.workers)
+            and all(w.region.read_cell(HeadCell.STATE) == WorkerState.SERVING for w in self.workers)
         ):
             self.once_ready = True
             self.telemetry.log(
@@ -358,11 +359,13 @@
         warm_ms = self.config.settings.slow_start_duration_ms
         for worker in self.workers:
             if worker.process is not None:
-                worker.sight.look()
+                worker.sight.poll()
                 for row in worker.sight.rows.values():
                     if row.since_ms > 0 and unix - row.since_ms < warm_ms:
-                        needs.setdefault(row.engine, {})[worker.slot] = BudgetDemand(row.spent, row.wished, row.seen)
-        self.arbiter.step(now, needs)
+                        needs.setdefault(row.engine, {})[worker.slot] = BudgetDemand(
+                            row.spent, row.wanted, row.lease_serial
+                        )
+        self.arbiter.rebalance(now, needs)
         if self.arbiter.changed:
             self.arbiter.changed = False
             self.control.leases = {
@@ -370,12 +373,16 @@
                 for engine, ledger in self.arbiter.engines.items()
             }
             self._publish()
-        for slot, horizon in enumerate(self.arbiter.horizons):
-            self.board.set_horizon(slot, max(0.0, horizon))
+        for slot, horizon in enumerate(self.arbiter.lease_expiries):
+            self.board.set_lease_expiry(slot, max(0.0, horizon))
 
     def _divide(self) -> None:
-        used = {w.slot: max(SPARE, w.region.get(form.SOCKETS)) for w in self.workers if w.slot in self.control.living}
-        shares = self.divider.step(used)
+        used = {
+            w.slot: max(RESERVED_DESCRIPTORS, w.region.read_cell(HeadCell.DESCRIPTORS_USED))
+            for w in self.workers
+            if w.slot in self.control.living
+        }
+        shares = self.divider.divide(used)
         if shares != self.control.sockets:
             self.control.sockets, self._dirty = shares, True
 
@@ -405,7 +412,7 @@
             raise OperatorError("not yet" if not self.stopping.is_set() else "the program ends")
         if self.control.draining:
             raise OperatorError("clients are being sent away")
-        if not any(w.region.get(form.STATE) == form.SERVING for w in self.workers):
+        if not any(w.region.read_cell(HeadCell.STATE) == WorkerState.SERVING for w in self.workers):
             raise OperatorError("no worker serves")
 
     def disable(self, name: str) -> None:
@@ -458,7 +465,7 @@
         return self.telemetry.started
 
     @property
-    def counts(self) -> Counter[totals.Key]:
+    def counts(self) -> Counter[totals.CounterKey]:
         """Sums of all counters: the supervisor's own, of running workers and of those that have ended."""
         out = Counter(self.telemetry.counts)
         for worker in self.workers:
@@ -482,12 +489,12 @@
         """Return the open client connections of running workers, by front."""
         living = [w.region for w in self.workers if w.process is not None]
         return {
-            FRONT: sum(region.get(form.CLIENTS) for region in living),
-            "tds": sum(region.get(form.TDS) for region in living),
+            FRONT: sum(region.read_cell(HeadCell.CLIENT_CONNECTIONS) for region in living),
+            "tds": sum(region.read_cell(HeadCell.TDS_SESSIONS) for region in living),
         }
 
     def _standings(self) -> dict[int, totals.EngineSummary]:
-        out = totals.standings([w.region.rows() for w in self.workers], self.shared.banned)
+        out = totals.engine_summaries([w.region.rows() for w in self.workers], self.shared.banned)
         for state in out.values():
             self.names.pop(state.name, None)
             self.names[state.name] = None
@@ -503,15 +510,20 @@
     def figures(self) -> dict[str, Any]:
         """Return the figures of `show-stat`: the sums of a single process, and under `workers` each worker's state."""
         out = totals.figures(self.classes, self.counts, self.inflight, self._standings(), self.shared.banned)
-        states = {form.STARTING: "starting", form.SERVING: "serving", form.LEAVING: "leaving", form.ENDED: "ended"}
+        states = {
+            WorkerState.STARTING: "starting",
+            WorkerState.SERVING: "serving",
+            WorkerState.DRAINING: "leaving",
+            WorkerState.ENDED: "ended",
+        }
         out["workers"] = [
             {
                 "worker": w.slot,
                 "pid": w.process.pid if w.process else None,
                 "restarts": w.restarts,
-                "state": states[w.region.get(form.STATE)] if w.process else "down",
-                "inflight": w.region.get(form.OPEN) if w.process else 0,
-                "clients": w.region.get(form.CLIENTS) if w.process else 0,
+                "state": states[w.region.read_cell(HeadCell.STATE)] if w.process else "down",
+                "inflight": w.region.read_cell(HeadCell.OPEN_REQUESTS) if w.process else 0,
+                "clients": w.region.read_cell(HeadCell.CLIENT_CONNECTIONS) if w.process else 0,
                 "sockets": self.control.sockets.get(w.slot, 0),
                 "taken": sum(
                     n
@@ -545,7 +557,7 @@
             },
         )
         for worker in self.workers:
-            if worker.process is not None and worker.region.beat:
+            if worker.process is not None and worker.region.heartbeat_ms:
                 worker.process.send_signal(signal.SIGUSR1)
 
     def reload(self) -> None:
@@ -563,7 +575,7 @@
             self.telemetry.log("reload", error=str(error) if isinstance(error, ConfigError) else repr(error))
             return
         for worker in self.workers:
-            if worker.process is not None and worker.region.beat:
+            if worker.process is not None and worker.region.heartbeat_ms:
                 worker.process.send_signal(signal.SIGHUP)
 
 
--- a/frostspindle/cores/totals.py
+++ b/frostspindle/cores/totals.py
@@ -1,7 +1,7 @@
-"""The figures of all workers as one coordinator's: exact sums, also over workers that have died.
+"""Sums over all workers as one coordinator's figures: exact, also over workers that have died.
 
-Owns the sums and what stands in them for a dead worker: its last counts stay, and what it had taken without an answer
-counts as lost. It must never read the board by itself and never guess: a worker's counts are written as it counts.
+Functions without I/O or clock. A dead worker's last counts stay in the sums, and the requests that it had taken without
+an outcome count as lost. The sums are exact because a worker writes its counters to shared memory as it counts.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from frostspindle.cores.peer_workers import EngineLoadRow
 from frostspindle.policy import Health
 
-Key = tuple[str, str, str]
-ENDS = ("served", "refused", "failed", "left")
+CounterKey = tuple[str, str, str]  # what is counted, front, request class
+OUTCOME_COUNTERS = ("served", "refused", "failed", "left")  # one of them for each request `taken`
 
 
-def lost(counts: Mapping[Key, int]) -> Counter[Key]:
-    """Return, as `lost` by class, what a dead worker had taken and neither answered nor seen its client leave."""
-    out: Counter[Key] = Counter()
+def lost_requests(counts: Mapping[CounterKey, int]) -> Counter[CounterKey]:
+    """Return, as counters `lost`, the requests that a dead worker had taken and that have no outcome."""
+    lost: Counter[CounterKey] = Counter()
     for (what, front, cls), taken in counts.items():
         if what == "taken":
-            missing = taken - sum(counts.get((end, front, cls), 0) for end in ENDS)
+            missing = taken - sum(counts.get((outcome, front, cls), 0) for outcome in OUTCOME_COUNTERS)
             if missing > 0:
-                out["lost", front, cls] = missing
-    return out
+                lost["lost", front, cls] = missing
+    return lost
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,8 +41,8 @@
     suspect: bool
 
 
-def standings(workers: Iterable[Iterable[EngineLoadRow]], banned: frozenset[str]) -> dict[int, EngineSummary]:
-    """Return each engine's state: the newest list's health, suspected if any worker suspects it.
+def engine_summaries(workers: Iterable[Iterable[EngineLoadRow]], banned: frozenset[str]) -> dict[int, EngineSummary]:
+    """Return each engine's state: the newest list's health, suspect if it is ejected at any worker.
 
     A ready engine that is banned shows as draining.
     """
@@ -54,19 +54,18 @@
                 suspects.add(row.engine)
             if row.engine not in newest or row.version > newest[row.engine].version:
                 newest[row.engine] = row
-    out = {}
+    summaries = {}
     for engine, row in newest.items():
         health = Health.DRAINING if row.health == Health.READY and row.name in banned else row.health
-        place, _, port = row.address.rpartition(":")
-        out[engine] = EngineSummary(
-            engine, row.name, (place, int(port) if port.isdecimal() else 0), health, engine in suspects
-        )
-    return out
+        host, _, port = row.address.rpartition(":")
+        address = (host, int(port) if port.isdecimal() else 0)
+        summaries[engine] = EngineSummary(engine, row.name, address, health, engine in suspects)
+    return summaries
 
 
 def figures(
     classes: Sequence[tuple[str, str]],
-    counts: Mapping[Key, int],
+    counts: Mapping[CounterKey, int],
     inflight: int,
     engines: Mapping[int, EngineSummary],
     banned: frozenset[str],
@@ -74,14 +73,14 @@
     """Return the sums over all workers, in the form of a single process's `Core.figures`."""
     calls: dict[str, dict[str, int]] = {}
     for front, name in classes:
-        row = calls.setdefault(name, dict.fromkeys(FIGURES, 0))
+        class_figures = calls.setdefault(name, dict.fromkeys(FIGURES, 0))
         for figure, counters in FIGURES.items():
-            row[figure] += sum(counts.get((what, front, name), 0) for what in counters)
-    listed = [state for state in engines.values() if state.health != Health.GONE]
+            class_figures[figure] += sum(counts.get((what, front, name), 0) for what in counters)
+    listed = [engine for engine in engines.values() if engine.health != Health.GONE]
     return {
         "calls": calls,
-        "backend_calls": sum(n for (what, _, _), n in counts.items() if what == "written"),
+        "backend_calls": sum(value for (what, _, _), value in counts.items() if what == "written"),
         "inflight": inflight,
         "hosts_listed": len(listed),
-        "hosts_down": sum(state.suspect or state.name in banned for state in listed),
+        "hosts_down": sum(engine.suspect or engine.name in banned for engine in listed),
     }
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -23,11 +23,11 @@
 from frostspindle.cores.shared_memory import SharedMemoryBoard
 from frostspindle.program import run
 
-PASSPORT = "FROSTSPINDLE_WORKER"
-SUPERVISOR_MB = 40.0
+BOOTSTRAP_VARIABLE = "FROSTSPINDLE_WORKER"
+SUPERVISOR_MEMORY_MB = 40.0
 
 
-def part_of(config: Config, passport: WorkerBootstrap) -> Config:
+def worker_config(config: Config, passport: WorkerBootstrap) -> Config:
     """Return the configuration of one of several workers: its part of each limit, and no address of its own."""
     count, settings = passport.slots, config.settings
     operator = config.operator
@@ -45,8 +45,8 @@
         limits=msgspec.structs.replace(
             config.limits,
             sockets=passport.sockets,
-            memory_mb=limits.memory_share(
-                config.limits.memory_mb, count, min(SUPERVISOR_MB, config.limits.memory_mb / 4)
+            memory_mb=limits.memory_quota(
+                config.limits.memory_mb, count, min(SUPERVISOR_MEMORY_MB, config.limits.memory_mb / 4)
             ),
         ),
         # To the module each worker is a dispatcher of its own, with its part of every engine: docs/design/cores.md.
@@ -79,9 +79,9 @@
     """Run a worker by the passport in its environment; return 2 for a bad start, 1 for an OSError, else `serve`'s."""
     signals.hold()
     try:
-        passport = msgspec.json.decode(os.environ[PASSPORT], type=WorkerBootstrap)
+        passport = msgspec.json.decode(os.environ[BOOTSTRAP_VARIABLE], type=WorkerBootstrap)
         board = SharedMemoryBoard.attach(passport.board, passport.nonce)
-        config = part_of(configuration.read(), passport)
+        config = worker_config(configuration.read(), passport)
     except (KeyError, msgspec.DecodeError):
         print("frostspindle: this is started by the supervisor only", file=sys.stderr)
         return 2
--- a/frostspindle/serving.py
+++ b/frostspindle/serving.py
@@ -28,9 +28,9 @@
         return 2
     several = config.operator.cores.workers > 1
     if several:
-        from frostspindle.cores.probe import refused
+        from frostspindle.cores.probe import worker_start_refusal
 
-        if why := refused():  # a host without processes still gets its coordinator, as one process
+        if why := worker_start_refusal():  # a host without processes still gets its coordinator, as one process
             from frostspindle.telemetry import Telemetry
 
             Telemetry(config.name).log("cores_refused", workers=config.operator.cores.workers, reason=why)
--- a/tests/compatibility/mesh.py
+++ b/tests/compatibility/mesh.py
@@ -20,13 +20,13 @@
 
 async def relayed(method, url, answer):
     """Relay a call; return the frame that was sent and the reply that the frame `answer` brings."""
-    asker = mesh._CallerConnection()
-    asker.transport = written = Written()
-    asking = asyncio.create_task(asker.ask(method, url))
+    caller = mesh._CallerConnection()
+    caller.transport = written = Written()
+    calling = asyncio.create_task(caller.call(method, url))
     while not written.data:
         await asyncio.sleep(0)
-    asker.data_received(answer)
-    return written.data, await asking
+    caller.data_received(answer)
+    return written.data, await calling
 
 
 def call_frame(method, url):
@@ -39,7 +39,7 @@
     """Return the frame of the reply to the first call on a connection."""
     owner = mesh._OwnerConnection(None, set())
     owner.transport = written = Written()
-    owner._answer(1, mesh._RemoteCall(print), reply)
+    owner._send_reply(1, mesh._RemoteCall(print), reply)
     return written.data
 
 
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -10,8 +10,7 @@
 from compatibility.messages import BAN, BEAT, ENTRIES, ID, LISTED, RULES, SNAPSHOT, STORE, TICKET, TOKEN
 from msgspec.msgpack import encode
 
-from frostspindle.cores import layout
-from frostspindle.cores.layout import Layout
+from frostspindle.cores.layout import HeadCell, Layout
 from frostspindle.cores.peer_workers import EngineLoadRow, OrphanedLoad
 from frostspindle.cores.shared_memory import ControlPage, SharedMemoryBoard, WorkerRegion
 from frostspindle.ledger.export import Sink
@@ -120,11 +119,11 @@
     threads=3,
     granted_mb=64.5,
     since_ms=1_700_000_000_000.0,
-    report_at=1_700_000_001_000.0,
+    reported_at_ms=1_700_000_001_000.0,
     report=(0.5, 8.0, 3.0),
     spent=21,
-    wished=22,
-    seen=23,
+    wanted=22,
+    lease_serial=23,
     name="e7",
     address="10.0.1.7:9000",
 )
@@ -144,16 +143,16 @@
 HEAD_CELLS = {
     cell: 200 + cell
     for cell in (
-        layout.INCARNATION,
-        layout.PID,
-        layout.STATE,
-        layout.OPEN,
-        layout.CLIENTS,
-        layout.SOCKETS,
-        layout.FLUSHES,
-        layout.URGENT,
-        layout.SEEN,
-        layout.TDS,
+        HeadCell.INCARNATION,
+        HeadCell.PID,
+        HeadCell.STATE,
+        HeadCell.OPEN_REQUESTS,
+        HeadCell.CLIENT_CONNECTIONS,
+        HeadCell.DESCRIPTORS_USED,
+        HeadCell.ROW_UPDATES,
+        HeadCell.URGENT_UPDATES,
+        HeadCell.CONTROL_VERSION,
+        HeadCell.TDS_SESSIONS,
     )
 }
 
@@ -163,13 +162,13 @@
     with mock.patch("os.urandom", return_value=ID[:8]):
         made = SharedMemoryBoard.create(Layout(slots=2, engines=2, counters=2, buckets=2))
     made.publish(CONTROL)
-    made.set_horizon(slot=1, at_ms=5_000.5)
+    made.set_lease_expiry(slot=1, at_ms=5_000.5)
     region = WorkerRegion(board=made, slot=1)
     for cell, value in HEAD_CELLS.items():
-        region.put(cell=cell, value=value)
-    region.beat = 4_000.25
-    region.count(key=COUNTER, value=COUNT)
-    region.write(ROW)
+        region.write_cell(cell=cell, value=value)
+    region.heartbeat_ms = 4_000.25
+    region.store_counter(key=COUNTER, value=COUNT)
+    region.write_row(ROW)
     for ticket in TICKETS:
-        region.add(ticket)
+        region.add_request(ticket)
     return made
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -226,15 +226,15 @@
     board = SharedMemoryBoard.attach(fd=board_file, nonce=stored.NONCE)
     try:
         assert board.layout == Layout(slots=2, engines=2, counters=2, buckets=2)
-        assert board.control() == (1, stored.CONTROL)
-        assert (board.horizon(slot=0), board.horizon(slot=1)) == (0.0, 5_000.5)
+        assert board.read_control() == (1, stored.CONTROL)
+        assert (board.lease_expiry(slot=0), board.lease_expiry(slot=1)) == (0.0, 5_000.5)
         region, other = WorkerRegion(board=board, slot=1), WorkerRegion(board=board, slot=0)
-        assert {cell: region.get(cell) for cell in stored.HEAD_CELLS} == stored.HEAD_CELLS
-        assert region.beat == 4_000.25
+        assert {cell: region.read_cell(cell) for cell in stored.HEAD_CELLS} == stored.HEAD_CELLS
+        assert region.heartbeat_ms == 4_000.25
         assert list(region.rows()) == [stored.ROW]
         assert list(region.counters()) == [(stored.COUNTER, stored.COUNT)]
-        assert sorted(region.ids()) == stored.TICKETS
-        assert [other.elsewhere(ticket) for ticket in (*stored.TICKETS, 103)] == [True, True, False]
+        assert sorted(region.request_ids()) == stored.TICKETS
+        assert [other.open_elsewhere(ticket) for ticket in (*stored.TICKETS, 103)] == [True, True, False]
     finally:
         board.close()
 
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -294,7 +294,8 @@
 class Mesh(Transport):
     """The workers' mesh. It does not tell the front who asks; what it must tell right is whose the answer is."""
 
-    most, bound, tells = mesh.LONGEST - 12, mesh.MOST, False  # 12: number, method and frame round the URL
+    # 12: number, method and frame round the URL
+    most, bound, tells = mesh.MAX_FRAME_BYTES - 12, mesh.MAX_PENDING_CALLS, False
 
     async def start(self) -> None:
         self.fronts = [_Front(lambda url, n=n: self.heard[n].append((None, url))) for n in range(COUNT)]
@@ -312,7 +313,7 @@
 
     async def _ask(self, source: int, target: int, data: bytes) -> None:
         try:
-            answer = await self.meshes[source].ask(target, b"GET", data)
+            answer = await self.meshes[source].call(target, b"GET", data)
         except mesh.WorkerGoneError:
             self.lost["gone"] += 1
         else:
@@ -331,7 +332,7 @@
         for _ in range(many):
             self.send(0, 1, b"/x")
         await Transport.settle(self)
-        return max(len(self.fronts[1].held), len(self.meshes[0].askers[1].waiting))
+        return max(len(self.fronts[1].held), len(self.meshes[0].outgoing[1].pending))
 
     def end(self, number: int) -> None:
         self.meshes[number].close()
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -21,7 +21,7 @@
     get_cmd,
 )
 
-from frostspindle.cores import layout as form
+from frostspindle.cores import layout as memory_layout
 from frostspindle.cores.shared_memory import SharedMemoryBoard
 from frostspindle.lab.engines import document, host
 
@@ -241,7 +241,7 @@
         self.assertEqual((await self.in_thread(self.client().post, 1))[0], 200)
 
     async def test_a_worker_refuses_a_board_that_is_not_its_instance_s(self):
-        board = SharedMemoryBoard.create(form.Layout(2))
+        board = SharedMemoryBoard.create(memory_layout.Layout(2))
         self.addCleanup(board.close)
 
         def start(nonce: int) -> tuple[int, str]:
--- a/tests/test_cores_decisions.py
+++ b/tests/test_cores_decisions.py
@@ -9,12 +9,13 @@
 from hypothesis import settings as hypothesis_settings
 
 from frostspindle import division, policy
-from frostspindle.cores import layout as form
+from frostspindle.cores import layout as memory_layout
 from frostspindle.cores import leases, limits, ownership, peer_workers, totals
+from frostspindle.cores.layout import HeadCell
 from frostspindle.cores.leases import UNITS, BudgetDemand, LeaseArbiter
 from frostspindle.cores.ownership import RequestOwner, Route
 from frostspindle.cores.peer_workers import EngineLoadRow, OrphanedLoad, PeerWorker
-from frostspindle.cores.restarts import MOST_MS, STARTING_MS, STEADY_MS, RestartPolicy
+from frostspindle.cores.restarts import MAX_BACKOFF_MS, STABLE_AFTER_MS, START_TIMEOUT_MS, RestartPolicy
 from frostspindle.cores.shared_memory import ControlPage, RowSnapshot, SharedMemoryBoard, WorkerRegion
 from frostspindle.policy import Controller, EndpointListKind, Health, WorkerLoad
 
@@ -26,7 +27,7 @@
     """A worker's side of the leases, as link.py and the module play it."""
 
     def __init__(self):
-        self.view = self.seen = 0
+        self.view = self.lease_serial = 0
         self.sends, self.alive, self.moves = deque(), True, True
 
 
@@ -38,7 +39,7 @@
     spenders = [Spender() for _ in range(workers)]
     everything = deque()
     for slot in range(workers):
-        arbiter.up(slot)
+        arbiter.worker_started(slot)
     now = 0.0
     for _ in range(600):
         now += draw.choice((5.0, 20.0, 20.0, 60.0))
@@ -47,30 +48,33 @@
                 worker.sends.popleft()
             chance = draw.random()
             if chance < 0.004 and worker.alive:  # killed; a successor knows nothing
-                arbiter.down(slot, now)
+                arbiter.worker_ended(slot, now)
                 spenders[slot] = Spender()
-                arbiter.up(slot)
+                arbiter.worker_started(slot)
                 continue
             if chance < 0.02:
                 worker.moves = not worker.moves  # hangs, or goes on
             if not worker.moves:
                 continue
-            if draw.random() < 0.8 and 1 in arbiter.engines:  # a beat says that the newest word was heard
-                arbiter.beat(slot, now)
-                worker.view, worker.seen = arbiter.engines[1].slots[slot].units, arbiter.engines[1].slots[slot].serial
+            if draw.random() < 0.8 and 1 in arbiter.engines:  # a heartbeat after the newest lease was read
+                arbiter.renew(slot, now)
+                worker.view, worker.lease_serial = (
+                    arbiter.engines[1].slots[slot].units,
+                    arbiter.engines[1].slots[slot].serial,
+                )
             spent = sum(units for _, units in worker.sends)
             units = draw.randint(1, 60)
-            if now < arbiter.horizons[slot] and spent + units <= worker.view and draw.random() < 0.7:
+            if now < arbiter.lease_expiries[slot] and spent + units <= worker.view and draw.random() < 0.7:
                 worker.sends.append((now, units))
                 everything.append((now, units))
         while everything and everything[0][0] <= now - WINDOW:
             everything.popleft()
         assert sum(units for _, units in everything) <= UNITS
-        arbiter.step(
+        arbiter.rebalance(
             now,
             {
                 1: {
-                    slot: BudgetDemand(sum(u for _, u in w.sends) / UNITS, draw.choice((0.0, 0.3, 2.0)), w.seen)
+                    slot: BudgetDemand(sum(u for _, u in w.sends) / UNITS, draw.choice((0.0, 0.3, 2.0)), w.lease_serial)
                     for slot, w in enumerate(spenders)
                 }
             },
@@ -83,10 +87,10 @@
     seen = {}
     for _ in range(rounds):
         now += step
-        for slot in range(arbiter.count):
-            arbiter.beat(slot, now)
-        arbiter.step(
-            now, {1: {slot: BudgetDemand(need.spent, need.wished, seen.get(slot, 0)) for slot, need in needs.items()}}
+        for slot in range(arbiter.slot_count):
+            arbiter.renew(slot, now)
+        arbiter.rebalance(
+            now, {1: {slot: BudgetDemand(need.spent, need.wanted, seen.get(slot, 0)) for slot, need in needs.items()}}
         )
         seen = {slot: held.serial for slot, held in enumerate(arbiter.engines[1].slots)}
     return now, [held.units for held in arbiter.engines[1].slots]
@@ -95,22 +99,22 @@
 def test_idle_units_move_to_the_worker_that_has_work_and_back():
     arbiter = LeaseArbiter(4, WINDOW, SETTLE)
     for slot in range(4):
-        arbiter.up(slot)
+        arbiter.worker_started(slot)
     idle, busy = BudgetDemand(), BudgetDemand(0.5, 3.0)
     now, units = settle(arbiter, 0.0, {0: busy, 1: busy, 2: busy, 3: busy})
     assert units == [60, 60, 60, 60]
     now, units = settle(arbiter, now, {0: busy, 1: idle, 2: idle, 3: idle})
-    assert units[0] >= 190 and min(units) >= UNITS // (4 * leases.RESERVE)
+    assert units[0] >= 190 and min(units) >= UNITS // (4 * leases.RESERVE_DIVISOR)
     _, units = settle(arbiter, now, {0: busy, 1: busy, 2: idle, 3: idle})
     assert abs(units[0] - units[1]) <= 15 and sum(units) <= UNITS
 
 
 def test_what_a_dead_worker_held_is_kept_back_for_a_window():
     arbiter = LeaseArbiter(2, WINDOW, SETTLE)
-    arbiter.up(0), arbiter.up(1)
+    arbiter.worker_started(0), arbiter.worker_started(1)
     now, units = settle(arbiter, 0.0, {0: BudgetDemand(0.5, 3.0), 1: BudgetDemand(0.5, 3.0)})
     assert units == [120, 120]
-    arbiter.down(0, now)
+    arbiter.worker_ended(0, now)
     _, units = settle(arbiter, now, {1: BudgetDemand(1.0, 3.0)}, rounds=int((WINDOW + SETTLE) / 20.0) - 1)
     assert units == [0, 120]
     _, units = settle(arbiter, now, {1: BudgetDemand(1.0, 3.0)}, rounds=100)
@@ -118,13 +122,13 @@
 
 
 def test_a_hung_worker_s_lease_ends_by_itself():
-    assert leases.part(120, 300.0, 299.9) == 0.5 and leases.part(120, 300.0, 300.0) == 0.0
+    assert leases.budget_fraction(120, 300.0, 299.9) == 0.5 and leases.budget_fraction(120, 300.0, 300.0) == 0.0
     arbiter = LeaseArbiter(2, WINDOW, SETTLE)
-    arbiter.up(0), arbiter.up(1)
+    arbiter.worker_started(0), arbiter.worker_started(1)
     now, _ = settle(arbiter, 0.0, {0: BudgetDemand(0.5, 3.0), 1: BudgetDemand(0.5, 3.0)})
     for turn in range(200):
-        arbiter.beat(1, now + 20.0 * turn)
-        arbiter.step(now + 20.0 * turn, {1: {0: BudgetDemand(0.5, 3.0), 1: BudgetDemand(0.5, 3.0, 10**6)}})
+        arbiter.renew(1, now + 20.0 * turn)
+        arbiter.rebalance(now + 20.0 * turn, {1: {0: BudgetDemand(0.5, 3.0), 1: BudgetDemand(0.5, 3.0, 10**6)}})
     assert [held.units for held in arbiter.engines[1].slots] == [0, UNITS]
 
 
@@ -143,20 +147,20 @@
 def test_divided_limits_never_pass_the_whole(seed):
     draw = random.Random(seed)
     whole = draw.randint(200, 5000)
-    divider, used = limits.LimitDivider(whole, least=32), {}
+    divider, used = limits.LimitDivider(whole, minimum=32), {}
     for _ in range(60):
         if draw.random() < 0.2 and len(used) < 6:
             used[draw.randint(0, 8)] = 0
         elif draw.random() < 0.15 and used:
             used.pop(draw.choice(sorted(used)))
-        shares = divider.step(used)
+        shares = divider.divide(used)
         assert shares.keys() == used.keys()
         assert sum(max(shares[slot], used[slot]) for slot in used) <= whole
         for slot in used:  # up to its share a worker may use what it likes, and lets go in its own time
             used[slot] = draw.randint(0, max(shares[slot], 0)) if draw.random() < 0.7 else min(used[slot], shares[slot])
     quiet = dict.fromkeys(used, 0)
     for _ in range(3):
-        shares = divider.step(quiet)
+        shares = divider.divide(quiet)
     assert not shares or (sum(shares.values()) == whole and max(shares.values()) - min(shares.values()) <= 1)
 
 
@@ -164,56 +168,61 @@
     policy = RestartPolicy(crashes=10, within_ms=60_000.0, hang_ms=3000.0)
     now, waits = 0.0, []
     for _ in range(10):
-        policy.started(0, now)
-        waits.append(policy.ended(0, now + 10.0, True))
+        policy.worker_started(0, now)
+        waits.append(policy.backoff_after_end(0, now + 10.0, True))
         now += 10.0 + (waits[-1] or 0.0)
-    assert waits == [100.0, 200.0, 400.0, 800.0, 1600.0, 3200.0, MOST_MS, MOST_MS, MOST_MS, None]
+    assert waits == [100.0, 200.0, 400.0, 800.0, 1600.0, 3200.0, MAX_BACKOFF_MS, MAX_BACKOFF_MS, MAX_BACKOFF_MS, None]
 
 
 def test_a_worker_that_ran_long_or_was_told_to_end_starts_anew_at_once():
     policy = RestartPolicy(crashes=3, within_ms=1000.0, hang_ms=3000.0)
-    policy.started(0, 0.0)
-    assert policy.ended(0, 10.0, False) == 0.0
+    policy.worker_started(0, 0.0)
+    assert policy.backoff_after_end(0, 10.0, False) == 0.0
     for now in (0.0, 20_000.0, 40_000.0, 60_000.0):  # each long after the one before
-        policy.started(1, now)
-        assert policy.ended(1, now + STEADY_MS, True) == 100.0
-    assert policy.hangs(1, 60_000.0 + STARTING_MS + 1, 0.0) and not policy.hangs(1, 60_000.0 + STARTING_MS, 0.0)
-    assert policy.hangs(1, 5001.0, 2000.0) and not policy.hangs(1, 5000.0, 2000.0)
+        policy.worker_started(1, now)
+        assert policy.backoff_after_end(1, now + STABLE_AFTER_MS, True) == 100.0
+    assert policy.is_hung(1, 60_000.0 + START_TIMEOUT_MS + 1, 0.0) and not policy.is_hung(
+        1, 60_000.0 + START_TIMEOUT_MS, 0.0
+    )
+    assert policy.is_hung(1, 5001.0, 2000.0) and not policy.is_hung(1, 5000.0, 2000.0)
 
 
 def test_a_path_names_its_worker():
-    path = f"/call/lookup/{ownership.prefix(RequestOwner(3, 18))}2f-00000000000000a1"
+    path = f"/call/lookup/{ownership.path_prefix(RequestOwner(3, 18))}2f-00000000000000a1"
     assert ownership.owner_of(path) == RequestOwner(3, 18)
-    me = RequestOwner(1, 4)
-    assert ownership.route(path, me, {3: 18}) is Route.ASK
-    assert ownership.route(path, me, {3: 19}) is Route.DIED and ownership.route(path, me, {}) is Route.DIED
+    own = RequestOwner(1, 4)
+    assert ownership.route(path, own, {3: 18}) is Route.RELAY
+    assert (
+        ownership.route(path, own, {3: 19}) is Route.OWNER_ENDED and ownership.route(path, own, {}) is Route.OWNER_ENDED
+    )
     assert ownership.route(path, RequestOwner(3, 18), {3: 18}) is Route.UNKNOWN
     for foreign in ("/call/lookup/2f-00000000000000a1", "/call/lookup/zz.1.2f-a", "/call/x/1.123456789.f-a", "/"):
-        assert ownership.route(foreign, me, {1: 4}) is Route.UNKNOWN
+        assert ownership.route(foreign, own, {1: 4}) is Route.UNKNOWN
 
 
 def test_a_new_connection_is_left_to_workers_that_hold_fewer():
-    assert ownership.accepts(0, []) and ownership.accepts(9, []) and ownership.accepts(2, [0, 50])
-    assert not ownership.accepts(3, [0, 50])
+    assert ownership.should_accept(0, []) and ownership.should_accept(9, []) and ownership.should_accept(2, [0, 50])
+    assert not ownership.should_accept(3, [0, 50])
 
 
 def test_others_load_counts_while_an_engine_may_still_run_it():
     rows, now = {7: ROW}, 5000.0
-    word = peer_workers.peer(7, [PeerWorker(0.0, rows), PeerWorker(2000.0, rows)], [], now, 0.25)
+    word = peer_workers.combined_load(7, [PeerWorker(0.0, rows), PeerWorker(2000.0, rows)], [], now, 0.25)
     assert word == WorkerLoad(7, 4, 128.0, False, 0.25, (0.5, 1.0), 4000.0)
     assert (
-        peer_workers.peer(7, [PeerWorker(peer_workers.FORGOTTEN_MS, rows)], [], now, 1.0).threads == 0
+        peer_workers.combined_load(7, [PeerWorker(peer_workers.ENGINE_FORGETS_AFTER_MS, rows)], [], now, 1.0).threads
+        == 0
     )  # hung: forgotten by engines
-    assert peer_workers.peer(7, [PeerWorker(1500.0, {7: ROW._replace(suspect=True)})], [], now, 1.0)[3:6] == (
+    assert peer_workers.combined_load(7, [PeerWorker(1500.0, {7: ROW._replace(suspect=True)})], [], now, 1.0)[3:6] == (
         False,
         1.0,
         (),
     )
-    assert peer_workers.peer(7, [PeerWorker(0.0, {7: ROW._replace(suspect=True)})], [], now, 1.0).suspect
-    dead = peer_workers.ghosts([ROW, ROW._replace(engine=8, threads=0)], now)
-    assert dead == [OrphanedLoad(7, 2, 64.0, now + peer_workers.FORGOTTEN_MS)]
-    assert peer_workers.peer(7, [], dead, now + 2000.0, 1.0).threads == 2
-    assert peer_workers.peer(7, [], dead, now + peer_workers.FORGOTTEN_MS, 1.0).threads == 0
+    assert peer_workers.combined_load(7, [PeerWorker(0.0, {7: ROW._replace(suspect=True)})], [], now, 1.0).suspect
+    dead = peer_workers.orphaned_loads([ROW, ROW._replace(engine=8, threads=0)], now)
+    assert dead == [OrphanedLoad(7, 2, 64.0, now + peer_workers.ENGINE_FORGETS_AFTER_MS)]
+    assert peer_workers.combined_load(7, [], dead, now + 2000.0, 1.0).threads == 2
+    assert peer_workers.combined_load(7, [], dead, now + peer_workers.ENGINE_FORGETS_AFTER_MS, 1.0).threads == 0
 
 
 def test_only_the_end_of_an_engine_crosses_and_only_from_a_newer_list():
@@ -221,13 +230,13 @@
         return [PeerWorker(9e9, {7: row}) for row in rows]  # however old the heartbeat
 
     draining, back = ROW._replace(version=5, health=Health.DRAINING), ROW._replace(version=6)
-    assert peer_workers.stop(7, 4, others(draining)) == (5, Health.DRAINING)
-    assert peer_workers.stop(7, 5, others(draining)) is None
+    assert peer_workers.newest_end_of_service(7, 4, others(draining)) == (5, Health.DRAINING)
+    assert peer_workers.newest_end_of_service(7, 5, others(draining)) is None
     assert (
-        peer_workers.stop(7, 4, others(draining, back)) is None
-        and peer_workers.stop(7, 4, others(back, draining)) is None
+        peer_workers.newest_end_of_service(7, 4, others(draining, back)) is None
+        and peer_workers.newest_end_of_service(7, 4, others(back, draining)) is None
     )
-    assert peer_workers.stop(8, 0, others(draining)) is None
+    assert peer_workers.newest_end_of_service(8, 0, others(draining)) is None
 
 
 def test_a_dead_worker_s_counts_stay_and_what_it_had_open_is_lost():
@@ -238,17 +247,19 @@
         ("taken", "tds", "load"): 3,
         ("failed", "tds", "load"): 3,
     }
-    assert totals.lost(counts) == Counter({("lost", "http", "load"): 3})
+    assert totals.lost_requests(counts) == Counter({("lost", "http", "load"): 3})
     figures = totals.figures(
-        [("http", "load"), ("tds", "load")], Counter(counts) + totals.lost(counts), 0, {}, frozenset()
+        [("http", "load"), ("tds", "load")], Counter(counts) + totals.lost_requests(counts), 0, {}, frozenset()
     )
     assert figures["calls"] == {"load": {"success": 4, "busy": 0, "failure": 6}}
 
 
 def test_engines_stand_as_the_newest_list_says():
     rows = [[ROW], [ROW._replace(version=4, health=Health.DRAINING)], [ROW._replace(version=2, suspect=True)]]
-    assert totals.standings(rows, frozenset()) == {7: totals.EngineSummary(7, "s-7", ("127.0.0.1", 7000), 2, True)}
-    assert totals.standings([[ROW]], frozenset({"s-7"}))[7].health == Health.DRAINING
+    assert totals.engine_summaries(rows, frozenset()) == {
+        7: totals.EngineSummary(7, "s-7", ("127.0.0.1", 7000), 2, True)
+    }
+    assert totals.engine_summaries([[ROW]], frozenset({"s-7"}))[7].health == Health.DRAINING
 
 
 # The board.
@@ -256,73 +267,75 @@
 
 def test_rows_names_and_long_texts_come_back_as_written():
     long = ROW._replace(name="ü" * 60, report=(1.0,) * 12)
-    back = form.unpack_row(form.pack_row(long))
-    assert (back.report, back.spent, back.seen) == ((1.0,) * 8, 0.25, 4)
-    assert back.name != form.unpack_row(form.pack_row(long._replace(name="ü" * 61))).name
-    assert form.unpack_row(form.pack_row(ROW)) == ROW
-    name = form.CounterName("taken", "http", "k" * 200)
-    assert form.unpack_name(form.pack_name(name)).what == "taken"
+    back = memory_layout.unpack_row(memory_layout.pack_row(long))
+    assert (back.report, back.spent, back.lease_serial) == ((1.0,) * 8, 0.25, 4)
+    assert back.name != memory_layout.unpack_row(memory_layout.pack_row(long._replace(name="ü" * 61))).name
+    assert memory_layout.unpack_row(memory_layout.pack_row(ROW)) == ROW
+    name = memory_layout.CounterName("taken", "http", "k" * 200)
+    assert memory_layout.unpack_counter_name(memory_layout.pack_counter_name(name)).what == "taken"
 
 
 def test_a_torn_row_is_seen_and_never_read():
-    board = SharedMemoryBoard.create(form.Layout(2))
+    board = SharedMemoryBoard.create(memory_layout.Layout(2))
     region, sight = WorkerRegion(board, 0), RowSnapshot(WorkerRegion(board, 0))
-    region.write(ROW)
-    region.bump(form.FLUSHES)
-    assert sight.look() == {7} and sight.rows == {7: ROW}
+    region.write_row(ROW)
+    region.increment_cell(HeadCell.ROW_UPDATES)
+    assert sight.poll() == {7} and sight.rows == {7: ROW}
     at = region._rows + 100
     board.bytes[at] ^= 0x40  # as a writer that died half way through leaves it
-    board.cells[region._sequences] += 1
-    region.bump(form.FLUSHES)
-    assert sight.look() == {7} and sight.rows == {}
-    region.write(ROW._replace(threads=9))
-    region.bump(form.FLUSHES)
-    assert sight.look() == {7} and sight.rows[7].threads == 9
+    board.cells[region._row_sequences] += 1
+    region.increment_cell(HeadCell.ROW_UPDATES)
+    assert sight.poll() == {7} and sight.rows == {}
+    region.write_row(ROW._replace(threads=9))
+    region.increment_cell(HeadCell.ROW_UPDATES)
+    assert sight.poll() == {7} and sight.rows[7].threads == 9
     region.clear()
-    region.put(form.INCARNATION, 2)
-    assert sight.look() == {7} and sight.rows == {}
+    region.write_cell(HeadCell.INCARNATION, 2)
+    assert sight.poll() == {7} and sight.rows == {}
     board.close()
 
 
 def test_every_flipped_bit_of_a_row_shows():
-    data = form.pack_row(ROW)
-    for bit in range(0, 8 * (form.ROW.size + 4)):
+    data = memory_layout.pack_row(ROW)
+    for bit in range(0, 8 * (memory_layout.ROW.size + 4)):
         torn = bytearray(data)
         torn[bit // 8] ^= 1 << bit % 8
-        assert form.unpack_row(bytes(torn)) is None
+        assert memory_layout.unpack_row(bytes(torn)) is None
 
 
 def test_control_pages_are_read_whole_or_not_at_all():
-    board = SharedMemoryBoard.create(form.Layout(2))
-    assert board.control() == (0, ControlPage())
+    board = SharedMemoryBoard.create(memory_layout.Layout(2))
+    assert board.read_control() == (0, ControlPage())
     for count in range(1, 4):
         board.publish(ControlPage(bans=["b"] * count, leases={7: ([1, 2], [3, 4])}))
-        version, control = board.control()
+        version, control = board.read_control()
         assert (version, len(control.bans), control.leases) == (count, count, {7: ([1, 2], [3, 4])})
-    at = board.layout.control + 8 + (4 % 2) * form.PAGE  # a supervisor that dies while it writes the next one
+    at = (
+        board.layout.control_offset + 8 + (4 % 2) * memory_layout.CONTROL_PAGE_BYTES
+    )  # a supervisor that dies while it writes the next one
     board.bytes[at : at + 100] = bytes(range(100))
-    assert board.control()[0] == 3
-    at = board.layout.control + 8 + (3 % 2) * form.PAGE
+    assert board.read_control()[0] == 3
+    at = board.layout.control_offset + 8 + (3 % 2) * memory_layout.CONTROL_PAGE_BYTES
     board.bytes[at + 20] ^= 1
-    assert board.control() is None
+    assert board.read_control() is None
     try:
-        board.publish(ControlPage(bans=["x" * form.PAGE]))
+        board.publish(ControlPage(bans=["x" * memory_layout.CONTROL_PAGE_BYTES]))
         raise AssertionError("a page without bounds")
     except ValueError:
         board.close()
 
 
 def test_ids_are_found_until_they_are_removed_and_a_full_bucket_says_so():
-    board = SharedMemoryBoard.create(form.Layout(2, buckets=4))
+    board = SharedMemoryBoard.create(memory_layout.Layout(2, buckets=4))
     writer, reader = WorkerRegion(board, 0), WorkerRegion(board, 1)
-    same = [4 * n + 1 for n in range(form.WAYS + 1)]
-    assert [writer.add(ticket) for ticket in same] == [True] * form.WAYS + [False]
-    assert reader.elsewhere(same[3]) and not reader.elsewhere(same[-1]) and not writer.elsewhere(same[3])
-    writer.remove(same[3])
-    assert not reader.elsewhere(same[3]) and sorted(writer.ids()) == sorted(set(same[:-1]) - {same[3]})
-    assert writer.add(same[-1]) and reader.elsewhere(same[-1]) and reader.ids() == []
+    same = [4 * n + 1 for n in range(memory_layout.WAYS + 1)]
+    assert [writer.add_request(ticket) for ticket in same] == [True] * memory_layout.WAYS + [False]
+    assert reader.open_elsewhere(same[3]) and not reader.open_elsewhere(same[-1]) and not writer.open_elsewhere(same[3])
+    writer.remove_request(same[3])
+    assert not reader.open_elsewhere(same[3]) and sorted(writer.request_ids()) == sorted(set(same[:-1]) - {same[3]})
+    assert writer.add_request(same[-1]) and reader.open_elsewhere(same[-1]) and reader.request_ids() == []
     writer.clear()
-    assert writer.ids() == [] and reader.add(same[0]) and writer.elsewhere(same[0])
+    assert writer.request_ids() == [] and reader.add_request(same[0]) and writer.open_elsewhere(same[0])
     board.close()
 
 
@@ -371,7 +384,7 @@
     modules = [controller(slow_start_overload_ratio=4.0, slow_start_capacity=0.3, number=0) for _ in range(2)]
     cold = entry(1, since=now - 1.0)
     for slot, module in enumerate(modules):
-        arbiter.up(slot)
+        arbiter.worker_started(slot)
         module.handle(now, policy.EndpointListUpdated(EndpointListKind.CACHED, 1, (cold,)))
         for n in range(200):
             actions = module.handle(now, policy.RequestArrived(1000 * slot + n, 0, 0, 0, 60_000.0, 100.0, 10.0, 0.0))
@@ -381,11 +394,13 @@
         now += 20.0
         needs = {}
         for slot, module in enumerate(modules):
-            arbiter.beat(slot, now)
+            arbiter.renew(slot, now)
             if 1 in arbiter.engines:
                 held = arbiter.engines[1].slots[slot]
                 seen[slot] = held.serial
-                word = WorkerLoad(1, 0, 0.0, False, leases.part(held.units, arbiter.horizons[slot], now), (), 0.0)
+                word = WorkerLoad(
+                    1, 0, 0.0, False, leases.budget_fraction(held.units, arbiter.lease_expiries[slot], now), (), 0.0
+                )
                 todo = deque(module.handle(now, policy.WorkerLoadReported((word,))))
                 while todo:  # each send is answered at once, and what that releases is a send again
                     if isinstance(action := todo.popleft(), policy.StartAttempt):
@@ -394,7 +409,7 @@
                             now, policy.AttemptEnded(action.request, 0, 1, 0, 50.0, False, 0.0, 0.0, ())
                         )
             needs[slot] = BudgetDemand(*module.cold_need(now).get(1, (0.0, 0.0)), seen[slot])
-        arbiter.step(now, {1: needs})
+        arbiter.rebalance(now, {1: needs})
         budget = modules[0].cold_budget(modules[0].engines[1], now)
         assert sum(work for at, work in sent if at > now - WINDOW) <= budget
     assert len(sent) > 60 and math.isfinite(budget)
--- a/tests/test_cores_model.py
+++ b/tests/test_cores_model.py
@@ -21,17 +21,17 @@
 class World:
     """One cold engine, some workers, one arbiter; time in whole ticks, in which a send costs one unit."""
 
-    def __init__(self, workers, units, cools=True, checks_horizon=True):
+    def __init__(self, workers, units, cools=True, checks_expiry=True):
         self.arbiter = LeaseArbiter(workers, WINDOW, SETTLE if cools else -WINDOW, LEASE, units)
-        self.units, self.now, self.troubles, self.checks_horizon = units, 0, 1, checks_horizon
+        self.units, self.now, self.troubles, self.checks_expiry = units, 0, 1, checks_expiry
         self.state = [UP] * workers
         self.view = [0] * workers  # what each module goes by
         self.obeyed = [0] * workers  # the serial that each has confirmed
         self.sent = [() for _ in range(workers)]  # ages in ticks of sends in the window
         self.shared = False  # the arbiter has had its turn in this tick
         for worker in range(workers):
-            self.arbiter.up(worker)
-            self.arbiter.beat(worker, 0)
+            self.arbiter.worker_started(worker)
+            self.arbiter.renew(worker, 0)
 
     def key(self):
         """The state with times and serials made relative, so that equal states meet."""
@@ -47,7 +47,7 @@
         cooling = (
             () if ledger is None else tuple(sorted((max(0, at - self.now), units) for at, units in ledger.cooling))
         )
-        horizons = tuple(max(-1, at - self.now) for at in self.arbiter.horizons)
+        horizons = tuple(max(-1, at - self.now) for at in self.arbiter.lease_expiries)
         return (
             tuple(self.state),
             tuple(self.view),
@@ -71,7 +71,7 @@
         for worker, state in enumerate(self.state):
             if state is UP:
                 yield f"sync {worker}", lambda w, i=worker: w.sync(i)
-                fresh = not self.checks_horizon or self.now < self.arbiter.horizons[worker]
+                fresh = not self.checks_expiry or self.now < self.arbiter.lease_expiries[worker]
                 if fresh and len(self.sent[worker]) < self.view[worker]:
                     yield f"send {worker}", lambda w, i=worker: w.send(i)
                 if self.troubles:
@@ -87,7 +87,7 @@
             # A worker that lives has confirmed and beaten within a tick; a hung one has not.
             if state is UP:
                 self.sync(worker)
-                self.arbiter.beat(worker, self.now)
+                self.arbiter.renew(worker, self.now)
 
     def share(self, wishes):
         self.shared = True
@@ -98,7 +98,7 @@
             for worker, state in enumerate(self.state)
             if state is not DEAD
         }
-        self.arbiter.step(self.now, {1: needs})
+        self.arbiter.rebalance(self.now, {1: needs})
 
     def sync(self, worker):
         if (ledger := self.arbiter.engines.get(1)) is not None:
@@ -110,13 +110,13 @@
     def __deepcopy__(self, memo):
         other = copy.copy(self)
         other.arbiter = copy.copy(self.arbiter)
-        other.arbiter.horizons, other.arbiter.lives = list(self.arbiter.horizons), list(self.arbiter.lives)
+        other.arbiter.lease_expiries, other.arbiter.alive = list(self.arbiter.lease_expiries), list(self.arbiter.alive)
         other.arbiter.engines = {
             engine: BudgetLedger(
                 [HeldUnits(h.units, h.serial, list(h.pending)) for h in ledger.slots],
                 ledger.units,
                 list(ledger.cooling),
-                ledger.heard_at,
+                ledger.last_demand_at,
             )
             for engine, ledger in self.arbiter.engines.items()
         }
@@ -128,7 +128,7 @@
         self.troubles -= 1
         self.state[worker] = how
         if how is DEAD:
-            self.arbiter.down(worker, self.now)
+            self.arbiter.worker_ended(worker, self.now)
 
     def wake(self, worker):
         """It goes on where it stood, with what it knew; its heart beats again with the next tick."""
@@ -171,7 +171,7 @@
     assert holds(kripke)
 
 
-@pytest.mark.parametrize("broken", [{"cools": False}, {"checks_horizon": False}])
+@pytest.mark.parametrize("broken", [{"cools": False}, {"checks_expiry": False}])
 def test_units_that_do_not_cool_and_leases_without_an_end_are_caught(broken):
     kripke, _ = explore(World(2, 2, **broken), World.steps, World.key, World.over)
     assert not holds(kripke)
@@ -209,7 +209,8 @@
 
     def stopped(self, worker):
         return self.lists[worker] == 2 or (
-            self.checks_board and peer_workers.stop(1, self.lists[worker], self.rows(worker)) is not None
+            self.checks_board
+            and peer_workers.newest_end_of_service(1, self.lists[worker], self.rows(worker)) is not None
         )
 
     def steps(self):
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -34,6 +34,8 @@
         self.assertEqual(await fleet.exit(), 0)
 
     async def test_a_host_that_starts_processes_gets_its_workers(self):
-        from frostspindle.cores.probe import refused
+        from frostspindle.cores.probe import worker_start_refusal
 
-        self.assertIsNone(refused())  # this machine starts processes: the probe must not turn workers down here
+        self.assertIsNone(
+            worker_start_refusal()
+        )  # this machine starts processes: the probe must not turn workers down here
