--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -71,16 +71,16 @@
             weights["warm"] = warm.weight
         self.cost_ms = config.warm.cost_ms if config.warm is not None else 0.0
         self.runner = JobRunner(self.owners, program.telemetry, jobs, weights)
-        if program.desk:
-            program.desk.does["show-owners"] = self.figures
-            program.desk.does["release-owner"] = self.release
+        if program.operator_server:
+            program.operator_server.does["show-owners"] = self.figures
+            program.operator_server.does["release-owner"] = self.release
 
     def busy(self) -> str:
         """Return why this coordinator may take no lease now (draining, recovering); empty if it may."""
         recovery = getattr(self.program, "recovery", None)
         if self.program.platform.draining:
             return "draining"
-        if recovery is not None and not recovery.intake.open:
+        if recovery is not None and not recovery.admission.open:
             return "recovering"
         return ""
 
@@ -91,7 +91,7 @@
         return [
             ColdEngine(number, core.engines[number].name, born(core.engines[number]))
             for number, believed in core.controller.engines.items()
-            if believed.ready and believed.cold(now) and number in core.engines and number in self.program.driver.peers
+            if believed.ready and believed.cold(now) and number in core.engines and number in self.program.driver.pools
         ]
 
     def _pay(self, engine: ColdEngine) -> bool:
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -156,12 +156,12 @@
         room = math.inf if whole is None else math.floor(whole.value * self.part + 1e-9)
         if most == math.inf and room == math.inf:
             return True
-        sent = self._sent[attempt.engine] = [a for a in self._sent.get(attempt.engine, ()) if not a.over]
+        sent = self._sent[attempt.engine] = [a for a in self._sent.get(attempt.engine, ()) if not a.is_finished]
         if attempt in sent:
             return True
         if room != math.inf:
             for number in [number for number, rows in self._sent.items() if number != attempt.engine]:
-                self._sent[number] = rows = [a for a in self._sent[number] if not a.over]
+                self._sent[number] = rows = [a for a in self._sent[number] if not a.is_finished]
                 if not rows:
                     del self._sent[number]
         if len(sent) >= most or sum(map(len, self._sent.values())) >= room:
@@ -223,7 +223,7 @@
             if f"scope/{front}" in new and driver is not None:
                 for state in self.core.engines.values():
                     if state.driver is driver and (
-                        state.name in self._unlisted or (state.listed or state.entry).health == Health.READY
+                        state.name in self._unlisted or (state.listed_entry or state.entry).health == Health.READY
                     ):
                         engine = new.get(f"engine/{front}/{state.name}")
                         if engine is None or engine.state != "active":
@@ -232,8 +232,8 @@
 
     def _bounds(self, old: Rules, new: Rules) -> None:
         limit = new.get("limit/open_requests")
-        self.program.most_open = None if limit is None else int(limit.value)
-        self.program.bound()
+        self.program.agreed_open_limit = None if limit is None else int(limit.value)
+        self.program.update_open_limit()
         self.core.most_open = 0 if self.refuse else self.program.sockets // 2
 
     def _tune(self, old: Rules, new: Rules) -> None:
@@ -510,7 +510,7 @@
     """Create the settings of a program and register them at the operators' port."""
     wired = SettingsComponent(program)
     service = wired.service
-    if program.desk is not None:
+    if program.operator_server is not None:
         from frostspindle.net.operator import OperatorError
 
         def no(call: Callable[..., Any]) -> Callable[..., Any]:
@@ -527,7 +527,7 @@
                 raise InvalidSettingsError(f"not a version: {text!r:.40}")
             return int(text)
 
-        program.desk.does |= {
+        program.operator_server.does |= {
             "show-settings": service.figures,
             "settings-history": service.history,
             "settings-push": no(service.push_piece),
@@ -535,12 +535,12 @@
             "settings-rollback": no(lambda name, to: service.push_back(name, number(to))),
             "settings-diff": no(lambda one, two: service.diff(number(one), number(two))),
         }
-        program.desk.takes |= {
+        program.operator_server.takes |= {
             "settings-push": "an id, a place and a piece",
             "settings-outcome": "an id",
             "settings-rollback": "an id and a version",
             "settings-diff": "two versions",
         }
-        program.desk.long.add("settings-push")
-        program.desk.quiet.add("settings-outcome")
+        program.operator_server.long.add("settings-push")
+        program.operator_server.quiet.add("settings-outcome")
     return wired
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -201,7 +201,7 @@
             plain.sendall(post(1))
             await self.until(lambda: client.leaving)
             self.assertGreater(client.transport.get_write_buffer_size(), 0)
-            client.since -= connection_limits.LINGER_S + 0.1
+            client.since -= connection_limits.LINGER_TIMEOUT_S + 0.1
             self.front._sweep()
             reader, writer = await asyncio.open_connection(sock=plain)
             ((status, _, body),) = await self.answers(reader)
@@ -241,7 +241,7 @@
             writer.write(post(1)[:50])
             await self.until(lambda: self.client.partial)
             writer.write(rest)
-            self.client.since -= connection_limits.WHOLE_S + 0.1
+            self.client.since -= connection_limits.REQUEST_TIMEOUT_S + 0.1
             self.front._sweep()
             self.assertEqual((await self.answers(reader, 1))[0][0], status)
 
@@ -338,12 +338,12 @@
         self.program.core.most_open = 0
         refused = [await self.newcomer(1, 503)]
         self.program.core.most_open = 100
-        self.front._drained_at = asyncio.get_running_loop().time() - connection_limits.TAKE_S - 1.0
+        self.front._drained_at = asyncio.get_running_loop().time() - connection_limits.DRAIN_LAST_REQUEST_S - 1.0
         refused.append(await self.newcomer(2, 503))
         reader, writer = await self.open()
         writer.write(post(3)[:50])
         await self.until(lambda: self.client.partial)
-        self.client.since -= connection_limits.QUIET_S + 0.1
+        self.client.since -= connection_limits.DRAIN_NEW_CONNECTION_S + 0.1
         self.front._sweep()
         refused.append((await self.answers(reader))[0][1])
         for head in refused:
@@ -377,12 +377,12 @@
                 plain = await self.plain()
                 plain.sendall(post(1) + post(2))
                 await self.until(lambda: len(asks) == 2)
-                self.assertTrue(asks[0].present() and asks[1].present())
+                self.assertTrue(asks[0].is_client_connected() and asks[1].is_client_connected())
                 if how == "behind bytes":
                     self.client.transport.pause_reading()
                     plain.sendall(PING * 9)
                 self.go_away(plain, how)
-                self.assertFalse(asks[1].present() or asks[0].present())
+                self.assertFalse(asks[1].is_client_connected() or asks[0].is_client_connected())
                 self.assertEqual(left, asks)
                 await self.until(lambda: not self.front.clients)
                 self.assertEqual((left, self.front.paths.ids), (asks, set()))
@@ -396,9 +396,9 @@
             ((_, _, body),) = await self.answers(reader, 1)
         writer.transport.abort()
         await self.until(lambda: not self.front.clients)
-        self.assertTrue(asks[0].present())
+        self.assertTrue(asks[0].is_client_connected())
         self.assertEqual((await self.call("DELETE", json.loads(body)["next"]))[0], 204)
-        self.assertFalse(asks[0].present())
+        self.assertFalse(asks[0].is_client_connected())
 
     async def test_a_client_that_went_before_it_was_given_a_path_has_left(self):
         await self.start()
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -306,12 +306,12 @@
         passed = [self.applied.fence(states["toy-0" if n < 3 else "toy-1"], one) for n, one in enumerate(sent)]
         self.assertEqual((passed, len(looks)), ([True, True, False, True, False], 5))  # 2 of 5, and 3 of 7 in all
         self.assertTrue(self.applied.fence(states["toy-0"], sent[0]), "asked again for one that has passed")
-        sent[0].over = True
+        sent[0].is_finished = True
         self.assertTrue(self.applied.fence(states["toy-1"], sent[4]))
         self.assertFalse(self.applied.fence(states["toy-2"], attempt("toy-2")), "not on the list")
         self.applied.name = "c9"
         self.applied.act(ActiveRules(VERSION, (2,), table.set("limit/open_requests", Limit(50.0))))
-        sent[1].over = sent[3].over = sent[4].over = True
+        sent[1].is_finished = sent[3].is_finished = sent[4].is_finished = True
         self.assertFalse(self.applied.fence(states["toy-0"], attempt("toy-0")), "without a part nothing is let through")
 
     async def test_parts_that_a_change_does_not_touch_are_left_alone(self):
@@ -321,7 +321,7 @@
         two = one.next(2, {"limit/open_requests": Limit(50.0)})
         for version in (one, two):
             machine.history.add(version)
-        self.program.bound = lambda: calls.append("bounds")
+        self.program.update_open_limit = lambda: calls.append("bounds")
         self.program.shared = SimpleNamespace(crowded=False)
         with mock.patch.object(self.core, "ban", side_effect=lambda names: calls.append(sorted(names))) as ban:
             self.applied._told = ban
@@ -383,7 +383,7 @@
         return self.program.telemetry.counts[what, "", ""]
 
     async def test_operators_calls_are_checked(self):
-        does = self.program.desk.does
+        does = self.program.operator_server.does
         for call, words in (
             ("settings-push", ("a", "0/0", "")),
             ("settings-push", ("a", "x", "")),
@@ -399,7 +399,7 @@
             with self.assertRaises(OperatorError, msg=(call, words)):
                 does[call](*words)
         self.assertEqual(does["show-settings"]()["mode"], "file")
-        desk = self.program.desk
+        desk = self.program.operator_server
         self.assertIn(b"NAK settings-diff takes two versions", desk.answer(b"settings-diff 1"))
         self.assertIn(b"NAK version", desk.answer(b"settings-diff 1 2"))
         self.assertTrue(desk.lengthy(b"settings-push a 0/1 eA==") and not desk.lengthy(b"ready"))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -178,7 +178,7 @@
         # What it plans is held against the 5.7 s after which it is killed; how late a busy machine carries that out is
         # the machine's affair, as long as it is not the request's minute.
         last_s = (await old.event("stopping"))["last_s"]
-        self.assertLess(last_s + program.LOOK_S * 2 + program.FLUSH_S, 5.7)
+        self.assertLess(last_s + program.DRAIN_POLL_INTERVAL_S * 2 + program.RESPONSE_FLUSH_S, 5.7)
         self.assertEqual((await asked)[0], 502)
         self.assertEqual(await asyncio.to_thread(old.process.wait, 60), 0)
         self.assertLess(asyncio.get_running_loop().time() - began, last_s + 5.0)
@@ -259,7 +259,7 @@
         sent = self.count("sent")
         core.fail_open_requests()
         self.assertEqual({(await one)[0] for one in asked}, {503})  # lookups: a repeat does no harm
-        await self.until(lambda: not core._records)
+        await self.until(lambda: not core.ledger.entries)
         self.assertEqual((core.controller.jobs, self.count("faults")), ({}, 0))
         self.assertLessEqual(len(engine.of("POST")), sent)
 
@@ -277,9 +277,9 @@
         await most(59)  # the other has most in its line, and a fifth is for the new one all the same
         theirs[0] = 20
         await most(276)
-        core._open = 41
+        core.ledger.open_count = 41
         await self.until(lambda: other.theirs == 41)
-        core._open = 0
+        core.ledger.open_count = 0
         self.program.stopping.set()
         theirs[0] = 21
         await most(237)  # the one that ends keeps what it has, but for the new one's fifth
