--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -25,6 +25,7 @@
 
 UNITS = 240  # of one engine's budget; divisible by most numbers of workers
 RESERVE_DIVISOR = 4  # a live worker keeps this part of its even share, so that a first request need not wait
+MAX_SEND_DELAY_MS = 400.0  # a send to a cold engine that has waited longer for a connection is not covered by a lease
 LEASE_MS = 300.0  # a lease that is not renewed expires after this
 
 
--- a/frostspindle/cores/limits.py
+++ b/frostspindle/cores/limits.py
@@ -11,6 +11,8 @@
 
 from frostspindle.division import even
 
+RESERVED_DESCRIPTORS = 12  # of a worker beside its connections
+
 
 class LimitDivider:
     """The quotas of one limit, by slot."""
--- a/frostspindle/cores/resource_sharing.py
+++ b/frostspindle/cores/resource_sharing.py
@@ -12,9 +12,8 @@
 from frostspindle.core import clock
 from frostspindle.cores.control_publisher import ControlPublisher
 from frostspindle.cores.layout import HeadCell
-from frostspindle.cores.leases import BudgetDemand, LeaseArbiter
-from frostspindle.cores.limits import LimitDivider
-from frostspindle.cores.link import MAX_SEND_DELAY_MS, RESERVED_DESCRIPTORS
+from frostspindle.cores.leases import MAX_SEND_DELAY_MS, BudgetDemand, LeaseArbiter
+from frostspindle.cores.limits import RESERVED_DESCRIPTORS, LimitDivider
 from frostspindle.cores.shared_memory import SharedMemoryBoard
 from frostspindle.cores.worker_process import WorkerProcess
 
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -15,9 +15,9 @@
 from frostspindle import config as configuration
 from frostspindle import signals
 from frostspindle.config import Config, ConfigError
+from frostspindle.cores.bootstrap import monotonic_ms
 from frostspindle.cores.control_publisher import ControlPublisher
 from frostspindle.cores.layout import Layout
-from frostspindle.cores.link import monotonic_ms
 from frostspindle.cores.listening_sockets import ListeningSockets
 from frostspindle.cores.operator_commands import OperatorCommands
 from frostspindle.cores.resource_sharing import ResourceSharing
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -1,7 +1,7 @@
-"""The start of one worker: a whole coordinator on sockets and memory that its supervisor holds.
+"""Entry point of a worker process: a complete coordinator on sockets and shared memory of its supervisor.
 
-Owns the check of what the supervisor handed over, and the end when the supervisor is gone. It must never bind an
-address, never outlive its supervisor by more than a drain, and serves by the same program as a single process does.
+Checks what the supervisor handed over and ends, after a drain, when the supervisor has died. It binds no address and
+serves by the same program as a single process does.
 """
 
 from __future__ import annotations
@@ -18,43 +18,43 @@
 from frostspindle import division, signals
 from frostspindle.config import Config, ConfigError
 from frostspindle.cores import limits
+from frostspindle.cores.bootstrap import BOOTSTRAP_VARIABLE, WorkerBootstrap
 from frostspindle.cores.layout import IncompatibleMemoryError
-from frostspindle.cores.link import SharedMemoryLink, WorkerBootstrap
+from frostspindle.cores.link import SharedMemoryLink
 from frostspindle.cores.shared_memory import SharedMemoryBoard
 from frostspindle.program import run
 
-BOOTSTRAP_VARIABLE = "FROSTSPINDLE_WORKER"
 SUPERVISOR_MEMORY_MB = 40.0
 
 
-def worker_config(config: Config, passport: WorkerBootstrap) -> Config:
-    """Return the configuration of one of several workers: its part of each limit, and no address of its own."""
-    count, settings = passport.slots, config.settings
+def worker_config(config: Config, bootstrap: WorkerBootstrap) -> Config:
+    """Return the configuration of one of several workers: its share of each limit, and no address of its own."""
+    count, settings = bootstrap.slots, config.settings
     operator = config.operator
     tds = operator.tds and msgspec.structs.replace(
-        operator.tds, max_sessions=max(1, division.even(operator.tds.max_sessions, count)[passport.slot])
+        operator.tds, max_sessions=max(1, division.even(operator.tds.max_sessions, count)[bootstrap.slot])
     )
     return dataclasses.replace(
         config,
         desk=None,
-        worker=passport.slot,
-        seed=config.seed ^ (0x9E3779B97F4A7C15 * (passport.slot + 1)),
+        worker=bootstrap.slot,
+        seed=config.seed ^ (0x9E3779B97F4A7C15 * (bootstrap.slot + 1)),
         operator=msgspec.structs.replace(operator, snmp=None, tds=tds),
-        listener=passport.listener,
-        tds_listener=passport.tds,
+        listener=bootstrap.listener,
+        tds_listener=bootstrap.tds,
         limits=msgspec.structs.replace(
             config.limits,
-            sockets=passport.sockets,
+            sockets=bootstrap.sockets,
             memory_mb=limits.memory_quota(
                 config.limits.memory_mb, count, min(SUPERVISOR_MEMORY_MB, config.limits.memory_mb / 4)
             ),
         ),
-        # To the module each worker is a dispatcher of its own, with its part of every engine: docs/design/cores.md.
+        # To the decision module each worker is a coordinator with its share of every engine: docs/design/cores.md.
         settings=dataclasses.replace(
             settings,
             workers=count,
             coordinators=settings.coordinators * count,
-            number=settings.number * count + passport.slot,
+            number=settings.number * count + bootstrap.slot,
             retry_budget_min=settings.retry_budget_min // count,
         ),
     )
@@ -64,24 +64,24 @@
     """Run the worker's program until it ends, draining if the supervisor dies; return the exit code."""
     loop = asyncio.get_running_loop()
 
-    def orphan() -> None:
-        """The supervisor has died: nobody would restart us or add us up. Finish what was taken, then end."""
-        loop.remove_reader(link.passport.life)
+    def on_supervisor_died() -> None:
+        """Drain and end after the supervisor has died: nobody restarts this worker or adds up its counters any more."""
+        loop.remove_reader(link.bootstrap.life)
         link.orphaned = True
         link.program.telemetry.log("orphan")
         link.program.stopping.set()
 
-    loop.add_reader(link.passport.life, orphan)
+    loop.add_reader(link.bootstrap.life, on_supervisor_died)
     return await run(config, link)
 
 
 def main() -> int:
-    """Run a worker by the passport in its environment; return 2 for a bad start, 1 for an OSError, else `serve`'s."""
+    """Run a worker by the bootstrap in its environment; return 2 for a bad start, 1 for OSError, else its exit code."""
     signals.hold()
     try:
-        passport = msgspec.json.decode(os.environ[BOOTSTRAP_VARIABLE], type=WorkerBootstrap)
-        board = SharedMemoryBoard.attach(passport.board, passport.nonce)
-        config = worker_config(configuration.read(), passport)
+        bootstrap = msgspec.json.decode(os.environ[BOOTSTRAP_VARIABLE], type=WorkerBootstrap)
+        board = SharedMemoryBoard.attach(bootstrap.board, bootstrap.nonce)
+        config = worker_config(configuration.read(), bootstrap)
     except (KeyError, msgspec.DecodeError):
         print("frostspindle: this is started by the supervisor only", file=sys.stderr)
         return 2
@@ -89,9 +89,9 @@
         print(f"frostspindle: worker: {error}", file=sys.stderr)
         return 2
     try:
-        return asyncio.run(serve(config, SharedMemoryLink(passport, board, config)))
+        return asyncio.run(serve(config, SharedMemoryLink(bootstrap, board, config)))
     except OSError as error:
-        print(f"frostspindle: worker {passport.slot}: {error}", file=sys.stderr)
+        print(f"frostspindle: worker {bootstrap.slot}: {error}", file=sys.stderr)
         return 1
     finally:  # as in serving.py
         gc.freeze()
--- a/frostspindle/cores/worker_processes.py
+++ b/frostspindle/cores/worker_processes.py
@@ -20,14 +20,13 @@
 from frostspindle.config import Config
 from frostspindle.core import clock
 from frostspindle.cores import peer_workers, totals
+from frostspindle.cores.bootstrap import BOOTSTRAP_VARIABLE, WorkerBootstrap, monotonic_ms
 from frostspindle.cores.control_publisher import ControlPublisher
 from frostspindle.cores.layout import WorkerState
-from frostspindle.cores.link import WorkerBootstrap, monotonic_ms
 from frostspindle.cores.listening_sockets import ListeningSockets
 from frostspindle.cores.resource_sharing import MIN_WORKER_DESCRIPTORS, ResourceSharing
 from frostspindle.cores.restarts import RestartPolicy
 from frostspindle.cores.shared_memory import RowSnapshot, SharedMemoryBoard, WorkerRegion
-from frostspindle.cores.worker import BOOTSTRAP_VARIABLE
 from frostspindle.cores.worker_process import WorkerProcess
 from frostspindle.net.http.listener import BACKLOG
 from frostspindle.telemetry import Telemetry
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -9,7 +9,7 @@
 from msgspec.msgpack import decode, encode
 
 from frostspindle.config import TenantRule
-from frostspindle.cores.link import WorkerBootstrap
+from frostspindle.cores.bootstrap import WorkerBootstrap
 from frostspindle.fleet import wire as fleet
 from frostspindle.ownership import lease_table, progress
 from frostspindle.recovery import tickets
