--- a/bench/choices.py
+++ b/bench/choices.py
@@ -60,6 +60,13 @@
 }
 CURRENT_NAMES = {former: current for current, former in FORMER_NAMES.items()}
 ARRIVALS = ("Request", "RequestArrived")
+FAILURES = (  # by the part of attempts that end so or as one before
+    (0.004, AttemptOutcome.ERROR),
+    (0.006, AttemptOutcome.RESET),
+    (0.012, AttemptOutcome.OVERLOADED),
+    (0.014, AttemptOutcome.CONNECT_FAILED),
+    (0.016, AttemptOutcome.NOT_SENT),
+)
 
 
 class PolicyVersion:
@@ -95,6 +102,11 @@
         name = type(record).__name__
         return CURRENT_NAMES.get(name, name) if self.former else name
 
+    def rebuilt(self, record: Any) -> Any:
+        """Return a record of any version as one of this version."""
+        name = type(record).__name__
+        return self.record_class(CURRENT_NAMES.get(name, name))(*record)
+
     def settings(self, name: str, **values: Any) -> Any:
         """Build ClassSettings or Settings from values by their current field names."""
         fields = dataclasses.fields(getattr(policy, name))
@@ -212,19 +224,34 @@
 
     def __init__(self, version: PolicyVersion, site: str, engines: int, target: int, seed: int, calm: bool) -> None:
         self.version = version
-        self.c, self.draw = controller(version, site, seed, target), random.Random(seed)
-        self.site, self.count, self.target, self.calm = site, engines, target, calm
-        self.now, self.met, self.clock, self.serial = 1_000_000.0, list[tuple[float, Any]](), list[Any](), 0
-        self.open, self.answered = dict[int, Any](), 0  # requests; what came to a good end
-        self.out = dict[tuple[int, int], int]()
-        self.tries = dict[int, int]()
+        self.controller = controller(version, site, seed, target)
+        self.draw = random.Random(seed)
+        self.site = site
+        self.count = engines
+        self.target = target  # requests open at a time
+        self.calm = calm
+
+        self.now = 1_000_000.0
+        self.clock = list[Any]()  # a heap of scheduled calls
+        self.serial = 0
+        self.met = list[tuple[float, Any]]()  # all events
+
+        self.open = dict[int, Any]()  # requests by number
+        self.running = dict[tuple[int, int], int]()  # engines by request and attempt
+        self.attempt_counts = dict[int, int]()
         self.entries = {
             n: version.record_class("EngineEntry")(n, n % 3, n % 2, n % 7, 1, 1.0, 0.0) for n in range(1, engines + 1)
         }
         self.hung = set[int]()
-        # What became of it: good answers' times, sends, sends to another zone, those that opened a connection.
-        self.began, self.took, self.sends, self.far, self.opened = dict[int, float](), 0.0, 0, 0, 0
-        self.idle = dict[int, list[float]]()
+        self.idle = dict[int, list[float]]()  # by engine: when each idle connection was last used
+
+        # What became of it.
+        self.began = dict[int, float]()
+        self.answered = 0
+        self.took = 0.0  # ms until good responses, in all
+        self.sends = 0
+        self.far = 0  # sends to another zone
+        self.opened = 0  # sends that opened a connection
         self.at(0.0, "list", EndpointListKind.FULL, tuple(self.entries.values()))
 
     def at(self, after: float, *what: Any) -> None:
@@ -236,11 +263,11 @@
         """Record an event of that class, give it to the controller and carry out its actions."""
         event = self.version.record_class(name)(*fields)
         self.met.append((self.now, event))
-        for action in self.c.handle(self.now, event):
+        for action in self.controller.handle(self.now, event):
             name = self.version.record_name(action)
             if name == "StartAttempt":
                 self.sent(action)
-            elif name == "CancelAttempt" and (action.request, action.attempt) in self.out:
+            elif name == "CancelAttempt" and (action.request, action.attempt) in self.running:
                 self.at(1.0, "end", action.request, action.attempt, AttemptOutcome.CANCELLED)
             elif name in ("RejectRequest", "FailRequest"):
                 self.open.pop(action.request, None)
@@ -253,36 +280,32 @@
         An attempt at a hung engine ends by its timeout. Unless calm, 1.6% fail, in one of five ways.
         """
         request = self.open[action.request]
-        number = self.tries.get(action.request, 0)
-        self.tries[action.request] = number + 1
-        self.out[(action.request, number)] = action.engine
+        number = self.attempt_counts.get(action.request, 0)
+        self.attempt_counts[action.request] = number + 1
+        self.running[(action.request, number)] = action.engine
         idle = [at for at in self.idle.get(action.engine, ()) if self.now - at < 15_000.0]
-        self.sends, self.opened, self.idle[action.engine] = self.sends + 1, self.opened + (not idle), idle[:-1]
+        self.sends += 1
+        self.opened += not idle
+        self.idle[action.engine] = idle[:-1]
         self.far += action.engine in self.entries and self.entries[action.engine].zone != 0
-        luck = self.draw.random()
-        verdict = AttemptOutcome.OK
-        if not self.calm:
-            verdict = (
-                AttemptOutcome.ERROR
-                if luck < 0.004
-                else AttemptOutcome.RESET
-                if luck < 0.006
-                else AttemptOutcome.OVERLOADED
-                if luck < 0.012
-                else AttemptOutcome.CONNECT_FAILED
-                if luck < 0.014
-                else AttemptOutcome.NOT_SENT
-                if luck < 0.016
-                else verdict
-            )
+        outcome = self.drawn_outcome()
         took = (request.cost_ms or 150.0) / 2 * self.draw.uniform(0.8, 2.0)
         if action.engine in self.hung:
-            verdict, took = AttemptOutcome.TIMEOUT, action.timeout_ms or 30_000.0
-        elif verdict != AttemptOutcome.OK:
+            outcome = AttemptOutcome.TIMEOUT
+            took = action.timeout_ms or 30_000.0
+        elif outcome != AttemptOutcome.OK:
             took = 5.0
         elif took > 500.0:
             self.at(took / 2, "note", action.request, number, 0.5)
-        self.at(min(took, action.timeout_ms or took), "end", action.request, number, verdict)
+        self.at(min(took, action.timeout_ms or took), "end", action.request, number, outcome)
+
+    def drawn_outcome(self) -> AttemptOutcome:
+        """Draw the outcome of an attempt at an engine that does not hang."""
+        luck = self.draw.random()
+        for part, outcome in () if self.calm else FAILURES:
+            if luck < part:
+                return outcome
+        return AttemptOutcome.OK
 
     def step(self) -> None:
         """Advance to the next scheduled call and make it."""
@@ -299,17 +322,17 @@
 
     def do_note(self, request: int, number: int, value: float) -> None:
         """Give the controller a progress note on an attempt, if it is still running."""
-        if (engine := self.out.get((request, number))) is not None:
+        if (engine := self.running.get((request, number))) is not None:
             self.feed("ProgressReported", request, number, engine, 1, value)
 
-    def do_end(self, request: int, number: int, verdict: int) -> None:
+    def do_end(self, request: int, number: int, outcome: int) -> None:
         """End an attempt, if it is still running, and tell the controller.
 
         A good response ends the request too and comes with its true cost, memory and a load report.
         """
-        if (engine := self.out.pop((request, number), None)) is None:
+        if (engine := self.running.pop((request, number), None)) is None:
             return
-        good = verdict == AttemptOutcome.OK
+        good = outcome == AttemptOutcome.OK
         self.idle.setdefault(engine, []).append(self.now)
         known = self.open.pop(request, None) if good else self.open.get(request)
         if known is not None and good:
@@ -317,7 +340,7 @@
         cost = (known.cost_ms or 150.0) * self.draw.uniform(0.7, 1.4) if known and good else 0.0
         report = (self.draw.uniform(0.0, 20.0), self.draw.uniform(0.0, 0.6)) if good else ()
         last = known is None or good
-        self.feed("AttemptEnded", request, number, engine, verdict, cost / 2 or 5.0, last, cost, 0.3 * cost, report)
+        self.feed("AttemptEnded", request, number, engine, outcome, cost / 2 or 5.0, last, cost, 0.3 * cost, report)
 
     def arrive(self, number: int) -> None:
         """Draw a request of that number and give it to the controller.
@@ -377,7 +400,7 @@
             for n, entry in enumerate(self.entries.values())
         }
         self.feed("EndpointListUpdated", EndpointListKind.FULL, 1, tuple(self.entries.values()))
-        for request, number in self.out:
+        for request, number in self.running:
             self.at(1.0, "end", request, number, AttemptOutcome.RESET)
 
     def play(self, requests: int) -> list[tuple[float, Any]]:
@@ -416,16 +439,10 @@
     the first difference, and the index at which the first slice that differs begins, None if none does. With `profile`
     the new module's profile goes to stderr.
     """
-    sides = {}
-    for name, met in worlds.items():
-        version = packages[name]
-        sides[name] = (
-            controller(version, site, seed, target),
-            [
-                (now, version.record_class(CURRENT_NAMES.get(type(event).__name__, type(event).__name__))(*event))
-                for now, event in met
-            ],
-        )
+    sides = {
+        name: (controller(packages[name], site, seed, target), [(now, packages[name].rebuilt(e)) for now, e in met])
+        for name, met in worlds.items()
+    }
     spent, counts, actions, width = dict.fromkeys(sides, 0), dict.fromkeys(sides, 0), dict[str, list[Any]](), 200
     same, differs, profiler = 0, None, cProfile.Profile()
     filled = {
--- a/frostspindle/simulator_adapter.py
+++ b/frostspindle/simulator_adapter.py
@@ -12,6 +12,7 @@
 import struct
 import sys
 from collections.abc import Callable
+from functools import partial
 from typing import Any, BinaryIO
 
 from frostspindle import policy
@@ -241,10 +242,11 @@
             raise WireError(f"engine list {number} was never sent")
         return instance, policy.EndpointListUpdated(how, version, self.lists[number])
 
-    def _start(self, instance: int, seed: int, setup: bytes) -> None:
+    def _start(self, instance: int, seed: int, setup: bytes) -> list[tuple[int, bytes]]:
         if setup not in self.settings:
             self.settings[setup] = parse_settings(setup.decode())
         self.controllers[instance] = Controller(self.settings[setup], seed)
+        return []
 
     def record(self, now_ms: float, code: int, fields: bytes) -> list[tuple[int, bytes]]:
         """Handle one event record and return the reply records that it caused, as pairs of code and fields.
@@ -261,32 +263,36 @@
         if code == SHUTDOWN_CODE:
             self.controllers.pop(INSTANCE.unpack_from(fields)[0], None)
             return []
-        event: policy.Event | None = None
-        hello = (0, b"")
         if code == HELLO_CODE:
-            instance, *hello_rest = self._read_hello(fields)
-            hello = (hello_rest[0], hello_rest[1])
+            instance, seed, setup = self._read_hello(fields)
             self.failed.discard(instance)
-        elif code == DISCOVERY_CODE:
-            instance, event = self._read_discovery(fields)
-        elif code in READERS:
-            instance, event = READERS[code](fields)
-        else:
-            raise WireError(f"unknown event code {code}")
+            return self._guarded(instance, partial(self._start, instance, seed, setup))
+        instance, event = self._read_event(code, fields)
         if instance in self.failed:
             return []
+        return self._guarded(instance, partial(self._handle, instance, now_ms, event))
+
+    def _read_event(self, code: int, fields: bytes) -> tuple[int, policy.Event]:
+        if code == DISCOVERY_CODE:
+            return self._read_discovery(fields)
+        if code in READERS:
+            return READERS[code](fields)
+        raise WireError(f"unknown event code {code}")
+
+    def _guarded(self, instance: int, step: Callable[[], list[tuple[int, bytes]]]) -> list[tuple[int, bytes]]:
+        """Take a step of an instance; any fault ends that instance alone."""
         try:
-            if event is None:
-                self._start(instance, *hello)
-                return []
-            if instance not in self.controllers:
-                return []
-            actions = self.controllers[instance].handle(now_ms, event)
-            return [WRITERS[type(action)](instance, action) for action in actions]
-        except Exception as error:  # noqa: BLE001 - any fault of one instance ends that instance alone
+            return step()
+        except Exception as error:  # noqa: BLE001 - whatever it is, the other instances go on
             self.failed.add(instance)
             return [(BAIL_OUT_CODE, _text(instance, f"{type(error).__name__}: {error}"))]
 
+    def _handle(self, instance: int, now_ms: float, event: policy.Event) -> list[tuple[int, bytes]]:
+        if instance not in self.controllers:
+            return []
+        actions = self.controllers[instance].handle(now_ms, event)
+        return [WRITERS[type(action)](instance, action) for action in actions]
+
     def batch(self, count: int, now_ms: float, body: bytes) -> bytes:
         """Handle one batch of `count` records, all of time `now_ms`, and return the whole reply frame.
 
