--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -78,7 +78,7 @@
 def main() -> None:
     """Take turns between the ways of logging, then between the sets of imports; print one JSON object."""
     rounds = int((sys.argv[1:] or ["9"])[0])
-    telemetry.LINES_A_SECOND = 1 << 60
+    telemetry.MAX_LINES_PER_S = 1 << 60
     sink = Nowhere()
     ways = {"hand": by_hand(sink), "events": telemetry.Telemetry("n", sink).log, "usual": usual(sink)}
     lines = [{name: cost_us(log) for name, log in ways.items()} for _ in range(rounds)]
--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from frostspindle.division import fair
+from frostspindle.division import max_min_fair_shares
 
 UNITS = 240  # of one engine's budget; divisible by most numbers of workers
 RESERVE = 4  # a live worker keeps a RESERVE-th of its even share, so that a first request need not wait
@@ -139,7 +139,7 @@
 
     def _share(self, ledger: BudgetLedger, now: float, needs: Mapping[int, BudgetDemand]) -> None:
         live = [slot for slot in range(self.count) if self.lives[slot] and now < self.horizons[slot]]
-        target = fair(
+        target = max_min_fair_shares(
             {slot: wanted(needs.get(slot, BudgetDemand()), self.count, self.units) for slot in live}, self.units
         )
         short = sum(max(0, target[slot] - ledger.slots[slot].units) for slot in live)
--- a/frostspindle/cores/limits.py
+++ b/frostspindle/cores/limits.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Mapping
 
-from frostspindle.division import even
+from frostspindle.division import split_evenly
 
 
 class LimitDivider:
@@ -27,7 +27,7 @@
         """
         self.shares = {slot: share for slot, share in self.shares.items() if slot in used}
         slots = sorted(used)
-        target = dict(zip(slots, even(self.whole, len(slots)), strict=True))
+        target = dict(zip(slots, split_evenly(self.whole, len(slots)), strict=True))
         for slot in slots:  # shrink first: to the target, but not under what is in use now
             share = self.shares.get(slot, 0)
             if share > target[slot]:
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -104,7 +104,7 @@
         put(form.PID, 0)
         put(form.INCARNATION, self.me.incarnation)
         put(form.STATE, form.STARTING)
-        self.telemetry.mirror = self.region.count
+        self.telemetry.on_count_changed = self.region.count
         self.core.may_start, self.core.on_engine_changed = self.fence, self.watch
         program.platform.relay, program.platform.prefix = self, ownership.prefix(self.me)
         self.mesh = WorkerMesh(self.passport.mesh, self.passport.paths, program.platform)
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -32,7 +32,7 @@
     count, settings = passport.slots, config.settings
     operator = config.operator
     tds = operator.tds and msgspec.structs.replace(
-        operator.tds, max_sessions=max(1, division.even(operator.tds.max_sessions, count)[passport.slot])
+        operator.tds, max_sessions=max(1, division.split_evenly(operator.tds.max_sessions, count)[passport.slot])
     )
     return dataclasses.replace(
         config,
--- a/frostspindle/division.py
+++ b/frostspindle/division.py
@@ -1,6 +1,6 @@
-"""How a whole is divided among claimants.
+"""How a whole is divided among claimants: evenly, or max-min fairly by what each wants.
 
-Owns the two rules that workers and fleets share. It must never know what is divided.
+Workers and coordinators of a fleet share these rules. They do not know what is divided.
 """
 
 from __future__ import annotations
@@ -11,31 +11,36 @@
 Key = TypeVar("Key", bound=Hashable)
 
 
-def even(whole: int, among: int) -> list[int]:
-    """Divide `whole` into `among` whole numbers that differ by one at most."""
-    base, rest = divmod(whole, max(1, among))
-    return [base + (place < rest) for place in range(among)]
+def split_evenly(whole: int, count: int) -> list[int]:
+    """Divide `whole` into `count` whole numbers that differ by one at most."""
+    base, remainder = divmod(whole, max(1, count))
+    return [base + (index < remainder) for index in range(count)]
 
 
-def fair(wants: Mapping[Key, int], whole: int) -> dict[Key, int]:
+def max_min_fair_shares(wants: Mapping[Key, int], whole: int) -> dict[Key, int]:
     """Divide `whole` max-min fairly: the smallest wants are met, the others share the rest evenly; ties by key."""
-    out, left = dict.fromkeys(wants, 0), whole
-    open_wants = sorted(wants, key=lambda key: (wants[key], key))
-    while open_wants:
-        key = open_wants.pop(0)
-        out[key] = min(wants[key], left // (len(open_wants) + 1))
-        left -= out[key]
-    return out
-
-
-def level(wants: Sequence[tuple[int, Key]], whole: int) -> tuple[int, int, int]:
-    """`fair` for claimants in its order, without a share for each: those from the first of the three on get the second,
-    and from the last of the three on one more; those before the first get what they want."""
-    left, open_wants = whole, len(wants)
+    shares = dict.fromkeys(wants, 0)
+    remaining = whole
+    unserved = sorted(wants, key=lambda key: (wants[key], key))
+    while unserved:
+        key = unserved.pop(0)
+        shares[key] = min(wants[key], remaining // (len(unserved) + 1))
+        remaining -= shares[key]
+    return shares
+
+
+def max_min_fair_level(wants: Sequence[tuple[int, Key]], whole: int) -> tuple[int, int, int]:
+    """Return `max_min_fair_shares` for claimants sorted by want and key, without a share for each.
+
+    The three numbers are the index of the first claimant that gets less than it wants, the share of it and those after
+    it, and the index from which on each gets one more than that. Those before the first get what they want.
+    """
+    remaining = whole
+    unserved = len(wants)
     for want, _ in wants:
-        if want > left // open_wants:
-            base, rest = divmod(left, open_wants)
-            return len(wants) - open_wants, base, len(wants) - rest
-        left -= want
-        open_wants -= 1
+        if want > remaining // unserved:
+            base, remainder = divmod(remaining, unserved)
+            return len(wants) - unserved, base, len(wants) - remainder
+        remaining -= want
+        unserved -= 1
     return len(wants), 0, len(wants)
--- a/frostspindle/fleet/node.py
+++ b/frostspindle/fleet/node.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from frostspindle.division import even
+from frostspindle.division import split_evenly
 from frostspindle.fleet import quota_flow, wire
 from frostspindle.fleet.counters import FleetCounters, interval
 from frostspindle.fleet.engine_verdicts import TELL_MS, EngineVerdicts
@@ -247,7 +247,7 @@
     # Budgets.
 
     def _rights(self, budget: Budget, lease_ms: float, born: float, series: int = 0) -> QuotaAccount:
-        shares = dict(zip(self.homes, even(budget.units, len(self.homes)), strict=True))
+        shares = dict(zip(self.homes, split_evenly(budget.units, len(self.homes)), strict=True))
         return QuotaAccount(shares.get(self.name, 0), budget.window_ms, lease_ms, self.terms.drift, born, series)
 
     def _digest(self, budget: Budget, lease_ms: float) -> int:
--- a/frostspindle/fleet/quota_flow.py
+++ b/frostspindle/fleet/quota_flow.py
@@ -14,7 +14,7 @@
 from collections.abc import Collection, Container
 from hashlib import blake2b
 
-from frostspindle.division import level
+from frostspindle.division import max_min_fair_level
 from frostspindle.fleet.quota_escrow import LentQuota, QuotaAccount
 
 PARTS = 8  # of a window, by which demand is counted
@@ -186,7 +186,7 @@
     place = bisect_left(claims, (loan.want, borrower))
     mine = bisect_left(claims, (need, ""))  # where the own need comes among them
     claims.insert(mine, (need, ""))
-    met, base, more = level(claims, rights.own)
+    met, base, more = max_min_fair_level(claims, rights.own)
     del claims[mine]
     place += place >= mine
     share = loan.want if place < met else base + (place >= more)
@@ -203,7 +203,7 @@
     is the same at all homes, so that rights gather at one coordinator, and at another with each turn.
     """
     claims = sorted((*rights.claims, (need, me)))
-    met, base, _ = level(claims, rights.own)
+    met, base, _ = max_min_fair_level(claims, rights.own)
     if base >= least or met == len(claims):
         return offer(rights, need, loan, borrower)
     shares = {name: want for want, name in claims[:met]}
--- a/frostspindle/handover.py
+++ b/frostspindle/handover.py
@@ -1,25 +1,27 @@
-"""How many requests each of the two processes of an upgrade may have open.
+"""The limit on open requests of each of the two processes of an upgrade.
 
-Owns the division of one bound that both must keep together, as clients hold no more connections than that for the
-two of them. It must never take from the process that ends what it may keep: the other starts with nothing open and
-needs its part only as work comes, while what is refused here was waiting for its turn. It does no I/O and reads no
-clock.
+Both share one limit, as clients hold no more connections than that for the two of them. The process that drains keeps
+what it has open: the other one starts with nothing open and needs its share only as work comes, while what it rejects
+was waiting for its turn. Without I/O or clock.
 """
 
 from __future__ import annotations
 
-LEAST = 0.2  # part of the whole that the process that goes on may have in any case
-# Where the other process does not tell what it has open (an older version, several workers): fixed parts.
-STAYS, ENDS = 0.6, 0.4
+MIN_SERVING_SHARE = 0.2  # of the whole limit, which the process that goes on serving has in any case
+# Fixed shares where the other process does not tell what it has open (an older version, several workers).
+FIXED_SERVING_SHARE = 0.6
+FIXED_DRAINING_SHARE = 0.4
 
 
-def most_open(whole: int, theirs: int | None, ends: bool) -> int:
-    """The most requests that this process may have open, of `whole` for both.
+def open_request_limit(total: int, other_open: int | None, is_draining: bool) -> int:
+    """Return how many requests this process may have open, of `total` for both.
 
-    `theirs` is what the other has open, None if it does not tell; `ends` says which of the two this one is. Before
-    either ends, each may have what the other does not use.
+    `other_open` is what the other process has open, None if it does not tell; `is_draining`: this is the one that ends.
+    Before either ends, each may have what the other does not use.
     """
-    if theirs is None:
-        return int(whole * (ENDS if ends else STAYS))
-    least = int(whole * LEAST)
-    return max(0, whole - max(theirs, least)) if ends else max(least, whole - theirs)
+    if other_open is None:
+        return int(total * (FIXED_DRAINING_SHARE if is_draining else FIXED_SERVING_SHARE))
+    min_serving = int(total * MIN_SERVING_SHARE)
+    if is_draining:
+        return max(0, total - max(other_open, min_serving))
+    return max(min_serving, total - other_open)
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -35,7 +35,7 @@
         super().__init__(core)
         self.telemetry = telemetry
         self.loop = asyncio.get_running_loop()
-        self.idle_s = pools.kept_ms(config.idle_ms) / 1000.0
+        self.idle_s = pools.idle_timeout_ms(config.idle_ms) / 1000.0
         self.sockets = config.limits.sockets
         self.crowd(False)
         self.opening = self.lines = self.waiters = 0
@@ -47,7 +47,7 @@
 
     def crowd(self, crowded: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
-        self.most, self.most_each = pools.bounds(self.sockets, crowded)
+        self.most, self.most_each = pools.connection_limits(self.sockets, crowded)
 
     @property
     def connections(self) -> int:
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -87,7 +87,7 @@
             return attempt.unsent_outcome, (), None, UNKNOWN_COST
         if isinstance(came, Exception):
             self._spoilt(peer, attempt, came)  # it may run: its news are asked for
-            course.doubted = True
+            course.is_doubtful = True
         while True:
             if reply is None:
                 if course.priority != attempt.priority:
@@ -97,7 +97,7 @@
                 if reply is None:
                     return AttemptOutcome.RESET, report, None, UNKNOWN_COST
             report = self.readings.report(reply) or report
-            if course.doubted and reply.status == 500:
+            if course.is_doubtful and reply.status == 500:
                 # The engine lives and does not know the query: the POST was lost, or the process that took it.
                 # That it never ran, or runs no more, is likely and unproven.
                 self.telemetry.count("queries_unknown")
@@ -166,8 +166,8 @@
                     return None
             finally:
                 if wired[0]:  # what had no connection can't have been an ask that keeps the query going
-                    course.asked_ms = began
-            fresh = course.doubted = True
+                    course.last_poll_ms = began
+            fresh = course.is_doubtful = True
             await asyncio.sleep(0.0 if wired[0] else 0.2)
 
     async def _pages(
@@ -200,12 +200,12 @@
         path = f"/v1/store/{attempt.request.ticket}"
         delete = [False]
         for fresh in (False, True):
-            unsure = course.unsure(clock())
+            unsure = course.may_be_other_process(clock())
             try:
                 reply = await peer.call(
                     "DELETE", path, wired=delete, within_s=GIVE_UP_S, fresh=fresh, eldest=unsure, stay=True
                 )
-                if not unsure or once or course.same(reply.line_ms):
+                if not unsure or once or course.is_same_process(reply.line_ms):
                     return
                 break
             except PoolExhaustedError as error:
@@ -217,7 +217,7 @@
                 if fresh and delete[0] and (once or not unsure):
                     return  # a live machine has the whole call; it merely does not answer
         told = clock() if delete[0] else math.inf  # without a DELETE no answer ends the wait
-        while (left := course.wait_ms(clock(), told, peer.lines)) > 0:
+        while (left := course.remaining_wait_ms(clock(), told, peer.lines)) > 0:
             await asyncio.sleep(min(LOOK_S, left / 1000.0))
 
     async def _rank(self, peer: ConnectionPool, attempt: Attempt, course: AttemptProgress) -> None:
@@ -226,7 +226,7 @@
             self.telemetry.count("ranked" if reply.status == 204 else "rank_failed")
         except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
             self.telemetry.count("rank_failed")
-            course.doubted = True
+            course.is_doubtful = True
 
 
 class DirectAttempt:
--- a/frostspindle/net/http/connection_pool.py
+++ b/frostspindle/net/http/connection_pool.py
@@ -105,7 +105,7 @@
     def take(self, eldest: bool = False) -> EngineConnection | None:
         """Take an idle connection, the last used or the eldest; None if no idle one is usable."""
         while self.idle:
-            line = pools.pick(self.idle, eldest)
+            line = pools.choose_idle(self.idle, eldest)
             if line is self.idle[-1]:
                 self.idle.pop()
             else:
@@ -242,7 +242,7 @@
     @staticmethod
     def heard(line: EngineConnection, reply: EngineReply, page: int | None) -> EngineReply:
         """Note that a response has come and return it; BadReply if it can't be that of `page`."""
-        reply.line_ms, line.heard_ms = line.born_ms, clock()
+        reply.line_ms, line.last_response_ms = line.opened_ms, clock()
         if page is not None:
             reply.read(page)
         return reply
--- a/frostspindle/net/http/engine_connection.py
+++ b/frostspindle/net/http/engine_connection.py
@@ -74,7 +74,7 @@
         self.timer: asyncio.TimerHandle | None = None  # the loop's, for that or an earlier call's
         self.good, self.whole, self.idle_at = True, False, self.loop.time()
         self.unwritten = False  # the system has yet to take a part of the call
-        self.born_ms = self.heard_ms = clock()  # up since, and last answered
+        self.opened_ms = self.last_response_ms = clock()  # up since, and last answered
         self.came = self.fields = self.status = 0
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -14,7 +14,7 @@
 from frostspindle.core import Core, clock
 from frostspindle.order.key_queue import KeyQueue
 from frostspindle.order.shared_cells import SharedCellFolder
-from frostspindle.pools import FORGOTTEN_MS
+from frostspindle.pools import UNPOLLED_QUERY_EXPIRY_MS
 from frostspindle.telemetry import Telemetry
 
 LOOK_S = 0.02  # so often it is looked for those that wait
@@ -27,7 +27,7 @@
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.core, self.telemetry = core, telemetry
         self.sheets = SharedCellFolder(
-            folder, lambda: time.monotonic() * 1000.0, FORGOTTEN_MS + core.settings.key_order_pause_ms
+            folder, lambda: time.monotonic() * 1000.0, UNPOLLED_QUERY_EXPIRY_MS + core.settings.key_order_pause_ms
         )
         self.turns = KeyQueue(self.sheets.own.owner, self.sheets.own, self.sheets.places)
         self._timer: asyncio.TimerHandle | None = None
--- a/frostspindle/pools.py
+++ b/frostspindle/pools.py
@@ -1,75 +1,91 @@
-"""Connections to engines: how many, how long they are kept, and what one proves about the process behind it.
+"""Policy of the connections to engines, without I/O or clock; net/http/connection_pool.py carries it out.
 
-Owns the bounds of a pool, which idle connection serves a call, and when a query that was given up can run no more. It
-does no I/O and reads no clock: net/http/peer.py carries it out. It must never take an answer for that of the process
-that has a query unless the connection is as old as the query.
+Decides how many connections there are, how long idle ones are kept, which of them serves a call, and when a query that
+was given up can run no more. A response counts as that of the process that has a query only if its connection is as old
+as the query.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from typing import Protocol, TypeVar
+from typing import NamedTuple, Protocol, TypeVar
 
-FORGOTTEN_MS = 2100.0  # an engine drops what has not been asked for in 2 s
-OVERDUE_MS = 400.0  # an ask for news that has been out for longer than this has met a silent machine
-EARLY_MS = 2000.0  # so long before its engine closes it an idle connection is closed here, or at half the time
-# Of all sockets, for connections to engines, alone and beside another process; clients have another part.
-ENGINE_PART, CROWDED_PART = 0.38, 0.15
+UNPOLLED_QUERY_EXPIRY_MS = 2100.0  # an engine drops a query that has not been polled for 2 s
+POLL_OVERDUE_MS = 400.0  # a poll that has been in flight for longer than this has met a silent machine
+CLOSE_AHEAD_MS = 2000.0  # so long before its engine would, this side closes an idle connection
+# Shares of all sockets for connections to engines, alone and beside another process; clients have another part.
+ENGINE_SOCKET_SHARE = 0.38
+ENGINE_SOCKET_SHARE_BESIDE_OTHER = 0.15
 
 
 class Connection(Protocol):
     """What is used here of a connection to an engine; times are Unix ms."""
 
-    born_ms: float  # up since
-    heard_ms: float  # last answered
+    opened_ms: float
+    last_response_ms: float
 
 
-C = TypeVar("C", bound=Connection)
+ConnectionT = TypeVar("ConnectionT", bound=Connection)
 
 
-def kept_ms(idle_ms: float) -> float:
-    """Return how long an idle connection is used, of the ms after which engines close it.
+class ConnectionLimits(NamedTuple):
+    """The most connections to all engines together, and to one of them."""
 
-    It ends earlier here, as a call that crosses the engine's close is lost.
+    total: int
+    per_engine: int
+
+
+def idle_timeout_ms(engine_idle_timeout_ms: float) -> float:
+    """Return how long an idle connection is used, by the time after which engines close it (both in ms).
+
+    It is shorter by CLOSE_AHEAD_MS, or by half if that is less, as a call that crosses the engine's close is lost.
     """
-    return max(idle_ms / 2.0, idle_ms - EARLY_MS)
+    return max(engine_idle_timeout_ms / 2.0, engine_idle_timeout_ms - CLOSE_AHEAD_MS)
 
 
-def bounds(sockets: int, crowded: bool) -> tuple[int, int]:
-    """Return the most connections to all engines and to one; beside another process both must fit the descriptors."""
-    most = max(16, int(sockets * (CROWDED_PART if crowded else ENGINE_PART)))
-    return most, max(8, most // (2 if crowded else 3))
+def connection_limits(sockets: int, is_beside_other: bool) -> ConnectionLimits:
+    """Return the limits for a process with so many sockets; beside another process both must fit the descriptors."""
+    share = ENGINE_SOCKET_SHARE_BESIDE_OTHER if is_beside_other else ENGINE_SOCKET_SHARE
+    total = max(16, int(sockets * share))
+    per_engine = max(8, total // (2 if is_beside_other else 3))
+    return ConnectionLimits(total, per_engine)
 
 
-def pick(idle: Sequence[C], eldest: bool) -> C:
-    """Return the idle connection that was used last, so that others age out; or the eldest, as proof of the process."""
-    return min(idle, key=lambda one: one.born_ms) if eldest else idle[-1]
+def choose_idle(idle: Sequence[ConnectionT], oldest: bool) -> ConnectionT:
+    """Return the idle connection that was used last, so that others age out; or the oldest, as proof of the process."""
+    if oldest:
+        return min(idle, key=lambda connection: connection.opened_ms)
+    return idle[-1]
 
 
 class AttemptProgress:
     """The progress of one attempt on the wire; times are Unix ms."""
 
-    __slots__ = ("wired", "asked_ms", "began_ms", "doubted", "priority")
+    __slots__ = ("wired", "last_poll_ms", "started_ms", "is_doubtful", "priority")
 
     def __init__(self, now_ms: float) -> None:
-        self.wired = [False]  # bytes of its POST may have gone out
-        self.asked_ms = self.began_ms = now_ms  # when the engine was last asked for this query, and first
+        self.wired = [False]  # set by the call that sends the query once its bytes may have gone out
+        self.last_poll_ms = now_ms  # when the engine was last asked for this query
+        self.started_ms = now_ms
         self.priority = -1  # the last that the engine was told
-        self.doubted = False  # an answer did not come as it should: the process may be another one by now
+        self.is_doubtful = False  # a response was missing or damaged: the process may be another one by now
 
-    def unsure(self, now_ms: float) -> bool:
+    def may_be_other_process(self, now_ms: float) -> bool:
         """Return whether the process that answers now may be a successor of the one that has the query."""
-        return self.doubted or now_ms - self.asked_ms > OVERDUE_MS
+        return self.is_doubtful or now_ms - self.last_poll_ms > POLL_OVERDUE_MS
 
-    def same(self, born_ms: float) -> bool:
-        """Return whether a connection opened at `born_ms` leads to the process that has the query."""
-        return born_ms <= self.began_ms
+    def is_same_process(self, opened_ms: float) -> bool:
+        """Return whether a connection opened at `opened_ms` leads to the process that has the query."""
+        return opened_ms <= self.started_ms
 
-    def wait_ms(self, now_ms: float, told_ms: float, connections: Iterable[Connection]) -> float:
+    def remaining_wait_ms(self, now_ms: float, deleted_ms: float, connections: Iterable[Connection]) -> float:
         """Return the ms until the query can't run any more; 0 if an old connection answered after the DELETE.
 
-        The DELETE was sent at `told_ms`. The process drops a query that it was not asked for in FORGOTTEN_MS.
+        The DELETE was sent at `deleted_ms`. The process drops a query that is not polled for UNPOLLED_QUERY_EXPIRY_MS.
         """
-        if any(self.same(one.born_ms) and one.heard_ms > told_ms for one in connections):
+        if any(
+            self.is_same_process(connection.opened_ms) and connection.last_response_ms > deleted_ms
+            for connection in connections
+        ):
             return 0.0
-        return max(0.0, self.asked_ms + FORGOTTEN_MS - now_ms)
+        return max(0.0, self.last_poll_ms + UNPOLLED_QUERY_EXPIRY_MS - now_ms)
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -20,7 +20,7 @@
 from frostspindle import signals
 from frostspindle.config import Config, ConfigError
 from frostspindle.core import SUBREQUEST_FRONT, Core
-from frostspindle.handover import most_open
+from frostspindle.handover import open_request_limit
 from frostspindle.ledger.tenants import RequestAttributes
 from frostspindle.net.discovery import EndpointWatcher
 from frostspindle.net.engines import HttpEngines
@@ -294,7 +294,7 @@
         """Clients have a third of the descriptors, for both processes: past that, nobody finds a connection."""
         whole = int(self.sockets * OPEN_PART)
         if crowded:
-            whole = most_open(whole, self.shared.theirs, self.stopping.is_set())
+            whole = open_request_limit(whole, self.shared.theirs, self.stopping.is_set())
         self.core.set_open_limit(max(16, whole if self.most_open is None else min(whole, self.most_open)))
 
     def bound(self) -> None:
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -252,8 +252,8 @@
         skipped, rows = self._skips(request.group, sites, plan.predicate)
         asked = [site for site in sites if site not in skipped]
         self.telemetry.count("scatter_requests")
-        self.telemetry.count("scatter_parts", by=len(asked))
-        self.telemetry.count("scatter_left_out", by=len(skipped))
+        self.telemetry.count("scatter_parts", amount=len(asked))
+        self.telemetry.count("scatter_left_out", amount=len(skipped))
         query = _ScatteredQuery(
             request,
             Gather(plan.merge, asked, self.catalogue.terms.null, request.partial, self.catalogue.terms.most_rows),
--- a/tests/test_cores_decisions.py
+++ b/tests/test_cores_decisions.py
@@ -130,7 +130,7 @@
 
 @given(strategies.dictionaries(strategies.integers(0, 9), strategies.integers(0, 300), min_size=1))
 def test_a_fair_share_wastes_nothing_and_starves_nobody(wants):
-    out = division.fair(wants, UNITS)
+    out = division.max_min_fair_shares(wants, UNITS)
     assert sum(out.values()) <= UNITS and all(out[slot] <= want for slot, want in wants.items())
     short = [slot for slot in wants if out[slot] < wants[slot]]
     if short:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -211,7 +211,7 @@
         self.assertEqual((await self.ask(LOAD))[0], 502)
         self.assertEqual(len(engine.of("POST")), 1)
 
-    @unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 200.0)
+    @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 200.0)
     async def test_resets_on_the_way_do_not_speak_against_an_engine_that_lives(self):
         (engine,) = await self.start()
         cut = []
@@ -257,7 +257,7 @@
         if elder:
             beside = asyncio.create_task(self.ask(number=7, **{"X-Cost-Ms": "5000"}))
             await engine.seen("GET")
-        with unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 2500.0 if elder else 900.0):
+        with unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 2500.0 if elder else 900.0):
             asked = asyncio.create_task(self.ask())
             await self.until(lambda: sum(method == "POST" for method, _ in at) == 2)
         done.set()
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -81,13 +81,13 @@
     monkeypatch.setattr(telemetry.time, "time", lambda: now)
     sink = io.BytesIO()
     told = Telemetry("n", sink)
-    for _ in range(telemetry.LINES_A_SECOND + 7):
+    for _ in range(telemetry.MAX_LINES_PER_S + 7):
         told.log("storm")
     now += 1.0
     told.log("calm")
     lines = [json.loads(line) for line in sink.getvalue().splitlines()]
     assert Counter(line["event"] for line in lines) == {
-        "storm": telemetry.LINES_A_SECOND,
+        "storm": telemetry.MAX_LINES_PER_S,
         "lines_dropped": 1,
         "calm": 1,
     }
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -198,22 +198,24 @@
 
 class Connection:
     def __init__(self, born: float, heard: float) -> None:
-        self.born_ms, self.heard_ms = born, heard
+        self.opened_ms, self.last_response_ms = born, heard
 
 
 def test_only_a_connection_as_old_as_the_query_shows_that_its_process_is_the_same():
     course = pools.AttemptProgress(1000.0)
-    assert not course.unsure(1300.0) and course.unsure(1500.0), "an ask that is out for too long"
+    assert not course.may_be_other_process(1300.0) and course.may_be_other_process(1500.0), (
+        "an ask that is out for too long"
+    )
     for born, heard, wait in ((900.0, 1600.0, 0.0), (900.0, 1400.0, 1500.0), (1001.0, 1600.0, 1500.0)):
-        assert course.wait_ms(1600.0, 1500.0, [Connection(born, heard)]) == wait
-    assert course.wait_ms(4000.0, 1500.0, []) == 0.0
+        assert course.remaining_wait_ms(1600.0, 1500.0, [Connection(born, heard)]) == wait
+    assert course.remaining_wait_ms(4000.0, 1500.0, []) == 0.0
 
 
 def test_pools_keep_within_the_descriptors_and_close_before_the_engine_does():
-    assert [pools.kept_ms(idle) for idle in (15000.0, 3000.0)] == [13000.0, 1500.0]
+    assert [pools.idle_timeout_ms(idle) for idle in (15000.0, 3000.0)] == [13000.0, 1500.0]
     for sockets in (64, 384, 4096):
         for crowded in (False, True):
-            most, each = pools.bounds(sockets, crowded)
+            most, each = pools.connection_limits(sockets, crowded)
             assert 8 <= each <= most <= max(16, 0.38 * sockets)
     young, old = Connection(2.0, 3.0), Connection(1.0, 2.0)
-    assert pools.pick([old, young], False) is young and pools.pick([young, old], True) is old
+    assert pools.choose_idle([old, young], False) is young and pools.choose_idle([young, old], True) is old
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from frostspindle.division import fair, level
+from frostspindle.division import max_min_fair_level, max_min_fair_shares
 from frostspindle.fleet import engine_verdicts, quota_flow, wire
 from frostspindle.fleet.counters import PUBLISH_MS, FleetCounters, interval
 from frostspindle.fleet.gossip_buffer import GossipBuffer
@@ -678,10 +678,10 @@
     )
     def test_shares_found_by_level_are_the_fair_ones(self, wants, whole):
         order = sorted((want, name) for name, want in wants.items())
-        met, base, more = level(order, whole)
+        met, base, more = max_min_fair_level(order, whole)
         self.assertEqual(
             {name: want if place < met else base + (place >= more) for place, (want, name) in enumerate(order)},
-            fair(wants, whole),
+            max_min_fair_shares(wants, whole),
         )
 
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -31,7 +31,7 @@
 from frostspindle.order.key_queue import KeyQueue, QueuePosition
 from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.policy import AttemptOutcome, Controller, EndpointListKind
-from frostspindle.pools import FORGOTTEN_MS
+from frostspindle.pools import UNPOLLED_QUERY_EXPIRY_MS
 
 
 class Audit:
@@ -430,7 +430,8 @@
         await asyncio.to_thread(old.process.wait, 60)
         self.assertIn("rows", await self.keyed(later, 2, "k"))
         self.assertEqual(self.sent, ["1", "2"])
-        self.assertGreater(self.times[1] - killed, FORGOTTEN_MS / 1000.0)  # so long it may, as nobody asks for it
+        # So long the killed one's query may run on, as nobody polls it.
+        self.assertGreater(self.times[1] - killed, UNPOLLED_QUERY_EXPIRY_MS / 1000.0)
         one.cancel()
 
 
@@ -501,7 +502,7 @@
             return hang.wait() if not hang.is_set() else None
 
         engine.script = script
-        with unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 1500.0):
+        with unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 1500.0):
             first = await self.ask(LOAD_CLASS, 1, 900.0, **{"X-Object": "k"})
             self.assertEqual(first[0], 502)  # its answer comes in time; its key is not free yet
             nine = await asyncio.gather(
@@ -554,7 +555,7 @@
                 answered.clear()
         self.assertEqual(len(engine.of("POST")), 3)
 
-    @unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 100.0)
+    @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 100.0)
     async def test_other_processes_wait_while_a_key_rests_after_what_may_still_run(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
@@ -571,7 +572,8 @@
             await self.until(lambda: not self.program.core.ledger.entries)  # answered, and no attempt is out
             self.assertTrue(places() or not stands)
             await self.until(lambda stands=stands, places=places: stands or not places())
-            self.assertEqual(self.program.order.sheets.keep_ms, FORGOTTEN_MS + pause_ms)  # of one that was killed, too
+            # Also the place of a process that was killed.
+            self.assertEqual(self.program.order.sheets.keep_ms, UNPOLLED_QUERY_EXPIRY_MS + pause_ms)
             self.assertEqual((len(places()), self.program.order.turns.open), (int(stands), int(stands)))
 
     async def test_what_ends_after_the_sheet_is_closed_touches_it_no_more(self):
--- a/tests/test_ownership_lab.py
+++ b/tests/test_ownership_lab.py
@@ -12,7 +12,7 @@
 from frostspindle.lab.history import check
 from frostspindle.lab.ownership import Coordinator, Lab, measure, play
 from frostspindle.ownership import holder as deciding
-from frostspindle.telemetry import LINES_A_SECOND, Telemetry
+from frostspindle.telemetry import MAX_LINES_PER_S, Telemetry
 
 
 def took(at, token, holder, task="x"):
@@ -41,8 +41,8 @@
     """As the program tells it."""
     sink = io.BytesIO()
     told = Telemetry("a", sink=sink)
-    with mock.patch("frostspindle.telemetry.time.time", side_effect=[1_000.0] * (LINES_A_SECOND + 1) + [1_001.0]):
-        for _ in range(LINES_A_SECOND + 2):
+    with mock.patch("frostspindle.telemetry.time.time", side_effect=[1_000.0] * (MAX_LINES_PER_S + 1) + [1_001.0]):
+        for _ in range(MAX_LINES_PER_S + 2):
             told.log("storm")
     return json.loads(sink.getvalue().splitlines()[-2])
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -49,7 +49,7 @@
         self.assertEqual((sent["X-Ticket"], sent["X-Queue"]), ("0000000000000abc", "lookup"))
         self.assertIn(sent["X-Priority"], "0123")
 
-    @unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 200.0)
+    @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 200.0)
     async def test_a_repeatable_request_is_tried_again_when_its_engine_dies_and_a_load_is_not(self):
         engines = await self.start(2)
         for engine in engines:
@@ -118,7 +118,7 @@
         self.assertEqual(answer[:2], (200, {"rows": [["a", "1", "x"]]}))
         self.assertLess(order.index("DELETE"), order.index("again"))
 
-    @unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 200.0)
+    @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 200.0)
     async def test_a_query_behind_broken_connections_is_given_up_before_the_next_attempt(self):
         engines = await self.start(2)
         order = []
@@ -192,11 +192,11 @@
         await self.start()
         for Peer.wired in (False, True):
             course = AttemptProgress(clock())
-            course.asked_ms = 5.0
+            course.last_poll_ms = 5.0
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.05):
                     await self.program.driver.life.news(Peer(), None, "/v1/store/x/", 0, course)
-            self.assertEqual(course.asked_ms > 5.0, Peer.wired)
+            self.assertEqual(course.last_poll_ms > 5.0, Peer.wired)
 
     async def test_a_clients_close_and_its_delete_free_the_engines_work(self):
         (engine,) = await self.start()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 from peers import SQL, EdgeCase, HttpEngine, TdsClient, at_work, change, host, settings
 
 from frostspindle import program
-from frostspindle.handover import most_open
+from frostspindle.handover import open_request_limit
 from frostspindle.shared import Shared
 from frostspindle.telemetry import Telemetry
 
@@ -296,10 +296,12 @@
     def test_both_processes_keep_together_to_the_bound_and_neither_takes_what_the_other_holds(self):
         for whole in (16, 111, 296):
             for held in range(whole + 1):
-                new = most_open(whole, held, ends=False)
-                self.assertGreaterEqual(most_open(whole, new, ends=True), min(held, whole - int(whole * 0.2)))
+                new = open_request_limit(whole, held, is_draining=False)
+                self.assertGreaterEqual(
+                    open_request_limit(whole, new, is_draining=True), min(held, whole - int(whole * 0.2))
+                )
                 self.assertLessEqual(held + new, whole + int(whole * 0.2))
-        self.assertEqual([most_open(100, None, ends) for ends in (False, True)], [60, 40])
+        self.assertEqual([open_request_limit(100, None, is_draining) for is_draining in (False, True)], [60, 40])
 
     def test_a_figure_that_can_not_be_read_counts_as_not_told(self):
         with tempfile.TemporaryDirectory() as folder:
