--- a/bench/scale.py
+++ b/bench/scale.py
@@ -55,25 +55,25 @@
 class Silent:
     """A driver whose attempts end when the benchmark ends them."""
 
-    numbered = False
+    has_shared_versions = False
 
     def __init__(self) -> None:
         self.out: list[Attempt] = []
 
-    def listed(self, engine: EngineState) -> None:
+    def update_engine(self, engine: EngineState) -> None:
         """Ignore a newly listed engine."""
 
-    def rank(self, attempt: Attempt) -> None:
+    def update_priority(self, attempt: Attempt) -> None:
         """Ignore a change of an attempt's priority."""
 
-    def probe(self, engine: int) -> None:
+    def start_health_check(self, engine: int) -> None:
         """Ignore a health check, which never gets a result."""
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Keep the attempt for the benchmark to end."""
         self.out.append(attempt)
 
-    def stop(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         """Ignore a cancellation."""
 
 
--- a/bench/scatter.py
+++ b/bench/scatter.py
@@ -95,7 +95,7 @@
     parts = [[[f"agent-{n}", "3", "7"] for n in range(100)] for _ in range(4)]
     insert = "INSERT INTO calls_17.notes (n, s) VALUES ({}, 'agent-7'), (8, 'agent-8')"
     return {
-        "a request of nothing spread, us": best_us(lambda: scatter.takes(other), 20_000),
+        "a request of nothing spread, us": best_us(lambda: scatter.try_take(other), 20_000),
         "a statement, read": best_us(lambda: planner.plan(17, SQL.format(next(numbers), 10**9)), 50),
         "a statement, known": best_us(lambda: planner.plan(17, known), 20_000),
         "a summary, asked": best_us(lambda: may_match(plan.predicate, summary), 2_000),
--- a/frostspindle/core/actions.py
+++ b/frostspindle/core/actions.py
@@ -65,7 +65,7 @@
             raise RuntimeError("a send while an attempt is out or the request is answered")
         entry.attempts.append(attempt)
         self._telemetry.count("sent", entry.request.front, attempt.class_name)
-        engine.driver.start(attempt)
+        engine.driver.start_attempt(attempt)
         if self._hooks.on_engine_changed is not None:
             self._hooks.on_engine_changed(attempt.engine, ())
 
@@ -96,7 +96,7 @@
         for attempt in entry.attempts:
             if not attempt.is_finished:
                 attempt.priority = action.priority
-                self._engines[attempt.engine].driver.rank(attempt)
+                self._engines[attempt.engine].driver.update_priority(attempt)
 
     def _cancel_attempt(self, now: float, action: policy.CancelAttempt) -> None:
         entry = self._ledger.entries.get(action.request)
@@ -104,7 +104,7 @@
             return
         attempt = entry.attempts[action.attempt]
         if not attempt.is_finished:
-            self._engines[attempt.engine].driver.stop(attempt)
+            self._engines[attempt.engine].driver.cancel_attempt(attempt)
 
     def _reject_request(self, now: float, action: policy.RejectRequest) -> None:
         self._ledger.respond(action.request, Response(ResponseStatus.REJECTED, None, action.retry_after_ms))
@@ -114,7 +114,7 @@
 
     def _run_health_check(self, now: float, action: policy.RunHealthCheck) -> None:
         self._telemetry.count("probes")
-        self._engines[action.engine].driver.probe(action.engine)
+        self._engines[action.engine].driver.start_health_check(action.engine)
 
     def _subscribe_endpoints(self, now: float, action: policy.SubscribeEndpoints) -> None:
         """Do nothing: drivers and the endpoint watcher keep their subscriptions themselves."""
--- a/frostspindle/core/core.py
+++ b/frostspindle/core/core.py
@@ -84,7 +84,7 @@
     def submit(self, request: ClientRequest) -> bool:
         """Take a request; False: the core is full, so the front rejects it and the decision module never sees it."""
         if self.interceptor is not None:
-            taken = self.interceptor.takes(request)
+            taken = self.interceptor.try_take(request)
             if taken is not None:
                 return taken
         if self.ledger.open_count >= self.most_open:
@@ -98,7 +98,7 @@
 
     def client_disconnected(self, request: ClientRequest) -> None:
         """Drop a request whose client has disconnected; no response follows."""
-        if self.interceptor is not None and self.interceptor.left(request):
+        if self.interceptor is not None and self.interceptor.client_disconnected(request):
             return
         if not request.is_finished:
             request.is_finished = True
--- a/frostspindle/core/drivers.py
+++ b/frostspindle/core/drivers.py
@@ -24,21 +24,21 @@
 class Driver(Protocol):
     """What the core needs of a driver, which runs attempts at engines of one protocol."""
 
-    numbered: bool  # whether the events of its endpoint list have the same numbers in every process
+    has_shared_versions: bool  # whether the events of its endpoint list have the same numbers in every process
 
-    def listed(self, engine: EngineState) -> None:
+    def update_engine(self, engine: EngineState) -> None:
         """Take an engine that is new or has changed."""
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Send the attempt, and report its end exactly once by Core.attempt_ended."""
 
-    def stop(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel the attempt and free the engine's work; Core.attempt_ended follows once it can't be running."""
 
-    def rank(self, attempt: Attempt) -> None:
+    def update_priority(self, attempt: Attempt) -> None:
         """Tell the engine the attempt's new priority."""
 
-    def probe(self, engine: int) -> None:
+    def start_health_check(self, engine: int) -> None:
         """Start a health check of the engine; Core.health_check_completed reports its outcome."""
 
     async def close(self) -> None:
--- a/frostspindle/core/endpoints.py
+++ b/frostspindle/core/endpoints.py
@@ -90,7 +90,7 @@
             changed += self._missing_engines(listing)
         entries = []
         for engine in changed:
-            if listing.driver.numbered:
+            if listing.driver.has_shared_versions:
                 engine.version = listing.version
                 self._end_drain_if_listed(engine)
             entries.append(self._apply_listed_engine(now, engine))
@@ -174,7 +174,7 @@
         self.engines[number] = engine
         if self._hooks.on_engine_changed is not None:
             self._hooks.on_engine_changed(number, ())
-        engine.driver.listed(engine)
+        engine.driver.update_engine(engine)
         if engine.entry.health == Health.GONE:
             self.schedule_expiry(now, number)
         self._telemetry.log("engine", name=engine.name, health=engine.entry.health, since=engine.entry.since_ms)
@@ -204,7 +204,7 @@
             if engine.name in names and engine.entry.health != Health.GONE:
                 refreshed = self._with_overrides(engine)
                 self.engines[number] = refreshed
-                refreshed.driver.listed(refreshed)
+                refreshed.driver.update_engine(refreshed)
                 entries.append(refreshed.entry)
         return entries
 
--- a/frostspindle/core/interfaces.py
+++ b/frostspindle/core/interfaces.py
@@ -46,10 +46,10 @@
     def open(self) -> int:
         """Number of requests taken and not yet answered."""
 
-    def takes(self, request: ClientRequest) -> bool | None:
+    def try_take(self, request: ClientRequest) -> bool | None:
         """Take a request: True if it will answer it, False if it is full, None if the request is for the core."""
 
-    def left(self, request: ClientRequest) -> bool:
+    def client_disconnected(self, request: ClientRequest) -> bool:
         """Drop a request whose client has disconnected; False: it did not take this one."""
 
 
--- a/frostspindle/core/ledger.py
+++ b/frostspindle/core/ledger.py
@@ -99,7 +99,7 @@
         self.entries.pop(number, None)
         for attempt in entry.attempts:
             if not attempt.is_finished:
-                self._engines[attempt.engine].driver.stop(attempt)
+                self._engines[attempt.engine].driver.cancel_attempt(attempt)
         if all(attempt.is_finished for attempt in entry.attempts):
             self.release_key(entry.request)
 
--- a/frostspindle/net/__init__.py
+++ b/frostspindle/net/__init__.py
@@ -19,17 +19,17 @@
 class TaskDriver:
     """A driver that runs each attempt in a task of its own."""
 
-    numbered = False
+    has_shared_versions = False
 
     def __init__(self, core: Core) -> None:
         self.core = core
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def listed(self, engine: EngineState) -> None:
+    def update_engine(self, engine: EngineState) -> None:
         """Take a new or changed engine of the list; each driver implements this."""
         raise NotImplementedError
 
-    def rank(self, attempt: Attempt) -> None:
+    def update_priority(self, attempt: Attempt) -> None:
         """Pass an attempt's new priority to its engine where the protocol allows it; each driver implements this."""
         raise NotImplementedError
 
@@ -37,11 +37,11 @@
         """Return a coroutine that runs the attempt and reports its end by Core.attempt_ended whatever happens."""
         raise NotImplementedError
 
-    def probing(self, engine: int) -> Work:
+    def health_check(self, engine: int) -> Work:
         """Return a coroutine that runs one health check and reports it by Core.health_check_completed."""
         raise NotImplementedError
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Run an attempt in a task of its own; one that is cancelled before its first step is reported as CANCELLED."""
         attempt.task = task = self.spawn(self.attempt(attempt))
         # A task that is cancelled before its first step never runs: nothing was sent, but its end is owed.
@@ -49,14 +49,14 @@
             lambda task: self.core.attempt_ended(attempt, AttemptOutcome.CANCELLED) if task.cancelled() else None
         )
 
-    def stop(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel the attempt's task, if any; the task reports the attempt's end once the engine is free of it."""
         if attempt.task is not None:
             attempt.task.cancel()
 
-    def probe(self, engine: int) -> None:
+    def start_health_check(self, engine: int) -> None:
         """Start a health check of an engine in a task of its own."""
-        self.spawn(self.probing(engine))
+        self.spawn(self.health_check(engine))
 
     def spawn(self, work: Work) -> asyncio.Task[None]:
         """Run a coroutine in a task and keep a reference to it until it ends, as asyncio holds tasks only weakly."""
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -29,7 +29,7 @@
 class HttpEngines(TaskDriver):
     """The driver of HTTP engines."""
 
-    numbered = True  # the event bus counts
+    has_shared_versions = True  # the event bus counts
 
     def __init__(self, config: Config, core: Core, telemetry: Telemetry) -> None:
         super().__init__(core)
@@ -76,7 +76,7 @@
 
     # The core's interface.
 
-    def listed(self, engine: EngineState) -> None:
+    def update_engine(self, engine: EngineState) -> None:
         """Create, update or retire the connection pool of a listed engine.
 
         An engine with another address or a later start is another process: it gets a new pool, so that no call goes out
@@ -97,7 +97,7 @@
         elif engine.entry.health != Health.GONE:
             self.peers[number] = ConnectionPool(self, engine)
 
-    def rank(self, attempt: Attempt) -> None:
+    def update_priority(self, attempt: Attempt) -> None:
         """Do nothing: the next poll, within 250 ms, carries the new priority; a call now would cost a connection."""
 
     async def close(self) -> None:
@@ -114,15 +114,15 @@
 
     # One attempt.
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Send the attempt on an idle connection, without a task, unless its time may be up within ANSWER_S."""
         peer = self.peers.get(attempt.engine)
         if peer is None or not peer.idle or self.left_s(attempt) <= ANSWER_S:
-            super().start(attempt)
+            super().start_attempt(attempt)
             return
         first = DirectAttempt(self.life, peer, attempt, self._ended, self._on, self._off)
         if (line := peer.take()) is None:
-            super().start(attempt)
+            super().start_attempt(attempt)
         elif self.core.may_send(attempt):
             first.send(line)
         else:
@@ -222,7 +222,7 @@
         except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
             self.telemetry.count("warm_left")  # the engine ends it by X-Max-Ms
 
-    async def probing(self, engine: int) -> None:
+    async def health_check(self, engine: int) -> None:
         """Ask the engine for `/stats` within 0.3 s and report it with the load by Core.health_check_completed."""
         began, peer, wired = clock(), self.peers.get(engine), [False]
         outcome, report = AttemptOutcome.CONNECT_FAILED, ()
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -225,14 +225,14 @@
 
     # The core's interface.
 
-    def listed(self, engine: EngineState) -> None:
+    def update_engine(self, engine: EngineState) -> None:
         """Close the idle sessions of an engine that is gone; nothing else of the list needs work here."""
         if engine.entry.health == Health.GONE:
             for key in [key for key in self._idle if key[0] == engine.entry.engine]:
                 for connection in self._idle.pop(key):
                     connection.close()
 
-    def rank(self, attempt: Attempt) -> None:
+    def update_priority(self, attempt: Attempt) -> None:
         """Do nothing: TDS has no way to change a priority."""
 
     async def close(self) -> None:
@@ -355,7 +355,7 @@
             connection.close()
             self.core.attempt_ended(attempt, outcome)
 
-    async def probing(self, engine: int) -> None:
+    async def health_check(self, engine: int) -> None:
         """Log in to the engine within the connect timeout and report it by Core.health_check_completed."""
         began, state = clock(), self.states[engine]
         outcome = AttemptOutcome.OK
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -191,7 +191,7 @@
         """Number of scattered queries and loads that are not answered yet."""
         return len(self.queries) + len(self.turns)
 
-    def takes(self, request: ClientRequest) -> bool | None:
+    def try_take(self, request: ClientRequest) -> bool | None:
         """Take a request if it reads spread tables. True: it is settled here; False: full; None: not one of ours."""
         if request.group not in self.catalogue.groups or request.front == SUBREQUEST_FRONT:
             return None
@@ -208,7 +208,7 @@
             self._query(request)
         return True
 
-    def left(self, request: ClientRequest) -> bool:
+    def client_disconnected(self, request: ClientRequest) -> bool:
         """Note that a client left and cancel its parts; return False if the request is not one of ours."""
         if (query := self.queries.pop(request, None)) is not None:
             query.gather.left()
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -121,26 +121,26 @@
     async def test_it_is_never_told_more_than_its_client_has_left(self):
         for idle in (False, True):
             await self.start(idle=idle)
-            start = self.driver.start
+            start = self.driver.start_attempt
 
             def longer(attempt, start=start):
                 attempt.timeout_ms += 60_000.0
                 start(attempt)
 
-            with unittest.mock.patch.object(self.driver, "start", longer):
+            with unittest.mock.patch.object(self.driver, "start_attempt", longer):
                 self.assertLessEqual(await self.told(1), 2000.0)
 
     async def test_what_has_no_time_left_is_not_sent_and_speaks_against_no_engine(self):
         for idle in (False, True):
             await self.start(idle=idle)
-            start = self.driver.start
+            start = self.driver.start_attempt
 
             def spent(attempt, start=start):
                 attempt.request.received_ms -= attempt.request.timeout_ms
                 start(attempt)
 
             with (
-                unittest.mock.patch.object(self.driver, "start", spent),
+                unittest.mock.patch.object(self.driver, "start_attempt", spent),
                 unittest.mock.patch("frostspindle.net.TaskDriver.left_s", staticmethod(lambda attempt: 9.0)),
             ):
                 self.assertEqual((await self.ask())[0], 503)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -152,7 +152,7 @@
         first = order[0][1]
         first.server.close()  # the open connections stay
         (record,) = self.program.core.ledger.entries.values()
-        self.program.driver.stop(record.attempts[0])
+        self.program.driver.cancel_attempt(record.attempts[0])
         self.assertEqual((await asked)[0], 200)
         self.assertEqual(
             [(method, engine is first) for method, engine in order if method != "GET"],
@@ -177,7 +177,7 @@
         await engine.seen("GET")
         (record,) = self.program.core.ledger.entries.values()
         record.attempts[0].priority = 3
-        self.program.driver.rank(record.attempts[0])
+        self.program.driver.update_priority(record.attempts[0])
         self.assertEqual((await asked)[0], 200)
         self.assertEqual(([body for _, _, body in engine.of("PUT")], len(transports)), (["3"], 1))
 
@@ -271,14 +271,14 @@
 
     async def test_an_attempt_stopped_before_its_first_step_still_has_its_end(self):
         (engine,) = await self.start()
-        start = self.program.driver.start
+        start = self.program.driver.start_attempt
 
         def at_once(attempt):
             start(attempt)
-            self.program.driver.stop(attempt)
-            self.program.driver.start = start
+            self.program.driver.cancel_attempt(attempt)
+            self.program.driver.start_attempt = start
 
-        self.program.driver.start = at_once
+        self.program.driver.start_attempt = at_once
         self.assertEqual((await self.ask())[0], 200, "tried again after its end")
         self.assertEqual((self.count("ended_cancelled"), len(engine.of("POST"))), (1, 1))
 
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -119,7 +119,7 @@
             group=17,
             **kw,
         )
-        assert self.scatter.takes(ask)
+        assert self.scatter.try_take(ask)
         return ask
 
     async def begin(self, learnt=True):
@@ -152,9 +152,9 @@
         await self.turn()
         self.assertEqual((self.answers[3].status, len(self.core.asks)), (ResponseStatus.REJECTED, 1))
         self.assertIn("not scatterable", self.answers[3].reason)
-        self.assertIsNone(self.scatter.takes(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=18)))
+        self.assertIsNone(self.scatter.try_take(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=18)))
         self.core.open = 9
-        self.assertIs(self.scatter.takes(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=17)), False)
+        self.assertIs(self.scatter.try_take(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=17)), False)
 
     async def test_without_a_lease_all_are_asked_ranked_alike_and_a_lost_part_ends_the_others(self):
         for number, partial in ((1, False), (2, True)):
@@ -170,7 +170,7 @@
         parts[3].on_response(Response(ResponseStatus.SERVED, ([["5"]], 2)))
         self.assertEqual((self.answers[2].result[0], self.answers[2].mark), ([["5"]], "floor-1"))
         ask = self.ask("SELECT note FROM calls_17.notes", number=3)
-        self.assertTrue(self.scatter.left(ask))
+        self.assertTrue(self.scatter.client_disconnected(ask))
         self.assertEqual(self.core.gone[1:], self.core.asks[4:])
         self.core.asks[4].on_response(Response(ResponseStatus.SERVED, ([], 0)))
         self.assertNotIn(3, self.answers)
@@ -238,7 +238,7 @@
         first = next(turn for ask, turn in self.scatter.turns.items() if ask is not second)
         self.scatter._late(first)
         self.assertEqual((self.answers[1].status, len(self.core.asks)), (ResponseStatus.REJECTED, 1))
-        self.scatter.left(second)
+        self.scatter.client_disconnected(second)
         self.assertEqual(self.core.gone, self.core.asks)
 
     async def test_without_its_home_no_load_is_sent_and_none_is_answered_unconfirmed(self):
