--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The timer wheel against a sorted list, and its hard cases."""
+"""The timer wheel against a plain table of due times, its hard cases, and how the core uses it."""
 
 import asyncio
 import io
@@ -21,7 +21,7 @@
 from frostspindle.timers import LEVELS, MAX_MOVES_PER_CALL, TimerWheel
 
 
-def drain(wheel, now):
+def pop_all_due(wheel, now):
     """All that is due, however many calls it takes; at most MAX_MOVES_PER_CALL moves between two of them."""
     out = []
     while True:
@@ -35,7 +35,9 @@
 SPANS = st.one_of(st.floats(-50.0, 300.0), st.floats(0.0, 70_000.0), st.floats(0.0, 5e8), st.floats(0.0, 1e13))
 
 
-class AgainstAList(RuleBasedStateMachine):
+class TimerWheelMachine(RuleBasedStateMachine):
+    """Compares the wheel with a plain table of due times."""
+
     def __init__(self):
         super().__init__()
         self.now = 1.7e12 + 123.4
@@ -75,7 +77,7 @@
     @rule()
     def fire(self):
         due = {timer for timer, at in self.timers.items() if at <= math.floor(self.now)}
-        out = drain(self.wheel, self.now)
+        out = pop_all_due(self.wheel, self.now)
         assert len(out) == len(set(out)) and set(out) == due
         for timer in out:
             del self.timers[timer]
@@ -91,22 +93,27 @@
         assert len(self.wheel) == len(self.timers) == sum(map(len, self.wheel._slots))
 
 
-AgainstAList.TestCase.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
-TestAgainstAList = AgainstAList.TestCase
+TimerWheelMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
+TestTimerWheelAgainstList = TimerWheelMachine.TestCase
 
 
-def test_timers_come_in_the_order_of_their_time_and_those_of_one_tick_as_they_were_started():
+def test_timers_fire_in_order_of_due_time_and_ties_in_order_of_start():
     draw, wheel = random.Random(5), TimerWheel(0.0)
     timers = [wheel.start(draw.randrange(3000), number) for number in range(5000)]
-    assert [t.value for t in drain(wheel, 3000.0)] == [t.value for t in sorted(timers, key=lambda t: (t.tick, t.value))]
+    assert [t.value for t in pop_all_due(wheel, 3000.0)] == [
+        t.value for t in sorted(timers, key=lambda t: (t.tick, t.value))
+    ]
 
 
 @pytest.mark.parametrize("ahead", [0.5, 200.0, 30_000.0, 1e6])
-def test_100_000_of_one_instant_come_in_bounded_parts(ahead):
+def test_100_000_timers_of_one_instant_take_bounded_work_per_call(ahead):
     wheel, now = TimerWheel(1e12), 1e12 + ahead + 1.0
     for number in range(100_000):
         wheel.start(1e12 + ahead, number)
-    calls = given = filed = most = 0
+    calls = 0
+    given = 0
+    filed = 0
+    most_filed = 0
     file = wheel._file
 
     def counted(timer):
@@ -118,20 +125,20 @@
     while len(wheel):
         filed, calls = 0, calls + 1
         given += wheel.pop(now) is not None
-        most = max(most, filed)
+        most_filed = max(most_filed, filed)
         assert wheel.next_ms() is None or wheel.next_ms() <= now, "who has more to give says so"
-    assert given == 100_000 and most <= MAX_MOVES_PER_CALL
+    assert given == 100_000 and most_filed <= MAX_MOVES_PER_CALL
     assert calls <= 100_000 + LEVELS * 100_000 / MAX_MOVES_PER_CALL
 
 
-def test_a_clock_that_steps_forward_makes_all_due_without_counting_the_ticks():
+def test_clock_step_forward_fires_all_due_timers_without_counting_ticks():
     wheel = TimerWheel(1e12)
     for number in range(1000):
         wheel.start(1e12 + 25_000.0 * number, number)
-    assert [t.value for t in drain(wheel, 1e12 + 3e11)] == list(range(1000))  # ten years
+    assert [t.value for t in pop_all_due(wheel, 1e12 + 3e11)] == list(range(1000))  # ten years
 
 
-def test_a_clock_that_is_set_back_fires_nothing_early_and_new_timers_in_time():
+def test_clock_set_back_fires_no_timer_early_and_new_timers_in_time():
     wheel = TimerWheel(1e12)
     old = wheel.start(1e12 + 500.0, "old")
     due = wheel.start(1e12 + 10.0, "due")
@@ -139,56 +146,56 @@
     assert wheel.pop(1e12 + 10.0) is due  # the other one is in line already
     back = 1e12 - 60_000.0
     new = wheel.start(back + 100.0, "new")
-    assert drain(wheel, back) == [] and drain(wheel, back + 99.0) == []
+    assert pop_all_due(wheel, back) == [] and pop_all_due(wheel, back + 99.0) == []
     assert wheel.next_ms() <= back + 100.0
-    assert drain(wheel, back + 100.0) == [new]
-    assert drain(wheel, 1e12 + 9.0) == [] and drain(wheel, 1e12 + 499.9) == [later]
-    assert drain(wheel, 1e12 + 500.0) == [old]
+    assert pop_all_due(wheel, back + 100.0) == [new]
+    assert pop_all_due(wheel, 1e12 + 9.0) == [] and pop_all_due(wheel, 1e12 + 499.9) == [later]
+    assert pop_all_due(wheel, 1e12 + 500.0) == [old]
 
 
-def test_a_time_that_is_none_is_refused_and_one_without_end_never_comes():
+def test_nan_due_time_raises_and_infinite_due_time_never_fires():
     wheel = TimerWheel(1e12)
     with pytest.raises(ValueError):
         wheel.start(math.nan, "nan")
     wheel.start(math.inf, "never")
-    assert len(wheel) == 1 and drain(wheel, 1e14) == []
+    assert len(wheel) == 1 and pop_all_due(wheel, 1e14) == []
 
 
-class Timers(IsolatedAsyncioTestCase):
-    """The core's use of the wheel."""
+class CoreTimers(IsolatedAsyncioTestCase):
+    """How the core uses the timer wheel."""
 
     async def asyncSetUp(self):
         self.core = Core(keeper_settings(READ), [("http", "read")], 1, Telemetry(sink=io.BytesIO()))
         self.task = asyncio.create_task(self.core.run())
-        self.answers = []
+        self.responses = []
 
     async def asyncTearDown(self):
         self.task.cancel()
 
-    def ask(self, left_ms):
-        ask = ClientRequest("http", 0, "t", "SELECT 1", dispatcher.clock(), left_ms, self.answers.append)
-        self.assertTrue(self.core.submit(ask))
-        return ask
+    def submit(self, timeout_ms):
+        request = ClientRequest("http", 0, "t", "SELECT 1", dispatcher.clock(), timeout_ms, self.responses.append)
+        self.assertTrue(self.core.submit(request))
+        return request
 
-    async def turns(self, until):
+    async def run_until(self, is_reached):
         for _ in range(5000):
-            if until():
+            if is_reached():
                 return
             await asyncio.sleep(0)
-        self.fail("it does not come")
-
-    async def test_who_left_or_was_answered_leaves_no_timer(self):
-        asks = [self.ask(25_000.0) for _ in range(60)]
-        await self.turns(lambda: len(self.core.dispatcher.timers) >= 60)
-        for ask in asks[:30]:
-            self.core.client_disconnected(ask)
-        await self.turns(lambda: len(self.core.ledger.entries) == 30)
+        self.fail("the awaited state was not reached")
+
+    async def test_answered_and_disconnected_requests_leave_no_timer(self):
+        requests = [self.submit(25_000.0) for _ in range(60)]
+        await self.run_until(lambda: len(self.core.dispatcher.timers) >= 60)
+        for request in requests[:30]:
+            self.core.client_disconnected(request)
+        await self.run_until(lambda: len(self.core.ledger.entries) == 30)
         self.core.fail_open_requests()  # answers the others
-        await self.turns(lambda: len(self.answers) == 30)
+        await self.run_until(lambda: len(self.responses) == 30)
         self.assertLess(len(self.core.dispatcher.timers), 3, "what is left is the module's")
 
-    async def test_100_000_due_at_once_do_not_keep_the_sockets_waiting(self):
-        await self.turns(lambda: not self.core.has_pending_changes)
+    async def test_100_000_timers_due_at_once_do_not_keep_sockets_waiting(self):
+        await self.run_until(lambda: not self.core.has_pending_changes)
         for number in range(100_000):
             self.core.dispatcher.timers.start(clock() - 1.0, EngineExpired(number))
         self.core.dispatcher.wake()
@@ -198,22 +205,26 @@
             most, before = max(most, before - len(self.core.dispatcher.timers)), len(self.core.dispatcher.timers)
         self.assertLessEqual(most, MAX_EVENTS_PER_TURN)
 
-    async def test_a_clock_that_steps_answers_each_request_once_and_the_reminders_go_on(self):
+    async def test_clock_step_answers_each_request_once_and_policy_timers_continue(self):
         now = clock()
         with unittest.mock.patch("frostspindle.core.dispatcher.clock", lambda: now):
             for _ in range(10):
-                self.ask(25_000.0)
-            await self.turns(lambda: len(self.core.ledger.entries) == 10)
+                self.submit(25_000.0)
+            await self.run_until(lambda: len(self.core.ledger.entries) == 10)
             now -= 3_600_000.0
-            late = self.ask(2_000.0)
-            await self.turns(lambda: late.number)
-            self.assertEqual(self.answers, [], "an hour ago nobody's time was up")
+            late = self.submit(2_000.0)
+            await self.run_until(lambda: late.number)
+            self.assertEqual(self.responses, [], "an hour ago nobody's time was up")
             for _ in range(400):  # of 5 ms each
                 now += 5.0
                 self.core.dispatcher.wake()
-                await self.turns(lambda: not self.core.dispatcher._sleeper.done())
-            self.assertEqual([a.status for a in self.answers], ["refused"], "by the module, of the one after the step")
+                await self.run_until(lambda: not self.core.dispatcher._sleeper.done())
+            self.assertEqual(
+                [response.status for response in self.responses],
+                ["refused"],
+                "by the module, of the one after the step",
+            )
             now += 7_200_000.0
             self.core.dispatcher.wake()
-            await self.turns(lambda: len(self.answers) == 11)
+            await self.run_until(lambda: len(self.responses) == 11)
         self.assertEqual((self.core.open, len(self.core.ledger.entries)), (0, 0))
