--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -21,7 +21,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from frostspindle.division import fair
+from frostspindle.division import max_min_fair_shares
 
 UNITS = 240  # of one engine's budget; divisible by most numbers of workers
 RESERVE_DIVISOR = 4  # a live worker keeps this part of its even share, so that a first request need not wait
--- a/frostspindle/cores/limits.py
+++ b/frostspindle/cores/limits.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Mapping
 
-from frostspindle.division import even
+from frostspindle.division import split_evenly
 
 RESERVED_DESCRIPTORS = 12  # of a worker beside its connections
 
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -29,13 +29,13 @@
 class HttpEngines(TaskDriver):
     """The driver of HTTP engines."""
 
-    numbered = True  # the event bus counts
+    has_shared_versions = True  # the event bus counts
 
     def __init__(self, config: Config, core: Core, telemetry: Telemetry) -> None:
         super().__init__(core)
         self.telemetry = telemetry
         self.loop = asyncio.get_running_loop()
-        self.idle_s = pools.kept_ms(config.idle_ms) / 1000.0
+        self.idle_s = pools.idle_timeout_ms(config.idle_ms) / 1000.0
         self.sockets = config.limits.sockets
         self.crowd(False)
         self.opening = self.lines = self.waiters = 0
@@ -47,7 +47,7 @@
 
     def crowd(self, crowded: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
-        self.most, self.most_each = pools.bounds(self.sockets, crowded)
+        self.most, self.most_each = pools.connection_limits(self.sockets, crowded)
 
     @property
     def connections(self) -> int:
@@ -76,7 +76,7 @@
 
     # The core's interface.
 
-    def listed(self, engine: EngineState) -> None:
+    def update_engine(self, engine: EngineState) -> None:
         """Create, update or retire the connection pool of a listed engine.
 
         An engine with another address or a later start is another process: it gets a new pool, so that no call goes out
@@ -97,7 +97,7 @@
         elif engine.entry.health != Health.GONE:
             self.pools[number] = ConnectionPool(self, engine)
 
-    def rank(self, attempt: Attempt) -> None:
+    def update_priority(self, attempt: Attempt) -> None:
         """Do nothing: the next poll, within 250 ms, carries the new priority; a call now would cost a connection."""
 
     async def close(self) -> None:
@@ -114,7 +114,7 @@
 
     # One attempt.
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Send the attempt on an idle connection, without a task, unless its time may be up within ANSWER_S."""
         pool = self.pools.get(attempt.engine)
         if pool is None or not pool.idle or self.left_s(attempt) <= RESPONSE_TIMEOUT_S:
@@ -222,7 +222,7 @@
         except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
             self.telemetry.count("warm_left")  # the engine ends it by X-Max-Ms
 
-    async def probing(self, engine: int) -> None:
+    async def health_check(self, engine: int) -> None:
         """Ask the engine for `/stats` within 0.3 s and report it with the load by Core.health_check_completed."""
         began, pool, wired = clock(), self.pools.get(engine), [False]
         outcome, report = AttemptOutcome.CONNECT_FAILED, ()
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -32,7 +32,7 @@
 from frostspindle.order.service import KeyOrderService
 from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.policy import AttemptOutcome, Controller, EndpointListKind
-from frostspindle.pools import FORGOTTEN_MS
+from frostspindle.pools import UNPOLLED_QUERY_EXPIRY_MS
 
 
 class Audit:
@@ -435,7 +435,8 @@
         await asyncio.to_thread(old.process.wait, 60)
         self.assertIn("rows", await self.keyed(later, 2, "k"))
         self.assertEqual(self.sent, ["1", "2"])
-        self.assertGreater(self.times[1] - killed, FORGOTTEN_MS / 1000.0)  # so long it may, as nobody asks for it
+        # So long the killed one's query may run on, as nobody polls it.
+        self.assertGreater(self.times[1] - killed, UNPOLLED_QUERY_EXPIRY_MS / 1000.0)
         one.cancel()
 
 
@@ -506,7 +507,7 @@
             return hang.wait() if not hang.is_set() else None
 
         engine.script = script
-        with unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 1500.0):
+        with unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 1500.0):
             first = await self.ask(LOAD_CLASS, 1, 900.0, **{"X-Object": "k"})
             self.assertEqual(first[0], 502)  # its answer comes in time; its key is not free yet
             nine = await asyncio.gather(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -49,7 +49,7 @@
         self.assertEqual((sent["X-Ticket"], sent["X-Queue"]), ("0000000000000abc", "lookup"))
         self.assertIn(sent["X-Priority"], "0123")
 
-    @unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 200.0)
+    @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 200.0)
     async def test_a_repeatable_request_is_tried_again_when_its_engine_dies_and_a_load_is_not(self):
         engines = await self.start(2)
         for engine in engines:
@@ -118,7 +118,7 @@
         self.assertEqual(answer[:2], (200, {"rows": [["a", "1", "x"]]}))
         self.assertLess(order.index("DELETE"), order.index("again"))
 
-    @unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 200.0)
+    @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 200.0)
     async def test_a_query_behind_broken_connections_is_given_up_before_the_next_attempt(self):
         engines = await self.start(2)
         order = []
@@ -152,7 +152,7 @@
         first = order[0][1]
         first.server.close()  # the open connections stay
         (record,) = self.program.core.ledger.entries.values()
-        self.program.driver.stop(record.attempts[0])
+        self.program.driver.cancel_attempt(record.attempts[0])
         self.assertEqual((await asked)[0], 200)
         self.assertEqual(
             [(method, engine is first) for method, engine in order if method != "GET"],
@@ -177,7 +177,7 @@
         await engine.seen("GET")
         (record,) = self.program.core.ledger.entries.values()
         record.attempts[0].priority = 3
-        self.program.driver.rank(record.attempts[0])
+        self.program.driver.update_priority(record.attempts[0])
         self.assertEqual((await asked)[0], 200)
         self.assertEqual(([body for _, _, body in engine.of("PUT")], len(transports)), (["3"], 1))
 
@@ -192,7 +192,7 @@
         await self.start()
         for Peer.wired in (False, True):
             course = AttemptProgress(clock())
-            course.asked_ms = 5.0
+            course.last_poll_ms = 5.0
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.05):
                     await self.program.driver.runner.news(Peer(), None, "/v1/store/x/", 0, course)
@@ -271,14 +271,14 @@
 
     async def test_an_attempt_stopped_before_its_first_step_still_has_its_end(self):
         (engine,) = await self.start()
-        start = self.program.driver.start
+        start = self.program.driver.start_attempt
 
         def at_once(attempt):
             start(attempt)
-            self.program.driver.stop(attempt)
-            self.program.driver.start = start
+            self.program.driver.cancel_attempt(attempt)
+            self.program.driver.start_attempt = start
 
-        self.program.driver.start = at_once
+        self.program.driver.start_attempt = at_once
         self.assertEqual((await self.ask())[0], 200, "tried again after its end")
         self.assertEqual((self.count("ended_cancelled"), len(engine.of("POST"))), (1, 1))
 
