--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -158,7 +158,7 @@
         """Move units towards a max-min fair division by demand: revoke what others lack, grant what is free."""
         live = [slot for slot in range(self.slot_count) if self.alive[slot] and now < self.lease_expiries[slot]]
         wants = {slot: units_wanted(demands.get(slot, BudgetDemand()), self.slot_count, self.units) for slot in live}
-        target = fair(wants, self.units)
+        target = max_min_fair_shares(wants, self.units)
         self._revoke(ledger, target)
         self._grant(ledger, target)
 
--- a/frostspindle/cores/limits.py
+++ b/frostspindle/cores/limits.py
@@ -30,7 +30,7 @@
         """
         self.quotas = {slot: quota for slot, quota in self.quotas.items() if slot in used}
         slots = sorted(used)
-        target = dict(zip(slots, even(self.total, len(slots)), strict=True))
+        target = dict(zip(slots, split_evenly(self.total, len(slots)), strict=True))
         for slot in slots:  # shrink first, to the target, but not below what is in use now
             quota = self.quotas.get(slot, 0)
             if quota > target[slot]:
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -32,7 +32,7 @@
     count, settings = bootstrap.slots, config.settings
     operator = config.operator
     tds = operator.tds and msgspec.structs.replace(
-        operator.tds, max_sessions=max(1, division.even(operator.tds.max_sessions, count)[bootstrap.slot])
+        operator.tds, max_sessions=max(1, division.split_evenly(operator.tds.max_sessions, count)[bootstrap.slot])
     )
     return dataclasses.replace(
         config,
--- a/frostspindle/descriptor_sharing.py
+++ b/frostspindle/descriptor_sharing.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from frostspindle.core import Core
-from frostspindle.handover import most_open
+from frostspindle.handover import open_request_limit
 from frostspindle.net.engines import HttpEngines
 from frostspindle.net.platform import HttpFront
 
@@ -30,7 +30,7 @@
         self.sockets = sockets
         self._front.sockets = sockets
         self._driver.sockets = sockets
-        self._core.most_open = sockets // 2
+        self._core.open_request_limit = sockets // 2
         self.limit_connections(is_sharing)
 
     def limit_connections(self, is_sharing: bool) -> None:
@@ -46,7 +46,7 @@
         """
         limit = int(self.sockets * OPEN_REQUEST_PART)
         if is_sharing:
-            limit = most_open(limit, open_elsewhere, is_stopping)
+            limit = open_request_limit(limit, open_elsewhere, is_stopping)
         if self.agreed_open_limit is not None:
             limit = min(limit, self.agreed_open_limit)
         self._core.set_open_limit(max(MIN_OPEN_REQUESTS, limit))
--- a/frostspindle/fleet/budgets.py
+++ b/frostspindle/fleet/budgets.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import NamedTuple
 
-from frostspindle.division import even
+from frostspindle.division import split_evenly
 from frostspindle.fleet import quota_flow, wire
 from frostspindle.fleet.lender_selector import LenderSelector
 from frostspindle.fleet.membership import Membership
@@ -126,7 +126,7 @@
         return True
 
     def _account(self, budget: Budget, lease_ms: float, born: float, last_loan: int) -> QuotaAccount:
-        shares = dict(zip(self.homes, even(budget.units, len(self.homes)), strict=True))
+        shares = dict(zip(self.homes, split_evenly(budget.units, len(self.homes)), strict=True))
         owned = shares.get(self.name, 0)
         return QuotaAccount(owned, budget.window_ms, lease_ms, self._drift, born, last_loan)
 
--- a/frostspindle/fleet/quota_flow.py
+++ b/frostspindle/fleet/quota_flow.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from frostspindle.division import level
+from frostspindle.division import max_min_fair_level
 from frostspindle.fleet.quota_escrow import QuotaAccount
 from frostspindle.fleet.quota_loans import BorrowedQuota, LentQuota
 
@@ -37,7 +37,7 @@
     borrower_place = bisect_left(claims, (loan.wanted, borrower))
     own_place = bisect_left(claims, (needed, ""))  # where the own need comes among them
     claims.insert(own_place, (needed, ""))
-    met, base, larger_from = level(claims, account.owned)
+    met, base, larger_from = max_min_fair_level(claims, account.owned)
     del claims[own_place]
     if borrower_place >= own_place:
         borrower_place += 1
@@ -55,7 +55,7 @@
     that is the same at all homes, so that units gather at one coordinator, and at another with each turn.
     """
     claims = sorted((*account.claims, (needed, own_name)))
-    met, base, _ = level(claims, account.owned)
+    met, base, _ = max_min_fair_level(claims, account.owned)
     if base >= min_share or met == len(claims):
         return offer(account, needed, loan, borrower)
     shares = {name: wanted for wanted, name in claims[:met]}
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -93,7 +93,7 @@
             return attempt.unsent_outcome, (), None, UNKNOWN_COST
         if isinstance(received, Exception):
             self._spoilt(pool, attempt, received)  # it may run: its news are asked for
-            progress.is_doubted = True
+            progress.is_doubtful = True
         while True:
             if reply is None:
                 if progress.priority != attempt.priority:
@@ -103,7 +103,7 @@
                 if reply is None:
                     return AttemptOutcome.RESET, report, None, UNKNOWN_COST
             report = self.load_reports.report(reply) or report
-            if progress.is_doubted and reply.status == 500:
+            if progress.is_doubtful and reply.status == 500:
                 # The engine lives and does not know the query: the POST was lost, or the process that took it.
                 # That it never ran, or runs no more, is likely and unproven.
                 self.telemetry.count("queries_unknown")
@@ -172,8 +172,8 @@
                     return None
             finally:
                 if wired[0]:  # what had no connection can't have been an ask that keeps the query going
-                    progress.asked_ms = began
-            fresh = progress.is_doubted = True
+                    progress.last_poll_ms = began
+            fresh = progress.is_doubtful = True
             await asyncio.sleep(0.0 if wired[0] else 0.2)
 
     async def _pages(
@@ -206,12 +206,12 @@
         path = f"/v1/store/{attempt.request.ticket}"
         delete = [False]
         for fresh in (False, True):
-            unsure = progress.is_process_uncertain(clock())
+            unsure = progress.may_be_other_process(clock())
             try:
                 reply = await pool.call(
                     "DELETE", path, wired=delete, within_s=CANCEL_TIMEOUT_S, fresh=fresh, eldest=unsure, stay=True
                 )
-                if not unsure or once or progress.same(reply.line_ms):
+                if not unsure or once or progress.is_same_process(reply.line_ms):
                     return
                 break
             except PoolExhaustedError as error:
@@ -223,7 +223,7 @@
                 if fresh and delete[0] and (once or not unsure):
                     return  # a live machine has the whole call; it merely does not answer
         told = clock() if delete[0] else math.inf  # without a DELETE no answer ends the wait
-        while (left := progress.wait_ms(clock(), told, pool.lines)) > 0:
+        while (left := progress.remaining_wait_ms(clock(), told, pool.lines)) > 0:
             await asyncio.sleep(min(CANCEL_POLL_S, left / 1000.0))
 
     async def _rank(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress) -> None:
@@ -232,7 +232,7 @@
             self.telemetry.count("ranked" if reply.status == 204 else "rank_failed")
         except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
             self.telemetry.count("rank_failed")
-            progress.is_doubted = True
+            progress.is_doubtful = True
 
 
 class DirectAttempt:
--- a/frostspindle/net/http/connection_pool.py
+++ b/frostspindle/net/http/connection_pool.py
@@ -105,7 +105,7 @@
     def take(self, eldest: bool = False) -> EngineConnection | None:
         """Take an idle connection, the last used or the eldest; None if no idle one is usable."""
         while self.idle:
-            connection = pools.pick(self.idle, eldest)
+            connection = pools.choose_idle(self.idle, eldest)
             if connection is self.idle[-1]:
                 self.idle.pop()
             else:
@@ -244,7 +244,7 @@
     @staticmethod
     def heard(connection: EngineConnection, reply: EngineReply, page: int | None) -> EngineReply:
         """Note that a response has come and return it; InvalidReplyError if it can't be that of `page`."""
-        reply.line_ms, connection.heard_ms = connection.born_ms, clock()
+        reply.line_ms, connection.last_response_ms = connection.opened_ms, clock()
         if page is not None:
             reply.read(page)
         return reply
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -28,7 +28,7 @@
         self.core: Core = core
         self.telemetry: Telemetry = telemetry
         self.cell_folder = SharedCellFolder(
-            folder, lambda: time.monotonic() * 1000.0, FORGOTTEN_MS + core.settings.key_order_pause_ms
+            folder, lambda: time.monotonic() * 1000.0, UNPOLLED_QUERY_EXPIRY_MS + core.settings.key_order_pause_ms
         )
         own_file = self.cell_folder.own
         self.queue = KeyQueue(own_file.owner, own_file, self.cell_folder.positions)
--- a/frostspindle/pools.py
+++ b/frostspindle/pools.py
@@ -1,8 +1,8 @@
 """Policy of the connections to engines, without I/O or clock; net/http/connection_pool.py carries it out.
 
-Owns the bounds of a pool, which idle connection serves a call, and when a query that was given up can run no more. It
-does no I/O and reads no clock: net/http/connection_pool.py carries it out. It must never take a response for that of
-the process that has a query unless the connection is as old as the query.
+Decides how many connections there are, how long idle ones are kept, which of them serves a call, and when a query that
+was given up can run no more. A response counts as that of the process that has a query only if its connection is as old
+as the query.
 """
 
 from __future__ import annotations
@@ -61,18 +61,18 @@
 class AttemptProgress:
     """The progress of one attempt on the wire; times are Unix ms."""
 
-    __slots__ = ("wired", "asked_ms", "began_ms", "is_doubted", "priority")
+    __slots__ = ("wired", "last_poll_ms", "started_ms", "is_doubtful", "priority")
 
     def __init__(self, now_ms: float) -> None:
         self.wired = [False]  # set by the call that sends the query once its bytes may have gone out
         self.last_poll_ms = now_ms  # when the engine was last asked for this query
         self.started_ms = now_ms
         self.priority = -1  # the last that the engine was told
-        self.is_doubted = False  # an answer did not come as it should: the process may be another one by now
+        self.is_doubtful = False  # a response was missing or damaged: the process may be another one by now
 
-    def is_process_uncertain(self, now_ms: float) -> bool:
+    def may_be_other_process(self, now_ms: float) -> bool:
         """Return whether the process that answers now may be a successor of the one that has the query."""
-        return self.is_doubted or now_ms - self.asked_ms > OVERDUE_MS
+        return self.is_doubtful or now_ms - self.last_poll_ms > POLL_OVERDUE_MS
 
     def is_same_process(self, opened_ms: float) -> bool:
         """Return whether a connection opened at `opened_ms` leads to the process that has the query."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -205,7 +205,7 @@
 
 def test_only_a_connection_as_old_as_the_query_shows_that_its_process_is_the_same():
     course = pools.AttemptProgress(1000.0)
-    assert not course.is_process_uncertain(1300.0) and course.is_process_uncertain(1500.0), (
+    assert not course.may_be_other_process(1300.0) and course.may_be_other_process(1500.0), (
         "an ask that is out for too long"
     )
     for born, heard, wait in ((900.0, 1600.0, 0.0), (900.0, 1400.0, 1500.0), (1001.0, 1600.0, 1500.0)):
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -4,7 +4,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from frostspindle.division import fair, level
+from frostspindle.division import max_min_fair_level, max_min_fair_shares
 from frostspindle.fleet import lender_selector, quota_flow
 from frostspindle.fleet.quota_escrow import QuotaAccount
 from frostspindle.lab.fleet import excess
@@ -32,10 +32,10 @@
 )
 def test_level_gives_the_max_min_fair_shares(wants, whole):
     order = sorted((want, name) for name, want in wants.items())
-    met, base, more = level(order, whole)
-    assert {name: want if place < met else base + (place >= more) for place, (want, name) in enumerate(order)} == fair(
-        wants, whole
-    )
+    met, base, more = max_min_fair_level(order, whole)
+    assert {
+        name: want if place < met else base + (place >= more) for place, (want, name) in enumerate(order)
+    } == max_min_fair_shares(wants, whole)
 
 
 def test_loan_expires_on_time_and_units_to_return_are_set_aside_as_they_come():
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -560,7 +560,7 @@
                 answered.clear()
         self.assertEqual(len(engine.of("POST")), 3)
 
-    @unittest.mock.patch("frostspindle.pools.FORGOTTEN_MS", 100.0)
+    @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 100.0)
     async def test_other_processes_wait_while_a_key_rests(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
@@ -578,9 +578,11 @@
             self.assertTrue(places() or not stands)
             await self.until(lambda stands=stands, places=places: stands or not places())
             order = self.program.order
-            self.assertIsInstance(order, KeyOrderService)  # imported above, so not under the patch of FORGOTTEN_MS
+            self.assertIsInstance(
+                order, KeyOrderService
+            )  # imported above, so not under the patch of UNPOLLED_QUERY_EXPIRY_MS
             # The positions of a process that was killed count for the pause, too.
-            self.assertEqual(order.cell_folder.retention_ms, FORGOTTEN_MS + pause_ms)
+            self.assertEqual(order.cell_folder.retention_ms, UNPOLLED_QUERY_EXPIRY_MS + pause_ms)
             self.assertEqual((len(places()), order.queue.entry_count), (int(stands), int(stands)))
 
     async def test_request_that_ends_after_close_does_not_use_the_cells(self):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -196,7 +196,7 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.05):
                     await self.program.driver.runner.news(Peer(), None, "/v1/store/x/", 0, course)
-            self.assertEqual(course.asked_ms > 5.0, Peer.wired)
+            self.assertEqual(course.last_poll_ms > 5.0, Peer.wired)
 
     async def test_a_clients_close_and_its_delete_free_the_engines_work(self):
         (engine,) = await self.start()
