--- a/frostspindle/policy/actions.py
+++ b/frostspindle/policy/actions.py
@@ -41,7 +41,7 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: the request is rejected, and a retry can do no harm. A `retry_after_ms` of 0 is not told."""
+    """Final answer: the request is rejected, and a retry can do no harm. `retry_after_ms` 0: no Retry-After."""
 
     request: int
     retry_after_ms: float
--- a/frostspindle/policy/events.py
+++ b/frostspindle/policy/events.py
@@ -84,10 +84,8 @@
     cost_ms: float
     memory_mb: float
     group: float  # of tables, by number; -1: none
-    over_quota: bool = False  # over the tenant's quota, as all coordinators together count it
-    key_order_reached: bool = (
-        True  # False: one of its key, taken earlier elsewhere, is not over; KeyOrderReached tells when it is
-    )
+    over_quota: bool = False  # as all coordinators together count the tenant's requests
+    key_order_reached: bool = True  # False: it waits for an earlier one of its key elsewhere, until KeyOrderReached
 
 
 class ResponseStarted(NamedTuple):
--- a/frostspindle/policy/queues.py
+++ b/frostspindle/policy/queues.py
@@ -38,17 +38,17 @@
         self.count += 1
         self.units += int(min(weight, 1e15) * UNIT)
 
-    def drop(self, slot: tuple[Any, ...], lane: int, weight: float) -> None:
-        """Remove the row whose fields before the item equal `slot`; `weight` must be the one it was added with.
+    def drop(self, rank: tuple[Any, ...], lane: int, weight: float) -> None:
+        """Remove the row whose fields before the item equal `rank`; `weight` must be the one it was added with.
 
         Raise KeyError where the lane is unknown or has no such row but later ones, IndexError where it has no later
         ones.
         """
         rows = self.lanes[lane]
-        at = bisect_left(rows, slot)
+        at = bisect_left(rows, rank)
         row = rows[at]
-        if row[:-1] != slot:
-            raise KeyError(slot)
+        if row[:-1] != rank:
+            raise KeyError(rank)
         if at == 0:
             del self.heads[bisect_left(self.heads, (row, lane))]
             if len(rows) > 1:
@@ -98,18 +98,18 @@
 
 
 class LowestValueQueue:
-    """A priority queue of items by least value, then slot; stale items are not removed: the caller must detect them."""
+    """A priority queue of items by least value, then rank; stale items are not removed: the caller must detect them."""
 
     def __init__(self, rows: Iterable[tuple[float, Any, Any]] = ()) -> None:
         self.rows = list(rows)
         heapq.heapify(self.rows)
 
-    def add(self, value: float, slot: Any, item: Any) -> None:
-        """Add an item; of equal values the one of the lower slot comes first."""
-        heapq.heappush(self.rows, (value, slot, item))
+    def add(self, value: float, rank: Any, item: Any) -> None:
+        """Add an item; of equal values the one of the lower rank comes first."""
+        heapq.heappush(self.rows, (value, rank, item))
 
     def pop(self) -> tuple[Any, Any]:
-        """Remove the item of the least value and return its slot and itself; raise IndexError if there is none."""
+        """Remove the item of the least value and return its rank and itself; raise IndexError if there is none."""
         return heapq.heappop(self.rows)[1:]
 
     def __len__(self) -> int:
--- a/frostspindle/policy/settings.py
+++ b/frostspindle/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decision module: what a controller is told at start about classes, engines and limits.
+"""Settings of the decision module: classes, engines and limits, as they are when a controller starts.
 
 All records are immutable. Times and durations are milliseconds and end in `_ms`; memory is in megabytes.
 """
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What a controller is told at start; raises ValueError for figures out of range.
+    """Settings of one controller; raises ValueError for figures out of range.
 
     `number` is its own among `coordinators`, from 0. Tenant quotas are requests a second at all coordinators together;
     `kind_cores` and `kind_memory_mb` are by kind of engine; `max_grant_ratio` and `slow_start_capacity` are fractions.
@@ -89,13 +89,13 @@
     retry_budget_ratio: float = 0.0
     retry_budget_window_ms: float = 0.0
     over_quota_weight: float = 1.0
-    zone: int = 0  # this dispatcher's own
+    zone: int = 0  # this coordinator's own
     # Points off the result: a new connection to an engine, for each request; an attempt in another zone, likewise.
     handshake_penalty: float = 0.0
     cross_zone_penalty: float = 0.0
-    connection_idle_ms: float = 0.0  # an engine closes a connection that is idle for so long; 0: not told
+    connection_idle_ms: float = 0.0  # an engine closes a connection that is idle for so long; 0: not known
     streams_per_connection: int = 1  # attempts that one connection carries at once
-    workers: int = 1  # of one coordinator, each a dispatcher; they lease cold engines' budgets from each other
+    workers: int = 1  # processes of one coordinator; they lease slow start budgets from each other
 
     def __post_init__(self) -> None:
         if not self.classes:
--- a/frostspindle/policy/shedding.py
+++ b/frostspindle/policy/shedding.py
@@ -48,7 +48,7 @@
             self._shorten_line(line, now)
 
     def _shorten_line(self, line: deque[RequestState], now: float) -> None:
-        """End what is worth least for its work while a request that has others behind it would be late."""
+        """End what has the least value for its work while a request that has others behind it would be late."""
         unfinished = [request for request in line if not request.finished]
         removable = list[RequestState]()
         end_ms = now
--- a/frostspindle/policy/slow_start.py
+++ b/frostspindle/policy/slow_start.py
@@ -61,7 +61,7 @@
         """Return the work that all coordinators together may send to an engine in one window."""
         settings = self._state.settings
         age_ms = max(0.0, now - engine.entry.since_ms)
-        grown = (age_ms / settings.slow_start_duration_ms) ** 2  # the ramp is not told
+        grown = (age_ms / settings.slow_start_duration_ms) ** 2  # assumed: no engine reports its ramp
         capacity = settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * grown
         cores = capacity * CAPACITY_SAFETY * engine.cores
         safety = SLOW_START_SAFETY[self._state.fractional_share]
--- a/frostspindle/policy/waiting_requests.py
+++ b/frostspindle/policy/waiting_requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an engine: their order, when waiting becomes hopeless, and which of them is worth least."""
+"""Requests that wait for an engine: their order, when they expire, and which has the least value."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         return class_settings.priority_weight / request.cost_ms * value_ratio
 
     def forget_values(self) -> None:
-        """Have all values computed again when they are next needed: what is late by then is worth less."""
+        """Have all values computed again when they are next needed: what is late by then has less value."""
         self._by_value = LowestValueQueue()
 
     def pop_lowest_value(self, now: float) -> RequestState | None:
--- a/tests/test_module_indexes.py
+++ b/tests/test_module_indexes.py
@@ -22,33 +22,33 @@
 SMALL = strategies.integers(0, 6)
 
 
-class Queues(RuleBasedStateMachine):
+class IndexesAgainstScans(RuleBasedStateMachine):
     """The queue and the times out, each beside the plain list or dictionary that it stands for."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.held, self.rows, self.number = WaitingQueue(), {}, 0
-        self.lapses, self.items, self.paces, self.now = ExpiryIndex(2), {}, [1.0, 1.0], 0.0
-        self.rests, self.until = KeyCooldowns(), {}
+        self.queue, self.rows, self.number = WaitingQueue(), {}, 0
+        self.expiry, self.items, self.paces, self.now = ExpiryIndex(2), {}, [1.0, 1.0], 0.0
+        self.cooldowns, self.until = KeyCooldowns(), {}
 
     @rule(over=strategies.booleans(), size=SMALL, lane=strategies.integers(-1, 2), cost=strategies.floats(1, 1e6))
     def hold(self, over, size, lane, cost):
         self.number += 1
         slot = (int(over), float(size), self.number)
         self.rows[slot] = (lane, cost)
-        self.held.add((*slot, f"item {self.number}"), lane, cost)
+        self.queue.add((*slot, f"item {self.number}"), lane, cost)
 
     @precondition(lambda self: self.rows)
     @rule(pick=strategies.integers(0, 1000))
     def drop(self, pick):
         slot = list(self.rows)[pick % len(self.rows)]
-        self.held.drop(slot, *self.rows.pop(slot))
+        self.queue.drop(slot, *self.rows.pop(slot))
 
     @rule(skip=strategies.sets(strategies.integers(-1, 2)), tire=SMALL)
     def walk(self, skip, tire):
         """Lanes are passed from the start, or from the first item of theirs that came out on."""
         passed, out = set(skip), []
-        for item in self.held.walk(passed):
+        for item in self.queue.walk(passed):
             out.append(item)
             if len(out) % 3 == tire:
                 passed.add(self.rows[next(s for s in self.rows if f"item {s[2]}" == item)][0])
@@ -62,40 +62,41 @@
     @rule(key=SMALL, kind=strategies.integers(0, 1), work=strategies.floats(1, 500), left=strategies.floats(-10, 900))
     def limit(self, key, kind, work, left):
         self.items[key] = (kind, work, self.now + left)
-        self.lapses.add(key, *self.items[key])
+        self.expiry.add(key, *self.items[key])
 
     @rule(key=SMALL)
     def spare(self, key):
         self.items.pop(key, None)
-        self.lapses.discard(key)
+        self.expiry.discard(key)
 
     @rule(key=SMALL, more=strategies.floats(1, 300))
     def rest(self, key, more):
         self.until[key] = max(self.until.get(key, 0.0), self.now + more)
-        self.rests.start(key, self.now + more)
+        self.cooldowns.start(key, self.now + more)
 
     @rule(ms=strategies.floats(0, 200), paces=strategies.lists(strategies.floats(1, 9), min_size=2, max_size=2))
     def go_on(self, ms, paces):
         self.now, self.paces = self.now + ms, paces
         gone = {k for k, (kind, work, limit) in self.items.items() if self.now + work * paces[kind] > limit}
-        assert sorted(self.lapses.due(self.now, paces)) == sorted(gone)
+        assert sorted(self.expiry.due(self.now, paces)) == sorted(gone)
         self.items = {k: v for k, v in self.items.items() if k not in gone}
         rested = {key for key, until in self.until.items() if until <= self.now}
-        assert set(self.rests.due(self.now)) == rested
+        assert set(self.cooldowns.due(self.now)) == rested
         self.until = {key: until for key, until in self.until.items() if key not in rested}
 
     @invariant()
     def agrees(self):
-        assert [row[:3] for row in self.held] == sorted(self.rows) and len(self.held) == len(self.rows)
-        assert [row[:3] for row in self.held[:2]] == sorted(self.rows)[:2]
-        assert self.held.total == pytest.approx(sum(cost for _, cost in self.rows.values()))
-        assert len(self.lapses) == len(self.items) and self.rests == self.until
-        assert self.rests.first == min(self.until.values(), default=math.inf)
+        assert [row[:3] for row in self.queue] == sorted(self.rows) and len(self.queue) == len(self.rows)
+        assert [row[:3] for row in self.queue[:2]] == sorted(self.rows)[:2]
+        assert self.queue.total == pytest.approx(sum(cost for _, cost in self.rows.values()))
+        assert len(self.expiry) == len(self.items) and self.cooldowns == self.until
+        assert self.cooldowns.first == min(self.until.values(), default=math.inf)
 
 
 def test_queue_and_times_out_are_what_a_scan_says():
     run_state_machine_as_test(
-        Queues, settings=hypothesis_settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None)
+        IndexesAgainstScans,
+        settings=hypothesis_settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None),
     )
 
 
@@ -115,12 +116,12 @@
 
 
 def test_a_day_of_answered_requests_leaves_no_heap_of_dead_times():
-    agenda, there = DeadlineQueue(), set()
+    deadlines, there = DeadlineQueue(), set()
     for number in range(3 * MAX_DEAD_ENTRIES):
         there = {number, -1}
-        agenda.add(1e6 + number, number, there)
-    assert len(agenda.heap) <= MAX_DEAD_ENTRIES + 8
-    assert agenda.due(2e6)[-1] == 3 * MAX_DEAD_ENTRIES - 1
+        deadlines.add(1e6 + number, number, there)
+    assert len(deadlines.heap) <= MAX_DEAD_ENTRIES + 8
+    assert deadlines.due(2e6)[-1] == 3 * MAX_DEAD_ENTRIES - 1
 
 
 def audit(controller) -> None:
