--- a/frostspindle/settings/applied_rules.py
+++ b/frostspindle/settings/applied_rules.py
@@ -180,12 +180,12 @@
         return frozenset(unlisted)
 
     def _was_active(self, state: EngineState) -> bool:
-        return state.name in self._unlisted or (state.listed or state.entry).health == Health.READY
+        return state.name in self._unlisted or (state.listed_entry or state.entry).health == Health.READY
 
     def _apply_limits(self, rules: Rules, changed_keys: set[str] | None) -> None:
         limit = rules.get("limit/open_requests")
-        self.program.most_open = None if limit is None else int(limit.value)
-        self.program.bound()
+        self.program.agreed_open_limit = None if limit is None else int(limit.value)
+        self.program.update_open_limit()
         self.core.most_open = 0 if self.rejects_all else self.program.sockets // 2
 
     def _apply_tds(self, rules: Rules, changed_keys: set[str] | None) -> None:
--- a/frostspindle/settings/cli_commands.py
+++ b/frostspindle/settings/cli_commands.py
@@ -18,7 +18,7 @@
 
 import click
 
-from frostspindle.operator_client import AWAY, BAD, figures
+from frostspindle.operator_client import EXIT_BAD_CALL, EXIT_UNREACHABLE, figures
 from frostspindle.settings.document import json_schema, parse_document
 from frostspindle.settings.schema import InvalidSettingsError
 from frostspindle.settings.version_encoding import pack_changes, split_into_pieces
@@ -58,7 +58,7 @@
         reason = f": {outcome['why']}" if outcome["why"] else ""
         click.echo(f"{state}{reason}")
     if outcome["state"] not in ACTIVE_STATES:
-        sys.exit(EXIT_TURNED_DOWN if outcome["state"] in FAILED_STATES else AWAY)
+        sys.exit(EXIT_TURNED_DOWN if outcome["state"] in FAILED_STATES else EXIT_UNREACHABLE)
 
 
 @_command("push")
@@ -71,7 +71,7 @@
         rules = parse_document(Path(file).read_bytes())
     except (OSError, InvalidSettingsError) as error:
         click.echo(f"frostspindle: {file}: {error}", err=True)
-        sys.exit(BAD)
+        sys.exit(EXIT_BAD_CALL)
     if check:
         click.echo(f"{file}: {len(rules)} entries, good")
         return
--- a/frostspindle/settings/send_limits.py
+++ b/frostspindle/settings/send_limits.py
@@ -52,6 +52,6 @@
 
     def _prune(self, engine: int) -> list[Attempt]:
         """Forget an engine's attempts that are over; return the others."""
-        in_flight = [attempt for attempt in self._in_flight.get(engine, ()) if not attempt.over]
+        in_flight = [attempt for attempt in self._in_flight.get(engine, ()) if not attempt.is_finished]
         self._in_flight[engine] = in_flight
         return in_flight
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -71,9 +71,7 @@
     store: VersionStore | None = None
     try:
         store = VersionStore(
-            open_store(
-                folder, name, SqliteEngine, note=lambda event, **more: telemetry.log(f"settings_{event}", **more)
-            )
+            open_store(folder, name, SqliteEngine, log=lambda event, **more: telemetry.log(f"settings_{event}", **more))
         )
         return store, store.load()
     except InvalidSettingsError as error:
@@ -206,15 +204,15 @@
 def attach(program: Any) -> SettingsComponent:
     """Create the settings of a program and register them at the operators' port."""
     component = SettingsComponent(program)
-    if program.desk is not None:
-        _register_operator_calls(program.desk, component.service)
+    if program.operator_server is not None:
+        _register_operator_calls(program.operator_server, component.service)
     return component
 
 
 def _register_operator_calls(desk: Any, service: SettingsService) -> None:
     calls = OperatorCalls(service)
     pushes = service.pushes
-    desk.does |= {
+    desk.handlers |= {
         "show-settings": calls.status,
         "settings-history": calls.history,
         "settings-push": _with_operator_errors(pushes.receive_piece),
@@ -224,14 +222,14 @@
         ),
         "settings-diff": _with_operator_errors(lambda old, new: calls.diff(_parse_version(old), _parse_version(new))),
     }
-    desk.takes |= {
+    desk.arguments |= {
         "settings-push": "an id, a place and a piece",
         "settings-outcome": "an id",
         "settings-rollback": "an id and a version",
         "settings-diff": "two versions",
     }
-    desk.long.add("settings-push")
-    desk.quiet.add("settings-outcome")
+    desk.long_calls.add("settings-push")
+    desk.unlogged_calls.add("settings-outcome")
 
 
 def _with_operator_errors(call: Callable[..., Any]) -> Callable[..., Any]:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -138,7 +138,11 @@
     audit.run(audit.now + 10_000)
     served = sum(answer == AttemptOutcome.OK for answer in audit.answers.values())
     assert number == 100_000 == len(audit.answers) + len(audit.over) and served > 60_000
-    assert not audit.out and not any(audit.lines.values()) and not (audit.c.lines or audit.c.jobs or audit.c.rest_until)
+    assert (
+        not audit.out
+        and not any(audit.lines.values())
+        and not (audit.c.key_order.lines or audit.c.requests or audit.c.key_order.cooldowns)
+    )
 
 
 def test_requests_behind_one_that_may_still_run_wait_until_their_own_deadlines():
@@ -569,7 +573,7 @@
                 return other.positions(key_number(1, b"k"))
 
             self.assertEqual((await self.ask(LOAD_CLASS, 1, **{"X-Object": "k"}))[0], 502)
-            await self.until(lambda: not self.program.core._records)  # answered, and no attempt is out
+            await self.until(lambda: not self.program.core.ledger.entries)  # answered, and no attempt is out
             self.assertTrue(places() or not stands)
             await self.until(lambda stands=stands, places=places: stands or not places())
             order = self.program.order
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -21,7 +21,7 @@
 from frostspindle.lab import settings as playing
 from frostspindle.lab.engines import document, host
 from frostspindle.lab.faults.script import parse
-from frostspindle.net.operator import OperatorError
+from frostspindle.net.operator import MAX_CALL_BYTES, MAX_STREAM_CALL_BYTES, OperatorError
 from frostspindle.program import Program
 from frostspindle.replica.local import LocalLog
 from frostspindle.settings import log_commands
@@ -252,16 +252,16 @@
         self.assertEqual([told[name] for name in ("toy-0", "toy-1", "new", "x7")], [1, 1, 0, 0])
 
     async def test_quotas_and_objectives_reach_the_policy_and_are_undone(self):
-        before = self.core.controller.s
+        before = self.core.controller.settings
         await self.apply(tenant__blue=Tenant("blue", 7.0), class__lookup=Class("lookup", 900.0, worth=9.0))
-        now = self.core.controller.s
+        now = self.core.controller.settings
         self.assertEqual(
             (now.tenant_quotas_per_s[1], now.classes[0].latency_objective_ms, now.classes[0].priority_weight),
             (7.0, 900.0, 9.0),
         )
         self.assertEqual(now.classes[0].deadline_ms, before.classes[0].deadline_ms)
         await self.apply(tenant__blue=Tenant("blue", 0.0), class__report=Class("report", 800.0))
-        now = self.core.controller.s
+        now = self.core.controller.settings
         self.assertLess(0.0, now.tenant_quotas_per_s[1])
         self.assertLess(now.tenant_quotas_per_s[1], 0.001, "nothing is no bound to the module")
         self.assertEqual(
@@ -269,7 +269,7 @@
             [before.classes[0].latency_objective_ms, 800.0, 800.0],
         )
         await self.apply()
-        self.assertEqual(self.core.controller.s, before)
+        self.assertEqual(self.core.controller.settings, before)
 
     async def test_limits_and_tds_section_are_applied(self):
         program = self.program
@@ -318,12 +318,12 @@
         passed = [self.applied.may_send(states["toy-0" if n < 3 else "toy-1"], one) for n, one in enumerate(sent)]
         self.assertEqual((passed, len(looks)), ([True, True, False, True, False], 5))  # 2 of 5, and 3 of 7 in all
         self.assertTrue(self.applied.may_send(states["toy-0"], sent[0]), "asked again for one that has passed")
-        sent[0].over = True
+        sent[0].is_finished = True
         self.assertTrue(self.applied.may_send(states["toy-1"], sent[4]))
         self.assertFalse(self.applied.may_send(states["toy-2"], attempt("toy-2")), "not on the list")
         self.applied.name = "c9"
         self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), table.set("limit/open_requests", Limit(50.0))))
-        sent[1].over = sent[3].over = sent[4].over = True
+        sent[1].is_finished = sent[3].is_finished = sent[4].is_finished = True
         self.assertFalse(
             self.applied.may_send(states["toy-0"], attempt("toy-0")), "without a part nothing is let through"
         )
@@ -335,7 +335,7 @@
         two = one.child(2, {"limit/open_requests": Limit(50.0)})
         for version in (one, two):
             machine.versions.add(version)
-        self.program.bound = lambda: calls.append("bounds")
+        self.program.update_open_limit = lambda: calls.append("bounds")
         self.program.shared = SimpleNamespace(crowded=False)
         with mock.patch.object(self.core, "ban", side_effect=lambda names: calls.append(sorted(names))) as ban:
             self.applied._set_bans = ban
@@ -370,7 +370,8 @@
         await self.quiet()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
-            (self.core.controller.s.classes[0].latency_objective_ms, states["toy-1"], states["toy-2"]), (900.0, 1, 0)
+            (self.core.controller.settings.classes[0].latency_objective_ms, states["toy-1"], states["toy-2"]),
+            (900.0, 1, 0),
         )
         del two["class/lookup"], two["engine/http/toy-1"]
         self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), Long(two)))
@@ -378,8 +379,8 @@
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
             (
-                self.core.controller.s.classes[0].latency_objective_ms,
-                self.core.controller.s.tenant_quotas_per_s[1],
+                self.core.controller.settings.classes[0].latency_objective_ms,
+                self.core.controller.settings.tenant_quotas_per_s[1],
                 states["toy-1"],
             ),
             (self.program.config.settings.classes[0].latency_objective_ms, 7.0, 0),
@@ -397,7 +398,7 @@
         return self.program.telemetry.counts[what, "", ""]
 
     async def test_operators_calls_are_checked(self):
-        does = self.program.desk.does
+        does = self.program.operator_server.handlers
         for call, words in (
             ("settings-push", ("a", "0/0", "")),
             ("settings-push", ("a", "x", "")),
@@ -413,10 +414,11 @@
             with self.assertRaises(OperatorError, msg=(call, words)):
                 does[call](*words)
         self.assertEqual(does["show-settings"]()["mode"], "file")
-        desk = self.program.desk
+        desk = self.program.operator_server
         self.assertIn(b"NAK settings-diff takes two versions", desk.answer(b"settings-diff 1"))
         self.assertIn(b"NAK version", desk.answer(b"settings-diff 1 2"))
-        self.assertTrue(desk.lengthy(b"settings-push a 0/1 eA==") and not desk.lengthy(b"ready"))
+        self.assertEqual(desk.max_bytes(b"settings-push a 0/1 eA=="), MAX_STREAM_CALL_BYTES)
+        self.assertEqual(desk.max_bytes(b"ready"), MAX_CALL_BYTES)
 
 
 class ServiceCase(unittest.IsolatedAsyncioTestCase):
