--- a/frostspindle/components/agreement.py
+++ b/frostspindle/components/agreement.py
@@ -66,7 +66,7 @@
 
     def wrap_ban_listener(self, listener: BanListener) -> BanListener:
         """Return a listener that adds the engines which the agreed settings bar."""
-        return self.service.applied.follow(listener)
+        return self.service.applied.wrap_ban_listener(listener)
 
     async def start(self) -> None:
         """Start following the agreed versions."""
@@ -74,7 +74,7 @@
 
     def prepare_reload(self, config: Config) -> None:
         """Read the file of settings, if there is one; ConfigError if it can't be used."""
-        self._rules = self.service.file()
+        self._rules = self.service.read_own_file()
 
     def on_reload(self, config: Config) -> None:
         """Apply the rules on top of the operator's file that was read anew."""
--- a/frostspindle/settings/applied_rules.py
+++ b/frostspindle/settings/applied_rules.py
@@ -79,7 +79,7 @@
 
     # Manual bans and those by rules.
 
-    def follow(self, set_bans: SetBans) -> SetBans:
+    def wrap_ban_listener(self, set_bans: SetBans) -> SetBans:
         """Return a function to call in place of `set_bans` with the engines that operators ban.
 
         It adds those that the rules exclude.
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -125,7 +125,7 @@
             self._canary_check(),
         )
         self.applied.changed_keys = self.service.changed_keys
-        self._rules_of_start = self.file()
+        self._rules_of_start = self.read_own_file()
         if self.is_alone and restored.versions:  # a log in memory has forgotten them
             self._resume(max(restored.versions, key=lambda version: version.number))
         self.applied.refresh = self.service.refresh
@@ -178,7 +178,7 @@
         if rules is not None:
             self.service.pushes.push_rules(f"file-{clock():.0f}", rules)
 
-    def file(self) -> Rules | None:
+    def read_own_file(self) -> Rules | None:
         """Return the rules of the file of a coordinator that is alone, None without one; ConfigError names the key."""
         if not self.is_alone or not self.section.file:
             return None
@@ -209,10 +209,10 @@
     return component
 
 
-def _register_operator_calls(desk: Any, service: SettingsService) -> None:
+def _register_operator_calls(operator_server: Any, service: SettingsService) -> None:
     calls = OperatorCalls(service)
     pushes = service.pushes
-    desk.handlers |= {
+    operator_server.handlers |= {
         "show-settings": calls.status,
         "settings-history": calls.history,
         "settings-push": _with_operator_errors(pushes.receive_piece),
@@ -222,14 +222,14 @@
         ),
         "settings-diff": _with_operator_errors(lambda old, new: calls.diff(_parse_version(old), _parse_version(new))),
     }
-    desk.arguments |= {
+    operator_server.arguments |= {
         "settings-push": "an id, a place and a piece",
         "settings-outcome": "an id",
         "settings-rollback": "an id and a version",
         "settings-diff": "two versions",
     }
-    desk.long_calls.add("settings-push")
-    desk.unlogged_calls.add("settings-outcome")
+    operator_server.long_calls.add("settings-push")
+    operator_server.unlogged_calls.add("settings-outcome")
 
 
 def _with_operator_errors(call: Callable[..., Any]) -> Callable[..., Any]:
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -191,7 +191,7 @@
         )  # versions are of no machine
         self.program.bus.start()
         self.task = asyncio.create_task(self.core.run())
-        self.bans = self.applied.follow(self.core.ban)
+        self.bans = self.applied.wrap_ban_listener(self.core.ban)
         await self.quiet()
 
     async def close(self):
