--- a/frostspindle/fleet/node.py
+++ b/frostspindle/fleet/node.py
@@ -52,11 +52,11 @@
     budgets: tuple[Budget, ...] = ()
     lease_ms: float = 5_000.0
     drift: float = 0.055  # a clock may be so much faster or slower than real time
-    probe_ms: float = 1_000.0
-    timeout_ms: float = 300.0
-    judges: int = 3
-    verdict_ms: float = 10_000.0
-    chain: int = CHAIN_LENGTH
+    probe_interval_ms: float = 1_000.0
+    probe_timeout_ms: float = 300.0
+    quorum: int = 3  # coordinators whose verdicts together count
+    verdict_valid_ms: float = 10_000.0
+    chain_length: int = CHAIN_LENGTH  # incarnations of one process
 
 
 class Datagram(NamedTuple):
@@ -70,15 +70,15 @@
     """One process's fleet logic without I/O: datagrams and times in, datagrams out."""
 
     def __init__(
-        self, name: str, address: Address, epoch: int, secret: bytes, terms: FleetSettings, now: float
+        self, name: str, address: Address, epoch: int, secret: bytes, settings: FleetSettings, now: float
     ) -> None:
-        chain = IncarnationChain(secret, terms.chain)
+        chain = IncarnationChain(secret, settings.chain_length)
         seed = int.from_bytes(blake2b(secret, digest_size=8, person=b"draws").digest())
         me = MemberState(name, address[0], address[1], wire.ALIVE, epoch, 0, chain.proof(0))
-        self.terms = terms
+        self.settings = settings
         self.name = name
         self.epoch = epoch
-        self.homes = sorted(terms.seeds)
+        self.homes = sorted(settings.seeds)
         self.random = Random(seed)
         # What the owner reads and sets.
         self.counted: Counter[str] = Counter()
@@ -86,15 +86,17 @@
         self.channels: dict[int, Callable[[float, str, int, bytes], None]] = {}  # now, sender, its epoch, the message
         self.watchers: list[Callable[[float, str, str], None]] = []  # now, member, its state: one of wire.STATES
         # Parts.
-        self.membership = Membership(me, chain, terms.seeds, seed + 1, now, terms.probe_ms, terms.timeout_ms)
+        self.membership = Membership(
+            me, chain, settings.seeds, seed + 1, now, settings.probe_interval_ms, settings.probe_timeout_ms
+        )
         self.counters = FleetCounters(name, epoch, now)
-        self.verdicts = EngineVerdicts(terms.judges, terms.verdict_ms)
+        self.verdicts = EngineVerdicts(settings.quorum, settings.verdict_valid_ms)
         self.membership.count = self._count
         self.membership.other_updates = self.counters.pending
         self.counters.count = self._count
-        self.budgets = BudgetExchange(self.membership, self.homes, terms.drift, self.random, self._count, self._log)
-        for number, budget in enumerate(terms.budgets, 1):
-            self.budgets.add_configured(now, budget, number, terms.lease_ms, seed + 2)
+        self.budgets = BudgetExchange(self.membership, self.homes, settings.drift, self.random, self._count, self._log)
+        for number, budget in enumerate(settings.budgets, 1):
+            self.budgets.add_configured(now, budget, number, settings.lease_ms, seed + 2)
         # Times and bounds.
         self._compare_at = now + self.random.random() * MIN_COMPARISON_INTERVAL_MS
         self._comparisons_left = 0  # requests left of this comparison
--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -60,7 +60,7 @@
         name: str,
         listen: Address,
         advertise: Address | None,
-        terms: FleetSettings,
+        settings: FleetSettings,
         tenants: dict[int, str],
         core: Core,
         telemetry: Telemetry,
@@ -69,7 +69,7 @@
         self.name = name
         self.listen = listen
         self.advertise = advertise
-        self.terms = terms
+        self.settings = settings
         self.tenants = tenants
         self.core = core
         self.telemetry = telemetry
@@ -121,7 +121,7 @@
     def _start_node(self, bound: socket.socket) -> None:
         address = self.advertise or bound.getsockname()
         epoch = int(time.time() * 1e6)
-        self.node = FleetNode(self.name, address, epoch, secrets.token_bytes(16), self.terms, monotonic())
+        self.node = FleetNode(self.name, address, epoch, secrets.token_bytes(16), self.settings, monotonic())
         self.node.log = self.telemetry.log
         for part in self.parts:
             self.node.channels[part.channel] = part.on_message
--- a/frostspindle/lab/fleet.py
+++ b/frostspindle/lab/fleet.py
@@ -75,7 +75,7 @@
         self.terms = FleetSettings(
             dict(zip(names[:homes], self.addresses, strict=False)),
             (Budget(BUDGET, self.units, window_ms),),
-            chain=CHAIN,
+            chain_length=CHAIN,
             **(terms or {}),
         )
         clocks = dict(script.clocks)
--- a/frostspindle/lab/warming.py
+++ b/frostspindle/lab/warming.py
@@ -48,7 +48,7 @@
             address(number),
             int(unix * 1_000.0),
             secret,
-            FleetSettings({name: address(place) for place, name in enumerate(seeds)}, chain=CHAIN),
+            FleetSettings({name: address(place) for place, name in enumerate(seeds)}, chain_length=CHAIN),
             now,
         )
         self.cold = SlowStartBudgets(
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -40,12 +40,12 @@
         address=("10.0.0.1", 7101),
         epoch=171,
         secret=b"secret",
-        terms=FleetSettings(
+        settings=FleetSettings(
             seeds={name: (f"10.0.0.{place}", 7101) for place, name in enumerate(SEEDS, 1)},
             budgets=(Budget(name="heavy", units=12, window_ms=1_000.0),),
             lease_ms=4_000.0,
             drift=0.05,
-            chain=256,
+            chain_length=256,
         ),
         now=0.0,
     )
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -132,7 +132,7 @@
         core = SimpleNamespace(engines={}, banned=frozenset())
         self.services = [
             service.FleetService(
-                f"c{n}", ("127.0.0.1", 0), None, FleetSettings({}, chain=8), {}, core, Telemetry(sink=BytesIO())
+                f"c{n}", ("127.0.0.1", 0), None, FleetSettings({}, chain_length=8), {}, core, Telemetry(sink=BytesIO())
             )
             for n in range(COUNT)
         ]
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 30, 200])
-def test_no_window_of_a_ramp_goes_over_the_allowance_though_all_have_enough_work_and_a_third_starts_anew(count):
+def test_slow_start_never_exceeds_the_budget_in_any_window_though_processes_restart(count):
     """Turns were drawn anew whenever an estimate or the budget moved: 200 sent 1.2 times the allowance."""
     row = measured(count)
     assert row["over"] == 0.0 and row["used"] > 0.2
@@ -35,7 +35,7 @@
     return out
 
 
-def test_other_estimates_and_a_grown_budget_move_only_the_last_of_the_few():
+def test_changed_estimates_and_budget_change_only_the_last_turns():
     first = holders(105_000.0, 200.0)
     assert len(first) > 5
     assert first < holders(105_900.0, 200.0), "within one turn nobody's place is another's"
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("coordinators", [1, 3])
-def test_a_process_killed_and_started_anew_sends_no_second_share_in_the_window(coordinators):
+def test_restarted_process_sends_no_second_share_in_the_same_window(coordinators):
     """It knows nothing of what the one before it sent."""
 
     def sent(began: float, since: float) -> int:
--- a/tests/test_cold_rights.py
+++ b/tests/test_cold_rights.py
@@ -49,7 +49,7 @@
         self.disk, self.spares = set(), {}  # whose store says that none are out; who found it so
         self.paid = {engine: [] for engine in ENGINES}
         self.addresses = {name: ("127.0.0.1", 4_000 + n) for n, name in enumerate(NAMES)}
-        self.terms = FleetSettings({name: self.addresses[name] for name in "ab"}, chain=64)
+        self.terms = FleetSettings({name: self.addresses[name] for name in "ab"}, chain_length=64)
 
     def clock(self, name):
         return self.now * self.rates[name] + 1e6
@@ -169,7 +169,7 @@
 def alone(name="a", seeds="a", now=0.0, **kw):
     """A coordinator whose rights have rested, and that hears nobody."""
     addresses = {seed: ("127.0.0.1", 4_000 + n) for n, seed in enumerate(seeds)}
-    terms = FleetSettings({seed: addresses[seed] for seed in seeds}, chain=16)
+    terms = FleetSettings({seed: addresses[seed] for seed in seeds}, chain_length=16)
     node = FleetNode(name, addresses.get(name, ("127.0.0.1", 5_000)), 1, b"s" * 16, terms, now)
     return SlowStartBudgets(node, WINDOW, kw.get("coordinators", 3), kw.get("outside", 0), LEASE, now, UNIX)
 
@@ -178,7 +178,7 @@
     ("name", "seeds", "outside", "part"),
     [("a", "abc", 0, 1 / 3), ("d", "abc", 0, 0.0), ("a", "a", 0, 1.0), ("a", "a", 1, 2 / 3)],
 )
-def test_who_hears_nobody_uses_its_own_units_after_a_rest_and_others_nothing(name, seeds, outside, part):
+def test_isolated_coordinator_uses_its_own_units_after_the_cooldown_and_no_others(name, seeds, outside, part):
     cold = alone(name, seeds, outside=outside)
     assert cold.usable_part(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0  # a predecessor may have used or lent all
     rested = LEASE * 1.055 / 0.945 + WINDOW * 1.055 + 10.0
@@ -193,7 +193,7 @@
         assert cold.spend(rested + 1_070.0, "x", UNIX, UNIX, part * 1e3, 1e3)
 
 
-def test_a_later_start_stops_what_goes_by_the_one_before_and_takes_over_what_of_that_is_not_out():
+def test_later_start_stops_sends_of_the_earlier_one_and_takes_over_its_units():
     cold, counted = alone(now=0.0), []
     cold.count = counted.append
     now = 10_000.0
@@ -233,13 +233,13 @@
         budget_name("x", UNIX + MAX_CLOCK_SKEW_MS + 1e6),
     ],
 )
-def test_what_is_no_start_of_an_engine_is_not_opened(name):
+def test_invalid_budget_name_is_not_opened(name):
     cold = alone()
     assert not cold.may_open(0.0, name)
     assert not cold.starts and not cold.node.budgets.states
 
 
-def test_what_is_lent_of_the_start_before_comes_over_when_it_is_back_and_not_before():
+def test_lent_units_of_an_earlier_start_move_only_once_they_are_back():
     cold, now = alone(), 10_000.0
     cold.usable_part(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0)
     before = cold.starts[budget_name("x", UNIX)].account
@@ -265,7 +265,7 @@
     assert after.ready(now + before.reclaim_ms + before.cooldown_ms + 30.0) == UNITS
 
 
-def test_a_store_that_says_none_are_out_spares_the_rest_and_while_it_may_say_so_none_go_out():
+def test_clean_store_skips_the_first_cooldown_and_blocks_sends_while_it_says_so():
     cold, woken = alone(), []
     cold.on_blocked = lambda: woken.append(True)
     cold.set_store_state(0.0, True, False)  # as the store was found
@@ -283,14 +283,14 @@
     assert not late.spend(10_200.0, "x", UNIX, UNIX, 1.0, 1e3)
 
 
-def test_a_coordinator_asks_for_its_even_shares_at_one_engine_the_smallest_first():
+def test_coordinator_requests_its_even_shares_at_one_engine_smallest_first():
     assert work_to_request([], 3, 100.0) == (0.0, 0.0)
     assert work_to_request([250.0, 90.0, 40.0], 3, 100.0) == (130.0, 40.0)
     assert work_to_request([900.0, 800.0], 3, 100.0) == (800.0, 800.0)  # one at least
     assert [budget_factor(9, *case, (0.75, 0.5)) for case in ((0, True), (1, True), (0, False))] == [1.5, 1.0, 1.0]
 
 
-def test_the_few_who_are_there_gather_at_cold_engines_in_turn_and_many_by_their_numbers():
+def test_few_coordinators_choose_engines_by_rank_and_many_by_number():
     def places(numbers):
         here = [f"c{n}" for n in numbers]
         rows = [[requests_at(n, f"c{n}", [c for c in here if c != f"c{n}"], p, 3) for p in range(3)] for n in numbers]
@@ -301,7 +301,7 @@
     assert places([0, 1, 2, 3, 6, 9]) == [0, 1, 2, 0, 0, 0]
 
 
-def test_starts_are_bounded_and_forgotten_once_nothing_is_out():
+def test_starts_are_bounded_and_closed_once_nothing_is_lent():
     cold, counted = alone(), []
     cold.count = counted.append
     for n in range(MAX_STARTS + 1):
@@ -324,7 +324,7 @@
     assert parse_budget_name(budget_name("x", float("inf"))) == (budget_name("x", 0.0)[1:17], 1e14)
 
 
-def test_shares_too_small_for_a_query_go_round_and_small_claims_are_met_all_the_same():
+def test_shares_too_small_for_a_query_rotate_and_small_claims_are_still_met():
     rights = QuotaAccount(60, WINDOW, LEASE, 0.055, float("-inf"))
     loans = {
         name: rights.on_request(0.0, name, 1, False, 0, 0, 0, want)
@@ -341,7 +341,7 @@
     assert sorted(even.values()) == [4, 18, 19, 19]
 
 
-def test_the_module_sends_to_a_cold_engine_what_its_part_allows_and_the_fence_pays_for_each(monkeypatch):
+def test_module_sends_within_its_part_and_the_fence_spends_for_each_attempt(monkeypatch):
     """A coordinator of three in a fleet: the whole budget, as nobody else wants any of it."""
     now = UNIX + 10_000.0
     module = Controller(settings(READ, coordinators=3, workers=3), 1)
@@ -384,7 +384,7 @@
     assert warming.fence(state, attempts[0])  # a warm one needs no rights
 
 
-def test_under_faults_no_engine_gets_more_than_its_budget_and_one_with_most_of_the_demand_uses_most_of_it():
+def test_no_engine_exceeds_its_budget_under_faults_and_uneven_demand_uses_most_of_it():
     script = (
         "0- loss 0.1; 0- dup 0.2; 5-9 cut 0-1|2; 6 kill 1; 7 start 1; 8 stop 2; 10 cont 2; clock 0 1.05; clock 2 0.95"
     )
--- a/tests/test_fleet_counters.py
+++ b/tests/test_fleet_counters.py
@@ -183,7 +183,8 @@
 def test_member_that_answers_for_ever_gets_a_bounded_number_of_requests():
     seeds = {name: ("127.0.0.1", port) for name, port in (("a", 1), ("b", 2))}
     node, liar = (
-        FleetNode(name, seeds[name], 10, name.encode() * 16, FleetSettings(seeds, chain=64), 0.0) for name in seeds
+        FleetNode(name, seeds[name], 10, name.encode() * 16, FleetSettings(seeds, chain_length=64), 0.0)
+        for name in seeds
     )
     word = wire.encode(wire.Packet(liar.membership.me, "a", wire.CountersPage(5, [])))
     asked = sum(
@@ -196,7 +197,7 @@
 
 def test_many_suspicions_leave_room_for_rows_and_of_many_revived_members_one_is_asked():
     seeds = {"a": ("127.0.0.1", 1)}
-    node = FleetNode("a", seeds["a"], 10, b"a" * 16, FleetSettings(seeds, chain=64), 0.0)
+    node = FleetNode("a", seeds["a"], 10, b"a" * 16, FleetSettings(seeds, chain_length=64), 0.0)
     claims = [wire.MemberState(f"m{n}", "127.0.0.1", 100 + n, wire.ALIVE, 1, 0, bytes(16)) for n in range(60)]
     node.membership.add_known(0.0, claims)
     for claim in claims:
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -14,7 +14,10 @@
 
 def nodes() -> tuple[FleetNode, FleetNode, FleetNode]:
     seeds = {name: ("127.0.0.1", port) for name, port in (("a", 1), ("b", 2), ("c", 3))}
-    made = [FleetNode(name, seeds[name], 10, name.encode() * 16, FleetSettings(seeds, chain=64), 0.0) for name in seeds]
+    made = [
+        FleetNode(name, seeds[name], 10, name.encode() * 16, FleetSettings(seeds, chain_length=64), 0.0)
+        for name in seeds
+    ]
     carry(made, made[0].tick(1_000.0, 0.0) + made[1].tick(1_000.0, 0.0) + made[2].tick(1_000.0, 0.0))
     return tuple(made)
 
@@ -147,7 +150,7 @@
 
 @given(strategies.binary(max_size=1_400))
 def test_undecodable_datagram_is_counted_and_dropped(data):
-    node = FleetNode("a", ("127.0.0.1", 1), 1, b"s" * 16, FleetSettings({"a": ("127.0.0.1", 1)}, chain=64), 0.0)
+    node = FleetNode("a", ("127.0.0.1", 1), 1, b"s" * 16, FleetSettings({"a": ("127.0.0.1", 1)}, chain_length=64), 0.0)
     assert node.receive(0.0, ("127.0.0.1", 2), data) == []
     assert node.counted["fleet_undecodable"] == 1
 
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -143,9 +143,9 @@
             engines={n: SimpleNamespace(name=f"e-{n}", entry=entry(n)) for n in (1, 2, 3)},
         )
         self.service = FleetService(
-            "a", at["a"], None, FleetSettings(at, judges=3, chain=64), {}, core, Telemetry(sink=BytesIO())
+            "a", at["a"], None, FleetSettings(at, quorum=3, chain_length=64), {}, core, Telemetry(sink=BytesIO())
         )
-        self.service.node = FleetNode("a", at["a"], 1, b"s" * 16, self.service.terms, 0.0)
+        self.service.node = FleetNode("a", at["a"], 1, b"s" * 16, self.service.settings, 0.0)
 
     def say(self, *names: str, sick: bool = True) -> None:
         for name in names:
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -162,7 +162,7 @@
         30.0,
         60,
         demand=lambda n: 0.0,
-        terms={"probe_ms": 200.0, "timeout_ms": 190.0},
+        terms={"probe_interval_ms": 200.0, "probe_timeout_ms": 190.0},
     )
     emulator.run()
     assert emulator.events < 30 * 3 * 200
