--- a/frostspindle/fleet/budgets.py
+++ b/frostspindle/fleet/budgets.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from hashlib import blake2b
@@ -139,9 +140,13 @@
 
     # Time.
 
-    def due(self) -> float | None:
-        """Return when `tick` must be called next; None without budgets."""
-        return min((state.rebalance_at for state in self.states.values()), default=None)
+    def due(self) -> float:
+        """Return when `tick` must be called next; inf without budgets."""
+        due = math.inf
+        for state in self.states.values():
+            if state.rebalance_at < due:
+                due = state.rebalance_at
+        return due
 
     def tick(self, now: float) -> None:
         """Compare need and quota of each budget that is due: return surplus, renew loans, request what is missing."""
--- a/frostspindle/fleet/node.py
+++ b/frostspindle/fleet/node.py
@@ -211,14 +211,13 @@
 
     def due(self) -> float:
         """Return when `tick` must be called next, in ms of the monotonic clock: the earliest time of all parts."""
-        due = min(
+        return min(
             self.membership.due(),
             self.counters.due(self.membership.size),
+            self.budgets.due(),
             self._compare_at,
             self._publish_verdicts_at,
         )
-        budgets_due = self.budgets.due()
-        return due if budgets_due is None else min(due, budgets_due)
 
     def _start_comparison(self, now: float) -> None:
         jitter = 0.75 + 0.5 * self.random.random()
--- a/frostspindle/fleet/quota_escrow.py
+++ b/frostspindle/fleet/quota_escrow.py
@@ -131,8 +131,12 @@
         for lender, loan in self.borrowed.items():
             if now >= loan.expires_at:
                 expired.append((lender, loan))
-            else:
-                next_update_at = min(next_update_at, loan.expires_at, self._update_loan(now, loan))
+                continue
+            ready_at = self._update_loan(now, loan)
+            if ready_at < next_update_at:  # comparisons, as a coordinator has a loan with each home
+                next_update_at = ready_at
+            if loan.expires_at < next_update_at:
+                next_update_at = loan.expires_at
         for lender, loan in expired:
             self._close(lender, loan)
         # Cooldowns and leases only move to later; whatever else there is comes with a call of its own.
