--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -216,7 +216,7 @@
         changed = [number for number, state in self.core.engines.items() if state.name in changed_names]
         if not changed:
             return
-        parts = {number: believed.part for number, believed in self.core.controller.engines.items()}
+        parts = {number: believed.slow_start_share for number, believed in self.core.controller.engines.items()}
         loads = tuple(
             policy.WorkerLoad(
                 number,
@@ -239,14 +239,14 @@
             believed = self.core.controller.engines.get(number)
             if believed is None or state.entry.health == policy.Health.GONE:
                 continue
-            evidence = (round(believed.fails, 3), round(believed.slow, 3), float(len(believed.attempts)))
-            if believed.suspect and not believed.hearsay:
+            evidence = (round(believed.failure_rate, 3), round(believed.slowdown, 3), float(len(believed.attempts)))
+            if believed.ejected and not believed.ejected_by_peer:
                 verdicts[state.name, engine_verdicts.SICK] = evidence
             if state.name in self.core.banned:
                 verdicts[state.name, engine_verdicts.BANNED] = evidence
-            if believed.slow > SLOW_FACTOR:
+            if believed.slowdown > SLOW_FACTOR:
                 verdicts[state.name, engine_verdicts.SLOW] = evidence
-            if believed.cold(unix_ms):
+            if believed.in_slow_start(unix_ms):
                 verdicts[state.name, engine_verdicts.COLD] = evidence
         return verdicts
 
--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -15,7 +15,7 @@
 from frostspindle.fleet.node import FleetNode
 from frostspindle.fleet.service import monotonic
 from frostspindle.fleet.slow_start import SlowStartBudgets, budget_factor, requests_at, work_to_request
-from frostspindle.policy.controller import COLD_SAFETY
+from frostspindle.policy.slow_start import SLOW_START_SAFETY
 
 if TYPE_CHECKING:
     from frostspindle.host import ProgramContext
@@ -81,9 +81,9 @@
         unix_ms = clock()
         controller = self.core.controller
         believed = controller.engines.get(attempt.engine)
-        if believed is None or attempt.over or not believed.ready or not believed.cold(unix_ms):
+        if believed is None or attempt.is_finished or not believed.ready or not believed.in_slow_start(unix_ms):
             return True
-        job = controller.jobs.get(attempt.request.number)
+        job = controller.requests.get(attempt.request.number)
         if job is None or self.budgets is None:
             self.telemetry.count("cold_stopped")
             return False
@@ -92,14 +92,16 @@
             state.name,
             started_ms(state),
             attempt.sent_ms,
-            controller.cold_work(job),
-            self._budget_factor * controller.cold_budget(believed, unix_ms),
+            controller.slow_start.work_ms(job),
+            self._budget_factor * controller.slow_start.budget_ms(believed, unix_ms),
         )
 
     @property
     def _budget_factor(self) -> float:
         controller = self.core.controller
-        return budget_factor(controller.s.coordinators, self.outside, controller.sparse, COLD_SAFETY)
+        return budget_factor(
+            controller.settings.coordinators, self.outside, controller.fractional_share, SLOW_START_SAFETY
+        )
 
     def _tick(self) -> None:
         delay_s = IDLE_TICK_S
@@ -117,8 +119,10 @@
         now = monotonic()
         controller = self.core.controller
         budgets.tick(now)
-        needs = controller.cold_need(unix_ms)
-        queued_work = [controller.cold_work(job) for *_, job in controller.held[:MAX_QUEUED]] if needs else []
+        needs = controller.slow_start.needs(unix_ms)
+        queued_work = (
+            [controller.slow_start.work_ms(job) for *_, job in controller.waiting_queue[:MAX_QUEUED]] if needs else []
+        )
         factor = self._budget_factor
         updates = []
         for place, number in enumerate(sorted(needs)):
@@ -126,11 +130,11 @@
             if state is None:
                 continue
             believed = controller.engines[number]
-            budget_work = factor * controller.cold_budget(believed, unix_ms)
-            even_share = budget_work / controller.s.coordinators
+            budget_work = factor * controller.slow_start.budget_ms(believed, unix_ms)
+            even_share = budget_work / controller.settings.coordinators
             wanted, smallest = work_to_request(queued_work, len(needs), even_share)
             alive = budgets.node.membership.alive
-            requests_here = requests_at(controller.s.number, budgets.node.name, alive, place, len(needs))
+            requests_here = requests_at(controller.settings.number, budgets.node.name, alive, place, len(needs))
             part = factor * budgets.usable_part(
                 now,
                 unix_ms,
@@ -142,9 +146,11 @@
                 smallest / budget_work,
                 TICK_S * 1e3,
             )
-            if part != believed.part:
+            if part != believed.slow_start_share:
                 updates.append(
-                    policy.WorkerLoad(number, believed.peers, believed.peers_memory, believed.hearsay, part, (), 0.0)
+                    policy.WorkerLoad(
+                        number, believed.peer_threads, believed.peer_memory_mb, believed.ejected_by_peer, part, (), 0.0
+                    )
                 )
         if updates:
             self.core.update_worker_loads(tuple(updates))
@@ -159,7 +165,7 @@
     """Return when the engine's process started, Unix ms, as the engine list has it: the same at all coordinators,
     whatever they have believed since.
     """
-    return (state.listed or state.entry).since_ms
+    return (state.listed_entry or state.entry).since_ms
 
 
 def attach(program: ProgramContext) -> SlowStartCoordinator:
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -2,7 +2,7 @@
 
 from compatibility.messages import RULES
 
-from frostspindle.catalogue import Catalogue, Column, Group, Scatter, Site, home_of
+from frostspindle.catalogue import Catalogue, Column, ScatterSection, Site, TableGroup, home_of
 from frostspindle.fleet import slow_start
 from frostspindle.fleet.incarnation import IncarnationChain
 from frostspindle.fleet.node import Budget, FleetNode, FleetSettings
@@ -12,13 +12,13 @@
 from frostspindle.recovery import tickets
 from frostspindle.replica.links import FrameChecksums, proof
 from frostspindle.scatter.service import ticket as part_ticket
-from frostspindle.settings.versions import EMPTY
+from frostspindle.settings.versions import EMPTY_VERSION
 
 SEEDS = ("c1", "c2", "c3")
-TABLE = Scatter(
+TABLE = ScatterSection(
     site=[Site(name="north", zones=["n1", "n2"], foreign_loads=True), Site(name="south")],
     group=[
-        Group(
+        TableGroup(
             schema="sales_7",
             tables=["facts"],
             column=[Column(name="region", type="text"), Column(name="price", type="decimal", scale=2, step=100)],
@@ -61,7 +61,7 @@
 
 def agreed():
     """Return all values by name, as JSON has them."""
-    ticket = tickets.ticket("request-1")
+    ticket = tickets.ticket_id("request-1")
     return {
         "budget definition": node().budgets.states["heavy"].digest,
         "scatter catalogue": CATALOGUE.digest,
@@ -71,11 +71,11 @@
             IncarnationChain(b"secret", 256).proof(incarnation).hex() for incarnation in (0, 3, 256)
         ],
         "load ticket": ticket.hex(),
-        "ticket homes": tickets.homes(ticket, [f"c{number}" for number in range(1, 9)]),
+        "ticket homes": tickets.ticket_replicas(ticket, [f"c{number}" for number in range(1, 9)]),
         "ticket of a part": part_ticket("request-1", "north"),
         "order key": key_number(cls=2, key=b"account-9"),
         "task rank": draw(task="export", holder="c1"),
-        "settings digest": EMPTY.next(number=1, changes=RULES).sum.hex(),
+        "settings digest": EMPTY_VERSION.child(number=1, changes=RULES).digest_bytes.hex(),
         "connection proof": proof(b"secret", b"label", b"hello", b"nonce").hex(),
         "frame sums": [sums.next(b"payload").hex() for sums in [FrameChecksums(b"key")] for _ in range(2)],
         "summary": summary().encode().hex(),
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -14,10 +14,10 @@
 from frostspindle.ownership import lease_table, progress
 from frostspindle.recovery import tickets
 from frostspindle.recovery import wire as recovery
-from frostspindle.recovery.node import HeartbeatRecord
+from frostspindle.recovery.inputs import HeartbeatRecord
 from frostspindle.replica import wire as replica
 from frostspindle.scatter import wire as scatter
-from frostspindle.settings import agreement, schema
+from frostspindle.settings import log_commands, schema
 from frostspindle.store import records
 from frostspindle.store.base import StoreDigest
 from frostspindle.store.opening_decision import HeadRecord, KnownStore, MetaRecord
@@ -73,43 +73,45 @@
     for name, body in FLEET.items()
 }
 
-STORE = recovery.StoreState(id=ID, life=2, generation=40)
-OTHER_STORE = recovery.StoreState(id=TOKEN, life=3, generation=41)
-BAN = recovery.BanStatement(maker="c1", engine="e7", on=True, at_ms=1_700_000_000_123.0)
+STORE = recovery.StoreState(id=ID, incarnation=2, generation=40)
+OTHER_STORE = recovery.StoreState(id=TOKEN, incarnation=3, generation=41)
+BAN = recovery.BanStatement(origin="c1", engine="e7", banned=True, at_ms=1_700_000_000_123.0)
 LISTED = recovery.ListedEngine(
     name="e7",
-    dial="10.0.1.7:9000",
-    site="north",
+    address="10.0.1.7:9000",
+    zone="north",
     kind="large",
-    block=-4,
+    cell=-4,
     health=2,
-    share=1.5,
-    born_ms=1_700_000_000_000.0,
-    told_ms=1_699_999_999_000.0,
-    ran=False,
+    weight=1.5,
+    started_ms=1_700_000_000_000.0,
+    published_start_ms=1_699_999_999_000.0,
+    ran_on=False,
 )
 RECOVERY = {
-    "state request": recovery.ReportRequest(seq=61, page=2, mine=STORE),
+    "state request": recovery.ReportRequest(seq=61, page=2, own_store=STORE),
     "state page": recovery.ReportPage(
         seq=62,
         digest=63,
         page=1,
-        pages=4,
-        number=64,
-        up_ms=65.5,
-        firm=True,
-        blank=True,
-        yours=OTHER_STORE,
-        mine=STORE,
+        page_count=4,
+        last_event=64,
+        uptime_ms=65.5,
+        settled=True,
+        store_lost=True,
+        your_store=OTHER_STORE,
+        own_store=STORE,
         engines=[LISTED],
         bans=[BAN],
     ),
     "ticket claim": recovery.TicketClaim(ticket=ID, nonce=71),
-    "ticket reply": recovery.TicketReply(ticket=ID, nonce=72, how=recovery.RESTS, mine=STORE),
+    "ticket reply": recovery.TicketReply(
+        ticket=ID, nonce=72, status=recovery.TicketStatus.IN_COOLDOWN, own_store=STORE
+    ),
     "ticket release": recovery.TicketRelease(ticket=ID, nonce=73),
 }
-BEAT = HeartbeatRecord(at_ms=1_700_000_001_000.0, number=66, clean=True)
-TICKET = tickets.TicketRecord(by="c2", nonce=74, at_ms=1_700_000_002_000.0)
+BEAT = HeartbeatRecord(at_ms=1_700_000_001_000.0, last_event=66, clean_shutdown=True)
+TICKET = tickets.TicketRecord(claimant="c2", nonce=74, at_ms=1_700_000_002_000.0)
 
 CELLS = {"region": [(2, "north"), (1, "7")]}
 SCATTER = {
@@ -210,19 +212,34 @@
     "limit/open_requests": schema.Limit(value=512.0),
 }
 SETTINGS = {
-    "draft": agreement.DraftPiece(
-        by="c1", process=141, number=142, base=3, digest=ID, at=1, of=2, data=b"changes", to=4
+    "draft": log_commands.DraftPiece(
+        author="c1",
+        process=141,
+        number=142,
+        base_version=3,
+        digest=ID,
+        piece_index=1,
+        piece_count=2,
+        data=b"changes",
+        target_version=4,
     ),
-    "publish": agreement.PublishVersion(token=143, draft="c1/141/142"),
-    "hold": agreement.RenewLease(
-        name="c1", process=144, number=145, acked=5, acting=4, refused=6, why="class/batch", seen=(7, 8, 9)
+    "publish": log_commands.PublishVersion(token=143, draft="c1/141/142"),
+    "hold": log_commands.RenewLease(
+        name="c1",
+        process=144,
+        number=145,
+        acknowledged=5,
+        active=4,
+        rejected=6,
+        reason="class/batch",
+        figures=(7, 8, 9),
     ),
-    "live": agreement.Activate(token=146, version=5, usual=(0.5, 1.25)),
-    "withdraw": agreement.Withdraw(token=147, version=5, why="refused by c2"),
-    "proven": agreement.Confirm(token=148, version=5),
-    "rollback": agreement.Rollback(token=149, version=5, why="errors"),
-    "forget": agreement.RemoveMember(token=150, name="c2", process=151, number=152),
-    "leave": agreement.MemberLeaving(name="c1", process=153),
+    "live": log_commands.Activate(token=146, version=5, baseline=(0.5, 1.25)),
+    "withdraw": log_commands.Withdraw(token=147, version=5, reason="refused by c2"),
+    "proven": log_commands.Confirm(token=148, version=5),
+    "rollback": log_commands.Rollback(token=149, version=5, reason="errors"),
+    "forget": log_commands.RemoveMember(token=150, name="c2", process=151, number=152),
+    "leave": log_commands.MemberLeaving(name="c1", process=153),
 }
 
 # The replication library's messages: dicts with its own keys, which are not ours to rename.
@@ -260,9 +277,9 @@
 }
 SNAPSHOT = (ENTRIES[0], ENTRIES[1], ["c1", "c2", "c3"], {"settings": b"state", "ownership": b"rows"})
 
-HEAD = HeadRecord(format=1, kind="sqlite", owner="c1", id=ID, life=2, inode=171)
-META = MetaRecord(id=ID, generation=40, tally=StoreDigest(entries=3, size=120, digest=2**100 + 1))
-WITNESSED = KnownStore(owner="c1", id=ID, life=2, generation=40)
+HEAD = HeadRecord(format=1, kind="sqlite", owner="c1", id=ID, incarnation=2, inode=171)
+META = MetaRecord(id=ID, generation=40, contents=StoreDigest(entries=3, size=120, digest=2**100 + 1))
+WITNESSED = KnownStore(owner="c1", id=ID, incarnation=2, generation=40)
 MOVES = {b"kept": 0, b"removed": None}
 
 
@@ -286,7 +303,7 @@
 
 def batch_out(batch):
     meta, moves = batch
-    return records.batch_out(meta, moves)
+    return records.encode_batch(meta, moves)
 
 
 def snapshot_out(parts):
@@ -308,19 +325,19 @@
     "ownership": (lease_table.read, lease_table.encode, OWNERSHIP),
     "ownership answer": (lease_table.said, lease_table.encode, {"refused": OWNERSHIP_ANSWER}),
     "warming": (partial(decode, type=progress.RecordProgress), progress.encode, {"note": WARMING_NOTE}),
-    "settings": (agreement.read, agreement.encode, SETTINGS),
+    "settings": (log_commands.decode_command, log_commands.encode_command, SETTINGS),
     "replica": (replica.message_in, replica.message_out, REPLICA),
     "replica entry": (replica.read_body, body_out, {"proposal": ("settings", b"command", TOKEN)}),
     "replica snapshot": (replica.read_snapshot, snapshot_out, {"snapshot": SNAPSHOT}),
     "recovery ban": (recovery.decode_ban, recovery.encode, {"ban": BAN}),
-    "recovery store": (recovery.decode_known, recovery.encode, {"store": STORE}),
-    "recovery engine": (recovery.decode_listed, recovery.encode, {"engine": LISTED}),
+    "recovery store": (recovery.decode_store_state, recovery.encode, {"store": STORE}),
+    "recovery engine": (recovery.decode_listed_engine, recovery.encode, {"engine": LISTED}),
     "recovery heartbeat": (partial(decode, type=HeartbeatRecord), encode, {"heartbeat": BEAT}),
     "recovery ticket": (partial(decode, type=tickets.TicketRecord), encode, {"ticket": TICKET}),
-    "store head": (records.head_in, records.head_out, {"head": HEAD}),
-    "store state": (records.meta_in, records.meta_out, {"state": META}),
-    "store witness": (records.known_in, records.known_out, {"witness": WITNESSED}),
-    "store batch": (records.batch_in, batch_out, {"batch": (META, MOVES)}),
+    "store head": (records.decode_head, records.encode_head, {"head": HEAD}),
+    "store state": (records.decode_meta, records.encode_meta, {"state": META}),
+    "store witness": (records.decode_known, records.encode_known, {"witness": WITNESSED}),
+    "store batch": (records.decode_batch, batch_out, {"batch": (META, MOVES)}),
     "worker start": (partial(json.decode, type=WorkerBootstrap), json.encode, {"worker": PASSPORT}),
     "subscription cursor": (
         lambda data: cursor.decode(data.decode()),
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -116,7 +116,7 @@
         module = Controller(settings(), 1)
         for number, over in ((1, True), (2, False)):  # no engine yet: both are held
             module.handle(1_000.0, policy.RequestArrived(number, 0, 0, 0, 5_000.0, 100.0, 10.0, 0.0, over))
-        assert [job.request for *_, job in module.held] == [2, 1]
+        assert [request.number for *_, request in module.waiting_queue] == [2, 1]
         actions = module.handle(1_001.0, policy.EndpointListUpdated(policy.EndpointListKind.FULL, 1, (entry(1),)))
         assert [a.request for a in actions if isinstance(a, policy.StartAttempt)][:1] == [2]
 
@@ -156,20 +156,20 @@
 
     def test_two_are_not_enough_three_are_and_their_withdrawal_ends_it(self):
         self.say("b", "c")
-        assert (self.heard, self.module.engines[1].suspect) == ([], False)
+        assert (self.heard, self.module.engines[1].ejected) == ([], False)
         self.say("d")
-        assert [(peer.engine, peer.suspect, peer.part) for peer in self.heard] == [(1, True, 1.0)]
-        assert self.module.engines[1].suspect
+        assert [(peer.engine, peer.ejected, peer.part) for peer in self.heard] == [(1, True, 1.0)]
+        assert self.module.engines[1].ejected
         self.service._update()
         assert len(self.heard) == 1  # told once: a test passed here is not overruled by the same word again
         self.say("b", sick=False)
-        assert not self.module.engines[1].suspect
+        assert not self.module.engines[1].ejected
 
     def test_what_was_only_heard_is_not_passed_on_as_seen(self):
         self.say("b", "c", "d")
         self.service._update()
         assert set(self.service.node.verdicts.own) == {("e-2", engine_verdicts.BANNED)}
-        self.module.engines[3].suspect = True  # as the module itself found
+        self.module.engines[3].ejected = True  # as the module itself found
         self.service._update()
         assert ("e-3", engine_verdicts.SICK) in self.service.node.verdicts.own
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -178,7 +178,7 @@
         # What it plans is held against the 5.7 s after which it is killed; how late a busy machine carries that out is
         # the machine's affair, as long as it is not the request's minute.
         last_s = (await old.event("stopping"))["last_s"]
-        self.assertLess(last_s + program.LOOK_S * 2 + program.FLUSH_S, 5.7)
+        self.assertLess(last_s + program.DRAIN_POLL_INTERVAL_S * 2 + program.RESPONSE_FLUSH_S, 5.7)
         self.assertEqual((await asked)[0], 502)
         self.assertEqual(await asyncio.to_thread(old.process.wait, 60), 0)
         self.assertLess(asyncio.get_running_loop().time() - began, last_s + 5.0)
@@ -255,12 +255,12 @@
         engine.script = at_work(asyncio.Event())
         core = self.program.core
         asked = [asyncio.create_task(self.ask(number=number)) for number in range(60)]
-        await self.until(lambda: core.open == 60 and core.controller.held)
+        await self.until(lambda: core.open == 60 and core.controller.waiting_queue)
         sent = self.count("sent")
         core.fail_open_requests()
         self.assertEqual({(await one)[0] for one in asked}, {503})  # lookups: a repeat does no harm
-        await self.until(lambda: not core._records)
-        self.assertEqual((core.controller.jobs, self.count("faults")), ({}, 0))
+        await self.until(lambda: not core.ledger.entries)
+        self.assertEqual((core.controller.requests, self.count("faults")), ({}, 0))
         self.assertLessEqual(len(engine.of("POST")), sent)
 
     async def test_over_an_upgrade_a_process_may_have_open_what_the_other_leaves(self):
@@ -268,7 +268,7 @@
         core, folder = self.program.core, self.program.shared.folder.parent
 
         async def most(bound):
-            await self.until(lambda: core.controller.most_open == bound)
+            await self.until(lambda: core.controller.max_open_requests == bound)
 
         await most(296)  # 29 percent of 1,024
         other, theirs = Shared({"TMPDIR": str(folder)}, "t0", Telemetry(sink=io.BytesIO())), [250]
@@ -277,9 +277,9 @@
         await most(59)  # the other has most in its line, and a fifth is for the new one all the same
         theirs[0] = 20
         await most(276)
-        core._open = 41
+        core.ledger.open_count = 41
         await self.until(lambda: other.theirs == 41)
-        core._open = 0
+        core.ledger.open_count = 0
         self.program.stopping.set()
         theirs[0] = 21
         await most(237)  # the one that ends keeps what it has, but for the new one's fifth
