--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -19,6 +19,7 @@
 
 if TYPE_CHECKING:
     from frostspindle.host import ProgramContext
+    from frostspindle.policy import engine_state
 
 CHANNEL = 4  # reserved: this quota moves by the messages of all budgets
 TICK_S = 0.02  # with an engine in slow start
@@ -120,47 +121,52 @@
         controller = self.core.controller
         budgets.tick(now)
         needs = controller.slow_start.needs(unix_ms)
-        queued_work = (
-            [controller.slow_start.work_ms(job) for *_, job in controller.waiting_queue[:MAX_QUEUED]] if needs else []
-        )
-        factor = self._budget_factor
+        queued_work = self._queued_work() if needs else []
         updates = []
         for place, number in enumerate(sorted(needs)):
             state = self.core.engines.get(number)
             if state is None:
                 continue
             believed = controller.engines[number]
-            budget_work = factor * controller.slow_start.budget_ms(believed, unix_ms)
+            budget_work = self._budget_factor * controller.slow_start.budget_ms(believed, unix_ms)
             even_share = budget_work / controller.settings.coordinators
             wanted, smallest = work_to_request(queued_work, len(needs), even_share)
             alive = budgets.node.membership.alive
             requests_here = requests_at(controller.settings.number, budgets.node.name, alive, place, len(needs))
-            part = factor * budgets.usable_part(
+            part = self._budget_factor * budgets.usable_part(
                 now,
                 unix_ms,
                 state.name,
                 started_ms(state),
                 budget_work,
-                needs[number][0] / factor,
+                needs[number][0] / self._budget_factor,
                 requests_here * wanted / budget_work,
                 smallest / budget_work,
                 TICK_S * 1e3,
             )
             if part != believed.slow_start_share:
-                updates.append(
-                    policy.WorkerLoad(
-                        number, believed.peer_threads, believed.peer_memory_mb, believed.ejected_by_peer, part, (), 0.0
-                    )
-                )
+                updates.append(_with_part(number, believed, part))
         if updates:
             self.core.update_worker_loads(tuple(updates))
         return bool(needs)
 
+    def _queued_work(self) -> list[float]:
+        """The work of the first queued requests, in ms."""
+        controller = self.core.controller
+        return [controller.slow_start.work_ms(request) for *_, request in controller.waiting_queue[:MAX_QUEUED]]
+
     def figures(self) -> dict[str, Any]:
         """Return the figures for the operators' port; empty while not running."""
         return self.budgets.figures(monotonic()) if self.budgets is not None else {}
 
 
+def _with_part(number: int, believed: engine_state.EngineState, part: float) -> policy.WorkerLoad:
+    """What the module is told of an engine: its new part, and all else as it believes already."""
+    return policy.WorkerLoad(
+        number, believed.peer_threads, believed.peer_memory_mb, believed.ejected_by_peer, part, (), 0.0
+    )
+
+
 def started_ms(state: EngineState) -> float:
     """Return when the engine's process started, Unix ms, as the engine list has it: the same at all coordinators,
     whatever they have believed since.
