--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -177,12 +177,12 @@
 WANTS = """
 import runpy
 from frostspindle.ownership import wiring
-start = wiring.Part.start
+start = wiring.OwnershipComponent.start
 def begin(part):
     for n in range({tasks}):
         part.owners.want(f"t{{n}}")
     start(part)
-wiring.Part.start = begin
+wiring.OwnershipComponent.start = begin
 runpy.run_module("frostspindle", run_name="__main__")
 """  # more tasks than a file may name: the program as it is, that wants these besides
 
--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -18,7 +18,7 @@
 from frostspindle.lab.fenced import Sink
 from frostspindle.lab.history import Checked, check
 from frostspindle.lab.replica import EmulatedLog, EmulatedReplicas
-from frostspindle.ownership.holder import LeaseHolder, LeaseSettings
+from frostspindle.ownership.holder import CommandOutcome, LeaseHolder, LeaseSettings
 from frostspindle.ownership.lease_table import LeaseTable
 from frostspindle.replica.base import AppliedEntry, OutcomeUnknownError
 
@@ -46,7 +46,7 @@
 
     def told(self, command: bytes, result: bytes) -> None:
         """Pass an applied entry to the holder, and log the leases that it gained or lost by that."""
-        self.holder.told(self.now, command, result)
+        self.holder.on_applied(self.now, command, result)
         self.tell()
         self.looked = self.lab.now
 
@@ -54,7 +54,7 @@
         """Log the holder's changes as owner_took and owner_lost lines, in true ms. A lease that ran out is logged at
         its end; one that was lost otherwise at the last look, as it was not acted under after that; one that was
         released or passed on at the present time."""
-        turned, self.holder.turned = self.holder.turned, []
+        turned, self.holder.changes = self.holder.changes, []
         for turn in turned:  # by true time: a lease that ended by the own clock ended so long before now
             before = (self.now - turn.at) / self.lab.replicas.rates.get(self.number, 1.0)
             # What a step of the clock ended was last acted under at the look before it.
@@ -77,7 +77,7 @@
 
     def turn(self) -> None:
         """Take one step: propose the holder's next command, and act under each lease that is held at this moment."""
-        command = self.holder.ask(self.now, self.log.leader is not None)
+        command = self.holder.next_command(self.now, self.log.leader is not None)
         self.tell()
         if command is not None:
             assert self.holder.pending is not None
@@ -86,16 +86,16 @@
             self.lab.commands += 1
 
             def done(out: Any) -> None:
-                holder.outcome(
-                    self.now,
-                    number,
-                    isinstance(out, AppliedEntry),
-                    None if isinstance(out, OutcomeUnknownError) else False,
-                )
+                outcome = CommandOutcome.NOT_APPENDED
+                if isinstance(out, AppliedEntry):
+                    outcome = CommandOutcome.APPLIED
+                elif isinstance(out, OutcomeUnknownError):
+                    outcome = CommandOutcome.UNKNOWN
+                holder.on_outcome(self.now, number, outcome)
 
             self.log.submit(TOPIC, command, self.lab.terms.within_ms / 1_000.0, done)
-        for task, own in list(self.holder.own.items()):
-            if own.told and self.holder.holds(task, own.token, self.now):
+        for task, own in list(self.holder.leases.items()):
+            if own.announced and self.holder.holds(task, own.token, self.now):
                 self.lab.act(self, task, own.token)
         self.tell()
         self.looked = self.lab.now
--- a/frostspindle/ownership/__init__.py
+++ b/frostspindle/ownership/__init__.py
@@ -1,5 +1,5 @@
-"""One owner at a time for work on behalf of the fleet: leases on a replicated log, fenced by tokens that only grow.
+"""Leases: which coordinator of a fleet does a task that only one may do at a time.
 
-`table.py` is the table of leases as a machine on the log, `holder.py` decides who asks for what and when, `fence.py`
-is each receiver's; none of them has I/O or a clock. `jobs.py` runs work under a lease, `service.py` is timers and log.
+Grants are rows of a table on the replicated log, with fencing tokens for receivers, and the jobs that are done under
+leases are here too: docs/design/ownership.md.
 """
--- a/frostspindle/ownership/jobs.py
+++ b/frostspindle/ownership/jobs.py
@@ -1,56 +1,59 @@
-"""Work under a lease: begun when the lease is got, ended when it is lost, checked at each step and before each send.
+"""Jobs that run under a lease: started when it is acquired, cancelled when it is lost.
 
-Owns the tasks of the event loop that do such work, one a task of the fleet at most. It must never let a send begin
-without a look at the lease, and never begin a job anew before its last run here has ended.
+`JobRunner` owns the event loop's tasks that run jobs, one for each lease at most: a job does not start again before its
+last run here has ended. `JobContext` checks the lease after each step and before each send.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 from typing import Any, Protocol, TypeVar
 
 from frostspindle.ownership.fence import StaleTokenError
 from frostspindle.ownership.lease import Lease, LeaseLostError, LeaseProvider
 from frostspindle.telemetry import Telemetry
 
-Got = TypeVar("Got")
-AGAIN_S, AGAIN_MOST_S = 0.2, 5.0  # after a run that ended or failed
+Result = TypeVar("Result")
+
+BACKOFF_S = 0.2  # after a run that failed
+MAX_BACKOFF_S = 5.0
 
 
 class LeaseService(LeaseProvider, Protocol):
-    """What jobs need of the service."""
+    """What jobs need of the lease manager."""
 
-    def did(self, task: str, token: int, action: str, receiver: str) -> None:
+    def record_action(self, task: str, token: int, action: str, receiver: str) -> None:
         """Note that a receiver has accepted an action under a token, for the history and the figures."""
 
 
 class JobContext:
-    """What a job works with: its lease, and the only way by which it may send."""
+    """What a job gets: its lease, and the only way by which it may send."""
 
-    def __init__(self, lease: Lease, owners: LeaseService) -> None:
-        self.lease, self._owners = lease, owners
+    def __init__(self, lease: Lease, leases: LeaseService) -> None:
+        self.lease: Lease = lease
+        self._leases: LeaseService = leases
 
-    async def step(self, work: Awaitable[Got]) -> Got:
-        """Await a step that sends nothing, then check the lease. Raises Lost."""
-        got = await work
+    async def step(self, work: Awaitable[Result]) -> Result:
+        """Await a step that sends nothing, then check the lease; LeaseLostError."""
+        result = await work
         self.lease.check()
-        return got
+        return result
 
-    async def send(self, action: str, receiver: str, call: Callable[[int], Awaitable[Got]]) -> Got:
-        """Check the lease, send under its token, check again. Raises Lost, also where the receiver answers Stale.
+    async def send(self, action: str, receiver: str, call: Callable[[int], Awaitable[Result]]) -> Result:
+        """Check the lease, send under its token, check again; LeaseLostError, also if the receiver rejects the token.
 
         The action counts as accepted when `call` returns.
         """
         self.lease.check()
         try:
-            got = await call(self.lease.token)
+            result = await call(self.lease.token)
         except StaleTokenError as error:
-            self._owners.refused(self.lease.task, self.lease.token, action, error.highest)
-            raise LeaseLostError(str(error)) from None
-        self._owners.did(self.lease.task, self.lease.token, action, receiver)
+            self._leases.record_rejection(self.lease.task, self.lease.token, action, error.highest)
+            raise LeaseLostError(str(error)) from error
+        self._leases.record_action(self.lease.task, self.lease.token, action, receiver)
         self.lease.check()
-        return got
+        return result
 
 
 class Job(Protocol):
@@ -59,7 +62,7 @@
     task: str
     every_s: float  # from the end of a run to the next, while the lease is held
 
-    async def run(self, hand: JobContext) -> None:
+    async def run(self, context: JobContext) -> None:
         """Do the work once; what must be remembered between runs is kept by receivers or the log, not this process."""
 
 
@@ -67,44 +70,46 @@
     """All jobs of one coordinator, each run while its lease is held."""
 
     def __init__(
-        self, owners: LeaseService, telemetry: Telemetry, jobs: list[Job], weights: dict[str, float] | None = None
+        self, leases: LeaseService, telemetry: Telemetry, jobs: list[Job], weights: dict[str, float] | None = None
     ) -> None:
-        self.owners, self.telemetry = owners, telemetry
-        self.jobs = {job.task: job for job in jobs}
-        self.running: dict[str, set[asyncio.Task[None]]] = {}  # the last one works, others are still ending
-        self.runs: dict[str, int] = dict.fromkeys(self.jobs, 0)
-        owners.on_change.append(self._changed)
+        """`weights`: by task, 1 if it has none; see LeaseProvider.want."""
+        self.leases: LeaseService = leases
+        self.telemetry: Telemetry = telemetry
+        self.jobs: dict[str, Job] = {job.task: job for job in jobs}
+        self.running: dict[str, set[asyncio.Task[None]]] = {}  # one runs the job, others are still ending
+        self.runs: dict[str, int] = dict.fromkeys(self.jobs, 0)  # completed, by task
+        leases.on_change.append(self._on_lease_changed)
         for job in jobs:
-            owners.want(job.task, (weights or {}).get(job.task, 1.0))
+            leases.want(job.task, (weights or {}).get(job.task, 1.0))
 
-    def _changed(self, task: str, lease: Lease | None) -> None:
-        if (job := self.jobs.get(task)) is None:
+    def _on_lease_changed(self, task: str, lease: Lease | None) -> None:
+        job = self.jobs.get(task)
+        if job is None:
             return
-        before = frozenset(work for work in self.running.pop(task, ()) if not work.done())
-        for work in before:
-            if not work.cancelling():  # once: a second time would break into its way out
-                work.cancel()
+        ending = frozenset(run for run in self.running.pop(task, ()) if not run.done())
+        _cancel_once(ending)
         if lease is not None:
-            self.running[task] = {*before, asyncio.create_task(self._work(job, lease, before))}
-        elif before:
-            self.running[task] = set(before)
-
-    async def _work(self, job: Job, lease: Lease, before: frozenset[asyncio.Task[None]]) -> None:
-        if before:
-            await asyncio.wait(before)
-        failed = 0
+            self.running[task] = {*ending, asyncio.create_task(self._run(job, lease, ending))}
+        elif ending:
+            self.running[task] = set(ending)
+
+    async def _run(self, job: Job, lease: Lease, ending: frozenset[asyncio.Task[None]]) -> None:
+        """Run a job over and over while its lease is held, after its earlier runs have ended."""
+        if ending:
+            await asyncio.wait(ending)
+        failures = 0
         while lease.holds():
             try:
-                await job.run(JobContext(lease, self.owners))
-                failed = 0
+                await job.run(JobContext(lease, self.leases))
+                failures = 0
                 self.runs[job.task] += 1
             except LeaseLostError:
                 return
             except Exception as error:  # noqa: BLE001 - a job's fault is its own: the next run tries again
-                failed += 1
+                failures += 1
                 self.telemetry.count("owner_job_faults")
                 self.telemetry.log("owner_job", task=job.task, token=lease.token, error=repr(error))
-            await asyncio.sleep(max(job.every_s, min(AGAIN_MOST_S, AGAIN_S * 2.0 ** (failed - 1)) if failed else 0.0))
+            await asyncio.sleep(max(job.every_s, _backoff_s(failures)))
 
     def figures(self) -> dict[str, Any]:
         """Return the number of runs that were completed here, by task."""
@@ -112,8 +117,20 @@
 
     async def close(self) -> None:
         """Cancel all running jobs and wait until they have ended."""
-        works = [work for works in self.running.values() for work in works]
-        for work in works:
-            if not work.cancelling():
-                work.cancel()
-        await asyncio.gather(*works, return_exceptions=True)
+        runs = [run for runs in self.running.values() for run in runs]
+        _cancel_once(runs)
+        await asyncio.gather(*runs, return_exceptions=True)
+
+
+def _cancel_once(runs: Iterable[asyncio.Task[None]]) -> None:
+    """Cancel tasks that are not being cancelled yet: a second time would break into their clean-up."""
+    for run in runs:
+        if not run.cancelling():
+            run.cancel()
+
+
+def _backoff_s(failures: int) -> float:
+    """Return the backoff after so many failures in a row, in seconds."""
+    if not failures:
+        return 0.0
+    return min(MAX_BACKOFF_S, BACKOFF_S * 2.0 ** (failures - 1))
--- a/frostspindle/ownership/lease_table.py
+++ b/frostspindle/ownership/lease_table.py
@@ -1,14 +1,14 @@
-"""The table of leases: a deterministic machine on the replicated log, the same at every coordinator.
+"""The table of leases: a deterministic state machine on the replicated log, the same at every coordinator.
 
-Owns who was granted which task under which token, and which commands were seen. It must never read a clock or raise on
-whatever bytes, and never grant a task whose row is another than its proposer saw: whether the old lease is over is the
-proposer's to know (`holder.py`), so the table compares and sets. A token is the log's index of its grant.
+Records which task is granted to whom under which fencing token, and which commands were seen. No clock, and no error
+for any bytes. A task is granted only if its row is the one that the proposer saw (compare-and-set): whether the old
+lease is over is decided by the proposer (`holder.py`). A token is the log's index of its grant.
 
-Commands are MessagePack arrays: `Ask` (takes, renewals and releases of one coordinator in one entry), `Force` (an
-operator's release: nothing is renewed under that token any more, and the next holder waits the lease out all the
-same), `Leave` (a coordinator ends: all its leases are released, and what it sent before and comes later is dropped).
-Each carries the proposer's process (name, life) and a number that grows; one that is not greater than the last that was
-applied of that process is dropped, so that what was sent twice or overtaken changes nothing.
+Commands are MessagePack arrays: `RenewLeases` (acquisitions, renewals and releases of one coordinator in one entry),
+`ForceRelease` (an operator's release: nothing is renewed under that token any more, and the next holder still waits for
+the lease's expiry), `ReleaseAll` (a coordinator ends: all its leases are released, and commands that it sent before and
+that come later are dropped). Each carries the proposer's process (name, incarnation) and a growing number; one that is
+not greater than the last applied of that process is dropped, so that duplicates and overtaken commands change nothing.
 """
 
 from __future__ import annotations
@@ -19,45 +19,50 @@
 import msgspec
 from msgspec import Meta, Struct
 
-MOST_TASKS, MOST_PROPOSERS = 4_096, 512
-MOST_ITEMS = 512  # of one Ask; with the longest names it stays under the log's bound
-NAME = r"^[!-~]{1,64}$"
-Name = Annotated[str, Meta(pattern=NAME)]
-Whole = Annotated[int, Meta(ge=0, le=2**53)]
-Length = Annotated[int, Meta(ge=100, le=600_000)]  # of a lease, ms
-Takes = Annotated[list[tuple[Name, Whole, Whole]], Meta(max_length=MOST_ITEMS)]  # task, and the row that was seen
-Ones = Annotated[list[tuple[Name, Whole]], Meta(max_length=MOST_ITEMS)]  # task, token
-NONE = (0, 0)  # the row of a task that nobody holds
+MAX_TASKS = 4_096
+MAX_PROPOSERS = 512
+MAX_ITEMS = 512  # of one RenewLeases; with the longest names it stays under the log's limit
+NAME_PATTERN = r"^[!-~]{1,64}$"
+Name = Annotated[str, Meta(pattern=NAME_PATTERN)]
+Number = Annotated[int, Meta(ge=0, le=2**53)]
+DurationMs = Annotated[int, Meta(ge=100, le=600_000)]  # of a lease, ms
+Acquisitions = Annotated[
+    list[tuple[Name, Number, Number]], Meta(max_length=MAX_ITEMS)
+]  # task, and the row that was seen
+Grants = Annotated[list[tuple[Name, Number]], Meta(max_length=MAX_ITEMS)]  # task, token
+NO_VERSION = (0, 0)  # of the row of a task that nobody holds
+
+Acquisition = tuple[str, int, int]  # task, and the version that was seen: token and number of renewals
 
 
 class RenewLeases(Struct, tag="ask", array_like=True, frozen=True):
     """Command of one coordinator's process: takes, renewals and releases in one entry."""
 
     holder: Name
-    life: Whole
-    number: Whole
-    duration_ms: Length
-    takes: Takes = []
-    renews: Ones = []
-    drops: Ones = []
+    incarnation: Number
+    number: Number
+    duration_ms: DurationMs
+    acquisitions: Acquisitions = []
+    renewals: Grants = []
+    releases: Grants = []
 
 
 class ForceRelease(Struct, tag="force", array_like=True, frozen=True):
     """Command of an operator, proposed by a coordinator: the grant with this token is to be renewed no more."""
 
     holder: Name  # who proposes it, not who holds the task
-    life: Whole
-    number: Whole
+    incarnation: Number
+    number: Number
     task: Name
-    token: Whole
+    token: Number
 
 
 class ReleaseAll(Struct, tag="leave", array_like=True, frozen=True):
     """Command of a coordinator's process that ends: all its leases are released."""
 
     holder: Name
-    life: Whole
-    number: Whole
+    incarnation: Number
+    number: Number
 
 
 Command = RenewLeases | ForceRelease | ReleaseAll
@@ -67,10 +72,10 @@
     """The present grant of one task."""
 
     holder: Name
-    life: Whole
-    token: Whole
-    renewals: Whole
-    duration_ms: Length
+    incarnation: Number
+    token: Number
+    renewals: Number
+    duration_ms: DurationMs
     forced: bool = False
 
     @property
@@ -80,130 +85,158 @@
 
 
 class CommandResult(Struct, array_like=True, frozen=True):
-    """The machine's answer to a command; each list matches the command's, true where it was done."""
+    """The machine's result of a command; each list matches the command's, true where it was done."""
 
-    reason: str = ""  # why the whole command was refused
-    takes: list[bool] = []
-    renews: list[bool] = []
-    drops: list[bool] = []
+    reason: str = ""  # why the whole command was rejected
+    acquisitions: list[bool] = []
+    renewals: list[bool] = []
+    releases: list[bool] = []
 
 
 class _State(Struct, array_like=True):
-    rows: Annotated[dict[Name, LeaseRow], Meta(max_length=MOST_TASKS)]
-    seen: Annotated[list[tuple[Name, Whole, Whole]], Meta(max_length=MOST_PROPOSERS)]
+    rows: Annotated[dict[Name, LeaseRow], Meta(max_length=MAX_TASKS)]
+    last_numbers: Annotated[list[tuple[Name, Number, Number]], Meta(max_length=MAX_PROPOSERS)]
 
 
 encode = msgspec.msgpack.encode
 _COMMAND = msgspec.msgpack.Decoder(Command)
-_SAID = msgspec.msgpack.Decoder(CommandResult)
+_RESULT = msgspec.msgpack.Decoder(CommandResult)
 _STATE = msgspec.msgpack.Decoder(_State)
 
 
-def read(command: bytes) -> Command | None:
+def decode_command(command: bytes) -> Command | None:
     """Decode a command; None if it can't be read."""
     try:
-        found: Any = _COMMAND.decode(command)
+        decoded: Any = _COMMAND.decode(command)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None
-    return found
+    return decoded
 
 
-def said(result: bytes) -> CommandResult:
-    """Decode the machine's own answer; one that can't be read counts as a refusal of the whole command."""
+def decode_result(result: bytes) -> CommandResult:
+    """Decode the machine's result; one that can't be read counts as a rejection of the whole command."""
     try:
-        return _SAID.decode(result)
+        return _RESULT.decode(result)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return CommandResult("unreadable answer")
 
 
-def tasks(command: Command) -> Iterable[str] | None:
+def affected_tasks(command: Command) -> Iterable[str] | None:
     """Return the tasks that a command may have changed; None: any."""
     if isinstance(command, RenewLeases):
-        return [item[0] for item in (*command.takes, *command.renews, *command.drops)]
-    return [command.task] if isinstance(command, ForceRelease) else None
+        return [item[0] for item in (*command.acquisitions, *command.renewals, *command.releases)]
+    if isinstance(command, ForceRelease):
+        return [command.task]
+    return None
 
 
 class LeaseTable:
-    """The state machine of the leases; see replica.base.Machine."""
+    """The state machine of the leases; see replica.base.StateMachine."""
 
     def __init__(self) -> None:
         self.rows: dict[str, LeaseRow] = {}
-        self._seen: dict[tuple[str, int], int] = {}  # process: its last number; who spoke last stands last
-        self.refused = 0
+        self.refused: int = 0  # commands that were rejected as a whole
+        self._last_numbers: dict[tuple[str, int], int] = {}  # by process, the one of the latest command last
 
     def version(self, task: str) -> tuple[int, int]:
         """Return the version of the task's row; NONE if nobody holds it."""
         row = self.rows.get(task)
-        return NONE if row is None else row.version
+        return NO_VERSION if row is None else row.version
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply a command and return an encoded Said; never raises.
+        """Apply a command and return an encoded CommandResult; never raises.
 
-        Refused as a whole, with a reason: bytes that can't be read, a number not above the process's last, more than
-        MOST_ITEMS items, and a Force for a grant that is not in force. A new grant's token is `index`.
+        Rejected as a whole, with a reason: bytes that can't be read, a number not above the process's last, more than
+        MAX_ITEMS items, and a ForceRelease of a grant that is not in force. A new grant's token is `index`.
         """
-        found = read(command)
-        if found is None:
-            return self._no("unreadable")
-        who = found.holder, found.life
-        if found.number <= self._seen.get(who, -1):
-            return self._no("doubled")
-        if isinstance(found, RenewLeases) and len(found.takes) + len(found.renews) + len(found.drops) > MOST_ITEMS:
-            return self._no("too many items")
-        self._seen.pop(who, None)
-        if len(self._seen) >= MOST_PROPOSERS:
-            del self._seen[next(iter(self._seen))]
-        self._seen[who] = 2**53 if isinstance(found, ReleaseAll) else found.number
-        if isinstance(found, RenewLeases):
-            return encode(self._ask(index, found))
-        if isinstance(found, ForceRelease):
-            row = self.rows.get(found.task)
-            if row is None or row.token != found.token:
-                return self._no("no such grant")
-            self.rows[found.task] = msgspec.structs.replace(row, forced=True)
-        else:
-            self.rows = {task: row for task, row in self.rows.items() if (row.holder, row.life) != who}
-        return encode(CommandResult())
-
-    def _no(self, reason: str) -> bytes:
+        decoded = decode_command(command)
+        if decoded is None:
+            return self._reject("unreadable")
+        process = decoded.holder, decoded.incarnation
+        if decoded.number <= self._last_numbers.get(process, -1):
+            return self._reject("doubled")
+        if isinstance(decoded, RenewLeases) and _item_count(decoded) > MAX_ITEMS:
+            return self._reject("too many items")
+        self._note_number(process, decoded)
+        match decoded:
+            case RenewLeases():
+                return encode(self._apply_renew_leases(index, decoded))
+            case ForceRelease():
+                return self._apply_force_release(decoded)
+            case ReleaseAll():
+                self.rows = {task: row for task, row in self.rows.items() if (row.holder, row.incarnation) != process}
+                return encode(CommandResult())
+
+    def _reject(self, reason: str) -> bytes:
         self.refused += 1
         return encode(CommandResult(reason))
 
-    def _ask(self, index: int, ask: RenewLeases) -> CommandResult:
-        """What is dropped first makes room for what is taken."""
-        dropped = [self._own(ask, *item) is not None and self.rows.pop(item[0], None) is not None for item in ask.drops]
-        renewed = [self._renew(ask, *item) for item in ask.renews]
-        taken = [self._take(index, ask, task, (token, renewals)) for task, token, renewals in ask.takes]
-        return CommandResult("", taken, renewed, dropped)
+    def _note_number(self, process: tuple[str, int], command: Command) -> None:
+        self._last_numbers.pop(process, None)
+        if len(self._last_numbers) >= MAX_PROPOSERS:
+            del self._last_numbers[next(iter(self._last_numbers))]
+        is_last = isinstance(command, ReleaseAll)
+        self._last_numbers[process] = 2**53 if is_last else command.number
+
+    def _apply_force_release(self, command: ForceRelease) -> bytes:
+        row = self.rows.get(command.task)
+        if row is None or row.token != command.token:
+            return self._reject("no such grant")
+        self.rows[command.task] = msgspec.structs.replace(row, forced=True)
+        return encode(CommandResult())
+
+    def _apply_renew_leases(self, index: int, command: RenewLeases) -> CommandResult:
+        """Release first, which makes room for acquisitions."""
+        released = [self._release(command, task, token) for task, token in command.releases]
+        renewed = [self._renew(command, task, token) for task, token in command.renewals]
+        acquired = [
+            self._acquire(index, command, task, (token, renewals)) for task, token, renewals in command.acquisitions
+        ]
+        return CommandResult("", acquired, renewed, released)
 
-    def _own(self, ask: RenewLeases, task: str, token: int) -> LeaseRow | None:
+    def _own_row(self, command: RenewLeases, task: str, token: int) -> LeaseRow | None:
         row = self.rows.get(task)
-        return row if row is not None and (row.holder, row.life, row.token) == (ask.holder, ask.life, token) else None
+        if row is None or (row.holder, row.incarnation, row.token) != (command.holder, command.incarnation, token):
+            return None
+        return row
 
-    def _renew(self, ask: RenewLeases, task: str, token: int) -> bool:
-        row = self._own(ask, task, token)
+    def _release(self, command: RenewLeases, task: str, token: int) -> bool:
+        if self._own_row(command, task, token) is None:
+            return False
+        del self.rows[task]
+        return True
+
+    def _renew(self, command: RenewLeases, task: str, token: int) -> bool:
+        row = self._own_row(command, task, token)
         if row is None or row.forced:
             return False
-        self.rows[task] = LeaseRow(row.holder, row.life, token, row.renewals + 1, ask.duration_ms)
+        self.rows[task] = LeaseRow(row.holder, row.incarnation, token, row.renewals + 1, command.duration_ms)
         return True
 
-    def _take(self, index: int, ask: RenewLeases, task: str, expects: tuple[int, int]) -> bool:
-        if self.version(task) != expects or task not in self.rows and len(self.rows) >= MOST_TASKS:
+    def _acquire(self, index: int, command: RenewLeases, task: str, expected_version: tuple[int, int]) -> bool:
+        if self.version(task) != expected_version:
+            return False
+        if task not in self.rows and len(self.rows) >= MAX_TASKS:
             return False
-        self.rows[task] = LeaseRow(ask.holder, ask.life, index, 0, ask.duration_ms)
+        self.rows[task] = LeaseRow(command.holder, command.incarnation, index, 0, command.duration_ms)
         return True
 
     def state(self) -> bytes:
         """Return rows and last numbers as MessagePack, for a snapshot."""
-        return encode(_State(dict(sorted(self.rows.items())), [(*who, last) for who, last in self._seen.items()]))
+        last_numbers = [(*process, number) for process, number in self._last_numbers.items()]
+        return encode(_State(dict(sorted(self.rows.items())), last_numbers))
 
     def restore(self, index: int, state: bytes) -> None:
         """Take over a state made by `state`; ValueError if it can't be read or names a later token than `index`."""
         try:
-            found = _STATE.decode(state)
+            decoded = _STATE.decode(state)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise ValueError(f"not a table of leases: {error}") from None
-        if any(row.token > index for row in found.rows.values()):
+        if any(row.token > index for row in decoded.rows.values()):
             raise ValueError("a token of later than the state's index")
-        self.rows = found.rows
-        self._seen = {(name, life): last for name, life, last in found.seen}
+        self.rows = decoded.rows
+        self._last_numbers = {(name, incarnation): number for name, incarnation, number in decoded.last_numbers}
+
+
+def _item_count(command: RenewLeases) -> int:
+    return len(command.acquisitions) + len(command.renewals) + len(command.releases)
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -1,11 +1,12 @@
-"""Owners in a running coordinator: the timer, the replicated log, and what jobs and operators are told.
+"""The lease manager of a running coordinator: its timer, its commands on the replicated log, and who is notified.
 
-Owns when the holder is called and where its outcomes go. It must never decide about a lease by itself, never hold the
-event loop for the log, and have one command under way at most, besides an operator's.
+Runs in the event loop. All decisions about leases are `holder.LeaseHolder`'s; this module passes it the time, applied
+entries and outcomes, and proposes its commands, one at a time besides an operator's. It never waits for the log in the
+event loop.
 
-Lines of the log, one an event: `owner_took`, `owner_lost`, `owner_released`, `owner_refused`, `owner_acted` with task,
-token, holder, action, accepted and `at`, ms of CLOCK_BOOTTIME (lab/history.py reads them); `owner_waits` and
-`owner_stands` when this coordinator stops and begins to stand for its tasks, with the reason.
+Log lines, one an event: `owner_took`, `owner_lost`, `owner_released`, `owner_refused`, `owner_acted` with task, token,
+holder, action, accepted and `at`, ms of CLOCK_BOOTTIME (lab/history.py reads them); `owner_waits` and `owner_stands`
+when this coordinator stops and begins to be a candidate for its tasks, with the reason.
 """
 
 from __future__ import annotations
@@ -15,22 +16,26 @@
 import secrets
 import time
 from collections import Counter, deque
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
+from itertools import groupby
 from typing import Any
 
 from frostspindle.ownership import lease_table
-from frostspindle.ownership.holder import LeaseChanged, LeaseHolder, LeaseSettings
-from frostspindle.ownership.lease import Changed, Lease
+from frostspindle.ownership.holder import CommandOutcome, LeaseChanged, LeaseHolder
+from frostspindle.ownership.lease import Lease, LeaseListener
+from frostspindle.ownership.timing import LeaseSettings
 from frostspindle.replica.base import LogUnavailableError, OutcomeUnknownError, ReplicatedLog
 from frostspindle.telemetry import Telemetry
 
 TOPIC = "owners"
-TICK_S = 0.05  # under holder.PATIENCE_MS: a candidate's wait counts only what it watched
-FORCE_S, LEAVE_S = 2.0, 0.5
-REFUSALS = 32  # are kept for operators
-SHOWN = 1_000  # rows told to operators
-SINGLE, MANY = 16, 256  # so many turns at once have lines of their own; so many fit into one line
-_NAME = re.compile(lease_table.NAME)
+TICK_S = 0.05  # under timing.PATIENCE_MS, as a candidate's wait counts only what it watched
+FORCE_TIMEOUT_S = 2.0
+LEAVE_TIMEOUT_S = 0.5
+MAX_REJECTIONS = 32  # that are kept for operators
+MAX_ROWS_SHOWN = 1_000
+MAX_SINGLE_LINES = 16  # so many changes at once have log lines of their own
+MAX_CHANGES_A_LINE = 256
+_NAME = re.compile(lease_table.NAME_PATTERN)
 
 
 def clock() -> float:
@@ -39,240 +44,251 @@
 
 
 class LeaseManager:
-    """The service of lease.OwnersLike. To be made before the log starts, as it attaches its topic."""
+    """Implements lease.LeaseProvider. To be made before the log starts, as it attaches its topic."""
 
     def __init__(
         self,
         log: ReplicatedLog,
         name: str,
-        terms: LeaseSettings,
+        settings: LeaseSettings,
         telemetry: Telemetry,
         busy: Callable[[], str] = lambda: "",
         now: Callable[[], float] = clock,
         seed: int | None = None,
     ) -> None:
-        """`busy` returns why this coordinator may take no lease now, or an empty string if it may."""
+        """`busy` returns why this coordinator may acquire no lease now, or an empty string if it may."""
         if not _NAME.match(name):
             raise ValueError(f"a name of 1 to 64 printable ASCII characters: {name!r:.80}")
-        self.log, self.name, self.terms, self.telemetry, self.busy, self.now = log, name, terms, telemetry, busy, now
+        self.log: ReplicatedLog = log
+        self.name: str = name
+        self.settings: LeaseSettings = settings
+        self.telemetry: Telemetry = telemetry
+        self.busy: Callable[[], str] = busy
+        self.now: Callable[[], float] = now
+        self.on_change: list[LeaseListener] = []
+        self.accepted_actions: int = 0
+        self.rejected_actions: int = 0
+        self.rejections: deque[dict[str, Any]] = deque(maxlen=MAX_REJECTIONS)
         self.table = lease_table.LeaseTable()
-        self.on_change: list[Changed] = []
-        self.acted = self.stale = 0
-        self.refusals: deque[dict[str, Any]] = deque(maxlen=REFUSALS)
-        self.holder = LeaseHolder(
-            name, secrets.randbits(52), terms, self.table, secrets.randbits(60) if seed is None else seed, now()
-        )
+        incarnation = secrets.randbits(52)
+        if seed is None:
+            seed = secrets.randbits(60)
+        self.holder = LeaseHolder(name, incarnation, settings, self.table, seed, now())
         self._leases: dict[str, Lease] = {}
-        self._tasks: set[asyncio.Task[Any]] = set()
-        self._run: asyncio.Task[None] | None = None
-        self._why: str | None = None
-        self._closed = False
+        self._proposals: set[asyncio.Task[None]] = set()
+        self._timer_task: asyncio.Task[None] | None = None
+        self._logged_wait_reason: str | None = None
+        self._closed: bool = False
         log.attach(TOPIC, self.table)
-        log.watch(TOPIC, self._told)
+        log.watch(TOPIC, self._on_applied)
 
-    # What other parts use.
+    # For users of leases.
 
     def want(self, task: str, weight: float = 1.0) -> None:
-        """See OwnersLike; ValueError unless the name has 1 to 64 printable ASCII characters without spaces."""
+        """See LeaseProvider; ValueError unless the name has 1 to 64 printable ASCII characters without spaces."""
         if not _NAME.match(task):
             raise ValueError(f"a task's name has 1 to 64 printable ASCII characters: {task!r:.80}")
         self.holder.want(task, weight)
 
     def unwant(self, task: str) -> None:
-        """See OwnersLike; `on_change` is called before this returns, if the lease was held."""
+        """See LeaseProvider; `on_change` is called before this returns, if the lease was held."""
         self.holder.unwant(task)
-        self._tell()
+        self._publish_changes()
 
     def lease(self, task: str) -> Lease | None:
         """Return the task's lease after a look at the clock; None: it is not held here now."""
         lease = self._leases.get(task)
         return lease if lease is not None and lease.holds() else None
 
-    def refused(self, task: str, token: int, action: str, highest: int) -> None:
-        """Count and log an action that a receiver refused as stale; the last REFUSALS are kept for operators."""
-        self.stale += 1
+    def record_rejection(self, task: str, token: int, action: str, highest: int) -> None:
+        """Count and log an action that a receiver rejected as stale; the last ones are kept for operators."""
+        self.rejected_actions += 1
         self.telemetry.count("owner_refused")
-        self.refusals.append(
-            {"task": task, "token": token, "action": action, "highest": highest, "at_unix": round(time.time(), 3)}
-        )
-        self._line("owner_refused", task, token, action, False, highest=highest)
+        rejection = {"task": task, "token": token, "action": action, "highest": highest}
+        rejection["at_unix"] = round(time.time(), 3)
+        self.rejections.append(rejection)
+        self._log_event("owner_refused", task, token, action, False, highest=highest)
 
-    def did(self, task: str, token: int, action: str, receiver: str) -> None:
-        """Count and log an action that a receiver accepted under a token, or that it can't refuse (an engine's)."""
-        self.acted += 1
-        self._line("owner_acted", task, token, action, True, receiver=receiver)
+    def record_action(self, task: str, token: int, action: str, receiver: str) -> None:
+        """Count and log an action that a receiver accepted under a token, or that it can't reject (an engine's)."""
+        self.accepted_actions += 1
+        self._log_event("owner_acted", task, token, action, True, receiver=receiver)
 
     # Timer and log.
 
     def start(self) -> None:
-        """Start the timer that asks for leases every TICK_S; the event loop must run."""
-        self._run = asyncio.create_task(self._watch())
+        """Start the timer that proposes commands every TICK_S; the event loop must run."""
+        self._timer_task = asyncio.create_task(self._run_timer())
 
-    async def _watch(self) -> None:
+    async def _run_timer(self) -> None:
         while True:
             try:
-                self._step()
-            except Exception as error:  # noqa: BLE001 - the next look goes over all again
-                self.telemetry.count("faults")
-                self.telemetry.log("fault", error=repr(error), of="owners")
+                self._tick()
+            except Exception as error:  # noqa: BLE001 - the next tick looks at everything again
+                self._report_fault(error)
             await asyncio.sleep(TICK_S)
 
-    def _step(self) -> None:
+    def _tick(self) -> None:
         now = self.now()
-        why = self.busy() or ("" if self.log.leader is not None else "no leader is heard of")
-        if why != self._why and self.holder.wants:
-            self._why = why
-            if why:
-                self.telemetry.log("owner_waits", holder=self.name, why=why, wants=len(self.holder.wants))
-            else:
-                self.telemetry.log("owner_stands", holder=self.name, wants=len(self.holder.wants))
-        command = self.holder.ask(now, not why)
-        self._tell()
+        wait_reason = self.busy()
+        if not wait_reason and self.log.leader is None:
+            wait_reason = "no leader is heard of"
+        self._log_candidacy(wait_reason)
+        command = self.holder.next_command(now, not wait_reason)
+        self._publish_changes()
         if command is not None and self.holder.pending is not None:
             self._spawn(self._propose(self.holder.pending.number, command))
 
+    def _log_candidacy(self, wait_reason: str) -> None:
+        if wait_reason == self._logged_wait_reason or not self.holder.ranks:
+            return
+        self._logged_wait_reason = wait_reason
+        tasks = len(self.holder.ranks)
+        if wait_reason:
+            self.telemetry.log("owner_waits", holder=self.name, why=wait_reason, wants=tasks)
+        else:
+            self.telemetry.log("owner_stands", holder=self.name, wants=tasks)
+
     async def _propose(self, number: int, command: bytes) -> None:
-        well, appended = True, None
+        outcome = CommandOutcome.APPLIED
         try:
-            await self.log.propose(TOPIC, command, self.terms.within_ms / 1000.0)
+            await self.log.propose(TOPIC, command, self.settings.within_ms / 1000.0)
         except LogUnavailableError:
-            well, appended = False, False
+            outcome = CommandOutcome.NOT_APPENDED
         except OutcomeUnknownError:
-            well = False
+            outcome = CommandOutcome.UNKNOWN
         finally:
-            self.holder.outcome(self.now(), number, well, appended)
+            self.holder.on_outcome(self.now(), number, outcome)
         if not self._closed:
-            self._step()
-
-    def _told(self, index: int, command: bytes, result: bytes) -> None:
-        self.holder.told(self.now(), command, result)
-        self._tell()
-
-    def _tell(self) -> None:
-        """Pass on what has turned, in order."""
-        turned, self.holder.turned = self.holder.turned, []
-        for turn in turned:
-            if turn.held:
-                lease = self._leases.get(turn.task)
-                if lease is None or lease.token != turn.token:
-                    self._leases[turn.task] = lease = Lease(turn.task, turn.token, self._holding(turn))
-            else:
-                self._leases.pop(turn.task, None)
-                lease = None
-            for changed in self.on_change:
-                changed(turn.task, lease)
-        for event, turns in self._grouped(turned):
-            if len(turns) <= SINGLE:
-                for turn in turns:
-                    self._line(
-                        event,
-                        turn.task,
-                        turn.token,
-                        event[6:],
-                        True,
-                        at=round(turn.at, 3),
-                        **({"why": turn.why} if turn.why else {}),
-                    )
-            else:
-                for at in range(0, len(turns), MANY):
-                    part = turns[at : at + MANY]
-                    self.telemetry.log(
-                        event,
-                        holder=self.name,
-                        action=event[6:],
-                        accepted=True,
-                        many=[[turn.task, turn.token, round(turn.at, 3)] for turn in part],
-                    )
-
-    @staticmethod
-    def _grouped(turned: list[LeaseChanged]) -> list[tuple[str, list[LeaseChanged]]]:
-        out: list[tuple[str, list[LeaseChanged]]] = []
-        for turn in turned:
-            event = "owner_took" if turn.held else "owner_released" if turn.why.startswith("released") else "owner_lost"
-            if not out or out[-1][0] != event:
-                out.append((event, []))
-            out[-1][1].append(turn)
-        return out
-
-    def _holding(self, turn: LeaseChanged) -> Callable[[], bool]:
+            self._tick()
+
+    def _on_applied(self, index: int, command: bytes, result: bytes) -> None:
+        self.holder.on_applied(self.now(), command, result)
+        self._publish_changes()
+
+    # Changes of leases.
+
+    def _publish_changes(self) -> None:
+        """Notify the listeners of the holder's changes and log them, in order."""
+        changes = self.holder.changes
+        self.holder.changes = []
+        for change in changes:
+            lease = self._update_lease(change)
+            for listener in self.on_change:
+                listener(change.task, lease)
+        for event, group in groupby(changes, _event_of):
+            self._log_changes(event, list(group))
+
+    def _update_lease(self, change: LeaseChanged) -> Lease | None:
+        """Return the task's lease from this change on."""
+        if not change.held:
+            self._leases.pop(change.task, None)
+            return None
+        lease = self._leases.get(change.task)
+        if lease is None or lease.token != change.token:
+            lease = Lease(change.task, change.token, self._lease_check(change))
+            self._leases[change.task] = lease
+        return lease
+
+    def _lease_check(self, change: LeaseChanged) -> Callable[[], bool]:
         def holds() -> bool:
-            held = not self._closed and self.holder.holds(turn.task, turn.token, self.now())
-            if self.holder.turned:
-                self._tell()
+            held = not self._closed and self.holder.holds(change.task, change.token, self.now())
+            if self.holder.changes:
+                self._publish_changes()
             return held
 
         return holds
 
-    def _line(self, event: str, task: str, token: int, action: str, accepted: bool, **more: Any) -> None:
-        self.telemetry.log(
-            event,
-            **{
-                "task": task,
-                "token": token,
-                "holder": self.name,
-                "action": action,
-                "accepted": accepted,
-                "at": round(self.now(), 3),
-                **more,
-            },
-        )
-
-    def _spawn(self, work: Any) -> asyncio.Task[Any]:
+    def _log_changes(self, event: str, changes: list[LeaseChanged]) -> None:
+        action = event.removeprefix("owner_")
+        if len(changes) <= MAX_SINGLE_LINES:
+            for change in changes:
+                reason = {"why": change.why} if change.why else {}
+                self._log_event(event, change.task, change.token, action, True, at=round(change.at, 3), **reason)
+            return
+        for start in range(0, len(changes), MAX_CHANGES_A_LINE):
+            part = changes[start : start + MAX_CHANGES_A_LINE]
+            many = [[change.task, change.token, round(change.at, 3)] for change in part]
+            self.telemetry.log(event, holder=self.name, action=action, accepted=True, many=many)
+
+    def _log_event(self, event: str, task: str, token: int, action: str, accepted: bool, **more: Any) -> None:
+        fields: dict[str, Any] = {
+            "task": task,
+            "token": token,
+            "holder": self.name,
+            "action": action,
+            "accepted": accepted,
+            "at": round(self.now(), 3),
+        }
+        self.telemetry.log(event, **(fields | more))
+
+    # Tasks of the event loop.
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._done)
-        return task
+        self._proposals.add(task)
+        task.add_done_callback(self._on_proposal_done)
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
-        self._tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()) is not None:
-            self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of="owners")
+    def _on_proposal_done(self, task: asyncio.Task[None]) -> None:
+        self._proposals.discard(task)
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error is not None:
+            self._report_fault(error)
+
+    def _report_fault(self, error: BaseException) -> None:
+        self.telemetry.count("faults")
+        self.telemetry.log("fault", error=repr(error), of="owners")
 
     # Operators.
 
     def figures(self) -> dict[str, Any]:
-        """Return the table of leases as applied here, with counts, for operators; SHOWN rows at most.
+        """Return the table of leases as applied here, with counts, for operators; MAX_ROWS_SHOWN rows at most.
 
-        `left_ms`: of own leases until their end, of others until they may be taken over, both by the own clock.
+        `left_ms`: of own leases until their expiry, of others until they may be acquired, both by the own clock.
         """
         now = self.now()
-        self.holder.look(now)
-        self._tell()
-        rows = sorted(self.table.rows.items())[:SHOWN]
-        waits = self.holder.left_ms([task for task, _ in rows], now)
-        counts = Counter(row.holder for row in self.table.rows.values())
-        owners = []
+        self.holder.advance_clock(now)
+        self._publish_changes()
+        holders = Counter(row.holder for row in self.table.rows.values())
+        free = sorted(task for task in self.holder.ranks if task not in self.table.rows)
+        return {
+            "name": self.name,
+            "leader": self.log.leader,
+            "index": self.log.index,
+            "waits": self._logged_wait_reason or "",
+            "wants": len(self.holder.ranks),
+            "tasks": len(self.table.rows),
+            "holders": dict(sorted(holders.items())),
+            "free": free[:MAX_ROWS_SHOWN],
+            "owners": self._row_figures(now),
+            "refused": self.rejected_actions,
+            "acted": self.accepted_actions,
+            "refusals": list(self.rejections),
+            "counts": dict(sorted(self.holder.counts.items())),
+        }
+
+    def _row_figures(self, now: float) -> list[dict[str, Any]]:
+        rows = sorted(self.table.rows.items())[:MAX_ROWS_SHOWN]
+        waits = self.holder.remaining_wait_ms([task for task, _ in rows])
+        figures = []
         for task, row in rows:
-            own = self.holder.own.get(task)
-            left = max(0.0, own.end - now) if own is not None else waits.get(task, 0.0)
-            owners.append(
+            own = self.holder.leases.get(task)
+            left_ms = waits.get(task, 0.0) if own is None else max(0.0, own.expires_at - now)
+            figures.append(
                 {
                     "task": task,
                     "holder": row.holder,
                     "token": row.token,
                     "renewals": row.renewals,
                     "lease_ms": row.duration_ms,
-                    "left_ms": round(left, 1),
+                    "left_ms": round(left_ms, 1),
                     "here": own is not None,
                     "forced": row.forced,
                 }
             )
-        return {
-            "name": self.name,
-            "leader": self.log.leader,
-            "index": self.log.index,
-            "waits": self._why or "",
-            "wants": len(self.holder.wants),
-            "tasks": len(self.table.rows),
-            "holders": dict(sorted(counts.items())),
-            "free": sorted(task for task in self.holder.wants if task not in self.table.rows)[:SHOWN],
-            "owners": owners,
-            "refused": self.stale,
-            "acted": self.acted,
-            "refusals": list(self.refusals),
-            "counts": dict(sorted(self.holder.counts.items())),
-        }
+        return figures
 
     def force(self, task: str) -> dict[str, Any] | None:
         """Propose an operator's release and return at once which grant it is for; None: nobody holds the task."""
@@ -280,33 +296,41 @@
         command = self.holder.force(task)
         if row is None or command is None:
             return None
-
-        async def propose() -> None:
-            try:
-                await self.log.propose(TOPIC, command, FORCE_S)
-            except (LogUnavailableError, OutcomeUnknownError) as error:
-                self.telemetry.log("owner_force", task=task, token=row.token, holder=row.holder, error=str(error))
-            else:
-                self.telemetry.log("owner_force", task=task, token=row.token, holder=row.holder)
-
-        self._spawn(propose())
+        self._spawn(self._propose_force(task, row, command))
         return {"task": task, "holder": row.holder, "token": row.token}
 
+    async def _propose_force(self, task: str, row: lease_table.LeaseRow, command: bytes) -> None:
+        fields: dict[str, Any] = {"task": task, "token": row.token, "holder": row.holder}
+        try:
+            await self.log.propose(TOPIC, command, FORCE_TIMEOUT_S)
+        except (LogUnavailableError, OutcomeUnknownError) as error:
+            fields["error"] = str(error)
+        self.telemetry.log("owner_force", **fields)
+
     # The end.
 
     async def close(self) -> None:
-        """Give up all leases, first here, then in the table, waiting LEAVE_S at most; later calls do nothing."""
+        """End all leases, first here, then in the table, waiting LEAVE_TIMEOUT_S at most; later calls do nothing."""
         if self._closed:
             return
         command = self.holder.leave()
-        self._tell()
+        self._publish_changes()
         self._closed = True
-        if self._run is not None:
-            self._run.cancel()
+        if self._timer_task is not None:
+            self._timer_task.cancel()
         if self.holder.number > 1 and self.log.leader is not None:
             try:
-                await self.log.propose(TOPIC, command, LEAVE_S)
+                await self.log.propose(TOPIC, command, LEAVE_TIMEOUT_S)
             except (LogUnavailableError, OutcomeUnknownError) as error:
                 self.telemetry.log("owner_left", holder=self.name, error=str(error))
-        for task in list(self._tasks):
+        for task in list(self._proposals):
             task.cancel()
+
+
+def _event_of(change: LeaseChanged) -> str:
+    """Return the name of the log event of a change."""
+    if change.held:
+        return "owner_took"
+    if change.why.startswith("released"):
+        return "owner_released"
+    return "owner_lost"
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -1,10 +1,8 @@
-"""Owners in the running program: what the operator's file asks for, hung into the program's parts.
-
-Owns which jobs there are and where their figures come from. It must never start anything by itself: the program does.
-"""
+"""Leases and their jobs in the running program, made as configured and connected to the program's parts."""
 
 from __future__ import annotations
 
+from collections.abc import Awaitable
 from typing import TYPE_CHECKING, Any
 
 from frostspindle import config as configuration
@@ -13,70 +11,69 @@
 from frostspindle.fleet.slow_start_service import born
 from frostspindle.net.operator import OperatorError
 from frostspindle.ownership.export import ExportJob
-from frostspindle.ownership.holder import LeaseSettings
 from frostspindle.ownership.jobs import Job, JobRunner
 from frostspindle.ownership.progress import TOPIC, WarmupProgress
 from frostspindle.ownership.service import LeaseManager
+from frostspindle.ownership.timing import LeaseSettings
 from frostspindle.ownership.warmup import ColdEngine, WarmupJob
 
 if TYPE_CHECKING:
     from frostspindle.host import ProgramContext
 
-SUMS = 32  # figures of one export
+MAX_EXPORTED_FIGURES = 32  # of one export
+WARMUP_TASK = "warm"
 
 
 class OwnershipComponent:
-    """Owners and their jobs as the program starts and ends them; its calls `show-owners` and `release-owner`."""
+    """Leases and their jobs as the program starts and ends them; its calls `show-owners` and `release-owner`."""
 
     def __init__(self, program: ProgramContext) -> None:
         config = program.config.operator.ownership
         assert config is not None and program.config.operator.replica is not None
-        self.program = program
-        self.owners = LeaseManager(
+        self.program: ProgramContext = program
+        self.owners: LeaseManager = LeaseManager(
             program.replica,
             program.config.operator.replica.me,
             LeaseSettings(config.lease_ms, config.drift),
             program.telemetry,
             self.busy,
         )
-        warmed = WarmupProgress()  # also where nothing is warmed up: all coordinators hold the same topics
-        program.replica.attach(TOPIC, warmed)
-        jobs: list[Job] = [
-            ExportJob(
-                task.name,
-                configuration.address(task.at, "ownership.task.at"),
-                task.every_ms,
-                self.owners.name,
-                self._sums,
-            )
-            for task in config.task
-        ]
+        self.progress: WarmupProgress = WarmupProgress()
+        # Also where nothing is warmed up, as all coordinators must have the same topics.
+        program.replica.attach(TOPIC, self.progress)
+        jobs: list[Job] = [self._export_job(task) for task in config.task]
         weights = {task.name: task.weight for task in config.task}
+        self.cost_ms: float = 0.0  # of one statement that warms up
         if config.warm is not None:
-            warm = config.warm
-            jobs.append(
-                WarmupJob(
-                    "warm",
-                    warm.every_ms,
-                    warm.statement,
-                    self._cold,
-                    self._pay,
-                    lambda number, ticket, statement: program.driver.warm(
-                        number, ticket, statement, warm.cls, warm.most_ms
-                    ),
-                    program.replica,
-                    warmed,
-                )
-            )
-            weights["warm"] = warm.weight
-        self.cost_ms = config.warm.cost_ms if config.warm is not None else 0.0
-        self.runner = JobRunner(self.owners, program.telemetry, jobs, weights)
+            jobs.append(self._warmup_job(config.warm))
+            weights[WARMUP_TASK] = config.warm.weight
+            self.cost_ms = config.warm.cost_ms
+        self.runner: JobRunner = JobRunner(self.owners, program.telemetry, jobs, weights)
         if program.desk:
             program.desk.does["show-owners"] = self.figures
             program.desk.does["release-owner"] = self.release
 
+    def _export_job(self, task: Any) -> ExportJob:
+        address = configuration.address(task.at, "ownership.task.at")
+        return ExportJob(task.name, address, task.every_ms, self.owners.name, self._exported_figures)
+
+    def _warmup_job(self, config: Any) -> WarmupJob:
+        def run(number: int, ticket: str, statement: str) -> Awaitable[bool]:
+            return self.program.driver.warm(number, ticket, statement, config.cls, config.most_ms)
+
+        return WarmupJob(
+            WARMUP_TASK,
+            config.every_ms,
+            config.statement,
+            self._cold_engines,
+            self._pay,
+            run,
+            self.program.replica,
+            self.progress,
+        )
+
     def busy(self) -> str:
-        """Return why this coordinator may take no lease now (draining, recovering); empty if it may."""
+        """Return why this coordinator may acquire no lease now (draining, recovering); empty if it may."""
         recovery = getattr(self.program, "recovery", None)
         if self.program.platform.draining:
             return "draining"
@@ -84,8 +81,8 @@
             return "recovering"
         return ""
 
-    def _cold(self) -> list[ColdEngine]:
-        """HTTP engines that the module believes cold and ready now."""
+    def _cold_engines(self) -> list[ColdEngine]:
+        """Return the HTTP engines that the decision module estimates as cold and ready now."""
         core = self.program.core
         now = clock()
         return [
@@ -95,37 +92,37 @@
         ]
 
     def _pay(self, engine: ColdEngine) -> bool:
-        """The fleet's rights for one statement."""
-        now, core, warming = clock(), self.program.core, getattr(self.program, "warming", None)
+        """Buy the fleet's rights for one statement; False if there are none now."""
+        now = clock()
+        core = self.program.core
+        warming = getattr(self.program, "warming", None)
         believed = core.controller.engines.get(engine.number)
         if believed is None or warming is None or warming.cold is None or engine.name in core.banned:
             return False
-        return bool(
-            warming.cold.pay(
-                monotonic(), engine.name, engine.born_ms, now, self.cost_ms, core.controller.cold_budget(believed, now)
-            )
-        )
+        budget = core.controller.cold_budget(believed, now)
+        return bool(warming.cold.pay(monotonic(), engine.name, engine.born_ms, now, self.cost_ms, budget))
 
-    def _sums(self) -> dict[str, int]:
+    def _exported_figures(self) -> dict[str, int]:
+        """Return a few sums: of the fleet where there is one, else of this coordinator."""
         sums = self.program.fleet.figures().get("sums", {}) if self.program.fleet else {}
         if not sums:
             calls: dict[str, Any] = self.program.core.figures()["calls"]
             sums = {f"{cls} {how}": count for cls, row in calls.items() for how, count in row.items()}
-        return {str(key): int(count) for key, count in sorted(sums.items())[:SUMS]}
+        return {str(key): int(count) for key, count in sorted(sums.items())[:MAX_EXPORTED_FIGURES]}
 
     def figures(self) -> dict[str, Any]:
-        """Return the owners' figures and the completed runs of the jobs here, for operators."""
+        """Return the leases' figures and the completed runs of the jobs here, for operators."""
         return {**self.owners.figures(), "runs": self.runner.figures()}
 
     def release(self, task: str) -> dict[str, Any]:
-        """Begin an operator's release of a task, to be seen in `show-owners`; Nak if nobody holds it."""
-        found = self.owners.force(task)
-        if found is None:
+        """Begin an operator's release of a task, to be seen in `show-owners`; OperatorError if nobody holds it."""
+        grant = self.owners.force(task)
+        if grant is None:
             raise OperatorError(f"nobody holds {task:.64}")
-        return found
+        return grant
 
     def start(self) -> None:
-        """Start asking for leases; jobs run as leases are got."""
+        """Start requesting leases; jobs run as leases are acquired."""
         self.owners.start()
 
     async def close(self) -> None:
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -7,7 +7,7 @@
 from frostspindle.fleet.incarnation import IncarnationChain
 from frostspindle.fleet.node import Budget, FleetNode, FleetSettings
 from frostspindle.net.fields import key_number
-from frostspindle.ownership.holder import draw
+from frostspindle.ownership.ranking import uniform_draw
 from frostspindle.predicates.summaries import Summary
 from frostspindle.recovery import tickets
 from frostspindle.replica.handshake import FrameChecksums, proof
@@ -74,7 +74,7 @@
         "ticket homes": tickets.homes(ticket, [f"c{number}" for number in range(1, 9)]),
         "ticket of a part": part_ticket("request-1", "north"),
         "order key": key_number(cls=2, key=b"account-9"),
-        "task rank": draw(task="export", holder="c1"),
+        "task rank": uniform_draw(task="export", holder="c1"),
         "settings digest": EMPTY.next(number=1, changes=RULES).sum.hex(),
         "connection proof": proof(b"secret", b"label", b"hello", b"nonce").hex(),
         "frame sums": [sums.next(b"payload").hex() for sums in [FrameChecksums(b"key")] for _ in range(2)],
--- a/tests/compatibility/machines.py
+++ b/tests/compatibility/machines.py
@@ -39,14 +39,18 @@
     for index, command in enumerate(
         (
             lease_table.RenewLeases(
-                holder="c1", life=2, number=1, duration_ms=3_000, takes=[("export", 0, 0), ("warm/e7", 0, 0)]
+                holder="c1",
+                incarnation=2,
+                number=1,
+                duration_ms=3_000,
+                acquisitions=[("export", 0, 0), ("warm/e7", 0, 0)],
             ),
-            lease_table.RenewLeases(holder="c1", life=2, number=2, duration_ms=4_000, renews=[("export", 31)]),
-            lease_table.ForceRelease(holder="c2", life=1, number=1, task="export", token=31),
+            lease_table.RenewLeases(holder="c1", incarnation=2, number=2, duration_ms=4_000, renewals=[("export", 31)]),
+            lease_table.ForceRelease(holder="c2", incarnation=1, number=1, task="export", token=31),
         ),
         31,
     ):
-        assert lease_table.said(machine.apply(index, lease_table.encode(command))).reason == ""
+        assert lease_table.decode_result(machine.apply(index, lease_table.encode(command))).reason == ""
     return machine
 
 
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -147,17 +147,19 @@
 OWNERSHIP = {
     "lease command": lease_table.RenewLeases(
         holder="c1",
-        life=2,
+        incarnation=2,
         number=131,
         duration_ms=3_000,
-        takes=[("export", 5, 6)],
-        renews=[("settings", 7)],
-        drops=[("warm/e7", 8)],
+        acquisitions=[("export", 5, 6)],
+        renewals=[("settings", 7)],
+        releases=[("warm/e7", 8)],
     ),
-    "forced release": lease_table.ForceRelease(holder="c1", life=2, number=132, task="export", token=9),
-    "leave": lease_table.ReleaseAll(holder="c1", life=2, number=133),
+    "forced release": lease_table.ForceRelease(holder="c1", incarnation=2, number=132, task="export", token=9),
+    "leave": lease_table.ReleaseAll(holder="c1", incarnation=2, number=133),
 }
-OWNERSHIP_ANSWER = lease_table.CommandResult(reason="doubled", takes=[True, False], renews=[True], drops=[False])
+OWNERSHIP_ANSWER = lease_table.CommandResult(
+    reason="doubled", acquisitions=[True, False], renewals=[True], releases=[False]
+)
 WARMING_NOTE = progress.RecordProgress(token=135, engine="e7", born_ms=1_700_000_000_000.0, place=12)
 
 # One entry of each kind; entries are stored by the names of their fields.
@@ -296,8 +298,8 @@
     "recovery": (recovery.decode, recovery.encode, RECOVERY),
     "scatter": (scatter.decode, scatter.encode, SCATTER),
     "subscriptions": (subscriptions.decode, subscriptions.encode, SUBSCRIPTIONS),
-    "ownership": (lease_table.read, lease_table.encode, OWNERSHIP),
-    "ownership answer": (lease_table.said, lease_table.encode, {"refused": OWNERSHIP_ANSWER}),
+    "ownership": (lease_table.decode_command, lease_table.encode, OWNERSHIP),
+    "ownership answer": (lease_table.decode_result, lease_table.encode, {"refused": OWNERSHIP_ANSWER}),
     "warming": (partial(decode, type=progress.RecordProgress), progress.encode, {"note": WARMING_NOTE}),
     "settings": (agreement.read, agreement.encode, SETTINGS),
     "replica": (replica.decode_message, replica.encode_message, REPLICA),
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -108,11 +108,15 @@
     machine.restore(33, data)
     assert machine.state() == machines.leases().state() == data
     assert machine.rows == {
-        "export": lease_table.LeaseRow(holder="c1", life=2, token=31, renewals=1, duration_ms=4_000, forced=True),
-        "warm/e7": lease_table.LeaseRow(holder="c1", life=2, token=31, renewals=0, duration_ms=3_000, forced=False),
+        "export": lease_table.LeaseRow(
+            holder="c1", incarnation=2, token=31, renewals=1, duration_ms=4_000, forced=True
+        ),
+        "warm/e7": lease_table.LeaseRow(
+            holder="c1", incarnation=2, token=31, renewals=0, duration_ms=3_000, forced=False
+        ),
     }
-    late = lease_table.RenewLeases(holder="c1", life=2, number=2, duration_ms=3_000)
-    assert lease_table.said(machine.apply(34, lease_table.encode(late))).reason == "doubled"
+    late = lease_table.RenewLeases(holder="c1", incarnation=2, number=2, duration_ms=3_000)
+    assert lease_table.decode_result(machine.apply(34, lease_table.encode(late))).reason == "doubled"
 
 
 def test_warming_snapshot_is_restored_and_written_alike():
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -12,12 +12,15 @@
 
 from frostspindle.ownership import lease_table, progress
 from frostspindle.ownership.fence import FenceFullError, StaleTokenError, TokenFence
-from frostspindle.ownership.holder import MOST_MOVES, PATIENCE_MS, LeaseHolder, LeaseSettings, end_of, turn, wait_of
+from frostspindle.ownership.holder import CommandOutcome, LeaseHolder
 from frostspindle.ownership.jobs import JobContext, JobRunner
 from frostspindle.ownership.lease import Lease, LeaseLostError
 from frostspindle.ownership.lease_table import ForceRelease, LeaseTable, ReleaseAll, RenewLeases
 from frostspindle.ownership.progress import RecordProgress, WarmupProgress
+from frostspindle.ownership.ranking import rendezvous_rank
+from frostspindle.ownership.rebalancing import MAX_MOVES
 from frostspindle.ownership.service import LeaseManager
+from frostspindle.ownership.timing import PATIENCE_MS, LeaseSettings, expiry_ms, takeover_wait_ms
 from frostspindle.ownership.warmup import ColdEngine, WarmupJob
 from frostspindle.replica.local import LocalLog
 from frostspindle.store.memory import MemoryStore
@@ -27,29 +30,33 @@
 
 
 def put(machine, index, command):
-    return lease_table.said(machine.apply(index, encode(command)))
+    return lease_table.decode_result(machine.apply(index, encode(command)))
 
 
 class TestTable:
     def test_takes_compare_and_set_and_tokens_are_the_index(self):
         t = LeaseTable()
-        assert put(t, 3, RenewLeases("a", 1, 1, 1_000, [("x", 0, 0)])).takes == [True]
+        assert put(t, 3, RenewLeases("a", 1, 1, 1_000, [("x", 0, 0)])).acquisitions == [True]
         assert t.rows["x"].token == 3 and t.version("x") == (3, 0)
-        assert put(t, 4, RenewLeases("b", 1, 1, 1_000, [("x", 0, 0), ("y", 0, 0)])).takes == [False, True]
-        assert put(t, 5, RenewLeases("a", 1, 2, 2_000, renews=[("x", 3), ("y", 4)])).renews == [True, False]
+        assert put(t, 4, RenewLeases("b", 1, 1, 1_000, [("x", 0, 0), ("y", 0, 0)])).acquisitions == [False, True]
+        assert put(t, 5, RenewLeases("a", 1, 2, 2_000, renewals=[("x", 3), ("y", 4)])).renewals == [True, False]
         assert t.version("x") == (3, 1) and t.rows["x"].duration_ms == 2_000
-        assert put(t, 6, RenewLeases("b", 1, 2, 1_000, [("x", 3, 0)])).takes == [False], "it had not seen the renewal"
-        assert put(t, 7, RenewLeases("b", 1, 3, 1_000, [("x", 3, 1)])).takes == [True]
-        assert put(t, 8, RenewLeases("a", 1, 3, 1_000, renews=[("x", 3)], drops=[("x", 3)])).drops == [False]
+        assert put(t, 6, RenewLeases("b", 1, 2, 1_000, [("x", 3, 0)])).acquisitions == [False], (
+            "it had not seen the renewal"
+        )
+        assert put(t, 7, RenewLeases("b", 1, 3, 1_000, [("x", 3, 1)])).acquisitions == [True]
+        assert put(t, 8, RenewLeases("a", 1, 3, 1_000, renewals=[("x", 3)], releases=[("x", 3)])).releases == [False]
         assert t.rows["x"].holder == "b" and t.rows["x"].token == 7
 
     def test_doubled_and_overtaken_commands_are_dropped_by_process(self):
         t = LeaseTable()
         first = RenewLeases("a", 1, 5, 1_000, [("x", 0, 0)])
-        assert put(t, 1, first).takes == [True]
-        assert put(t, 2, RenewLeases("a", 1, 6, 1_000, drops=[("x", 1)])).drops == [True]
+        assert put(t, 1, first).acquisitions == [True]
+        assert put(t, 2, RenewLeases("a", 1, 6, 1_000, releases=[("x", 1)])).releases == [True]
         assert put(t, 3, first).reason == "doubled" and not t.rows
-        assert put(t, 4, RenewLeases("a", 2, 1, 1_000, [("x", 0, 0)])).takes == [True], "a new process counts anew"
+        assert put(t, 4, RenewLeases("a", 2, 1, 1_000, [("x", 0, 0)])).acquisitions == [True], (
+            "a new process counts anew"
+        )
         assert put(t, 5, ReleaseAll("a", 2, 2)).reason == "" and not t.rows
         assert put(t, 6, RenewLeases("a", 2, 3, 1_000, [("x", 0, 0)])).reason == "doubled", "what comes after its end"
 
@@ -58,24 +65,26 @@
         put(t, 1, RenewLeases("a", 1, 1, 1_000, [("x", 0, 0)]))
         assert put(t, 2, ForceRelease("b", 1, 1, "x", 9)).reason == "no such grant"
         assert put(t, 3, ForceRelease("b", 1, 2, "x", 1)).reason == ""
-        assert put(t, 4, RenewLeases("a", 1, 2, 1_000, renews=[("x", 1)])).renews == [False]
+        assert put(t, 4, RenewLeases("a", 1, 2, 1_000, renewals=[("x", 1)])).renewals == [False]
         assert t.rows["x"].forced and t.version("x") == (1, 0)
-        assert put(t, 5, RenewLeases("c", 1, 1, 1_000, [("x", 0, 0)])).takes == [False]
+        assert put(t, 5, RenewLeases("c", 1, 1, 1_000, [("x", 0, 0)])).acquisitions == [False]
 
     def test_bounds(self):
         t = LeaseTable()
-        names = [f"t{n}" for n in range(lease_table.MOST_TASKS + 1)]
-        for at in range(0, len(names), lease_table.MOST_ITEMS):
+        names = [f"t{n}" for n in range(lease_table.MAX_TASKS + 1)]
+        for at in range(0, len(names), lease_table.MAX_ITEMS):
             done = put(
-                t, at + 1, RenewLeases("a", 1, at, 1_000, [(n, 0, 0) for n in names[at : at + lease_table.MOST_ITEMS]])
+                t, at + 1, RenewLeases("a", 1, at, 1_000, [(n, 0, 0) for n in names[at : at + lease_table.MAX_ITEMS]])
             )
-        assert len(t.rows) == lease_table.MOST_TASKS and done.takes == [False]
+        assert len(t.rows) == lease_table.MAX_TASKS and done.acquisitions == [False]
         many = [("x", 1)] * 300
-        assert put(t, 10_000, RenewLeases("a", 1, 10_000, 1_000, renews=many, drops=many)).reason == "too many items"
-        for n in range(2 * lease_table.MOST_PROPOSERS):
+        assert (
+            put(t, 10_000, RenewLeases("a", 1, 10_000, 1_000, renewals=many, releases=many)).reason == "too many items"
+        )
+        for n in range(2 * lease_table.MAX_PROPOSERS):
             put(t, 10_001 + n, RenewLeases(f"h{n}", 1, 1, 1_000))
-        assert len(t._seen) == lease_table.MOST_PROPOSERS
-        longest = [("x" * 64, 2**53, 2**53)] * lease_table.MOST_ITEMS
+        assert len(t._last_numbers) == lease_table.MAX_PROPOSERS
+        longest = [("x" * 64, 2**53, 2**53)] * lease_table.MAX_ITEMS
         assert len(encode(RenewLeases("h" * 64, 2**53, 2**53, 1_000, longest))) < 64 << 10
         assert len(t.state()) < 4 << 20
 
@@ -94,8 +103,8 @@
         t = LeaseTable()
         put(t, 1, RenewLeases("a", 1, 1, 1_000, [("x", 0, 0)]))
         before = t.state()
-        answer = lease_table.said(t.apply(2, data))
-        if lease_table.read(data) is None:
+        answer = lease_table.decode_result(t.apply(2, data))
+        if lease_table.decode_command(data) is None:
             assert answer.reason == "unreadable" and t.state() == before and t.refused == 1
         copy = LeaseTable()
         copy.restore(2, t.state())
@@ -157,9 +166,9 @@
 
     def test_bounds(self):
         p = WarmupProgress()
-        for n in range(progress.MOST_ENGINES + 2):
+        for n in range(progress.MAX_ENGINES + 2):
             p.apply(n + 1, progress.encode(RecordProgress(1, f"e{n}", 1.0, 1)))
-        assert len(p.starts) == progress.MOST_ENGINES and not p.place("e1", 1.0) and p.place("e2", 1.0)
+        assert len(p.starts) == progress.MAX_ENGINES and not p.place("e1", 1.0) and p.place("e2", 1.0)
 
 
 class TestFence:
@@ -184,7 +193,7 @@
         with pytest.raises(OSError):
             fence.check("x", 5)
         assert fence.highest("x") == 0, "it was never durable"
-        full = TokenFence(most=1)
+        full = TokenFence(max_tasks=1)
         full.check("x", 1)
         with pytest.raises(FenceFullError):
             full.check("y", 1)
@@ -222,7 +231,7 @@
             command = self.log[self.applied[name]]
             self.applied[name] += 1
             result = self.tables[name].apply(self.applied[name], command)
-            self.holders[name].told(self.clock(name), command, result)
+            self.holders[name].on_applied(self.clock(name), command, result)
 
     def run(self, ms, step=20.0, stands=True):
         until = self.now + ms
@@ -231,15 +240,15 @@
             for name, holder in self.holders.items():
                 if name not in self.down:
                     self.hear(name)
-                    command = holder.ask(self.clock(name), stands)
+                    command = holder.next_command(self.clock(name), stands)
                     if command is not None:
                         self.append(command)
-                        holder.outcome(self.clock(name), holder.number, True)
+                        holder.on_outcome(self.clock(name), holder.number, CommandOutcome.APPLIED)
             assert len(self.owners("x")) < 2, "two hold one task"
 
     def asks(self, name="a"):
         """The first command of one that begins to stand; nobody appends it."""
-        while (command := self.holders[name].ask(self.clock(name), True)) is None:
+        while (command := self.holders[name].next_command(self.clock(name), True)) is None:
             self.now += 20.0
         return command
 
@@ -247,7 +256,7 @@
         return [
             name
             for name, holder in self.holders.items()
-            if (own := holder.own.get(task)) is not None and self.clock(name) < own.end
+            if (own := holder.leases.get(task)) is not None and self.clock(name) < own.expires_at
         ]
 
     def owner(self, task="x"):
@@ -260,17 +269,17 @@
         w = World("a", "b", "c")
         w.run(400)
         first = w.owner()
-        token = w.holders[first].own["x"].token
+        token = w.holders[first].leases["x"].token
         w.run(5_000)
-        assert w.owner() == first and w.holders[first].own["x"].token == token, "renewed, not granted anew"
+        assert w.owner() == first and w.holders[first].leases["x"].token == token, "renewed, not granted anew"
         assert w.holders[first].counts["renewals"] in range(14, 22)
         w.down.add(first)
-        died, end = w.now, w.holders[first].own["x"].end
+        died, end = w.now, w.holders[first].leases["x"].expires_at
         while not (others := [name for name in w.owners("x") if name != first]):
             w.run(20)
         assert w.now >= end and others, "never before the dead one's own end"
-        assert w.now - died <= wait_of(1_000, 0.01) + w.terms.spread + 3 * 20 + PATIENCE_MS
-        assert w.holders[others[0]].own["x"].token > token
+        assert w.now - died <= takeover_wait_ms(1_000, 0.01) + w.terms.spread + 3 * 20 + PATIENCE_MS
+        assert w.holders[others[0]].leases["x"].token > token
 
     @given(
         st.lists(st.floats(0.99, 1.01), min_size=3, max_size=3),
@@ -287,11 +296,11 @@
         w.run(500)
         first = w.owner()
         w.deaf.add(first)  # its renewals are appended, but it does not hear of them, nor of who takes over
-        asked = w.holders[first].own["x"].asked
+        asked = w.holders[first].leases["x"].requested_at
         w.run(900)
         w.down.add(first)
         w.run(3_000)  # run() asserts that there are never two
-        assert w.holders[first].own["x"].asked == asked
+        assert w.holders[first].leases["x"].requested_at == asked
 
     def test_a_candidate_counts_nothing_that_it_did_not_watch(self):
         w = World("a", "b")
@@ -303,7 +312,9 @@
         w.offsets[other] += 60_000.0  # its clock jumps: the wait is as long as ever, but for the patience
         w.run(700)
         assert w.owners("x") in ([first], [])
-        assert w.holders[other].ask(w.clock(other), True) is None and w.holders[other].counts["clock_steps"] == 1
+        assert (
+            w.holders[other].next_command(w.clock(other), True) is None and w.holders[other].counts["clock_steps"] == 1
+        )
         w.run(1_000)
         assert w.owner() == other
 
@@ -312,34 +323,34 @@
         w = World("a", "b")
         w.run(500)
         first = w.owner()
-        holder, token = w.holders[first], w.holders[first].own["x"].token
+        holder, token = w.holders[first], w.holders[first].leases["x"].token
         w.offsets[first] += jump
         assert not holder.holds("x", token, w.clock(first))
-        assert [turned.held for turned in holder.turned] == [True, False]
+        assert [turned.held for turned in holder.changes] == [True, False]
         w.run(200)
-        assert w.owner() == first and holder.own["x"].token == token
-        assert holder.holds("x", token, w.clock(first)) and [t.held for t in holder.turned] == [True, False, True]
+        assert w.owner() == first and holder.leases["x"].token == token
+        assert holder.holds("x", token, w.clock(first)) and [t.held for t in holder.changes] == [True, False, True]
 
     def test_an_uncertain_take_that_comes_late_is_counted_from_when_it_was_asked(self):
         w = World("a")
         holder = w.holders["a"]
         command = w.asks()
         asked = w.clock("a")
-        holder.outcome(w.clock("a"), holder.number, False, None)
+        holder.on_outcome(w.clock("a"), holder.number, CommandOutcome.UNKNOWN)
         for _ in range(30):
             w.now += 20.0
-            holder.look(w.clock("a"))
+            holder.advance_clock(w.clock("a"))
         w.append(command)
-        assert holder.own["x"].end == end_of(asked, 1_000, 0.01) and holder.holds("x", 1, w.clock("a"))
+        assert holder.leases["x"].expires_at == expiry_ms(asked, 1_000, 0.01) and holder.holds("x", 1, w.clock("a"))
         # One that comes after its end is nothing that is held; it is renewed, as the row is ours.
         w = World("a")
         holder = w.holders["a"]
         command = w.asks()
-        holder.outcome(w.clock("a"), holder.number, False, None)
+        holder.on_outcome(w.clock("a"), holder.number, CommandOutcome.UNKNOWN)
         w.now += 1_200.0
         w.append(command)
         assert not holder.holds("x", 1, w.clock("a"))
-        assert lease_table.read(holder.ask(w.clock("a"), True)).renews == [("x", 1)]
+        assert lease_table.decode_command(holder.next_command(w.clock("a"), True)).renewals == [("x", 1)]
 
     def test_of_two_that_race_for_a_free_lease_one_gets_it_and_the_other_knows(self):
         w = World("a", "b")
@@ -349,12 +360,12 @@
             asks |= {
                 name: said
                 for name, holder in w.holders.items()
-                if name not in asks and (said := holder.ask(w.clock(name), True)) is not None
+                if name not in asks and (said := holder.next_command(w.clock(name), True)) is not None
             }
         for name in ("b", "a"):
             w.append(asks[name])
-            w.holders[name].outcome(w.clock(name), w.holders[name].number, True)
-        assert w.owner() == "b" and w.holders["a"].counts["takes_refused"] == 1 and not w.holders["a"].own
+            w.holders[name].on_outcome(w.clock(name), w.holders[name].number, CommandOutcome.APPLIED)
+        assert w.owner() == "b" and w.holders["a"].counts["takes_refused"] == 1 and not w.holders["a"].leases
         w.run(3_000)
         assert w.owner() == "b"
 
@@ -372,7 +383,7 @@
         first = w.owner()
         other = "b" if first == "a" else "a"
         w.append(w.holders[other].force("x"))
-        assert not w.owners("x") and w.holders[first].turned[-1].why == "released by an operator"
+        assert not w.owners("x") and w.holders[first].changes[-1].why == "released by an operator"
         w.run(300)
         assert w.owner() == other, "the holder said that it has stopped: nobody need wait it out"
         assert w.holders[other].force("y") is None
@@ -389,7 +400,7 @@
     def test_what_is_no_longer_wanted_is_given_back_even_where_it_is_granted_late(self):
         w = World("a")
         command = w.asks()
-        w.holders["a"].outcome(w.clock("a"), 1, False, None)
+        w.holders["a"].on_outcome(w.clock("a"), 1, CommandOutcome.UNKNOWN)
         w.holders["a"].unwant("x")
         w.append(command)
         assert not w.owners("x") and w.tables["a"].rows
@@ -398,27 +409,27 @@
 
     def test_a_grant_that_came_with_a_snapshot_is_given_back_as_nobody_knows_since_when(self):
         w, elsewhere = World("a"), LeaseTable()
-        assert lease_table.said(elsewhere.apply(7, w.asks())).takes == [True]
+        assert lease_table.decode_result(elsewhere.apply(7, w.asks())).acquisitions == [True]
         holder = w.holders["a"]
-        holder.outcome(w.clock("a"), holder.number, False, None)
+        holder.on_outcome(w.clock("a"), holder.number, CommandOutcome.UNKNOWN)
         w.tables["a"].restore(9, elsewhere.state())
-        holder.told(w.clock("a"), b"", b"")
+        holder.on_applied(w.clock("a"), b"", b"")
         assert not w.owners("x")
         w.now += 60.0
-        assert lease_table.read(holder.ask(w.clock("a"), True)).drops == [("x", 7)]
+        assert lease_table.decode_command(holder.next_command(w.clock("a"), True)).releases == [("x", 7)]
 
     def test_a_renewal_that_comes_late_brings_nothing_back_that_was_given_up(self):
         w = World("a", "b")
         w.run(700)
         first = w.owner()
         holder = w.holders[first]
-        while (command := holder.ask(w.clock(first), True)) is None:
+        while (command := holder.next_command(w.clock(first), True)) is None:
             w.now += 20.0
-        assert lease_table.read(command).renews
-        holder.outcome(w.clock(first), holder.number, False, None)
+        assert lease_table.decode_command(command).renewals
+        holder.on_outcome(w.clock(first), holder.number, CommandOutcome.UNKNOWN)
         holder.unwant("x")
         w.append(command)
-        assert not w.owners("x") and not holder.own
+        assert not w.owners("x") and not holder.leases
         w.run(400)
         assert w.owner() != first
 
@@ -426,15 +437,15 @@
         tasks = [f"t{n}" for n in range(1_000)]
         w = World(*"abcde", wants=tasks, terms=LeaseSettings(3_000))
         w.run(3_000, 50.0)
-        held = [len(h.held(w.clock(n))) for n, h in w.holders.items()]
+        held = [len(h.held_leases(w.clock(n))) for n, h in w.holders.items()]
         assert sum(held) == 1_000 and min(held) > 100, held
         before = len(w.log)
         w.run(6_000, 50.0)
         assert len(w.log) - before < 5 * 6 * 3, "renewals go many in one entry"
-        assert [len(h.held(w.clock(n))) for n, h in w.holders.items()] == held, "all kept"
+        assert [len(h.held_leases(w.clock(n))) for n, h in w.holders.items()] == held, "all kept"
         w.down.add("a")
         w.run(5_000, 50.0)
-        assert sum(len(h.held(w.clock(n))) for n, h in w.holders.items() if n != "a") == 1_000
+        assert sum(len(h.held_leases(w.clock(n))) for n, h in w.holders.items() if n != "a") == 1_000
 
     @given(
         st.lists(st.sampled_from((1.0, 1.0, 0.3, 3.0)), min_size=2, max_size=5), st.integers(1, 40), st.integers(0, 9)
@@ -450,15 +461,15 @@
                 w.holders[name].want(f"t{task}", weights[n])
         w.holders["a"].want("only", 1.0)
         w.run(4_000)
-        only = w.holders["a"].own["only"].token
+        only = w.holders["a"].leases["only"].token
         w.down.clear()
         w.run(40_000, 50.0)
         moves = [w.holders[name].counts["given"] for name in names]
-        held = [len(w.holders[name].held(w.clock(name))) for name in names]
+        held = [len(w.holders[name].held_leases(w.clock(name))) for name in names]
         assert sum(held) == most + 2 and sum(moves) <= 2 * (most + 2)
         w.run(20_000, 50.0)
         assert [w.holders[name].counts["given"] for name in names] == moves, "it has come to rest"
-        assert w.holders["a"].own["only"].token == only
+        assert w.holders["a"].leases["only"].token == only
         if len(set(weights)) == 1 and weights[0] == 1.0:
             assert max(held) - min(held) <= max(2.0, 0.1 * sum(held) / len(names)) + 1, held  # and the one of a alone
 
@@ -474,16 +485,16 @@
         while not given["given"]:
             w.run(20)
         w.run(900)
-        assert given["given"] <= MOST_MOVES
+        assert given["given"] <= MAX_MOVES
         w.run(16_000)
-        held = [len(h.held(w.clock(n))) for n, h in w.holders.items()]
+        held = [len(h.held_leases(w.clock(n))) for n, h in w.holders.items()]
         assert sum(held) == 150 and max(held) - min(held) <= 5, held
 
     def test_what_is_given_to_one_that_never_takes_it_comes_back_after_a_rest(self):
         w = World("a", wants=("x", "y"))
         w.run(4_000)
         w.append(encode(RenewLeases("z", 1, 1, 1_000, [("x", 0, 0)])))
-        assert not w.owners("x") and w.owner("y") == "a" and w.holders["a"].turned[-1].why == "released to even out"
+        assert not w.owners("x") and w.owner("y") == "a" and w.holders["a"].changes[-1].why == "released to even out"
         w.append(encode(RenewLeases("z", 1, 2, 1_000, [("y", 0, 0)])))
         assert w.owner("y") == "a", "one more than the other is within the margin"
         w.run(300)
@@ -500,19 +511,22 @@
         w.run(4_000)
         w.down.clear()
         w.run(20_000)
-        held = {name: len(holder.held(w.clock(name))) for name, holder in w.holders.items()}
+        held = {name: len(holder.held_leases(w.clock(name))) for name, holder in w.holders.items()}
         assert held == {"a": 31, "b": 9}, "31 / 3 is less than 9 and the margin of 2"
         mark = len(w.log)
         w.run(40_000)
         assert (
             2
-            <= sum(lease_table.read(one).holder == "b" and bool(lease_table.read(one).takes) for one in w.log[mark:])
+            <= sum(
+                lease_table.decode_command(one).holder == "b" and bool(lease_table.decode_command(one).acquisitions)
+                for one in w.log[mark:]
+            )
             <= 6
         )
 
     def test_a_greater_weight_gets_more_and_the_same_draw_everywhere(self):
         tasks = [f"t{n}" for n in range(2_000)]
-        first = [min("abc", key=lambda n: turn(t, n, 3.0 if n == "a" else 1.0)) for t in tasks]  # noqa: B023
+        first = [min("abc", key=lambda n: rendezvous_rank(t, n, 3.0 if n == "a" else 1.0)) for t in tasks]  # noqa: B023
         assert abs(first.count("a") / 2_000 - 0.6) < 0.05 and abs(first.count("b") / 2_000 - 0.2) < 0.04
 
     def test_failures_are_backed_off_but_never_past_a_renewal(self):
@@ -522,9 +536,9 @@
         w.down.add("a")
         for _ in range(90):
             w.now += 10.0
-            if holder.ask(w.clock("a"), True) is not None:
+            if holder.next_command(w.clock("a"), True) is not None:
                 asks += 1
-                holder.outcome(w.clock("a"), holder.number, False, False)
+                holder.on_outcome(w.clock("a"), holder.number, CommandOutcome.NOT_APPENDED)
         assert 7 <= asks <= 16
         with pytest.raises(ValueError):
             holder.want("y", 0.0)
@@ -574,7 +588,7 @@
             sent.append(token)
 
         told, _ = events()
-        hand = JobContext(Lease("x", 3, lambda: holds[0]), SimpleNamespace(did=lambda *a: None))
+        hand = JobContext(Lease("x", 3, lambda: holds[0]), SimpleNamespace(record_action=lambda *a: None))
         await hand.send("mark", "sink", call)
         holds[0] = False
         for work in (hand.send("mark", "sink", call), hand.step(asyncio.sleep(0))):
@@ -584,7 +598,7 @@
 
     async def test_a_run_begins_only_after_the_last_one_has_ended(self):
         told, _ = events()
-        owners = SimpleNamespace(on_change=[], want=lambda task, weight: None, did=lambda *a: None)
+        owners = SimpleNamespace(on_change=[], want=lambda task, weight: None, record_action=lambda *a: None)
         active, most, ending = 0, 0, asyncio.Event()
 
         class Slow:
@@ -687,7 +701,7 @@
         row = a.figures()["owners"][0]
         assert (row["holder"], row["here"]) == ("a", True) and 0 < row["left_ms"] <= 300
         assert b.figures()["owners"][0]["left_ms"] > 0
-        a.refused("x", 1, "mark", 9)
+        a.record_rejection("x", 1, "mark", 9)
         assert a.figures()["refusals"][0]["highest"] == 9 and a.figures()["refused"] == 1
         with pytest.raises(ValueError):
             a.want("a name")
@@ -730,7 +744,7 @@
         fence.check("x", 1 << 40)
         JobRunner(a, told, [Job("x", fence)])
         a.start()
-        await until(lambda: a.stale)
+        await until(lambda: a.rejected_actions)
         (line,) = [line for line in lines() if line["event"] == "owner_refused"]
-        assert line["accepted"] is False and line["highest"] == 1 << 40 and a.acted == 0
+        assert line["accepted"] is False and line["highest"] == 1 << 40 and a.accepted_actions == 0
         await a.close()
--- a/tests/test_ownership_lab.py
+++ b/tests/test_ownership_lab.py
@@ -11,7 +11,7 @@
 from frostspindle.lab.fenced import Sink
 from frostspindle.lab.history import check
 from frostspindle.lab.ownership import Coordinator, Lab, measure, play
-from frostspindle.ownership import holder as deciding
+from frostspindle.ownership import timing
 from frostspindle.telemetry import LINES_A_SECOND, Telemetry
 
 
@@ -117,7 +117,7 @@
 
 
 def test_candidates_that_wait_less_than_a_lease_are_found_out(monkeypatch):
-    monkeypatch.setattr(deciding, "wait_of", lambda duration_ms, drift: duration_ms / 2.0)
+    monkeypatch.setattr(timing, "takeover_wait_ms", lambda duration_ms, drift: duration_ms / 2.0)
     lab = play(5, 2, "3 oneway 0>1,2,3,4; 6 oneway 1>0,2,3,4", 9.0, lease_ms=2_000, voters=3, tasks=8)
     assert any("overlap" in fault for fault in lab.checked().faults)
 
@@ -150,7 +150,7 @@
         lab.replicas.kill(n)
     lab.run(5.0)
     before = len(lab.sink.lines)
-    assert not any(who.holder.held(who.now) for n, who in lab.coordinators.items() if n not in (0, 1))
+    assert not any(who.holder.held_leases(who.now) for n, who in lab.coordinators.items() if n not in (0, 1))
     lab.run(6.0)
     assert not [line for line in lab.sink.lines[before:] if line["accepted"] and line["action"] != "late"]
     lab.replicas.start(0)
--- a/tests/test_ownership_model.py
+++ b/tests/test_ownership_model.py
@@ -78,10 +78,10 @@
         [("x", token)] if what == "renew" else [],
         [("x", token)] if what == "drop" else [],
     )
-    said = lease_table.said(t.apply(s.index + 1, lease_table.encode(ask)))
+    said = lease_table.decode_result(t.apply(s.index + 1, lease_table.encode(ask)))
     row = t.rows.get("x")
     return (row.token, row.renewals, row.holder) if row else (0, 0, ""), not said.reason and any(
-        said.takes + said.renews + said.drops
+        said.acquisitions + said.renewals + said.releases
     )
 
 
