--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -18,7 +18,8 @@
 from frostspindle.lab.fenced import Sink
 from frostspindle.lab.history import Checked, check
 from frostspindle.lab.replica import EmulatedLog, EmulatedReplicas
-from frostspindle.ownership.holder import CommandOutcome, LeaseHolder, LeaseSettings
+from frostspindle.ownership.holder import LeaseHolder, LeaseSettings
+from frostspindle.ownership.lease_state import CommandOutcome
 from frostspindle.ownership.lease_table import LeaseTable
 from frostspindle.replica.base import AppliedEntry, OutcomeUnknownError
 
--- a/frostspindle/lab/replica.py
+++ b/frostspindle/lab/replica.py
@@ -30,8 +30,9 @@
 from frostspindle.lab.network import Network
 from frostspindle.replica import wire
 from frostspindle.replica.base import MAX_OPEN_PROPOSALS, AppliedEntry, EntryListener, LogUnavailableError, StateMachine
+from frostspindle.replica.compaction import SNAPSHOT_AFTER_ENTRIES
 from frostspindle.replica.journal import PendingWrite, RaftJournal, Record
-from frostspindle.replica.member import SNAPSHOT_AFTER_ENTRIES, LogMember
+from frostspindle.replica.member import LogMember
 from frostspindle.replica.proposals import Outcome
 from frostspindle.replica.raft import RaftTimeouts
 
--- a/frostspindle/ownership/holder.py
+++ b/frostspindle/ownership/holder.py
@@ -15,12 +15,11 @@
 import random
 from collections import Counter
 from collections.abc import Iterable
-from dataclasses import dataclass
-from enum import Enum
 
 from frostspindle.ownership import lease_table, timing
 from frostspindle.ownership.acquisition import AcquisitionSelector
 from frostspindle.ownership.backoff import MAX_BACKOFF_MS, Backoff
+from frostspindle.ownership.lease_state import CommandOutcome, HeldLease, LeaseChanged, PendingCommand
 from frostspindle.ownership.lease_table import Acquisition, CommandResult, LeaseTable, RenewLeases
 from frostspindle.ownership.observation import RowObserver
 from frostspindle.ownership.ranking import rendezvous_rank
@@ -33,43 +32,6 @@
 MAX_OPEN_REQUESTS = 16  # commands whose outcome may still come, remembered with the time of the request
 
 
-class CommandOutcome(Enum):
-    """What became of a proposed command."""
-
-    APPLIED = "applied"
-    NOT_APPENDED = "not appended"  # and it never will be
-    UNKNOWN = "unknown"  # it may be applied later
-
-
-@dataclass(slots=True)
-class HeldLease:
-    """A lease granted to this process; times in ms of its own clock."""
-
-    token: int
-    requested_at: float
-    expires_at: float  # -inf: over until it is renewed
-    announced: bool = False  # its users know that it is held, and not yet that it is over
-
-
-@dataclass(slots=True)
-class LeaseChanged:
-    """A lease that was acquired or lost, for its users."""
-
-    task: str
-    token: int
-    held: bool
-    why: str = ""
-    at: float = 0.0  # from when it was held, or until when, on the own clock
-
-
-@dataclass(slots=True)
-class PendingCommand:
-    """The one command whose outcome is awaited."""
-
-    number: int
-    requested_at: float
-
-
 class LeaseHolder:
     """One process's decisions about leases.
 
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -21,8 +21,9 @@
 from typing import Any
 
 from frostspindle.ownership import lease_table
-from frostspindle.ownership.holder import CommandOutcome, LeaseChanged, LeaseHolder
+from frostspindle.ownership.holder import LeaseHolder
 from frostspindle.ownership.lease import Lease, LeaseListener
+from frostspindle.ownership.lease_state import CommandOutcome, LeaseChanged
 from frostspindle.ownership.timing import LeaseSettings
 from frostspindle.replica.base import LogUnavailableError, OutcomeUnknownError, ReplicatedLog
 from frostspindle.telemetry import Telemetry
--- a/frostspindle/replica/member.py
+++ b/frostspindle/replica/member.py
@@ -34,6 +34,7 @@
 
 from frostspindle.replica import wire
 from frostspindle.replica.base import MAX_OPEN_PROPOSALS, AppliedEntry, StateMachineRegistry
+from frostspindle.replica.compaction import SNAPSHOT_AFTER_ENTRIES, CompactionPolicy
 from frostspindle.replica.journal import RaftJournal
 from frostspindle.replica.known_entries import remove_known_entries
 from frostspindle.replica.outbox import Outbox, Outgoing
@@ -42,8 +43,6 @@
 from frostspindle.replica.snapshot_transfer import RestorableState, SnapshotTransfer
 from frostspindle.replica.voters import VoterNode, apply_voter_changes
 
-SNAPSHOT_AFTER_ENTRIES = 1_024
-SNAPSHOT_AFTER_BYTES = 8 << 20
 CATCH_UP_TIMEOUT_S = 5.0
 LOST_VOTES_TERM_INCREMENT = 1_000  # moves a member that lost its votes past any term in which it may have voted
 
@@ -81,8 +80,7 @@
         self.voters_changed: bool = False
         self.peers: dict[str, bool] = {}  # connected peers, and whether as a voter
         self._outbox: Outbox = Outbox()
-        self._snapshot_after: int = snapshot_after
-        self._current_snapshot_after: int = snapshot_after  # doubled while a machine's state is too long
+        self._compaction: CompactionPolicy = CompactionPolicy(snapshot_after)
         self._announced: tuple[int, int] = (0, 0)  # last index and commit index that were sent at once as a leader
         self._now: float = 0.0  # of the last tick
         self._leader_heard_at: float = 0.0
@@ -227,11 +225,7 @@
     def _deny_proposal(self, node: VoterNode, request_id: int) -> None:
         """A leader must not append what it could not apply."""
         self.counters["unheld"] += 1
-        response = {
-            "type": "apply_command_response",
-            "request_id": request_id,
-            "error": FAIL_REASON.REQUEST_DENIED,
-        }
+        response = {"type": "apply_command_response", "request_id": request_id, "error": FAIL_REASON.REQUEST_DENIED}
         self._send(node, response)
 
     def _acknowledge_known(self, node: VoterNode, message: Message, known_index: int) -> None:
@@ -368,22 +362,17 @@
         index = self.registry.index
         if index != self._raft.raftLastApplied or self.journal.term_at(index - 1) is None:
             return None
-        if not self._is_journal_long(index):
+        if not self._compaction.is_due(index - self.journal.entries[0][1], self.journal.size):
             return None
         try:
             states = self.registry.states()
         except ValueError:
             self.counters["states_too_long"] += 1  # the journal grows on; tried again once it has doubled
-            self._current_snapshot_after *= 2
+            self._compaction.postpone()
             return None
         before, last = self.journal.entries_between(index - 2, index)
         return wire.SnapshotContents(before, last, [*self.voters.values()], states)
 
-    def _is_journal_long(self, index: int) -> bool:
-        entries = index - self.journal.entries[0][1]
-        max_bytes = SNAPSHOT_AFTER_BYTES * self._current_snapshot_after // self._snapshot_after
-        return entries >= self._current_snapshot_after or self.journal.size >= max_bytes
-
     def compact_journal(self, contents: wire.SnapshotContents, data: bytes) -> None:
         """Replace the entries that a snapshot covers by that snapshot, encoded as `data`."""
         self.journal.compact(data, contents.before, contents.last)
--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -13,7 +13,6 @@
 import time
 from collections import Counter
 from collections.abc import Callable
-from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from typing import Any, TypeVar
 
@@ -25,11 +24,14 @@
     OutcomeUnknownError,
     RegistryLog,
 )
-from frostspindle.replica.disk import FolderLockedError, JournalCondition, JournalFile
-from frostspindle.replica.journal import PendingWrite, RaftJournal, Record
+from frostspindle.replica.compaction import SNAPSHOT_AFTER_ENTRIES
+from frostspindle.replica.disk import FolderLockedError, JournalCondition
+from frostspindle.replica.figures import member_figures
+from frostspindle.replica.journal import RaftJournal
+from frostspindle.replica.journal_writer import JournalWriter
 from frostspindle.replica.library_log import redirect_library_log
 from frostspindle.replica.links import MAX_QUEUED_IN_BYTES, MemberLinks
-from frostspindle.replica.member import SNAPSHOT_AFTER_ENTRIES, LogMember
+from frostspindle.replica.member import LogMember
 from frostspindle.replica.peer_events import MessageReceived, PeerConnected, PeerDisconnected, PeerEventQueue
 from frostspindle.replica.proposals import Outcome
 from frostspindle.replica.raft import RaftTimeouts
@@ -39,7 +41,6 @@
 Result = TypeVar("Result")
 
 TICK_S = 0.025
-SLOW_SYNC_S = 0.5  # a sync that took longer is logged
 MAX_ENTRIES_PER_TURN = 64  # events handled or entries applied before other tasks of the event loop run
 TIMEOUT_GRACE_S = 0.25  # past its time limit, a proposal is answered also while the disk hangs
 
@@ -79,8 +80,6 @@
 
         self._member: LogMember | None = None
         self._links: MemberLinks | None = None
-        self._disk: JournalFile | None = None
-        self._disk_executor: ThreadPoolExecutor = ThreadPoolExecutor(1, "replica")
         self._events: PeerEventQueue = PeerEventQueue()
         self._wake: asyncio.Event = asyncio.Event()
         self._loop_task: asyncio.Task[None] | None = None
@@ -90,12 +89,17 @@
         self.started: bool = False
         self.stopped: str = ""  # the reason, once the log has stopped
         self.counters: Counter[str] = Counter()
-        self.worst_sync_s: float = 0.0
+        self._journal_writer: JournalWriter = JournalWriter(folder, telemetry, self.counters)
         self.worst_turn_s: float = 0.0  # processor time for which the event loop was held
         self._turn_began: float = 0.0
 
     # The log.
 
+    @property
+    def worst_sync_s(self) -> float:
+        """Duration of the longest write with its sync."""
+        return self._journal_writer.worst_sync_s
+
     @property
     def leader(self) -> str | None:
         """Name of the leader while it is heard; None if there is none, or the log has stopped or not started."""
@@ -181,8 +185,7 @@
 
     async def _restore_member(self) -> LogMember:
         """Make the member from its journal and apply its snapshot; OSError, FolderLockedError, ValueError."""
-        loop = asyncio.get_running_loop()
-        condition, records = await loop.run_in_executor(self._disk_executor, self._open_journal)
+        condition, records = await self._journal_writer.open()
         is_lost = condition is JournalCondition.FRESH and not self._is_first_start
         votes_lost = condition is JournalCondition.SPOILT or is_lost
         self._report_journal(condition, len(records), votes_lost)
@@ -202,11 +205,6 @@
             await asyncio.sleep(0)
         return member
 
-    def _open_journal(self) -> tuple[JournalCondition, list[Record]]:
-        """Open and read the journal, in the worker thread."""
-        self._disk = JournalFile(self.folder)
-        return self._disk.load()
-
     def _report_journal(self, condition: JournalCondition, entries: int, votes_lost: bool) -> None:
         """Log a journal that was damaged, or that a voter has lost."""
         is_damaged = condition in (JournalCondition.SPOILT, JournalCondition.TORN)
@@ -227,17 +225,14 @@
         if self._loop_task is not None:
             await self._loop_task
         await self._release()
-        self._disk_executor.shutdown(wait=False)
+        self._journal_writer.shutdown()
 
     async def _release(self) -> None:
         links = self._links
         self._links = None
         if links is not None:
             await links.close()
-        disk = self._disk
-        self._disk = None
-        if disk is not None:
-            disk.close()
+        self._journal_writer.close_file()
 
     def _stop(self, why: str) -> None:
         """Stop the log for good; the process goes on."""
@@ -267,7 +262,7 @@
         pending_write = member.journal.take_pending_write()
         self._end_turn()
         if pending_write is not None:
-            await self._write(pending_write)
+            await self._journal_writer.write(pending_write)
         self._send_outbox(member)
         while member.apply_committed(MAX_ENTRIES_PER_TURN):
             await asyncio.sleep(0)
@@ -304,19 +299,6 @@
                 case PeerDisconnected(peer):
                     member.disconnected(peer)
 
-    async def _write(self, pending_write: PendingWrite) -> None:
-        assert self._disk is not None
-        loop = asyncio.get_running_loop()
-        began = time.perf_counter()
-        size = await loop.run_in_executor(self._disk_executor, self._disk.write, pending_write)
-        took_s = time.perf_counter() - began
-        self.worst_sync_s = max(self.worst_sync_s, took_s)
-        self.counters["syncs"] += 1
-        self.counters["written"] += size
-        if took_s > SLOW_SYNC_S:
-            self.telemetry.count("replica_disk_slow")
-            self.telemetry.log("replica_disk_slow", took_s=round(took_s, 3), bytes=size)
-
     def _send_outbox(self, member: LogMember) -> None:
         self._begin_turn()
         assert self._links is not None
@@ -333,8 +315,7 @@
         self._end_turn()
         if contents is None:
             return
-        loop = asyncio.get_running_loop()
-        data = await loop.run_in_executor(self._disk_executor, wire.encode_snapshot, *contents)
+        data = await self._journal_writer.run(wire.encode_snapshot, *contents)
         member.compact_journal(contents, data)
 
     def _begin_turn(self) -> None:
@@ -417,27 +398,12 @@
             **self.counters,
         }
         if self._member is not None:
-            figures |= _member_figures(self._member)
+            figures |= member_figures(self._member)
         if self._links is not None:
             figures |= {f"link_{name}": count for name, count in self._links.counters.items()}
         return figures
 
 
-def _member_figures(member: LogMember) -> dict[str, Any]:
-    return {
-        "votes": member.voter,
-        "leads": member.is_leader,
-        "term": member.term,
-        "committed": member.commit_index,
-        "journal": len(member.journal),
-        "journal_bytes": member.journal.size,
-        "open": len(member.proposals.pending),
-        "voters": sorted(member.voters),
-        "peers": sorted(member.peers),
-        **{f"member_{name}": count for name, count in member.counters.items()},
-    }
-
-
 def _resolver(future: asyncio.Future[Result]) -> Callable[[Result], None]:
     """Return a callback that resolves a future, unless it is done already."""
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -12,9 +12,10 @@
 
 from frostspindle.ownership import lease_table, progress
 from frostspindle.ownership.fence import FenceFullError, StaleTokenError, TokenFence
-from frostspindle.ownership.holder import CommandOutcome, LeaseHolder
+from frostspindle.ownership.holder import LeaseHolder
 from frostspindle.ownership.jobs import JobContext, JobRunner
 from frostspindle.ownership.lease import Lease, LeaseLostError
+from frostspindle.ownership.lease_state import CommandOutcome
 from frostspindle.ownership.lease_table import ForceRelease, LeaseTable, ReleaseAll, RenewLeases
 from frostspindle.ownership.progress import RecordProgress, WarmupProgress
 from frostspindle.ownership.ranking import rendezvous_rank
