--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -8,7 +8,7 @@
 from frostspindle import config as configuration
 from frostspindle.core import clock
 from frostspindle.fleet.service import monotonic
-from frostspindle.fleet.slow_start_service import born
+from frostspindle.fleet.slow_start_service import started_ms
 from frostspindle.net.operator import OperatorError
 from frostspindle.ownership.export import ExportJob
 from frostspindle.ownership.jobs import Job, JobRunner
@@ -49,9 +49,9 @@
             weights[WARMUP_TASK] = config.warm.weight
             self.cost_ms = config.warm.cost_ms
         self.runner: JobRunner = JobRunner(self.owners, program.telemetry, jobs, weights)
-        if program.desk:
-            program.desk.does["show-owners"] = self.figures
-            program.desk.does["release-owner"] = self.release
+        if program.operator_server:
+            program.operator_server.handlers["show-owners"] = self.figures
+            program.operator_server.handlers["release-owner"] = self.release
 
     def _export_job(self, task: Any) -> ExportJob:
         address = configuration.address(task.at, "ownership.task.at")
@@ -77,7 +77,7 @@
         recovery = getattr(self.program, "recovery", None)
         if self.program.platform.draining:
             return "draining"
-        if recovery is not None and not recovery.intake.open:
+        if recovery is not None and not recovery.admission.open:
             return "recovering"
         return ""
 
@@ -86,9 +86,12 @@
         core = self.program.core
         now = clock()
         return [
-            ColdEngine(number, core.engines[number].name, born(core.engines[number]))
+            ColdEngine(number, core.engines[number].name, started_ms(core.engines[number]))
             for number, believed in core.controller.engines.items()
-            if believed.ready and believed.cold(now) and number in core.engines and number in self.program.driver.peers
+            if believed.ready
+            and believed.in_slow_start(now)
+            and number in core.engines
+            and number in self.program.driver.pools
         ]
 
     def _pay(self, engine: ColdEngine) -> bool:
@@ -97,10 +100,10 @@
         core = self.program.core
         warming = getattr(self.program, "warming", None)
         believed = core.controller.engines.get(engine.number)
-        if believed is None or warming is None or warming.cold is None or engine.name in core.banned:
+        if believed is None or warming is None or warming.budgets is None or engine.name in core.banned:
             return False
-        budget = core.controller.cold_budget(believed, now)
-        return bool(warming.cold.pay(monotonic(), engine.name, engine.born_ms, now, self.cost_ms, budget))
+        budget = core.controller.slow_start.budget_ms(believed, now)
+        return bool(warming.budgets.spend(monotonic(), engine.name, engine.born_ms, now, self.cost_ms, budget))
 
     def _exported_figures(self) -> dict[str, int]:
         """Return a few sums: of the fleet where there is one, else of this coordinator."""
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -16,7 +16,8 @@
 from peers import LOAD, LOOKUP, SQL, page
 from test_edge import Wire, post
 
-from frostspindle.core import EngineState, _ClientLeft, clock
+from frostspindle.core import EngineState, clock
+from frostspindle.core.messages import ClientLeft
 from frostspindle.policy import EndpointListKind, Health
 
 GOOD = b"HTTP/1.1 200 OK\r\nX-Pages: %d\r\n%sContent-Length: 6\r\n\r\na\t1\tx\n"
@@ -36,9 +37,9 @@
         self.core, self.driver = self.program.core, self.program.driver
         self.core.settings = replace(self.core.settings, connect_timeout_ms=5000.0)
         if idle:
-            lines = [await peer._open() for peer in self.driver.peers.values()]
+            lines = [await peer._open() for peer in self.driver.pools.values()]
             for line in lines:
-                line.peer.release(line)
+                line.pool.release(line)
         self.asks, submit = [], self.core.submit
 
         def taken(ask):
@@ -81,7 +82,7 @@
 
     async def quiet(self):
         """Nothing is out any more, and a later request is served: what was to come before has come."""
-        await self.until(lambda: not self.core._records)
+        await self.until(lambda: not self.core.ledger.entries)
         self.asks.clear()
         self.mark = lambda ask: None
         self.assertEqual((await self.ask(number=99))[0], 200)
@@ -99,7 +100,7 @@
         await awaited.wait()
         await asyncio.sleep(0.3)  # the time that passes is the story
         (ask,) = self.asks
-        left_ms = ask.received_ms + ask.left_ms - clock()
+        left_ms = ask.received_ms + ask.timeout_ms - clock()
         go.set()
         self.assertLessEqual(await asked, left_ms)
 
@@ -109,7 +110,7 @@
 
         def fence(state, attempt):
             time.sleep(0.1)
-            left.append(attempt.request.received_ms + attempt.request.left_ms - clock())
+            left.append(attempt.request.received_ms + attempt.request.timeout_ms - clock())
             return True
 
         self.core.may_start = fence
@@ -135,7 +136,7 @@
             start = self.driver.start
 
             def spent(attempt, start=start):
-                attempt.request.received_ms -= attempt.request.left_ms
+                attempt.request.received_ms -= attempt.request.timeout_ms
                 start(attempt)
 
             with (
@@ -143,23 +144,27 @@
                 unittest.mock.patch("frostspindle.net.TaskDriver.left_s", staticmethod(lambda attempt: 9.0)),
             ):
                 self.assertEqual((await self.ask())[0], 503)
-            self.assertEqual((self.posts(), self.core.controller.engines[0].fails), ([], 0.0))
+            self.assertEqual((self.posts(), self.core.controller.engines[0].failure_rate), ([], 0.0))
             self.assertGreater(self.count("ended_moot"), 0)
 
 
 class ClientsThatLeave(Crossing):
     def nothing_sent(self, left=1):
         self.assertEqual((self.posts(), self.count("left"), self.count("ended_connect_failed")), ([], left, 0))
-        self.assertEqual([engine.fails for engine in self.core.controller.engines.values()], [0.0] * len(self.peers))
+        self.assertEqual(
+            [engine.failure_rate for engine in self.core.controller.engines.values()], [0.0] * len(self.peers)
+        )
 
     async def test_where_the_last_look_finds_no_client_nothing_is_written_and_it_has_left_once(self):
         for idle in (False, True):
             with self.subTest(idle=idle):
                 looks = []
-                self.mark = lambda ask, looks=looks: setattr(ask, "present", lambda: looks.append(ask) is not None)
+                self.mark = lambda ask, looks=looks: setattr(
+                    ask, "is_client_connected", lambda: looks.append(ask) is not None
+                )
                 await self.start(2, idle)
                 _, writer = await self.client()
-                await self.until(lambda: self.asks and not self.core._records)
+                await self.until(lambda: self.asks and not self.core.ledger.entries)
                 self.nothing_sent()
                 writer.close()  # only now the front sees what the look saw
                 await self.until(lambda: not self.program.platform.paths.ids)
@@ -177,22 +182,22 @@
                 writer.close()
                 await self.until(lambda: self.count("left"))
                 go.set()
-                await self.until(lambda: not self.core._records)
+                await self.until(lambda: not self.core.ledger.entries)
                 self.nothing_sent()
 
     async def test_a_leave_that_is_still_in_line_at_the_core_counts_already(self):
         await self.start()
-        (go, awaited), guard, behind = self.late(), self.core._guard, []
-        self.core._guard = lambda now, event: (
-            behind.append((now, event)) if (behind or isinstance(event, _ClientLeft)) else guard(now, event)
+        (go, awaited), guard, behind = self.late(), self.core.event_handlers.handle, []
+        self.core.event_handlers.handle = lambda now, event: (
+            behind.append((now, event)) if (behind or isinstance(event, ClientLeft)) else guard(now, event)
         )
         _, writer = await self.client()
         await awaited.wait()
         writer.close()
         await self.until(lambda: behind)
-        (record,) = self.core._records.values()
+        (record,) = self.core.ledger.entries.values()
         go.set()
-        await self.until(lambda: record.attempts[0].over or self.posts())
+        await self.until(lambda: record.attempts[0].is_finished or self.posts())
         for event in behind:
             guard(*event)
         self.nothing_sent()
@@ -209,7 +214,7 @@
 
         self.core.attempt_ended = leaves
         await self.client()
-        await self.until(lambda: self.asks and not self.core._records)
+        await self.until(lambda: self.asks and not self.core.ledger.entries)
         self.assertEqual((len(self.posts()), self.count("left")), (1, 1))
 
     async def test_one_that_leaves_while_a_page_is_fetched_frees_the_engine_and_nothing_is_sent_again(self):
@@ -228,7 +233,7 @@
         writer.close()
         await engine.seen("DELETE")
         go.set()
-        await self.until(lambda: not self.core._records)
+        await self.until(lambda: not self.core.ledger.entries)
         self.assertEqual([method for method, *_ in engine.calls], ["POST", "GET", "DELETE"])
 
 
@@ -260,17 +265,17 @@
         self.addCleanup(server.close)
         sock = server.sockets[0]
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        peer = self.driver.peers[0]
+        peer = self.driver.pools[0]
         peer.state.address = sock.getsockname()
         (line,) = [await peer._open()]
         line.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         peer.release(line)
-        self.core.controller.engines[0].slow = 0.1  # the first choice
+        self.core.controller.engines[0].slowdown = 0.1  # the first choice
         sql = SQL + "x" * 60_000
         reader, writer = await self.open()
         writer.write(post(1, sql).replace(b"/lookup", b"/%s" % cls.encode()))
         await self.until(lambda: line.transport.get_write_buffer_size())
-        self.core.controller.engines[0].slow = 1.0
+        self.core.controller.engines[0].slowdown = 1.0
         return engines, line, reader, writer
 
     async def never_whole(self):
@@ -313,8 +318,8 @@
         for engine in engines:
             accepted = []
             engine.script = lambda request, body, accepted=accepted: accepted.append(request.transport)
-        line = self.driver.peers[0].idle[0]
-        self.core.controller.engines[0].slow = 0.1
+        line = self.driver.pools[0].idle[0]
+        self.core.controller.engines[0].slowdown = 0.1
         server = await asyncio.get_running_loop().create_server(Slow, "127.0.0.1", 0)
         self.addCleanup(server.close)
         line.transport.pause_reading()
@@ -381,7 +386,7 @@
                 return own()  # the next call is under way when the news come
 
             engine.script = script
-            self.core.controller.s = replace(self.core.controller.s, max_attempts=1)
+            self.core.controller.settings = replace(self.core.controller.settings, max_attempts=1)
             statuses = [(await self.ask(LOAD, number=number))[:2] for number in (1, 2, 3)]
             self.assertEqual(statuses[1:], [(200, {"rows": [[*row]]}) for row in ("b2y", "d4w")])
             self.assertEqual(len(engine.of("POST")), 3)
@@ -392,7 +397,7 @@
         engine.script = lambda request, body: (
             web.Response(status=500) if request.method == "POST" else page("b\t2\ty\n")
         )
-        self.core.controller.s = replace(self.core.controller.s, max_attempts=1)
+        self.core.controller.settings = replace(self.core.controller.settings, max_attempts=1)
         self.assertEqual([(await self.ask(LOAD, number=number))[0] for number in (1, 2)], [502, 502])
         self.assertEqual(engine.of("GET"), [])
 
@@ -427,9 +432,9 @@
                 began = asyncio.get_running_loop().time()
                 self.assertIn((await self.ask(LOAD, timeout=900.0))[0], (502, 503))
                 self.assertLess(asyncio.get_running_loop().time() - began, 0.9)
-                await self.until(lambda: not self.core._records)
+                await self.until(lambda: not self.core.ledger.entries)
                 self.assertEqual((len(engine.of("POST")), self.count("faults")), (1, 0))
-                idle = len(self.driver.peers[0].idle)
+                idle = len(self.driver.pools[0].idle)
                 await self.until(lambda open=transports, idle=idle: sum(not t.is_closing() for t in open) <= idle)
 
 
@@ -438,7 +443,7 @@
         for where in ("connection", "place"):
             with self.subTest(where):
                 await self.start()
-                peer, (go, awaited) = self.driver.peers[0], self.late()
+                peer, (go, awaited) = self.driver.pools[0], self.late()
                 may_open = unittest.mock.patch.object(self.driver, "may_open", lambda peer: False)
                 if where == "place":
                     may_open.start()
@@ -461,19 +466,19 @@
 
     async def test_a_want_of_descriptors_is_held_against_no_engine_and_makes_room(self):
         await self.start(2)
-        other = self.driver.peers[1]
+        other = self.driver.pools[1]
         other.release(await other._open())
         loop = asyncio.get_running_loop()
         fails = unittest.mock.patch.object(
             loop, "create_connection", unittest.mock.AsyncMock(side_effect=OSError(errno.EMFILE, ""))
         )
-        self.core.controller.engines[0].slow = 0.01  # the first choice, and the next
+        self.core.controller.engines[0].slowdown = 0.01  # the first choice, and the next
         _, writer = await self.open()
         with fails:
             writer.write(post(1))
             await self.until(lambda: self.count("ended_full"))
             self.assertEqual([line.good for line in other.lines], [])
-        self.assertEqual([engine.fails for engine in self.core.controller.engines.values()], [0.0, 0.0])
+        self.assertEqual([engine.failure_rate for engine in self.core.controller.engines.values()], [0.0, 0.0])
 
 
 del Wire  # else it would be collected here too
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -28,7 +28,7 @@
     async def test_each_call_gets_one_line_however_it_is_cut_and_nonsense_is_a_no(self):
         await self.start()
         self.assertEqual(await self.operate("ready"), ["ACK"])
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.program.desk.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.program.operator_server.port)
         for byte in b"ready\r\n":
             writer.write(bytes((byte,)))
             await writer.drain()
@@ -40,10 +40,10 @@
 
     async def test_callers_that_say_nothing_hold_up_nobody(self):
         await self.start()
-        with unittest.mock.patch.object(operator, "WHOLE_S", 0.3):
-            silent = [await asyncio.open_connection("127.0.0.1", self.program.desk.port) for _ in range(40)]
+        with unittest.mock.patch.object(operator, "CALL_TIMEOUT_S", 0.3):
+            silent = [await asyncio.open_connection("127.0.0.1", self.program.operator_server.port) for _ in range(40)]
             self.assertEqual(await self.operate("ready"), ["ACK"])
-            self.assertLessEqual(len(self.program.desk.callers), operator.CALLERS)
+            self.assertLessEqual(len(self.program.operator_server.callers), operator.MAX_CALLERS)
             said = await asyncio.wait_for(silent[-1][0].read(), 2.0)
             self.assertTrue(said.startswith(b"NAK "))
         for _, writer in silent:
@@ -130,7 +130,7 @@
         engine.script = at_work(go)
         with (
             unittest.mock.patch.object(request_registry, "HOLD_S", 0.05),
-            unittest.mock.patch.object(connection_limits, "EASE_S", 0.0),
+            unittest.mock.patch.object(connection_limits, "DRAIN_IDLE_CLOSE_S", 0.0),
         ):
             reader, writer = await self.connect()
             writer.write((HEAD % 1).encode())
@@ -150,7 +150,7 @@
 
     async def test_late_in_a_drain_nothing_new_is_taken(self):
         (engine,) = await self.start()
-        with unittest.mock.patch.object(connection_limits, "TAKE_S", 0.0):
+        with unittest.mock.patch.object(connection_limits, "DRAIN_LAST_REQUEST_S", 0.0):
             await self.operate("drain")
             reader, writer = await self.connect()
             writer.write((HEAD % 1).encode())
@@ -194,17 +194,17 @@
             self.assertEqual((await self.ask(number=number))[0], 200)
         self.assertEqual((len(first.calls), len(second.of("POST"))), (0, 8))
         self.assertEqual(((await self.figures())["hosts_listed"], (await self.figures())["hosts_down"]), (2, 1))
-        self.program.core.controller.engines[0].suspect = True
+        self.program.core.controller.engines[0].ejected = True
         self.assertEqual((await self.figures())["hosts_down"], 1)  # each once
         bus.say(change(3, host("s-00000001", second.port, "leaving")))
         await self.until(lambda: self.program.bus.last == 3)
-        before = self.program.driver.peers[0]
+        before = self.program.driver.pools[0]
         self.assertEqual(await self.operate("enable-server s-00000000"), ["ACK"])
         self.assertEqual((await self.ask(number=9))[0], 200)
         self.assertEqual(len(first.of("POST")), 1)
-        self.assertIsNot(self.program.driver.peers[0], before)  # no connection of before the restart is used
+        self.assertIsNot(self.program.driver.pools[0], before)  # no connection of before the restart is used
         believed = self.program.core.controller.engines[0]
-        self.assertEqual((believed.suspect, believed.cold(clock())), (False, True))
+        self.assertEqual((believed.ejected, believed.in_slow_start(clock())), (False, True))
 
     async def test_an_engine_whose_restart_was_told_meanwhile_is_cold_from_then_on(self):
         (engine,) = await self.engines()
@@ -266,9 +266,10 @@
         await self.until(lambda: core.names)
         await self.operate("disable-server s-00000000")
         for number in range(5000):
-            core._remember([f"s-{number + 1:08x}"])
+            core.endpoints.remember_names([f"s-{number + 1:08x}"])
         self.assertEqual((len(core.names), "s-00000000" in core.names), (4096, True))
-        looked, core.engines = core.engines, unittest.mock.MagicMock(wraps=core.engines)
-        core._remember([f"s-{number + 6000:08x}" for number in range(100)])
-        self.assertEqual((core.engines.values.call_count, len(core.names)), (1, 4096))
-        core.engines = looked
+        looked = core.endpoints.engines
+        core.endpoints.engines = unittest.mock.MagicMock(wraps=looked)
+        core.endpoints.remember_names([f"s-{number + 6000:08x}" for number in range(100)])
+        self.assertEqual((core.endpoints.engines.values.call_count, len(core.names)), (1, 4096))
+        core.endpoints.engines = looked
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -184,7 +184,7 @@
         self.assertEqual((await self.ask())[0], 200)
         await stopping
 
-    @unittest.mock.patch("frostspindle.program.ACCEPT_S", 0.0)
+    @unittest.mock.patch("frostspindle.program.ACCEPT_AFTER_SIGTERM_S", 0.0)
     async def test_a_long_answer_that_is_half_fetched_is_waited_for(self):
         (engine,) = await self.start()
         engine.script = lambda request, body: page(f"a\t1\t{20_000 * 'x'}\n" * 3)  # more than one answer holds
@@ -196,7 +196,7 @@
         self.assertEqual((status, len(body["rows"]), "next" in body), (200, 1, False))
         await stopping
 
-    @unittest.mock.patch.multiple("frostspindle.program", ACCEPT_S=0.0, FLUSH_S=1.0)
+    @unittest.mock.patch.multiple("frostspindle.program", ACCEPT_AFTER_SIGTERM_S=0.0, RESPONSE_FLUSH_S=1.0)
     async def test_who_asks_while_the_last_answers_leave_is_told_so(self):
         await self.start()
         port, last = self.program.platform.port, asyncio.Event()
@@ -227,11 +227,11 @@
 
     def left_alone(self, offset: int, engines: list[Engine]) -> bool:
         """The coordinator knows that they leave, and nothing is out there: 0.35 s are less on a busy machine."""
-        out = {a.engine for r in self.program.core._records.values() for a in r.attempts if not a.over}
+        out = {a.engine for r in self.program.core.ledger.entries.values() for a in r.attempts if not a.is_finished}
         return self.program.bus.last == offset and not out & {int(engine.name[2:], 16) for engine in engines}
 
     @unittest.mock.patch(
-        "frostspindle.net.discovery.SILENT_S", 60.0
+        "frostspindle.net.discovery.SILENCE_TIMEOUT_S", 60.0
     )  # no word is lost over a new connection to the bus
     async def test_six_of_ten_engines_are_replaced_at_their_old_addresses_under_load(self):
         bus = await Bus().start()
