--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from frostspindle.ledger.tenants import Index, RequestAttributes, Rule, scan
+from frostspindle.ledger.rule_index import RuleIndex
+from frostspindle.ledger.tenant_rules import RequestAttributes, Rule, best_match
 
 
 def rules(count: int, draw: random.Random) -> list[Rule]:
@@ -64,16 +65,16 @@
         draw = random.Random(count)
         made = rules(count, draw)
         began = time.perf_counter()
-        index = Index(made)
+        index = RuleIndex(made)
         built = (time.perf_counter() - began) * 1000.0
         tracemalloc.start()
-        index = Index(made)
+        index = RuleIndex(made)
         size = tracemalloc.get_traced_memory()[0] / 2**20
         tracemalloc.stop()
         asked = [facts(count, draw) for _ in range(200)]
         for one in asked[:5]:
-            assert index.find(one) == scan(made, one)
-        by_index, by_scan = timed(index.find, asked), timed(partial(scan, made), asked)
+            assert index.find(one) == best_match(made, one)
+        by_index, by_scan = timed(index.find, asked), timed(partial(best_match, made), asked)
         print(f"{count:>8}{built:>10.1f}{size:>7.1f}{by_index:>10.1f}{by_scan:>12.1f}")
 
 
--- a/frostspindle/components/tds.py
+++ b/frostspindle/components/tds.py
@@ -6,7 +6,7 @@
 from frostspindle.components.base import Component
 from frostspindle.config import Config, ConfigError
 from frostspindle.host import ProgramContext
-from frostspindle.ledger.tenants import RequestAttributes
+from frostspindle.ledger.tenant_rules import RequestAttributes
 from frostspindle.net.http.statements import schema, table_group
 from frostspindle.net.tds.driver import TdsEngines
 from frostspindle.net.tds.front import TdsFront
--- a/frostspindle/config.py
+++ b/frostspindle/config.py
@@ -21,7 +21,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from frostspindle.ledger.tenants import Rule, Tenants
+from frostspindle.ledger.tenant_rules import Rule
+from frostspindle.ledger.tenants import Tenants
 from frostspindle.policy import Settings
 from frostspindle.policy.settings_parser import flatten, read_settings
 
@@ -143,7 +144,7 @@
 
 
 class TenantRule(Struct, forbid_unknown_fields=True, frozen=True):
-    """What must hold of a request of the tenant; see ledger/tenants.py."""
+    """What must hold of a request of the tenant; see ledger/tenant_rules.py."""
 
     front: str = ""
     header: str = ""
--- a/frostspindle/ledger/__init__.py
+++ b/frostspindle/ledger/__init__.py
@@ -1,5 +1,6 @@
-"""Whose requests they are: tenants, their rules and shares. The ledger of what they use comes here too.
+"""Whose requests they are: tenants, the operator's rules for them, and the export of what they use.
 
-`tenants.py` decides which tenant a request is of; the fronts say what they know of it, the decision module holds each
-tenant to its share.
+`tenants.py` determines a request's tenant, by the rules of `tenant_rules.py` compiled in `rule_index.py`. The fronts
+supply what they know of a request; the decision module limits each tenant to its quota. `export.py` receives exported
+ledger periods.
 """
--- a/frostspindle/ledger/export.py
+++ b/frostspindle/ledger/export.py
@@ -1,27 +1,32 @@
-"""The receiver of exported ledger periods, as a stand-in: it takes each period once, and from its latest owner only.
+"""Receiver of exported ledger periods: it accepts each period once, and only from the latest lease holder.
 
-Owns what a sink must keep: by period the highest token that it has seen and the export that stands, both durable before
-an export is acknowledged. It must never let a lower token overwrite or add anything, nor one export stand twice. How a
-period is counted and closed is not its affair.
+Keeps in a durable store, by period, the highest fencing token seen and the export that was accepted, both written
+before an export is acknowledged. A lower token never overwrites or adds anything, and no period is accepted twice. How
+a period is counted and closed is decided elsewhere.
 """
 
 from __future__ import annotations
 
 from hashlib import blake2b
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
-MOST_PERIOD, TOKEN, DIGEST = 64, 8, 16
+MAX_PERIOD_BYTES = 64
+TOKEN_BYTES = 8
+DIGEST_BYTES = 16
+MAX_TOKEN = (1 << 63) - 1
 
 
 class StaleExportError(Exception):
-    """The exporter's fencing token is too low: the lease has passed on, and its new owner has begun this period."""
+    """The exporter's fencing token is too low: the lease has passed on, and its new holder has begun this period."""
 
     def __init__(self, period: str, token: int, highest: int) -> None:
         super().__init__(f"period {period}: token {token} is stale, {highest} was seen")
-        self.period, self.token, self.highest = period, token, highest
+        self.period = period
+        self.token = token
+        self.highest = highest
 
 
-class Kept(Protocol):
+class ExportStore(Protocol):
     """What the sink needs of a store (frostspindle/store): entries by key, and atomic batches."""
 
     def get(self, key: bytes) -> bytes | None:
@@ -31,53 +36,71 @@
         """Write all changes or none (None deletes a key); return the store's new generation."""
 
 
-class Sink:
-    """A sink of exports, fenced by token; `stale` counts the calls refused for a low token."""
+class _PeriodState(NamedTuple):
+    """What is stored of a period: the highest token, and the digest of the accepted export, empty if there is none."""
 
-    def __init__(self, store: Kept) -> None:
+    highest_token: int
+    digest: bytes
+
+
+def _state_key(period: str) -> bytes:
+    return b"export/" + period.encode()
+
+
+def _rows_key(period: str) -> bytes:
+    return b"rows/" + period.encode()
+
+
+def _encode_state(token: int, digest: bytes) -> bytes:
+    return token.to_bytes(TOKEN_BYTES, "big") + digest
+
+
+class ExportSink:
+    """A sink of exports, fenced by token; `stale` counts the calls rejected for a low token."""
+
+    def __init__(self, store: ExportStore) -> None:
         self._store = store
         self.stale = 0
 
-    def _kept(self, period: str) -> tuple[int, bytes]:
-        """The highest token, and the digest of the export that stands; empty: none does."""
-        if not 0 < len(period.encode()) <= MOST_PERIOD:
-            raise ValueError(f"a period's name of 1 to {MOST_PERIOD} bytes")
-        kept = self._store.get(b"export/" + period.encode()) or bytes(TOKEN)
-        return int.from_bytes(kept[:TOKEN], "big"), kept[TOKEN:]
+    def _read_state(self, period: str) -> _PeriodState:
+        if not 0 < len(period.encode()) <= MAX_PERIOD_BYTES:
+            raise ValueError(f"a period's name of 1 to {MAX_PERIOD_BYTES} bytes")
+        stored = self._store.get(_state_key(period)) or bytes(TOKEN_BYTES)
+        return _PeriodState(int.from_bytes(stored[:TOKEN_BYTES], "big"), stored[TOKEN_BYTES:])
 
-    def _check(self, period: str, token: int) -> bytes:
-        highest, digest = self._kept(period)
-        if not 0 < token < 1 << 63:
+    def _check_token(self, period: str, token: int) -> bytes:
+        """Return the digest of the accepted export; raises as `begin`."""
+        state = self._read_state(period)
+        if not 0 < token <= MAX_TOKEN:
             raise ValueError(f"not a token: {token}")
-        if token < highest:
+        if token < state.highest_token:
             self.stale += 1
-            raise StaleExportError(period, token, highest)
-        return digest
+            raise StaleExportError(period, token, state.highest_token)
+        return state.digest
 
     def begin(self, period: str, token: int) -> bool:
-        """Record an owner's fencing token: lower ones are refused from now on. False: the period is exported already.
+        """Record a lease holder's fencing token: lower ones are rejected from now on.
 
-        Raises StaleExport if a higher token was seen, ValueError for a bad period or token.
+        Returns False if the period is exported already. Raises StaleExportError if a higher token was seen, ValueError
+        for a bad period or token.
         """
-        digest = self._check(period, token)
-        self._store.apply({b"export/" + period.encode(): token.to_bytes(TOKEN, "big") + digest})
+        digest = self._check_token(period, token)
+        self._store.apply({_state_key(period): _encode_state(token, digest)})
         return not digest
 
     def take(self, period: str, token: int, rows: bytes) -> bool:
-        """Store a whole export. False: the same one is stored already, as after a crash before that was recorded.
+        """Store a whole export; return False if the same one is stored already, as after a crash before its record.
 
-        Raises StaleExport if a higher token was seen, and ValueError for a bad period or token, or if another export of
-        the period is stored: replacing one is a correction, which is not done here.
+        Raises StaleExportError if a higher token was seen, and ValueError for a bad period or token, or if another
+        export of the period is stored: replacing one would be a correction, which is not supported.
         """
-        digest = self._check(period, token)
-        fresh = blake2b(rows, digest_size=DIGEST).digest()
-        if digest and digest != fresh:
+        stored_digest = self._check_token(period, token)
+        digest = blake2b(rows, digest_size=DIGEST_BYTES).digest()
+        if stored_digest and stored_digest != digest:
             raise ValueError(f"period {period}: another export stands")
-        self._store.apply(
-            {b"export/" + period.encode(): token.to_bytes(TOKEN, "big") + fresh, b"rows/" + period.encode(): rows}
-        )
-        return not digest
+        self._store.apply({_state_key(period): _encode_state(token, digest), _rows_key(period): rows})
+        return not stored_digest
 
     def rows(self, period: str) -> bytes | None:
         """Return the stored export of a period, or None."""
-        return self._store.get(b"rows/" + period.encode())
+        return self._store.get(_rows_key(period))
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -15,7 +15,8 @@
 
 from frostspindle.config import Config
 from frostspindle.core import ClientRequest, Core
-from frostspindle.ledger.tenants import RequestAttributes, UnknownTenantError
+from frostspindle.ledger.tenant_rules import RequestAttributes
+from frostspindle.ledger.tenants import UnknownTenantError
 from frostspindle.net import fields as read
 from frostspindle.net.fields import CallRejectedError
 from frostspindle.net.http import connection_limits
--- a/frostspindle/settings/schema.py
+++ b/frostspindle/settings/schema.py
@@ -23,7 +23,7 @@
 from msgspec import Meta, Struct
 
 from frostspindle.config import STATES, ConfigError, TenantRule, address
-from frostspindle.ledger.tenants import Rule
+from frostspindle.ledger.tenant_rules import Rule
 from frostspindle.settings.slices import Steps, sliced, whole
 
 MOST_ENTRIES = 20_000
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -13,7 +13,7 @@
 from frostspindle.cores.layout import HeadCell, Layout
 from frostspindle.cores.peer_workers import EngineLoadRow, OrphanedLoad
 from frostspindle.cores.shared_memory import ControlPage, SharedMemoryBoard, WorkerRegion
-from frostspindle.ledger.export import Sink
+from frostspindle.ledger.export import ExportSink
 from frostspindle.order.shared_cells import OwnCellFile
 from frostspindle.ownership.fence import TokenFence
 from frostspindle.recovery import state_kinds, tickets
@@ -80,8 +80,8 @@
     """All that a coordinator keeps in its durable store; each batch is one generation."""
     store.apply(RECOVERY_ENTRIES)
     TokenFence(store).check(task="export", token=9)
-    Sink(store).begin(period="2026-07", token=9)
-    Sink(store).take(period="2026-07", token=9, rows=EXPORT)
+    ExportSink(store).begin(period="2026-07", token=9)
+    ExportSink(store).take(period="2026-07", token=9, rows=EXPORT)
     VersionStore(store).keep(versions=(VERSION_3, VERSION_4), unix_ms=KEPT_AT_MS)
 
 
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -15,7 +15,7 @@
 
 from frostspindle.cores.layout import IncompatibleMemoryError, Layout
 from frostspindle.cores.shared_memory import ControlPage, SharedMemoryBoard, WorkerRegion
-from frostspindle.ledger.export import Sink
+from frostspindle.ledger.export import ExportSink
 from frostspindle.order.key_queue import QueuePosition
 from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.ownership.fence import TokenFence
@@ -126,8 +126,8 @@
 def check_contents(store):
     """What each part of a coordinator reads from its store."""
     assert TokenFence(store).highest(task="export") == 9
-    assert Sink(store).rows(period="2026-07") == stored.EXPORT
-    assert Sink(store).take(period="2026-07", token=9, rows=stored.EXPORT) is False
+    assert ExportSink(store).rows(period="2026-07") == stored.EXPORT
+    assert ExportSink(store).take(period="2026-07", token=9, rows=stored.EXPORT) is False
     kept = VersionStore(store).load()
     assert (kept.versions, kept.at_ms) == ((stored.VERSION_3, stored.VERSION_4), stored.KEPT_AT_MS)
     assert [version.rules for version in kept.versions] == [stored.VERSION_3.rules, stored.VERSION_4.rules]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -106,7 +106,7 @@
     "frostspindle.components": "base http_requests operator_port registry",
     "frostspindle.core": "actions attempts core dispatcher drivers endpoints event_handlers figures interfaces ledger "
     "messages requests wall_clock",
-    "frostspindle.ledger": "tenants",
+    "frostspindle.ledger": "rule_index tenant_rules tenants",
     "frostspindle.net": "discovery engines fields http operator platform",
     "frostspindle.net.http": "arrival_clock attempts calls clients connection_limits connection_pool engine_connection "
     "listener load_reports replies request_registry statements",
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -8,7 +8,8 @@
 
 from frostspindle import policy
 from frostspindle.config import ConfigError, Operator, Tenant, TenantRule, _named, _tenants
-from frostspindle.ledger.tenants import RequestAttributes, Rule, Tenants, UnknownTenantError
+from frostspindle.ledger.tenant_rules import RequestAttributes, Rule
+from frostspindle.ledger.tenants import Tenants, UnknownTenantError
 from frostspindle.net.fields import TEXT, CallRejectedError, key_number, read
 
 GOOD = {b"x-request-id": b"00000000000000ab", b"x-timeout-ms": b"1500"}
--- a/tests/test_ownership_program.py
+++ b/tests/test_ownership_program.py
@@ -13,7 +13,7 @@
 from test_replica_program import ConfigCase as Replicas
 
 from frostspindle.config import ConfigError
-from frostspindle.ledger.export import Sink, StaleExportError
+from frostspindle.ledger.export import ExportSink, StaleExportError
 from frostspindle.net.engines import HttpEngines
 from frostspindle.ownership.fence import StaleTokenError, TokenFence
 from frostspindle.store.marker_engine import MarkerEngine
@@ -71,14 +71,14 @@
 
 def test_a_fence_and_a_sink_of_exports_know_their_tokens_after_a_kill(folder):
     store = open_store(folder, "sink", MarkerEngine)
-    fence, sink = TokenFence(store), Sink(store)
+    fence, sink = TokenFence(store), ExportSink(store)
     fence.check("x", 5)
     assert sink.begin("2026-11", 5) is True and sink.take("2026-11", 5, b"rows") is True
     store._engine.close()  # as a kill: nothing is told to the witness, nothing is closed in order
     os.close(store._lock)
 
     store = open_store(folder, "sink", MarkerEngine)
-    fence, sink = TokenFence(store), Sink(store)
+    fence, sink = TokenFence(store), ExportSink(store)
     with pytest.raises(StaleTokenError):
         fence.check("x", 4)
     with pytest.raises(StaleExportError) as caught:
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: the index against the plain meaning of the rules, and their way to the module's shares."""
+"""Tenants: the index against a reference matcher, and the tenant of requests as the decision module sees it."""
 
 import random
 
@@ -7,7 +7,8 @@
 from hypothesis import settings as hypothesis_settings
 from peers import EdgeCase, TdsClient, TdsEngine
 
-from frostspindle.ledger.tenants import Index, RequestAttributes, Rule, fits, scan
+from frostspindle.ledger.rule_index import RuleIndex
+from frostspindle.ledger.tenant_rules import RequestAttributes, Rule, best_match, matches
 
 WORDS = ("", "", "", "sales", "Sales", "sales_*", "sales_17", "s*", "ops", "ops_2", "*")
 PLACES = ("", "", "10.0.0.0/8", "10.1.0.0/16", "10.1.2.3", "0.0.0.0/0", "fd00::/8", "fd00::1", "192.168.0.0/17")
@@ -23,7 +24,7 @@
     )
 
 
-def draw_facts(draw):
+def draw_attributes(draw):
     return RequestAttributes(
         draw.choice(("http", "tds")),
         draw.choice(("10.1.2.3", "10.1.9.9", "10.9.9.9", "fd00::1", "fd00::2", "", "192.168.200.1", "nowhere")),
@@ -34,13 +35,13 @@
 
 @given(strategies.integers(0, 10**6))
 @hypothesis_settings(max_examples=150, deadline=None)
-def test_the_index_finds_what_a_look_at_every_rule_finds(seed):
+def test_the_index_finds_what_matching_every_rule_finds(seed):
     draw = random.Random(seed)
     rules = [draw_rule(draw, number) for number in range(draw.randint(0, 25))]
-    index = Index(rules)
+    index = RuleIndex(rules)
     for _ in range(20):
-        facts = draw_facts(draw)
-        assert index.find(facts) == scan(rules, facts)
+        attributes = draw_attributes(draw)
+        assert index.find(attributes) == best_match(rules, attributes)
 
 
 def test_the_longest_prefix_wins_then_more_conditions_then_longer_names_then_the_first():
@@ -53,16 +54,16 @@
         Rule("star", application="a*"),
         Rule("again", application="a"),
     ]
-    index = Index(rules)
+    index = RuleIndex(rules)
 
-    def tenant(**facts):
-        return index.find(RequestAttributes("http", **facts)).tenant
+    def tenant(**attributes):
+        return index.find(RequestAttributes("http", **attributes)).tenant
 
     assert tenant() == "any" and tenant(address="10.9.9.9", application="a") == "net"
     assert tenant(address="10.1.2.3") == "host" and tenant(application="a", database="b") == "two"
     assert tenant(application="A") == "star"  # "a*" is the longer name
     assert tenant(application="ab") == "star" and tenant(address="9.9.9.9") == "any"
-    assert fits(rules[2], RequestAttributes("tds", "10.1.2.3")) and not fits(
+    assert matches(rules[2], RequestAttributes("tds", "10.1.2.3")) and not matches(
         rules[2], RequestAttributes("tds", "10.1.2.4")
     )
 
@@ -118,14 +119,14 @@
         self.assertEqual(self.tenants(), ["blue", "default", "ops"])
         self.assertEqual(self.program.core.controller.s.tenant_quotas_per_s, (0.0, 2.0, 0.0))
 
-    async def test_what_passes_a_share_goes_behind_the_others(self):
+    async def test_requests_beyond_a_quota_are_queued_behind_the_others(self):
         await self.asked()
         for number in range(1, 7):
             await self.ask(number=number, **{"X-Team": "blue"})
         self.assertGreater(len([job for job in self.seen if job.tenant == 1]), 5)
         self.assertLess(self.program.core.controller.tokens[1], 1.0)  # the module's own bucket is empty
 
-    async def test_tds_sessions_are_told_by_their_login(self):
+    async def test_tds_sessions_are_assigned_to_tenants_by_their_login(self):
         engine = await TdsEngine().start()
         self.addCleanup(engine.server.close)
         await self.asked(
