--- a/frostspindle/components/registry.py
+++ b/frostspindle/components/registry.py
@@ -122,7 +122,7 @@
 
 
 def _has_metrics(config: Config) -> bool:
-    return bool(config.desk) and config.operator.metrics
+    return bool(config.operator_address) and config.operator.metrics
 
 
 def _has_key_order(config: Config) -> bool:
@@ -136,7 +136,7 @@
     Registration("fleet", lambda config: config.operator.fleet is not None, _fleet),
     Registration("metrics", _has_metrics, _metrics),
     Registration("slow_start", _has_slow_start, _slow_start),
-    Registration("operator_port", lambda config: bool(config.desk), _operator_port),
+    Registration("operator_port", lambda config: bool(config.operator_address), _operator_port),
     Registration("replica", lambda config: config.operator.replica is not None, _replica),
     Registration("ownership", lambda config: config.operator.ownership is not None, _ownership),
     Registration("recovery", lambda config: config.operator.recovery is not None, _recovery),
@@ -190,7 +190,7 @@
                 component = registration.create(program)
                 self._by_name[registration.name] = component
                 if program.operator_server is not None:  # it asked the parts created before it for their calls
-                    program.operator_server.does |= component.operator_calls()
+                    program.operator_server.handlers |= component.operator_calls()
 
     def __iter__(self) -> Iterator[Component]:
         return iter(self._by_name.values())
--- a/frostspindle/cores/load_publisher.py
+++ b/frostspindle/cores/load_publisher.py
@@ -51,7 +51,7 @@
 
     def publish_demands(self, publish_all: bool) -> None:
         """Publish the rows of cold engines whose demand or applied lease has changed, or with `publish_all` of all."""
-        demands = self._core.controller.cold_need(clock())
+        demands = self._core.controller.slow_start.needs(clock())
         for engine in demands.keys() | self.demands.keys():
             if demands.get(engine) != self.demands.get(engine) or publish_all:
                 self._changed.add(engine)
@@ -94,9 +94,9 @@
             engine=engine,
             version=state.version,
             health=listed_entry.health,
-            suspect=policy_engine is not None and policy_engine.suspect and not policy_engine.hearsay,
+            suspect=policy_engine is not None and policy_engine.ejected and not policy_engine.ejected_by_peer,
             threads=policy_engine.threads if policy_engine else 0,
-            granted_mb=policy_engine.granted if policy_engine else 0.0,
+            granted_mb=policy_engine.granted_mb if policy_engine else 0.0,
             since_ms=state.entry.since_ms,
             reported_at_ms=reported_at_ms,
             report=load_report,
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -71,7 +71,7 @@
         self._own_order_folder: tempfile.TemporaryDirectory[str] | None = None
 
     def _create_operator_server(self) -> OperatorServer | None:
-        if not self.config.desk:
+        if not self.config.operator_address:
             return None
         commands = {
             "ready": self.commands.ready,
@@ -81,11 +81,11 @@
             "disable-server": self.commands.disable,
             "enable-server": self.commands.enable,
         }
-        server = OperatorServer(self.config.desk, commands, self.telemetry)
+        server = OperatorServer(self.config.operator_address, commands, self.telemetry)
         if self.config.operator.metrics:
             from frostspindle.net import metrics  # the library costs memory that only its users pay
 
-            server.does["metrics"] = lambda: metrics.text(self.status.figures())
+            server.handlers["metrics"] = lambda: metrics.text(self.status.figures())
         return server
 
     # Start and end.
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -36,7 +36,7 @@
     )
     return dataclasses.replace(
         config,
-        desk=None,
+        operator_address=None,
         worker=bootstrap.slot,
         seed=config.seed ^ (0x9E3779B97F4A7C15 * (bootstrap.slot + 1)),
         operator=msgspec.structs.replace(operator, snmp=None, tds=tds),
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -55,7 +55,7 @@
         """Free the position, but not while its key rests here: other processes would not know of that pause."""
         if number in self._pause_timers:
             return
-        rests_until_ms = self.core.controller.rest_until.get(self.queue.key_of(number), 0.0)
+        rests_until_ms = self.core.controller.key_order.cooldowns.get(self.queue.key_of(number), 0.0)
         pause_left_ms = rests_until_ms - clock()
         if pause_left_ms > 0.0:
             loop = asyncio.get_running_loop()
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -10,7 +10,7 @@
 from frostspindle import config as configuration
 from frostspindle.core import clock
 from frostspindle.fleet.service import monotonic
-from frostspindle.fleet.slow_start_service import born
+from frostspindle.fleet.slow_start_service import started_ms
 from frostspindle.net.operator import OperatorError
 from frostspindle.ownership.export import ExportJob
 from frostspindle.ownership.holder import LeaseSettings
@@ -72,8 +72,8 @@
         self.cost_ms = config.warm.cost_ms if config.warm is not None else 0.0
         self.runner = JobRunner(self.owners, program.telemetry, jobs, weights)
         if program.operator_server:
-            program.operator_server.does["show-owners"] = self.figures
-            program.operator_server.does["release-owner"] = self.release
+            program.operator_server.handlers["show-owners"] = self.figures
+            program.operator_server.handlers["release-owner"] = self.release
 
     def busy(self) -> str:
         """Return why this coordinator may take no lease now (draining, recovering); empty if it may."""
@@ -89,20 +89,28 @@
         core = self.program.core
         now = clock()
         return [
-            ColdEngine(number, core.engines[number].name, born(core.engines[number]))
+            ColdEngine(number, core.engines[number].name, started_ms(core.engines[number]))
             for number, believed in core.controller.engines.items()
-            if believed.ready and believed.cold(now) and number in core.engines and number in self.program.driver.pools
+            if believed.ready
+            and believed.in_slow_start(now)
+            and number in core.engines
+            and number in self.program.driver.pools
         ]
 
     def _pay(self, engine: ColdEngine) -> bool:
         """The fleet's rights for one statement."""
         now, core, warming = clock(), self.program.core, getattr(self.program, "warming", None)
         believed = core.controller.engines.get(engine.number)
-        if believed is None or warming is None or warming.cold is None or engine.name in core.banned:
+        if believed is None or warming is None or warming.budgets is None or engine.name in core.banned:
             return False
         return bool(
-            warming.cold.pay(
-                monotonic(), engine.name, engine.born_ms, now, self.cost_ms, core.controller.cold_budget(believed, now)
+            warming.budgets.spend(
+                monotonic(),
+                engine.name,
+                engine.born_ms,
+                now,
+                self.cost_ms,
+                core.controller.slow_start.budget_ms(believed, now),
             )
         )
 
--- a/frostspindle/recovery/effect_handler.py
+++ b/frostspindle/recovery/effect_handler.py
@@ -8,7 +8,8 @@
 from dataclasses import replace
 from typing import Protocol
 
-from frostspindle.config import BusEvent, Host, Recovery, Topology
+from frostspindle.config import BusEvent, Host, Topology
+from frostspindle.config.recovery import RecoverySection
 from frostspindle.core import Core, Response, ResponseStatus, clock
 from frostspindle.host import ProgramContext
 from frostspindle.policy import Health
@@ -33,7 +34,7 @@
     program: ProgramContext
     core: Core
     telemetry: Telemetry
-    config: Recovery
+    config: RecoverySection
     node: RecoveryNode
     admission: RecoveryAdmission
     gate: RecoveryGate
--- a/frostspindle/recovery/store_worker.py
+++ b/frostspindle/recovery/store_worker.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol
 
-from frostspindle.config import Recovery
+from frostspindle.config.recovery import RecoverySection
 from frostspindle.core import clock
 from frostspindle.recovery.inputs import OpenedStore, RecoverySettings
 from frostspindle.recovery.monotonic_clock import monotonic
@@ -13,7 +13,7 @@
 from frostspindle.recovery.stages import Stage
 from frostspindle.recovery.store_opening import UNREADABLE, open_recovery_store
 from frostspindle.store.base import Store, StoreFullError
-from frostspindle.store.opening import StoreLockedError
+from frostspindle.store.lock import StoreLockedError
 from frostspindle.telemetry import Telemetry
 
 LOCK_RETRY_S = 0.25  # a store that another process holds is tried again
@@ -23,7 +23,7 @@
     """What the store's worker needs of the recovery service."""
 
     settings: RecoverySettings
-    config: Recovery
+    config: RecoverySection
     telemetry: Telemetry
     node: RecoveryNode
 
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -274,14 +274,14 @@
         """Who is alive, and which engines the module holds for sick."""
         self._look_at = now + LOOK_MS
         if self.node is not None:
-            hub.members(now, {name: member.claim.epoch for name, member in self.node.members.alive.items()})
+            hub.members(now, {name: member.claim.epoch for name, member in self.node.membership.alive.items()})
         else:
             hub.members(now, {})
         core = self.core
         sick = {
             state.name
             for number, state in core.engines.items()
-            if (believed := core.controller.engines.get(number)) is not None and believed.suspect
+            if (believed := core.controller.engines.get(number)) is not None and believed.ejected
         }
         for name in sorted(sick ^ self._sick):
             self.engine(name, "sick" if name in sick else "well")
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -17,7 +17,7 @@
 from frostspindle.recovery.inputs import HeartbeatRecord
 from frostspindle.replica import wire as replica
 from frostspindle.scatter import wire as scatter
-from frostspindle.settings import agreement, schema
+from frostspindle.settings import log_commands, schema
 from frostspindle.store import records
 from frostspindle.store.base import StoreDigest
 from frostspindle.store.opening_decision import HeadRecord, KnownStore, MetaRecord
@@ -26,14 +26,14 @@
 
 ID, TOKEN = bytes(range(16)), bytes(range(16, 32))
 CLAIM = fleet.MemberState(
-    name="c1", host="10.0.0.1", port=7101, state=fleet.ALIVE, epoch=171, incarnation=3, proof=ID, by="c2"
+    name="c1", host="10.0.0.1", port=7101, state=fleet.ALIVE, epoch=171, incarnation=3, proof=ID, suspected_by="c2"
 )
-DOUBT = fleet.Suspicion(name="c3", state=fleet.SUSPECT, epoch=172, incarnation=4, by="c1")
+DOUBT = fleet.Suspicion(name="c3", state=fleet.SUSPECT, epoch=172, incarnation=4, suspected_by="c1")
 ROW = fleet.CounterRow(
     origin="c1",
     epoch=171,
     stream=5,
-    base=8,
+    base_version=8,
     version=9,
     age_ms=12.5,
     entries=[("team-a", 4, 17, 2), ("", 5, 1, 0)],
@@ -42,25 +42,34 @@
 
 # Bodies of the datagrams between coordinators; each travels in a Packet.
 FLEET = {
-    "ping": fleet.Ping(seq=11),
-    "acknowledgement": fleet.Ack(seq=12),
-    "indirect ping": fleet.PingRequest(seq=13, target="c3"),
-    "negative acknowledgement": fleet.Nack(seq=14),
+    "ping": fleet.Ping(sequence=11),
+    "acknowledgement": fleet.Ack(sequence=12),
+    "indirect ping": fleet.PingRequest(sequence=13, target="c3"),
+    "negative acknowledgement": fleet.Nack(sequence=14),
     "membership pull": fleet.MembersRequest(after="c2"),
     "membership page": fleet.MembersPage(last="c9"),
     "gossip only": fleet.Gossip(),
     "verdicts": fleet.VerdictDigest(verdicts=[VERDICT]),
     "loan request": fleet.QuotaRequest(
-        budget="cold", terms=21, seq=22, lender=23, series=24, returned=25, closed=26, want=27
+        budget="cold",
+        budget_digest=21,
+        sequence=22,
+        lender_epoch=23,
+        loan=24,
+        returned=25,
+        closed_loan=26,
+        wanted=27,
     ),
-    "loan grant": fleet.QuotaGrant(budget="cold", terms=31, seq=32, series=33, given=34, keep=35, spare=36),
-    "loan return": fleet.QuotaReturn(budget="cold", lender=41, series=42, returned=43),
-    "comparison": fleet.CountersRequest(begin=2**40 + 1, bits=6, salt=51, marks=b"\x01\x02\xff"),
-    "count rows": fleet.CountersPage(next=2**41 + 1, rows=[ROW]),
+    "loan grant": fleet.QuotaGrant(
+        budget="cold", budget_digest=31, sequence=32, loan=33, granted=34, limit=35, available=36
+    ),
+    "loan return": fleet.QuotaReturn(budget="cold", lender_epoch=41, loan=42, returned=43),
+    "comparison": fleet.CountersRequest(begin=2**40 + 1, range_bits=6, salt=51, fingerprints=b"\x01\x02\xff"),
+    "count rows": fleet.CountersPage(next_begin=2**41 + 1, rows=[ROW]),
     "application message": fleet.ApplicationMessage(channel=3, data=b"payload"),
 }
 FLEET_PACKETS = {
-    name: fleet.Packet(me=CLAIM, to="c2", body=body, news=[CLAIM], rows=[ROW], doubts=[DOUBT])
+    name: fleet.Packet(sender=CLAIM, recipient="c2", body=body, claims=[CLAIM], rows=[ROW], suspicions=[DOUBT])
     for name, body in FLEET.items()
 }
 
@@ -203,19 +212,34 @@
     "limit/open_requests": schema.Limit(value=512.0),
 }
 SETTINGS = {
-    "draft": agreement.DraftPiece(
-        by="c1", process=141, number=142, base=3, digest=ID, at=1, of=2, data=b"changes", to=4
+    "draft": log_commands.DraftPiece(
+        author="c1",
+        process=141,
+        number=142,
+        base_version=3,
+        digest=ID,
+        piece_index=1,
+        piece_count=2,
+        data=b"changes",
+        target_version=4,
     ),
-    "publish": agreement.PublishVersion(token=143, draft="c1/141/142"),
-    "hold": agreement.RenewLease(
-        name="c1", process=144, number=145, acked=5, acting=4, refused=6, why="class/batch", seen=(7, 8, 9)
+    "publish": log_commands.PublishVersion(token=143, draft="c1/141/142"),
+    "hold": log_commands.RenewLease(
+        name="c1",
+        process=144,
+        number=145,
+        acknowledged=5,
+        active=4,
+        rejected=6,
+        reason="class/batch",
+        figures=(7, 8, 9),
     ),
-    "live": agreement.Activate(token=146, version=5, usual=(0.5, 1.25)),
-    "withdraw": agreement.Withdraw(token=147, version=5, why="refused by c2"),
-    "proven": agreement.Confirm(token=148, version=5),
-    "rollback": agreement.Rollback(token=149, version=5, why="errors"),
-    "forget": agreement.RemoveMember(token=150, name="c2", process=151, number=152),
-    "leave": agreement.MemberLeaving(name="c1", process=153),
+    "live": log_commands.Activate(token=146, version=5, baseline=(0.5, 1.25)),
+    "withdraw": log_commands.Withdraw(token=147, version=5, reason="refused by c2"),
+    "proven": log_commands.Confirm(token=148, version=5),
+    "rollback": log_commands.Rollback(token=149, version=5, reason="errors"),
+    "forget": log_commands.RemoveMember(token=150, name="c2", process=151, number=152),
+    "leave": log_commands.MemberLeaving(name="c1", process=153),
 }
 
 # The replication library's messages: dicts with its own keys, which are not ours to rename.
@@ -253,9 +277,9 @@
 }
 SNAPSHOT = (ENTRIES[0], ENTRIES[1], ["c1", "c2", "c3"], {"settings": b"state", "ownership": b"rows"})
 
-HEAD = HeadRecord(format=1, kind="sqlite", owner="c1", id=ID, life=2, inode=171)
-META = MetaRecord(id=ID, generation=40, tally=StoreDigest(entries=3, size=120, digest=2**100 + 1))
-WITNESSED = KnownStore(owner="c1", id=ID, life=2, generation=40)
+HEAD = HeadRecord(format=1, kind="sqlite", owner="c1", id=ID, incarnation=2, inode=171)
+META = MetaRecord(id=ID, generation=40, contents=StoreDigest(entries=3, size=120, digest=2**100 + 1))
+WITNESSED = KnownStore(owner="c1", id=ID, incarnation=2, generation=40)
 MOVES = {b"kept": 0, b"removed": None}
 
 
@@ -279,7 +303,7 @@
 
 def batch_out(batch):
     meta, moves = batch
-    return records.batch_out(meta, moves)
+    return records.encode_batch(meta, moves)
 
 
 def snapshot_out(parts):
@@ -301,7 +325,7 @@
     "ownership": (lease_table.read, lease_table.encode, OWNERSHIP),
     "ownership answer": (lease_table.said, lease_table.encode, {"refused": OWNERSHIP_ANSWER}),
     "warming": (partial(decode, type=progress.RecordProgress), progress.encode, {"note": WARMING_NOTE}),
-    "settings": (agreement.read, agreement.encode, SETTINGS),
+    "settings": (log_commands.decode_command, log_commands.encode_command, SETTINGS),
     "replica": (replica.message_in, replica.message_out, REPLICA),
     "replica entry": (replica.read_body, body_out, {"proposal": ("settings", b"command", TOKEN)}),
     "replica snapshot": (replica.read_snapshot, snapshot_out, {"snapshot": SNAPSHOT}),
@@ -310,10 +334,10 @@
     "recovery engine": (recovery.decode_listed_engine, recovery.encode, {"engine": LISTED}),
     "recovery heartbeat": (partial(decode, type=HeartbeatRecord), encode, {"heartbeat": BEAT}),
     "recovery ticket": (partial(decode, type=tickets.TicketRecord), encode, {"ticket": TICKET}),
-    "store head": (records.head_in, records.head_out, {"head": HEAD}),
-    "store state": (records.meta_in, records.meta_out, {"state": META}),
-    "store witness": (records.known_in, records.known_out, {"witness": WITNESSED}),
-    "store batch": (records.batch_in, batch_out, {"batch": (META, MOVES)}),
+    "store head": (records.decode_head, records.encode_head, {"head": HEAD}),
+    "store state": (records.decode_meta, records.encode_meta, {"state": META}),
+    "store witness": (records.decode_known, records.encode_known, {"witness": WITNESSED}),
+    "store batch": (records.decode_batch, batch_out, {"batch": (META, MOVES)}),
     "worker start": (partial(json.decode, type=WorkerBootstrap), json.encode, {"worker": PASSPORT}),
     "subscription cursor": (
         lambda data: cursor.decode(data.decode()),
--- a/tests/test_cores_decisions.py
+++ b/tests/test_cores_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions of several workers, alone: leases, limits, restarts, ownership, rows, sums, and the module's part."""
+"""Decisions of several workers, without processes: leases, limits, restarts, ownership, sums, the decision module."""
 
 import math
 import random
@@ -109,7 +109,7 @@
     assert abs(units[0] - units[1]) <= 15 and sum(units) <= UNITS
 
 
-def test_what_a_dead_worker_held_is_kept_back_for_a_window():
+def test_leases_of_a_dead_worker_cool_for_a_window_before_they_are_granted_again():
     arbiter = LeaseArbiter(2, WINDOW, SETTLE)
     arbiter.worker_started(0), arbiter.worker_started(1)
     now, units = settle(arbiter, 0.0, {0: BudgetDemand(0.5, 3.0), 1: BudgetDemand(0.5, 3.0)})
@@ -121,7 +121,7 @@
     assert units[1] == UNITS
 
 
-def test_a_hung_worker_s_lease_ends_by_itself():
+def test_the_lease_of_a_hung_worker_expires():
     assert leases.budget_fraction(120, 300.0, 299.9) == 0.5 and leases.budget_fraction(120, 300.0, 300.0) == 0.0
     arbiter = LeaseArbiter(2, WINDOW, SETTLE)
     arbiter.worker_started(0), arbiter.worker_started(1)
@@ -144,7 +144,7 @@
 
 @given(strategies.integers(0, 10_000))
 @hypothesis_settings(max_examples=100, deadline=None)
-def test_divided_limits_never_pass_the_whole(seed):
+def test_divided_limits_never_exceed_the_total(seed):
     draw = random.Random(seed)
     whole = draw.randint(200, 5000)
     divider, used = limits.LimitDivider(whole, minimum=32), {}
@@ -164,7 +164,7 @@
     assert not shares or (sum(shares.values()) == whole and max(shares.values()) - min(shares.values()) <= 1)
 
 
-def test_waits_before_restarts_grow_and_a_loop_ends():
+def test_restart_backoff_grows_until_a_crash_loop_is_detected():
     policy = RestartPolicy(crashes=10, within_ms=60_000.0, hang_ms=3000.0)
     now, waits = 0.0, []
     for _ in range(10):
@@ -174,7 +174,7 @@
     assert waits == [100.0, 200.0, 400.0, 800.0, 1600.0, 3200.0, MAX_BACKOFF_MS, MAX_BACKOFF_MS, MAX_BACKOFF_MS, None]
 
 
-def test_a_worker_that_ran_long_or_was_told_to_end_starts_anew_at_once():
+def test_backoff_starts_over_after_a_stable_run_or_a_requested_end():
     policy = RestartPolicy(crashes=3, within_ms=1000.0, hang_ms=3000.0)
     policy.worker_started(0, 0.0)
     assert policy.backoff_after_end(0, 10.0, False) == 0.0
@@ -200,12 +200,12 @@
         assert ownership.route(foreign, own, {1: 4}) is Route.UNKNOWN
 
 
-def test_a_new_connection_is_left_to_workers_that_hold_fewer():
+def test_a_new_connection_is_left_to_less_loaded_workers():
     assert ownership.should_accept(0, []) and ownership.should_accept(9, []) and ownership.should_accept(2, [0, 50])
     assert not ownership.should_accept(3, [0, 50])
 
 
-def test_others_load_counts_while_an_engine_may_still_run_it():
+def test_load_of_other_workers_counts_while_an_engine_may_still_run_it():
     rows, now = {7: ROW}, 5000.0
     word = peer_workers.combined_load(7, [PeerWorker(0.0, rows), PeerWorker(2000.0, rows)], [], now, 0.25)
     assert word == WorkerLoad(7, 4, 128.0, False, 0.25, (0.5, 1.0), 4000.0)
@@ -218,14 +218,14 @@
         1.0,
         (),
     )
-    assert peer_workers.combined_load(7, [PeerWorker(0.0, {7: ROW._replace(suspect=True)})], [], now, 1.0).suspect
+    assert peer_workers.combined_load(7, [PeerWorker(0.0, {7: ROW._replace(suspect=True)})], [], now, 1.0).ejected
     dead = peer_workers.orphaned_loads([ROW, ROW._replace(engine=8, threads=0)], now)
     assert dead == [OrphanedLoad(7, 2, 64.0, now + peer_workers.ENGINE_FORGETS_AFTER_MS)]
     assert peer_workers.combined_load(7, [], dead, now + 2000.0, 1.0).threads == 2
     assert peer_workers.combined_load(7, [], dead, now + peer_workers.ENGINE_FORGETS_AFTER_MS, 1.0).threads == 0
 
 
-def test_only_the_end_of_an_engine_crosses_and_only_from_a_newer_list():
+def test_only_an_end_of_service_from_a_newer_list_is_taken_over():
     def others(*rows):
         return [PeerWorker(9e9, {7: row}) for row in rows]  # however old the heartbeat
 
@@ -239,7 +239,7 @@
     assert peer_workers.newest_end_of_service(8, 0, others(draining)) is None
 
 
-def test_a_dead_worker_s_counts_stay_and_what_it_had_open_is_lost():
+def test_counts_of_a_dead_worker_stay_and_its_open_requests_are_lost():
     counts = {
         ("taken", "http", "load"): 9,
         ("served", "http", "load"): 4,
@@ -254,7 +254,7 @@
     assert figures["calls"] == {"load": {"success": 4, "busy": 0, "failure": 6}}
 
 
-def test_engines_stand_as_the_newest_list_says():
+def test_engine_health_is_that_of_the_newest_list():
     rows = [[ROW], [ROW._replace(version=4, health=Health.DRAINING)], [ROW._replace(version=2, suspect=True)]]
     assert totals.engine_summaries(rows, frozenset()) == {
         7: totals.EngineSummary(7, "s-7", ("127.0.0.1", 7000), 2, True)
@@ -262,7 +262,7 @@
     assert totals.engine_summaries([[ROW]], frozenset({"s-7"}))[7].health == Health.DRAINING
 
 
-# The board.
+# The shared memory.
 
 
 def test_rows_names_and_long_texts_come_back_as_written():
@@ -275,27 +275,27 @@
     assert memory_layout.unpack_counter_name(memory_layout.pack_counter_name(name)).what == "taken"
 
 
-def test_a_torn_row_is_seen_and_never_read():
+def test_a_torn_row_is_detected_and_never_returned():
     board = SharedMemoryBoard.create(memory_layout.Layout(2))
-    region, sight = WorkerRegion(board, 0), RowSnapshot(WorkerRegion(board, 0))
+    region, snapshot = WorkerRegion(board, 0), RowSnapshot(WorkerRegion(board, 0))
     region.write_row(ROW)
     region.increment_cell(HeadCell.ROW_UPDATES)
-    assert sight.poll() == {7} and sight.rows == {7: ROW}
+    assert snapshot.poll() == {7} and snapshot.rows == {7: ROW}
     at = region._rows + 100
     board.bytes[at] ^= 0x40  # as a writer that died half way through leaves it
     board.cells[region._row_sequences] += 1
     region.increment_cell(HeadCell.ROW_UPDATES)
-    assert sight.poll() == {7} and sight.rows == {}
+    assert snapshot.poll() == {7} and snapshot.rows == {}
     region.write_row(ROW._replace(threads=9))
     region.increment_cell(HeadCell.ROW_UPDATES)
-    assert sight.poll() == {7} and sight.rows[7].threads == 9
+    assert snapshot.poll() == {7} and snapshot.rows[7].threads == 9
     region.clear()
     region.write_cell(HeadCell.INCARNATION, 2)
-    assert sight.poll() == {7} and sight.rows == {}
+    assert snapshot.poll() == {7} and snapshot.rows == {}
     board.close()
 
 
-def test_every_flipped_bit_of_a_row_shows():
+def test_every_flipped_bit_of_a_row_is_detected():
     data = memory_layout.pack_row(ROW)
     for bit in range(0, 8 * (memory_layout.ROW.size + 4)):
         torn = bytearray(data)
@@ -325,7 +325,7 @@
         board.close()
 
 
-def test_ids_are_found_until_they_are_removed_and_a_full_bucket_says_so():
+def test_request_ids_are_found_until_removed_and_a_full_bucket_rejects():
     board = SharedMemoryBoard.create(memory_layout.Layout(2, buckets=4))
     writer, reader = WorkerRegion(board, 0), WorkerRegion(board, 1)
     same = [4 * n + 1 for n in range(memory_layout.WAYS + 1)]
@@ -339,7 +339,7 @@
     board.close()
 
 
-# The module's part.
+# The decision module.
 
 
 def controller(**changes):
@@ -365,7 +365,7 @@
     assert sends(module.handle(1011.0, policy.RequestArrived(9, 0, 0, 0, 5000.0, 100.0, 2000.0, 0.0))) == [1]
 
 
-def test_another_worker_s_suspicion_holds_until_its_test_has_passed():
+def test_an_ejection_by_another_worker_holds_until_that_worker_lifts_it():
     module = controller()
     module.handle(1000.0, policy.EndpointListUpdated(EndpointListKind.CACHED, 1, tuple(entry(n) for n in (1, 2, 3))))
     module.handle(1001.0, policy.WorkerLoadReported((WorkerLoad(1, 0, 0.0, True, 1.0, (), 0.0),)))
@@ -375,7 +375,7 @@
     }
     assert chosen == {2, 3}
     module.handle(1100.0, policy.WorkerLoadReported((WorkerLoad(1, 0, 0.0, False, 1.0, (), 0.0),)))
-    assert not module.engines[1].suspect
+    assert not module.engines[1].ejected
 
 
 def test_a_cold_engine_gets_nothing_without_a_lease_and_two_workers_never_pass_its_budget():
@@ -389,7 +389,7 @@
         for n in range(200):
             actions = module.handle(now, policy.RequestArrived(1000 * slot + n, 0, 0, 0, 60_000.0, 100.0, 10.0, 0.0))
             assert sends(actions) == []  # idle and cold: not a single one before the lease
-    budget, seen = modules[0].cold_budget(modules[0].engines[1], now), [0, 0]
+    budget, seen = modules[0].slow_start.budget_ms(modules[0].engines[1], now), [0, 0]
     for _ in range(150):
         now += 20.0
         needs = {}
@@ -408,8 +408,8 @@
                         todo += module.handle(
                             now, policy.AttemptEnded(action.request, 0, 1, 0, 50.0, False, 0.0, 0.0, ())
                         )
-            needs[slot] = BudgetDemand(*module.cold_need(now).get(1, (0.0, 0.0)), seen[slot])
+            needs[slot] = BudgetDemand(*module.slow_start.needs(now).get(1, (0.0, 0.0)), seen[slot])
         arbiter.rebalance(now, {1: needs})
-        budget = modules[0].cold_budget(modules[0].engines[1], now)
+        budget = modules[0].slow_start.budget_ms(modules[0].engines[1], now)
         assert sum(work for at, work in sent if at > now - WINDOW) <= budget
     assert len(sent) > 60 and math.isfinite(budget)
--- a/tests/test_subscriptions_program.py
+++ b/tests/test_subscriptions_program.py
@@ -8,8 +8,8 @@
 import test_fleet_program
 from peers import LOAD, EdgeCase
 
-from frostspindle import config as configuration
 from frostspindle.config import ConfigError
+from frostspindle.config.operator_calls import check_subscriptions
 from frostspindle.lab.faults.spread import Reader
 from frostspindle.net import operator
 from frostspindle.subscriptions import cursor
@@ -73,7 +73,7 @@
         self.assertIn("2 subscriptions already", (await (await self.subscriber("subscribe TRUE")).line())["nak"])
         self.assertFalse(self.program.operator_server.callers)  # who stays takes no place of those who call
         kept[0].writer.close()
-        await self.until(lambda: len(self.program.operator_server.staying) == 1)
+        await self.until(lambda: len(self.program.operator_server.streams) == 1)
         await (await self.subscriber("subscribe TRUE")).until("ack")
 
     async def test_one_who_does_not_read_is_told_a_gap_and_holds_up_nobody(self):
@@ -155,9 +155,7 @@
             with self.assertRaisesRegex(ConfigError, key):
                 test_fleet_program.ConfigCase.read(self, text)
         with self.assertRaisesRegex(ConfigError, "LB_OPERATOR"):
-            configuration._check_subscriptions(
-                configuration.Operator(subscriptions=configuration.Subscriptions()), False
-            )
+            check_subscriptions(workers=1, has_operator_port=False)
 
 
 if __name__ == "__main__":
