--- a/frostspindle/cores/layout.py
+++ b/frostspindle/cores/layout.py
@@ -187,7 +187,7 @@
         len(row.report[:REPORT_VALUES]),
         row.version,
         row.health,
-        row.suspect,
+        row.ejected,
         row.threads,
         0,
         row.granted_mb,
@@ -209,7 +209,7 @@
     body = data[4 : 4 + ROW.size]
     if _CRC.unpack_from(data)[0] != zlib.crc32(body):
         return None
-    engine, report_length, version, health, suspect, threads, _, granted_mb, since_ms, reported_at_ms, *rest = (
+    engine, report_length, version, health, ejected, threads, _, granted_mb, since_ms, reported_at_ms, *rest = (
         ROW.unpack(body)
     )
     report = rest[:REPORT_VALUES]
@@ -218,7 +218,7 @@
         engine,
         version,
         health,
-        bool(suspect),
+        bool(ejected),
         threads,
         granted_mb,
         since_ms,
--- a/frostspindle/cores/load_publisher.py
+++ b/frostspindle/cores/load_publisher.py
@@ -94,7 +94,7 @@
             engine=engine,
             version=state.version,
             health=listed_entry.health,
-            suspect=policy_engine is not None and policy_engine.ejected and not policy_engine.ejected_by_peer,
+            ejected=policy_engine is not None and policy_engine.ejected and not policy_engine.ejected_by_peer,
             threads=policy_engine.threads if policy_engine else 0,
             granted_mb=policy_engine.granted_mb if policy_engine else 0.0,
             since_ms=state.entry.since_ms,
--- a/frostspindle/cores/peer_workers.py
+++ b/frostspindle/cores/peer_workers.py
@@ -23,7 +23,7 @@
     engine: int
     version: int  # of the endpoint list's event with this health; 0: the list has no common numbers
     health: int
-    suspect: bool
+    ejected: bool
     threads: int
     granted_mb: float
     since_ms: float
@@ -77,7 +77,7 @@
     """
     threads = 0
     memory_mb = 0.0
-    suspect = False
+    ejected = False
     report: tuple[float, ...] = ()
     reported_at_ms = 0.0
     for peer in peers:
@@ -90,7 +90,7 @@
             threads += row.threads
             memory_mb += row.granted_mb
         if peer.heartbeat_age_ms < HEARTBEAT_FRESH_MS:
-            suspect |= row.suspect
+            ejected |= row.ejected
             if row.report and row.reported_at_ms > reported_at_ms:
                 report = row.report
                 reported_at_ms = row.reported_at_ms
@@ -99,7 +99,7 @@
             threads += load.threads
             memory_mb += load.granted_mb
     report_age_ms = max(0.0, now_ms - reported_at_ms) if report else 0.0
-    return WorkerLoad(engine, threads, memory_mb, suspect, budget_fraction, report, report_age_ms)
+    return WorkerLoad(engine, threads, memory_mb, ejected, budget_fraction, report, report_age_ms)
 
 
 def newest_end_of_service(engine: int, version: int, peers: Iterable[PeerWorker]) -> tuple[int, int] | None:
--- a/frostspindle/cores/totals.py
+++ b/frostspindle/cores/totals.py
@@ -38,20 +38,20 @@
     name: str
     address: tuple[str, int]
     health: int
-    suspect: bool
+    ejected: bool
 
 
 def engine_summaries(workers: Iterable[Iterable[EngineLoadRow]], banned: frozenset[str]) -> dict[int, EngineSummary]:
-    """Return each engine's state: the newest list's health, suspect if it is ejected at any worker.
+    """Return each engine's state: the newest list's health, ejected if any worker has ejected it.
 
     A ready engine that is banned shows as draining.
     """
     newest: dict[int, EngineLoadRow] = {}
-    suspects: set[int] = set()
+    ejected_engines: set[int] = set()
     for rows in workers:
         for row in rows:
-            if row.suspect:
-                suspects.add(row.engine)
+            if row.ejected:
+                ejected_engines.add(row.engine)
             if row.engine not in newest or row.version > newest[row.engine].version:
                 newest[row.engine] = row
     summaries = {}
@@ -59,7 +59,7 @@
         health = Health.DRAINING if row.health == Health.READY and row.name in banned else row.health
         host, _, port = row.address.rpartition(":")
         address = (host, int(port) if port.isdecimal() else 0)
-        summaries[engine] = EngineSummary(engine, row.name, address, health, engine in suspects)
+        summaries[engine] = EngineSummary(engine, row.name, address, health, engine in ejected_engines)
     return summaries
 
 
@@ -82,5 +82,5 @@
         "backend_calls": sum(value for (what, _, _), value in counts.items() if what == "written"),
         "inflight": inflight,
         "hosts_listed": len(listed),
-        "hosts_down": sum(engine.suspect or engine.name in banned for engine in listed),
+        "hosts_down": sum(engine.ejected or engine.name in banned for engine in listed),
     }
--- a/tests/test_cores_decisions.py
+++ b/tests/test_cores_decisions.py
@@ -213,12 +213,12 @@
         peer_workers.combined_load(7, [PeerWorker(peer_workers.ENGINE_FORGETS_AFTER_MS, rows)], [], now, 1.0).threads
         == 0
     )  # hung: forgotten by engines
-    assert peer_workers.combined_load(7, [PeerWorker(1500.0, {7: ROW._replace(suspect=True)})], [], now, 1.0)[3:6] == (
+    assert peer_workers.combined_load(7, [PeerWorker(1500.0, {7: ROW._replace(ejected=True)})], [], now, 1.0)[3:6] == (
         False,
         1.0,
         (),
     )
-    assert peer_workers.combined_load(7, [PeerWorker(0.0, {7: ROW._replace(suspect=True)})], [], now, 1.0).ejected
+    assert peer_workers.combined_load(7, [PeerWorker(0.0, {7: ROW._replace(ejected=True)})], [], now, 1.0).ejected
     dead = peer_workers.orphaned_loads([ROW, ROW._replace(engine=8, threads=0)], now)
     assert dead == [OrphanedLoad(7, 2, 64.0, now + peer_workers.ENGINE_FORGETS_AFTER_MS)]
     assert peer_workers.combined_load(7, [], dead, now + 2000.0, 1.0).threads == 2
@@ -255,7 +255,7 @@
 
 
 def test_engine_health_is_that_of_the_newest_list():
-    rows = [[ROW], [ROW._replace(version=4, health=Health.DRAINING)], [ROW._replace(version=2, suspect=True)]]
+    rows = [[ROW], [ROW._replace(version=4, health=Health.DRAINING)], [ROW._replace(version=2, ejected=True)]]
     assert totals.engine_summaries(rows, frozenset()) == {
         7: totals.EngineSummary(7, "s-7", ("127.0.0.1", 7000), 2, True)
     }
