--- a/frostspindle/config/tenants.py
+++ b/frostspindle/config/tenants.py
@@ -9,12 +9,13 @@
 from msgspec import Meta, Struct
 
 from frostspindle.config.errors import ConfigError, one_line
-from frostspindle.ledger.tenants import Rule, Tenants
+from frostspindle.ledger.tenant_rules import Rule
+from frostspindle.ledger.tenants import Tenants
 from frostspindle.policy import Settings
 
 
 class TenantRule(Struct, forbid_unknown_fields=True, frozen=True):
-    """What must hold of a request of the tenant; see ledger/tenants.py."""
+    """What must hold of a request of the tenant; see ledger/tenant_rules.py."""
 
     front: str = ""
     header: str = ""
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -85,7 +85,7 @@
         if self.config.operator.metrics:
             from frostspindle.net import metrics  # the library costs memory that only its users pay
 
-            server.does["metrics"] = lambda: metrics.text(self.status.figures())
+            server.handlers["metrics"] = lambda: metrics.text(self.status.figures())
         return server
 
     # Start and end.
--- a/frostspindle/settings/validation.py
+++ b/frostspindle/settings/validation.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from frostspindle.config import ConfigError, address
-from frostspindle.ledger.tenants import Rule
+from frostspindle.ledger.tenant_rules import Rule
 from frostspindle.settings.schema import (
     FIELD_RANKS,
     KINDS,
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -26,7 +26,7 @@
 from frostspindle.lab.engines import document, host
 
 
-class Whole(FleetCase):
+class SeveralWorkers(FleetCase):
     async def test_figures_are_exact_sums_and_sigterm_finishes_what_was_taken(self):
         await self.stand_ins(2, 0.3)
         fleet = await self.fleet(3)
@@ -51,7 +51,7 @@
         counters = await fleet.event("counters")
         self.assertEqual(counters["figures"]["calls"]["lookup"]["success"], 19)
 
-    async def test_a_path_is_answered_at_any_worker_and_an_open_id_is_known_at_all(self):
+    async def test_a_path_is_answered_at_any_worker_and_an_open_request_id_is_rejected_at_all(self):
         await self.stand_ins(1, 3.0)
         await self.fleet(2)
         _, path, slot = await self.next_of(1)
@@ -68,7 +68,7 @@
         self.assertEqual((await self.in_thread(other.ask, "GET", path))[0], 404)
         await self.until(lambda: f"{2:016x}" not in self.engines[0].results)  # the engine was freed by the owner
 
-    async def test_a_ban_holds_at_all_workers_from_the_ack_on(self):
+    async def test_a_ban_holds_at_all_workers_once_it_is_acknowledged(self):
         await self.stand_ins(2)
         await self.fleet(3)
         clients = [self.client() for _ in range(12)]
@@ -120,7 +120,7 @@
         self.assertEqual((await self.in_thread(self.client().post, 1))[0], 200)
 
 
-class Late(FleetCase):
+class DelayedWatchEvents(FleetCase):
     async def test_a_drain_notice_that_reaches_one_worker_late_stops_its_sends_in_time(self):
         await self.stand_ins(2)
         self.bus.delays = {1: 20.0}  # the second follower hears nothing for longer than the test
@@ -141,8 +141,8 @@
         self.assertEqual(served["calls"]["lookup"]["success"], number)  # and nobody lost an answer by it
 
 
-class Trouble(FleetCase):
-    async def test_a_worker_killed_with_loads_out(self):
+class WorkerFailures(FleetCase):
+    async def test_requests_of_a_killed_worker_fail_and_its_load_still_counts(self):
         await self.stand_ins(2, 4.0)
         fleet = await self.fleet(2)
         client, path, slot = await self.next_of(1, "load")
@@ -240,12 +240,12 @@
         self.assertEqual((await fleet.event("worker_started", 3))["slot"], 0)  # no crash: its successor comes at once
         self.assertEqual((await self.in_thread(self.client().post, 1))[0], 200)
 
-    async def test_a_worker_refuses_a_board_that_is_not_its_instance_s(self):
+    async def test_a_worker_rejects_shared_memory_of_another_instance_or_version(self):
         board = SharedMemoryBoard.create(memory_layout.Layout(2))
         self.addCleanup(board.close)
 
         def start(nonce: int) -> tuple[int, str]:
-            passport = {
+            bootstrap = {
                 "slot": 0,
                 "incarnation": 1,
                 "slots": 2,
@@ -264,7 +264,7 @@
                 timeout=60,
                 pass_fds=(board.fd,),
                 stderr=subprocess.PIPE,
-                env={**os.environ, "FROSTSPINDLE_WORKER": json.dumps(passport), "LB_CONFIG": ""},
+                env={**os.environ, "FROSTSPINDLE_WORKER": json.dumps(bootstrap), "LB_CONFIG": ""},
             )
             return child.returncode, child.stderr
 
@@ -274,7 +274,7 @@
 
 
 class Upgrades(FleetCase):
-    async def test_an_upgrade_of_workers_on_both_sides(self):
+    async def test_an_upgrade_between_two_coordinators_with_several_workers_loses_no_request(self):
         (engine,) = await self.stand_ins(1, 600.0)
         listening = socket.create_server(("127.0.0.1", 0), backlog=300)
         self.addCleanup(listening.close)
@@ -317,7 +317,7 @@
         return False
 
 
-class Others(FleetCase):
+class SnmpAndTds(FleetCase):
     async def test_snmp_and_tds_over_several_workers(self):
         await self.stand_ins(2)
         tds = await TdsEngine().start()
--- a/tests/test_cores_model.py
+++ b/tests/test_cores_model.py
@@ -1,6 +1,6 @@
 """The protocols between workers, model-checked: every interleaving of two and three workers, with a crash and a hang.
 
-The states are made by the program's own Arbiter and by the drain's own rule (fleet.stop); only time is made coarse.
+The states are made by the program's own LeaseArbiter and by peer_workers.newest_end_of_service; only time is coarse.
 Each property is checked by a CTL checker; each has a variant broken on purpose that must be caught.
 """
 
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("workers, units", [(2, 2), (3, 1)])
-def test_no_interleaving_passes_the_budget_of_a_cold_engine(workers, units):
+def test_no_interleaving_exceeds_the_budget_of_a_cold_engine(workers, units):
     kripke, count = explore(World(workers, units), World.steps, World.key, World.over)
     assert count > 300  # the search has seen more than a corner
     assert holds(kripke)
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -10,7 +10,8 @@
 from frostspindle.config import ConfigError, Tenant, TenantRule
 from frostspindle.config.document import entry_names
 from frostspindle.config.tenants import join_tenants
-from frostspindle.ledger.tenants import RequestAttributes, Rule, Tenants, UnknownTenantError
+from frostspindle.ledger.tenant_rules import RequestAttributes, Rule
+from frostspindle.ledger.tenants import Tenants, UnknownTenantError
 from frostspindle.net.fields import TEXT, CallRejectedError, key_number, read
 
 GOOD = {b"x-request-id": b"00000000000000ab", b"x-timeout-ms": b"1500"}
