--- a/frostspindle/core/event_handlers.py
+++ b/frostspindle/core/event_handlers.py
@@ -281,7 +281,7 @@
     # Limits and settings.
 
     def _on_open_limit_changed(self, now: float, event: OpenLimitChanged) -> None:
-        self._controller.most_open = event.max_open
+        self._controller.max_open_requests = event.max_open
 
     def _on_settings_changed(self, now: float, event: SettingsChanged) -> None:
-        self._controller.s = event.settings
+        self._controller.settings = event.settings
--- a/frostspindle/core/figures.py
+++ b/frostspindle/core/figures.py
@@ -33,7 +33,7 @@
         "engines": len(endpoints.engines),
         "names": len(endpoints.names),
         "believed": len(controller.engines),
-        "held": len(controller.held),
+        "held": len(controller.waiting_queue),
     }
 
 
@@ -43,7 +43,7 @@
     """Return the current beliefs on requests and engines, to compare with the traffic on the sockets."""
     return {
         "open": ledger.open_count,
-        "held": len(controller.held),
+        "held": len(controller.waiting_queue),
         "records": len(ledger.entries),
         "timers": len(dispatcher.timers),
         "engines": _engine_rows(ledger, endpoints, controller),
@@ -65,13 +65,13 @@
                 "health": engine.entry.health,
                 "out": in_flight[number],
                 "threads": believed.threads,
-                "peers": believed.peers,
-                "bound": round(believed.bound, 1),
-                "slow": round(believed.slow, 2),
-                "fails": round(believed.fails, 2),
-                "granted_mb": round(believed.granted),
-                "suspect": believed.suspect,
-                "report_age_ms": round(min(clock() - believed.report_at, MAX_REPORT_AGE_MS)),
+                "peers": believed.peer_threads,
+                "bound": round(believed.thread_limit, 1),
+                "slow": round(believed.slowdown, 2),
+                "fails": round(believed.failure_rate, 2),
+                "granted_mb": round(believed.granted_mb),
+                "suspect": believed.ejected,
+                "report_age_ms": round(min(clock() - believed.load_report_at_ms, MAX_REPORT_AGE_MS)),
             }
         )
     return rows
@@ -113,4 +113,4 @@
     if endpoints.engines[number].name in endpoints.banned:
         return True
     believed = controller.engines.get(number)
-    return believed is not None and bool(believed.suspect)
+    return believed is not None and bool(believed.ejected)
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -93,7 +93,7 @@
         self.stopping, self.failed, self.once_ready = asyncio.Event(), False, False
         self.desk = (
             OperatorServer(
-                config.desk,
+                config.operator_address,
                 {
                     "ready": self.ready,
                     "show-stat": self.figures,
@@ -104,13 +104,13 @@
                 },
                 self.telemetry,
             )
-            if config.desk
+            if config.operator_address
             else None
         )
         if self.desk and config.operator.metrics:
             from frostspindle.net import metrics  # the library costs memory that only its users pay
 
-            self.desk.does["metrics"] = lambda: metrics.text(self.figures())
+            self.desk.handlers["metrics"] = lambda: metrics.text(self.figures())
         self.agent: Any = None
         self.listener: socket.socket | None = None
         self.tds: socket.socket | None = None
--- a/frostspindle/pools.py
+++ b/frostspindle/pools.py
@@ -61,18 +61,18 @@
 class AttemptProgress:
     """The progress of one attempt on the wire; times are Unix ms."""
 
-    __slots__ = ("wired", "last_poll_ms", "started_ms", "is_doubtful", "priority")
+    __slots__ = ("wired", "last_poll_ms", "started_ms", "is_doubted", "priority")
 
     def __init__(self, now_ms: float) -> None:
         self.wired = [False]  # set by the call that sends the query once its bytes may have gone out
         self.last_poll_ms = now_ms  # when the engine was last asked for this query
         self.started_ms = now_ms
         self.priority = -1  # the last that the engine was told
-        self.is_doubtful = False  # a response was missing or damaged: the process may be another one by now
+        self.is_doubted = False  # a response was missing or damaged: the process may be another one by now
 
-    def may_be_other_process(self, now_ms: float) -> bool:
+    def is_process_uncertain(self, now_ms: float) -> bool:
         """Return whether the process that answers now may be a successor of the one that has the query."""
-        return self.is_doubtful or now_ms - self.last_poll_ms > POLL_OVERDUE_MS
+        return self.is_doubted or now_ms - self.last_poll_ms > POLL_OVERDUE_MS
 
     def is_same_process(self, opened_ms: float) -> bool:
         """Return whether a connection opened at `opened_ms` leads to the process that has the query."""
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -18,13 +18,13 @@
 from frostspindle.order.shared_cells import OwnCellFile
 from frostspindle.ownership.fence import TokenFence
 from frostspindle.recovery import state_kinds, tickets
-from frostspindle.recovery.node import MARK
+from frostspindle.recovery.idle_mark import MARK
 from frostspindle.replica import wire as replica
 from frostspindle.replica.disk import JournalFile as JournalFile
 from frostspindle.replica.journal import RaftJournal
 from frostspindle.settings import schema
 from frostspindle.settings.version_store import VersionStore
-from frostspindle.settings.versions import EMPTY
+from frostspindle.settings.versions import EMPTY_VERSION
 from frostspindle.shared import Shared
 from frostspindle.store.opening import open_store
 from frostspindle.telemetry import Telemetry
@@ -39,16 +39,16 @@
 EXPORT = b"team-a 17\n"
 KEPT_AT_MS = 1_700_000_003_000.0
 CHANGES = {**RULES, "ban/removed": None}
-VERSION_3 = EMPTY.next(number=3, changes=RULES, by="c1/141/142")
-VERSION_4 = VERSION_3.next(
-    number=4, changes={"ban/e8": None, "limit/tds_sessions": schema.Limit(value=64.0)}, by="c2/1/2"
+VERSION_3 = EMPTY_VERSION.child(number=3, changes=RULES, author="c1/141/142")
+VERSION_4 = VERSION_3.child(
+    number=4, changes={"ban/e8": None, "limit/tds_sessions": schema.Limit(value=64.0)}, author="c2/1/2"
 )
 RECOVERY_ENTRIES = {
     state_kinds.prefix("bans") + b"c1/e7": encode(BAN),
     state_kinds.prefix("engines") + b"e7": encode(LISTED),
     state_kinds.prefix("generations") + b"c2": encode(STORE),
     state_kinds.prefix("beat"): encode(BEAT),
-    state_kinds.prefix("tickets") + tickets.ticket("request-1"): encode(TICKET),
+    state_kinds.prefix("tickets") + tickets.ticket_id("request-1"): encode(TICKET),
     MARK: b"",
 }
 
@@ -73,7 +73,7 @@
     with mock.patch("secrets.randbits", return_value=SHEET_OWNER), mock.patch("os.getpid", return_value=4711):
         own = OwnCellFile(folder)
     for cell, (key, stamp) in ORDER.items():
-        own.put(cell=cell, key=key, stamp=stamp)
+        own.write_cell(cell=cell, key=key, stamp=stamp)
     own.close(clean=False)
 
 
@@ -83,7 +83,7 @@
     TokenFence(store).check(task="export", token=9)
     Sink(store).begin(period="2026-07", token=9)
     Sink(store).take(period="2026-07", token=9, rows=EXPORT)
-    VersionStore(store).keep(versions=(VERSION_3, VERSION_4), unix_ms=KEPT_AT_MS)
+    VersionStore(store).save(versions=(VERSION_3, VERSION_4), unix_ms=KEPT_AT_MS)
 
 
 def durable_store(folder, engine):
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -37,9 +37,9 @@
         self.core, self.driver = self.program.core, self.program.driver
         self.core.settings = replace(self.core.settings, connect_timeout_ms=5000.0)
         if idle:
-            lines = [await peer._open() for peer in self.driver.peers.values()]
+            lines = [await peer._open() for peer in self.driver.pools.values()]
             for line in lines:
-                line.peer.release(line)
+                line.pool.release(line)
         self.asks, submit = [], self.core.submit
 
         def taken(ask):
@@ -144,14 +144,16 @@
                 unittest.mock.patch("frostspindle.net.TaskDriver.left_s", staticmethod(lambda attempt: 9.0)),
             ):
                 self.assertEqual((await self.ask())[0], 503)
-            self.assertEqual((self.posts(), self.core.controller.engines[0].fails), ([], 0.0))
+            self.assertEqual((self.posts(), self.core.controller.engines[0].failure_rate), ([], 0.0))
             self.assertGreater(self.count("ended_moot"), 0)
 
 
 class ClientsThatLeave(Crossing):
     def nothing_sent(self, left=1):
         self.assertEqual((self.posts(), self.count("left"), self.count("ended_connect_failed")), ([], left, 0))
-        self.assertEqual([engine.fails for engine in self.core.controller.engines.values()], [0.0] * len(self.peers))
+        self.assertEqual(
+            [engine.failure_rate for engine in self.core.controller.engines.values()], [0.0] * len(self.peers)
+        )
 
     async def test_where_the_last_look_finds_no_client_nothing_is_written_and_it_has_left_once(self):
         for idle in (False, True):
@@ -263,17 +265,17 @@
         self.addCleanup(server.close)
         sock = server.sockets[0]
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        peer = self.driver.peers[0]
+        peer = self.driver.pools[0]
         peer.state.address = sock.getsockname()
         (line,) = [await peer._open()]
         line.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         peer.release(line)
-        self.core.controller.engines[0].slow = 0.1  # the first choice
+        self.core.controller.engines[0].slowdown = 0.1  # the first choice
         sql = SQL + "x" * 60_000
         reader, writer = await self.open()
         writer.write(post(1, sql).replace(b"/lookup", b"/%s" % cls.encode()))
         await self.until(lambda: line.transport.get_write_buffer_size())
-        self.core.controller.engines[0].slow = 1.0
+        self.core.controller.engines[0].slowdown = 1.0
         return engines, line, reader, writer
 
     async def never_whole(self):
@@ -316,8 +318,8 @@
         for engine in engines:
             accepted = []
             engine.script = lambda request, body, accepted=accepted: accepted.append(request.transport)
-        line = self.driver.peers[0].idle[0]
-        self.core.controller.engines[0].slow = 0.1
+        line = self.driver.pools[0].idle[0]
+        self.core.controller.engines[0].slowdown = 0.1
         server = await asyncio.get_running_loop().create_server(Slow, "127.0.0.1", 0)
         self.addCleanup(server.close)
         line.transport.pause_reading()
@@ -384,7 +386,7 @@
                 return own()  # the next call is under way when the news come
 
             engine.script = script
-            self.core.controller.s = replace(self.core.controller.s, max_attempts=1)
+            self.core.controller.settings = replace(self.core.controller.settings, max_attempts=1)
             statuses = [(await self.ask(LOAD, number=number))[:2] for number in (1, 2, 3)]
             self.assertEqual(statuses[1:], [(200, {"rows": [[*row]]}) for row in ("b2y", "d4w")])
             self.assertEqual(len(engine.of("POST")), 3)
@@ -395,7 +397,7 @@
         engine.script = lambda request, body: (
             web.Response(status=500) if request.method == "POST" else page("b\t2\ty\n")
         )
-        self.core.controller.s = replace(self.core.controller.s, max_attempts=1)
+        self.core.controller.settings = replace(self.core.controller.settings, max_attempts=1)
         self.assertEqual([(await self.ask(LOAD, number=number))[0] for number in (1, 2)], [502, 502])
         self.assertEqual(engine.of("GET"), [])
 
@@ -432,7 +434,7 @@
                 self.assertLess(asyncio.get_running_loop().time() - began, 0.9)
                 await self.until(lambda: not self.core.ledger.entries)
                 self.assertEqual((len(engine.of("POST")), self.count("faults")), (1, 0))
-                idle = len(self.driver.peers[0].idle)
+                idle = len(self.driver.pools[0].idle)
                 await self.until(lambda open=transports, idle=idle: sum(not t.is_closing() for t in open) <= idle)
 
 
@@ -441,7 +443,7 @@
         for where in ("connection", "place"):
             with self.subTest(where):
                 await self.start()
-                peer, (go, awaited) = self.driver.peers[0], self.late()
+                peer, (go, awaited) = self.driver.pools[0], self.late()
                 may_open = unittest.mock.patch.object(self.driver, "may_open", lambda peer: False)
                 if where == "place":
                     may_open.start()
@@ -464,19 +466,19 @@
 
     async def test_a_want_of_descriptors_is_held_against_no_engine_and_makes_room(self):
         await self.start(2)
-        other = self.driver.peers[1]
+        other = self.driver.pools[1]
         other.release(await other._open())
         loop = asyncio.get_running_loop()
         fails = unittest.mock.patch.object(
             loop, "create_connection", unittest.mock.AsyncMock(side_effect=OSError(errno.EMFILE, ""))
         )
-        self.core.controller.engines[0].slow = 0.01  # the first choice, and the next
+        self.core.controller.engines[0].slowdown = 0.01  # the first choice, and the next
         _, writer = await self.open()
         with fails:
             writer.write(post(1))
             await self.until(lambda: self.count("ended_full"))
             self.assertEqual([line.good for line in other.lines], [])
-        self.assertEqual([engine.fails for engine in self.core.controller.engines.values()], [0.0, 0.0])
+        self.assertEqual([engine.failure_rate for engine in self.core.controller.engines.values()], [0.0, 0.0])
 
 
 del Wire  # else it would be collected here too
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -7,7 +7,9 @@
 from peers import SQL, EdgeCase, page, settings
 
 from frostspindle import policy
-from frostspindle.config import ConfigError, Operator, Tenant, TenantRule, _named, _tenants
+from frostspindle.config import ConfigError, Tenant, TenantRule
+from frostspindle.config.document import entry_names
+from frostspindle.config.tenants import join_tenants
 from frostspindle.ledger.tenants import RequestAttributes, Rule, Tenants, UnknownTenantError
 from frostspindle.net.fields import TEXT, CallRejectedError, key_number, read
 
@@ -99,7 +101,7 @@
         status, _, _ = await self.ask("load", 1, **{"X-Object": "k1", "X-Tenant": "west", "X-Retry": "1"})
         self.assertEqual((status, self.asked[0].tenant, self.asked[0].key), (200, 2, key_number(1, b"k1")))
         self.assertEqual(self.ends[0][6:8], (812.5, 96.0))
-        self.assertEqual(self.program.core.controller.s.tenant_quotas_per_s, (0.0, 30.0, 4.0))
+        self.assertEqual(self.program.core.controller.settings.tenant_quotas_per_s, (0.0, 30.0, 4.0))
         self.assertEqual(self.count("client_retries"), 1)
         engine.script = lambda request, body: page("a\t1\tx\n", X_Cost_Ms="soon", X_Needed_Mb="-1")
         self.assertEqual((await self.ask("lookup", 2, **{"X-Object": "k1"}))[0], 200)  # the answer is good all the same
@@ -152,4 +154,4 @@
 def test_tenants_of_the_settings_that_can_t_be_used_are_named(parties, word):
     with pytest.raises(ConfigError, match=word):
         rule = TenantRule(front="tds")
-        _tenants(_named({"parties": parties}, "parties"), Operator(tenant=[Tenant("b", rule=[rule])]))
+        join_tenants(entry_names({"parties": parties}, "parties"), [Tenant("b", rule=[rule])], "default")
