--- a/frostspindle/core/core.py
+++ b/frostspindle/core/core.py
@@ -90,7 +90,7 @@
         if self.ledger.open_count >= self.most_open:
             self.telemetry.count("full", request.front, self.classes[request.cls][1])
             if self.observer is not None:
-                self.observer.answered(request, ResponseStatus.REJECTED, "")
+                self.observer.on_response(request, ResponseStatus.REJECTED, "")
             return False
         self.ledger.open_count += 1
         self.dispatcher.enqueue(request)
--- a/frostspindle/core/endpoints.py
+++ b/frostspindle/core/endpoints.py
@@ -105,7 +105,7 @@
             is_banned = name in self.banned
             self._telemetry.log("ban", name=name, on=is_banned)
             if self._hooks.observer is not None:
-                self._hooks.observer.engine(name, "ban" if is_banned else "unban")
+                self._hooks.observer.on_engine_changed(name, "ban" if is_banned else "unban")
         return self._list_change(entries)
 
     def apply_draining(self, message: EngineDraining) -> policy.EndpointListUpdated | None:
@@ -113,7 +113,7 @@
         entries = self._refresh(frozenset((message.name,)))
         self._telemetry.log("stop", name=message.name)
         if self._hooks.observer is not None:
-            self._hooks.observer.engine(message.name, "stop")
+            self._hooks.observer.on_engine_changed(message.name, "stop")
         return self._list_change(entries)
 
     def apply_restarts(self, message: EnginesRestarted) -> policy.EndpointListUpdated | None:
@@ -179,7 +179,7 @@
             self.schedule_expiry(now, number)
         self._telemetry.log("engine", name=engine.name, health=engine.entry.health, since=engine.entry.since_ms)
         if self._hooks.observer is not None:
-            self._hooks.observer.engine(engine.name, "list", int(engine.entry.health))
+            self._hooks.observer.on_engine_changed(engine.name, "list", int(engine.entry.health))
         return engine.entry
 
     def _with_overrides(self, engine: EngineState) -> EngineState:
--- a/frostspindle/core/event_handlers.py
+++ b/frostspindle/core/event_handlers.py
@@ -168,7 +168,7 @@
 
     def _on_key_order_reached(self, now: float, event: policy.KeyOrderReached) -> None:
         gate = self._hooks.admission_gate
-        if gate is not None and gate.turned(event.request):
+        if gate is not None and gate.on_key_order_reached(event.request):
             return  # the gate passes the turn on together with the request
         self._notify_policy(now, event)
 
@@ -223,7 +223,7 @@
         if self._hooks.admission_gate is not None:
             engine = self._endpoints.engines.get(attempt.engine)
             if engine is not None:
-                self._hooks.admission_gate.ended(engine.name, event.outcome)
+                self._hooks.admission_gate.on_attempt_ended(engine.name, event.outcome)
         self._telemetry.count(OUTCOME_COUNTERS[event.outcome], request.front, self._classes[request.cls][1])
         if event.outcome not in (AttemptOutcome.OK, AttemptOutcome.CANCELLED):
             self._telemetry.log(
--- a/frostspindle/core/interfaces.py
+++ b/frostspindle/core/interfaces.py
@@ -16,7 +16,7 @@
     def enter(self, number: int, key: int) -> bool | None:
         """Take a request: True if its turn has come, False if it has to wait, None if it can't be kept in order."""
 
-    def over(self, number: int) -> None:
+    def on_request_finished(self, number: int) -> None:
         """Note that a request is answered and no attempt of it is in flight."""
 
 
@@ -26,13 +26,13 @@
     def enter(self, now: float, request: ClientRequest, turn: bool) -> bool:
         """Take a request and return whether it goes on now; `now` in Unix ms, `turn`: its turn by key has come."""
 
-    def turned(self, number: int) -> bool:
+    def on_key_order_reached(self, number: int) -> bool:
         """Note that a request's turn by key has come; return whether it still waits at the gate."""
 
-    def over(self, number: int, ran: bool) -> None:
+    def on_request_finished(self, number: int, ran: bool) -> None:
         """Note that a request is answered or its client left; `ran`: an attempt of it may have run."""
 
-    def ended(self, engine: str, outcome: int) -> None:
+    def on_attempt_ended(self, engine: str, outcome: int) -> None:
         """Note the outcome of an attempt at an engine, by the engine's name."""
 
     def close(self) -> list[int]:
@@ -56,10 +56,10 @@
 class EventObserver(Protocol):
     """Publishes responses and changes of engines; it only records them."""
 
-    def answered(self, request: ClientRequest, how: str, engine: str) -> None:
+    def on_response(self, request: ClientRequest, how: str, engine: str) -> None:
         """Note a request's final response; `engine` is the last that it was sent to, "" if none was."""
 
-    def engine(self, name: str, change: str, state: int | None = None) -> None:
+    def on_engine_changed(self, name: str, change: str, state: int | None = None) -> None:
         """Note that an engine is listed anew, banned, or taken back; `state`: its health on the list."""
 
 
--- a/frostspindle/core/ledger.py
+++ b/frostspindle/core/ledger.py
@@ -73,7 +73,7 @@
         self._settle(entry, response.status)
         if self._hooks.admission_gate is not None:
             may_have_run = bool(entry.attempts) and response.status != ResponseStatus.REJECTED
-            self._hooks.admission_gate.over(number, may_have_run)
+            self._hooks.admission_gate.on_request_finished(number, may_have_run)
         try:
             request.on_response(response)
             request.statement = ""  # the entry may stay for an attempt that has yet to end
@@ -81,14 +81,14 @@
             self.remove_if_complete(entry)
             if self._hooks.observer is not None:
                 engine = self._engines.get(entry.attempts[-1].engine) if entry.attempts else None
-                self._hooks.observer.answered(request, response.status, engine.name if engine else "")
+                self._hooks.observer.on_response(request, response.status, engine.name if engine else "")
 
     def drop(self, entry: RequestEntry, reason: str) -> None:
         """Settle a request without a response, unless it is settled: its client left or its deadline passed."""
         if not entry.ending:
             self._settle(entry, reason)
         if self._hooks.admission_gate is not None:
-            self._hooks.admission_gate.over(entry.request.number, bool(entry.attempts))
+            self._hooks.admission_gate.on_request_finished(entry.request.number, bool(entry.attempts))
 
     def fail_after_fault(self, number: int) -> None:
         """Fail a request whose processing raised, cancel its attempts and remove its entry."""
@@ -112,7 +112,7 @@
     def release_key(self, request: ClientRequest) -> None:
         """Let the next request of its ordering key go, as nothing of this one can run any more."""
         if request.key and self._hooks.key_order is not None:
-            self._hooks.key_order.over(request.number)
+            self._hooks.key_order.on_request_finished(request.number)
 
     def uses_engine(self, engine: int) -> bool:
         """Return whether an attempt is in flight at an engine."""
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -51,7 +51,7 @@
             self.telemetry.count("turns_full")
         return at_head
 
-    def over(self, number: int) -> None:
+    def on_request_finished(self, number: int) -> None:
         """Free the position, but not while its key rests here: other processes would not know of that pause."""
         if number in self._pause_timers:
             return
--- a/frostspindle/recovery/gate.py
+++ b/frostspindle/recovery/gate.py
@@ -88,7 +88,7 @@
                 self.service.telemetry.count("recovery_refused")
                 core.reject_waiting(decision.number, Response(ResponseStatus.REJECTED, None, decision.retry_ms))
 
-    def turned(self, number: int) -> bool:
+    def on_key_order_reached(self, number: int) -> bool:
         """Note that the request's turn by key has come.
 
         Return whether it still waits here, with the turn kept for Core.admit_waiting.
@@ -99,13 +99,13 @@
         entry.turn = True
         return True
 
-    def over(self, number: int, ran: bool) -> None:
+    def on_request_finished(self, number: int, ran: bool) -> None:
         """Forget a request that was answered or whose client left; `ran` False releases the ticket of a load."""
         self.waiting.pop(number, None)
         self.admission.remove(number)
         self.service.on_load_ended(number, ran)
 
-    def ended(self, engine: str, outcome: int) -> None:
+    def on_attempt_ended(self, engine: str, outcome: int) -> None:
         """Tell the node of an attempt's end, if it shows whether the engine takes connections.
 
         Only an answer proves that one was taken: a broken connection may be older than a loss of power, and an attempt
--- a/frostspindle/settings/response_figures.py
+++ b/frostspindle/settings/response_figures.py
@@ -16,7 +16,7 @@
         self.count_open: Callable[[], int] = count_open
         self.counts: list[int] = [0] * canary.ROW_FIGURES
 
-    def answered(self, request: ClientRequest, how: str, engine: str) -> None:
+    def on_response(self, request: ClientRequest, how: str, engine: str) -> None:
         """Count a response by outcome and by ms since the request was received, then pass it on."""
         counts = self.counts
         counts[canary.ANSWERED_REQUESTS] += 1
@@ -26,12 +26,12 @@
             counts[canary.REJECTED_REQUESTS] += 1
         counts[canary.HEADER_FIGURES + canary.latency_bucket(clock() - request.received_ms)] += 1
         if self.next_observer is not None:
-            self.next_observer.answered(request, how, engine)
+            self.next_observer.on_response(request, how, engine)
 
-    def engine(self, name: str, change: str, state: int | None = None) -> None:
+    def on_engine_changed(self, name: str, change: str, state: int | None = None) -> None:
         """Pass an engine's change on; nothing is counted."""
         if self.next_observer is not None:
-            self.next_observer.engine(name, change, state)
+            self.next_observer.on_engine_changed(name, change, state)
 
     def __call__(self) -> tuple[int, ...]:
         """Return all figures, with the number of open requests as of now; the others only grow."""
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -121,7 +121,7 @@
 
     # What the core and the fleet tell; see core.Witness and fleet.service.Part.
 
-    def answered(self, request: ClientRequest, how: str, engine: str) -> None:
+    def on_response(self, request: ClientRequest, how: str, engine: str) -> None:
         """Make an event of a request's final answer: class, tenant, group, outcome, engine, front, duration in ms."""
         if self.hub is not None:
             now = clock()
@@ -138,7 +138,7 @@
                 now - request.received_ms,
             )
 
-    def engine(self, name: str, change: str, state: int | None = None) -> None:
+    def on_engine_changed(self, name: str, change: str, state: int | None = None) -> None:
         """Make an event of an engine's change; `state`: its health on the list, None: not told."""
         self._make(schema.ENGINE, clock(), name, change, None if state is None else NAMES.get(state, str(state)))
 
@@ -284,7 +284,7 @@
             if (believed := core.controller.engines.get(number)) is not None and believed.ejected
         }
         for name in sorted(sick ^ self._sick):
-            self.engine(name, "sick" if name in sick else "well")
+            self.on_engine_changed(name, "sick" if name in sick else "well")
         self._sick = sick
 
     def _write(self, now: float, hub: SubscriptionHub) -> None:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -523,7 +523,9 @@
         classes[1] = classes[1] | {"inOrder": True}
         (engine,) = await self.start(1, categories=classes)
         core, places, answered = self.program.core, set(), asyncio.Event()
-        core.key_order = unittest.mock.Mock(enter=lambda number, key: places.add(number) or True, over=places.discard)
+        core.key_order = unittest.mock.Mock(
+            enter=lambda number, key: places.add(number) or True, on_request_finished=places.discard
+        )
         handlers = core.controller.handlers
 
         async def freed():
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -133,7 +133,7 @@
         )
         gate = RecoveryGate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
         for verdict in AttemptOutcome:  # a connection that breaks may be of before a loss
-            gate.ended("e", verdict)
+            gate.on_attempt_ended("e", verdict)
         self.assertEqual(told, [("e", False), ("e", True)])
         self.assertTrue(drained)
 
