--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -118,11 +118,11 @@
         """Send the attempt on an idle connection, without a task, unless its time may be up within ANSWER_S."""
         pool = self.pools.get(attempt.engine)
         if pool is None or not pool.idle or self.left_s(attempt) <= RESPONSE_TIMEOUT_S:
-            super().start(attempt)
+            super().start_attempt(attempt)
             return
         first = DirectAttempt(self.runner, pool, attempt, self._ended, self._on, self._off)
         if (connection := pool.take()) is None:
-            super().start(attempt)
+            super().start_attempt(attempt)
         elif self.core.may_send(attempt):
             first.send(connection)
         else:
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -135,7 +135,7 @@
     )
     gate = RecoveryGate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
     for verdict in AttemptOutcome:  # a connection that breaks may be of before a loss
-        gate.ended("e", verdict)
+        gate.on_attempt_ended("e", verdict)
     assert told == [("e", False), ("e", True)]
     assert drained
 
