--- a/frostspindle/components/http_requests.py
+++ b/frostspindle/components/http_requests.py
@@ -2,8 +2,12 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from frostspindle.components.base import Component
-from frostspindle.host import ProgramContext
+
+if TYPE_CHECKING:
+    from frostspindle.host import ProgramContext
 
 
 class TenantsComponent(Component):
--- a/frostspindle/components/operator_port.py
+++ b/frostspindle/components/operator_port.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from frostspindle.components.base import Component
-from frostspindle.host import ProgramContext
 from frostspindle.net.operator import OperatorServer
 
+if TYPE_CHECKING:
+    from frostspindle.host import ProgramContext
+
 
 class OperatorPortComponent(Component):
     """The server that answers operators' calls, those of the program and of its parts."""
--- a/frostspindle/components/recovery.py
+++ b/frostspindle/components/recovery.py
@@ -18,7 +18,7 @@
 
     def wrap_ban_listener(self, listener: BanListener) -> BanListener:
         """Return the service's listener, which keeps the bans and tells the core by itself."""
-        return self.service.bans
+        return self.service.set_bans
 
     async def start(self) -> None:
         """Begin with the first stage."""
@@ -26,7 +26,7 @@
 
     def on_engine_enabled(self, name: str) -> None:
         """Let the engine go that recovery holds back."""
-        self.service.allow(name)
+        self.service.readmit(name)
 
     async def stop(self) -> None:
         """Write what is to be kept and close the store."""
--- a/frostspindle/components/registry.py
+++ b/frostspindle/components/registry.py
@@ -8,12 +8,16 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
 from enum import Enum, auto
+from typing import TYPE_CHECKING
+
+from msgspec import Struct
 
 from frostspindle.components.base import Component
 from frostspindle.config import Config
-from frostspindle.host import ProgramContext
+
+if TYPE_CHECKING:
+    from frostspindle.host import ProgramContext
 
 
 class Phase(Enum):
@@ -24,8 +28,7 @@
     WITH_CORE = auto()  # started once the core runs and before HTTP clients are accepted, stopped after these are gone
 
 
-@dataclass(frozen=True, slots=True)
-class Registration:
+class Registration(Struct, frozen=True):  # a dataclass would cost each start a millisecond
     """One optional part: its name, whether a configuration has it, and how to create it."""
 
     name: str
--- a/frostspindle/config/tds.py
+++ b/frostspindle/config/tds.py
@@ -58,8 +58,7 @@
     engine_password: str = ""
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class TdsPlan:
+class TdsPlan(Struct, frozen=True):
     """What the module is told of TDS: its classes and kinds stand behind the platform's."""
 
     classes: dict[str, int]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -101,16 +101,18 @@
 # What a process that serves without optional parts may load, beside the standard library: a start costs processor time,
 # and a fleet starts together. Who adds a name here pays for it at each start of everybody.
 SERVES = {
-    "frostspindle": "__main__ components config core descriptor_sharing handover host ledger memory_log net order "
+    "frostspindle": "__main__ components config core descriptor_sharing handover ledger memory_log net order "
     "policy pools program reload reserved_descriptor serving shared signals telemetry timers",
     "frostspindle.config": "addresses agreed_settings cores document errors fleet operator_calls operator_file "
     "ownership reader recovery replica tds tenants",
     "frostspindle.components": "base http_requests operator_port registry",
+    "frostspindle.core": "actions attempts core dispatcher drivers endpoints event_handlers figures interfaces ledger "
+    "messages requests wall_clock",
     "frostspindle.ledger": "tenants",
     "frostspindle.net": "discovery engines fields http operator platform",
     "frostspindle.net.http": "arrival_clock attempts calls clients connection_limits connection_pool engine_connection "
     "listener load_reports replies request_registry statements",
-    "frostspindle.order": "service sheets turns",  # only where a class keeps order
+    "frostspindle.order": "key_queue service shared_cells",  # only where a class keeps order
     "frostspindle.policy": "actions controller deadlines events indexes queues request_state settings settings_parser "
     "statistics",
 }
