--- a/frostspindle/components/fleet.py
+++ b/frostspindle/components/fleet.py
@@ -77,5 +77,5 @@
         program.telemetry,
     )
     if service.tenants:
-        program.core.quota_allows = service.within
+        program.core.quota_allows = service.within_budget
     return service
--- a/frostspindle/config/reader.py
+++ b/frostspindle/config/reader.py
@@ -6,11 +6,12 @@
 
 from __future__ import annotations
 
-import dataclasses
 import os
 from collections.abc import Mapping
 from typing import Any
 
+from msgspec import Struct
+
 from frostspindle.config.addresses import Address, address, inherited_socket
 from frostspindle.config.cores import apply_descriptor_limit, apply_worker_count
 from frostspindle.config.document import (
@@ -35,8 +36,7 @@
 DEFAULT_IDLE_MS = 15_000.0  # after which engines close idle connections, where the settings do not say
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class Config:
+class Config(Struct, frozen=True):  # a dataclass would cost each start a millisecond
     """The values in effect, read once from the environment, the JSON file and the operator's file."""
 
     environ: Mapping[str, str]  # what they were read from, and are read from again
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -34,7 +34,7 @@
     tds = operator.tds and msgspec.structs.replace(
         operator.tds, max_sessions=max(1, division.even(operator.tds.max_sessions, count)[passport.slot])
     )
-    return dataclasses.replace(
+    return msgspec.structs.replace(
         config,
         operator_address=None,
         worker=passport.slot,
--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -27,7 +27,8 @@
 from frostspindle.lab.fleet import excess
 from frostspindle.lab.warming import Warming
 from frostspindle.policy import AttemptOutcome, ClassSettings, EndpointListKind, EngineEntry, Health, Idempotency
-from frostspindle.policy.controller import COLD_SAFETY, Controller
+from frostspindle.policy.controller import Controller
+from frostspindle.policy.slow_start import SLOW_START_SAFETY
 from frostspindle.recovery import agreement, wire
 from frostspindle.recovery.admission import AdmissionDecision, RecoveryAdmission, RequestClass, SlowStartCurve
 from frostspindle.recovery.admission import ReadyEngine as Bearing
@@ -195,7 +196,7 @@
         if w.cold:
             self.warming = Warming(self.number, w.seeds, terms, w.secrets.randbytes(16), now, EPOCH + now, self.carried)
             w.at(now, self.warm, self.life)
-            self.warming.cold.woken = lambda: w.at(w.now, self.keep)
+            self.warming.cold.on_blocked = lambda: w.at(w.now, self.keep)
         if not w.naive:
             self.begin_recovery(first)
         if w.bus_up:
@@ -269,8 +270,10 @@
     def keep(self) -> None:
         """Pass between store and cold engines' rights whether any are lent or wanted, so that a next life may know."""
         if self.up and self.warming is not None and self.node is not None:
-            self.node.on_rights_idle(self.warming.cold.quiet)
-            self.warming.cold.kept(self.w.now, self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared)
+            self.node.on_rights_idle(self.warming.cold.idle)
+            self.warming.cold.set_store_state(
+                self.w.now, self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared
+            )
             self.drain()
 
     def carried(self, target: int, data: bytes) -> None:
@@ -335,7 +338,7 @@
             node.on_cooldown_over(now, unix)
         if not node.stages.finished:
             self.intake.engines = tuple(
-                Bearing(e.cores, e.entry.since_ms) for e in self.c.engines.values() if e.ready and not e.suspect
+                Bearing(e.cores, e.entry.since_ms) for e in self.c.engines.values() if e.ready and not e.ejected
             )
             if node.stages.stage < Stage.SERVICE:
                 self.intake.expected_start = unix + max(0.0, node.stages.next_due() - now)
@@ -360,10 +363,10 @@
         batch, which takes 0.5 to 6 ms."""
         node = self.node
         assert node is not None
-        while node.effects or node.outbox:
-            for name, data in node.take_messages():
+        while node.outputs.pending:
+            for name, data in node.outputs.take_messages():
                 self.w.post(self.number, int(name[1:]), data)
-            for effect in node.take_effects():
+            for effect in node.outputs.take_effects():
                 self.effect(effect)
         if (batch := node.next_batch()) is not None:
             self.w.at(self.w.now + self.w.random.uniform(0.5, 6.0), self.on_disk, self.life, batch)
@@ -869,7 +872,7 @@
     served, live, at = [t for t in world.served if t < loss], list[tuple[float, Client]](), loss
     come = iter(sorted(((c.ends - KINDS[c.cls][1], c) for c in world.clients), key=lambda pair: pair[0]))
     begun, after = sorted(world.returns), next(come, None)
-    sparse = world.coordinators[0].c.sparse
+    sparse = world.coordinators[0].c.fractional_share
     while at < world.seconds * 1_000.0 and begun:
         while after is not None and after[0] <= at:
             if after[0] >= loss or not after[1].early:
@@ -879,7 +882,9 @@
         bears = STEP_MS * sum(CORES * e.part(at) for e in world.engines if 0.0 < e.born <= at)
         if shares:
             back = sum(start <= at for start in begun) / world.count
-            bears = min(bears, bears * back * 0.85 * COLD_SAFETY[sparse] * TIP) if at < begun[0] + WARM_MS else bears
+            bears = (
+                min(bears, bears * back * 0.85 * SLOW_START_SAFETY[sparse] * TIP) if at < begun[0] + WARM_MS else bears
+            )
         left = []
         for work, client in live if at >= begun[0] else ():
             does = min(work, bears, STEP_MS * KINDS[client.cls][4])
--- a/frostspindle/recovery/effect_handler.py
+++ b/frostspindle/recovery/effect_handler.py
@@ -8,7 +8,8 @@
 from dataclasses import replace
 from typing import Protocol
 
-from frostspindle.config import BusEvent, Host, RecoverySection, Topology
+from frostspindle.config import BusEvent, Host, Topology
+from frostspindle.config.recovery import RecoverySection
 from frostspindle.core import Core, Response, ResponseStatus, clock
 from frostspindle.host import ProgramContext
 from frostspindle.policy import Health
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -16,16 +16,18 @@
 from frostspindle.recovery.admission import ReadyEngine, RecoveryAdmission, RequestClass, SlowStartCurve
 from frostspindle.recovery.effect_handler import EffectHandler
 from frostspindle.recovery.excluded_engines import ExcludedEngines
+from frostspindle.recovery.figures import MAX_WITHHELD_SHOWN, node_figures
 from frostspindle.recovery.gate import RecoveryGate
 from frostspindle.recovery.inputs import OpenedStore, RecoverySettings
 from frostspindle.recovery.monotonic_clock import monotonic
-from frostspindle.recovery.node import MAX_WITHHELD_SHOWN, RecoveryNode
+from frostspindle.recovery.node import RecoveryNode
 from frostspindle.recovery.stages import Stage, StageTimeouts
 from frostspindle.recovery.state_kinds import CooldownSettings
 from frostspindle.recovery.store_worker import StoreWorker
 
 if TYPE_CHECKING:
-    from frostspindle.config import Config, FleetSection
+    from frostspindle.config import Config
+    from frostspindle.config.fleet import FleetSection
     from frostspindle.host import ProgramContext
 
 RECOVERING_TICK_S = 0.05  # the timer's longest wait until recovery is over
@@ -98,7 +100,7 @@
         admission = self.admission
         return {
             "name": self.settings.name,
-            **self.node.figures(monotonic(), clock()),
+            **node_figures(self.node, monotonic(), clock()),
             "waiting": len(admission.waiting),
             "passed": admission.admitted,
             "refused_at_gate": admission.rejected,
@@ -166,19 +168,19 @@
         warming = self.program.warming
         if warming is None:
             return
-        cold = warming.cold
-        self.node.on_rights_idle(cold is None or cold.quiet)
+        cold = warming.budgets
+        self.node.on_rights_idle(cold is None or cold.idle)
         if cold is not None:
-            cold.kept(monotonic(), self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared)
+            cold.set_store_state(monotonic(), self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared)
 
     def drain(self, wake_writer: bool = True) -> None:
         """Send the node's messages, apply its effects and wake the store's writer."""
-        node = self.node
-        while node.effects or node.outbox:
-            for name, data in node.take_messages():
+        outputs = self.node.outputs
+        while outputs.pending:
+            for name, data in outputs.take_messages():
                 if self.program.fleet is not None:
                     self.program.fleet.post(name, self.channel, data)
-            for effect in node.take_effects():
+            for effect in outputs.take_effects():
                 self.effects.apply(effect)
         if wake_writer:
             self.store_worker.wake()
@@ -213,7 +215,7 @@
         self.admission.engines = tuple(
             ReadyEngine(engine.cores, engine.entry.since_ms)
             for engine in self.core.controller.engines.values()
-            if engine.ready and not engine.suspect
+            if engine.ready and not engine.ejected
         )
         if self.node.stages.stage < Stage.SERVICE:
             self.admission.expected_start = unix + max(0.0, self.node.stages.next_due() - monotonic())
@@ -335,5 +337,5 @@
     if program.fleet is not None:
         program.fleet.parts.append(service)
     if program.operator_server is not None:
-        program.operator_server.does["show-recovery"] = service.figures
+        program.operator_server.handlers["show-recovery"] = service.figures
     return service
