--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -67,8 +67,9 @@
         }
         self.version, self.told = 0, ControlPage()
         self.lost: frozenset[int] = frozenset()
-        self.crowded = self.orphaned = False
-        self.theirs: int | None = None  # what the other processes of an upgrade have open: not told among workers
+        self.is_sharing = self.orphaned = False
+        # What the other processes of an upgrade have open: not told among workers.
+        self.open_elsewhere: int | None = None
         self.banned: frozenset[str] = frozenset()
         self.dirty: set[int] = set()
         self.reports: dict[int, tuple[float, tuple[float, ...]]] = {}
@@ -189,9 +190,9 @@
             self._told(banned)
         if self.told.draining != before.draining:
             self.program.drain() if self.told.draining else self.program.resume()
-        if self.told.crowded != self.crowded:
-            self.crowded = self.told.crowded
-            self._crowd(self.crowded)
+        if self.told.crowded != self.is_sharing:
+            self.is_sharing = self.told.crowded
+            self._crowd(self.is_sharing)
         share = self.told.sockets.get(self.me.slot, 0)
         if share and share != before.sockets.get(self.me.slot, 0):
             self.program.resize(share)
--- a/frostspindle/descriptor_sharing.py
+++ b/frostspindle/descriptor_sharing.py
@@ -35,8 +35,8 @@
 
     def limit_connections(self, is_sharing: bool) -> None:
         """Apply the limits on connections; `is_sharing` says that another process runs."""
-        self._front.crowd(is_sharing)
-        self._driver.crowd(is_sharing)
+        self._front.share_descriptors(is_sharing)
+        self._driver.share_descriptors(is_sharing)
 
     def limit_open_requests(self, is_sharing: bool, open_elsewhere: int | None, is_stopping: bool) -> None:
         """Apply the limit on open requests.
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -37,7 +37,7 @@
         self.loop = asyncio.get_running_loop()
         self.idle_s = pools.kept_ms(config.idle_ms) / 1000.0
         self.sockets = config.limits.sockets
-        self.crowd(False)
+        self.share_descriptors(False)
         self.opening = self.lines = self.waiters = 0
         self.load_reports = LoadReportParser(telemetry, core.settings.load_report_columns)
         self.runner = AttemptRunner(core, telemetry, self.load_reports)
@@ -45,9 +45,9 @@
         self.retired: set[ConnectionPool] = set()  # with calls that have yet to end
         self._tidier = self.loop.call_later(IDLE_SWEEP_S, self._tidy)
 
-    def crowd(self, crowded: bool) -> None:
+    def share_descriptors(self, is_sharing: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
-        self.most, self.most_each = pools.bounds(self.sockets, crowded)
+        self.most, self.most_each = pools.bounds(self.sockets, is_sharing)
 
     @property
     def connections(self) -> int:
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -58,7 +58,7 @@
         self.loop = asyncio.get_running_loop()
         self.sockets = config.limits.sockets  # this process's, of which clients have a part
         self.arrival_clock = ArrivalClock.of(self.loop)
-        self.crowd(False)
+        self.share_descriptors(False)
         self.prefix = ""  # of paths: it names the worker among several
         self.relay: WorkerRelay | None = None
         self.tenant: Callable[[RequestAttributes, bytes | None], int] | None = None
@@ -133,10 +133,10 @@
         for client in list(self.clients):
             client.transport.close()
 
-    def crowd(self, crowded: bool) -> None:
+    def share_descriptors(self, is_sharing: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
-        self.most_clients = connection_limits.max_connections(self.sockets, crowded)
-        self.reserve = connection_limits.reserved_connections(self.most_clients, crowded)
+        self.most_clients = connection_limits.max_connections(self.sockets, is_sharing)
+        self.reserve = connection_limits.reserved_connections(self.most_clients, is_sharing)
 
     # Draining.
 
--- a/frostspindle/pools.py
+++ b/frostspindle/pools.py
@@ -14,7 +14,7 @@
 OVERDUE_MS = 400.0  # an ask for news that has been out for longer than this has met a silent machine
 EARLY_MS = 2000.0  # so long before its engine closes it an idle connection is closed here, or at half the time
 # Of all sockets, for connections to engines, alone and beside another process; clients have another part.
-ENGINE_PART, CROWDED_PART = 0.38, 0.15
+ENGINE_PART, SHARED_PART = 0.38, 0.15
 
 
 class Connection(Protocol):
@@ -35,10 +35,10 @@
     return max(idle_ms / 2.0, idle_ms - EARLY_MS)
 
 
-def bounds(sockets: int, crowded: bool) -> tuple[int, int]:
+def bounds(sockets: int, is_sharing: bool) -> tuple[int, int]:
     """Return the most connections to all engines and to one; beside another process both must fit the descriptors."""
-    most = max(16, int(sockets * (CROWDED_PART if crowded else ENGINE_PART)))
-    return most, max(8, most // (2 if crowded else 3))
+    most = max(16, int(sockets * (SHARED_PART if is_sharing else ENGINE_PART)))
+    return most, max(8, most // (2 if is_sharing else 3))
 
 
 def pick(idle: Sequence[C], eldest: bool) -> C:
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -44,7 +44,8 @@
 class WorkerLink(Protocol):
     """What ties this process to other workers of one coordinator; it stands where a single process has `Shared`."""
 
-    crowded: bool
+    is_sharing: bool  # another process of this coordinator runs too
+    open_elsewhere: int | None  # requests that the others have open; None: one tells not
 
     @property
     def order(self) -> Path | None:
@@ -57,8 +58,10 @@
     def bind(self, program: Any) -> None:
         """Take the program whose part this is, before it starts."""
 
-    def start(self, told: Callable[[frozenset[str]], None], crowd: Callable[[bool], None]) -> None:
-        """Tell the bans now, and again whenever they change; likewise whether another process runs."""
+    def start(
+        self, on_bans_changed: Callable[[frozenset[str]], None], on_sharing_changed: Callable[[bool], None]
+    ) -> None:
+        """Call the first function with the bans, the second with whether another process runs: now and on changes."""
 
     def serving(self) -> None:
         """Clients are served from now on."""
@@ -132,7 +135,7 @@
         on_bans_changed: BanListener = self.core.ban
         for component in self.components:
             on_bans_changed = component.wrap_ban_listener(on_bans_changed)
-        self.shared.start(on_bans_changed, self.crowd)
+        self.shared.start(on_bans_changed, self.on_sharing_changed)
 
     def _start_tasks(self) -> None:
         for work in (self.core.run(), self.bus.run()):
@@ -181,23 +184,23 @@
     def agreed_open_limit(self, limit: int | None) -> None:
         self.descriptors.agreed_open_limit = limit
 
-    def crowd(self, crowded: bool) -> None:
+    def on_sharing_changed(self, is_sharing: bool) -> None:
         """Another process of this coordinator has come or gone: an upgrade."""
-        self.descriptors.limit_connections(crowded)
-        self._limit_open_requests(crowded)
-        self.telemetry.log("crowd", crowded=crowded)
+        self.descriptors.limit_connections(is_sharing)
+        self._limit_open_requests(is_sharing)
+        self.telemetry.log("crowd", crowded=is_sharing)
 
     def _limit_open_requests(self, is_sharing: bool) -> None:
-        open_elsewhere = self.shared.theirs if is_sharing else None
+        open_elsewhere = self.shared.open_elsewhere if is_sharing else None
         self.descriptors.limit_open_requests(is_sharing, open_elsewhere, self.stopping.is_set())
 
     def update_open_limit(self) -> None:
         """Apply the limit on open requests again: the agreed one, or what another process has open, has changed."""
-        self._limit_open_requests(self.shared.crowded)
+        self._limit_open_requests(self.shared.is_sharing)
 
     def resize(self, sockets: int) -> None:
         """So many descriptors are this process's from now on; who is over its part makes room."""
-        self.descriptors.resize(sockets, self.shared.crowded)
+        self.descriptors.resize(sockets, self.shared.is_sharing)
         self.update_open_limit()
 
     # What operators call.
--- a/frostspindle/shared.py
+++ b/frostspindle/shared.py
@@ -18,9 +18,10 @@
 
 from frostspindle.telemetry import Telemetry
 
-REREAD_S = 0.1  # the other process's word must reach engines' gates within 250 ms
-BAN, RUN = "ban-", "run-"
-DIGITS = 8  # of the figure in a process's marker
+REREAD_INTERVAL_S = 0.1  # the other process's word must reach engines' gates within 250 ms
+BAN_PREFIX = "ban-"  # of the markers of bans
+RUN_PREFIX = "run-"  # of the markers of running processes
+OPEN_FIGURE_DIGITS = 8  # of the figure in a process's marker
 
 
 class Shared:
@@ -31,10 +32,11 @@
         at = environ.get("TMPDIR", "")
         self.folder = Path(at, f"frostspindle-{quote(name, safe='')}") if at else None
         self.banned: frozenset[str] = frozenset()
-        self.crowded = False  # another process of this coordinator runs too
-        self.theirs: int | None = None  # requests that the others have open, at most REREAD_S ago; None: one tells not
-        self._open: Callable[[], int] | None = None
-        self._shift: Callable[[], None] = lambda: None
+        self.is_sharing = False  # another process of this coordinator runs too
+        # Requests that the others have open, at most REREAD_INTERVAL_S ago; None: one of them tells not.
+        self.open_elsewhere: int | None = None
+        self._open_here: Callable[[], int] | None = None
+        self._on_open_elsewhere_changed: Callable[[], None] = lambda: None
         self._timer: asyncio.TimerHandle | None = None
         self._lock: BinaryIO | None = None
 
@@ -43,25 +45,30 @@
         """Folder where processes keep the order of their keys, once started; None: there is none."""
         return self.folder
 
-    def start(self, told: Callable[[frozenset[str]], None], crowd: Callable[[bool], None]) -> None:
-        """Mark this process as running, and call `told` with the bans and `crowd` with whether another process runs.
+    def start(
+        self, on_bans_changed: Callable[[frozenset[str]], None], on_sharing_changed: Callable[[bool], None]
+    ) -> None:
+        """Mark this process as running, and call both functions: with the bans, and with whether another process
+        runs.
 
-        `told` and `crowd` are called again on each change, within REREAD_S. Without a usable folder the bans are kept
+        They are called again on each change, within REREAD_INTERVAL_S. Without a usable folder the bans are kept
         in memory and no other process is seen.
         """
-        self._told, self._crowd = told, crowd
+        self._on_bans_changed = on_bans_changed
+        self._on_sharing_changed = on_sharing_changed
         if self.folder is not None:
             try:
                 self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-                self._lock = self._mark(self.folder / f"{RUN}{os.getpid()}-{id(self):x}")
+                self._lock = self._mark(self.folder / f"{RUN_PREFIX}{os.getpid()}-{id(self):x}")
             except OSError as error:
                 self.telemetry.log("shared", folder=str(self.folder), error=repr(error))
                 self.folder = None  # serving goes before what an upgrade needs
         self._read()
 
-    def follow(self, opened: Callable[[], int], shift: Callable[[], None]) -> None:
-        """Tell the others how many requests are open here, and call `shift` whenever theirs has changed."""
-        self._open, self._shift = opened, shift
+    def follow(self, open_here: Callable[[], int], on_open_elsewhere_changed: Callable[[], None]) -> None:
+        """Tell the others how many requests are open here, and call the second function whenever theirs has changed."""
+        self._open_here = open_here
+        self._on_open_elsewhere_changed = on_open_elsewhere_changed
 
     @staticmethod
     def _mark(path: Path) -> BinaryIO:
@@ -86,7 +93,7 @@
         if self.folder is None:
             self._tell(self.banned | {name} if on else self.banned - {name})
             return
-        marker = self.folder / (BAN + quote(name, safe=""))
+        marker = self.folder / (BAN_PREFIX + quote(name, safe=""))
         if on:
             marker.touch()
         else:
@@ -98,33 +105,34 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(REREAD_S, self._read)
+        self._timer = asyncio.get_running_loop().call_later(REREAD_INTERVAL_S, self._read)
         try:
             names = [path.name for path in self.folder.iterdir()]
         except OSError:
             return  # whoever took the folder away, the bans known here still hold
-        self._tell(frozenset(unquote(name[len(BAN) :]) for name in names if name.startswith(BAN)))
-        if self._open is not None and self._lock is not None:
+        self._tell(frozenset(unquote(name[len(BAN_PREFIX) :]) for name in names if name.startswith(BAN_PREFIX)))
+        if self._open_here is not None and self._lock is not None:
             with contextlib.suppress(OSError):  # a full disk: the others go on with what they read last
-                os.pwrite(self._lock.fileno(), b"%*d" % (DIGITS, self._open()), 0)
-        others = [marker for name in names if name.startswith(RUN) and self._runs(marker := self.folder / name)]
+                os.pwrite(self._lock.fileno(), b"%*d" % (OPEN_FIGURE_DIGITS, self._open_here()), 0)
+        others = [marker for name in names if name.startswith(RUN_PREFIX) and self._runs(marker := self.folder / name)]
         told = [self._told_open(marker) for marker in others]
-        before, self.theirs = self.theirs, None if None in told else sum(filter(None, told))
-        if bool(others) != self.crowded:
-            self.crowded = bool(others)
-            self._crowd(self.crowded)
-        elif self.theirs != before and others:
-            self._shift()
+        before = self.open_elsewhere
+        self.open_elsewhere = None if None in told else sum(filter(None, told))
+        if bool(others) != self.is_sharing:
+            self.is_sharing = bool(others)
+            self._on_sharing_changed(self.is_sharing)
+        elif self.open_elsewhere != before and others:
+            self._on_open_elsewhere_changed()
 
     @staticmethod
     def _told_open(marker: Path) -> int | None:
         """What another process says that it has open; anything but a plain figure counts as not told."""
         try:
             with open(marker, "rb") as held:
-                told = held.read(DIGITS + 1)
+                told = held.read(OPEN_FIGURE_DIGITS + 1)
         except OSError:
             return None
-        return int(told) if len(told) == DIGITS and told.strip().isdigit() else None
+        return int(told) if len(told) == OPEN_FIGURE_DIGITS and told.strip().isdigit() else None
 
     def _runs(self, marker: Path) -> bool:
         """Whether another process holds this marker; one that nobody holds was left behind."""
@@ -143,4 +151,4 @@
     def _tell(self, banned: frozenset[str]) -> None:
         if banned != self.banned:
             self.banned = banned
-            self._told(banned)
+            self._on_bans_changed(banned)
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -58,8 +58,8 @@
 
     async def run():
         shared = Shared(environ={"TMPDIR": str(root)}, name=COORDINATOR, telemetry=Telemetry(sink=io.BytesIO()))
-        shared.start(told=lambda banned: None, crowd=lambda crowded: None)
-        shared.follow(opened=lambda: OPEN_REQUESTS, shift=lambda: None)
+        shared.start(lambda banned: None, lambda crowded: None)
+        shared.follow(lambda: OPEN_REQUESTS, lambda: None)
         for engine in BANNED:
             shared.ban(name=engine, on=True)
         shutil.copytree(shared.folder, keep)
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -273,7 +273,7 @@
 
     async def test_bounds_and_tds_reach_their_parts(self):
         program = self.program
-        program.shared = SimpleNamespace(crowded=False)
+        program.shared = SimpleNamespace(is_sharing=False)
         with mock.patch.object(self.core, "set_open_limit") as bound:
             await self.apply(
                 limit__open_requests=Limit(40.0),
@@ -336,7 +336,7 @@
         for version in (one, two):
             machine.versions.add(version)
         self.program.update_open_limit = lambda: calls.append("bounds")
-        self.program.shared = SimpleNamespace(crowded=False)
+        self.program.shared = SimpleNamespace(is_sharing=False)
         with mock.patch.object(self.core, "ban", side_effect=lambda names: calls.append(sorted(names))) as ban:
             self.applied._set_bans = ban
             for acting in (
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -278,7 +278,7 @@
         theirs[0] = 20
         await most(276)
         core.ledger.open_count = 41
-        await self.until(lambda: other.theirs == 41)
+        await self.until(lambda: other.open_elsewhere == 41)
         core.ledger.open_count = 0
         self.program.stopping.set()
         theirs[0] = 21
