--- a/frostspindle/components/base.py
+++ b/frostspindle/components/base.py
@@ -6,10 +6,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from frostspindle.config import Config
-from frostspindle.host import ProgramContext
+
+if TYPE_CHECKING:
+    from frostspindle.host import ProgramContext
 
 BanListener = Callable[[frozenset[str]], None]  # called with the names of all banned engines
 
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -48,9 +48,9 @@
             slot: RowSnapshot(WorkerRegion(board, slot)) for slot in range(bootstrap.slots) if slot != bootstrap.slot
         }
         self.banned: frozenset[str] = frozenset()
-        self.crowded = False  # another process of an upgrade runs, and shares the descriptors
+        self.is_sharing = False  # another process of an upgrade runs, and shares the descriptors
         self.orphaned = False  # the supervisor has died
-        self.theirs: int | None = None  # open requests of an upgrade's other process: unknown to workers
+        self.open_elsewhere: int | None = None  # open requests of an upgrade's other process: unknown to workers
         self._tick_timer: asyncio.TimerHandle | None = None
         self._ticks = 0
 
@@ -170,9 +170,9 @@
         self._apply_bans(frozenset(page.bans))
         if page.draining != former.draining:
             self._apply_draining(page.draining)
-        if page.crowded != self.crowded:
-            self.crowded = page.crowded
-            self._on_crowded_changed(self.crowded)
+        if page.crowded != self.is_sharing:
+            self.is_sharing = page.crowded
+            self._on_crowded_changed(self.is_sharing)
         quota = page.sockets.get(self.own.slot, 0)
         if quota and quota != former.sockets.get(self.own.slot, 0):
             self.program.resize(quota)
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -34,7 +34,7 @@
     tds = operator.tds and msgspec.structs.replace(
         operator.tds, max_sessions=max(1, division.split_evenly(operator.tds.max_sessions, count)[bootstrap.slot])
     )
-    return dataclasses.replace(
+    return msgspec.structs.replace(
         config,
         operator_address=None,
         worker=bootstrap.slot,
--- a/frostspindle/pools.py
+++ b/frostspindle/pools.py
@@ -15,7 +15,7 @@
 CLOSE_AHEAD_MS = 2000.0  # so long before its engine would, this side closes an idle connection
 # Shares of all sockets for connections to engines, alone and beside another process; clients have another part.
 ENGINE_SOCKET_SHARE = 0.38
-ENGINE_SOCKET_SHARE_BESIDE_OTHER = 0.15
+SHARED_ENGINE_SOCKET_SHARE = 0.15
 
 
 class Connection(Protocol):
@@ -45,7 +45,7 @@
 
 def connection_limits(sockets: int, is_beside_other: bool) -> ConnectionLimits:
     """Return the limits for a process with so many sockets; beside another process both must fit the descriptors."""
-    share = ENGINE_SOCKET_SHARE_BESIDE_OTHER if is_beside_other else ENGINE_SOCKET_SHARE
+    share = SHARED_ENGINE_SOCKET_SHARE if is_beside_other else ENGINE_SOCKET_SHARE
     total = max(16, int(sockets * share))
     per_engine = max(8, total // (2 if is_beside_other else 3))
     return ConnectionLimits(total, per_engine)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -101,7 +101,7 @@
 # What a process that serves without optional parts may load, beside the standard library: a start costs processor time,
 # and a fleet starts together. Who adds a name here pays for it at each start of everybody.
 SERVES = {
-    "frostspindle": "__main__ components config core descriptor_sharing handover host ledger memory_log net order "
+    "frostspindle": "__main__ components config core descriptor_sharing handover ledger memory_log net order "
     "policy pools program reload reserved_descriptor serving shared signals telemetry timers",
     "frostspindle.config": "addresses agreed_settings cores document errors fleet operator_calls operator_file "
     "ownership reader recovery replica tds tenants",
