--- a/bench/fleet_state.py
+++ b/bench/fleet_state.py
@@ -266,7 +266,9 @@
         )
         agreed = time.monotonic() - began
         spans = [
-            (line["since"], line["until"], line["units"]) for p in fleet.processes for line in p.events("fleet_spent")
+            (line["since"], line["until"], line["units"])
+            for p in fleet.processes
+            for line in p.events("fleet_budget_spent")
         ]
         return {
             "processes": count,
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -66,7 +66,7 @@
     """Return the mean processor microseconds of a line, over LINES of them."""
     began = time.process_time()
     for number in range(LINES):
-        log("relay", owner=number, error="the owner ended its connection")
+        log("worker_relay_failed", owner=number, error="the owner ended its connection")
     return (time.process_time() - began) / LINES * 1e6
 
 
--- a/bench/replica.py
+++ b/bench/replica.py
@@ -141,7 +141,7 @@
                 pass
             took.append((time.perf_counter() - began) * 1e3)
             if what == "cut":
-                await leader.until(lambda leader=leader: leader.events("replica_leader", leader=None))
+                await leader.until(lambda leader=leader: leader.events("replica_leader_changed", leader=None))
                 steps.append((time.perf_counter() - began) * 1e3)
                 logs.streams.cut = set()
             await logs.close()
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -654,7 +654,7 @@
                 pushed = min(
                     x["mono_ms"]
                     for p in world.processes
-                    for x in p.events("settings_news", what="published", version=quiet + 1)
+                    for x in p.events("settings_history_recorded", what="published", version=quiet + 1)
                 )
                 pushes.append((quiet + 1, line - began, line - pushed))
         until, number = time.monotonic() + seconds, 0
@@ -687,9 +687,11 @@
             process.send_signal(signal.SIGCONT)
         await asyncio.sleep(2.0)
         found = world.found()
-        versions = {x["version"] for p in world.processes for x in p.events("settings_news", what="live")}
+        versions = {x["version"] for p in world.processes for x in p.events("settings_history_recorded", what="live")}
         meets = sum(
-            x["mode"] == "meet" and x["why"] == "alone" for p in world.processes for x in p.events("settings_acting")
+            x["mode"] == "meet" and x["why"] == "alone"
+            for p in world.processes
+            for x in p.events("settings_rules_activated")
         )
         return {
             "seed": seed,
@@ -701,7 +703,7 @@
             "leases_lost": meets,
             "command_to_applied_ms": [round(x[1], 1) for x in pushes],
             "published_to_applied_ms": [round(x[2], 1) for x in pushes],
-            "faults": sum(len(p.events("fault")) for p in world.processes),
+            "faults": sum(len(p.events("exception_caught")) for p in world.processes),
         }
     finally:
         await world.close()
--- a/frostspindle/components/http_requests.py
+++ b/frostspindle/components/http_requests.py
@@ -32,7 +32,7 @@
         try:
             program.order = KeyOrderService(folder, program.core, program.telemetry)
         except OSError as error:  # as with the bans: serving goes before what an upgrade needs
-            program.telemetry.log("order", folder=str(folder), error=repr(error))
+            program.telemetry.log("key_order_disabled", folder=str(folder), error=repr(error))
 
     async def stop(self) -> None:
         """Release this process's places in the order."""
--- a/frostspindle/core/actions.py
+++ b/frostspindle/core/actions.py
@@ -53,7 +53,9 @@
                 self._handlers[type(action)](now, action)
             except Exception as error:  # noqa: BLE001 - the other actions belong to other requests
                 self._telemetry.count("faults")
-                self._telemetry.log("fault", error=repr(error), of=repr(action), at=traceback.format_exc(limit=-3))
+                self._telemetry.log(
+                    "exception_caught", error=repr(error), of=repr(action), at=traceback.format_exc(limit=-3)
+                )
                 self._ledger.fail_after_fault(getattr(action, "request", 0))
 
     def _start_attempt(self, now: float, action: policy.StartAttempt) -> None:
@@ -123,4 +125,4 @@
         self._dispatcher.set_policy_timer(action.due_at_ms, action.token)
 
     def _write_log(self, now: float, action: policy.WriteLog) -> None:
-        self._telemetry.log("module", text=action.text)
+        self._telemetry.log("policy_logged", text=action.text)
--- a/frostspindle/core/dispatcher.py
+++ b/frostspindle/core/dispatcher.py
@@ -99,7 +99,7 @@
 
     def _on_clock_set_back(self, now: float) -> None:
         """Fire the decision module's timers now: each asks for the next, so none may wait for the clock to catch up."""
-        self._telemetry.log("clock", back_ms=round(self._last_turn_ms - now))
+        self._telemetry.log("clock_stepped_back", back_ms=round(self._last_turn_ms - now))
         for token, timer in self._policy_timers.items():
             if timer.is_pending:
                 self.timers.cancel(timer)
--- a/frostspindle/core/endpoints.py
+++ b/frostspindle/core/endpoints.py
@@ -103,7 +103,7 @@
         entries = self._refresh(message.names)
         for name in sorted(message.names):
             is_banned = name in self.banned
-            self._telemetry.log("ban", name=name, on=is_banned)
+            self._telemetry.log("engine_ban_changed", name=name, on=is_banned)
             if self._hooks.observer is not None:
                 self._hooks.observer.on_engine_changed(name, "ban" if is_banned else "unban")
         return self._list_change(entries)
@@ -111,7 +111,7 @@
     def apply_draining(self, message: EngineDraining) -> policy.EndpointListUpdated | None:
         """Tell drivers, log and observer of an engine that is draining by another worker's list."""
         entries = self._refresh(frozenset((message.name,)))
-        self._telemetry.log("stop", name=message.name)
+        self._telemetry.log("engine_marked_draining", name=message.name)
         if self._hooks.observer is not None:
             self._hooks.observer.on_engine_changed(message.name, "stop")
         return self._list_change(entries)
@@ -177,7 +177,7 @@
         engine.driver.update_engine(engine)
         if engine.entry.health == Health.GONE:
             self.schedule_expiry(now, number)
-        self._telemetry.log("engine", name=engine.name, health=engine.entry.health, since=engine.entry.since_ms)
+        self._telemetry.log("engine_updated", name=engine.name, health=engine.entry.health, since=engine.entry.since_ms)
         if self._hooks.observer is not None:
             self._hooks.observer.on_engine_changed(engine.name, "list", int(engine.entry.health))
         return engine.entry
--- a/frostspindle/core/event_handlers.py
+++ b/frostspindle/core/event_handlers.py
@@ -99,7 +99,11 @@
         number = self._request_number(event)
         self._telemetry.count("faults")
         self._telemetry.log(
-            "fault", error=repr(error), of=type(event).__name__, request=number, at=traceback.format_exc(limit=-3)
+            "exception_caught",
+            error=repr(error),
+            of=type(event).__name__,
+            request=number,
+            at=traceback.format_exc(limit=-3),
         )
         if isinstance(event, policy.TimerFired):
             # Each timer of the decision module sets the next: one lost event would stop all its deadlines.
@@ -180,7 +184,7 @@
         entry = self._ledger.entries.get(event.number)
         if entry is None or entry.ending:
             return
-        self._telemetry.log("overdue", request=event.number)
+        self._telemetry.log("request_deadline_passed", request=event.number)
         self._ledger.respond(event.number, Response(ResponseStatus.FAILED))
         self._drop(now, event.number, "overdue")
 
@@ -227,7 +231,7 @@
         self._telemetry.count(OUTCOME_COUNTERS[event.outcome], request.front, self._classes[request.cls][1])
         if event.outcome not in (AttemptOutcome.OK, AttemptOutcome.CANCELLED):
             self._telemetry.log(
-                "attempt",
+                "attempt_failed",
                 request=request.number,
                 ticket=request.ticket,
                 attempt=attempt.number,
--- a/frostspindle/cores/control_publisher.py
+++ b/frostspindle/cores/control_publisher.py
@@ -34,7 +34,7 @@
             self._board.publish(self.page)
         except ControlPageTooLongError as error:  # unpublished lease units are neither used nor given to others
             self._telemetry.count("control_full")
-            self._telemetry.log("board", error=str(error))
+            self._telemetry.log("shared_memory_degraded", error=str(error))
 
     def publish_changes(self) -> None:
         """Write the page if it has changed since it was written last."""
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -77,7 +77,7 @@
         self.region.write_cell(HeadCell.INCARNATION, self.own.incarnation)
         self.region.write_cell(HeadCell.STATE, WorkerState.STARTING)
         self._create_parts(program)
-        self.telemetry.mirror = self.region.store_counter
+        self.telemetry.on_count_changed = self.region.store_counter
         self.core.may_start = self._may_start
         self.core.on_engine_changed = self._on_engine_changed
         program.platform.relay = self.relay
@@ -133,7 +133,7 @@
             self._exchange()
         except Exception as error:  # noqa: BLE001 - the next tick reads everything again
             self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of="link")
+            self.telemetry.log("exception_caught", error=repr(error), of="link")
 
     def _exchange(self) -> None:
         """Read what the supervisor and the other workers have published, and publish this worker's own state."""
--- a/frostspindle/cores/load_publisher.py
+++ b/frostspindle/cores/load_publisher.py
@@ -83,7 +83,7 @@
         """Log once that the shared memory has no row left for an engine."""
         if not self._is_overflow_logged:
             self._is_overflow_logged = True
-            self._telemetry.log("board", error="more engines than it has rows for", engine=engine_name)
+            self._telemetry.log("shared_memory_degraded", error="more engines than it has rows for", engine=engine_name)
 
     def _row(self, engine: int, state: EngineState) -> EngineLoadRow:
         policy_engine = self._core.controller.engines.get(engine)
--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -147,7 +147,7 @@
             call.reply(rejection.status, {"failure": rejection.text}, last=True)
         except Exception as error:  # noqa: BLE001 - a fault ends this call only
             self.front.telemetry.count("faults")
-            self.front.telemetry.log("fault", error=repr(error), of="relayed call")
+            self.front.telemetry.log("exception_caught", error=repr(error), of="relayed call")
             call.reply(500, {"failure": "Failed"}, last=True)
 
     def _send_reply(self, number: int, call: _RemoteCall, reply: RelayedReply) -> None:
--- a/frostspindle/cores/request_relay.py
+++ b/frostspindle/cores/request_relay.py
@@ -135,7 +135,7 @@
         try:
             reply = await self._mesh.call(owner_slot, method, url)
         except WorkerGoneError as error:
-            self._telemetry.log("relay", owner=owner_slot, error=str(error))
+            self._telemetry.log("worker_relay_failed", owner=owner_slot, error=str(error))
             if method == b"DELETE":
                 call.reply(503, {"failure": "Busy"})
             else:  # the next poll finds the owner's answer, or that the owner has died
--- a/frostspindle/cores/status.py
+++ b/frostspindle/cores/status.py
@@ -148,7 +148,7 @@
         ]
         self._telemetry._write(
             time.time(),
-            "counters",
+            "counters_reported",
             {
                 "up_s": round(time.time() - self.started, 1),
                 "counters": counters,
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -136,7 +136,7 @@
         self.commands.was_ready = False
         self.control.page.ending = True
         self.control.publish()
-        self.telemetry.log("stopping", open=self.status.inflight)
+        self.telemetry.log("shutdown_started", open=self.status.inflight)
         self.workers.terminate()
         if self.config.inherited is not None:  # the new process of an upgrade takes over these addresses
             if self.snmp_agent:
@@ -180,7 +180,7 @@
     def _on_ready(self) -> None:
         self.commands.was_ready = True
         self.telemetry.log(
-            "ready",
+            "coordinator_started",
             listen=f"{self.config.listen[0]}:{self.sockets.http_port}",
             workers=len(self.workers.slots),
             tds=self.sockets.tds_port,
@@ -199,7 +199,7 @@
         """Another process of an upgrade has started or ended: workers share the descriptors with its workers."""
         self.control.page.crowded = crowded
         self.control.publish()
-        self.telemetry.log("crowd", crowded=crowded)
+        self.telemetry.log("descriptors_divided", crowded=crowded)
 
     # Signals.
 
@@ -221,7 +221,9 @@
                 raise ConfigError("cores: needs a new start")
         except Exception as error:  # noqa: BLE001 - whatever the files contain, the program goes on as before
             self.telemetry.count("reloads_failed")
-            self.telemetry.log("reload", error=str(error) if isinstance(error, ConfigError) else repr(error))
+            self.telemetry.log(
+                "config_reload_failed", error=str(error) if isinstance(error, ConfigError) else repr(error)
+            )
             return
         for worker in self.workers.slots:
             worker.send_signal(signal.SIGHUP)
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -68,7 +68,7 @@
         """Drain and end after the supervisor has died: nobody restarts this worker or adds up its counters any more."""
         loop.remove_reader(link.bootstrap.life)
         link.orphaned = True
-        link.program.telemetry.log("orphan")
+        link.program.telemetry.log("worker_orphaned")
         link.program.stopping.set()
 
     loop.add_reader(link.bootstrap.life, on_supervisor_died)
--- a/frostspindle/cores/worker_processes.py
+++ b/frostspindle/cores/worker_processes.py
@@ -175,7 +175,7 @@
         backoff_ms = self._restart_policy.backoff_after_end(worker.slot, now, crashed)
         if backoff_ms is None:
             cores = self._config.operator.cores
-            self._telemetry.log("crash_loop", crashes=cores.crashes, within_ms=cores.within_ms)
+            self._telemetry.log("crash_loop_detected", crashes=cores.crashes, within_ms=cores.within_ms)
             self._on_crash_loop()
             return
         worker.restarts += 1
--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -111,10 +111,10 @@
             except OSError as error:
                 bound.close()
                 if error.errno != errno.EADDRINUSE:
-                    self.telemetry.log("fleet_off", error=error.strerror)
+                    self.telemetry.log("fleet_disabled", error=error.strerror)
                     return None
             if not is_waiting:  # our predecessor: its quota is its own until it lets go of the port
-                self.telemetry.log("fleet_waits", listen=f"{self.listen[0]}:{self.listen[1]}")
+                self.telemetry.log("fleet_bind_delayed", listen=f"{self.listen[0]}:{self.listen[1]}")
             is_waiting = True
             await asyncio.sleep(BIND_RETRY_S)
 
@@ -127,7 +127,7 @@
             self.node.channels[part.channel] = part.on_message
             self.node.watchers.append(part.on_member_changed)
         asyncio.get_running_loop().add_reader(bound, self._read)
-        self.telemetry.log("fleet", listen=bound.getsockname(), advertise=address, epoch=epoch)
+        self.telemetry.log("fleet_joined", listen=bound.getsockname(), advertise=address, epoch=epoch)
         for part in self.parts:
             part.on_started(monotonic(), self.node)
         self._tick()
@@ -206,7 +206,11 @@
     def _log_spent(self, until: float) -> None:
         for budget, units in self._spent.items():
             self.telemetry.log(
-                "fleet_spent", budget=budget, units=units, since=round(self._spent_since, 4), until=round(until, 4)
+                "fleet_budget_spent",
+                budget=budget,
+                units=units,
+                since=round(self._spent_since, 4),
+                until=round(until, 4),
             )
         self._spent.clear()
         self._spent_since = time.time()
@@ -230,7 +234,7 @@
             for number in changed
         )
         self.core.update_worker_loads(loads)
-        self.telemetry.log("fleet_verdict", sick=sorted(self._agreed_sick)[:16])
+        self.telemetry.log("fleet_verdict_changed", sick=sorted(self._agreed_sick)[:16])
 
     def _own_verdicts(self, unix_ms: float) -> dict[EngineKind, Evidence]:
         """The own verdicts: never what others reported, else a report would keep itself alive."""
@@ -266,7 +270,7 @@
             self._update()
             self._send(self.node.leave(monotonic()))
             final = {key: value for key, value in self.figures().items() if key in FINAL_FIGURES}
-            self.telemetry.log("fleet_end", **final)
+            self.telemetry.log("fleet_left", **final)
             asyncio.get_running_loop().remove_reader(self.socket)
             self.socket.close()
         self.node = None
--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -111,7 +111,7 @@
                 delay_s = TICK_S
         except Exception as error:  # noqa: BLE001 - the next tick looks at all again
             self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of="warming")
+            self.telemetry.log("exception_caught", error=repr(error), of="warming")
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
 
     def _update_parts(self, budgets: SlowStartBudgets) -> bool:
--- a/frostspindle/lab/faults/logs.py
+++ b/frostspindle/lab/faults/logs.py
@@ -127,7 +127,7 @@
                 **self.more,
             }
         await asyncio.gather(*(member.start() for member in self.members))
-        await asyncio.gather(*(m.until(lambda m=m: m.events("replica_leader")) for m in self.members))
+        await asyncio.gather(*(m.until(lambda m=m: m.events("replica_leader_changed")) for m in self.members))
         return self
 
     async def leader(self, within_s: float = 30.0, but: int = -1) -> Member:
--- a/frostspindle/lab/faults/owners.py
+++ b/frostspindle/lab/faults/owners.py
@@ -123,7 +123,10 @@
         await asyncio.gather(*(process.start() for process in self.processes))
         await asyncio.gather(
             *(
-                p.until(lambda p=p: p.events("ready") and (not stands or p.events("owner_stands")), 60.0)
+                p.until(
+                    lambda p=p: p.events("coordinator_started") and (not stands or p.events("lease_candidacy_started")),
+                    60.0,
+                )
                 for p in self.processes
             )
         )
--- a/frostspindle/lab/faults/power.py
+++ b/frostspindle/lab/faults/power.py
@@ -224,14 +224,14 @@
         after WAIT_S seconds."""
         await asyncio.gather(
             *(
-                process.until(lambda p=process: p.events("recovery_stage", stage=stage, life=life), WAIT_S)
+                process.until(lambda p=process: p.events("recovery_stage_changed", stage=stage, life=life), WAIT_S)
                 for process in self.fleet.processes
             )
         )
 
     def moves(self, n: int) -> list[dict[str, Any]]:
         """Return the log lines of the recovery stages that a coordinator left after the loss."""
-        return self.fleet.processes[n].events("recovery_stage", life=2)
+        return self.fleet.processes[n].events("recovery_stage_changed", life=2)
 
     def loaded(self) -> dict[int, int]:
         """Return how often each load ran, by the rows of all engines."""
@@ -248,7 +248,7 @@
         spans = [
             (line["since"], line["until"], line["units"])
             for p in self.fleet.processes
-            for line in p.events("fleet_spent")
+            for line in p.events("fleet_budget_spent")
         ]
         worst = [over_budget(engine, self.born_ms) for engine in self.fleet.engines]
         return {
@@ -277,5 +277,5 @@
             "loads": len(counts),
             "served": len(self.turned_away),
             "weak": sorted({line["left"] for n in range(5) for line in self.moves(n) if line["weak"]}),
-            "faults": [x for p in self.fleet.processes for x in p.lines if x["event"] in ("fault", "text")],
+            "faults": [x for p in self.fleet.processes for x in p.lines if x["event"] in ("exception_caught", "text")],
         }
--- a/frostspindle/lab/faults/runner.py
+++ b/frostspindle/lab/faults/runner.py
@@ -200,7 +200,7 @@
         for process in self.processes:
             await process.start()
         for process in self.processes:
-            await process.until(lambda p=process: p.events("ready") and p.events("fleet"))
+            await process.until(lambda p=process: p.events("coordinator_started") and p.events("fleet_joined"))
         return self
 
     def begin(self) -> None:
--- a/frostspindle/lab/faults/settled.py
+++ b/frostspindle/lab/faults/settled.py
@@ -42,7 +42,13 @@
         """Kill the process with SIGKILL and add the log line that from now on it acts on no version."""
         await self.end(signal.SIGKILL)
         self.lines.append(
-            {"event": "settings_acting", "node": self.name, "mode": "killed", "versions": [], "mono_ms": boot_ms()}
+            {
+                "event": "settings_rules_activated",
+                "node": self.name,
+                "mode": "killed",
+                "versions": [],
+                "mono_ms": boot_ms(),
+            }
         )
 
     @property
@@ -69,7 +75,7 @@
 
     def acts(self) -> dict[str, Any]:
         """Return the last log line of what the coordinator acts on, an empty dict before the first."""
-        return next((line for line in reversed(self.lines) if line["event"] == "settings_acting"), {})
+        return next((line for line in reversed(self.lines) if line["event"] == "settings_rules_activated"), {})
 
     async def plain(self, version: int, within_s: float = 30.0) -> None:
         """Wait until the coordinator acts plainly on this version or a later one; TimeoutError after `within_s`
@@ -141,7 +147,7 @@
             (process.folder / "operator.toml").write_text(text)
         await asyncio.gather(*(process.start() for process in self.processes))
         for process in self.processes:
-            await process.until(lambda p=process: p.events("ready"))
+            await process.until(lambda p=process: p.events("coordinator_started"))
         return self
 
     def file(self, text: str) -> str:
@@ -156,7 +162,7 @@
         async with asyncio.timeout(within_s):
             while True:
                 for process in self.processes:
-                    lines = process.events("settings_publisher", life=process.lives)
+                    lines = process.events("settings_publisher_changed", life=process.lives)
                     if process is not but and process.child is not None and lines and lines[-1]["token"]:
                         return process
                 await asyncio.sleep(0.05)
--- a/frostspindle/lab/faults/spread.py
+++ b/frostspindle/lab/faults/spread.py
@@ -86,7 +86,7 @@
 
 def unexpected(fleet: Fleet) -> list[dict[str, Any]]:
     """Return the log lines that no run may have: faults, and text that is not JSON."""
-    return [line for p in fleet.processes for line in p.lines if line["event"] in ("fault", "text")]
+    return [line for p in fleet.processes for line in p.lines if line["event"] in ("exception_caught", "text")]
 
 
 class Scattered:
@@ -201,7 +201,7 @@
         async with asyncio.timeout(60.0):
             await fleet.script_task
         for process in fleet.processes:
-            await process.until(lambda p=process: p.events("ready", life=p.lives), 60.0)
+            await process.until(lambda p=process: p.events("coordinator_started", life=p.lives), 60.0)
         await self.leased()
         for process in range(COUNT):  # healed: all that was ever answered, by each
             await self.judged(process, 10_000, 20_000)
@@ -398,11 +398,14 @@
             await fleet.script_task
         for process in fleet.processes:  # on a busy machine it takes its time
             await process.until(
-                lambda p=process: p.events("ready", life=p.lives) and p.events("subscriptions", life=p.lives), 60.0
+                lambda p=process: (
+                    p.events("coordinator_started", life=p.lives) and p.events("subscriptions_started", life=p.lives)
+                ),
+                60.0,
             )
         self.calm = True
         self.made = [
-            (p.name, p.events("subscriptions")[-1]["epoch"], (await p.figures("show-subscriptions"))["made"])
+            (p.name, p.events("subscriptions_started")[-1]["epoch"], (await p.figures("show-subscriptions"))["made"])
             for p in fleet.processes
         ]
         for reader in self.readers:
--- a/frostspindle/lab/history.py
+++ b/frostspindle/lab/history.py
@@ -92,7 +92,7 @@
     lines = list(lines)
     found = Checked()
     for line in lines:
-        if line.get("event") == "lines_dropped" or any(
+        if line.get("event") == "log_lines_dropped" or any(
             row.get("what") == "log_failed" and row.get("count") for row in line.get("counters", ())
         ):
             found.fault(f"lines are missing: {line}")
--- a/frostspindle/memory_log.py
+++ b/frostspindle/memory_log.py
@@ -22,7 +22,7 @@
     while True:
         await asyncio.sleep(INTERVAL_S)
         telemetry.log(
-            "memory",
+            "memory_measured",
             rss_mb=resident_mb(),
             blocks=sys.getallocatedblocks(),
             open=core.open,
--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -171,7 +171,7 @@
             await self._follow(at)
         except Exception as error:  # noqa: BLE001 - whatever the bus writes, it is joined again
             self.telemetry.count("bus_reconnects")
-            self.telemetry.log("bus", error=repr(error), last=self.last)
+            self.telemetry.log("discovery_disconnected", error=repr(error), last=self.last)
 
     async def _follow(self, at: Address) -> None:
         watch = await self._connect(at)
@@ -239,7 +239,7 @@
                 self._invalid_lines += 1
                 raise
             self.telemetry.count("bus_lines_skipped")
-            self.telemetry.log("bus_line", error=str(error), last=self.last)
+            self.telemetry.log("discovery_message_rejected", error=str(error), last=self.last)
 
     def _on_heartbeat(self, offset: int, skip: bool) -> None:
         """Compare the offset that the bus is at with ours; ValueError if events are missing here, unless `skip`."""
@@ -292,7 +292,7 @@
 
     def _reject(self, host: Host, **why: str) -> None:
         self.telemetry.count("bus_bad_hosts")
-        self.telemetry.log("bus_host", name=host.host, **why)
+        self.telemetry.log("endpoint_rejected", name=host.host, **why)
 
     def _index(self, names: tuple[str, ...], name: str) -> int:
         if name in names:
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -168,11 +168,13 @@
             outcome = AttemptOutcome.CANCELLED
         except InvalidReplyError as error:
             self.telemetry.count("engine_bad_replies")
-            self.telemetry.log("engine_reply", engine=pool.state.name, ticket=attempt.request.ticket, error=str(error))
+            self.telemetry.log(
+                "engine_reply_rejected", engine=pool.state.name, ticket=attempt.request.ticket, error=str(error)
+            )
             outcome = AttemptOutcome.ERROR
         except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
             self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of="attempt", ticket=attempt.request.ticket)
+            self.telemetry.log("exception_caught", error=repr(error), of="attempt", ticket=attempt.request.ticket)
             outcome = AttemptOutcome.ERROR
         else:
             # Neither broken connections nor an engine that does not know the query prove that it has ended: a POST
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -77,7 +77,7 @@
             except EngineDrainedError:
                 return attempt.unsent_outcome, (), None, UNKNOWN_COST
             except PoolExhaustedError as error:  # nothing was written: proof that nothing ran
-                self.telemetry.log("connect", engine=pool.state.name, error=str(error))
+                self.telemetry.log("connect_failed", engine=pool.state.name, error=str(error))
                 return (
                     (AttemptOutcome.OVERLOADED if error.full else AttemptOutcome.CONNECT_FAILED),
                     (),
@@ -89,7 +89,7 @@
         reply = received if isinstance(received, EngineReply) else None
         if isinstance(received, RequestNotWrittenError):
             progress.wired[0] = False
-            self.telemetry.log("connect", engine=pool.state.name, error=str(received))
+            self.telemetry.log("connect_failed", engine=pool.state.name, error=str(received))
             return attempt.unsent_outcome, (), None, UNKNOWN_COST
         if isinstance(received, Exception):
             self._spoilt(pool, attempt, received)  # it may run: its news are asked for
@@ -139,7 +139,9 @@
     def _spoilt(self, pool: ConnectionPool, attempt: Attempt, error: Exception) -> None:
         if isinstance(error, InvalidReplyError):
             self.telemetry.count("engine_bad_replies")
-            self.telemetry.log("engine_reply", engine=pool.state.name, ticket=attempt.request.ticket, error=str(error))
+            self.telemetry.log(
+                "engine_reply_rejected", engine=pool.state.name, ticket=attempt.request.ticket, error=str(error)
+            )
         elif isinstance(error, ConnectionBrokenError):
             self.telemetry.count("engine_breaks")
 
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -354,5 +354,5 @@
             self._stop(refusal.status, refusal.text)
         except Exception as error:  # noqa: BLE001 - a fault ends one call
             self.front.telemetry.count("faults")
-            self.front.telemetry.log("fault", error=repr(error), of="call")
+            self.front.telemetry.log("exception_caught", error=repr(error), of="call")
             slot.reply(500, {"failure": "Failed"}, last=True)
--- a/frostspindle/net/http/listener.py
+++ b/frostspindle/net/http/listener.py
@@ -131,7 +131,7 @@
         except (InterruptedError, ConnectionAbortedError):
             return False
         except OSError as error:
-            self.telemetry.log("accept", error=repr(error))
+            self.telemetry.log("accept_failed", error=repr(error))
             self._pause(DESCRIPTOR_PAUSE_S)
             return False
         accepted.setblocking(False)
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -193,7 +193,7 @@
         caller.transport.set_write_buffer_limits(MAX_UNREAD_BYTES)
         self.callers.pop(caller, None)
         self.streams.add(caller)
-        self.telemetry.log("operator", call=name)
+        self.telemetry.log("operator_called", call=name)
         return None
 
     def answer(self, line: bytes) -> bytes:
@@ -208,7 +208,7 @@
         except Exception as error:  # noqa: BLE001 - a caller's fault is its own
             return self._log_exception(name, error)
         if name not in self.unlogged_calls:
-            self.telemetry.log("operator", call=name, of=words[:2] if name in self.long_calls else words)
+            self.telemetry.log("operator_called", call=name, of=words[:2] if name in self.long_calls else words)
         if isinstance(result, bytes):  # it has its own form and end
             return result
         return b"ACK\n" if result is None else _encode(result) + b"\n--\n"
@@ -230,7 +230,7 @@
 
     def _log_exception(self, name: str, error: Exception) -> bytes:
         self.telemetry.count("faults")
-        self.telemetry.log("fault", error=repr(error), of=f"operator call {name}")
+        self.telemetry.log("exception_caught", error=repr(error), of=f"operator call {name}")
         return b"NAK a fault, see the log\n"
 
 
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -259,7 +259,7 @@
                 connection = await self._connect(attempt)
                 # A wait for a connection may have been long: the engine may have begun to drain meanwhile.
                 if connection is not None and not self.core.may_send(attempt):
-                    outcome = attempt.unsent
+                    outcome = attempt.unsent_outcome
                 elif connection is not None:
                     outcome = AttemptOutcome.RESET
                     connection.request(attempt.request.statement)
@@ -268,7 +268,7 @@
                     self._put_back(attempt, connection)
                     connection = None
         except (OSError, EOFError) as error:
-            self.telemetry.log("tds_engine", engine=self.states[attempt.engine].name, error=repr(error))
+            self.telemetry.log("tds_engine_failed", engine=self.states[attempt.engine].name, error=repr(error))
         except MessageTooLongError:
             outcome = AttemptOutcome.OK
             tokens = codec.error(TOO_LONG, f"The result passes {self.tds.max_result_bytes} bytes") + codec.done(
@@ -278,7 +278,7 @@
         except codec.ProtocolError as error:
             outcome = AttemptOutcome.ERROR
             self.telemetry.count("engine_bad_replies", "tds")
-            self.telemetry.log("engine_reply", engine=self.states[attempt.engine].name, error=str(error))
+            self.telemetry.log("engine_reply_rejected", engine=self.states[attempt.engine].name, error=str(error))
         except TimeoutError:
             outcome = AttemptOutcome.TIMEOUT if connection is not None else outcome
         except asyncio.CancelledError:
@@ -286,7 +286,7 @@
         except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
             outcome = AttemptOutcome.ERROR if connection is not None else outcome
             self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of="tds attempt")
+            self.telemetry.log("exception_caught", error=repr(error), of="tds attempt")
         if connection is not None and connection.used and outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED):
             # A task of its own: a further cancel must not cut short what frees the engine.
             self.spawn(self._free(attempt, connection, outcome))
@@ -310,7 +310,7 @@
             async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
                 return await _Connection.open(state.address, self.tds, attempt.request.place, self.tds.max_result_bytes)
         except (SessionUnavailableError, TimeoutError) as error:
-            self.telemetry.log("connect", engine=state.name, error=str(error))
+            self.telemetry.log("connect_failed", engine=state.name, error=str(error))
             if isinstance(error, SessionUnavailableError) and error.numbers & SHUTTING_DOWN:
                 self._drains(attempt.engine)
             return None
@@ -325,7 +325,7 @@
         hard = [f for f in result.faults if f.severity > SOFT or f.number == DEADLOCK]
         if hard:
             self.telemetry.log(
-                "tds_engine", engine=self.states[attempt.engine].name, error=hard[0].text, number=hard[0].number
+                "tds_engine_failed", engine=self.states[attempt.engine].name, error=hard[0].text, number=hard[0].number
             )
             return AttemptOutcome.ERROR, None
         if result.faults:  # the statement's own: repeating it elsewhere would only fail again
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -359,14 +359,14 @@
             await run()
         except codec.ProtocolError as error:
             self.telemetry.count("bad_streams", FRONT)
-            self.telemetry.log("tds_stream", error=str(error))
+            self.telemetry.log("tds_stream_rejected", error=str(error))
             with contextlib.suppress(OSError, TimeoutError):
                 await session.fail(BAD_STREAM, f"The incoming TDS stream is incorrect: {error}", 20)
         except (OSError, TimeoutError):
             self.telemetry.count("broken_sessions", FRONT)
         except Exception as error:  # noqa: BLE001 - one session's fault is its own
             self.telemetry.count("faults")
-            self.telemetry.log("fault", error=repr(error), of="tds session")
+            self.telemetry.log("exception_caught", error=repr(error), of="tds session")
 
 
 def _first(logins: Iterable[TdsLogin], login: codec.Login) -> TdsLogin | None:
--- a/frostspindle/ownership/jobs.py
+++ b/frostspindle/ownership/jobs.py
@@ -108,7 +108,7 @@
             except Exception as error:  # noqa: BLE001 - a job's fault is its own: the next run tries again
                 failures += 1
                 self.telemetry.count("owner_job_faults")
-                self.telemetry.log("owner_job", task=job.task, token=lease.token, error=repr(error))
+                self.telemetry.log("lease_job_failed", task=job.task, token=lease.token, error=repr(error))
             await asyncio.sleep(max(job.every_s, _backoff_s(failures)))
 
     def figures(self) -> dict[str, Any]:
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -146,9 +146,9 @@
         self._logged_wait_reason = wait_reason
         tasks = len(self.holder.ranks)
         if wait_reason:
-            self.telemetry.log("owner_waits", holder=self.name, why=wait_reason, wants=tasks)
+            self.telemetry.log("lease_candidacy_delayed", holder=self.name, why=wait_reason, wants=tasks)
         else:
-            self.telemetry.log("owner_stands", holder=self.name, wants=tasks)
+            self.telemetry.log("lease_candidacy_started", holder=self.name, wants=tasks)
 
     async def _propose(self, number: int, command: bytes) -> None:
         outcome = CommandOutcome.APPLIED
@@ -240,7 +240,7 @@
 
     def _report_fault(self, error: BaseException) -> None:
         self.telemetry.count("faults")
-        self.telemetry.log("fault", error=repr(error), of="owners")
+        self.telemetry.log("exception_caught", error=repr(error), of="owners")
 
     # Operators.
 
@@ -306,7 +306,7 @@
             await self.log.propose(TOPIC, command, FORCE_TIMEOUT_S)
         except (LogUnavailableError, OutcomeUnknownError) as error:
             fields["error"] = str(error)
-        self.telemetry.log("owner_force", **fields)
+        self.telemetry.log("lease_release_forced", **fields)
 
     # The end.
 
@@ -323,7 +323,7 @@
             try:
                 await self.log.propose(TOPIC, command, LEAVE_TIMEOUT_S)
             except (LogUnavailableError, OutcomeUnknownError) as error:
-                self.telemetry.log("owner_left", holder=self.name, error=str(error))
+                self.telemetry.log("leases_released", holder=self.name, error=str(error))
         for task in list(self._proposals):
             task.cancel()
 
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -146,7 +146,7 @@
 
     def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            self.telemetry.log("fault", error=repr(task.exception()), of="task")
+            self.telemetry.log("exception_caught", error=repr(task.exception()), of="task")
             self.failed = True  # without its core or its engine list the program is of no use: a new start is
             self.stopping.set()
 
@@ -162,7 +162,7 @@
         if self.link is not None:
             self.link.serving()
         self.telemetry.log(
-            "ready",
+            "coordinator_started",
             listen=f"{self.config.listen[0]}:{self.platform.port}",
             tds=self.components.port("tds"),
             snmp=self.components.port("snmp"),
@@ -188,7 +188,7 @@
         """Another process of this coordinator has come or gone: an upgrade."""
         self.descriptors.limit_connections(is_sharing)
         self._limit_open_requests(is_sharing)
-        self.telemetry.log("crowd", crowded=is_sharing)
+        self.telemetry.log("descriptors_divided", crowded=is_sharing)
 
     def _limit_open_requests(self, is_sharing: bool) -> None:
         open_elsewhere = self.shared.open_elsewhere if is_sharing else None
@@ -269,7 +269,7 @@
     def report(self) -> None:
         """SIGUSR1 and the end: log the counters, and what is believed of engines and requests."""
         if self.link is not None:  # the supervisor logs the sums
-            self.telemetry.log("worker", clients=self.sessions(), **self.core.snapshot())
+            self.telemetry.log("worker_reported", clients=self.sessions(), **self.core.snapshot())
             return
         self.telemetry.report(clients=self.sessions(), figures=self.core.figures(), **self.core.snapshot())
 
@@ -293,7 +293,7 @@
         if self._has_successor:
             self._hand_over()
             deadline_s = clock() + min(longest_s, UPGRADE_LONGEST_DEADLINE_S) + UPGRADE_GRACE_S
-        self.telemetry.log("stopping", open=self.core.open, last_s=round(deadline_s - clock(), 2))
+        self.telemetry.log("shutdown_started", open=self.core.open, last_s=round(deadline_s - clock(), 2))
         for component in self.components:
             component.on_stopping()
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
--- a/frostspindle/recovery/effect_handler.py
+++ b/frostspindle/recovery/effect_handler.py
@@ -71,7 +71,7 @@
         previous = transition.previous.name.lower()
         stage = transition.stage.name.lower()
         service.telemetry.log(
-            "recovery_stage",
+            "recovery_stage_changed",
             stage=stage,
             left=previous,
             why=transition.reason,
@@ -88,7 +88,7 @@
         self.restarts_marked += 1
         service.core.mark_restarted(effect.starts)
         service.telemetry.log(
-            "recovery_cold",
+            "recovery_engines_marked_restarted",
             engines=len(effect.starts),
             names=sorted(effect.starts)[:MAX_LOGGED],
             starts=sorted(set(effect.starts.values()))[:MAX_LOGGED],
@@ -98,7 +98,7 @@
         """Apply lists and bans that a quorum has agreed on or, until then, the safest of what is known."""
         service = self._service
         service.telemetry.log(
-            "recovery_agreed",
+            "recovery_state_agreed",
             enough=agreed.has_quorum,
             number=agreed.last_event,
             engines=len(agreed.engines),
@@ -120,7 +120,7 @@
             try:
                 service.program.shared.ban(name, True)
             except OSError as error:
-                service.telemetry.log("recovery_ban", name=name, error=error.strerror)
+                service.telemetry.log("recovery_ban_received", name=name, error=error.strerror)
                 agreed = replace(agreed, withheld=agreed.withheld | {name})
         return agreed
 
--- a/frostspindle/recovery/excluded_engines.py
+++ b/frostspindle/recovery/excluded_engines.py
@@ -43,7 +43,7 @@
     def withhold(self, names: frozenset[str], by_lists: frozenset[str]) -> None:
         """Set the engines that are withheld; `by_lists`: those of them that come back once the bus has spoken."""
         if names != self.withheld:
-            self._telemetry.log("recovery_withheld", names=sorted(names)[:MAX_LOGGED])
+            self._telemetry.log("recovery_engines_withheld", names=sorted(names)[:MAX_LOGGED])
         self.withheld = names
         self.withheld_by_lists = by_lists
         self._tell_core()
--- a/frostspindle/recovery/node.py
+++ b/frostspindle/recovery/node.py
@@ -98,7 +98,7 @@
         marked = opened.usable and any(key == MARK for key, _ in opened.entries)
         self.idle_mark.on_store_opened(marked, trusted)
         self._log(
-            "recovery_store",
+            "recovery_store_opened",
             verdict=opened.verdict,
             trusted=trusted,
             tickets=len(self.loads.journal.records),
@@ -210,7 +210,7 @@
             self.idle_mark.on_durable(batch, self.store.older)
         elif not full:
             self.inputs.store_usable = False
-            self._log("recovery_unkept", why="the store is broken: no tickets are granted here")
+            self._log("recovery_tickets_disabled", why="the store is broken: no tickets are granted here")
         self.loads.on_batch_written(now, unix, ok, full)
 
     def _write_heartbeat(self, unix: float, clean_shutdown: bool) -> None:
@@ -304,7 +304,7 @@
         opened = self.store.opened.state
         if self.store.mark_older() and opened is not None:
             self._log(
-                "recovery_older",
+                "recovery_store_outdated",
                 life=known.incarnation,
                 generation=known.generation,
                 ours=[opened.incarnation, opened.generation],
--- a/frostspindle/recovery/store_worker.py
+++ b/frostspindle/recovery/store_worker.py
@@ -86,7 +86,7 @@
                 await asyncio.sleep(LOCK_RETRY_S)
                 continue
             except Exception as error:  # noqa: BLE001 - whatever the disk does, the coordinator serves without
-                service.telemetry.log("fault", error=repr(error), of="recovery store")
+                service.telemetry.log("exception_caught", error=repr(error), of="recovery store")
                 store, opened = None, UNREADABLE
             late = service.node.stages.stage > Stage.STORE
             if late and not was_locked and opened.trusted:  # nobody was asked whether it is the latest one
--- a/frostspindle/reload.py
+++ b/frostspindle/reload.py
@@ -46,11 +46,13 @@
                 component.on_reload(fresh)
         except Exception as error:  # noqa: BLE001 - whatever the files hold, the program goes on as it was
             self._telemetry.count("reloads_failed")
-            self._telemetry.log("reload", error=str(error) if isinstance(error, ConfigError) else repr(error))
+            self._telemetry.log(
+                "config_reload_failed", error=str(error) if isinstance(error, ConfigError) else repr(error)
+            )
             return
         self._endpoint_watcher.move(fresh.bus)
         self._telemetry.count("reloads")
-        self._telemetry.log("reload", bus=fresh.bus)
+        self._telemetry.log("config_reloaded", bus=fresh.bus)
 
     def _read(self) -> Config:
         """Read all files and check that nothing has changed that needs a restart."""
--- a/frostspindle/replica/journal_writer.py
+++ b/frostspindle/replica/journal_writer.py
@@ -50,7 +50,7 @@
         self._counters["written"] += size
         if took_s > SLOW_SYNC_S:
             self._telemetry.count("replica_disk_slow")
-            self._telemetry.log("replica_disk_slow", took_s=round(took_s, 3), bytes=size)
+            self._telemetry.log("replica_disk_slowed", took_s=round(took_s, 3), bytes=size)
 
     async def run(self, function: Callable[..., Result], *arguments: Any) -> Result:
         """Call a function in the worker thread."""
--- a/frostspindle/replica/library_log.py
+++ b/frostspindle/replica/library_log.py
@@ -17,7 +17,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Count and log a record."""
         self.telemetry.count("replica_library")
-        self.telemetry.log("replica_library", level=record.levelname, text=record.getMessage()[:200])
+        self.telemetry.log("replica_library_logged", level=record.levelname, text=record.getMessage()[:200])
 
 
 def redirect_library_log(telemetry: Telemetry) -> None:
--- a/frostspindle/replica/links.py
+++ b/frostspindle/replica/links.py
@@ -230,7 +230,7 @@
             await self._read_messages(link)
         except LinkRefusedError as error:
             self.counters[error.why] += 1
-            self._log_event("replica_refused", why=str(error), peer=link.peer if link else _address_of(writer))
+            self._log_event("replica_link_refused", why=str(error), peer=link.peer if link else _address_of(writer))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self.counters["unproved" if link is None else "broken"] += 1  # silent or gone before its proof; later
         finally:
--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -180,7 +180,12 @@
         self._update_targets()
         self._loop_task = asyncio.create_task(self._run())
         self.telemetry.log(
-            "replica", me=self.me, votes=member.voter, term=member.term, entries=len(member.journal), port=self.port
+            "replica_started",
+            me=self.me,
+            votes=member.voter,
+            term=member.term,
+            entries=len(member.journal),
+            port=self.port,
         )
 
     async def _restore_member(self) -> LogMember:
@@ -214,7 +219,9 @@
         if votes_lost:
             why = "comes back as a follower, and votes once it has caught up"
         self.telemetry.count("replica_journals_" + condition)
-        self.telemetry.log("replica_journal", found=str(condition), entries=entries, votes=not votes_lost, why=why)
+        self.telemetry.log(
+            "replica_journal_opened", found=str(condition), entries=entries, votes=not votes_lost, why=why
+        )
 
     async def close(self) -> None:
         """End open proposals, the loop, the links and the disk; what was accepted is on the disk."""
@@ -272,7 +279,7 @@
         elif member.voters_changed:
             member.voters_changed = False
             self._update_targets()
-            self.telemetry.log("replica_voters", voters=sorted(member.voters))
+            self.telemetry.log("replica_voters_changed", voters=sorted(member.voters))
         self._log_leader(member)
 
     async def _wait_for_work(self, member: LogMember) -> None:
@@ -332,7 +339,7 @@
         for peer in self._events.take_disconnected():
             member.disconnected(peer)
         member.promote()
-        self.telemetry.log("replica_votes", term=member.term, index=self.index)
+        self.telemetry.log("replica_voting_started", term=member.term, index=self.index)
         self._update_targets()
 
     def _update_targets(self) -> None:
@@ -348,7 +355,7 @@
         leader = member.leader
         if leader != self._logged_leader:
             self.telemetry.count("replica_leaders")
-            self.telemetry.log("replica_leader", leader=leader, was=self._logged_leader, term=member.term)
+            self.telemetry.log("replica_leader_changed", leader=leader, was=self._logged_leader, term=member.term)
             self._logged_leader = leader
 
     # Callbacks of the links.
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -107,7 +107,7 @@
         own = {key: self.catalogue.summed(site_of(key)[1]) for key, home in homes.items() if home == node.name}
         self.home, self.holder = SummaryHome(node.epoch, self.terms, own, now), SummaryCache(self.terms, homes)
         self.telemetry.log(
-            "scatter", sites=len(self.catalogue.sites), groups=len(self.catalogue.groups), keeps=len(own)
+            "scatter_started", sites=len(self.catalogue.sites), groups=len(self.catalogue.groups), keeps=len(own)
         )
         self._search()
 
@@ -495,11 +495,11 @@
             why = (
                 str(error) if isinstance(error, _SummaryQueryError) else type(error).__name__
             )  # others' texts may hold values
-            self.telemetry.log("scatter_unlearnt", key=key, why=why)
+            self.telemetry.log("scatter_summary_failed", key=key, why=why)
         if self.home is not None:
             now = monotonic()
             if self.home.learnt(now, key, told, self.catalogue.terms.learn_ms):
-                self.telemetry.log("scatter_learnt", key=key, rows=sum(part.rows for part in told or ()))
+                self.telemetry.log("scatter_summary_learned", key=key, rows=sum(part.rows for part in told or ()))
             self._flush(now)
 
     async def _read(self, site: str, group: int, sql: str) -> list[list[str]]:
--- a/frostspindle/serving.py
+++ b/frostspindle/serving.py
@@ -33,7 +33,7 @@
         if why := worker_start_refusal():  # a host without processes still gets its coordinator, as one process
             from frostspindle.telemetry import Telemetry
 
-            Telemetry(config.name).log("cores_refused", workers=config.operator.cores.workers, reason=why)
+            Telemetry(config.name).log("worker_start_refused", workers=config.operator.cores.workers, reason=why)
             several = False
     if several:
         from frostspindle.cores.supervisor import run
--- a/frostspindle/settings/applied_rules.py
+++ b/frostspindle/settings/applied_rules.py
@@ -126,7 +126,7 @@
                 part.apply(active.rules, changed_keys)
             except Exception as error:  # noqa: BLE001 - a version that was checked; the rest of it still applies
                 self.telemetry.count("faults")
-                self.telemetry.log("fault", error=repr(error), of=f"settings {part.label}")
+                self.telemetry.log("exception_caught", error=repr(error), of=f"settings {part.label}")
 
     def reapply(self, tds: Any) -> None:
         """Apply the rules again on top of the program's own files, which were read anew; `tds` is their section."""
--- a/frostspindle/settings/audit.py
+++ b/frostspindle/settings/audit.py
@@ -104,7 +104,7 @@
             periods.append(ActivePeriod(node, period.version, period.begins, min(at, period.ends_by)))
 
     for line in lines:
-        if line.get("event") != "settings_acting":
+        if line.get("event") != "settings_rules_activated":
             continue
         node = str(line["node"])
         begins = float(line["mono_ms"])
@@ -126,7 +126,7 @@
     parents: dict[int, int] = {}
     contradicts_parent: dict[int, bool] = {}
     for line in lines:
-        if line.get("event") != "settings_version":
+        if line.get("event") != "settings_version_received":
             continue
         number = int(line["version"])
         parent = int(line["parent"])
--- a/frostspindle/settings/rollout_log.py
+++ b/frostspindle/settings/rollout_log.py
@@ -48,11 +48,11 @@
         if reason and self._logged_rejection != newest:
             self._logged_rejection = newest
             self._telemetry.count("settings_unfit")
-            self._telemetry.log("settings_unfit", version=newest, why=reason)
+            self._telemetry.log("settings_version_rejected", version=newest, why=reason)
 
     def _log_version(self, version: Version) -> None:
         self._telemetry.log(
-            "settings_version",
+            "settings_version_received",
             version=version.number,
             parent=version.parent,
             digest=version.digest_bytes.hex(),
@@ -77,7 +77,7 @@
     def log_event(self, event: HistoryEvent, now: float) -> None:
         """Log an event of the history."""
         self._telemetry.log(
-            "settings_news",
+            "settings_history_recorded",
             what=event.what,
             version=event.version,
             by=event.author,
@@ -97,7 +97,7 @@
             fields["age_s"] = round(time.time() - restored.saved_at_ms / 1000.0, 1)
         self._telemetry.count("settings_acting", str(rules.mode))
         self._telemetry.log(
-            "settings_acting",
+            "settings_rules_activated",
             mode=str(rules.mode),
             versions=rules.versions,
             why=str(rules.reason),
--- a/frostspindle/settings/service.py
+++ b/frostspindle/settings/service.py
@@ -186,7 +186,7 @@
         except (StoreError, OSError, KeyError) as error:
             self.counts["keep_failed"] += 1
             self.telemetry.count("settings_keep_failed")
-            self.telemetry.log("settings_keep_failed", error=str(error)[:MAX_ERROR_LENGTH])
+            self.telemetry.log("settings_version_store_failed", error=str(error)[:MAX_ERROR_LENGTH])
             self.store = None  # nothing is acknowledged any more: the fleet waits a lease for this coordinator
         else:
             self.member.on_persisted(versions)
@@ -237,7 +237,7 @@
             self.publisher.on_lease_acquired(now, token)
         else:
             self.publisher.on_lease_lost()
-        self.telemetry.log("settings_publisher", token=token)
+        self.telemetry.log("settings_publisher_changed", token=token)
 
     async def _propose_as_publisher(self, command: bytes) -> None:
         try:
@@ -279,7 +279,7 @@
 
     def _report_fault(self, error: BaseException) -> None:
         self.telemetry.count("faults")
-        self.telemetry.log("fault", error=repr(error), of="settings")
+        self.telemetry.log("exception_caught", error=repr(error), of="settings")
 
     async def close(self) -> None:
         """Give up the lease and say so in the log, so that the others need not wait for this coordinator."""
--- a/frostspindle/shared.py
+++ b/frostspindle/shared.py
@@ -61,7 +61,7 @@
                 self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
                 self._lock = self._mark(self.folder / f"{RUN_PREFIX}{os.getpid()}-{id(self):x}")
             except OSError as error:
-                self.telemetry.log("shared", folder=str(self.folder), error=repr(error))
+                self.telemetry.log("shared_folder_failed", folder=str(self.folder), error=repr(error))
                 self.folder = None  # serving goes before what an upgrade needs
         self._read()
 
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -107,14 +107,14 @@
     def _open(self, now: float, epoch: int) -> None:
         name = self.node.name if self.node is not None else self.name
         self.hub = SubscriptionHub(name, epoch, now, self.remember, self.most, Fanout(self.backlog))
-        self.telemetry.log("subscriptions", name=name, epoch=epoch)
+        self.telemetry.log("subscriptions_started", name=name, epoch=epoch)
         self.soon()
 
     def close(self) -> None:
         """Write what has been matched, log the figures and stop the timer; later events are not sent."""
         if self.hub is not None and not self._closed:
             self._tick()  # what is matched goes out
-            self.telemetry.log("subscriptions_end", **self.figures())
+            self.telemetry.log("subscriptions_stopped", **self.figures())
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -164,7 +164,7 @@
             self.hub.make(schema.make(kind, at_ms, *values))
         except Exception as error:  # noqa: BLE001 - as said
             self.telemetry.count("subscriptions_faults")
-            self.telemetry.log("fault", error=repr(error), of="event")
+            self.telemetry.log("exception_caught", error=repr(error), of="event")
         if self.hub.maker.streams:
             self.soon()
 
@@ -265,7 +265,7 @@
             self._write(now, hub)
         except Exception as error:  # noqa: BLE001 - subscribers are not worth the coordinator
             self.telemetry.count("subscriptions_faults")
-            self.telemetry.log("fault", error=repr(error), of="subscriptions")
+            self.telemetry.log("exception_caught", error=repr(error), of="subscriptions")
         due = min(hub.due(), self._look_at, self._cursors[0][0] if self._cursors else float("inf"))
         more = hub.more or hub.subscribers.fanout.more(self.busy)
         self._plan(0.0 if more else max(0.001, (due - monotonic()) / 1000.0))
--- a/frostspindle/telemetry.py
+++ b/frostspindle/telemetry.py
@@ -105,7 +105,7 @@
         now_s = time.time()
         is_allowed, dropped = self._rate_limiter.take(now_s)
         if dropped:
-            self._write(now_s, "lines_dropped", {"lines": dropped})
+            self._write(now_s, "log_lines_dropped", {"lines": dropped})
         if is_allowed:
             self._write(now_s, event, fields)
 
@@ -116,7 +116,7 @@
             for (counter, front, class_name), count in sorted(self.counts.items())
         ]
         now_s = time.time()
-        self._write(now_s, "counters", {"up_s": round(now_s - self.started, 1), "counters": rows, **fields})
+        self._write(now_s, "counters_reported", {"up_s": round(now_s - self.started, 1), "counters": rows, **fields})
 
     def _write(self, now_s: float, event: str, fields: dict[str, Any]) -> None:
         try:
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -14,7 +14,11 @@
 
 
 def spans(fleet: Fleet) -> list[tuple[float, float, int]]:
-    return [(line["since"], line["until"], line["units"]) for p in fleet.processes for line in p.events("fleet_spent")]
+    return [
+        (line["since"], line["until"], line["units"])
+        for p in fleet.processes
+        for line in p.events("fleet_budget_spent")
+    ]
 
 
 class FaultsCase(unittest.IsolatedAsyncioTestCase):
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -83,7 +83,7 @@
 
     async def ready(self) -> Coordinator:
         ready = await self.until(
-            lambda: next((e for e in self.events if e["event"] == "ready" and "workers" in e), None)
+            lambda: next((e for e in self.events if e["event"] == "coordinator_started" and "workers" in e), None)
         )
         self.port = int(ready["listen"].rpartition(":")[2])
         return self
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -137,7 +137,7 @@
         env={**environ, "LB_CONFIG": str(files[0]), "LB_LISTEN": "127.0.0.1:0"},
     ) as child:
         try:
-            assert any('"event":"ready"' in line for line in child.stderr)
+            assert any('"event":"coordinator_started"' in line for line in child.stderr)
             child.send_signal(signal.SIGTERM)
             loaded = set(child.communicate(timeout=60)[0].split())
         finally:
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -48,7 +48,7 @@
         fleet.process.send_signal(signal.SIGTERM)
         self.assertEqual({status for status, _ in await asyncio.gather(*open_ones)}, {200})
         self.assertEqual(await fleet.exit(), 0)
-        counters = await fleet.event("counters")
+        counters = await fleet.event("counters_reported")
         self.assertEqual(counters["figures"]["calls"]["lookup"]["success"], 19)
 
     async def test_a_path_is_answered_at_any_worker_and_an_open_request_id_is_rejected_at_all(self):
@@ -112,11 +112,11 @@
         fleet = await self.fleet(2)
         fleet.operator.write_text("[cores]\nworkers = 3\n")
         fleet.process.send_signal(signal.SIGHUP)
-        self.assertEqual((await fleet.event("reload"))["error"], "cores: needs a new start")
+        self.assertEqual((await fleet.event("config_reload_failed"))["error"], "cores: needs a new start")
         fleet.operator.write_text("[cores]\nworkers = 2\n")
         fleet.process.send_signal(signal.SIGHUP)
         for slot in range(2):
-            self.assertNotIn("error", await fleet.event("reload", worker=slot))
+            self.assertNotIn("error", await fleet.event("config_reloaded", worker=slot))
         self.assertEqual((await self.in_thread(self.client().post, 1))[0], 200)
 
 
@@ -158,7 +158,7 @@
             return any(
                 engine["peers"] >= 2
                 for e in fleet.events
-                if e["event"] == "worker" and e["worker"] != slot and e["ts"] > ended["ts"]
+                if e["event"] == "worker_reported" and e["worker"] != slot and e["ts"] > ended["ts"]
                 for engine in e["engines"]
             )
 
@@ -172,7 +172,7 @@
         await self.until(
             lambda: (
                 fleet.events[-1]["event"]
-                and any(e["event"] == "ready" and e.get("worker") == slot for e in fleet.events[4:])
+                and any(e["event"] == "coordinator_started" and e.get("worker") == slot for e in fleet.events[4:])
             )
         )
         sent = [ticket for e in self.engines for _, ticket, _ in e.sent]
@@ -217,7 +217,7 @@
             started = await fleet.event("worker_started", 1 + (count if count < 3 else 0), slot=slot)
             os.kill(started["pid"], signal.SIGKILL)
             await fleet.event("worker_ended", count + 1)
-        self.assertEqual((await fleet.event("crash_loop"))["crashes"], 10)
+        self.assertEqual((await fleet.event("crash_loop_detected"))["crashes"], 10)
         self.assertEqual(await fleet.exit(), 1)
 
     async def test_a_slow_client_does_not_hold_a_worker_that_is_told_to_end(self):
@@ -292,10 +292,10 @@
         engine.delay_s = 0.0  # for those that come later
         config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port, operator="")
         new = await Coordinator(self, config, "[cores]\nworkers = 3\n", listening=listening, folder=old.folder).ready()
-        await old.event("crowd")
+        await old.event("descriptors_divided")
         old.process.send_signal(signal.SIGTERM)
-        await old.event("stopping", worker=0)
-        await old.event("stopping", worker=1)
+        await old.event("shutdown_started", worker=0)
+        await old.event("shutdown_started", worker=1)
         engine._done(*engine.results, "")  # the load ends only now, whatever time the start took
         later = [self.client() for _ in range(6)]
         answers = await asyncio.gather(*(self.in_thread(c.post, 10 + n) for n, c in enumerate(later)))
@@ -303,10 +303,10 @@
         status, body = await asked
         self.assertEqual((status, len(body["rows"])), (200, 1))
         self.assertEqual(await old.exit(), 0)
-        self.assertEqual((await old.event("counters"))["figures"]["calls"]["load"]["success"], 1)
+        self.assertEqual((await old.event("counters_reported"))["figures"]["calls"]["load"]["success"], 1)
         new.process.send_signal(signal.SIGTERM)
         self.assertEqual(await new.exit(), 0)
-        self.assertEqual((await new.event("counters"))["figures"]["calls"]["lookup"]["success"], 6)
+        self.assertEqual((await new.event("counters_reported"))["figures"]["calls"]["lookup"]["success"], 6)
 
 
 def alive(pid: int) -> bool:
@@ -337,7 +337,7 @@
 dial = "127.0.0.1:{tds.port}"
 """,
         )
-        ready = next(e for e in fleet.events if e["event"] == "ready" and "workers" in e)
+        ready = next(e for e in fleet.events if e["event"] == "coordinator_started" and "workers" in e)
         clients = [await TdsClient(ready["tds"]).open() for _ in range(6)]
         for client in clients:
             self.addCleanup(client.writer.close)
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -110,7 +110,7 @@
                 bus.say(change(number, host("s-00000001", self.engine.port)))
             await self.until(lambda n=number: self.program.bus.last == n)
         await asyncio.sleep(0.05)
-        self.assertEqual(sum(line["event"] == "engine" for line in self.log), 7)
+        self.assertEqual(sum(line["event"] == "engine_updated" for line in self.log), 7)
 
     async def test_a_line_without_bounds_ends_its_connection_and_a_long_list_does_not(self):
         bus = await self.joined()
@@ -188,7 +188,8 @@
                 self.config_file.write_bytes(text if isinstance(text, bytes) else text.encode())
             self.program.reload()
             self.assertEqual(
-                [(line["event"], "LB_CONFIG" in line["error"]) for line in self.log[before:]], [("reload", True)]
+                [(line["event"], "LB_CONFIG" in line["error"]) for line in self.log[before:]],
+                [("config_reload_failed", True)],
             )
         self.assertEqual((self.count("reloads_failed"), self.program.bus.at[1]), (8, bus.port))
         bus.say(self.drain(2))
@@ -218,7 +219,7 @@
         for part in (*self.engines, self.bus):
             self.addCleanup(part.server.close)
         self.running = Coordinator(self, self.config)
-        ready = await self.running.event("ready")
+        ready = await self.running.event("coordinator_started")
         self.port = int(ready["listen"].rpartition(":")[2])
         await self.bus.joined()
         self.client = await asyncio.open_connection("127.0.0.1", self.port)
@@ -243,7 +244,7 @@
         """The bus goes, and silent clients take every descriptor, each free one at once: others wait in the line."""
         self.bus.server.close()
         self.bus.writers[0].transport.abort()
-        await self.running.event("bus", 2)  # it was looked for and not found
+        await self.running.event("discovery_disconnected", 2)  # it was looked for and not found
         most = max(map(int, self.open())) + 12
         resource.prlimit(self.running.process.pid, resource.RLIMIT_NOFILE, (most, most))
 
@@ -260,7 +261,7 @@
             task = asyncio.create_task(silent())
             self.addCleanup(task.cancel)
         await self.until(lambda: len(self.open()) == most)
-        await self.running.event("accept")
+        await self.running.event("accept_failed")
 
     async def back(self, port=0):
         server = await asyncio.start_server(self.bus._serve, "127.0.0.1", port)
@@ -292,7 +293,7 @@
         port = await self.back()
         self.running.config.write_text(json.dumps({**self.config, "bus": f"127.0.0.1:{port}"}))
         self.running.process.send_signal(signal.SIGHUP)
-        self.assertNotIn("error", await self.running.event("reload"))
+        self.assertNotIn("error", await self.running.event("config_reloaded"))
         await self.obeys()
 
 
--- a/tests/test_endings_signals.py
+++ b/tests/test_endings_signals.py
@@ -64,9 +64,9 @@
         env={**os.environ, "LB_CONFIG": str(path)},
     ) as child:
         try:
-            assert json.loads(child.stderr.readline())["event"] == "ready"
+            assert json.loads(child.stderr.readline())["event"] == "coordinator_started"
             child.send_signal(signal.SIGHUP)
-            assert json.loads(child.stderr.readline())["event"] == "reload"
+            assert json.loads(child.stderr.readline())["event"] == "config_reloaded"
             child.send_signal(signal.SIGTERM)
             assert child.wait(15) == 0
         finally:
@@ -90,15 +90,17 @@
     ) as child:
         try:
             said = [json.loads(child.stderr.readline())["event"]]
-            while "ready" not in said or (point != "exit" and number == signal.SIGHUP and "reload" not in said):
+            while "coordinator_started" not in said or (
+                point != "exit" and number == signal.SIGHUP and "config_reloaded" not in said
+            ):
                 said.append(json.loads(child.stderr.readline())["event"])
             if number != signal.SIGTERM or point == "exit":
                 child.send_signal(signal.SIGTERM)
             said += [json.loads(line)["event"] for line in child.communicate(timeout=60)[1].splitlines()]
         finally:
             child.kill()
-    assert (child.returncode, said[-1]) == (0, "counters"), said
-    assert ("reload" in said) == (point != "exit" and number == signal.SIGHUP)
+    assert (child.returncode, said[-1]) == (0, "counters_reported"), said
+    assert ("config_reloaded" in said) == (point != "exit" and number == signal.SIGHUP)
 
 
 class Drain(FleetCase):
@@ -118,7 +120,7 @@
                 "known": {"offset": 1, "batch": [change(1, host("s-00000001", self.engine.port), whole=True)]},
             },
         )
-        self.port = int((await self.running.event("ready"))["listen"].rpartition(":")[2])
+        self.port = int((await self.running.event("coordinator_started"))["listen"].rpartition(":")[2])
 
     async def client(self, data=b"", **kw):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port, **kw)
@@ -128,7 +130,7 @@
 
     async def term(self):
         self.running.process.send_signal(signal.SIGTERM)
-        return (await self.running.event("stopping"))["last_s"]
+        return (await self.running.event("shutdown_started"))["last_s"]
 
     async def test_what_hangs_at_an_engine_is_answered_before_the_kill(self):
         """A client may wait for longer than its class's longest time; SIGKILL does not."""
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -100,7 +100,7 @@
     lines = [json.loads(line) for line in sink.getvalue().splitlines()]
     assert Counter(line["event"] for line in lines) == {
         "storm": telemetry.MAX_LINES_PER_S,
-        "lines_dropped": 1,
+        "log_lines_dropped": 1,
         "calm": 1,
     }
     assert lines[-2]["lines"] == 7
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -34,13 +34,13 @@
         self.assertEqual(overspent(spans(fleet), UNITS, 1.0), 0)
         self.assertGreater(sum(units for _, _, units in spans(fleet)), 5 * UNITS)
         # Both sides went on spending through the partition, from what they held.
-        began = min(line["ts"] for line in fleet.processes[0].events("fleet_spent"))
+        began = min(line["ts"] for line in fleet.processes[0].events("fleet_budget_spent"))
         for side in ((0, 1), (2, 3)):
             self.assertTrue(
                 [
                     line
                     for n in side
-                    for line in fleet.processes[n].events("fleet_spent")
+                    for line in fleet.processes[n].events("fleet_budget_spent")
                     if began + 5.0 < line["ts"] < began + 9.0
                 ],
                 side,
@@ -62,12 +62,14 @@
         self.assertLessEqual(abs(total - logged), UNITS)
         self.assertEqual(sum(f["budgets"]["blue"]["spent"] for f in figures) <= total, True)
         # The one that was killed came back without rights, and with a later epoch.
-        epochs = [line["epoch"] for line in fleet.processes[4].events("fleet")]
+        epochs = [line["epoch"] for line in fleet.processes[4].events("fleet_joined")]
         self.assertEqual(len(epochs), 2)
         self.assertLess(epochs[0], epochs[1])
         self.codes = await fleet.close()
         self.assertEqual(self.codes, [0] * 5)
-        self.assertEqual([line for p in fleet.processes for line in p.lines if line["event"] in ("fault", "text")], [])
+        self.assertEqual(
+            [line for p in fleet.processes for line in p.lines if line["event"] in ("exception_caught", "text")], []
+        )
 
     async def test_two_of_three_who_call_an_engine_sick_are_heard_and_one_alone_is_not(self):
         fleet = await self.fleet(4, "", engines=3, delay_s=0.0)
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -183,12 +183,12 @@
         desk, http = first.desk, first.http
         first.desk = first.http = 0  # a successor beside it: other ports for clients and operators, the same fleet's
         await first.start()
-        await first.until(lambda: first.events("fleet_waits"))
-        assert len(first.events("fleet")) == 1
+        await first.until(lambda: first.events("fleet_bind_delayed"))
+        assert len(first.events("fleet_joined")) == 1
         old[0].terminate()
         assert await old[0].wait() == 0
         await old[1]
-        await first.until(lambda: len(first.events("fleet")) == 2)
+        await first.until(lambda: len(first.events("fleet_joined")) == 2)
         first.desk, first.http = desk, http
         await fleet.processes[1].until(
             lambda: len(fleet.processes[1].events("fleet_member", member="c0", state="alive")) >= 2
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -406,13 +406,13 @@
 
         self.engine.script = script
         old, first = self.run_one(), self.session()
-        await old.event("ready")
+        await old.event("coordinator_started")
         one = asyncio.create_task(self.keyed(first, 1, "k"))
         await self.engine.seen("POST")
         new = self.run_one()
-        await new.event("ready")
+        await new.event("coordinator_started")
         old.process.send_signal(signal.SIGTERM)  # from here on the new one alone accepts
-        await old.event("stopping")
+        await old.event("shutdown_started")
         return old, new, one, self.session()
 
     async def test_upgrade_sends_only_after_requests_of_the_other_side_are_over(self):
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -124,7 +124,7 @@
             "known": {"offset": 3, "batch": [change(3, *hosts, whole=True)]},
         }
         program = Coordinator(self, document, LB_NAME="elsewhere-9", LB_LISTEN="127.0.0.1:0")
-        ready = await program.event("ready")
+        ready = await program.event("coordinator_started")
         await bus.joined()
         self.assertEqual(bus.froms, ["from 3"])
         self.session = aiohttp.ClientSession(f"http://{ready['listen']}")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -680,7 +680,9 @@
         logs[0].lead(False)
         await until(lambda: not any(each.lease("x") for each in owners))
         await until(lambda: all(each.figures()["waits"] for each in owners))
-        assert [line["why"] for line in lines() if line["event"] == "owner_waits"] == ["no leader is heard of"] * 2
+        assert [line["why"] for line in lines() if line["event"] == "lease_candidacy_delayed"] == [
+            "no leader is heard of"
+        ] * 2
         logs[0].lead(True)
         await until(lambda: any(each.lease("x") for each in owners))
         for each in owners:
--- a/tests/test_ownership_lab.py
+++ b/tests/test_ownership_lab.py
@@ -78,7 +78,10 @@
         ([*GOOD, took(30, 7, "c"), lost(31, 7, "c")], "two holders"),
         ([*GOOD, acted(3, 15, 8, "b")], "granted to nobody"),
         ([*GOOD, acted(3, 15, 7, "a")], "used by a"),
-        ([*GOOD, {"event": "counters", "counters": [{"what": "log_failed", "count": 4}]}], "lines are missing"),
+        (
+            [*GOOD, {"event": "counters_reported", "counters": [{"what": "log_failed", "count": 4}]}],
+            "lines are missing",
+        ),
         ([*GOOD, dropped()], "lines are missing"),
         (GOOD[:1], "nothing is shown"),
     ),
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -91,7 +91,7 @@
         await asyncio.gather(*(fleet.kill(process) for process in gone))
         rest = [fleet.processes[0], *fleet.processes[3:]]
         for process in rest:
-            await process.until(lambda p=process: p.events("owner_waits"))
+            await process.until(lambda p=process: p.events("lease_candidacy_delayed"))
             async with asyncio.timeout(20.0):
                 while any(row["here"] and row["left_ms"] for row in (await process.figures("show-owners"))["owners"]):
                     await asyncio.sleep(0.05)
@@ -103,7 +103,7 @@
             file.write(b"FSLJ\xff\x00\x00\x00half a frame")
         await gone[0].start()
         await fleet.acts(mark)
-        self.assertEqual(gone[0].events("replica_journal", life=2)[0]["found"], "torn")
+        self.assertEqual(gone[0].events("replica_journal_opened", life=2)[0]["found"], "torn")
         found = fleet.checked()
         self.assertTrue(found.good, found.faults)
 
@@ -173,7 +173,7 @@
         once(await said(second, 8, other), 8)
         self.assertLess(len(first.said) - mark, 8)
         self.assertEqual((first.most, second.most), (1, 1), "one at a time")
-        self.assertFalse([line for process in fleet.processes for line in process.events("owner_job")])
+        self.assertFalse([line for process in fleet.processes for line in process.events("lease_job_failed")])
         checked = fleet.checked(expect=24)
         self.assertTrue(checked.good, checked.faults)
         self.assertGreaterEqual(checked.grants, 3)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -394,12 +394,12 @@
 
     def test_sigterm_ends_it_with_0_and_the_counters_are_printed(self):
         process = self.start({"listen": "127.0.0.1:0", "settings": settings()})
-        self.assertEqual(json.loads(process.stderr.readline())["event"], "ready")
+        self.assertEqual(json.loads(process.stderr.readline())["event"], "coordinator_started")
         process.send_signal(signal.SIGUSR1)
-        self.assertEqual(json.loads(process.stderr.readline())["event"], "counters")
+        self.assertEqual(json.loads(process.stderr.readline())["event"], "counters_reported")
         process.terminate()
         events = [json.loads(line)["event"] for line in process.communicate(timeout=60)[1].splitlines()]
-        self.assertEqual((process.returncode, events), (0, ["stopping", "counters"]))
+        self.assertEqual((process.returncode, events), (0, ["shutdown_started", "counters_reported"]))
 
     def test_sigterm_goes_on_accepting_and_answers_what_was_taken(self):
         async def story():
@@ -415,7 +415,7 @@
             )
             lines = iter(process.stderr.readline, "")
             event = {}
-            while event.get("event") != "ready":
+            while event.get("event") != "coordinator_started":
                 event = json.loads(await asyncio.to_thread(next, lines))
             async with aiohttp.ClientSession(f"http://{event['listen']}") as session:
 
@@ -427,7 +427,7 @@
                 first = asyncio.create_task(ask(1))
                 await engine.seen("POST")
                 process.terminate()
-                self.assertIn("stopping", await asyncio.to_thread(next, lines))
+                self.assertIn("shutdown_started", await asyncio.to_thread(next, lines))
                 second = asyncio.create_task(ask(2))
                 await engine.seen("POST", 2)
                 release.set()
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -40,9 +40,11 @@
     async def test_five_killed_two_lose_their_stores_and_one_has_an_older_one(self):
         power = await self.lose("", (0, 3), (1,), 11)
         process = power.fleet.processes
-        trusted = [[line["trusted"] for line in p.events("recovery_store", life=2)] for p in process]
+        trusted = [[line["trusted"] for line in p.events("recovery_store_opened", life=2)] for p in process]
         self.assertEqual([trusted[n] for n in (0, 2, 3, 4)], [[False], [True], [False], [True]])
-        self.assertTrue(process[1].events("recovery_older") or trusted[1] == [False], "last week's was believed")
+        self.assertTrue(
+            process[1].events("recovery_store_outdated") or trusted[1] == [False], "last week's was believed"
+        )
         # Three of a load's five homes may have forgotten it: nobody can say that it did not run.
         self.assertEqual(await power.client.load(process[2].http, 50), 503)
         await self.judge(power)
@@ -52,7 +54,7 @@
         process = power.fleet.processes
         for n in (0, 1):
             self.assertTrue(any(line["weak"] and line["left"] == "find" for line in power.moves(n)), n)
-        self.assertFalse([n for n in (0, 1) if process[n].events("recovery_agreed", enough=True, life=2)])
+        self.assertFalse([n for n in (0, 1) if process[n].events("recovery_state_agreed", enough=True, life=2)])
         # Two homes of five are too few, and three may have forgotten.
         self.assertEqual([await power.client.load(process[n].http, 20 + n) for n in (0, 3)], [503, 503])
         await self.judge(power)
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -164,7 +164,7 @@
         for process in fleet.processes:
             await process.until(
                 lambda p=process, n=life: [
-                    line for line in p.events("recovery_stage", stage="service") if line["life"] == n
+                    line for line in p.events("recovery_stage_changed", stage="service") if line["life"] == n
                 ]
             )
 
@@ -181,16 +181,16 @@
             await process.start()
         await self.up(fleet, 2)
         for process in fleet.processes:
-            lines = [line for line in process.events("recovery_stage") if line["life"] == 2]
+            lines = [line for line in process.events("recovery_stage_changed") if line["life"] == 2]
             assert [line["stage"] for line in lines][:6] == STAGES
-            assert [line["verdict"] for line in process.events("recovery_store")][-1] == "good"
-            assert [line for line in process.events("recovery_cold") if line["life"] == 2]
+            assert [line["verdict"] for line in process.events("recovery_store_opened")][-1] == "good"
+            assert [line for line in process.events("recovery_engines_marked_restarted") if line["life"] == 2]
         assert [await call(p.http, "load", 7) for p in fleet.processes] == [502] * 3
         assert (await call(fleet.processes[2].http, "lookup", 8)) == 200
         assert sum(engine.posts for engine in fleet.engines) == 2
         self.codes = await fleet.close()
         assert self.codes == [0] * 3
-        assert [x for p in fleet.processes for x in p.lines if x["event"] in ("fault", "text")] == []
+        assert [x for p in fleet.processes for x in p.lines if x["event"] in ("exception_caught", "text")] == []
 
     async def test_coordinator_alone_with_a_dead_disk_serves_queries_but_no_loads(self):
         fleet = await self.fleet(1, "", tenants=TENANTS + RECOVERY.replace("FOLDER/store", "FOLDER/config.json"))
@@ -199,4 +199,4 @@
         assert (await call(process.http, "lookup", 1)) == 200
         assert (await call(process.http, "load", 2)) == 503
         assert fleet.engines[0].posts + fleet.engines[1].posts == 1
-        assert process.events("recovery_stage", left="store", weak=True)
+        assert process.events("recovery_stage_changed", left="store", weak=True)
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -16,8 +16,8 @@
         await self.stand_ins(2)
         config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port)
         fleet = Coordinator(self, config, "[cores]\nworkers = 3\n", PYTHONPATH=REFUSING)
-        ready = await fleet.event("ready")
-        refused = [e for e in fleet.events if e["event"] == "cores_refused"]
+        ready = await fleet.event("coordinator_started")
+        refused = [e for e in fleet.events if e["event"] == "worker_start_refused"]
         self.assertEqual([(e["workers"], e["reason"]) for e in refused], [(3, "starting a process: ENOSYS")])
         self.assertNotIn("workers", ready)  # one process's own ready, not a supervisor's
         self.assertEqual([e for e in fleet.events if e["event"] == "worker_started"], [])
@@ -26,10 +26,10 @@
         answers = await asyncio.gather(*(self.in_thread(self.client().post, n + 1) for n in range(4)))
         self.assertEqual([status for status, _ in answers], [200] * 4)
         fleet.process.send_signal(signal.SIGHUP)  # the same file again: the workers it names are no new start
-        self.assertNotIn("error", await fleet.event("reload"))
+        self.assertNotIn("error", await fleet.event("config_reloaded"))
         fleet.operator.write_text("[cores]\nworkers = 2\n")
         fleet.process.send_signal(signal.SIGHUP)
-        self.assertEqual((await fleet.event("reload", 2))["error"], "cores: needs a new start")
+        self.assertEqual((await fleet.event("config_reload_failed"))["error"], "cores: needs a new start")
         fleet.process.send_signal(signal.SIGTERM)
         self.assertEqual(await fleet.exit(), 0)
 
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -73,7 +73,7 @@
         with leader.journal.open("ab") as file:
             file.write(b"FSLJ\xff\x00\x00\x00half a frame")
         await leader.start()
-        line = await leader.until(lambda: leader.events("replica_journal", life=2))
+        line = await leader.until(lambda: leader.events("replica_journal_opened", life=2))
         self.assertEqual((line[0]["found"], line[0]["votes"]), ("torn", True))
         await self.same()
 
@@ -93,7 +93,7 @@
         leader = await logs.leader()
         logs.streams.cut = {leader.number}
         told = await self.say([leader], 3, 1.0)
-        await leader.until(lambda: leader.events("replica_leader", leader=None))
+        await leader.until(lambda: leader.events("replica_leader_changed", leader=None))
         async with asyncio.timeout(60.0):
             while [answer.get("error") for answer in told[-3:]] != ["LogUnavailableError"] * 3:
                 told += await self.say([leader], 3, 1.0)
@@ -119,9 +119,9 @@
         data[data.rindex(MAGIC) - 1] ^= 0x40  # not in the last frame, in which it would look like a torn write
         voter.journal.write_bytes(data)
         await voter.start()
-        line = (await voter.until(lambda: voter.events("replica_journal", life=2)))[0]
+        line = (await voter.until(lambda: voter.events("replica_journal_opened", life=2)))[0]
         self.assertEqual((line["found"], line["votes"]), ("spoilt", False))
-        await voter.until(lambda: voter.events("replica_votes", life=2))
+        await voter.until(lambda: voter.events("replica_voting_started", life=2))
         self.assertTrue(voter.journal.with_suffix(".spoilt").exists())
         await self.go_on(logs.members, 5)
 
@@ -130,9 +130,9 @@
         known = HELLO_MAGIC + b"\0c1\0c0\0" + b"00" * 16
         known = len(known).to_bytes(2, "big") + known  # but not the secret
         for hello in (b"\x00\x03abc", b"\xff\xff", known, b"\x80\x04\x95cos\nsystem\n."):
-            before = len(logs.members[0].events("replica_refused"))
+            before = len(logs.members[0].events("replica_link_refused"))
             async with asyncio.timeout(60.0):  # a starved member may count one as not proved in time; then again
-                while len(logs.members[0].events("replica_refused")) == before:
+                while len(logs.members[0].events("replica_link_refused")) == before:
                     reader, writer = await asyncio.open_connection(host, port)
                     writer.write(hello + b"\0" * 600)
                     with suppress(ConnectionError):
@@ -148,7 +148,9 @@
         rest = [logs.members[0], *logs.members[3:]]
         told = await self.say(rest, 6, 0.5)
         self.assertNotIn(None, [answer.get("error") for answer in told])
-        await asyncio.gather(*(m.until(lambda m=m: m.events("replica_leader")[-1]["leader"] is None) for m in rest))
+        await asyncio.gather(
+            *(m.until(lambda m=m: m.events("replica_leader_changed")[-1]["leader"] is None) for m in rest)
+        )
         async with asyncio.timeout(60.0):  # none is taken, and in the end all are told so for certain
             while {answer.get("error") for answer in told} != {"LogUnavailableError"}:
                 told = await self.say(rest, 6, 0.5)
--- a/tests/test_replica_program.py
+++ b/tests/test_replica_program.py
@@ -90,7 +90,9 @@
             )
             all_.append((one, desk))
         leaders = {
-            (await one.until(lambda one=one: [e for e in one.events if e["event"] == "replica_leader"]))[0]["leader"]
+            (await one.until(lambda one=one: [e for e in one.events if e["event"] == "replica_leader_changed"]))[0][
+                "leader"
+            ]
             for one, _ in all_
         }
         self.assertEqual(len(leaders), 1)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -76,7 +76,7 @@
             "known": {"offset": 1, "batch": [change(1, *hosts, whole=True)]},
         }
         old = Coordinator(self, config)
-        port = int((await old.event("ready"))["listen"].rpartition(":")[2])
+        port = int((await old.event("coordinator_started"))["listen"].rpartition(":")[2])
 
         async def some(count: int) -> list[Raw]:
             lines = await asyncio.gather(*(Raw().open(port) for _ in range(count)))
@@ -105,7 +105,7 @@
         for number, line in enumerate(half):  # within the head, and within the statement
             line.writer.write(call(200 + number)[: 60 if number % 2 else -9])
         old.process.send_signal(signal.SIGTERM)
-        await old.event("stopping")
+        await old.event("shutdown_started")
         for number, line in enumerate(half[: HALF // 2]):  # the other halves of these come in time
             line.writer.write(call(200 + number)[60 if number % 2 else -9 :])
         late = await some(20)  # it goes on accepting for a while
@@ -130,7 +130,7 @@
             while taken < count:  # the end of what is at work comes once all are taken
                 old.process.send_signal(signal.SIGUSR1)
                 reports += 1
-                said = (await old.event("counters", reports))["counters"]
+                said = (await old.event("counters_reported", reports))["counters"]
                 taken = sum(row["count"] for row in said if row["what"] == "taken")
                 await asyncio.sleep(0.1)
             release.set()
@@ -175,7 +175,7 @@
 
     async def stop(self) -> asyncio.Task:
         stopping = asyncio.create_task(self.program.stop())
-        await self.until(lambda: any(event["event"] == "stopping" for event in self.log))
+        await self.until(lambda: any(event["event"] == "shutdown_started" for event in self.log))
         return stopping
 
     async def test_new_work_is_taken_for_a_while_though_nothing_is_open(self):
--- a/tests/test_scatter_processes.py
+++ b/tests/test_scatter_processes.py
@@ -71,7 +71,7 @@
         # A home that starts anew knows nothing, and learns it.
         await fleet.processes[home].end(signal.SIGKILL)
         await again(fleet.processes[home])
-        await fleet.processes[home].until(lambda: len(fleet.processes[home].events("scatter_learnt")) > 1)
+        await fleet.processes[home].until(lambda: len(fleet.processes[home].events("scatter_summary_learned")) > 1)
         await run.leased([other])
         self.assertEqual(await run.count(other, "n = 780"), 1)
 
@@ -94,4 +94,4 @@
 
 async def again(process) -> None:
     await process.start()
-    await process.until(lambda: process.events("ready", life=process.lives))
+    await process.until(lambda: process.events("coordinator_started", life=process.lives))
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -632,7 +632,7 @@
     def test_audit_reads_expired_leases_and_killed_processes_from_log_lines(self):
         def line(node, at, mode, version, until=None):
             return {
-                "event": "settings_acting",
+                "event": "settings_rules_activated",
                 "node": node,
                 "mono_ms": at,
                 "mode": mode,
@@ -641,7 +641,7 @@
             }
 
         lines = [
-            {"event": "ready"},
+            {"event": "coordinator_started"},
             line("a", 0, "version", 1),
             line("b", 5, "version", 1),
             line("a", 50, "meet", 1, 40),
@@ -654,7 +654,7 @@
         ]
         told = read_contradictions(
             [
-                {"event": "settings_version", "version": v, "parent": p, "contradicts": keys}
+                {"event": "settings_version_received", "version": v, "parent": p, "contradicts": keys}
                 for v, p, keys in ((1, 0, []), (2, 1, ["ban/e1"]), (3, 2, []), (2, -1, []), (5, -1, []))
             ]
         )
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -70,7 +70,9 @@
     async def finish(self, world: Agreeing) -> None:
         self.codes = await world.close()
         self.assertEqual(self.codes, [0] * world.count)
-        self.assertEqual([x for p in world.processes for x in p.lines if x["event"] in ("fault", "text")], [])
+        self.assertEqual(
+            [x for p in world.processes for x in p.lines if x["event"] in ("exception_caught", "text")], []
+        )
 
 
 class FleetCase(Case):
@@ -99,7 +101,7 @@
         marked = len(c[3].lines)
         c[3].send_signal(signal.SIGCONT)
         await plain(4)
-        woke = [line for line in c[3].lines[marked:] if line["event"] == "settings_acting"]
+        woke = [line for line in c[3].lines[marked:] if line["event"] == "settings_rules_activated"]
         self.assertEqual([woke[0]["mode"], woke[0]["why"]], ["meet", "alone"])
         self.assertLess(woke[0]["until_ms"], woke[0]["mono_ms"])
 
@@ -122,19 +124,21 @@
         held.send_signal(signal.SIGSTOP)  # so that it is waited for
         other = next(p for p in c if p not in (publisher, held))
         pushed = asyncio.create_task(other.command("push", world.file(bans("toy-0", "toy-9"))))
-        await publisher.until(lambda: publisher.events("settings_news", what="published", version=6))
+        await publisher.until(lambda: publisher.events("settings_history_recorded", what="published", version=6))
         await publisher.kill()
-        self.assertEqual(publisher.events("settings_news", what="live", version=6), [])
+        self.assertEqual(publisher.events("settings_history_recorded", what="live", version=6), [])
         held.send_signal(signal.SIGCONT)
         await world.publisher(but=publisher)
         await plain(6, publisher.number)
         await pushed
         await publisher.start()
-        await publisher.until(lambda: [x for x in publisher.events("settings_acting", life=2) if x["mode"] == "meet"])
-        start = publisher.events("settings_acting", life=2)[0]
+        await publisher.until(
+            lambda: [x for x in publisher.events("settings_rules_activated", life=2) if x["mode"] == "meet"]
+        )
+        start = publisher.events("settings_rules_activated", life=2)[0]
         self.assertEqual((start["mode"], start["why"]), ("meet", "start"))
         self.assertGreaterEqual(start["age_s"], 0.0)
-        await publisher.until(lambda: publisher.events("settings_acting", life=2, mode="version"))
+        await publisher.until(lambda: publisher.events("settings_rules_activated", life=2, mode="version"))
 
         found = world.found()
         self.assertLessEqual(found.longest_ms, 1_000.0, found)
@@ -167,11 +171,11 @@
         pushed = asyncio.create_task(
             next(p for p in c if p is not publisher).command("push", world.file('lists = ["http"]\n'))
         )  # no engine at all
-        await publisher.until(lambda: publisher.events("settings_news", what="live", version=1))
+        await publisher.until(lambda: publisher.events("settings_history_recorded", what="live", version=1))
         await publisher.kill()
-        self.assertEqual(publisher.events("settings_news", what="rolled back"), [])
+        self.assertEqual(publisher.events("settings_history_recorded", what="rolled back"), [])
         after = await world.publisher(but=publisher)
-        back = await after.until(lambda: after.events("settings_news", what="rolled back"))
+        back = await after.until(lambda: after.events("settings_history_recorded", what="rolled back"))
         self.assertRegex(back[0]["why"], "^(refused|failed|slow|stalled): ")
         await after.plain(2)
         await pushed
@@ -208,7 +212,9 @@
         ):
             path.write_text(text)
             c0.send_signal(signal.SIGHUP)
-            await c0.until(lambda word=word: [x for x in c0.events("reload") if word in x.get("error", "")])
+            await c0.until(
+                lambda word=word: [x for x in c0.events("config_reload_failed") if word in x.get("error", "")]
+            )
         code, said = await c0.command("push", world.file('[[class]]\nname = "lookup"\neffect = "once"\n'))
         self.assertEqual(code, 3, said)
         self.assertIn("class/lookup.effect: needs a new start", said)
@@ -219,8 +225,8 @@
         self.assertEqual((await c0.command("diff", "2", "99"))[0], 2)
         await c0.kill()
         await c0.start()  # a start serves from what was kept, and a restart never from a version that was turned down
-        await c0.until(lambda: c0.events("settings_acting", life=2))
-        self.assertEqual(c0.events("settings_acting", life=2)[0]["versions"][-1], 4)
+        await c0.until(lambda: c0.events("settings_rules_activated", life=2))
+        self.assertEqual(c0.events("settings_rules_activated", life=2)[0]["versions"][-1], 4)
 
     async def test_ten_thousand_engines_in_one_version_while_five_hundred_requests_are_open(self):
         world = await self.agreeing(1, delay_s=2.0, engines=40)
@@ -276,7 +282,7 @@
             await pushing
             number += 3
             await c0.start()
-            first = (await c0.until(lambda: c0.events("settings_acting", life=c0.lives)))[0]
+            first = (await c0.until(lambda: c0.events("settings_rules_activated", life=c0.lives)))[0]
             shown = (await c0.figures(f"settings-diff 0 {first['versions'][-1]}"))["shown"]
             self.assertEqual({*shown}, {"ban/x"}, "a version that can't be taken is not what a start serves")
             why = int(shown["ban/x"]["why"])
@@ -297,7 +303,7 @@
             await asyncio.sleep(0.1)
         harm = world.file('lists = ["http"]\n')  # no engine at all
         await c0.command("push", harm)
-        back = await c0.until(lambda: c0.events("settings_news", what="rolled back"))
+        back = await c0.until(lambda: c0.events("settings_history_recorded", what="rolled back"))
         self.assertRegex(back[0]["why"], "^(refused|failed|slow|stalled): ")
         await c0.plain(2)
         ended.set()
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -503,11 +503,11 @@
             (OperatorCalls(service).status()["members"]["c1"]["acked"], OperatorCalls(service).status()["keeps"]),
             (0, False),
         )
-        self.assertIn("settings_keep_failed", [event for event, _ in told])
+        self.assertIn("settings_version_store_failed", [event for event, _ in told])
         log.lead(False)
         await self.until(lambda: service.active_rules.reason == "alone")
         self.assertTrue(OperatorCalls(service).status()["counts"]["unavailable"])
-        lost = [more for event, more in told if event == "settings_acting" and more["why"] == "alone"]
+        lost = [more for event, more in told if event == "settings_rules_activated" and more["why"] == "alone"]
         self.assertLessEqual(lost[0]["until_ms"], lost[0]["mono_ms"])
         with mock.patch("frostspindle.settings.pushes.PUSH_TIMEOUT_S", 0.5):
             self.push(service, "q", {"ban/e2": Ban("e2")})
--- a/tests/test_subscriptions_processes.py
+++ b/tests/test_subscriptions_processes.py
@@ -30,12 +30,12 @@
         served, _, mover = run.kept
         self.assertGreater(len(served.events), 100)
         self.assertGreater(len(set(mover.homes)), 1)
-        (killed,) = [line["epoch"] for line in run.fleet.processes[4].events("subscriptions", life=1)]
+        (killed,) = [line["epoch"] for line in run.fleet.processes[4].events("subscriptions_started", life=1)]
         self.assertTrue(any(first <= [killed, 10**9] <= last for maker, first, last in mover.gaps if maker == "c4"))
         self.codes = await run.close()
         # What each process counted by itself is what was told of it, where nothing is missing.
         for process in run.fleet.processes[:4]:
-            (end,) = process.events("counters")
+            (end,) = process.events("counters_reported")
             answers = sum(row["count"] for row in end["counters"] if row["what"] == "served")
             heard = sum(
                 event["kind"] == "answer" and event["outcome"] == "served"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -129,30 +129,30 @@
         waiting = socket.create_connection(("127.0.0.1", self.port))  # in the line before anybody accepts
         self.addCleanup(waiting.close)
         old = self.run_one()
-        await old.event("ready")
+        await old.event("coordinator_started")
         session, later = self.session(), self.session()
         first = asyncio.create_task(self.ask(session, 1))
         await self.engine.seen("POST")
         new = self.run_one()
-        await new.event("ready")
+        await new.event("coordinator_started")
         old.process.send_signal(signal.SIGTERM)
-        await old.event("stopping")
+        await old.event("shutdown_started")
         second = asyncio.create_task(self.ask(later, 2))
         await self.engine.seen("POST", 2)
         self.assertFalse(first.done() or second.done())
         release.set()
         self.assertEqual(await first, (200, {"rows": [["a", "1", "x"]]}, "close"))
         self.assertEqual((await second)[:2], (200, {"rows": [["a", "1", "x"]]}))
-        counted = (await old.event("counters"))["figures"]["calls"]["load"]["success"]
+        counted = (await old.event("counters_reported"))["figures"]["calls"]["load"]["success"]
         self.assertEqual((counted, await asyncio.to_thread(old.process.wait, 60)), (1, 0))
         self.assertEqual((await self.ask(later, 3))[0], 200)  # the socket was not shut down with the old one
         self.assertEqual(len(self.engine.of("POST")), 3)
         new.process.send_signal(signal.SIGTERM)
-        self.assertEqual((await new.event("counters"))["figures"]["calls"]["load"]["success"], 2)
+        self.assertEqual((await new.event("counters_reported"))["figures"]["calls"]["load"]["success"], 2)
         self.assertEqual(await asyncio.to_thread(new.process.wait, 60), 0)
 
     async def test_the_line_of_the_inherited_socket_keeps_its_length(self):
-        await self.run_one().event("ready")
+        await self.run_one().event("coordinator_started")
         self.assertEqual(self.backlog(), 300)
 
     def backlog(self):
@@ -170,14 +170,14 @@
 
         self.engine.script = lambda request, body: at_work() if request.method in ("POST", "GET") else None
         old, session = self.run_one(), self.session()
-        await old.event("ready")
+        await old.event("coordinator_started")
         asked = asyncio.create_task(self.ask(session, 0))
         await self.engine.seen("POST")
         old.process.send_signal(signal.SIGTERM)
         began = asyncio.get_running_loop().time()
         # What it plans is held against the 5.7 s after which it is killed; how late a busy machine carries that out is
         # the machine's affair, as long as it is not the request's minute.
-        last_s = (await old.event("stopping"))["last_s"]
+        last_s = (await old.event("shutdown_started"))["last_s"]
         self.assertLess(last_s + program.DRAIN_POLL_INTERVAL_S * 2 + program.RESPONSE_FLUSH_S, 5.7)
         self.assertEqual((await asked)[0], 502)
         self.assertEqual(await asyncio.to_thread(old.process.wait, 60), 0)
@@ -197,15 +197,17 @@
         )
         both = [self.run_one(FROSTSPINDLE_OPERATOR=str(operator)) for _ in range(2)]
         for running in both:
-            event = await running.event("ready")
+            event = await running.event("coordinator_started")
             self.assertEqual((event["tds"], event["snmp"]), (tds, snmp))
         both[0].process.send_signal(signal.SIGTERM)
-        await both[0].event("stopping")
+        await both[0].event("shutdown_started")
         for _ in range(8):  # the old one accepts no session any more
             client = await TdsClient(tds).open()
             self.assertTrue(client.result.accepted)
             client.writer.close()
-        logins = [row["count"] for row in (await both[0].event("counters"))["counters"] if row["what"] == "logins"]
+        logins = [
+            row["count"] for row in (await both[0].event("counters_reported"))["counters"] if row["what"] == "logins"
+        ]
         self.assertEqual((logins, await asyncio.to_thread(both[0].process.wait, 60)), ([], 0))
 
     def test_what_is_no_socket_ends_it_with_2_and_one_line(self):
@@ -239,7 +241,7 @@
     async def test_the_end_of_a_process_does_not_walk_its_books_again(self):
         """A process that ends shares its processors with the one that goes on, which has all the work by then."""
         running = self.run_one(arguments=("-c", FULL))
-        await running.event("ready")
+        await running.event("coordinator_started")
         running.process.send_signal(signal.SIGTERM)
         over = await running.event("over")
         _, status, used = await asyncio.to_thread(os.wait4, running.process.pid, 0)
