--- a/scripts/rename_symbols.py
+++ b/scripts/rename_symbols.py
@@ -147,36 +147,34 @@
                 return f"{self.module}.{name.name}"
         return None
 
-    def visit_ClassDef(self, node: cst.ClassDef) -> None:  # noqa: N802 - the library's name
+    def visit_ClassDef(self, node: cst.ClassDef) -> None:
         """Note that definitions from here on are members."""
         self.class_depth.append(True)
 
-    def leave_ClassDef(self, original_node: cst.ClassDef, updated_node: cst.ClassDef) -> cst.ClassDef:  # noqa: N802
+    def leave_ClassDef(self, original_node: cst.ClassDef, updated_node: cst.ClassDef) -> cst.ClassDef:
         """End the class."""
         self.class_depth.pop()
         return updated_node
 
-    def visit_FunctionDef(self, node: cst.FunctionDef) -> None:  # noqa: N802 - the library's name
+    def visit_FunctionDef(self, node: cst.FunctionDef) -> None:
         """Rename methods by the rules for members; note that definitions from here on are local."""
         if self.class_depth and self.class_depth[-1] and node.name.value in self.members:
             self.handled.add(id(node.name))
         self.class_depth.append(False)
 
-    def leave_FunctionDef(  # noqa: N802 - the library's name
-        self, original_node: cst.FunctionDef, updated_node: cst.FunctionDef
-    ) -> cst.FunctionDef:
+    def leave_FunctionDef(self, original_node: cst.FunctionDef, updated_node: cst.FunctionDef) -> cst.FunctionDef:
         """Give a method its new name."""
         self.class_depth.pop()
         if id(original_node.name) in self.handled:
             return updated_node.with_changes(name=cst.Name(self.members[original_node.name.value]))
         return updated_node
 
-    def visit_AnnAssign(self, node: cst.AnnAssign) -> None:  # noqa: N802 - the library's name
+    def visit_AnnAssign(self, node: cst.AnnAssign) -> None:
         """Rename a field of a class by the rules for members."""
         if self.class_depth and self.class_depth[-1] and isinstance(node.target, cst.Name):
             self.variables_or_members(node.target)
 
-    def visit_AssignTarget(self, node: cst.AssignTarget) -> None:  # noqa: N802 - the library's name
+    def visit_AssignTarget(self, node: cst.AssignTarget) -> None:
         """Rename a class attribute by the rules for members."""
         if self.class_depth and self.class_depth[-1] and isinstance(node.target, cst.Name):
             self.variables_or_members(node.target)
@@ -189,11 +187,11 @@
 
     marked: set[int] = set()
 
-    def visit_Attribute(self, node: cst.Attribute) -> None:  # noqa: N802 - the library's name
+    def visit_Attribute(self, node: cst.Attribute) -> None:
         """Keep the last identifier from being taken for a variable."""
         self.handled.add(id(node.attr))
 
-    def leave_Attribute(self, original_node: cst.Attribute, updated_node: cst.Attribute) -> cst.BaseExpression:  # noqa: N802
+    def leave_Attribute(self, original_node: cst.Attribute, updated_node: cst.Attribute) -> cst.BaseExpression:
         """Rename a symbol that is reached through its module, or a member."""
         dotted = self.dotted(original_node)
         new = self.plan.renamed_symbol(dotted) if dotted else None
@@ -208,22 +206,22 @@
             new = self.members.get(original_node.attr.value)
         return updated_node.with_changes(attr=cst.Name(new)) if new else updated_node
 
-    def visit_Arg(self, node: cst.Arg) -> None:  # noqa: N802 - the library's name
+    def visit_Arg(self, node: cst.Arg) -> None:
         """Keep a keyword from being taken for a variable."""
         if node.keyword is not None:
             self.handled.add(id(node.keyword))
 
-    def leave_Arg(self, original_node: cst.Arg, updated_node: cst.Arg) -> cst.Arg:  # noqa: N802
+    def leave_Arg(self, original_node: cst.Arg, updated_node: cst.Arg) -> cst.Arg:
         """Rename a keyword argument by the rules for members."""
         if original_node.keyword is not None and original_node.keyword.value in self.members:
             return updated_node.with_changes(keyword=cst.Name(self.members[original_node.keyword.value]))
         return updated_node
 
-    def visit_Import(self, node: cst.Import) -> bool:  # noqa: N802 - the library's name
+    def visit_Import(self, node: cst.Import) -> bool:
         """Leave the identifiers inside to `leave_Import`."""
         return False
 
-    def leave_Import(self, original_node: cst.Import, updated_node: cst.Import) -> cst.Import:  # noqa: N802
+    def leave_Import(self, original_node: cst.Import, updated_node: cst.Import) -> cst.Import:
         """Rename the modules imported."""
         names = []
         for alias in updated_node.names:
@@ -231,13 +229,11 @@
             names.append(alias.with_changes(name=cst.parse_expression(new)) if new != alias.evaluated_name else alias)
         return updated_node.with_changes(names=names)
 
-    def visit_ImportFrom(self, node: cst.ImportFrom) -> bool:  # noqa: N802 - the library's name
+    def visit_ImportFrom(self, node: cst.ImportFrom) -> bool:
         """Leave the identifiers inside to `leave_ImportFrom`."""
         return False
 
-    def leave_ImportFrom(  # noqa: N802 - the library's name
-        self, original_node: cst.ImportFrom, updated_node: cst.ImportFrom
-    ) -> cst.ImportFrom:
+    def leave_ImportFrom(self, original_node: cst.ImportFrom, updated_node: cst.ImportFrom) -> cst.ImportFrom:
         """Rename the module and the symbols imported from it."""
         if updated_node.module is None or isinstance(updated_node.names, cst.ImportStar):
             return updated_node
@@ -255,7 +251,7 @@
             names.append(alias.with_changes(name=cst.Name(new)) if new else alias)
         return updated_node.with_changes(module=cst.parse_expression(target), names=names)
 
-    def leave_Name(self, original_node: cst.Name, updated_node: cst.Name) -> cst.BaseExpression:  # noqa: N802
+    def leave_Name(self, original_node: cst.Name, updated_node: cst.Name) -> cst.BaseExpression:
         """Rename a module-level symbol, a module, a marked member or a variable."""
         if id(original_node) in self.marked:
             return updated_node.with_changes(value=self.members[original_node.value])
