--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -55,9 +55,11 @@
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
+        """Decode each complete frame and hand it on; a malformed or too long one ends the connection."""
         self.buffer += data
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "little")
@@ -76,13 +78,16 @@
             self.frame_received(content)
 
     def abort_malformed(self) -> None:
+        """Abort the connection, as a frame can't be decoded."""
         self.buffer.clear()
         self.transport.abort()
 
     def frame_received(self, message: Any) -> None:
+        """Take one decoded frame."""
         raise NotImplementedError
 
     def send(self, message: Any) -> None:
+        """Write one message as a frame; nothing is written to a connection that closes."""
         if not self.transport.is_closing():
             data = _ENCODE(message)
             self.transport.write(len(data).to_bytes(4, "little") + data)
@@ -104,6 +109,7 @@
         self.on_reply = on_reply
 
     def reply(self, status: int, body: Any = None, extra: str = "", last: bool = False) -> None:
+        """Pass the response back to the calling worker, once."""
         if self.data is None:
             self.data = b""
             self.on_reply(RelayedReply(status, body, extra, last))
@@ -121,6 +127,7 @@
         self.pending_calls: set[_RemoteCall] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the connection, unless a process of another user opened it."""
         super().connection_made(transport)
         self.connections.add(self)
         # An abstract address has no file permissions: accept only processes of this user.
@@ -130,10 +137,12 @@
             self.transport.abort()
 
     def abort_malformed(self) -> None:
+        """Count the malformed frame and abort the connection."""
         self.front.telemetry.count("mesh_broken")
         super().abort_malformed()
 
     def frame_received(self, message: Any) -> None:
+        """Hand another worker's call to this worker's front; beyond MAX_PENDING_CALLS it is rejected."""
         number, method, url = message
         call = _RemoteCall(lambda reply: self._send_reply(number, call, reply))
         if len(self.pending_calls) >= MAX_PENDING_CALLS:
@@ -155,6 +164,7 @@
         self.send((number, *reply))
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Drop the calls that wait for a response."""
         self.connections.discard(self)
         for call in self.pending_calls:
             call.data = b""
@@ -173,18 +183,21 @@
         self.last_number = 0
 
     def frame_received(self, message: Any) -> None:
+        """Resolve the call that the response belongs to."""
         number, status, body, extra, last = message
         future = self.pending.pop(number, None)
         if future is not None and not future.done():
             future.set_result(RelayedReply(status, body, extra, last))
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Fail all calls that wait, with WorkerGoneError."""
         for future in self.pending.values():
             if not future.done():
                 future.set_exception(WorkerGoneError("the owner ended its connection"))
         self.pending.clear()
 
     async def call(self, method: bytes, url: bytes) -> RelayedReply:
+        """Send a call and return its response; WorkerGoneError if none can be had in time."""
         if len(self.pending) >= MAX_PENDING_CALLS:
             raise WorkerGoneError("too many calls wait there")
         self.last_number += 1
