--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -219,10 +219,10 @@
             )
         try:
             async with asyncio.timeout(60.0):
-                while '"ready"' not in log.read_text():
+                while '"coordinator_started"' not in log.read_text():
                     await asyncio.sleep(0.05)
             port = int(
-                next(json.loads(text) for text in log.read_text().splitlines() if '"ready"' in text)[
+                next(json.loads(text) for text in log.read_text().splitlines() if '"coordinator_started"' in text)[
                     "listen"
                 ].rpartition(":")[2]
             )
--- a/frostspindle/lab/bench.py
+++ b/frostspindle/lab/bench.py
@@ -29,6 +29,7 @@
 from frostspindle.operator_client import call_operator
 
 WARM_S = 1.0  # of each run, not measured
+STARTED_EVENTS = ("coordinator_started", "ready")  # the second of versions up to 0.3
 SQL = b"SELECT agent FROM calls_17.notes"
 SPAWN = multiprocessing.get_context("spawn")
 LONGEST_US = 60_000_000
@@ -212,8 +213,12 @@
                 time.sleep(0.05)
             port = int(config["listen"].rpartition(":")[2])  # where it is set, a log of many engines may lack the line
             while not port:
-                ready = [json.loads(line) for line in log.read_text().splitlines() if '"ready"' in line]
-                port = next((int(e["listen"].rpartition(":")[2]) for e in ready if e.get("worker") is None), 0)
+                started = [
+                    json.loads(line)
+                    for line in log.read_text().splitlines()
+                    if any(f'"event":"{name}"' in line for name in STARTED_EVENTS)
+                ]
+                port = next((int(e["listen"].rpartition(":")[2]) for e in started if e.get("worker") is None), 0)
                 time.sleep(0.01)
             yield port, (desk, child.pid)
         finally:
