--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -315,6 +315,7 @@
             for at in (*sent, *arrived):
                 grown = 0.3 + 0.7 * ((at + 1.0 - born / 1000.0) / 15.0) ** 2
                 requests = work_per_s * grown / 0.3 / self.WORK
-                self.assertLessEqual(sum(at <= other < at + 1.0 for other in sent), requests)
+                # The module uses three quarters of it, and no window of its own may hold more.
+                self.assertLessEqual(sum(at <= other < at + 1.0 for other in sent), 0.75 * requests)
                 bearable = requests + 3.0 * math.sqrt(requests) + 3.0
                 self.assertLessEqual(sum(at <= other < at + 1.0 for other in arrived), bearable)
