--- a/frostspindle/net/http/arrival_clock.py
+++ b/frostspindle/net/http/arrival_clock.py
@@ -1,9 +1,8 @@
-"""When the bytes that are read now can have come, at the earliest.
+"""Tells the earliest time at which the bytes that are read now can have arrived.
 
-Owns the note of when an event loop last looked at its sockets. A client's time counts from its last byte, which may
-have lain in the system while the loop was at work elsewhere: what a look brings came after the look before it. It must
-never give a moment that is later than the bytes can have come, but for what the system takes to wake the process, and
-never one that is earlier by more than the loop was late. It knows no connections and reads nothing.
+A client's time counts from its last byte, which may have waited in the system while the event loop was busy: what one
+poll of the sockets returns arrived after the poll before it. The time given is never later than the arrival, but for
+what the system takes to wake the process, and never earlier than it by more than the loop was late.
 """
 
 from __future__ import annotations
@@ -16,26 +15,29 @@
 
 
 class ArrivalClock:
-    """The polls of one event loop on its sockets, in Unix ms; `of` gives those of a loop."""
+    """Records when one event loop polls its sockets, in Unix ms; `of` gives the clock of a loop."""
 
     _of: WeakKeyDictionary[asyncio.AbstractEventLoop, ArrivalClock] = WeakKeyDictionary()
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.count = 0
-        self.before_ms = self.asked_ms = self.now_ms = clock()  # the look before; the last one, asked for and over
+        self.count = 0  # of polls
+        self.now_ms = clock()  # when the last poll returned
+        self.asked_ms = self.now_ms  # when it began
+        self.before_ms = self.now_ms  # when the poll before it returned
         selector = getattr(loop, "_selector", None)  # a loop of another kind has none: bytes count from when it reads
         if selector is not None:
-            self._select, selector.select = selector.select, self._look
+            self._select, selector.select = selector.select, self._poll
 
     @classmethod
     def of(cls, loop: asyncio.AbstractEventLoop) -> ArrivalClock:
-        """Return the looks of a loop; the first call for a loop wraps its selector's `select`."""
+        """Return the clock of a loop; the first call for a loop wraps its selector's `select`."""
         if loop not in cls._of:
             cls._of[loop] = cls(loop)
         return cls._of[loop]
 
-    def _look(self, timeout: float | None = None) -> Any:
-        self.before_ms, self.asked_ms = self.now_ms, clock()
+    def _poll(self, timeout: float | None = None) -> Any:
+        self.before_ms = self.now_ms
+        self.asked_ms = clock()
         ready = self._select(timeout)
         self.now_ms = clock()
         self.count += 1
--- a/frostspindle/net/http/load_reports.py
+++ b/frostspindle/net/http/load_reports.py
@@ -1,7 +1,7 @@
-"""What engines say of themselves and of their queries: load reports, notes on progress, what a query took.
+"""Parses the headers in which engines report their load, the progress of a query, and what a query needed.
 
-Owns the reading of those headers and the count of what can't be read. It must never let a figure through that is not
-finite and in its range, and never raise: an unreadable word costs its sender nothing but the word.
+Only finite figures within their ranges are returned. An unreadable header is counted and treated as missing; it never
+raises and never costs the response that it came with.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from frostspindle.policy import ProgressKind
 from frostspindle.telemetry import Telemetry
 
-MAX_COST_MS, MAX_MEMORY_MB = 3_600_000.0, 1e8  # of what an answer may say that its query needed
+MAX_COST_MS = 3_600_000.0  # greatest processor time that a response may report for its query
+MAX_MEMORY_MB = 1e8  # greatest memory that a response may report for its query
 PROGRESS_KINDS = {b"pct": ProgressKind.PROGRESS, b"overflow": ProgressKind.SPILLS, b"queued": ProgressKind.WAITS}
 
 
@@ -22,7 +23,8 @@
     """Reads what engines report in headers; `columns` are the names of a load report's figures, in order."""
 
     def __init__(self, telemetry: Telemetry, columns: tuple[str, ...]) -> None:
-        self.telemetry, self.columns = telemetry, columns
+        self.telemetry = telemetry
+        self.columns = columns
 
     def report(self, reply: EngineReply) -> tuple[float, ...]:
         """Return the engine's load in the order of the columns; empty if there is none that can be read."""
@@ -42,24 +44,24 @@
 
     def needed(self, reply: EngineReply) -> MeasuredCost:
         """Return the ms and MB that the query needed, from its good end; UNKNOWN_COST if they can't be read."""
-        said = reply.text(b"x-cost-ms"), reply.text(b"x-needed-mb")
+        headers = reply.text(b"x-cost-ms"), reply.text(b"x-needed-mb")
         try:
-            cost_ms, memory_mb = (float(text) if text else 0.0 for text in said)
+            cost_ms, memory_mb = (float(text) if text else 0.0 for text in headers)
         except ValueError:
             cost_ms = math.nan
         if not (0.0 <= cost_ms <= MAX_COST_MS and 0.0 <= memory_mb <= MAX_MEMORY_MB):
-            self._unreadable("engine_bad_needs", "; ".join(said))
+            self._unreadable("engine_bad_needs", "; ".join(headers))
             return UNKNOWN_COST
         return MeasuredCost(cost_ms, memory_mb)
 
     def _unreadable(self, what: str, text: str) -> None:
-        """Count it, and log it the first time: an engine that writes it once writes it with every answer."""
+        """Count an unreadable header, and log it the first time: an engine that sends it once sends it always."""
         if not self.telemetry.counts[what, "", ""]:
             self.telemetry.log(what, text=text[:200])
         self.telemetry.count(what)
 
     def note(self, reply: EngineReply) -> tuple[ProgressKind, float] | None:
-        """Return kind and value of the news of a running query; None: there are none that can be read."""
+        """Return kind and value of a running query's progress; None if there is none that can be read."""
         remark = reply.headers.get(b"x-remark")
         if not remark:
             return None
