--- a/bench/structures.py
+++ b/bench/structures.py
@@ -109,7 +109,7 @@
     def by_ours() -> None:
         for paces in drift[:16]:
             state["ours"] += 100.0
-            lapses.due(state["ours"], paces)
+            lapses.pop_due(state["ours"], paces)
 
     return timed({"scan": by_scan, "ExpiryIndex": by_ours}, 16, rounds=3)
 
--- a/frostspindle/core/event_handlers.py
+++ b/frostspindle/core/event_handlers.py
@@ -208,7 +208,7 @@
         self._ledger.remove_if_complete(entry)
 
     def _on_shutdown_started(self, now: float, event: ShutdownStarted) -> None:
-        self._executor.execute(now, self._controller.give_up(now))
+        self._executor.execute(now, self._controller.end_all_requests(now))
         if self._hooks.admission_gate is None:
             return
         for number in self._hooks.admission_gate.close():
--- a/frostspindle/policy/completion.py
+++ b/frostspindle/policy/completion.py
@@ -27,7 +27,7 @@
 
     def end_past_deadline(self, now: float) -> None:
         """End the requests whose deadline has come, but for those whose response has begun to stream."""
-        for number in self.deadlines.due(now):
+        for number in self.deadlines.pop_due(now):
             request = self._state.requests.get(number)
             if request is not None and not request.streaming:
                 self.end_unserved(request, now)
--- a/frostspindle/policy/controller.py
+++ b/frostspindle/policy/controller.py
@@ -150,7 +150,7 @@
             state.actions.append(actions.SubscribeEndpoints(True))
         return state.actions
 
-    def give_up(self, now_ms: float) -> list[actions.Action]:
+    def end_all_requests(self, now_ms: float) -> list[actions.Action]:
         """End all requests, as their classes allow, since the process ends; return the actions."""
         self.state.actions = []
         for request in list(self.state.requests.values()):
--- a/frostspindle/policy/deadlines.py
+++ b/frostspindle/policy/deadlines.py
@@ -37,7 +37,7 @@
             self.heap = [entry for entry in self.heap if entry[1] in there]
             heapq.heapify(self.heap)
 
-    def due(self, now: float) -> list[int]:
+    def pop_due(self, now: float) -> list[int]:
         """Remove and return the keys due at or before `now`, earliest first; some may no longer exist."""
         out = []
         while self.heap and self.heap[0][0] <= now:
@@ -63,7 +63,7 @@
             self[key] = until
             heapq.heappush(self.heap, (until, key))
 
-    def due(self, now: float) -> list[int]:
+    def pop_due(self, now: float) -> list[int]:
         """Remove and return the keys whose cooldown is over at `now`; one that was extended comes at its later end."""
         out = []
         while self.heap and self.heap[0][0] <= now:
@@ -110,7 +110,7 @@
     def __len__(self) -> int:
         return len(self.new) + len(self.live)
 
-    def due(self, now: float, paces: Sequence[float]) -> list[Any]:
+    def pop_due(self, now: float, paces: Sequence[float]) -> list[Any]:
         """Remove and return the keys of all items that have expired at `now` (ms), by the current pace of each kind.
 
         Entries of discarded items are compacted once they outnumber the others.
--- a/frostspindle/policy/key_order.py
+++ b/frostspindle/policy/key_order.py
@@ -50,7 +50,7 @@
 
     def end_cooldowns(self, now: float) -> bool:
         """Advance the lines whose cooldown is over; tell whether there were any."""
-        keys = self.cooldowns.due(now)
+        keys = self.cooldowns.pop_due(now)
         for key in keys:
             self.advance(key, now)
         return bool(keys)
--- a/frostspindle/policy/waiting_requests.py
+++ b/frostspindle/policy/waiting_requests.py
@@ -91,5 +91,5 @@
         """Return the requests that can no longer be answered in time, in the order of the queue."""
         state = self._state
         latency_ratios = [max(1.0, best * state.median_slowdown) for best in state.best_latency_ratios]
-        expired = [state.requests[number] for number in self.expiry.due(now, latency_ratios)]
+        expired = [state.requests[number] for number in self.expiry.pop_due(now, latency_ratios)]
         return sorted(expired, key=lambda request: request.rank)
--- a/tests/test_module_indexes.py
+++ b/tests/test_module_indexes.py
@@ -78,10 +78,10 @@
     def go_on(self, ms, paces):
         self.now, self.paces = self.now + ms, paces
         gone = {k for k, (kind, work, limit) in self.items.items() if self.now + work * paces[kind] > limit}
-        assert sorted(self.expiry.due(self.now, paces)) == sorted(gone)
+        assert sorted(self.expiry.pop_due(self.now, paces)) == sorted(gone)
         self.items = {k: v for k, v in self.items.items() if k not in gone}
         rested = {key for key, until in self.until.items() if until <= self.now}
-        assert set(self.cooldowns.due(self.now)) == rested
+        assert set(self.cooldowns.pop_due(self.now)) == rested
         self.until = {key: until for key, until in self.until.items() if key not in rested}
 
     @invariant()
@@ -121,7 +121,7 @@
         there = {number, -1}
         deadlines.add(1e6 + number, number, there)
     assert len(deadlines.heap) <= MAX_DEAD_ENTRIES + 8
-    assert deadlines.due(2e6)[-1] == 3 * MAX_DEAD_ENTRIES - 1
+    assert deadlines.pop_due(2e6)[-1] == 3 * MAX_DEAD_ENTRIES - 1
 
 
 def audit(controller) -> None:
