--- a/frostspindle/policy/admission.py
+++ b/frostspindle/policy/admission.py
@@ -13,13 +13,13 @@
 MIN_QUOTA_BURST = 2.0  # requests that a bucket holds at least: for a small part of a quota
 
 MAX_THREADS_PER_CORE = 3.0  # of an engine's thread limit
-GROW_BELOW = 1.8  # recent latency over the best below which a limit grows
-CUT_ABOVE = 2.8  # and above which it is cut
+GROW_BELOW_SLOWDOWN = 1.8  # recent latency over the best below which a limit grows
+CUT_ABOVE_SLOWDOWN = 2.8  # and above which it is cut
 GROW_RATIO = 0.1  # share of an answered request by which all coordinators together raise a limit
-CUT_RATIO = 0.85
-CUT_EVERY_MS = 500.0
+CUT_FACTOR = 0.85
+MIN_CUT_INTERVAL_MS = 500.0
 MIN_START_RATIO = 0.75  # part of its start that a limit keeps where all engines are slow alike
-ALIKE_RATIO = 1.5  # an engine is slow like the others below so many times the median
+SHARED_SLOWDOWN_RATIO = 1.5  # an engine is slow like the others below so many times the median
 MAX_LATENCY_RATIO = 10.0
 MIN_LATENCY_RATIO = 0.05
 POOLED_LATENCY_RATE = 0.1
@@ -29,16 +29,16 @@
 MIN_SLOWDOWN_RATE = 0.05
 SLOWDOWN_RATE_RANGE = 0.25  # added for a request of twice the largest mean cost
 
-WIDE = 3.0  # the limit over all engines starts at so many of our shares
-WIDE_BELOW_MEMORY_RATIO = 0.5  # up to this part of memory in use, as reported, that limit is wider, WIDE at 0
+MAX_LIMIT_FACTOR = 3.0  # the limit over all engines starts at so many of our shares
+WIDENED_BELOW_MEMORY_RATIO = 0.5  # up to this part of memory in use, as reported, that limit is wider, WIDE at 0
 SMALL_BAND = 2  # requests from this band on pass that limit by up to as much again
 
-MEMORY_FULL_RATIO = 0.95  # part of an engine's memory that grants may fill
+MAX_MEMORY_FILL_RATIO = 0.95  # part of an engine's memory that grants may fill
 MEMORY_PER_THREAD_LIMIT = 0.6  # part of memory for each thread a core of the limit, where reports tell no memory
 MIN_USED_GRANT_RATIO = 0.4
 USED_GRANT_RATE = 0.05
 REPORT_DECAY_MS = 8000.0  # trust in a load report falls to a third in this time
-POOL_RATE = 0.1
+MEAN_RATE = 0.1
 THREADS_PER_QUEUED = 2.0  # what a queued request counts for in a load report
 
 
@@ -50,7 +50,7 @@
         self._state = state
         self.buckets = TokenBuckets(quota / settings.coordinators for quota in settings.tenant_quotas_per_s)
 
-    def is_over(self, request: RequestState, now: float) -> bool:
+    def is_over_quota(self, request: RequestState, now: float) -> bool:
         """Take a token of the request's tenant; tell whether there was none."""
         quotas = self._state.settings.tenant_quotas_per_s
         tenant = request.tenant
@@ -79,8 +79,8 @@
         own_memory_ratio = (engine.granted_mb + engine.peer_memory_mb) / max(1.0, engine.memory_mb)
         engine.other_memory_ratio = max(0.0, values.get("x0", 0.0) - own_memory_ratio)
         engine.load_report_at_ms = reported_at_ms
-        self.mean_other_threads += POOL_RATE * (engine.other_threads - self.mean_other_threads)
-        self.mean_other_memory_ratio += POOL_RATE * (engine.other_memory_ratio - self.mean_other_memory_ratio)
+        self.mean_other_threads += MEAN_RATE * (engine.other_threads - self.mean_other_threads)
+        self.mean_other_memory_ratio += MEAN_RATE * (engine.other_memory_ratio - self.mean_other_memory_ratio)
 
     def learn_memory_use(self, attempt: AttemptState, used_mb: float) -> None:
         """Learn what part of its grant an attempt has used; 0 MB: not known."""
@@ -90,12 +90,12 @@
 
     def other_load(self, engine: EngineState, now: float) -> tuple[float, float]:
         """Return threads and part of memory that others have: its report, trusted less with age, else the mean."""
-        trust = math.exp((engine.load_report_at_ms - now) / REPORT_DECAY_MS)
+        report_weight = math.exp((engine.load_report_at_ms - now) / REPORT_DECAY_MS)
         mean_threads = self.mean_other_threads
         mean_memory = self.mean_other_memory_ratio
         return (
-            mean_threads + trust * (engine.other_threads - mean_threads),
-            mean_memory + trust * (engine.other_memory_ratio - mean_memory),
+            mean_threads + report_weight * (engine.other_threads - mean_threads),
+            mean_memory + report_weight * (engine.other_memory_ratio - mean_memory),
         )
 
     def has_memory(self, engine: EngineState, grant_mb: float, other_memory_ratio: float) -> bool:
@@ -103,7 +103,7 @@
         state = self._state
         if engine.memory_mb <= 0 or not state.threads or engine.ejected:
             return True
-        free_ratio = MEMORY_FULL_RATIO / self.used_grant_ratio - other_memory_ratio
+        free_ratio = MAX_MEMORY_FILL_RATIO / self.used_grant_ratio - other_memory_ratio
         if not state.reports_memory:
             free_ratio = self._unreported_free_ratio(engine)
         return engine.granted_mb + engine.peer_memory_mb + grant_mb <= engine.memory_mb * free_ratio
@@ -113,7 +113,7 @@
         if not engine.attempts:
             return math.inf
         by_threads = MEMORY_PER_THREAD_LIMIT * engine.thread_limit / engine.cores
-        return max(1.0 / self._state.settings.coordinators, min(MEMORY_FULL_RATIO, by_threads))
+        return max(1.0 / self._state.settings.coordinators, min(MAX_MEMORY_FILL_RATIO, by_threads))
 
 
 class ConcurrencyLimiter:
@@ -124,18 +124,18 @@
         self._estimates = estimates
         self._capacity = capacity
         self._depends_on_memory = state.memory_is_paged and state.reports_memory
-        self.widening = 1.0 if state.memory_is_paged else WIDE  # of the sum of our shares
+        self.limit_factor = 1.0 if state.memory_is_paged else MAX_LIMIT_FACTOR  # of the sum of our shares
         self._pooled_latency_ratio = 1.0
         self._cut_at_ms = -math.inf
         self._answer_counts = [0] * len(state.settings.classes)
 
     def reserve(self, attempt: AttemptState) -> None:
         """Count the load of an attempt that is sent."""
-        self._count(attempt, 1)
+        self._add_load(attempt, 1)
 
     def release(self, attempt: AttemptState) -> None:
         """Take back the load of an attempt that has ended."""
-        self._count(attempt, -1)
+        self._add_load(attempt, -1)
 
     def free_threads(self, limits: float = 1.0) -> float:
         """Return the threads left of so many times the limit over all engines; one request may always run."""
@@ -146,8 +146,8 @@
         if self._depends_on_memory:
             capacity = self._capacity
             used_memory = capacity.mean_other_memory_ratio * capacity.used_grant_ratio
-            free_memory = max(0.0, 1.0 - used_memory / WIDE_BELOW_MEMORY_RATIO)
-        limit = limits * (1.0 + (WIDE - 1.0) * free_memory) * self.widening * state.thread_limit_sum
+            free_memory = max(0.0, 1.0 - used_memory / WIDENED_BELOW_MEMORY_RATIO)
+        limit = limits * (1.0 + (MAX_LIMIT_FACTOR - 1.0) * free_memory) * self.limit_factor * state.thread_limit_sum
         return limit - state.threads
 
     def fits(self, request: RequestState) -> bool:
@@ -173,14 +173,14 @@
 
     def cut(self, engine: EngineState, now: float) -> None:
         """Cut an engine's thread limit, not more often than each CUT_EVERY_MS."""
-        if now - engine.limit_cut_at_ms < CUT_EVERY_MS:
+        if now - engine.limit_cut_at_ms < MIN_CUT_INTERVAL_MS:
             return
         engine.limit_cut_at_ms = now
         # All slow alike is a shared cause, which fewer threads do not cure: then keep most of the start.
-        is_alike = engine.slowdown < ALIKE_RATIO * self._state.median_slowdown
-        kept_ratio = MIN_START_RATIO if is_alike else 0.0
-        floor = max(min(1.0, engine.thread_share), kept_ratio * engine.thread_share)
-        engine.thread_limit = max(min(floor, engine.thread_limit), engine.thread_limit * CUT_RATIO)
+        is_shared_slowdown = engine.slowdown < SHARED_SLOWDOWN_RATIO * self._state.median_slowdown
+        floor_ratio = MIN_START_RATIO if is_shared_slowdown else 0.0
+        floor = max(min(1.0, engine.thread_share), floor_ratio * engine.thread_share)
+        engine.thread_limit = max(min(floor, engine.thread_limit), engine.thread_limit * CUT_FACTOR)
 
     def _learn_best_ratio(self, cls: int, latency_ratio: float) -> float:
         """Follow the tenth percentile of a class's latency ratios, from 1 on."""
@@ -193,20 +193,20 @@
 
     def _adjust_overall_limit(self, slowdown: float, threads: int, now: float) -> None:
         self._pooled_latency_ratio += POOLED_LATENCY_RATE * (slowdown - self._pooled_latency_ratio)
-        if self._pooled_latency_ratio > CUT_ABOVE and now - self._cut_at_ms >= CUT_EVERY_MS:
+        if self._pooled_latency_ratio > CUT_ABOVE_SLOWDOWN and now - self._cut_at_ms >= MIN_CUT_INTERVAL_MS:
             self._cut_at_ms = now
-            self.widening = max(MIN_START_RATIO, self.widening * CUT_RATIO)
-        elif self._pooled_latency_ratio < GROW_BELOW and self.free_threads() < 2 * threads:
-            self.widening += GROW_RATIO * threads / max(1.0, self._state.thread_limit_sum)
+            self.limit_factor = max(MIN_START_RATIO, self.limit_factor * CUT_FACTOR)
+        elif self._pooled_latency_ratio < GROW_BELOW_SLOWDOWN and self.free_threads() < 2 * threads:
+            self.limit_factor += GROW_RATIO * threads / max(1.0, self._state.thread_limit_sum)
 
     def _adjust_engine_limit(self, engine: EngineState, threads: int, now: float) -> None:
-        if engine.slowdown > CUT_ABOVE:
+        if engine.slowdown > CUT_ABOVE_SLOWDOWN:
             self.cut(engine, now)
-        elif engine.slowdown < GROW_BELOW and engine.thread_limit - engine.threads < 2 * threads:
+        elif engine.slowdown < GROW_BELOW_SLOWDOWN and engine.thread_limit - engine.threads < 2 * threads:
             step = GROW_RATIO * threads / self._state.settings.coordinators
             engine.thread_limit = min(MAX_THREADS_PER_CORE * engine.cores, engine.thread_limit + step)
 
-    def _count(self, attempt: AttemptState, sign: int) -> None:
+    def _add_load(self, attempt: AttemptState, sign: int) -> None:
         state = self._state
         engine = attempt.engine
         request = attempt.request
--- a/frostspindle/policy/completion.py
+++ b/frostspindle/policy/completion.py
@@ -49,7 +49,7 @@
         if request.waiting:
             self._waiting.remove(request)
         if request.deferred:
-            self._waiting.forget_deferred(request)
+            self._waiting.remove_deferred(request)
         del state.requests[request.number]
         if state.settings.may_cancel:
             state.actions.extend(CancelAttempt(request.number, a.number) for a in request.running_attempts)
--- a/frostspindle/policy/controller.py
+++ b/frostspindle/policy/controller.py
@@ -24,13 +24,13 @@
 from frostspindle.policy.queues import WaitingQueue
 from frostspindle.policy.request_state import AttemptState, RequestState
 from frostspindle.policy.retries import Redispatcher, RetryPolicy
-from frostspindle.policy.selection import MANY, EngineSelector
+from frostspindle.policy.selection import MAX_UNSAMPLED, EngineSelector
 from frostspindle.policy.settings import Settings
 from frostspindle.policy.shedding import LoadShedder
 from frostspindle.policy.slow_start import SlowStart
 from frostspindle.policy.waiting_requests import WaitingRequests
 
-TICK_MS = 20.0  # least time between two own timers
+MIN_TICK_MS = 20.0  # least time between two own timers
 EXAMINE_MS = 100.0  # how often requests and engines are examined
 STALL_MS = 350.0  # no event for this long, for all the own timer: the process itself stood still
 RESUBSCRIBE_MS = 500.0  # a failed subscription to the endpoint list is tried again after this
@@ -131,8 +131,8 @@
         return self.state.max_open_requests
 
     @max_open_requests.setter
-    def max_open_requests(self, most: float) -> None:
-        self.state.max_open_requests = most
+    def max_open_requests(self, limit: float) -> None:
+        self.state.max_open_requests = limit
 
     def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
         """Handle an event and return the actions that follow, in order; times must not decrease."""
@@ -142,7 +142,7 @@
             self._resume_after_stall(now_ms)
         elif math.isinf(self.last_event_at_ms):
             state.started_at_ms = now_ms
-            state.actions.append(actions.SetTimer(REGULAR_TIMER, now_ms + TICK_MS))
+            state.actions.append(actions.SetTimer(REGULAR_TIMER, now_ms + MIN_TICK_MS))
         self.last_event_at_ms = now_ms
         self.handlers[type(event)](now_ms, event)
         if now_ms >= self._subscribe_at_ms:
@@ -162,12 +162,12 @@
         state = self.state
         state.resumed_at_ms = now
         self._examined_at_ms = -math.inf
-        state.actions.append(actions.SetTimer(EXTRA_TIMER, now + TICK_MS))
+        state.actions.append(actions.SetTimer(EXTRA_TIMER, now + MIN_TICK_MS))
         stalled_ms = now - self.last_event_at_ms
         for engine in state.engines.values():
             for attempt in engine.attempts.values():
                 attempt.waited_ms += stalled_ms
-                engine.sign_at_ms = now
+                engine.last_activity_at_ms = now
 
     def _on_endpoint_list(self, now: float, event: events.EndpointListUpdated) -> None:
         self.registry.apply_list(event, now)
@@ -187,7 +187,7 @@
         self.retries.record_arrival(now)
         self.selector.record_arrival(request)
         self.estimates.add_request(request)
-        request.over_quota = event.over_quota or self.quotas.is_over(request, now)
+        request.over_quota = event.over_quota or self.quotas.is_over_quota(request, now)
         end_at_ms = self.completion.add_deadline(request)
         if end_at_ms < now + EXAMINE_MS:  # before the next regular timer
             state.actions.append(actions.SetTimer(EXTRA_TIMER, max(now, end_at_ms)))
@@ -219,7 +219,7 @@
         attempt.outcome = event.outcome
         self.limiter.release(attempt)
         if event.outcome not in NO_CONNECTION_LEFT:
-            engine.connections.free(now)
+            engine.connections.release(now)
         self.key_order.start_cooldown(request, event.outcome, now)
         self._learn_from_attempt(engine, attempt, event, now)
         if event.last or event.outcome == AttemptOutcome.OK:
@@ -310,13 +310,13 @@
             self.dispatcher.release(now)
         if event.token == REGULAR_TIMER:
             next_at_ms = min(now + EXAMINE_MS, self.completion.deadlines.first, self.key_order.cooldowns.first)
-            self.state.actions.append(actions.SetTimer(REGULAR_TIMER, max(now + TICK_MS, next_at_ms)))
+            self.state.actions.append(actions.SetTimer(REGULAR_TIMER, max(now + MIN_TICK_MS, next_at_ms)))
 
     def _examine(self, now: float) -> None:
         """Find engines that are silent or keep attempts, attempts over their estimates, and hopeless requests."""
         self._examined_at_ms = now
-        self.registry.survey_if_due(now)
-        self.slow_start.update_turns(now, MANY)
+        self.registry.refresh_if_due(now)
+        self.slow_start.update_eligible(now, MAX_UNSAMPLED)
         self.outliers.examine(now)
-        self.shedder.shorten_key_lines(now)
+        self.shedder.trim_key_queues(now)
         self.shedder.shed_expired(now)
--- a/frostspindle/policy/deadlines.py
+++ b/frostspindle/policy/deadlines.py
@@ -10,13 +10,13 @@
 from collections.abc import Container, Sequence, Sized
 from typing import Any, Protocol
 
-MAX_DEAD_ENTRIES = (
+MAX_STALE_ENTRIES = (
     20_000  # entries of keys that are gone, beyond four for each that is there, before all of them are let go
 )
 PACE_MARGIN = 1.25  # a kind's items are looked at as early as at a pace this much higher than at the last ordering
 
 
-class Keys(Container[int], Sized, Protocol):
+class KeySet(Container[int], Sized, Protocol):
     """The collection of keys that still exist."""
 
 
@@ -30,19 +30,19 @@
     def __init__(self) -> None:
         self.heap = list[tuple[float, int]]()
 
-    def add(self, at: float, key: int, there: Keys) -> None:
+    def add(self, due_at_ms: float, key: int, existing: KeySet) -> None:
         """Schedule a key for time `at`; `there` holds the keys that still exist, for the compaction."""
-        heapq.heappush(self.heap, (at, key))
-        if len(self.heap) > MAX_DEAD_ENTRIES + 4 * len(there):
-            self.heap = [entry for entry in self.heap if entry[1] in there]
+        heapq.heappush(self.heap, (due_at_ms, key))
+        if len(self.heap) > MAX_STALE_ENTRIES + 4 * len(existing):
+            self.heap = [entry for entry in self.heap if entry[1] in existing]
             heapq.heapify(self.heap)
 
     def pop_due(self, now: float) -> list[int]:
         """Remove and return the keys due at or before `now`, earliest first; some may no longer exist."""
-        out = []
+        due_keys = []
         while self.heap and self.heap[0][0] <= now:
-            out.append(heapq.heappop(self.heap)[1])
-        return out
+            due_keys.append(heapq.heappop(self.heap)[1])
+        return due_keys
 
     @property
     def first(self) -> float:
@@ -57,21 +57,21 @@
         super().__init__()
         self.heap = list[tuple[float, int]]()
 
-    def start(self, key: int, until: float) -> None:
+    def start(self, key: int, until_ms: float) -> None:
         """Let a key cool down until a time (ms); a time that is not later than the one it already has is ignored."""
-        if until > self.get(key, -math.inf):
-            self[key] = until
-            heapq.heappush(self.heap, (until, key))
+        if until_ms > self.get(key, -math.inf):
+            self[key] = until_ms
+            heapq.heappush(self.heap, (until_ms, key))
 
     def pop_due(self, now: float) -> list[int]:
         """Remove and return the keys whose cooldown is over at `now`; one that was extended comes at its later end."""
-        out = []
+        due_keys = []
         while self.heap and self.heap[0][0] <= now:
-            until, key = heapq.heappop(self.heap)
-            if self.get(key) == until:
+            until_ms, key = heapq.heappop(self.heap)
+            if self.get(key) == until_ms:
                 del self[key]
-                out.append(key)
-        return out
+                due_keys.append(key)
+        return due_keys
 
     @property
     def first(self) -> float:
@@ -91,66 +91,66 @@
     """
 
     def __init__(self, kinds: int) -> None:
-        self.new = dict[Any, tuple[int, float, float]]()
-        self.live = dict[Any, tuple[float, Any, int, float, float]]()
-        self.ahead = [list[tuple[float, Any, int, float, float]]() for _ in range(kinds)]
-        self.near = [list[tuple[float, Any, int, float, float]]() for _ in range(kinds)]
-        self.bounds = [0.0] * kinds
+        self.added = dict[Any, tuple[int, float, float]]()
+        self.entries_by_key = dict[Any, tuple[float, Any, int, float, float]]()
+        self.heaps = [list[tuple[float, Any, int, float, float]]() for _ in range(kinds)]
+        self.due_soon = [list[tuple[float, Any, int, float, float]]() for _ in range(kinds)]
+        self.max_paces = [0.0] * kinds
 
-    def add(self, key: Any, kind: int, work: float, limit: float) -> None:
+    def add(self, key: Any, kind: int, work: float, limit_ms: float) -> None:
         """Add an item, replacing any of the same key; `work` times the pace and `limit` are in milliseconds."""
-        self.live.pop(key, None)
-        self.new[key] = (kind, work, limit)
+        self.entries_by_key.pop(key, None)
+        self.added[key] = (kind, work, limit_ms)
 
     def discard(self, key: Any) -> None:
         """Remove an item; a key that is not there is ignored."""
-        if self.new.pop(key, None) is None:
-            self.live.pop(key, None)
+        if self.added.pop(key, None) is None:
+            self.entries_by_key.pop(key, None)
 
     def __len__(self) -> int:
-        return len(self.new) + len(self.live)
+        return len(self.added) + len(self.entries_by_key)
 
     def pop_due(self, now: float, paces: Sequence[float]) -> list[Any]:
         """Remove and return the keys of all items that have expired at `now` (ms), by the current pace of each kind.
 
         Entries of discarded items are compacted once they outnumber the others.
         """
-        for key, (kind, work, limit) in self.new.items():
-            entry = (limit - work * self.bounds[kind], key, kind, work, limit)
-            self.live[key] = entry
-            heapq.heappush(self.ahead[kind], entry)
-        self.new = {}
-        out = []
+        for key, (kind, work, limit_ms) in self.added.items():
+            entry = (limit_ms - work * self.max_paces[kind], key, kind, work, limit_ms)
+            self.entries_by_key[key] = entry
+            heapq.heappush(self.heaps[kind], entry)
+        self.added = {}
+        due_keys = []
         for kind, pace in enumerate(paces):
-            if pace > self.bounds[kind] or pace * PACE_MARGIN * PACE_MARGIN < self.bounds[kind]:
-                self._order(kind, pace * PACE_MARGIN)
-            ahead = self.ahead[kind]
-            near = self.near[kind]
-            while ahead and ahead[0][0] <= now + 1.0:  # a little early: sums are rounded
-                near.append(heapq.heappop(ahead))
-            kept = []
-            for entry in near:
-                _, key, _, work, limit = entry
-                if self.live.get(key) is not entry:
+            if pace > self.max_paces[kind] or pace * PACE_MARGIN * PACE_MARGIN < self.max_paces[kind]:
+                self._rebuild(kind, pace * PACE_MARGIN)
+            heap = self.heaps[kind]
+            due_soon = self.due_soon[kind]
+            while heap and heap[0][0] <= now + 1.0:  # a little early: sums are rounded
+                due_soon.append(heapq.heappop(heap))
+            remaining = []
+            for entry in due_soon:
+                _, key, _, work, limit_ms = entry
+                if self.entries_by_key.get(key) is not entry:
                     continue
-                if now + work * pace > limit:
-                    del self.live[key]
-                    out.append(key)
+                if now + work * pace > limit_ms:
+                    del self.entries_by_key[key]
+                    due_keys.append(key)
                 else:
-                    kept.append(entry)
-            self.near[kind] = kept
-        if sum(map(len, self.ahead)) + sum(map(len, self.near)) > 2 * len(self.live) + 64:
-            for kind in range(len(self.ahead)):
-                self._order(kind, self.bounds[kind])
-        return out
-
-    def _order(self, kind: int, bound: float) -> None:
-        self.bounds[kind] = bound
-        entries = [e for e in self.ahead[kind] + self.near[kind] if self.live.get(e[1]) is e]
-        self.ahead[kind] = []
-        self.near[kind] = []
-        for _, key, _, work, limit in entries:
-            entry = (limit - work * bound, key, kind, work, limit)
-            self.live[key] = entry
-            self.ahead[kind].append(entry)
-        heapq.heapify(self.ahead[kind])
+                    remaining.append(entry)
+            self.due_soon[kind] = remaining
+        if sum(map(len, self.heaps)) + sum(map(len, self.due_soon)) > 2 * len(self.entries_by_key) + 64:
+            for kind in range(len(self.heaps)):
+                self._rebuild(kind, self.max_paces[kind])
+        return due_keys
+
+    def _rebuild(self, kind: int, max_pace: float) -> None:
+        self.max_paces[kind] = max_pace
+        entries = [e for e in self.heaps[kind] + self.due_soon[kind] if self.entries_by_key.get(e[1]) is e]
+        self.heaps[kind] = []
+        self.due_soon[kind] = []
+        for _, key, _, work, limit_ms in entries:
+            entry = (limit_ms - work * max_pace, key, kind, work, limit_ms)
+            self.entries_by_key[key] = entry
+            self.heaps[kind].append(entry)
+        heapq.heapify(self.heaps[kind])
--- a/frostspindle/policy/dispatch.py
+++ b/frostspindle/policy/dispatch.py
@@ -83,7 +83,7 @@
             self._retries.record_retry(now)
         begin_by_ms = self._begin_by_ms(request)
         max_grant_mb = self._state.settings.max_grant_ratio * engine.memory_mb
-        request.grant_mb = min(self._estimates.memory_wanted_mb(request), max_grant_mb)
+        request.grant_mb = min(self._estimates.desired_memory_mb(request), max_grant_mb)
         attempt = AttemptState(request, len(request.attempts), engine, now)
         self._register(attempt, now)
         self._estimates.update_priority(request, sending=True)
@@ -97,11 +97,13 @@
         request = attempt.request
         engine = attempt.engine
         if not engine.attempts:
-            engine.sign_at_ms = max(engine.sign_at_ms, now)  # silence counts from the first send to an idle engine
+            engine.last_activity_at_ms = max(
+                engine.last_activity_at_ms, now
+            )  # silence counts from the first send to an idle engine
         request.attempts.append(attempt)
         engine.attempts[(request.number, attempt.number)] = attempt
         self._limiter.reserve(attempt)
-        engine.connections.take()
+        engine.connections.acquire()
         engine.examine_at_ms = min(engine.examine_at_ms, self._outliers.examine_at_ms(attempt))
         if engine.in_slow_start(now):
             engine.slow_start_sends.add(now, self._slow_start.work_ms(request))
--- a/frostspindle/policy/engine_registry.py
+++ b/frostspindle/policy/engine_registry.py
@@ -9,7 +9,7 @@
 from frostspindle.policy.policy_state import PolicyState
 from frostspindle.policy.waiting_requests import WaitingRequests
 
-SURVEY_MS = 500.0  # how often all engines are surveyed
+REFRESH_INTERVAL_MS = 500.0  # how often all engines are surveyed
 ABSENT_ENGINE_KEPT_MS = (
     30_000.0  # an engine gone for so long, with nothing running, is forgotten: new ids come for ever
 )
@@ -22,34 +22,34 @@
     def __init__(self, state: PolicyState, waiting: WaitingRequests) -> None:
         self._state = state
         self._waiting = waiting
-        self._surveyed_at_ms = -math.inf
+        self._refreshed_at_ms = -math.inf
 
     def apply_list(self, event: EndpointListUpdated, now: float) -> None:
         """Take in an endpoint list or a change of it, and survey the engines."""
         if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             engines = self._state.engines
-            for missing in engines.keys() - {entry.engine for entry in event.entries}:
-                engines[missing].ready = False
+            for engine_id in engines.keys() - {entry.engine for entry in event.entries}:
+                engines[engine_id].ready = False
         for entry in event.entries:
             self._apply_entry(entry, now)
-        self.survey(now)
+        self.refresh(now)
 
-    def survey_if_due(self, now: float) -> None:
+    def refresh_if_due(self, now: float) -> None:
         """Survey the engines if the last survey is SURVEY_MS old."""
-        if now - self._surveyed_at_ms >= SURVEY_MS:
-            self.survey(now)
+        if now - self._refreshed_at_ms >= REFRESH_INTERVAL_MS:
+            self.refresh(now)
 
-    def survey(self, now: float) -> None:
+    def refresh(self, now: float) -> None:
         """Find the engines that may be used, the sum of our thread limits there, and the median slowdown."""
         state = self._state
-        self._surveyed_at_ms = now
-        self._waiting.forget_values()
-        self._forget_absent(now)
+        self._refreshed_at_ms = now
+        self._waiting.invalidate_values()
+        self._remove_absent(now)
         engines = state.engines.values()
         state.usable_engines = [e for e in engines if e.ready and (not e.ejected or now >= e.half_open_at_ms)]
         state.ranked_engines.set(state.usable_engines)
         state.slow_start_engines = [e for e in state.usable_engines if e.entry.since_ms > 0 and e.in_slow_start(now)]
-        state.slow_start_turns = state.slow_start_engines
+        state.slow_start_eligible = state.slow_start_engines
         state.thread_limit_sum = sum(engine.thread_limit for engine in state.usable_engines)
         slowdowns = sorted(engine.slowdown for engine in engines if engine.ready)
         state.median_slowdown = slowdowns[len(slowdowns) // 2] if slowdowns else 1.0
@@ -68,11 +68,11 @@
         engine.ready = entry.health == Health.READY
         engine.listed_at_ms = now
 
-    def _forget_absent(self, now: float) -> None:
+    def _remove_absent(self, now: float) -> None:
         """Forget engines that are long gone; order the others by id, as all coordinators do."""
         self._state.engines = {
-            number: engine
-            for number, engine in sorted(self._state.engines.items())
+            engine_id: engine
+            for engine_id, engine in sorted(self._state.engines.items())
             if engine.entry.health != Health.GONE
             or engine.attempts
             or now - engine.listed_at_ms < ABSENT_ENGINE_KEPT_MS
--- a/frostspindle/policy/engine_state.py
+++ b/frostspindle/policy/engine_state.py
@@ -13,11 +13,11 @@
 
 THREADS_PER_CORE = 2.0  # a thread limit starts here, times our share of the coordinators
 HALF_OPEN_BACKOFF_MS = 1000.0  # wait until the first half-open test
-INITIAL_SIGN_GAP_MS = 200.0
-MAX_SIGN_GAP_MS = 5000.0
-SIGN_GAP_RATE = 0.2  # how far one gap moves the mean
+INITIAL_ACTIVITY_GAP_MS = 200.0
+MAX_ACTIVITY_GAP_MS = 5000.0
+ACTIVITY_GAP_RATE = 0.2  # how far one gap moves the mean
 CACHED_GROUPS = 4  # table groups that an engine is taken to have in its cache
-IDLE_CONNECTION_SAFETY = 0.85  # an idle connection is used for this part of the time after which engines close it
+IDLE_TIMEOUT_SAFETY = 0.85  # an idle connection is used for this part of the time after which engines close it
 
 
 class EngineState:
@@ -51,8 +51,8 @@
         "readmitted_at_ms",
         "ready",
         "settings",
-        "sign_at_ms",
-        "sign_gap_ms",
+        "last_activity_at_ms",
+        "activity_gap_ms",
         "slow_start_sends",
         "slow_start_share",
         "slowdown",
@@ -100,15 +100,15 @@
         self.half_open_backoff_ms = HALF_OPEN_BACKOFF_MS
         self.readmitted_at_ms = -math.inf
 
-        self.sign_at_ms = -math.inf  # last sign of life
-        self.sign_gap_ms = INITIAL_SIGN_GAP_MS
+        self.last_activity_at_ms = -math.inf  # last sign of life
+        self.activity_gap_ms = INITIAL_ACTIVITY_GAP_MS
         self.health_checked_at_ms = -math.inf
         self.examine_at_ms = -math.inf  # before this there is no fault to be found
         self.withheld_until_ms = dict[int, float]()  # by class of which it runs none: until when it gets none
 
         self.cached_groups = deque[int](maxlen=CACHED_GROUPS)
-        lasts_ms = IDLE_CONNECTION_SAFETY * settings.connection_idle_ms
-        self.connections = self.idle_connections.idle(self, lasts_ms, settings.streams_per_connection)
+        idle_timeout_ms = IDLE_TIMEOUT_SAFETY * settings.connection_idle_ms
+        self.connections = self.idle_connections.new_record(self, idle_timeout_ms, settings.streams_per_connection)
 
         # Of the last load report: what other coordinators have there.
         self.load_report_at_ms = -math.inf
@@ -119,9 +119,9 @@
         """Tell whether its process started so recently that it is warming up."""
         return self.entry.since_ms > 0 and now - self.entry.since_ms < self.settings.slow_start_duration_ms
 
-    def record_sign_of_life(self, now: float) -> None:
+    def record_activity(self, now: float) -> None:
         """Note an answer, progress report or health check, and the usual gap between them."""
-        if self.attempts and self.sign_at_ms > 0:
-            gap_ms = min(now - self.sign_at_ms, MAX_SIGN_GAP_MS)
-            self.sign_gap_ms += SIGN_GAP_RATE * (gap_ms - self.sign_gap_ms)
-        self.sign_at_ms = now
+        if self.attempts and self.last_activity_at_ms > 0:
+            gap_ms = min(now - self.last_activity_at_ms, MAX_ACTIVITY_GAP_MS)
+            self.activity_gap_ms += ACTIVITY_GAP_RATE * (gap_ms - self.activity_gap_ms)
+        self.last_activity_at_ms = now
--- a/frostspindle/policy/estimates.py
+++ b/frostspindle/policy/estimates.py
@@ -13,19 +13,19 @@
 RECENT_COSTS = 400  # recent estimates behind the cutoffs between bands
 MIN_RECENT_COSTS = 12  # before so many are seen every request has DEFAULT_BAND
 DEFAULT_BAND = 1
-CUTOFFS_EVERY = 25  # new estimates after which the cutoffs are computed again
+CUTOFF_INTERVAL = 25  # new estimates after which the cutoffs are computed again
 LOW_QUANTILE = 0.5  # of the lowest cutoff (the paper's half)
 HIGH_QUANTILE = 0.9925  # of the highest cutoff (the paper's 0.5 to 1 percent)
 BLOCKING_BAND = 2  # at least, of loads that others wait for
-ABSURD_COST_RATIO = 20.0  # a cost so far over the class's mean is limited to it
-COST_MEMORY = 200  # samples in a class's mean cost
+MAX_COST_RATIO = 20.0  # a cost so far over the class's mean is limited to it
+COST_SAMPLES = 200  # samples in a class's mean cost
 MEAN_MEMORY_RATE = 0.05
-MEAN_MEMORY_KEPT = 0.95  # 1 - MEAN_MEMORY_RATE
+MEAN_MEMORY_RETAINED = 0.95  # 1 - MEAN_MEMORY_RATE
 RATIO_SPREAD_RATE = 0.05
-RATIO_LONGEST_STEP = 0.8
-RATIO_MEMORY = 40
+RATIO_MAX_STEP = 0.8
+RATIO_SAMPLES = 40
 DEFAULT_MEMORY_MARGIN = 0.2  # as a logarithm, where engines do not report what a request used
-UNSURE_MEMORY_MARGIN = 0.7  # as a logarithm: how far off memory estimates of a class may lie before any answer
+UNCERTAIN_MEMORY_MARGIN = 0.7  # as a logarithm: how far off memory estimates of a class may lie before any answer
 
 
 class Estimates:
@@ -46,11 +46,11 @@
     def add_request(self, request: RequestState) -> None:
         """Learn from a new request's own estimate, and size it."""
         if request.cost_estimate_ms > 0:
-            self._add_usual_cost(request.cls, self._cost_ms(request))
-        self.size(request)
+            self._update_mean_cost(request.cls, self._cost_ms(request))
+        self.estimate(request)
         self._add_recent_cost(request.cost_ms)
 
-    def size(self, request: RequestState) -> None:
+    def estimate(self, request: RequestState) -> None:
         """Set the request's cost, memory and latency objective by what is known now."""
         class_settings = request.class_settings
         request.cost_ms = self._cost_ms(request)
@@ -67,13 +67,13 @@
         if request.cost_estimate_ms > 0:
             self._cost_ratios[cls].add(cost_ms / request.cost_estimate_ms)
         else:
-            self._add_usual_cost(cls, cost_ms)
+            self._update_mean_cost(cls, cost_ms)
         if memory_mb <= 0:
             return
         if request.memory_estimate_mb > 0:
             self._memory_ratios[cls].add(memory_mb / request.memory_estimate_mb)
         mean_mb = self._mean_memories_mb[cls] or memory_mb
-        self._mean_memories_mb[cls] = MEAN_MEMORY_KEPT * mean_mb + MEAN_MEMORY_RATE * memory_mb
+        self._mean_memories_mb[cls] = MEAN_MEMORY_RETAINED * mean_mb + MEAN_MEMORY_RATE * memory_mb
 
     def band(self, remaining_ms: float) -> int:
         """Return the priority band of so much remaining work, 0 to 3, 3 for the least."""
@@ -92,16 +92,16 @@
         """Return how many times its pure run time a request of the class takes at the engine."""
         return max(1.0, self._state.best_latency_ratios[cls] * engine.slowdown)
 
-    def memory_wanted_mb(self, request: RequestState) -> float:
+    def desired_memory_mb(self, request: RequestState) -> float:
         """Return the memory to ask for wherever the request goes; an engine grants a part of its own at most."""
         state = self._state
         if not state.settings.grants or request.memory_mb <= 0:
             return 0.0
         margin = DEFAULT_MEMORY_MARGIN
         if state.settings.reports_cost:  # few samples: unsure; where engines page only use counts
-            learned = self._memory_ratios[request.cls]
-            unsure = UNSURE_MEMORY_MARGIN / math.sqrt(1 + learned.count)
-            margin = (1 + state.memory_is_paged) * learned.spread + unsure
+            memory_ratio = self._memory_ratios[request.cls]
+            uncertainty = UNCERTAIN_MEMORY_MARGIN / math.sqrt(1 + memory_ratio.count)
+            margin = (1 + state.memory_is_paged) * memory_ratio.spread + uncertainty
         return request.memory_mb * math.exp(margin)
 
     def update_priority(self, request: RequestState, sending: bool = False) -> None:
@@ -134,19 +134,19 @@
             return estimate_mb * math.exp(self._memory_ratios[request.cls].mean)
         return self._mean_memories_mb[request.cls]
 
-    def _add_usual_cost(self, cls: int, cost_ms: float) -> None:
+    def _update_mean_cost(self, cls: int, cost_ms: float) -> None:
         """Update the mean cost of a class, from estimates or true costs alike."""
         self._cost_counts[cls] += 1
         mean_ms = self.mean_costs_ms[cls]
-        cost_ms = min(cost_ms, ABSURD_COST_RATIO * mean_ms)  # an absurd figure must not move what is usual
-        self.mean_costs_ms[cls] = mean_ms + (cost_ms - mean_ms) / min(self._cost_counts[cls], COST_MEMORY)
+        cost_ms = min(cost_ms, MAX_COST_RATIO * mean_ms)  # an absurd figure must not move what is usual
+        self.mean_costs_ms[cls] = mean_ms + (cost_ms - mean_ms) / min(self._cost_counts[cls], COST_SAMPLES)
 
     def _add_recent_cost(self, cost_ms: float) -> None:
         self._recent_costs.add(cost_ms)
         self._costs_since_cutoffs += 1
         if len(self._recent_costs) < MIN_RECENT_COSTS:
             return
-        if self._costs_since_cutoffs >= CUTOFFS_EVERY or self._cutoffs is None:
+        if self._costs_since_cutoffs >= CUTOFF_INTERVAL or self._cutoffs is None:
             self._compute_cutoffs()
 
     def _compute_cutoffs(self) -> None:
@@ -158,4 +158,4 @@
 
 
 def _ratio_estimator() -> LogRatioEstimator:
-    return LogRatioEstimator(RATIO_SPREAD_RATE, RATIO_LONGEST_STEP, RATIO_MEMORY)
+    return LogRatioEstimator(RATIO_SPREAD_RATE, RATIO_MAX_STEP, RATIO_SAMPLES)
--- a/frostspindle/policy/indexes.py
+++ b/frostspindle/policy/indexes.py
@@ -12,12 +12,12 @@
 from types import MappingProxyType
 from typing import Any
 
-NONE: Mapping[int, int] = MappingProxyType({})
+NO_COUNTS: Mapping[int, int] = MappingProxyType({})
 
 
-def thinned(items: list[Any], most: int, take: int, draw: Random) -> list[Any]:
+def sample_if_over(items: list[Any], limit: int, sample_size: int, rng: Random) -> list[Any]:
     """Return the same list if it has at most `most` items, else a random sample of `take` of them."""
-    return items if len(items) <= most else draw.sample(items, take)
+    return items if len(items) <= limit else rng.sample(items, sample_size)
 
 
 class GroupedCounter:
@@ -37,13 +37,13 @@
             if not members:
                 del self.groups[group]
 
-    def of(self, group: int) -> Mapping[int, int]:
+    def counts_in(self, group: int) -> Mapping[int, int]:
         """Return the group's counts by member, empty for an unknown group; a live view, not to be changed."""
-        return self.groups.get(group, NONE)
+        return self.groups.get(group, NO_COUNTS)
 
-    def at(self, group: int, member: int) -> int:
+    def count_of(self, group: int, member: int) -> int:
         """Return the member's count in the group, 0 where it has none."""
-        return self.groups.get(group, NONE).get(member, 0)
+        return self.groups.get(group, NO_COUNTS).get(member, 0)
 
 
 class RankedSet:
@@ -59,28 +59,30 @@
             self.members = list(members)
             self.rank = {member.id: rank for rank, member in enumerate(self.members)}
 
-    def every(self, step: int, first: int, without: Mapping[int, int]) -> list[Any]:
+    def select(self, step: int, first: int, excluded_ids: Mapping[int, int]) -> list[Any]:
         """Return each `step`-th member from index `first` on, without those whose ids are keys of `without`.
 
         The result may be the internal list, which the caller must not change.
         """
-        if step == 1 and not without:
+        if step == 1 and not excluded_ids:
             return self.members
-        few = self.members[first::step]
-        ranks = [self.rank.get(member, -1) for member in without]
-        gone = [rank for rank in ranks if rank >= 0 and rank % step == first]
-        for rank in sorted(gone, reverse=True):
-            del few[(rank - first) // step]
-        return few
-
-    def order(self, marked: Sequence[Any], step: int, first: int, without: Mapping[int, int]) -> list[Any]:
+        selected = self.members[first::step]
+        ranks = [self.rank.get(member, -1) for member in excluded_ids]
+        excluded = [rank for rank in ranks if rank >= 0 and rank % step == first]
+        for rank in sorted(excluded, reverse=True):
+            del selected[(rank - first) // step]
+        return selected
+
+    def select_from(
+        self, candidates: Sequence[Any], step: int, first: int, excluded_ids: Mapping[int, int]
+    ) -> list[Any]:
         """Return those of `marked` that `every` would return with these arguments, each once and in order of rank."""
-        found = {}
-        for member in marked:
+        by_rank = {}
+        for member in candidates:
             rank = self.rank.get(member.id, -1)
-            if rank >= 0 and rank % step == first and member.id not in without:
-                found[rank] = member
-        return [found[rank] for rank in sorted(found)]
+            if rank >= 0 and rank % step == first and member.id not in excluded_ids:
+                by_rank[rank] = member
+        return [by_rank[rank] for rank in sorted(by_rank)]
 
 
 class IdleConnectionIndex(dict[int, Any]):
@@ -90,24 +92,24 @@
     has to scan the members.
     """
 
-    def __init__(self, kept: bool) -> None:
+    def __init__(self, enabled: bool) -> None:
         super().__init__()
-        self.kept = kept  # else it stays empty: nobody will ask
+        self.enabled = enabled  # else it stays empty: nobody will ask
 
-    def idle(self, member: Any, lasts_ms: float, streams: int) -> IdleConnections:
+    def new_record(self, member: Any, idle_timeout_ms: float, streams: int) -> IdleConnections:
         """Return a new record of the idle connections to `member`.
 
         An idle connection is taken as open for `lasts_ms`. With more than 1 in `streams` a connection carries several
         attempts at once, so that one in use serves for a further attempt too.
         """
-        return IdleConnections(self, member, lasts_ms, streams > 1)
+        return IdleConnections(self, member, idle_timeout_ms, streams > 1)
 
-    def free(self, member: Any, now: float) -> None:
+    def mark_idle(self, member: Any, now: float) -> None:
         """Move the member to the end, as a connection to it is idle at `now` (ms), and drop expired members in front.
 
         Nothing is recorded unless `kept`.
         """
-        if self.kept:
+        if self.enabled:
             self.pop(member.id, None)
             self[member.id] = member
             self._drop_expired(now)
@@ -115,37 +117,39 @@
     def _drop_expired(self, now: float) -> None:
         while self:
             first = next(iter(self.values()))
-            if first.connections.any(now, 0):
+            if first.connections.has_open(now, 0):
                 return
             del self[first.id]
 
-    def last(self, most: int, take: int) -> list[Any]:
+    def most_recent(self, limit: int, sample_size: int) -> list[Any]:
         """Return the members, latest freed first: all where there are at most `most`, else the first `take`."""
-        return list(islice(reversed(self.values()), len(self) if len(self) <= most else take)) if self else []
+        return list(islice(reversed(self.values()), len(self) if len(self) <= limit else sample_size)) if self else []
 
 
 class IdleConnections:
     """Times (ms) at which each idle connection to a member was last used, inferred from the attempts sent there."""
 
-    def __init__(self, index: IdleConnectionIndex, member: Any, lasts_ms: float, many: bool) -> None:
+    def __init__(self, index: IdleConnectionIndex, member: Any, idle_timeout_ms: float, multiplexed: bool) -> None:
         self.index = index
         self.member = member
-        self.lasts_ms = lasts_ms
-        self.many = many
-        self.since = deque[float]()
+        self.idle_timeout_ms = idle_timeout_ms
+        self.multiplexed = multiplexed
+        self.idle_since_ms = deque[float]()
 
-    def take(self) -> None:
+    def acquire(self) -> None:
         """Note that an attempt uses a connection: the one that was freed last, if any is idle."""
-        if self.since:
-            self.since.pop()
+        if self.idle_since_ms:
+            self.idle_since_ms.pop()
 
-    def free(self, now: float) -> None:
+    def release(self, now: float) -> None:
         """Note that a connection has become idle at `now` (ms); idle ones that have expired by then are forgotten."""
-        while self.since and now - self.since[0] >= self.lasts_ms:
-            self.since.popleft()
-        self.since.append(now)
-        self.index.free(self.member, now)
+        while self.idle_since_ms and now - self.idle_since_ms[0] >= self.idle_timeout_ms:
+            self.idle_since_ms.popleft()
+        self.idle_since_ms.append(now)
+        self.index.mark_idle(self.member, now)
 
-    def any(self, now: float, out: int) -> bool:
+    def has_open(self, now: float, running: int) -> bool:
         """Tell whether an attempt at `now` (ms) would find an open connection, with `out` attempts running there."""
-        return (self.many and out > 0) or (len(self.since) > 0 and now - self.since[-1] < self.lasts_ms)
+        return (self.multiplexed and running > 0) or (
+            len(self.idle_since_ms) > 0 and now - self.idle_since_ms[-1] < self.idle_timeout_ms
+        )
--- a/frostspindle/policy/key_order.py
+++ b/frostspindle/policy/key_order.py
@@ -19,25 +19,25 @@
     def __init__(self, state: PolicyState, waiting: WaitingRequests) -> None:
         self._state = state
         self._waiting = waiting
-        self.lines = dict[int, deque[RequestState]]()
+        self.queues = dict[int, deque[RequestState]]()
         self.cooldowns = KeyCooldowns()
 
     def add(self, request: RequestState, now: float) -> None:
         """Append a request to the line of its key."""
-        self.lines.setdefault(request.key, deque()).append(request)
+        self.queues.setdefault(request.key, deque()).append(request)
         self.advance(request.key, now)
 
     def advance(self, key: int, now: float) -> None:
         """Drop finished requests from the head of a key's line, and let the next one wait for an engine if it may."""
-        line = self.lines.get(key)
-        if line is None:
+        queue = self.queues.get(key)
+        if queue is None:
             return
-        while line and line[0].finished and not line[0].running_attempts:
-            line.popleft()
-        if not line:
-            del self.lines[key]
+        while queue and queue[0].finished and not queue[0].running_attempts:
+            queue.popleft()
+        if not queue:
+            del self.queues[key]
             return
-        head = line[0]
+        head = queue[0]
         if not head.key_order_reached or self.cooldowns.get(key, 0.0) > now:
             return
         if not (head.waiting or head.deferred or head.attempts or head.finished):
--- a/frostspindle/policy/outlier_detection.py
+++ b/frostspindle/policy/outlier_detection.py
@@ -15,7 +15,7 @@
 
 EJECT_AT_RATE = 0.5  # share of recent failures at which an engine is ejected
 FAILURE_CHARGE = 0.3  # part of the way to 1 that one failure moves the rate
-FAILURE_CHARGE_FEW_ANSWERS = 0.6  # the same where our share is so small that one failure must do
+FAILURE_CHARGE_SMALL_SHARE = 0.6  # the same where our share is so small that one failure must do
 SUCCESS_FACTOR = 0.7
 MAX_HALF_OPEN_BACKOFF_MS = 8000.0
 REPEATED_EJECTION_MS = 5000.0  # ejected again so soon after a passed test, the next test waits twice as long
@@ -26,14 +26,14 @@
 
 OVERDUE_AFTER_MS = 500.0  # an attempt is overdue so long after OVERDUE_RATIO times its expected time
 OVERDUE_RATIO = 2.0
-DISPLACED_AFTER_MS = 300.0  # an attempt is taken for a bad plan so long after BAD_PLAN_RATIO times it
+BAD_PLAN_GRACE_MS = 300.0  # an attempt is taken for a bad plan so long after BAD_PLAN_RATIO times it
 BAD_PLAN_RATIO = 6.0
 MIN_PROGRESS_RUN_RATIO = 0.5  # progress is not judged before this part of the expected time
-UNHEARD_INTERVALS = 2.5  # an overdue attempt without progress reports for so many intervals does not run
-MUTE_MS = 375.0  # likewise any attempt so long past one interval, if nothing else is heard from the engine
+MAX_MISSED_INTERVALS = 2.5  # an overdue attempt without progress reports for so many intervals does not run
+REPORT_GRACE_MS = 375.0  # likewise any attempt so long past one interval, if nothing else is heard from the engine
 EXAMINE_EARLY_MS = 1.0
 
-RAN_AND_FAILED = (AttemptOutcome.ERROR, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET)
+ENGINE_FAILURES = (AttemptOutcome.ERROR, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET)
 
 
 class OutlierDetector:
@@ -51,7 +51,7 @@
 
     def record_success(self, engine: EngineState, now: float) -> None:
         """Note a good response: it readmits an ejected engine."""
-        engine.record_sign_of_life(now)
+        engine.record_activity(now)
         if not engine.ejected:
             engine.failure_rate *= SUCCESS_FACTOR
             return
@@ -65,7 +65,7 @@
     def record_failure(self, attempt: AttemptState, outcome: int, now: float) -> None:
         """Charge an attempt's failure to its engine or, as other engines failed alike, to the request."""
         engine = attempt.engine
-        if outcome in RAN_AND_FAILED:
+        if outcome in ENGINE_FAILURES:
             # An error at a second engine speaks against the request, and in favour of the first.
             others = [
                 other
@@ -75,13 +75,13 @@
             if outcome != AttemptOutcome.ERROR or not others:
                 self._charge_failure(engine, attempt, now, "fails")
             elif len(others) == 1:
-                self._take_back_charge(others[0])
+                self._revert_charge(others[0])
         elif attempt.half_open and outcome != AttemptOutcome.NOT_SENT:  # not sent: its request was over
             self.eject(engine, now, "failed its test")
 
     def record_progress(self, engine: EngineState, attempt: AttemptState, event: ProgressReported, now: float) -> None:
         """Take in a progress report: waiting time, the part done, and whether the attempt is far over its estimate."""
-        engine.record_sign_of_life(now)
+        engine.record_activity(now)
         request = attempt.request
         if attempt.queued_for_memory:  # no reports come from there: it left the line an interval ago at most
             interval_ms = self._state.settings.progress_interval_ms
@@ -90,46 +90,46 @@
         if event.kind == ProgressKind.WAITS:
             attempt.waited_ms += now - attempt.progress_at_ms
         elif event.kind == ProgressKind.PROGRESS and 0.0 < event.value <= 1.0 and not request.finished:
-            self._judge_progress(engine, attempt, event.value, now)
+            self._evaluate_progress(engine, attempt, event.value, now)
         attempt.progress_at_ms = now
 
-    def _judge_progress(self, engine: EngineState, attempt: AttemptState, done_ratio: float, now: float) -> None:
+    def _evaluate_progress(self, engine: EngineState, attempt: AttemptState, done_ratio: float, now: float) -> None:
         request = attempt.request
         ran_ms = max(1.0, now - attempt.sent_at_ms - attempt.waited_ms)
         expected_ms = self._expected_ms(engine, attempt)
         is_bad_plan = ran_ms / done_ratio > BAD_PLAN_RATIO * expected_ms
         if is_bad_plan and now - attempt.sent_at_ms > MIN_PROGRESS_RUN_RATIO * expected_ms:
-            self._redispatcher.displace(request, attempt, now)
+            self._redispatcher.relocate_or_demote(request, attempt, now)
         else:
             request.done_ratio = max(request.done_ratio, done_ratio)
             self._estimates.update_priority(request)
 
-    def _charge_failure(self, engine: EngineState, attempt: AttemptState, now: float, why: str) -> None:
-        charge = FAILURE_CHARGE_FEW_ANSWERS if self._state.fractional_share else FAILURE_CHARGE
+    def _charge_failure(self, engine: EngineState, attempt: AttemptState, now: float, reason: str) -> None:
+        charge = FAILURE_CHARGE_SMALL_SHARE if self._state.fractional_share else FAILURE_CHARGE
         attempt.failure_charge = charge * (1.0 - engine.failure_rate)
         engine.failure_rate += attempt.failure_charge
         is_outlier = engine.failure_rate >= EJECT_AT_RATE and not engine.ejected  # one episode counts once
         if attempt.half_open or is_outlier:
-            self.eject(engine, now, why)
+            self.eject(engine, now, reason)
 
-    def _take_back_charge(self, attempt: AttemptState) -> None:
+    def _revert_charge(self, attempt: AttemptState) -> None:
         engine = attempt.engine
         engine.failure_rate -= min(attempt.failure_charge, engine.failure_rate)
         engine.ejected &= attempt.half_open or engine.failure_rate >= EJECT_AT_RATE
 
     # Ejection.
 
-    def eject(self, engine: EngineState, now: float, why: str) -> None:
+    def eject(self, engine: EngineState, now: float, reason: str) -> None:
         """Send no new work until one small request has come back; never eject more than half of all engines."""
-        if not engine.ejected and not self._may_eject_one_more():
+        if not engine.ejected and not self._may_eject_another():
             return
         is_repeated = engine.ejected or now - engine.readmitted_at_ms < REPEATED_EJECTION_MS
         engine.half_open_backoff_ms = HALF_OPEN_BACKOFF_MS if not is_repeated else self._longer_backoff_ms(engine)
         if not engine.ejected:
-            self._log(f"engine {engine.id:08x} {why}: suspected")
+            self._log(f"engine {engine.id:08x} {reason}: suspected")
         engine.ejected = True
         engine.half_open_at_ms = now + engine.half_open_backoff_ms
-        self._registry.survey(now)
+        self._registry.refresh(now)
         for attempt in list(engine.attempts.values()):
             self._redispatcher.relocate(attempt.request, attempt, now)
 
@@ -143,7 +143,7 @@
             engine.ejected_by_peer = False
             engine.failure_rate = 0.0
 
-    def _may_eject_one_more(self) -> bool:
+    def _may_eject_another(self) -> bool:
         ready = [engine for engine in self._state.engines.values() if engine.ready]
         return 2 * (1 + sum(engine.ejected for engine in ready)) <= len(ready)
 
@@ -156,15 +156,15 @@
         """Take in a health check's result: a failed one ejects an engine that is silent."""
         engine.health_checked_at_ms = now
         if event.outcome == AttemptOutcome.OK:
-            engine.record_sign_of_life(now)
+            engine.record_activity(now)
         elif self.is_silent(engine, now) and not engine.ejected:
             self.eject(engine, now, "is silent and fails its probe")
 
     def is_silent(self, engine: EngineState, now: float) -> bool:
         """Tell whether no sign of life came for longer than is usual for the engine."""
         interval_ms = self._state.settings.progress_interval_ms
-        usual_ms = max(MIN_SILENCE_MS, SILENCE_GAPS * engine.sign_gap_ms, SILENCE_PROGRESS_INTERVALS * interval_ms)
-        return now - engine.sign_at_ms > usual_ms
+        usual_ms = max(MIN_SILENCE_MS, SILENCE_GAPS * engine.activity_gap_ms, SILENCE_PROGRESS_INTERVALS * interval_ms)
+        return now - engine.last_activity_at_ms > usual_ms
 
     def examine(self, now: float) -> None:
         """Examine the engines at which a fault may be found by now."""
@@ -175,14 +175,14 @@
         """Return the earliest time at which the attempt could be found hung or badly planned, or its engine silent."""
         interval_ms = self._state.settings.progress_interval_ms
         request = attempt.request
-        unheard_at_ms = attempt.progress_at_ms + MUTE_MS + (interval_ms or math.inf)
-        displaced_at_ms = math.inf
-        if not (request.done_ratio or request.relocated):
+        unreported_at_ms = attempt.progress_at_ms + REPORT_GRACE_MS + (interval_ms or math.inf)
+        bad_plan_at_ms = math.inf
+        if not (request.done_ratio or request.bad_plan_handled):
             expected_ms = BAD_PLAN_RATIO * attempt.cost_ms / request.class_settings.threads
-            displaced_at_ms = attempt.sent_at_ms + attempt.waited_ms + DISPLACED_AFTER_MS + expected_ms
+            bad_plan_at_ms = attempt.sent_at_ms + attempt.waited_ms + BAD_PLAN_GRACE_MS + expected_ms
         silence_ms = max(MIN_SILENCE_MS, SILENCE_PROGRESS_INTERVALS * interval_ms)
-        silent_at_ms = attempt.engine.sign_at_ms + silence_ms
-        return min(unheard_at_ms, displaced_at_ms, silent_at_ms) - EXAMINE_EARLY_MS
+        silent_at_ms = attempt.engine.last_activity_at_ms + silence_ms
+        return min(unreported_at_ms, bad_plan_at_ms, silent_at_ms) - EXAMINE_EARLY_MS
 
     def _examine_engine(self, engine: EngineState, now: float) -> None:
         is_silent = self.is_silent(engine, now)
@@ -196,33 +196,33 @@
     def _examine_attempt(self, engine: EngineState, attempt: AttemptState, is_silent: bool, now: float) -> bool:
         """Deal with an attempt that does not run or is far over its estimate; tell whether it is overdue."""
         interval_ms = self._state.settings.progress_interval_ms
-        heard_within_ms = (interval_ms or math.inf) + MUTE_MS
+        report_timeout_ms = (interval_ms or math.inf) + REPORT_GRACE_MS
         ran_ms = now - attempt.sent_at_ms - attempt.waited_ms
         expected_ms = self._expected_ms(engine, attempt)
         is_overdue = ran_ms > OVERDUE_AFTER_MS + OVERDUE_RATIO * expected_ms
-        unheard_ms = 0.0 if attempt.queued_for_memory else now - attempt.progress_at_ms
-        if unheard_ms > heard_within_ms:
-            is_alive = engine.sign_at_ms > max(attempt.sent_at_ms, now - heard_within_ms)
-            is_withheld = is_alive and now < engine.withheld_until_ms.get(attempt.request.cls, -math.inf)
-            is_mute = now - engine.sign_at_ms > heard_within_ms
-            if is_withheld or is_mute or (is_overdue and unheard_ms > UNHEARD_INTERVALS * interval_ms):
-                self._on_hung_attempt(engine, attempt, is_alive, is_withheld, now)
+        unreported_ms = 0.0 if attempt.queued_for_memory else now - attempt.progress_at_ms
+        if unreported_ms > report_timeout_ms:
+            is_engine_active = engine.last_activity_at_ms > max(attempt.sent_at_ms, now - report_timeout_ms)
+            is_withheld = is_engine_active and now < engine.withheld_until_ms.get(attempt.request.cls, -math.inf)
+            is_engine_quiet = now - engine.last_activity_at_ms > report_timeout_ms
+            if is_withheld or is_engine_quiet or (is_overdue and unreported_ms > MAX_MISSED_INTERVALS * interval_ms):
+                self._on_hung_attempt(engine, attempt, is_engine_active, is_withheld, now)
         has_progress = attempt.request.done_ratio or attempt.queued_for_memory
-        if not (has_progress or is_silent) and ran_ms > DISPLACED_AFTER_MS + BAD_PLAN_RATIO * expected_ms:
-            self._redispatcher.displace(attempt.request, attempt, now)
+        if not (has_progress or is_silent) and ran_ms > BAD_PLAN_GRACE_MS + BAD_PLAN_RATIO * expected_ms:
+            self._redispatcher.relocate_or_demote(attempt.request, attempt, now)
         return is_overdue
 
     def _on_hung_attempt(
-        self, engine: EngineState, attempt: AttemptState, is_alive: bool, is_withheld: bool, now: float
+        self, engine: EngineState, attempt: AttemptState, is_engine_active: bool, is_withheld: bool, now: float
     ) -> None:
         """An attempt was taken and is not run: blame the engine, or withhold the class from it, and go elsewhere."""
         cls = attempt.request.cls
         withheld_until_ms = engine.withheld_until_ms.get(cls, -math.inf)
         is_first = attempt.progress_at_ms == withheld_until_ms or now - withheld_until_ms > REPEATED_EJECTION_MS
-        if not is_alive or (not is_withheld and is_first):
+        if not is_engine_active or (not is_withheld and is_first):
             self._charge_failure(engine, attempt, now, "keeps what it takes")
             engine.withheld_until_ms[cls] = max(withheld_until_ms, now)
-        elif self._runs_elsewhere(cls, engine, now):
+        elif self._has_alternative(cls, engine, now):
             if not is_withheld:
                 self._log(f"engine {engine.id:08x} keeps class {cls}")
             engine.withheld_until_ms[cls] = now + REPEATED_EJECTION_MS  # though it may answer others
@@ -230,7 +230,7 @@
         if not engine.ejected:
             self._redispatcher.relocate(attempt.request, attempt, now)
 
-    def _runs_elsewhere(self, cls: int, engine: EngineState, now: float) -> bool:
+    def _has_alternative(self, cls: int, engine: EngineState, now: float) -> bool:
         """Tell whether another usable engine may have requests of the class."""
         return any(
             other is not engine and now >= other.withheld_until_ms.get(cls, 0.0) for other in self._state.usable_engines
@@ -242,7 +242,7 @@
             if now - engine.health_checked_at_ms > MIN_SILENCE_MS:
                 engine.health_checked_at_ms = math.inf  # until its result
                 self._state.actions.append(RunHealthCheck(engine.id))
-        elif overdue > 1 or now - engine.sign_at_ms > 2.0 * MIN_SILENCE_MS:
+        elif overdue > 1 or now - engine.last_activity_at_ms > 2.0 * MIN_SILENCE_MS:
             self.eject(engine, now, "is silent")
 
     def _expected_ms(self, engine: EngineState, attempt: AttemptState) -> float:
--- a/frostspindle/policy/policy_state.py
+++ b/frostspindle/policy/policy_state.py
@@ -41,7 +41,7 @@
     usable_engines: list[EngineState] = field(default_factory=list)
     ranked_engines: RankedSet = field(default_factory=RankedSet)  # the usable ones
     slow_start_engines: list[EngineState] = field(default_factory=list)
-    slow_start_turns: list[EngineState] = field(default_factory=list)  # those with budget left for us
+    slow_start_eligible: list[EngineState] = field(default_factory=list)  # those with budget left for us
     median_slowdown: float = 1.0
     thread_limit_sum: float = 0.0
 
--- a/frostspindle/policy/queues.py
+++ b/frostspindle/policy/queues.py
@@ -12,7 +12,7 @@
 from itertools import islice
 from typing import Any
 
-UNIT = 1 << 20  # weights are summed as whole parts, so that no rounding adds up over a long day
+UNITS_PER_WEIGHT = 1 << 20  # weights are summed as whole parts, so that no rounding adds up over a long day
 
 
 class WaitingQueue:
@@ -36,7 +36,7 @@
                 del self.heads[bisect_left(self.heads, (rows[1], lane))]
             insort(self.heads, (row, lane))
         self.count += 1
-        self.units += int(min(weight, 1e15) * UNIT)
+        self.units += int(min(weight, 1e15) * UNITS_PER_WEIGHT)
 
     def drop(self, rank: tuple[Any, ...], lane: int, weight: float) -> None:
         """Remove the row whose fields before the item equal `rank`; `weight` must be the one it was added with.
@@ -45,47 +45,47 @@
         ones.
         """
         rows = self.lanes[lane]
-        at = bisect_left(rows, rank)
-        row = rows[at]
+        index = bisect_left(rows, rank)
+        row = rows[index]
         if row[:-1] != rank:
             raise KeyError(rank)
-        if at == 0:
+        if index == 0:
             del self.heads[bisect_left(self.heads, (row, lane))]
             if len(rows) > 1:
                 insort(self.heads, (rows[1], lane))
-        del rows[at]
+        del rows[index]
         if not rows:
             del self.lanes[lane]
         self.count -= 1
-        self.units -= int(min(weight, 1e15) * UNIT)
+        self.units -= int(min(weight, 1e15) * UNITS_PER_WEIGHT)
 
-    def walk(self, passed: Container[int]) -> Iterator[Any]:
+    def walk(self, skipped: Container[int]) -> Iterator[Any]:
         """Yield items in ascending order of their rows, skipping each lane that is in `passed` when its next row comes.
 
         `passed` may grow during the iteration; no row may be added or removed meanwhile.
         """
-        at = 0
-        ways = list[tuple[Any, int, int]]()  # the next row of each lane entered, its place, the lane
+        head_index = 0
+        entered = list[tuple[Any, int, int]]()  # the next row of each lane entered, its place, the lane
         while True:
-            if at < len(self.heads) and (not ways or self.heads[at][0] < ways[0][0]):
-                row, lane = self.heads[at]
-                place = 0
-                at += 1
-            elif ways:
-                row, place, lane = heapq.heappop(ways)
+            if head_index < len(self.heads) and (not entered or self.heads[head_index][0] < entered[0][0]):
+                row, lane = self.heads[head_index]
+                position = 0
+                head_index += 1
+            elif entered:
+                row, position, lane = heapq.heappop(entered)
             else:
                 return
-            if lane in passed:
+            if lane in skipped:
                 continue
             yield row[-1]
             rows = self.lanes[lane]
-            if lane not in passed and place + 1 < len(rows):
-                heapq.heappush(ways, (rows[place + 1], place + 1, lane))
+            if lane not in skipped and position + 1 < len(rows):
+                heapq.heappush(entered, (rows[position + 1], position + 1, lane))
 
     @property
     def total(self) -> float:
         """Sum of the weights of all rows, in the unit in which they were added."""
-        return self.units / UNIT
+        return self.units / UNITS_PER_WEIGHT
 
     def __len__(self) -> int:
         return self.count
@@ -93,8 +93,8 @@
     def __iter__(self) -> Iterator[Any]:
         return heapq.merge(*self.lanes.values())
 
-    def __getitem__(self, part: slice) -> list[Any]:
-        return list(islice(self, part.start, part.stop, part.step))
+    def __getitem__(self, bounds: slice) -> list[Any]:
+        return list(islice(self, bounds.start, bounds.stop, bounds.step))
 
 
 class LowestValueQueue:
--- a/frostspindle/policy/request_state.py
+++ b/frostspindle/policy/request_state.py
@@ -72,7 +72,7 @@
         "over_quota",
         "priority",
         "rank",
-        "relocated",
+        "bad_plan_handled",
         "streaming",
         "suspended",
         "tenant",
@@ -107,7 +107,7 @@
         self.suspended = event.suspended  # its client is away
         self.deferred = False  # it will wait for an engine once it is no longer suspended
         self.streaming = False
-        self.relocated = False  # an attempt far over its estimate was dealt with, once
+        self.bad_plan_handled = False  # an attempt far over its estimate was dealt with, once
         self.finished = False
 
         self.priority = -1
--- a/frostspindle/policy/retries.py
+++ b/frostspindle/policy/retries.py
@@ -31,11 +31,11 @@
 
     def record_arrival(self, now: float) -> None:
         """Count a new request, which adds to the budget."""
-        self.arrivals.since(now - self._state.settings.retry_budget_window_ms).append(now)
+        self.arrivals.after(now - self._state.settings.retry_budget_window_ms).append(now)
 
     def record_retry(self, now: float) -> None:
         """Count a retry that is sent."""
-        self._retries.since(now - self._state.settings.retry_budget_window_ms).append(now)
+        self._retries.after(now - self._state.settings.retry_budget_window_ms).append(now)
 
     def budget_allows(self, now: float) -> bool:
         """Tell whether the budget has a retry left."""
@@ -43,25 +43,25 @@
         if settings.retry_budget_window_ms <= 0:
             return True
         since_ms = now - settings.retry_budget_window_ms
-        retries = len(self._retries.since(since_ms)) + 1
-        arrivals = len(self.arrivals.since(since_ms))
+        retries = len(self._retries.after(since_ms)) + 1
+        arrivals = len(self.arrivals.after(since_ms))
         return retries <= settings.retry_budget_min + settings.retry_budget_ratio * arrivals
 
-    def may_repeat(self, request: RequestState, engine: EngineState | None, now: float) -> bool:
+    def allows_resend(self, request: RequestState, engine: EngineState | None, now: float) -> bool:
         """Tell whether what may have run can be sent again, to that engine or, with None, to any."""
         class_settings = request.class_settings
-        ran = request.attempts_that_may_have_run()
-        if not ran or class_settings.idempotency == Idempotency.IDEMPOTENT:
+        may_have_run = request.attempts_that_may_have_run()
+        if not may_have_run or class_settings.idempotency == Idempotency.IDEMPOTENT:
             return True
         if class_settings.idempotency == Idempotency.NON_IDEMPOTENT:
             return False
-        first_sent_at_ms = min(attempt.sent_at_ms for attempt in ran)
+        first_sent_at_ms = min(attempt.sent_at_ms for attempt in may_have_run)
         if now - first_sent_at_ms > class_settings.idempotency_window_ms - DEADLINE_MARGIN_MS:
             return False
-        scope = DEDUP_SCOPE_FIELDS.get(class_settings.dedup_scope, CELL_FIELD)
-        if engine is None or not scope:
+        scope_field = DEDUP_SCOPE_FIELDS.get(class_settings.dedup_scope, CELL_FIELD)
+        if engine is None or not scope_field:
             return True
-        return all(attempt.engine.entry[scope] == engine.entry[scope] for attempt in ran)
+        return all(attempt.engine.entry[scope_field] == engine.entry[scope_field] for attempt in may_have_run)
 
 
 class Redispatcher:
@@ -88,12 +88,12 @@
         if outcome != AttemptOutcome.NOT_SENT:  # one that sheds, as while it shuts down, sheds the next send too
             request.avoided_engines.add(engine.id)
         request.done_ratio = 0.0
-        self._estimates.size(request)
+        self._estimates.estimate(request)
         time_left_ms = request.deadline_at_ms - now - DEADLINE_MARGIN_MS
         if (
             len(request.attempts) >= self._state.settings.max_attempts
             or not time_left_ms > self._estimates.run_ms(request)
-            or not self._retries.may_repeat(request, None, now)
+            or not self._retries.allows_resend(request, None, now)
         ):
             self._completion.end_unserved(request, now)
         else:
@@ -112,18 +112,18 @@
             return False
         if (
             len(request.attempts) >= settings.max_attempts
-            or not self._retries.may_repeat(request, None, now)
+            or not self._retries.allows_resend(request, None, now)
             or not self._retries.budget_allows(now)
         ):
             return False
         self._state.actions.append(CancelAttempt(request.number, attempt.number))
         return True
 
-    def displace(self, request: RequestState, attempt: AttemptState, now: float) -> None:
+    def relocate_or_demote(self, request: RequestState, attempt: AttemptState, now: float) -> None:
         """Keep an attempt far over its estimate from crowding out short ones: relocate it once, or lower its band."""
-        if not request.relocated and not self.relocate(request, attempt, now):
+        if not request.bad_plan_handled and not self.relocate(request, attempt, now):
             self._lower_priority(request)
-        request.relocated = True
+        request.bad_plan_handled = True
 
     def _lower_priority(self, request: RequestState) -> None:
         if self._state.settings.priorities and request.priority > LOWEST_BAND:
--- a/frostspindle/policy/selection.py
+++ b/frostspindle/policy/selection.py
@@ -7,17 +7,17 @@
 from frostspindle.policy.admission import EngineCapacity
 from frostspindle.policy.engine_state import EngineState
 from frostspindle.policy.estimates import Estimates
-from frostspindle.policy.indexes import thinned
+from frostspindle.policy.indexes import sample_if_over
 from frostspindle.policy.policy_state import PolicyState
 from frostspindle.policy.request_state import RequestState
 from frostspindle.policy.retries import RetryPolicy
 from frostspindle.policy.settings import Idempotency
 from frostspindle.policy.slow_start import SlowStart
 
-SAMPLE = 12  # engines considered for one request
-MANY = 48  # so many engines in slow start, and with idle connections, are considered beside the sample
-SPREAD_FROM = 0.95  # lower end of the random factor that spreads near-ties
-SPREAD = 0.1  # and its range
+SAMPLE_SIZE = 12  # engines considered for one request
+MAX_UNSAMPLED = 48  # so many engines in slow start, and with idle connections, are considered beside the sample
+MIN_JITTER = 0.95  # lower end of the random factor that spreads near-ties
+JITTER_RANGE = 0.1  # and its range
 AVOIDED_FACTOR = 4.0  # an attempt of the request has failed there
 SLOW_START_FACTOR = 0.5
 CACHED_FACTOR = 0.8
@@ -57,30 +57,38 @@
         All of a few; else a sample, those in slow start, as turns are rare, and some that have an idle connection.
         """
         state = self._state
-        step, first = self._own_engines(request, now)
-        loaded = state.running_loads.of(request.lane)
-        few = state.ranked_engines.every(step, first, loaded)
-        if len(few) <= SAMPLE:
-            return few
-        picked = state.random.sample(few, SAMPLE)
-        beside = [e for e in thinned(state.slow_start_turns, MANY, SAMPLE, state.random) if e.in_slow_start(now)]
-        beside += [e for e in state.idle_connections.last(MANY, 2 * SAMPLE) if e.connections.any(now, 0)]
-        if not beside:
-            return picked
-        return picked + state.ranked_engines.order(beside, step, first, loaded)
+        step, first = self._engine_partition(request, now)
+        loaded_engines = state.running_loads.counts_in(request.lane)
+        eligible = state.ranked_engines.select(step, first, loaded_engines)
+        if len(eligible) <= SAMPLE_SIZE:
+            return eligible
+        sampled = state.random.sample(eligible, SAMPLE_SIZE)
+        extra = [
+            e
+            for e in sample_if_over(state.slow_start_eligible, MAX_UNSAMPLED, SAMPLE_SIZE, state.random)
+            if e.in_slow_start(now)
+        ]
+        extra += [
+            e
+            for e in state.idle_connections.most_recent(MAX_UNSAMPLED, 2 * SAMPLE_SIZE)
+            if e.connections.has_open(now, 0)
+        ]
+        if not extra:
+            return sampled
+        return sampled + state.ranked_engines.select_from(extra, step, first, loaded_engines)
 
     def choose(self, request: RequestState, engines: list[EngineState], now: float) -> EngineState | None:
         """Return the best of the engines that may have the request, if any; the seed spreads near-ties."""
-        if not self._may_be_sent(request, now):
+        if not self._may_start_attempt(request, now):
             return None
         state = self._state
         settings = state.settings
         capacity = self._capacity
         threads = request.class_settings.threads
-        wanted_mb = self._estimates.memory_wanted_mb(request)
+        wanted_mb = self._estimates.desired_memory_mb(request)
         scale = settings.coordinators if state.fractional_share and settings.load_report_columns else 1
         any_in_slow_start = state.slow_start_engines
-        draw = state.random.random
+        next_random = state.random.random
         best = None
         best_score = math.inf
         for engine in engines:
@@ -88,7 +96,7 @@
             is_full = engine.attempts and engine.thread_limit - engine.threads < threads and not engine.ejected
             if is_full and not (any_in_slow_start and engine.in_slow_start(now)):
                 continue
-            if not self._may_send(request, engine, now):
+            if not self._may_use(request, engine, now):
                 continue
             other_threads, other_memory = capacity.other_load(engine, now)
             grant_mb = min(wanted_mb, settings.max_grant_ratio * engine.memory_mb)
@@ -96,14 +104,14 @@
                 continue
             busy_threads = engine.threads + engine.peer_threads + threads + other_threads
             busy_ratio = busy_threads / max(engine.thread_limit * scale, threads)
-            score = engine.slowdown * (1.0 + busy_ratio) * (SPREAD_FROM + SPREAD * draw())
-            score = self._weigh(score, request, engine, now)
+            score = engine.slowdown * (1.0 + busy_ratio) * (MIN_JITTER + JITTER_RANGE * next_random())
+            score = self._weighted_score(score, request, engine, now)
             if score < best_score:
                 best = engine
                 best_score = score
         return best
 
-    def _weigh(self, score: float, request: RequestState, engine: EngineState, now: float) -> float:
+    def _weighted_score(self, score: float, request: RequestState, engine: EngineState, now: float) -> float:
         """Return a score, an expected time, times the factors for what speaks for or against the engine."""
         settings = self._state.settings
         if engine.id in request.avoided_engines:
@@ -116,14 +124,14 @@
             score *= self._penalty_factor(request, engine, now)
         return score
 
-    def _may_be_sent(self, request: RequestState, now: float) -> bool:
+    def _may_start_attempt(self, request: RequestState, now: float) -> bool:
         if request.finished or len(request.attempts) >= self._state.settings.max_attempts:
             return False
         if not request.attempts:
             return True
         return not request.running_attempts and self._retries.budget_allows(now)
 
-    def _may_send(self, request: RequestState, engine: EngineState, now: float) -> bool:
+    def _may_use(self, request: RequestState, engine: EngineState, now: float) -> bool:
         """Tell whether the engine may have the request, but for memory: rules first, then ejection and capacity."""
         class_settings = request.class_settings
         entry = engine.entry
@@ -132,15 +140,15 @@
             or (engine.withheld_until_ms and now < engine.withheld_until_ms.get(request.cls, 0.0))
             or (class_settings.only_kinds is not None and entry.kind not in class_settings.only_kinds)
             or (class_settings.only_zones is not None and entry.zone not in class_settings.only_zones)
-            or (request.attempts and not self._retries.may_repeat(request, engine, now))
+            or (request.attempts and not self._retries.allows_resend(request, engine, now))
             or (engine.in_slow_start(now) and not self._slow_start.allows(request, engine, now))
         ):
             return False
         if engine.ejected:
-            return self._may_test(request, engine, now)
+            return self._may_test_half_open(request, engine, now)
         return not engine.attempts or engine.thread_limit - engine.threads >= class_settings.threads
 
-    def _may_test(self, request: RequestState, engine: EngineState, now: float) -> bool:
+    def _may_test_half_open(self, request: RequestState, engine: EngineState, now: float) -> bool:
         """Tell whether the request may be the one small one that tests a half-open engine."""
         is_small = self._estimates.band(request.cost_ms) == SMALLEST_BAND
         if not is_small or request.class_settings.idempotency == Idempotency.NON_IDEMPOTENT:
@@ -156,10 +164,10 @@
         """Return points for a new connection, and for its zone while there is capacity: one zone's engines pile up."""
         state = self._state
         settings = state.settings
-        is_new = settings.handshake_penalty > 0 and not engine.connections.any(now, len(engine.attempts))
+        needs_connection = settings.handshake_penalty > 0 and not engine.connections.has_open(now, len(engine.attempts))
         free_ratio = max(0.0, 2.0 - 2.0 * state.threads / max(1.0, state.thread_limit_sum))
         zone_penalty = (engine.entry.zone != settings.zone) * settings.cross_zone_penalty
-        return is_new * settings.handshake_penalty + zone_penalty * (1.0 if is_new else free_ratio)
+        return needs_connection * settings.handshake_penalty + zone_penalty * (1.0 if needs_connection else free_ratio)
 
     def _group_factor(self, request: RequestState, engine: EngineState) -> float:
         """Draw readers to engines that have their table group cached; keep a load and those it would block apart."""
@@ -167,13 +175,13 @@
         class_settings = request.class_settings
         factor = CACHED_FACTOR if request.group in engine.cached_groups else 1.0
         if class_settings.is_load or class_settings.blocked_by_loads:
-            factor *= LOAD_CONFLICT_FACTOR ** state.running_loads.at(request.group, engine.id)
+            factor *= LOAD_CONFLICT_FACTOR ** state.running_loads.count_of(request.group, engine.id)
         if class_settings.is_load:
-            for _ in range(state.blocked_requests.at(request.group, engine.id)):
+            for _ in range(state.blocked_requests.count_of(request.group, engine.id)):
                 factor *= BLOCKED_FACTOR
         return factor
 
-    def _own_engines(self, request: RequestState, now: float) -> tuple[int, int]:
+    def _engine_partition(self, request: RequestState, now: float) -> tuple[int, int]:
         """Return step and first index of the engines of an ordered load, (1, 0) for all engines.
 
         A load that waits holds up its key's line: each coordinator has engines of its own, but all while any warms up.
--- a/frostspindle/policy/settings_parser.py
+++ b/frostspindle/policy/settings_parser.py
@@ -13,7 +13,7 @@
 EFFECTS = {"repeatable": Idempotency.IDEMPOTENT, "by_key": Idempotency.WITH_KEY, "once": Idempotency.NON_IDEMPOTENT}
 
 
-class Pairs:
+class FlatSettings:
     """Typed look-ups in settings flattened to path=value; all raise ValueError with the path of a bad value."""
 
     def __init__(self, values: dict[str, str]) -> None:
@@ -26,7 +26,7 @@
             raise ValueError(f"{path}: missing")
         return value
 
-    def number(self, path: str, default: float | None = None, least: float = 0.0, above: float = -math.inf) -> float:
+    def number(self, path: str, default: float | None = None, minimum: float = 0.0, above: float = -math.inf) -> float:
         """Return a finite number of at least `least` and above `above`; where it is missing, the default, unchecked.
 
         Raise ValueError if it is missing without a default, not a finite number, or out of range.
@@ -37,7 +37,7 @@
             value = float(self.text(path))
         except ValueError:
             raise ValueError(f"{path}: missing or not a number") from None
-        return _checked(path, value, least, above)
+        return _check_range(path, value, minimum, above)
 
     def flag(self, path: str, default: bool = False) -> bool:
         """Return a boolean; raise ValueError for anything but `true` and `false`."""
@@ -51,23 +51,23 @@
         value = self.values.get(path, "")
         return value.split(",") if value else []
 
-    def numbers(self, path: str, least: float = 0.0, above: float = -math.inf) -> list[float]:
+    def numbers(self, path: str, minimum: float = 0.0, above: float = -math.inf) -> list[float]:
         """Return a comma-separated value as numbers; raise ValueError for one not a finite number or out of range."""
         try:
             values = [float(v) for v in self.items(path)]
         except ValueError:
             raise ValueError(f"{path}: not a list of numbers") from None
-        return [_checked(path, value, least, above) for value in values]
+        return [_check_range(path, value, minimum, above) for value in values]
 
-    def places(self, path: str) -> frozenset[int] | None:
+    def number_set(self, path: str) -> frozenset[int] | None:
         """Return a comma-separated value as a set of numbers, each cut to an integer; None where it is missing."""
         return frozenset(int(v) for v in self.numbers(path)) if path in self.values else None
 
 
-def _checked(path: str, value: float, least: float, above: float) -> float:
+def _check_range(path: str, value: float, minimum: float, above: float) -> float:
     if not math.isfinite(value):
         raise ValueError(f"{path}: not a finite number")
-    if value < least or value <= above:
+    if value < minimum or value <= above:
         raise ValueError(f"{path}: {value:g} is too little")
     return value
 
@@ -77,8 +77,8 @@
     values: dict[str, str] = {}
     for line in text.splitlines():
         if line.strip():
-            path, mark, value = line.partition("=")
-            if not mark:
+            path, separator, value = line.partition("=")
+            if not separator:
                 raise ValueError(f"{path}: not a path=value line")
             values[path.strip()] = value.strip()
     return read_settings(values)
@@ -88,47 +88,47 @@
     """Nested settings as the same path=value pairs: plain lists joined by commas, others by index, null as if it
     were missing."""
     if isinstance(value, dict):
-        out: dict[str, str] = {}
+        flattened: dict[str, str] = {}
         for key, inner in value.items():
-            out.update(flatten(inner, f"{path}.{key}" if path else str(key)))
-        return out
+            flattened.update(flatten(inner, f"{path}.{key}" if path else str(key)))
+        return flattened
     if isinstance(value, list):
         if any(isinstance(inner, (dict, list)) for inner in value):
-            out = {f"{path}.count": str(len(value))}
+            flattened = {f"{path}.count": str(len(value))}
             for number, inner in enumerate(value):
-                out.update(flatten(inner, f"{path}.{number}"))
-            return out
-        return {path: ",".join(_plain(inner) for inner in value)}
-    return {} if value is None else {path: _plain(value)}
+                flattened.update(flatten(inner, f"{path}.{number}"))
+            return flattened
+        return {path: ",".join(_as_text(inner) for inner in value)}
+    return {} if value is None else {path: _as_text(value)}
 
 
-def _plain(value: Any) -> str:
+def _as_text(value: Any) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 def read_settings(values: dict[str, str]) -> Settings:
     """Read the settings of one instance from flattened pairs; raise ValueError with the path of a bad value."""
-    pairs = Pairs(values)
+    flat = FlatSettings(values)
     return Settings(
-        classes=_read_classes(pairs),
-        **_read_tenants(pairs),
-        **_read_engines(pairs),
-        **_read_load_reports(pairs),
-        **_read_attempts(pairs),
-        **_read_slow_start(pairs),
-        **_read_retry_budget(pairs),
-        **_read_connections(pairs),
+        classes=_read_classes(flat),
+        **_read_tenants(flat),
+        **_read_engines(flat),
+        **_read_load_reports(flat),
+        **_read_attempts(flat),
+        **_read_slow_start(flat),
+        **_read_retry_budget(flat),
+        **_read_connections(flat),
     )
 
 
-def _read_classes(pairs: Pairs) -> tuple[ClassSettings, ...]:
-    count = int(pairs.number("categories.count"))
-    threads = pairs.numbers("domain.classThreads", 1.0)
-    loads = pairs.items("domain.classLoad")
-    blocked = pairs.items("domain.blockedByLoads")
+def _read_classes(flat: FlatSettings) -> tuple[ClassSettings, ...]:
+    count = int(flat.number("categories.count"))
+    threads = flat.numbers("domain.classThreads", 1.0)
+    loads = flat.items("domain.classLoad")
+    blocked = flat.items("domain.blockedByLoads")
     return tuple(
         _read_class(
-            pairs,
+            flat,
             f"categories.{number}.",
             threads=int(threads[number]) if number < len(threads) else 1,
             is_load=number < len(loads) and loads[number] == "true",
@@ -138,97 +138,97 @@
     )
 
 
-def _read_class(pairs: Pairs, path: str, threads: int, is_load: bool, blocked_by_loads: bool) -> ClassSettings:
-    effect = pairs.text(path + "effect")
+def _read_class(flat: FlatSettings, path: str, threads: int, is_load: bool, blocked_by_loads: bool) -> ClassSettings:
+    effect = flat.text(path + "effect")
     if effect not in EFFECTS:
         raise ValueError(f"{path}effect: unknown effect {effect!r}")
     return ClassSettings(
-        latency_objective_ms=pairs.number(path + "promise", above=0.0),
-        deadline_ms=pairs.number(path + "hardLimit", above=0.0),
-        priority_weight=pairs.number(path + "worth", 1.0),
-        objective_stretch=pairs.number(path + "aimStretch", 0.0),
-        late_value_ratio=pairs.number(path + "lateShare", 0.0),
+        latency_objective_ms=flat.number(path + "promise", above=0.0),
+        deadline_ms=flat.number(path + "hardLimit", above=0.0),
+        priority_weight=flat.number(path + "worth", 1.0),
+        objective_stretch=flat.number(path + "aimStretch", 0.0),
+        late_value_ratio=flat.number(path + "lateShare", 0.0),
         idempotency=EFFECTS[effect],
-        dedup_scope=pairs.text(path + "dedupScope", "all"),
-        idempotency_window_ms=pairs.number(path + "window", 0.0),
-        in_order=pairs.flag(path + "inOrder"),
-        stream=pairs.flag(path + "stream"),
+        dedup_scope=flat.text(path + "dedupScope", "all"),
+        idempotency_window_ms=flat.number(path + "window", 0.0),
+        in_order=flat.flag(path + "inOrder"),
+        stream=flat.flag(path + "stream"),
         threads=threads,
         is_load=is_load,
         blocked_by_loads=blocked_by_loads,
-        only_kinds=pairs.places(path + "servedOn"),
-        only_zones=pairs.places(path + "failureDomainsOpen"),
+        only_kinds=flat.number_set(path + "servedOn"),
+        only_zones=flat.number_set(path + "failureDomainsOpen"),
     )
 
 
-def _read_tenants(pairs: Pairs) -> dict[str, Any]:
-    count = int(pairs.number("parties.count", 0))
+def _read_tenants(flat: FlatSettings) -> dict[str, Any]:
+    count = int(flat.number("parties.count", 0))
     return {
-        "coordinators": int(pairs.number("balancers", 1, 1.0)),
-        "number": int(pairs.number("me", 0)),
-        "tenant_quotas_per_s": tuple(pairs.number(f"parties.{i}.allowancePerS", 0.0) for i in range(count)),
+        "coordinators": int(flat.number("balancers", 1, 1.0)),
+        "number": int(flat.number("me", 0)),
+        "tenant_quotas_per_s": tuple(flat.number(f"parties.{i}.allowancePerS", 0.0) for i in range(count)),
     }
 
 
-def _read_engines(pairs: Pairs) -> dict[str, Any]:
+def _read_engines(flat: FlatSettings) -> dict[str, Any]:
     return {
-        "kind_cores": tuple(pairs.numbers("domain.kindCores", above=0.0)) or (1.0,),
-        "kind_memory_mb": tuple(pairs.numbers("domain.sizeMb")) or (0.0,),
-        "max_grant_ratio": pairs.number("domain.mostGrant", 1.0),
-        "grants": pairs.flag("domain.grants"),
-        "priorities": pairs.flag("domain.priorities"),
-        "reports_cost": pairs.flag("domain.saysCost"),
-        "progress_interval_ms": pairs.number("domain.notePeriod", 0.0),
-        "memory_shortage_mode": pairs.text("domain.whenShort", "wait"),
+        "kind_cores": tuple(flat.numbers("domain.kindCores", above=0.0)) or (1.0,),
+        "kind_memory_mb": tuple(flat.numbers("domain.sizeMb")) or (0.0,),
+        "max_grant_ratio": flat.number("domain.mostGrant", 1.0),
+        "grants": flat.flag("domain.grants"),
+        "priorities": flat.flag("domain.priorities"),
+        "reports_cost": flat.flag("domain.saysCost"),
+        "progress_interval_ms": flat.number("domain.notePeriod", 0.0),
+        "memory_shortage_mode": flat.text("domain.whenShort", "wait"),
     }
 
 
-def _read_load_reports(pairs: Pairs) -> dict[str, Any]:
+def _read_load_reports(flat: FlatSettings) -> dict[str, Any]:
     return {
-        "load_report_columns": tuple(pairs.items("report.columns")),
-        "load_reports_in_responses": pairs.text("report.how", "silent") == "piggyback",
-        "subscribe_endpoints": pairs.text("discovery", "automatic") == "subscribe",
-        "subscribe_within_ms": pairs.number("rules.mustAskIn", 0.0),
+        "load_report_columns": tuple(flat.items("report.columns")),
+        "load_reports_in_responses": flat.text("report.how", "silent") == "piggyback",
+        "subscribe_endpoints": flat.text("discovery", "automatic") == "subscribe",
+        "subscribe_within_ms": flat.number("rules.mustAskIn", 0.0),
     }
 
 
-def _read_attempts(pairs: Pairs) -> dict[str, Any]:
+def _read_attempts(flat: FlatSettings) -> dict[str, Any]:
     return {
-        "may_cancel": pairs.flag("limits.cancel"),
-        "may_check_health": pairs.flag("limits.probes"),
-        "hedged_requests": pairs.flag("limits.secondCopies"),
-        "retry_after": pairs.flag("limits.retryAfter"),
-        "max_retry_after_ms": pairs.number("limits.maxRetryAfter", 0.0),
-        "max_attempts": int(pairs.number("limits.mostTries", 1, 1.0)),
-        "connect_timeout_ms": pairs.number("limits.dialTimeout", 250.0),
-        "drain_grace_ms": pairs.number("rules.stopSendingWithin", 0.0),
+        "may_cancel": flat.flag("limits.cancel"),
+        "may_check_health": flat.flag("limits.probes"),
+        "hedged_requests": flat.flag("limits.secondCopies"),
+        "retry_after": flat.flag("limits.retryAfter"),
+        "max_retry_after_ms": flat.number("limits.maxRetryAfter", 0.0),
+        "max_attempts": int(flat.number("limits.mostTries", 1, 1.0)),
+        "connect_timeout_ms": flat.number("limits.dialTimeout", 250.0),
+        "drain_grace_ms": flat.number("rules.stopSendingWithin", 0.0),
     }
 
 
-def _read_slow_start(pairs: Pairs) -> dict[str, Any]:
+def _read_slow_start(flat: FlatSettings) -> dict[str, Any]:
     return {
-        "slow_start_capacity": pairs.number("rules.startCapacity", 1.0),
-        "slow_start_duration_ms": pairs.number("rules.warmWithin", 0.0),
-        "slow_start_overload_ratio": pairs.number("rules.tipMultiple", 1.0),
-        "slow_start_window_ms": pairs.number("rules.fall", 1000.0),
+        "slow_start_capacity": flat.number("rules.startCapacity", 1.0),
+        "slow_start_duration_ms": flat.number("rules.warmWithin", 0.0),
+        "slow_start_overload_ratio": flat.number("rules.tipMultiple", 1.0),
+        "slow_start_window_ms": flat.number("rules.fall", 1000.0),
     }
 
 
-def _read_retry_budget(pairs: Pairs) -> dict[str, Any]:
+def _read_retry_budget(flat: FlatSettings) -> dict[str, Any]:
     return {
-        "key_order_pause_ms": pairs.number("rules.orderPause", 0.0),
-        "retry_budget_min": pairs.number("rules.extraFloor", 0.0),
-        "retry_budget_ratio": pairs.number("rules.extraRatio", 0.0),
-        "retry_budget_window_ms": pairs.number("rules.resendSpan", 0.0),
-        "over_quota_weight": pairs.number("overShareWorth", 1.0),
+        "key_order_pause_ms": flat.number("rules.orderPause", 0.0),
+        "retry_budget_min": flat.number("rules.extraFloor", 0.0),
+        "retry_budget_ratio": flat.number("rules.extraRatio", 0.0),
+        "retry_budget_window_ms": flat.number("rules.resendSpan", 0.0),
+        "over_quota_weight": flat.number("overShareWorth", 1.0),
     }
 
 
-def _read_connections(pairs: Pairs) -> dict[str, Any]:
+def _read_connections(flat: FlatSettings) -> dict[str, Any]:
     return {
-        "zone": int(pairs.number("locality", 0, -math.inf)),
-        "handshake_penalty": pairs.number("deductions.handshake", 0.0, -math.inf),
-        "cross_zone_penalty": pairs.number("deductions.crossZone", 0.0, -math.inf),
-        "connection_idle_ms": pairs.number("limits.connIdle", 0.0),
-        "streams_per_connection": int(pairs.number("limits.streamsPerConn", 1)),
+        "zone": int(flat.number("locality", 0, -math.inf)),
+        "handshake_penalty": flat.number("deductions.handshake", 0.0, -math.inf),
+        "cross_zone_penalty": flat.number("deductions.crossZone", 0.0, -math.inf),
+        "connection_idle_ms": flat.number("limits.connIdle", 0.0),
+        "streams_per_connection": int(flat.number("limits.streamsPerConn", 1)),
     }
--- a/frostspindle/policy/shedding.py
+++ b/frostspindle/policy/shedding.py
@@ -47,15 +47,15 @@
         for request in self._waiting.pop_expired(now):
             self._completion.end_unserved(request, now)
 
-    def shorten_key_lines(self, now: float) -> None:
+    def trim_key_queues(self, now: float) -> None:
         """End requests of key lines that are too long for those behind them to be answered in time."""
-        for line in [line for line in self._key_order.lines.values() if len(line) > 1]:
-            self._shorten_line(line, now)
+        for queue in [queue for queue in self._key_order.queues.values() if len(queue) > 1]:
+            self._trim_key_queue(queue, now)
 
-    def _shorten_line(self, line: deque[RequestState], now: float) -> None:
+    def _trim_key_queue(self, queue: deque[RequestState], now: float) -> None:
         """End what has the least value for its work while a request that has others behind it would be late."""
-        unfinished = [request for request in line if not request.finished]
-        removable = list[RequestState]()
+        unfinished = [request for request in queue if not request.finished]
+        sheddable = list[RequestState]()
         end_ms = now
         for request in unfinished:
             running = request.running_attempts
@@ -63,13 +63,13 @@
                 end_ms = max(now, running[0].sent_at_ms + self._estimates.run_ms(request))
             else:
                 end_ms = end_ms + self._estimates.run_ms(request)
-                removable.append(request)
+                sheddable.append(request)
             is_last = request is unfinished[-1]
-            while not is_last and removable and removable[-1] is request and end_ms > request.objective_at_ms:
-                lowest = min(removable, key=self._value_for_work)
-                removable.remove(lowest)
-                end_ms -= self._estimates.run_ms(lowest)
-                self._completion.end_unserved(lowest, now)
+            while not is_last and sheddable and sheddable[-1] is request and end_ms > request.objective_at_ms:
+                least_valuable = min(sheddable, key=self._value_for_work)
+                sheddable.remove(least_valuable)
+                end_ms -= self._estimates.run_ms(least_valuable)
+                self._completion.end_unserved(least_valuable, now)
 
     def _value_for_work(self, request: RequestState) -> float:
         over_quota_weight = self._state.settings.over_quota_weight**request.over_quota
--- a/frostspindle/policy/slow_start.py
+++ b/frostspindle/policy/slow_start.py
@@ -46,23 +46,25 @@
         settings = self._state.settings
         budget_ms = self.budget_ms(engine, now)
         sharers = settings.coordinators // settings.workers  # workers have leases
-        inherited = 1.0  # part of the budget that one before us may have spent
-        since_ms = now - settings.slow_start_window_ms
+        inherited_ratio = 1.0  # part of the budget that one before us may have spent
+        window_start_ms = now - settings.slow_start_window_ms
         if self._state.fractional_share and sharers > 1:
-            turn = self._turn(engine, budget_ms, sharers, now)
-            if turn is None:
+            current_turn = self._current_turn(engine, budget_ms, sharers, now)
+            if current_turn is None:
                 return -math.inf
-            sharers, inherited = turn
-        was_restarted = settings.workers == 1 and max(since_ms, engine.entry.since_ms) < self._state.started_at_ms
-        share = engine.slow_start_share - inherited * was_restarted
-        return budget_ms / sharers * share - engine.slow_start_sends.total(since_ms)
+            sharers, inherited_ratio = current_turn
+        was_restarted = (
+            settings.workers == 1 and max(window_start_ms, engine.entry.since_ms) < self._state.started_at_ms
+        )
+        share = engine.slow_start_share - inherited_ratio * was_restarted
+        return budget_ms / sharers * share - engine.slow_start_sends.total(window_start_ms)
 
     def budget_ms(self, engine: EngineState, now: float) -> float:
         """Return the work that all coordinators together may send to an engine in one window."""
         settings = self._state.settings
         age_ms = max(0.0, now - engine.entry.since_ms)
-        grown = (age_ms / settings.slow_start_duration_ms) ** 2  # assumed: no engine reports its ramp
-        capacity = settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * grown
+        warm_ratio = (age_ms / settings.slow_start_duration_ms) ** 2  # assumed: no engine reports its ramp
+        capacity = settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * warm_ratio
         cores = capacity * CAPACITY_SAFETY * engine.cores
         safety = SLOW_START_SAFETY[self._state.fractional_share]
         return safety * settings.slow_start_overload_ratio * cores * settings.slow_start_window_ms
@@ -86,22 +88,24 @@
             needs[engine.id] = (spent_ms / budget_ms, engine.denied_work_ms / budget_ms)
         return needs
 
-    def update_turns(self, now: float, most: int) -> None:
+    def update_eligible(self, now: float, limit: int) -> None:
         """List the engines in slow start that have budget left for us; all of them if there are at most `most`."""
         engines = self._state.slow_start_engines
-        self._state.slow_start_turns = [e for e in engines if len(engines) <= most or self.remaining_ms(e, now) > 0]
+        self._state.slow_start_eligible = [e for e in engines if len(engines) <= limit or self.remaining_ms(e, now) > 0]
 
-    def _turn(self, engine: EngineState, budget_ms: float, sharers: int, now: float) -> tuple[float, float] | None:
+    def _current_turn(
+        self, engine: EngineState, budget_ms: float, sharers: int, now: float
+    ) -> tuple[float, float] | None:
         """Return how many share the engine's present turn, and the part that is inherited; None if it is not ours.
 
         It follows from what all know alike, so that estimates shift only the last of the few.
         """
         settings = self._state.settings
         window = int(now / settings.slow_start_window_ms) + engine.id
-        few = min(sharers // 2, int(budget_ms / min(self._estimates.mean_costs_ms)))
-        place = (window // 2 + settings.number) % sharers
-        if place < few:
-            return max(1.0, few / COORDINATORS_PER_SHARE), 0.5
-        if place < sharers - 1 or not window % 2:
+        turn_size = min(sharers // 2, int(budget_ms / min(self._estimates.mean_costs_ms)))
+        position = (window // 2 + settings.number) % sharers
+        if position < turn_size:
+            return max(1.0, turn_size / COORDINATORS_PER_SHARE), 0.5
+        if position < sharers - 1 or not window % 2:
             return None  # with the few only, all heavy requests would wait until it is warm
         return 1, 1.0
--- a/frostspindle/policy/waiting_requests.py
+++ b/frostspindle/policy/waiting_requests.py
@@ -54,7 +54,7 @@
         """Let a suspended request wait again, if it did or would have."""
         request.suspended = False
         if request.deferred:
-            self.forget_deferred(request)
+            self.remove_deferred(request)
             self.add(request, now)
 
     def add_deferred(self, request: RequestState) -> None:
@@ -62,7 +62,7 @@
         request.deferred = True
         self._state.deferred_requests[request.number] = request
 
-    def forget_deferred(self, request: RequestState) -> None:
+    def remove_deferred(self, request: RequestState) -> None:
         """Take a request out of those that wait to be resumed."""
         request.deferred = False
         self._state.deferred_requests.pop(request.number, None)
@@ -70,11 +70,11 @@
     def value(self, request: RequestState, now: float) -> float:
         """Return the priority weight still to be had from the request, for each ms of its work."""
         class_settings = request.class_settings
-        late = now + self._estimates.run_ms(request) > request.objective_at_ms
-        value_ratio = class_settings.late_value_ratio if late else 1.0
+        is_late = now + self._estimates.run_ms(request) > request.objective_at_ms
+        value_ratio = class_settings.late_value_ratio if is_late else 1.0
         return class_settings.priority_weight / request.cost_ms * value_ratio
 
-    def forget_values(self) -> None:
+    def invalidate_values(self) -> None:
         """Have all values computed again when they are next needed: what is late by then has less value."""
         self._by_value = LowestValueQueue()
 
--- a/tests/test_module_indexes.py
+++ b/tests/test_module_indexes.py
@@ -13,10 +13,10 @@
 
 from frostspindle import policy
 from frostspindle.policy import AttemptOutcome, EndpointListKind, Health
-from frostspindle.policy.deadlines import MAX_DEAD_ENTRIES, DeadlineQueue, ExpiryIndex, KeyCooldowns
+from frostspindle.policy.deadlines import MAX_STALE_ENTRIES, DeadlineQueue, ExpiryIndex, KeyCooldowns
 from frostspindle.policy.indexes import GroupedCounter, RankedSet
 from frostspindle.policy.queues import WaitingQueue
-from frostspindle.policy.selection import MANY, SAMPLE
+from frostspindle.policy.selection import MAX_UNSAMPLED, SAMPLE_SIZE
 from frostspindle.policy.statistics import SlidingWindowSum, SortedWindow
 
 SMALL = strategies.integers(0, 6)
@@ -117,11 +117,11 @@
 
 def test_a_day_of_answered_requests_leaves_no_heap_of_dead_times():
     deadlines, there = DeadlineQueue(), set()
-    for number in range(3 * MAX_DEAD_ENTRIES):
+    for number in range(3 * MAX_STALE_ENTRIES):
         there = {number, -1}
         deadlines.add(1e6 + number, number, there)
-    assert len(deadlines.heap) <= MAX_DEAD_ENTRIES + 8
-    assert deadlines.pop_due(2e6)[-1] == 3 * MAX_DEAD_ENTRIES - 1
+    assert len(deadlines.heap) <= MAX_STALE_ENTRIES + 8
+    assert deadlines.pop_due(2e6)[-1] == 3 * MAX_STALE_ENTRIES - 1
 
 
 def audit(controller) -> None:
@@ -131,7 +131,7 @@
     assert [row[-1] for row in state.waiting_queue] == waiting
     assert state.waiting_queue.total == pytest.approx(sum(r.cost_ms for r in waiting), abs=1e-2)
     expiry = controller.waiting.expiry
-    assert {*expiry.new, *expiry.live} == {r.number for r in waiting}
+    assert {*expiry.added, *expiry.entries_by_key} == {r.number for r in waiting}
     out = [a for e in state.engines.values() for a in e.attempts.values() if a.request.group >= 0]
     for counter, counts in ((state.running_loads, "is_load"), (state.blocked_requests, "blocked_by_loads")):
         scanned = Counter((a.request.group, a.engine.id) for a in out if getattr(a.request.class_settings, counts))
@@ -140,7 +140,7 @@
     assert ranked.members == usable and ranked.rank == {e.id: rank for rank, e in enumerate(usable)}
     assert [e for e in state.slow_start_engines if e.in_slow_start(now)] == [e for e in usable if e.in_slow_start(now)]
     idle = state.idle_connections
-    connected = {e.id for e in usable if idle.kept and e.connections.any(now, 0)}
+    connected = {e.id for e in usable if idle.enabled and e.connections.has_open(now, 0)}
     assert connected <= set(idle) and list(idle) == [e.id for e in idle.values()]
     for engine in state.engines.values():
         for a in engine.attempts.values():  # nothing is to be found before it is looked for
@@ -151,7 +151,7 @@
                 period = state.settings.progress_interval_ms or math.inf
                 unheard = not a.queued_for_memory and now - a.progress_at_ms > period + 375.0
                 ran = now - a.sent_at_ms - a.waited_ms
-                bad = ran > 300.0 + 6.0 * expected and not request.done_ratio and not request.relocated
+                bad = ran > 300.0 + 6.0 * expected and not request.done_ratio and not request.bad_plan_handled
                 assert not (unheard or bad or controller.outliers.is_silent(engine, now)), (engine.id, now)
 
 
@@ -224,9 +224,9 @@
     for group in range(-9, 7):
         busy = {3 * m for g, m, _ in counts if g == group}
         expected = [m for rank, m in enumerate(members) if rank % step == first and m.id not in busy]
-        cut = step, first, tally.of(group)
-        assert ranks.every(*cut) == expected
-        assert ranks.order([*members[::-1], *members[:2]], *cut) == expected
+        cut = step, first, tally.counts_in(group)
+        assert ranks.select(*cut) == expected
+        assert ranks.select_from([*members[::-1], *members[:2]], *cut) == expected
     for group, member, count in counts:
         tally.add(group, 3 * member, -count)
     assert not tally.groups
@@ -251,7 +251,7 @@
     k.wait(3000, step=50.0)
     audit(k.controller)
     later = Counter(engine for _, _, engine in k.sent[old:])
-    assert min(later) > 2000 and sum(later.values()) > 200 and len(k.controller.state.slow_start_turns) <= 1000
+    assert min(later) > 2000 and sum(later.values()) > 200 and len(k.controller.state.slow_start_eligible) <= 1000
     budget = max(k.controller.slow_start.budget_ms(e, k.now) for e in k.controller.engines.values() if e.id > 2000)
     assert max(later.values()) * 3000.0 <= 4.0 * budget, "three windows, and one that began before"
 
@@ -296,7 +296,7 @@
     k = ControllerHarness(s, engines=0, now=100_000.0)
     k.list(*(entry(n, since=99_000.0) for n in range(1, 1001)), how=EndpointListKind.FULL)
     k.wait(150)
-    assert MANY < 1000 and 0 < len(k.controller.state.slow_start_turns) < 200
+    assert MAX_UNSAMPLED < 1000 and 0 < len(k.controller.state.slow_start_eligible) < 200
     for i in range(40):
         k.request(i, 0, cost=100.0)
     assert len(k.sent) > 20, "a sample of all thousand would find a turn for a few only"
@@ -309,11 +309,11 @@
     draw = Random(3)
     used = draw.sample(range(1, 1001), 400)
     for engine in used[-24:] + used:  # those used last were also used first
-        k.controller.engines[engine].connections.free(k.now)
+        k.controller.engines[engine].connections.release(k.now)
     for i in range(30):
         k.request(i, 0, cost=100.0)
     met = {engine for _, _, engine in k.sent}
-    assert len(met & set(used[-2 * SAMPLE :])) > 10 and len(met) > 10
+    assert len(met & set(used[-2 * SAMPLE_SIZE :])) > 10 and len(met) > 10
 
 
 def test_too_many_open_what_is_worth_least_goes_and_what_is_past_hope_in_its_order():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -43,7 +43,7 @@
         k.request(i, 0, cost=100.0)
     assert (
         heavy < len(k.open)
-        and k.controller.state.threads <= 2 * k.controller.limiter.widening * k.controller.state.thread_limit_sum
+        and k.controller.state.threads <= 2 * k.controller.limiter.limit_factor * k.controller.state.thread_limit_sum
     )
 
 
