--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -158,7 +158,7 @@
     for k in fleet(40, 8, load_report_columns=("load_share", "depth", "x0")):
         for engine in range(8):  # one answer from each, half of them with all cores in use and a line
             report = (1.0, 6.0, 0.5) if engine % 2 else (0.1, 0.0, 0.1)
-            k.controller.engines[engine].connections.free(k.now)
+            k.controller.engines[engine].connections.release(k.now)
             k.controller.capacity.add_load_report(k.controller.engines[engine], report, k.now)
         for i in range(3):
             k.request(i, 0, cost=100.0)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -141,7 +141,7 @@
     assert (
         not audit.out
         and not any(audit.lines.values())
-        and not (audit.c.key_order.lines or audit.c.requests or audit.c.key_order.cooldowns)
+        and not (audit.c.key_order.queues or audit.c.requests or audit.c.key_order.cooldowns)
     )
 
 
