--- a/frostspindle/policy/__init__.py
+++ b/frostspindle/policy/__init__.py
@@ -1,6 +1,7 @@
-"""Decision module: admission control, engine selection, retries and load shedding, without I/O or clock.
+"""Decision module: admission control, engine selection, retries and load shedding, without I/O or a clock.
 
-A `Controller` takes events and returns actions; the same settings, seed and events give the same actions.
+A `Controller` handles events and returns actions. It is deterministic: the same settings, seed and events give the same
+actions.
 """
 
 from frostspindle.policy.actions import (
--- a/frostspindle/policy/actions.py
+++ b/frostspindle/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a controller returns, to be carried out by its owner in the order given.
+"""Actions that a controller returns. The caller carries them out in the given order.
 
 All records are immutable. Times and durations are milliseconds and end in `_ms`; memory is in megabytes.
 """
@@ -10,10 +10,11 @@
 
 
 class StartAttempt(NamedTuple):
-    """Send the next attempt of a request to an engine. timeout_ms 0: no limit but the client's leaving.
+    """Send the next attempt of a request to an engine.
 
-    begin_by_ms is by the clock of the events. An attempt that has not begun by then, as its connection was established
-    too late, must not begin: what may have run before may be repeated only within its class's window.
+    A `timeout_ms` of 0 means no timeout: the attempt ends early only if the client disconnects. `begin_by_ms` uses the
+    clock of the events. An attempt whose connection is established after `begin_by_ms` must not begin, because a
+    request that may already have run may be resent only within the idempotency window of its class.
     """
 
     request: int
@@ -23,9 +24,9 @@
 
 
 class UpdatePriority(NamedTuple):
-    """Set a request's priority band, 0 to 3, also for running attempts, and the memory grant of further attempts.
+    """Set a request's priority band for running and later attempts, and the memory grant of later attempts.
 
-    Band 3 is for the least remaining work.
+    Bands range from 0 to 3; band 3 is for the least remaining work.
     """
 
     request: int
@@ -34,40 +35,40 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Cancel a running attempt; an AttemptEnded event must still follow."""
+    """Cancel a running attempt. An AttemptEnded event must still follow."""
 
     request: int
     attempt: int
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: the request is rejected, and a retry can do no harm. `retry_after_ms` 0: no Retry-After."""
+    """Final answer: the request is rejected and is safe to retry. A `retry_after_ms` of 0 means no Retry-After."""
 
     request: int
     retry_after_ms: float
 
 
 class FailRequest(NamedTuple):
-    """Final answer: the request has failed and may have run, so that a retry may do harm."""
+    """Final answer: the request has failed and may have run, so a retry may repeat its effects."""
 
     request: int
 
 
 class RunHealthCheck(NamedTuple):
-    """Run a health check of an engine; its result is to come as a HealthCheckCompleted event."""
+    """Run a health check of an engine and report the result as a HealthCheckCompleted event."""
 
     engine: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for a TimerFired event with this token at a time by the clock of the events."""
+    """Request a TimerFired event with this token at `due_at_ms`, by the clock of the events."""
 
     token: int
     due_at_ms: float
 
 
 class SubscribeEndpoints(NamedTuple):
-    """Subscribe to the engine list (on); sent only where Settings.subscribe_endpoints is set."""
+    """Subscribe to the endpoint list if `on`. Sent only if Settings.subscribe_endpoints is set."""
 
     on: bool
 
--- a/frostspindle/policy/events.py
+++ b/frostspindle/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that a controller handles: changes of the endpoint list, requests, attempts, timers and peer workers.
+"""Events that a controller handles: endpoint list updates, requests, attempts, timers and loads of peer workers.
 
 All records are immutable. Times and durations are milliseconds and end in `_ms`; memory is in megabytes.
 """
@@ -10,7 +10,10 @@
 
 
 class AttemptOutcome(IntEnum):
-    """How an attempt ended; after CONNECT_FAILED, OVERLOADED or NOT_SENT (its request was over) it never ran."""
+    """How an attempt ended.
+
+    After CONNECT_FAILED, OVERLOADED or NOT_SENT (its request ended first) the attempt never ran.
+    """
 
     OK = 0
     NOT_SENT = 249
@@ -23,7 +26,7 @@
 
 
 class Health(IntEnum):
-    """State of an engine's process by the engine list."""
+    """State of an engine's process according to the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -31,7 +34,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """How an engine list is to be read: changes only, complete, complete from a cache, or a failed subscription."""
+    """Meaning of an endpoint list: changes only, complete, complete from a cache, or a failed subscription."""
 
     DELTA = 0
     FULL = 1
@@ -40,7 +43,7 @@
 
 
 class ProgressKind(IntEnum):
-    """What a progress report tells of a running attempt: part done, memory spilled to disk, or that it waits."""
+    """Content of a progress report: fraction done, memory spilled to disk, or waiting."""
 
     PROGRESS = 1
     SPILLS = 2
@@ -48,9 +51,10 @@
 
 
 class EngineEntry(NamedTuple):
-    """One engine by the engine list.
+    """One engine of the endpoint list.
 
-    `since_ms`: when its process started, by the clock of the events; 0 if that is not known, so that it counts as warm.
+    `since_ms` is the start time of its process, by the clock of the events. If it is 0, the start time is unknown and
+    the engine counts as warm.
     """
 
     engine: int
@@ -63,7 +67,7 @@
 
 
 class EndpointListUpdated(NamedTuple):
-    """Event: an endpoint list or a change of it, without entries if the subscription failed."""
+    """Event: a complete endpoint list or an update of it; without entries if the subscription failed."""
 
     kind: int
     version: int
@@ -71,9 +75,9 @@
 
 
 class RequestArrived(NamedTuple):
-    """Event: a new request, with the time left until its client gives up.
+    """Event: a new request; `left_ms` is the time left until its client times out.
 
-    A `cost_ms` or `memory_mb` of 0 means that there is no estimate; a `key` of 0 means none.
+    A `cost_ms` or `memory_mb` of 0 means that there is no estimate. A `key` of 0 means that there is no key.
     """
 
     request: int
@@ -83,14 +87,14 @@
     left_ms: float
     cost_ms: float
     memory_mb: float
-    group: float  # of tables, by number; -1: none
-    over_quota: bool = False  # as all coordinators together count the tenant's requests
-    key_order_reached: bool = True  # False: it waits for an earlier one of its key elsewhere, until KeyOrderReached
-    suspended: bool = False  # its client is away: nothing is sent for it until RequestResumed
+    group: float  # number of the table group; -1: none
+    over_quota: bool = False  # by the tenant's requests at all coordinators together
+    key_order_reached: bool = True  # False: an earlier request of its key elsewhere blocks it until KeyOrderReached
+    suspended: bool = False  # its client is disconnected: no attempt starts before RequestResumed
 
 
 class ResponseStarted(NamedTuple):
-    """Event: the response to an attempt has begun; a request of a `stream` class then has no deadline any more."""
+    """Event: the response to an attempt has begun. From then on a request of a `stream` class has no deadline."""
 
     request: int
     attempt: int
@@ -98,7 +102,10 @@
 
 
 class ProgressReported(NamedTuple):
-    """Event: progress of an attempt; value: the part done, 0 to 1 (PROGRESS), or 1: queued for memory (WAITS)."""
+    """Event: a progress report of an attempt.
+
+    `value` is the fraction done, 0 to 1, for PROGRESS; for WAITS, 1 means that the attempt is queued for memory.
+    """
 
     request: int
     attempt: int
@@ -110,8 +117,9 @@
 class AttemptEnded(NamedTuple):
     """Event: an attempt has ended, `elapsed_ms` after it was sent.
 
-    `last`: its request needs no further attempt. True cost and memory are 0 where the engine did not report them;
-    `report` is the engine's load report, with values in the order of Settings.load_report_columns, or empty.
+    If `last` is set, the request needs no further attempt. `true_cost_ms` and `true_memory_mb` are 0 if the engine did
+    not report them. `report` is the engine's load report, with values in the order of Settings.load_report_columns, or
+    empty.
     """
 
     request: int
@@ -126,37 +134,37 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """Event: the client of a request has gone; it needs no answer, and its attempts may be cancelled."""
+    """Event: the client of a request has disconnected. No answer is needed, and the attempts may be cancelled."""
 
     request: int
 
 
 class RequestSuspended(NamedTuple):
-    """Event: the client of a request is away and may return; no attempt may start for it until RequestResumed."""
+    """Event: the client of a request has disconnected and may return. No attempt may start until RequestResumed."""
 
     request: int
 
 
 class RequestResumed(NamedTuple):
-    """Event: the client of a suspended request has returned."""
+    """Event: the client of a suspended request has reconnected."""
 
     request: int
 
 
 class KeyOrderReached(NamedTuple):
-    """Event: a request that had to wait for an earlier one of its key elsewhere may now be sent."""
+    """Event: a request that was blocked by an earlier request of its key elsewhere may now be sent."""
 
     request: int
 
 
 class TimerFired(NamedTuple):
-    """Event: the time of a SetTimer action has come; with that action's token."""
+    """Event: a timer set by a SetTimer action has fired; `token` is the token of that action."""
 
     token: int
 
 
 class HealthCheckCompleted(NamedTuple):
-    """Event: the result of a health check (RunHealthCheck), with the engine's load report, if any."""
+    """Event: the result of a RunHealthCheck action, with the engine's load report, if there is one."""
 
     engine: int
     outcome: int
@@ -165,9 +173,9 @@
 
 
 class WorkerLoad(NamedTuple):
-    """The load that the other workers of this coordinator have at an engine, and their latest load report of it.
+    """Load of the other workers of this coordinator at an engine, and the latest load report that they received.
 
-    `slow_start_share` is this worker's part of the coordinator's budget for the engine in slow start, from 0 to 1.
+    `slow_start_share` is this worker's fraction, 0 to 1, of the coordinator's slow start budget for the engine.
     """
 
     engine: int
@@ -180,7 +188,7 @@
 
 
 class WorkerLoadReported(NamedTuple):
-    """Event: the state of the other workers of this coordinator, by engine."""
+    """Event: loads and ejections of the other workers of this coordinator, one entry per engine."""
 
     entries: tuple[WorkerLoad, ...]
 
--- a/frostspindle/policy/settings.py
+++ b/frostspindle/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decision module: classes, engines and limits, as they are when a controller starts.
+"""Settings of the decision module: request classes, engines and limits.
 
 All records are immutable. Times and durations are milliseconds and end in `_ms`; memory is in megabytes.
 """
@@ -10,7 +10,7 @@
 
 
 class Idempotency(IntEnum):
-    """What repeating a request may do: no harm, none within the engines' deduplication by key, or run it twice."""
+    """Effect of resending a request: safe, safe while engines deduplicate it by key, or executed twice."""
 
     IDEMPOTENT = 0
     WITH_KEY = 1
@@ -21,12 +21,15 @@
 class ClassSettings:
     """One class of requests.
 
-    A response counts `priority_weight` up to its latency objective, `latency_objective_ms` plus `objective_stretch`
-    times the estimated run time, and `late_value_ratio` of that until `deadline_ms`. A request that is idempotent
-    WITH_KEY may be retried for `idempotency_window_ms` after it was first sent, at the engines of its `dedup_scope`.
-    `in_order`: requests of one key run one after another. `stream`: the deadline is waived once a response has begun.
-    `threads`: what one attempt uses at an engine. `blocked_by_loads`: attempts are delayed by loads (`is_load`) of the
-    same table group. `only_kinds`, `only_zones`: the engines allowed; None for all.
+    A response is worth `priority_weight` up to its latency objective, which is `latency_objective_ms` plus
+    `objective_stretch` times the estimated run time. A later response is worth `late_value_ratio` of that weight until
+    `deadline_ms`.
+
+    A request that is idempotent WITH_KEY may be retried for `idempotency_window_ms` after it was first sent, at engines
+    of the same `dedup_scope`. With `in_order`, requests of one key run one after another. With `stream`, the deadline
+    is waived once a response has begun. `threads` is the number of engine threads that one attempt uses. With
+    `blocked_by_loads`, attempts are delayed by loads (`is_load`) of the same table group. `only_kinds` and `only_zones`
+    restrict the engines; None allows all.
     """
 
     latency_objective_ms: float
@@ -48,12 +51,12 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """Settings of one controller; raises ValueError for figures out of range.
+    """Settings of one controller. Raise ValueError for values out of range.
 
-    `number` is its own among `coordinators`, from 0. Tenant quotas are requests a second at all coordinators together;
-    `kind_cores` and `kind_memory_mb` are by kind of engine; `max_grant_ratio` and `slow_start_capacity` are fractions.
-    The retry budget: at most `retry_budget_min` + `retry_budget_ratio` * new requests retries are sent within
-    `retry_budget_window_ms`; with a window of 0 they are not limited.
+    `number` is the index of this coordinator among `coordinators`, from 0. Tenant quotas are requests per second at all
+    coordinators together. `kind_cores` and `kind_memory_mb` are indexed by the kind of engine. `max_grant_ratio` and
+    `slow_start_capacity` are fractions. The retry budget allows `retry_budget_min` + `retry_budget_ratio` * new
+    requests retries within `retry_budget_window_ms`; a window of 0 disables the limit.
     """
 
     classes: tuple[ClassSettings, ...]
@@ -89,17 +92,17 @@
     retry_budget_ratio: float = 0.0
     retry_budget_window_ms: float = 0.0
     over_quota_weight: float = 1.0
-    zone: int = 0  # this coordinator's own
-    # Points off the result: a new connection to an engine, for each request; an attempt in another zone, likewise.
+    zone: int = 0  # zone of this coordinator
+    # Score deductions, for each request: a new connection to an engine, and an attempt in another zone.
     handshake_penalty: float = 0.0
     cross_zone_penalty: float = 0.0
-    connection_idle_ms: float = 0.0  # an engine closes a connection that is idle for so long; 0: not known
-    streams_per_connection: int = 1  # attempts that one connection carries at once
-    workers: int = 1  # processes of one coordinator; they lease slow start budgets from each other
+    connection_idle_ms: float = 0.0  # engines close a connection that is idle this long; 0: unknown
+    streams_per_connection: int = 1  # concurrent attempts on one connection
+    workers: int = 1  # processes of this coordinator; they lease slow start budgets from each other
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: at least one class is required")
         if self.coordinators < 1:
             raise ValueError("coordinators: must be 1 or more")
         if self.workers < 1:
@@ -109,7 +112,9 @@
         if self.max_attempts < 1:
             raise ValueError("max_attempts: must be 1 or more")
         if not self.kind_cores or min(self.kind_cores) <= 0:
-            raise ValueError("kind_cores: every kind needs cores")
+            raise ValueError("kind_cores: every kind needs more than 0 cores")
         for number, cls in enumerate(self.classes):
             if cls.latency_objective_ms <= 0 or cls.deadline_ms <= 0 or cls.threads < 1:
-                raise ValueError(f"classes[{number}]: aim, deadline and threads must be above 0")
+                raise ValueError(
+                    f"classes[{number}]: latency_objective_ms, deadline_ms and threads must be greater than 0"
+                )
