--- a/frostspindle/policy/admission.py
+++ b/frostspindle/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: tenant quotas, the concurrency limit over all engines, and the capacity of each."""
+"""Admission control: tenant quotas, the capacity of each engine, and adaptive concurrency limits."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from frostspindle.policy.request_state import AttemptState, RequestState
 from frostspindle.policy.statistics import TokenBuckets
 
-MIN_QUOTA_BURST = 2.0  # requests that a bucket holds at least: for a small part of a quota
+MIN_QUOTA_BURST = 2.0  # minimum bucket capacity in requests, for small shares of a quota
 
-MAX_THREADS_PER_CORE = 3.0  # of an engine's thread limit
-GROW_BELOW_SLOWDOWN = 1.8  # recent latency over the best below which a limit grows
-CUT_ABOVE_SLOWDOWN = 2.8  # and above which it is cut
-GROW_RATIO = 0.1  # share of an answered request by which all coordinators together raise a limit
+MAX_THREADS_PER_CORE = 3.0  # upper bound of an engine's thread limit
+GROW_BELOW_SLOWDOWN = 1.8  # a limit grows while recent latency is below this multiple of the best
+CUT_ABOVE_SLOWDOWN = 2.8  # a limit is cut when recent latency is above this multiple of the best
+GROW_RATIO = 0.1  # fraction of a request's threads by which all coordinators together raise a limit per response
 CUT_FACTOR = 0.85
 MIN_CUT_INTERVAL_MS = 500.0
-MIN_START_RATIO = 0.75  # part of its start that a limit keeps where all engines are slow alike
-SHARED_SLOWDOWN_RATIO = 1.5  # an engine is slow like the others below so many times the median
+MIN_START_RATIO = 0.75  # fraction of its initial value that a limit keeps while all engines are equally slow
+SHARED_SLOWDOWN_RATIO = 1.5  # a slowdown below this multiple of the median counts as shared by all engines
 MAX_LATENCY_RATIO = 10.0
 MIN_LATENCY_RATIO = 0.05
 POOLED_LATENCY_RATE = 0.1
@@ -27,23 +27,24 @@
 MIN_BEST_STEP = 0.05
 FIRST_BEST_STEP = 0.5
 MIN_SLOWDOWN_RATE = 0.05
-SLOWDOWN_RATE_RANGE = 0.25  # added for a request of twice the largest mean cost
+SLOWDOWN_RATE_RANGE = 0.25  # added to the rate for a request of twice the largest mean cost
 
-MAX_LIMIT_FACTOR = 3.0  # the limit over all engines starts at so many of our shares
-WIDENED_BELOW_MEMORY_RATIO = 0.5  # up to this part of memory in use, as reported, that limit is wider, WIDE at 0
-SMALL_BAND = 2  # requests from this band on pass that limit by up to as much again
+MAX_LIMIT_FACTOR = 3.0  # the limit over all engines starts at this multiple of the sum of shares
+# Below this reported memory use the limit over all engines grows, up to MAX_LIMIT_FACTOR times at 0.
+WIDENED_BELOW_MEMORY_RATIO = 0.5
+SMALL_BAND = 2  # requests of this band or higher may exceed that limit up to twice
 
-MAX_MEMORY_FILL_RATIO = 0.95  # part of an engine's memory that grants may fill
-MEMORY_PER_THREAD_LIMIT = 0.6  # part of memory for each thread a core of the limit, where reports tell no memory
+MAX_MEMORY_FILL_RATIO = 0.95  # fraction of an engine's memory that grants may fill
+MEMORY_PER_THREAD_LIMIT = 0.6  # fraction of memory per thread and core of the limit if load reports omit memory
 MIN_USED_GRANT_RATIO = 0.4
 USED_GRANT_RATE = 0.05
-REPORT_DECAY_MS = 8000.0  # trust in a load report falls to a third in this time
+REPORT_DECAY_MS = 8000.0  # the weight of a load report falls to about a third (1/e) in this time
 MEAN_RATE = 0.1
-THREADS_PER_QUEUED = 2.0  # what a queued request counts for in a load report
+THREADS_PER_QUEUED = 2.0  # threads for which a queued request in a load report counts
 
 
 class TenantQuotas:
-    """Token buckets of our share of each tenant's quota."""
+    """Token buckets for this coordinator's share of each tenant's quota."""
 
     def __init__(self, state: PolicyState) -> None:
         settings = state.settings
@@ -51,7 +52,7 @@
         self.buckets = TokenBuckets(quota / settings.coordinators for quota in settings.tenant_quotas_per_s)
 
     def is_over_quota(self, request: RequestState, now: float) -> bool:
-        """Take a token of the request's tenant; tell whether there was none."""
+        """Take a token of the request's tenant; return True if none was left."""
         quotas = self._state.settings.tenant_quotas_per_s
         tenant = request.tenant
         if tenant >= len(quotas) or not quotas[tenant] > 0:
@@ -60,16 +61,16 @@
 
 
 class EngineCapacity:
-    """What others have at the engines by load reports, and whether an engine has memory for a request."""
+    """Tracks the load of others at each engine from load reports, and checks memory for new requests."""
 
     def __init__(self, state: PolicyState) -> None:
         self._state = state
-        self.mean_other_threads = 0.0  # of all engines' reports
+        self.mean_other_threads = 0.0  # over the load reports of all engines
         self.mean_other_memory_ratio = 0.0
-        self.used_grant_ratio = 1.0  # part of a grant that requests use
+        self.used_grant_ratio = 1.0  # mean fraction of a grant that requests use
 
     def add_load_report(self, engine: EngineState, report: tuple[float, ...], reported_at_ms: float) -> None:
-        """Take in an engine's load report, less what we and our peer workers have there."""
+        """Record an engine's load report, less the load of this process and its peer workers there."""
         state = self._state
         values = dict(zip(state.settings.load_report_columns, report, strict=False))
         busy_threads = values.get("load_share", 0.0) * engine.cores + THREADS_PER_QUEUED * values.get("depth", 0.0)
@@ -83,13 +84,16 @@
         self.mean_other_memory_ratio += MEAN_RATE * (engine.other_memory_ratio - self.mean_other_memory_ratio)
 
     def learn_memory_use(self, attempt: AttemptState, used_mb: float) -> None:
-        """Learn what part of its grant an attempt has used; 0 MB: not known."""
+        """Update the mean fraction of grants in use from one attempt; a `used_mb` of 0 means unknown."""
         if self._state.memory_is_paged and attempt.grant_mb > 0 and used_mb > 0:
             used_ratio = max(MIN_USED_GRANT_RATIO, min(1.0, used_mb / attempt.grant_mb))
             self.used_grant_ratio += USED_GRANT_RATE * (used_ratio - self.used_grant_ratio)
 
     def other_load(self, engine: EngineState, now: float) -> tuple[float, float]:
-        """Return threads and part of memory that others have: its report, trusted less with age, else the mean."""
+        """Return the threads and the memory fraction that others use at an engine.
+
+        The weight of its last load report decays with age in favour of the mean over all engines.
+        """
         report_weight = math.exp((engine.load_report_at_ms - now) / REPORT_DECAY_MS)
         mean_threads = self.mean_other_threads
         mean_memory = self.mean_other_memory_ratio
@@ -99,7 +103,7 @@
         )
 
     def has_memory(self, engine: EngineState, grant_mb: float, other_memory_ratio: float) -> bool:
-        """Tell whether the engine has memory for a grant beside what others have there."""
+        """Return whether the engine has enough memory for a grant, given what others use."""
         state = self._state
         if engine.memory_mb <= 0 or not state.threads or engine.ejected:
             return True
@@ -109,7 +113,7 @@
         return engine.granted_mb + engine.peer_memory_mb + grant_mb <= engine.memory_mb * free_ratio
 
     def _unreported_free_ratio(self, engine: EngineState) -> float:
-        """Return the part of memory that is ours, in step with the engine's thread limit."""
+        """Return the fraction of memory available to this coordinator, in proportion to the engine's thread limit."""
         if not engine.attempts:
             return math.inf
         by_threads = MEMORY_PER_THREAD_LIMIT * engine.thread_limit / engine.cores
@@ -117,28 +121,31 @@
 
 
 class ConcurrencyLimiter:
-    """Limits of threads, over all engines and for each, that follow latency (AIMD)."""
+    """Thread limits over all engines and for each engine that adapt to latency (AIMD)."""
 
     def __init__(self, state: PolicyState, estimates: Estimates, capacity: EngineCapacity) -> None:
         self._state = state
         self._estimates = estimates
         self._capacity = capacity
         self._depends_on_memory = state.memory_is_paged and state.reports_memory
-        self.limit_factor = 1.0 if state.memory_is_paged else MAX_LIMIT_FACTOR  # of the sum of our shares
+        self.limit_factor = 1.0 if state.memory_is_paged else MAX_LIMIT_FACTOR  # times the sum of shares
         self._pooled_latency_ratio = 1.0
         self._cut_at_ms = -math.inf
         self._answer_counts = [0] * len(state.settings.classes)
 
     def reserve(self, attempt: AttemptState) -> None:
-        """Count the load of an attempt that is sent."""
+        """Add the load of an attempt that is being sent."""
         self._add_load(attempt, 1)
 
     def release(self, attempt: AttemptState) -> None:
-        """Take back the load of an attempt that has ended."""
+        """Remove the load of an attempt that has ended."""
         self._add_load(attempt, -1)
 
     def free_threads(self, limits: float = 1.0) -> float:
-        """Return the threads left of so many times the limit over all engines; one request may always run."""
+        """Return the threads left under `limits` times the limit over all engines.
+
+        Infinite if no attempt runs, so that one always may, or if the limits of the single engines suffice.
+        """
         state = self._state
         if not state.fractional_share or not state.threads:
             return math.inf
@@ -151,7 +158,7 @@
         return limit - state.threads
 
     def fits(self, request: RequestState) -> bool:
-        """Tell whether the request passes the limit over all engines; small ones do up to twice that limit."""
+        """Return whether the limit over all engines admits the request; small ones may use up to twice the limit."""
         if not self._state.fractional_share:
             return True
         remaining_ms = request.cost_ms * (1.0 - request.done_ratio)
@@ -161,7 +168,7 @@
     def learn_latency(
         self, engine: EngineState, request: RequestState, cost_ms: float, elapsed_ms: float, now: float
     ) -> None:
-        """Widen the limits while latencies stay near their best, cut them as they grow."""
+        """Raise the limits while latency stays near its best value, and cut them when it rises."""
         threads = request.class_settings.threads
         latency_ratio = max(MIN_LATENCY_RATIO, elapsed_ms * threads / max(1.0, cost_ms))
         best_ratio = self._learn_best_ratio(request.cls, latency_ratio)
@@ -172,18 +179,18 @@
         self._adjust_engine_limit(engine, threads, now)
 
     def cut(self, engine: EngineState, now: float) -> None:
-        """Cut an engine's thread limit, not more often than each CUT_EVERY_MS."""
+        """Cut an engine's thread limit, at most once per MIN_CUT_INTERVAL_MS."""
         if now - engine.limit_cut_at_ms < MIN_CUT_INTERVAL_MS:
             return
         engine.limit_cut_at_ms = now
-        # All slow alike is a shared cause, which fewer threads do not cure: then keep most of the start.
+        # If all engines are equally slow, the cause is shared and fewer threads do not help: keep most of the limit.
         is_shared_slowdown = engine.slowdown < SHARED_SLOWDOWN_RATIO * self._state.median_slowdown
         floor_ratio = MIN_START_RATIO if is_shared_slowdown else 0.0
         floor = max(min(1.0, engine.thread_share), floor_ratio * engine.thread_share)
         engine.thread_limit = max(min(floor, engine.thread_limit), engine.thread_limit * CUT_FACTOR)
 
     def _learn_best_ratio(self, cls: int, latency_ratio: float) -> float:
-        """Follow the tenth percentile of a class's latency ratios, from 1 on."""
+        """Update and return the tenth percentile of a class's latency ratios, which starts at 1."""
         self._answer_counts[cls] += 1
         step = max(MIN_BEST_STEP, FIRST_BEST_STEP / self._answer_counts[cls])
         best_ratios = self._state.best_latency_ratios
--- a/frostspindle/policy/controller.py
+++ b/frostspindle/policy/controller.py
@@ -1,7 +1,8 @@
-"""The controller: hands each event to the parts of the decision module that it concerns.
+"""The controller: dispatches each event to the components of the decision module.
 
-One controller serves one process. The ordinary path is SRPT: a priority band from estimated remaining work, waiting
-requests released smallest first, and a limit of threads for each engine that follows latency.
+One controller serves one process. Scheduling is SRPT (shortest remaining processing time): priority bands follow the
+estimated remaining work, waiting requests are released smallest first, and each engine has a thread limit that adapts
+to latency.
 """
 
 from __future__ import annotations
@@ -30,18 +31,18 @@
 from frostspindle.policy.slow_start import SlowStart
 from frostspindle.policy.waiting_requests import WaitingRequests
 
-MIN_TICK_MS = 20.0  # least time between two own timers
-EXAMINE_MS = 100.0  # how often requests and engines are examined
-STALL_MS = 350.0  # no event for this long, for all the own timer: the process itself stood still
-RESUBSCRIBE_MS = 500.0  # a failed subscription to the endpoint list is tried again after this
+MIN_TICK_MS = 20.0  # minimum interval of the regular timer
+EXAMINE_MS = 100.0  # interval at which requests and engines are examined
+STALL_MS = 350.0  # a longer gap between events, despite the regular timer, means that this process itself stalled
+RESUBSCRIBE_MS = 500.0  # delay before a failed subscription to the endpoint list is retried
 
-REGULAR_TIMER = 0  # token of the own timer, which is set again each time
+REGULAR_TIMER = 0  # token of the periodic timer
 EXTRA_TIMER = 1
 NO_CONNECTION_LEFT = (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET, AttemptOutcome.NOT_SENT)
 
 
 class Controller:
-    """One process's decisions: the same settings, seed and events give the same actions."""
+    """Makes the decisions of one process, deterministically from settings, seed and events."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         if not isinstance(settings, Settings):
@@ -98,7 +99,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings in force; settings of the same classes can be set at any time."""
+        """The current settings. They can be replaced at any time by settings with the same classes."""
         return self.state.settings
 
     @settings.setter
@@ -107,27 +108,27 @@
 
     @property
     def engines(self) -> dict[int, EngineState]:
-        """The engines that are known, by number."""
+        """The known engines, by engine id."""
         return self.state.engines
 
     @property
     def requests(self) -> dict[int, RequestState]:
-        """The requests that have not ended, by number."""
+        """The requests that have not ended, by request number."""
         return self.state.requests
 
     @property
     def waiting_queue(self) -> WaitingQueue:
-        """The requests that wait for an engine, in order, as rows whose last field is the request."""
+        """The requests that wait for an engine, in order. The last field of each row is the request."""
         return self.state.waiting_queue
 
     @property
     def fractional_share(self) -> bool:
-        """Whether our share of each engine is less than one request needs."""
+        """Whether this coordinator's share of each engine is smaller than one request needs."""
         return self.state.fractional_share
 
     @property
     def max_open_requests(self) -> float:
-        """How many requests may be open before waiting ones are shed; it can be set at any time."""
+        """Number of open requests above which waiting ones are shed. It can be set at any time."""
         return self.state.max_open_requests
 
     @max_open_requests.setter
@@ -135,7 +136,7 @@
         self.state.max_open_requests = limit
 
     def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
-        """Handle an event and return the actions that follow, in order; times must not decrease."""
+        """Handle an event and return the resulting actions, in order. `now_ms` must not decrease between calls."""
         state = self.state
         state.actions = []
         if now_ms - self.last_event_at_ms > STALL_MS:
@@ -151,14 +152,14 @@
         return state.actions
 
     def end_all_requests(self, now_ms: float) -> list[actions.Action]:
-        """End all requests, as their classes allow, since the process ends; return the actions."""
+        """Reject or fail all open requests because the process is shutting down; return the actions."""
         self.state.actions = []
         for request in list(self.state.requests.values()):
             self.completion.end_unserved(request, now_ms)
         return self.state.actions
 
     def _resume_after_stall(self, now: float) -> None:
-        """Count our own stall neither as silence nor as slowness of engines."""
+        """Keep a stall of this process from counting as silence or slowness of engines."""
         state = self.state
         state.resumed_at_ms = now
         self._examined_at_ms = -math.inf
@@ -189,7 +190,7 @@
         self.estimates.add_request(request)
         request.over_quota = event.over_quota or self.quotas.is_over_quota(request, now)
         end_at_ms = self.completion.add_deadline(request)
-        if end_at_ms < now + EXAMINE_MS:  # before the next regular timer
+        if end_at_ms < now + EXAMINE_MS:  # ends before the next regular timer
             state.actions.append(actions.SetTimer(EXTRA_TIMER, max(now, end_at_ms)))
         if request.class_settings.in_order and request.key:
             self.key_order.add(request, now)
@@ -232,7 +233,7 @@
     def _learn_from_attempt(
         self, engine: EngineState, attempt: AttemptState, event: events.AttemptEnded, now: float
     ) -> None:
-        """Learn from an attempt's load report and outcome."""
+        """Update capacity, failure rate and limits from an attempt's load report and outcome."""
         if event.report:
             self.capacity.add_load_report(engine, event.report, now)
         if event.outcome == AttemptOutcome.OK:
@@ -285,7 +286,7 @@
             self.outliers.record_health_check(engine, event, now)
 
     def _on_worker_load(self, now: float, event: events.WorkerLoadReported) -> None:
-        """Take in the load, the verdicts and the newest load reports of the other workers."""
+        """Apply the loads, the ejections and the latest load reports of the other workers."""
         for load in event.entries:
             engine = self.state.engines.get(load.engine)
             if engine is None:
@@ -313,7 +314,7 @@
             self.state.actions.append(actions.SetTimer(REGULAR_TIMER, max(now + MIN_TICK_MS, next_at_ms)))
 
     def _examine(self, now: float) -> None:
-        """Find engines that are silent or keep attempts, attempts over their estimates, and hopeless requests."""
+        """Check for silent engines, hung attempts, attempts far over their estimates and hopeless requests."""
         self._examined_at_ms = now
         self.registry.refresh_if_due(now)
         self.slow_start.update_eligible(now, MAX_UNSAMPLED)
--- a/frostspindle/policy/selection.py
+++ b/frostspindle/policy/selection.py
@@ -1,4 +1,4 @@
-"""Engine selection: which engines are considered for a request, and which of them it goes to."""
+"""Engine selection: finds the candidate engines of a request and chooses the best of them."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from frostspindle.policy.slow_start import SlowStart
 
 SAMPLE_SIZE = 12  # engines considered for one request
-MAX_UNSAMPLED = 48  # so many engines in slow start, and with idle connections, are considered beside the sample
-MIN_JITTER = 0.95  # lower end of the random factor that spreads near-ties
-JITTER_RANGE = 0.1  # and its range
-AVOIDED_FACTOR = 4.0  # an attempt of the request has failed there
+MAX_UNSAMPLED = 48  # up to this many engines in slow start, or with idle connections, are all added to the sample
+MIN_JITTER = 0.95  # minimum of the random factor that breaks near-ties
+JITTER_RANGE = 0.1
+AVOIDED_FACTOR = 4.0  # for engines at which an attempt of the request has failed
 SLOW_START_FACTOR = 0.5
 CACHED_FACTOR = 0.8
-LOAD_CONFLICT_FACTOR = 4.0  # for each load there that would block the request, or be blocked with it
-BLOCKED_FACTOR = 1.3  # for each request there that a load would block
-PENALTY_SCALE = 10.0  # a penalty as a price in time: a tenth longer costs a request about a hundredth of its weight
+LOAD_CONFLICT_FACTOR = 4.0  # for each load at the engine that blocks the request or competes with it
+BLOCKED_FACTOR = 1.3  # for each request at the engine that the load would block
+PENALTY_SCALE = 10.0  # converts penalties to time: 10% more time costs a request about 1% of its weight
 SMALLEST_BAND = 3
 PRIORITY_WEIGHT_RATE = 0.02
 
 
 class EngineSelector:
-    """Chooses the engine of least expected completion time among those that may have a request."""
+    """Chooses the engine with the least expected completion time among those allowed for a request."""
 
     def __init__(
         self,
@@ -47,14 +47,15 @@
         self._mean_priority_weight = min(c.priority_weight for c in state.settings.classes)
 
     def record_arrival(self, request: RequestState) -> None:
-        """Learn the usual priority weight, by which penalties are compared."""
+        """Update the mean priority weight, which scales penalties."""
         weight = request.class_settings.priority_weight
         self._mean_priority_weight += PRIORITY_WEIGHT_RATE * (weight - self._mean_priority_weight)
 
     def candidates(self, request: RequestState, now: float) -> list[EngineState]:
         """Return the engines to consider for a request.
 
-        All of a few; else a sample, those in slow start, as turns are rare, and some that have an idle connection.
+        If there are more than SAMPLE_SIZE, return a random sample, plus engines in slow start, because this coordinator
+        seldom has a turn there, and engines with an idle connection.
         """
         state = self._state
         step, first = self._engine_partition(request, now)
@@ -78,7 +79,7 @@
         return sampled + state.ranked_engines.select_from(extra, step, first, loaded_engines)
 
     def choose(self, request: RequestState, engines: list[EngineState], now: float) -> EngineState | None:
-        """Return the best of the engines that may have the request, if any; the seed spreads near-ties."""
+        """Return the best engine allowed for the request, or None. Near-ties are broken at random."""
         if not self._may_start_attempt(request, now):
             return None
         state = self._state
@@ -92,7 +93,7 @@
         best = None
         best_score = math.inf
         for engine in engines:
-            # While requests wait most engines are full: `_may_send` would say the same, later.
+            # Fast path: while requests wait, most engines are full. `_may_use` would reject them too, at more cost.
             is_full = engine.attempts and engine.thread_limit - engine.threads < threads and not engine.ejected
             if is_full and not (any_in_slow_start and engine.in_slow_start(now)):
                 continue
@@ -112,7 +113,7 @@
         return best
 
     def _weighted_score(self, score: float, request: RequestState, engine: EngineState, now: float) -> float:
-        """Return a score, an expected time, times the factors for what speaks for or against the engine."""
+        """Return the score, an expected time, multiplied by the preference factors of the engine."""
         settings = self._state.settings
         if engine.id in request.avoided_engines:
             score *= AVOIDED_FACTOR
@@ -132,7 +133,7 @@
         return not request.running_attempts and self._retries.budget_allows(now)
 
     def _may_use(self, request: RequestState, engine: EngineState, now: float) -> bool:
-        """Tell whether the engine may have the request, but for memory: rules first, then ejection and capacity."""
+        """Return whether the engine is allowed for the request by rules, ejection and thread limit; ignores memory."""
         class_settings = request.class_settings
         entry = engine.entry
         if (
@@ -149,7 +150,7 @@
         return not engine.attempts or engine.thread_limit - engine.threads >= class_settings.threads
 
     def _may_test_half_open(self, request: RequestState, engine: EngineState, now: float) -> bool:
-        """Tell whether the request may be the one small one that tests a half-open engine."""
+        """Return whether the request may be the single small request that tests a half-open engine."""
         is_small = self._estimates.band(request.cost_ms) == SMALLEST_BAND
         if not is_small or request.class_settings.idempotency == Idempotency.NON_IDEMPOTENT:
             return False
@@ -161,7 +162,10 @@
         return 1.0 + relative_weight
 
     def _penalty(self, engine: EngineState, now: float) -> float:
-        """Return points for a new connection, and for its zone while there is capacity: one zone's engines pile up."""
+        """Return the deductions for a new connection and for another zone.
+
+        Where a connection is open, the zone deduction falls as load rises: a constant one overloads one zone's engines.
+        """
         state = self._state
         settings = state.settings
         needs_connection = settings.handshake_penalty > 0 and not engine.connections.has_open(now, len(engine.attempts))
@@ -170,7 +174,7 @@
         return needs_connection * settings.handshake_penalty + zone_penalty * (1.0 if needs_connection else free_ratio)
 
     def _group_factor(self, request: RequestState, engine: EngineState) -> float:
-        """Draw readers to engines that have their table group cached; keep a load and those it would block apart."""
+        """Prefer engines that have the table group cached, and separate loads from the requests that they block."""
         state = self._state
         class_settings = request.class_settings
         factor = CACHED_FACTOR if request.group in engine.cached_groups else 1.0
@@ -182,9 +186,10 @@
         return factor
 
     def _engine_partition(self, request: RequestState, now: float) -> tuple[int, int]:
-        """Return step and first index of the engines of an ordered load, (1, 0) for all engines.
+        """Return step and first index of this coordinator's engines for an ordered load; (1, 0) selects all engines.
 
-        A load that waits holds up its key's line: each coordinator has engines of its own, but all while any warms up.
+        A waiting load blocks the queue of its key, so each coordinator uses separate engines for ordered loads. While
+        any engine is in slow start, all engines are allowed.
         """
         state = self._state
         coordinators = state.settings.coordinators
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -332,7 +332,7 @@
         k.end(number)
     assert len(k.attempts[1]) == 2, "it is moved all the same"
     assert k.controller.engines[engine].withheld_until_ms[0] <= k.now and not [
-        line for line in k.logs if "keeps class" in line
+        line for line in k.logs if "does not run class" in line
     ]
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -264,7 +264,7 @@
             k.wait(5)
             k.feed(policy.ProgressReported(1, 0, k.sent[-1][2], ProgressKind.WAITS, 1.0))
         k.wait(1400)
-        return [line for line in k.logs if "keeps" in line]
+        return [line for line in k.logs if "does not run" in line]
 
     assert logs(True) == [] != logs(False)
 
