--- a/frostspindle/policy/completion.py
+++ b/frostspindle/policy/completion.py
@@ -1,4 +1,4 @@
-"""The end of requests: final answers, deadlines, and what a request leaves behind."""
+"""Completion of requests: final answers, deadlines and cleanup."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestCompletion:
-    """Ends requests: the one place that gives a final answer."""
+    """Ends requests. All final answers are produced here."""
 
     def __init__(self, state: PolicyState, waiting: WaitingRequests, key_order: KeyOrder) -> None:
         self._state = state
@@ -20,20 +20,20 @@
         self.deadlines = DeadlineQueue()
 
     def add_deadline(self, request: RequestState) -> float:
-        """Schedule the end of a request by its deadline; return that time (ms)."""
+        """Schedule the end of a request shortly before its deadline; return that time in ms."""
         end_at_ms = request.deadline_at_ms - DEADLINE_MARGIN_MS
         self.deadlines.add(end_at_ms, request.number, self._state.requests)
         return end_at_ms
 
     def end_past_deadline(self, now: float) -> None:
-        """End the requests whose deadline has come, but for those whose response has begun to stream."""
+        """End the requests that have reached their deadline, except those whose response is streaming."""
         for number in self.deadlines.pop_due(now):
             request = self._state.requests.get(number)
             if request is not None and not request.streaming:
                 self.end_unserved(request, now)
 
     def end_unserved(self, request: RequestState, now: float) -> None:
-        """End a request without a response: rejected only where a retry can do no harm, else failed."""
+        """End a request without a response: reject it if it is safe to retry, else fail it."""
         if request.client_may_retry():
             self._state.actions.append(RejectRequest(request.number, self._retry_after_ms()))
         else:
@@ -41,7 +41,7 @@
         self.finish(request, now)
 
     def finish(self, request: RequestState, now: float) -> None:
-        """Forget a request that has its final answer or needs none, and cancel its attempts."""
+        """Remove a request that has its final answer or needs none, and cancel its running attempts."""
         if request.finished:
             return
         state = self._state
@@ -56,7 +56,7 @@
         self._key_order.advance(request.key, now)
 
     def _retry_after_ms(self) -> float:
-        """Return the time in which the requests that wait now will have been worked off."""
+        """Return the estimated time to work off the current queue, up to the configured maximum."""
         state = self._state
         backlog_ms = state.waiting_queue.total / max(1.0, state.thread_limit_sum)
         return min(state.settings.max_retry_after_ms, backlog_ms) * state.settings.retry_after
--- a/frostspindle/policy/deadlines.py
+++ b/frostspindle/policy/deadlines.py
@@ -1,6 +1,6 @@
-"""Deadlines: fixed times, and times that come earlier by how long an item would still run, which changes by its kind.
+"""Deadline indexes: fixed due times, key cooldowns, and expiry times that depend on a changing pace.
 
-It has no clock, and does not decide what follows.
+The indexes have no clock and leave it to the caller what happens to due keys.
 """
 
 from __future__ import annotations
@@ -10,28 +10,26 @@
 from collections.abc import Container, Sequence, Sized
 from typing import Any, Protocol
 
-MAX_STALE_ENTRIES = (
-    20_000  # entries of keys that are gone, beyond four for each that is there, before all of them are let go
-)
-PACE_MARGIN = 1.25  # a kind's items are looked at as early as at a pace this much higher than at the last ordering
+MAX_STALE_ENTRIES = 20_000  # heap entries beyond four per existing key at which the heap is compacted
+PACE_MARGIN = 1.25  # items are ordered for a pace this much higher than the current one
 
 
 class KeySet(Container[int], Sized, Protocol):
-    """The collection of keys that still exist."""
+    """Collection of the keys that still exist."""
 
 
 class DeadlineQueue:
-    """Keys by due time.
+    """Priority queue of keys by due time.
 
-    A key that no longer exists is not searched for: its entry stays until its time, or until a compaction as such
-    entries exceed MAX_DEAD_ENTRIES plus four for each key that exists.
+    Removing a key does not search the heap: its entry stays until it is due, or until the heap holds more than
+    MAX_STALE_ENTRIES plus four entries per existing key and is compacted.
     """
 
     def __init__(self) -> None:
         self.heap = list[tuple[float, int]]()
 
     def add(self, due_at_ms: float, key: int, existing: KeySet) -> None:
-        """Schedule a key for time `at`; `there` holds the keys that still exist, for the compaction."""
+        """Schedule a key for `due_at_ms`; `existing` holds the keys that still exist, for compaction."""
         heapq.heappush(self.heap, (due_at_ms, key))
         if len(self.heap) > MAX_STALE_ENTRIES + 4 * len(existing):
             self.heap = [entry for entry in self.heap if entry[1] in existing]
@@ -46,25 +44,25 @@
 
     @property
     def first(self) -> float:
-        """Earliest scheduled time, infinite if there is none; its key may no longer exist."""
+        """Earliest scheduled time, or infinity if there is none. Its key may no longer exist."""
         return self.heap[0][0] if self.heap else math.inf
 
 
 class KeyCooldowns(dict[int, float]):
-    """Keys that cool down, each until its time (ms); a cooldown can be extended but not shortened."""
+    """End times of the cooldowns of keys, in ms. A cooldown can be extended but not shortened."""
 
     def __init__(self) -> None:
         super().__init__()
         self.heap = list[tuple[float, int]]()
 
     def start(self, key: int, until_ms: float) -> None:
-        """Let a key cool down until a time (ms); a time that is not later than the one it already has is ignored."""
+        """Start or extend the cooldown of a key; ignored if its current cooldown ends later."""
         if until_ms > self.get(key, -math.inf):
             self[key] = until_ms
             heapq.heappush(self.heap, (until_ms, key))
 
     def pop_due(self, now: float) -> list[int]:
-        """Remove and return the keys whose cooldown is over at `now`; one that was extended comes at its later end."""
+        """Remove and return the keys whose cooldown has ended at `now`; extensions are taken into account."""
         due_keys = []
         while self.heap and self.heap[0][0] <= now:
             until_ms, key = heapq.heappop(self.heap)
@@ -75,19 +73,19 @@
 
     @property
     def first(self) -> float:
-        """Earliest end of a cooldown, infinite if there is none."""
+        """Earliest end of a cooldown, or infinity if there is none."""
         while self.heap and self.get(self.heap[0][1]) != self.heap[0][0]:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else math.inf
 
 
 class ExpiryIndex:
-    """Items with a kind, work and a limit; an item has expired when now + work * pace of its kind > limit.
+    """Index of items that expire when now + work * pace > limit, where the pace depends on the kind of the item.
 
-    A pace changes with every response, so no fixed order of times holds. The items of each kind are ordered by when
-    they would expire at a pace PACE_MARGIN times that of the last ordering, and are reordered once the pace exceeds
-    that or falls far below it. Items that are due by that order are examined each time until they have expired. An item
-    that is added and discarded between two examinations costs only dictionary operations.
+    The pace of a kind changes with every response, so the expiry times have no fixed order. The items of each kind are
+    ordered by their expiry at a maximum pace, PACE_MARGIN times the pace at the last rebuild. The order is rebuilt when
+    the pace exceeds that maximum or falls far below it. Items that are due at the maximum pace are checked at every
+    call until they expire. An item that is added and discarded between two calls costs only dictionary operations.
     """
 
     def __init__(self, kinds: int) -> None:
@@ -98,12 +96,12 @@
         self.max_paces = [0.0] * kinds
 
     def add(self, key: Any, kind: int, work: float, limit_ms: float) -> None:
-        """Add an item, replacing any of the same key; `work` times the pace and `limit` are in milliseconds."""
+        """Add an item, replacing any with the same key; `work` times the pace is in milliseconds."""
         self.entries_by_key.pop(key, None)
         self.added[key] = (kind, work, limit_ms)
 
     def discard(self, key: Any) -> None:
-        """Remove an item; a key that is not there is ignored."""
+        """Remove an item; an unknown key is ignored."""
         if self.added.pop(key, None) is None:
             self.entries_by_key.pop(key, None)
 
@@ -111,9 +109,9 @@
         return len(self.added) + len(self.entries_by_key)
 
     def pop_due(self, now: float, paces: Sequence[float]) -> list[Any]:
-        """Remove and return the keys of all items that have expired at `now` (ms), by the current pace of each kind.
+        """Remove and return the keys of all items that have expired at `now` (ms), given the current pace of each kind.
 
-        Entries of discarded items are compacted once they outnumber the others.
+        Entries of discarded items are compacted once they outnumber the rest.
         """
         for key, (kind, work, limit_ms) in self.added.items():
             entry = (limit_ms - work * self.max_paces[kind], key, kind, work, limit_ms)
@@ -126,7 +124,7 @@
                 self._rebuild(kind, pace * PACE_MARGIN)
             heap = self.heaps[kind]
             due_soon = self.due_soon[kind]
-            while heap and heap[0][0] <= now + 1.0:  # a little early: sums are rounded
+            while heap and heap[0][0] <= now + 1.0:  # 1 ms early, to allow for rounding
                 due_soon.append(heapq.heappop(heap))
             remaining = []
             for entry in due_soon:
--- a/frostspindle/policy/dispatch.py
+++ b/frostspindle/policy/dispatch.py
@@ -18,11 +18,11 @@
 from frostspindle.policy.slow_start import SlowStart
 from frostspindle.policy.waiting_requests import WaitingRequests
 
-MAX_MISSES = 4  # waiting requests that may find no engine before a release round stops
+MAX_MISSES = 4  # a release round stops after this many requests without an engine
 
 
 class Dispatcher:
-    """Takes requests from the waiting queue in its order and starts their attempts."""
+    """Takes requests from the waiting queue in order and starts their attempts."""
 
     def __init__(
         self,
@@ -45,7 +45,10 @@
         self._waiting = waiting
 
     def release(self, now: float) -> None:
-        """Send the waiting requests that find an engine; after a stall first take in all that came meanwhile."""
+        """Send the waiting requests for which an engine has capacity.
+
+        Nothing is sent in the first event after a stall, so that events which arrived meanwhile are handled first.
+        """
         state = self._state
         if not state.waiting_queue or self._limiter.free_threads(2.0) < 1.0 or now == state.resumed_at_ms:
             return
@@ -53,7 +56,7 @@
         selector = self._selector
         sent = list[RequestState]()
         misses = 0
-        full_lanes = set[int]()  # table groups without an engine for a load of ours
+        full_lanes = set[int]()  # table groups with no engine left for another load
         for request in self._release_order(full_lanes):
             if misses >= MAX_MISSES or not limiter.fits(request):
                 break
@@ -71,7 +74,7 @@
             self._waiting.remove(request)
 
     def _release_order(self, full_lanes: Container[int]) -> Iterable[RequestState]:
-        """Return the waiting requests in order, skipping full lanes only where all requests fit the limit."""
+        """Return the waiting requests in order; full lanes are skipped unless the share is fractional."""
         state = self._state
         if not state.usable_engines:
             return ()
@@ -97,9 +100,8 @@
         request = attempt.request
         engine = attempt.engine
         if not engine.attempts:
-            engine.last_activity_at_ms = max(
-                engine.last_activity_at_ms, now
-            )  # silence counts from the first send to an idle engine
+            # On an idle engine, silence counts from the first send.
+            engine.last_activity_at_ms = max(engine.last_activity_at_ms, now)
         request.attempts.append(attempt)
         engine.attempts[(request.number, attempt.number)] = attempt
         self._limiter.reserve(attempt)
@@ -111,7 +113,10 @@
             engine.cached_groups.append(request.group)
 
     def _begin_by_ms(self, request: RequestState) -> float:
-        """Return by when an attempt must begin, as earlier ones may have run and engines forget their keys."""
+        """Return the time by which an attempt must begin.
+
+        Earlier attempts may have run, and engines deduplicate by key only within the idempotency window.
+        """
         if request.class_settings.idempotency != Idempotency.WITH_KEY:
             return math.inf
         window_ms = request.class_settings.idempotency_window_ms
--- a/frostspindle/policy/engine_registry.py
+++ b/frostspindle/policy/engine_registry.py
@@ -1,4 +1,4 @@
-"""The engines that a controller knows: changes by the endpoint list, and a regular survey of all of them."""
+"""Registry of the engines that a controller knows: endpoint list updates and aggregates over all engines."""
 
 from __future__ import annotations
 
@@ -9,15 +9,13 @@
 from frostspindle.policy.policy_state import PolicyState
 from frostspindle.policy.waiting_requests import WaitingRequests
 
-REFRESH_INTERVAL_MS = 500.0  # how often all engines are surveyed
-ABSENT_ENGINE_KEPT_MS = (
-    30_000.0  # an engine gone for so long, with nothing running, is forgotten: new ids come for ever
-)
-MEDIAN_RATE = 0.05  # how far a survey draws each engine's slowdown to the median
+REFRESH_INTERVAL_MS = 500.0  # interval of the refresh of all engines
+ABSENT_ENGINE_KEPT_MS = 30_000.0  # absent idle engines are then removed, because new ids keep arriving
+MEDIAN_RATE = 0.05  # rate at which a refresh moves each engine's slowdown towards the median
 
 
 class EngineRegistry:
-    """Keeps the state of each engine, and what follows from all of them together."""
+    """Holds the state of each engine and the aggregates over all engines."""
 
     def __init__(self, state: PolicyState, waiting: WaitingRequests) -> None:
         self._state = state
@@ -25,7 +23,7 @@
         self._refreshed_at_ms = -math.inf
 
     def apply_list(self, event: EndpointListUpdated, now: float) -> None:
-        """Take in an endpoint list or a change of it, and survey the engines."""
+        """Apply an endpoint list or an update of it, and refresh the aggregates."""
         if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             engines = self._state.engines
             for engine_id in engines.keys() - {entry.engine for entry in event.entries}:
@@ -35,12 +33,12 @@
         self.refresh(now)
 
     def refresh_if_due(self, now: float) -> None:
-        """Survey the engines if the last survey is SURVEY_MS old."""
+        """Refresh the aggregates if the last refresh is at least REFRESH_INTERVAL_MS old."""
         if now - self._refreshed_at_ms >= REFRESH_INTERVAL_MS:
             self.refresh(now)
 
     def refresh(self, now: float) -> None:
-        """Find the engines that may be used, the sum of our thread limits there, and the median slowdown."""
+        """Recompute the usable engines, the sum of their thread limits and the median slowdown."""
         state = self._state
         self._refreshed_at_ms = now
         self._waiting.invalidate_values()
@@ -69,7 +67,7 @@
         engine.listed_at_ms = now
 
     def _remove_absent(self, now: float) -> None:
-        """Forget engines that are long gone; order the others by id, as all coordinators do."""
+        """Remove engines that have long been absent; order the others by id, as all coordinators do."""
         self._state.engines = {
             engine_id: engine
             for engine_id, engine in sorted(self._state.engines.items())
--- a/frostspindle/policy/engine_state.py
+++ b/frostspindle/policy/engine_state.py
@@ -1,4 +1,4 @@
-"""State of one engine, as one controller knows and infers it."""
+"""State of one engine, as observed and inferred by one controller."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from frostspindle.policy.settings import Settings
 from frostspindle.policy.statistics import SlidingWindowSum
 
-THREADS_PER_CORE = 2.0  # a thread limit starts here, times our share of the coordinators
-HALF_OPEN_BACKOFF_MS = 1000.0  # wait until the first half-open test
+THREADS_PER_CORE = 2.0  # initial thread limit per core, divided among the coordinators
+HALF_OPEN_BACKOFF_MS = 1000.0  # delay before the first half-open test
 INITIAL_ACTIVITY_GAP_MS = 200.0
 MAX_ACTIVITY_GAP_MS = 5000.0
-ACTIVITY_GAP_RATE = 0.2  # how far one gap moves the mean
-CACHED_GROUPS = 4  # table groups that an engine is taken to have in its cache
-IDLE_TIMEOUT_SAFETY = 0.85  # an idle connection is used for this part of the time after which engines close it
+ACTIVITY_GAP_RATE = 0.2  # weight of one gap in the moving average
+CACHED_GROUPS = 4  # number of table groups assumed to be in an engine's cache
+IDLE_TIMEOUT_SAFETY = 0.85  # idle connections count as open for this fraction of the engines' idle timeout
 
 
 class EngineState:
-    """One engine: its entry in the endpoint list, our load there, and what its answers tell."""
+    """One engine: its endpoint list entry, the load of this controller there, and what its responses show."""
 
     __slots__ = (
         "attempts",
@@ -73,25 +73,25 @@
         self.thread_share = THREADS_PER_CORE * self.cores / settings.coordinators
         self.ready = entry.health == Health.READY
         self.listed_at_ms = -math.inf
-        self.slow_start_sends = SlidingWindowSum()  # estimated work sent while it warmed up, ms
+        self.slow_start_sends = SlidingWindowSum()  # estimated work sent during slow start, ms
 
-        # Our own load.
+        # Load of this process.
         self.attempts = dict[tuple[int, int], AttemptState]()  # by request and attempt number
         self.threads = 0
         self.granted_mb = 0.0
 
-        # Of the other workers of this coordinator: their load, and our share of the slow start budget.
+        # Load of the other workers of this coordinator, and this worker's share of the slow start budget.
         self.peer_threads = 0
         self.peer_memory_mb = 0.0
         self.slow_start_share = float(settings.workers == 1)
         self.ejected_by_peer = False
-        self.denied_work_ms = 0.0  # lately, as our share of the slow start budget had no capacity for it
+        self.denied_work_ms = 0.0  # recent work that did not fit this worker's share of the slow start budget
         self.reset(settings)
 
     def reset(self, settings: Settings) -> None:
-        """Forget all that a former process of the engine has shown."""
+        """Reset everything inferred about a previous process of the engine."""
         self.thread_limit = self.thread_share
-        self.slowdown = 1.0  # recent latency over the best
+        self.slowdown = 1.0  # recent latency divided by the best
         self.failure_rate = 0.0
         self.limit_cut_at_ms = 0.0
 
@@ -100,27 +100,27 @@
         self.half_open_backoff_ms = HALF_OPEN_BACKOFF_MS
         self.readmitted_at_ms = -math.inf
 
-        self.last_activity_at_ms = -math.inf  # last sign of life
+        self.last_activity_at_ms = -math.inf  # last response, progress report or successful health check
         self.activity_gap_ms = INITIAL_ACTIVITY_GAP_MS
         self.health_checked_at_ms = -math.inf
-        self.examine_at_ms = -math.inf  # before this there is no fault to be found
-        self.withheld_until_ms = dict[int, float]()  # by class of which it runs none: until when it gets none
+        self.examine_at_ms = -math.inf  # no fault can be detected before this time
+        self.withheld_until_ms = dict[int, float]()  # by class that the engine does not run: when sends may resume
 
         self.cached_groups = deque[int](maxlen=CACHED_GROUPS)
         idle_timeout_ms = IDLE_TIMEOUT_SAFETY * settings.connection_idle_ms
         self.connections = self.idle_connections.new_record(self, idle_timeout_ms, settings.streams_per_connection)
 
-        # Of the last load report: what other coordinators have there.
+        # Load of other coordinators, from the last load report.
         self.load_report_at_ms = -math.inf
         self.other_threads = 0.0
         self.other_memory_ratio = 0.0
 
     def in_slow_start(self, now: float) -> bool:
-        """Tell whether its process started so recently that it is warming up."""
+        """Return whether the engine's process started so recently that it is still warming up."""
         return self.entry.since_ms > 0 and now - self.entry.since_ms < self.settings.slow_start_duration_ms
 
     def record_activity(self, now: float) -> None:
-        """Note an answer, progress report or health check, and the usual gap between them."""
+        """Record a response, progress report or health check, and update the mean gap between them."""
         if self.attempts and self.last_activity_at_ms > 0:
             gap_ms = min(now - self.last_activity_at_ms, MAX_ACTIVITY_GAP_MS)
             self.activity_gap_ms += ACTIVITY_GAP_RATE * (gap_ms - self.activity_gap_ms)
--- a/frostspindle/policy/indexes.py
+++ b/frostspindle/policy/indexes.py
@@ -1,6 +1,6 @@
-"""Indexes that spare a scan of all members: members in order of rank, those with idle connections, counts by group.
+"""Indexes that avoid a scan of all members: ranked members, members with idle connections, and counts by group.
 
-It takes no decisions: members are any objects with an `id`.
+Members are any objects with an `id`.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 
 def sample_if_over(items: list[Any], limit: int, sample_size: int, rng: Random) -> list[Any]:
-    """Return the same list if it has at most `most` items, else a random sample of `take` of them."""
+    """Return the list itself if it has at most `limit` items, else a random sample of `sample_size` items."""
     return items if len(items) <= limit else rng.sample(items, sample_size)
 
 
 class GroupedCounter:
-    """Counts by group and member; entries that reach 0 are removed."""
+    """Counts by group and member. Entries that reach 0 are removed."""
 
     def __init__(self) -> None:
         self.groups: dict[int, dict[int, int]] = {}
 
     def add(self, group: int, member: int, count: int) -> None:
-        """Add `count`, which may be negative, to the member's count in the group; a group below 0 is ignored."""
+        """Add `count`, which may be negative, to the member's count in the group; negative groups are ignored."""
         if not count or group < 0:
             return
         members = self.groups.setdefault(group, {})
@@ -38,31 +38,31 @@
                 del self.groups[group]
 
     def counts_in(self, group: int) -> Mapping[int, int]:
-        """Return the group's counts by member, empty for an unknown group; a live view, not to be changed."""
+        """Return the group's counts by member; a live view that must not be modified."""
         return self.groups.get(group, NO_COUNTS)
 
     def count_of(self, group: int, member: int) -> int:
-        """Return the member's count in the group, 0 where it has none."""
+        """Return the member's count in the group, 0 if it has none."""
         return self.groups.get(group, NO_COUNTS).get(member, 0)
 
 
 class RankedSet:
-    """Members in order, with each one's rank by id; a subset of them costs little more than a copy of references."""
+    """Ordered members with their ranks by id. Selecting a subset costs little more than copying references."""
 
     def __init__(self) -> None:
         self.members = list[Any]()
         self.rank = dict[int, int]()
 
     def set(self, members: Sequence[Any]) -> None:
-        """Replace the members, in this order; ranks are computed again only where the list has changed."""
+        """Replace the members; ranks are recomputed only if the list has changed."""
         if members != self.members:
             self.members = list(members)
             self.rank = {member.id: rank for rank, member in enumerate(self.members)}
 
     def select(self, step: int, first: int, excluded_ids: Mapping[int, int]) -> list[Any]:
-        """Return each `step`-th member from index `first` on, without those whose ids are keys of `without`.
+        """Return every `step`-th member from index `first`, except those whose ids are keys of `excluded_ids`.
 
-        The result may be the internal list, which the caller must not change.
+        The result may be the internal list, which the caller must not modify.
         """
         if step == 1 and not excluded_ids:
             return self.members
@@ -76,7 +76,7 @@
     def select_from(
         self, candidates: Sequence[Any], step: int, first: int, excluded_ids: Mapping[int, int]
     ) -> list[Any]:
-        """Return those of `marked` that `every` would return with these arguments, each once and in order of rank."""
+        """Return the candidates that `select` would return with these arguments, without duplicates, by rank."""
         by_rank = {}
         for member in candidates:
             rank = self.rank.get(member.id, -1)
@@ -86,28 +86,28 @@
 
 
 class IdleConnectionIndex(dict[int, Any]):
-    """Members to which an idle connection of ours is open, the one freed last at the end.
+    """Members to which an idle connection is open, least recently used first.
 
-    A member whose last idle connection was used or has expired is removed only when it comes first, so that no query
-    has to scan the members.
+    A member without any idle connection left is removed only when it reaches the front, so that no query has to scan
+    all members.
     """
 
     def __init__(self, enabled: bool) -> None:
         super().__init__()
-        self.enabled = enabled  # else it stays empty: nobody will ask
+        self.enabled = enabled  # if not, nothing is recorded, because nothing queries the index
 
     def new_record(self, member: Any, idle_timeout_ms: float, streams: int) -> IdleConnections:
         """Return a new record of the idle connections to `member`.
 
-        An idle connection is taken as open for `lasts_ms`. With more than 1 in `streams` a connection carries several
-        attempts at once, so that one in use serves for a further attempt too.
+        An idle connection is assumed to stay open for `idle_timeout_ms`. If `streams` is greater than 1, a connection
+        carries several attempts at once, so a connection in use can serve another attempt.
         """
         return IdleConnections(self, member, idle_timeout_ms, streams > 1)
 
     def mark_idle(self, member: Any, now: float) -> None:
-        """Move the member to the end, as a connection to it is idle at `now` (ms), and drop expired members in front.
+        """Move the member to the end, as a connection to it became idle at `now` (ms), and drop expired members.
 
-        Nothing is recorded unless `kept`.
+        Does nothing unless `enabled`.
         """
         if self.enabled:
             self.pop(member.id, None)
@@ -122,12 +122,12 @@
             del self[first.id]
 
     def most_recent(self, limit: int, sample_size: int) -> list[Any]:
-        """Return the members, latest freed first: all where there are at most `most`, else the first `take`."""
+        """Return the members, most recently used first: all if at most `limit`, else the first `sample_size`."""
         return list(islice(reversed(self.values()), len(self) if len(self) <= limit else sample_size)) if self else []
 
 
 class IdleConnections:
-    """Times (ms) at which each idle connection to a member was last used, inferred from the attempts sent there."""
+    """Times (ms) since which the connections to a member are idle, inferred from the attempts sent there."""
 
     def __init__(self, index: IdleConnectionIndex, member: Any, idle_timeout_ms: float, multiplexed: bool) -> None:
         self.index = index
@@ -137,19 +137,19 @@
         self.idle_since_ms = deque[float]()
 
     def acquire(self) -> None:
-        """Note that an attempt uses a connection: the one that was freed last, if any is idle."""
+        """Record that an attempt uses a connection: the most recently used idle one, if there is any."""
         if self.idle_since_ms:
             self.idle_since_ms.pop()
 
     def release(self, now: float) -> None:
-        """Note that a connection has become idle at `now` (ms); idle ones that have expired by then are forgotten."""
+        """Record that a connection became idle at `now` (ms), and drop the idle ones that have expired."""
         while self.idle_since_ms and now - self.idle_since_ms[0] >= self.idle_timeout_ms:
             self.idle_since_ms.popleft()
         self.idle_since_ms.append(now)
         self.index.mark_idle(self.member, now)
 
     def has_open(self, now: float, running: int) -> bool:
-        """Tell whether an attempt at `now` (ms) would find an open connection, with `out` attempts running there."""
+        """Return whether an attempt at `now` (ms) would find an open connection, given `running` attempts."""
         return (self.multiplexed and running > 0) or (
             len(self.idle_since_ms) > 0 and now - self.idle_since_ms[-1] < self.idle_timeout_ms
         )
--- a/frostspindle/policy/key_order.py
+++ b/frostspindle/policy/key_order.py
@@ -1,4 +1,4 @@
-"""Order of requests that share a key: each key's line, and cooldowns after attempts that may still run."""
+"""Order of requests that share a key: a queue per key, and cooldowns after attempts that may still run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class KeyOrder:
-    """Lets only the head of a key's line wait for an engine or run, and not while the key cools down."""
+    """Admits only the head of each key's queue to the waiting queue, and no request while the key cools down."""
 
     def __init__(self, state: PolicyState, waiting: WaitingRequests) -> None:
         self._state = state
@@ -23,12 +23,12 @@
         self.cooldowns = KeyCooldowns()
 
     def add(self, request: RequestState, now: float) -> None:
-        """Append a request to the line of its key."""
+        """Append a request to the queue of its key."""
         self.queues.setdefault(request.key, deque()).append(request)
         self.advance(request.key, now)
 
     def advance(self, key: int, now: float) -> None:
-        """Drop finished requests from the head of a key's line, and let the next one wait for an engine if it may."""
+        """Remove finished requests from the head of a key's queue, and admit the next one if it may be sent."""
         queue = self.queues.get(key)
         if queue is None:
             return
@@ -44,12 +44,12 @@
             self._waiting.add(head, now)
 
     def start_cooldown(self, request: RequestState, outcome: int, now: float) -> None:
-        """After an attempt that may still run, keep back the others of its key for the pause that is set."""
+        """Delay the other requests of a key for `key_order_pause_ms` after an attempt that may still run."""
         if request.key and request.class_settings.in_order and outcome in MAY_STILL_RUN:
             self.cooldowns.start(request.key, now + self._state.settings.key_order_pause_ms)
 
     def end_cooldowns(self, now: float) -> bool:
-        """Advance the lines whose cooldown is over; tell whether there were any."""
+        """Advance the queues of keys whose cooldown has ended; return whether there were any."""
         keys = self.cooldowns.pop_due(now)
         for key in keys:
             self.advance(key, now)
--- a/frostspindle/policy/policy_state.py
+++ b/frostspindle/policy/policy_state.py
@@ -1,4 +1,4 @@
-"""State that all parts of one controller share."""
+"""State shared by all components of one controller."""
 
 from __future__ import annotations
 
@@ -18,41 +18,44 @@
 
 @dataclass(slots=True)
 class PolicyState:
-    """Settings, engines, requests and the actions of the event at hand.
+    """Settings, engines, requests, and the actions of the event that is being handled.
 
-    `fractional_share`: our share of each engine is less than one request needs, so that the sum of shares is the limit.
+    `fractional_share` is set if this coordinator's share of each engine is smaller than one request needs. Then only
+    the sum of the shares limits concurrency.
     """
 
     settings: Settings
     random: random.Random
     fractional_share: bool
-    memory_is_paged: bool  # too much admitted slows all down, else it waits
-    reports_memory: bool  # load reports tell what part of an engine's memory is granted
-    best_latency_ratios: list[float]  # by class; of the concurrency limit
+    memory_is_paged: bool  # engines page if they run out of memory; otherwise requests wait for memory
+    reports_memory: bool  # load reports contain the fraction of memory that is granted
+    best_latency_ratios: list[float]  # by class; maintained by the concurrency limiter
     idle_connections: IdleConnectionIndex
     actions: list[Action] = field(default_factory=list)
     engines: dict[int, EngineState] = field(default_factory=dict)
     requests: dict[int, RequestState] = field(default_factory=dict)
-    deferred_requests: dict[int, RequestState] = field(default_factory=dict)  # suspended, and to wait once resumed
+    deferred_requests: dict[int, RequestState] = field(
+        default_factory=dict
+    )  # suspended requests that wait once resumed
     waiting_queue: WaitingQueue = field(default_factory=WaitingQueue)
     max_open_requests: float = math.inf
 
-    # Of the last survey of engines.
+    # Computed by the last refresh of the engine registry.
     usable_engines: list[EngineState] = field(default_factory=list)
-    ranked_engines: RankedSet = field(default_factory=RankedSet)  # the usable ones
+    ranked_engines: RankedSet = field(default_factory=RankedSet)  # the usable engines
     slow_start_engines: list[EngineState] = field(default_factory=list)
-    slow_start_eligible: list[EngineState] = field(default_factory=list)  # those with budget left for us
+    slow_start_eligible: list[EngineState] = field(default_factory=list)  # engines in slow start with budget left here
     median_slowdown: float = 1.0
     thread_limit_sum: float = 0.0
 
-    # Of attempts that run.
+    # Totals of running attempts.
     threads: int = 0
     running_loads: GroupedCounter = field(default_factory=GroupedCounter)  # by table group and engine
-    blocked_requests: GroupedCounter = field(default_factory=GroupedCounter)  # those that loads block, likewise
+    blocked_requests: GroupedCounter = field(default_factory=GroupedCounter)  # requests that loads block, likewise
 
-    # Of the host's own clock.
-    started_at_ms: float = math.inf  # the first event
-    resumed_at_ms: float = -math.inf  # when the last stall of the whole process ended
+    # Times of this process.
+    started_at_ms: float = math.inf  # time of the first event
+    resumed_at_ms: float = -math.inf  # end of the last stall of this process
 
     @classmethod
     def create(cls, settings: Settings, seed: int) -> PolicyState:
--- a/frostspindle/policy/queues.py
+++ b/frostspindle/policy/queues.py
@@ -1,7 +1,7 @@
-"""An ordered queue of waiting requests, in which whole lanes can be skipped during iteration.
+"""Ordered queues: one with lanes that can be skipped during iteration, and one by lowest value.
 
-Rows are tuples that differ before their last
-field, the item. It takes no decisions, and knows neither requests nor times.
+Rows are tuples whose last field is the item; the fields before it are unique. The queues know neither requests nor
+times.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from itertools import islice
 from typing import Any
 
-UNITS_PER_WEIGHT = 1 << 20  # weights are summed as whole parts, so that no rounding adds up over a long day
+UNITS_PER_WEIGHT = 1 << 20  # weights are summed as integers, so that rounding errors do not accumulate
 
 
 class WaitingQueue:
-    """Rows in ascending order, each in one lane: a sorted list per lane, and a sorted list of the lanes' first rows."""
+    """Rows in ascending order, stored as one sorted list per lane and a sorted list of the lanes' first rows."""
 
     def __init__(self) -> None:
         self.lanes: dict[int, list[Any]] = {}
@@ -27,7 +27,7 @@
     def add(self, row: tuple[Any, ...], lane: int, weight: float) -> None:
         """Insert a row into its lane; its weight counts towards `total`.
 
-        A weight is limited to 1e15, so that an infinite one cannot fail the conversion to whole units.
+        A weight is limited to 1e15, so that an infinite weight can be converted to an integer.
         """
         rows = self.lanes.setdefault(lane, [])
         insort(rows, row)
@@ -39,10 +39,9 @@
         self.units += int(min(weight, 1e15) * UNITS_PER_WEIGHT)
 
     def drop(self, rank: tuple[Any, ...], lane: int, weight: float) -> None:
-        """Remove the row whose fields before the item equal `rank`; `weight` must be the one it was added with.
+        """Remove the row whose fields before the item equal `rank`; `weight` must equal the weight passed to `add`.
 
-        Raise KeyError where the lane is unknown or has no such row but later ones, IndexError where it has no later
-        ones.
+        Raise KeyError if the lane is unknown, or has no such row but a later one; raise IndexError if it has neither.
         """
         rows = self.lanes[lane]
         index = bisect_left(rows, rank)
@@ -60,12 +59,12 @@
         self.units -= int(min(weight, 1e15) * UNITS_PER_WEIGHT)
 
     def walk(self, skipped: Container[int]) -> Iterator[Any]:
-        """Yield items in ascending order of their rows, skipping each lane that is in `passed` when its next row comes.
+        """Yield items in ascending order of their rows, except those of the lanes in `skipped`.
 
-        `passed` may grow during the iteration; no row may be added or removed meanwhile.
+        `skipped` may grow during the iteration, which ends the affected lanes. Rows must not be added or removed.
         """
         head_index = 0
-        entered = list[tuple[Any, int, int]]()  # the next row of each lane entered, its place, the lane
+        entered = list[tuple[Any, int, int]]()  # for each lane entered: its next row, the row's position, the lane
         while True:
             if head_index < len(self.heads) and (not entered or self.heads[head_index][0] < entered[0][0]):
                 row, lane = self.heads[head_index]
@@ -84,7 +83,7 @@
 
     @property
     def total(self) -> float:
-        """Sum of the weights of all rows, in the unit in which they were added."""
+        """Sum of the weights of all rows."""
         return self.units / UNITS_PER_WEIGHT
 
     def __len__(self) -> int:
@@ -98,18 +97,18 @@
 
 
 class LowestValueQueue:
-    """A priority queue of items by least value, then rank; stale items are not removed: the caller must detect them."""
+    """Priority queue by lowest value, then rank. Stale items are not removed; the caller must detect them."""
 
     def __init__(self, rows: Iterable[tuple[float, Any, Any]] = ()) -> None:
         self.rows = list(rows)
         heapq.heapify(self.rows)
 
     def add(self, value: float, rank: Any, item: Any) -> None:
-        """Add an item; of equal values the one of the lower rank comes first."""
+        """Add an item; among equal values the lower rank comes first."""
         heapq.heappush(self.rows, (value, rank, item))
 
     def pop(self) -> tuple[Any, Any]:
-        """Remove the item of the least value and return its rank and itself; raise IndexError if there is none."""
+        """Remove the item with the lowest value and return its rank and the item; raise IndexError if empty."""
         return heapq.heappop(self.rows)[1:]
 
     def __len__(self) -> int:
--- a/frostspindle/policy/request_state.py
+++ b/frostspindle/policy/request_state.py
@@ -1,4 +1,4 @@
-"""State of requests and of their attempts, as one controller keeps it; takes no decisions."""
+"""State of requests and their attempts in one controller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttemptState:
-    """One attempt of a request at an engine, from when it was sent."""
+    """One attempt of a request at an engine, from the time it was sent."""
 
     __slots__ = (
         "cost_ms",
@@ -30,23 +30,23 @@
     )
 
     def __init__(self, request: RequestState, number: int, engine: Any, now: float) -> None:
-        """Record an attempt at an engine, an EngineState, whose module imports this one."""
+        """Create an attempt. `engine` is an EngineState, whose module imports this one."""
         self.request = request
         self.number = number
         self.engine = engine
         self.sent_at_ms = now
         self.cost_ms = request.cost_ms
         self.grant_mb = request.grant_mb
-        self.half_open = engine.ejected  # it tests whether an ejected engine answers again
-        self.waited_ms = 0.0  # how long it stood still, by its progress reports
+        self.half_open = engine.ejected  # the attempt tests an ejected engine
+        self.waited_ms = 0.0  # time spent waiting, by its progress reports
         self.progress_at_ms = now
         self.queued_for_memory = False  # by its last progress report
-        self.failure_charge = 0.0  # what it added to its engine's failure rate
+        self.failure_charge = 0.0  # amount added to the engine's failure rate
         self.outcome: int | None = None
 
 
 class RequestState:
-    """One request that has not ended, with its estimates, its attempts and its place in the queue."""
+    """One open request with its estimates, its attempts and its rank in the waiting queue."""
 
     __slots__ = (
         "arrived_at_ms",
@@ -87,7 +87,7 @@
         self.key = event.key
         self.key_order_reached = event.key_order_reached
         self.group = int(event.group)
-        self.lane = -1  # of the waiting queue: the table group of an ordered load
+        self.lane = -1  # lane of the waiting queue: the table group of an ordered load, else -1
         if class_settings.is_load and class_settings.in_order and self.group >= 0:
             self.lane = self.group
 
@@ -95,23 +95,23 @@
         self.deadline_at_ms = now + max(0.0, event.left_ms)
         self.objective_at_ms = 0.0
 
-        self.cost_estimate_ms = max(0.0, event.cost_ms)  # of the client, 0: none
+        self.cost_estimate_ms = max(0.0, event.cost_ms)  # estimate of the client; 0: none
         self.memory_estimate_mb = max(0.0, event.memory_mb)
-        self.cost_ms = 0.0  # ours
+        self.cost_ms = 0.0  # estimate of the controller
         self.memory_mb = 0.0
         self.grant_mb = 0.0
         self.done_ratio = 0.0
 
         self.over_quota = False
         self.waiting = False
-        self.suspended = event.suspended  # its client is away
-        self.deferred = False  # it will wait for an engine once it is no longer suspended
+        self.suspended = event.suspended  # its client is disconnected and may return
+        self.deferred = False  # it enters the waiting queue once it is resumed
         self.streaming = False
-        self.bad_plan_handled = False  # an attempt far over its estimate was dealt with, once
+        self.bad_plan_handled = False  # an attempt far over its estimate was relocated or demoted; done once
         self.finished = False
 
         self.priority = -1
-        self.rank: tuple[int, float, int] = (0, 0.0, 0)  # order in the waiting queue
+        self.rank: tuple[int, float, int] = (0, 0.0, 0)  # sort key in the waiting queue
         self.attempts = list[AttemptState]()
         self.avoided_engines = set[int]()
 
@@ -121,11 +121,11 @@
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     def attempts_that_may_have_run(self) -> list[AttemptState]:
-        """Return the attempts that run or whose outcome does not exclude that they ran."""
+        """Return the attempts that are running or whose outcome leaves it possible that they ran."""
         return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
     def client_may_retry(self) -> bool:
-        """Tell whether the client can repeat the request without harm, so that a rejection is true."""
+        """Return whether the client can safely retry the request, which permits a rejection."""
         class_settings = self.class_settings
         return (
             class_settings.idempotency == Idempotency.IDEMPOTENT
@@ -134,5 +134,5 @@
         )
 
     def first_sent_at_ms(self) -> float:
-        """Return when the first attempt that may have run was sent, infinite if there is none."""
+        """Return the time at which the first attempt that may have run was sent, or infinity."""
         return min((attempt.sent_at_ms for attempt in self.attempts_that_may_have_run()), default=math.inf)
--- a/frostspindle/policy/retries.py
+++ b/frostspindle/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: whether a request may be sent again, the retry budget, and where a request goes after an attempt."""
+"""Retries: whether a request may be resent, the retry budget, and relocation of running attempts."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from frostspindle.policy.statistics import SlidingWindowCounter
 from frostspindle.policy.waiting_requests import WaitingRequests
 
-RELOCATION_TIME_RATIO = 1.5  # an attempt is cancelled only with so many times its run time left
+RELOCATION_TIME_RATIO = 1.5  # an attempt is relocated only if this multiple of its run time is left
 LOWEST_BAND = 0
 
-# Place of the field of an engine's entry that names its deduplication scope; none for "all".
+# Index of the EngineEntry field that identifies the deduplication scope; 0 for "all", which needs no comparison.
 DEDUP_SCOPE_FIELDS = {"all": 0, "zone": 1}
 CELL_FIELD = 3
 
 
 class RetryPolicy:
-    """Tells whether a retry is allowed by idempotency and by the retry budget."""
+    """Decides whether idempotency and the retry budget allow a retry."""
 
     def __init__(self, state: PolicyState) -> None:
         self._state = state
-        self.arrivals = SlidingWindowCounter()  # of requests
+        self.arrivals = SlidingWindowCounter()  # new requests
         self._retries = SlidingWindowCounter()
 
     def record_arrival(self, now: float) -> None:
-        """Count a new request, which adds to the budget."""
+        """Count a new request, which increases the budget."""
         self.arrivals.after(now - self._state.settings.retry_budget_window_ms).append(now)
 
     def record_retry(self, now: float) -> None:
-        """Count a retry that is sent."""
+        """Count a retry that is being sent."""
         self._retries.after(now - self._state.settings.retry_budget_window_ms).append(now)
 
     def budget_allows(self, now: float) -> bool:
-        """Tell whether the budget has a retry left."""
+        """Return whether the budget allows another retry."""
         settings = self._state.settings
         if settings.retry_budget_window_ms <= 0:
             return True
@@ -48,7 +48,7 @@
         return retries <= settings.retry_budget_min + settings.retry_budget_ratio * arrivals
 
     def allows_resend(self, request: RequestState, engine: EngineState | None, now: float) -> bool:
-        """Tell whether what may have run can be sent again, to that engine or, with None, to any."""
+        """Return whether a request that may have run can be resent to the engine or, with None, to any engine."""
         class_settings = request.class_settings
         may_have_run = request.attempts_that_may_have_run()
         if not may_have_run or class_settings.idempotency == Idempotency.IDEMPOTENT:
@@ -65,7 +65,7 @@
 
 
 class Redispatcher:
-    """Sends requests elsewhere: after an attempt that ended without a response, or by cancelling one."""
+    """Resends requests after attempts that ended without a response, and relocates running attempts."""
 
     def __init__(
         self,
@@ -82,10 +82,10 @@
         self._completion = completion
 
     def retry_or_end(self, request: RequestState, engine: EngineState, outcome: int, now: float) -> None:
-        """Let the request of an attempt that ended without a response wait again, or end it."""
+        """Queue a request again after an attempt that ended without a response, or end it."""
         if request.running_attempts or request.waiting or request.deferred:
             return
-        if outcome != AttemptOutcome.NOT_SENT:  # one that sheds, as while it shuts down, sheds the next send too
+        if outcome != AttemptOutcome.NOT_SENT:  # also if it sheds load, as while shutting down: it would shed again
             request.avoided_engines.add(engine.id)
         request.done_ratio = 0.0
         self._estimates.estimate(request)
@@ -100,9 +100,10 @@
             self._waiting.add(request, now)
 
     def relocate(self, request: RequestState, attempt: AttemptState, now: float) -> bool:
-        """Cancel an attempt so that the request can go elsewhere, where its class and its time allow; tell whether.
+        """Cancel an attempt so that the request is sent to another engine; return whether it was cancelled.
 
-        A suspended request could not be sent again, so its attempt stays.
+        The class, the time left, the attempt limit and the retry budget must allow it. An attempt of a suspended
+        request is not cancelled, because the request could not be resent.
         """
         settings = self._state.settings
         if not settings.may_cancel or request.finished or request.suspended:
@@ -120,7 +121,7 @@
         return True
 
     def relocate_or_demote(self, request: RequestState, attempt: AttemptState, now: float) -> None:
-        """Keep an attempt far over its estimate from crowding out short ones: relocate it once, or lower its band."""
+        """Relocate an attempt far over its estimate, or lower its band, so that it does not delay short ones."""
         if not request.bad_plan_handled and not self.relocate(request, attempt, now):
             self._lower_priority(request)
         request.bad_plan_handled = True
--- a/frostspindle/policy/settings_parser.py
+++ b/frostspindle/policy/settings_parser.py
@@ -1,6 +1,6 @@
-"""Parser of settings, as path=value lines or as nested JSON, for the simulator adapter and the coordinator.
+"""Parser of settings from path=value lines or nested JSON, for the simulator adapter and the coordinator.
 
-It adds no defaults of its own to those of `policy.Settings`, and reads neither files nor the environment.
+It reads neither files nor the environment.
 """
 
 from __future__ import annotations
@@ -14,22 +14,23 @@
 
 
 class FlatSettings:
-    """Typed look-ups in settings flattened to path=value; all raise ValueError with the path of a bad value."""
+    """Typed lookups in settings flattened to path=value. All raise ValueError with the path of an invalid value."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self.values = values
 
     def text(self, path: str, default: str | None = None) -> str:
-        """Return the value as it is; raise ValueError if it is missing and has no default."""
+        """Return the value unchanged; raise ValueError if it is missing and has no default."""
         value = self.values.get(path, default)
         if value is None:
             raise ValueError(f"{path}: missing")
         return value
 
     def number(self, path: str, default: float | None = None, minimum: float = 0.0, above: float = -math.inf) -> float:
-        """Return a finite number of at least `least` and above `above`; where it is missing, the default, unchecked.
+        """Return a finite number that is at least `minimum` and greater than `above`.
 
-        Raise ValueError if it is missing without a default, not a finite number, or out of range.
+        If it is missing, return the default without a range check. Raise ValueError if it is missing and has no
+        default, is not a finite number, or is out of range.
         """
         if path not in self.values and default is not None:
             return default
@@ -40,19 +41,19 @@
         return _check_range(path, value, minimum, above)
 
     def flag(self, path: str, default: bool = False) -> bool:
-        """Return a boolean; raise ValueError for anything but `true` and `false`."""
+        """Return a boolean; raise ValueError for values other than `true` and `false`."""
         value = self.values.get(path, str(default).lower())
         if value not in ("true", "false"):
             raise ValueError(f"{path}: neither true nor false")
         return value == "true"
 
     def items(self, path: str) -> list[str]:
-        """Return a comma-separated value as strings; an empty list where it is missing or empty."""
+        """Return a comma-separated value as strings; an empty list if it is missing or empty."""
         value = self.values.get(path, "")
         return value.split(",") if value else []
 
     def numbers(self, path: str, minimum: float = 0.0, above: float = -math.inf) -> list[float]:
-        """Return a comma-separated value as numbers; raise ValueError for one not a finite number or out of range."""
+        """Return a comma-separated value as numbers; raise ValueError if any is not finite or out of range."""
         try:
             values = [float(v) for v in self.items(path)]
         except ValueError:
@@ -60,7 +61,7 @@
         return [_check_range(path, value, minimum, above) for value in values]
 
     def number_set(self, path: str) -> frozenset[int] | None:
-        """Return a comma-separated value as a set of numbers, each cut to an integer; None where it is missing."""
+        """Return a comma-separated value as a set of numbers truncated to integers; None if it is missing."""
         return frozenset(int(v) for v in self.numbers(path)) if path in self.values else None
 
 
@@ -68,12 +69,12 @@
     if not math.isfinite(value):
         raise ValueError(f"{path}: not a finite number")
     if value < minimum or value <= above:
-        raise ValueError(f"{path}: {value:g} is too little")
+        raise ValueError(f"{path}: {value:g} is too small")
     return value
 
 
 def parse_settings(text: str) -> Settings:
-    """Read settings written as path=value lines; keys that are not known here are skipped."""
+    """Parse settings written as path=value lines; unknown keys are ignored."""
     values: dict[str, str] = {}
     for line in text.splitlines():
         if line.strip():
@@ -85,8 +86,10 @@
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested settings as the same path=value pairs: plain lists joined by commas, others by index, null as if it
-    were missing."""
+    """Return nested settings as path=value pairs.
+
+    Lists of plain values are joined by commas, other lists are flattened by index, and null counts as missing.
+    """
     if isinstance(value, dict):
         flattened: dict[str, str] = {}
         for key, inner in value.items():
@@ -107,7 +110,7 @@
 
 
 def read_settings(values: dict[str, str]) -> Settings:
-    """Read the settings of one instance from flattened pairs; raise ValueError with the path of a bad value."""
+    """Return Settings from flattened pairs; raise ValueError with the path of an invalid value."""
     flat = FlatSettings(values)
     return Settings(
         classes=_read_classes(flat),
--- a/frostspindle/policy/shedding.py
+++ b/frostspindle/policy/shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: rejects waiting requests that are too many, hopeless, or make others of their key late."""
+"""Load shedding: ends waiting requests that exceed the limit, cannot be in time, or delay others of their key."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LoadShedder:
-    """Decides which waiting requests are ended unserved."""
+    """Decides which waiting requests to end without a response."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
         self._completion = completion
 
     def shed_excess(self, now: float) -> None:
-        """While more requests are open than may be, end the waiting one of the lowest value for its work.
+        """End waiting requests with the lowest value for their work while too many requests are open.
 
-        Those whose clients are away go first, the longest deferred before the others.
+        Requests of disconnected clients are ended first, in the order in which they were deferred.
         """
         state = self._state
         while state.deferred_requests and len(state.requests) > state.max_open_requests:
@@ -43,17 +43,17 @@
                 self._completion.end_unserved(request, now)
 
     def shed_expired(self, now: float) -> None:
-        """End the waiting requests that can no longer be answered in time."""
+        """End the waiting requests that can no longer be served in time."""
         for request in self._waiting.pop_expired(now):
             self._completion.end_unserved(request, now)
 
     def trim_key_queues(self, now: float) -> None:
-        """End requests of key lines that are too long for those behind them to be answered in time."""
+        """End requests in key queues that are too long for the requests behind them to be served in time."""
         for queue in [queue for queue in self._key_order.queues.values() if len(queue) > 1]:
             self._trim_key_queue(queue, now)
 
     def _trim_key_queue(self, queue: deque[RequestState], now: float) -> None:
-        """End what has the least value for its work while a request that has others behind it would be late."""
+        """End the requests with the least value for their work while one with others behind it would be late."""
         unfinished = [request for request in queue if not request.finished]
         sheddable = list[RequestState]()
         end_ms = now
--- a/frostspindle/policy/statistics.py
+++ b/frostspindle/policy/statistics.py
@@ -1,7 +1,6 @@
 """Statistics of recent values: sorted and sliding windows, token buckets, running estimates.
 
-It has no clock, does not know what the values mean, and chooses no quantile and no
-learning rate.
+The classes have no clock and no tuning constants; callers supply times, quantiles and learning rates.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 
 
 class SortedWindow:
-    """The last `size` values, also kept sorted: an addition costs two binary searches, a quantile one index."""
+    """The last `size` values, also in sorted order: adding costs two binary searches, a quantile one index."""
 
     def __init__(self, size: int) -> None:
         self.size = size
@@ -21,7 +20,7 @@
         self.ranked = list[float]()
 
     def add(self, value: float) -> None:
-        """Add a value; the oldest is dropped once there are `size`."""
+        """Add a value; if the window is full, drop the oldest."""
         if len(self.recent) == self.size:
             del self.ranked[bisect_left(self.ranked, self.recent.popleft())]
         self.recent.append(value)
@@ -32,7 +31,7 @@
 
 
 class SlidingWindowSum:
-    """Weights with their times; the sum is computed anew after each change, so that no rounding error accumulates."""
+    """Sum of weights in a sliding window, recomputed after each change so that rounding errors do not accumulate."""
 
     def __init__(self) -> None:
         self.entries = deque[tuple[float, float]]()
@@ -40,12 +39,12 @@
         self.stale = False
 
     def add(self, time_ms: float, weight: float) -> None:
-        """Add a weight at a time (ms), which must not be before that of the last one."""
+        """Add a weight at a time that must not precede the previous one."""
         self.entries.append((time_ms, weight))
         self.stale = True
 
     def total(self, since_ms: float) -> float:
-        """Drop entries from before `since` (ms) and return the sum of the other weights."""
+        """Drop entries before `since_ms` and return the sum of the remaining weights."""
         while self.entries and self.entries[0][0] < since_ms:
             self.entries.popleft()
             self.stale = True
@@ -56,28 +55,25 @@
 
 
 class SlidingWindowCounter(deque[float]):
-    """Times (ms) in ascending order, pruned at each use, so that their number is bounded by the window."""
+    """Times (ms) in ascending order, pruned at each use so that the window bounds their number."""
 
     def after(self, time_ms: float) -> SlidingWindowCounter:
-        """Drop times at or before `at` (ms) and return itself."""
+        """Drop times at or before `time_ms` and return self."""
         while self and self[0] <= time_ms:
             self.popleft()
         return self
 
 
 class TokenBuckets(list[float]):
-    """Token buckets, one for each of several rates per second, of which each fills at a `parts`-th.
-
-    The least capacity of a bucket is chosen by the caller of `take`.
-    """
+    """Token buckets, one for each of several rates per second; each fills at 1/`shares` of its rate."""
 
     refilled_at_ms = 0.0
 
     def take(self, index: int, now: float, rates: Sequence[float], shares: int, min_capacity: float) -> bool:
-        """Refill all buckets for the time since the last call (`now` in ms), then take a token of bucket `which`.
+        """Refill all buckets up to `now` (ms), then take a token from bucket `index`; return whether it had one.
 
-        Return whether it had one; always True for an index without a bucket. A bucket holds at most a second's tokens,
-        but `least` where that is more.
+        Return True for an index without a bucket. A bucket holds the tokens of one second, or `min_capacity` if that is
+        more.
         """
         if index >= len(self):
             return True
@@ -91,10 +87,10 @@
 
 
 class LogRatioEstimator:
-    """Robust running mean of the logarithm of a ratio, and its spread.
+    """Robust running mean of the logarithm of a ratio, and its mean absolute deviation.
 
-    The mean starts at 0 and is drawn towards it while samples are few; a sample moves it by at most a part of
-    `longest_step`.
+    The mean starts at 0, weighted like two samples. The distance by which one sample pulls the mean is clamped to
+    `max_step`.
     """
 
     def __init__(self, spread_rate: float, max_step: float, max_samples: int) -> None:
@@ -106,7 +102,7 @@
         self.count = 0
 
     def add(self, ratio: float) -> None:
-        """Learn from one ratio, clamped to 0.001 to 1000."""
+        """Add one ratio, clamped to the range 0.001 to 1000."""
         log_ratio = math.log(max(1e-3, min(1e3, ratio)))
         self.count += 1
         self.spread += self.spread_rate * (abs(log_ratio - self.mean) - self.spread)
