--- a/frostspindle/policy/admission.py
+++ b/frostspindle/policy/admission.py
@@ -183,7 +183,7 @@
         if now - engine.limit_cut_at_ms < MIN_CUT_INTERVAL_MS:
             return
         engine.limit_cut_at_ms = now
-        # If all engines are equally slow, the cause is shared and fewer threads do not help: keep most of the limit.
+        # If all engines are equally slow, fewer threads do not help, as the cause is shared: keep most of the limit.
         is_shared_slowdown = engine.slowdown < SHARED_SLOWDOWN_RATIO * self._state.median_slowdown
         floor_ratio = MIN_START_RATIO if is_shared_slowdown else 0.0
         floor = max(min(1.0, engine.thread_share), floor_ratio * engine.thread_share)
--- a/frostspindle/policy/policy_state.py
+++ b/frostspindle/policy/policy_state.py
@@ -51,7 +51,9 @@
     # Totals of running attempts.
     threads: int = 0
     running_loads: GroupedCounter = field(default_factory=GroupedCounter)  # by table group and engine
-    blocked_requests: GroupedCounter = field(default_factory=GroupedCounter)  # requests that loads block, likewise
+    blocked_requests: GroupedCounter = field(
+        default_factory=GroupedCounter
+    )  # requests that loads block, by the same keys
 
     # Times of this process.
     started_at_ms: float = math.inf  # time of the first event
--- a/frostspindle/policy/slow_start.py
+++ b/frostspindle/policy/slow_start.py
@@ -64,9 +64,8 @@
         """Return the work in ms that all coordinators together may send to an engine in one window."""
         settings = self._state.settings
         age_ms = max(0.0, now - engine.entry.since_ms)
-        warm_ratio = (
-            age_ms / settings.slow_start_duration_ms
-        ) ** 2  # assumed quadratic: engines do not report their warm-up
+        # Assumed to grow with the square of the age, because engines do not report their warm-up.
+        warm_ratio = (age_ms / settings.slow_start_duration_ms) ** 2
         capacity = settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * warm_ratio
         cores = capacity * CAPACITY_SAFETY * engine.cores
         safety = SLOW_START_SAFETY[self._state.fractional_share]
