--- a/frostspindle/policy/admission.py
+++ b/frostspindle/policy/admission.py
@@ -32,7 +32,7 @@
 MAX_LIMIT_FACTOR = 3.0  # the limit over all engines starts at this multiple of the sum of shares
 # Below this reported memory use the limit over all engines grows, up to MAX_LIMIT_FACTOR times at 0.
 WIDENED_BELOW_MEMORY_RATIO = 0.5
-SMALL_BAND = 2  # requests of this band or higher may exceed that limit up to twice
+SMALL_BAND = 2  # requests of this band or higher may use up to twice that limit
 
 MAX_MEMORY_FILL_RATIO = 0.95  # fraction of an engine's memory that grants may fill
 MEMORY_PER_THREAD_LIMIT = 0.6  # fraction of memory per thread and core of the limit if load reports omit memory
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -137,7 +137,7 @@
     assert again and again[0][0] != first and 1250 <= again[0][1] <= 1600
 
 
-@pytest.mark.parametrize("activity", [None, "note", "answer"])
+@pytest.mark.parametrize("activity", [None, "progress", "response"])
 def test_attempt_on_a_quiet_engine_is_relocated_after_one_interval(activity):
     """With two of five engines hung, long queries there were relocated seconds late, after a multiple of their cost."""
     k = ControllerHarness(settings(READ, HEAVY, progress_interval_ms=500.0), engines=1)
@@ -145,9 +145,9 @@
     k.request(1, 1, cost=8000)  # 4 s without contention
     k.request(2, 0, cost=100)
     k.wait(500)
-    if activity == "note":
+    if activity == "progress":
         k.feed(policy.ProgressReported(1, 0, 1, policy.ProgressKind.PROGRESS, 0.1))
-    if activity == "answer":  # the engine is active, so its attempts have the time of their own estimates
+    if activity == "response":  # the engine is active, so its attempts have the time of their own estimates
         k.end(2)
     k.wait(360)
     assert k.attempts[1][0]["verdict"] is None
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -115,7 +115,7 @@
     assert set(k.answers) == {1, 2}
 
 
-VERDICTS = strategies.sampled_from(list(AttemptOutcome))
+OUTCOMES = strategies.sampled_from(list(AttemptOutcome))
 STEP = strategies.one_of(
     strategies.tuples(
         strategies.just("request"),
@@ -124,17 +124,17 @@
         strategies.integers(0, 2),
         strategies.floats(0, 9000),
     ),
-    strategies.tuples(strategies.just("end"), strategies.integers(0, 50), VERDICTS),
+    strategies.tuples(strategies.just("end"), strategies.integers(0, 50), OUTCOMES),
     strategies.tuples(strategies.just("end"), strategies.integers(0, 50), strategies.just(AttemptOutcome.OK)),
     strategies.tuples(
-        strategies.just("note"), strategies.integers(0, 50), strategies.integers(1, 3), strategies.floats(-1, 2)
+        strategies.just("progress"), strategies.integers(0, 50), strategies.integers(1, 3), strategies.floats(-1, 2)
     ),
     strategies.tuples(strategies.just("wait"), strategies.integers(1, 900)),
     strategies.tuples(
         strategies.just("list"), strategies.integers(1, 4), strategies.integers(0, 2), strategies.booleans()
     ),
-    strategies.tuples(strategies.just("left"), strategies.integers(0, 50)),
-    strategies.tuples(strategies.just("away or back"), strategies.integers(0, 50)),
+    strategies.tuples(strategies.just("disconnect"), strategies.integers(0, 50)),
+    strategies.tuples(strategies.just("suspend or resume"), strategies.integers(0, 50)),
 )
 
 
@@ -161,14 +161,14 @@
         elif step[0] == "list":
             since = k.now if step[3] else k.entries[step[1]].since_ms
             k.list(k.entries[step[1]]._replace(health=step[2], since_ms=since))
-        elif step[0] == "away or back" and k.requests:
+        elif step[0] == "suspend or resume" and k.requests:
             request = list(k.requests)[step[1] % len(k.requests)]
             k.resume(request) if request in k.suspended else k.suspend(request)
         elif k.open:
             request, attempt = list(k.open)[step[1] % len(k.open)]
             if step[0] == "end":
                 k.end(request, step[2])
-            elif step[0] == "note":
+            elif step[0] == "progress":
                 k.feed(policy.ProgressReported(request, attempt, k.open[(request, attempt)], step[2], step[3]))
             elif request not in k.answers:
                 k.answer(request, "ClientDisconnected")
--- a/tests/test_module_indexes.py
+++ b/tests/test_module_indexes.py
@@ -161,7 +161,7 @@
         strategies.just("end"), strategies.integers(0, 50), strategies.sampled_from(list(AttemptOutcome))
     ),
     strategies.tuples(
-        strategies.just("note"), strategies.integers(0, 50), strategies.integers(1, 3), strategies.floats(0, 2)
+        strategies.just("progress"), strategies.integers(0, 50), strategies.integers(1, 3), strategies.floats(0, 2)
     ),
     strategies.tuples(strategies.just("wait"), strategies.integers(1, 900)),
     strategies.tuples(
--- a/tests/test_sofia_module.py
+++ b/tests/test_sofia_module.py
@@ -59,7 +59,7 @@
 
 
 def test_ordered_load_may_use_all_engines_during_slow_start():
-    """With three of five engines in slow start, a coordinator's own engine took no load for 10 s: loads were rejected."""
+    """With three of five engines in slow start, a coordinator's own engine took no load for 10 s: it rejected them."""
     for number in range(3):
         k = ControllerHarness(settings(READ, HEAVY, ORDERED, coordinators=3, number=number), engines=0, now=100000.0)
         k.list(entry(1), entry(2), *(entry(i, since=99000.0) for i in (3, 4, 5)), how=EndpointListKind.FULL)
