--- a/frostspindle/policy/controller.py
+++ b/frostspindle/policy/controller.py
@@ -310,7 +310,9 @@
         if is_examined or any_cooldown_over:
             self.dispatcher.release(now)
         if event.token == REGULAR_TIMER:
-            next_at_ms = min(now + EXAMINE_MS, self.completion.deadlines.first, self.key_order.cooldowns.first)
+            next_at_ms = min(
+                now + EXAMINE_MS, self.completion.deadlines.earliest_ms, self.key_order.cooldowns.earliest_ms
+            )
             self.state.actions.append(actions.SetTimer(REGULAR_TIMER, max(now + MIN_TICK_MS, next_at_ms)))
 
     def _examine(self, now: float) -> None:
--- a/frostspindle/policy/deadlines.py
+++ b/frostspindle/policy/deadlines.py
@@ -43,7 +43,7 @@
         return due_keys
 
     @property
-    def first(self) -> float:
+    def earliest_ms(self) -> float:
         """Earliest scheduled time, or infinity if there is none. Its key may no longer exist."""
         return self.heap[0][0] if self.heap else math.inf
 
@@ -72,7 +72,7 @@
         return due_keys
 
     @property
-    def first(self) -> float:
+    def earliest_ms(self) -> float:
         """Earliest end of a cooldown, or infinity if there is none."""
         while self.heap and self.get(self.heap[0][1]) != self.heap[0][0]:
             heapq.heappop(self.heap)
--- a/frostspindle/policy/policy_state.py
+++ b/frostspindle/policy/policy_state.py
@@ -13,7 +13,7 @@
 from frostspindle.policy.request_state import RequestState
 from frostspindle.policy.settings import Settings
 
-DEADLINE_MARGIN_MS = 40.0  # a request is ended at least this long before its client gives up
+DEADLINE_MARGIN_MS = 40.0  # a request is ended at least this long before its client times out
 
 
 @dataclass(slots=True)
@@ -34,9 +34,8 @@
     actions: list[Action] = field(default_factory=list)
     engines: dict[int, EngineState] = field(default_factory=dict)
     requests: dict[int, RequestState] = field(default_factory=dict)
-    deferred_requests: dict[int, RequestState] = field(
-        default_factory=dict
-    )  # suspended requests that wait once resumed
+    # Suspended requests that enter the waiting queue once resumed.
+    deferred_requests: dict[int, RequestState] = field(default_factory=dict)
     waiting_queue: WaitingQueue = field(default_factory=WaitingQueue)
     max_open_requests: float = math.inf
 
@@ -51,9 +50,7 @@
     # Totals of running attempts.
     threads: int = 0
     running_loads: GroupedCounter = field(default_factory=GroupedCounter)  # by table group and engine
-    blocked_requests: GroupedCounter = field(
-        default_factory=GroupedCounter
-    )  # requests that loads block, by the same keys
+    blocked_requests: GroupedCounter = field(default_factory=GroupedCounter)  # requests that loads block; same keys
 
     # Times of this process.
     started_at_ms: float = math.inf  # time of the first event
--- a/tests/test_module_indexes.py
+++ b/tests/test_module_indexes.py
@@ -90,7 +90,7 @@
         assert [row[:3] for row in self.queue[:2]] == sorted(self.rows)[:2]
         assert self.queue.total == pytest.approx(sum(cost for _, cost in self.rows.values()))
         assert len(self.expiry) == len(self.items) and self.cooldowns == self.until
-        assert self.cooldowns.first == min(self.until.values(), default=math.inf)
+        assert self.cooldowns.earliest_ms == min(self.until.values(), default=math.inf)
 
 
 def test_queue_and_deadline_indexes_match_a_model():
