--- a/bench/scatter.py
+++ b/bench/scatter.py
@@ -87,7 +87,7 @@
         summary, LoadIntent(200, {"n": cells, "n\0": in_steps(cells, 5), "s": [(2, f"agent-{n}") for n in range(50)]})
     )
     plan = planner.plan(17, known)
-    core = SimpleNamespace(classes=[("http", "lookup")], open=0, most_open=99)
+    core = SimpleNamespace(classes=[("http", "lookup")], open=0, max_open_requests=99)
     scatter = ScatterService(catalogue, core, Telemetry(), None, 1)  # type: ignore[arg-type]
     other = ClientRequest(
         "http", 0, "0" * 16, "SELECT 1 FROM calls_18.notes", 0.0, 1_000.0, lambda answer: None, group=18
--- a/frostspindle/components/registry.py
+++ b/frostspindle/components/registry.py
@@ -135,7 +135,7 @@
 # In the order of creation: a part finds those above it among the program's attributes.
 REGISTRATIONS = (
     Registration("tds", lambda config: config.operator.tds is not None, _tds),
-    Registration("tenants", lambda config: config.tenants.on, _tenants),
+    Registration("tenants", lambda config: config.tenants.has_tenants, _tenants),
     Registration("fleet", lambda config: config.operator.fleet is not None, _fleet),
     Registration("metrics", _has_metrics, _metrics),
     Registration("slow_start", _has_slow_start, _slow_start),
--- a/frostspindle/components/tds.py
+++ b/frostspindle/components/tds.py
@@ -31,7 +31,7 @@
             program.telemetry,
             table_group,
         )
-        if config.tenants.on:
+        if config.tenants.has_tenants:
             self.front.tenant = lambda login, at, statement: config.tenants.number(
                 RequestAttributes("tds", at, {}, login.user, login.application, login.database, schema(statement))
             )
--- a/frostspindle/config/tenants.py
+++ b/frostspindle/config/tenants.py
@@ -69,7 +69,7 @@
 
     The module's tenant 0 is the default, without a bound; the operator's word on a quota goes before the settings'.
     """
-    if not tenants.on:
+    if not tenants.has_tenants:
         return settings
     quotas = dict(zip(tenants.names, settings.tenant_quotas_per_s, strict=False))
     quotas.update({tenant.name: tenant.share_per_s for tenant in operator_tenants if tenant.share_per_s})
--- a/frostspindle/core/core.py
+++ b/frostspindle/core/core.py
@@ -57,13 +57,13 @@
         classes: Sequence[tuple[str, str]],
         seed: int,
         telemetry: Telemetry,
-        most_open: int = 512,
+        max_open_requests: int = 512,
     ) -> None:
         super().__init__()
         self.settings = settings  # as at the start
         self.classes = classes  # front and name of each class
         self.telemetry = telemetry
-        self.most_open = most_open  # open requests beyond which `submit` takes none
+        self.max_open_requests = max_open_requests  # `submit` rejects requests beyond this
         self.controller = Controller(settings, seed)
         self.dispatcher = EventDispatcher(telemetry)
         self.endpoints = EndpointRegistry(self, telemetry, self.dispatcher.timers)
@@ -92,7 +92,7 @@
             taken = self.interceptor.try_take(request)
             if taken is not None:
                 return taken
-        if self.ledger.open_count >= self.most_open:
+        if self.ledger.open_count >= self.max_open_requests:
             self.telemetry.count("full", request.front, self.classes[request.cls][1])
             if self.observer is not None:
                 self.observer.on_response(request, ResponseStatus.REJECTED, "")
--- a/frostspindle/core/drivers.py
+++ b/frostspindle/core/drivers.py
@@ -18,7 +18,7 @@
     address: tuple[str, int]
     driver: Driver
     listed_entry: policy.EngineEntry | None = None  # in the core's own table: as the endpoint list has it
-    born_unix_ms: float = 0.0  # its process's start as the endpoint list tells it, the same at all coordinators
+    started_unix_ms: float = 0.0  # its process's start as the endpoint list tells it, the same at all coordinators
     version: int = 0  # of the watch event that told of it, where all workers number these events alike
 
 
--- a/frostspindle/core/endpoints.py
+++ b/frostspindle/core/endpoints.py
@@ -194,7 +194,7 @@
             address=engine.address,
             driver=engine.driver,
             listed_entry=listed,
-            born_unix_ms=engine.born_unix_ms,
+            started_unix_ms=engine.started_unix_ms,
             version=engine.version,
         )
 
--- a/frostspindle/core/requests.py
+++ b/frostspindle/core/requests.py
@@ -26,7 +26,7 @@
     result: Any = None  # of the type that the engine's driver and the front agree on
     retry_after_ms: float = 0.0
     reason: str = ""  # for the client: why a retry is of no use
-    mark: str = ""  # of a result: what is missing in it
+    missing_parts: str = ""  # of a result: what is missing in it
 
 
 class MeasuredCost(NamedTuple):
@@ -61,7 +61,7 @@
     cost_ms: float = 0.0
     memory_mb: float = 0.0
     group: int = -1  # number of the group of tables; -1: none
-    place: str = ""  # database name, for drivers that need it
+    database: str = ""  # database name, for drivers that need it
     tenant: int = 0  # number of the tenant in the decision module; 0: the default tenant
     key: int = 0  # ordering key: requests with the same key keep their order; 0: none
     site: str = ""  # where its rows go, if its client says so
--- a/frostspindle/descriptor_sharing.py
+++ b/frostspindle/descriptor_sharing.py
@@ -30,7 +30,7 @@
         self.sockets = sockets
         self._front.sockets = sockets
         self._driver.sockets = sockets
-        self._core.most_open = sockets // 2
+        self._core.max_open_requests = sockets // 2
         self.limit_connections(is_sharing)
 
     def limit_connections(self, is_sharing: bool) -> None:
--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -171,7 +171,7 @@
     """Return when the engine's process started, Unix ms, as the engine list has it: the same at all coordinators,
     whatever they have believed since.
     """
-    return state.born_unix_ms
+    return state.started_unix_ms
 
 
 def attach(program: ProgramContext) -> SlowStartCoordinator:
--- a/frostspindle/ledger/tenants.py
+++ b/frostspindle/ledger/tenants.py
@@ -30,7 +30,7 @@
         self._index = RuleIndex(rules) if rules else None
 
     @property
-    def on(self) -> bool:
+    def has_tenants(self) -> bool:
         """Whether there is any tenant beside the default."""
         return bool(self.names)
 
--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -279,7 +279,7 @@
                 known = self.core.engines.get(number)
                 at = known.address if known else at
             entry = self._entry(number, host, has_address=bool(at[1]))
-            yield EngineState(entry, host.host, at, self.driver, born_unix_ms=host.born_ms)
+            yield EngineState(entry, host.host, at, self.driver, started_unix_ms=host.born_ms)
 
     def _entry(self, number: int, host: Host, has_address: bool) -> EngineEntry:
         return EngineEntry(
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -298,7 +298,7 @@
 
     async def _connect(self, attempt: Attempt) -> _Connection | None:
         """An idle session of the engine for this database, or a new one; None: none could be had."""
-        key = (attempt.engine, attempt.request.place)
+        key = (attempt.engine, attempt.request.database)
         while line := self._idle.get(key):
             connection = line.pop()
             if not line:
@@ -309,7 +309,9 @@
         state = self.states[attempt.engine]
         try:
             async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
-                return await _Connection.open(state.address, self.tds, attempt.request.place, self.tds.max_result_bytes)
+                return await _Connection.open(
+                    state.address, self.tds, attempt.request.database, self.tds.max_result_bytes
+                )
         except (SessionUnavailableError, TimeoutError) as error:
             self.telemetry.log("connect_failed", engine=state.name, error=str(error))
             if isinstance(error, SessionUnavailableError) and error.numbers & SHUTTING_DOWN:
@@ -334,7 +336,7 @@
         return AttemptOutcome.OK, result.tokens
 
     def _put_back(self, attempt: Attempt, connection: _Connection) -> None:
-        line = self._idle.setdefault((attempt.engine, attempt.request.place), deque())
+        line = self._idle.setdefault((attempt.engine, attempt.request.database), deque())
         connection.park()
         line.append(connection)
         before = clock() - IDLE_S * 1000.0
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -192,7 +192,7 @@
             profile.cost_ms,
             profile.memory_mb,
             front.group(statement),
-            place=self.database,
+            database=self.database,
             is_client_connected=self.waits_for_answer,
         )
         if front.tenant is not None and self.login is not None:
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -30,7 +30,7 @@
         self.cell_folder = SharedCellFolder(
             folder, lambda: time.monotonic() * 1000.0, UNPOLLED_QUERY_EXPIRY_MS + core.settings.key_order_pause_ms
         )
-        own_file = self.cell_folder.own
+        own_file = self.cell_folder.own_file
         self.queue = KeyQueue(own_file.owner, own_file, self.cell_folder.positions)
         self._poll_timer: asyncio.TimerHandle | None = None
         # Requests that are answered while their key rests, and the end of that pause.
--- a/frostspindle/order/shared_cells.py
+++ b/frostspindle/order/shared_cells.py
@@ -129,7 +129,7 @@
         self.folder: Path = folder
         self.clock: Callable[[], float] = clock
         self.retention_ms: float = retention_ms
-        self.own = OwnCellFile(folder)
+        self.own_file = OwnCellFile(folder)
         self.unreadable_files: int = 0  # counted once each
         self._peers: dict[str, _PeerCellFile] = {}
         self._unreadable_names: set[str] = set()
@@ -152,7 +152,7 @@
         for peer in self._peers.values():
             peer.close()
         self._peers.clear()
-        self.own.close(clean)
+        self.own_file.close(clean)
 
     def _refresh(self) -> None:
         """Map new files and forget removed ones.
@@ -163,7 +163,7 @@
             names = {name for name in os.listdir(self.folder) if name.startswith(FILE_PREFIX)}
         except OSError:
             return  # even if somebody removed the folder, the files known here are still mapped
-        names.discard(self.own.path.name)
+        names.discard(self.own_file.path.name)
         self._open_new(names)
         for name in self._peers.keys() - names:
             self._forget(name)
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -289,7 +289,7 @@
         classes,
         SlowStartCurve(settings.slow_start_capacity, settings.slow_start_duration_ms),
         share=1.0 / settings.coordinators,
-        max_waiting=max(MIN_WAITING, program.core.most_open),
+        max_waiting=max(MIN_WAITING, program.core.max_open_requests),
         seed=secrets.randbits(60),
         max_retry_ms=settings.max_retry_after_ms if settings.retry_after else 0.0,
     )
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -196,7 +196,7 @@
         if request.group not in self.catalogue.groups or request.front == SUBREQUEST_FRONT:
             return None
         name = self.core.classes[request.cls][1]
-        if self.core.open >= self.core.most_open:
+        if self.core.open >= self.core.max_open_requests:
             self.telemetry.count("full", request.front, name)
             return False
         self.telemetry.count("taken", request.front, name)
@@ -289,7 +289,7 @@
                 rank,
                 request.memory_mb,
                 request.group,
-                request.place,
+                request.database,
                 request.tenant,
             )
         for site, part in query.parts.items():
@@ -336,7 +336,7 @@
         size = sum(len(text) + 1 for row in whole.rows for text in row) + len(whole.rows)
         if whole.missing:
             self.telemetry.count("scatter_partial")
-        return Response(ResponseStatus.SERVED, (whole.rows, size), mark=",".join(whole.missing))
+        return Response(ResponseStatus.SERVED, (whole.rows, size), missing_parts=",".join(whole.missing))
 
     # Loads.
 
@@ -412,7 +412,7 @@
                 request.cost_ms,
                 request.memory_mb,
                 request.group,
-                request.place,
+                request.database,
                 request.tenant,
                 request.key,
             )
--- a/frostspindle/settings/applied_rules.py
+++ b/frostspindle/settings/applied_rules.py
@@ -186,7 +186,7 @@
         limit = rules.get("limit/open_requests")
         self.program.agreed_open_limit = None if limit is None else int(limit.value)
         self.program.update_open_limit()
-        self.core.most_open = 0 if self.rejects_all else self.program.sockets // 2
+        self.core.max_open_requests = 0 if self.rejects_all else self.program.sockets // 2
 
     def _apply_tds(self, rules: Rules, changed_keys: set[str] | None) -> None:
         """Lay the rules' limits, logins and engines of TDS over the section of the own files."""
--- a/tests/test_cold_rights.py
+++ b/tests/test_cold_rights.py
@@ -370,7 +370,7 @@
             sent.append(action.request)
             todo += module.handle(now, policy.AttemptEnded(action.request, 0, 1, 0, 50.0, False, 0.0, 0.0, ()))
     assert 0.9 * whole < len(sent) * 130.0 <= whole
-    state = SimpleNamespace(name="x", born_unix_ms=module.engines[1].entry.since_ms)
+    state = SimpleNamespace(name="x", started_unix_ms=module.engines[1].entry.since_ms)
     attempts = [
         SimpleNamespace(engine=1, is_finished=False, request=SimpleNamespace(number=n), sent_ms=now) for n in sent
     ]
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -351,9 +351,9 @@
 
     async def test_each_refusal_of_the_fronts_own_says_how_long_to_stay_away(self):
         await self.start()
-        self.program.core.most_open = 0
+        self.program.core.max_open_requests = 0
         refused = [await self.newcomer(1, 503)]
-        self.program.core.most_open = 100
+        self.program.core.max_open_requests = 100
         self.front._drained_at = asyncio.get_running_loop().time() - connection_limits.DRAIN_LAST_REQUEST_S - 1.0
         refused.append(await self.newcomer(2, 503))
         reader, writer = await self.open()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -63,9 +63,9 @@
         await self.ask(number=1)
         engine.script = lambda request, body: page("", 999) if request.method in ("POST", "GET") else None
         self.assertEqual((await self.ask(LOAD, number=2))[0], 502)
-        self.program.core.most_open = 0
+        self.program.core.max_open_requests = 0
         self.assertEqual((await self.ask(LOAD, number=3))[0], 503)
-        self.program.core.most_open = 9
+        self.program.core.max_open_requests = 9
         engine.script = at_work(go)
         waiting = asyncio.create_task(self.ask(number=4))
         await engine.seen("POST", 3)
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -265,7 +265,7 @@
 from frostspindle.order.shared_cells import SharedCellFolder
 from frostspindle.order.key_queue import KeyQueue
 sheets = SharedCellFolder(Path(sys.argv[1]), lambda: 0.0, 1e9)
-queue = KeyQueue(sheets.own.owner, sheets.own, sheets.positions)
+queue = KeyQueue(sheets.own_file.owner, sheets.own_file, sheets.positions)
 for line in sys.stdin:
     what, request, key = line.split()
     print(queue.enter(int(request), int(key), int(time.time() * 1e6)) if what == "enter" else queue.leave(int(request)),
@@ -301,7 +301,7 @@
 def two(tmp_path):
     clock = [0.0]
     mine, holder = SharedCellFolder(tmp_path, lambda: clock[0], 2100.0), Holder(str(tmp_path))
-    queue = KeyQueue(mine.own.owner, mine.own, mine.positions)
+    queue = KeyQueue(mine.own_file.owner, mine.own_file, mine.positions)
     yield queue, holder, clock, tmp_path
     holder.process.send_signal(signal.SIGCONT)
     if holder.process.poll() is None:
@@ -343,7 +343,7 @@
     holder.end()
     clock = [0.0]
     mine = SharedCellFolder(tmp_path, lambda: clock[0], 2100.0)
-    queue = KeyQueue(mine.own.owner, mine.own, mine.positions)
+    queue = KeyQueue(mine.own_file.owner, mine.own_file, mine.positions)
     assert queue.enter(1, 77, now()) is False and queue.enter(2, 78, now()) is True
     clock[0] = 2_101.0
     assert queue.pop_ready() == [1]
@@ -357,7 +357,7 @@
     (tmp_path / "turns-3-c").mkdir()
     with unittest.mock.patch.object(shared_cells.OwnCellFile, "cell_count", 3):
         mine = SharedCellFolder(tmp_path, lambda: 0.0, 2100.0)
-        queue = KeyQueue(mine.own.owner, mine.own, mine.positions)
+        queue = KeyQueue(mine.own_file.owner, mine.own_file, mine.positions)
         assert [queue.enter(n, 77, 5) for n in range(4)] == [True, True, True, None]
         queue.leave(1)
         assert queue.enter(4, 77, 5) is True and mine.unreadable_files == 3
@@ -494,7 +494,7 @@
 # Guards against: a process was killed by SIGBUS as it wrote a cell after its disk had become full.
 def test_cell_file_has_room_on_the_disk_for_all_its_cells(tmp_path):
     folder = SharedCellFolder(tmp_path, lambda: 0.0, 2100.0)
-    status = folder.own.path.stat()
+    status = folder.own_file.path.stat()
     assert status.st_size == shared_cells.FILE_BYTES <= status.st_blocks * 512
     folder.close(clean=True)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -284,7 +284,7 @@
 
     async def test_a_full_program_refuses_at_the_door(self):
         await self.start()
-        self.program.core.most_open = 0
+        self.program.core.max_open_requests = 0
         self.assertEqual((await self.ask())[:2], (503, {"failure": "Busy"}))
         self.assertEqual((self.count("full"), self.count("taken")), (1, 0))
 
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -65,7 +65,7 @@
     def __init__(self, config):
         classes = [("http", name) for name in config.classes]
         self.classes = classes + [(SUBREQUEST_FRONT, config.classes[cls]) for cls, _ in config.scatter.classes]
-        self.settings, self.most_open, self.open = config.settings, 9, 0
+        self.settings, self.max_open_requests, self.open = config.settings, 9, 0
         self.asks, self.gone = [], []
 
     def submit(self, ask):
@@ -186,7 +186,7 @@
         parts[2].on_response(Response(ResponseStatus.FAILED))
         self.assertNotIn(2, self.answers)
         parts[3].on_response(Response(ResponseStatus.SERVED, ([["5"]], 2)))
-        self.assertEqual((self.answers[2].result[0], self.answers[2].mark), ([["5"]], "floor-1"))
+        self.assertEqual((self.answers[2].result[0], self.answers[2].missing_parts), ([["5"]], "floor-1"))
         ask = self.ask("SELECT note FROM calls_17.notes", number=3)
         self.assertTrue(self.scatter.client_disconnected(ask))
         self.assertEqual(self.core.gone[1:], self.core.asks[4:])
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -289,9 +289,9 @@
         self.applied.reapply(fresh)  # SIGHUP: the file has another engine, but the version holds the list
         self.assertEqual((program.tds.tds.max_sessions, program.tds.tds.engine), (3, []))
         await self.apply(mode=RulesMode.REJECT)
-        self.assertEqual((self.core.most_open, [e.name for e in program.tds.tds.engine]), (0, ["t2"]))
+        self.assertEqual((self.core.max_open_requests, [e.name for e in program.tds.tds.engine]), (0, ["t2"]))
         await self.apply()
-        self.assertGreater(self.core.most_open, 100)
+        self.assertGreater(self.core.max_open_requests, 100)
 
     async def test_each_coordinator_sends_within_its_share_of_limits_after_checking_the_lease(self):
         self.applied.name = "c1"
