--- a/frostspindle/core/arrival_clock.py
+++ b/frostspindle/core/arrival_clock.py
@@ -26,9 +26,9 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.count = 0  # of polls
-        self.now_ms = clock()  # when the last poll returned
-        self.asked_ms = self.now_ms  # when it began
-        self.before_ms = self.now_ms  # when the poll before it returned
+        self.poll_returned_ms = clock()  # when the last poll returned
+        self.asked_ms = self.poll_returned_ms  # when it began
+        self.before_ms = self.poll_returned_ms  # when the poll before it returned
         self._returned_at_s = time.monotonic()
         self._unseen_wait_ms = 0.0  # of the last poll, if it returned too late to tell when in it bytes came
         self._found_any = True  # the last poll did
@@ -45,11 +45,11 @@
         return cls._of[loop]
 
     def _poll(self, timeout: float | None = None) -> Any:
-        self.before_ms = self.now_ms
+        self.before_ms = self.poll_returned_ms
         self.asked_ms = clock()
         asked_at_s = time.monotonic()
         ready = self._select(timeout)
-        self.now_ms = clock()
+        self.poll_returned_ms = clock()
         self.count += 1
         busy_s = asked_at_s - self._returned_at_s
         self._returned_at_s = time.monotonic()
@@ -85,4 +85,4 @@
         if not self.count:
             return clock()
         since_ms = self.before_ms if self.count - watched > 1 else unseen_ms
-        return self.now_ms - self._unseen_wait_ms - max(0.0, self.asked_ms - since_ms)
+        return self.poll_returned_ms - self._unseen_wait_ms - max(0.0, self.asked_ms - since_ms)
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -155,7 +155,7 @@
     def pause_writing(self) -> None:
         """Stop reading while the client does not take its responses, and note since when."""
         self.stuck_at = self.now()
-        self._read_off(self.front.arrival_clock.now_ms)
+        self._read_off(self.front.arrival_clock.poll_returned_ms)
 
     def resume_writing(self) -> None:
         """Read again, unless too many calls are open; a connection that is ending starts its linger time now."""
--- a/frostspindle/net/http/listener.py
+++ b/frostspindle/net/http/listener.py
@@ -138,7 +138,7 @@
         try:
             accepted, _ = self._socket.accept()
         except BlockingIOError:
-            self._queued_since_ms = self.arrival_clock.now_ms
+            self._queued_since_ms = self.arrival_clock.poll_returned_ms
             return False  # the other process was first
         except (InterruptedError, ConnectionAbortedError):
             return False
--- a/tests/test_arrival_clock.py
+++ b/tests/test_arrival_clock.py
@@ -27,20 +27,20 @@
 def test_bytes_that_end_a_wait_count_from_its_end():
     arrivals = clock_with_polls_of(0.05)
     arrivals._poll(1.0)
-    assert clock() - arrivals.earliest_ms(0, arrivals.now_ms) < 20.0
+    assert clock() - arrivals.earliest_ms(0, arrivals.poll_returned_ms) < 20.0
 
 
 # Guards against: engines were told by 0.33 to 0.7 s more than their clients waited, after a poll that returned late.
 def test_bytes_that_are_read_after_a_late_poll_may_have_come_at_its_begin():
     arrivals = clock_with_polls_of(0.2)
     arrivals._poll(0.05)
-    assert clock() - arrivals.earliest_ms(0, arrivals.now_ms) >= 199.0
+    assert clock() - arrivals.earliest_ms(0, arrivals.poll_returned_ms) >= 199.0
     # That poll found nothing, as one does that a stop of the process interrupts: the next finds what lay there.
     arrivals._select = lambda timeout: ["bytes"]
     arrivals._poll(0.05)
-    assert clock() - arrivals.earliest_ms(0, arrivals.now_ms) >= 199.0
+    assert clock() - arrivals.earliest_ms(0, arrivals.poll_returned_ms) >= 199.0
     arrivals._poll(0.05)  # this one is in time again
-    assert clock() - arrivals.earliest_ms(0, arrivals.now_ms) < 20.0
+    assert clock() - arrivals.earliest_ms(0, arrivals.poll_returned_ms) < 20.0
 
 
 # Guards against the same with a real process that is stopped while a request comes.
