--- a/frostspindle/core/actions.py
+++ b/frostspindle/core/actions.py
@@ -62,7 +62,7 @@
         entry = self._ledger.entries[action.request]
         engine = self._engines[action.engine]
         attempt = self._new_attempt(now, action, entry)
-        if entry.ending or entry.has_attempt_in_flight:
+        if entry.final_state or entry.has_attempt_in_flight:
             # Two attempts in flight at once is the costliest violation; the decision module never asks for it.
             raise RuntimeError("a send while an attempt is out or the request is answered")
         entry.attempts.append(attempt)
--- a/frostspindle/core/arrival_clock.py
+++ b/frostspindle/core/arrival_clock.py
@@ -27,8 +27,8 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.count = 0  # of polls
         self.poll_returned_ms = clock()  # when the last poll returned
-        self.asked_ms = self.poll_returned_ms  # when it began
-        self.before_ms = self.poll_returned_ms  # when the poll before it returned
+        self.poll_started_ms = self.poll_returned_ms  # when it began
+        self.previous_poll_returned_ms = self.poll_returned_ms  # when the poll before it returned
         self._returned_at_s = time.monotonic()
         self._unseen_wait_ms = 0.0  # of the last poll, if it returned too late to tell when in it bytes came
         self._found_any = True  # the last poll did
@@ -45,8 +45,8 @@
         return cls._of[loop]
 
     def _poll(self, timeout: float | None = None) -> Any:
-        self.before_ms = self.poll_returned_ms
-        self.asked_ms = clock()
+        self.previous_poll_returned_ms = self.poll_returned_ms
+        self.poll_started_ms = clock()
         asked_at_s = time.monotonic()
         ready = self._select(timeout)
         self.poll_returned_ms = clock()
@@ -84,5 +84,5 @@
         """
         if not self.count:
             return clock()
-        since_ms = self.before_ms if self.count - watched > 1 else unseen_ms
-        return self.poll_returned_ms - self._unseen_wait_ms - max(0.0, self.asked_ms - since_ms)
+        since_ms = self.previous_poll_returned_ms if self.count - watched > 1 else unseen_ms
+        return self.poll_returned_ms - self._unseen_wait_ms - max(0.0, self.poll_started_ms - since_ms)
--- a/frostspindle/core/core.py
+++ b/frostspindle/core/core.py
@@ -1,10 +1,11 @@
-"""The core: the public methods that fronts, drivers and other parts call, and the wiring of its own parts.
+"""The core: the public methods that fronts, drivers and other components call, and the wiring of its modules.
 
-One task (`Core.run`) owns the Controller and the ledger of requests; everything else reaches it by one queue of events.
-The core owns each request from the moment a front submits it until its one final response, each attempt from the
-decision module's StartAttempt until its one end, and the endpoint list as that module was told it. It knows no wire
-protocol. It must never choose an engine, a priority, a memory grant, a wait or a response (frostspindle/policy does),
-never respond to a request twice, and never let the fault of one request end the process.
+A single task (`Core.run`) uses the Controller and the request ledger; all other code sends it events through a queue.
+The core tracks each request from submission to its single final response, each attempt from StartAttempt to its single
+end, and the endpoint list as it was passed to the decision module. It is independent of wire protocols.
+
+Engines, priorities, memory grants, delays and responses are chosen by frostspindle/policy only. The core guarantees at
+most one response per request, and an exception in the processing of one request does not end the process.
 """
 
 from __future__ import annotations
@@ -45,10 +46,10 @@
 
 
 class Core(CoreHooks):
-    """Runs one Controller against fronts and drivers, which it knows by their interfaces only.
+    """Connects one Controller to fronts and drivers through their interfaces.
 
-    All methods belong to the thread of the event loop. They may be called from any of its tasks: what they queue is
-    processed by the task of `run`.
+    Not thread-safe: call all methods in the event loop's thread, from any task. The events that they queue are
+    processed by the task that executes `run`.
     """
 
     def __init__(
@@ -60,8 +61,8 @@
         max_open_requests: int = 512,
     ) -> None:
         super().__init__()
-        self.settings = settings  # as at the start
-        self.classes = classes  # front and name of each class
+        self.settings = settings  # those at startup; `apply_settings` doesn't change them
+        self.classes = classes  # (front, name) of each class
         self.telemetry = telemetry
         self.max_open_requests = max_open_requests  # `submit` rejects requests beyond this
         self.controller = Controller(settings, seed)
@@ -69,29 +70,29 @@
         self.endpoints = EndpointRegistry(self, telemetry, self.dispatcher.timers)
         self.engines: dict[int, EngineState] = self.endpoints.engines
         self.ledger = RequestLedger(self, classes, telemetry, self.engines, self.dispatcher.timers)
-        self.dispatcher.holds_requests = lambda: bool(self.ledger.entries)
+        self.dispatcher.has_open_requests = lambda: bool(self.ledger.entries)
         executor = ActionExecutor(self, classes, telemetry, self.engines, self.ledger, self.dispatcher)
         self.event_handlers = EventHandlers(
             self, classes, telemetry, self.controller, self.ledger, self.endpoints, self.dispatcher, executor
         )
 
     async def run(self) -> None:
-        """Process events and timers, as the only user of the Controller, until cancelled."""
+        """Process events and timers until cancelled. Only this task uses the Controller."""
         await self.dispatcher.run(self.event_handlers)
 
-    # What fronts call.
+    # Called by fronts.
 
     @property
     def open(self) -> int:
-        """Number of requests taken and not yet answered."""
+        """Number of accepted requests that have no response yet."""
         return self.ledger.open_count + (self.interceptor.open if self.interceptor is not None else 0)
 
     def submit(self, request: ClientRequest) -> bool:
-        """Take a request; False: the core is full, so the front rejects it and the decision module never sees it."""
+        """Queue a request. Return False if too many are open: the front must reject it, without the decision module."""
         if self.interceptor is not None:
-            taken = self.interceptor.try_take(request)
-            if taken is not None:
-                return taken
+            is_accepted = self.interceptor.try_take(request)
+            if is_accepted is not None:
+                return is_accepted
         if self.ledger.open_count >= self.max_open_requests:
             self.telemetry.count("full", request.front, self.classes[request.cls][1])
             if self.observer is not None:
@@ -102,7 +103,7 @@
         return True
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """Drop a request whose client has disconnected; no response follows."""
+        """Drop a request whose client has disconnected. It gets no response."""
         if self.interceptor is not None and self.interceptor.client_disconnected(request):
             return
         if not request.is_finished:
@@ -110,7 +111,7 @@
             self.dispatcher.enqueue(ClientLeft(request))
 
     def suspend_request(self, request: ClientRequest) -> None:
-        """Send nothing more for a request whose client is away and may return; attempts in flight go on."""
+        """Start no further attempts of a request whose client is away and may return; those in flight continue."""
         if request.is_suspended or request.is_finished:
             return
         request.is_suspended = True
@@ -120,7 +121,7 @@
         self.dispatcher.enqueue(ClientAway(request))
 
     def resume_request(self, request: ClientRequest) -> None:
-        """Go on with a suspended request, as its client has returned."""
+        """Resume a suspended request after its client has returned."""
         if not request.is_suspended or request.is_finished:
             return
         request.is_suspended = False
@@ -129,21 +130,22 @@
                 self.resume_request(subrequest)
         self.dispatcher.enqueue(ClientReturned(request))
 
-    # What drivers call.
+    # Called by drivers.
 
     def update_endpoints(self, driver: Driver, engines: Iterable[EngineState], kind: int, version: int) -> None:
-        """Take a driver's engine list, complete or as changes; it is applied before all client work."""
+        """Queue a driver's engine list, complete or incremental, ahead of all client events."""
         self.dispatcher.enqueue_urgent(EndpointsListed(driver, tuple(engines), kind, version))
 
     async def catch_up(self) -> None:
-        """Let the event loop read what came while the process did not run; drivers wait for it before `may_send`."""
+        """Let the event loop read input that arrived while the process was stopped; call it before `may_send`."""
         await ArrivalClock.of(asyncio.get_running_loop()).catch_up()
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may be sent; drivers ask once, right before its first byte.
+        """Return whether an attempt may be sent; drivers call this once, right before they write its first byte.
 
-        Since the decision the engine may have begun to drain, the client may have left, or the time may be up. A client
-        found gone is dropped here, and that is applied before the attempt's end.
+        Since the decision, the engine may have started to drain, the client may have disconnected, or the deadline may
+        have passed. If the client has disconnected, its request is dropped, which is processed before the attempt's
+        end.
         """
         reason = self._withheld_reason(attempt)
         if reason is None:
@@ -158,7 +160,7 @@
         return False
 
     def _withheld_reason(self, attempt: Attempt) -> WithheldReason | None:
-        """Return why an attempt may not be sent now, None if it may."""
+        """Return why an attempt may not be sent, or None if it may."""
         engine = self.engines.get(attempt.engine)
         if attempt.is_finished or attempt.is_abandoned:
             return WithheldReason.ABANDONED
@@ -167,23 +169,24 @@
         if clock() > attempt.begin_by_ms:
             return WithheldReason.WINDOW_OVER
         if not attempt.request.is_client_connected():
-            if attempt.request.is_suspended:  # its front expects it back
+            if attempt.request.is_suspended:  # the client may reconnect
                 return WithheldReason.CLIENT_AWAY
             self.client_disconnected(attempt.request)
             return WithheldReason.CLIENT_LEFT
         if self.may_start is None:
             return None
-        # What `may_start` allows is paid for, and while it asks it may learn of bans and drains.
+        # Call `may_start` last, as an attempt that it allows is charged. It may also receive new bans and drains, so
+        # check the engine again.
         if self.may_start(engine, attempt) and self.endpoints.accepts_attempts(engine):
             return None
         return WithheldReason.WORKER_LIMIT
 
     def count_written(self, attempt: Attempt) -> None:
-        """Count an attempt that has been written completely to its engine."""
+        """Count an attempt whose request has been written to the engine completely."""
         self.telemetry.count("written", attempt.request.front, attempt.class_name)
 
     def report_progress(self, attempt: Attempt, kind: int, value: float) -> None:
-        """Pass on a report about an attempt in flight, such as its progress; dropped once the attempt has ended."""
+        """Forward a report about an attempt in flight, such as its progress; ignored once the attempt has ended."""
         if not attempt.is_finished:
             self.dispatcher.enqueue(
                 policy.ProgressReported(attempt.request.number, attempt.number, attempt.engine, kind, value)
@@ -197,24 +200,24 @@
         result: Any = None,
         needed: MeasuredCost = UNKNOWN_COST,
     ) -> None:
-        """Take the one end of an attempt; any later report of it is dropped."""
+        """Record the end of an attempt; later calls for the same attempt are ignored."""
         if attempt.is_finished:
             return
         attempt.is_finished = True
-        attempt.task = None  # a reference cycle would be left to the garbage collector
+        attempt.task = None  # break the reference cycle, which would have to wait for the garbage collector
         self.dispatcher.enqueue(AttemptCompleted(attempt, outcome, report, result, clock(), needed))
 
     def health_check_completed(
         self, engine: int, outcome: int, elapsed_ms: float, report: tuple[float, ...] = ()
     ) -> None:
-        """Take the outcome of a health check, how long it took in ms, and the load report if one came."""
+        """Record the outcome of a health check, its duration in ms, and the load report if there is one."""
         self.dispatcher.enqueue(policy.HealthCheckCompleted(engine, outcome, elapsed_ms, report))
 
-    # What operators, other workers and the optional parts call.
+    # Called for operators, other workers and the optional components.
 
     @property
     def names(self) -> dict[str, None]:
-        """Names of the engines that were ever listed, oldest first and up to a limit."""
+        """Names of all engines listed so far, oldest first, up to MAX_ENGINE_NAMES."""
         return self.endpoints.names
 
     @property
@@ -224,61 +227,64 @@
 
     @property
     def has_pending_changes(self) -> bool:
-        """Whether changes of the engine list, bans or settings are still to be applied."""
+        """Whether changes of the engine list, bans or settings are queued but not applied."""
         return bool(self.dispatcher.urgent)
 
     def ban(self, names: frozenset[str]) -> None:
-        """Ban exactly these engines, by name: drivers obey at once, the decision module is notified next."""
+        """Replace the set of banned engines. `may_send` applies it at once; the decision module gets it as an event."""
         self.dispatcher.enqueue_urgent(BansChanged(self.endpoints.set_bans(names)))
 
     def mark_draining(self, name: str, version: int) -> None:
-        """Send nothing to an engine that another worker's newer list shows as draining, until this list catches up."""
+        """Start no attempts at an engine that drains by another worker's newer list, until our list is as new."""
         if self.endpoints.set_draining(name, version):
             self.dispatcher.enqueue_urgent(EngineDraining(name))
 
     def mark_restarted(self, starts: dict[str, float]) -> None:
-        """Treat engines that have lost power as started at these times (Unix ms, by name), unless listed as later."""
+        """Set the start times (Unix ms, by name) of engines that lost power; a later listed start takes priority."""
         self.endpoints.set_restarted(starts)
         self.dispatcher.enqueue_urgent(EnginesRestarted(frozenset(starts)))
 
     def key_order_reached(self, number: int) -> None:
-        """Note that a request which waited for another process's request with its key may go."""
+        """Queue the event that a request no longer waits for another process's request with the same key."""
         self.dispatcher.enqueue(policy.KeyOrderReached(number))
 
-    def admit_waiting(self, number: int, turn: bool) -> None:
-        """Pass a request that waited at the gate on to the decision module; `turn`: its turn by key has come."""
-        self.dispatcher.enqueue(AdmissionDecided(number, turn))
+    def admit_waiting(self, number: int, is_head_of_key: bool) -> None:
+        """Pass a request that waited at the gate to the decision module.
+
+        `is_head_of_key` tells whether the request is at the head of its key's queue.
+        """
+        self.dispatcher.enqueue(AdmissionDecided(number, is_head_of_key))
 
-    def reject_waiting(self, number: int, answer: Response) -> None:
-        """Answer a request that waited at the gate, without the decision module."""
-        self.dispatcher.enqueue(AdmissionDecided(number, response=answer))
+    def reject_waiting(self, number: int, response: Response) -> None:
+        """Respond to a request that waited at the gate, without the decision module."""
+        self.dispatcher.enqueue(AdmissionDecided(number, response=response))
 
     def update_worker_loads(self, entries: tuple[policy.WorkerLoad, ...]) -> None:
-        """Pass the state of the other workers on to the decision module."""
+        """Forward the loads of the other workers to the decision module."""
         self.dispatcher.enqueue(policy.WorkerLoadReported(entries))
 
-    def set_open_limit(self, most: int) -> None:
-        """Set how many requests may be open before the decision module rejects some of those that wait."""
-        self.dispatcher.enqueue_urgent(OpenLimitChanged(most))
+    def set_open_limit(self, max_open: int) -> None:
+        """Set the number of open requests above which the decision module rejects waiting ones."""
+        self.dispatcher.enqueue_urgent(OpenLimitChanged(max_open))
 
     def apply_settings(self, settings: policy.Settings) -> None:
-        """Change quotas of tenants, and objectives, deadlines and weights of classes; all else must be as before."""
+        """Change tenant quotas and the objectives, deadlines and weights of classes; all else must be unchanged."""
         self.dispatcher.enqueue_urgent(SettingsChanged(settings))
 
     def fail_open_requests(self) -> None:
-        """Let the decision module end all open requests, as the program ends and no response would come."""
+        """Make the decision module end all open requests at shutdown, as none would get a response later."""
         self.dispatcher.enqueue_urgent(ShutdownStarted())
 
     # Figures.
 
     def sizes(self) -> dict[str, int]:
-        """Return the size of each of the core's tables; each is bounded, and a slow growth would show here."""
+        """Return the size of each of the core's tables, which are all bounded, to detect leaks."""
         return figures.table_sizes(self.ledger, self.endpoints, self.controller, self.dispatcher)
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the current beliefs on requests and engines, to compare with the traffic on the sockets."""
+        """Return the current state of requests and engines, to compare with the traffic on the sockets."""
         return figures.snapshot(self.ledger, self.endpoints, self.controller, self.dispatcher)
 
     def figures(self) -> dict[str, Any]:
-        """Return the figures that operators, SIGUSR1 and SNMP all read, from the counters and the ledger."""
+        """Return the figures for operators, SIGUSR1 and SNMP, from the counters and the ledger."""
         return figures.operator_figures(self.classes, self.telemetry, self.ledger, self.endpoints, self.controller)
--- a/frostspindle/core/dispatcher.py
+++ b/frostspindle/core/dispatcher.py
@@ -38,12 +38,12 @@
         self.timers = TimerWheel(clock())  # the value of each is the event for its due time
         self.urgent: deque[Any] = deque()
         self.inbox: deque[Any] = deque()
-        self.holds_requests: Callable[[], bool] = lambda: False  # whether any request is open
+        self.has_open_requests: Callable[[], bool] = lambda: False  # whether any request is open
         self._telemetry = telemetry
         self._policy_timers: dict[int, Timer] = {}  # the decision module's last timer for each token
-        self._sleeper: asyncio.Future[None] | None = None  # what the task awaits while there is nothing to do
+        self._wakeup: asyncio.Future[None] | None = None  # what the task awaits while there is nothing to do
         self._alarm: asyncio.TimerHandle | None = None  # the event loop's one timer for all timers of the wheel
-        self._last_turn_ms = -math.inf
+        self._last_iteration_ms = -math.inf
 
     def enqueue(self, event: Any) -> None:
         """Queue an event of client work."""
@@ -57,8 +57,8 @@
 
     def wake(self) -> None:
         """Let the task look at its queues and timers."""
-        if self._sleeper is not None and not self._sleeper.done():
-            self._sleeper.set_result(None)
+        if self._wakeup is not None and not self._wakeup.done():
+            self._wakeup.set_result(None)
 
     def set_policy_timer(self, due_ms: float, token: int) -> None:
         """Start a timer of the decision module for `due_ms` (Unix ms)."""
@@ -70,15 +70,15 @@
         arrivals = ArrivalClock.of(loop)
         while True:
             if not self.urgent and not self.inbox:
-                self._sleeper = loop.create_future()
+                self._wakeup = loop.create_future()
                 self._set_alarm(loop)
-                await self._sleeper
-            if self.holds_requests():
+                await self._wakeup
+            if self.has_open_requests():
                 await arrivals.catch_up()  # nothing is sent for a client whose leaving is still unread
             now = clock()
-            if now < self._last_turn_ms - CLOCK_STEP_MS:
+            if now < self._last_iteration_ms - CLOCK_STEP_MS:
                 self._on_clock_set_back(now)
-            self._last_turn_ms = now
+            self._last_iteration_ms = now
             self._process_events(now, handler)
             self._process_timers(now, handler)
             if self.urgent or self.inbox:
@@ -105,7 +105,7 @@
 
     def _on_clock_set_back(self, now: float) -> None:
         """Fire the decision module's timers now: each asks for the next, so none may wait for the clock to catch up."""
-        self._telemetry.log("clock_stepped_back", back_ms=round(self._last_turn_ms - now))
+        self._telemetry.log("clock_stepped_back", back_ms=round(self._last_iteration_ms - now))
         for token, timer in self._policy_timers.items():
             if timer.is_pending:
                 self.timers.cancel(timer)
--- a/frostspindle/core/endpoints.py
+++ b/frostspindle/core/endpoints.py
@@ -1,4 +1,4 @@
-"""The engine list as the core keeps it: what drivers listed, with bans, drains and restarts applied."""
+"""The core's engine table: the engines that drivers listed, with bans, drains and restarts applied."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from frostspindle.telemetry import Telemetry
 from frostspindle.timers import TimerWheel
 
-GONE_ENGINE_RETENTION_MS = 30_000.0  # how long the entry of an engine that is gone is kept
-MAX_ENGINE_NAMES = 4096  # names of engines that were ever listed
+GONE_ENGINE_RETENTION_MS = 30_000.0  # for how long the entry of a removed engine (Health.GONE) is kept
+MAX_ENGINE_NAMES = 4096  # remembered names of listed engines
 
 
 class EndpointRegistry:
-    """Keeps the engines by number, and by name what operators and other workers said about them.
+    """Stores engines by number, and by name the bans, drains and restarts that operators and workers reported.
 
-    Bans and drains are set by calls from any task of the event loop's thread and bind drivers at once. The methods
-    that start with `apply_` belong to the core's task; each returns the event for the decision module.
+    Bans and drains may be set from any task of the event loop's thread and take effect in `accepts_attempts` at once.
+    Methods that start with `apply_` are for the core's task; each returns the event for the decision module.
     """
 
     def __init__(self, hooks: CoreHooks, telemetry: Telemetry, timers: TimerWheel) -> None:
         self.engines: dict[int, EngineState] = {}
-        self.names: dict[str, None] = {}  # of all engines that were ever listed, oldest first
+        self.names: dict[str, None] = {}  # of all engines listed so far, oldest first
         self.banned: frozenset[str] = frozenset()
-        # Engines that another worker's newer list shows as draining, with the version of that list.
+        # Engines that are draining in another worker's newer list, with the version of that list.
         self._draining_since_version: dict[str, int] = {}
         self._banned_at_ms: dict[str, float] = {}
-        # Start times by name, in Unix ms, of engines that have restarted unknown to the endpoint list.
+        # Start times by name, in Unix ms, of engines whose restart the endpoint list does not show.
         self._restarted_at_ms: dict[str, float] = {}
         self._list_version = 0
         self._hooks = hooks
@@ -50,9 +50,9 @@
         )
 
     def set_bans(self, names: frozenset[str]) -> frozenset[str]:
-        """Ban exactly these engines and return the names whose ban changed.
+        """Replace the set of banned engines and return the names whose ban changed.
 
-        An engine whose ban ends without a listed start since it began counts as restarted now.
+        An engine whose ban ends counts as restarted now, unless the list shows a start during the ban.
         """
         changed = self.banned ^ names
         self.banned = names
@@ -68,14 +68,14 @@
         return changed
 
     def set_draining(self, name: str, version: int) -> bool:
-        """Note that list `version` of another worker shows an engine as draining; False: that was known."""
+        """Record that an engine is draining in another worker's list `version`; return False if already known."""
         if version <= self._draining_since_version.get(name, 0):
             return False
         self._draining_since_version[name] = version
         return True
 
     def set_restarted(self, started_at_ms: dict[str, float]) -> None:
-        """Note the start times of engines, by name in Unix ms."""
+        """Record start times of engines, by name, in Unix ms."""
         self._restarted_at_ms.update(started_at_ms)
 
     # Called from the core's task.
@@ -83,7 +83,7 @@
     def apply_listing(self, now: float, listing: EndpointsListed) -> policy.EndpointListUpdated:
         """Update the engines from a driver's list.
 
-        The decision module hears a complete list as a change, because it is complete for its driver only.
+        The returned event is always a delta, because a complete list is complete for its driver only.
         """
         changed = list(listing.engines)
         if listing.kind != EndpointListKind.DELTA:
@@ -99,7 +99,7 @@
         return policy.EndpointListUpdated(EndpointListKind.DELTA, listing.version, tuple(entries))
 
     def apply_bans(self, message: BansChanged) -> policy.EndpointListUpdated | None:
-        """Tell drivers, log and observer of begun and ended bans."""
+        """Report started and ended bans to the drivers, the log and the observer."""
         entries = self._refresh(message.names)
         for name in sorted(message.names):
             is_banned = name in self.banned
@@ -109,7 +109,7 @@
         return self._list_change(entries)
 
     def apply_draining(self, message: EngineDraining) -> policy.EndpointListUpdated | None:
-        """Tell drivers, log and observer of an engine that is draining by another worker's list."""
+        """Report an engine that is draining in another worker's list to the drivers, the log and the observer."""
         entries = self._refresh(frozenset((message.name,)))
         self._telemetry.log("engine_marked_draining", name=message.name)
         if self._hooks.observer is not None:
@@ -117,29 +117,29 @@
         return self._list_change(entries)
 
     def apply_restarts(self, message: EnginesRestarted) -> policy.EndpointListUpdated | None:
-        """Tell drivers of the start times of engines that lost power."""
+        """Report the start times of engines that lost power to their drivers."""
         return self._list_change(self._refresh(message.names))
 
     def is_gone(self, number: int) -> bool:
-        """Return whether an engine has an entry and is gone by its list."""
+        """Return whether an engine has an entry and has been removed from its list."""
         engine = self.engines.get(number)
         return engine is not None and engine.entry.health == Health.GONE
 
     def schedule_expiry(self, now: float, number: int) -> None:
-        """Start the timer after which the entry of a gone engine may be removed."""
+        """Start the timer after which the entry of a removed engine may be deleted."""
         self._timers.start(now + GONE_ENGINE_RETENTION_MS, EngineExpired(number))
 
     def remove(self, number: int) -> None:
-        """Remove the entry of a gone engine: engines come under new numbers without end."""
+        """Delete the entry of a removed engine, as the table would grow without limit with each new engine number."""
         engine = self.engines.pop(number)
         self._draining_since_version.pop(engine.name, None)
         if self._hooks.on_engine_changed is not None:
             self._hooks.on_engine_changed(number, ())
 
     def remember_names(self, names: Iterable[str]) -> None:
-        """Keep the latest MAX_ENGINE_NAMES names, and in any case those of engines that are listed or banned.
+        """Add names and keep the latest MAX_ENGINE_NAMES; names of listed or banned engines are never dropped.
 
-        All engines are looked through once for a list, not once for each engine on it.
+        Call it once per list, not per engine, as it iterates over all engines.
         """
         for name in names:
             self.names.pop(name, None)
@@ -147,14 +147,14 @@
         excess = len(self.names) - MAX_ENGINE_NAMES
         if excess <= 0:
             return
-        kept = {engine.name for engine in self.engines.values()} | self.banned
-        removable = [name for name in self.names if name not in kept]
+        in_use = {engine.name for engine in self.engines.values()} | self.banned
+        removable = [name for name in self.names if name not in in_use]
         for name in removable[:excess]:
             del self.names[name]
             self._restarted_at_ms.pop(name, None)
 
     def _missing_engines(self, listing: EndpointsListed) -> list[EngineState]:
-        """Return the driver's engines that its complete list lacks, as gone."""
+        """Return the driver's engines that are missing in its complete list, with Health.GONE."""
         listed = {engine.entry.engine for engine in listing.engines}
         return [
             EngineState(engine.entry._replace(health=Health.GONE), engine.name, engine.address, engine.driver)
@@ -163,12 +163,12 @@
         ]
 
     def _end_drain_if_listed(self, engine: EngineState) -> None:
-        """Forget another worker's word that an engine is draining once our own list is as new."""
+        """Discard another worker's drain report once our own list is at least as new."""
         if self._draining_since_version.get(engine.name, math.inf) <= engine.version:
             del self._draining_since_version[engine.name]
 
     def _apply_listed_engine(self, now: float, listed: EngineState) -> policy.EngineEntry:
-        """Store a listed engine, notify everybody but the decision module, and return the entry for that."""
+        """Store a listed engine, notify hooks, driver, log and observer, and return the decision module's entry."""
         engine = self._with_overrides(listed)
         number = engine.entry.engine
         self.engines[number] = engine
@@ -183,7 +183,7 @@
         return engine.entry
 
     def _with_overrides(self, engine: EngineState) -> EngineState:
-        """Return an engine as the decision module is to hear of it: draining if banned, and with its last restart."""
+        """Return an engine as the decision module gets it: draining if banned or drained, with its last restart."""
         listed = engine.listed_entry or engine.entry
         is_excluded = engine.name in self.banned or engine.name in self._draining_since_version
         health = Health.DRAINING if listed.health == Health.READY and is_excluded else listed.health
@@ -199,7 +199,7 @@
         )
 
     def _refresh(self, names: frozenset[str]) -> list[policy.EngineEntry]:
-        """Apply bans, drains and restarts anew to the named engines and tell their drivers; return their entries."""
+        """Reapply bans, drains and restarts to the named engines, notify their drivers and return their entries."""
         entries = []
         for number, engine in self.engines.items():
             if engine.name in names and engine.entry.health != Health.GONE:
@@ -210,7 +210,7 @@
         return entries
 
     def _list_change(self, entries: list[policy.EngineEntry]) -> policy.EndpointListUpdated | None:
-        """Return the event for changed entries, None for none."""
+        """Return the event for changed entries, or None if there are none."""
         if not entries:
             return None
         return policy.EndpointListUpdated(EndpointListKind.DELTA, self._list_version, tuple(entries))
--- a/frostspindle/core/event_handlers.py
+++ b/frostspindle/core/event_handlers.py
@@ -1,4 +1,4 @@
-"""Processes the events of the core's queue, one handler for each type of event."""
+"""Handlers for the events in the core's queue, one for each event type."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from frostspindle.policy.controller import Controller
 from frostspindle.telemetry import Telemetry
 
-POLICY_TIMER_RETRY_MS = 20.0  # a timer event of the decision module that met a fault is repeated after this
-# Counters by outcome; their names are metric names, which stay.
+POLICY_TIMER_RETRY_MS = 20.0  # delay before a timer event of the decision module is repeated after an exception
+# Counters by outcome. They are metric names, so don't rename them.
 OUTCOME_COUNTERS = {
     int(AttemptOutcome.OK): "ended_ok",
     int(AttemptOutcome.NOT_SENT): "ended_moot",
@@ -48,7 +48,7 @@
 
 
 class EventHandlers:
-    """Translates events of fronts and drivers for the controller, in the core's task, and has its actions executed."""
+    """Passes events of fronts and drivers to the controller and executes its actions, in the core's task."""
 
     def __init__(
         self,
@@ -93,13 +93,13 @@
         }
 
     def handle(self, now: float, event: Any) -> None:
-        """Process one event; a fault in it costs the request that it is about, never the process."""
+        """Process one event. An exception fails the request that the event belongs to, but never the process."""
         try:
             self._handlers[type(event)](now, event)
-        except Exception as error:  # noqa: BLE001 - the boundary that keeps one fault from ending all
-            self._on_fault(now, event, error)
+        except Exception as error:  # noqa: BLE001 - one failed event must not end the core's task
+            self._on_exception(now, event, error)
 
-    def _on_fault(self, now: float, event: Any, error: Exception) -> None:
+    def _on_exception(self, now: float, event: Any, error: Exception) -> None:
         number = self._request_number(event)
         self._telemetry.count("faults")
         self._telemetry.log(
@@ -110,13 +110,13 @@
             at=traceback.format_exc(limit=-3),
         )
         if isinstance(event, policy.TimerFired):
-            # Each timer of the decision module sets the next: one lost event would stop all its deadlines.
+            # The decision module sets its next timer when one fires, so a lost event would stop all its deadlines.
             self._dispatcher.set_policy_timer(now + POLICY_TIMER_RETRY_MS, event.token)
         self._ledger.fail_after_fault(number)
 
     @staticmethod
     def _request_number(event: Any) -> int:
-        """Return the number of the request that an event is about, 0 if it is about none."""
+        """Return the number of the request that an event belongs to, 0 if it belongs to none."""
         match event:
             case AttemptCompleted():
                 return event.attempt.request.number
@@ -134,18 +134,18 @@
 
     def _on_request(self, now: float, request: ClientRequest) -> None:
         self._ledger.add(request)
-        has_turn: bool | None = True
+        is_head_of_key: bool | None = True
         if request.key and self._hooks.key_order is not None:
-            has_turn = self._hooks.key_order.enter(request.number, request.key)
-        if has_turn is None:  # its order can't be kept, so nothing may run
+            is_head_of_key = self._hooks.key_order.enter(request.number, request.key)
+        if is_head_of_key is None:  # no free cell: the order can't be guaranteed, so the request must not run
             self._ledger.respond(request.number, Response(ResponseStatus.REJECTED))
             return
         gate = self._hooks.admission_gate
-        if gate is None or gate.enter(now, request, has_turn):
-            self._admit(now, request, has_turn)
+        if gate is None or gate.enter(now, request, is_head_of_key):
+            self._admit(now, request, is_head_of_key)
 
-    def _admit(self, now: float, request: ClientRequest, has_turn: bool) -> None:
-        """Pass a request on to the decision module."""
+    def _admit(self, now: float, request: ClientRequest, is_head_of_key: bool) -> None:
+        """Pass a request to the decision module."""
         remaining_ms = request.timeout_ms - (now - request.received_ms)
         quota_allows = self._hooks.quota_allows
         exceeds_quota = quota_allows is not None and not quota_allows(request.tenant)
@@ -161,24 +161,24 @@
                 request.memory_mb,
                 float(request.group),
                 exceeds_quota,
-                has_turn,
+                is_head_of_key,
                 request.is_suspended,
             ),
         )
 
     def _on_admission_decided(self, now: float, event: AdmissionDecided) -> None:
         entry = self._ledger.entries.get(event.number)
-        if entry is None or entry.ending:
+        if entry is None or entry.final_state:
             return
         if event.response is not None:
             self._ledger.respond(event.number, event.response)
         else:
-            self._admit(now, entry.request, event.turn)
+            self._admit(now, entry.request, event.is_head_of_key)
 
     def _on_key_order_reached(self, now: float, event: policy.KeyOrderReached) -> None:
         gate = self._hooks.admission_gate
         if gate is not None and gate.on_key_order_reached(event.request):
-            return  # the gate passes the turn on together with the request
+            return  # the gate reports this with the request once it admits it
         self._notify_policy(now, event)
 
     def _on_client_left(self, now: float, event: ClientLeft) -> None:
@@ -191,9 +191,9 @@
         self._notify_policy(now, policy.RequestResumed(event.request.number))
 
     def _on_deadline_passed(self, now: float, event: DeadlinePassed) -> None:
-        # The decision module responds before the deadline; should it not have, the ledger still owes a response.
+        # The decision module normally responds before the deadline. This covers the case that it did not.
         entry = self._ledger.entries.get(event.number)
-        if entry is None or entry.ending:
+        if entry is None or entry.final_state:
             return
         self._telemetry.log("request_deadline_passed", request=event.number)
         self._ledger.respond(event.number, Response(ResponseStatus.FAILED))
@@ -221,7 +221,7 @@
         request = attempt.request
         entry = self._ledger.entries.get(request.number)
         self._report_outcome(event)
-        if entry is not None and event.outcome == AttemptOutcome.OK and not entry.ending:
+        if entry is not None and event.outcome == AttemptOutcome.OK and not entry.final_state:
             self._ledger.respond(request.number, Response(ResponseStatus.SERVED, event.result))
         self._notify_policy(now, self._attempt_ended(event, entry))
         if self._hooks.on_engine_changed is not None:
@@ -229,10 +229,11 @@
         if entry is not None:
             self._ledger.remove_if_complete(entry)
         else:
-            self._ledger.release_key(request)  # a request that met a fault has at most one attempt in flight
+            # The entry was removed after an exception; such a request has at most one attempt in flight, this one.
+            self._ledger.release_key(request)
 
     def _report_outcome(self, event: AttemptCompleted) -> None:
-        """Tell the admission gate, the counters and, unless it is a usual outcome, the log."""
+        """Report an outcome to the admission gate and the counters, and log it unless it is OK or CANCELLED."""
         attempt = event.attempt
         request = attempt.request
         if self._hooks.admission_gate is not None:
@@ -254,7 +255,7 @@
     @staticmethod
     def _attempt_ended(event: AttemptCompleted, entry: RequestEntry | None) -> policy.AttemptEnded:
         attempt = event.attempt
-        is_settled = entry is None or bool(entry.ending)
+        is_settled = entry is None or bool(entry.final_state)
         return policy.AttemptEnded(
             attempt.request.number,
             attempt.number,
--- a/frostspindle/core/figures.py
+++ b/frostspindle/core/figures.py
@@ -56,22 +56,22 @@
     )
     rows = []
     for number, engine in endpoints.engines.items():
-        believed = controller.engines.get(number)
-        if believed is None:
+        estimate = controller.engines.get(number)
+        if estimate is None:
             continue
         rows.append(
             {
                 "name": engine.name,
                 "health": engine.entry.health,
                 "out": in_flight[number],
-                "threads": believed.threads,
-                "peers": believed.peer_threads,
-                "bound": round(believed.thread_limit, 1),
-                "slow": round(believed.slowdown, 2),
-                "fails": round(believed.failure_rate, 2),
-                "granted_mb": round(believed.granted_mb),
-                "suspect": believed.ejected,
-                "report_age_ms": round(min(clock() - believed.load_report_at_ms, MAX_REPORT_AGE_MS)),
+                "threads": estimate.threads,
+                "peers": estimate.peer_threads,
+                "bound": round(estimate.thread_limit, 1),
+                "slow": round(estimate.slowdown, 2),
+                "fails": round(estimate.failure_rate, 2),
+                "granted_mb": round(estimate.granted_mb),
+                "suspect": estimate.ejected,
+                "report_age_ms": round(min(clock() - estimate.load_report_at_ms, MAX_REPORT_AGE_MS)),
             }
         )
     return rows
@@ -112,5 +112,5 @@
     """Return whether an engine is banned, or ejected by the decision module."""
     if endpoints.engines[number].name in endpoints.banned:
         return True
-    believed = controller.engines.get(number)
-    return believed is not None and bool(believed.ejected)
+    estimate = controller.engines.get(number)
+    return estimate is not None and bool(estimate.ejected)
--- a/frostspindle/core/ledger.py
+++ b/frostspindle/core/ledger.py
@@ -20,7 +20,7 @@
     """The core's record of one request: its end, its attempts, and its current priority and memory grant."""
 
     request: ClientRequest
-    ending: str = ""  # a ResponseStatus, "left" or "overdue"; "": still open
+    final_state: str = ""  # a ResponseStatus, "left" or "overdue"; "": still open
     attempts: list[Attempt] = field(default_factory=list)
     priority: int = 1
     grant_mb: float = 0.0
@@ -68,7 +68,7 @@
     def respond(self, number: int, response: Response) -> None:
         """Give a request its one final response; no effect if it is unknown or settled already."""
         entry = self.entries.get(number)
-        if entry is None or entry.ending:
+        if entry is None or entry.final_state:
             return
         request = entry.request
         self._settle(entry, response.status)
@@ -100,7 +100,7 @@
 
     def drop(self, entry: RequestEntry, reason: str) -> None:
         """Settle a request without a response, unless it is settled: its client left or its deadline passed."""
-        if not entry.ending:
+        if not entry.final_state:
             self._settle(entry, reason)
             self._telemetry.log(
                 "request_dropped",
@@ -128,7 +128,7 @@
 
     def remove_if_complete(self, entry: RequestEntry) -> None:
         """Remove the entry of a request that is settled and has no attempt in flight."""
-        if entry.ending and not entry.has_attempt_in_flight:
+        if entry.final_state and not entry.has_attempt_in_flight:
             self.entries.pop(entry.request.number, None)
             self.release_key(entry.request)
 
@@ -147,7 +147,7 @@
 
     def _settle(self, entry: RequestEntry, ending: str) -> None:
         """Close a request for its client: its deadline no longer matters."""
-        entry.ending = ending
+        entry.final_state = ending
         entry.request.is_finished = True
         self.open_count -= 1
         if entry.deadline_timer is not None:
--- a/frostspindle/core/messages.py
+++ b/frostspindle/core/messages.py
@@ -75,7 +75,7 @@
     """The admission gate passes a waiting request on to the decision module, or has `response` for its client."""
 
     number: int
-    turn: bool = True  # whether its turn by key has come
+    is_head_of_key: bool = True  # whether its turn by key has come
     response: Response | None = None
 
 
--- a/frostspindle/ledger/rule_index.py
+++ b/frostspindle/ledger/rule_index.py
@@ -23,7 +23,7 @@
 )
 
 Key = tuple[object, ...]  # the values of a kind's names, its header's last
-AnyKey = TypeVar("AnyKey")
+KeyType = TypeVar("KeyType")
 
 
 class RuleKind(NamedTuple):
@@ -37,7 +37,7 @@
 class _Table:
     """The numbers of the best rules of one kind by key: those without an address, and the others by prefix."""
 
-    anywhere: dict[Key, int] = field(default_factory=dict)
+    any_address: dict[Key, int] = field(default_factory=dict)
     networks: dict[tuple[int, int], dict[tuple[Key, int], int]] = field(default_factory=dict)  # by family and length
 
 
@@ -112,12 +112,12 @@
         self._ranks.append(rank_with_prefix(rule, number, prefix))
         table = self._tables.setdefault(kind, _Table())
         if prefix is None:
-            self._keep_best(table.anywhere, key, number)
+            self._keep_best(table.any_address, key, number)
         else:
             networks = table.networks.setdefault((prefix.family, prefix.length), {})
             self._keep_best(networks, (key, prefix.bits), number)
 
-    def _keep_best(self, numbers: dict[AnyKey, int], key: AnyKey, number: int) -> None:
+    def _keep_best(self, numbers: dict[KeyType, int], key: KeyType, number: int) -> None:
         if key not in numbers or self._ranks[number] < self._ranks[numbers[key]]:
             numbers[key] = number
 
@@ -145,4 +145,4 @@
                 number = networks.get((key, bits >> (size - length)))
                 if number is not None:
                     return number
-        return table.anywhere.get(key)
+        return table.any_address.get(key)
--- a/frostspindle/order/key_queue.py
+++ b/frostspindle/order/key_queue.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Protocol
 
-DRAWING_STAMP = 1  # in a cell while its stamp is being chosen; smaller than every stamp
+CHOOSING_STAMP = 1  # in a cell while its stamp is being chosen; smaller than every stamp
 
 
 class QueuePosition(NamedTuple):
@@ -47,7 +47,7 @@
         self._free_cells: list[int] = list(range(cell_file.cell_count - 1, -1, -1))
         self._cells: dict[int, tuple[int, int]] = {}  # by request: cell, key
         self._waiting: dict[int, tuple[int, QueuePosition]] = {}  # by request: key, position
-        self._last_stamp: int = DRAWING_STAMP
+        self._last_stamp: int = CHOOSING_STAMP
 
     @property
     def entry_count(self) -> int:
@@ -73,7 +73,7 @@
             return None
         cell = self._free_cells.pop()
         self._cells[request] = (cell, key)
-        self.cell_file.write_cell(cell, key, DRAWING_STAMP)
+        self.cell_file.write_cell(cell, key, CHOOSING_STAMP)
         stamp = self._next_stamp(key, now_us)
         self.cell_file.write_cell(cell, key, stamp)
         position = QueuePosition(stamp, self.owner)
