--- a/frostspindle/core/actions.py
+++ b/frostspindle/core/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions that the decision module asks for, one handler for each type of action."""
+"""Executes the decision module's actions, with one handler for each action type."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         }
 
     def execute(self, now: float, actions: Iterable[policy.Action]) -> None:
-        """Carry out actions in their order; one that raises costs only the request that it is about."""
+        """Execute actions in order. An exception in one fails only the request that the action belongs to."""
         for action in actions:
             try:
                 self._handlers[type(action)](now, action)
@@ -63,8 +63,9 @@
         engine = self._engines[action.engine]
         attempt = self._new_attempt(now, action, entry)
         if entry.final_state or entry.has_attempt_in_flight:
-            # Two attempts in flight at once is the costliest violation; the decision module never asks for it.
-            raise RuntimeError("a send while an attempt is out or the request is answered")
+            # Two attempts of one request in flight at once is the costliest violation. The decision module never
+            # requests it; this is a safeguard.
+            raise RuntimeError(f"request {action.request} is settled or has an attempt in flight")
         entry.attempts.append(attempt)
         self._telemetry.count("sent", entry.request.front, attempt.class_name)
         engine.driver.start_attempt(attempt)
@@ -119,7 +120,7 @@
         self._engines[action.engine].driver.start_health_check(action.engine)
 
     def _subscribe_endpoints(self, now: float, action: policy.SubscribeEndpoints) -> None:
-        """Do nothing: drivers and the endpoint watcher keep their subscriptions themselves."""
+        """Do nothing: drivers and the endpoint watcher manage their subscriptions themselves."""
 
     def _set_timer(self, now: float, action: policy.SetTimer) -> None:
         self._dispatcher.set_policy_timer(action.due_at_ms, action.token)
--- a/frostspindle/core/attempts.py
+++ b/frostspindle/core/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at an engine: what its driver needs to run it, and until when its result is of use."""
+"""An attempt to run a request at an engine: the data for its driver, and until when its result can be used."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from frostspindle.core.steady_clock import clock
 from frostspindle.policy import AttemptOutcome
 
-MIN_REMAINING_MS = 1.0  # the shortest timeout that an engine can be given; with less left nothing is sent
+MIN_REMAINING_MS = 1.0  # the shortest timeout that engines accept; with less time left an attempt is not sent
 
 
 class WithheldReason(StrEnum):
     """Why an attempt was not sent although the decision module had started it."""
 
-    ENGINE_UNAVAILABLE = "engine unavailable"  # draining, banned or gone
-    ABANDONED = "abandoned"  # the attempt or its request is finished, or its time is up
+    ENGINE_UNAVAILABLE = "engine unavailable"  # draining, banned or removed
+    ABANDONED = "abandoned"  # the attempt or its request is finished, or its deadline has passed
     WINDOW_OVER = "idempotency window over"
     CLIENT_LEFT = "client left"
-    CLIENT_AWAY = "client away"  # it may return
-    WORKER_LIMIT = "worker limit"  # by the other workers: a lease, a ban, a drain
+    CLIENT_AWAY = "client away"  # may return
+    WORKER_LIMIT = "worker limit"  # imposed by other workers: a lease, a ban or a drain
 
 
 class Cancellable(Protocol):
-    """A task, or an object in its place, that an attempt can be cancelled by."""
+    """The task, or a task-like object, that runs an attempt and can cancel it."""
 
     def cancel(self) -> Any:
-        """Stop the work of the attempt; the driver still reports the attempt's end by Core.attempt_ended."""
+        """Stop the attempt; the driver still reports its end through Core.attempt_ended."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to run a request at an engine, with the number that the decision module gave it."""
+    """An attempt to run a request at an engine; `number` counts the attempts of the request from 0."""
 
     request: ClientRequest
     number: int
@@ -45,25 +45,25 @@
     grant_mb: float
     priority: int
     is_finished: bool = False
-    task: Cancellable | None = None  # set by the driver: what runs the attempt now
-    begin_by_ms: float = math.inf  # latest start in Unix ms: the end of the class's idempotency window, for a retry
+    task: Cancellable | None = None  # set by the driver: runs the attempt
+    begin_by_ms: float = math.inf  # latest start in Unix ms: for a retry, the end of the class's idempotency window
 
     @property
     def ends_at_ms(self) -> float:
-        """Its timeout or its client's deadline, the first (Unix ms)."""
+        """The end of its timeout or the client's deadline, whichever is earlier (Unix ms)."""
         return min(self.sent_ms + self.timeout_ms, self.request.received_ms + self.request.timeout_ms)
 
     def remaining_ms(self, now: float) -> float:
-        """Return the ms from `now` (Unix ms) to its end; negative if past."""
+        """Return the ms from `now` (Unix ms) to `ends_at_ms`; negative if that has passed."""
         return self.ends_at_ms - now
 
     @property
     def is_abandoned(self) -> bool:
-        """Whether nobody would use its result: the request is finished, or less than MIN_REMAINING_MS is left."""
+        """Whether its result is useless: the request is finished, or less than MIN_REMAINING_MS is left."""
         return self.request.is_finished or self.remaining_ms(clock()) < MIN_REMAINING_MS
 
     @property
     def unsent_outcome(self) -> AttemptOutcome:
-        """The outcome where `Core.may_send` forbade it: NOT_SENT for reasons of its client, not of the engine."""
-        is_no_fault = self.is_abandoned or self.request.is_suspended
-        return AttemptOutcome.NOT_SENT if is_no_fault else AttemptOutcome.CONNECT_FAILED
+        """The outcome if `Core.may_send` forbade it: NOT_SENT if the reason is the client, not the engine."""
+        is_client_reason = self.is_abandoned or self.request.is_suspended
+        return AttemptOutcome.NOT_SENT if is_client_reason else AttemptOutcome.CONNECT_FAILED
--- a/frostspindle/core/ledger.py
+++ b/frostspindle/core/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of requests: one entry for each that is open or has an attempt in flight, and its one final response."""
+"""The request ledger: an entry for each request that is open or has an attempt in flight, and its final response."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @dataclass(slots=True, eq=False)
 class RequestEntry:
-    """The core's record of one request: its end, its attempts, and its current priority and memory grant."""
+    """The core's record of a request: its final state, attempts, and current priority and memory grant."""
 
     request: ClientRequest
-    final_state: str = ""  # a ResponseStatus, "left" or "overdue"; "": still open
+    final_state: str = ""  # a ResponseStatus, "left" or "overdue"; "" while open
     attempts: list[Attempt] = field(default_factory=list)
     priority: int = 1
     grant_mb: float = 0.0
@@ -28,14 +28,14 @@
 
     @property
     def has_attempt_in_flight(self) -> bool:
-        """Whether an attempt is in flight; none is sent before the one before it has ended."""
+        """Whether an attempt is in flight; only the last can be, as each starts after the previous one has ended."""
         return bool(self.attempts) and not self.attempts[-1].is_finished
 
 
 class RequestLedger:
     """Keeps the entries of all requests and settles each request exactly once.
 
-    Belongs to the core's task, but for `open_count`, which `Core.submit` raises as it queues a request.
+    Only the core's task uses it, except that `Core.submit` increments `open_count` when it queues a request.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         timers: TimerWheel,
     ) -> None:
         self.entries: dict[int, RequestEntry] = {}  # by request number
-        self.open_count = 0  # requests taken and neither answered nor left
+        self.open_count = 0  # accepted requests that are not settled
         self._last_number = 0
         self._hooks = hooks
         self._classes = classes
@@ -56,7 +56,7 @@
         self._timers = timers
 
     def add(self, request: ClientRequest) -> None:
-        """Open the entry of a request, under a new number and with a timer for its deadline."""
+        """Create the entry of a request, assign its number and start its deadline timer."""
         self._last_number += 1
         request.number = self._last_number
         entry = RequestEntry(request)
@@ -66,7 +66,7 @@
         self._telemetry.count("taken", request.front, self._classes[request.cls][1])
 
     def respond(self, number: int, response: Response) -> None:
-        """Give a request its one final response; no effect if it is unknown or settled already."""
+        """Send a request its final response; does nothing if the request is unknown or already settled."""
         entry = self.entries.get(number)
         if entry is None or entry.final_state:
             return
@@ -79,7 +79,7 @@
             self._hooks.admission_gate.on_request_finished(number, may_have_run)
         try:
             request.on_response(response)
-            request.statement = ""  # the entry may stay for an attempt that has yet to end
+            request.statement = ""  # free its memory: the entry may remain until an attempt has ended
         finally:
             self.remove_if_complete(entry)
             if self._hooks.observer is not None:
@@ -99,7 +99,10 @@
         )
 
     def drop(self, entry: RequestEntry, reason: str) -> None:
-        """Settle a request without a response, unless it is settled: its client left or its deadline passed."""
+        """Settle a request without a response, because its client left or its deadline passed.
+
+        If it is already settled, only notify the admission gate.
+        """
         if not entry.final_state:
             self._settle(entry, reason)
             self._telemetry.log(
@@ -114,7 +117,7 @@
             self._hooks.admission_gate.on_request_finished(entry.request.number, bool(entry.attempts))
 
     def fail_after_fault(self, number: int) -> None:
-        """Fail a request whose processing raised, cancel its attempts and remove its entry."""
+        """Fail a request whose processing raised an exception, cancel its attempts and remove its entry."""
         entry = self.entries.get(number)
         if entry is None:
             return
@@ -127,13 +130,13 @@
             self.release_key(entry.request)
 
     def remove_if_complete(self, entry: RequestEntry) -> None:
-        """Remove the entry of a request that is settled and has no attempt in flight."""
+        """Remove the entry of a request if it is settled and has no attempt in flight."""
         if entry.final_state and not entry.has_attempt_in_flight:
             self.entries.pop(entry.request.number, None)
             self.release_key(entry.request)
 
     def release_key(self, request: ClientRequest) -> None:
-        """Let the next request of its ordering key go, as nothing of this one can run any more."""
+        """Release the ordering key of a request that can no longer run at any engine."""
         if request.key and self._hooks.key_order is not None:
             self._hooks.key_order.on_request_finished(request.number)
 
@@ -145,12 +148,12 @@
             for attempt in entry.attempts
         )
 
-    def _settle(self, entry: RequestEntry, ending: str) -> None:
-        """Close a request for its client: its deadline no longer matters."""
-        entry.final_state = ending
+    def _settle(self, entry: RequestEntry, final_state: str) -> None:
+        """Set the final state of a request, count it and stop its deadline timer."""
+        entry.final_state = final_state
         entry.request.is_finished = True
         self.open_count -= 1
         if entry.deadline_timer is not None:
             self._timers.cancel(entry.deadline_timer)
             entry.deadline_timer = None
-        self._telemetry.count(ending, entry.request.front, self._classes[entry.request.cls][1])
+        self._telemetry.count(final_state, entry.request.front, self._classes[entry.request.cls][1])
