--- a/frostspindle/core/__init__.py
+++ b/frostspindle/core/__init__.py
@@ -1,8 +1,8 @@
-"""The core: one task that owns the Controller, the ledger of requests and attempts, and the timers.
+"""The core: a single task that runs the Controller, the ledger of requests and attempts, and the timers.
 
-`Core` (core.py) is the interface to it; the other names are the types that fronts, drivers and optional parts share
-with it. An event passes through dispatcher.py (queue and timers), event_handlers.py, the controller of
-frostspindle/policy, and actions.py, which carries out what the controller asks for.
+`Core` (core.py) is its interface; the other names are types that it shares with fronts, drivers and optional
+components. An event passes through dispatcher.py (queue and timers), event_handlers.py, the controller in
+frostspindle/policy, and actions.py, which executes the actions that the controller returns.
 """
 
 from frostspindle.core.arrival_clock import ArrivalClock
--- a/frostspindle/core/drivers.py
+++ b/frostspindle/core/drivers.py
@@ -11,36 +11,36 @@
 
 @dataclass(slots=True)
 class EngineState:
-    """An engine as it was last listed, and the driver that reaches it."""
+    """An engine as it was last listed, and the driver that connects to it."""
 
-    entry: policy.EngineEntry  # in the core's own table: as the decision module hears it, with bans applied
+    entry: policy.EngineEntry  # in the core's table: as the decision module gets it, with bans applied
     name: str
     address: tuple[str, int]
     driver: Driver
-    listed_entry: policy.EngineEntry | None = None  # in the core's own table: as the endpoint list has it
-    started_unix_ms: float = 0.0  # its process's start as the endpoint list tells it, the same at all coordinators
-    version: int = 0  # of the watch event that told of it, where all workers number these events alike
+    listed_entry: policy.EngineEntry | None = None  # in the core's table: as in the endpoint list
+    started_unix_ms: float = 0.0  # its process's start as given in the endpoint list, equal at all coordinators
+    version: int = 0  # of the watch event that reported it, if these versions are equal in all workers
 
 
 class Driver(Protocol):
-    """What the core needs of a driver, which runs attempts at engines of one protocol."""
+    """Runs attempts at engines of one protocol."""
 
-    has_shared_versions: bool  # whether the events of its endpoint list have the same numbers in every process
+    has_shared_versions: bool  # whether the events of its endpoint list have the same versions in every process
 
     def update_engine(self, engine: EngineState) -> None:
-        """Take an engine that is new or has changed."""
+        """Handle a new or changed engine."""
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Send the attempt, and report its end exactly once by Core.attempt_ended."""
+        """Send the attempt, and report its end exactly once through Core.attempt_ended."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel the attempt and free the engine's work; Core.attempt_ended follows once it can't be running."""
+        """Cancel the attempt at its engine; call Core.attempt_ended once the query can no longer be running."""
 
     def update_priority(self, attempt: Attempt) -> None:
-        """Tell the engine the attempt's new priority."""
+        """Send the attempt's new priority to the engine."""
 
     def start_health_check(self, engine: int) -> None:
-        """Start a health check of the engine; Core.health_check_completed reports its outcome."""
+        """Start a health check of the engine; its outcome is reported through Core.health_check_completed."""
 
     async def close(self) -> None:
         """End all attempts and close all connections."""
--- a/frostspindle/core/figures.py
+++ b/frostspindle/core/figures.py
@@ -1,6 +1,6 @@
-"""What operators read of the core: its figures, its beliefs on engines, and the sizes of its tables.
+"""The core's figures for operators: counters, the state of requests and engines, and table sizes.
 
-The keys of all these are read by operators, SIGUSR1 and SNMP and stay as they are.
+Operators, SIGUSR1 and SNMP read them by key, so don't rename keys.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from frostspindle.policy.controller import Controller
 from frostspindle.telemetry import Telemetry
 
-# Figures of a class, and the counters behind each; lost: open when a worker died.
+# Figures of a class, and the counters that each is the sum of; "lost" counts requests open when a worker died.
 CLASS_FIGURES = {"success": ("served",), "busy": ("refused", "full"), "failure": ("failed", "lost")}
-MAX_REPORT_AGE_MS = 1e6  # shown for engines without a load report
+MAX_REPORT_AGE_MS = 1e6  # also shown for engines without a load report
 
 
 def table_sizes(
     ledger: RequestLedger, endpoints: EndpointRegistry, controller: Controller, dispatcher: EventDispatcher
 ) -> dict[str, int]:
-    """Return the size of each of the core's tables; each is bounded, and a slow growth would show here."""
+    """Return the size of each of the core's tables, which are all bounded, to detect leaks."""
     return {
         "records": len(ledger.entries),
         "timers": len(dispatcher.timers),
@@ -40,7 +40,7 @@
 def snapshot(
     ledger: RequestLedger, endpoints: EndpointRegistry, controller: Controller, dispatcher: EventDispatcher
 ) -> dict[str, Any]:
-    """Return the current beliefs on requests and engines, to compare with the traffic on the sockets."""
+    """Return the current state of requests and engines, to compare with the traffic on the sockets."""
     return {
         "open": ledger.open_count,
         "held": len(controller.waiting_queue),
@@ -84,7 +84,7 @@
     endpoints: EndpointRegistry,
     controller: Controller,
 ) -> dict[str, Any]:
-    """Return the figures that operators, SIGUSR1 and SNMP all read, from the counters and the ledger."""
+    """Return the figures for operators, SIGUSR1 and SNMP, from the counters and the ledger."""
     listed = [number for number, engine in endpoints.engines.items() if engine.entry.health != Health.GONE]
     down = [number for number in listed if _is_down(number, endpoints, controller)]
     return {
@@ -97,7 +97,7 @@
 
 
 def _calls_by_class(classes: Sequence[tuple[str, str]], telemetry: Telemetry) -> dict[str, dict[str, int]]:
-    """Return the figures of each class, summed over the fronts of clients."""
+    """Return the figures of each class, summed over all client fronts."""
     calls: dict[str, dict[str, int]] = {}
     for front, class_name in classes:
         if front == SUBREQUEST_FRONT:
@@ -109,7 +109,7 @@
 
 
 def _is_down(number: int, endpoints: EndpointRegistry, controller: Controller) -> bool:
-    """Return whether an engine is banned, or ejected by the decision module."""
+    """Return whether an engine is banned or ejected."""
     if endpoints.engines[number].name in endpoints.banned:
         return True
     estimate = controller.engines.get(number)
--- a/frostspindle/core/messages.py
+++ b/frostspindle/core/messages.py
@@ -1,6 +1,6 @@
-"""Messages to the core's task: what its public methods queue and its event handlers process.
+"""Messages that the core's public methods queue for its task.
 
-Besides these the queue carries a ClientRequest as it was submitted and the decision module's own events.
+The queues also carry each submitted ClientRequest and events of the decision module.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointsListed:
-    """A driver's engine list: complete or a change of it, by `kind` (policy.EndpointListKind)."""
+    """A driver's engine list, complete or incremental by `kind` (policy.EndpointListKind)."""
 
     driver: Driver
     engines: tuple[EngineState, ...]
@@ -26,56 +26,56 @@
 
 @dataclass(slots=True, frozen=True)
 class BansChanged:
-    """Engines, by name, that operators have banned or no longer ban."""
+    """Names of engines that operators have banned or unbanned."""
 
     names: frozenset[str]
 
 
 @dataclass(slots=True, frozen=True)
 class EngineDraining:
-    """An engine, by name, that another worker's newer endpoint list shows as draining."""
+    """An engine, by name, that is draining in another worker's newer endpoint list."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
 class EnginesRestarted:
-    """Engines, by name, that have lost power and were restarted unknown to the endpoint list."""
+    """Names of engines that lost power and restarted, which the endpoint list does not show."""
 
     names: frozenset[str]
 
 
 class EngineExpired(NamedTuple):
-    """An engine, by number, has been gone for GONE_ENGINE_RETENTION_MS."""
+    """GONE_ENGINE_RETENTION_MS have passed since an engine, given by number, was removed from its list."""
 
     engine: int
 
 
 @dataclass(slots=True, frozen=True)
 class OpenLimitChanged:
-    """The decision module's limit on open requests."""
+    """A new limit on open requests for the decision module."""
 
     max_open: int
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings of the decision module: quotas and the times of classes may differ from those of the start."""
+    """New settings of the decision module; quotas and times of classes may differ from those at startup."""
 
     settings: policy.Settings
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """The program ends, so all open requests have to be answered."""
+    """The program is shutting down, so all open requests must be answered."""
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionDecided:
-    """The admission gate passes a waiting request on to the decision module, or has `response` for its client."""
+    """The admission gate admits a waiting request to the decision module, or answers it with `response`."""
 
     number: int
-    is_head_of_key: bool = True  # whether its turn by key has come
+    is_head_of_key: bool = True  # whether the request is at the head of its key's queue
     response: Response | None = None
 
 
@@ -101,13 +101,13 @@
 
 
 class DeadlinePassed(NamedTuple):
-    """A request's time is up. It has only the number, so that a pending timer keeps no request alive."""
+    """A request's deadline has passed. Holds only its number, so that the timer does not keep the request alive."""
 
     number: int
 
 
 class AttemptCompleted(NamedTuple):
-    """The one end of an attempt, as its driver reported it."""
+    """The end of an attempt as its driver reported it."""
 
     attempt: Attempt
     outcome: int
--- a/frostspindle/core/requests.py
+++ b/frostspindle/core/requests.py
@@ -1,4 +1,4 @@
-"""Client-facing types: a request as a front submits it, and the one final response to it."""
+"""Types shared with the fronts: a request as a front submits it, and its final response."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-# Front of subrequests, which are submitted on behalf of a client's request: the figures of clients leave it out.
+# Front of subrequests, which are submitted on behalf of a client's request; excluded from the figures of clients.
 SUBREQUEST_FRONT = "part"
 
 
 class ResponseStatus(StrEnum):
-    """Outcome that a client is told; the values are also names of counters."""
+    """Outcome reported to the client; the values are also counter names."""
 
     SERVED = "served"
-    REJECTED = "refused"  # nothing ran, a retry is harmless
-    FAILED = "failed"  # it may have run
+    REJECTED = "refused"  # the query did not run, so a retry is safe
+    FAILED = "failed"  # the query may have run
 
 
 class Response(NamedTuple):
-    """The one final response to a request; the wait before a retry is in ms."""
+    """The final response to a request."""
 
     status: ResponseStatus
-    result: Any = None  # of the type that the engine's driver and the front agree on
+    result: Any = None  # its type is agreed between the engine's driver and the front
     retry_after_ms: float = 0.0
-    reason: str = ""  # for the client: why a retry is of no use
-    missing_parts: str = ""  # of a result: what is missing in it
+    reason: str = ""  # for the client: why a retry is pointless
+    missing_parts: str = ""  # the parts that are missing in a partial result
 
 
 class MeasuredCost(NamedTuple):
-    """Processor time in ms and memory in MB that the query needed, by the engine's response; 0: unknown."""
+    """Processor time in ms and memory in MB that a query used, as the engine reported; 0 if unknown."""
 
     cost_ms: float = 0.0
     memory_mb: float = 0.0
@@ -40,13 +40,13 @@
 
 
 def _always_connected() -> bool:
-    """Stand in for `is_client_connected` where a front can't tell whether its client is still connected."""
+    """Default of `is_client_connected`, for fronts that can't detect a disconnect."""
     return True
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One request as a front submits it, with times in ms.
+    """A request as a front submits it; times are in ms.
 
     `on_response` is called exactly once, in the core's task, unless the client disconnects first.
     """
@@ -56,20 +56,21 @@
     ticket: str
     statement: str
     received_ms: float  # Unix ms
-    timeout_ms: float  # from `received_ms` on
+    timeout_ms: float  # counted from `received_ms`
     on_response: Callable[[Response], None]
     cost_ms: float = 0.0
     memory_mb: float = 0.0
-    group: int = -1  # number of the group of tables; -1: none
-    database: str = ""  # database name, for drivers that need it
-    tenant: int = 0  # number of the tenant in the decision module; 0: the default tenant
-    key: int = 0  # ordering key: requests with the same key keep their order; 0: none
-    site: str = ""  # where its rows go, if its client says so
-    partial: bool = False  # whether the client accepts a result without the parts that could not be had
-    idempotency_key: str = ""  # by which engines recognise a repeated request; "": none
-    number: int = 0  # assigned by the core when it takes the request
-    is_client_connected: Callable[[], bool] = _always_connected  # asked right before bytes are sent to an engine
-    # Answered, or its client disconnected. Set at once, so that nothing is sent before the core's next turn.
+    group: int = -1  # number of the table group; -1: none
+    database: str = ""  # for drivers that need it
+    tenant: int = 0  # the decision module's number of the tenant; 0: the default tenant
+    key: int = 0  # ordering key: requests with the same key run in order; 0: none
+    site: str = ""  # site that its rows are for, if the client names one
+    partial: bool = False  # whether the client accepts a result in which parts are missing
+    idempotency_key: str = ""  # lets engines recognise a repeated request; "": none
+    number: int = 0  # assigned by the core
+    is_client_connected: Callable[[], bool] = _always_connected  # called right before bytes are sent to an engine
+    # Answered, or the client disconnected. Set by the caller directly, so that nothing more is sent before the core
+    # processes the event.
     is_finished: bool = False
-    # Its client is away and may return; nothing is sent meanwhile. Set at once, as above.
+    # The client is away and may return; nothing is sent until then. Set directly, as above.
     is_suspended: bool = False
