--- a/frostspindle/core/arrival_clock.py
+++ b/frostspindle/core/arrival_clock.py
@@ -1,8 +1,8 @@
-"""Tells the earliest time at which the bytes that are read now can have arrived, and whether the loop is behind them.
+"""Estimates when received bytes arrived, and detects that the event loop has unread input from a stall.
 
-A client's time counts from its last byte, which may have waited in the system while the event loop was busy: what one
-poll of the sockets returns arrived after the poll before it. The time given is never later than the arrival, but for
-what the system takes to wake the process, and never earlier than it by more than the loop was late.
+A client's timeout counts from its last byte, which may have waited in the kernel while the event loop was busy: bytes
+that a poll of the sockets returns arrived after the previous poll. The estimate is never later than the arrival, apart
+from the time that the system takes to wake the process, and earlier by at most the delay of the event loop.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 from frostspindle.core.steady_clock import clock
 
-LATE_S = 0.02  # a poll that begins or returns later than this found the process busy, starved or stopped
-# Polls behind a late one until all that came meanwhile is read: a new connection is accepted, set up, watched and read.
+LATE_S = 0.02  # a poll that starts or returns later than this means that the process was busy, starved or stopped
+# Polls after a late one until all pending input is read: a new connection is accepted, set up, watched and read.
 CATCH_UP_POLLS = 6
 
 
 class ArrivalClock:
-    """Records when one event loop polls its sockets, in Unix ms; `of` gives the clock of a loop."""
+    """Records when an event loop polls its sockets, in Unix ms; `of` returns the instance of a loop."""
 
     _of: WeakKeyDictionary[asyncio.AbstractEventLoop, ArrivalClock] = WeakKeyDictionary()
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.count = 0  # of polls
-        self.poll_returned_ms = clock()  # when the last poll returned
-        self.poll_started_ms = self.poll_returned_ms  # when it began
-        self.previous_poll_returned_ms = self.poll_returned_ms  # when the poll before it returned
+        self.count = 0  # number of polls
+        self.poll_returned_ms = clock()  # end of the last poll
+        self.poll_started_ms = self.poll_returned_ms  # start of the last poll
+        self.previous_poll_returned_ms = self.poll_returned_ms  # end of the poll before the last
         self._returned_at_s = time.monotonic()
-        self._unseen_wait_ms = 0.0  # of the last poll, if it returned too late to tell when in it bytes came
-        self._found_any = True  # the last poll did
-        self._caught_up_at = 0  # the number of the poll by which the loop is no longer behind
-        selector = getattr(loop, "_selector", None)  # a loop of another kind has none: bytes count from when it reads
+        self._unseen_wait_ms = 0.0  # length of the last poll, if it was so late that bytes may have come at any time
+        self._found_any = True  # whether the last poll returned any event
+        self._caught_up_at = 0  # number of the poll from which the loop is no longer behind
+        selector = getattr(loop, "_selector", None)  # without one, bytes count from the time at which they are read
         if selector is not None:
             self._select, selector.select = selector.select, self._poll
 
@@ -47,40 +47,40 @@
     def _poll(self, timeout: float | None = None) -> Any:
         self.previous_poll_returned_ms = self.poll_returned_ms
         self.poll_started_ms = clock()
-        asked_at_s = time.monotonic()
+        started_at_s = time.monotonic()
         ready = self._select(timeout)
         self.poll_returned_ms = clock()
         self.count += 1
-        busy_s = asked_at_s - self._returned_at_s
+        busy_s = started_at_s - self._returned_at_s
         self._returned_at_s = time.monotonic()
-        overslept_s = self._returned_at_s - asked_at_s - timeout if timeout is not None else 0.0
+        overslept_s = self._returned_at_s - started_at_s - timeout if timeout is not None else 0.0
         if busy_s > LATE_S or overslept_s > LATE_S:
             self._caught_up_at = self.count + CATCH_UP_POLLS
-        # A poll that a stop of the process interrupts returns nothing, though bytes may lie there: the next finds them.
+        # A poll that is interrupted by SIGSTOP returns no events even if bytes are pending; the next poll returns them.
         carried_ms = 0.0 if self._found_any else self._unseen_wait_ms
-        late_wait_ms = 1000.0 * (self._returned_at_s - asked_at_s) if overslept_s > LATE_S else 0.0
+        late_wait_ms = 1000.0 * (self._returned_at_s - started_at_s) if overslept_s > LATE_S else 0.0
         self._unseen_wait_ms = late_wait_ms + carried_ms if late_wait_ms or ready else 0.0
         self._found_any = bool(ready)
         return ready
 
     @property
     def is_behind(self) -> bool:
-        """Whether bytes and connections that came while the process did not run may still have to be read."""
+        """Whether bytes and connections that arrived while the process did not run may still be unread."""
         return self.count < self._caught_up_at
 
     async def catch_up(self) -> None:
-        """Let the loop read what came while the process did not run, for CATCH_UP_POLLS polls at most."""
+        """Let the loop read what arrived while the process did not run, within CATCH_UP_POLLS polls."""
         for _ in range(CATCH_UP_POLLS):
             if not self.is_behind:
                 return
             await asyncio.sleep(0)
 
     def earliest_ms(self, watched: int, unseen_ms: float) -> float:
-        """Return the earliest time at which bytes read now can have come, in Unix ms.
+        """Return the earliest time at which bytes that are read now can have arrived, in Unix ms.
 
-        `watched` is how many polls were over when the socket was first watched, `unseen_ms` since when bytes may have
-        lain unread on it. A poll that finds something returns at once: if the loop waited in it, the bytes ended that
-        wait. If it returned later than it was asked to, they may have come at its begin.
+        `watched` is the poll count at which the loop began to watch the socket, `unseen_ms` the time from which bytes
+        may have been unread on it. A poll returns as soon as there is input, so bytes found by a poll that waited
+        arrived at its end. If it returned later than its timeout, they may have arrived at its start.
         """
         if not self.count:
             return clock()
--- a/frostspindle/core/steady_clock.py
+++ b/frostspindle/core/steady_clock.py
@@ -1,8 +1,8 @@
-"""The clock of all spans: deadlines, windows, waits and graces.
+"""The clock for all durations: deadlines, windows, waits and grace periods.
 
-It reads as Unix time in ms but is carried on by the monotonic clock, so that a step of the wall clock moves nothing
-that is under way. The wall clock is read once for the process, and where a Unix time comes in or goes out. Processes
-that compare their times agree on one offset (`set_offset_ms`).
+It returns Unix time in ms but advances with the monotonic clock, so that a step of the wall clock does not affect
+running timers. The wall clock is read once at startup, and to convert Unix times on input and output. Processes that
+compare their times use the same offset (`set_offset_ms`).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def unix_ms() -> float:
-    """Return the wall clock's time in Unix ms; it may step either way, so no span is measured by it."""
+    """Return the wall clock's time in Unix ms. It may step either way, so don't measure durations with it."""
     return time.time() * 1000.0
 
 
@@ -23,26 +23,26 @@
 
 
 def clock() -> float:
-    """Return the current time in ms of the steady clock."""
+    """Return the current time of the steady clock in ms."""
     return _monotonic_ms() + _offset_ms
 
 
 def offset_ms() -> float:
-    """Return by how much the steady clock is ahead of the monotonic one."""
+    """Return the difference of the steady clock to the monotonic clock."""
     return _offset_ms
 
 
 def set_offset_ms(offset: float) -> None:
-    """Take over the offset of another process; before anything has read the clock."""
+    """Set the offset to that of another process. Call it before anything reads the clock."""
     global _offset_ms
     _offset_ms = offset
 
 
 def from_unix_ms(then_unix_ms: float) -> float:
-    """Return the time of the steady clock at a Unix time of now or before, by its age on the wall clock; 0 for 0.
+    """Convert a present or past Unix time to the steady clock, by its age on the wall clock; return 0 for 0.
 
-    A time that lies ahead, as the wall clock was set back meanwhile, counts as now. Whole milliseconds, so that
-    processes that use one offset find the same.
+    A time in the future, which occurs after the wall clock was set back, counts as now. The result is rounded to whole
+    ms, so that processes with the same offset get the same value.
     """
     if then_unix_ms <= 0.0:
         return 0.0
--- a/frostspindle/order/key_queue.py
+++ b/frostspindle/order/key_queue.py
@@ -1,14 +1,14 @@
-"""The queue of each key whose requests several processes have: Lamport's bakery algorithm over shared cells.
+"""Queues of ordering keys shared by several processes: Lamport's bakery algorithm over shared cells.
 
-Each request that keeps an order draws a stamp above all that its process sees for the key, and is at the head of the
-queue once no smaller stamp is left in any process. No I/O, no clock. A request never reaches the head while an earlier
-position, or one whose stamp is still being chosen, exists elsewhere. This module never drops a position of another
-process by itself: those of a dead process count until `peer_positions` no longer returns them.
+Each ordered request gets a stamp greater than all that its process sees for the key. It is at the head of the queue
+once no process has a smaller stamp for the key. A request never reaches the head while another process has an earlier
+position or is still choosing a stamp. Positions of a dead process count until `peer_positions` no longer returns them;
+this module does not drop them itself. It uses no I/O and no clock.
 
-In the bakery algorithm (Lamport, 1974) a position is marked as being drawn before its stamp is chosen, so that of two
-processes in the same moment at least one sees the other, and equal stamps are ordered by the owners' numbers. It needs
-no lock that a stopped process could hold, and no synchronized clocks: time only keeps the stamps near the order of
-arrival.
+In the bakery algorithm (Lamport, 1974) a process marks its position as "choosing" before it chooses the stamp, so that
+of two processes that do so at the same time at least one sees the other. Equal stamps are ordered by owner number. The
+algorithm needs no lock, which a stopped process could hold, and no synchronized clocks: the time is used only to keep
+stamps close to the order of arrival.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple, Protocol
 
-CHOOSING_STAMP = 1  # in a cell while its stamp is being chosen; smaller than every stamp
+CHOOSING_STAMP = 1  # value in a cell while its stamp is being chosen; less than every stamp
 
 
 class QueuePosition(NamedTuple):
-    """A request's position in the queue of its key: the smaller one goes first."""
+    """A request's position in the queue of its key; the smallest is at the head."""
 
     stamp: int
     owner: int
 
 
 class CellWriter(Protocol):
-    """This process's cells, which the other processes read."""
+    """The cells of this process, which other processes read."""
 
     cell_count: int
 
     def write_cell(self, cell: int, key: int, stamp: int) -> None:
-        """Write a cell so that other processes see it once this returns; a key of 0 frees the cell."""
+        """Write a cell, visible to other processes when this returns; a key of 0 frees the cell."""
 
 
 class KeyQueue:
-    """The queue entries of one process; `peer_positions(key)` returns the positions of that key in other processes."""
+    """The queue entries of this process; `peer_positions(key)` returns a key's positions in other processes."""
 
     def __init__(
         self, owner: int, cell_file: CellWriter, peer_positions: Callable[[int], Iterable[QueuePosition]]
@@ -56,18 +56,18 @@
 
     @property
     def waiting_count(self) -> int:
-        """Number of requests that have not reached the head of their queue."""
+        """Number of requests that are not yet at the head of their queue."""
         return len(self._waiting)
 
     def key_of(self, request: int) -> int:
-        """Return the key in whose queue a request is; 0 if it is in none."""
+        """Return the key of a queued request, 0 if the request is not queued."""
         _, key = self._cells.get(request, (0, 0))
         return key
 
     def enter(self, request: int, key: int, now_us: int) -> bool | None:
-        """Draw a position: True if it is at the head, False if it has to wait, None if there is no free cell.
+        """Queue a request: True if it is at the head, False if it has to wait, None if there is no free cell.
 
-        `now_us` is in microseconds, approximately that of the other processes.
+        `now_us` is the time in microseconds, approximately equal in all processes.
         """
         if not self._free_cells:
             return None
@@ -83,7 +83,7 @@
         return False
 
     def pop_ready(self) -> list[int]:
-        """Return the requests that reached the head since the last call, the earliest position first."""
+        """Return the requests that reached the head since the last call, in queue order."""
         ready = sorted(
             (position, request) for request, (key, position) in self._waiting.items() if self._is_at_head(key, position)
         )
@@ -92,7 +92,7 @@
         return [request for _, request in ready]
 
     def leave(self, request: int) -> None:
-        """Free the cell of a request that is answered and has no attempt in flight; no error if it has none."""
+        """Remove a request that is answered and has no attempt in flight; does nothing if it is not queued."""
         self._waiting.pop(request, None)
         entry = self._cells.pop(request, None)
         if entry is None:
--- a/frostspindle/order/service.py
+++ b/frostspindle/order/service.py
@@ -1,8 +1,8 @@
-"""Order by key among processes, tied to one process's core: polling, timers and the folder of cell files.
+"""Ordering by key across the processes of a coordinator: connects the key queue to the core of this process.
 
-Owns this process's cell file, the queue positions of its requests, and the polling of other processes for those that
-wait. Requests that keep no order are never delayed, and nothing is decided here: the core is notified that a request
-reached the head of its queue, and the decision module chooses what to do with it.
+Manages this process's cell file and the queue positions of its requests, and polls the positions of other processes
+while requests wait. Requests without an ordering key are never delayed. The service only notifies the core that a
+request reached the head of its queue; the decision module decides when to send it.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from frostspindle.pools import UNPOLLED_QUERY_EXPIRY_MS
 from frostspindle.telemetry import Telemetry
 
-POLL_INTERVAL_S = 0.02  # between two looks at other processes' positions while any request waits
+POLL_INTERVAL_S = 0.02  # between two reads of other processes' positions while any request waits
 
 
 class KeyOrderService:
-    """Keeps the order of keys among processes for one core, as its `key_order`; runs in the event loop's thread."""
+    """Implements core.KeyOrder for one core; runs in the event loop's thread."""
 
     def __init__(self, folder: Path, core: Core, telemetry: Telemetry) -> None:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -33,14 +33,15 @@
         own_file = self.cell_folder.own_file
         self.queue = KeyQueue(own_file.owner, own_file, self.cell_folder.positions)
         self._poll_timer: asyncio.TimerHandle | None = None
-        # Requests that are answered while their key rests, and the end of that pause.
+        # By request that is finished but whose key is in its pause: the timer for the end of the pause.
         self._pause_timers: dict[int, asyncio.TimerHandle] = {}
         core.key_order = self
 
     def enter(self, number: int, key: int) -> bool | None:
-        """Draw a position for a request: True if it is at the head, False if it has to wait, None without a free cell.
+        """Queue a request: True if it is at the head, False if it has to wait, None if there is no free cell.
 
-        While any request waits, other processes' positions are polled; Core.key_order_reached reports the head.
+        While any request waits, other processes' positions are polled. Core.key_order_reached is called when a waiting
+        request reaches the head.
         """
         at_head = self.queue.enter(number, key, int(clock() * 1000.0))
         if at_head is False:
@@ -52,7 +53,7 @@
         return at_head
 
     def enter_open_requests(self) -> None:
-        """Draw positions for requests that were taken while there was no order, so that other processes see them."""
+        """Queue requests that were accepted before this service started, so that other processes see them."""
         for number, entry in self.core.ledger.entries.items():
             request = entry.request
             if not request.key:
@@ -62,11 +63,14 @@
                 self._schedule_poll()
 
     def on_request_finished(self, number: int) -> None:
-        """Free the position, but not while its key rests here: other processes would not know of that pause."""
+        """Remove a request from its queue, after the pause of its key if one is running.
+
+        Other processes don't know of the pause, so they would send the key's next request too early.
+        """
         if number in self._pause_timers:
             return
-        rests_until_ms = self.core.controller.key_order.cooldowns.get(self.queue.key_of(number), 0.0)
-        pause_left_ms = rests_until_ms - clock()
+        pause_ends_at_ms = self.core.controller.key_order.cooldowns.get(self.queue.key_of(number), 0.0)
+        pause_left_ms = pause_ends_at_ms - clock()
         if pause_left_ms > 0.0:
             loop = asyncio.get_running_loop()
             self._pause_timers[number] = loop.call_later(pause_left_ms / 1000.0, self._on_pause_over, number)
@@ -74,8 +78,11 @@
             self.queue.leave(number)
 
     def close(self) -> None:
-        """Detach from the core, cancel the timers and close the cell files; the own one stays if a request is open."""
-        self.core.key_order = None  # first: a request that ends from now on has no cell any more
+        """Detach from the core, cancel timers and close all cell files.
+
+        This process's file stays in the folder if it has positions left.
+        """
+        self.core.key_order = None  # first, so that requests that finish from now on don't access the cells
         if self._poll_timer is not None:
             self._poll_timer.cancel()
         for timer in self._pause_timers.values():
--- a/frostspindle/order/shared_cells.py
+++ b/frostspindle/order/shared_cells.py
@@ -1,8 +1,8 @@
-"""The files of cells in which processes of one coordinator read each other's queue positions, one mapped file each.
+"""Memory-mapped cell files, one for each process of a coordinator, with the queue positions of its requests.
 
-Owns the files `turns-*`: their format, the lock that shows that their owner is alive, and how long the cells of a dead
-process still count. A process never writes to another's file, never trusts its size or content beyond what is checked
-here, and never removes one while a query that it stands for may still run at an engine.
+This module defines the files `turns-*`: their format, the lock that shows that the owner is alive, and for how long
+the cells of a dead process count. A process never writes to another's file and validates its size and header. It
+removes the file of a dead process only when no query with a position in it can still run at an engine.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from frostspindle.order.key_queue import QueuePosition
 
 FILE_PREFIX = "turns-"
-CELL_COUNT = 4096  # of one process: far more than the requests that it may have open
-CELL_BYTES = 16  # key and stamp
-HEADER_BYTES = 16  # magic number and the owner's number
+CELL_COUNT = 4096  # per process; far more than the requests that it may have open
+CELL_BYTES = 16  # key, stamp
+HEADER_BYTES = 16  # magic number, owner number
 MAGIC = 0x66732D7475726E31
 FILE_BYTES = HEADER_BYTES + CELL_BYTES * CELL_COUNT
 MAX_PEER_FILES = 64
 
 
 class OwnCellFile:
-    """This process's cells: a mapped file, locked for as long as its owner lives."""
+    """The cells of this process: a mapped file that is locked while the process lives."""
 
     cell_count = CELL_COUNT
 
@@ -36,11 +36,11 @@
         self.owner: int = secrets.randbits(62) | 1
         self.path: Path = folder / f"{FILE_PREFIX}{os.getpid()}-{self.owner:x}"
         self._memory_barrier = threading.Lock()
-        unpublished = folder / f".{self.path.name}"  # gets its name only once it is complete and locked
+        unpublished = folder / f".{self.path.name}"  # renamed once the file is complete and locked
         self._file: BinaryIO = open(unpublished, "w+b")
         try:
             fcntl.flock(self._file, fcntl.LOCK_EX)
-            # Room for all of it: a write to a mapped page that the disk has no room for kills the process (SIGBUS).
+            # Allocate all blocks now: a write to a mapped page on a full disk would kill the process with SIGBUS.
             os.posix_fallocate(self._file.fileno(), 0, FILE_BYTES)
             self._map = mmap.mmap(self._file.fileno(), FILE_BYTES)
             self._words = memoryview(self._map).cast("Q")
@@ -53,18 +53,18 @@
             raise
 
     def write_cell(self, cell: int, key: int, stamp: int) -> None:
-        """Write a cell so that other processes see it once this returns; a key of 0 frees the cell."""
-        word = (HEADER_BYTES + CELL_BYTES * cell) // 8
-        # The stamp goes first: a key that is seen always has one. Each is one aligned store of eight bytes.
-        self._words[word + 1] = stamp
-        self._words[word] = key
-        # Processors may let a later read pass an earlier write; taking a lock does not let them. Without it, two
-        # processes in the same moment could each miss the other's position.
+        """Write a cell, visible to other processes when this returns; a key of 0 frees the cell."""
+        word_index = (HEADER_BYTES + CELL_BYTES * cell) // 8
+        # Write the stamp first, so that a visible key always has a stamp. Each is a single aligned 8-byte store.
+        self._words[word_index + 1] = stamp
+        self._words[word_index] = key
+        # Memory barrier: processors may reorder a later read before an earlier write, but not across acquiring a lock.
+        # Without it, two processes that enter at the same time could each miss the other's position.
         with self._memory_barrier:
             pass
 
     def close(self, clean: bool) -> None:
-        """Close the file; unless `clean` it stays in the folder, so that others wait for the positions left in it."""
+        """Close the file, and remove it if `clean`; else other processes wait for the positions left in it."""
         if clean:
             self.path.unlink(missing_ok=True)
         self._words.release()
@@ -73,7 +73,10 @@
 
 
 class _PeerCellFile:
-    """Another process's cells, as long as they count; ValueError if the file is not one of cells."""
+    """The cells of another process, read-only.
+
+    Raise ValueError if the file is not a valid cell file.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path: Path = path
@@ -81,7 +84,7 @@
         self._file: BinaryIO = open(path, "rb")
         try:
             if os.fstat(self._file.fileno()).st_size != FILE_BYTES:
-                raise ValueError("not a file of cells")
+                raise ValueError("not a cell file")
             self._map = mmap.mmap(self._file.fileno(), FILE_BYTES, access=mmap.ACCESS_READ)
         except (OSError, ValueError):
             self._file.close()
@@ -90,10 +93,10 @@
         self.owner: int = self._words[1]
         if self._words[0] != MAGIC:
             self.close()
-            raise ValueError("not a file of cells")
+            raise ValueError("not a cell file")
 
     def is_owner_alive(self) -> bool:
-        """Whether the owner still has its lock."""
+        """Return whether the owner still holds the lock of its file."""
         try:
             fcntl.flock(self._file, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -120,9 +123,9 @@
 
 
 class SharedCellFolder:
-    """All cell files of the folder.
+    """All cell files in a folder: that of this process and those of the others.
 
-    `clock` returns monotonic ms; `retention_ms` is how long the cells of a dead process count.
+    `clock` returns monotonic ms; the cells of a dead process count for `retention_ms`.
     """
 
     def __init__(self, folder: Path, clock: Callable[[], float], retention_ms: float) -> None:
@@ -130,14 +133,14 @@
         self.clock: Callable[[], float] = clock
         self.retention_ms: float = retention_ms
         self.own_file = OwnCellFile(folder)
-        self.unreadable_files: int = 0  # counted once each
+        self.unreadable_files: int = 0  # each file counts once
         self._peers: dict[str, _PeerCellFile] = {}
         self._unreadable_names: set[str] = set()
 
     def positions(self, key: int) -> list[QueuePosition]:
-        """Return a key's positions in other processes that live or died within `retention_ms`.
+        """Return a key's positions in other processes that are alive or died less than `retention_ms` ago.
 
-        The queries of a process that died so lately may still run at an engine.
+        Queries of a process that died so recently may still run at an engine.
         """
         self._refresh()
         found: list[QueuePosition] = []
@@ -148,21 +151,21 @@
         return found
 
     def close(self, clean: bool) -> None:
-        """Unmap the others' files and close the own one; `clean` also removes it, as it has no position left."""
+        """Unmap all files. `clean` also removes this process's file, which must have no positions left."""
         for peer in self._peers.values():
             peer.close()
         self._peers.clear()
         self.own_file.close(clean)
 
     def _refresh(self) -> None:
-        """Map new files and forget removed ones.
+        """Map new files and unmap removed ones.
 
-        A process makes its file before it serves, so all that may have an earlier position are in the folder.
+        A process creates its file before it accepts requests, so every file with an earlier position is in the folder.
         """
         try:
             names = {name for name in os.listdir(self.folder) if name.startswith(FILE_PREFIX)}
         except OSError:
-            return  # even if somebody removed the folder, the files known here are still mapped
+            return  # keep using the files that are already mapped, even if the folder was removed
         names.discard(self.own_file.path.name)
         self._open_new(names)
         for name in self._peers.keys() - names:
@@ -183,10 +186,13 @@
                 self.unreadable_files += 1
                 continue
             self._peers[name] = peer
-            self._still_counts(name, peer)  # for a file that nobody has locked, the retention time starts now
+            self._still_counts(name, peer)  # for a file without a lock, the retention time starts now
 
     def _check_next_owner(self) -> None:
-        """Look at one peer a call, in rotation: its death is noticed soon, even if nobody waits for its positions."""
+        """Check whether the next peer is alive, one per call in rotation.
+
+        This detects a peer's death soon even if no request waits for its positions.
+        """
         if not self._peers:
             return
         name = next(iter(self._peers))
@@ -195,7 +201,7 @@
         self._still_counts(name, peer)
 
     def _still_counts(self, name: str, peer: _PeerCellFile) -> bool:
-        """Whether the owner lives or died within the retention time; else the file is removed."""
+        """Return whether the owner is alive or within the retention time after its death; remove the file if not."""
         if peer.owner_died_at_ms is None and not peer.is_owner_alive():
             peer.owner_died_at_ms = self.clock()
         if peer.owner_died_at_ms is None or self.clock() - peer.owner_died_at_ms < self.retention_ms:
