--- a/frostspindle/ledger/__init__.py
+++ b/frostspindle/ledger/__init__.py
@@ -1,6 +1,6 @@
-"""Whose requests they are: tenants, the operator's rules for them, and the export of what they use.
+"""Tenants: the operator's rules that assign requests to tenants, and the export of their usage.
 
-`tenants.py` determines a request's tenant, by the rules of `tenant_rules.py` compiled in `rule_index.py`. The fronts
-supply what they know of a request; the decision module limits each tenant to its quota. `export.py` receives exported
-ledger periods.
+`tenants.py` determines a request's tenant, by the rules of `tenant_rules.py`, which `rule_index.py` compiles. The
+fronts supply the attributes of a request; the decision module limits each tenant to its quota. `export.py` receives
+exported ledger periods.
 """
--- a/frostspindle/ledger/rule_index.py
+++ b/frostspindle/ledger/rule_index.py
@@ -1,8 +1,8 @@
-"""An index of tenant rules: one look-up for each kind of rule, however many rules there are.
+"""An index of tenant rules, with a fixed number of look-ups per rule kind, independent of the number of rules.
 
-The index is a tuple space: rules of the same kind (conditions on the same names, prefixes `*` of the same length, the
-same header) share one table, keyed by all its names together and, for rules with an address, by the address prefix. A
-look-up tries each prefix length that the kind has, the longest first. No I/O and no clock.
+The index is a tuple space: rules of the same kind (conditions on the same names, `*` prefixes of the same length, the
+same header) share one table, keyed by all their values together and, for rules with an address, by the address prefix.
+A look-up tries each address prefix length of the kind, the longest first. It uses no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
     rank_with_prefix,
 )
 
-Key = tuple[object, ...]  # the values of a kind's names, its header's last
+Key = tuple[object, ...]  # the values of a kind's conditions, the header's last
 KeyType = TypeVar("KeyType")
 
 
 class RuleKind(NamedTuple):
-    """Which conditions the rules of one table have."""
+    """The conditions that the rules of one table have."""
 
-    names: tuple[tuple[int, int], ...]  # place in NAME_CONDITIONS, length of the prefix or -1 for a whole name
-    header: bytes  # lower-case name, or empty
+    names: tuple[tuple[int, int], ...]  # index in NAME_CONDITIONS, length of the prefix or -1 for a full name
+    header: bytes  # lower-case name, empty if there is no header condition
 
 
 @dataclass(slots=True)
 class _Table:
-    """The numbers of the best rules of one kind by key: those without an address, and the others by prefix."""
+    """The numbers of the best rules of one kind by key: without an address condition, and by address prefix."""
 
     any_address: dict[Key, int] = field(default_factory=dict)
-    networks: dict[tuple[int, int], dict[tuple[Key, int], int]] = field(default_factory=dict)  # by family and length
+    networks: dict[tuple[int, int], dict[tuple[Key, int], int]] = field(default_factory=dict)  # by family, length
 
 
 def _address_bits(address: str) -> NetworkPrefix | None:
-    """Return one address, as a socket names it, as a prefix of full length; None for what is no address."""
+    """Return the address of a socket's peer as a prefix of full length, or None if it is not an IP address."""
     try:
         if ":" in address:
             packed = socket.inet_pton(socket.AF_INET6, address.partition("%")[0])
@@ -53,16 +53,16 @@
 
 
 def _kind_and_key(rule: Rule) -> tuple[RuleKind, Key]:
-    """Return which conditions a rule has, and their values."""
+    """Return the kind of a rule and the values of its conditions."""
     names = []
     values = list[object]()
-    for place, name in enumerate(NAME_CONDITIONS):
+    for index, name in enumerate(NAME_CONDITIONS):
         text = getattr(rule, name).casefold()
         if text.endswith("*"):
-            names.append((place, len(text) - 1))
+            names.append((index, len(text) - 1))
             values.append(text[:-1])
         elif text:
-            names.append((place, -1))
+            names.append((index, -1))
             values.append(text)
     header_name, _, header_value = rule.header.partition("=")
     header = header_name.strip().lower().encode()
@@ -74,13 +74,13 @@
 def _request_key(
     names: tuple[tuple[int, int], ...], header: bytes, texts: Sequence[str], attributes: RequestAttributes
 ) -> Key | None:
-    """Return a request's key in the table of a kind; None if no rule of the kind can match it.
+    """Return a request's key in the table of a kind, or None if no rule of the kind can match it.
 
     `texts` are the request's names, case-folded, in the order of NAME_CONDITIONS.
     """
     values: list[object] = []
-    for place, length in names:
-        text = texts[place]
+    for index, length in names:
+        text = texts[index]
         if length >= 0:
             if len(text) < length:
                 return None
@@ -95,15 +95,15 @@
 
 
 class RuleIndex:
-    """All rules, compiled into one table for each kind of rule."""
+    """All rules, compiled into one table for each rule kind."""
 
     def __init__(self, rules: Sequence[Rule]) -> None:
         self.rules = rules
-        self._ranks: list[Rank] = []  # by number of the rule
+        self._ranks: list[Rank] = []  # by rule number
         self._tables: dict[RuleKind, _Table] = {}
         for number, rule in enumerate(rules):
             self._add(number, rule)
-        for table in self._tables.values():  # longest prefix first: the first hit is the best of its key
+        for table in self._tables.values():  # longest prefix first, so that the first hit is the best
             table.networks = dict(sorted(table.networks.items(), reverse=True))
 
     def _add(self, number: int, rule: Rule) -> None:
@@ -122,7 +122,7 @@
             numbers[key] = number
 
     def find(self, attributes: RequestAttributes) -> Rule | None:
-        """Return the rule that matches best, or None."""
+        """Return the best matching rule, or None."""
         texts = [getattr(attributes, name).casefold() for name in NAME_CONDITIONS]
         address = _address_bits(attributes.address)
         best: int | None = None
--- a/frostspindle/ledger/tenant_rules.py
+++ b/frostspindle/ledger/tenant_rules.py
@@ -1,11 +1,11 @@
 """The operator's tenant rules: their conditions, their precedence, and a reference matcher without an index.
 
-A rule names what must hold of a request: its front, one HTTP header, the TDS login, application and database, the
-schema that the statement names, the client's address. A name may end in `*` and then matches every name with that
-prefix; names are compared without case, header values with case. Among the rules that match, the longest address prefix
-wins, then the rule with more conditions, then the longer names, then the one that stands first.
+A rule has conditions on a request's front, one HTTP header, the TDS login, application and database, the schema in the
+statement, and the client's address. A name may end in `*`, which matches every name with that prefix. Names are
+compared case-insensitively, header values case-sensitively. Of the matching rules, the one with the longest address
+prefix wins, then the one with more conditions, then the one with longer names, then the first in the list.
 
-Functions and values without I/O or clock.
+This module uses no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from typing import NamedTuple
 
 NAME_CONDITIONS = ("front", "login", "application", "database", "schema")  # fields of a rule that may end in `*`
-Rank = tuple[int, int, int, int]  # smaller is better
+Rank = tuple[int, int, int, int]  # see `rank`; the smallest wins
 
 
 class RequestAttributes(NamedTuple):
-    """What a front knows of a request: rules match on it."""
+    """Attributes of a request that rules match on, as its front supplies them."""
 
     front: str
     address: str = ""
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """One rule of the operator's; an empty condition always holds."""
+    """A tenant rule of the operator; an empty condition always matches."""
 
     tenant: str
     front: str = ""
@@ -45,19 +45,19 @@
     address: str = ""  # an address or PREFIX/LENGTH
 
     def check(self) -> None:
-        """Raise ValueError, with the field's name, if a condition can't be used."""
+        """Raise ValueError, with the field's name, if a condition is invalid."""
         name, separator, _ = self.header.partition("=")
         if self.header and (not separator or not name.strip()):
-            raise ValueError(f"header: not NAME=VALUE: {self.header!r}")
+            raise ValueError(f"header: must be NAME=VALUE, not {self.header!r}")
         for field_name in NAME_CONDITIONS:
             if "*" in getattr(self, field_name)[:-1]:
-                raise ValueError(f"{field_name}: a * may stand at the end only")
+                raise ValueError(f"{field_name}: a * is allowed at the end only")
         if self.address:
             ipaddress.ip_network(self.address)
 
 
 class NetworkPrefix(NamedTuple):
-    """An address prefix: IP version, the leading bits as a number, and how many they are."""
+    """An address prefix: IP version, the leading bits as an integer, and their number."""
 
     family: int
     bits: int
@@ -65,7 +65,10 @@
 
 
 def network_prefix(address: str) -> NetworkPrefix | None:
-    """Return the prefix that an address or PREFIX/LENGTH of a rule stands for; None for an empty one. ValueError."""
+    """Return the prefix for an address or PREFIX/LENGTH of a rule, None if it is empty.
+
+    Raise ValueError if it is invalid.
+    """
     if not address:
         return None
     network = ipaddress.ip_network(address)
@@ -74,12 +77,12 @@
 
 
 def rank(rule: Rule, number: int) -> Rank:
-    """Return a rule's rank, smaller is better: longer prefix, more conditions, longer names, earlier place."""
+    """Return a rule's rank; the smallest wins: longer prefix, more conditions, longer names, earlier in the list."""
     return rank_with_prefix(rule, number, network_prefix(rule.address))
 
 
 def rank_with_prefix(rule: Rule, number: int, prefix: NetworkPrefix | None) -> Rank:
-    """Return a rule's rank, as `rank`, where its address prefix is known already."""
+    """Return the same as `rank`, given the rule's address prefix."""
     prefix_length = prefix.length if prefix else -1
     texts = (rule.front, rule.login, rule.application, rule.database, rule.schema, rule.header)
     conditions = [text for text in texts if text]
@@ -87,7 +90,7 @@
 
 
 def matches(rule: Rule, attributes: RequestAttributes) -> bool:
-    """Return whether all conditions of a rule hold: the reference that the index is tested and measured against."""
+    """Return whether all conditions of a rule match. This is the reference for tests and benchmarks of the index."""
     return (
         all(_matches_name(getattr(rule, name), getattr(attributes, name)) for name in NAME_CONDITIONS)
         and _matches_header(rule.header, attributes.headers)
@@ -120,6 +123,6 @@
 
 
 def best_match(rules: Iterable[Rule], attributes: RequestAttributes) -> Rule | None:
-    """Return the best match by testing every rule: the reference for `RuleIndex.find`."""
+    """Return the best match by testing every rule; the reference for `RuleIndex.find`."""
     ranked = [(rank(rule, number), rule) for number, rule in enumerate(rules) if matches(rule, attributes)]
     return min(ranked, key=lambda entry: entry[0])[1] if ranked else None
--- a/frostspindle/ledger/tenants.py
+++ b/frostspindle/ledger/tenants.py
@@ -1,4 +1,4 @@
-"""Which tenant a request is of, by the operator's rules and the name that the client gives. No I/O and no clock."""
+"""Assignment of requests to tenants, by the operator's rules and the client's tenant name. Uses no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class UnknownTenantError(ValueError):
-    """A client named a tenant that the settings do not have."""
+    """The client gave a tenant name that is not in the settings."""
 
 
 class Tenants:
-    """The decision module's number of each tenant: 0 the default, then those of the settings, then the operator's.
+    """Maps requests to the decision module's tenant numbers: 0 the default, then the settings', then the operator's.
 
-    A matching rule of the operator's decides first, whatever the client says. Else the name that the client gives
-    counts, if the settings have tenants at all; an unknown name is the client's error. A request with neither belongs
-    to the default, which may be one of the settings' tenants.
+    A matching rule of the operator takes precedence over the name that the client gives. Without one, the client's
+    name counts if the settings define tenants; an unknown name is an error of the client. All other requests belong to
+    the default tenant, which may be one of the settings' tenants.
     """
 
     def __init__(
@@ -31,13 +31,13 @@
 
     @property
     def has_tenants(self) -> bool:
-        """Whether there is any tenant beside the default."""
+        """Whether there are tenants besides the default one."""
         return bool(self.names)
 
     def number(self, attributes: RequestAttributes, client_name: bytes | None = None) -> int:
-        """Return the number of a request's tenant; UnknownTenantError if the client named one that does not exist.
+        """Return the number of a request's tenant.
 
-        `client_name` is the name that the client gave, None if it gave none.
+        `client_name` is the tenant name that the client gave, or None. Raise UnknownTenantError if it is not known.
         """
         rule = self._index.find(attributes) if self._index is not None else None
         if rule is not None:
