--- a/tests/test_steady_clock.py
+++ b/tests/test_steady_clock.py
@@ -1,4 +1,4 @@
-"""The clock of all spans under steps of the wall clock, and who may read the wall clock at all."""
+"""The steady clock under steps of the wall clock, and the modules that may read the wall clock."""
 
 import ast
 import asyncio
@@ -19,25 +19,25 @@
 
 ROOT = Path(__file__).parent.parent / "frostspindle"
 STEPS_S = [3.0, -3.0, 60.0, -60.0, 3600.0, -3600.0]
-# What reads the wall clock, and for which Unix time: no span may be measured by it.
+# Modules that read the wall clock, and the Unix time that each needs. Durations must not be measured with it.
 WALL_CLOCK_READERS = {
-    "core/steady_clock.py",  # the one place for spans and for Unix times that come in
+    "core/steady_clock.py",  # the only module for durations and for the conversion of received Unix times
     "cores/status.py",  # log lines
-    "fleet/service.py",  # the epoch of a process, which orders it behind its predecessor
-    "ownership/export.py",  # the time that an exported line bears
-    "ownership/service.py",  # the time of a rejection that operators are told
+    "fleet/service.py",  # the epoch of a process, which orders it after its predecessor
+    "ownership/export.py",  # the timestamp of an exported line
+    "ownership/service.py",  # the time of a rejection, for operators
     "scatter/service.py",  # names of queries
-    "settings/operator_calls.py",  # the age of stored versions that operators are told
-    "settings/rollout_log.py",  # the same, in the log
-    "settings/service.py",  # the time that a stored version bears; the number of a process
-    "subscriptions/service.py",  # the epoch of a process, as that of the fleet
-    "telemetry.py",  # log lines, the start that operators are told
+    "settings/operator_calls.py",  # the age of stored versions, for operators
+    "settings/rollout_log.py",  # the age of stored versions, in the log
+    "settings/service.py",  # the timestamp of a stored version; the number of a process
+    "subscriptions/service.py",  # the epoch of a process, like that of the fleet
+    "telemetry.py",  # log lines; the start time, for operators
 }
 WALL_CLOCK_NAMES = {"time", "time_ns", "now", "utcnow", "today"}
 
 
 @pytest.fixture
-def own_offset():
+def original_offset():
     offset = steady_clock.offset_ms()
     yield offset
     steady_clock.set_offset_ms(offset)
@@ -53,7 +53,7 @@
     )
 
 
-# Guards against: a deadline, window or wait was measured by the wall clock, which may step by an hour.
+# Guards against: a deadline, window or wait was measured with the wall clock, which may step by an hour.
 def test_only_listed_modules_read_the_wall_clock():
     readers = {
         str(path.relative_to(ROOT))
@@ -64,22 +64,22 @@
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_step_moves_no_time_of_the_steady_clock(step_s):
+def test_wall_clock_step_does_not_affect_the_steady_clock(step_s):
     real_time = time.time
     before = steady_clock.clock()
     with unittest.mock.patch("time.time", lambda: real_time() + step_s):
         assert 0.0 <= steady_clock.clock() - before < 1000.0
-        # A start that the list tells by the stepped clock is as old as it is.
+        # A start time by the stepped wall clock, as in the endpoint list, is converted with its correct age.
         now_ms = steady_clock.unix_ms()
         assert steady_clock.clock() - steady_clock.from_unix_ms(now_ms - 500.0) == pytest.approx(500.0, abs=50.0)
-        # One that lies ahead, as the clock was set back since, counts as now.
+        # A time in the future, as after the clock was set back, counts as now.
         assert steady_clock.clock() - steady_clock.from_unix_ms(now_ms + 3_600_000.0) == pytest.approx(0.0, abs=50.0)
     assert steady_clock.from_unix_ms(0.0) == 0.0
 
 
-# Guards against: an engine counted as restarted, or as cold for an hour, because its start was converted anew.
-def test_a_listed_start_is_converted_once(tmp_path):
-    async def play():
+# Guards against: an engine counted as restarted, or as cold for an hour, because its start was converted again.
+def test_listed_start_time_is_converted_once(tmp_path):
+    async def run():
         async with running_site(tmp_path) as site:
             born_ms = time.time() * 1000.0 - 500.0
             for _ in range(2):
@@ -88,42 +88,43 @@
             starts = {line["since"] for line in site.process.events("engine_updated")}
             assert len(starts) == 1
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-# Guards against: requests were given up, refused or answered late, and engines told a wrong time, after a step.
+# Guards against: after a clock step, requests were abandoned, rejected or answered late, and engines got a wrong
+# timeout.
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_request_that_is_open_at_a_step_is_served_in_its_time(tmp_path, step_s, monkeypatch):
+def test_request_that_is_open_at_a_clock_step_is_served_before_its_deadline(tmp_path, step_s, monkeypatch):
     clock = SteppedClock(tmp_path)
     environment = Process.process_environment
     monkeypatch.setattr(Process, "process_environment", lambda self: environment(self) | clock.environment())
 
-    async def play():
+    async def run():
         async with running_site(tmp_path) as site:
             reader, writer = await site.open()
             writer.write(post("00000000000000d4", timeout_ms=6000))
-            await asyncio.sleep(0.2)  # it is held, as there is no engine
-            began_s = time.monotonic()
+            await asyncio.sleep(0.2)  # the request waits, as there is no engine
+            started_s = time.monotonic()
             clock.step(step_s)
             await asyncio.sleep(0.3)
             site.bus.say(host(site.engine.name, site.engine.port, born_ms=round(clock.unix_ms())))
             async with asyncio.timeout(8.0):
                 status, body = await follow(reader, writer)
             assert (status, len(body["rows"])) == (200, 1)
-            told_ms = site.engine.sent[0][2]
-            assert 0.0 < told_ms <= 6000.0 - 1000.0 * (0.2 + 0.3) + 50.0
-            assert time.monotonic() - began_s < 3.0
+            engine_timeout_ms = site.engine.sent[0][2]
+            assert 0.0 < engine_timeout_ms <= 6000.0 - 1000.0 * (0.2 + 0.3) + 50.0
+            assert time.monotonic() - started_s < 3.0
             writer.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 # The offset that the processes of a coordinator share.
 
 
-def test_processes_take_over_the_first_one_s_offset(tmp_path, own_offset):
+def test_processes_use_the_offset_of_the_first_one(tmp_path, original_offset):
     share_offset(tmp_path / "shared")
-    assert steady_clock.offset_ms() == own_offset
+    assert steady_clock.offset_ms() == original_offset
     code = (
         "import sys; from pathlib import Path; from frostspindle.clock_file import share_offset;"
         "from frostspindle.core import steady_clock; share_offset(Path(sys.argv[1]));"
@@ -140,24 +141,24 @@
             text=True,
             check=True,
         ).stdout
-        assert (abs(float(printed) - own_offset) < 1.0) == is_shared
+        assert (abs(float(printed) - original_offset) < 1.0) == is_shared
 
 
 @pytest.mark.parametrize(
     "written", ["", "half of it", "{boot} 12", "{boot} nan end", "{boot} 5.0 end", "other {own} end"]
 )
-def test_an_offset_that_is_spoilt_or_of_another_start_is_replaced(tmp_path, own_offset, written):
+def test_offset_that_is_malformed_or_of_another_boot_is_replaced(tmp_path, original_offset, written):
     boot_id = BOOT_ID_PATH.read_text().strip()
-    (tmp_path / FILE_NAME).write_text(written.format(boot=boot_id, own=own_offset + 1000.0))
+    (tmp_path / FILE_NAME).write_text(written.format(boot=boot_id, own=original_offset + 1000.0))
     share_offset(tmp_path)
-    assert steady_clock.offset_ms() == own_offset
-    assert (tmp_path / FILE_NAME).read_text() == f"{boot_id} {own_offset!r} end"
+    assert steady_clock.offset_ms() == original_offset
+    assert (tmp_path / FILE_NAME).read_text() == f"{boot_id} {original_offset!r} end"
     assert [path.name for path in tmp_path.iterdir()] == [FILE_NAME]
 
 
 @pytest.mark.parametrize("name", ["mkdir", "write_text", "read_text", "unlink"])
-def test_a_folder_that_fails_changes_nothing(tmp_path, own_offset, name):
+def test_folder_error_leaves_the_offset_unchanged(tmp_path, original_offset, name):
     with unittest.mock.patch.object(Path, name, side_effect=OSError(28, "no space")):
         share_offset(tmp_path / "shared")
     share_offset(None)
-    assert steady_clock.offset_ms() == own_offset
+    assert steady_clock.offset_ms() == original_offset
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: the index against a reference matcher, and the tenant of requests as the decision module sees it."""
+"""Tenants: the rule index against a reference matcher, and the tenants of requests in the decision module."""
 
 import random
 
@@ -10,41 +10,41 @@
 from frostspindle.ledger.rule_index import RuleIndex
 from frostspindle.ledger.tenant_rules import RequestAttributes, Rule, best_match, matches
 
-WORDS = ("", "", "", "sales", "Sales", "sales_*", "sales_17", "s*", "ops", "ops_2", "*")
-PLACES = ("", "", "10.0.0.0/8", "10.1.0.0/16", "10.1.2.3", "0.0.0.0/0", "fd00::/8", "fd00::1", "192.168.0.0/17")
+NAME_PATTERNS = ("", "", "", "sales", "Sales", "sales_*", "sales_17", "s*", "ops", "ops_2", "*")
+ADDRESSES = ("", "", "10.0.0.0/8", "10.1.0.0/16", "10.1.2.3", "0.0.0.0/0", "fd00::/8", "fd00::1", "192.168.0.0/17")
 
 
-def draw_rule(draw, number):
+def random_rule(generator, number):
     return Rule(
         f"t{number}",
-        draw.choice(("", "http", "tds")),
-        draw.choice(("", "", "X-Team=blue", "x-team=Blue", "A=1")),
-        *(draw.choice(WORDS) for _ in range(4)),
-        draw.choice(PLACES),
+        generator.choice(("", "http", "tds")),
+        generator.choice(("", "", "X-Team=blue", "x-team=Blue", "A=1")),
+        *(generator.choice(NAME_PATTERNS) for _ in range(4)),
+        generator.choice(ADDRESSES),
     )
 
 
-def draw_attributes(draw):
+def random_attributes(generator):
     return RequestAttributes(
-        draw.choice(("http", "tds")),
-        draw.choice(("10.1.2.3", "10.1.9.9", "10.9.9.9", "fd00::1", "fd00::2", "", "192.168.200.1", "nowhere")),
-        draw.choice(({}, {b"x-team": b"blue"}, {b"x-team": b" Blue "}, {b"a": b"1", b"x-team": b"blue"})),
-        *(draw.choice(("", "sales", "SALES_17", "sales_2", "ops", "s", "ops_21")) for _ in range(4)),
+        generator.choice(("http", "tds")),
+        generator.choice(("10.1.2.3", "10.1.9.9", "10.9.9.9", "fd00::1", "fd00::2", "", "192.168.200.1", "nowhere")),
+        generator.choice(({}, {b"x-team": b"blue"}, {b"x-team": b" Blue "}, {b"a": b"1", b"x-team": b"blue"})),
+        *(generator.choice(("", "sales", "SALES_17", "sales_2", "ops", "s", "ops_21")) for _ in range(4)),
     )
 
 
 @given(strategies.integers(0, 10**6))
 @hypothesis_settings(max_examples=150, deadline=None)
-def test_the_index_finds_what_matching_every_rule_finds(seed):
-    draw = random.Random(seed)
-    rules = [draw_rule(draw, number) for number in range(draw.randint(0, 25))]
+def test_index_finds_the_same_rule_as_the_reference_matcher(seed):
+    generator = random.Random(seed)
+    rules = [random_rule(generator, number) for number in range(generator.randint(0, 25))]
     index = RuleIndex(rules)
     for _ in range(20):
-        attributes = draw_attributes(draw)
+        attributes = random_attributes(generator)
         assert index.find(attributes) == best_match(rules, attributes)
 
 
-def test_the_longest_prefix_wins_then_more_conditions_then_longer_names_then_the_first():
+def test_longest_prefix_wins_then_more_conditions_then_longer_names_then_the_first():
     rules = [
         Rule("any"),
         Rule("net", address="10.0.0.0/8"),
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(
-    "rule, word",
+    "rule, pattern",
     [
         (Rule("t", header="X"), "header"),
         (Rule("t", schema="a*b"), "schema"),
@@ -77,8 +77,8 @@
         (Rule("t", address="x"), "x"),
     ],
 )
-def test_a_rule_that_can_t_be_used_says_why(rule, word):
-    with pytest.raises(ValueError, match=word):
+def test_invalid_rule_raises_an_error_that_names_the_reason(rule, pattern):
+    with pytest.raises(ValueError, match=pattern):
         rule.check()
 
 
@@ -101,35 +101,35 @@
 class Fronts(EdgeCase):
     def tenants(self):
         names = ["default", *(tenant.name for tenant in self.program.config.operator.tenant)]
-        return [names[job.tenant] for job in self.seen]
+        return [names[event.tenant] for event in self.arrived]
 
-    async def asked(self, *, operator=OPERATOR):
+    async def start_recording(self, *, operator=OPERATOR):
         await self.start(operator=operator)
-        self.seen, on_request = [], self.program.core.controller.handlers
+        self.arrived, handlers = [], self.program.core.controller.handlers
         from frostspindle.policy import RequestArrived
 
-        take = on_request[RequestArrived]
-        on_request[RequestArrived] = lambda now, event: (self.seen.append(event), take(now, event))
+        handle = handlers[RequestArrived]
+        handlers[RequestArrived] = lambda now, event: (self.arrived.append(event), handle(now, event))
 
-    async def test_http_requests_reach_the_module_under_their_tenant(self):
-        await self.asked()
+    async def test_http_requests_reach_the_decision_module_with_their_tenant(self):
+        await self.start_recording()
         await self.ask(number=1, **{"X-Team": "blue"})
         await self.ask(number=2, **{"X-Team": "red"})
         await self.ask(number=3, sql="SELECT 1 FROM Ops_3.jobs -- blue_1.x")
         self.assertEqual(self.tenants(), ["blue", "default", "ops"])
         self.assertEqual(self.program.core.controller.settings.tenant_quotas_per_s, (0.0, 2.0, 0.0))
 
-    async def test_requests_beyond_a_quota_are_queued_behind_the_others(self):
-        await self.asked()
+    async def test_requests_above_a_quota_are_queued_after_the_others(self):
+        await self.start_recording()
         for number in range(1, 7):
             await self.ask(number=number, **{"X-Team": "blue"})
-        self.assertGreater(len([job for job in self.seen if job.tenant == 1]), 5)
-        self.assertLess(self.program.core.controller.quotas.buckets[1], 1.0)  # the module's own bucket is empty
+        self.assertGreater(len([event for event in self.arrived if event.tenant == 1]), 5)
+        self.assertLess(self.program.core.controller.quotas.buckets[1], 1.0)  # the tenant's token bucket is empty
 
     async def test_tds_sessions_are_assigned_to_tenants_by_their_login(self):
         engine = await TdsEngine().start()
         self.addCleanup(engine.server.close)
-        await self.asked(
+        await self.start_recording(
             operator=OPERATOR
             + f"""
 [tds]
