--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -218,7 +218,7 @@
             for _ in range(400):  # of 5 ms each
                 now += 5.0
                 self.core.dispatcher.wake()
-                await self.run_until(lambda: not self.core.dispatcher._sleeper.done())
+                await self.run_until(lambda: not self.core.dispatcher._wakeup.done())
             self.assertEqual(
                 [response.status for response in self.responses],
                 ["refused"],
