--- a/bench/order.py
+++ b/bench/order.py
@@ -30,7 +30,7 @@
 def process(folder: Path) -> tuple[SharedCellFolder, KeyQueue]:
     """Create the shared file of a process in the folder; return its view of all files there, and its turns."""
     sheets = SharedCellFolder(folder, clock, 2100.0)
-    return sheets, KeyQueue(sheets.own.owner, sheets.own, sheets.positions)
+    return sheets, KeyQueue(sheets.own_file.owner, sheets.own_file, sheets.positions)
 
 
 def timed(folder: Path, others: int, requests: int, draw: random.Random) -> tuple[float, float]:
