--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -286,9 +286,9 @@
 folder = SharedCellFolder(Path(sys.argv[1]), lambda: 0.0, 1e9)
 queue = KeyQueue(folder.own_file.owner, folder.own_file, folder.positions)
 for line in sys.stdin:
-    command, request, key = line.split()
-    now_us = int(time.time() * 1e6)
-    print(queue.enter(int(request), int(key), now_us) if command == "enter" else queue.leave(int(request)), flush=True)
+    call, request, key = line.split()
+    print(queue.enter(int(request), int(key), int(time.time() * 1e6)) if call == "enter" else queue.leave(int(request)),
+          flush=True)
 """
 
 
