--- a/frostspindle/core/figures.py
+++ b/frostspindle/core/figures.py
@@ -1,6 +1,6 @@
-"""What operators read of the core: its figures, its beliefs on engines, and the sizes of its tables.
+"""The core's figures for operators: counters, the state of requests and engines, and table sizes.
 
-The keys of all these are read by operators, SIGUSR1 and SNMP and stay as they are.
+Operators, SIGUSR1 and SNMP read them by key, so don't rename keys.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from frostspindle.policy.controller import Controller
 from frostspindle.telemetry import Telemetry
 
-# Figures of a class, and the counters behind each; lost: open when a worker died.
+# Figures of a class, and the counters that each is the sum of; "lost" counts requests open when a worker died.
 CLASS_FIGURES = {"success": ("served",), "busy": ("refused", "full"), "failure": ("failed", "lost")}
-MAX_REPORT_AGE_MS = 1e6  # shown for engines without a load report
+MAX_REPORT_AGE_MS = 1e6  # also shown for engines without a load report
 
 
 def table_sizes(
     ledger: RequestLedger, endpoints: EndpointRegistry, controller: Controller, dispatcher: EventDispatcher
 ) -> dict[str, int]:
-    """Return the size of each of the core's tables; each is bounded, and a slow growth would show here."""
+    """Return the size of each of the core's tables, which are all bounded, to detect leaks."""
     return {
         "records": len(ledger.entries),
         "timers": len(dispatcher.timers),
@@ -40,7 +40,7 @@
 def snapshot(
     ledger: RequestLedger, endpoints: EndpointRegistry, controller: Controller, dispatcher: EventDispatcher
 ) -> dict[str, Any]:
-    """Return the current beliefs on requests and engines, to compare with the traffic on the sockets."""
+    """Return the current state of requests and engines, to compare with the traffic on the sockets."""
     return {
         "open": ledger.open_count,
         "held": len(controller.waiting_queue),
@@ -56,22 +56,22 @@
     )
     rows = []
     for number, engine in endpoints.engines.items():
-        believed = controller.engines.get(number)
-        if believed is None:
+        estimate = controller.engines.get(number)
+        if estimate is None:
             continue
         rows.append(
             {
                 "name": engine.name,
                 "health": engine.entry.health,
                 "out": in_flight[number],
-                "threads": believed.threads,
-                "peers": believed.peer_threads,
-                "bound": round(believed.thread_limit, 1),
-                "slow": round(believed.slowdown, 2),
-                "fails": round(believed.failure_rate, 2),
-                "granted_mb": round(believed.granted_mb),
-                "suspect": believed.ejected,
-                "report_age_ms": round(min(clock() - believed.load_report_at_ms, MAX_REPORT_AGE_MS)),
+                "threads": estimate.threads,
+                "peers": estimate.peer_threads,
+                "bound": round(estimate.thread_limit, 1),
+                "slow": round(estimate.slowdown, 2),
+                "fails": round(estimate.failure_rate, 2),
+                "granted_mb": round(estimate.granted_mb),
+                "suspect": estimate.ejected,
+                "report_age_ms": round(min(clock() - estimate.load_report_at_ms, MAX_REPORT_AGE_MS)),
             }
         )
     return rows
@@ -84,7 +84,7 @@
     endpoints: EndpointRegistry,
     controller: Controller,
 ) -> dict[str, Any]:
-    """Return the figures that operators, SIGUSR1 and SNMP all read, from the counters and the ledger."""
+    """Return the figures for operators, SIGUSR1 and SNMP, from the counters and the ledger."""
     listed = [number for number, engine in endpoints.engines.items() if engine.entry.health != Health.GONE]
     down = [number for number in listed if _is_down(number, endpoints, controller)]
     return {
@@ -97,7 +97,7 @@
 
 
 def _calls_by_class(classes: Sequence[tuple[str, str]], telemetry: Telemetry) -> dict[str, dict[str, int]]:
-    """Return the figures of each class, summed over the fronts of clients."""
+    """Return the figures of each class, summed over all client fronts."""
     calls: dict[str, dict[str, int]] = {}
     for front, class_name in classes:
         if front == SUBREQUEST_FRONT:
@@ -109,8 +109,8 @@
 
 
 def _is_down(number: int, endpoints: EndpointRegistry, controller: Controller) -> bool:
-    """Return whether an engine is banned, or ejected by the decision module."""
+    """Return whether an engine is banned or ejected."""
     if endpoints.engines[number].name in endpoints.banned:
         return True
-    believed = controller.engines.get(number)
-    return believed is not None and bool(believed.ejected)
+    estimate = controller.engines.get(number)
+    return estimate is not None and bool(estimate.ejected)
