--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -75,7 +75,7 @@
         self.core = core
         self.telemetry = telemetry
         self.node: FleetNode | None = None
-        self.parts: list[FleetChannel] = []  # set before start
+        self.channels: list[FleetChannel] = []  # set before start
         self.socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
@@ -124,12 +124,12 @@
         epoch = int(time.time() * 1e6)
         self.node = FleetNode(self.name, address, epoch, secrets.token_bytes(16), self.settings, monotonic())
         self.node.log = self.telemetry.log
-        for part in self.parts:
+        for part in self.channels:
             self.node.channels[part.channel] = part.on_message
             self.node.watchers.append(part.on_member_changed)
         asyncio.get_running_loop().add_reader(bound, self._read)
         self.telemetry.log("fleet_joined", listen=bound.getsockname(), advertise=address, epoch=epoch)
-        for part in self.parts:
+        for part in self.channels:
             part.on_started(monotonic(), self.node)
         self._tick()
 
--- a/frostspindle/fleet/slow_start.py
+++ b/frostspindle/fleet/slow_start.py
@@ -265,7 +265,7 @@
 
     # What the coordinator asks.
 
-    def usable_part(
+    def usable_fraction(
         self,
         now: float,
         unix_ms: float,
--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -133,7 +133,7 @@
             wanted, smallest = work_to_request(queued_work, len(needs), even_share)
             alive = budgets.node.membership.alive
             requests_here = requests_at(controller.settings.number, budgets.node.name, alive, place, len(needs))
-            part = self._budget_factor * budgets.usable_part(
+            part = self._budget_factor * budgets.usable_fraction(
                 now,
                 unix_ms,
                 state.name,
@@ -180,5 +180,5 @@
     Must be called before the fleet starts.
     """
     coordinator = SlowStartCoordinator(program)
-    program.fleet.parts.append(coordinator)
+    program.fleet.channels.append(coordinator)
     return coordinator
--- a/frostspindle/lab/cold.py
+++ b/frostspindle/lab/cold.py
@@ -142,7 +142,7 @@
         if self.plain:
             return 1.0 / self.count - spent
         return (
-            side.cold.usable_part(
+            side.cold.usable_fraction(
                 now, unix, name, born, budget, spent, wished / budget, sum(self.sizes) / 2.0 / budget, STEP_MS
             )
             - spent
--- a/frostspindle/lab/warming.py
+++ b/frostspindle/lab/warming.py
@@ -90,7 +90,7 @@
             here = requests_at(
                 controller.settings.number, self.node.name, self.node.membership.alive, place, len(needs)
             )
-            part = times * self.cold.usable_part(
+            part = times * self.cold.usable_fraction(
                 now,
                 unix,
                 f"e{number}",
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -337,7 +337,7 @@
     )
     service = RecoveryService(program, settings)
     if program.fleet is not None:
-        program.fleet.parts.append(service)
+        program.fleet.channels.append(service)
     if program.operator_server is not None:
         program.operator_server.handlers["show-recovery"] = service.figures
     return service
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -22,7 +22,7 @@
     catalogue = program.config.scatter
     assert catalogue is not None and program.fleet is not None
     scatter = ScatterService(catalogue, program.core, program.telemetry, program.fleet, len(program.config.classes))
-    program.fleet.parts.append(scatter)
+    program.fleet.channels.append(scatter)
     program.core.interceptor = scatter
 
     def marks(ask: ClientRequest, fields: Mapping[bytes, bytes]) -> None:
--- a/frostspindle/subscriptions/wiring.py
+++ b/frostspindle/subscriptions/wiring.py
@@ -31,7 +31,7 @@
     )
     program.core.observer = service
     if program.fleet:
-        program.fleet.parts.append(service)
+        program.fleet.channels.append(service)
     program.operator_server.stream_handlers |= {"subscribe": service.subscribe, "resume": service.resume}
     program.operator_server.handlers |= {"unsubscribe": service.unsubscribe, "show-subscriptions": service.figures}
     return service
--- a/tests/test_cold_rights.py
+++ b/tests/test_cold_rights.py
@@ -93,7 +93,7 @@
                 cold.tick(now)
                 for engine, born in self.heard[name].items():
                     wish = self.wish.get((name, engine), 0.0)
-                    cold.usable_part(now, UNIX + self.now, engine, born, UNITS, 0.0, wish)
+                    cold.usable_fraction(now, UNIX + self.now, engine, born, UNITS, 0.0, wish)
                 self.send(name, self.nodes[name].tick(now, UNIX + self.now))
             while self.queue:
                 self.carry(*self.queue.pop(0))
@@ -180,16 +180,16 @@
 )
 def test_isolated_coordinator_uses_its_own_units_after_the_cooldown_and_no_others(name, seeds, outside, part):
     cold = alone(name, seeds, outside=outside)
-    assert cold.usable_part(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0  # a predecessor may have used or lent all
+    assert cold.usable_fraction(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0  # a predecessor may have used or lent all
     rested = LEASE * 1.055 / 0.945 + WINDOW * 1.055 + 10.0
     cold.node.tick(rested, UNIX)
-    assert cold.usable_part(rested, UNIX + rested, "x", UNIX, 1e3, 0.0, 1.0) == pytest.approx(part)
+    assert cold.usable_fraction(rested, UNIX + rested, "x", UNIX, 1e3, 0.0, 1.0) == pytest.approx(part)
     assert cold.spend(rested, "x", UNIX, UNIX + rested, part * 1e3 + 1.5, 1e3) is False
     if part:
         assert cold.spend(rested, "x", UNIX, UNIX + rested, part * 1e3, 1e3)
         # The module still counts it, and nothing is ready until it has rested.
-        assert cold.usable_part(rested, UNIX + rested, "x", UNIX, 1e3, part, 0.0) == pytest.approx(part)
-        assert cold.usable_part(rested + 1_040.0, UNIX + rested + 1_040.0, "x", UNIX, 1e3, 0.0, 0.0) == 0.0
+        assert cold.usable_fraction(rested, UNIX + rested, "x", UNIX, 1e3, part, 0.0) == pytest.approx(part)
+        assert cold.usable_fraction(rested + 1_040.0, UNIX + rested + 1_040.0, "x", UNIX, 1e3, 0.0, 0.0) == 0.0
         assert cold.spend(rested + 1_070.0, "x", UNIX, UNIX, part * 1e3, 1e3)
 
 
@@ -201,18 +201,18 @@
     assert cold.may_open(now, budget_name("x", UNIX)) and cold.may_open(now, budget_name("x", UNIX + 5.0))
     assert not cold.spend(now, "x", UNIX, UNIX, 1.0, 1e3)
     assert not cold.may_open(now, budget_name("x", UNIX))
-    assert cold.usable_part(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
+    assert cold.usable_fraction(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
     # Half is ready; the other half is in its window still, and the module counts it.
-    assert cold.usable_part(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0) == 1.0
+    assert cold.usable_fraction(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0) == 1.0
     assert not cold.spend(now, "x", UNIX + 5.0, UNIX, 501.0, 1e3)
-    assert cold.usable_part(now + 1_040.0, UNIX + 1_040.0, "x", UNIX + 5.0, 1e3, 0.0, 1.0) == 0.5
+    assert cold.usable_fraction(now + 1_040.0, UNIX + 1_040.0, "x", UNIX + 5.0, 1e3, 0.0, 1.0) == 0.5
     assert cold.spend(now + 1_070.0, "x", UNIX + 5.0, UNIX + 1_070.0, 1e3, 1e3)
     cold.tick(now + 3_000.0)
-    assert cold.usable_part(now, UNIX, "y", UNIX, 1e3, 0.0, 1.0) == 1.0  # another engine is another matter
+    assert cold.usable_fraction(now, UNIX, "y", UNIX, 1e3, 0.0, 1.0) == 1.0  # another engine is another matter
     cold.node.tick(now + 9_000.0, UNIX)
     cold.tick(now + 9_000.0)  # the earlier one is forgotten, and not taken up again by who still believes in it
-    assert cold.usable_part(now + 9_000.0, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 0.0) == 1.0
-    assert cold.usable_part(now + 9_000.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
+    assert cold.usable_fraction(now + 9_000.0, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 0.0) == 1.0
+    assert cold.usable_fraction(now + 9_000.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
     assert list(cold.starts) == [budget_name("x", UNIX + 5.0)]
     assert counted == ["cold_old_start", "cold_unpaid", "cold_old_start"]
 
@@ -241,11 +241,11 @@
 
 def test_lent_units_of_an_earlier_start_move_only_once_they_are_back():
     cold, now = alone(), 10_000.0
-    cold.usable_part(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0)
+    cold.usable_fraction(now, UNIX, "x", UNIX, 1e3, 0.0, 1.0)
     before = cold.starts[budget_name("x", UNIX)].account
     loan = before.on_request(now, "b", 1, False, 0, 0, 0, 300)
     before.lend(loan, 300)
-    cold.usable_part(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0)
+    cold.usable_fraction(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0)
     after = cold.starts[budget_name("x", UNIX + 5.0)].account
     assert (before.owned, before.in_hand, after.owned, after.ready(now)) == (
         300,
@@ -269,13 +269,13 @@
     cold, woken = alone(), []
     cold.on_blocked = lambda: woken.append(True)
     cold.set_store_state(0.0, True, False)  # as the store was found
-    assert cold.usable_part(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0 and woken
+    assert cold.usable_fraction(0.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0 and woken
     cold.set_store_state(10.0, False, True)  # it says so no more
-    assert cold.usable_part(10.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 1.0
-    assert cold.usable_part(10.0, UNIX, "y", UNIX, 1e3, 0.0, 1.0) == 1.0
+    assert cold.usable_fraction(10.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 1.0
+    assert cold.usable_fraction(10.0, UNIX, "y", UNIX, 1e3, 0.0, 1.0) == 1.0
     cold.set_store_state(10.0, True, True)
     assert not cold.may_open(10.0, budget_name("x", UNIX)) and not cold.spend(10.0, "x", UNIX, UNIX, 1.0, 1e3)
-    assert cold.usable_part(10.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
+    assert cold.usable_fraction(10.0, UNIX, "x", UNIX, 1e3, 0.0, 1.0) == 0.0
     # The word that comes late frees nothing that rests from our own use.
     late = alone()
     assert late.spend(10_000.0, "x", UNIX, UNIX, 1e3, 1e3)
@@ -305,7 +305,7 @@
     cold, counted = alone(), []
     cold.count = counted.append
     for n in range(MAX_STARTS + 1):
-        cold.usable_part(10_000.0, UNIX, f"x{n}", UNIX, 1e3, 0.0, 1.0)
+        cold.usable_fraction(10_000.0, UNIX, f"x{n}", UNIX, 1e3, 0.0, 1.0)
     assert (len(cold.starts), counted) == (MAX_STARTS, ["cold_full"])
     cold.tick(11_000.0)  # none is wanted any more, and none forgotten while others may count a loan to us
     assert len(cold.starts) == MAX_STARTS and not any(start.demand.units for start in cold.starts.values())
@@ -360,7 +360,7 @@
     warming = SlowStartCoordinator(program)
     assert program.core.may_start == warming.fence
     (spent, wished) = module.slow_start.needs(now)[1]
-    part = cold.usable_part(10_000.0, now, "x", now - 1.0, whole, spent, wished)
+    part = cold.usable_fraction(10_000.0, now, "x", now - 1.0, whole, spent, wished)
     sent, todo = (
         [],
         list(module.handle(now, policy.WorkerLoadReported((policy.WorkerLoad(1, 0, 0.0, False, part, (), 0.0),)))),
