--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -143,7 +143,7 @@
         threads = ThreadPoolExecutor(40)  # each waiting client has one
         asyncio.get_running_loop().set_default_executor(threads)
 
-    async def stand_ins(self, count: int = 2, delay_s: float = 0.0, **kw: Any) -> list[Engine]:
+    async def start_engines(self, count: int = 2, delay_s: float = 0.0, **kw: Any) -> list[Engine]:
         self.engines = [await Engine(f"s-{n:08x}", delay_s, **kw).start() for n in range(1, count + 1)]
         self.bus = await Bus().start()
         self.bus.say(*(host(e.name, e.port) for e in self.engines), whole=True)
@@ -154,8 +154,8 @@
         return self.engines
 
     async def fleet(self, workers: int = 2, cores: str = "", **kw: Any) -> Coordinator:
-        self.desk = kw.pop("desk", None) or str(Path(tempfile.mkdtemp(dir=self.scratch), "desk"))
-        config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port, operator=self.desk)
+        self.operator_socket = kw.pop("desk", None) or str(Path(tempfile.mkdtemp(dir=self.scratch), "desk"))
+        config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port, operator=self.operator_socket)
         self.coordinator = await Coordinator(self, config, f"[cores]\nworkers = {workers}\n{cores}", **kw).ready()
         return self.coordinator
 
@@ -168,7 +168,7 @@
         return await asyncio.to_thread(call, *args, **kw)
 
     async def operate(self, text: str) -> list[str]:
-        return (await asyncio.to_thread(call_operator, self.desk, text)).splitlines()
+        return (await asyncio.to_thread(call_operator, self.operator_socket, text)).splitlines()
 
     async def figures(self) -> dict[str, Any]:
         return json.loads((await self.operate("show-stat"))[0])
@@ -178,14 +178,14 @@
             while not (await true() if asyncio.iscoroutinefunction(true) else true()):
                 await asyncio.sleep(0.01)
 
-    async def next_of(self, number: int, cls: str = "lookup") -> tuple[Client, str, int]:
+    async def post_deferred(self, number: int, cls: str = "lookup") -> tuple[Client, str, int]:
         """A request that is held long enough to get a path; its client, the path, and the slot that owns it."""
         client = self.client()
         status, body = await self.in_thread(client.post, number, cls)
         assert status == 200 and "next" in body, body
         return client, body["next"], int(body["next"].split("/")[3].split(".")[0], 16)
 
-    async def elsewhere(self, slot: int, number: int) -> Client:
+    async def client_at_other_worker(self, slot: int, number: int) -> Client:
         """A connection at another worker than the one in that slot; what it asks there is told by its paths."""
-        many = await asyncio.gather(*(self.next_of(number + n) for n in range(12)))  # more than the slack of one worker
+        many = await asyncio.gather(*(self.post_deferred(number + n) for n in range(12)))  # more than the slack of one worker
         return next(client for client, _, owner in many if owner != slot)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -172,7 +172,7 @@
         return child.returncode, out.decode(), err.decode()
 
     async def test_call_and_stat_against_two_workers(self):
-        await self.stand_ins(1, 1.3)  # long enough for a `next` to be followed
+        await self.start_engines(1, 1.3)  # long enough for a `next` to be followed
         await self.fleet(2)
         at = f"127.0.0.1:{self.coordinator.port}"
         code, out, err = await self.invoke("call", "lookup", SQL, "--at", at)
@@ -182,7 +182,7 @@
         self.assertEqual(await self.operate("disable-server s-00000001"), ["ACK"])
         code, out, err = await self.invoke("call", "lookup", SQL, "--at", at, "--timeout-ms", "400", "--json")
         self.assertEqual((code, json.loads(out)["how"]), (3, "refused"))
-        code, out, _ = await self.invoke("stat", "--at", self.desk)
+        code, out, _ = await self.invoke("stat", "--at", self.operator_socket)
         self.assertEqual(code, 0)
         self.assertRegex(out, r"lookup +1 +1 +0")
         self.assertRegex(out, r"hosts_down +1")
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -28,7 +28,7 @@
 
 class SeveralWorkers(FleetCase):
     async def test_figures_are_exact_sums_and_sigterm_finishes_what_was_taken(self):
-        await self.stand_ins(2, 0.3)
+        await self.start_engines(2, 0.3)
         fleet = await self.fleet(3)
         clients = [self.client() for _ in range(9)]
         for turn in range(2):
@@ -52,24 +52,24 @@
         self.assertEqual(counters["figures"]["calls"]["lookup"]["success"], 19)
 
     async def test_a_path_is_answered_at_any_worker_and_an_open_request_id_is_rejected_at_all(self):
-        await self.stand_ins(1, 3.0)
+        await self.start_engines(1, 3.0)
         await self.fleet(2)
-        _, path, slot = await self.next_of(1)
-        other = await self.elsewhere(slot, 1000)
+        _, path, slot = await self.post_deferred(1)
+        other = await self.client_at_other_worker(slot, 1000)
         status, body = await self.in_thread(other.post, 1)
         self.assertEqual((status, body["failure"]), (409, "X-Request-Id: this request is already open"))
-        other = await self.elsewhere(slot, 2000)
+        other = await self.client_at_other_worker(slot, 2000)
         while "next" in (answer := await self.in_thread(other.ask, "GET", path))[1]:
             path = answer[1]["next"]
         self.assertEqual((answer[0], answer[1]["rows"][0][0]), (200, "s-00000001"))
-        _, path, slot = await self.next_of(2)
-        other = await self.elsewhere(slot, 3000)
+        _, path, slot = await self.post_deferred(2)
+        other = await self.client_at_other_worker(slot, 3000)
         self.assertEqual((await self.in_thread(other.ask, "DELETE", path))[0], 204)
         self.assertEqual((await self.in_thread(other.ask, "GET", path))[0], 404)
         await self.until(lambda: f"{2:016x}" not in self.engines[0].results)  # the engine was freed by the owner
 
     async def test_a_ban_holds_at_all_workers_once_it_is_acknowledged(self):
-        await self.stand_ins(2)
+        await self.start_engines(2)
         await self.fleet(3)
         clients = [self.client() for _ in range(12)]
         self.assertEqual(await self.operate("disable-server s-00000001"), ["ACK"])
@@ -96,7 +96,7 @@
         await self.until(works)
 
     async def test_one_drain_and_one_resume_reach_all_workers(self):
-        await self.stand_ins(1)
+        await self.start_engines(1)
         await self.fleet(2)
         self.assertEqual(await self.operate("drain"), ["ACK"])
         self.assertEqual((await self.operate("ready"))[0][:3], "NAK")
@@ -108,7 +108,7 @@
         self.assertEqual(await self.operate("ready"), ["ACK"])
 
     async def test_a_bad_file_on_sighup_changes_nothing_in_any_worker(self):
-        await self.stand_ins(1)
+        await self.start_engines(1)
         fleet = await self.fleet(2)
         fleet.operator.write_text("[cores]\nworkers = 3\n")
         fleet.process.send_signal(signal.SIGHUP)
@@ -122,7 +122,7 @@
 
 class DelayedWatchEvents(FleetCase):
     async def test_a_drain_notice_that_reaches_one_worker_late_stops_its_sends_in_time(self):
-        await self.stand_ins(2)
+        await self.start_engines(2)
         self.bus.delays = {1: 20.0}  # the second follower hears nothing for longer than the test
         await self.fleet(2)
         clients = [self.client() for _ in range(10)]
@@ -143,10 +143,10 @@
 
 class WorkerFailures(FleetCase):
     async def test_requests_of_a_killed_worker_fail_and_its_load_still_counts(self):
-        await self.stand_ins(2, 4.0)
+        await self.start_engines(2, 4.0)
         fleet = await self.fleet(2)
-        client, path, slot = await self.next_of(1, "load")
-        other = await self.elsewhere(slot, 1000)
+        client, path, slot = await self.post_deferred(1, "load")
+        other = await self.client_at_other_worker(slot, 1000)
         os.kill(fleet.pid(slot), signal.SIGKILL)
         ended = await fleet.event("worker_ended")
         self.assertEqual((ended["code"], ended["slot"]), (-signal.SIGKILL, slot))
@@ -182,7 +182,7 @@
         self.assertEqual([row["restarts"] for row in figures["workers"]][slot], 1)
 
     async def test_a_worker_that_hangs_is_killed_and_others_serve_meanwhile(self):
-        await self.stand_ins(1)
+        await self.start_engines(1)
         fleet = await self.fleet(2, "hang_ms = 800")
         os.kill(fleet.pid(0), signal.SIGSTOP)
         for number in range(1, 31):  # all connections that come now are taken by the other
@@ -194,7 +194,7 @@
         self.assertEqual((await self.figures())["calls"]["lookup"]["success"], 30)
 
     async def test_workers_end_in_good_order_when_their_supervisor_is_killed(self):
-        await self.stand_ins(1, 1.5)
+        await self.start_engines(1, 1.5)
         fleet = await self.fleet(2)
         client = self.client()
         asked = asyncio.create_task(self.in_thread(client.post, 1))
@@ -210,7 +210,7 @@
             await self.in_thread(self.client().post, 2)
 
     async def test_a_crash_loop_ends_the_program(self):
-        await self.stand_ins(1)
+        await self.start_engines(1)
         fleet = await self.fleet(10, "crashes = 10")
         for count in range(10):  # the first of all, then each successor, whose waits grow, then the others
             slot = 0 if count < 3 else count
@@ -221,7 +221,7 @@
         self.assertEqual(await fleet.exit(), 1)
 
     async def test_a_slow_client_does_not_hold_a_worker_that_is_told_to_end(self):
-        await self.stand_ins(1)
+        await self.start_engines(1)
         fleet = await self.fleet(2)
         slow = [socket.create_connection(("127.0.0.1", fleet.port)) for _ in range(12)]  # some at each worker
         for line in slow:
@@ -275,7 +275,7 @@
 
 class Upgrades(FleetCase):
     async def test_an_upgrade_between_two_coordinators_with_several_workers_loses_no_request(self):
-        (engine,) = await self.stand_ins(1, 600.0)
+        (engine,) = await self.start_engines(1, 600.0)
         listening = socket.create_server(("127.0.0.1", 0), backlog=300)
         self.addCleanup(listening.close)
         old = await self.fleet(2, listening=listening)
@@ -319,7 +319,7 @@
 
 class SnmpAndTds(FleetCase):
     async def test_snmp_and_tds_over_several_workers(self):
-        await self.stand_ins(2)
+        await self.start_engines(2)
         tds = await TdsEngine().start()
         self.addCleanup(tds.server.close)
         fleet = await self.fleet(
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -13,7 +13,7 @@
 
 class Refused(FleetCase):
     async def test_workers_asked_for_where_no_process_may_start(self):
-        await self.stand_ins(2)
+        await self.start_engines(2)
         config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port)
         fleet = Coordinator(self, config, "[cores]\nworkers = 3\n", PYTHONPATH=REFUSING)
         ready = await fleet.event("coordinator_started")
--- a/tests/test_replica_program.py
+++ b/tests/test_replica_program.py
@@ -70,7 +70,7 @@
     async def test_three_coordinators_agree_and_end_in_order(self):
         from frostspindle.operator_client import call_operator
 
-        await self.stand_ins(1)
+        await self.start_engines(1)
         config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port)
         ports = [free_port(socket.SOCK_STREAM) for _ in range(3)]
         key = Path(tempfile.mkdtemp(dir=self.scratch), "key")
