--- a/frostspindle/fleet/__init__.py
+++ b/frostspindle/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""State that the coordinators of a fleet share: membership, budgets, counters and verdicts on engines.
+"""State shared by the coordinators of a fleet: membership, budgets, counters and verdicts on engines.
 
-Nothing here owns requests. All that decides or keeps state has no I/O and no clock: events and the time come in,
-messages come out. `wire` defines the messages, `node` ties the parts together, `service` owns the socket and the timer.
-Off unless the operator's file has a section `[fleet]`.
+Requests are not handled here. The modules that make decisions or hold state do no I/O and read no clock: events and the
+time are passed in, messages are returned. `wire` defines the messages, `node` combines the components, and `service`
+owns the socket and the timer. Disabled unless the operator's file has a `[fleet]` section.
 """
--- a/frostspindle/fleet/claims.py
+++ b/frostspindle/fleet/claims.py
@@ -1,6 +1,6 @@
-"""Rules about claims: which of two is newer, and whether its subject made it.
+"""Rules about claims: which of two is newer, and whether its subject created the incarnation.
 
-Pure functions on the messages' claims; no state.
+Pure functions of the claims in messages; no state.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 def precedence(claim: MemberState) -> tuple[int, int, int]:
-    """Return the sort key of claims on one member: later process, then later incarnation, then graver state."""
+    """Return the sort key of claims about one member: process, then incarnation, then severity of the state."""
     return claim.epoch, claim.incarnation, claim.state
 
 
 def is_proven(known: MemberState, claim: MemberState) -> bool:
-    """Whether the owner of a believed claim made the incarnation of another one of the same process."""
+    """Return whether the owner of an accepted claim also created the incarnation of another one of its process."""
     if claim.incarnation > known.incarnation:
         return claim.address == known.address and is_successor(
             known.incarnation, known.proof, claim.incarnation, claim.proof
@@ -26,15 +26,15 @@
 
 
 def is_takeover(known: MemberState, sender: MemberState) -> bool:
-    """Whether a later process speaks from another address in the name of a member that is alive."""
+    """Return whether a later process uses the name of a live member from another address."""
     return known.state == ALIVE and known.epoch < sender.epoch and known.address != sender.address
 
 
 def with_state(claim: MemberState, state: int, suspected_by: str = "") -> MemberState:
-    """Return the same claim with another state."""
+    """Return a copy of a claim with another state."""
     return msgspec.structs.replace(claim, state=state, suspected_by=suspected_by)
 
 
 def suspicion_of(claim: MemberState) -> Suspicion:
-    """Return a claim that a member is not alive without what receivers know already."""
+    """Return a claim that a member is not alive without the fields that receivers already know."""
     return Suspicion(claim.name, claim.state, claim.epoch, claim.incarnation, claim.suspected_by)
--- a/frostspindle/fleet/errors.py
+++ b/frostspindle/fleet/errors.py
@@ -1,23 +1,23 @@
-"""Errors of the fleet's package, under one base class."""
+"""Exceptions of the fleet package, with a common base class."""
 
 from __future__ import annotations
 
 
 class FleetError(Exception):
-    """Base class of the errors that the fleet's package raises."""
+    """Base class of all exceptions that the fleet package raises."""
 
 
 class InvalidPacketError(FleetError, ValueError):
-    """Bytes that are not a valid message: malformed, too long, or with a value out of range."""
+    """Raised for data that is not a valid message: malformed, too long, or with a value out of range."""
 
 
 class ChainExhaustedError(FleetError, ValueError):
-    """An incarnation beyond the end of the hash chain, for which no proof can be made."""
+    """Raised for an incarnation beyond the end of the hash chain, for which no proof exists."""
 
 
 class QuotaUnavailableError(FleetError, ValueError):
-    """More units to lend than are ready, or a negative number."""
+    """Raised for a negative number of units to lend, or more units than are ready."""
 
 
 class InvalidCountError(FleetError, ValueError):
-    """A negative increment, or a stream out of range."""
+    """Raised for a negative increment, or a stream number out of range."""
--- a/frostspindle/fleet/failure_detector.py
+++ b/frostspindle/fleet/failure_detector.py
@@ -1,7 +1,7 @@
-"""SWIM's failure detector: one member probed each interval, directly and then through other members.
+"""SWIM's failure detector: probes one member per interval, first directly and then through other members.
 
-With Lifeguard's local health: a member that misses Acks and Nacks probes more slowly and waits longer. No I/O and no
-clock: times are ms of the own monotonic clock, messages go to the member table's outbox.
+Includes Lifeguard's local health: a member that misses Acks and Nacks probes more slowly and waits longer. No I/O and
+no clock: times are in ms of the local monotonic clock, messages are put in the member table's outbox.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from frostspindle.fleet.member_table import Member, MemberTable
 
 INDIRECT_PROBES = 3  # members asked to probe on our behalf
-MAX_INDIRECT_PINGS = 64  # probes under way on behalf of others
-MAX_LOCAL_HEALTH = 8  # probes become slower by up to so many times
+MAX_INDIRECT_PINGS = 64  # concurrent probes on behalf of others
+MAX_LOCAL_HEALTH = 8  # maximum score; each point adds one probe interval and one timeout
 
 
 @dataclass(slots=True)
@@ -25,13 +25,13 @@
     started_at: float
     direct_deadline: float
     deadline: float
-    indirect: bool = False  # other members have been asked
+    indirect: bool = False  # other members have been asked to probe
     nacks: int = 0
     helpers: int = 0
 
     @property
     def next_deadline(self) -> float:
-        """When the probe goes on to other members, or has failed."""
+        """Return when the probe becomes indirect, or fails if it is indirect."""
         return self.deadline if self.indirect else self.direct_deadline
 
 
@@ -40,13 +40,13 @@
     """A probe on behalf of another member."""
 
     requester: str
-    sequence: int  # of the request
+    sequence: int  # of the PingRequest
     target: str
     deadline: float
 
 
 class FailureDetector:
-    """Probes members in a random round-robin order and reports those that do not answer."""
+    """Probes members in randomized round-robin order and reports those that do not answer."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         timeout_ms: float,
         on_failed: Callable[[float, Member], None],
     ) -> None:
-        """`on_failed` is called with the time and a live member that has answered neither a probe nor sent anything."""
+        """`on_failed` is called with the time and a live member that neither answered a probe nor sent any message."""
         self.interval_ms = interval_ms
         self.timeout_ms = timeout_ms
         self.local_health = 0  # Lifeguard's score: 0 is healthy
@@ -66,11 +66,11 @@
         self._on_failed = on_failed
         self._probe: _Probe | None = None
         self._indirect_pings: dict[int, _IndirectPing] = {}  # by the sequence number of our Ping
-        self._round: list[str] = []  # members still to be probed in this round, the next one last
+        self._round: list[str] = []  # members not yet probed in this round; the next one is last
         self._next_probe_at = now + random.random() * interval_ms
 
     def due(self) -> float:
-        """Return when `expire` or `start_probe` has something to do."""
+        """Return the next time at which `expire` or `start_probe` must be called."""
         probe = self._probe
         due = self._next_probe_at if probe is None else probe.next_deadline
         if self._indirect_pings:
@@ -78,7 +78,7 @@
         return due
 
     def expire(self, now: float) -> None:
-        """End probes whose time is over: answer requesters with Nack, go on to indirect probes, report a failure."""
+        """Handle probes past their deadline: send Nacks to requesters, start indirect probes, report a failure."""
         if self._indirect_pings:
             self._expire_indirect_pings(now)
         probe = self._probe
@@ -97,25 +97,25 @@
 
     def _ask_helpers(self, probe: _Probe) -> None:
         probe.indirect = True
-        helpers = self._table.draw_peers(INDIRECT_PROBES, (probe.target,))
+        helpers = self._table.sample_peers(INDIRECT_PROBES, (probe.target,))
         probe.helpers = len(helpers)
         for name in helpers:
             self._table.send(name, wire.PingRequest(probe.sequence, probe.target))
 
     def _fail(self, now: float, probe: _Probe) -> None:
         self._probe = None
-        # Lifeguard: a member that does not even get Nacks from its helpers is likely the one at fault.
+        # Lifeguard: a member that does not even receive Nacks from its helpers is probably itself at fault.
         self.degrade(1 + max(0, probe.helpers - probe.nacks) if probe.helpers else 1)
         member = self._table.alive.get(probe.target)
         if member is not None and member.last_received < probe.started_at:
             self._on_failed(now, member)
 
     def degrade(self, steps: int) -> None:
-        """Make the local health score worse by so many steps; better if negative. It stays within its bounds."""
+        """Raise (worsen) the local health score by `steps`, or lower it if negative, within its bounds."""
         self.local_health = max(0, min(MAX_LOCAL_HEALTH, self.local_health + steps))
 
     def start_probe(self, now: float) -> None:
-        """Probe the next member, if one is due and no probe is under way."""
+        """Probe the next member if a probe is due and none is in progress."""
         if now < self._next_probe_at or self._probe is not None:
             return
         self._next_probe_at = now + self.interval_ms * (1 + self.local_health)
@@ -137,30 +137,30 @@
         return self._round.pop() if self._round else None
 
     def add_target(self, name: str) -> None:
-        """Put a new member at a random place of the current round, as SWIM does."""
+        """Insert a new member at a random position of the current round, as SWIM does."""
         self._round.insert(self._random.randrange(len(self._round) + 1), name)
 
     def on_ack(self, sender: str, ack: wire.Ack) -> None:
-        """Take an Ack: forward it if the Ping was on behalf of another member, or end our own probe."""
+        """Handle an Ack: forward it if the Ping was on behalf of another member, or end the current probe."""
         ping = self._indirect_pings.get(ack.sequence)
         if ping is not None and ping.target == sender:
             del self._indirect_pings[ack.sequence]
             self._table.send(ping.requester, wire.Ack(ping.sequence))
         probe = self._probe
-        # A helper's Ack stands for the target's; one that no probe waits for changes nothing.
+        # A helper's Ack stands for the target's. An Ack without a matching probe is ignored.
         if probe is not None and probe.sequence == ack.sequence and (sender == probe.target or probe.indirect):
             self._probe = None
             self.degrade(-1)
 
     def on_nack(self, nack: wire.Nack) -> None:
-        """Count a helper's report that the target of our probe did not answer: the helper itself reaches us."""
+        """Count a helper's report that the probed member did not answer; it shows that the helper is reachable."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
             self._probe.nacks += 1
 
     def on_ping_request(self, now: float, sender: str, request: wire.PingRequest) -> None:
         """Probe a member on behalf of another.
 
-        Ignored with MAX_INDIRECT_PINGS such probes under way or if the target is not alive here.
+        Ignored while MAX_INDIRECT_PINGS such probes are in progress, or if the target is not alive here.
         """
         if len(self._indirect_pings) >= MAX_INDIRECT_PINGS or request.target not in self._table.alive:
             return
--- a/frostspindle/fleet/gossip_buffer.py
+++ b/frostspindle/fleet/gossip_buffer.py
@@ -1,6 +1,6 @@
-"""Buffer of updates to gossip: each is transmitted a bounded number of times, those sent least often first.
+"""Buffer of updates to gossip: each is transmitted a bounded number of times, least transmitted updates first.
 
-Keeps one update a key and counts its transmissions; decides nothing about what is true. No I/O and no clock.
+Stores one update per key and counts its transmissions, whatever the update says. No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 
 
 class GossipBuffer(Generic[Key, Value]):
-    """Updates grouped by how often they were transmitted, so that taking the next few does not walk all of them."""
+    """Updates grouped by number of transmissions, so that taking the next few does not scan all of them."""
 
     def __init__(self) -> None:
-        self._levels: list[dict[Key, Value]] = [{}]  # by the number of transmissions
+        self._levels: list[dict[Key, Value]] = [{}]  # indexed by number of transmissions
         self._level_of: dict[Key, int] = {}
-        self.keys = self._level_of.keys()  # of all updates, as they come and go
+        self.keys = self._level_of.keys()  # of all updates; a live view
 
     def __len__(self) -> int:
         return len(self._level_of)
 
     def put(self, key: Key, value: Value) -> None:
-        """Add an update, or replace the one under its key, as one that was not transmitted yet."""
+        """Add an update, or replace the one with the same key, with no transmissions counted."""
         self.discard(key)
         self._levels[0][key] = value
         self._level_of[key] = 0
 
     def discard(self, key: Key) -> None:
-        """Stop transmitting the update under a key; no error if there is none."""
+        """Remove the update with a key, if there is one."""
         level = self._level_of.pop(key, None)
         if level is not None:
             del self._levels[level][key]
 
     def peek(self, count: int) -> list[tuple[Key, Value]]:
-        """Return up to `count` updates, those transmitted least often first.
+        """Return up to `count` updates, least transmitted ones first.
 
-        The caller calls `mark_transmitted` for each that goes out.
+        The caller must call `mark_transmitted` for each one that is sent.
         """
         chosen: list[tuple[Key, Value]] = []
         if not self._level_of:
@@ -52,13 +52,13 @@
         return chosen
 
     def _level(self, number: int) -> dict[Key, Value]:
-        """A level, which is made if it is the next one."""
+        """Return a level, creating it if it follows the last one."""
         if number == len(self._levels):
             self._levels.append({})
         return self._levels[number]
 
     def mark_transmitted(self, key: Key, max_transmissions: int) -> None:
-        """Count one more transmission of an update; after `max_transmissions` it is dropped."""
+        """Count a transmission of an update; after `max_transmissions` it is removed."""
         number = self._level_of.pop(key)
         value = self._levels[number].pop(key)
         if number + 1 < max_transmissions:
@@ -67,26 +67,26 @@
 
 
 class SizedGossipBuffer(GossipBuffer[Key, tuple[Update, int]]):
-    """Updates with their sizes in bytes, which are taken until a message is full."""
+    """Updates with their sizes in bytes, to fill messages of limited size."""
 
     def take(self, room: int, count: int, max_transmissions: int, excluded: Key) -> tuple[list[Update], int]:
-        """Return those of the next `count` updates that fit in `room` bytes, and the room left.
+        """Return those of the next `count` updates that fit in `room` bytes, and the remaining room.
 
-        All taken count as transmitted; the update under the key `excluded` does too, and is left out.
+        All returned updates count as transmitted; so does the update with the key `excluded`, which is left out.
         """
         taken: list[Update] = []
         for number, candidates in self._next_by_level(count):
             level = self._levels[number]
-            later = self._level(number + 1) if number + 1 < max_transmissions else None
+            next_level = self._level(number + 1) if number + 1 < max_transmissions else None
             for key, value in candidates:
                 update, size = value
                 if size > room:
                     return taken, room
                 del level[key]
-                if later is None:
+                if next_level is None:
                     del self._level_of[key]
                 else:
-                    later[key] = value
+                    next_level[key] = value
                     self._level_of[key] = number + 1
                 if key != excluded:
                     room -= size
@@ -94,7 +94,7 @@
         return taken, room
 
     def _next_by_level(self, count: int) -> list[tuple[int, list[tuple[Key, tuple[Update, int]]]]]:
-        """The next `count` updates with the level that each group is on, before any of them moves."""
+        """Return the next `count` updates grouped by level, as a copy that later moves do not affect."""
         groups = []
         for number, level in enumerate(self._levels):
             if level:
--- a/frostspindle/fleet/member_updates.py
+++ b/frostspindle/fleet/member_updates.py
@@ -1,6 +1,6 @@
-"""Updates on members that travel with other messages (SWIM's infection-style dissemination).
+"""Updates about members, piggybacked on other messages (SWIM's infection-style dissemination).
 
-No I/O and no clock; decides nothing about what is believed.
+No I/O and no clock; it does not decide which claims are accepted.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from frostspindle.fleet.member_table import MemberTable
 from frostspindle.fleet.wire import ALIVE, MemberState, Suspicion
 
-MAX_UPDATES = 32  # in one message
-RETRANSMIT_FACTOR = 4  # times log10 of the fleet's size, and no less: transmissions of an update by each member
+MAX_UPDATES = 32  # per message
+RETRANSMIT_FACTOR = 4  # each member transmits an update this times log10 of the fleet's size, and never less often
 
 
 class Piggyback(NamedTuple):
-    """Updates that travel with a message, and the bytes left over."""
+    """Updates to send with a message, and the remaining bytes."""
 
     claims: list[MemberState]
     suspicions: list[Suspicion]
@@ -29,27 +29,27 @@
 
 @lru_cache(256)
 def retransmissions(size: int) -> int:
-    """Return how often each member transmits an update in a fleet of `size`: 10 times for 300, 13 for 1,000."""
+    """Return how often each member transmits an update in a fleet of `size`, e.g. 10 times for 300, 13 for 1,000."""
     return max(RETRANSMIT_FACTOR, math.ceil(RETRANSMIT_FACTOR * math.log10(size + 1)))
 
 
 class MemberUpdates:
-    """The last update on each member, as long as it is to be transmitted."""
+    """The last update about each member, until it has been transmitted often enough."""
 
     def __init__(self, table: MemberTable) -> None:
         self._table = table
         self._buffer: SizedGossipBuffer[str, MemberState | Suspicion] = SizedGossipBuffer()
-        self.pending = self._buffer.keys  # members with an update to transmit; a live view
+        self.pending = self._buffer.keys  # names of members with a pending update; a live view
 
     def put(self, claim: MemberState) -> None:
-        """Add an update; it replaces an earlier one on the same member. If not alive, it goes without address."""
+        """Add an update, replacing an earlier one about the same member; unless alive, it is sent without address."""
         update = claim if claim.state == ALIVE else suspicion_of(claim)
         self._buffer.put(claim.name, (update, wire.size(update)))
 
     def piggyback(self, recipient: str, room: int) -> Piggyback:
-        """Return the updates to send with a message to a member, within `room` bytes; they count as transmitted.
+        """Return the updates to piggyback on a message to a member, within `room` bytes, and count them as transmitted.
 
-        If the recipient itself is believed not to be alive, that goes first, so that it can refute.
+        If the recipient itself is suspected or considered dead, that comes first, so that it can refute it.
         """
         claims: list[MemberState] = []
         suspicions: list[Suspicion] = []
--- a/frostspindle/fleet/membership.py
+++ b/frostspindle/fleet/membership.py
@@ -1,9 +1,9 @@
-"""Membership of the fleet: SWIM (Das et al., 2002) with Lifeguard's refinements (Dadgar et al., 2018).
+"""Membership of the fleet: SWIM (Das et al., 2002) with the Lifeguard extensions (Dadgar et al., 2018).
 
-Decides which claims about members are believed, refutes wrong ones about this member, and gossips what is new. No I/O
-and no clock: `tick` and the `on_` calls get the time, in ms of the own monotonic clock, and messages are appended to
-`outbox`. An incarnation is believed only with its owner's proof; a new process of a living member that others report is
-believed only once the member's own address did not answer or said so itself.
+Decides which claims about members are accepted, refutes wrong claims about this member, and gossips updates. No I/O and
+no clock: `tick` and the `on_` methods are passed the time, in ms of the local monotonic clock, and append messages to
+`outbox`. An incarnation is accepted only with its owner's proof. A new process of a live member that is reported by
+others is accepted only once the member's known address has stopped answering or has confirmed it.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from frostspindle.fleet.suspicion import MAX_CONFIRMATIONS, SuspicionTimers
 from frostspindle.fleet.wire import ALIVE, DEAD, LEFT, SUSPECT, MemberState, Suspicion
 
-MAX_MEMBERS = 8_192  # those dead or gone too; beyond that no new member is taken
-GOSSIP_FANOUT = 3  # members that get updates at a time
+MAX_MEMBERS = 8_192  # including dead and departed ones; further members are rejected
+GOSSIP_FANOUT = 3  # members that receive updates per gossip interval
 GOSSIP_INTERVAL_MS = 200.0
 REJOIN_INTERVAL_MS = 5_000.0
 FIRST_JOIN_DELAY_MS = 250.0
 SYNC_INTERVAL_MS = 30_000.0
-FORGET_AFTER_MS = 600_000.0  # how long members that are dead or have left are remembered
-REVIVAL_SYNC_MS = 1_000.0  # when many members revive, one of them is asked for its member list in this time
+FORGET_AFTER_MS = 600_000.0  # time after which members that are dead or have left are removed
+REVIVAL_SYNC_MS = 1_000.0  # at most one revived member is asked for its member list in this time
 
 
 class StateChange(NamedTuple):
-    """A member's new state, for the log and for those that watch members."""
+    """A member's new state, for the log and the watchers."""
 
     member: str
     state: str  # one of wire.STATES, or "forged"
@@ -41,7 +41,7 @@
 
 
 class Membership:
-    """One member's view of the fleet: states, suspicions and gossip."""
+    """One member's view of the fleet: member states, suspicions and gossip."""
 
     def __init__(
         self,
@@ -67,13 +67,13 @@
             self._table, self.random, now, probe_interval_ms, probe_timeout_ms, self._suspect
         )
         self._suspicion = SuspicionTimers(probe_interval_ms)
-        # What the owner reads and sets.
+        # Read and set by the owner.
         self.changes: list[StateChange] = []
-        self.count: Callable[[str], None] = lambda what: None
-        self.other_updates: Collection[object] = ()  # updates of other parts that also wait for gossip
+        self.count: Callable[[str], None] = lambda counter: None
+        self.other_updates: Collection[object] = ()  # updates of other components waiting for gossip
         self.false_suspicions = 0
         self.deaths = 0
-        self.rejoined = False  # a member was met that may know much that we do not; the owner sets it back
+        self.rejoined = False  # a member with possibly many unknown updates was found; reset by the owner
         # Gossip.
         self._updates = MemberUpdates(self._table)
         self._gossip_at = now + self.random.random() * GOSSIP_INTERVAL_MS
@@ -83,7 +83,7 @@
         self._sync_at = now + self.random.random() * SYNC_INTERVAL_MS
         self._rejoined_at = -math.inf
 
-    # The fleet.
+    # Members.
 
     @property
     def size(self) -> int:
@@ -91,37 +91,37 @@
         return len(self.alive) + 1
 
     def take_outbox(self) -> list[OutgoingMessage]:
-        """Return the messages to be sent, and empty the outbox."""
+        """Return the queued messages and clear the outbox."""
         messages = list(self.outbox)
         self.outbox.clear()
         return messages
 
     def add_known(self, now: float, claims: Iterable[MemberState]) -> None:
-        """Take these as members that are alive already, without gossiping about them."""
+        """Add members that are known to be alive, without gossiping about them."""
         self._table.add_known(now, claims, self.me.name)
-        # A member that knows all needs no early sync: in a fleet of 3,000 that were four fifths of all bytes for 30 s.
+        # A member that knows all others needs no early sync, which in a fleet of 3,000 was 4/5 of all bytes for 30 s.
         self._sync_at = now + self._sync_interval_ms() * self.random.random()
 
     def piggyback(self, recipient: str, room: int) -> Piggyback:
-        """Return the updates to send with a message to a member, within `room` bytes; see `member_updates`."""
+        """Return the updates to piggyback on a message to a member, within `room` bytes; see `member_updates`."""
         return self._updates.piggyback(recipient, room)
 
     def page(self, after: str, room: int) -> tuple[list[MemberState], str]:
-        """Return a page of the members known here after a name; see `MemberTable.page`."""
+        """Return the page of known members after a name; see `MemberTable.page`."""
         return self._table.page(after, room)
 
-    def draw_peers(self, count: int) -> list[str]:
-        """Return up to `count` live members, drawn uniformly."""
-        return self._table.draw_peers(count)
+    def sample_peers(self, count: int) -> list[str]:
+        """Return up to `count` live members, chosen uniformly at random."""
+        return self._table.sample_peers(count)
 
     def send(self, name: str, body: wire.Body) -> None:
-        """Queue a message to a member; dropped unless the member is alive or suspected."""
+        """Queue a message to a member; it is dropped unless the member is alive or suspected."""
         self._table.send(name, body)
 
-    # Time.
+    # Schedule.
 
     def due(self) -> float:
-        """Return when `tick` must be called next, at the latest, in ms of the monotonic clock."""
+        """Return the latest time for the next call of `tick`, in ms of the monotonic clock."""
         due = min(self.detector.due(), self._suspicion.first_deadline(self.size), self._rejoin_at, self._sync_at)
         if self._gossip_at < due and self._has_updates():
             return self._gossip_at
@@ -131,10 +131,10 @@
         return bool(self._updates.pending or self.other_updates)
 
     def tick(self, now: float) -> None:
-        """Do what is due at `now` (ms of the monotonic clock): time out probes, end suspicions, start the next probe.
+        """Run all work that is due at `now` (ms): time out probes, expire suspicions, start the next probe.
 
-        Also ask absent seeds and lost members to rejoin, pull a page of members from one peer, forget members long
-        gone, and gossip updates. Does nothing once this member is leaving.
+        Also ping absent seeds and dead members to rejoin them, pull a page of members from one peer, remove members
+        that departed long ago, and gossip updates. Do nothing once this member is leaving.
         """
         if self.leaving:
             return
@@ -153,36 +153,36 @@
         for name, member in list(self._suspicion.suspects.items()):
             if now < self._suspicion.deadline(member, self.size):
                 continue
-            self._apply(now, with_state(member.claim, DEAD), "did not answer its suspicion")
+            self._apply(now, with_state(member.claim, DEAD), "suspicion timed out")
             if name not in self._suspicion.suspects:
                 self.deaths += 1
 
     def _suspect(self, now: float, member: Member) -> None:
-        self._apply(now, with_state(member.claim, SUSPECT, self.me.name), "no answer to a probe")
+        self._apply(now, with_state(member.claim, SUSPECT, self.me.name), "probe timed out")
 
     def _sync_interval_ms(self) -> float:
         return SYNC_INTERVAL_MS * max(1.0, self.size / 100.0)
 
     def _sync(self, now: float) -> None:
-        """Pull the members that one peer knows, and forget those that have long been gone."""
+        """Pull the member list of one peer, and remove members that departed long ago."""
         self._sync_at = now + self._sync_interval_ms() * self._jitter()
-        for name in self.draw_peers(1):
+        for name in self.sample_peers(1):
             self.send(name, wire.MembersRequest(""))
         self._table.remove_departed(now, FORGET_AFTER_MS)
 
     def _gossip(self, now: float) -> None:
         self._gossip_at = now + GOSSIP_INTERVAL_MS
         if self._has_updates():
-            for name in self.draw_peers(GOSSIP_FANOUT):
+            for name in self.sample_peers(GOSSIP_FANOUT):
                 self.send(name, wire.Gossip())
 
     def _jitter(self) -> float:
         return 0.75 + 0.5 * self.random.random()
 
     def _rejoin(self, now: float) -> None:
-        """Ping absent seeds, and one of the members that were lost, as a partition may have ended."""
+        """Ping an absent seed and a dead member, as a partition may have healed; several seeds while joining."""
         absent = [(name, address) for name, address in self.seeds.items() if name not in self.alive]
-        if not self.alive:  # joining: several seeds, and soon again
+        if not self.alive:  # joining: ping several seeds, with short delays
             chosen = self.random.sample(absent, min(GOSSIP_FANOUT, len(absent)))
             self._join_delay_ms = min(REJOIN_INTERVAL_MS, 1.5 * self._join_delay_ms)
             self._rejoin_at = now + self._join_delay_ms * self._jitter()
@@ -196,16 +196,16 @@
         for name, address in chosen:
             self._table.ping(address, name)
 
-    # Messages.
+    # Received messages.
 
     def verify_sender(self, now: float, sender: MemberState, source: Address) -> bool:
-        """Check the sender of a message: return whether it is who it claims to be.
+        """Return whether the sender of a message is the member that it claims to be.
 
-        A message for which this is False must not be read further.
+        A message for which this returns False must be ignored.
         """
         known = self.members.get(sender.name)
         if known is not None and known.claim == sender and sender.state == ALIVE and source == sender.address:
-            known.last_received = now  # most messages
+            known.last_received = now  # fast path of most messages
             return True
         if sender.name == self.me.name or sender.state not in (ALIVE, LEFT):
             self.count("fleet_impostor")
@@ -216,10 +216,10 @@
         if known is not None and is_takeover(known.claim, sender):
             self._contest(now, known)
             return False
-        if not self._apply(now, sender, "spoke", direct=True):
+        if not self._apply(now, sender, "message received", direct=True):
             return False
         member = self.members.get(sender.name)
-        if member is None:  # one that leaves, and was never known
+        if member is None:  # it is leaving and was unknown
             return True
         if member.claim.epoch != sender.epoch or member.claim.address != source:
             self.count("fleet_spoofed")
@@ -228,19 +228,19 @@
         return True
 
     def on_claim(self, now: float, claim: MemberState, sender: str) -> None:
-        """Take a claim that another member passes on; a wrong one about this member is refuted."""
+        """Handle a claim forwarded by another member; refute a wrong claim about this member."""
         known = self.members.get(claim.name)
-        if known is not None and known.claim == claim:  # most are known already
+        if known is not None and known.claim == claim:  # the usual case
             return
         if claim.name == self.me.name:
             self._refute(now, claim, sender)
         else:
-            self._apply(now, claim, f"told by {sender}")
+            self._apply(now, claim, f"reported by {sender}")
 
     def on_suspicion(self, now: float, suspicion: Suspicion, sender: str) -> None:
-        """Take a suspicion that another member passes on.
+        """Handle a suspicion forwarded by another member.
 
-        One of an incarnation unknown here is not believed, as it brings no proof.
+        A suspicion of an unknown incarnation is not accepted, as it carries no proof.
         """
         if suspicion.name == self.me.name:
             self._refute(now, suspicion, sender)
@@ -251,32 +251,32 @@
         claim = known.claim
         if suspicion.epoch == claim.epoch and suspicion.incarnation == claim.incarnation:
             confirms = suspicion.state == SUSPECT == claim.state and suspicion.suspected_by not in known.confirmers
-            if suspicion.state > claim.state or confirms:  # most are known already
-                self._apply(now, with_state(claim, suspicion.state, suspicion.suspected_by), f"told by {sender}")
+            if suspicion.state > claim.state or confirms:  # usually neither
+                self._apply(now, with_state(claim, suspicion.state, suspicion.suspected_by), f"reported by {sender}")
         elif (suspicion.epoch, suspicion.incarnation) > (claim.epoch, claim.incarnation):
             self.count("fleet_unproven")
 
     def on_ping(self, sender: str, ping: wire.Ping) -> None:
-        """Answer a probe with an Ack, also to a member believed dead: the piggybacked updates tell it so."""
+        """Answer a probe with an Ack, also to a member that is considered dead: the piggyback lets it refute that."""
         member = self.members.get(sender)
         if member is not None:
             self.outbox.append(OutgoingMessage(member.claim.address, sender, wire.Ack(ping.sequence)))
 
     def leave(self) -> None:
-        """Announce the own departure to a few members, which gossip it; no more probes from then on."""
+        """Announce this member's departure to a few members, which gossip it, and stop probing."""
         self.leaving = True
         self.me = with_state(self.me, LEFT)
-        for name in self.draw_peers(3 * GOSSIP_FANOUT):
+        for name in self.sample_peers(3 * GOSSIP_FANOUT):
             self.send(name, wire.Gossip())
 
     # Claims.
 
     def _refute(self, now: float, claim: MemberState | Suspicion, sender: str) -> None:
-        """Answer a claim that we are not alive with our next incarnation; count one that we can't have made."""
+        """Refute a claim that this member is not alive with its next incarnation; count a forged claim."""
         ours = (self.me.epoch, self.me.incarnation)
         theirs = (claim.epoch, claim.incarnation)
         if theirs > ours:
-            self.count("fleet_forged")  # nobody but us can have proof of such a one: others drop it too
+            self.count("fleet_forged")  # only this process can prove a later incarnation: others drop the claim too
             self.changes.append(StateChange(self.me.name, "forged", f"by {sender}"))
             return
         if theirs < ours or claim.state == ALIVE or self.leaving:
@@ -292,9 +292,9 @@
         self._updates.put(self.me)
 
     def _contest(self, now: float, known: Member) -> None:
-        """Ping the address of a living member in whose name a new process was claimed.
+        """Ping the known address of a live member whose name a new process claims.
 
-        Its answer keeps the member; without one it will be suspected and make room.
+        The member is kept if it answers; else it is suspected, and the new process is accepted once it is dead.
         """
         if now - known.contested_at > self.detector.interval_ms:
             known.contested_at = now
@@ -302,9 +302,9 @@
             self._table.ping(known.claim.address, known.claim.name)
 
     def _apply(self, now: float, claim: MemberState, reason: str, direct: bool = False) -> bool:
-        """Take a claim if it is newer and its owner made its incarnation; False: it is not to be believed.
+        """Accept a claim if it is newer; return False if it is forged or there is no room for the member.
 
-        `direct`: the subject itself sent it, from the address that it states.
+        `direct`: the subject itself sent the claim, from the address in it.
         """
         known = self.members.get(claim.name)
         if known is None:
@@ -324,9 +324,9 @@
         return True
 
     def _add(self, now: float, claim: MemberState, reason: str) -> bool:
-        """Take a member that was not known; False if there is no room."""
+        """Add an unknown member; return False if there is no room."""
         if claim.state in (DEAD, LEFT):
-            return True  # need not be remembered
+            return True  # not worth an entry
         if len(self.members) >= MAX_MEMBERS:
             self.count("fleet_full")
             return False
@@ -336,7 +336,7 @@
         return True
 
     def _confirm_suspicion(self, known: Member, claim: MemberState) -> None:
-        """Lifeguard: an independent suspicion shortens the timeout and is passed on anew."""
+        """Record an independent suspicion, which shortens the timeout and is gossiped again (Lifeguard)."""
         suspecter = claim.suspected_by
         if suspecter and suspecter not in known.confirmers and len(known.confirmers) <= MAX_CONFIRMATIONS:
             known.confirmers |= {suspecter}
@@ -344,7 +344,7 @@
             self._updates.put(claim)
 
     def _set_claim(self, now: float, member: Member, claim: MemberState, reason: str) -> None:
-        """Store a claim that is believed, with all that follows from the change of state."""
+        """Store an accepted claim and apply the effects of the state change."""
         name = claim.name
         before = member.claim
         if claim.state == SUSPECT and before.state != SUSPECT:
@@ -367,7 +367,7 @@
             self._request_members(now, name)
 
     def _place(self, name: str, member: Member) -> None:
-        """Put a member among those alive or suspected, or take it out, as its claim says."""
+        """Add a member to, or remove it from, the live and the suspected members, according to its claim."""
         state = member.claim.state
         is_alive = state in (ALIVE, SUSPECT)
         if is_alive and name not in self.alive:
@@ -381,7 +381,7 @@
             self._suspicion.suspects.pop(name, None)
 
     def _request_members(self, now: float, name: str) -> None:
-        """Ask a member for all that it knows, as we join or a partition has ended."""
+        """Request a member's whole member list, when joining or after a partition."""
         self._rejoined_at = now
         self.rejoined = True
         self.send(name, wire.MembersRequest(""))
--- a/frostspindle/fleet/node.py
+++ b/frostspindle/fleet/node.py
@@ -1,8 +1,8 @@
-"""One coordinator in the fleet: membership, budgets, counters and verdicts tied together, without I/O and clock.
+"""One coordinator of the fleet: combines membership, budgets, counters and verdicts, without I/O and without a clock.
 
-Decides which part gets which message, what each message carries besides, and when the parts are due. Datagrams, the own
-monotonic time in ms and Unix time for the windows come in; datagrams, log events and answers go out. A message whose
-sender is not verified reaches no part. Belongs to the event loop's thread.
+Dispatches received messages to the components, chooses the piggyback of sent ones, and schedules the components. Inputs
+are datagrams, the local monotonic time in ms, and Unix time for the counter windows; outputs are datagrams, log events
+and return values. Messages of unverified senders are not dispatched. Must be used from the event loop's thread only.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from frostspindle.fleet.membership import Membership
 from frostspindle.fleet.wire import MemberState, Packet
 
-ENVELOPE_BYTES = 180  # kept free of piggyback for the sender's claim and the frame
+ENVELOPE_BYTES = 180  # reserved for the sender's claim and the framing
 PIGGYBACK_BYTES = wire.MAX_PACKET_BYTES - ENVELOPE_BYTES
-RESERVED_FOR_COUNTERS = PIGGYBACK_BYTES // 2  # while counters wait: they still travel when all are suspected at once
+RESERVED_FOR_COUNTERS = PIGGYBACK_BYTES // 2  # while counters are pending, so that mass suspicions cannot starve them
 WINDOW_MS = 10_000.0  # of counters
-MIN_COMPARISON_INTERVAL_MS = 1_000.0  # counters are compared with one other member so often, or
-COMPARISON_PART = 0.25  # of the interval at which counters are published, if that is longer
-MAX_COMPARISONS = 64  # requests of one comparison: what a member without any rows needs in a fleet of a thousand
+MIN_COMPARISON_INTERVAL_MS = 1_000.0  # between comparisons of counters with another member, or
+COMPARISON_FRACTION = 0.25  # of the interval at which counters are published, if that is longer
+MAX_COMPARISON_REQUESTS = 64  # of one comparison; a member without rows needs so many in a fleet of a thousand
 MAX_MEMBERS_SHOWN = 256
 MAX_VERDICTS_SHOWN = 64
 WITHOUT_PIGGYBACK = frozenset(
@@ -40,23 +40,26 @@
 
 
 def comparison_interval(size: int) -> float:
-    """Return how often, in ms, a member compares its counters with another's; bytes grow with log2 of the fleet."""
-    return max(MIN_COMPARISON_INTERVAL_MS, COMPARISON_PART * publish_interval(size))
+    """Return the interval in ms at which a member compares its counters with another's.
+
+    The bytes sent grow with log2 of the fleet's size.
+    """
+    return max(MIN_COMPARISON_INTERVAL_MS, COMPARISON_FRACTION * publish_interval(size))
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSettings:
-    """Settings that all coordinators of a fleet must have alike, and a few times of this one's own."""
+    """Settings that must be equal at all coordinators of a fleet, and a few intervals that may differ."""
 
-    seeds: dict[str, Address]  # also the homes of all budgets, in the order of names
+    seeds: dict[str, Address]  # also the homes of all budgets, in order of names
     budgets: tuple[Budget, ...] = ()
     lease_ms: float = 5_000.0
-    drift: float = 0.055  # a clock may be so much faster or slower than real time
+    drift: float = 0.055  # maximum relative drift of a clock from real time
     probe_interval_ms: float = 1_000.0
     probe_timeout_ms: float = 300.0
-    quorum: int = 3  # coordinators whose verdicts together count
+    quorum: int = 3  # number of coordinators that must share a verdict before it counts
     verdict_valid_ms: float = 10_000.0
-    chain_length: int = CHAIN_LENGTH  # incarnations of one process
+    chain_length: int = CHAIN_LENGTH  # maximum number of incarnations of one process
 
 
 class Datagram(NamedTuple):
@@ -67,7 +70,7 @@
 
 
 class FleetNode:
-    """One process's fleet logic without I/O: datagrams and times in, datagrams out."""
+    """Fleet logic of one process, without I/O: takes datagrams and times, returns datagrams."""
 
     def __init__(
         self, name: str, address: Address, epoch: int, secret: bytes, settings: FleetSettings, now: float
@@ -80,12 +83,12 @@
         self.epoch = epoch
         self.homes = sorted(settings.seeds)
         self.random = Random(seed)
-        # What the owner reads and sets.
+        # Read and set by the owner; comments name the arguments of callbacks.
         self.counted: Counter[str] = Counter()
         self.log: Callable[..., None] = lambda event, **fields: None
-        self.channels: dict[int, Callable[[float, str, int, bytes], None]] = {}  # now, sender, its epoch, the message
-        self.watchers: list[Callable[[float, str, str], None]] = []  # now, member, its state: one of wire.STATES
-        # Parts.
+        self.channels: dict[int, Callable[[float, str, int, bytes], None]] = {}  # now, sender, its epoch, message
+        self.watchers: list[Callable[[float, str, str], None]] = []  # now, member, one of wire.STATES
+        # Components.
         self.membership = Membership(
             me, chain, settings.seeds, seed + 1, now, settings.probe_interval_ms, settings.probe_timeout_ms
         )
@@ -97,26 +100,26 @@
         self.budgets = BudgetExchange(self.membership, self.homes, settings.drift, self.random, self._count, self._log)
         for number, budget in enumerate(settings.budgets, 1):
             self.budgets.add_configured(now, budget, number, settings.lease_ms, seed + 2)
-        # Times and bounds.
+        # Schedule and totals.
         self._compare_at = now + self.random.random() * MIN_COMPARISON_INTERVAL_MS
-        self._comparisons_left = 0  # requests left of this comparison
+        self._comparison_requests_left = 0
         self._publish_verdicts_at = now + self.random.random() * PUBLISH_INTERVAL_MS
-        self._verdict_round: list[str] = []  # members still to get the verdicts in this round
+        self._verdict_round: list[str] = []  # members that have not received the verdicts in this round
         self._bytes_out = 0
         self._bytes_in = 0
 
-    def _count(self, what: str) -> None:
-        self.counted[what] += 1
+    def _count(self, counter: str) -> None:
+        self.counted[counter] += 1
 
     def _log(self, event: str, **fields: Any) -> None:
         self.log(event, **fields)
 
-    # Messages in.
+    # Received messages.
 
     def receive(self, now: float, source: Address, data: bytes) -> list[Datagram]:
-        """Process one datagram; return those to send.
+        """Process one datagram; return the datagrams to send.
 
-        One that is malformed, misdelivered or of an unverified sender is counted and has no effect.
+        A malformed or misdelivered datagram, or one of an unverified sender, is counted and ignored.
         """
         self._bytes_in += len(data)
         try:
@@ -146,10 +149,10 @@
             self.counters.merge(now, row)
 
     def _dispatch(self, now: float, sender: MemberState, body: wire.Body) -> None:
-        """Give a message's body to the part that it is for."""
+        """Pass a message's body to the component that handles it."""
         match body:
             case wire.Gossip():
-                pass  # all that it carries is the piggyback
+                pass  # only the piggyback matters
             case wire.Ping():
                 self.membership.on_ping(sender.name, body)
             case wire.Ack():
@@ -159,7 +162,7 @@
             case wire.Nack():
                 self.membership.detector.on_nack(body)
             case wire.MembersRequest():
-                self._send(sender, wire.MembersPage(body.after))  # filled as it leaves, in `_packet`
+                self._send(sender, wire.MembersPage(body.after))  # filled when it is sent, in `_packet`
             case wire.MembersPage():
                 if body.last:
                     self._send(sender, wire.MembersRequest(body.last))
@@ -194,15 +197,15 @@
         if page.next_begin:
             self._request_counters(sender.name, page.next_begin)
 
-    # Time.
+    # Schedule.
 
     def tick(self, now: float, unix_ms: float) -> list[Datagram]:
-        """Do what is due (times in ms, monotonic and Unix); return the datagrams to send."""
+        """Run all work that is due (times in ms, monotonic and Unix); return the datagrams to send."""
         self.counters.start_window(int(unix_ms / WINDOW_MS))
         self.membership.tick(now)
         self.counters.publish(now, self.membership.size)
         self.budgets.tick(now)
-        if now >= self._compare_at:  # rows that gossip missed
+        if now >= self._compare_at:  # to get rows that gossip has missed
             self._start_comparison(now)
         if now >= self._publish_verdicts_at:
             self._publish_verdicts_at = now + PUBLISH_INTERVAL_MS
@@ -210,7 +213,7 @@
         return self._flush(now)
 
     def due(self) -> float:
-        """Return when `tick` must be called next, in ms of the monotonic clock: the earliest time of all parts."""
+        """Return when `tick` must be called next, in ms of the monotonic clock: the earliest time of all components."""
         return min(
             self.membership.due(),
             self.counters.due(self.membership.size),
@@ -222,18 +225,18 @@
     def _start_comparison(self, now: float) -> None:
         jitter = 0.75 + 0.5 * self.random.random()
         self._compare_at = now + comparison_interval(self.membership.size) * jitter
-        self._comparisons_left = MAX_COMPARISONS
-        for name in self.membership.draw_peers(1):
+        self._comparison_requests_left = MAX_COMPARISON_REQUESTS
+        for name in self.membership.sample_peers(1):
             self._request_counters(name, 0)
 
     def _request_counters(self, name: str, begin: int) -> None:
-        if self._comparisons_left:
-            self._comparisons_left -= 1
+        if self._comparison_requests_left:
+            self._comparison_requests_left -= 1
             salt = self.random.getrandbits(53) | 1
             self.membership.send(name, self.counters.request_rows(begin, salt))
 
     def _publish_verdicts(self, now: float) -> None:
-        """Send the own verdicts to some members at a time."""
+        """Send the local verdicts to the next members of this round."""
         if not self.verdicts.has_recipients:
             return
         alive = self.membership.alive
@@ -247,12 +250,12 @@
             if self.verdicts.is_recipient(name):
                 self.membership.send(name, wire.VerdictDigest(self.verdicts.digest_for(now, name)))
 
-    # What the coordinator calls.
+    # Calls of the coordinator.
 
     def spend(self, now: float, unix_ms: float, budget: str, units: int = 1) -> bool:
-        """Use units of a budget; return whether so many are ready at this coordinator.
+        """Spend units of a budget; return False, and spend none, if fewer are ready at this coordinator.
 
-        KeyError for an unknown budget.
+        Raise KeyError for an unknown budget.
         """
         state = self.budgets.states[budget]
         state.demand.add(now, units)
@@ -264,30 +267,31 @@
         return True
 
     def set_verdicts(self, now: float, verdicts: Mapping[EngineKind, Evidence]) -> None:
-        """Set this coordinator's verdicts that hold now, by engine and kind, with their evidence.
+        """Replace this coordinator's current verdicts, by engine and kind, with their evidence.
 
-        A change is sent at once.
+        A change is sent immediately.
         """
         if self.verdicts.set_own(now, verdicts, self.membership.alive):
             self._publish_verdicts_at = now
 
     def post(self, now: float, name: str, channel: int, data: bytes) -> list[Datagram]:
-        """Return the datagrams with another part's message to a member: not repeated if lost, and none to a member that
-        is not alive.
+        """Return the datagrams that carry an application message to a member.
+
+        The message is not retransmitted if lost, and not sent to a member that is not alive.
         """
         self.membership.send(name, wire.ApplicationMessage(channel, data))
         return self._flush(now)
 
     def leave(self, now: float) -> list[Datagram]:
-        """Return what is borrowed and announce the departure; the node must not be used afterwards."""
+        """Return all borrowed quota and announce the departure. The node must not be used afterwards."""
         self.budgets.return_all(now)
         self.membership.leave()
         return self._flush(now)
 
-    # Messages out.
+    # Sent messages.
 
     def _flush(self, now: float) -> list[Datagram]:
-        """Report the members' changes, and return the datagrams of all messages that wait."""
+        """Report changes of members, and return the datagrams of all queued messages."""
         if self.membership.changes:
             self._report_changes(now)
         if not self.membership.outbox:
@@ -295,7 +299,7 @@
         datagrams: list[Datagram] = []
         for address, recipient, body in self.membership.take_outbox():
             data = wire.encode(self._packet(now, recipient, body))
-            if len(data) > wire.MAX_PACKET_BYTES:  # the bounds on all parts leave no room for this
+            if len(data) > wire.MAX_PACKET_BYTES:  # the bounds on the parts of a packet should prevent this
                 self._count("fleet_too_long")
                 continue
             self._bytes_out += len(data)
@@ -312,7 +316,7 @@
         self.membership.changes.clear()
 
     def _packet(self, now: float, recipient: str, body: wire.Body) -> Packet:
-        """A message with the piggyback that fits."""
+        """Return a message with as much piggyback as fits."""
         membership = self.membership
         if isinstance(body, wire.MembersPage):
             claims, last = membership.page(body.last, PIGGYBACK_BYTES)
@@ -329,7 +333,7 @@
     # Figures.
 
     def figures(self, now: float, unix_ms: float) -> dict[str, Any]:
-        """Return the fleet as this coordinator sees it, for the operators' port."""
+        """Return the local view of the fleet, for the operators' port."""
         window = int(unix_ms / WINDOW_MS)
         staleness = self.counters.staleness(now)
         members = list(self.membership.members.items())[:MAX_MEMBERS_SHOWN]
--- a/frostspindle/fleet/service.py
+++ b/frostspindle/fleet/service.py
@@ -1,8 +1,8 @@
-"""The fleet's socket and clock: one UDP socket and one timer around a FleetNode, its log, figures and verdicts.
+"""I/O of the fleet: one UDP socket and one timer that drive a FleetNode, with its log events, figures and verdicts.
 
-Owns the socket, the process's secret and epoch, and when the node is called; decides nothing about the fleet or
-requests. At most DATAGRAMS_PER_TURN datagrams are read in one turn of the event loop. A process that finds its port in
-use waits for it, and has no quota until then. Belongs to the event loop.
+Owns the socket and the process's secret and epoch, and decides when the node runs, but nothing about the fleet or about
+requests. Reads at most DATAGRAMS_PER_TURN datagrams per iteration of the event loop. A process whose port is in use
+waits until it is free, and has no quota until then. Must be used from the event loop's thread only.
 """
 
 from __future__ import annotations
@@ -27,34 +27,34 @@
     from frostspindle.core import Core
 
 DATAGRAMS_PER_TURN = 64
-BIND_RETRY_S = 0.25  # a port that is in use is tried again after this
-UPDATE_INTERVAL_S = 0.25  # how often the own verdicts are taken from the module, and spending is logged
-SLOW_FACTOR = 3.0  # an engine whose recent latency is so many times its best is reported as slow
-FINAL_FIGURES = frozenset({"sums", "counted", "bytes_in", "bytes_out"})  # logged at the end
+BIND_RETRY_S = 0.25  # between attempts to bind a port that is in use
+UPDATE_INTERVAL_S = 0.25  # between reads of the decision module's verdicts and log events of spending
+SLOW_FACTOR = 3.0  # an engine is reported as slow above this ratio of its recent latency to its best
+FINAL_FIGURES = frozenset({"sums", "counted", "bytes_in", "bytes_out"})  # logged when the service closes
 
 
 def monotonic() -> float:
-    """Return milliseconds of a clock that runs on while the process is stopped."""
+    """Return the monotonic time in ms; it also advances while the process is stopped."""
     return time.monotonic() * 1000.0
 
 
 class FleetChannel(Protocol):
     """A part of the program that exchanges datagrams with its counterparts in other coordinators over one channel."""
 
-    channel: int  # of wire.CHANNELS, its own
+    channel: int  # number below wire.CHANNELS, used by no other part
 
     def on_started(self, now: float, node: FleetNode) -> None:
-        """Start: the UDP port is this process's, and FleetService.post reaches members from now on."""
+        """Start; called once the UDP port is bound, from when on FleetService.post reaches members."""
 
     def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
-        """Take a message whose sender was verified; as any datagram it may be lost, late or doubled."""
+        """Handle a message of a verified sender. Messages may be lost, delayed or duplicated, like any datagram."""
 
     def on_member_changed(self, now: float, name: str, state: str) -> None:
-        """Take a member's new state: alive, suspect, dead or left."""
+        """Handle a member's new state: alive, suspect, dead or left."""
 
 
 class FleetService:
-    """One process's part in the fleet: socket, timer, log and figures around a FleetNode."""
+    """Runs the FleetNode of one process: socket, timer, log and figures."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         core: Core,
         telemetry: Telemetry,
     ) -> None:
-        """`tenants`: the budget of each tenant that has one, by the module's number of the tenant."""
+        """`tenants` maps the decision module's number of each tenant with a budget to the budget's name."""
         self.name = name
         self.listen = listen
         self.advertise = advertise
@@ -75,23 +75,23 @@
         self.core = core
         self.telemetry = telemetry
         self.node: FleetNode | None = None
-        self.channels: list[FleetChannel] = []  # set before start
+        self.channels: list[FleetChannel] = []  # registered before start
         self.socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
         self._spent: Counter[str] = Counter()  # by budget, since the last log event
         self._spent_since = clock() / 1000.0
-        self._agreed_sick: set[str] = set()  # engines that a quorum of others reports as sick, as the module knows it
+        self._agreed_sick: set[str] = set()  # engines that a quorum reports as sick, as last passed to the module
 
     async def start(self) -> None:
-        """Start the task that binds the UDP port, waiting while another process holds it, and then runs the node.
+        """Start the task that binds the UDP port, waiting while another process uses it, and then runs the node.
 
-        Needs a running event loop.
+        Requires a running event loop.
         """
         self._task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
-        """Bind the port, start the node, then update verdicts and log spending until cancelled."""
+        """Bind the port, start the node, then exchange verdicts and log spending until cancelled."""
         self.socket = await self._bind()
         if self.socket is None:
             return
@@ -101,7 +101,7 @@
             self._update()
 
     async def _bind(self) -> socket.socket | None:
-        """Return a socket bound to the port, once no other process holds it; None, with a log event, on an error."""
+        """Return a socket bound to the port, waiting while it is in use; on any other error, log it and return None."""
         is_waiting = False
         while True:
             bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -114,7 +114,7 @@
                 if error.errno != errno.EADDRINUSE:
                     self.telemetry.log("fleet_disabled", error=error.strerror)
                     return None
-            if not is_waiting:  # our predecessor: its quota is its own until it lets go of the port
+            if not is_waiting:  # by this process's predecessor, which may use its quota until it releases the port
                 self.telemetry.log("fleet_bind_delayed", listen=f"{self.listen[0]}:{self.listen[1]}")
             is_waiting = True
             await asyncio.sleep(BIND_RETRY_S)
@@ -124,16 +124,16 @@
         epoch = int(time.time() * 1e6)
         self.node = FleetNode(self.name, address, epoch, secrets.token_bytes(16), self.settings, monotonic())
         self.node.log = self.telemetry.log
-        for part in self.channels:
-            self.node.channels[part.channel] = part.on_message
-            self.node.watchers.append(part.on_member_changed)
+        for channel in self.channels:
+            self.node.channels[channel.channel] = channel.on_message
+            self.node.watchers.append(channel.on_member_changed)
         asyncio.get_running_loop().add_reader(bound, self._read)
         self.telemetry.log("fleet_joined", listen=bound.getsockname(), advertise=address, epoch=epoch)
-        for part in self.channels:
-            part.on_started(monotonic(), self.node)
+        for channel in self.channels:
+            channel.on_started(monotonic(), self.node)
         self._tick()
 
-    # The socket.
+    # Socket and timer.
 
     def _read(self) -> None:
         assert self.socket is not None and self.node is not None
@@ -143,7 +143,7 @@
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:
-                continue  # an ICMP error for an earlier datagram that nobody took
+                continue  # an ICMP error for a datagram sent earlier to a closed port
             self._send(self.node.receive(monotonic(), source, data))
         self._schedule()
 
@@ -153,7 +153,7 @@
         self._schedule()
 
     def _schedule(self) -> None:
-        """Set the timer to when the node is due, at least 1 ms from now."""
+        """Set the timer to the node's next due time, at least 1 ms from now."""
         assert self.node is not None
         if self._timer is not None:
             self._timer.cancel()
@@ -165,20 +165,20 @@
         for address, data in datagrams:
             try:
                 self.socket.sendto(data, address)
-            except OSError:  # a full buffer or nobody there: a lost datagram like any other
+            except OSError:  # a full buffer or an unreachable peer: equivalent to a lost datagram
                 self.telemetry.count("fleet_unsent")
 
-    # What the coordinator uses.
+    # Calls of the coordinator.
 
     def post(self, name: str, channel: int, data: bytes) -> None:
-        """Send a message of up to wire.MAX_MESSAGE_BYTES bytes to a member; nothing where the node does not serve."""
+        """Send a message of up to wire.MAX_MESSAGE_BYTES bytes to a member; no effect while the node is not running."""
         if self.node is not None and self.socket is not None:
             self._send(self.node.post(monotonic(), name, channel, data))
 
     def within_budget(self, tenant: int) -> bool:
-        """Spend one unit of a tenant's budget on a request; return whether there was one.
+        """Spend one unit of a tenant's budget on a request; return False if no unit is ready.
 
-        True for a tenant without a budget, False while the node does not serve.
+        Return True for a tenant without a budget, and False while the node is not running.
         """
         budget = self.tenants.get(tenant)
         if budget is None:
@@ -192,7 +192,7 @@
     # Spending and verdicts.
 
     def _update(self) -> None:
-        """Log what was spent, publish the own verdicts, and tell the module what a quorum of others reports."""
+        """Log spending, publish the local verdicts, and pass those of a quorum of others to the decision module."""
         assert self.node is not None
         unix_s = clock() / 1000.0
         self._log_spent(unix_s)
@@ -217,18 +217,18 @@
         self._spent_since = clock() / 1000.0
 
     def _report_agreed(self, changed_names: set[str]) -> None:
-        """Tell the module about the engines on which the others' agreement has changed."""
+        """Report engines whose shared verdict has changed to the decision module."""
         changed = [number for number, state in self.core.engines.items() if state.name in changed_names]
         if not changed:
             return
-        parts = {number: believed.slow_start_share for number, believed in self.core.controller.engines.items()}
+        shares = {number: engine.slow_start_share for number, engine in self.core.controller.engines.items()}
         loads = tuple(
             policy.WorkerLoad(
                 number,
                 0,
                 0.0,
                 self.core.engines[number].name in self._agreed_sick,
-                parts.get(number, 1.0),
+                shares.get(number, 1.0),
                 (),
                 0.0,
             )
@@ -238,20 +238,23 @@
         self.telemetry.log("fleet_verdict_changed", sick=sorted(self._agreed_sick)[:16])
 
     def _own_verdicts(self, unix_ms: float) -> dict[EngineKind, Evidence]:
-        """The own verdicts: never what others reported, else a report would keep itself alive."""
+        """Return the local verdicts.
+
+        Verdicts reported by others are excluded, as coordinators would otherwise confirm each other's for ever.
+        """
         verdicts: dict[EngineKind, Evidence] = {}
         for number, state in self.core.engines.items():
-            believed = self.core.controller.engines.get(number)
-            if believed is None or state.entry.health == policy.Health.GONE:
+            engine = self.core.controller.engines.get(number)
+            if engine is None or state.entry.health == policy.Health.GONE:
                 continue
-            evidence = (round(believed.failure_rate, 3), round(believed.slowdown, 3), float(len(believed.attempts)))
-            if believed.ejected and not believed.ejected_by_peer:
+            evidence = (round(engine.failure_rate, 3), round(engine.slowdown, 3), float(len(engine.attempts)))
+            if engine.ejected and not engine.ejected_by_peer:
                 verdicts[state.name, engine_verdicts.SICK] = evidence
             if state.name in self.core.banned:
                 verdicts[state.name, engine_verdicts.BANNED] = evidence
-            if believed.slowdown > SLOW_FACTOR:
+            if engine.slowdown > SLOW_FACTOR:
                 verdicts[state.name, engine_verdicts.SLOW] = evidence
-            if believed.in_slow_start(unix_ms):
+            if engine.in_slow_start(unix_ms):
                 verdicts[state.name, engine_verdicts.COLD] = evidence
         return verdicts
 
@@ -262,7 +265,7 @@
         return self.node.figures(monotonic(), clock())
 
     def close(self) -> None:
-        """Return what is borrowed, announce the departure and close the socket; no budget is spent afterwards."""
+        """Return borrowed quota, announce the departure and close the socket. No budget can be spent afterwards."""
         if self._task is not None:
             self._task.cancel()
         if self._timer is not None:
--- a/frostspindle/fleet/wire.py
+++ b/frostspindle/fleet/wire.py
@@ -1,8 +1,8 @@
-"""The fleet's messages: msgspec structs in msgpack, one UDP datagram each.
+"""Messages of the fleet: msgspec structs encoded as msgpack, one UDP datagram each.
 
-Defines each message and the bounds on its fields. No state. Bytes that can't be decoded, are longer than
-MAX_PACKET_BYTES or hold a value out of its range raise InvalidPacketError here. The structs are encoded as arrays: tags
-and the order of fields are fixed, the names of fields are not on the wire.
+Defines every message and the bounds on its fields. Stateless. Data that cannot be decoded, exceeds MAX_PACKET_BYTES or
+has a field out of range raises InvalidPacketError. Structs are encoded as arrays: tags and the order of fields are part
+of the wire format, the names of fields are not.
 """
 
 from __future__ import annotations
@@ -15,34 +15,37 @@
 
 from frostspindle.fleet.errors import InvalidPacketError as InvalidPacketError
 
-MAX_PACKET_BYTES = 1200  # of one datagram: fits a usual path without fragmentation
+MAX_PACKET_BYTES = 1200  # of one datagram; fits the usual path MTU without fragmentation
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
 STATES = ("alive", "suspect", "dead", "left")
-PROOF_BYTES = 16  # of an incarnation's proof
-POSITION_BITS = 48  # of the hash that orders counter streams
-MAX_FINGERPRINT_BYTES = 1_000  # of a CountersRequest
-MAX_MESSAGE_BYTES = 960  # bytes that another part of the program may send in one message
-CHANNELS = 16
+PROOF_BYTES = 16  # length of an incarnation's proof
+POSITION_BITS = 48  # width of the hash by which counter streams are ordered
+MAX_FINGERPRINT_BYTES = 1_000  # in one CountersRequest
+MAX_MESSAGE_BYTES = 960  # payload of one ApplicationMessage
+CHANNELS = 16  # for ApplicationMessages
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
-Name = Annotated[str, Meta(min_length=1, max_length=64)]  # of a member or an engine
-Key = Annotated[str, Meta(max_length=24)]  # of a counter; "": that of the entry before
+Name = Annotated[str, Meta(min_length=1, max_length=64)]  # of a member, a budget or an engine
+Key = Annotated[str, Meta(max_length=24)]  # name of a counter; "" repeats the name of the previous entry
 Proof = Annotated[bytes, Meta(min_length=PROOF_BYTES, max_length=PROOF_BYTES)]
 Ms = Annotated[float, Meta(ge=0, le=1e9)]
 Position = Annotated[int, Meta(ge=0, lt=2**POSITION_BITS)]
 
 
 class MemberState(Struct, array_like=True, frozen=True):
-    """A claim about a member or the sender itself. The proof shows that the subject made this incarnation."""
+    """Claim about the state of a member, or of the sender itself.
+
+    The proof shows that the subject itself created this incarnation.
+    """
 
     name: Name
     host: Annotated[str, Meta(min_length=7, max_length=15)]
     port: Annotated[int, Meta(ge=1, le=65535)]
     state: Annotated[int, Meta(ge=ALIVE, le=LEFT)]
-    epoch: Count  # of the member's process; a later process of the same name has a higher one
+    epoch: Count  # identifies the member's process; a later process of the same name has a higher one
     incarnation: Count
     proof: Proof
-    suspected_by: Annotated[str, Meta(max_length=64)] = ""  # of a suspicion: the member whose own probe failed
+    suspected_by: Annotated[str, Meta(max_length=64)] = ""  # for a suspicion: the member whose own probe failed
 
     @property
     def address(self) -> tuple[str, int]:
@@ -51,9 +54,9 @@
 
 
 class Suspicion(Struct, array_like=True, frozen=True):
-    """A claim that a member is not alive, without address and proof.
+    """Claim that a member is not alive, without its address and proof.
 
-    Of use only to receivers that know this incarnation already.
+    Usable only by receivers that already know this incarnation.
     """
 
     name: Name
@@ -64,15 +67,15 @@
 
 
 class CounterRow(Struct, array_like=True, frozen=True):
-    """Counters of one origin's stream: all where `base_version` is 0, else the delta since that version."""
+    """Counters of one origin's stream: all of them if `base_version` is 0, else the delta since that version."""
 
     origin: Name
     epoch: Count
     stream: Annotated[int, Meta(ge=0, le=63)]
     base_version: Count
     version: Count
-    age_ms: Ms  # since the origin published it; each hop adds the time for which it kept the row
-    # Key, window (0: in all), increments and decrements of each counter.
+    age_ms: Ms  # since the origin published it; each hop adds the time for which it held the row
+    # Key, window (0: total over all windows), increments and decrements of each counter.
     entries: Annotated[list[tuple[Key, Count, Count, Count]], Meta(max_length=20)]
 
 
@@ -86,13 +89,13 @@
 
 
 class Ping(Struct, array_like=True, frozen=True, tag=0):
-    """Probe: answer with an Ack of the same `sequence`."""
+    """Probe; answered with an Ack of the same `sequence`."""
 
     sequence: Count
 
 
 class Ack(Struct, array_like=True, frozen=True, tag=1):
-    """Answer to a Ping, or a helper's report that the target of a PingRequest answered it.
+    """Answer to a Ping, or a helper's report that the target of a PingRequest has answered.
 
     `sequence` is that of the Ping or PingRequest.
     """
@@ -101,67 +104,67 @@
 
 
 class PingRequest(Struct, array_like=True, frozen=True, tag=2):
-    """Request to ping `target`; answered with Ack if it answers, with Nack if it does not in time."""
+    """Request to ping `target` on behalf of the sender; answered with Ack, or with Nack if the target times out."""
 
     sequence: Count
     target: Name
 
 
 class Nack(Struct, array_like=True, frozen=True, tag=3):
-    """A helper's report that the target of a PingRequest did not answer in time; `sequence` is the request's."""
+    """A helper's report that the target of a PingRequest did not answer in time; `sequence` is that of the request."""
 
     sequence: Count
 
 
 class MembersRequest(Struct, array_like=True, frozen=True, tag=4):
-    """Request for the members that the receiver knows, after this name in order of names."""
+    """Request for the members known to the receiver, in order of names, from the first one after `after`."""
 
     after: Annotated[str, Meta(max_length=64)]
 
 
 class MembersPage(Struct, array_like=True, frozen=True, tag=5):
-    """Answer to a MembersRequest, with the claims as piggyback; `last` is the name to go on after, "" at the end."""
+    """Answer to a MembersRequest; the claims are piggybacked. `last` is the name to continue after, "" at the end."""
 
     last: Annotated[str, Meta(max_length=64)]
 
 
 class Gossip(Struct, array_like=True, frozen=True, tag=6):
-    """A message with nothing but the piggyback."""
+    """Message without content of its own, sent for its piggyback."""
 
 
 class VerdictDigest(Struct, array_like=True, frozen=True, tag=7):
-    """All verdicts that the sender holds now; one that is missing is withdrawn."""
+    """All current verdicts of the sender; a verdict that is missing is withdrawn."""
 
     verdicts: Annotated[list[Verdict], Meta(max_length=16)]
 
 
 class QuotaRequest(Struct, array_like=True, frozen=True, tag=8):
-    """Request to lend quota of a budget, or to renew the loan; `returned` and `closed_loan` are given back for good."""
+    """Request to borrow quota of a budget or to renew a loan; `returned` and `closed_loan` give units back for good."""
 
     budget: Name
     budget_digest: Count  # of the budget's definition
     sequence: Count
-    lender_epoch: Count  # of the lender's process that made the loan; 0: none yet
-    loan: Count  # the lender's number of the loan
-    returned: Count  # units returned in all
+    lender_epoch: Count  # of the lender's process that made the loan; 0: no loan yet
+    loan: Count  # number that the lender gave the loan
+    returned: Count  # total units returned
     closed_loan: Count  # the highest loan of this lender's process that the borrower no longer uses
-    wanted: Count  # units of this lender in all
+    wanted: Count  # total units wanted of this lender
 
 
 class QuotaGrant(Struct, array_like=True, frozen=True, tag=9):
-    """Answer to a QuotaRequest: the whole loan as it stands; the lease counts from the sending of that request."""
+    """Answer to a QuotaRequest with the totals of the loan; the borrower's lease starts when it sent the request."""
 
     budget: Name
     budget_digest: Count
     sequence: Count  # of the request
     loan: Count
-    granted: Count  # units granted in all
+    granted: Count  # total units granted
     limit: Count  # units of the loan that the borrower should hold at most
-    available: Count  # units that the lender has left
+    available: Count  # units that the lender can still lend
 
 
 class QuotaReturn(Struct, array_like=True, frozen=True, tag=10):
-    """Return of quota: units of a loan given back in all, unused for a whole window."""
+    """Return of units of a loan that were unused for a whole window; `returned` is the running total."""
 
     budget: Name
     lender_epoch: Count
@@ -170,11 +173,11 @@
 
 
 class CountersRequest(Struct, array_like=True, frozen=True, tag=11):
-    """Request for the counter rows that the receiver has newer (anti-entropy).
+    """Request for the counter rows of which the receiver has newer versions (anti-entropy).
 
-    Positions (hashes of streams) are cut in 2**range_bits ranges of one width. For the range of `begin`, from there on,
-    and each that follows, `fingerprints` has a byte for how many rows the sender has (255: too many), one that
-    identifies them, one for their content, and for each row, in order, the low byte of its version.
+    Positions (hashes of streams) are divided into 2**range_bits ranges of equal width. From the position `begin` on,
+    `fingerprints` has for each range one byte for the number of rows that the sender has (255: too many), one that
+    identifies them, one for their content, and the low byte of each row's version, in order of positions.
     """
 
     begin: Position
@@ -184,16 +187,16 @@
 
 
 class CountersPage(Struct, array_like=True, frozen=True, tag=12):
-    """Answer to a CountersRequest, and the position for the next one; 0 if that was all."""
+    """Answer to a CountersRequest; `next_begin` is the position for the next request, 0 at the end."""
 
     next_begin: Position
     rows: Annotated[list[CounterRow], Meta(max_length=32)]
 
 
 class ApplicationMessage(Struct, array_like=True, frozen=True, tag=13):
-    """Message of another part of the program, which the fleet carries without reading it.
+    """Message of another part of the program, carried without interpretation.
 
-    That part bounds and checks the content.
+    The receiving part validates the content.
     """
 
     channel: Annotated[int, Meta(ge=0, lt=CHANNELS)]
@@ -219,10 +222,10 @@
 
 
 class Packet(Struct, array_like=True, frozen=True):
-    """One datagram: sender, recipient, body, and the piggybacked claims, counter rows and suspicions."""
+    """One datagram: sender, recipient, body, and piggybacked claims, counter rows and suspicions."""
 
     sender: MemberState
-    recipient: Annotated[str, Meta(max_length=64)]  # "": whoever is there
+    recipient: Annotated[str, Meta(max_length=64)]  # "": any receiver
     body: Body
     claims: Annotated[list[MemberState], Meta(max_length=32)] = []
     rows: Annotated[list[CounterRow], Meta(max_length=32)] = []
@@ -233,16 +236,16 @@
 
 
 def decoder(message_type: Any, max_bytes: int = MAX_MESSAGE_BYTES) -> Callable[[bytes], Any]:
-    """Return a function that decodes messages of a type.
+    """Return a function that decodes messages of one type.
 
-    It raises InvalidPacketError for bytes that are too long, malformed or out of range.
+    It raises InvalidPacketError for data that is too long, malformed or out of range.
     """
     msgpack_decoder = msgspec.msgpack.Decoder(message_type)
 
     def decode_message(data: bytes) -> Any:
         """Decode one message."""
         if len(data) > max_bytes:
-            raise InvalidPacketError("too long")
+            raise InvalidPacketError("message too long")
         try:
             return msgpack_decoder.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -255,10 +258,10 @@
 
 
 def decode(data: bytes) -> Packet:
-    """Decode one datagram; InvalidPacketError if it is not a valid packet."""
+    """Decode one datagram. Raise InvalidPacketError if it is not a valid packet."""
     return _decode_packet(data)
 
 
-def size(part: Struct) -> int:
-    """Return how many bytes a part of a message takes once encoded."""
-    return len(encode(part))
+def size(struct: Struct) -> int:
+    """Return the encoded size of a message or of a struct inside one, in bytes."""
+    return len(encode(struct))
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -54,9 +54,9 @@
     )
     b.receive(1_000.0, a.membership.me.address, word)
     assert b.counted["fleet_spoofed"] == 1
-    assert b.verdicts.makers(1000.0, "e", engine_verdicts.SICK) == []
+    assert b.verdicts.authors(1000.0, "e", engine_verdicts.SICK) == []
     b.receive(1_000.0, c.membership.me.address, word)
-    assert b.verdicts.makers(1000.0, "e", engine_verdicts.SICK) == ["c"]
+    assert b.verdicts.authors(1000.0, "e", engine_verdicts.SICK) == ["c"]
 
 
 def test_application_message_arrives_from_its_verified_sender_or_is_counted():
--- a/tests/test_fleet_verdicts.py
+++ b/tests/test_fleet_verdicts.py
@@ -18,4 +18,4 @@
     words.remove_member("c")
     assert words.agreed(1001.0, engine_verdicts.SICK) == set()
     words.on_digest(1_001.0, "b", [])
-    assert words.makers(1001.0, "e", engine_verdicts.SICK) == ["liar"]
+    assert words.authors(1001.0, "e", engine_verdicts.SICK) == ["liar"]
