--- a/frostspindle/fleet/budgets.py
+++ b/frostspindle/fleet/budgets.py
@@ -1,7 +1,7 @@
-"""The fleet's budgets at one coordinator: accounts of quota, and the messages by which quota moves.
+"""The fleet's budgets at one coordinator: quota accounts, and the messages that move quota between coordinators.
 
-Each budget is divided among its homes (the seeds, in the order of names); who lacks quota requests it of others. No I/O
-and no clock: times are ms of the own monotonic clock.
+The units of each budget are divided among its homes (the seeds, in order of names), which own them; a coordinator that
+needs more borrows from the homes. No I/O and no clock: times are in ms of the local monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Budget:
-    """A budget of so many units in any window, for the whole fleet.
+    """A limit for the whole fleet: at most `units` in any window.
 
-    Its repr is part of the digest that coordinators compare: names and order of the fields must stay.
+    Its repr is part of the digest that coordinators compare, so the names and order of the fields must not change.
     """
 
     name: str
@@ -47,17 +47,17 @@
     """One budget at this coordinator."""
 
     budget: Budget
-    number: int  # in the settings, from 1; 0: opened by a part of the program
+    number: int  # in the settings, from 1; 0: opened by the program, not in the settings
     digest: int
     account: QuotaAccount
     demand: EstimatedDemand | StatedDemand
     lenders: LenderSelector
     rebalance_at: float
-    pending: dict[str, _PendingRequest] = field(default_factory=dict)  # by lender: the last request, unanswered yet
+    pending: dict[str, _PendingRequest] = field(default_factory=dict)  # by lender: the last request, if unanswered
 
 
 class BudgetExchange:
-    """All budgets of one coordinator: requests, grants and returns of quota."""
+    """All budgets of one coordinator, with their requests, grants and returns of quota."""
 
     def __init__(
         self,
@@ -68,12 +68,12 @@
         count: Callable[[str], None],
         log: Callable[..., None],
     ) -> None:
-        """`random` is shared with the node; `count` and `log` take counter names, and log events with their fields."""
+        """`random` is shared with the node; `count` takes the name of a counter, `log` an event and its fields."""
         self.name = membership.me.name
         self.epoch = membership.me.epoch
         self.homes = homes
         self.states: dict[str, BudgetState] = {}
-        # Whether to open a budget that is in nobody's settings, or whether it is in use: set by the part that opens.
+        # Returns whether a budget outside the settings is open or may be opened; set by the code that opens budgets.
         self.may_open: Callable[[float, str], bool] = lambda now, name: False
         self._membership = membership
         self._drift = drift
@@ -81,12 +81,12 @@
         self._count = count
         self._log = log
         self._sequence = 0
-        self._last_closed_loan = 0  # the highest loan number of all budgets that were closed
+        self._last_closed_loan = 0  # the highest loan number of all closed budgets
 
     # Budgets.
 
     def add_configured(self, now: float, budget: Budget, number: int, lease_ms: float, selector_seed: int) -> None:
-        """Add a budget of the settings; its demand is estimated."""
+        """Add a budget from the settings, with estimated demand."""
         account = self._account(budget, lease_ms, now, 0)
         self.states[budget.name] = BudgetState(
             budget,
@@ -98,12 +98,13 @@
             self._first_rebalance_at(now),
         )
 
-    def open(self, now: float, budget: Budget, lease_ms: float, born: float) -> tuple[QuotaAccount, StatedDemand]:
-        """Add a budget that is in no settings; it is divided as at all others that open it with the same definition.
+    def open(self, now: float, budget: Budget, lease_ms: float, owned_at: float) -> tuple[QuotaAccount, StatedDemand]:
+        """Add a budget outside the settings, divided as at all coordinators that open it with the same definition.
 
-        `born`: from when the own units cool down, as a predecessor may have lent or used them; -inf: none can have.
+        `owned_at`: when the cooldown of the owned units starts, as a predecessor may have lent or used them; -inf if
+        there can be none.
         """
-        account = self._account(budget, lease_ms, born, self._last_closed_loan)
+        account = self._account(budget, lease_ms, owned_at, self._last_closed_loan)
         demand = StatedDemand()
         self.states[budget.name] = BudgetState(
             budget,
@@ -117,7 +118,7 @@
         return account, demand
 
     def close(self, now: float, name: str) -> bool:
-        """Forget an opened budget; return False, and keep it, while anything is lent, borrowed or cooling."""
+        """Remove an opened budget; return False, without removing it, while units are lent, borrowed or cooling."""
         account = self.states[name].account
         account.tick(now)
         if not account.idle:
@@ -126,10 +127,10 @@
         del self.states[name]
         return True
 
-    def _account(self, budget: Budget, lease_ms: float, born: float, last_loan: int) -> QuotaAccount:
+    def _account(self, budget: Budget, lease_ms: float, owned_at: float, last_loan: int) -> QuotaAccount:
         shares = dict(zip(self.homes, split_evenly(budget.units, len(self.homes)), strict=True))
         owned = shares.get(self.name, 0)
-        return QuotaAccount(owned, budget.window_ms, lease_ms, self._drift, born, last_loan)
+        return QuotaAccount(owned, budget.window_ms, lease_ms, self._drift, owned_at, last_loan)
 
     def _digest(self, budget: Budget, lease_ms: float) -> int:
         definition = repr((budget, self.homes, lease_ms, self._drift))
@@ -138,10 +139,10 @@
     def _first_rebalance_at(self, now: float) -> float:
         return now + self._random.random() * quota_flow.REQUEST_INTERVAL_MS
 
-    # Time.
+    # Schedule.
 
     def due(self) -> float:
-        """Return when `tick` must be called next; inf without budgets."""
+        """Return when `tick` must be called next, inf without budgets."""
         due = math.inf
         for state in self.states.values():
             if state.rebalance_at < due:
@@ -149,7 +150,7 @@
         return due
 
     def tick(self, now: float) -> None:
-        """Compare need and quota of each budget that is due: return surplus, renew loans, request what is missing."""
+        """Rebalance each budget that is due: return surplus quota, renew loans, request missing quota."""
         for state in self.states.values():
             if now >= state.rebalance_at:
                 state.rebalance_at = now + quota_flow.REQUEST_INTERVAL_MS
@@ -173,20 +174,20 @@
 
     def _give_up_unanswered(self, now: float, state: BudgetState) -> None:
         for lender, request in list(state.pending.items()):
-            if now - request.sent_at > ANSWER_TIMEOUT_MS:  # the lender may be gone
+            if now - request.sent_at > ANSWER_TIMEOUT_MS:  # the lender may have failed
                 del state.pending[lender]
                 state.lenders.back_off(now, lender)
 
     def _request_missing(self, now: float, state: BudgetState, missing: int) -> None:
-        """Request what is missing of several lenders, evenly."""
+        """Request the missing units from several lenders in even parts."""
         chosen = state.lenders.choose(now, self.homes, self._membership.alive, state.pending)
-        for place, lender in enumerate(chosen):
-            part = -(-missing // (len(chosen) - place))
-            self._request(now, state, lender, part)
-            missing -= part
+        for index, lender in enumerate(chosen):
+            units = -(-missing // (len(chosen) - index))
+            self._request(now, state, lender, units)
+            missing -= units
 
     def return_all(self, now: float) -> None:
-        """Return all that is borrowed and ready, as this member leaves."""
+        """Return all borrowed units that are ready, as this member leaves."""
         for state in self.states.values():
             for lender in list(state.account.borrowed):
                 state.account.schedule_return(now, lender, NO_LIMIT)
@@ -218,7 +219,7 @@
         if state is None or not state.account.owned:
             return
         account = state.account
-        needed = state.demand.needed(now, False)  # without margin: others lack what would lie idle
+        needed = state.demand.needed(now, False)  # without margin, as others lack the units that would be idle here
         loan = account.on_request(
             now,
             sender.name,
@@ -247,10 +248,10 @@
         if isinstance(demand, EstimatedDemand):
             return quota_flow.offer(state.account, needed, loan, borrower)
         min_share = demand.min_share * state.account.owned // state.budget.units
-        return quota_flow.offer_in_turn(state.account, needed, loan, borrower, self.name, demand.turn, min_share)
+        return quota_flow.offer_rotating(state.account, needed, loan, borrower, self.name, demand.rotation, min_share)
 
     def on_grant(self, now: float, sender: MemberState, grant: wire.QuotaGrant) -> None:
-        """Take a lender's grant."""
+        """Handle a lender's grant."""
         state = self._matching_state(now, sender, grant)
         if state is None:
             return
@@ -267,7 +268,7 @@
             state.lenders.on_answer(now, sender.name, state.account.total - before, grant.available)
 
     def on_return(self, now: float, sender: MemberState, returned: wire.QuotaReturn) -> None:
-        """Take units that a borrower returns."""
+        """Handle a borrower's return of units."""
         state = self.states.get(returned.budget)
         if state is not None and returned.lender_epoch == self.epoch:
             state.account.on_return(now, sender.name, sender.epoch, returned.loan, returned.returned)
@@ -280,12 +281,12 @@
     def _matching_state(
         self, now: float, sender: MemberState, message: wire.QuotaRequest | wire.QuotaGrant
     ) -> BudgetState | None:
-        """The budget that a message is about, None if it is not open here or defined otherwise.
+        """Return the budget of a message; None if it is not open here or has another definition.
 
-        Quota moves only among coordinators that divide the same budget in the same way.
+        Quota may move only between coordinators that divide the same budget in the same way.
         """
         state = self.states.get(message.budget)
-        if state is None or not state.number:  # in nobody's settings
+        if state is None or not state.number:  # not in the settings
             if not self.may_open(now, message.budget):
                 self._count("fleet_not_open")
                 return None
@@ -299,7 +300,7 @@
     # Figures.
 
     def figures(self, now: float) -> dict[str, dict[str, float]]:
-        """Return the budgets of the settings for the operators' port."""
+        """Return the figures of the budgets from the settings, for the operators' port."""
         return {name: _figures(state, now) for name, state in self.states.items() if state.number}
 
 
@@ -311,7 +312,7 @@
         "own": account.owned,
         "held": account.total,
         "ready": account.ready(now),
-        "lent": account.owned - account.in_hand,
+        "lent": account.owned - account.unlent,
         "borrowed": sum(loan.outstanding for loan in account.borrowed.values()),
         "need": state.demand.needed(now, True),
         "spent": account.spent,
--- a/frostspindle/fleet/counter_sync.py
+++ b/frostspindle/fleet/counter_sync.py
@@ -1,8 +1,8 @@
 """Anti-entropy of counters: two members compare fingerprints of their tables and exchange the rows that differ.
 
-The positions of all streams are cut in ranges of one width; for each range the requester sends how many rows it has,
-one byte that identifies them, one of their content, and the low byte of each version. No I/O and no clock: times are ms
-of the own monotonic clock.
+The positions of all streams are divided into ranges of equal width. For each range the requester sends the number of
+its rows, one byte that identifies them, one byte for their content, and the low byte of each version. No I/O and no
+clock: times are in ms of the local monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 from frostspindle.fleet.counter_table import CounterTable, PositionedStream
 from frostspindle.fleet.wire import CounterRow
 
-STREAMS_PER_RANGE = 8  # or up to twice that
+STREAMS_PER_RANGE = 8  # upper bound of the mean, which is at least half of it in larger tables
 MAX_RANGE_BITS = 10
-MAX_VERSIONS = 120  # of a range; one that holds more is requested in full
-TOO_MANY = b"\xff\0\0"  # fingerprint of such a range
-MAX_ROWS = 32  # in one page
-RECENT_MS = 500.0  # times log10 of all names: a row published so lately is on its way to the requester as gossip
-MAX_VERSIONS_AHEAD = 8  # a requester that seems ahead by no more is taken to be so, unless the answer is thorough
+MAX_VERSIONS = 120  # per range; a range with more is requested in full
+TOO_MANY_VERSIONS = b"\xff\0\0"  # fingerprint of such a range
+MAX_ROWS = 32  # per page
+RECENT_MS = 500.0  # times log10 of the number of names: more recent rows still reach the requester by gossip
+MAX_VERSIONS_AHEAD = 8  # a requester that seems ahead by no more is assumed to be, unless the answer is thorough
 THOROUGH_BITS = 0b1110  # of the salt: an answer is thorough if none of them is set
 MASK = 2**64 - 1
 
 
 class Fingerprint(NamedTuple):
-    """What a requester has in one range."""
+    """Summary of a requester's rows in one range."""
 
     count: int
     identity: int
     content: int
-    versions: bytes  # low bytes, in order of positions
+    versions: bytes  # low byte of each version, in order of positions
 
 
 def request_rows(table: CounterTable, begin: int, salt: int) -> wire.CountersRequest:
-    """Return the request for rows that another member has newer, from a position on.
+    """Return a request for rows of which another member has newer versions, from a position on.
 
-    A new `salt` each time prevents that two states which look alike once do so for ever.
+    With a new `salt` for each request, two states whose checksums collide once do not collide again and again.
     """
     order = table.by_position
     range_bits = min(MAX_RANGE_BITS, (len(order) // STREAMS_PER_RANGE).bit_length())
@@ -58,14 +58,14 @@
 
 def _fingerprint(table: CounterTable, entries: Sequence[PositionedStream], salt: int) -> bytes:
     if len(entries) > MAX_VERSIONS:
-        return TOO_MANY
+        return TOO_MANY_VERSIONS
     identity, content = _checksums(table, entries)
     versions = [entry.stream.version & 255 for entry in entries]
     return bytes((len(versions), _salted_byte(identity, salt), _salted_byte(content, salt), *versions))
 
 
 def _checksums(table: CounterTable, entries: Sequence[PositionedStream]) -> tuple[int, int]:
-    """One number for which streams these are, and one for their content."""
+    """Return a checksum of the streams' identities and one of their content."""
     identity = 0
     content = 0
     for position, stream_id, stream in entries:
@@ -79,9 +79,9 @@
 
 
 def answer_request(table: CounterTable, now: float, request: wire.CountersRequest, room: int) -> wire.CountersPage:
-    """Return whole rows that the requester lacks or has older, within `room` bytes, and where to go on.
+    """Return complete rows that the requester lacks or has in older versions, and the position to continue from.
 
-    Fingerprints that were cut short are not answered.
+    The rows fit in `room` bytes, except that one row is always sent. Truncated fingerprints are not answered.
     """
     shift = wire.POSITION_BITS - request.range_bits
     first = request.begin >> shift
@@ -105,66 +105,72 @@
 
 
 def _read_fingerprints(data: bytes) -> Iterator[Fingerprint]:
-    """The fingerprints of a request, up to one that was cut short."""
-    at = 0
-    while at + 3 <= len(data):
-        count, identity, content = data[at : at + 3]
-        versions = data[at + 3 : at + 3 + count] if count <= MAX_VERSIONS else b""
+    """Yield the fingerprints of a request up to a truncated one."""
+    offset = 0
+    while offset + 3 <= len(data):
+        count, identity, content = data[offset : offset + 3]
+        versions = data[offset + 3 : offset + 3 + count] if count <= MAX_VERSIONS else b""
         if count <= MAX_VERSIONS and len(versions) < count:
             return
-        at += 3 + len(versions)
+        offset += 3 + len(versions)
         yield Fingerprint(count, identity, content, versions)
 
 
 def _complete_streams(table: CounterTable, low: int, high: int) -> list[PositionedStream]:
-    """The streams between two positions that have a version."""
+    """Return the streams between two positions that have a complete version."""
     first = bisect_left(table.by_position, (low,))
     end = bisect_left(table.by_position, (high,), first)
     return [entry for entry in table.by_position[first:end] if entry.stream.version]
 
 
 def _newer_streams(
-    table: CounterTable, entries: list[PositionedStream], theirs: Fingerprint, salt: int
+    table: CounterTable, entries: list[PositionedStream], requester: Fingerprint, salt: int
 ) -> list[PositionedStream]:
-    """Those of our streams in one range that the requester lacks or has older, as far as its fingerprint tells."""
+    """Return the local streams in one range that the requester lacks or has in older versions, by its fingerprint."""
     identity, content = _checksums(table, entries)
-    their_content = theirs.content
-    versions: bytes | None = None  # theirs, one for each of our streams; None: they can't be matched
-    if theirs.count == len(entries):
-        if theirs.identity == _salted_byte(identity, salt):
-            versions = theirs.versions
-    elif theirs.count == len(entries) - 1:
-        versions = _with_missing_version(entries, theirs, identity, salt)
-    elif theirs.count == len(entries) + 1 and theirs.count <= MAX_VERSIONS and salt & THOROUGH_BITS:
-        versions = _without_additional_version(entries, theirs.versions)
-        their_content = content = 0  # can't be compared
+    requester_content = requester.content
+    versions: bytes | None = None  # the requester's, one per local stream; None: cannot be matched
+    if requester.count == len(entries):
+        if requester.identity == _salted_byte(identity, salt):
+            versions = requester.versions
+    elif requester.count == len(entries) - 1:
+        versions = _with_missing_version(entries, requester, identity, salt)
+    elif requester.count == len(entries) + 1 and requester.count <= MAX_VERSIONS and salt & THOROUGH_BITS:
+        versions = _without_additional_version(entries, requester.versions)
+        requester_content = content = 0  # cannot be compared
     if versions is None:
         return entries
-    # How far the requester is ahead, modulo 256: a great number means that it is behind.
+    # How far the requester is ahead, modulo 256; a large number means that it is behind.
     leads = [version - entry.stream.version & 255 for version, entry in zip(versions, entries, strict=True)]
     if not any(leads):
-        return [] if their_content == _salted_byte(content, salt) else entries
-    # A requester that is ahead of us gets nothing; one answer in eight is thorough, as a byte comes round.
+        return [] if requester_content == _salted_byte(content, salt) else entries
+    # A requester that is ahead is sent no row. As the version byte wraps around, one answer in eight is thorough.
     threshold = MAX_VERSIONS_AHEAD if salt & THOROUGH_BITS else 0
     return [entry for entry, lead in zip(entries, leads, strict=True) if lead > threshold]
 
 
 def _with_missing_version(
-    entries: list[PositionedStream], theirs: Fingerprint, identity: int, salt: int
+    entries: list[PositionedStream], requester: Fingerprint, identity: int, salt: int
 ) -> bytes | None:
-    """Their versions with an older one put in for the stream that they lack, likely a new one; None if none fits."""
+    """Return the requester's versions with an older one inserted for the stream that it lacks, probably a new one.
+
+    Return None if no stream matches.
+    """
     for index, entry in enumerate(entries):
-        if theirs.identity == _salted_byte(identity ^ entry.position, salt):
+        if requester.identity == _salted_byte(identity ^ entry.position, salt):
             older = bytes((entry.stream.version - 1 & 255,))
-            return theirs.versions[:index] + older + theirs.versions[index:]
+            return requester.versions[:index] + older + requester.versions[index:]
     return None
 
 
 def _without_additional_version(entries: list[PositionedStream], versions: bytes) -> bytes:
-    """Their versions without that of the stream that we lack, likely a new one: which, the versions tell."""
+    """Return the requester's versions without that of the stream unknown here, probably a new one.
+
+    That stream is found by the best match of the other versions.
+    """
 
     def streams_behind(candidate: bytes) -> int:
-        """For how many of our streams their version would be older."""
+        """Return the number of local streams for which the requester's version would be older."""
         return sum(
             version - entry.stream.version & 255 > MAX_VERSIONS_AHEAD
             for version, entry in zip(candidate, entries, strict=True)
--- a/frostspindle/fleet/lender_selector.py
+++ b/frostspindle/fleet/lender_selector.py
@@ -1,6 +1,6 @@
-"""Selection of the members to ask for quota: those that had some left, else at random, with exponential backoff.
+"""Selection of lenders to request quota from: those known to have some left, else random ones, with backoff.
 
-No I/O and no clock: all times are ms of the own monotonic clock.
+No I/O and no clock: all times are in ms of the local monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from collections.abc import Collection, Container
 from typing import NamedTuple
 
-MAX_LENDERS = 3  # asked at once
-SMALL_FLEET = 32  # homes; of more, one is asked at a time while nobody has any left
+MAX_LENDERS = 3  # per request for missing quota
+SMALL_FLEET = 32  # homes; with more, only one lender is chosen at a time while quota is scarce
 BACKOFF_MS = 200.0
 MAX_BACKOFF_MS = 3_200.0
 
@@ -27,29 +27,31 @@
 
 
 class LenderSelector:
-    """Choice of whom to ask for quota next, from what the lenders answered."""
+    """Chooses the next lenders to request quota from, based on their previous answers."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.available: dict[str, int] = {}  # units that each lender had left when it last answered
-        self._with_quota: set[str] = set()  # lenders that had some left
-        self._recent_empty: deque[bool] = deque([False], maxlen=MAX_LENDERS)  # whether an answer gave and left nothing
+        self.available: dict[str, int] = {}  # units that each lender had left at its last answer
+        self._with_quota: set[str] = set()  # lenders with units left
+        self._recent_empty: deque[bool] = deque([False], maxlen=MAX_LENDERS)  # per answer: nothing granted or left
         self._backoff: dict[str, _Backoff] = {}
         self._homes: list[str] = []
         self._free: list[str] = []  # homes that are not in backoff, sorted
-        self._backoff_ends: list[tuple[float, str]] = []  # a heap; entries of backoffs that changed are void
+        self._backoff_ends: list[tuple[float, str]] = []  # a heap; outdated entries are ignored
 
     @property
     def scarce(self) -> bool:
-        """Whether none of the last answers lent or had anything: a margin would then only lie idle while others lack
-        units.
+        """Whether none of the last answers granted units or reported any left.
+
+        A safety margin would then stay unused while other coordinators lack units.
         """
         return all(self._recent_empty)
 
     def choose(self, now: float, homes: list[str], alive: Container[str], excluded: Collection[str]) -> list[str]:
-        """Return up to MAX_LENDERS homes to ask (one if all are scarce and many): alive, not excluded, not in backoff.
+        """Return up to MAX_LENDERS homes that are alive, not excluded and not in backoff.
 
-        `homes` must be sorted, and the same list object each time: another one has the free list built anew.
+        Only one is returned while quota is scarce and there are more than SMALL_FLEET homes. `homes` must be sorted and
+        should be the same list object each time, as the free list is rebuilt for another one.
         """
         if homes is not self._homes:
             self._set_homes(homes)
@@ -57,7 +59,7 @@
         count = 1 if len(homes) > SMALL_FLEET and self.scarce else MAX_LENDERS
         chosen = self._with_most_available(now, count, alive, excluded) if self._with_quota else []
         if len(chosen) < count:
-            chosen += self._draw(count - len(chosen), alive, excluded)
+            chosen += self._choose_random(count - len(chosen), alive, excluded)
         return chosen[:count]
 
     def _set_homes(self, homes: list[str]) -> None:
@@ -76,7 +78,7 @@
     def _with_most_available(
         self, now: float, count: int, alive: Container[str], excluded: Collection[str]
     ) -> list[str]:
-        """Those that had most left; a random one first among those that had as many. All, if it is one."""
+        """Return up to `count` lenders with the most units left; ties are broken at random."""
         candidates = [
             name
             for name, units in self.available.items()
@@ -88,22 +90,22 @@
         rotated = candidates[first:] + candidates[:first]
         return heapq.nlargest(count, rotated, key=self.available.__getitem__)
 
-    def _draw(self, count: int, alive: Container[str], excluded: Collection[str]) -> list[str]:
-        """Up to `count` of the others, drawn uniformly."""
+    def _choose_random(self, count: int, alive: Container[str], excluded: Collection[str]) -> list[str]:
+        """Return up to `count` other free homes, chosen uniformly at random."""
         free = list(filter(alive.__contains__, self._free))
-        for name in (*excluded, *self._with_quota):  # few, or enough have some left
+        for name in (*excluded, *self._with_quota):  # usually few; if many have quota left, enough lenders were found
             _remove_sorted(free, name)
-        drawn = []
-        for place in range(min(count, len(free))):  # the first steps of a shuffle
-            other = place + int(self.random.random() * (len(free) - place))
-            free[place], free[other] = free[other], free[place]
-            drawn.append(free[place])
-        return drawn
+        chosen = []
+        for index in range(min(count, len(free))):  # the first steps of a Fisher-Yates shuffle
+            other = index + int(self.random.random() * (len(free) - index))
+            free[index], free[other] = free[other], free[index]
+            chosen.append(free[index])
+        return chosen
 
     def on_answer(self, now: float, name: str, granted: int, available: int) -> None:
-        """Record a lender's answer: units granted, and units it has left.
+        """Record a lender's answer: the units that it granted and those that it has left.
 
-        Nothing granted starts or lengthens its backoff, anything granted ends it.
+        An answer without a grant starts or extends the lender's backoff; a grant ends it.
         """
         self.available[name] = available
         if available:
@@ -118,9 +120,9 @@
             self._release(name)
 
     def back_off(self, now: float, name: str) -> None:
-        """Double the lender's backoff, from BACKOFF_MS up to MAX_BACKOFF_MS, with jitter of 0.5 to 1.5 times.
+        """Start or double a lender's backoff, from BACKOFF_MS up to MAX_BACKOFF_MS, with a jitter of 0.5 to 1.5 times.
 
-        It is not chosen before that is over.
+        The lender is not chosen until its backoff ends.
         """
         previous = self._backoff.get(name)
         pause_ms = BACKOFF_MS if previous is None else min(MAX_BACKOFF_MS, 2.0 * previous.pause_ms)
@@ -132,13 +134,13 @@
         _remove_sorted(self._free, name)
 
     def _release(self, name: str) -> None:
-        place = bisect_left(self._free, name)
-        if self._free[place : place + 1] != [name] and name in self._homes:
-            self._free.insert(place, name)
+        index = bisect_left(self._free, name)
+        if self._free[index : index + 1] != [name] and name in self._homes:
+            self._free.insert(index, name)
 
 
 def _remove_sorted(names: list[str], name: str) -> None:
-    """Remove a name from a sorted list, if it is there."""
-    place = bisect_left(names, name)
-    if place < len(names) and names[place] == name:
-        del names[place]
+    """Remove a name from a sorted list, if it is contained."""
+    index = bisect_left(names, name)
+    if index < len(names) and names[index] == name:
+        del names[index]
--- a/frostspindle/fleet/quota_escrow.py
+++ b/frostspindle/fleet/quota_escrow.py
@@ -1,20 +1,20 @@
-"""Escrow of a budget's units: a coordinator may spend only units in its hand, and all hands add up to the budget.
+"""Escrow of a budget's units: coordinators spend only units that they hold, and all holdings add up to the budget.
 
-After escrow (O'Neil, 1986) and the bounded counter (Balegas et al., 2015): the units of a budget are divided among its
-homes for good, and move by loans only. What a borrower may use, granted as it received less returned, is never more
-than what the lender counts as outstanding, granted less returned as it received. Beyond the bounded counter, each loan
-is a lease:
+Based on escrow (O'Neil, 1986) and the bounded counter (Balegas et al., 2015): the units of a budget are divided
+permanently among its homes and move only as loans. The units that a borrower may use (the grants that it has received,
+minus its returns) never exceed the units that the lender counts as outstanding (its grants, minus the returns that it
+has received). Unlike in the bounded counter, each loan is a lease:
 
-    the borrower uses it for `lease_ms` of its clock from the moment it SENT its request, then never again;
-    the lender reclaims it `lease_ms` times (1 + drift) / (1 - drift) after it ANSWERED, and lets it cool down a window.
+    the borrower uses it only for `lease_ms` of its clock from the time at which it SENT its request;
+    the lender reclaims it `lease_ms` * (1 + drift) / (1 - drift) after it ANSWERED, followed by a cooldown.
 
-So units come back from a process that died or is cut off, and a cut-off part spends at most what it had. A unit cools
-down a window times (1 + drift) after each use, hence is used once in any window of real time as long as no clock is
-faster or slower than real time by more than `drift`. A home that starts, for all it knows after a kill, can't know what
-its predecessor lent or spent: its own units cool down until every such loan and use is over.
+So units are recovered from a process that died or is partitioned, and a partition spends at most what it held. A unit
+cools down for a window times (1 + drift) after each use, so it is used at most once in any window of real time, as long
+as no clock deviates from real time by more than `drift`. A home that starts, possibly after a crash, does not know what
+its predecessor lent or spent: its units cool down until every such loan and use must be over.
 
-No I/O and no clock: all times are ms of the own monotonic clock. How much to request or
-lend is decided in `quota_flow`.
+No I/O and no clock: all times are in ms of the local monotonic clock. How much to request or lend is decided in
+`quota_flow`.
 """
 
 from __future__ import annotations
@@ -26,39 +26,39 @@
 from frostspindle.fleet.quota_loans import BorrowedQuota, LentQuota, LoanReference, ReturnedUnits
 from frostspindle.fleet.quota_pool import QuotaPool
 
-COOLDOWN_STEPS = 128  # of a window; a unit may cool down one step longer than it must
+COOLDOWN_STEPS = 128  # per cooldown; a unit may cool down for up to one step longer than necessary
 
 
 class QuotaAccount:
-    """One coordinator's units of one budget: its own, lent and borrowed ones."""
+    """One coordinator's units of one budget: owned, lent and borrowed."""
 
     def __init__(
-        self, owned: int, window_ms: float, lease_ms: float, drift: float, born: float, last_loan: int = 0
+        self, owned: int, window_ms: float, lease_ms: float, drift: float, owned_at: float, last_loan: int = 0
     ) -> None:
-        """`born`: when this process's own units came to it; -inf where no predecessor can have lent or used any.
-        `last_loan`: number of the last loan that this process has made of a budget of this name before."""
+        """`owned_at`: when the process took over the owned units; -inf if no predecessor can have lent or used any.
+        `last_loan`: number of the last loan that this process made from an earlier account of this budget."""
         self.owned = owned
         self.lease_ms = lease_ms
         self.cooldown_ms = window_ms * (1.0 + drift)
         self.reclaim_ms = lease_ms * (1.0 + drift) / (1.0 - drift)
         self.granularity_ms = self.cooldown_ms / COOLDOWN_STEPS
-        self.pool = QuotaPool()  # of the own units
-        self.pool.add_cooling(owned, born + self.reclaim_ms + self.cooldown_ms, self.granularity_ms)
+        self.pool = QuotaPool()  # of the owned units
+        self.pool.add_cooling(owned, owned_at + self.reclaim_ms + self.cooldown_ms, self.granularity_ms)
         # The lender's side.
         self.lent: dict[str, LentQuota] = {}  # by borrower
-        self.abandoned: list[LentQuota] = []  # to processes that were followed by others; they only expire
-        self.claims: list[tuple[int, str]] = []  # units that each borrower wants, and its name, sorted
+        self.abandoned: list[LentQuota] = []  # loans to replaced processes; they only expire
+        self.claims: list[tuple[int, str]] = []  # units wanted and name of each borrower, sorted
         self.last_loan = last_loan
         # The borrower's side.
         self.borrowed: dict[str, BorrowedQuota] = {}  # by lender
-        self.closed: dict[str, tuple[int, int]] = {}  # by lender: its epoch and the highest loan that is over
+        self.closed: dict[str, tuple[int, int]] = {}  # by lender: its epoch and the highest loan that has ended
         self.requested_at: dict[str, dict[int, float]] = {}  # by lender and sequence number of the request
         # Totals.
         self.spent = 0
         self.denied = 0
         self.expired = 0
-        # Sums of the loans, kept as they change, and times before which nothing cools down or expires: a coordinator
-        # needs them several times a message, and has a loan with each home.
+        # Sums over the loans, and the next times at which units cool down or leases expire. They are cached, as they
+        # are needed several times per message and there may be a loan with each home.
         self._lent_units = 0
         self._borrowed_units = 0
         self._borrowed_ready = 0
@@ -68,34 +68,35 @@
     # Use.
 
     @property
-    def in_hand(self) -> int:
-        """Number of own units that are not lent."""
+    def unlent(self) -> int:
+        """Number of owned units that are not lent."""
         return self.owned - self._lent_units
 
     @property
     def total(self) -> int:
-        """Number of units that may be used here, at once or when they have cooled down."""
+        """Number of units that may be used here, immediately or after their cooldown."""
         return self.owned - self._lent_units + self._borrowed_units
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is lent, borrowed or cooling, so that the account can be made anew, with `last_loan`, without
-        loss.
+        """Whether no units are lent, borrowed or cooling.
+
+        An idle account can be dropped and later recreated, with `last_loan`, without losing state.
         """
         return not (self.lent or self.abandoned or self.borrowed or self.pool.cooling)
 
     def ready(self, now: float) -> int:
-        """Return how many units can be used at once, own and borrowed.
+        """Return the number of units that can be used immediately, owned and borrowed.
 
-        Loans whose lease is over at `now` are closed first.
+        Loans whose lease has expired by `now` are closed first.
         """
         self._update(now)
         return self.pool.ready + self._borrowed_ready
 
     def spend(self, now: float, units: int) -> bool:
-        """Use `units`, all or none; return whether so many were ready.
+        """Spend `units`; return False, and spend none, if fewer are ready.
 
-        Each cools down for a window, stretched by the drift.
+        Each unit then cools down for a window, extended by the drift.
         """
         self._update(now)
         if units > self.pool.ready + self._borrowed_ready:
@@ -103,26 +104,26 @@
             return False
         until = now + self.cooldown_ms
         self._update_at = min(self._update_at, until)
-        from_own = min(units, self.pool.ready)
-        if from_own:
-            self.pool.spend(from_own, until, self.granularity_ms)
-        if units > from_own:
-            self._spend_borrowed(units - from_own, until)
+        from_owned = min(units, self.pool.ready)
+        if from_owned:
+            self.pool.spend(from_owned, until, self.granularity_ms)
+        if units > from_owned:
+            self._spend_borrowed(units - from_owned, until)
         self.spent += units
         return True
 
     def _spend_borrowed(self, units: int, until: float) -> None:
         self._borrowed_ready -= units
         for loan in self.borrowed.values():
-            part = min(units, loan.pool.ready)
-            if part:
-                loan.pool.spend(part, until, self.granularity_ms)
-                units -= part
+            from_loan = min(units, loan.pool.ready)
+            if from_loan:
+                loan.pool.spend(from_loan, until, self.granularity_ms)
+                units -= from_loan
                 if not units:
                     return
 
     def _update(self, now: float) -> None:
-        """Make ready what has cooled down, and close loans whose lease is over before anything is used."""
+        """Mark units as ready that have cooled down, and close loans whose lease has expired; called before any use."""
         if now < self._update_at:
             return
         self.pool.end_cooldowns(now)
@@ -133,27 +134,27 @@
                 expired.append((lender, loan))
                 continue
             ready_at = self._update_loan(now, loan)
-            if ready_at < next_update_at:  # comparisons, as a coordinator has a loan with each home
+            if ready_at < next_update_at:  # faster than min(); there may be a loan with each home
                 next_update_at = ready_at
             if loan.expires_at < next_update_at:
                 next_update_at = loan.expires_at
         for lender, loan in expired:
             self._close(lender, loan)
-        # Cooldowns and leases only move to later; whatever else there is comes with a call of its own.
+        # Existing cooldowns and leases only get longer; every other change lowers `_update_at` itself.
         self._update_at = next_update_at
 
     def _update_loan(self, now: float, loan: BorrowedQuota) -> float:
-        """Make ready what has cooled down of a loan, and set aside what is to be returned; when the next is ready."""
+        """Update the units of a loan and set aside those to return; return when its next units become ready."""
         pool = loan.pool
         next_ready_at = pool.next_ready_at()
         if next_ready_at <= now:
-            before = pool.ready
+            previously_ready = pool.ready
             pool.end_cooldowns(now)
-            self._borrowed_ready += pool.ready - before
+            self._borrowed_ready += pool.ready - previously_ready
             next_ready_at = pool.next_ready_at()
         if loan.to_return > loan.set_aside and pool.ready:
             units = min(loan.to_return - loan.set_aside, pool.ready)
-            pool.ready -= units  # a coordinator that is short would use them at once, for ever
+            pool.ready -= units  # else a coordinator short of units would use them again and never return any
             self._borrowed_ready -= units
             loan.set_aside += units
         return next_ready_at
@@ -166,9 +167,9 @@
         del self.borrowed[lender]
 
     def move_owned(self, now: float, target: QuotaAccount) -> None:
-        """Move the own units in hand to another account of the same units, each with the rest of its cooldown.
+        """Move the owned units that are not lent to another account, with what remains of their cooldowns.
 
-        Units that are lent follow in later calls, only once they are back: their borrower may still use them here.
+        Lent units are moved by later calls once they are back, as their borrower may still use them under this budget.
         """
         self.tick(now)
         for units, ready_at in self.pool.take_all():
@@ -181,9 +182,9 @@
                 target.pool.ready += units
 
     def end_first_cooldown(self) -> None:
-        """Make the own units ready, if all of them are still cooling since the start.
+        """Mark the owned units as ready, if all of them are still in their first cooldown.
 
-        Only for a process without a predecessor that can have lent or used any.
+        Must be called only if no predecessor of this process can have lent or used any.
         """
         if self.pool.cooling == self.owned:
             self.pool.take_all()
@@ -192,7 +193,7 @@
     # The lender's side.
 
     def tick(self, now: float) -> None:
-        """Reclaim what was lent and whose lease is over; it cools down for a window."""
+        """Reclaim the units of loans to others whose lease has expired; they first cool down."""
         self._update(now)
         if now < self._lent_expire_at:
             return
@@ -207,13 +208,13 @@
         self._lent_expire_at = min((loan.expires_at for loan in remaining), default=math.inf)
 
     def _reclaim(self, units: int, ready_at: float) -> None:
-        """Take units that were lent in hand again, cooling down."""
+        """Take back lent units, which cool down until `ready_at`."""
         self._lent_units -= units
         self.pool.add_cooling(units, ready_at, self.granularity_ms)
         self._update_at = min(self._update_at, ready_at)
 
     def _remove_lent(self, borrower: str) -> LentQuota:
-        """Remove and return a loan; its units are still counted as lent."""
+        """Remove and return a loan, without changing the count of lent units."""
         loan = self.lent.pop(borrower)
         del self.claims[bisect_left(self.claims, (loan.wanted, borrower))]
         return loan
@@ -229,19 +230,19 @@
         closed_loan: int,
         wanted: int,
     ) -> LentQuota:
-        """Take a borrower's request and return its loan, renewed or new.
+        """Handle a borrower's request and return its renewed or new loan.
 
-        `is_of_this_process`: `number` and `closed_loan` are of loans by this process. A loan to an earlier process of
-        the borrower is left to expire; one that the borrower has closed is reclaimed.
+        `is_of_this_process`: whether `number` and `closed_loan` refer to loans made by this process. A loan to another
+        process of the borrower is left to expire; one that the borrower has closed is reclaimed.
         """
         self.tick(now)
         loan = self.lent.get(borrower)
         if loan is not None and loan.borrower_epoch != borrower_epoch:
-            # Its process is gone, or the request is an old one: either way it ends in time.
+            # The borrower has restarted, or the request is an old one; in both cases the loan expires in time.
             self.abandoned.append(self._remove_lent(borrower))
             loan = None
         if loan is not None and is_of_this_process and closed_loan >= loan.number:
-            # The borrower has not used it since it sent the request, which is past.
+            # The borrower stopped using the loan before it sent this request.
             self._remove_lent(borrower)
             self._reclaim(loan.outstanding, now + self.cooldown_ms)
             loan = None
@@ -269,17 +270,17 @@
             loan.wanted = wanted
 
     def lend(self, loan: LentQuota, units: int) -> None:
-        """Add ready units to a loan; QuotaUnavailableError if more than is ready, or a negative number."""
+        """Add ready units to a loan. Raise QuotaUnavailableError if `units` is negative or more than is ready."""
         if not 0 <= units <= self.pool.ready:
-            raise QuotaUnavailableError("only what is ready can be lent")
+            raise QuotaUnavailableError("the number of units to lend is negative or exceeds the ready units")
         self.pool.ready -= units
         loan.granted += units
         self._lent_units += units
 
     def on_return(self, now: float, borrower: str, borrower_epoch: int, number: int, returned: int) -> None:
-        """Take units that a borrower returned; `returned` is a running total, so that repeats are harmless.
+        """Handle returned units; `returned` is a running total, so duplicates are harmless.
 
-        Ignored if of another process or loan. A loan with nothing outstanding and nothing wanted is dropped.
+        A return of another process or loan is ignored. A loan with no units outstanding or wanted is removed.
         """
         self.tick(now)
         loan = self.lent.get(borrower)
@@ -292,16 +293,16 @@
         units = max(0, min(returned, loan.granted) - loan.returned)
         loan.returned += units
         self._lent_units -= units
-        self.pool.ready += units  # the borrower returns only what has cooled down
+        self.pool.ready += units  # the borrower returns only units that have cooled down
 
     # The borrower's side.
 
     def start_request(self, now: float, lender: str, lender_epoch: int, sequence: int) -> LoanReference:
-        """Record that a request is sent to a lender at `now`; return what it must say of the loan."""
+        """Record a request sent to a lender at `now`; return the state of the loan to put in it."""
         self._update(now)
         requests = self.requested_at.setdefault(lender, {})
         while requests:
-            oldest = next(iter(requests))  # in the order of sending
+            oldest = next(iter(requests))  # in order of sending
             if now - requests[oldest] <= self.lease_ms:
                 break
             del requests[oldest]
@@ -318,9 +319,9 @@
     def on_grant(
         self, now: float, lender: str, lender_epoch: int, sequence: int, number: int, granted: int, limit: int
     ) -> bool:
-        """Take a lender's grant; the loan's lease counts from when the request was sent.
+        """Handle a lender's grant; the lease of the loan starts when the request was sent.
 
-        False: of no use, as it is late, was not requested, or is of a loan that is over.
+        Return False if the grant is late, was not requested, or is for a loan that has ended.
         """
         self._update(now)
         requested_at = self.requested_at.get(lender, {}).get(sequence)
@@ -333,13 +334,13 @@
         if loan is not None and (loan.lender_epoch, loan.number) != (lender_epoch, number):
             if loan.lender_epoch == lender_epoch and number < loan.number:
                 return False
-            # The lender has ended that loan: so do we, though we might use it a little longer.
+            # The lender has ended the previous loan. It is closed here too, although its lease is not over yet.
             self._close(lender, loan)
             loan = None
         expires_at = requested_at + self.lease_ms
         if loan is None:
             if not granted:
-                return True  # nothing was to be had: there is no loan to keep
+                return True  # nothing was granted, so there is no loan to record
             loan = BorrowedQuota(lender_epoch, number, expires_at, requested_at=requested_at)
             self.borrowed[lender] = loan
         self._renew(loan, granted, expires_at)
@@ -347,7 +348,7 @@
         return True
 
     def _renew(self, loan: BorrowedQuota, granted: int, expires_at: float) -> None:
-        """Take newly granted units and a later end of the lease."""
+        """Add newly granted units and extend the lease."""
         new_units = granted - loan.granted
         if new_units > 0:
             loan.pool.ready += new_units
@@ -361,7 +362,7 @@
             self._update_at = -math.inf
 
     def schedule_return(self, now: float, lender: str, units: int) -> None:
-        """Set aside `units` in all for return to a lender, each as soon as it has cooled down."""
+        """Set aside a total of `units` for return to a lender, each as soon as it has cooled down."""
         loan = self.borrowed[lender]
         loan.to_return = max(units, loan.set_aside)
         if loan.to_return > loan.set_aside:
@@ -369,7 +370,7 @@
         self._update(now)
 
     def take_return(self, now: float, lender: str) -> ReturnedUnits | None:
-        """Return the units set aside to the lender: what its QuotaReturn must say; None if there are none."""
+        """Remove the units set aside for a lender; return the content of the QuotaReturn, None if there are none."""
         self._update(now)
         loan = self.borrowed.get(lender)
         if loan is None or not loan.set_aside:
--- a/frostspindle/fleet/quota_loans.py
+++ b/frostspindle/fleet/quota_loans.py
@@ -1,8 +1,8 @@
 """Records of one loan of quota, at its lender and at its borrower.
 
-A loan is a pair of counters that only grow, units granted (the lender's) and units returned (the borrower's): messages
-about it may come twice, late, in any order or not at all, as each side takes the greater. Times are ms of the own
-monotonic clock.
+A loan is a pair of counters that only grow: units granted (written by the lender) and units returned (written by the
+borrower). Each side merges them by maximum, so messages may be duplicated, delayed, reordered or lost. Times are in ms
+of the local monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 @dataclass(slots=True)
 class LentQuota:
-    """One loan, as its lender records it."""
+    """A loan as recorded by its lender."""
 
     borrower_epoch: int  # of the borrower's process
-    number: int  # of all loans that this lender's process has made
+    number: int  # sequence number among all loans made by this lender's process
     expires_at: float
     granted: int = 0
     returned: int = 0
@@ -28,42 +28,42 @@
 
     @property
     def outstanding(self) -> int:
-        """Units granted and not yet returned, as this lender knows."""
+        """Units granted and not returned yet, as known to the lender."""
         return self.granted - self.returned
 
 
 @dataclass(slots=True)
 class BorrowedQuota:
-    """One loan, as its borrower records it."""
+    """A loan as recorded by its borrower."""
 
     lender_epoch: int  # of the lender's process
     number: int
     expires_at: float
     granted: int = 0
     returned: int = 0
-    limit: int = NO_LIMIT  # units that the lender would have us hold at most
-    requested_at: float = 0.0  # when it was last renewed
-    to_return: int = 0  # units to go back as they have cooled down, before anything else is made of them
-    set_aside: int = 0  # of these, cooled down already
+    limit: int = NO_LIMIT  # maximum number of units to hold, set by the lender
+    requested_at: float = 0.0  # when its last renewal was requested
+    to_return: int = 0  # units to return once they have cooled down, before any other use
+    set_aside: int = 0  # those of them that have cooled down
     pool: QuotaPool = field(default_factory=QuotaPool)
 
     @property
     def outstanding(self) -> int:
-        """Units of the loan that are still here: ready, cooling or set aside for return."""
+        """Units still held by the borrower: ready, cooling or set aside for return."""
         return self.granted - self.returned
 
 
 class LoanReference(NamedTuple):
-    """What a borrower's request says of the loan that it has."""
+    """State of the borrower's current loan, for its request."""
 
-    lender_epoch: int  # 0: none yet
+    lender_epoch: int  # 0: no loan yet
     loan: int  # 0: none
     returned: int
-    closed_loan: int  # the highest loan of the lender's process that is over
+    closed_loan: int  # highest loan of the lender's process that has ended
 
 
 class ReturnedUnits(NamedTuple):
-    """What a borrower's return says: units returned in all of a loan."""
+    """Total units of a loan that were returned, for a QuotaReturn."""
 
     lender_epoch: int
     loan: int
--- a/frostspindle/fleet/slow_start_service.py
+++ b/frostspindle/fleet/slow_start_service.py
@@ -1,8 +1,8 @@
-"""Slow-start quota in the running program: between the decision module, the core and the fleet's node.
+"""Slow-start quota in the running program, between the decision module, the core and the fleet's node.
 
-Owns the timer that tells the module its part of each budget, and the last check before a first byte to an engine in
-slow start. How much anybody may send is decided in `slow_start`, which engine and query in the module. Until the
-fleet's port is bound, nothing is sent to an engine in slow start. Belongs to the event loop.
+Owns the timer that updates the module's share of each budget, and the final check before the first byte is sent to an
+engine in slow start. The amount of work is decided in `slow_start`; the engine and the query are chosen by the module.
+Until the fleet's port is bound, nothing is sent to engines in slow start. Must be used from the event loop's thread.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
     from frostspindle.host import ProgramContext
     from frostspindle.policy import engine_state
 
-CHANNEL = 4  # reserved: this quota moves by the messages of all budgets
-TICK_S = 0.02  # with an engine in slow start
-IDLE_TICK_S = 0.25  # without one
-MAX_QUEUED = 64  # queued requests that are looked at, the first ones
+CHANNEL = 4  # reserved; slow-start quota moves by the messages for budgets in general
+TICK_S = 0.02  # while an engine is in slow start
+IDLE_TICK_S = 0.25  # otherwise
+MAX_QUEUED = 64  # requests at the head of the queue that are considered for demand
 
 
 class SlowStartCoordinator:
-    """One process's side of slow-start quota; a FleetChannel of the fleet's service."""
+    """Slow-start quota of one process; a FleetChannel of the fleet's service."""
 
     channel = CHANNEL
 
@@ -45,7 +45,7 @@
         self.core.may_start = self.fence
 
     def on_started(self, now: float, node: FleetNode) -> None:
-        """Create the accounts of engines in slow start on the fleet's node and start the timer.
+        """Create the accounts for engines in slow start on the fleet's node, and start the timer.
 
         Called once the port is bound.
         """
@@ -57,35 +57,35 @@
         self._tick()
 
     def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
-        """Count a message on this channel as undecodable: none is defined."""
+        """Count any message as undecodable, as none is defined on this channel."""
         self.telemetry.count("cold_undecodable")
 
     def on_member_changed(self, now: float, name: str, state: str) -> None:
-        """Do nothing: leases end by time, whatever is believed of a member."""
+        """Do nothing, as leases expire by time, whatever the state of a member."""
 
     def close(self) -> None:
-        """Stop the timer and allow no more sends.
+        """Stop the timer and allow no more sends to engines in slow start.
 
-        Called before the fleet's port is closed, so that what is borrowed can be returned.
+        Called before the fleet's port is closed, so that borrowed units can be returned.
         """
         self.budgets = None
         if self._timer is not None:
             self._timer.cancel()
 
     def fence(self, state: EngineState, attempt: Attempt) -> bool:
-        """Return whether an attempt may send its first byte.
+        """Return whether an attempt may send its first byte; spend quota if its engine is in slow start.
 
-        To an engine in slow start only against quota, and never before `on_started` or after `close`.
+        To an engine in slow start, nothing may be sent before `on_started` or after `close`.
         """
         if self._next_fence is not None and not self._next_fence(state, attempt):
             return False
         unix_ms = clock()
         controller = self.core.controller
-        believed = controller.engines.get(attempt.engine)
-        if believed is None or attempt.is_finished or not believed.ready or not believed.in_slow_start(unix_ms):
+        engine = controller.engines.get(attempt.engine)
+        if engine is None or attempt.is_finished or not engine.ready or not engine.in_slow_start(unix_ms):
             return True
-        job = controller.requests.get(attempt.request.number)
-        if job is None or self.budgets is None:
+        request = controller.requests.get(attempt.request.number)
+        if request is None or self.budgets is None:
             self.telemetry.count("cold_stopped")
             return False
         return self.budgets.spend(
@@ -93,8 +93,8 @@
             state.name,
             started_ms(state),
             attempt.sent_ms,
-            controller.slow_start.work_ms(job),
-            self._budget_factor * controller.slow_start.budget_ms(believed, unix_ms),
+            controller.slow_start.work_ms(request),
+            self._budget_factor * controller.slow_start.budget_ms(engine, unix_ms),
         )
 
     @property
@@ -107,15 +107,15 @@
     def _tick(self) -> None:
         delay_s = IDLE_TICK_S
         try:
-            if self.budgets is not None and self._update_parts(self.budgets):
+            if self.budgets is not None and self._update_shares(self.budgets):
                 delay_s = TICK_S
-        except Exception as error:  # noqa: BLE001 - the next tick looks at all again
+        except Exception as error:  # noqa: BLE001 - the next tick starts over
             self.telemetry.count("faults")
             self.telemetry.log("exception_caught", error=repr(error), of="warming")
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
 
-    def _update_parts(self, budgets: SlowStartBudgets) -> bool:
-        """Tell the module its parts that have changed; return whether any engine is in slow start."""
+    def _update_shares(self, budgets: SlowStartBudgets) -> bool:
+        """Pass changed shares of budgets to the module; return whether any engine is in slow start."""
         unix_ms = clock()
         now = monotonic()
         controller = self.core.controller
@@ -123,17 +123,17 @@
         needs = controller.slow_start.needs(unix_ms)
         queued_work = self._queued_work() if needs else []
         updates = []
-        for place, number in enumerate(sorted(needs)):
+        for index, number in enumerate(sorted(needs)):
             state = self.core.engines.get(number)
             if state is None:
                 continue
-            believed = controller.engines[number]
-            budget_work = self._budget_factor * controller.slow_start.budget_ms(believed, unix_ms)
+            engine = controller.engines[number]
+            budget_work = self._budget_factor * controller.slow_start.budget_ms(engine, unix_ms)
             even_share = budget_work / controller.settings.coordinators
             wanted, smallest = work_to_request(queued_work, len(needs), even_share)
             alive = budgets.node.membership.alive
-            requests_here = requests_at(controller.settings.number, budgets.node.name, alive, place, len(needs))
-            part = self._budget_factor * budgets.usable_fraction(
+            requests_here = requests_at(controller.settings.number, budgets.node.name, alive, index, len(needs))
+            share = self._budget_factor * budgets.usable_fraction(
                 now,
                 unix_ms,
                 state.name,
@@ -144,38 +144,37 @@
                 smallest / budget_work,
                 TICK_S * 1e3,
             )
-            if part != believed.slow_start_share:
-                updates.append(_with_part(number, believed, part))
+            if share != engine.slow_start_share:
+                updates.append(_load_with_share(number, engine, share))
         if updates:
             self.core.update_worker_loads(tuple(updates))
         return bool(needs)
 
     def _queued_work(self) -> list[float]:
-        """The work of the first queued requests, in ms."""
+        """Return the work of the first queued requests, in ms."""
         controller = self.core.controller
         return [controller.slow_start.work_ms(request) for *_, request in controller.waiting_queue[:MAX_QUEUED]]
 
     def figures(self) -> dict[str, Any]:
-        """Return the figures for the operators' port; empty while not running."""
+        """Return the figures for the operators' port, empty while not running."""
         return self.budgets.figures(monotonic()) if self.budgets is not None else {}
 
 
-def _with_part(number: int, believed: engine_state.EngineState, part: float) -> policy.WorkerLoad:
-    """What the module is told of an engine: its new part, and all else as it believes already."""
-    return policy.WorkerLoad(
-        number, believed.peer_threads, believed.peer_memory_mb, believed.ejected_by_peer, part, (), 0.0
-    )
+def _load_with_share(number: int, engine: engine_state.EngineState, share: float) -> policy.WorkerLoad:
+    """Return an update of an engine's share, with all other values as the module already has them."""
+    return policy.WorkerLoad(number, engine.peer_threads, engine.peer_memory_mb, engine.ejected_by_peer, share, (), 0.0)
 
 
 def started_ms(state: EngineState) -> float:
-    """Return when the engine's process started, Unix ms, as the engine list has it: the same at all coordinators,
-    whatever they have believed since.
+    """Return when the engine's process started, in Unix ms, according to the engine list.
+
+    That time is the same at all coordinators, whatever they have observed since.
     """
     return state.born_unix_ms
 
 
 def attach(program: ProgramContext) -> SlowStartCoordinator:
-    """Create and register the part, if the operator has slow-start budgets shared.
+    """Create the coordinator of slow-start quota and register its channel.
 
     Must be called before the fleet starts.
     """
--- a/tests/test_cold_rights.py
+++ b/tests/test_cold_rights.py
@@ -247,7 +247,7 @@
     before.lend(loan, 300)
     cold.usable_fraction(now, UNIX, "x", UNIX + 5.0, 1e3, 0.0, 1.0)
     after = cold.starts[budget_name("x", UNIX + 5.0)].account
-    assert (before.owned, before.in_hand, after.owned, after.ready(now)) == (
+    assert (before.owned, before.unlent, after.owned, after.ready(now)) == (
         300,
         0,
         UNITS - 300,
@@ -331,13 +331,13 @@
         for name, want in (("b", 4), ("c", 50), ("d", 50), ("e", 50))
     }
     offers = {
-        turn: {name: quota_flow.offer_in_turn(rights, 0, loan, name, "a", turn, 40)[1] for name, loan in loans.items()}
+        turn: {name: quota_flow.offer_rotating(rights, 0, loan, name, "a", turn, 40)[1] for name, loan in loans.items()}
         for turn in range(20)
     }
     assert {tuple(sorted(row.values())) for row in offers.values()} == {(0, 4, 6, 50)}
     assert all(row["b"] == 4 for row in offers.values())
     assert {name for row in offers.values() for name, units in row.items() if units == 50} == {"c", "d", "e"}
-    even = {name: quota_flow.offer_in_turn(rights, 0, loan, name, "a", 1, 10)[1] for name, loan in loans.items()}
+    even = {name: quota_flow.offer_rotating(rights, 0, loan, name, "a", 1, 10)[1] for name, loan in loans.items()}
     assert sorted(even.values()) == [4, 18, 19, 19]
 
 
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -57,13 +57,13 @@
     for name, want in (("b", 6), ("c", 4), ("b", 3)):
         loan = rights.on_request(now, name, 1, name in rights.lent, 1, 2 if name in rights.lent else 0, 0, want)
         rights.lend(loan, 0 if loan.granted else want)
-    assert (rights.in_hand, rights.claims) == (2, [(3, "b"), (4, "c")])
+    assert (rights.unlent, rights.claims) == (2, [(3, "b"), (4, "c")])
     rights.on_return(now, "c", 1, 2, 4)
-    assert (rights.in_hand, rights.pool.ready) == (6, 6)
+    assert (rights.unlent, rights.pool.ready) == (6, 6)
     rights.on_request(now, "b", 2, False, 0, 0, 0, 1)  # its next process: the last one's loan ends in time
-    assert (rights.in_hand, rights.claims) == (6, [(1, "b"), (4, "c")])
+    assert (rights.unlent, rights.claims) == (6, [(1, "b"), (4, "c")])
     rights.tick(now + rights.reclaim_ms)
-    assert (rights.in_hand, rights.claims, rights.pool.cooling) == (10, [], 4)
+    assert (rights.unlent, rights.claims, rights.pool.cooling) == (10, [], 4)
 
 
 class LoanMachine(RuleBasedStateMachine):
@@ -149,15 +149,15 @@
     @invariant()
     def rights_add_up(self):
         lender = self.rights["a"]
-        assert lender.in_hand == lender.pool.total >= 0
+        assert lender.unlent == lender.pool.total >= 0
 
     @invariant()
     def sums_kept_are_those_of_the_loans(self):
         for name, rights in self.rights.items():
             loans = rights.borrowed.values()
             lent = [*rights.lent.values(), *rights.abandoned]
-            assert rights.in_hand == rights.owned - sum(loan.outstanding for loan in lent)
-            assert rights.total == rights.in_hand + sum(loan.outstanding for loan in loans)
+            assert rights.unlent == rights.owned - sum(loan.outstanding for loan in lent)
+            assert rights.total == rights.unlent + sum(loan.outstanding for loan in loans)
             assert rights.ready(self.clock(name)) == rights.pool.ready + sum(loan.pool.ready for loan in loans)
             assert rights.claims == sorted((loan.wanted, borrower) for borrower, loan in rights.lent.items())
             assert not any(loan.set_aside < loan.to_return and loan.pool.ready for loan in loans)
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -68,7 +68,7 @@
     emulator, figures = play(3, "0- delay 40-60; 12-12.2 loss 1 0; 12.1 kill 0", 45.0, hot=30.0, over=1.2)
     assert figures["overspend"] == 0
     lenders = [p.node.budgets.states["shared"].account for p in emulator.processes[1:]]
-    assert [rights.in_hand for rights in lenders] == [rights.owned for rights in lenders]
+    assert [rights.unlent for rights in lenders] == [rights.owned for rights in lenders]
 
 
 def test_restarted_process_has_no_quota_at_first_and_earns_it_back():
