--- a/frostspindle/fleet/budgets.py
+++ b/frostspindle/fleet/budgets.py
@@ -255,7 +255,7 @@
         state = self._matching_state(now, sender, grant)
         if state is None:
             return
-        before = state.account.total
+        previous_total = state.account.total
         taken = state.account.on_grant(
             now, sender.name, sender.epoch, grant.sequence, grant.loan, grant.granted, grant.limit
         )
@@ -265,7 +265,7 @@
         request = state.pending.get(sender.name)
         if request is not None and request.sequence == grant.sequence:
             del state.pending[sender.name]
-            state.lenders.on_answer(now, sender.name, state.account.total - before, grant.available)
+            state.lenders.on_answer(now, sender.name, state.account.total - previous_total, grant.available)
 
     def on_return(self, now: float, sender: MemberState, returned: wire.QuotaReturn) -> None:
         """Handle a borrower's return of units."""
--- a/frostspindle/fleet/failure_detector.py
+++ b/frostspindle/fleet/failure_detector.py
@@ -13,7 +13,7 @@
 from frostspindle.fleet import wire
 from frostspindle.fleet.member_table import Member, MemberTable
 
-INDIRECT_PROBES = 3  # members asked to probe on our behalf
+INDIRECT_PROBES = 3  # members asked to probe on behalf of this one
 MAX_INDIRECT_PINGS = 64  # concurrent probes on behalf of others
 MAX_LOCAL_HEALTH = 8  # maximum score; each point adds one probe interval and one timeout
 
--- a/frostspindle/fleet/membership.py
+++ b/frostspindle/fleet/membership.py
@@ -273,13 +273,13 @@
 
     def _refute(self, now: float, claim: MemberState | Suspicion, sender: str) -> None:
         """Refute a claim that this member is not alive with its next incarnation; count a forged claim."""
-        ours = (self.me.epoch, self.me.incarnation)
-        theirs = (claim.epoch, claim.incarnation)
-        if theirs > ours:
+        current = (self.me.epoch, self.me.incarnation)
+        claimed = (claim.epoch, claim.incarnation)
+        if claimed > current:
             self.count("fleet_forged")  # only this process can prove a later incarnation: others drop the claim too
             self.changes.append(StateChange(self.me.name, "forged", f"by {sender}"))
             return
-        if theirs < ours or claim.state == ALIVE or self.leaving:
+        if claimed < current or claim.state == ALIVE or self.leaving:
             return
         self.detector.degrade(1)
         incarnation = self.me.incarnation + 1
@@ -346,27 +346,27 @@
     def _set_claim(self, now: float, member: Member, claim: MemberState, reason: str) -> None:
         """Store an accepted claim and apply the effects of the state change."""
         name = claim.name
-        before = member.claim
-        if claim.state == SUSPECT and before.state != SUSPECT:
+        previous = member.claim
+        if claim.state == SUSPECT and previous.state != SUSPECT:
             member.suspected_at = now
             member.confirmers = frozenset({claim.suspected_by})
         elif claim.state == ALIVE:
-            if before.state == SUSPECT and before.epoch == claim.epoch:
+            if previous.state == SUSPECT and previous.epoch == claim.epoch:
                 self.false_suspicions += 1
             member.confirmers = frozenset()
-        if claim.state != before.state or claim.epoch != before.epoch or name not in self.alive:
+        if claim.state != previous.state or claim.epoch != previous.epoch or name not in self.alive:
             member.state_since = now
             self.changes.append(StateChange(name, wire.STATES[claim.state], reason))
         member.claim = claim
         self._suspicion.invalidate()
-        self._place(name, member)
+        self._update_liveness(name, member)
         self._updates.put(claim)
-        revived = claim.state == ALIVE and before.state in (DEAD, LEFT)
-        joins = len(self.alive) == 1 and claim.state in (ALIVE, SUSPECT)
-        if joins or (revived and now - self._rejoined_at > REVIVAL_SYNC_MS):
+        revived = claim.state == ALIVE and previous.state in (DEAD, LEFT)
+        is_first = len(self.alive) == 1 and claim.state in (ALIVE, SUSPECT)
+        if is_first or (revived and now - self._rejoined_at > REVIVAL_SYNC_MS):
             self._request_members(now, name)
 
-    def _place(self, name: str, member: Member) -> None:
+    def _update_liveness(self, name: str, member: Member) -> None:
         """Add a member to, or remove it from, the live and the suspected members, according to its claim."""
         state = member.claim.state
         is_alive = state in (ALIVE, SUSPECT)
--- a/frostspindle/fleet/node.py
+++ b/frostspindle/fleet/node.py
@@ -27,7 +27,7 @@
 
 ENVELOPE_BYTES = 180  # reserved for the sender's claim and the framing
 PIGGYBACK_BYTES = wire.MAX_PACKET_BYTES - ENVELOPE_BYTES
-RESERVED_FOR_COUNTERS = PIGGYBACK_BYTES // 2  # while counters are pending, so that mass suspicions cannot starve them
+COUNTER_RESERVE_BYTES = PIGGYBACK_BYTES // 2  # while counters are pending, so that mass suspicions cannot starve them
 WINDOW_MS = 10_000.0  # of counters
 MIN_COMPARISON_INTERVAL_MS = 1_000.0  # between comparisons of counters with another member, or
 COMPARISON_FRACTION = 0.25  # of the interval at which counters are published, if that is longer
@@ -326,8 +326,8 @@
         if not self.counters.pending:
             claims, suspicions, _ = membership.piggyback(recipient, PIGGYBACK_BYTES)
             return Packet(membership.me, recipient, body, claims, [], suspicions)
-        claims, suspicions, room = membership.piggyback(recipient, PIGGYBACK_BYTES - RESERVED_FOR_COUNTERS)
-        rows = self.counters.updates(now, room + RESERVED_FOR_COUNTERS)
+        claims, suspicions, room = membership.piggyback(recipient, PIGGYBACK_BYTES - COUNTER_RESERVE_BYTES)
+        rows = self.counters.updates(now, room + COUNTER_RESERVE_BYTES)
         return Packet(membership.me, recipient, body, claims, rows, suspicions)
 
     # Figures.
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -49,10 +49,10 @@
         self.assertGreater(sum(statuses.get(200, 0) for statuses in answers), 500)
         # Afterwards the sums of all processes converge: 2 to 16 s in seven runs with 5% loss; a minute is allowed.
         figures = await fleet.until(
-            lambda all_: (
-                len({f["sums"].get("spent:blue") for f in all_}) == 1
-                and all(f["size"] == 5 for f in all_)
-                and all(max(f["stale_ms"].values()) < 4_000 for f in all_)
+            lambda all_figures: (
+                len({f["sums"].get("spent:blue") for f in all_figures}) == 1
+                and all(f["size"] == 5 for f in all_figures)
+                and all(max(f["stale_ms"].values()) < 4_000 for f in all_figures)
             ),
             60.0,
         )
@@ -61,7 +61,7 @@
         # Units spent by the killed process just before its end may be missing from the sums and from the log.
         self.assertLessEqual(abs(total - logged), UNITS)
         self.assertEqual(sum(f["budgets"]["blue"]["spent"] for f in figures) <= total, True)
-        # The killed process rejoined with a later epoch.
+        # The killed process rejoined without quota, under a later epoch.
         epochs = [line["epoch"] for line in fleet.processes[4].events("fleet_joined")]
         self.assertEqual(len(epochs), 2)
         self.assertLess(epochs[0], epochs[1])
@@ -78,10 +78,10 @@
         for process in fleet.processes[:1]:
             self.assertTrue((await call_process(process, f"disable-server {engine}")).startswith("ACK"))
         await fleet.until(
-            lambda all_: (
+            lambda all_figures: (
                 sum(
                     any(v["engine"] == engine and v["kind"] == "banned" and v["judges"] == 1 for v in f["verdicts"])
-                    for f in all_
+                    for f in all_figures
                 )
                 == 3
             ),
@@ -91,10 +91,10 @@
         self.assertFalse(any(effective))
         self.assertTrue((await call_process(fleet.processes[1], f"disable-server {engine}")).startswith("ACK"))
         await fleet.until(
-            lambda all_: (
+            lambda all_figures: (
                 sum(
                     any(v["engine"] == engine and v["kind"] == "banned" and v["counts"] for v in f["verdicts"])
-                    for f in all_
+                    for f in all_figures
                 )
                 >= 2
             ),
@@ -103,4 +103,6 @@
         # Once both withdraw it, the verdict disappears everywhere.
         for process in fleet.processes[:2]:
             await call_process(process, f"enable-server {engine}")
-        await fleet.until(lambda all_: not any(v["kind"] == "banned" for f in all_ for v in f["verdicts"]), 8.0)
+        await fleet.until(
+            lambda all_figures: not any(v["kind"] == "banned" for f in all_figures for v in f["verdicts"]), 8.0
+        )
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -114,8 +114,8 @@
 class ModuleCase(unittest.TestCase):
     def test_request_over_the_fleet_budget_is_sent_after_one_within_it(self):
         module = Controller(settings(), 1)
-        for number, over in ((1, True), (2, False)):  # no engine yet: both are queued
-            module.handle(1_000.0, policy.RequestArrived(number, 0, 0, 0, 5_000.0, 100.0, 10.0, 0.0, over))
+        for number, over_budget in ((1, True), (2, False)):  # no engine yet: both are queued
+            module.handle(1_000.0, policy.RequestArrived(number, 0, 0, 0, 5_000.0, 100.0, 10.0, 0.0, over_budget))
         assert [request.number for *_, request in module.waiting_queue] == [2, 1]
         actions = module.handle(1_001.0, policy.EndpointListUpdated(policy.EndpointListKind.FULL, 1, (entry(1),)))
         assert [a.request for a in actions if isinstance(a, policy.StartAttempt)][:1] == [2]
@@ -186,7 +186,7 @@
         first = fleet.processes[0]
         predecessor = first.child, first.reader
         assert (await first.figures())["budgets"]["blue"]["own"] == 50
-        desk, http = first.desk, first.http
+        operator_port, client_port = first.desk, first.http
         first.desk = first.http = 0  # its successor has other ports for clients and operators, but the same UDP port
         await first.start()
         await first.until(lambda: first.events("fleet_bind_delayed"))
@@ -195,7 +195,7 @@
         assert await predecessor[0].wait() == 0
         await predecessor[1]
         await first.until(lambda: len(first.events("fleet_joined")) == 2)
-        first.desk, first.http = desk, http
+        first.desk, first.http = operator_port, client_port
         await fleet.processes[1].until(
             lambda: len(fleet.processes[1].events("fleet_member", member="c0", state="alive")) >= 2
         )
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -153,7 +153,7 @@
             self.accounts[name].on_grant(self.clock(name), "a", *rest)
 
     @invariant()
-    def never_more_than_the_budget_in_any_window(self):
+    def budget_is_not_exceeded_in_any_window(self):
         assert excess(self.spent_at, self.UNITS, self.WINDOW)[0] == 0
 
     @invariant()
