--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -272,7 +272,7 @@
         if self.up and self.warming is not None and self.node is not None:
             self.node.on_rights_idle(self.warming.cold.idle)
             self.warming.cold.set_store_state(
-                self.w.now, self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared
+                self.w.now, self.node.idle_mark.marked, self.node.idle_mark.cooldown_waived
             )
             self.drain()
 
--- a/frostspindle/recovery/agreement.py
+++ b/frostspindle/recovery/agreement.py
@@ -160,7 +160,7 @@
     if 2 * sum(report.origin in seeds for report in witnesses) <= len(seeds):
         return {}
     # One coordinator that was refused a connection is enough to know that the engine did not run on.
-    refusing = {engine.name for report in witnesses for engine in report.engines.values() if not engine.ran_on}
+    refusing = {engine.name for report in witnesses for engine in report.engines.values() if not engine.start_confirmed}
     starts: dict[str, float] = {}
     for report in witnesses:
         for engine in report.engines.values():
--- a/frostspindle/recovery/engine_restarts.py
+++ b/frostspindle/recovery/engine_restarts.py
@@ -104,10 +104,10 @@
     def as_reported(self, engine: ListedEngine) -> ListedEngine:
         """Return an engine as others are told of it: with what we saw of it ourselves."""
         start = max(engine.started_ms, self._marked_starts.get(engine.name, 0.0))
-        ran_on = engine.name not in self.doubted
-        if start == engine.started_ms and ran_on:
+        start_confirmed = engine.name not in self.doubted
+        if start == engine.started_ms and start_confirmed:
             return engine
-        return msgspec.structs.replace(engine, started_ms=start, ran_on=ran_on)
+        return msgspec.structs.replace(engine, started_ms=start, start_confirmed=start_confirmed)
 
     def judge_engines(
         self,
--- a/frostspindle/recovery/idle_mark.py
+++ b/frostspindle/recovery/idle_mark.py
@@ -17,7 +17,7 @@
 
     def __init__(self, buffer: WriteBuffer) -> None:
         self.marked: bool = True  # the store may have the mark
-        self.cooldown_spared: bool = False  # it had it at the start, and the store was not found to be older since
+        self.cooldown_waived: bool = False  # it had it at the start, and the store was not found to be older since
         self._buffer: WriteBuffer = buffer
         self._idle: bool = False
         self._spares_cooldown: bool = False  # once the mark of the previous process is removed
@@ -42,4 +42,4 @@
         if MARK in batch and batch[MARK] is None and not self._idle:
             self.marked = False
             if self._spares_cooldown and not store_older:
-                self.cooldown_spared = True
+                self.cooldown_waived = True
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -173,7 +173,7 @@
         cold = warming.budgets
         self.node.on_rights_idle(cold is None or cold.idle)
         if cold is not None:
-            cold.set_store_state(monotonic(), self.node.idle_mark.marked, self.node.idle_mark.cooldown_spared)
+            cold.set_store_state(monotonic(), self.node.idle_mark.marked, self.node.idle_mark.cooldown_waived)
 
     def drain(self, wake_writer: bool = True) -> None:
         """Send the node's messages, apply its effects and wake the store's writer."""
--- a/frostspindle/recovery/wire.py
+++ b/frostspindle/recovery/wire.py
@@ -72,7 +72,7 @@
     weight: Annotated[float, Meta(ge=0, le=1e6)]
     started_ms: Milliseconds  # Unix; may be later than the bus has published
     published_start_ms: Milliseconds = 0.0  # Unix, by the bus: rights to a cold engine go by this, the same everywhere
-    ran_on: bool = True  # False: the sender has seen it refuse connections, and none accepted since
+    start_confirmed: bool = True  # False: the sender has seen it refuse connections, and none accepted since
 
 
 class ReportRequest(Struct, array_like=True, frozen=True, tag=0):
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -86,7 +86,7 @@
     weight=1.5,
     started_ms=1_700_000_000_000.0,
     published_start_ms=1_699_999_999_000.0,
-    ran_on=False,
+    start_confirmed=False,
 )
 RECOVERY = {
     "state request": recovery.ReportRequest(seq=61, page=2, own_store=STORE),
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -184,7 +184,7 @@
         SEEDS,
     )
     assert late.engine_starts == {}
-    one = msgspec.structs.replace(listed("x", born=7.0), ran_on=False)  # saw it refuse connections
+    one = msgspec.structs.replace(listed("x", born=7.0), start_confirmed=False)  # saw it refuse connections
     seen = agreement.agree(
         "a",
         [
@@ -628,7 +628,7 @@
 def test_idle_mark_is_stored_only_while_no_cold_rights_are_in_use(case, spared):
     net = fleet(3)
     node = net.nodes["c0"]
-    assert (node.idle_mark.marked, node.idle_mark.cooldown_spared, MARK in net.disks["c0"]["entries"]) == (
+    assert (node.idle_mark.marked, node.idle_mark.cooldown_waived, MARK in net.disks["c0"]["entries"]) == (
         False,
         False,
         False,
@@ -652,9 +652,9 @@
     net.kill("c0")
     net.start("c0", trusted=case != "older", fresh=case == "lost")
     node = net.nodes["c0"]
-    assert (node.idle_mark.marked, node.idle_mark.cooldown_spared) == (case in ("quiet", "older"), False)
+    assert (node.idle_mark.marked, node.idle_mark.cooldown_waived) == (case in ("quiet", "older"), False)
     net.run(100.0)
-    assert (node.idle_mark.marked, node.idle_mark.cooldown_spared) == (False, spared)
+    assert (node.idle_mark.marked, node.idle_mark.cooldown_waived) == (False, spared)
 
 
 def test_engine_that_refuses_connections_for_a_while_is_marked_restarted():
