--- a/frostspindle/recovery/admission.py
+++ b/frostspindle/recovery/admission.py
@@ -27,7 +27,7 @@
 FORECAST_STEPS = 160
 FORECAST_VALID_MS = 10_000.0  # a forecast is used for so long, as it is slow to compute
 MIN_RETRY_MS = 50.0
-REVIEW_MS = 50.0  # those who wait are looked over so often
+REVIEW_INTERVAL_MS = 50.0  # those who wait are looked over so often
 
 
 class RequestClass(NamedTuple):
@@ -64,10 +64,10 @@
         return self.initial_ratio + (1.0 - self.initial_ratio) * (max(0.0, age_ms) / self.duration_ms) ** 2
 
 
-def total_capacity(engines: Iterable[ReadyEngine], curve: SlowStartCurve, at: float) -> float:
+def total_capacity(engines: Iterable[ReadyEngine], curve: SlowStartCurve, time_ms: float) -> float:
     """Return the work in ms that all engines together do in a ms at the time `at` (Unix ms)."""
     return sum(
-        engine.cores * (curve.capacity_ratio(at - engine.started_ms) if engine.started_ms > 0 else 1.0)
+        engine.cores * (curve.capacity_ratio(time_ms - engine.started_ms) if engine.started_ms > 0 else 1.0)
         for engine in engines
     )
 
@@ -140,7 +140,7 @@
         number: int,
         class_index: int,
         key: int,
-        left_ms: float,
+        remaining_ms: float,
         cost_ms: float,
         ticket_granted: bool,
     ) -> list[AdmissionDecision]:
@@ -148,16 +148,16 @@
 
         With more than `max_waiting` waiting, the one with the least priority for its work is rejected.
         """
-        request = self._waiting_request(now, number, class_index, key, left_ms, cost_ms, ticket_granted)
+        request = self._waiting_request(now, number, class_index, key, remaining_ms, cost_ms, ticket_granted)
         if key:
             self.queues.setdefault(key, deque()).append(request)
         self.waiting[number] = request
         self._changed = True
         decisions: list[AdmissionDecision] = []
         if len(self.waiting) > self.max_waiting:
-            worst = max(self.waiting.values(), key=lambda one: one.rank)
+            lowest = max(self.waiting.values(), key=lambda entry: entry.rank)
             done_at = self._completion_time(now, self._queued_ms())
-            decisions.append(self._reject(worst, self.retry_after_ms(now, done_at)))
+            decisions.append(self._reject(lowest, self.retry_after_ms(now, done_at)))
         return decisions + self.poll(now, number if self.open else 0)
 
     def _waiting_request(
@@ -166,20 +166,20 @@
         number: int,
         class_index: int,
         key: int,
-        left_ms: float,
+        remaining_ms: float,
         cost_ms: float,
         ticket_granted: bool,
     ) -> WaitingRequest:
         request_class = self.classes[class_index]
         cost = max(1.0, cost_ms or request_class.mean_cost_ms)
         if request_class.late_value_ratio <= 0:  # a late answer is worth nothing
-            left_ms = min(left_ms, request_class.latency_objective_ms)
+            remaining_ms = min(remaining_ms, request_class.latency_objective_ms)
         return WaitingRequest(
             number=number,
             class_index=class_index,
             key=key,
             cost_ms=cost,
-            deadline=now + left_ms - DEADLINE_MARGIN_MS,
+            deadline=now + remaining_ms - DEADLINE_MARGIN_MS,
             rank=(-request_class.priority_weight / cost, number),
             ticket_granted=ticket_granted,
         )
@@ -212,22 +212,22 @@
 
     # Decisions.
 
-    def poll(self, now: float, only: int = 0) -> list[AdmissionDecision]:
+    def poll(self, now: float, changed_number: int = 0) -> list[AdmissionDecision]:
         """Admit the requests that fit, reject those that can't be served in time.
 
         `only`: the one request that has changed, used once `open`.
         """
         if self.open:
-            return self._admit_open(only)
+            return self._admit_open(changed_number)
         decisions: list[AdmissionDecision] = []
         limit_ms = self.work_rate(now) * HORIZON_MS
-        if self._changed and self.service_started and self._has_room(limit_ms):
+        if self._changed and self.service_started and self._has_capacity(limit_ms):
             self._changed = False
             decisions += self._admit_by_rank(limit_ms)
-        if now - self._reviewed_at >= REVIEW_MS:
+        if now - self._reviewed_at >= REVIEW_INTERVAL_MS:
             self._reviewed_at = now
             self._changed = True  # engines bear more by now
-            decisions += self._reject_hopeless(now)
+            decisions += self._reject_late(now)
         return decisions
 
     def open_gate(self) -> list[AdmissionDecision]:
@@ -237,14 +237,14 @@
         self.admits_non_idempotent = True
         return self.poll(self._reviewed_at)
 
-    def _has_room(self, limit_ms: float) -> bool:
+    def _has_capacity(self, limit_ms: float) -> bool:
         return self.in_flight_ms < limit_ms or not self.in_flight
 
     def _admit_by_rank(self, limit_ms: float) -> list[AdmissionDecision]:
         decisions: list[AdmissionDecision] = []
         heap = [(request.rank, request) for request in self.waiting.values() if self._first_of_key(request)]
         heapq.heapify(heap)
-        while heap and self._has_room(limit_ms):
+        while heap and self._has_capacity(limit_ms):
             _, request = heapq.heappop(heap)
             if not self._admissible(request):
                 continue
@@ -254,11 +254,11 @@
                 heapq.heappush(heap, (following.rank, following))
         return decisions
 
-    def _admit_open(self, only: int) -> list[AdmissionDecision]:
+    def _admit_open(self, changed_number: int) -> list[AdmissionDecision]:
         """Once `open`: a request that needs no ticket any more, and those of its key that waited for it."""
-        if only in self.waiting:
-            requests = [self.waiting[only]]
-        elif not only:
+        if changed_number in self.waiting:
+            requests = [self.waiting[changed_number]]
+        elif not changed_number:
             requests = list(self.waiting.values())
         else:
             requests = []
@@ -304,7 +304,7 @@
         self.rejected += 1
         return AdmissionDecision(request.number, False, retry_ms)
 
-    def _reject_hopeless(self, now: float) -> list[AdmissionDecision]:
+    def _reject_late(self, now: float) -> list[AdmissionDecision]:
         """Reject of those that wait whoever would come too late even if it were next.
 
         What is ahead of it is not counted against it: the controller takes the smallest first, and others leave. With
@@ -312,7 +312,7 @@
         """
         decisions: list[AdmissionDecision] = []
         ahead_ms = self.in_flight_ms
-        for request in sorted(self.waiting.values(), key=lambda one: one.rank):
+        for request in sorted(self.waiting.values(), key=lambda entry: entry.rank):
             if self._completion_time(now, request.cost_ms) > request.deadline:
                 done_at = self._completion_time(now, ahead_ms + request.cost_ms)
                 decisions.append(self._reject(request, self.retry_after_ms(now, done_at)))
@@ -322,14 +322,14 @@
 
     # The slow-start curve.
 
-    def work_rate(self, at: float) -> float:
+    def work_rate(self, time_ms: float) -> float:
         """Return this coordinator's share of the work in ms that the engines do in a ms."""
-        return self.share * total_capacity(self.engines, self.curve, at)
+        return self.share * total_capacity(self.engines, self.curve, time_ms)
 
-    def warm_ratio(self, at: float) -> float:
+    def warm_ratio(self, time_ms: float) -> float:
         """Return the part of the engines' full capacity that they can bear at the time `at`; 0 without engines."""
         cores = sum(engine.cores for engine in self.engines)
-        return total_capacity(self.engines, self.curve, at) / cores if cores else 0.0
+        return total_capacity(self.engines, self.curve, time_ms) / cores if cores else 0.0
 
     def retry_after_ms(self, now: float, done_at: float) -> float:
         """Return a Retry-After wait in ms until `done_at`; 0 if none is sent.
@@ -349,17 +349,17 @@
             starts_at = max(now, self.expected_start)
         self._update_forecast(starts_at)
         forecast = self._forecast
-        past, fraction = divmod(starts_at - self._forecast_start, FORECAST_STEP_MS)
-        before = forecast[int(past) - 1] if past else 0.0
-        work_ms += before + fraction / FORECAST_STEP_MS * (forecast[int(past)] - before)
+        elapsed_steps, fraction = divmod(starts_at - self._forecast_start, FORECAST_STEP_MS)
+        work_before = forecast[int(elapsed_steps) - 1] if elapsed_steps else 0.0
+        work_ms += work_before + fraction / FORECAST_STEP_MS * (forecast[int(elapsed_steps)] - work_before)
         step = bisect_left(forecast, work_ms)
         if step >= FORECAST_STEPS:
             if forecast[-1] <= 0:
                 return math.inf
             return self._forecast_start + FORECAST_STEPS * FORECAST_STEP_MS * work_ms / forecast[-1]
-        before = forecast[step - 1] if step else 0.0
-        within = (work_ms - before) / max(1e-9, forecast[step] - before)
-        return self._forecast_start + (step + within) * FORECAST_STEP_MS
+        work_before = forecast[step - 1] if step else 0.0
+        step_fraction = (work_ms - work_before) / max(1e-9, forecast[step] - work_before)
+        return self._forecast_start + (step + step_fraction) * FORECAST_STEP_MS
 
     def _update_forecast(self, starts_at: float) -> None:
         """Compute the work done over the next steps anew if engines have changed or time has passed."""
--- a/frostspindle/recovery/agreement.py
+++ b/frostspindle/recovery/agreement.py
@@ -90,7 +90,9 @@
     def banned_by(self, origin: str) -> frozenset[str]:
         """Return the engines that this coordinator bans."""
         return frozenset(
-            engine for (by, engine), statement in self.statements.items() if by == origin and statement.banned
+            engine
+            for (stated_by, engine), statement in self.statements.items()
+            if stated_by == origin and statement.banned
         )
 
     def banned_by_any(self) -> frozenset[str]:
@@ -118,13 +120,13 @@
     """
     quorum = has_quorum(reports, seeds)
     credible = [report for report in reports if not report.store_lost] or reports
-    best = max(credible, key=lambda report: (report.last_event, bool(report.engines), report.settled, report.origin))
+    latest = max(credible, key=lambda report: (report.last_event, bool(report.engines), report.settled, report.origin))
     engines: tuple[ListedEngine, ...] = ()
     withheld: frozenset[str] = frozenset()
     if state_kinds.conflict_rule("engines", quorum) is ConflictRule.HIGHEST:
-        engines = tuple(best.engines.values())
+        engines = tuple(latest.engines.values())
     else:
-        withheld = _withheld_without_quorum(credible, best)
+        withheld = _withheld_without_quorum(credible, latest)
     banned = _BANNED[state_kinds.conflict_rule("bans", quorum)](bans, name)
     if not quorum:
         withheld |= banned
@@ -132,17 +134,17 @@
     starts: dict[str, float] = {}
     if state_kinds.conflict_rule("warmth", quorum) is ConflictRule.WARMEST_KNOWN:
         starts = _starts_of_running_engines(name, reports, frozenset(seeds))
-    return AgreedState(quorum, best.last_event, engines, withheld, banned, starts)
+    return AgreedState(quorum, latest.last_event, engines, withheld, banned, starts)
 
 
-def _withheld_without_quorum(reports: list[MemberReport], best: MemberReport) -> frozenset[str]:
+def _withheld_without_quorum(reports: list[MemberReport], latest: MemberReport) -> frozenset[str]:
     """Engines to leave out: those that are missing or not ready in any list, unless that leaves none to use."""
     lists = [report.engines for report in reports if report.engines]
     names = {name for engines in lists for name in engines}
     withheld = frozenset(
         name for name in names if any(name not in engines or engines[name].health != Health.READY for engines in lists)
     )
-    usable = {name for name, engine in best.engines.items() if engine.health == Health.READY} - withheld
+    usable = {name for name, engine in latest.engines.items() if engine.health == Health.READY} - withheld
     if usable:
         return withheld
     return frozenset(
--- a/frostspindle/recovery/effect_handler.py
+++ b/frostspindle/recovery/effect_handler.py
@@ -41,7 +41,7 @@
     excluded: ExcludedEngines
     on_stage: Callable[[str, str], None]
 
-    def claim_again(self, number: int) -> None:
+    def retry_claim(self, number: int) -> None:
         """Claim the ticket of a load again, if it still waits."""
 
 
@@ -116,7 +116,7 @@
     def _share_bans(self, agreed: AgreedState) -> AgreedState:
         """Write our own bans to the shared folder; an engine whose ban can't be written is withheld."""
         service = self._service
-        for name in agreed.banned - service.excluded.banned_by_hand:
+        for name in agreed.banned - service.excluded.operator_bans:
             try:
                 service.program.shared.ban(name, True)
             except OSError as error:
@@ -136,7 +136,7 @@
             return
         elif outcome == ClaimOutcome.NO_QUORUM and not service.node.stages.finished:
             # Its replicas may be on their way back too: it waits on for as long as it has time.
-            asyncio.get_running_loop().call_later(CLAIM_RETRY_S, service.claim_again, number)
+            asyncio.get_running_loop().call_later(CLAIM_RETRY_S, service.retry_claim, number)
         else:
             del service.gate.waiting[number]
             self._answer_load(number, outcome)
--- a/frostspindle/recovery/engine_restarts.py
+++ b/frostspindle/recovery/engine_restarts.py
@@ -22,7 +22,7 @@
 class _Refusal:
     """Since when an engine refuses connections, and when its restart was last marked for it (Unix ms)."""
 
-    since: float
+    first_refused_at: float
     marked_at: float = -math.inf
 
 
@@ -39,18 +39,22 @@
 
     def __init__(self, outputs: NodeOutputs, on_change: Callable[[], None]) -> None:
         self.refusals: dict[str, _Refusal] = {}  # of engines that refuse connections now
-        self.doubted: dict[str, float] = {}  # when an engine last refused whose start since then is not known
+        self.unconfirmed_starts: dict[
+            str, float
+        ] = {}  # when an engine last refused whose start since then is not known
         self._outputs: NodeOutputs = outputs
         self._on_change: Callable[[], None] = on_change
         self._marked_starts: dict[str, float] = {}  # that we have marked and that the engine list lacks still
         self._peer_starts: dict[str, float] = {}  # engines' latest starts as others reported them
-        self._judged: set[str] = set()  # engines that were judged cold or not
+        self._classified: set[str] = set()  # engines that were judged cold or not
 
     def on_engine_list(self, engines: Mapping[str, ListedEngine]) -> None:
         """Take a changed list: forget engines that left it and what its starts settle."""
         self.refusals = {name: refusal for name, refusal in self.refusals.items() if name in engines}
-        self.doubted = {
-            name: at for name, at in self.doubted.items() if name in engines and engines[name].published_start_ms <= at
+        self.unconfirmed_starts = {
+            name: refused_at
+            for name, refused_at in self.unconfirmed_starts.items()
+            if name in engines and engines[name].published_start_ms <= refused_at
         }
         self._marked_starts = {
             name: start
@@ -68,13 +72,13 @@
         From the first refusal on we don't vouch for its start; after MIN_REFUSING_MS it is marked restarted.
         """
         refusal = self.refusals.get(name, _Refusal(unix))
-        if unix - refusal.since >= MIN_REFUSING_MS and unix - refusal.marked_at >= MIN_REFUSING_MS:
+        if unix - refusal.first_refused_at >= MIN_REFUSING_MS and unix - refusal.marked_at >= MIN_REFUSING_MS:
             refusal = replace(refusal, marked_at=unix)
             self._mark(name, unix)
         self.refusals[name] = refusal
-        if name not in self.doubted:
+        if name not in self.unconfirmed_starts:
             self._on_change()
-        self.doubted[name] = unix
+        self.unconfirmed_starts[name] = unix
 
     def on_answered(self, unix: float, engine: ListedEngine) -> None:
         """Take an answer: if the engine had refused for MIN_REFUSING_MS, and no start was published, this is its start.
@@ -84,9 +88,9 @@
         refusal = self.refusals.pop(engine.name, None)
         if refusal is None:
             return
-        if refusal.marked_at > refusal.since and engine.published_start_ms <= refusal.since:
+        if refusal.marked_at > refusal.first_refused_at and engine.published_start_ms <= refusal.first_refused_at:
             self._mark(engine.name, unix)
-            self.doubted.pop(engine.name, None)
+            self.unconfirmed_starts.pop(engine.name, None)
 
     def _mark(self, name: str, unix: float) -> None:
         start = round_start(unix)
@@ -96,20 +100,22 @@
 
     def prune(self, unix: float) -> None:
         """Vouch again for engines whose last refusal is older than PEER_START_MS."""
-        old = [name for name, at in self.doubted.items() if unix - at > PEER_START_MS]
-        if old:
-            self.doubted = {name: at for name, at in self.doubted.items() if name not in old}
+        expired = [name for name, refused_at in self.unconfirmed_starts.items() if unix - refused_at > PEER_START_MS]
+        if expired:
+            self.unconfirmed_starts = {
+                name: refused_at for name, refused_at in self.unconfirmed_starts.items() if name not in expired
+            }
             self._on_change()
 
     def as_reported(self, engine: ListedEngine) -> ListedEngine:
         """Return an engine as others are told of it: with what we saw of it ourselves."""
         start = max(engine.started_ms, self._marked_starts.get(engine.name, 0.0))
-        start_confirmed = engine.name not in self.doubted
+        start_confirmed = engine.name not in self.unconfirmed_starts
         if start == engine.started_ms and start_confirmed:
             return engine
         return msgspec.structs.replace(engine, started_ms=start, start_confirmed=start_confirmed)
 
-    def judge_engines(
+    def classify_engines(
         self,
         unix: float,
         engines: Mapping[str, ListedEngine],
@@ -123,8 +129,8 @@
         loss is taken over: a cold engine's budget is one for each start. So is the agreed start: those who ran on may
         have seen an engine restart while the bus was away.
         """
-        listed = {name: engine.started_ms for name, engine in engines.items() if name not in self._judged}
-        self._judged.update(listed)
+        listed = {name: engine.started_ms for name, engine in engines.items() if name not in self._classified}
+        self._classified.update(listed)
         starts = {
             name: agreed_starts[name] for name, started in listed.items() if agreed_starts.get(name, 0.0) > started
         }
@@ -137,7 +143,7 @@
             self._outputs.effects.append(MarkRestarted(starts))
 
     def merge_peer_starts(
-        self, unix: float, report: MemberReport, engines: Mapping[str, ListedEngine], marks: bool
+        self, unix: float, report: MemberReport, engines: Mapping[str, ListedEngine], adopt: bool
     ) -> None:
         """Remember the recent starts of another's report, and with `marks` take over those later than ours.
 
@@ -148,8 +154,8 @@
             if not unix - PEER_START_MS < engine.started_ms <= unix + 2.0 * START_GRID_MS:
                 continue
             self._peer_starts[engine.name] = engine.started_ms
-            ours = engines.get(engine.name)
-            if ours is not None and engine.name in self._judged and engine.started_ms > ours.started_ms:
+            local = engines.get(engine.name)
+            if local is not None and engine.name in self._classified and engine.started_ms > local.started_ms:
                 starts[engine.name] = engine.started_ms
-        if starts and marks:
+        if starts and adopt:
             self._outputs.effects.append(MarkRestarted(starts))
--- a/frostspindle/recovery/excluded_engines.py
+++ b/frostspindle/recovery/excluded_engines.py
@@ -13,7 +13,7 @@
     """Tells the core which engines are banned; belongs to the event loop's thread."""
 
     def __init__(self, core: Core, node: RecoveryNode, telemetry: Telemetry) -> None:
-        self.banned_by_hand: frozenset[str] = frozenset()  # as the shared files have them
+        self.operator_bans: frozenset[str] = frozenset()  # as the shared files have them
         self.withheld: frozenset[str] = frozenset()
         self.withheld_by_lists: frozenset[str] = frozenset()  # of these, those that nobody bans
         self._core: Core = core
@@ -22,15 +22,15 @@
 
     def set_bans(self, names: frozenset[str]) -> None:
         """Set the bans by hand, as the shared files have them; changes are recorded and the core told."""
-        for name in names ^ self.banned_by_hand:
+        for name in names ^ self.operator_bans:
             self._node.record_ban(clock(), name, name in names)
-        self.banned_by_hand = names
-        self._tell_core()
+        self.operator_bans = names
+        self._update_core()
 
     def record_missing_bans(self) -> None:
         """Record the bans that the shared files have and a new store does not."""
         recorded = self._node.bans.banned_by(self._node.settings.name)
-        for name in self.banned_by_hand - recorded:
+        for name in self.operator_bans - recorded:
             self._node.record_ban(clock(), name, True)
 
     def readmit(self, name: str) -> None:
@@ -38,7 +38,7 @@
         if name in self.withheld:
             self.withheld -= {name}
             self._node.record_ban(clock(), name, False)
-            self._tell_core()
+            self._update_core()
 
     def withhold(self, names: frozenset[str], by_lists: frozenset[str]) -> None:
         """Set the engines that are withheld; `by_lists`: those of them that come back once the bus has spoken."""
@@ -46,11 +46,11 @@
             self._telemetry.log("recovery_engines_withheld", names=sorted(names)[:MAX_LOGGED])
         self.withheld = names
         self.withheld_by_lists = by_lists
-        self._tell_core()
+        self._update_core()
 
     def release_listed(self) -> None:
         """Admit what was withheld by others' lists: the bus has the last word again."""
         self.withhold(self.withheld - self.withheld_by_lists, frozenset())
 
-    def _tell_core(self) -> None:
-        self._core.ban(self.banned_by_hand | self.withheld)
+    def _update_core(self) -> None:
+        self._core.ban(self.operator_bans | self.withheld)
--- a/frostspindle/recovery/figures.py
+++ b/frostspindle/recovery/figures.py
@@ -16,8 +16,8 @@
         "since_ms": round(now - stages.entered_at),
         "weak": sorted(stage.name.lower() for stage in stages.timed_out),
         "moves": [
-            [passed.previous.name.lower(), passed.reason, passed.timed_out, round(passed.duration_ms)]
-            for passed in stages.transitions
+            [transition.previous.name.lower(), transition.reason, transition.timed_out, round(transition.duration_ms)]
+            for transition in stages.transitions
         ],
         "store": node.store.opened.verdict,
         "blank": node.store.lost,
--- a/frostspindle/recovery/gate.py
+++ b/frostspindle/recovery/gate.py
@@ -17,7 +17,7 @@
     """A request that waits at the gate, and whether its turn by key has come."""
 
     request: ClientRequest
-    turn: bool
+    key_order_reached: bool
 
 
 class GateOwner(Protocol):
@@ -33,7 +33,7 @@
     def on_load_ended(self, number: int, ran: bool) -> None:
         """Take the end of a request that may have a claim."""
 
-    def drain(self) -> None:
+    def flush_outputs(self) -> None:
         """Send the node's messages and apply its effects."""
 
 
@@ -62,7 +62,7 @@
             request.number,
             request.cls,
             request.key,
-            left_ms=request.timeout_ms - (now - request.received_ms),
+            remaining_ms=request.timeout_ms - (now - request.received_ms),
             cost_ms=request.cost_ms,
             ticket_granted=not is_load,
         )
@@ -83,7 +83,7 @@
                 continue
             core = self.service.core
             if decision.admitted:
-                core.admit_waiting(decision.number, entry.turn)
+                core.admit_waiting(decision.number, entry.key_order_reached)
             else:
                 self.service.telemetry.count("recovery_refused")
                 core.reject_waiting(decision.number, Response(ResponseStatus.REJECTED, None, decision.retry_ms))
@@ -96,7 +96,7 @@
         entry = self.waiting.get(number)
         if entry is None:
             return False
-        entry.turn = True
+        entry.key_order_reached = True
         return True
 
     def on_request_finished(self, number: int, ran: bool) -> None:
@@ -115,7 +115,7 @@
         if outcome in (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED):
             node.on_attempt_ended(clock(), engine, outcome == AttemptOutcome.CONNECT_FAILED)
         if node.outputs.effects:
-            self.service.drain()
+            self.service.flush_outputs()
 
     def close(self) -> list[int]:
         """Return the numbers of the requests that still wait, for the core to answer at shutdown."""
--- a/frostspindle/recovery/idle_mark.py
+++ b/frostspindle/recovery/idle_mark.py
@@ -20,13 +20,13 @@
         self.cooldown_waived: bool = False  # it had it at the start, and the store was not found to be older since
         self._buffer: WriteBuffer = buffer
         self._idle: bool = False
-        self._spares_cooldown: bool = False  # once the mark of the previous process is removed
+        self._waives_cooldown: bool = False  # once the mark of the previous process is removed
 
     def on_store_opened(self, found: bool, trusted: bool) -> None:
         """Take whether a usable store has the mark, by a process that has ended; it is removed then."""
         self.marked = found
         if found:
-            self._spares_cooldown = trusted
+            self._waives_cooldown = trusted
             self._buffer.pending[MARK] = None
 
     def set_idle(self, idle: bool) -> None:
@@ -37,9 +37,9 @@
         self._idle = idle
         self.marked = True
 
-    def on_durable(self, batch: dict[bytes, bytes | None], store_older: bool) -> None:
+    def on_durable(self, batch: dict[bytes, bytes | None], store_outdated: bool) -> None:
         """Take a batch that is durable, and whether others know a later state of this store."""
         if MARK in batch and batch[MARK] is None and not self._idle:
             self.marked = False
-            if self._spares_cooldown and not store_older:
+            if self._waives_cooldown and not store_outdated:
                 self.cooldown_waived = True
--- a/frostspindle/recovery/load_claims.py
+++ b/frostspindle/recovery/load_claims.py
@@ -68,7 +68,7 @@
 
     def on_claim(self, unix: float, sender: str, message: wire.TicketClaim) -> None:
         """Answer another coordinator's claim at once or once its record is durable."""
-        status = self._claim_here(unix, sender, message.ticket, message.nonce)
+        status = self._claim_locally(unix, sender, message.ticket, message.nonce)
         if status is not None:
             self._reply(sender, message.ticket, message.nonce, status)
 
@@ -105,16 +105,16 @@
     def _deliver(self, now: float, unix: float, messages: Iterable[TicketMessage]) -> None:
         for message in messages:
             if message.replica != self._name:
-                kind = wire.TicketRelease if message.release else wire.TicketClaim
-                self._outputs.send(message.replica, kind(message.ticket, message.nonce))
+                message_type = wire.TicketRelease if message.release else wire.TicketClaim
+                self._outputs.send(message.replica, message_type(message.ticket, message.nonce))
             elif message.release:
                 self.journal.release(self._name, message.ticket, message.nonce)
             else:
-                status = self._claim_here(unix, self._name, message.ticket, message.nonce)
+                status = self._claim_locally(unix, self._name, message.ticket, message.nonce)
                 if status is not None:
                     self.on_reply(now, unix, self._name, message.nonce, status)
 
-    def _claim_here(self, unix: float, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
+    def _claim_locally(self, unix: float, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
         if not self.accepts_new and ticket not in self.journal.records:
             return None  # as if the claim were lost: it is sent again
         return self.journal.claim(unix, claimant, ticket, nonce)
--- a/frostspindle/recovery/node.py
+++ b/frostspindle/recovery/node.py
@@ -155,7 +155,7 @@
         """Take the engine list as it stands here now, with the number of the bus's last event."""
         self.published.set_engines(last_event, listed, store=self.past_agreement)
         if Stage.ENGINES < self.stages.stage < Stage.OPEN:
-            self._judge_engines(unix)
+            self._classify_engines(unix)
 
     def record_ban(self, unix: float, engine: str, banned: bool) -> None:
         """Record that staff at this coordinator ban an engine, or no longer do."""
@@ -207,7 +207,7 @@
         batch = self.buffer.on_written(ok, full)
         if ok:
             self.store.generation += 1
-            self.idle_mark.on_durable(batch, self.store.older)
+            self.idle_mark.on_durable(batch, self.store.outdated)
         elif not full:
             self.inputs.store_usable = False
             self._log("recovery_tickets_disabled", why="the store is broken: no tickets are granted here")
@@ -250,8 +250,8 @@
                 self.loads.journal.release(sender, message.ticket, message.nonce)
 
     def _on_report_request(self, now: float, sender: str, request: wire.ReportRequest) -> None:
-        own = self._own_report()
-        report = self.published.paged(own)
+        own_report = self._own_report()
+        report = self.published.paged(own_report)
         if request.page >= len(report.pages):
             return
         rows = report.pages[request.page]
@@ -260,7 +260,7 @@
             digest=report.digest,
             page=request.page,
             page_count=len(report.pages),
-            last_event=own.last_event,
+            last_event=own_report.last_event,
             uptime_ms=now - self.started_at,
             settled=self.settled,
             store_lost=self.store.lost,
@@ -286,27 +286,27 @@
         if report is None:
             return
         self._compare_stores(unix, sender, page)
-        marks = self.stages.stage > Stage.ENGINES
-        self.published.restarts.merge_peer_starts(unix, report, self.published.engines, marks)
+        adopt = self.stages.stage > Stage.ENGINES
+        self.published.restarts.merge_peer_starts(unix, report, self.published.engines, adopt)
         self._advance(now, unix)
 
     def _compare_stores(self, unix: float, sender: str, page: wire.ReportPage) -> None:
         """Take what another knows of our store: a later state of it, or that there never was one."""
         if self.past_agreement and not self.stages.without_quorum:
             return
-        known = page.your_store
-        if known is None:
+        known_state = page.your_store
+        if known_state is None:
             if not page.store_lost and sender in self.seeds:
-                self.store.mark_unknown(sender)
+                self.store.add_seed_without_record(sender)
             return
-        if not self.store.is_older_than(known, count_written=self.past_agreement):
+        if not self.store.is_older_than(known_state, count_written=self.past_agreement):
             return
         opened = self.store.opened.state
-        if self.store.mark_older() and opened is not None:
+        if self.store.mark_outdated() and opened is not None:
             self._log(
                 "recovery_store_outdated",
-                life=known.incarnation,
-                generation=known.generation,
+                life=known_state.incarnation,
+                generation=known_state.generation,
                 ours=[opened.incarnation, opened.generation],
             )
         self.loads.journal.start_cooldown(unix)
@@ -374,7 +374,7 @@
             self.loads.accepts_new = True
             self._agree()
         if transition.stage is Stage.ENGINES:
-            self._judge_engines(unix)
+            self._classify_engines(unix)
             self.inputs.engines_marked = True
 
     def _agree(self) -> None:
@@ -385,9 +385,9 @@
             self.transfer.clear()
             self.published.invalidate()
 
-    def _judge_engines(self, unix: float) -> None:
+    def _classify_engines(self, unix: float) -> None:
         """Mark engines restarted that are cold after our loss."""
-        self.published.restarts.judge_engines(
+        self.published.restarts.classify_engines(
             unix,
             self.published.engines,
             self.agreed.engine_starts if self.agreed else {},
--- a/frostspindle/recovery/own_store.py
+++ b/frostspindle/recovery/own_store.py
@@ -12,11 +12,11 @@
     def __init__(self) -> None:
         self.opened: OpenedStore = OpenedStore("not opened", usable=False, trusted=False)
         self.lost: bool = True  # the absence of a ban or ticket in it says nothing
-        self.older: bool = False  # others know a later state of it
+        self.outdated: bool = False  # others know a later state of it
         self.first_start: bool = False  # by the operator's assurance there was no store, and so no loss
         self.generation: int = 0
         self.heartbeat: HeartbeatRecord | None = None  # of the previous process
-        self._unknown_to: set[str] = set()  # seeds that, with stores of their own, know of no state of it
+        self._seeds_without_record: set[str] = set()  # seeds that, with stores of their own, know of no state of it
 
     def on_opened(self, opened: OpenedStore, first_start_assured: bool) -> bool:
         """Take the outcome of the opening; return whether the store's entries are trusted."""
@@ -45,23 +45,23 @@
         written = self.generation if count_written else 0
         return known.version > (opened.incarnation, max(opened.generation, written))
 
-    def mark_older(self) -> bool:
+    def mark_outdated(self) -> bool:
         """Note that others know a later state, so that this one is not trusted; return whether that is news."""
-        news = not self.older
-        self.older = True
+        changed = not self.outdated
+        self.outdated = True
         self.lost = True
         self.first_start = False
-        return news
+        return changed
 
-    def mark_unknown(self, seed: str) -> None:
+    def add_seed_without_record(self, seed: str) -> None:
         """Note that a seed whose own store is whole knows of no state of ours."""
-        self._unknown_to.add(seed)
+        self._seeds_without_record.add(seed)
 
     def confirm_never_existed(self, other_seeds: int) -> bool:
         """Tell whether a lost store proves to be the first: a majority of the others would know of an earlier one."""
-        if not self.lost or not self.opened.fresh or self.older:
+        if not self.lost or not self.opened.fresh or self.outdated:
             return False
-        if not 2 * len(self._unknown_to) > other_seeds > 0:
+        if not 2 * len(self._seeds_without_record) > other_seeds > 0:
             return False
         self.lost = False
         return True
--- a/frostspindle/recovery/peer_stores.py
+++ b/frostspindle/recovery/peer_stores.py
@@ -8,7 +8,7 @@
 from frostspindle.recovery.wire import StoreState
 from frostspindle.recovery.write_buffer import WriteBuffer
 
-MAX_KNOWN = 512
+MAX_MEMBERS = 512
 SAVE_DELAY_MS = 1_000.0  # after which a state that was received is in our store at the latest, also without any loads
 
 
@@ -22,7 +22,7 @@
 
     def remember(self, now: float, name: str, state: StoreState | None) -> None:
         """Take the state that a member tells of its own store, if it is later than the known one."""
-        if state is None or (name not in self.states and len(self.states) >= MAX_KNOWN):
+        if state is None or (name not in self.states and len(self.states) >= MAX_MEMBERS):
             return
         old = self.states.get(name)
         if old is None or state.version > old.version:
--- a/frostspindle/recovery/published_state.py
+++ b/frostspindle/recovery/published_state.py
@@ -78,9 +78,9 @@
             engines = self.stored.engines
         return MemberReport(self._name, last_event, engines, settled=False, store_lost=store_lost)
 
-    def paged(self, own: MemberReport) -> PagedReport:
+    def paged(self, own_report: MemberReport) -> PagedReport:
         """Return all that others may ask for in pages, given this node's report."""
         if self._paged is None:
-            engines = map(self.restarts.as_reported, own.engines.values())
-            self._paged = paginate(own.last_event, engines, self.bans.statements.values())
+            engines = map(self.restarts.as_reported, own_report.engines.values())
+            self._paged = paginate(own_report.last_event, engines, self.bans.statements.values())
         return self._paged
--- a/frostspindle/recovery/report.py
+++ b/frostspindle/recovery/report.py
@@ -30,15 +30,15 @@
     """Cut a report into pages of PAGE_BYTES; rows beyond MAX_PAGES are left out. The digest is of all rows."""
     digest = blake2b(str(last_event).encode(), digest_size=6)
     pages = [ReportRows()]
-    room = wire.PAGE_BYTES
+    free_bytes = wire.PAGE_BYTES
     rows: list[ListedEngine | BanStatement] = [*engines, *bans]
     for row in rows:
         data = wire.encode(row)
         digest.update(data)
-        if len(data) > room:
+        if len(data) > free_bytes:
             pages.append(ReportRows())
-            room = wire.PAGE_BYTES
-        room -= len(data)
+            free_bytes = wire.PAGE_BYTES
+        free_bytes -= len(data)
         if isinstance(row, ListedEngine):
             pages[-1].engines.append(row)
         else:
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -66,10 +66,10 @@
         self.effects: EffectHandler = EffectHandler(self)
         self.store_worker: StoreWorker = StoreWorker(self)
 
-        self._listed: tuple[int, int, int] = (-1, -1, -1)  # what the node's engine list was made from
+        self._list_version: tuple[int, int, int] = (-1, -1, -1)  # what the node's engine list was made from
         self._list_checked_at: float = 0.0
         self._service_started_at: float = 0.0
-        self._cooldown_from: float = monotonic()
+        self._cooldown_started_at: float = monotonic()
         self._timer: asyncio.TimerHandle | None = None
         self._closing: bool = False
 
@@ -77,7 +77,7 @@
 
     def start(self) -> None:
         """Start opening the store, the writer task and the timer; needs a running event loop."""
-        self._cooldown_from = monotonic()
+        self._cooldown_started_at = monotonic()
         self.store_worker.start()
         self._tick()
 
@@ -119,14 +119,14 @@
 
         The cooldown of rights counts anew from `now` (monotonic ms).
         """
-        self._cooldown_from = now
+        self._cooldown_started_at = now
         self.node.on_port_bound(now, clock(), node.epoch)
-        self.drain()
+        self.flush_outputs()
 
     def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Hand a member's message on the recovery channel to the node; `epoch` is not used."""
         self.node.on_message(now, clock(), name, data)
-        self.drain()
+        self.flush_outputs()
 
     def on_member_changed(self, now: float, name: str, state: str) -> None:
         """Tell the node of a member's new state (suspect counts as alive).
@@ -144,9 +144,9 @@
     def claim_ticket(self, request: ClientRequest) -> None:
         """Ask the replicas of a load's ticket to grant it; the outcome comes as a ClaimResolved effect."""
         self.node.loads.claim(monotonic(), clock(), request.number, request.ticket)
-        self.drain()
+        self.flush_outputs()
 
-    def claim_again(self, number: int) -> None:
+    def retry_claim(self, number: int) -> None:
         """Claim the ticket of a load again, if it still waits."""
         entry = self.gate.waiting.get(number)
         if entry is not None and not self._closing:
@@ -156,26 +156,26 @@
         """Tell the node that a request with a claim has ended; `ran` False releases its ticket. No claim: ignored."""
         if self.node.loads.has_claim(number):
             self.node.loads.on_load_ended(monotonic(), clock(), number, ran)
-            self.drain()
+            self.flush_outputs()
 
     def on_store_opened(self, opened: OpenedStore) -> None:
         """Pass the opened store to the node, after the engine list that the configuration has."""
         self._check_engine_list(monotonic(), clock())
         self.node.on_store_opened(monotonic(), clock(), opened)
         self.excluded.record_missing_bans()
-        self.drain()
+        self.flush_outputs()
 
     def exchange_idle_mark(self) -> None:
         """Pass between the rights to cold engines and the store whether any are lent, used or wanted."""
         warming = self.program.warming
         if warming is None:
             return
-        cold = warming.budgets
-        self.node.on_rights_idle(cold is None or cold.idle)
-        if cold is not None:
-            cold.set_store_state(monotonic(), self.node.idle_mark.marked, self.node.idle_mark.cooldown_waived)
+        budgets = warming.budgets
+        self.node.on_rights_idle(budgets is None or budgets.idle)
+        if budgets is not None:
+            budgets.set_store_state(monotonic(), self.node.idle_mark.marked, self.node.idle_mark.cooldown_waived)
 
-    def drain(self, wake_writer: bool = True) -> None:
+    def flush_outputs(self, wake_writer: bool = True) -> None:
         """Send the node's messages, apply its effects and wake the store's writer."""
         outputs = self.node.outputs
         while outputs.pending:
@@ -206,7 +206,7 @@
             self._update_admission(now, unix)
         self.node.tick(now, unix)
         self.exchange_idle_mark()
-        self.drain()
+        self.flush_outputs()
         if not stages.finished:
             self.gate.apply(self.admission.poll(unix))
         due_s = max(MIN_TICK_S, (self.node.next_due() - now) / 1000.0)
@@ -231,9 +231,9 @@
     def _check_engine_list(self, now: float, unix: float) -> None:
         """Pass a changed engine list on; note the end of the cooldown, and that the bus has the last word again."""
         bus = self.program.bus
-        listed = (bus.last, len(self.core.engines), self.effects.restarts_marked)
-        if listed != self._listed:
-            self._listed = listed
+        list_version = (bus.last, len(self.core.engines), self.effects.restarts_marked)
+        if list_version != self._list_version:
+            self._list_version = list_version
             self.node.on_engine_list(unix, bus.last, self._engine_list())
         if self._cooldown_ended(now):
             self.node.on_cooldown_over(now, unix)
@@ -244,7 +244,7 @@
     def _cooldown_ended(self, now: float) -> bool:
         """Whether the cooldown of rights is over and the node does not know yet."""
         inputs = self.node.inputs
-        if inputs.cooldown_over or now - self._cooldown_from < self.settings.cooldowns.rights_ms:
+        if inputs.cooldown_over or now - self._cooldown_started_at < self.settings.cooldowns.rights_ms:
             return False
         return inputs.epoch > 0 or not inputs.in_fleet
 
@@ -299,14 +299,14 @@
     """Return for how long after a start a previous process's rights may still be in use, by the slower clock."""
     if fleet is None:
         return 0.0
-    slower = 1 + fleet.drift
+    drift_factor = 1 + fleet.drift
     cooldown_ms = 0.0
     if fleet.budget:
         window_ms = max(budget.window_ms for budget in fleet.budget)
-        cooldown_ms = fleet.lease_ms * slower / (1 - fleet.drift) + window_ms * slower
+        cooldown_ms = fleet.lease_ms * drift_factor / (1 - fleet.drift) + window_ms * drift_factor
     if fleet.cold:
         window_ms = config.settings.slow_start_window_ms
-        cold_ms = fleet.cold_lease_ms * slower / (1 - fleet.drift) + window_ms * slower
+        cold_ms = fleet.cold_lease_ms * drift_factor / (1 - fleet.drift) + window_ms * drift_factor
         cooldown_ms = max(cooldown_ms, cold_ms)
     return cooldown_ms
 
--- a/frostspindle/recovery/stages.py
+++ b/frostspindle/recovery/stages.py
@@ -70,7 +70,9 @@
     done_reason: str
     timeout_reason: str
     min_ms: float = 0.0
-    hopeless: Callable[[StageInputs], bool] = lambda inputs: False  # the guard will never hold: no use in waiting
+    cannot_complete: Callable[[StageInputs], bool] = lambda inputs: (
+        False
+    )  # the guard will never hold: no use in waiting
 
 
 @dataclass(slots=True, frozen=True)
@@ -90,7 +92,7 @@
         lambda timeouts: timeouts.store_ms,
         "the store is open",
         "without a store: nothing is remembered, and no load's ticket is granted here",
-        hopeless=lambda inputs: bool(inputs.store_verdict) and not inputs.store_usable,
+        cannot_complete=lambda inputs: bool(inputs.store_verdict) and not inputs.store_usable,
     ),
     Stage.ADDRESS: StageRule(
         lambda inputs: inputs.epoch > 0 or not inputs.in_fleet,
@@ -160,17 +162,17 @@
 
     def advance(self, now: float, inputs: StageInputs) -> list[StageTransition]:
         """Leave every stage whose guard holds, which has timed out or which is hopeless; return the transitions."""
-        passed: list[StageTransition] = []
+        transitions: list[StageTransition] = []
         while not self.finished:
             rule = RULES[self.stage]
             done = rule.guard(inputs) and now - self.entered_at >= rule.min_ms
-            if not done and now < self.next_due() and not rule.hopeless(inputs):
+            if not done and now < self.next_due() and not rule.cannot_complete(inputs):
                 break
             # A stage ends at its timeout at the latest, however late it is looked at.
             ended_at = min(now, self.next_due())
-            passed.append(self._leave(rule, done, ended_at))
-        self.transitions += passed
-        return passed
+            transitions.append(self._leave(rule, done, ended_at))
+        self.transitions += transitions
+        return transitions
 
     def _leave(self, rule: StageRule, done: bool, ended_at: float) -> StageTransition:
         transition = StageTransition(
--- a/frostspindle/recovery/state_transfer.py
+++ b/frostspindle/recovery/state_transfer.py
@@ -97,11 +97,11 @@
         """Send the requests that are due."""
         sync_due = now >= self.sync_at
         if needs_quorum:
-            self._ask_seeds(now, alive)
+            self._request_from_seeds(now, alive)
         elif sync_due and alive:
             name = self._random.choice(sorted(alive))
             self.transfers = {name: _Transfer()}
-            self._ask(now, name)
+            self._request_pages(now, name)
         if sync_due:
             interval_ms = SYNC_MS if recovered else RECOVERY_SYNC_MS
             self.sync_at = now + interval_ms * self._random.uniform(0.8, 1.2)
@@ -124,10 +124,10 @@
         if len(transfer.pages) == transfer.page_count:
             return transfer.complete(now, name, page)
         if len(transfer.pages) % PAGE_WINDOW == 0:
-            self._ask(now, name)
+            self._request_pages(now, name)
         return None
 
-    def _ask_seeds(self, now: float, alive: Set[str]) -> None:
+    def _request_from_seeds(self, now: float, alive: Set[str]) -> None:
         due = [
             name
             for name in self._other_seeds
@@ -136,9 +136,9 @@
         self._random.shuffle(due)
         for name in due[:MAX_CONCURRENT]:
             self.transfers.setdefault(name, _Transfer())
-            self._ask(now, name)
+            self._request_pages(now, name)
 
-    def _ask(self, now: float, name: str) -> None:
+    def _request_pages(self, now: float, name: str) -> None:
         transfer = self.transfers[name]
         transfer.requested_at = now
         for number in transfer.missing_pages()[:PAGE_WINDOW]:
--- a/frostspindle/recovery/store_worker.py
+++ b/frostspindle/recovery/store_worker.py
@@ -33,7 +33,7 @@
     def exchange_idle_mark(self) -> None:
         """Take that a batch's outcome is known, which may have changed the idle mark."""
 
-    def drain(self, wake_writer: bool) -> None:
+    def flush_outputs(self, wake_writer: bool) -> None:
         """Send the node's messages and apply its effects."""
 
 
@@ -88,8 +88,8 @@
             except Exception as error:  # noqa: BLE001 - whatever the disk does, the coordinator serves without
                 service.telemetry.log("exception_caught", error=repr(error), of="recovery store")
                 store, opened = None, UNREADABLE
-            late = service.node.stages.stage > Stage.STORE
-            if late and not was_locked and opened.trusted:  # nobody was asked whether it is the latest one
+            opened_late = service.node.stages.stage > Stage.STORE
+            if opened_late and not was_locked and opened.trusted:  # nobody was asked whether it is the latest one
                 opened = OpenedStore(opened.verdict, opened.usable, trusted=False, state=opened.state)
             self.store = store
             service.on_store_opened(opened)
@@ -126,5 +126,5 @@
             service.telemetry.log("recovery_store_broken", error=str(error))
         service.node.on_batch_written(monotonic(), clock(), ok, full)
         service.exchange_idle_mark()
-        service.drain(wake_writer=False)
+        service.flush_outputs(wake_writer=False)
         return full
--- a/frostspindle/recovery/tickets.py
+++ b/frostspindle/recovery/tickets.py
@@ -126,7 +126,7 @@
         """
         record = self.records.get(ticket)
         if record is not None:
-            return self._claim_again(record, claimant, ticket, nonce)
+            return self._repeat_claim(record, claimant, ticket, nonce)
         if not self.usable:
             return TicketStatus.UNABLE
         if self.in_cooldown(unix):
@@ -139,7 +139,7 @@
         self._waiters[ticket] = [PendingClaimant(claimant, ticket, nonce)]
         return None
 
-    def _claim_again(self, record: TicketRecord, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
+    def _repeat_claim(self, record: TicketRecord, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
         if (record.claimant, record.nonce) != (claimant, nonce):
             return TicketStatus.TAKEN
         if ticket not in self._pending and ticket not in self._writing:
@@ -289,8 +289,8 @@
             self.granted[nonce] = (claim.ticket, claim.replicas)
             del self.pending[nonce]
             return ClaimOutcome.GRANTED, []
-        lost = sum(answer in _CANNOT_GRANT for answer in claim.answers.values())
-        if 2 * (len(claim.replicas) - lost) <= len(claim.replicas):
+        unavailable = sum(answer in _CANNOT_GRANT for answer in claim.answers.values())
+        if 2 * (len(claim.replicas) - unavailable) <= len(claim.replicas):
             return ClaimOutcome.NO_RECORD, self._close(now, claim)
         return None
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -723,14 +723,14 @@
 def test_refusals_of_engines_that_left_the_list_are_forgotten():
     node = fleet(3).nodes["c0"]
     node.on_attempt_ended(UNIX, "e", True)
-    assert (set(node.published.restarts.refusals), set(node.published.restarts.doubted)) == ({"e"}, {"e"})
+    assert (set(node.published.restarts.refusals), set(node.published.restarts.unconfirmed_starts)) == ({"e"}, {"e"})
     node.on_engine_list(UNIX, 2, {"f": listed("f")})
-    assert (node.published.restarts.refusals, node.published.restarts.doubted) == ({}, {})
+    assert (node.published.restarts.refusals, node.published.restarts.unconfirmed_starts) == ({}, {})
     node.on_attempt_ended(UNIX, "f", True)
     node.on_attempt_ended(UNIX + 50.0, "f", False)
     for at, doubted in ((60_000.0, True), (140_000.0, False)):
         node.tick(at, UNIX + at)
-        assert ("f" in node.published.restarts.doubted) == doubted
+        assert ("f" in node.published.restarts.unconfirmed_starts) == doubted
 
 
 def test_replica_grants_nothing_before_the_agreement():
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -118,7 +118,7 @@
     said, quiet = [], lambda *a, **kw: None
     service = SimpleNamespace(
         telemetry=SimpleNamespace(log=quiet),
-        excluded=SimpleNamespace(banned_by_hand=frozenset(), withhold=quiet),
+        excluded=SimpleNamespace(operator_bans=frozenset(), withhold=quiet),
         program=SimpleNamespace(bus=SimpleNamespace(last=1, restore=said.append)),
         node=SimpleNamespace(bans=SimpleNamespace(banned_by_any=frozenset)),
     )
@@ -133,7 +133,7 @@
         outputs=SimpleNamespace(effects=[1]),
         on_attempt_ended=lambda unix, engine, refused: told.append((engine, refused)),
     )
-    gate = RecoveryGate(SimpleNamespace(node=node, drain=lambda: drained.append(1)), None, ())
+    gate = RecoveryGate(SimpleNamespace(node=node, flush_outputs=lambda: drained.append(1)), None, ())
     for verdict in AttemptOutcome:  # a connection that breaks may be of before a loss
         gate.on_attempt_ended("e", verdict)
     assert told == [("e", False), ("e", True)]
