--- a/frostspindle/recovery/admission.py
+++ b/frostspindle/recovery/admission.py
@@ -1,12 +1,12 @@
-"""Admission control while service returns: which requests pass to the controller, wait, or are rejected at once.
+"""Admission control during recovery: which requests pass to the controller, wait, or are rejected at once.
 
-No I/O and no clock. A request of a key never passes an earlier one of it; one that can't be done in its time is
-rejected even if it is next, so that its client need not wait for nothing; past `max_waiting` the one with the least
-priority for its work is rejected.
+No I/O and no clock. Requests with the same key keep their order. A request that can't finish before its deadline is
+rejected even if it is next in line, so that its client does not wait in vain. With more than `max_waiting` requests
+waiting, the one with the lowest priority per unit of work is rejected.
 
-What engines can bear now is known from the slow-start curve; as much work is admitted as fits in HORIZON_MS of it, and
-more as answers come. Those that wait go by priority weight per unit of work, of equal weight the smallest first. Work
-is in ms of one core.
+The engines' present capacity follows from the slow-start curve. The work in flight is limited to what that capacity
+does in HORIZON_MS; responses make room for more. Waiting requests are admitted by priority weight per unit of work,
+highest first, and at equal values by their number. Work is in ms of one core.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-HORIZON_MS = 12_000.0  # work that may be with the controller, in time at the present rate
-DEADLINE_MARGIN_MS = 60.0  # before the client's time is over
-RETRY_JITTER = 0.5  # Retry-After is drawn from 1 - RETRY_JITTER to 1 + RETRY_JITTER times what is expected
+HORIZON_MS = 12_000.0  # limit of the work in flight, as time at the present work rate
+DEADLINE_MARGIN_MS = 60.0  # before the client's timeout
+RETRY_JITTER = 0.5  # Retry-After is uniform in 1 - RETRY_JITTER to 1 + RETRY_JITTER times the expected wait
 FORECAST_STEP_MS = 250.0
 FORECAST_STEPS = 160
-FORECAST_VALID_MS = 10_000.0  # a forecast is used for so long, as it is slow to compute
+FORECAST_VALID_MS = 10_000.0  # a forecast is reused for this long, as it is slow to compute
 MIN_RETRY_MS = 50.0
-REVIEW_INTERVAL_MS = 50.0  # those who wait are looked over so often
+REVIEW_INTERVAL_MS = 50.0  # between checks of the waiting requests' deadlines
 
 
 class RequestClass(NamedTuple):
-    """What the gate needs to know of a class of requests."""
+    """The properties of a request class that admission uses."""
 
     priority_weight: float
     idempotent: bool
@@ -41,7 +41,7 @@
 
 
 class ReadyEngine(NamedTuple):
-    """A ready engine as the slow-start curve needs it; `started_ms` in Unix ms, 0: warm."""
+    """The size and start of a ready engine; `started_ms` is in Unix ms, 0 for a warm engine."""
 
     cores: float
     started_ms: float
@@ -49,13 +49,13 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStartCurve:
-    """Slow start: an engine bears `initial_ratio` of its cores at first and all after `duration_ms`, by a square."""
+    """Slow start: an engine's capacity grows quadratically from `initial_ratio` to all cores over `duration_ms`."""
 
     initial_ratio: float = 1.0
     duration_ms: float = 0.0
 
     def capacity_ratio(self, age_ms: float) -> float:
-        """Return the part of its full capacity, up to 1.0, that an engine bears `age_ms` after its start.
+        """Return the usable fraction, up to 1.0, of an engine's full capacity `age_ms` after its start.
 
         A negative age counts as 0.
         """
@@ -65,7 +65,7 @@
 
 
 def total_capacity(engines: Iterable[ReadyEngine], curve: SlowStartCurve, time_ms: float) -> float:
-    """Return the work in ms that all engines together do in a ms at the time `at` (Unix ms)."""
+    """Return the work in ms that all engines together do per ms at `time_ms` (Unix ms)."""
     return sum(
         engine.cores * (curve.capacity_ratio(time_ms - engine.started_ms) if engine.started_ms > 0 else 1.0)
         for engine in engines
@@ -74,16 +74,16 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingRequest:
-    """A request that waits at the gate."""
+    """A request that waits for admission."""
 
     number: int
     class_index: int
     key: int
     cost_ms: float
-    deadline: float  # the last moment at which an answer is of use
-    rank: tuple[float, int]  # the lowest goes first
-    ticket_granted: bool = True  # or none is needed
-    removed: bool = False  # still in its key's queue behind an earlier one
+    deadline: float  # the latest useful time of its response
+    rank: tuple[float, int]  # the lowest is admitted first
+    ticket_granted: bool = True  # also True if it needs no ticket
+    removed: bool = False  # no longer waiting, but still in its key's queue
 
 
 class AdmissionDecision(NamedTuple):
@@ -108,27 +108,27 @@
     ) -> None:
         self.classes: tuple[RequestClass, ...] = classes
         self.curve: SlowStartCurve = curve
-        self.share: float = share  # this coordinator's part of the engines' capacity
+        self.share: float = share  # this coordinator's fraction of the engines' capacity
         self.max_waiting: int = max_waiting
         self.max_retry_ms: float = max_retry_ms  # 0: no Retry-After is sent
         self.engines: tuple[ReadyEngine, ...] = ()
 
-        self.open: bool = False  # True: nothing waits but loads for their tickets
-        self.service_started: bool = False  # until then nothing is admitted, whatever was expected
-        self.expected_start: float = math.inf  # of service, before that
+        self.open: bool = False  # True: requests wait only for tickets, or behind such a request of their key
+        self.service_started: bool = False  # nothing is admitted before, even after expected_start
+        self.expected_start: float = math.inf  # of service; used until it starts
         self.admits_non_idempotent: bool = False
 
         self.waiting: dict[int, WaitingRequest] = {}
         self.queues: dict[int, deque[WaitingRequest]] = {}  # by key, in the order of arrival
-        self.in_flight: dict[int, float] = {}  # work of each request that was admitted and is unanswered
-        self.in_flight_ms: float = 0.0  # their sum
+        self.in_flight: dict[int, float] = {}  # work of each admitted request without a response, by number
+        self.in_flight_ms: float = 0.0  # the sum of in_flight
         self.rejected: int = 0
         self.admitted: int = 0
 
         self.random: random.Random = random.Random(seed)
         self._reviewed_at: float = -math.inf
-        self._changed: bool = False  # since the last selection
-        self._forecast: list[float] = []  # work that will have been done by the end of each step
+        self._changed: bool = False  # since the last call of _admit_by_rank
+        self._forecast: list[float] = []  # cumulative work done at the end of each step
         self._forecast_inputs: tuple[tuple[ReadyEngine, ...], float] | None = None  # engines and share
         self._forecast_start: float = -math.inf
 
@@ -144,9 +144,9 @@
         cost_ms: float,
         ticket_granted: bool,
     ) -> list[AdmissionDecision]:
-        """Queue a request with `left_ms` of its client's time; return all decisions that follow at once.
+        """Queue a request whose client times out in `remaining_ms`; return all immediate decisions.
 
-        With more than `max_waiting` waiting, the one with the least priority for its work is rejected.
+        With more than `max_waiting` requests waiting, the one with the lowest priority per unit of work is rejected.
         """
         request = self._waiting_request(now, number, class_index, key, remaining_ms, cost_ms, ticket_granted)
         if key:
@@ -172,7 +172,7 @@
     ) -> WaitingRequest:
         request_class = self.classes[class_index]
         cost = max(1.0, cost_ms or request_class.mean_cost_ms)
-        if request_class.late_value_ratio <= 0:  # a late answer is worth nothing
+        if request_class.late_value_ratio <= 0:  # a late response has no value
             remaining_ms = min(remaining_ms, request_class.latency_objective_ms)
         return WaitingRequest(
             number=number,
@@ -185,20 +185,20 @@
         )
 
     def grant_ticket(self, number: int) -> None:
-        """Note that the request's ticket is granted, so that it may be admitted."""
+        """Mark the request's ticket as granted, so that it may be admitted."""
         request = self.waiting.get(number)
         if request is not None:
             request.ticket_granted = True
             self._changed = True
 
     def remove(self, number: int) -> None:
-        """Forget a request that was answered or whose client left; its work counts no more."""
+        """Remove a request that has a response or whose client has disconnected, and its work in flight."""
         request = self.waiting.pop(number, None)
         if request is not None:
             self._dequeue(request)
         cost_ms = self.in_flight.pop(number, None)
         if cost_ms is not None:
-            # An empty set has no work in flight, whatever rounding has left of the sum.
+            # Resets rounding errors of the sum when nothing is in flight.
             self.in_flight_ms = max(0.0, self.in_flight_ms - cost_ms) if self.in_flight else 0.0
         self._changed = True
 
@@ -213,9 +213,9 @@
     # Decisions.
 
     def poll(self, now: float, changed_number: int = 0) -> list[AdmissionDecision]:
-        """Admit the requests that fit, reject those that can't be served in time.
+        """Admit requests while there is capacity; reject those that can't be served in time.
 
-        `only`: the one request that has changed, used once `open`.
+        `changed_number`: once `open`, consider only this request and those of its key; 0: all.
         """
         if self.open:
             return self._admit_open(changed_number)
@@ -226,12 +226,12 @@
             decisions += self._admit_by_rank(limit_ms)
         if now - self._reviewed_at >= REVIEW_INTERVAL_MS:
             self._reviewed_at = now
-            self._changed = True  # engines bear more by now
+            self._changed = True  # the engines' capacity has grown meanwhile
             decisions += self._reject_late(now)
         return decisions
 
     def open_gate(self) -> list[AdmissionDecision]:
-        """Stop to limit admission; return the decisions on all that wait and need no ticket any more."""
+        """Stop limiting admission; return the admissions of all waiting requests that wait for no ticket."""
         self.open = True
         self.service_started = True
         self.admits_non_idempotent = True
@@ -255,7 +255,7 @@
         return decisions
 
     def _admit_open(self, changed_number: int) -> list[AdmissionDecision]:
-        """Once `open`: a request that needs no ticket any more, and those of its key that waited for it."""
+        """Once `open`: admit requests that wait for no ticket, and those of their key that waited behind them."""
         if changed_number in self.waiting:
             requests = [self.waiting[changed_number]]
         elif not changed_number:
@@ -284,7 +284,7 @@
         return not request.key or self.queues[request.key][0] is request
 
     def _next_of_key(self, request: WaitingRequest) -> WaitingRequest | None:
-        """The first that waits of the key of a request that was just admitted."""
+        """Return the first waiting request of the same key as one that was just admitted."""
         if not request.key:
             return None
         queue = self.queues.get(request.key)
@@ -305,10 +305,10 @@
         return AdmissionDecision(request.number, False, retry_ms)
 
     def _reject_late(self, now: float) -> list[AdmissionDecision]:
-        """Reject of those that wait whoever would come too late even if it were next.
+        """Reject waiting requests that would miss their deadline even if they were next.
 
-        What is ahead of it is not counted against it: the controller takes the smallest first, and others leave. With
-        the order here counted, more than twice as many were rejected, and fewer served.
+        The work ahead of a request is not counted: the controller runs the smallest requests first, and other clients
+        give up. Counting it rejected more than twice as many requests, and fewer were served.
         """
         decisions: list[AdmissionDecision] = []
         ahead_ms = self.in_flight_ms
@@ -323,18 +323,18 @@
     # The slow-start curve.
 
     def work_rate(self, time_ms: float) -> float:
-        """Return this coordinator's share of the work in ms that the engines do in a ms."""
+        """Return this coordinator's share of the work in ms that the engines do per ms."""
         return self.share * total_capacity(self.engines, self.curve, time_ms)
 
     def warm_ratio(self, time_ms: float) -> float:
-        """Return the part of the engines' full capacity that they can bear at the time `at`; 0 without engines."""
+        """Return the usable fraction of the engines' full capacity at `time_ms`; 0 without engines."""
         cores = sum(engine.cores for engine in self.engines)
         return total_capacity(self.engines, self.curve, time_ms) / cores if cores else 0.0
 
     def retry_after_ms(self, now: float, done_at: float) -> float:
-        """Return a Retry-After wait in ms until `done_at`; 0 if none is sent.
+        """Return a Retry-After wait in ms until `done_at`; 0 if no Retry-After is sent.
 
-        It has jitter, so that clients rejected together do not come back together.
+        Jitter keeps clients that were rejected together from retrying together.
         """
         expected = min(self.max_retry_ms / (1.0 + RETRY_JITTER), max(MIN_RETRY_MS, done_at - now))
         return min(self.max_retry_ms, expected * self.random.uniform(1.0 - RETRY_JITTER, 1.0 + RETRY_JITTER))
@@ -343,7 +343,7 @@
         return self.in_flight_ms + sum(request.cost_ms for request in self.waiting.values())
 
     def _completion_time(self, now: float, work_ms: float) -> float:
-        """When so much work will be done, from the start of service on."""
+        """Return when `work_ms` of work that starts now, or with service, will be done; inf without capacity."""
         starts_at = now
         if not self.service_started and math.isfinite(self.expected_start):
             starts_at = max(now, self.expected_start)
@@ -362,7 +362,7 @@
         return self._forecast_start + (step + step_fraction) * FORECAST_STEP_MS
 
     def _update_forecast(self, starts_at: float) -> None:
-        """Compute the work done over the next steps anew if engines have changed or time has passed."""
+        """Recompute the forecast of work done if engines or the share have changed, or it has expired."""
         inputs = (self.engines, self.share)
         if inputs == self._forecast_inputs and 0.0 <= starts_at - self._forecast_start < FORECAST_VALID_MS:
             return
--- a/frostspindle/recovery/agreement.py
+++ b/frostspindle/recovery/agreement.py
@@ -1,7 +1,7 @@
-"""Agreement on engines and bans between coordinators: by a quorum of seeds, else by the safest of what is known.
+"""Agreement on engines and bans between coordinators: by a quorum of seeds, else by the safest known state.
 
-Holds the rules that `state_kinds.TABLE` names; no I/O. No single report puts an engine to use that another has as
-draining, gone or banned, unless a quorum of the seeds says so.
+Implements the conflict rules that `state_kinds.TABLE` names; no I/O. Without a quorum of the seeds, one report is not
+enough to use an engine that another report has as draining, removed or banned.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 MAX_BANS = 1_000
 LIFTED_BAN_RETENTION_MS = 7 * 86_400_000.0
-MIN_WITNESS_UPTIME_MS = 10_000.0  # a coordinator that runs for less may have lost power with us
+MIN_WITNESS_UPTIME_MS = 10_000.0  # a coordinator with a shorter uptime may have lost power at the same time
 
 
 @dataclass(slots=True, frozen=True)
 class MemberReport:
-    """What one coordinator reports of engines during a recovery."""
+    """One coordinator's report of its engine list and its own recovery."""
 
     origin: str
-    last_event: int  # number of the last event of the bus that it received
+    last_event: int  # number of the last bus event that it received
     engines: Mapping[str, ListedEngine]
-    settled: bool = False  # it runs, past its own agreement
-    store_lost: bool = False  # so that the absence of a ban says nothing
+    settled: bool = False  # it is past its own agreement, with a quorum
+    store_lost: bool = False  # so a missing ban does not mean that there is none
     uptime_ms: float = 0.0
 
 
@@ -35,9 +35,9 @@
 class AgreedState:
     """Outcome of an agreement.
 
-    `engines` replaces the engine list here if `last_event` is higher than the one here. `withheld`: engines to leave
-    out; `banned`: this coordinator's own bans; `engine_starts`: of engines known to have run on, when they started
-    (Unix ms). All other engines are cold.
+    `engines` replaces the local engine list if `last_event` is higher than the local one. `withheld`: engines not to
+    use; `banned`: this coordinator's own bans; `engine_starts`: the starts (Unix ms) of the engines that are known to
+    have kept running through its power loss. All other engines are taken for cold.
     """
 
     has_quorum: bool
@@ -49,7 +49,7 @@
 
 
 class BanTable:
-    """All coordinators' bans by hand: the newest statement by origin and engine."""
+    """The operators' bans at all coordinators: the newest statement by origin and engine."""
 
     def __init__(self, statements: Iterable[BanStatement] = ()) -> None:
         self.statements: dict[tuple[str, str], BanStatement] = {}
@@ -57,9 +57,10 @@
             self.merge(statement)
 
     def merge(self, statement: BanStatement) -> bool:
-        """Take a statement; return whether it changed the table.
+        """Merge a statement; return whether it changed the table.
 
-        Of two of one moment the ban wins. A full table drops the oldest lifted ban, or else ignores the statement.
+        Of two statements with the same time, the ban wins. A full table drops its oldest lifted ban to make room, and
+        ignores the statement if it has none.
         """
         key = statement.origin, statement.engine
         old = self.statements.get(key)
@@ -74,9 +75,9 @@
         return True
 
     def prune(self, unix: float) -> list[tuple[str, str]]:
-        """Remove bans lifted more than LIFTED_BAN_RETENTION_MS before `unix` (Unix ms); return origins and engines.
+        """Remove bans lifted more than LIFTED_BAN_RETENTION_MS before `unix` (Unix ms); return their keys.
 
-        Bans in force stay.
+        A key is an origin and an engine. Bans in force are kept.
         """
         old = [
             key
@@ -88,7 +89,7 @@
         return old
 
     def banned_by(self, origin: str) -> frozenset[str]:
-        """Return the engines that this coordinator bans."""
+        """Return the engines that are banned at this coordinator."""
         return frozenset(
             engine
             for (stated_by, engine), statement in self.statements.items()
@@ -96,7 +97,7 @@
         )
 
     def banned_by_any(self) -> frozenset[str]:
-        """Return the engines that any coordinator bans."""
+        """Return the engines that are banned at any coordinator."""
         return frozenset(engine for (_, engine), statement in self.statements.items() if statement.banned)
 
 
@@ -107,16 +108,16 @@
 
 
 def has_quorum(reports: Iterable[MemberReport], seeds: Iterable[str]) -> bool:
-    """Tell whether more than half of the seeds have reported; one whose store was lost does not count."""
+    """Return whether more than half of the seeds have reported; a seed that lost its store does not count."""
     seed_names = frozenset(seeds)
     answered = {report.origin for report in reports if report.origin in seed_names and not report.store_lost}
     return 2 * len(answered) > len(seed_names)
 
 
 def agree(name: str, reports: list[MemberReport], bans: BanTable, seeds: Iterable[str]) -> AgreedState:
-    """Agree for the coordinator `name` on engines and bans by the rules of `state_kinds.TABLE`.
+    """Return what the coordinator `name` is to use of engines and bans, by the rules of `state_kinds.TABLE`.
 
-    `reports` includes this coordinator's own; `bans` has the statements of all of them.
+    `reports` includes this coordinator's own; `bans` has the statements of all reports.
     """
     quorum = has_quorum(reports, seeds)
     credible = [report for report in reports if not report.store_lost] or reports
@@ -138,7 +139,10 @@
 
 
 def _withheld_without_quorum(reports: list[MemberReport], latest: MemberReport) -> frozenset[str]:
-    """Engines to leave out: those that are missing or not ready in any list, unless that leaves none to use."""
+    """Return the engines that are missing or not ready in any list.
+
+    If that leaves no engine to use, only those that a list has as not ready.
+    """
     lists = [report.engines for report in reports if report.engines]
     names = {name for engines in lists for name in engines}
     withheld = frozenset(
@@ -153,7 +157,7 @@
 
 
 def _starts_of_running_engines(name: str, reports: list[MemberReport], seeds: frozenset[str]) -> dict[str, float]:
-    """Starts (Unix ms) of the engines that a majority of the seeds saw run on through this coordinator's loss."""
+    """Return the starts (Unix ms) of the engines that kept running, as a majority of the seeds saw them."""
     witnesses = [
         report
         for report in reports
@@ -161,7 +165,7 @@
     ]
     if 2 * sum(report.origin in seeds for report in witnesses) <= len(seeds):
         return {}
-    # One coordinator that was refused a connection is enough to know that the engine did not run on.
+    # One coordinator that was refused a connection is enough to assume that the engine has restarted.
     refusing = {engine.name for report in witnesses for engine in report.engines.values() if not engine.start_confirmed}
     starts: dict[str, float] = {}
     for report in witnesses:
@@ -174,9 +178,9 @@
 def cold_engines(
     listed: Mapping[str, float], starts: Mapping[str, float], last_heartbeat_ms: float | None, clean_shutdown: bool
 ) -> frozenset[str]:
-    """Return the engines that must be taken for cold as of now.
+    """Return the engines that must be treated as just started.
 
-    `listed`: each engine's start as the list has it, Unix ms; `starts`: of those known to have run on;
+    `listed`: each engine's start in the engine list, Unix ms; `starts`: the starts of those known to have kept running;
     `last_heartbeat_ms`: when the previous process was last known to run (None: unknown).
     """
     if clean_shutdown:
--- a/frostspindle/recovery/node.py
+++ b/frostspindle/recovery/node.py
@@ -1,8 +1,9 @@
 """One coordinator's recovery without I/O or clock: stages, agreement, engine list, bans and store batches.
 
-The program passes messages, times and events in, and takes messages and effects (`outputs`) and batches for the store
-(`next_batch`, answered by `on_batch_written`) out. Which state is trusted, and what settles a conflict, is looked
-up in `state_kinds.TABLE`. `now` is in ms of the monotonic clock, `unix` in Unix ms. Belongs to the event loop's thread.
+The program passes in messages, times and events. It takes out messages and effects (`outputs`), and batches for the
+store (`next_batch`), whose outcome it passes to `on_batch_written`. `state_kinds.TABLE` defines which state is trusted
+and how conflicts are resolved. `now` is in ms of the monotonic clock, `unix` in Unix ms. Used on the event loop's
+thread only.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class RecoveryNode:
-    """One process's recovery, and from then on its part in the recovery of others."""
+    """One process's recovery, and afterwards its part in the recovery of other coordinators."""
 
     def __init__(self, settings: RecoverySettings, now: float, unix: float, seed: int) -> None:
         self.settings: RecoverySettings = settings
@@ -67,12 +68,12 @@
 
     @property
     def bans(self) -> BanTable:
-        """All coordinators' bans."""
+        """The bans of all coordinators."""
         return self.published.bans
 
     @property
     def past_agreement(self) -> bool:
-        """Whether the agreement stage is over, with a quorum or without."""
+        """Whether the agreement stage has ended, with a quorum or without."""
         return self.stages.stage > Stage.AGREE
 
     @property
@@ -82,13 +83,13 @@
 
     @property
     def settled(self) -> bool:
-        """Whether this coordinator is past its own agreement, and had it with a quorum of the seeds."""
+        """Whether this coordinator's own agreement has ended with a quorum of the seeds."""
         return self.past_agreement and self.has_quorum
 
     # Opening of the store.
 
     def on_store_opened(self, now: float, unix: float, opened: OpenedStore) -> None:
-        """Take the outcome of opening the store, or that there is none: load what is trusted of its entries."""
+        """Process the outcome of opening the store: load its entries if they are trusted."""
         trusted = self.store.on_opened(opened, self.settings.first_start)
         self.inputs.store_verdict = opened.verdict
         self.inputs.store_usable = opened.usable
@@ -126,12 +127,12 @@
     # Events of the program.
 
     def on_port_bound(self, now: float, unix: float, epoch: int) -> None:
-        """Note that the fleet's port is ours, under this epoch."""
+        """Process that the fleet port is bound, under this epoch."""
         self.inputs.epoch = epoch
         self._advance(now, unix)
 
     def on_member(self, now: float, unix: float, name: str, alive: bool) -> None:
-        """Note that a member is alive, or no longer is."""
+        """Process that a member is alive, or no longer is."""
         if alive:
             self.alive.add(name)
         else:
@@ -141,30 +142,30 @@
         self._advance(now, unix)
 
     def on_cooldown_over(self, now: float, unix: float) -> None:
-        """Note that the cooldown of rights is over."""
+        """Process the end of the cooldown of rights."""
         self.inputs.cooldown_over = True
         self._advance(now, unix)
 
     def on_backlog(self, now: float, unix: float, waiting: int, warm_ratio: float) -> None:
-        """Note how many requests wait at the gate, and how warm the engines are (0 to 1)."""
+        """Process the number of requests that wait at the gate and the engines' usable capacity (0 to 1)."""
         self.inputs.waiting = waiting
         self.inputs.warm_ratio = warm_ratio
         self._advance(now, unix)
 
     def on_engine_list(self, unix: float, last_event: int, listed: Mapping[str, ListedEngine]) -> None:
-        """Take the engine list as it stands here now, with the number of the bus's last event."""
+        """Process the present local engine list, with the number of the last bus event."""
         self.published.set_engines(last_event, listed, store=self.past_agreement)
         if Stage.ENGINES < self.stages.stage < Stage.OPEN:
             self._classify_engines(unix)
 
     def record_ban(self, unix: float, engine: str, banned: bool) -> None:
-        """Record that staff at this coordinator ban an engine, or no longer do."""
+        """Record that an operator at this coordinator bans an engine, or lifts the ban."""
         self.published.merge_ban(BanStatement(self.settings.name, engine, banned, unix))
 
     def on_attempt_ended(self, unix: float, name: str, refused: bool) -> None:
-        """Take the end of an attempt; `refused`: its engine took no connection.
+        """Process the end of an attempt; `refused`: the engine refused the connection.
 
-        So a running coordinator sees engines restart.
+        This is how a running coordinator detects restarts of engines.
         """
         engine = self.published.engines.get(name)
         if self.stages.stage <= Stage.ENGINES or engine is None:
@@ -175,12 +176,12 @@
             self.published.restarts.on_answered(unix, engine)
 
     def on_rights_idle(self, idle: bool) -> None:
-        """Note whether nothing of our rights to cold engines is lent, used or wanted; see idle_mark."""
+        """Process whether none of our rights to cold engines are lent, used or requested; see idle_mark."""
         if self.inputs.store_usable and self.past_agreement:
             self.idle_mark.set_idle(idle)
 
     def on_shutdown(self, unix: float) -> None:
-        """Record that the program ends in good order, in the last batch."""
+        """Record a clean shutdown in the last batch."""
         self._write_heartbeat(unix, clean_shutdown=True)
 
     # The store.
@@ -188,7 +189,7 @@
     def next_batch(self) -> dict[bytes, bytes | None] | None:
         """Return the next batch to write.
 
-        None if there is nothing, the outcome of the last one is unknown, or the store is broken.
+        None if there are no changes, the last batch is still being written, or the store is not usable.
         """
         if self.buffer.writing or not self.inputs.store_usable:
             return None
@@ -200,9 +201,9 @@
         return batch
 
     def on_batch_written(self, now: float, unix: float, ok: bool, full: bool = False) -> None:
-        """Take the outcome of the last batch. `ok`: it is durable.
+        """Process the outcome of the last batch. `ok`: it is durable.
 
-        `full`: nothing of it is; neither: the store is broken and not used any more.
+        `full`: the disk was full and nothing was written. Neither: the store is broken and no longer used.
         """
         batch = self.buffer.on_written(ok, full)
         if ok:
@@ -210,7 +211,7 @@
             self.idle_mark.on_durable(batch, self.store.outdated)
         elif not full:
             self.inputs.store_usable = False
-            self._log("recovery_tickets_disabled", why="the store is broken: no tickets are granted here")
+            self._log("recovery_tickets_disabled", why="the store failed to write a batch: no tickets are granted here")
         self.loads.on_batch_written(now, unix, ok, full)
 
     def _write_heartbeat(self, unix: float, clean_shutdown: bool) -> None:
@@ -218,9 +219,9 @@
         self.buffer.put("beat", "", wire.encode(record))
 
     def own_store(self) -> StoreState | None:
-        """Return the state of the own store.
+        """Return the state of this coordinator's store.
 
-        None until others were asked what they know of it, or without a usable store.
+        None without a usable store, and until the other coordinators were asked for the state that they know.
         """
         if not self.past_agreement or not self.inputs.store_usable:
             return None
@@ -229,7 +230,7 @@
     # Messages.
 
     def on_message(self, now: float, unix: float, sender: str, data: bytes) -> None:
-        """Process a member's message; one that can't be decoded is counted."""
+        """Process a member's message; a malformed one is counted and dropped."""
         try:
             message = wire.decode(data)
         except wire.InvalidPacketError:
@@ -276,7 +277,7 @@
 
     def _on_report_page(self, now: float, unix: float, sender: str, page: wire.ReportPage) -> None:
         if sender not in self.transfer.transfers:
-            return  # nobody asked
+            return  # not requested
         self.peer_stores.remember(now, sender, page.own_store)
         if not self.transfer.add_page(sender, page):
             return
@@ -291,7 +292,7 @@
         self._advance(now, unix)
 
     def _compare_stores(self, unix: float, sender: str, page: wire.ReportPage) -> None:
-        """Take what another knows of our store: a later state of it, or that there never was one."""
+        """Compare our store with the state of it that another member knows; a later one shows that ours is outdated."""
         if self.past_agreement and not self.stages.without_quorum:
             return
         known_state = page.your_store
@@ -329,7 +330,7 @@
         return min(due_times)
 
     def tick(self, now: float, unix: float) -> None:
-        """Do what is due."""
+        """Send what is due, prune old state, write the heartbeat, and advance the stages."""
         self.loads.tick(now, unix)
         if now >= self._prune_at:
             self._prune_at = now + PRUNE_MS
@@ -337,7 +338,7 @@
             self.published.prune(unix)
         if now >= self._heartbeat_at:
             self._heartbeat_at = now + HEARTBEAT_MS
-            if self.past_agreement:  # before that the previous process's own would be lost
+            if self.past_agreement:  # earlier, it would overwrite the previous process's heartbeat
                 self._write_heartbeat(unix, clean_shutdown=False)
         if now >= self.peer_stores.save_at and self.past_agreement:
             self.peer_stores.save(self.buffer)
@@ -346,7 +347,7 @@
         self.transfer.tick(now, self.alive, needs_quorum, recovered=self.stages.finished)
 
     def _advance(self, now: float, unix: float) -> None:
-        """Go on by stages, and agree as soon as a quorum has reported."""
+        """Advance the stages, and agree as soon as a quorum has reported."""
         if not self.past_agreement or (self.stages.without_quorum and not self.has_quorum):
             self._review_reports()
         while True:
@@ -357,7 +358,7 @@
                 self.outputs.effects.append(transition)
                 self._on_transition(transition, unix)
         if self.inputs.reported and self.past_agreement and not self.has_quorum:
-            self._agree()  # a quorum has reported after the timeout
+            self._agree()  # a quorum has reported after the agreement stage timed out
 
     def _review_reports(self) -> None:
         other_seeds = len(self.seeds) - (self.settings.name in self.seeds)
@@ -386,7 +387,7 @@
             self.published.invalidate()
 
     def _classify_engines(self, unix: float) -> None:
-        """Mark engines restarted that are cold after our loss."""
+        """Mark engines as restarted that may have lost power with this coordinator."""
         self.published.restarts.classify_engines(
             unix,
             self.published.engines,
--- a/frostspindle/recovery/stages.py
+++ b/frostspindle/recovery/stages.py
@@ -1,7 +1,7 @@
-"""The stages of a recovery: what each waits for, for how long at most, and what follows.
+"""The state machine of a recovery: what each stage waits for, and for how long at most.
 
-No I/O and no clock. Stages never go back, and none lasts longer than its timeout: what is missing after a timeout is
-said in the stage's `timeout_reason` and in the log.
+No I/O and no clock. Stages only advance, and none lasts longer than its timeout. The stage's `timeout_reason`, which is
+also logged, states what is missing after a timeout.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Stage(IntEnum):
-    """The stages, in the order in which they follow."""
+    """The stages in their order."""
 
     STORE = 0
     ADDRESS = 1
@@ -27,25 +27,25 @@
 
 @dataclass(slots=True)
 class StageInputs:
-    """What is known now; the stages decide by nothing else."""
+    """The current inputs of the stages' guards."""
 
-    store_verdict: str = ""  # how the store was found, or that there is none; "": not yet known
-    store_usable: bool = False  # it was opened, and is written to
-    epoch: int = 0  # of this process in the fleet; 0: no address yet
-    in_fleet: bool = True  # False: nobody is asked
-    seeds_alive: int = 0  # this coordinator included if it is one
+    store_verdict: str = ""  # outcome of opening the store; "": not yet known
+    store_usable: bool = False  # it is open and accepts writes
+    epoch: int = 0  # of this process in the fleet; 0: the fleet port is not bound yet
+    in_fleet: bool = True  # False: there are no other coordinators
+    seeds_alive: int = 0  # including this coordinator if it is a seed
     quorum: int = 1  # more than half of the seeds
     seed_count: int = 1
-    reported: bool = False  # a quorum of the seeds has reported all that it holds
-    cooldown_over: bool = False  # of rights
+    reported: bool = False  # a quorum of the seeds has sent complete reports
+    cooldown_over: bool = False  # of rights to shared budgets and cold engines
     engines_marked: bool = False  # the core was told which engines have restarted
-    waiting: int = 0  # requests that wait at the gate
-    warm_ratio: float = 0.0  # part of the engines' capacity that they can bear now
+    waiting: int = 0  # number of requests that wait at the gate
+    warm_ratio: float = 0.0  # usable fraction of the engines' full capacity
 
 
 @dataclass(slots=True, frozen=True)
 class StageTimeouts:
-    """How long each stage may take, in ms."""
+    """The longest duration of each stage, in ms."""
 
     store_ms: float = 5_000.0
     address_ms: float = 10_000.0
@@ -57,13 +57,13 @@
 
     @property
     def total_ms(self) -> float:
-        """Longest time that a whole recovery may take, in ms: the sum of all timeouts."""
+        """The longest duration of a complete recovery, in ms: the sum of all timeouts."""
         return sum(rule.timeout(self) for rule in RULES.values())
 
 
 @dataclass(slots=True, frozen=True)
 class StageRule:
-    """One stage: the guard that lets it end, its timeout in ms, and the texts for its end by either."""
+    """One stage: the guard that ends it, its timeout in ms, and the reasons logged for either end."""
 
     guard: Callable[[StageInputs], bool]
     timeout: Callable[[StageTimeouts], float]
@@ -72,12 +72,12 @@
     min_ms: float = 0.0
     cannot_complete: Callable[[StageInputs], bool] = lambda inputs: (
         False
-    )  # the guard will never hold: no use in waiting
+    )  # the guard can no longer become true: don't wait for the timeout
 
 
 @dataclass(slots=True, frozen=True)
 class StageTransition:
-    """The change from one stage to the next; `timed_out`: the previous one ended without its guard."""
+    """The change from one stage to the next; `timed_out`: the guard of the previous one was not met."""
 
     previous: Stage
     stage: Stage
@@ -91,51 +91,51 @@
         lambda inputs: bool(inputs.store_verdict) and inputs.store_usable,
         lambda timeouts: timeouts.store_ms,
         "the store is open",
-        "without a store: nothing is remembered, and no load's ticket is granted here",
+        "no store: state is not persisted and no load ticket is granted here",
         cannot_complete=lambda inputs: bool(inputs.store_verdict) and not inputs.store_usable,
     ),
     Stage.ADDRESS: StageRule(
         lambda inputs: inputs.epoch > 0 or not inputs.in_fleet,
         lambda timeouts: timeouts.address_ms,
-        "the address is ours",
-        "without the fleet's port: serves alone",
+        "the fleet port is bound",
+        "the fleet port is not bound: serving without the fleet",
     ),
     Stage.FIND: StageRule(
         lambda inputs: inputs.seeds_alive >= inputs.quorum,
         lambda timeouts: timeouts.find_ms,
-        "more than half of the seeds are there",
-        "with whom it has found",
+        "a majority of the seeds is alive",
+        "no majority of the seeds is alive: continuing with the members found",
     ),
     Stage.AGREE: StageRule(
         lambda inputs: inputs.reported,
         lambda timeouts: timeouts.agree_ms,
-        "lists and bans are agreed",
-        "the safest of what is known: all bans, engines in all lists and draining in none",
+        "a quorum agreed on engine lists and bans",
+        "no quorum: all known bans apply, and only engines that are ready in all lists are used",
     ),
     Stage.RIGHTS: StageRule(
         lambda inputs: inputs.cooldown_over,
         lambda timeouts: timeouts.rights_ms,
-        "rights have rested",
-        "without rights until they have rested: what needs one goes last",
+        "the cooldown of rights is over",
+        "rights are in cooldown: requests that need one go last until it is over",
     ),
     Stage.ENGINES: StageRule(
         lambda inputs: inputs.engines_marked,
         lambda timeouts: timeouts.engines_ms,
-        "engines are cold or known to have run on",
-        "the list's word on engines' starts",
+        "each engine is marked as restarted or known to have kept running",
+        "engine starts are taken from the engine list",
     ),
     Stage.SERVICE: StageRule(
         lambda inputs: inputs.waiting == 0 and inputs.warm_ratio >= 0.9,
         lambda timeouts: timeouts.service_ms,
-        "engines are warm and nobody waits",
-        "opened to all; the module goes on deciding",
+        "engines are warm and no request waits",
+        "admission is no longer limited here; the controller still schedules requests",
         min_ms=1_000.0,
     ),
 }
 
 
 class RecoveryStages:
-    """The progress of one recovery through its stages."""
+    """The current stage of one recovery, and the transitions so far."""
 
     def __init__(self, timeouts: StageTimeouts, now: float) -> None:
         self.timeouts: StageTimeouts = timeouts
@@ -146,12 +146,12 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the last stage is reached, and nothing is waited for any more."""
+        """Whether the last stage is reached."""
         return self.stage is Stage.OPEN
 
     @property
     def without_quorum(self) -> bool:
-        """Whether the agreement with a quorum of the seeds was given up at its timeout."""
+        """Whether the agreement stage timed out before a quorum of the seeds had reported."""
         return Stage.AGREE in self.timed_out
 
     def next_due(self) -> float:
@@ -161,14 +161,14 @@
         return self.entered_at + RULES[self.stage].timeout(self.timeouts)
 
     def advance(self, now: float, inputs: StageInputs) -> list[StageTransition]:
-        """Leave every stage whose guard holds, which has timed out or which is hopeless; return the transitions."""
+        """Leave every stage that is done, has timed out or can't complete; return the transitions."""
         transitions: list[StageTransition] = []
         while not self.finished:
             rule = RULES[self.stage]
             done = rule.guard(inputs) and now - self.entered_at >= rule.min_ms
             if not done and now < self.next_due() and not rule.cannot_complete(inputs):
                 break
-            # A stage ends at its timeout at the latest, however late it is looked at.
+            # A late call counts the stage as ended at its timeout.
             ended_at = min(now, self.next_due())
             transitions.append(self._leave(rule, done, ended_at))
         self.transitions += transitions
