--- a/frostspindle/recovery/agreement.py
+++ b/frostspindle/recovery/agreement.py
@@ -74,15 +74,15 @@
         self.statements[key] = statement
         return True
 
-    def prune(self, unix: float) -> list[tuple[str, str]]:
-        """Remove bans lifted more than LIFTED_BAN_RETENTION_MS before `unix` (Unix ms); return their keys.
+    def prune(self, unix_ms: float) -> list[tuple[str, str]]:
+        """Remove bans lifted more than LIFTED_BAN_RETENTION_MS before `unix_ms`; return their keys.
 
         A key is an origin and an engine. Bans in force are kept.
         """
         old = [
             key
             for key, statement in self.statements.items()
-            if not statement.banned and unix - statement.at_ms > LIFTED_BAN_RETENTION_MS
+            if not statement.banned and unix_ms - statement.at_ms > LIFTED_BAN_RETENTION_MS
         ]
         for key in old:
             del self.statements[key]
--- a/frostspindle/recovery/effect_handler.py
+++ b/frostspindle/recovery/effect_handler.py
@@ -1,4 +1,4 @@
-"""Carries out a recovery node's effects: log lines, engines' starts, agreed lists and bans, outcomes of claims."""
+"""Applies a recovery node's effects: log lines, engine starts, agreed lists and bans, and outcomes of claims."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class EffectOwner(Protocol):
-    """What the effect handler needs of the recovery service."""
+    """The parts of the recovery service that the effect handler uses."""
 
     program: ProgramContext
     core: Core
@@ -42,18 +42,18 @@
     on_stage: Callable[[str, str], None]
 
     def retry_claim(self, number: int) -> None:
-        """Claim the ticket of a load again, if it still waits."""
+        """Claim the ticket of a load again if the load still waits."""
 
 
 class EffectHandler:
-    """Applies effects to the program of a recovery service; belongs to the event loop's thread."""
+    """Applies effects to the program of a recovery service; used on the event loop's thread only."""
 
     def __init__(self, service: EffectOwner) -> None:
-        self.restarts_marked: int = 0  # how often the core was told of engines' starts
+        self.restarts_marked: int = 0  # number of MarkRestarted effects applied
         self._service: EffectOwner = service
 
     def apply(self, effect: Effect) -> None:
-        """Carry out one effect."""
+        """Apply one effect."""
         match effect:
             case StageTransition():
                 self._on_stage(effect)
@@ -95,7 +95,7 @@
         )
 
     def on_agreed(self, agreed: AgreedState) -> None:
-        """Apply lists and bans that a quorum has agreed on or, until then, the safest of what is known."""
+        """Apply the lists and bans that a quorum has agreed on or, without one, the safest known state."""
         service = self._service
         service.telemetry.log(
             "recovery_state_agreed",
@@ -114,7 +114,7 @@
         service.excluded.withhold(agreed.withheld, agreed.withheld - banned)
 
     def _share_bans(self, agreed: AgreedState) -> AgreedState:
-        """Write our own bans to the shared folder; an engine whose ban can't be written is withheld."""
+        """Write this coordinator's bans to the shared folder; withhold an engine whose ban can't be written."""
         service = self._service
         for name in agreed.banned - service.excluded.operator_bans:
             try:
@@ -125,7 +125,7 @@
         return agreed
 
     def on_claim_resolved(self, resolved: ClaimResolved) -> None:
-        """Admit a load whose ticket is granted; else claim it again or answer it."""
+        """Admit a load whose ticket is granted; otherwise claim the ticket again or answer the load."""
         service = self._service
         number = resolved.number
         outcome = resolved.outcome
@@ -135,7 +135,7 @@
         elif number not in service.gate.waiting:
             return
         elif outcome == ClaimOutcome.NO_QUORUM and not service.node.stages.finished:
-            # Its replicas may be on their way back too: it waits on for as long as it has time.
+            # The replicas may be recovering too: the load keeps waiting until its deadline.
             asyncio.get_running_loop().call_later(CLAIM_RETRY_S, service.retry_claim, number)
         else:
             del service.gate.waiting[number]
@@ -148,7 +148,7 @@
         if may_have_run:
             response = Response(ResponseStatus.FAILED)
         else:
-            # Replicas in cooldown stay so for long: a client that comes back soon is rejected again.
+            # Replicas stay in cooldown for long: a client that retries soon would be rejected again.
             wait_ms = service.config.claim_ms if outcome == ClaimOutcome.NO_QUORUM else math.inf
             retry_ms = service.admission.retry_after_ms(clock(), clock() + wait_ms)
             response = Response(ResponseStatus.REJECTED, None, retry_ms)
@@ -156,7 +156,7 @@
 
 
 def _host(engine: ListedEngine) -> Host:
-    """An engine as the bus lists it, with its start as the bus had it."""
+    """Return an engine as an entry of the bus, with the start that the bus published."""
     return Host(
         engine.name,
         engine.address,
--- a/frostspindle/recovery/figures.py
+++ b/frostspindle/recovery/figures.py
@@ -1,4 +1,4 @@
-"""A recovery node's figures for the operators' port."""
+"""A recovery node's figures for the operators' port (`show-recovery`)."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 MAX_WITHHELD_SHOWN = 64
 
 
-def node_figures(node: RecoveryNode, now: float, unix: float) -> dict[str, object]:
-    """Return the figures; the keys are fixed by docs/recovery.md. `now` in ms monotonic, `unix` in Unix ms."""
+def node_figures(node: RecoveryNode, now: float, unix_ms: float) -> dict[str, object]:
+    """Return the figures; the keys are fixed by docs/recovery.md. `now` in ms monotonic; `unix_ms` is Unix time."""
     stages = node.stages
     journal = node.loads.journal
     return {
@@ -28,7 +28,7 @@
         "withheld": sorted(node.agreed.withheld)[:MAX_WITHHELD_SHOWN] if node.agreed else [],
         "bans_known": len(node.bans.statements),
         "tickets": len(journal.records),
-        "tickets_rest_ms": round(max(0.0, journal.cooldown_until_ms - unix)),
+        "tickets_rest_ms": round(max(0.0, journal.cooldown_until_ms - unix_ms)),
         "claims_open": len(node.loads.claims.pending),
         "counted": dict(sorted(node.outputs.counters.items())),
     }
--- a/frostspindle/recovery/gate.py
+++ b/frostspindle/recovery/gate.py
@@ -1,4 +1,4 @@
-"""The core's admission gate: requests wait here during recovery, and loads for their tickets at any time."""
+"""The core's admission gate: holds requests during recovery, and loads until their tickets are granted."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 @dataclass(slots=True)
 class WaitingEntry:
-    """A request that waits at the gate, and whether its turn by key has come."""
+    """A request that waits at the gate, and whether it is next in the order of its key."""
 
     request: ClientRequest
     key_order_reached: bool
 
 
 class GateOwner(Protocol):
-    """What the gate needs of the recovery service."""
+    """The parts of the recovery service that the gate uses."""
 
     core: Core
     telemetry: Telemetry
     node: RecoveryNode
 
     def claim_ticket(self, request: ClientRequest) -> None:
-        """Claim the ticket of a load."""
+        """Claim the ticket of a load from its replicas."""
 
     def on_load_ended(self, number: int, ran: bool) -> None:
-        """Take the end of a request that may have a claim."""
+        """Process the end of a request that may have a claim."""
 
     def flush_outputs(self) -> None:
         """Send the node's messages and apply its effects."""
 
 
 class RecoveryGate:
-    """Implements core.AdmissionGate; belongs to the event loop's thread."""
+    """Implements core.AdmissionGate; used on the event loop's thread only."""
 
     def __init__(self, service: GateOwner, admission: RecoveryAdmission, non_idempotent: tuple[bool, ...]) -> None:
         self.service: GateOwner = service
@@ -47,11 +47,11 @@
         self.waiting: dict[int, WaitingEntry] = {}
 
     def enter(self, now: float, request: ClientRequest, turn: bool) -> bool:
-        """Return whether the request goes on now; else it waits for Core.admit_waiting or Core.reject_waiting.
+        """Return whether the request proceeds now; otherwise it waits for Core.admit_waiting or Core.reject_waiting.
 
-        With the gate open, only loads wait (for their tickets), and requests whose key still has a queue. `turn` is
-        kept and given to Core.admit_waiting. Requests that this one lets through or displaces are admitted or rejected
-        at once.
+        Once admission is open, only loads wait (for their tickets), and requests whose key still has a queue. `turn`
+        (whether the request is next in the order of its key) is stored and passed to Core.admit_waiting. Other
+        requests that are admitted or displaced as a result are admitted or rejected at once.
         """
         is_load = self.non_idempotent[request.cls]
         if self.admission.open and not is_load and request.key not in self.admission.queues:
@@ -76,7 +76,7 @@
         return True
 
     def apply(self, decisions: list[AdmissionDecision]) -> None:
-        """Tell the core what was decided on requests that still wait."""
+        """Admit or reject requests at the core by these decisions, if they still wait."""
         for decision in decisions:
             entry = self.waiting.pop(decision.number, None)
             if entry is None:
@@ -89,9 +89,9 @@
                 core.reject_waiting(decision.number, Response(ResponseStatus.REJECTED, None, decision.retry_ms))
 
     def on_key_order_reached(self, number: int) -> bool:
-        """Note that the request's turn by key has come.
+        """Note that the request is next in the order of its key, for Core.admit_waiting.
 
-        Return whether it still waits here, with the turn kept for Core.admit_waiting.
+        Return whether it still waits at the gate.
         """
         entry = self.waiting.get(number)
         if entry is None:
@@ -100,16 +100,16 @@
         return True
 
     def on_request_finished(self, number: int, ran: bool) -> None:
-        """Forget a request that was answered or whose client left; `ran` False releases the ticket of a load."""
+        """Remove a request that was answered or whose client disconnected; `ran` False releases a load's ticket."""
         self.waiting.pop(number, None)
         self.admission.remove(number)
         self.service.on_load_ended(number, ran)
 
     def on_attempt_ended(self, engine: str, outcome: int) -> None:
-        """Tell the node of an attempt's end, if it shows whether the engine takes connections.
+        """Pass an attempt's end to the node if it shows whether the engine accepts connections.
 
-        Only an answer proves that one was taken: a broken connection may be older than a loss of power, and an attempt
-        that was stopped or cancelled need not have reached the engine.
+        Only a response proves that one was accepted: a broken connection may predate a power loss, and a stopped or
+        cancelled attempt need not have reached the engine.
         """
         node = self.service.node
         if outcome in (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED):
@@ -118,5 +118,5 @@
             self.service.flush_outputs()
 
     def close(self) -> list[int]:
-        """Return the numbers of the requests that still wait, for the core to answer at shutdown."""
+        """Return the numbers of the requests that still wait, which the core answers at shutdown."""
         return list(self.waiting)
--- a/frostspindle/recovery/inputs.py
+++ b/frostspindle/recovery/inputs.py
@@ -1,4 +1,4 @@
-"""What a recovery node is given: its settings, the opened store, and its previous process's heartbeat."""
+"""Inputs of a recovery node: its settings, the opened store, and the previous process's heartbeat."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoverySettings:
-    """What a coordinator is given at its start."""
+    """The settings of one coordinator's recovery."""
 
     name: str
-    seeds: tuple[str, ...] = ()  # of the fleet; none: it is alone
+    seeds: tuple[str, ...] = ()  # of the fleet; empty: there is no fleet
     timeouts: StageTimeouts = StageTimeouts()
     cooldowns: CooldownSettings = CooldownSettings(0.0, 600_000.0)
     claim_ms: float = 1_000.0
-    first_start: bool = False  # the operator's assurance that an empty store is none that was lost
+    first_start: bool = False  # the operator asserts that an empty store is new and not lost
 
 
 @dataclass(slots=True, frozen=True)
 class OpenedStore:
-    """Outcome of opening the store. `trusted`: it is the latest one; `state`: as it was opened."""
+    """Outcome of opening the store. `trusted`: it is not an older copy; `state`: its state when it was opened."""
 
     verdict: str
     usable: bool
     trusted: bool
-    fresh: bool = False  # nothing was there
+    fresh: bool = False  # there was no store before
     state: StoreState | None = None
     entries: tuple[tuple[bytes, bytes], ...] = ()
 
 
 class HeartbeatRecord(msgspec.Struct, array_like=True, frozen=True):
-    """When a process last wrote to its store that it runs, and whether it has shut down in good order since."""
+    """When a process last wrote its heartbeat to the store, and whether that was at a clean shutdown."""
 
     at_ms: float  # Unix
     last_event: int  # of the bus
--- a/frostspindle/recovery/load_claims.py
+++ b/frostspindle/recovery/load_claims.py
@@ -1,4 +1,4 @@
-"""Claims of loads' tickets between this coordinator and the tickets' replicas, itself among them."""
+"""Claims of load tickets between this coordinator and the tickets' replicas, which may include itself."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LoadClaims:
-    """Both sides of the protocol of tickets for one node. No I/O; `now` in ms monotonic, `unix` in Unix ms."""
+    """Both sides of the ticket protocol for one node. No I/O; `now` in ms monotonic; `unix_ms` is Unix time."""
 
     def __init__(
         self,
@@ -33,21 +33,21 @@
     ) -> None:
         self.journal: TicketJournal = journal
         self.claims: TicketClaims = TicketClaims(claim_ms)
-        self.accepts_new: bool = False  # others were asked whether the journal's store is the latest
+        self.accepts_new: bool = False  # set after the agreement, which shows whether the journal's store is outdated
         self._name: str = name
         self._seeds: tuple[str, ...] = seeds
         self._random: random.Random = rng
         self._outputs: NodeOutputs = outputs
         self._own_store: Callable[[], wire.StoreState | None] = own_store
-        self._number_by_nonce: dict[int, int] = {}  # the core's number of a load
+        self._number_by_nonce: dict[int, int] = {}  # the core's number of each load
         self._nonce_by_number: dict[int, int] = {}
 
     def has_claim(self, number: int) -> bool:
-        """Tell whether a load has a claim."""
+        """Return whether a load has a claim."""
         return number in self._nonce_by_number
 
-    def claim(self, now: float, unix: float, number: int, request_id: str) -> None:
-        """Ask the replicas of a load's ticket to grant it; the outcome follows as a ClaimResolved effect."""
+    def claim(self, now: float, unix_ms: float, number: int, request_id: str) -> None:
+        """Claim a load's ticket from its replicas; a ClaimResolved effect has the outcome."""
         ticket = ticket_id(request_id)
         nonce = self._random.getrandbits(62)
         self._number_by_nonce[nonce] = number
@@ -55,46 +55,46 @@
         messages = self.claims.begin(now, ticket, nonce, ticket_replicas(ticket, self._seeds))
         if not messages:
             self._resolve(nonce, ClaimOutcome.NO_QUORUM)
-        self._deliver(now, unix, messages)
+        self._deliver(now, unix_ms, messages)
 
-    def on_load_ended(self, now: float, unix: float, number: int, ran: bool) -> None:
-        """Take the end of a load, or that its client left; `ran` False releases its ticket."""
+    def on_load_ended(self, now: float, unix_ms: float, number: int, ran: bool) -> None:
+        """Process that a load has ended or its client has disconnected; `ran` False releases its ticket."""
         nonce = self._nonce_by_number.pop(number, None)
         if nonce is None:
             return
         self._number_by_nonce.pop(nonce, None)
         messages = self.claims.on_load_ended(now, nonce, ran) + self.claims.cancel(now, nonce)
-        self._deliver(now, unix, messages)
+        self._deliver(now, unix_ms, messages)
 
-    def on_claim(self, unix: float, sender: str, message: wire.TicketClaim) -> None:
-        """Answer another coordinator's claim at once or once its record is durable."""
-        status = self._claim_locally(unix, sender, message.ticket, message.nonce)
+    def on_claim(self, unix_ms: float, sender: str, message: wire.TicketClaim) -> None:
+        """Answer another coordinator's claim, immediately or when its record is durable."""
+        status = self._claim_locally(unix_ms, sender, message.ticket, message.nonce)
         if status is not None:
             self._reply(sender, message.ticket, message.nonce, status)
 
-    def on_reply(self, now: float, unix: float, replica: str, nonce: int, status: TicketStatus) -> None:
-        """Take a replica's answer to a claim of ours."""
+    def on_reply(self, now: float, unix_ms: float, replica: str, nonce: int, status: TicketStatus) -> None:
+        """Process a replica's reply to a claim of this coordinator."""
         resolved = self.claims.on_reply(now, replica, nonce, status)
         if resolved is None:
             return
         outcome, messages = resolved
         self._resolve(nonce, outcome)
-        self._deliver(now, unix, messages)
+        self._deliver(now, unix_ms, messages)
 
-    def on_batch_written(self, now: float, unix: float, ok: bool, full: bool) -> None:
-        """Take the outcome of the journal's batch and answer those that waited for it."""
+    def on_batch_written(self, now: float, unix_ms: float, ok: bool, full: bool) -> None:
+        """Process the outcome of the journal's batch and answer the claimants that waited for it."""
         for waiter, status in self.journal.on_batch_written(ok, full):
             if waiter.name == self._name:
-                self.on_reply(now, unix, waiter.name, waiter.nonce, status)
+                self.on_reply(now, unix_ms, waiter.name, waiter.nonce, status)
             else:
                 self._reply(waiter.name, waiter.ticket, waiter.nonce, status)
 
-    def tick(self, now: float, unix: float) -> None:
-        """Resend what is due and resolve claims that are past their deadline."""
+    def tick(self, now: float, unix_ms: float) -> None:
+        """Resend messages that are due and resolve claims that are past their deadline."""
         messages, ended = self.claims.tick(now)
         for nonce, outcome in ended:
             self._resolve(nonce, outcome)
-        self._deliver(now, unix, messages)
+        self._deliver(now, unix_ms, messages)
 
     def _resolve(self, nonce: int, outcome: ClaimOutcome) -> None:
         number = self._number_by_nonce.get(nonce)
@@ -102,7 +102,7 @@
             self._outputs.effects.append(ClaimResolved(number, outcome))
         self._outputs.counters[f"claims_{outcome.replace(' ', '_')}"] += 1
 
-    def _deliver(self, now: float, unix: float, messages: Iterable[TicketMessage]) -> None:
+    def _deliver(self, now: float, unix_ms: float, messages: Iterable[TicketMessage]) -> None:
         for message in messages:
             if message.replica != self._name:
                 message_type = wire.TicketRelease if message.release else wire.TicketClaim
@@ -110,14 +110,14 @@
             elif message.release:
                 self.journal.release(self._name, message.ticket, message.nonce)
             else:
-                status = self._claim_locally(unix, self._name, message.ticket, message.nonce)
+                status = self._claim_locally(unix_ms, self._name, message.ticket, message.nonce)
                 if status is not None:
-                    self.on_reply(now, unix, self._name, message.nonce, status)
+                    self.on_reply(now, unix_ms, self._name, message.nonce, status)
 
-    def _claim_locally(self, unix: float, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
+    def _claim_locally(self, unix_ms: float, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
         if not self.accepts_new and ticket not in self.journal.records:
-            return None  # as if the claim were lost: it is sent again
-        return self.journal.claim(unix, claimant, ticket, nonce)
+            return None  # no reply, as if the claim was lost: the claimant resends it
+        return self.journal.claim(unix_ms, claimant, ticket, nonce)
 
     def _reply(self, receiver: str, ticket: bytes, nonce: int, status: TicketStatus) -> None:
         self._outputs.send(receiver, wire.TicketReply(ticket, nonce, status, self._own_store()))
--- a/frostspindle/recovery/monotonic_clock.py
+++ b/frostspindle/recovery/monotonic_clock.py
@@ -6,5 +6,5 @@
 
 
 def monotonic() -> float:
-    """Return milliseconds of a clock that runs on while the process is stopped."""
+    """Return the time in ms of a monotonic clock, which also advances while the process is stopped."""
     return time.monotonic() * 1000.0
--- a/frostspindle/recovery/node.py
+++ b/frostspindle/recovery/node.py
@@ -2,7 +2,7 @@
 
 The program passes in messages, times and events. It takes out messages and effects (`outputs`), and batches for the
 store (`next_batch`), whose outcome it passes to `on_batch_written`. `state_kinds.TABLE` defines which state is trusted
-and how conflicts are resolved. `now` is in ms of the monotonic clock, `unix` in Unix ms. Used on the event loop's
+and how conflicts are resolved. `now` is in ms of the monotonic clock; `unix_ms` is Unix time. Used on the event loop's
 thread only.
 """
 
@@ -33,7 +33,7 @@
 class RecoveryNode:
     """One process's recovery, and afterwards its part in the recovery of other coordinators."""
 
-    def __init__(self, settings: RecoverySettings, now: float, unix: float, seed: int) -> None:
+    def __init__(self, settings: RecoverySettings, now: float, unix_ms: float, seed: int) -> None:
         self.settings: RecoverySettings = settings
         self.seeds: tuple[str, ...] = settings.seeds or (settings.name,)
         self.started_at: float = now
@@ -59,7 +59,7 @@
         self.transfer: StateTransfer = StateTransfer(
             settings.name, self.seeds, now, self.random, self.outputs, self.own_store
         )
-        journal = tickets.TicketJournal((), settings.cooldowns.tickets_ms, unix, in_cooldown=True, usable=False)
+        journal = tickets.TicketJournal((), settings.cooldowns.tickets_ms, unix_ms, in_cooldown=True, usable=False)
         self.loads: LoadClaims = LoadClaims(
             settings.name, self.seeds, settings.claim_ms, journal, self.random, self.outputs, self.own_store
         )
@@ -88,14 +88,14 @@
 
     # Opening of the store.
 
-    def on_store_opened(self, now: float, unix: float, opened: OpenedStore) -> None:
+    def on_store_opened(self, now: float, unix_ms: float, opened: OpenedStore) -> None:
         """Process the outcome of opening the store: load its entries if they are trusted."""
         trusted = self.store.on_opened(opened, self.settings.first_start)
         self.inputs.store_verdict = opened.verdict
         self.inputs.store_usable = opened.usable
         stored = StoredState()
         stored.load(opened.entries if trusted else ())
-        self._load(stored, unix, trusted)
+        self._load(stored, unix_ms, trusted)
         marked = opened.usable and any(key == MARK for key, _ in opened.entries)
         self.idle_mark.on_store_opened(marked, trusted)
         self._log(
@@ -107,9 +107,9 @@
             engines=len(stored.engines),
             clean=stored.heartbeat.clean_shutdown if stored.heartbeat else None,
         )
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def _load(self, stored: StoredState, unix: float, trusted: bool) -> None:
+    def _load(self, stored: StoredState, unix_ms: float, trusted: bool) -> None:
         for statement in stored.bans:
             self.published.bans.merge(statement)
         self.peer_stores.states.update(stored.peer_stores)
@@ -120,18 +120,18 @@
             )
         cooldown_ms = state_kinds.cooldown_ms("tickets", self.settings.cooldowns)
         self.loads.journal = tickets.TicketJournal(
-            stored.tickets, cooldown_ms, unix, in_cooldown=not trusted, usable=self.inputs.store_usable
+            stored.tickets, cooldown_ms, unix_ms, in_cooldown=not trusted, usable=self.inputs.store_usable
         )
         self.outputs.counters["recovery_spoilt"] += stored.corrupt + self.loads.journal.corrupt
 
     # Events of the program.
 
-    def on_port_bound(self, now: float, unix: float, epoch: int) -> None:
+    def on_port_bound(self, now: float, unix_ms: float, epoch: int) -> None:
         """Process that the fleet port is bound, under this epoch."""
         self.inputs.epoch = epoch
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def on_member(self, now: float, unix: float, name: str, alive: bool) -> None:
+    def on_member(self, now: float, unix_ms: float, name: str, alive: bool) -> None:
         """Process that a member is alive, or no longer is."""
         if alive:
             self.alive.add(name)
@@ -139,30 +139,30 @@
             self.alive.discard(name)
             self.transfer.forget(name)
         self.inputs.seeds_alive = sum(seed == self.settings.name or seed in self.alive for seed in self.seeds)
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def on_cooldown_over(self, now: float, unix: float) -> None:
+    def on_cooldown_over(self, now: float, unix_ms: float) -> None:
         """Process the end of the cooldown of rights."""
         self.inputs.cooldown_over = True
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def on_backlog(self, now: float, unix: float, waiting: int, warm_ratio: float) -> None:
+    def on_backlog(self, now: float, unix_ms: float, waiting: int, warm_ratio: float) -> None:
         """Process the number of requests that wait at the gate and the engines' usable capacity (0 to 1)."""
         self.inputs.waiting = waiting
         self.inputs.warm_ratio = warm_ratio
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def on_engine_list(self, unix: float, last_event: int, listed: Mapping[str, ListedEngine]) -> None:
+    def on_engine_list(self, unix_ms: float, last_event: int, listed: Mapping[str, ListedEngine]) -> None:
         """Process the present local engine list, with the number of the last bus event."""
         self.published.set_engines(last_event, listed, store=self.past_agreement)
         if Stage.ENGINES < self.stages.stage < Stage.OPEN:
-            self._classify_engines(unix)
+            self._classify_engines(unix_ms)
 
-    def record_ban(self, unix: float, engine: str, banned: bool) -> None:
+    def record_ban(self, unix_ms: float, engine: str, banned: bool) -> None:
         """Record that an operator at this coordinator bans an engine, or lifts the ban."""
-        self.published.merge_ban(BanStatement(self.settings.name, engine, banned, unix))
+        self.published.merge_ban(BanStatement(self.settings.name, engine, banned, unix_ms))
 
-    def on_attempt_ended(self, unix: float, name: str, refused: bool) -> None:
+    def on_attempt_ended(self, unix_ms: float, name: str, refused: bool) -> None:
         """Process the end of an attempt; `refused`: the engine refused the connection.
 
         This is how a running coordinator detects restarts of engines.
@@ -171,18 +171,18 @@
         if self.stages.stage <= Stage.ENGINES or engine is None:
             self.published.restarts.forget_refusals(name)
         elif refused:
-            self.published.restarts.on_refused(unix, name)
+            self.published.restarts.on_refused(unix_ms, name)
         else:
-            self.published.restarts.on_answered(unix, engine)
+            self.published.restarts.on_answered(unix_ms, engine)
 
     def on_rights_idle(self, idle: bool) -> None:
         """Process whether none of our rights to cold engines are lent, used or requested; see idle_mark."""
         if self.inputs.store_usable and self.past_agreement:
             self.idle_mark.set_idle(idle)
 
-    def on_shutdown(self, unix: float) -> None:
+    def on_shutdown(self, unix_ms: float) -> None:
         """Record a clean shutdown in the last batch."""
-        self._write_heartbeat(unix, clean_shutdown=True)
+        self._write_heartbeat(unix_ms, clean_shutdown=True)
 
     # The store.
 
@@ -200,7 +200,7 @@
         batch.update(journal_batch or {})
         return batch
 
-    def on_batch_written(self, now: float, unix: float, ok: bool, full: bool = False) -> None:
+    def on_batch_written(self, now: float, unix_ms: float, ok: bool, full: bool = False) -> None:
         """Process the outcome of the last batch. `ok`: it is durable.
 
         `full`: the disk was full and nothing was written. Neither: the store is broken and no longer used.
@@ -212,10 +212,10 @@
         elif not full:
             self.inputs.store_usable = False
             self._log("recovery_tickets_disabled", why="the store failed to write a batch: no tickets are granted here")
-        self.loads.on_batch_written(now, unix, ok, full)
+        self.loads.on_batch_written(now, unix_ms, ok, full)
 
-    def _write_heartbeat(self, unix: float, clean_shutdown: bool) -> None:
-        record = HeartbeatRecord(unix, self.published.last_event, clean_shutdown)
+    def _write_heartbeat(self, unix_ms: float, clean_shutdown: bool) -> None:
+        record = HeartbeatRecord(unix_ms, self.published.last_event, clean_shutdown)
         self.buffer.put("beat", "", wire.encode(record))
 
     def own_store(self) -> StoreState | None:
@@ -229,7 +229,7 @@
 
     # Messages.
 
-    def on_message(self, now: float, unix: float, sender: str, data: bytes) -> None:
+    def on_message(self, now: float, unix_ms: float, sender: str, data: bytes) -> None:
         """Process a member's message; a malformed one is counted and dropped."""
         try:
             message = wire.decode(data)
@@ -241,12 +241,12 @@
                 self.peer_stores.remember(now, sender, message.own_store)
                 self._on_report_request(now, sender, message)
             case wire.ReportPage():
-                self._on_report_page(now, unix, sender, message)
+                self._on_report_page(now, unix_ms, sender, message)
             case wire.TicketClaim():
-                self.loads.on_claim(unix, sender, message)
+                self.loads.on_claim(unix_ms, sender, message)
             case wire.TicketReply():
                 self.peer_stores.remember(now, sender, message.own_store)
-                self.loads.on_reply(now, unix, sender, message.nonce, message.status)
+                self.loads.on_reply(now, unix_ms, sender, message.nonce, message.status)
             case wire.TicketRelease():
                 self.loads.journal.release(sender, message.ticket, message.nonce)
 
@@ -275,7 +275,7 @@
     def _own_report(self) -> MemberReport:
         return self.published.own_report(self.store.lost, self.past_agreement)
 
-    def _on_report_page(self, now: float, unix: float, sender: str, page: wire.ReportPage) -> None:
+    def _on_report_page(self, now: float, unix_ms: float, sender: str, page: wire.ReportPage) -> None:
         if sender not in self.transfer.transfers:
             return  # not requested
         self.peer_stores.remember(now, sender, page.own_store)
@@ -286,12 +286,12 @@
         report = self.transfer.finish_page(now, sender, page)
         if report is None:
             return
-        self._compare_stores(unix, sender, page)
+        self._compare_stores(unix_ms, sender, page)
         adopt = self.stages.stage > Stage.ENGINES
-        self.published.restarts.merge_peer_starts(unix, report, self.published.engines, adopt)
-        self._advance(now, unix)
+        self.published.restarts.merge_peer_starts(unix_ms, report, self.published.engines, adopt)
+        self._advance(now, unix_ms)
 
-    def _compare_stores(self, unix: float, sender: str, page: wire.ReportPage) -> None:
+    def _compare_stores(self, unix_ms: float, sender: str, page: wire.ReportPage) -> None:
         """Compare our store with the state of it that another member knows; a later one shows that ours is outdated."""
         if self.past_agreement and not self.stages.without_quorum:
             return
@@ -310,7 +310,7 @@
                 generation=known_state.generation,
                 ours=[opened.incarnation, opened.generation],
             )
-        self.loads.journal.start_cooldown(unix)
+        self.loads.journal.start_cooldown(unix_ms)
 
     # Time and stages.
 
@@ -329,24 +329,24 @@
             due_times.append(self.transfer.next_due())
         return min(due_times)
 
-    def tick(self, now: float, unix: float) -> None:
+    def tick(self, now: float, unix_ms: float) -> None:
         """Send what is due, prune old state, write the heartbeat, and advance the stages."""
-        self.loads.tick(now, unix)
+        self.loads.tick(now, unix_ms)
         if now >= self._prune_at:
             self._prune_at = now + PRUNE_MS
-            self.loads.journal.prune(unix)
-            self.published.prune(unix)
+            self.loads.journal.prune(unix_ms)
+            self.published.prune(unix_ms)
         if now >= self._heartbeat_at:
             self._heartbeat_at = now + HEARTBEAT_MS
             if self.past_agreement:  # earlier, it would overwrite the previous process's heartbeat
-                self._write_heartbeat(unix, clean_shutdown=False)
+                self._write_heartbeat(unix_ms, clean_shutdown=False)
         if now >= self.peer_stores.save_at and self.past_agreement:
             self.peer_stores.save(self.buffer)
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
         needs_quorum = self.inputs.in_fleet and not self.has_quorum
         self.transfer.tick(now, self.alive, needs_quorum, recovered=self.stages.finished)
 
-    def _advance(self, now: float, unix: float) -> None:
+    def _advance(self, now: float, unix_ms: float) -> None:
         """Advance the stages, and agree as soon as a quorum has reported."""
         if not self.past_agreement or (self.stages.without_quorum and not self.has_quorum):
             self._review_reports()
@@ -356,7 +356,7 @@
                 break
             for transition in transitions:
                 self.outputs.effects.append(transition)
-                self._on_transition(transition, unix)
+                self._on_transition(transition, unix_ms)
         if self.inputs.reported and self.past_agreement and not self.has_quorum:
             self._agree()  # a quorum has reported after the agreement stage timed out
 
@@ -370,12 +370,12 @@
     def _reports(self) -> list[MemberReport]:
         return [self._own_report(), *self.transfer.reports()]
 
-    def _on_transition(self, transition: StageTransition, unix: float) -> None:
+    def _on_transition(self, transition: StageTransition, unix_ms: float) -> None:
         if transition.previous is Stage.AGREE:
             self.loads.accepts_new = True
             self._agree()
         if transition.stage is Stage.ENGINES:
-            self._classify_engines(unix)
+            self._classify_engines(unix_ms)
             self.inputs.engines_marked = True
 
     def _agree(self) -> None:
@@ -386,10 +386,10 @@
             self.transfer.clear()
             self.published.invalidate()
 
-    def _classify_engines(self, unix: float) -> None:
+    def _classify_engines(self, unix_ms: float) -> None:
         """Mark engines as restarted that may have lost power with this coordinator."""
         self.published.restarts.classify_engines(
-            unix,
+            unix_ms,
             self.published.engines,
             self.agreed.engine_starts if self.agreed else {},
             self.store.last_heartbeat_ms,
--- a/frostspindle/recovery/outputs.py
+++ b/frostspindle/recovery/outputs.py
@@ -1,4 +1,4 @@
-"""What a recovery node wants done: messages to other coordinators, effects in the program, counters."""
+"""Outputs of a recovery node: messages to other coordinators, effects on the program, and counters."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class MarkRestarted(NamedTuple):
-    """Effect: take these engines as started at these times (Unix ms), unless the list has a later start."""
+    """Effect: treat these engines as started at these times (Unix ms), unless the list has a later start."""
 
     starts: dict[str, float]
 
 
 class ClaimResolved(NamedTuple):
-    """Effect: the claim of the load with this number has its outcome."""
+    """Effect: the claim of the load with this number has ended."""
 
     number: int
     outcome: ClaimOutcome
@@ -35,7 +35,7 @@
 
 
 class NodeOutputs:
-    """Collects what the parts of one node want done until the program takes it."""
+    """Collects the messages, effects and counters of one node's components until the program takes them."""
 
     def __init__(self) -> None:
         self.messages: list[tuple[str, bytes]] = []  # receiver and bytes
@@ -48,17 +48,17 @@
 
     @property
     def pending(self) -> bool:
-        """Whether there are messages or effects."""
+        """Whether there are messages or effects to take."""
         return bool(self.messages or self.effects)
 
     def take_messages(self) -> list[tuple[str, bytes]]:
-        """Return the messages and forget them."""
+        """Return and clear the messages."""
         messages = self.messages
         self.messages = []
         return messages
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects and forget them."""
+        """Return and clear the effects."""
         effects = self.effects
         self.effects = []
         return effects
--- a/frostspindle/recovery/own_store.py
+++ b/frostspindle/recovery/own_store.py
@@ -1,4 +1,4 @@
-"""What a node knows of its own store: how it was opened, whether it is the latest one, and how far it is written."""
+"""The state of a node's own store: how it was opened, whether it is outdated or lost, and its generation."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
     def __init__(self) -> None:
         self.opened: OpenedStore = OpenedStore("not opened", usable=False, trusted=False)
-        self.lost: bool = True  # the absence of a ban or ticket in it says nothing
-        self.outdated: bool = False  # others know a later state of it
-        self.first_start: bool = False  # by the operator's assurance there was no store, and so no loss
+        self.lost: bool = True  # a ban or ticket that it lacks may still exist
+        self.outdated: bool = False  # other coordinators know a later state of it
+        self.first_start: bool = False  # there was no store before, as the operator asserts, and so no loss
         self.generation: int = 0
         self.heartbeat: HeartbeatRecord | None = None  # of the previous process
-        self._seeds_without_record: set[str] = set()  # seeds that, with stores of their own, know of no state of it
+        self._seeds_without_record: set[str] = set()  # seeds with intact stores that know no state of this store
 
     def on_opened(self, opened: OpenedStore, first_start_assured: bool) -> bool:
-        """Take the outcome of the opening; return whether the store's entries are trusted."""
+        """Process the outcome of the opening; return whether the store's entries are trusted."""
         self.opened = opened
         self.first_start = opened.fresh and first_start_assured
         trusted = opened.usable and (opened.trusted or self.first_start)
@@ -28,16 +28,16 @@
         return trusted
 
     def state(self) -> StoreState | None:
-        """Return the state with all batches that are durable; None without a store."""
+        """Return the state including all durable batches; None without a store."""
         opened = self.opened.state
         if opened is None:
             return None
         return StoreState(opened.id, opened.incarnation, self.generation)
 
     def is_older_than(self, known: StoreState, count_written: bool) -> bool:
-        """Tell whether another knows a later state than ours.
+        """Return whether a state that another coordinator knows is later than ours.
 
-        `count_written`: what was written since the opening counts as ours.
+        `count_written`: include the batches written since the opening in our state.
         """
         opened = self.opened.state
         if opened is None:
@@ -46,7 +46,7 @@
         return known.version > (opened.incarnation, max(opened.generation, written))
 
     def mark_outdated(self) -> bool:
-        """Note that others know a later state, so that this one is not trusted; return whether that is news."""
+        """Mark the store as outdated and so not trusted; return whether it was not marked before."""
         changed = not self.outdated
         self.outdated = True
         self.lost = True
@@ -54,11 +54,11 @@
         return changed
 
     def add_seed_without_record(self, seed: str) -> None:
-        """Note that a seed whose own store is whole knows of no state of ours."""
+        """Note that a seed with an intact store knows no state of this store."""
         self._seeds_without_record.add(seed)
 
     def confirm_never_existed(self, other_seeds: int) -> bool:
-        """Tell whether a lost store proves to be the first: a majority of the others would know of an earlier one."""
+        """Clear `lost` if a majority of the other seeds knows no earlier store; return whether it was cleared."""
         if not self.lost or not self.opened.fresh or self.outdated:
             return False
         if not 2 * len(self._seeds_without_record) > other_seeds > 0:
@@ -75,7 +75,7 @@
 
     @property
     def clean_shutdown(self) -> bool:
-        """Whether the previous process ended in good order, or there was none."""
+        """Whether the previous process shut down cleanly, or there was none."""
         if self.first_start:
             return True
         return not self.lost and self.heartbeat is not None and self.heartbeat.clean_shutdown
--- a/frostspindle/recovery/peer_stores.py
+++ b/frostspindle/recovery/peer_stores.py
@@ -1,4 +1,4 @@
-"""The last states of other members' stores, remembered so that a member whose store is lost or older can be told."""
+"""The last known states of other members' stores, so that a member can learn that its store is lost or outdated."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from frostspindle.recovery.write_buffer import WriteBuffer
 
 MAX_MEMBERS = 512
-SAVE_DELAY_MS = 1_000.0  # after which a state that was received is in our store at the latest, also without any loads
+SAVE_DELAY_MS = 1_000.0  # within which a received state is passed to our store, even without loads
 
 
 class PeerStores:
@@ -21,7 +21,7 @@
         self._unsaved: set[str] = set()
 
     def remember(self, now: float, name: str, state: StoreState | None) -> None:
-        """Take the state that a member tells of its own store, if it is later than the known one."""
+        """Remember the state that a member reports of its own store if it is later than the known one."""
         if state is None or (name not in self.states and len(self.states) >= MAX_MEMBERS):
             return
         old = self.states.get(name)
@@ -31,7 +31,7 @@
             self.save_at = min(self.save_at, now + SAVE_DELAY_MS)
 
     def save(self, buffer: WriteBuffer) -> None:
-        """Pass the states that the store lacks to the write buffer."""
+        """Pass the states that are not yet stored to the write buffer."""
         self.save_at = math.inf
         for name in self._unsaved:
             buffer.put("generations", name, wire.encode(self.states[name]))
--- a/frostspindle/recovery/report.py
+++ b/frostspindle/recovery/report.py
@@ -1,4 +1,4 @@
-"""A coordinator's report of engines and bans, cut into pages that fit a message."""
+"""A coordinator's report of engines and bans, split into pages that fit a message."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PagedReport:
-    """All pages of one state of a report, and the digest that tells it from another state."""
+    """All pages of one version of a report, and the digest that identifies it."""
 
     digest: int
     pages: list[ReportRows]
 
 
 def paginate(last_event: int, engines: Iterable[ListedEngine], bans: Iterable[BanStatement]) -> PagedReport:
-    """Cut a report into pages of PAGE_BYTES; rows beyond MAX_PAGES are left out. The digest is of all rows."""
+    """Split a report into pages of PAGE_BYTES and drop pages beyond MAX_PAGES; the digest covers all rows."""
     digest = blake2b(str(last_event).encode(), digest_size=6)
     pages = [ReportRows()]
     free_bytes = wire.PAGE_BYTES
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -1,6 +1,6 @@
-"""Recovery in a running coordinator: creates its parts, calls the node in time, ties it to fleet, bus and core.
+"""Recovery in a running coordinator: runs the node on a timer and connects it to the fleet, the bus and the core.
 
-Belongs to the event loop's thread, which it never blocks for the store; see `store_worker`.
+Used on the event loop's thread only, which never blocks on the store; see `store_worker`.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
     from frostspindle.config.fleet import FleetSection
     from frostspindle.host import ProgramContext
 
-RECOVERING_TICK_S = 0.05  # the timer's longest wait until recovery is over
-LIST_CHECK_S = 0.25  # between looks at the engine list, and the timer's longest wait after recovery
+RECOVERING_TICK_S = 0.05  # the timer's longest interval during recovery
+LIST_CHECK_S = 0.25  # between checks of the engine list, and the timer's longest interval after recovery
 MIN_TICK_S = 0.002
-LOADS_DELAY_MS = 1_000.0  # of service, until when only idempotent requests are admitted
+LOADS_DELAY_MS = 1_000.0  # after the start of service, until which only idempotent requests are admitted
 MIN_WAITING = 16
 MAX_NAME = 64
 
 
 class RecoveryService:
-    """One process's recovery, and its part in that of others. Implements fleet.service.FleetChannel."""
+    """One process's recovery, and its part in that of other coordinators. Implements fleet.service.FleetChannel."""
 
     channel = wire.CHANNEL
 
@@ -66,23 +66,23 @@
         self.effects: EffectHandler = EffectHandler(self)
         self.store_worker: StoreWorker = StoreWorker(self)
 
-        self._list_version: tuple[int, int, int] = (-1, -1, -1)  # what the node's engine list was made from
+        self._list_version: tuple[int, int, int] = (-1, -1, -1)  # inputs from which the node's engine list was built
         self._list_checked_at: float = 0.0
         self._service_started_at: float = 0.0
         self._cooldown_started_at: float = monotonic()
         self._timer: asyncio.TimerHandle | None = None
         self._closing: bool = False
 
-    # The program's calls.
+    # Called by the program.
 
     def start(self) -> None:
-        """Start opening the store, the writer task and the timer; needs a running event loop."""
+        """Start to open the store, the writer task and the timer; needs a running event loop."""
         self._cooldown_started_at = monotonic()
         self.store_worker.start()
         self._tick()
 
     async def close(self) -> None:
-        """Record in the store that this process ended in good order, then close it."""
+        """Record a clean shutdown in the store, then close it."""
         self._closing = True
         if self._timer is not None:
             self._timer.cancel()
@@ -90,11 +90,11 @@
         await self.store_worker.close()
 
     def set_bans(self, names: frozenset[str]) -> None:
-        """Set the bans by hand, as the shared files have them; changes are recorded and the core told."""
+        """Set the operators' bans from the shared folder; record the changes and update the core."""
         self.excluded.set_bans(names)
 
     def readmit(self, name: str) -> None:
-        """Admit an engine again, on staff's order, that was withheld for want of agreement."""
+        """Admit an engine again, on an operator's request, that was withheld for lack of agreement."""
         self.excluded.readmit(name)
 
     def figures(self) -> dict[str, Any]:
@@ -112,61 +112,61 @@
             "withheld_now": sorted(self.excluded.withheld)[:MAX_WITHHELD_SHOWN],
         }
 
-    # The fleet's calls.
+    # Called by the fleet.
 
     def on_started(self, now: float, node: Any) -> None:
-        """Tell the node that the fleet's port is ours and under which epoch.
+        """Pass the epoch to the node once the fleet port is bound.
 
-        The cooldown of rights counts anew from `now` (monotonic ms).
+        The cooldown of rights restarts at `now` (monotonic ms).
         """
         self._cooldown_started_at = now
         self.node.on_port_bound(now, clock(), node.epoch)
         self.flush_outputs()
 
     def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
-        """Hand a member's message on the recovery channel to the node; `epoch` is not used."""
+        """Pass a member's message on the recovery channel to the node; `epoch` is not used."""
         self.node.on_message(now, clock(), name, data)
         self.flush_outputs()
 
     def on_member_changed(self, now: float, name: str, state: str) -> None:
-        """Tell the node of a member's new state (suspect counts as alive).
+        """Pass a member's new state to the node; a suspect member counts as alive.
 
-        When one becomes alive, set this coordinator's share of the work rate to one part of all live members, itself
-        included.
+        When a member becomes alive, set this coordinator's share of the work rate to 1 / the number of live members,
+        itself included.
         """
         self.node.on_member(now, clock(), name, state in ("alive", "suspect"))
         if state == "alive":
             self.admission.share = 1.0 / (1 + len(self.node.alive))
         self._schedule(0.0)
 
-    # Calls of the gate and the store's worker.
+    # Called by the gate and the store's worker.
 
     def claim_ticket(self, request: ClientRequest) -> None:
-        """Ask the replicas of a load's ticket to grant it; the outcome comes as a ClaimResolved effect."""
+        """Claim a load's ticket from its replicas; a ClaimResolved effect has the outcome."""
         self.node.loads.claim(monotonic(), clock(), request.number, request.ticket)
         self.flush_outputs()
 
     def retry_claim(self, number: int) -> None:
-        """Claim the ticket of a load again, if it still waits."""
+        """Claim the ticket of a load again if the load still waits."""
         entry = self.gate.waiting.get(number)
         if entry is not None and not self._closing:
             self.claim_ticket(entry.request)
 
     def on_load_ended(self, number: int, ran: bool) -> None:
-        """Tell the node that a request with a claim has ended; `ran` False releases its ticket. No claim: ignored."""
+        """Pass the end of a request to the node if it has a claim; `ran` False releases its ticket."""
         if self.node.loads.has_claim(number):
             self.node.loads.on_load_ended(monotonic(), clock(), number, ran)
             self.flush_outputs()
 
     def on_store_opened(self, opened: OpenedStore) -> None:
-        """Pass the opened store to the node, after the engine list that the configuration has."""
+        """Pass the opened store to the node, after the configured engine list."""
         self._check_engine_list(monotonic(), clock())
         self.node.on_store_opened(monotonic(), clock(), opened)
         self.excluded.record_missing_bans()
         self.flush_outputs()
 
     def exchange_idle_mark(self) -> None:
-        """Pass between the rights to cold engines and the store whether any are lent, used or wanted."""
+        """Set the idle mark by whether rights to cold engines are lent, used or requested; pass its state back."""
         warming = self.program.warming
         if warming is None:
             return
@@ -197,52 +197,52 @@
 
     def _tick(self) -> None:
         now = monotonic()
-        unix = clock()
+        unix_ms = clock()
         stages = self.node.stages
         if now - self._list_checked_at >= LIST_CHECK_S * 1000.0:
             self._list_checked_at = now
-            self._check_engine_list(now, unix)
+            self._check_engine_list(now, unix_ms)
         if not stages.finished:
-            self._update_admission(now, unix)
-        self.node.tick(now, unix)
+            self._update_admission(now, unix_ms)
+        self.node.tick(now, unix_ms)
         self.exchange_idle_mark()
         self.flush_outputs()
         if not stages.finished:
-            self.gate.apply(self.admission.poll(unix))
+            self.gate.apply(self.admission.poll(unix_ms))
         due_s = max(MIN_TICK_S, (self.node.next_due() - now) / 1000.0)
         self._schedule(min(due_s, LIST_CHECK_S if stages.finished else RECOVERING_TICK_S))
 
-    def _update_admission(self, now: float, unix: float) -> None:
-        """Tell the admission what engines there are and when service starts, and the node how many requests wait."""
+    def _update_admission(self, now: float, unix_ms: float) -> None:
+        """Pass the engines and the start of service to the admission, and its backlog to the node."""
         self.admission.engines = tuple(
             ReadyEngine(engine.cores, engine.entry.since_ms)
             for engine in self.core.controller.engines.values()
             if engine.ready and not engine.ejected
         )
         if self.node.stages.stage < Stage.SERVICE:
-            self.admission.expected_start = unix + max(0.0, self.node.stages.next_due() - monotonic())
+            self.admission.expected_start = unix_ms + max(0.0, self.node.stages.next_due() - monotonic())
         elif not self._service_started_at:
-            self._service_started_at = unix
+            self._service_started_at = unix_ms
             self.admission.service_started = True
-        elif unix - self._service_started_at >= LOADS_DELAY_MS:
+        elif unix_ms - self._service_started_at >= LOADS_DELAY_MS:
             self.admission.admits_non_idempotent = True
-        self.node.on_backlog(now, unix, len(self.admission.waiting), self.admission.warm_ratio(unix))
+        self.node.on_backlog(now, unix_ms, len(self.admission.waiting), self.admission.warm_ratio(unix_ms))
 
-    def _check_engine_list(self, now: float, unix: float) -> None:
-        """Pass a changed engine list on; note the end of the cooldown, and that the bus has the last word again."""
+    def _check_engine_list(self, now: float, unix_ms: float) -> None:
+        """Pass on a changed engine list and the end of the cooldown; release engines once the bus has caught up."""
         bus = self.program.bus
         list_version = (bus.last, len(self.core.engines), self.effects.restarts_marked)
         if list_version != self._list_version:
             self._list_version = list_version
-            self.node.on_engine_list(unix, bus.last, self._engine_list())
+            self.node.on_engine_list(unix_ms, bus.last, self._engine_list())
         if self._cooldown_ended(now):
-            self.node.on_cooldown_over(now, unix)
+            self.node.on_cooldown_over(now, unix_ms)
         agreed = self.node.agreed
         if self.excluded.withheld_by_lists and agreed is not None and bus.spoke and bus.last >= agreed.last_event:
             self.excluded.release_listed()
 
     def _cooldown_ended(self, now: float) -> bool:
-        """Whether the cooldown of rights is over and the node does not know yet."""
+        """Return whether the cooldown of rights is over and the node was not notified."""
         inputs = self.node.inputs
         if inputs.cooldown_over or now - self._cooldown_started_at < self.settings.cooldowns.rights_ms:
             return False
@@ -296,7 +296,7 @@
 
 
 def _rights_cooldown_ms(config: Config, fleet: FleetSection | None) -> float:
-    """Return for how long after a start a previous process's rights may still be in use, by the slower clock."""
+    """Return how long after a start a previous process's rights may still be in use, by the slower clock, in ms."""
     if fleet is None:
         return 0.0
     drift_factor = 1 + fleet.drift
@@ -312,9 +312,9 @@
 
 
 def attach(program: ProgramContext) -> RecoveryService:
-    """Create the recovery of a program under construction and register it.
+    """Create and register the recovery of a program under construction.
 
-    Its fleet, if it has one, carries the messages.
+    The messages go through the program's fleet, if it has one.
     """
     operator = program.config.operator
     config = operator.recovery
--- a/frostspindle/recovery/stages.py
+++ b/frostspindle/recovery/stages.py
@@ -38,7 +38,7 @@
     seed_count: int = 1
     reported: bool = False  # a quorum of the seeds has sent complete reports
     cooldown_over: bool = False  # of rights to shared budgets and cold engines
-    engines_marked: bool = False  # the core was told which engines have restarted
+    engines_marked: bool = False  # the core was notified which engines have restarted
     waiting: int = 0  # number of requests that wait at the gate
     warm_ratio: float = 0.0  # usable fraction of the engines' full capacity
 
@@ -91,13 +91,13 @@
         lambda inputs: bool(inputs.store_verdict) and inputs.store_usable,
         lambda timeouts: timeouts.store_ms,
         "the store is open",
-        "no store: state is not persisted and no load ticket is granted here",
+        "no usable store: state is not persisted and no load ticket is granted here",
         cannot_complete=lambda inputs: bool(inputs.store_verdict) and not inputs.store_usable,
     ),
     Stage.ADDRESS: StageRule(
         lambda inputs: inputs.epoch > 0 or not inputs.in_fleet,
         lambda timeouts: timeouts.address_ms,
-        "the fleet port is bound",
+        "the fleet port is bound, or there is no fleet",
         "the fleet port is not bound: serving without the fleet",
     ),
     Stage.FIND: StageRule(
--- a/frostspindle/recovery/state_kinds.py
+++ b/frostspindle/recovery/state_kinds.py
@@ -1,8 +1,8 @@
-"""The table of all kinds of state, and what of each is trusted after a loss of power.
+"""The table of all kinds of state, and how far each is trusted after a power loss.
 
-Says which kinds are written to the store, who is asked for them, which rule settles a conflict and which have a
-cooldown. The node and the service look all of this up here, and a test compares docs/design/recovery.md with it. No
-I/O.
+Defines which kinds are written to the store, which coordinators must answer for them, which rule resolves a conflict
+and which kinds have a cooldown. The node and the service look these up here, and a test compares
+docs/design/recovery.md with the table. No I/O.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class TrustLevel(StrEnum):
-    """How far a kind of state is trusted after a loss of power."""
+    """How far a kind of state is trusted after a power loss."""
 
     PERSISTED = "as kept"
     AFTER_COOLDOWN = "after a rest"
@@ -31,7 +31,7 @@
 
 
 class ConflictRule(StrEnum):
-    """What settles a disagreement between coordinators."""
+    """The rule that resolves a conflict between coordinators."""
 
     NONE = "can't be"
     NEWEST = "its maker's newest word"
@@ -46,7 +46,7 @@
 
 
 class Cooldown(StrEnum):
-    """Which time of CooldownSettings a kind of state must wait after a start."""
+    """The field of CooldownSettings that applies to a kind of state."""
 
     NONE = ""
     RIGHTS = "rights_ms"
@@ -67,9 +67,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CooldownSettings:
-    """How long state with a cooldown is not used after a start, in ms."""
+    """How long after a start state with a cooldown is not used, in ms."""
 
-    rights_ms: float = 0.0  # the longest loan and a window, by the slower clock
+    rights_ms: float = 0.0  # the longest lease and one window, by the slower clock
     tickets_ms: float = 0.0  # how long a client may repeat a load
 
 
@@ -112,7 +112,7 @@
     "beat": StateKind(TrustLevel.PERSISTED, persisted=True),
     "verdicts": StateKind(TrustLevel.NEVER, RespondersNeeded.ORIGINS, ConflictRule.NEWEST, ConflictRule.REFUSED),
     "rights": StateKind(TrustLevel.AFTER_COOLDOWN, cooldown=Cooldown.RIGHTS),
-    # What is persisted is only that none are lent or used; see idle_mark.
+    # Persisted is only the mark that none are lent or used; see idle_mark.
     "cold rights": StateKind(TrustLevel.AFTER_COOLDOWN, persisted=True, cooldown=Cooldown.RIGHTS),
     "counts": StateKind(TrustLevel.FROM_PEERS, RespondersNeeded.ORIGINS, ConflictRule.JOIN, ConflictRule.JOIN),
     "learnt costs and latencies": StateKind(TrustLevel.NEVER),
@@ -127,7 +127,7 @@
 def prefix(kind: str) -> bytes:
     """Return the key prefix of a kind's entries in the store; KeyError for one that is not persisted."""
     if not TABLE[kind].persisted:
-        raise KeyError(f"{kind}: is not kept")
+        raise KeyError(f"{kind}: kind of state is not persisted")
     return kind.encode() + b"/"
 
 
@@ -137,7 +137,7 @@
 
 
 def cooldown_ms(kind: str, settings: CooldownSettings) -> float:
-    """Return how long a kind is not used after the start, in ms; 0 if it has no cooldown."""
+    """Return how long after the start a kind is not used, in ms; 0 if it has no cooldown."""
     match TABLE[kind].cooldown:
         case Cooldown.RIGHTS:
             return settings.rights_ms
@@ -148,5 +148,5 @@
 
 
 def conflict_rule(kind: str, has_quorum: bool) -> ConflictRule:
-    """Return what settles a disagreement on a kind, with a quorum of answers or without; KeyError if unknown."""
+    """Return the rule that resolves conflicts on a kind of state; KeyError if the kind is unknown."""
     return TABLE[kind].with_quorum if has_quorum else TABLE[kind].without_quorum
--- a/frostspindle/recovery/state_transfer.py
+++ b/frostspindle/recovery/state_transfer.py
@@ -1,4 +1,4 @@
-"""Requests for other coordinators' reports by pages: of all seeds until a quorum has reported, then of one a time."""
+"""Paged requests for other coordinators' reports: to all seeds until a quorum has reported, then to one at a time."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from frostspindle.recovery.agreement import MemberReport
 from frostspindle.recovery.outputs import NodeOutputs
 
-SYNC_MS = 5_000.0  # between reports of one other, once recovery is over
-RECOVERY_SYNC_MS = 1_000.0  # likewise before that, and between two reports of one seed
+SYNC_MS = 5_000.0  # between requests to a random member after recovery
+RECOVERY_SYNC_MS = 1_000.0  # the same during recovery, and between two reports of one seed
 RESEND_MS = 200.0
-MAX_CONCURRENT = 16  # members that are asked at a time
-PAGE_WINDOW = 4  # pages that are asked of one member at a time
+MAX_CONCURRENT = 16  # members that are asked at once
+PAGE_WINDOW = 4  # pages that are requested from one member at once
 
 
 @dataclass(slots=True)
 class _Transfer:
-    """One member's report as far as it has been received."""
+    """The state of receiving one member's report."""
 
-    digest: int | None = None  # of the report whose pages are received; None: not known
+    digest: int | None = None  # of the report that is being received; None: not known yet
     page_count: int = 1
     pages: dict[int, wire.ReportPage] = field(default_factory=dict)
     requested_at: float = -1e18
@@ -31,17 +31,17 @@
 
     @property
     def due_at(self) -> float:
-        """When it is asked again."""
+        """When the next request to the member is due."""
         return max(self.requested_at + RESEND_MS, self.completed_at + RECOVERY_SYNC_MS)
 
     def missing_pages(self) -> list[int]:
-        """Numbers of the pages to ask for."""
+        """Return the numbers of the pages to request."""
         if self.digest is None:
             return [0]
         return [number for number in range(self.page_count) if number not in self.pages]
 
     def complete(self, now: float, name: str, last_page: wire.ReportPage) -> MemberReport:
-        """Build the report from all pages, and be ready for the next one."""
+        """Build the report from all pages, and reset the transfer for the next one."""
         engines = {engine.name: engine for page in self.pages.values() for engine in page.engines}
         self.report = MemberReport(
             origin=name,
@@ -78,19 +78,19 @@
         self._sequence: int = 0
 
     def reports(self) -> list[MemberReport]:
-        """Return the complete reports of those that are being asked."""
+        """Return the last complete report of each member with a transfer."""
         return [transfer.report for transfer in self.transfers.values() if transfer.report is not None]
 
     def forget(self, name: str) -> None:
-        """Drop what was received of a member that is no longer alive."""
+        """Drop the transfer of a member that is no longer alive."""
         self.transfers.pop(name, None)
 
     def clear(self) -> None:
-        """Drop all that was received, as it was used."""
+        """Drop all transfers after their reports were used."""
         self.transfers = {}
 
     def next_due(self) -> float:
-        """Return when the next member is asked again while there is no quorum; inf if nobody is being asked."""
+        """Return when the next request is due while there is no quorum; inf without transfers."""
         return min((transfer.due_at for transfer in self.transfers.values()), default=math.inf)
 
     def tick(self, now: float, alive: Set[str], needs_quorum: bool, recovered: bool) -> None:
@@ -107,7 +107,7 @@
             self.sync_at = now + interval_ms * self._random.uniform(0.8, 1.2)
 
     def add_page(self, name: str, page: wire.ReportPage) -> bool:
-        """Take a page; return whether it belongs to the report that is being received."""
+        """Store a page; return False if its number is out of range. A new digest restarts the transfer."""
         transfer = self.transfers[name]
         if page.digest != transfer.digest:
             transfer.digest = page.digest
@@ -119,7 +119,7 @@
         return True
 
     def finish_page(self, now: float, name: str, page: wire.ReportPage) -> MemberReport | None:
-        """Return the report if this was its last missing page; else ask for more once a window is received."""
+        """Return the report if it is complete; otherwise request more pages once a window is received."""
         transfer = self.transfers[name]
         if len(transfer.pages) == transfer.page_count:
             return transfer.complete(now, name, page)
--- a/frostspindle/recovery/store_opening.py
+++ b/frostspindle/recovery/store_opening.py
@@ -1,4 +1,4 @@
-"""Opening of the recovery's store: every fault of the disk becomes a verdict, and the coordinator serves without."""
+"""Opening of the recovery store: disk faults become a verdict, so that the coordinator can serve without a store."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 def open_recovery_store(
     folder: str, witness: str, owner: str, log: Callable[..., None]
 ) -> tuple[Store | None, OpenedStore]:
-    """Open the store, or one in memory without a folder; blocks on the disk.
+    """Open the store, or one in memory if no folder is set; blocks on the disk.
 
-    Any fault is returned as the verdict, except StoreLockedError if another process has the store.
+    Faults are returned as the verdict. Raise StoreLockedError if another process holds the store.
     """
     if not folder:
         return MemoryStore(), OpenedStore("none is set up", usable=True, trusted=False)
@@ -47,7 +47,7 @@
         verdict=str(decision.condition),
         usable=True,
         trusted=decision.action is OpeningAction.USE,
-        # In a later incarnation an earlier store of ours is known of, and lost.
+        # In a later incarnation, an earlier store existed and was lost.
         fresh=decision.condition is StoreCondition.FRESH and known.incarnation == 1,
         state=StoreState(known.id, known.incarnation, known.generation),
         entries=tuple(store.scan()),
--- a/frostspindle/recovery/store_worker.py
+++ b/frostspindle/recovery/store_worker.py
@@ -1,4 +1,4 @@
-"""The recovery's store in a running coordinator: its opening and its batches, each in a worker thread."""
+"""The recovery store of a running coordinator: opens it and writes batches, each call in a worker thread."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from frostspindle.store.lock import StoreLockedError
 from frostspindle.telemetry import Telemetry
 
-LOCK_RETRY_S = 0.25  # a store that another process holds is tried again
+LOCK_RETRY_S = 0.25  # between attempts to open a store that another process holds
 
 
 class StoreOwner(Protocol):
-    """What the store's worker needs of the recovery service."""
+    """The parts of the recovery service that the store's worker uses."""
 
     settings: RecoverySettings
     config: RecoverySection
@@ -28,10 +28,10 @@
     node: RecoveryNode
 
     def on_store_opened(self, opened: OpenedStore) -> None:
-        """Take the outcome of the opening."""
+        """Process the outcome of the opening."""
 
     def exchange_idle_mark(self) -> None:
-        """Take that a batch's outcome is known, which may have changed the idle mark."""
+        """Update the idle mark after a batch, whose outcome may have changed it."""
 
     def flush_outputs(self, wake_writer: bool) -> None:
         """Send the node's messages and apply its effects."""
@@ -49,16 +49,16 @@
         self._closing: bool = False
 
     def start(self) -> None:
-        """Start both tasks; needs a running event loop."""
+        """Start the tasks that open the store and write to it; needs a running event loop."""
         self._opening = asyncio.create_task(self._open())
         self._writing = asyncio.create_task(self._write())
 
     def wake(self) -> None:
-        """Have the writer look for a batch."""
+        """Make the writer check for a batch."""
         self._wake.set()
 
     async def close(self) -> None:
-        """Write what is pending, and close the store."""
+        """Write pending changes and close the store."""
         self._closing = True
         if self._opening is not None:
             self._opening.cancel()
@@ -69,7 +69,7 @@
             await asyncio.to_thread(self.store.close)
 
     async def _open(self) -> None:
-        """Open the store, once its lock is free."""
+        """Open the store as soon as its lock is free."""
         service = self._service
         was_locked = False
         while True:
@@ -82,21 +82,21 @@
                     service.telemetry.log,
                 )
             except StoreLockedError:
-                was_locked = True  # by our predecessor in an upgrade
+                was_locked = True  # by the previous process in an upgrade
                 await asyncio.sleep(LOCK_RETRY_S)
                 continue
-            except Exception as error:  # noqa: BLE001 - whatever the disk does, the coordinator serves without
+            except Exception as error:  # noqa: BLE001 - on any fault, serve without a store
                 service.telemetry.log("exception_caught", error=repr(error), of="recovery store")
                 store, opened = None, UNREADABLE
             opened_late = service.node.stages.stage > Stage.STORE
-            if opened_late and not was_locked and opened.trusted:  # nobody was asked whether it is the latest one
+            if opened_late and not was_locked and opened.trusted:  # no peer was asked whether it is outdated
                 opened = OpenedStore(opened.verdict, opened.usable, trusted=False, state=opened.state)
             self.store = store
             service.on_store_opened(opened)
             return
 
     async def _write(self) -> None:
-        """Write one batch at a time; what changes meanwhile is the next one."""
+        """Write one batch at a time; changes made meanwhile go into the next one."""
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -106,12 +106,12 @@
                     break
                 full = await self._write_batch(self.store, batch)
                 if full:
-                    break  # the next change or heartbeat tries again
+                    break  # retried on the next change or heartbeat
             if self._closing:
                 return
 
     async def _write_batch(self, store: Store, batch: dict[bytes, bytes | None]) -> bool:
-        """Write a batch and tell the node its outcome; return whether the disk was full."""
+        """Write a batch and pass its outcome to the node; return whether the disk was full."""
         service = self._service
         ok = False
         full = False
@@ -122,7 +122,7 @@
             full = True
             service.telemetry.count("recovery_store_full")
             service.telemetry.log("recovery_store_full", error=str(error))
-        except Exception as error:  # noqa: BLE001 - the disk's faults never end the process
+        except Exception as error:  # noqa: BLE001 - a disk fault must not end the process
             service.telemetry.log("recovery_store_broken", error=str(error))
         service.node.on_batch_written(monotonic(), clock(), ok, full)
         service.exchange_idle_mark()
--- a/frostspindle/recovery/stored_state.py
+++ b/frostspindle/recovery/stored_state.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class StoredState:
-    """What the store has; tickets are decoded by their journal."""
+    """The decoded entries of a store; tickets are left to the ticket journal."""
 
     bans: list[BanStatement] = field(default_factory=list)
     peer_stores: dict[str, StoreState] = field(default_factory=dict)
@@ -37,7 +37,7 @@
             yield key, value
 
     def load(self, entries: Iterable[Entry]) -> None:
-        """Decode the entries of all persisted kinds; others are ignored, those that can't be decoded counted."""
+        """Decode the entries of all persisted kinds; ignore other kinds and count corrupt entries."""
         by_kind: dict[str, list[Entry]] = {kind: [] for kind in state_kinds.persisted_kinds()}
         for key, data in entries:
             kind = key.partition(b"/")[0].decode("ascii", "replace")
--- a/frostspindle/recovery/tickets.py
+++ b/frostspindle/recovery/tickets.py
@@ -1,13 +1,13 @@
-"""The journal of loads: a load runs only once a majority of its ticket's replicas has durably recorded it as taken.
+"""Tickets of loads: a load runs only after a majority of its ticket's replicas has durably recorded it as taken.
 
-`TicketJournal` is the replica's side, `TicketClaims` that of the coordinator that was asked to run a load. No I/O and
-no clock. A ticket is never granted twice, never before its record is durable, and never while records may be missing:
-after a start with a lost or older store a replica is in cooldown for as long as clients may repeat a load.
+`TicketJournal` is the replica's side; `TicketClaims` is the side of the coordinator that received the load. No I/O and
+no clock. A replica never grants a ticket twice, before its record is durable, or while records may be missing: after a
+start with a lost or outdated store it is in cooldown for as long as clients may repeat a load.
 
-A ticket is the hash of a request's X-Request-Id, so that a repeat is known wherever it comes. Any two majorities of the
-replicas share one, so that two claims of a ticket can't both have a majority. A claim that was not granted, or whose
-load was refused before anything of it was sent, is released; if a release is lost, a repeat is answered as "may have
-run".
+A ticket is the hash of a request's X-Request-Id, so that a repeat is recognised at every coordinator. Any two
+majorities of the replicas share a member, so two claims of a ticket can't both have a majority. A claim is released if
+it was not granted, or if its load was rejected before any of it was sent. If a release is lost, a repeat is answered as
+"may have run".
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 MAX_BATCH = 256
 MAX_WAITERS = 8  # claimants that wait for one ticket's record
 MAX_CLAIMS = 1_024
-REPLICAS = 5  # two that lost their stores, or are away, still leave a majority
+REPLICAS = 5  # with two replicas down or without their stores, a majority remains
 RESEND_MS = 150.0
-RELEASE_SENDS = 3  # a release is sent so often, as nobody answers it
+RELEASE_SENDS = 3  # how often a release is sent, as it is not acknowledged
 PREFIX = state_kinds.prefix("tickets")
 
 
 def ticket_id(request_id: str) -> bytes:
-    """Return the 16 bytes that stand for a request's id in stores and messages."""
+    """Return the 16-byte hash that identifies a request in stores and messages."""
     return blake2b(request_id.encode(), digest_size=16, person=b"load").digest()
 
 
 def ticket_replicas(ticket: bytes, seeds: Iterable[str], count: int = REPLICAS) -> list[str]:
-    """Return the ticket's replicas among the seeds by rendezvous hashing: the same everywhere, whoever is alive."""
+    """Return the ticket's replicas among the seeds by rendezvous hashing, regardless of which seeds are alive."""
 
     def weight(name: str) -> bytes:
-        """Return what the seeds are sorted by."""
+        """Return the sort key of a seed."""
         return blake2b(ticket + name.encode(), digest_size=8, person=b"home").digest()
 
     return sorted(seeds, key=weight)[:count]
 
 
 class TicketRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A ticket that is taken: by which coordinator, under which nonce, and when (Unix ms)."""
+    """A taken ticket: the coordinator that claimed it, the claim's nonce, and the time (Unix ms)."""
 
     claimant: str
     nonce: int
@@ -62,7 +62,7 @@
 
 
 class PendingClaimant(NamedTuple):
-    """A claimant that is answered once the record is durable."""
+    """A claimant that is answered when the record is durable."""
 
     name: str
     ticket: bytes
@@ -72,14 +72,14 @@
 class TicketJournal:
     """The replica's side: grants tickets.
 
-    A claim is answered at once, or by `on_batch_written` after the batch that holds its record.
+    A claim is answered immediately, or by `on_batch_written` after the batch with its record.
     """
 
     def __init__(
         self,
         entries: Iterable[tuple[bytes, bytes]],
         ticket_ms: float,
-        unix: float,
+        unix_ms: float,
         in_cooldown: bool,
         usable: bool = True,
         max_tickets: int = MAX_TICKETS,
@@ -89,51 +89,51 @@
         self.usable: bool = usable
         self.records: dict[bytes, TicketRecord] = {}
         self.corrupt: int = 0  # entries that could not be decoded
-        self._load(entries, unix)
-        # A record that can't be read is one that is missing.
-        self.cooldown_until_ms: float = unix + ticket_ms if in_cooldown or self.corrupt else -math.inf
-        self._pending: dict[bytes, TicketRecord | None] = {}  # to be written; None: deleted
+        self._load(entries, unix_ms)
+        # A corrupt record counts as a missing one.
+        self.cooldown_until_ms: float = unix_ms + ticket_ms if in_cooldown or self.corrupt else -math.inf
+        self._pending: dict[bytes, TicketRecord | None] = {}  # not yet written; None: deleted
         self._writing: dict[bytes, TicketRecord | None] = {}
         self._waiters: dict[bytes, list[PendingClaimant]] = {}
 
-    def _load(self, entries: Iterable[tuple[bytes, bytes]], unix: float) -> None:
+    def _load(self, entries: Iterable[tuple[bytes, bytes]], unix_ms: float) -> None:
         for key, value in entries:
             try:
                 record = _decode(value)
             except msgspec.DecodeError:
                 self.corrupt += 1
                 continue
-            # A clock that was set back keeps it for as long again, never longer.
-            at_ms = min(record.at_ms, unix)
+            # If the clock was set back, the record is kept for at most ticket_ms from now.
+            at_ms = min(record.at_ms, unix_ms)
             self.records[key[len(PREFIX) :]] = msgspec.structs.replace(record, at_ms=at_ms)
 
-    def start_cooldown(self, unix: float) -> None:
-        """Grant nothing for `ticket_ms`, as the store was found to lag behind what others know of it."""
-        self.cooldown_until_ms = max(self.cooldown_until_ms, unix + self.ticket_ms)
+    def start_cooldown(self, unix_ms: float) -> None:
+        """Grant no tickets for `ticket_ms`, because other coordinators know a later state of the store."""
+        self.cooldown_until_ms = max(self.cooldown_until_ms, unix_ms + self.ticket_ms)
 
     def end_cooldown(self) -> None:
-        """Grant from now on: enough others know that there was never a store before this one."""
+        """Grant tickets from now on, because a majority of the other seeds knows no earlier store."""
         self.cooldown_until_ms = -math.inf
 
-    def in_cooldown(self, unix: float) -> bool:
-        """Tell whether new claims are refused at `unix` (Unix ms) because records of earlier ones may be missing."""
-        return unix < self.cooldown_until_ms
+    def in_cooldown(self, unix_ms: float) -> bool:
+        """Return whether new claims are refused at `unix_ms` because earlier records may be missing."""
+        return unix_ms < self.cooldown_until_ms
 
-    def claim(self, unix: float, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
-        """Take a claim; return the answer, or None if `on_batch_written` gives it once the record is durable.
+    def claim(self, unix_ms: float, claimant: str, ticket: bytes, nonce: int) -> TicketStatus | None:
+        """Process a claim; return the answer, or None if `on_batch_written` returns it when the record is durable.
 
-        A repeat of a claim gets the same answer.
+        A repeated claim gets the same answer.
         """
         record = self.records.get(ticket)
         if record is not None:
             return self._repeat_claim(record, claimant, ticket, nonce)
         if not self.usable:
             return TicketStatus.UNABLE
-        if self.in_cooldown(unix):
+        if self.in_cooldown(unix_ms):
             return TicketStatus.IN_COOLDOWN
         if len(self.records) >= self.max_tickets:
             return TicketStatus.FULL
-        record = TicketRecord(claimant, nonce, unix)
+        record = TicketRecord(claimant, nonce, unix_ms)
         self.records[ticket] = record
         self._pending[ticket] = record
         self._waiters[ticket] = [PendingClaimant(claimant, ticket, nonce)]
@@ -153,7 +153,7 @@
     def release(self, claimant: str, ticket: bytes, nonce: int) -> None:
         """Release a ticket that this claimant holds with this nonce.
 
-        Anything else is ignored, so that repeats are harmless.
+        Other releases are ignored, so repeats have no effect.
         """
         record = self.records.get(ticket)
         if record is not None and (record.claimant, record.nonce) == (claimant, nonce):
@@ -164,18 +164,18 @@
         self._pending[ticket] = None
         self._waiters.pop(ticket, None)
 
-    def prune(self, unix: float) -> None:
-        """Remove tickets older than `ticket_ms`, which no client repeats any more."""
+    def prune(self, unix_ms: float) -> None:
+        """Remove tickets older than `ticket_ms`, which clients no longer repeat."""
         expired = [
             ticket
             for ticket, record in self.records.items()
-            if unix - record.at_ms > self.ticket_ms and ticket not in self._waiters
+            if unix_ms - record.at_ms > self.ticket_ms and ticket not in self._waiters
         ]
         for ticket in expired:
             self._delete(ticket)
 
     def next_batch(self) -> Mapping[bytes, bytes | None] | None:
-        """Return the next batch for the store; None if there is nothing to write or one is still being written."""
+        """Return the next batch for the store; None without changes, or while one is being written."""
         if self._writing or not self._pending or not self.usable:
             return None
         for ticket in list(self._pending)[:MAX_BATCH]:
@@ -185,9 +185,10 @@
         }
 
     def on_batch_written(self, ok: bool, full: bool = False) -> list[tuple[PendingClaimant, TicketStatus]]:
-        """Take the batch's outcome; return the answers to those that wait for it.
+        """Process the batch's outcome; return the answers to the claimants that waited for it.
 
-        `ok`: it is durable. `full`: nothing of it is. Neither: its outcome is unknown, and this replica grants no more.
+        `ok`: it is durable. `full`: the disk was full and nothing was written. Neither: the outcome is unknown, and
+        this replica grants no more tickets.
         """
         written = self._writing
         self._writing = {}
@@ -215,9 +216,9 @@
         if ok:
             return [(waiter, TicketStatus.GRANTED) for waiter in waiters]
         if full:
-            del self.records[ticket]  # it is not in the store, and nobody was told that it is
+            del self.records[ticket]  # it is not in the store, and its claimants had no answer yet
             return [(waiter, TicketStatus.FULL) for waiter in waiters]
-        # What may be there although the store broke stays taken: UNABLE grants nothing.
+        # The record may be in the broken store, so the ticket stays taken; UNABLE is no grant.
         return [(waiter, TicketStatus.UNABLE) for waiter in waiters]
 
 
@@ -231,11 +232,11 @@
 
 
 class ClaimOutcome(StrEnum):
-    """How the claim of a load ended; the values are part of counters' names."""
+    """Outcome of a load's claim; the values are part of counter names."""
 
-    GRANTED = "go"  # once for a ticket
-    MAY_HAVE_RUN = "may have run"  # another claim has the ticket
-    NO_RECORD = "no record"  # too few replicas can record it
+    GRANTED = "go"  # at most once for a ticket
+    MAY_HAVE_RUN = "may have run"  # another claim holds the ticket
+    NO_RECORD = "no record"  # too few replicas can record the ticket
     NO_QUORUM = "no word"  # too few replicas have answered
 
 
@@ -253,21 +254,21 @@
     releases_sent: int = 0
 
     def messages(self, release: bool) -> list[TicketMessage]:
-        """A message to each of its replicas."""
+        """Return one message to each of the ticket's replicas."""
         return [TicketMessage(replica, self.ticket, self.nonce, release) for replica in self.replicas]
 
 
 class TicketClaims:
-    """The side of the coordinator that was asked to run a load. Times are ms of the caller's monotonic clock."""
+    """The side of the coordinator that received a load. Times are in ms of the caller's monotonic clock."""
 
     def __init__(self, claim_ms: float) -> None:
         self.claim_ms: float = claim_ms
-        self.pending: dict[int, _PendingClaim] = {}  # by nonce, as all here
+        self.pending: dict[int, _PendingClaim] = {}  # by nonce, like the other tables
         self.releasing: dict[int, _PendingClaim] = {}
-        self.granted: dict[int, tuple[bytes, list[str]]] = {}  # ticket and replicas of loads that have not ended
+        self.granted: dict[int, tuple[bytes, list[str]]] = {}  # ticket and replicas of running loads
 
     def begin(self, now: float, ticket: bytes, nonce: int, replicas: list[str]) -> list[TicketMessage]:
-        """Start a claim; return the first messages, none if too many are pending: the outcome is NO_QUORUM then."""
+        """Start a claim; return its messages. With MAX_CLAIMS pending there are none, and the outcome is NO_QUORUM."""
         if len(self.pending) >= MAX_CLAIMS:
             return []
         claim = _PendingClaim(ticket, nonce, replicas, deadline=now + self.claim_ms, resend_at=now + RESEND_MS)
@@ -277,7 +278,7 @@
     def on_reply(
         self, now: float, replica: str, nonce: int, status: TicketStatus
     ) -> tuple[ClaimOutcome, list[TicketMessage]] | None:
-        """Take a replica's answer; return the outcome and messages to send once it is known, else None."""
+        """Process a replica's reply; return the outcome and messages to send if it is decided, else None."""
         claim = self.pending.get(nonce)
         if claim is None or replica not in claim.replicas:
             return None
@@ -308,9 +309,9 @@
         return claim.messages(release=True)
 
     def on_load_ended(self, now: float, nonce: int, ran: bool) -> list[TicketMessage]:
-        """Take the end of a granted load. `ran`: something of it was sent, and the ticket stays taken.
+        """Process the end of a granted load. `ran`: some of it was sent, so the ticket stays taken.
 
-        Else return the messages that release it.
+        Otherwise return the messages that release the ticket.
         """
         granted = self.granted.pop(nonce, None)
         if granted is None or ran:
@@ -319,14 +320,14 @@
         return self._release(now, _PendingClaim(ticket, nonce, replicas, deadline=now, resend_at=now))
 
     def cancel(self, now: float, nonce: int) -> list[TicketMessage]:
-        """End the claim of a client that left before the outcome; return the messages that release it."""
+        """End the claim of a client that disconnected before the outcome; return the messages that release it."""
         claim = self.pending.get(nonce)
         return self._close(now, claim) if claim is not None else []
 
     def tick(self, now: float) -> tuple[list[TicketMessage], list[tuple[int, ClaimOutcome]]]:
-        """Resend claims and releases that are due, close claims that are past their deadline.
+        """Resend claims and releases that are due, and close claims that are past their deadline.
 
-        Return messages, and outcomes by nonce.
+        Return the messages, and the nonces and outcomes of the closed claims.
         """
         messages: list[TicketMessage] = []
         ended: list[tuple[int, ClaimOutcome]] = []
@@ -344,7 +345,7 @@
         return messages, ended
 
     def next_due(self) -> float:
-        """Return when `tick` must be called next; inf if no claim or release is under way."""
+        """Return when `tick` must be called next; inf without pending claims or releases."""
         claims = [min(claim.resend_at, claim.deadline) for claim in self.pending.values()]
         releases = [claim.resend_at for claim in self.releasing.values()]
         return min(claims + releases, default=math.inf)
--- a/frostspindle/recovery/wire.py
+++ b/frostspindle/recovery/wire.py
@@ -1,7 +1,7 @@
-"""Recovery's messages, carried by the fleet: msgspec structs in msgpack, bounded in every part.
+"""Recovery's messages on a fleet channel: msgspec structs in msgpack, with a limit on every field.
 
-Holds no state. Messages are arrays, so the order of the fields and the tags are fixed and the names are not.
-`InvalidPacketError` is raised for whatever can't be decoded.
+Messages are encoded as arrays: field order and tags are part of the protocol, field names are not. Decoding raises
+`InvalidPacketError` for malformed messages.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 CHANNEL = 1
 MAX_PAGES = 512
-PAGE_BYTES = 820  # of rows in one page; with the rest it stays below the fleet's MAX_MESSAGE_BYTES
+PAGE_BYTES = 820  # of rows in one page, so that the message stays below the fleet's MAX_MESSAGE_BYTES
 
 Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -35,7 +35,7 @@
     TAKEN = 1  # by another claim
     IN_COOLDOWN = 2
     FULL = 3
-    UNABLE = 4  # the store is broken or missing
+    UNABLE = 4  # the store is broken or missing, so nothing can be recorded
 
 
 class StoreState(Struct, array_like=True, frozen=True):
@@ -47,12 +47,12 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """What orders two states of one member's stores."""
+        """The order of states of one member's stores."""
         return self.incarnation, self.generation
 
 
 class BanStatement(Struct, array_like=True, frozen=True):
-    """A coordinator's statement that staff bans an engine, or no longer does."""
+    """A coordinator's statement that an operator bans an engine, or has lifted the ban."""
 
     origin: Name
     engine: Name
@@ -61,7 +61,7 @@
 
 
 class ListedEngine(Struct, array_like=True, frozen=True):
-    """An engine of the endpoint list, as a coordinator believes it."""
+    """An entry of a coordinator's engine list."""
 
     name: Name
     address: ShortText
@@ -70,15 +70,17 @@
     cell: Annotated[int, Meta(ge=-(2**31), lt=2**31)]
     health: Annotated[int, Meta(ge=0, le=2)]
     weight: Annotated[float, Meta(ge=0, le=1e6)]
-    started_ms: Milliseconds  # Unix; may be later than the bus has published
-    published_start_ms: Milliseconds = 0.0  # Unix, by the bus: rights to a cold engine go by this, the same everywhere
-    start_confirmed: bool = True  # False: the sender has seen it refuse connections, and none accepted since
+    started_ms: Milliseconds  # Unix; may be later than the start that the bus published
+    published_start_ms: Milliseconds = (
+        0.0  # Unix, from the bus: rights to a cold engine use it, as it is the same everywhere
+    )
+    start_confirmed: bool = True  # False: it refused the sender's connections, and may have restarted
 
 
 class ReportRequest(Struct, array_like=True, frozen=True, tag=0):
     """Request for one page of the receiver's report.
 
-    `own_store` is the state of the sender's own store, for the receiver to remember.
+    `own_store` is the state of the sender's store, which the receiver remembers.
     """
 
     seq: Count
@@ -87,17 +89,17 @@
 
 
 class ReportPage(Struct, array_like=True, frozen=True, tag=1):
-    """One page of a coordinator's report. `digest` is of all pages together.
+    """One page of a coordinator's report. `digest` covers all pages.
 
-    `settled`: the sender is past its own agreement; `store_lost`: it lost its store; `your_store`: what it knows of the
-    receiver's store.
+    `settled`: the sender's own agreement has ended with a quorum; `store_lost`: the sender lost its store;
+    `your_store`: the last state of the receiver's store that the sender knows.
     """
 
     seq: Count
     digest: Count
     page: Annotated[int, Meta(ge=0, lt=MAX_PAGES)]
     page_count: Annotated[int, Meta(ge=1, le=MAX_PAGES)]
-    last_event: Count  # of the bus that the engine list includes
+    last_event: Count  # number of the last bus event that the engine list includes
     uptime_ms: Milliseconds
     settled: bool
     store_lost: bool
@@ -108,7 +110,7 @@
 
 
 class TicketClaim(Struct, array_like=True, frozen=True, tag=2):
-    """Request to let the sender, and nobody else, run the load of this ticket."""
+    """Request to let only the sender run the load of this ticket."""
 
     ticket: TicketId
     nonce: Count
@@ -124,7 +126,7 @@
 
 
 class TicketRelease(Struct, array_like=True, frozen=True, tag=4):
-    """Notice that nothing of this claim was run or ever will be; not answered."""
+    """Notice that no part of the claimed load has run or will run; it is not answered."""
 
     ticket: TicketId
     nonce: Count
--- a/frostspindle/recovery/write_buffer.py
+++ b/frostspindle/recovery/write_buffer.py
@@ -1,4 +1,4 @@
-"""Changes of a node's state that are not yet in the store, and the batch that is being written."""
+"""Buffer of state changes that are not yet in the store, and the batch that is being written."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     @property
     def writing(self) -> bool:
-        """Whether a batch was taken whose outcome is not known."""
+        """Whether a batch is being written."""
         return self._writing is not None
 
     def put(self, kind: str, name: str, value: bytes) -> None:
@@ -28,14 +28,14 @@
         self.pending[state_kinds.prefix(kind) + name.encode()] = None
 
     def take_batch(self) -> dict[bytes, bytes | None]:
-        """Return the next MAX_BATCH changes; their outcome is told by `on_written`."""
+        """Return the next MAX_BATCH changes; `on_written` must be called with their outcome."""
         self._writing = {key: self.pending.pop(key) for key in list(self.pending)[:MAX_BATCH]}
         return dict(self._writing)
 
     def on_written(self, ok: bool, full: bool) -> dict[bytes, bytes | None]:
-        """Take the outcome of the batch and return it.
+        """Process the outcome of the batch; return the batch.
 
-        `ok`: it is durable. `full`: nothing of it is, and it is tried again. Neither: the store is broken.
+        `ok`: it is durable. `full`: the disk was full and its changes are retried. Neither: the store is broken.
         """
         batch = self._writing or {}
         self._writing = None
