--- a/frostspindle/recovery/engine_restarts.py
+++ b/frostspindle/recovery/engine_restarts.py
@@ -79,10 +79,10 @@
         self.unconfirmed_starts[name] = unix_ms
 
     def on_answered(self, unix_ms: float, engine: ListedEngine) -> None:
-        """Process a response: an engine that had refused for MIN_REFUSING_MS is marked as started now.
+        """Process a response of an engine, which ends its refusals.
 
-        Not so if the bus has published its start since. A shorter break does not count as a start, but leaves the start
-        unconfirmed, as it may hide one.
+        If it had refused for MIN_REFUSING_MS and the bus has published no start since, mark it as started now. A
+        shorter break does not count as a start, but leaves the start unconfirmed, as it may hide one.
         """
         refusal = self.refusals.pop(engine.name, None)
         if refusal is None:
