--- a/frostspindle/recovery/node.py
+++ b/frostspindle/recovery/node.py
@@ -1,8 +1,9 @@
 """One coordinator's recovery without I/O or clock: stages, agreement, engine list, bans and store batches.
 
-The program passes messages, times and events in, and takes messages and effects (`outputs`) and batches for the store
-(`next_batch`, answered by `on_batch_written`) out. Which state is trusted, and what settles a conflict, is looked
-up in `state_kinds.TABLE`. `now` is in ms of the monotonic clock, `unix` in Unix ms. Belongs to the event loop's thread.
+The program passes in messages, times and events. It takes out messages and effects (`outputs`), and batches for the
+store (`next_batch`), whose outcome it passes to `on_batch_written`. `state_kinds.TABLE` defines which state is trusted
+and how conflicts are resolved. `now` is in ms of the monotonic clock; `unix_ms` is Unix time. Used on the event loop's
+thread only.
 """
 
 from __future__ import annotations
@@ -30,9 +31,9 @@
 
 
 class RecoveryNode:
-    """One process's recovery, and from then on its part in the recovery of others."""
+    """One process's recovery, and afterwards its part in the recovery of other coordinators."""
 
-    def __init__(self, settings: RecoverySettings, now: float, unix: float, seed: int) -> None:
+    def __init__(self, settings: RecoverySettings, now: float, unix_ms: float, seed: int) -> None:
         self.settings: RecoverySettings = settings
         self.seeds: tuple[str, ...] = settings.seeds or (settings.name,)
         self.started_at: float = now
@@ -58,7 +59,7 @@
         self.transfer: StateTransfer = StateTransfer(
             settings.name, self.seeds, now, self.random, self.outputs, self.own_store
         )
-        journal = tickets.TicketJournal((), settings.cooldowns.tickets_ms, unix, in_cooldown=True, usable=False)
+        journal = tickets.TicketJournal((), settings.cooldowns.tickets_ms, unix_ms, in_cooldown=True, usable=False)
         self.loads: LoadClaims = LoadClaims(
             settings.name, self.seeds, settings.claim_ms, journal, self.random, self.outputs, self.own_store
         )
@@ -67,12 +68,12 @@
 
     @property
     def bans(self) -> BanTable:
-        """All coordinators' bans."""
+        """The bans of all coordinators."""
         return self.published.bans
 
     @property
     def past_agreement(self) -> bool:
-        """Whether the agreement stage is over, with a quorum or without."""
+        """Whether the agreement stage has ended, with a quorum or without."""
         return self.stages.stage > Stage.AGREE
 
     @property
@@ -82,19 +83,19 @@
 
     @property
     def settled(self) -> bool:
-        """Whether this coordinator is past its own agreement, and had it with a quorum of the seeds."""
+        """Whether this coordinator's own agreement has ended with a quorum of the seeds."""
         return self.past_agreement and self.has_quorum
 
     # Opening of the store.
 
-    def on_store_opened(self, now: float, unix: float, opened: OpenedStore) -> None:
-        """Take the outcome of opening the store, or that there is none: load what is trusted of its entries."""
+    def on_store_opened(self, now: float, unix_ms: float, opened: OpenedStore) -> None:
+        """Process the outcome of opening the store: load its entries if they are trusted."""
         trusted = self.store.on_opened(opened, self.settings.first_start)
         self.inputs.store_verdict = opened.verdict
         self.inputs.store_usable = opened.usable
         stored = StoredState()
         stored.load(opened.entries if trusted else ())
-        self._load(stored, unix, trusted)
+        self._load(stored, unix_ms, trusted)
         marked = opened.usable and any(key == MARK for key, _ in opened.entries)
         self.idle_mark.on_store_opened(marked, trusted)
         self._log(
@@ -106,9 +107,9 @@
             engines=len(stored.engines),
             clean=stored.heartbeat.clean_shutdown if stored.heartbeat else None,
         )
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def _load(self, stored: StoredState, unix: float, trusted: bool) -> None:
+    def _load(self, stored: StoredState, unix_ms: float, trusted: bool) -> None:
         for statement in stored.bans:
             self.published.bans.merge(statement)
         self.peer_stores.states.update(stored.peer_stores)
@@ -119,76 +120,76 @@
             )
         cooldown_ms = state_kinds.cooldown_ms("tickets", self.settings.cooldowns)
         self.loads.journal = tickets.TicketJournal(
-            stored.tickets, cooldown_ms, unix, in_cooldown=not trusted, usable=self.inputs.store_usable
+            stored.tickets, cooldown_ms, unix_ms, in_cooldown=not trusted, usable=self.inputs.store_usable
         )
         self.outputs.counters["recovery_spoilt"] += stored.corrupt + self.loads.journal.corrupt
 
     # Events of the program.
 
-    def on_port_bound(self, now: float, unix: float, epoch: int) -> None:
-        """Note that the fleet's port is ours, under this epoch."""
+    def on_port_bound(self, now: float, unix_ms: float, epoch: int) -> None:
+        """Process that the fleet port is bound, under this epoch."""
         self.inputs.epoch = epoch
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def on_member(self, now: float, unix: float, name: str, alive: bool) -> None:
-        """Note that a member is alive, or no longer is."""
+    def on_member(self, now: float, unix_ms: float, name: str, alive: bool) -> None:
+        """Process that a member is alive, or no longer is."""
         if alive:
             self.alive.add(name)
         else:
             self.alive.discard(name)
             self.transfer.forget(name)
         self.inputs.seeds_alive = sum(seed == self.settings.name or seed in self.alive for seed in self.seeds)
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def on_cooldown_over(self, now: float, unix: float) -> None:
-        """Note that the cooldown of rights is over."""
+    def on_cooldown_over(self, now: float, unix_ms: float) -> None:
+        """Process the end of the cooldown of rights."""
         self.inputs.cooldown_over = True
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def on_backlog(self, now: float, unix: float, waiting: int, warm_ratio: float) -> None:
-        """Note how many requests wait at the gate, and how warm the engines are (0 to 1)."""
+    def on_backlog(self, now: float, unix_ms: float, waiting: int, warm_ratio: float) -> None:
+        """Process the number of requests that wait at the gate and the engines' usable capacity (0 to 1)."""
         self.inputs.waiting = waiting
         self.inputs.warm_ratio = warm_ratio
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
 
-    def on_engine_list(self, unix: float, last_event: int, listed: Mapping[str, ListedEngine]) -> None:
-        """Take the engine list as it stands here now, with the number of the bus's last event."""
+    def on_engine_list(self, unix_ms: float, last_event: int, listed: Mapping[str, ListedEngine]) -> None:
+        """Process the present local engine list, with the number of the last bus event."""
         self.published.set_engines(last_event, listed, store=self.past_agreement)
         if Stage.ENGINES < self.stages.stage < Stage.OPEN:
-            self._judge_engines(unix)
+            self._classify_engines(unix_ms)
 
-    def record_ban(self, unix: float, engine: str, banned: bool) -> None:
-        """Record that staff at this coordinator ban an engine, or no longer do."""
-        self.published.merge_ban(BanStatement(self.settings.name, engine, banned, unix))
+    def record_ban(self, unix_ms: float, engine: str, banned: bool) -> None:
+        """Record that an operator at this coordinator bans an engine, or lifts the ban."""
+        self.published.merge_ban(BanStatement(self.settings.name, engine, banned, unix_ms))
 
-    def on_attempt_ended(self, unix: float, name: str, refused: bool) -> None:
-        """Take the end of an attempt; `refused`: its engine took no connection.
+    def on_attempt_ended(self, unix_ms: float, name: str, refused: bool) -> None:
+        """Process the end of an attempt; `refused`: the engine refused the connection.
 
-        So a running coordinator sees engines restart.
+        This is how a running coordinator detects restarts of engines.
         """
         engine = self.published.engines.get(name)
         if self.stages.stage <= Stage.ENGINES or engine is None:
             self.published.restarts.forget_refusals(name)
         elif refused:
-            self.published.restarts.on_refused(unix, name)
+            self.published.restarts.on_refused(unix_ms, name)
         else:
-            self.published.restarts.on_answered(unix, engine)
+            self.published.restarts.on_answered(unix_ms, engine)
 
     def on_rights_idle(self, idle: bool) -> None:
-        """Note whether nothing of our rights to cold engines is lent, used or wanted; see idle_mark."""
+        """Process whether none of our rights to cold engines are lent, used or requested; see idle_mark."""
         if self.inputs.store_usable and self.past_agreement:
             self.idle_mark.set_idle(idle)
 
-    def on_shutdown(self, unix: float) -> None:
-        """Record that the program ends in good order, in the last batch."""
-        self._write_heartbeat(unix, clean_shutdown=True)
+    def on_shutdown(self, unix_ms: float) -> None:
+        """Record a clean shutdown in the last batch."""
+        self._write_heartbeat(unix_ms, clean_shutdown=True)
 
     # The store.
 
     def next_batch(self) -> dict[bytes, bytes | None] | None:
         """Return the next batch to write.
 
-        None if there is nothing, the outcome of the last one is unknown, or the store is broken.
+        None if there are no changes, the last batch is still being written, or the store is not usable.
         """
         if self.buffer.writing or not self.inputs.store_usable:
             return None
@@ -199,28 +200,28 @@
         batch.update(journal_batch or {})
         return batch
 
-    def on_batch_written(self, now: float, unix: float, ok: bool, full: bool = False) -> None:
-        """Take the outcome of the last batch. `ok`: it is durable.
+    def on_batch_written(self, now: float, unix_ms: float, ok: bool, full: bool = False) -> None:
+        """Process the outcome of the last batch. `ok`: it is durable.
 
-        `full`: nothing of it is; neither: the store is broken and not used any more.
+        `full`: the disk was full and nothing was written. Neither: the store is broken and no longer used.
         """
         batch = self.buffer.on_written(ok, full)
         if ok:
             self.store.generation += 1
-            self.idle_mark.on_durable(batch, self.store.older)
+            self.idle_mark.on_durable(batch, self.store.outdated)
         elif not full:
             self.inputs.store_usable = False
-            self._log("recovery_tickets_disabled", why="the store is broken: no tickets are granted here")
-        self.loads.on_batch_written(now, unix, ok, full)
+            self._log("recovery_tickets_disabled", why="the store failed to write a batch: no tickets are granted here")
+        self.loads.on_batch_written(now, unix_ms, ok, full)
 
-    def _write_heartbeat(self, unix: float, clean_shutdown: bool) -> None:
-        record = HeartbeatRecord(unix, self.published.last_event, clean_shutdown)
+    def _write_heartbeat(self, unix_ms: float, clean_shutdown: bool) -> None:
+        record = HeartbeatRecord(unix_ms, self.published.last_event, clean_shutdown)
         self.buffer.put("beat", "", wire.encode(record))
 
     def own_store(self) -> StoreState | None:
-        """Return the state of the own store.
+        """Return the state of this coordinator's store.
 
-        None until others were asked what they know of it, or without a usable store.
+        None without a usable store, and until the other coordinators were asked for the state that they know.
         """
         if not self.past_agreement or not self.inputs.store_usable:
             return None
@@ -228,8 +229,8 @@
 
     # Messages.
 
-    def on_message(self, now: float, unix: float, sender: str, data: bytes) -> None:
-        """Process a member's message; one that can't be decoded is counted."""
+    def on_message(self, now: float, unix_ms: float, sender: str, data: bytes) -> None:
+        """Process a member's message; a malformed one is counted and dropped."""
         try:
             message = wire.decode(data)
         except wire.InvalidPacketError:
@@ -240,18 +241,18 @@
                 self.peer_stores.remember(now, sender, message.own_store)
                 self._on_report_request(now, sender, message)
             case wire.ReportPage():
-                self._on_report_page(now, unix, sender, message)
+                self._on_report_page(now, unix_ms, sender, message)
             case wire.TicketClaim():
-                self.loads.on_claim(unix, sender, message)
+                self.loads.on_claim(unix_ms, sender, message)
             case wire.TicketReply():
                 self.peer_stores.remember(now, sender, message.own_store)
-                self.loads.on_reply(now, unix, sender, message.nonce, message.status)
+                self.loads.on_reply(now, unix_ms, sender, message.nonce, message.status)
             case wire.TicketRelease():
                 self.loads.journal.release(sender, message.ticket, message.nonce)
 
     def _on_report_request(self, now: float, sender: str, request: wire.ReportRequest) -> None:
-        own = self._own_report()
-        report = self.published.paged(own)
+        own_report = self._own_report()
+        report = self.published.paged(own_report)
         if request.page >= len(report.pages):
             return
         rows = report.pages[request.page]
@@ -260,7 +261,7 @@
             digest=report.digest,
             page=request.page,
             page_count=len(report.pages),
-            last_event=own.last_event,
+            last_event=own_report.last_event,
             uptime_ms=now - self.started_at,
             settled=self.settled,
             store_lost=self.store.lost,
@@ -274,9 +275,9 @@
     def _own_report(self) -> MemberReport:
         return self.published.own_report(self.store.lost, self.past_agreement)
 
-    def _on_report_page(self, now: float, unix: float, sender: str, page: wire.ReportPage) -> None:
+    def _on_report_page(self, now: float, unix_ms: float, sender: str, page: wire.ReportPage) -> None:
         if sender not in self.transfer.transfers:
-            return  # nobody asked
+            return  # not requested
         self.peer_stores.remember(now, sender, page.own_store)
         if not self.transfer.add_page(sender, page):
             return
@@ -285,31 +286,31 @@
         report = self.transfer.finish_page(now, sender, page)
         if report is None:
             return
-        self._compare_stores(unix, sender, page)
-        marks = self.stages.stage > Stage.ENGINES
-        self.published.restarts.merge_peer_starts(unix, report, self.published.engines, marks)
-        self._advance(now, unix)
+        self._compare_stores(unix_ms, sender, page)
+        adopt = self.stages.stage > Stage.ENGINES
+        self.published.restarts.merge_peer_starts(unix_ms, report, self.published.engines, adopt)
+        self._advance(now, unix_ms)
 
-    def _compare_stores(self, unix: float, sender: str, page: wire.ReportPage) -> None:
-        """Take what another knows of our store: a later state of it, or that there never was one."""
+    def _compare_stores(self, unix_ms: float, sender: str, page: wire.ReportPage) -> None:
+        """Compare our store with the state of it that another member knows; a later one shows that ours is outdated."""
         if self.past_agreement and not self.stages.without_quorum:
             return
-        known = page.your_store
-        if known is None:
+        known_state = page.your_store
+        if known_state is None:
             if not page.store_lost and sender in self.seeds:
-                self.store.mark_unknown(sender)
+                self.store.add_seed_without_record(sender)
             return
-        if not self.store.is_older_than(known, count_written=self.past_agreement):
+        if not self.store.is_older_than(known_state, count_written=self.past_agreement):
             return
         opened = self.store.opened.state
-        if self.store.mark_older() and opened is not None:
+        if self.store.mark_outdated() and opened is not None:
             self._log(
                 "recovery_store_outdated",
-                life=known.incarnation,
-                generation=known.generation,
+                life=known_state.incarnation,
+                generation=known_state.generation,
                 ours=[opened.incarnation, opened.generation],
             )
-        self.loads.journal.start_cooldown(unix)
+        self.loads.journal.start_cooldown(unix_ms)
 
     # Time and stages.
 
@@ -328,25 +329,25 @@
             due_times.append(self.transfer.next_due())
         return min(due_times)
 
-    def tick(self, now: float, unix: float) -> None:
-        """Do what is due."""
-        self.loads.tick(now, unix)
+    def tick(self, now: float, unix_ms: float) -> None:
+        """Send what is due, prune old state, write the heartbeat, and advance the stages."""
+        self.loads.tick(now, unix_ms)
         if now >= self._prune_at:
             self._prune_at = now + PRUNE_MS
-            self.loads.journal.prune(unix)
-            self.published.prune(unix)
+            self.loads.journal.prune(unix_ms)
+            self.published.prune(unix_ms)
         if now >= self._heartbeat_at:
             self._heartbeat_at = now + HEARTBEAT_MS
-            if self.past_agreement:  # before that the previous process's own would be lost
-                self._write_heartbeat(unix, clean_shutdown=False)
+            if self.past_agreement:  # earlier, it would overwrite the previous process's heartbeat
+                self._write_heartbeat(unix_ms, clean_shutdown=False)
         if now >= self.peer_stores.save_at and self.past_agreement:
             self.peer_stores.save(self.buffer)
-        self._advance(now, unix)
+        self._advance(now, unix_ms)
         needs_quorum = self.inputs.in_fleet and not self.has_quorum
         self.transfer.tick(now, self.alive, needs_quorum, recovered=self.stages.finished)
 
-    def _advance(self, now: float, unix: float) -> None:
-        """Go on by stages, and agree as soon as a quorum has reported."""
+    def _advance(self, now: float, unix_ms: float) -> None:
+        """Advance the stages, and agree as soon as a quorum has reported."""
         if not self.past_agreement or (self.stages.without_quorum and not self.has_quorum):
             self._review_reports()
         while True:
@@ -355,9 +356,9 @@
                 break
             for transition in transitions:
                 self.outputs.effects.append(transition)
-                self._on_transition(transition, unix)
+                self._on_transition(transition, unix_ms)
         if self.inputs.reported and self.past_agreement and not self.has_quorum:
-            self._agree()  # a quorum has reported after the timeout
+            self._agree()  # a quorum has reported after the agreement stage timed out
 
     def _review_reports(self) -> None:
         other_seeds = len(self.seeds) - (self.settings.name in self.seeds)
@@ -369,12 +370,12 @@
     def _reports(self) -> list[MemberReport]:
         return [self._own_report(), *self.transfer.reports()]
 
-    def _on_transition(self, transition: StageTransition, unix: float) -> None:
+    def _on_transition(self, transition: StageTransition, unix_ms: float) -> None:
         if transition.previous is Stage.AGREE:
             self.loads.accepts_new = True
             self._agree()
         if transition.stage is Stage.ENGINES:
-            self._judge_engines(unix)
+            self._classify_engines(unix_ms)
             self.inputs.engines_marked = True
 
     def _agree(self) -> None:
@@ -385,10 +386,10 @@
             self.transfer.clear()
             self.published.invalidate()
 
-    def _judge_engines(self, unix: float) -> None:
-        """Mark engines restarted that are cold after our loss."""
-        self.published.restarts.judge_engines(
-            unix,
+    def _classify_engines(self, unix_ms: float) -> None:
+        """Mark engines as restarted that may have lost power with this coordinator."""
+        self.published.restarts.classify_engines(
+            unix_ms,
             self.published.engines,
             self.agreed.engine_starts if self.agreed else {},
             self.store.last_heartbeat_ms,
