--- a/bench/settings.py
+++ b/bench/settings.py
@@ -170,7 +170,7 @@
 @click.option("--runs", default=2_000)
 def guard(runs: int) -> None:
     """Measure how often series without harm are called harmful, and how soon harm of a given size is found."""
-    from test_settings import played, row
+    from test_settings import judge_windows, row
 
     rng = random.Random(11)
 
@@ -185,7 +185,7 @@
     called: Counter[str] = Counter()
     for trial in range(runs):
         rate, size = rng.choice((0.002, 0.02, 0.1)), rng.choice(((20, 60), (60, 300), (300, 600)))
-        verdict = played(
+        verdict = judge_windows(
             [window(rate, trial % 2 == 1, size) for _ in range(30)],
             [window(rate, trial % 2 == 1, size) for _ in range(14)],
         )[0]
@@ -193,7 +193,7 @@
     found = {}
     for more in (0.02, 0.03, 0.05, 0.1, 0.3):
         verdicts = [
-            played(
+            judge_windows(
                 [window(0.01, False, (60, 300)) for _ in range(30)],
                 [window(0.01 + more, False, (60, 300)) for _ in range(14)],
             )
--- a/frostspindle/components/agreement.py
+++ b/frostspindle/components/agreement.py
@@ -74,7 +74,7 @@
 
     def prepare_reload(self, config: Config) -> None:
         """Read the file of settings, if there is one; ConfigError if it can't be used."""
-        self._rules = self.service.read_own_file()
+        self._rules = self.service.read_local_file()
 
     def on_reload(self, config: Config) -> None:
         """Apply the rules on top of the operator's file that was read anew."""
--- a/frostspindle/settings/applicability.py
+++ b/frostspindle/settings/applicability.py
@@ -28,7 +28,7 @@
     memory_mb: float = 192.0
 
 
-def why_not_applicable(rules: Rules, program: RunningProgram, changes: Rules | None = None) -> str:
+def inapplicability_reason(rules: Rules, program: RunningProgram, changes: Rules | None = None) -> str:
     """Return why a version can't be applied while this coordinator runs, naming the key; "" if it can.
 
     `changes`: look at these only, which were made to rules that can be applied.
@@ -129,7 +129,7 @@
     def __call__(self, version: Version) -> str:
         """Return why a version can't be applied here; "" if it can."""
         changes = version.changes if version.parent in self._applicable else None
-        reason = why_not_applicable(version.rules, self._program, changes)
+        reason = inapplicability_reason(version.rules, self._program, changes)
         if not reason:
             self._applicable[version.number] = version.digest
             while len(self._applicable) > MAX_REMEMBERED_VERSIONS:
--- a/frostspindle/settings/member_decisions.py
+++ b/frostspindle/settings/member_decisions.py
@@ -48,7 +48,7 @@
 class MemberDecisions:
     """One coordinator's lease and choice of rules.
 
-    `why_not_applicable(version)` returns why a version can't be applied here, or ""; it must be pure.
+    `inapplicability_reason(version)` returns why a version can't be applied here, or ""; it must be pure.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         settings: AgreementSettings,
         machine: SettingsStateMachine,
         now: float,
-        why_not_applicable: Callable[[Version], str] = lambda version: "",
+        inapplicability_reason: Callable[[Version], str] = lambda version: "",
         restored: RestoredVersions = NO_VERSIONS,
     ) -> None:
         self.name: str = name
         self.process: int = process
         self.settings: AgreementSettings = settings
         self.machine: SettingsStateMachine = machine
-        self.why_not_applicable: Callable[[Version], str] = why_not_applicable
+        self.inapplicability_reason: Callable[[Version], str] = inapplicability_reason
         self.restored: RestoredVersions = restored
         self.lease_until_ms: float = -math.inf  # on the own clock
         self.has_renewed: bool = False  # a renewal of this process was applied
@@ -107,7 +107,7 @@
         numbers = (self.machine.active_version, self.machine.pending_version)
         for number in numbers:
             if number not in self._rejection_reasons:
-                self._rejection_reasons[number] = self.why_not_applicable(self.machine.version(number))
+                self._rejection_reasons[number] = self.inapplicability_reason(self.machine.version(number))
         if len(self._rejection_reasons) > MAX_REMEMBERED_CHECKS:
             current = {number: self._rejection_reasons[number] for number in numbers}
             self._rejection_reasons = {0: "", **current}
--- a/frostspindle/settings/service.py
+++ b/frostspindle/settings/service.py
@@ -61,7 +61,7 @@
         settings: AgreementSettings,
         telemetry: Telemetry,
         apply_rules: Callable[[ActiveRules], None],
-        why_not_applicable: Callable[[Version], str],
+        inapplicability_reason: Callable[[Version], str],
         figures: Callable[[], tuple[int, ...]],
         ownership: TaskOwnership,
         store: VersionStore | None,
@@ -81,7 +81,7 @@
 
         process = int(time.time() * 1000.0)
         self.machine = SettingsStateMachine()
-        self.member = MemberDecisions(name, process, settings, self.machine, now(), why_not_applicable, restored)
+        self.member = MemberDecisions(name, process, settings, self.machine, now(), inapplicability_reason, restored)
         self.publisher = PublisherDecisions(settings, self.machine, canary)
         self.active_rules: ActiveRules | None = None
         self.counts: Counter[str] = Counter()
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -19,7 +19,7 @@
 from frostspindle.settings import canary
 from frostspindle.settings.active_rules import RestoredVersions
 from frostspindle.settings.agreement_settings import AgreementSettings
-from frostspindle.settings.applicability import ApplicabilityCheck, RunningProgram, why_not_applicable
+from frostspindle.settings.applicability import ApplicabilityCheck, RunningProgram, inapplicability_reason
 from frostspindle.settings.applied_rules import AppliedRules
 from frostspindle.settings.canary import CanaryCheck, CanaryThresholds
 from frostspindle.settings.document import parse_document
@@ -125,7 +125,7 @@
             self._canary_check(),
         )
         self.applied.changed_keys = self.service.changed_keys
-        self._rules_of_start = self.read_own_file()
+        self._rules_of_start = self.read_local_file()
         if self.is_alone and restored.versions:  # a log in memory has forgotten them
             self._resume(max(restored.versions, key=lambda version: version.number))
         self.applied.refresh = self.service.refresh
@@ -178,13 +178,13 @@
         if rules is not None:
             self.service.pushes.push_rules(f"file-{clock():.0f}", rules)
 
-    def read_own_file(self) -> Rules | None:
+    def read_local_file(self) -> Rules | None:
         """Return the rules of the file of a coordinator that is alone, None without one; ConfigError names the key."""
         if not self.is_alone or not self.section.file:
             return None
         try:
             rules = parse_document(Path(self.section.file).read_bytes())
-            reason = why_not_applicable(rules, describe_program(self.program.config))
+            reason = inapplicability_reason(rules, describe_program(self.program.config))
             if reason:
                 raise InvalidSettingsError(reason)
         except OSError as error:
--- a/tests/settings_cluster.py
+++ b/tests/settings_cluster.py
@@ -34,13 +34,13 @@
 class ClusterMember:
     """One coordinator's process, and its disk."""
 
-    def __init__(self, name, process, now, restored, settings, why_not_applicable):
+    def __init__(self, name, process, now, restored, settings, inapplicability_reason):
         self.name = name
         self.process = process
         self.machine = SettingsStateMachine()
         self.applied = 0  # entries of the log
         self.restored = restored
-        self.member = MemberDecisions(name, process, settings, self.machine, now, why_not_applicable, restored)
+        self.member = MemberDecisions(name, process, settings, self.machine, now, inapplicability_reason, restored)
         self.publisher = PublisherDecisions(settings, self.machine)
 
     def copy(self):
@@ -69,10 +69,10 @@
 class SettingsCluster:
     """The coordinators, their disks and the log; each entry has the next index."""
 
-    def __init__(self, count, settings=SETTINGS, why_not_applicable=lambda name, version: ""):
+    def __init__(self, count, settings=SETTINGS, inapplicability_reason=lambda name, version: ""):
         self.now = 0.0
         self.settings = settings
-        self.why_not_applicable = why_not_applicable
+        self.inapplicability_reason = inapplicability_reason
         self.log: list[bytes] = []
         self.results: dict[int, bytes] = {}
         self.processes = 0
@@ -97,7 +97,7 @@
             self.now,
             self.disks[name],
             self.settings,
-            lambda version: self.why_not_applicable(name, version),
+            lambda version: self.inapplicability_reason(name, version),
         )
 
     def crash(self, name):
@@ -174,7 +174,8 @@
         for name, rules in rules_by_name.items():
             node = self.nodes[name]
             if rules.mode == RulesMode.VERSION and (
-                self.why_not_applicable(name, node.machine.version(rules.sole_version)) or not node.member.has_renewed
+                self.inapplicability_reason(name, node.machine.version(rules.sole_version))
+                or not node.member.has_renewed
             ):
                 return f"{name} acts on {rules.sole_version} alone, which it can't apply or without a renewal"
             if not node.member.has_renewed and any(
@@ -182,7 +183,7 @@
             ):
                 return f"{name} permits after its start what a version that may be active does not"
         for name, kept in self.disks.items():
-            if any(self.why_not_applicable(name, version) for version in kept.versions):
+            if any(self.inapplicability_reason(name, version) for version in kept.versions):
                 return f"{name} persists a version that it can't apply"
         return None
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
 from frostspindle.config import TenantRule
 from frostspindle.settings import document, schema, secret_hash, validation
 from frostspindle.settings import intersection as meeting
-from frostspindle.settings.applicability import RunningProgram, why_not_applicable
+from frostspindle.settings.applicability import RunningProgram, inapplicability_reason
 from frostspindle.settings.canary import (
     HEADER_FIGURES,
     LATENCY_BUCKETS,
@@ -185,10 +185,10 @@
             (Login("a", "r"), ""),
         ):
             place = schema.key_of(type(entry).__name__.lower(), entry)
-            assert key in why_not_applicable({place: entry}, here) and bool(
-                why_not_applicable({place: entry}, here)
+            assert key in inapplicability_reason({place: entry}, here) and bool(
+                inapplicability_reason({place: entry}, here)
             ) == bool(key)
-            assert why_not_applicable(NO_RULES, here, {place: None}) == ""
+            assert inapplicability_reason(NO_RULES, here, {place: None}) == ""
         bare = RunningProgram()
         for table, key in (
             ({"engine/tds/e1": tds}, "needs a new"),
@@ -198,12 +198,12 @@
             ({"engine/http/e1": Engine("e1", "127.0.0.1:1", zone="z")}, "zone"),
             ({"engine/http/e1": Engine("e1", "127.0.0.1:1", kind="z")}, "kind"),
         ):
-            assert key in why_not_applicable(table, bare)
+            assert key in inapplicability_reason(table, bare)
         sizes = {
             f"limit/{n}": Limit(v)
             for n, v in (("tds_sessions", 90.0), ("tds_batch_bytes", 1e6), ("tds_result_bytes", 1e6))
         }
-        assert "tds_result_bytes" in why_not_applicable(sizes, here) and "sixth" in why_not_applicable(
+        assert "tds_result_bytes" in inapplicability_reason(sizes, here) and "sixth" in inapplicability_reason(
             {"limit/tds_sessions": Limit(101.0)}, here
         )
 
@@ -372,7 +372,7 @@
     return out
 
 
-def played(before, after, guard=CanaryThresholds(), members=3, waiting=(0, 0)):  # noqa: B008
+def judge_windows(before, after, guard=CanaryThresholds(), members=3, waiting=(0, 0)):  # noqa: B008
     """The verdict on windows of figures; when it came, in windows since the version went live. `waiting`: open
     requests at each member, before and since."""
     judge, total, now = CanaryCheck(guard), [[0] * (HEADER_FIGURES + LATENCY_BUCKETS) for _ in range(members)], 0.0
@@ -407,24 +407,24 @@
     def test_each_figure_beyond_its_guard_band_fails_the_canary_check_within_seconds(self):
         calm = [row(200, 1, 2, 2)] * 30
         for worse, word in ((row(200, 30), "failed"), (row(200, 0, 60), "refused"), (row(200, 1, 2, 40), "slow")):
-            verdict, at = played(calm, [worse] * 14)
+            verdict, at = judge_windows(calm, [worse] * 14)
             assert verdict.startswith(word) and at <= 6, (verdict, at)
 
     def test_few_requests_one_bad_window_or_an_improvement_pass_the_canary_check(self):
-        assert played([row(2)] * 30, [row(2, 2)] * 16)[0] == PASSED
+        assert judge_windows([row(2)] * 30, [row(2, 2)] * 16)[0] == PASSED
         calm, spike = [row(200, 1, 2, 2)] * 30, [row(200, 1)] * 5 + [row(200, 150)] + [row(200, 1)] * 10
-        assert played(calm, spike)[0] == PASSED
-        assert played([row(200, 100, 50, 60)] * 30, [row(200)] * 16)[0] == PASSED
-        assert played([], [row(200, 150)] * 16)[0] == PASSED, "nothing tells what was usual"
+        assert judge_windows(calm, spike)[0] == PASSED
+        assert judge_windows([row(200, 100, 50, 60)] * 30, [row(200)] * 16)[0] == PASSED
+        assert judge_windows([], [row(200, 150)] * 16)[0] == PASSED, "nothing tells what was usual"
 
     def test_few_answers_are_a_stall_only_while_requests_wait(self):
-        verdict, at = played([row(200)] * 30, [row(3)] * 14, waiting=(4, 4))
+        verdict, at = judge_windows([row(200)] * 30, [row(3)] * 14, waiting=(4, 4))
         assert verdict == "stalled: 12 answers, usually 800; 12 requests wait" and at <= 6
-        assert played([row(200)] * 30, [row(3)] * 16, waiting=(4, 0))[0] == PASSED
-        assert played([row(8)] * 30, [row(0)] * 16, waiting=(1, 1))[0] == PASSED, "few were usual"
+        assert judge_windows([row(200)] * 30, [row(3)] * 16, waiting=(4, 0))[0] == PASSED
+        assert judge_windows([row(8)] * 30, [row(0)] * 16, waiting=(1, 1))[0] == PASSED, "few were usual"
 
     def test_figures_as_bad_as_the_baseline_pass_and_a_restart_subtracts_nothing(self):
-        assert played([row(200, 40, 30, 20)] * 30, [row(200, 42, 30, 20)] * 16)[0] == PASSED
+        assert judge_windows([row(200, 40, 30, 20)] * 30, [row(200, 42, 30, 20)] * 16)[0] == PASSED
         judge = CanaryCheck()
         judge.observe(0.0, {"c1": (1, tuple(row(100)))})
         judge.observe(600.0, {"c1": (2, tuple(row(10))), "c2": (1, (1, 2))})
@@ -448,7 +448,7 @@
                 fails = min(count, hits(count, heavy))
                 return row(count, fails, fails // 2, hits(count, 0.01))
 
-            called += played([window() for _ in range(30)], [window() for _ in range(14)])[0] != PASSED
+            called += judge_windows([window() for _ in range(30)], [window() for _ in range(14)])[0] != PASSED
         assert called <= 2, f"{called} of 200"
 
     def test_versions_in_a_row_are_compared_with_the_baseline_of_the_first(self):
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -418,7 +418,7 @@
 
     def test_version_rejected_by_one_member_is_withdrawn_with_its_reason(self):
         cluster = agreed(
-            why_not_applicable=lambda name, version: (
+            inapplicability_reason=lambda name, version: (
                 "limits.x: needs a new start" * (name == "c2" and "ban/e2" in version.rules)
             )
         )
@@ -433,7 +433,9 @@
         assert {acting.sole_version for acting in cluster.active_rules().values()} == {1} and cluster.fault() is None
 
     def test_late_member_that_can_not_apply_the_active_version_uses_the_intersection(self):
-        cluster = agreed(why_not_applicable=lambda name, version: "no" * (name == "c2" and "ban/e2" in version.rules))
+        cluster = agreed(
+            inapplicability_reason=lambda name, version: "no" * (name == "c2" and "ban/e2" in version.rules)
+        )
         cluster.crash("c2")
         cluster.pass_time(5_000.0)
         push(cluster, ban("e2"), 2)
@@ -670,7 +672,7 @@
     applies, keeps, crashes and starts; publishers publish; time passes by half a lease. Others' holds are applied along
     with what comes before them where nobody reads them there: they change nothing but the publisher's view."""
     cluster = agreed(
-        count, why_not_applicable=lambda name, version: "no" * (name == unfit and "ban/e2" in version.rules)
+        count, inapplicability_reason=lambda name, version: "no" * (name == unfit and "ban/e2" in version.rules)
     )
     names = list(cluster.disks)
     for name in names:
