--- a/frostspindle/settings/active_rules.py
+++ b/frostspindle/settings/active_rules.py
@@ -1,4 +1,4 @@
-"""The rules that a coordinator acts on, and the versions that it restored from its store. No I/O, no clock."""
+"""The rules in force at a coordinator, and the versions restored from its store. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class RulesMode(StrEnum):
-    """What the active rules are; the values are in log lines, operators' replies and operators' files."""
+    """Where the active rules come from; the values appear in log lines, operators' replies and operators' files."""
 
-    LOCAL_FILES = "file"  # nothing is agreed yet: the coordinator's own files alone
-    VERSION = "version"  # one version
+    LOCAL_FILES = "file"  # no version is agreed yet: only the coordinator's local files apply
+    VERSION = "version"  # a single version
     INTERSECTION = "meet"  # the intersection of several versions
-    REJECT = "refuse"  # nothing is sent, as no renewal was applied for a lease
+    REJECT = "refuse"  # all queries are rejected: no renewal was applied for the length of a lease
 
 
 class RulesReason(StrEnum):
-    """Why it is not one version alone; the values are in log lines and operators' replies."""
+    """Why the rules are not a single version's; the values appear in log lines and operators' replies."""
 
     PENDING = "pending"  # a version is pending
-    ISOLATED = "alone"  # the own lease ran out
-    STARTED = "start"  # no renewal of this process was applied yet
-    NOT_APPLICABLE = "unfit"  # the active version can't be applied here
+    ISOLATED = "alone"  # this coordinator's lease expired
+    STARTED = "start"  # no renewal by this process has been applied yet
+    NOT_APPLICABLE = "unfit"  # this coordinator can't apply the active version
 
 
 @dataclass(slots=True, frozen=True)
 class ActiveRules:
-    """The rules that are acted on, and the versions that they are the intersection of."""
+    """The rules in force, and the versions whose intersection they are."""
 
     mode: str  # a RulesMode
     versions: tuple[int, ...]
@@ -37,7 +37,7 @@
 
     @property
     def sole_version(self) -> int:
-        """Number of the version that is acted on alone; 0 if none is."""
+        """Number of the version if the rules are a single version's, else 0."""
         return self.versions[0] if self.mode == RulesMode.VERSION else 0
 
 
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RestoredVersions:
-    """What a start knows from the store: versions that may be active, and when that was last known (Unix ms)."""
+    """What the store holds at startup: the versions that may be active, and when that was last confirmed (Unix ms)."""
 
     versions: tuple[Version, ...] = ()
     saved_at_ms: float = 0.0
--- a/frostspindle/settings/agreement_settings.py
+++ b/frostspindle/settings/agreement_settings.py
@@ -1,4 +1,4 @@
-"""The times of the agreement among coordinators. No I/O, no clock."""
+"""Timing parameters of the agreement protocol. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 @dataclass(slots=True, frozen=True)
 class AgreementSettings:
-    """Times in ms and clock drift that all coordinators must have alike, except `isolation_mode`."""
+    """Lease and trial times in ms, and the clock drift. All but `isolation_mode` must be equal at all coordinators."""
 
     lease_ms: float = 2_000.0
     drift: float = 0.01
-    trial_ms: float = 10_000.0  # time in which a version may be rolled back by its figures
-    isolation_mode: str = RulesMode.INTERSECTION  # or REJECT: what to do once no renewal was applied for a lease
+    trial_ms: float = 10_000.0  # how long an activated version is on trial and can be rolled back by the canary check
+    isolation_mode: str = RulesMode.INTERSECTION  # or REJECT; what applies once the lease has expired
 
     @property
     def own_lease_ms(self) -> float:
-        """Time in ms for which a coordinator counts its own lease: shortened by the drift."""
+        """Time in ms for which a coordinator relies on its own lease: the lease shortened by the drift."""
         return self.lease_ms * (1.0 - self.drift)
 
     @property
     def peer_lease_ms(self) -> float:
-        """Time in ms after which every lease of others is over: lengthened by the drift."""
+        """Time in ms after which any other coordinator's lease has expired: the lease lengthened by the drift."""
         return self.lease_ms * (1.0 + self.drift)
 
     @property
     def renew_interval_ms(self) -> float:
-        """Interval in ms at which a coordinator renews its lease: a quarter of it."""
+        """Interval in ms between lease renewals: a quarter of the lease."""
         return self.lease_ms / 4.0
--- a/frostspindle/settings/applicability.py
+++ b/frostspindle/settings/applicability.py
@@ -1,4 +1,4 @@
-"""Whether a version can be applied by the program as it was started, without a restart. No I/O."""
+"""Check whether the running program can apply a version without a restart. No I/O."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RunningProgram:
-    """What this coordinator was started with, as far as it decides which versions are applicable."""
+    """The startup configuration that determines which versions this coordinator can apply."""
 
-    classes: Mapping[str, str] = field(default_factory=dict)  # by name the idempotency, as an entry's `effect`
+    classes: Mapping[str, str] = field(default_factory=dict)  # class name to idempotency, as in an entry's `effect`
     tenants: Mapping[str, tuple[TenantRule, ...]] = field(default_factory=dict)
-    has_event_bus: bool = False  # which lists HTTP engines
+    has_event_bus: bool = False  # if so, the bus announces the HTTP engines
     has_tds: bool = False
     tds_classes: frozenset[str] = frozenset()
     tds_sizes: frozenset[tuple[float, float]] = frozenset()  # cores, memory in MB
@@ -29,9 +29,9 @@
 
 
 def inapplicability_reason(rules: Rules, program: RunningProgram, changes: Rules | None = None) -> str:
-    """Return why a version can't be applied while this coordinator runs, naming the key; "" if it can.
+    """Return why these rules can't be applied without a restart, naming the key; "" if they can.
 
-    `changes`: look at these only, which were made to rules that can be applied.
+    If `changes` is given, only these entries are checked; they must be changes to applicable rules.
     """
     for key, entry in (rules if changes is None else changes).items():
         if entry is None:
@@ -41,12 +41,12 @@
         reason = check(key, name, entry, program) if check is not None else ""
         if reason:
             return reason
-    return _why_result_memory_exceeded(rules, program)
+    return _check_result_memory(rules, program)
 
 
-def _why_not_engine(key: str, name: str, engine: Engine, program: RunningProgram) -> str:
+def _check_engine(key: str, name: str, engine: Engine, program: RunningProgram) -> str:
     if engine.front == "http":
-        return _why_not_http_engine(key, engine, program)
+        return _check_http_engine(key, engine, program)
     if engine.front == "tds" and not program.has_tds:
         return f"{key}: needs a new start with [tds]"
     if engine.front == "tds" and (engine.cores, engine.memory_mb) not in program.tds_sizes:
@@ -54,9 +54,9 @@
     return ""
 
 
-def _why_not_http_engine(key: str, engine: Engine, program: RunningProgram) -> str:
+def _check_http_engine(key: str, engine: Engine, program: RunningProgram) -> str:
     if program.has_event_bus:
-        return f"{key}: the event bus lists HTTP engines here; bans, drains and limits may name them"
+        return f"{key}: the event bus announces the HTTP engines here; use bans, drains and limits instead"
     if engine.zone and engine.zone not in program.zones:
         return f"{key}.zone: a failure domain that needs a new start"
     if engine.kind and engine.kind not in program.kinds:
@@ -64,7 +64,7 @@
     return ""
 
 
-def _why_not_class(key: str, name: str, request_class: Class, program: RunningProgram) -> str:
+def _check_class(key: str, name: str, request_class: Class, program: RunningProgram) -> str:
     if name not in program.classes:
         return f"{key}: a class that needs a new start"
     if request_class.effect != program.classes[name]:
@@ -72,7 +72,7 @@
     return ""
 
 
-def _why_not_tenant(key: str, name: str, tenant: Tenant, program: RunningProgram) -> str:
+def _check_tenant(key: str, name: str, tenant: Tenant, program: RunningProgram) -> str:
     if name not in program.tenants:
         return f"{key}: a tenant that needs a new start"
     if tenant.rule and tenant.rule != program.tenants[name]:
@@ -80,7 +80,7 @@
     return ""
 
 
-def _why_not_login(key: str, name: str, login: Login, program: RunningProgram) -> str:
+def _check_login(key: str, name: str, login: Login, program: RunningProgram) -> str:
     if not program.has_tds:
         return f"{key}: needs a new start with [tds]"
     if login.cls not in program.tds_classes:
@@ -88,7 +88,7 @@
     return ""
 
 
-def _why_not_limit(key: str, name: str, limit: Limit, program: RunningProgram) -> str:
+def _check_limit(key: str, name: str, limit: Limit, program: RunningProgram) -> str:
     if name.startswith("tds_") and not program.has_tds:
         return f"limits.{name}: needs a new start with [tds]"
     if name == "tds_sessions" and limit.value > program.sockets // 6:
@@ -98,8 +98,8 @@
     return ""
 
 
-def _why_result_memory_exceeded(rules: Rules, program: RunningProgram) -> str:
-    """The three limits of TDS sessions together may need half of the memory at most, three times over."""
+def _check_result_memory(rules: Rules, program: RunningProgram) -> str:
+    """Check that three times the buffers of all TDS sessions fit into half of the memory."""
     names = ("tds_sessions", "tds_batch_bytes", "tds_result_bytes")
     values = [rules[f"limit/{name}"].value for name in names if f"limit/{name}" in rules]
     if len(values) < len(names):
@@ -111,23 +111,23 @@
 
 
 _CHECKS_BY_KIND: dict[str, Callable[[str, str, Entry, RunningProgram], str]] = {
-    "engine": _why_not_engine,
-    "class": _why_not_class,
-    "tenant": _why_not_tenant,
-    "login": _why_not_login,
-    "limit": _why_not_limit,
+    "engine": _check_engine,
+    "class": _check_class,
+    "tenant": _check_tenant,
+    "login": _check_login,
+    "limit": _check_limit,
 }
 
 
 class ApplicabilityCheck:
-    """The check of versions against one program: of a child of an applicable version only its changes are looked at."""
+    """Checks versions against one program; for a child of an applicable version, only its changes are checked."""
 
     def __init__(self, program: RunningProgram) -> None:
         self._program: RunningProgram = program
-        self._applicable: dict[int, int] = {0: EMPTY_VERSION.digest}  # digests by number
+        self._applicable: dict[int, int] = {0: EMPTY_VERSION.digest}  # version number to digest
 
     def __call__(self, version: Version) -> str:
-        """Return why a version can't be applied here; "" if it can."""
+        """Return why this coordinator can't apply a version; "" if it can."""
         changes = version.changes if version.parent in self._applicable else None
         reason = inapplicability_reason(version.rules, self._program, changes)
         if not reason:
--- a/frostspindle/settings/applied_rules.py
+++ b/frostspindle/settings/applied_rules.py
@@ -1,7 +1,7 @@
-"""The active rules as the parts of this program apply them: bans, drains, engines, limits, quotas, classes, TDS logins.
+"""Applies the active rules to the program: bans, drains, engines, limits, quotas, classes and TDS logins.
 
-Runs in the event loop's thread. A long engine list never blocks the event loop, as it is sent in slices; but engines
-that nothing may be sent to are banned at once. What a version has no entry for stays as the program's own files say.
+Runs in the event loop's thread. A long engine list is sent to the core in slices so that it does not block the event
+loop, but excluded engines are banned at once. Where a version has no entry, the program's local files apply.
 """
 
 from __future__ import annotations
@@ -32,36 +32,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Part:
-    """A part of the program that applies rules, and the kinds of entries that concern it."""
+class _Consumer:
+    """A consumer of the rules, and the kinds of entries that it depends on."""
 
-    label: str  # in log lines of a fault
+    label: str  # names the consumer in the log if it fails
     kinds: frozenset[str]
     apply: Callable[[Rules, set[str] | None], None]
 
 
 class AppliedRules:
-    """The rules as the parts of this program have them now."""
+    """The rules in force in this program, and their consumers."""
 
     def __init__(self, program: Any, name: str) -> None:
         self.program = program
         self.name: str = name
         self.core = program.core
         self.telemetry = program.telemetry
-        self.base_tds = program.config.operator.tds  # of the own files
+        self.base_tds = program.config.operator.tds  # the [tds] section of the local files
 
         self.active: ActiveRules = NOTHING_AGREED
         self.rules: Table = EMPTY_VERSION.rules
         self.rejects_all: bool = False
-        # Both are set once the settings service exists: the keys in which two active rules may differ (None: any), and
-        # a call before each send that takes note of a lease that has run out.
+        # Both are set once the settings service exists. `changed_keys` returns the keys in which two active rules may
+        # differ (None: any); `refresh` runs before each send and detects an expired lease.
         self.changed_keys: Callable[[ActiveRules, ActiveRules], set[str] | None] = lambda old, new: None
         self.refresh: Callable[[], object] = lambda: None
 
         self.manually_banned: frozenset[str] = frozenset()
-        self.excluded: frozenset[str] = frozenset()  # engines that the rules exclude: the union of the two below
+        self.excluded: frozenset[str] = frozenset()  # engines that the rules exclude: `_barred` and `_unlisted`
         self._barred: set[str] = set()  # by bans and drains
-        self._unlisted: frozenset[str] = frozenset()  # not on their front's list, or not active there
+        self._unlisted: frozenset[str] = frozenset()  # missing from their front's list, or not active on it
         self._set_bans: SetBans = self.core.ban
 
         self._may_send_before = self.core.may_start
@@ -69,20 +69,20 @@
         self._limits = SendLimits()
         self._policy = PolicyOverrides(program)
         self.engine_list = EngineList(program)
-        self._parts = (
-            _Part("_stop", frozenset({"ban", "drain", "engine", "scope", "coordinator"}), self._apply_exclusions),
-            _Part("_bounds", frozenset({"limit"}), self._apply_limits),
-            _Part("_tune", frozenset({"tenant", "class"}), self._policy.apply),
-            _Part("_tds", frozenset({"engine", "scope", "login", "limit"}), self._apply_tds),
-            _Part("_list", frozenset({"engine", "scope"}), self.engine_list.apply),
+        self._consumers = (
+            _Consumer("_stop", frozenset({"ban", "drain", "engine", "scope", "coordinator"}), self._apply_exclusions),
+            _Consumer("_bounds", frozenset({"limit"}), self._apply_limits),
+            _Consumer("_tune", frozenset({"tenant", "class"}), self._policy.apply),
+            _Consumer("_tds", frozenset({"engine", "scope", "login", "limit"}), self._apply_tds),
+            _Consumer("_list", frozenset({"engine", "scope"}), self.engine_list.apply),
         )
 
-    # Manual bans and those by rules.
+    # Manual bans and bans by rules.
 
     def wrap_ban_listener(self, set_bans: SetBans) -> SetBans:
-        """Return a function to call in place of `set_bans` with the engines that operators ban.
+        """Return a replacement for `set_bans` that takes the manually banned engines.
 
-        It adds those that the rules exclude.
+        It adds the engines that the rules exclude.
         """
         self._set_bans = set_bans
 
@@ -95,7 +95,7 @@
     # Before each send.
 
     def may_send(self, state: EngineState, attempt: Attempt) -> bool:
-        """Whether an attempt may send its first byte under the rules now, within this coordinator's share of limits."""
+        """Whether the current rules, and this coordinator's share of the limits, let an attempt send its first byte."""
         self.refresh()
         if self._may_send_before is not None and not self._may_send_before(state, attempt):
             return False
@@ -111,35 +111,35 @@
     # Applying.
 
     def apply(self, active: ActiveRules) -> None:
-        """Put rules into force. A fault in one part is logged and does not keep the others from applying theirs."""
+        """Put rules into force. An exception in one consumer is logged and does not stop the others."""
         changed_keys = self.changed_keys(self.active, active)
         changed_kinds = None if changed_keys is None else {kind_of(key) for key in changed_keys}
         rejected_all = self.rejects_all
         self.rules = active.rules
         self.rejects_all = active.mode == RulesMode.REJECT
         self.active = active
-        for part in self._parts:
-            is_concerned = changed_kinds is None or changed_kinds & part.kinds or rejected_all != self.rejects_all
-            if not is_concerned:
-                continue  # ten thousand engines are not walked for a tenant's quota
+        for consumer in self._consumers:
+            is_affected = changed_kinds is None or changed_kinds & consumer.kinds or rejected_all != self.rejects_all
+            if not is_affected:
+                continue  # a changed tenant quota must not cost a walk over ten thousand engines
             try:
-                part.apply(active.rules, changed_keys)
-            except Exception as error:  # noqa: BLE001 - a version that was checked; the rest of it still applies
+                consumer.apply(active.rules, changed_keys)
+            except Exception as error:  # noqa: BLE001 - the version passed its checks; the rest of it still applies
                 self.telemetry.count("faults")
-                self.telemetry.log("exception_caught", error=repr(error), of=f"settings {part.label}")
+                self.telemetry.log("exception_caught", error=repr(error), of=f"settings {consumer.label}")
 
     def reapply(self, tds: Any) -> None:
-        """Apply the rules again on top of the program's own files, which were read anew; `tds` is their section."""
+        """Apply the rules again after the local files were reloaded; `tds` is their [tds] section."""
         self.base_tds = tds
         self._apply_limits(self.rules, None)
         self._apply_tds(self.rules, None)
 
     def close(self) -> None:
-        """Cancel the task that sends the core a long engine list; what it has sent stays."""
+        """Cancel sending a long engine list to the core; engines already sent remain."""
         self.engine_list.close()
 
     def _apply_exclusions(self, rules: Rules, changed_keys: set[str] | None) -> None:
-        """Ban at once what nothing may be sent to; the engine lists follow."""
+        """Ban excluded engines at once, ahead of the engine list."""
         self._limits.set_share(rules, self.name)
         self._update_barred(rules, changed_keys)
         if changed_keys is None or any(key.startswith(("engine/", "scope/")) for key in changed_keys):
@@ -154,7 +154,7 @@
         if changed_keys is None:
             self._barred = {entry.engine for key, entry in rules.items() if key.startswith(prefixes)}
             return
-        # Ten thousand entries are not walked for one ban.
+        # One changed ban must not cost a walk over ten thousand entries.
         for name in {key.partition("/")[2] for key in changed_keys if key.startswith(prefixes)}:
             if f"ban/{name}" in rules or f"drain/{name}" in rules:
                 self._barred.add(name)
@@ -162,10 +162,10 @@
                 self._barred.discard(name)
 
     def _find_unlisted(self, rules: Rules) -> frozenset[str]:
-        """Engines that were sent to and may not be by the lists.
+        """Return the engines that were active here and that the lists exclude.
 
-        One that was never active here needs no ban: a list with thousands of leaving engines would block the core for
-        as long as it takes to ban each.
+        Engines that were never active here need no ban: banning each of thousands of leaving engines would block the
+        core.
         """
         unlisted: set[str] = set()
         for front, driver in (("http", self.program.driver), ("tds", self.program.tds_driver)):
@@ -189,7 +189,7 @@
         self.core.most_open = 0 if self.rejects_all else self.program.sockets // 2
 
     def _apply_tds(self, rules: Rules, changed_keys: set[str] | None) -> None:
-        """Lay the rules' limits, logins and engines of TDS over the section of the own files."""
+        """Override the [tds] section of the local files with the limits, logins and engines of the rules."""
         program = self.program
         if program.tds is None or program.tds_driver is None:
             return
--- a/frostspindle/settings/audit.py
+++ b/frostspindle/settings/audit.py
@@ -1,8 +1,8 @@
-"""Audit of log lines: for how long any two coordinators acted on contradicting versions outside an intersection.
+"""Audit of log lines: how long any two coordinators acted on contradicting versions, outside an intersection.
 
-No I/O. Reads the lines `settings_acting` and `settings_version`. Whether versions contradict each other is never taken
-from a coordinator's word: it follows from their rules, or from the keys that the lines of the versions name. Lines of
-processes on one host bear that host's clock (`mono_ms`).
+No I/O. Reads the lines `settings_rules_activated` and `settings_version_received`. No coordinator is trusted to say
+that versions are compatible: that follows from their rules, or from the keys that the lines of the versions name. The
+lines of all processes on one host have the time of that host's clock (`mono_ms`).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ActivePeriod:
-    """Time in which one coordinator acted on one version alone: [begins, ends) in ms of one clock."""
+    """Period during which one coordinator acted on a single version: [begins, ends) in ms of one clock."""
 
     node: str
     version: int
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AuditResult:
-    """The longest unbroken and the total time of contradictions, in ms, and the pair of periods of the longest."""
+    """The longest continuous and the total contradiction in ms, and the first pair of periods of the longest."""
 
     longest_ms: float = 0.0
     total_ms: float = 0.0
@@ -39,11 +39,11 @@
 
 
 def find_longest_contradiction(periods: Iterable[ActivePeriod], contradict: Callable[[int, int], bool]) -> AuditResult:
-    """Search all pairs of coordinators; times of different pairs that touch each other count as one."""
+    """Search all pairs of coordinators; contradictions that touch or overlap, of any pairs, count as one."""
     longest_ms = 0.0
     longest_pair: tuple[ActivePeriod, ActivePeriod] | None = None
     total_ms = 0.0
-    run_begins = 0.0  # of the contradictions that touch each other
+    run_begins = 0.0  # of the current run of contradictions that touch or overlap
     run_ends = -math.inf
     run_pair: tuple[ActivePeriod, ActivePeriod] | None = None
     found = _find_contradictions(periods, contradict)
@@ -80,7 +80,7 @@
 
 
 class _OpenPeriod(NamedTuple):
-    """A period whose end is not known yet, but that it is not after `ends_by`."""
+    """A period whose end is not known yet, but is at most `ends_by`."""
 
     version: int
     begins: float
@@ -90,18 +90,19 @@
 def read_active_periods(
     lines: Iterable[Mapping[str, Any]], ends: Mapping[str, float] | None = None, last: float = math.inf
 ) -> list[ActivePeriod]:
-    """Return the periods that log lines speak of.
+    """Return the periods that the log lines describe.
 
-    `ends`: until when a process that was killed can have acted, by node. A lease that ran out ends its period by
-    itself: the line comes late, but names the time (`until_ms`). `last`: the end of all that are still open.
+    `ends` maps a node whose process was killed to the latest time at which it can have acted. A period also ends when
+    the lease expires: its line is logged later, but has the time of expiry (`until_ms`). `last` ends all periods that
+    are still open.
     """
     periods: list[ActivePeriod] = []
     open_periods: dict[str, _OpenPeriod] = {}
 
-    def close(node: str, at: float) -> None:
+    def close(node: str, end_ms: float) -> None:
         period = open_periods.pop(node, None)
         if period is not None:
-            periods.append(ActivePeriod(node, period.version, period.begins, min(at, period.ends_by)))
+            periods.append(ActivePeriod(node, period.version, period.begins, min(end_ms, period.ends_by)))
 
     for line in lines:
         if line.get("event") != "settings_rules_activated":
@@ -118,10 +119,10 @@
 
 
 def read_contradictions(lines: Iterable[Mapping[str, Any]]) -> Callable[[int, int], bool]:
-    """Return a test of whether two versions contradict each other, from lines `settings_version`.
+    """Return a predicate for whether two versions contradict each other, from `settings_version_received` lines.
 
-    Each line names the keys in which a version contradicts its parent. Two versions contradict each other if any on the
-    path from one to the other does so, which errs to more.
+    Each line names the keys in which a version contradicts its parent. Two versions count as contradicting if any
+    version on the path between them contradicts its parent, which can only overestimate.
     """
     parents: dict[int, int] = {}
     contradicts_parent: dict[int, bool] = {}
@@ -133,7 +134,7 @@
         if parent >= 0:
             parents[number] = parent
             contradicts_parent[number] = bool(line["contradicts"])
-        else:  # of a coordinator that has it from a snapshot or the store: it can't tell
+        else:  # the version came from a snapshot or the store: its parent is unknown
             contradicts_parent.setdefault(number, True)
 
     def ancestry(number: int) -> list[int]:
