--- a/frostspindle/settings/audit.py
+++ b/frostspindle/settings/audit.py
@@ -47,7 +47,7 @@
     run_ends = -math.inf
     run_pair: tuple[ActivePeriod, ActivePeriod] | None = None
     found = _find_contradictions(periods, contradict)
-    for contradiction in sorted(found, key=lambda found: (found.begins, found.ends)):
+    for contradiction in sorted(found, key=lambda item: (item.begins, item.ends)):
         if contradiction.begins > run_ends:
             run_begins = contradiction.begins
             run_ends = contradiction.begins
@@ -88,13 +88,13 @@
 
 
 def read_active_periods(
-    lines: Iterable[Mapping[str, Any]], ends: Mapping[str, float] | None = None, last: float = math.inf
+    lines: Iterable[Mapping[str, Any]], latest_ends: Mapping[str, float] | None = None, last: float = math.inf
 ) -> list[ActivePeriod]:
     """Return the periods that the log lines describe.
 
-    `ends` maps a node whose process was killed to the latest time at which it can have acted. A period also ends when
-    the lease expires: its line is logged later, but has the time of expiry (`until_ms`). `last` ends all periods that
-    are still open.
+    `latest_ends` maps a node whose process was killed to the latest time at which it can have acted. A period also
+    ends when the lease expires: its line is logged later, but has the time of expiry (`until_ms`). `last` is the end of
+    all periods that are still open.
     """
     periods: list[ActivePeriod] = []
     open_periods: dict[str, _OpenPeriod] = {}
@@ -111,7 +111,7 @@
         begins = float(line["mono_ms"])
         close(node, min(begins, float(line.get("until_ms") or math.inf)))
         if line["mode"] == "version":
-            ends_by = (ends or {}).get(node, math.inf)
+            ends_by = (latest_ends or {}).get(node, math.inf)
             open_periods[node] = _OpenPeriod(int(line["versions"][0]), begins, ends_by)
     for node in list(open_periods):
         close(node, last)
--- a/frostspindle/settings/canary.py
+++ b/frostspindle/settings/canary.py
@@ -1,14 +1,14 @@
-"""The canary check of a version: the fleet's figures in its first seconds against those of the seconds before it.
+"""The canary check: compares the fleet's figures in a version's first seconds with a baseline from just before it.
 
-No I/O, no clock. Nothing is judged by few requests, and noise fails no version: a figure fails it only where the lower
-bound of what is seen now exceeds the upper bound of the baseline by more than a guard band, in at least two windows,
-with bounds as wide as the windows of the baseline varied.
+No I/O, no clock. Three figures are judged, each as a proportion of the answered requests: failed, rejected, and slow
+(slower than the 99th percentile of the baseline). A version fails on a figure if the lower confidence bound of the
+trial exceeds the upper bound of the baseline by more than a guard band, and at least two windows exceed it too. It
+also fails if it stalls: hardly any answers while at least as many requests are open as before. A lack of requests is
+not a stall. With too few requests nothing is judged.
 
-Three figures are judged, each as a proportion of the answered requests: failed, rejected, and slow (longer than 99 in
-100 were before). Besides, hardly any answers while no fewer requests wait than before is a stall; no requests is none.
-Bounds are Wilson's score interval ("Probable inference", JASA 1927) over an effective number of requests: the real one
-over the dispersion of the windows before (Pearson's chi-square by degrees of freedom), as for counts that come in
-bursts.
+The bounds are Wilson score intervals ("Probable inference", JASA 1927). To keep noise and bursts from failing a
+version, they use an effective sample size: the number of requests divided by the dispersion of the baseline's windows
+(Pearson's chi-square over its degrees of freedom).
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 FIRST_BUCKET_MS = 2.0  # upper end of the first latency bucket
 BUCKET_RATIO = 1.5
-LATENCY_BUCKETS = 30  # the last one holds all above
-# Names of the judged figures, in reasons of a rollback.
+LATENCY_BUCKETS = 30  # the last one has no upper end
+# Names of the judged figures in the reasons of a rollback.
 FAILED = "failed"
 REJECTED = "refused"
 SLOW = "slow"
-PASSED = "calm"  # the verdict on a version that did no harm
-# A row of figures: answered, failed, rejected, open now; then the latency buckets.
+PASSED = "calm"  # the verdict on a version that passed its trial
+# Indices in a row of figures: answered, failed, rejected and open requests; then the latency buckets.
 ANSWERED_REQUESTS = 0
 FAILED_REQUESTS = 1
 REJECTED_REQUESTS = 2
 OPEN_REQUESTS = 3
 HEADER_FIGURES = 4
 ROW_FIGURES = HEADER_FIGURES + LATENCY_BUCKETS
-STALL_RATIO = 0.1  # of the usual answers: with fewer, and as many requests waiting, a version has stalled
+STALL_RATIO = 0.1  # of the baseline's answers; at or below it, with as many requests open, the version has stalled
 STALL_WINDOWS = 4
 MIN_HARMED_WINDOWS = 2
-SLOW_QUANTILE_DIVISOR = 100.0  # one in so many requests before the version was slow
+SLOW_QUANTILE_DIVISOR = 100.0  # one in this many baseline requests counts as slow
 
 Row = list[int]
 
@@ -55,10 +55,10 @@
 
     window_ms: float = 500.0
     baseline_windows: int = 40
-    trial_windows: int = 12  # windows of a version that are judged
-    min_requests: int = 200  # before and since, or nothing is judged
+    trial_windows: int = 12  # windows after the activation that are judged
+    min_requests: int = 200  # required in the baseline and in the trial, or nothing is judged
     z_score: float = 3.3  # of both bounds
-    # Proportions of the requests by which a figure may exceed the baseline.
+    # By how much a proportion may exceed the baseline.
     guard_bands: Mapping[str, float] = field(default_factory=lambda: {FAILED: 0.01, REJECTED: 0.05, SLOW: 0.03})
 
 
@@ -79,7 +79,7 @@
 
 
 def dispersion(windows: list[tuple[float, float]]) -> float:
-    """Return how much more the (hits, count) of windows vary than by chance, at least 1."""
+    """Return how much more the (hits, count) pairs of windows vary than by chance (overdispersion), at least 1."""
     rows = [(hits, count) for hits, count in windows if count > 0]
     total_count = sum(count for _, count in rows)
     total_hits = sum(hits for hits, _ in rows)
@@ -93,14 +93,14 @@
 
 
 class BaselineFigures(NamedTuple):
-    """The figures before a version, sent with the command that activates it, so that any later publisher judges alike.
+    """The figures before a version was activated, with the hits and the dispersion of each judged figure.
 
-    For each judged figure its hits and its dispersion.
+    They are part of the command that activates the version, so that a later publisher judges by the same baseline.
     """
 
     windows: float = 0.0
     answered: float = 0.0
-    open_requests: float = 0.0  # at the end of a window, on average
+    open_requests: float = 0.0  # average over the ends of the windows
     first_slow_bucket: float = 0.0
     failed: float = 0.0
     rejected: float = 0.0
@@ -110,7 +110,7 @@
     slow_dispersion: float = 1.0
 
 
-# How many of a window's requests count for a figure, by the first slow bucket.
+# For each judged figure, how many requests of a window count as hits, given the first slow bucket.
 COUNTED_HITS: dict[str, Callable[[Row, int], int]] = {
     FAILED: lambda row, first_slow: row[FAILED_REQUESTS],
     REJECTED: lambda row, first_slow: row[REJECTED_REQUESTS],
@@ -119,7 +119,7 @@
 
 
 def summarize_windows(rows: list[Row]) -> BaselineFigures:
-    """Return the figures of several windows together."""
+    """Return the figures of several windows, summed up."""
     if not rows:
         return BaselineFigures()
     first_slow = _first_slow_bucket(rows)
@@ -138,7 +138,7 @@
 
 
 def _first_slow_bucket(rows: list[Row]) -> int:
-    """The first bucket at and above which no more than one in a hundred was."""
+    """Return the lowest bucket such that at most 1 % of the requests are in it or above."""
     totals = [sum(row[HEADER_FIGURES + bucket] for row in rows) for bucket in range(LATENCY_BUCKETS)]
     total = sum(totals)
     above = 0
@@ -150,14 +150,14 @@
 
 
 class _MemberFigures(NamedTuple):
-    """A coordinator's figures since its process began."""
+    """A coordinator's cumulative figures since its process started."""
 
     process: int
     figures: tuple[int, ...]
 
 
 class _CachedVerdict(NamedTuple):
-    """The verdict on a number of finished windows, which do not change."""
+    """The verdict after a number of finished windows; it can only change with the next one."""
 
     windows: int
     verdict: str
@@ -167,15 +167,15 @@
 
 
 class CanaryCheck:
-    """The check of a version, fed with each coordinator's figures since its process began.
+    """The canary check of a version, fed with each coordinator's cumulative figures.
 
-    These may stand still, jump back or be missing. Times are in ms of the caller's clock.
+    Figures may be missing, unchanged, or reset by a restart. Times are in ms of the caller's clock.
     """
 
     def __init__(self, thresholds: CanaryThresholds = DEFAULT_THRESHOLDS) -> None:
         self.thresholds: CanaryThresholds = thresholds
         self._members: dict[str, _MemberFigures] = {}
-        self._open_requests: int = 0  # at all members, as last reported
+        self._open_requests: int = 0  # sum over all members, as last reported
         self._windows: deque[Row] = deque(maxlen=thresholds.baseline_windows + thresholds.trial_windows + 2)
         self._window_began_at: float = -math.inf
         self._trial_began_at: float | None = None
@@ -186,15 +186,16 @@
     def observe(
         self, now: float, reported: Mapping[str, tuple[int, tuple[int, ...]]], removed: Iterable[str] = ()
     ) -> None:
-        """Take the figures (process, figures) of coordinators that reported since the last call.
+        """Add the (process, figures) of the coordinators that reported since the last call.
 
-        `removed`: names of coordinators that are gone. With hundreds of them only those that reported are looked at.
+        `removed` names coordinators that left or were removed. Only the named coordinators are visited, as there may be
+        hundreds.
         """
         if now - self._window_began_at >= self.thresholds.window_ms:
             self._begin_window(now)
         window = self._windows[-1]
-        of_another_form = [name for name, (_, figures) in reported.items() if len(figures) != ROW_FIGURES]
-        for name in (*removed, *of_another_form):
+        malformed = [name for name, (_, figures) in reported.items() if len(figures) != ROW_FIGURES]
+        for name in (*removed, *malformed):
             self._forget_member(name)
         for name, (process, figures) in reported.items():
             if len(figures) == ROW_FIGURES:
@@ -202,28 +203,28 @@
         window[OPEN_REQUESTS] = self._open_requests
 
     def baseline(self) -> BaselineFigures:
-        """Return the figures now; while a version is being judged, those before it."""
+        """Return the baseline: the current figures or, during a trial, those from before the version."""
         if self._trial_began_at is None or len(self._trial_windows) > self.thresholds.trial_windows:
             rows = [row for row in self._windows if row[ANSWERED_REQUESTS]]
             return summarize_windows(rows[-self.thresholds.baseline_windows :])
         return self._baseline
 
     def start_trial(self, now: float, baseline: Sequence[float] = ()) -> None:
-        """Start judging a version that is active from now on.
+        """Start the trial of a version that has just become active.
 
-        `baseline`: what its publisher saw before; () if it reported nothing.
+        `baseline` is the baseline of the publisher that activated it, or () if it had none.
         """
-        known = len(baseline) == len(BaselineFigures._fields)
-        self._baseline = BaselineFigures(*baseline) if known else self.baseline()
+        is_complete = len(baseline) == len(BaselineFigures._fields)
+        self._baseline = BaselineFigures(*baseline) if is_complete else self.baseline()
         self._trial_began_at = now
         self._trial_windows = []
         self._cached = NO_VERDICT
         self._append_window(now)
 
     def verdict(self, now: float) -> str:
-        """Return why the version fails, in words.
+        """Return the reason why the version fails.
 
-        PASSED if it passed all its windows or none is judged; "" if it is not decided yet.
+        PASSED if it passed all its windows or there is no trial; "" if it is not decided yet.
         """
         if self._trial_began_at is None:
             return PASSED
@@ -234,8 +235,8 @@
     # Windows.
 
     def _begin_window(self, now: float) -> None:
-        trial_runs = self._trial_began_at is not None and len(self._trial_windows) <= self.thresholds.trial_windows
-        if trial_runs and self._windows:
+        in_trial = self._trial_began_at is not None and len(self._trial_windows) <= self.thresholds.trial_windows
+        if in_trial and self._windows:
             self._trial_windows.append(self._windows[-1])
         self._append_window(now)
 
@@ -244,36 +245,36 @@
         self._window_began_at = now
 
     def _forget_member(self, name: str) -> None:
-        known = self._members.pop(name, None)
-        if known is not None:
-            self._open_requests -= known.figures[OPEN_REQUESTS]
+        previous = self._members.pop(name, None)
+        if previous is not None:
+            self._open_requests -= previous.figures[OPEN_REQUESTS]
 
     def _add_to_window(self, window: Row, name: str, process: int, figures: tuple[int, ...]) -> None:
-        known = self._members.get(name)
-        if known is not None and known.figures is figures and known.process == process:
-            return  # it has reported nothing since
+        previous = self._members.get(name)
+        if previous is not None and previous.figures is figures and previous.process == process:
+            return  # no new report
         self._members[name] = _MemberFigures(process, figures)
-        self._open_requests += figures[OPEN_REQUESTS] - (known.figures[OPEN_REQUESTS] if known is not None else 0)
-        if known is None or known.process != process:
-            return  # what a process did before its first report belongs to no window
-        for index, (old, new) in enumerate(zip(known.figures, figures, strict=True)):
+        self._open_requests += figures[OPEN_REQUESTS] - (previous.figures[OPEN_REQUESTS] if previous is not None else 0)
+        if previous is None or previous.process != process:
+            return  # figures from before a process's first report belong to no window
+        for index, (old, new) in enumerate(zip(previous.figures, figures, strict=True)):
             window[index] += max(0, new - old)
 
     # Verdict.
 
     def _judge(self) -> str:
-        rows = self._trial_windows[1:]  # the first one still has answers from before: coordinators report late
+        rows = self._trial_windows[1:]  # the first one has answers from before the activation, as reports lag
         if self._baseline.answered >= self.thresholds.min_requests:
-            reason = self._why_stalled(rows)
+            reason = self._stall_reason(rows)
             if reason:
                 return reason
             for name in COUNTED_HITS:
-                reason = self._why_exceeded(name, rows)
+                reason = self._excess_reason(name, rows)
                 if reason:
                     return reason
         return PASSED if len(self._trial_windows) > self.thresholds.trial_windows else ""
 
-    def _why_stalled(self, rows: list[Row]) -> str:
+    def _stall_reason(self, rows: list[Row]) -> str:
         baseline = self._baseline
         last = rows[-STALL_WINDOWS:]
         answered = sum(row[ANSWERED_REQUESTS] for row in last)
@@ -287,7 +288,7 @@
         return f"stalled: {answered} answers, usually {expected:.0f}; {last[-1][OPEN_REQUESTS]} requests wait"
 
     def _baseline_of(self, name: str) -> tuple[float, float]:
-        """Hits and dispersion of a judged figure in the baseline."""
+        """Return the hits and the dispersion of a judged figure in the baseline."""
         baseline = self._baseline
         if name == FAILED:
             return baseline.failed, baseline.failed_dispersion
@@ -295,8 +296,8 @@
             return baseline.rejected, baseline.rejected_dispersion
         return baseline.slow, baseline.slow_dispersion
 
-    def _why_exceeded(self, name: str, rows: list[Row]) -> str:
-        """Why a figure is significantly above its baseline, "" if it is not."""
+    def _excess_reason(self, name: str, rows: list[Row]) -> str:
+        """Return the reason if a figure is significantly above its baseline, else ""."""
         thresholds = self.thresholds
         first_slow = int(self._baseline.first_slow_bucket)
         windows = [(COUNTED_HITS[name](row, first_slow), row[ANSWERED_REQUESTS]) for row in rows]
--- a/frostspindle/settings/cli_commands.py
+++ b/frostspindle/settings/cli_commands.py
@@ -1,8 +1,7 @@
 """The commands of `frostspindle settings`.
 
-Owns their options, the form of their output and the exit codes: 0 done, 2 an invalid file or call, 3 turned down or
-rolled back, 5 no coordinator reached or no outcome in time. A push is never called done before the version is active,
-and no secret is printed.
+Exit codes: 0 done, 2 an invalid file or call, 3 rejected, withdrawn or rolled back, 5 no coordinator reached or no
+outcome in time. A push succeeds only once its version is active. No secret is printed.
 """
 
 from __future__ import annotations
@@ -23,8 +22,8 @@
 from frostspindle.settings.schema import InvalidSettingsError
 from frostspindle.settings.version_encoding import pack_changes, split_into_pieces
 
-EXIT_TURNED_DOWN = 3
-PIECE_BYTES = 32_768  # in one call, whose line has 64 KiB
+EXIT_REJECTED = 3
+PIECE_BYTES = 32_768  # raw bytes in one call; base64-encoded they must fit into its line of 64 KiB
 POLL_INTERVAL_S = 0.1
 UNDECIDED_STATES = ("coming", "drafted", "published")
 ACTIVE_STATES = ("live", "proven")
@@ -45,7 +44,7 @@
 
 
 def _follow_push(at: str, name: str, wait_s: float, as_json: bool) -> None:
-    """Poll the outcome of a push until it is decided or the time is over, print it, and exit accordingly."""
+    """Poll the outcome of a push until it is decided or the time limit passes, print it and exit accordingly."""
     deadline = time.monotonic() + wait_s
     outcome: dict[str, Any] = {"state": "drafted", "version": 0, "why": ""}
     while outcome["state"] in UNDECIDED_STATES and time.monotonic() < deadline:
@@ -58,7 +57,7 @@
         reason = f": {outcome['why']}" if outcome["why"] else ""
         click.echo(f"{state}{reason}")
     if outcome["state"] not in ACTIVE_STATES:
-        sys.exit(EXIT_TURNED_DOWN if outcome["state"] in FAILED_STATES else EXIT_UNREACHABLE)
+        sys.exit(EXIT_REJECTED if outcome["state"] in FAILED_STATES else EXIT_UNREACHABLE)
 
 
 @_command("push")
--- a/frostspindle/settings/document.py
+++ b/frostspindle/settings/document.py
@@ -1,4 +1,4 @@
-"""The parser of the operator's TOML file, which gives the rules of a version. It does no I/O."""
+"""Parser of the operator's TOML file with the rules of a version. No I/O."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 class Document(Struct, forbid_unknown_fields=True):
     """The operator's file."""
 
-    lists: list[str] = []  # lists that are complete even where they are empty: http, tds, login, coordinator
+    lists: list[str] = []  # lists that the file defines even if they are empty: http, tds, login, coordinator
     limits: dict[str, NonNegative] = {}
     engine: Annotated[list[Engine], Meta(max_length=MAX_ENTRIES)] = []
     ban: list[Ban] = []
@@ -51,7 +51,7 @@
 
 
 def parse_document(text: bytes) -> dict[str, Entry]:
-    """Return the rules of an operator's file; InvalidSettingsError names the key at fault and shows no secret."""
+    """Return the rules of an operator's file. Raise InvalidSettingsError, which names the key and shows no secret."""
     document = _decode(text)
     rules: dict[str, Entry] = {}
     for name, value in document.limits.items():
--- a/frostspindle/settings/drafts.py
+++ b/frostspindle/settings/drafts.py
@@ -1,4 +1,4 @@
-"""Drafts as their pieces arrive in the log, until the publisher makes them versions. No I/O."""
+"""The queue of drafts: collects their pieces from the log until the publisher turns them into versions. No I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from frostspindle.store.base import SUM
 
 MAX_DRAFTS = 16
-MAX_DRAFT_BYTES = 600 << 10  # of all drafts, packed
+MAX_DRAFT_BYTES = 600 << 10  # of all drafts together, compressed
 MAX_AUTHOR_LENGTH = 64
 MAX_KEY_LENGTH = 110
 
 
 class CommandRefusedError(SettingsError):
-    """A command of the log that changes nothing; `counter` is counted, `reason` is the proposer's answer."""
+    """A refused command of the log, without effect: `counter` is incremented, `reason` is returned to the proposer."""
 
     def __init__(self, counter: str, reason: str = "") -> None:
         super().__init__(reason or counter)
@@ -26,28 +26,28 @@
 
 @dataclass(slots=True)
 class WaitingDraft:
-    """A draft, complete or not, that waits for the publisher."""
+    """A draft in the queue, whose pieces may not all have arrived."""
 
     first_piece: DraftPiece
     assembly: VersionAssembly
-    index: int  # of the log's entry with the first piece
+    index: int  # log index of the first piece
 
 
-Drafts = dict[str, WaitingDraft]  # by key, in the order in which they began
+Drafts = dict[str, WaitingDraft]  # by key, in order of their first pieces
 
 
 def first_complete(drafts: Drafts) -> WaitingDraft | None:
-    """Return the first draft all of whose pieces have arrived, None if there is none."""
+    """Return the oldest complete draft, None if there is none."""
     return next((draft for draft in drafts.values() if draft.assembly.is_complete), None)
 
 
 def add_piece(drafts: Drafts, index: int, piece: DraftPiece) -> None:
-    """Add a piece to its draft, or begin one with it; CommandRefusedError if it is not taken."""
+    """Add a piece to its draft, or start a draft with it. Raise CommandRefusedError if the piece is not accepted."""
     if len(piece.author) > MAX_AUTHOR_LENGTH or len(piece.key) > MAX_KEY_LENGTH or len(piece.digest) != SUM:
         raise CommandRefusedError("bounds")
     draft = drafts.get(piece.key)
     if draft is None:
-        draft = _begin(drafts, index, piece)
+        draft = _start_draft(drafts, index, piece)
     else:
         _check_same_draft(draft.first_piece, piece)
         if total_bytes(drafts) + len(piece.data) > MAX_DRAFT_BYTES:
@@ -58,7 +58,7 @@
     drafts[piece.key] = draft
 
 
-def _begin(drafts: Drafts, index: int, piece: DraftPiece) -> WaitingDraft:
+def _start_draft(drafts: Drafts, index: int, piece: DraftPiece) -> WaitingDraft:
     if piece.piece_index:
         raise CommandRefusedError("gap", "gap 0")
     _remove_abandoned(drafts, piece)
@@ -68,9 +68,9 @@
 
 
 def _remove_abandoned(drafts: Drafts, piece: DraftPiece) -> None:
-    """Remove the incomplete drafts of an author that begins another one: it gave them up.
+    """Remove the incomplete drafts of an author that starts a new one, as it has abandoned them.
 
-    A late piece of an earlier process of the author removes none of a later process alone.
+    A late piece from an earlier process of the author doesn't remove the drafts of a later process.
     """
     incomplete = [
         key
@@ -89,5 +89,5 @@
 
 
 def total_bytes(drafts: Drafts) -> int:
-    """Return the bytes of all pieces of all drafts."""
+    """Return the total size of the pieces of all drafts."""
     return sum(draft.assembly.size for draft in drafts.values())
--- a/frostspindle/settings/engine_list.py
+++ b/frostspindle/settings/engine_list.py
@@ -1,7 +1,6 @@
-"""The HTTP engines of a version, sent to the core as events of its endpoint list.
+"""Sends the HTTP engines of a version to the core, as events of the endpoint list.
 
-Owns the task that sends a long list in slices. Where no version holds the list, the list is that of the program's own
-files.
+A long list is sent in slices by a task. If the version has no list of HTTP engines, that of the local files applies.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 class EngineList:
-    """The engines of HTTP as the core knows them by a version."""
+    """The HTTP engines that were sent to the core from a version."""
 
     def __init__(self, program: Any) -> None:
         self._program = program
@@ -28,14 +27,14 @@
         self.task: asyncio.Task[None] | None = None
 
     def apply(self, rules: Rules, changed_keys: set[str] | None) -> None:
-        """Send the core what has changed; `changed_keys`: the keys that may differ, None for any."""
+        """Send the changed engines to the core; `changed_keys` are the keys that may differ (None: any)."""
         if "scope/http" not in rules and not self._is_from_version:
             return
         all_sent = self._has_sent_all()
         self.close()
         self.task = None
         if "scope/http" not in rules:
-            self._restore_own_list()
+            self._restore_local_list()
             return
         if all_sent and self._is_from_version and changed_keys is not None and "scope/http" not in changed_keys:
             names = [key.removeprefix(KEY_PREFIX) for key in changed_keys if key.startswith(KEY_PREFIX)]
@@ -44,7 +43,7 @@
             engines = {entry.name: entry for key, entry in rules.items() if key.startswith(KEY_PREFIX)}
             names = [*engines, *(self._engines.keys() - engines.keys())]
         changed = [name for name in names if self._engines.get(name) != engines.get(name)]
-        if not self._is_from_version:  # what the own files have is not on the version's list
+        if not self._is_from_version:  # engines of the local files that the version doesn't list are removed
             self._is_from_version = True
             known = {state.name for state in self._core.engines.values() if state.driver is self._program.driver}
             changed += known - engines.keys()
@@ -54,7 +53,7 @@
             self.task = asyncio.create_task(self._send_in_slices(changed, engines))
 
     def close(self) -> None:
-        """Cancel the task that sends a long list; what it has sent stays."""
+        """Cancel sending a long list; engines already sent remain."""
         if self.task is not None:
             self.task.cancel()
 
@@ -62,14 +61,14 @@
         task = self.task
         return task is None or (task.done() and not task.cancelled() and task.exception() is None)
 
-    def _restore_own_list(self) -> None:
+    def _restore_local_list(self) -> None:
         hosts = {host.host: host for event in self._config.known if event.topology for host in event.topology.hosts}
         self._is_from_version = False
         self._engines = {}
         self._send_topology(Topology(list(hosts.values()), whole=True))
 
     def _send_engines(self, names: list[str], engines: dict[str, Engine]) -> None:
-        """Send these engines as they are, or as left."""
+        """Send the current entries of these engines; those without one are sent as left."""
         if not names:
             return
         for name in names:
--- a/frostspindle/settings/history_event.py
+++ b/frostspindle/settings/history_event.py
@@ -1,4 +1,4 @@
-"""The events of a version's rollout, as the state machine keeps them and operators read them. No I/O."""
+"""Rollout events of versions, as kept by the state machine and shown to operators. No I/O."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class EventKind(StrEnum):
-    """What happened; the values are in snapshots, log lines and operators' replies."""
+    """Kinds of rollout events; the values appear in snapshots, log lines and operators' replies."""
 
     PUBLISHED = "published"
-    TURNED_DOWN = "turned down"  # the draft is invalid and became no version
+    TURNED_DOWN = "turned down"  # the draft is invalid, no version was made
     ACTIVATED = "live"
     WITHDRAWN = "withdrawn"
     CONFIRMED = "proven"
@@ -19,10 +19,10 @@
 
 
 class HistoryEvent(Struct, array_like=True, frozen=True):
-    """One event; `what` is a string and not an EventKind, as a snapshot may hold kinds of a later program version."""
+    """One event. `kind` is a plain string because a snapshot may have kinds added by a later program version."""
 
-    index: int  # of the log's entry
-    what: str
+    index: int  # log index of the command that caused it
+    kind: str
     version: int
     author: str = ""  # key of the draft
     reason: str = ""
--- a/frostspindle/settings/intersection.py
+++ b/frostspindle/settings/intersection.py
@@ -1,10 +1,10 @@
-"""The intersection of versions: the most restrictive rules, which permit only what each of the versions permits.
+"""The intersection of versions: rules that permit only what all of the versions permit.
 
-No I/O; nothing here knows a version's number. Intersection is a semilattice: idempotent, commutative, associative; the
-empty table (nothing is agreed) is its unit. Each entry follows `schema.KINDS`; a list that only one side holds (a
-scope) is that side's. On top of that `limit_to_capacity` lowers a limit that relies on engines which the intersection
-no longer has: an interior operator (monotone, idempotent, never more), so the laws hold for rules lowered so;
-`validation` lets no others become a version.
+No I/O; works on tables of rules, without version numbers. The intersection is a meet semilattice (idempotent,
+commutative, associative), and the empty table (no agreed rules) is its identity element. `schema.KINDS` defines how
+entries intersect; a list that only one side has (a scope) is taken over unchanged. `limit_to_capacity` then lowers a
+limit that relies on engines which are not in the intersection. It is an interior operator (monotone, idempotent, never
+raises the limit), so the laws hold for tables within capacity, and `validation` accepts no others as a version.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def _lower_value(field: str, first: Any, second: Any) -> Any:
-    """Return the lower value of a field; None is no limit."""
+    """Return the lower of two values of a field; None means unlimited."""
     if first is None:
         return second
     if second is None:
@@ -35,7 +35,7 @@
 
 
 def intersect_entries(kind: str, first: Entry, second: Entry) -> Entry | None:
-    """Return the intersection of two entries of one name; None if they have none."""
+    """Return the intersection of two entries with the same key; None if it has no such entry."""
     if first == second:
         return first
     entry_kind = KINDS[kind]
@@ -54,13 +54,13 @@
     return type(first)(**fields)
 
 
-def _stays_alone(key: str, entry: Entry, other: Rules) -> bool:
-    """Whether an entry that the other table lacks is in the intersection of both."""
+def _is_kept_if_one_sided(key: str, entry: Entry, other: Rules) -> bool:
+    """Whether the intersection has an entry that the other table lacks."""
     return KINDS[kind_of(key)].in_either or scope_of(key, entry) not in other
 
 
 def limit_to_capacity(rules: Table) -> Table:
-    """Return the rules with the limit on queries at engines lowered to what their engines allow."""
+    """Return the rules with the limit on queries in flight lowered to the capacity of their engines."""
     limit = rules.get("limit/out")
     if limit is None:
         return rules
@@ -71,7 +71,7 @@
 
 
 def intersect(first: Table, second: Table) -> Table:
-    """Return the intersection of two tables, at a cost that grows with their length unless they are one object."""
+    """Return the intersection of two tables, in time linear in their sizes (constant if they are the same object)."""
     if first is second:
         return first
     table: dict[str, Entry] = {}
@@ -81,29 +81,30 @@
             common = intersect_entries(kind_of(key), entry, other)
             if common is not None:
                 table[key] = common
-        elif _stays_alone(key, entry, second):
+        elif _is_kept_if_one_sided(key, entry, second):
             table[key] = entry
     for key, entry in second.items():
-        if key not in first and _stays_alone(key, entry, first):
+        if key not in first and _is_kept_if_one_sided(key, entry, first):
             table[key] = entry
     return limit_to_capacity(Map(table))
 
 
 def intersect_all(tables: Iterable[Table]) -> Table:
-    """Return the intersection of all tables; of none the empty table."""
+    """Return the intersection of all tables; the empty table if there are none."""
     return reduce(intersect, tables, NO_RULES)
 
 
 def intersect_with_child(parent: Table, child: Table, changes: Changes) -> Table:
-    """Return the intersection of a version and its child: the same as `intersect`, at the cost of the changes alone.
+    """Return the intersection of a version and its child: as `intersect`, but in time linear in the changes.
 
-    What both have alike is in it whatever the lists. Where a limit relies on all engines, the tables are walked.
+    Entries that are equal in both are in the intersection, whatever lists they are on. If one of the tables has a limit
+    that relies on all engines, both tables are walked.
     """
     return run_to_end(intersect_with_child_in_slices(parent, child, changes))
 
 
 def intersect_with_child_in_slices(parent: Table, child: Table, changes: Changes) -> SlicedWork[Table]:
-    """Compute `intersect_with_child` in slices."""
+    """Do the work of `intersect_with_child` in slices."""
     if "limit/out" in parent or "limit/out" in child:
         return intersect(parent, child)
     with parent.mutate() as table:
@@ -120,26 +121,26 @@
 
 
 def _common_entry(key: str, parent: Table, child: Table) -> Entry | None:
-    """The entry that the intersection of two tables has under a key of which at least one has an entry, or None."""
+    """Return the entry of the intersection for a key that is in at least one of the tables; None if it has none."""
     old_entry = parent.get(key)
     new_entry = child.get(key)
     if old_entry is not None and new_entry is not None:
         return intersect_entries(kind_of(key), old_entry, new_entry)
     if new_entry is None:
-        return old_entry if _stays_alone(key, old_entry, child) else None
-    return new_entry if _stays_alone(key, new_entry, parent) else None
+        return old_entry if _is_kept_if_one_sided(key, old_entry, child) else None
+    return new_entry if _is_kept_if_one_sided(key, new_entry, parent) else None
 
 
 def permits_no_more(first: Table, second: Table) -> bool:
-    """Whether the first table permits nothing that the second does not."""
+    """Whether the first table permits at most what the second permits."""
     return intersect(first, second) == first
 
 
 def contradictions(first: Rules, second: Rules, max_keys: int = 8) -> list[str]:
     """Return up to `max_keys` keys in which two versions contradict each other.
 
-    Coordinators that act on one each, at the same time, would do what one of them forbids to the fleet: send to an
-    engine that the other drains, or exceed a limit together.
+    If one coordinator acted on the first version while another acted on the second, one could do what the other version
+    forbids to the whole fleet: send to an engine that it drains, or exceed a limit together with the others.
     """
     if first is second:
         return []
--- a/frostspindle/settings/operator_calls.py
+++ b/frostspindle/settings/operator_calls.py
@@ -68,7 +68,7 @@
                 for version in machine.versions
             ],
             "news": [
-                {"what": event.what, "version": event.version, "by": event.author, "why": event.reason}
+                {"what": event.kind, "version": event.version, "by": event.author, "why": event.reason}
                 for event in machine.events
             ],
         }
--- a/frostspindle/settings/pushes.py
+++ b/frostspindle/settings/pushes.py
@@ -190,17 +190,17 @@
 
     def on_event(self, event: HistoryEvent) -> None:
         """Take note of what happened to a version, for the push that it came from."""
-        is_draft_outcome = event.what in (EventKind.PUBLISHED, EventKind.TURNED_DOWN)
+        is_draft_outcome = event.kind in (EventKind.PUBLISHED, EventKind.TURNED_DOWN)
         for push in self.pushes.values():
             if is_draft_outcome and push.draft and push.draft == event.author and push.state == PushState.DRAFTED:
-                push.set_outcome(event.what, event.reason, event.version)
+                push.set_outcome(event.kind, event.reason, event.version)
                 push.settled.set()
             elif (
                 push.version
                 and push.version == event.version
                 and push.state in (EventKind.PUBLISHED, EventKind.ACTIVATED)
             ):
-                push.set_outcome(event.what, event.reason)
+                push.set_outcome(event.kind, event.reason)
 
     # Receiving.
 
--- a/frostspindle/settings/rollout_log.py
+++ b/frostspindle/settings/rollout_log.py
@@ -78,7 +78,7 @@
         """Log an event of the history."""
         self._telemetry.log(
             "settings_history_recorded",
-            what=event.what,
+            what=event.kind,
             version=event.version,
             by=event.author,
             why=event.reason,
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -425,7 +425,7 @@
         push(cluster, ban("e2"), 2)
         cluster.settle(4)
         news = cluster.nodes["c0"].machine.events
-        assert [(line.what, line.version, line.reason) for line in news][-1] == (
+        assert [(line.kind, line.version, line.reason) for line in news][-1] == (
             "withdrawn",
             2,
             "c2: limits.x: needs a new start",
@@ -562,7 +562,7 @@
         run(0, 8)
         assert node.machine.active_version == 2 and node.machine.trial_index
         run(30, 40)
-        news = [line for line in node.machine.events if line.what == "rolled back"]
+        news = [line for line in node.machine.events if line.kind == "rolled back"]
         assert len(news) == 1 and news[0].reason.startswith("failed: ")
         assert node.machine.version(node.machine.active_version).rules == node.machine.version(1).rules
         push(cluster, ban("e2"), 3)
@@ -608,7 +608,7 @@
         assert node.machine.baseline == trial
         node.publisher.on_lease_acquired(cluster.now, 20)
         run(20, lambda machine: machine.pending_version)
-        assert node.machine.events[-1].what == "rolled back" and node.machine.events[-1].reason.startswith("failed: ")
+        assert node.machine.events[-1].kind == "rolled back" and node.machine.events[-1].reason.startswith("failed: ")
         run(20, lambda machine: machine.active_version == 3)
         assert node.machine.version(3).rules == node.machine.version(1).rules and node.machine.baseline == trial
         fed = Fed()
