--- a/frostspindle/settings/log_commands.py
+++ b/frostspindle/settings/log_commands.py
@@ -1,6 +1,7 @@
-"""The commands on the log's topic "settings": what they mean, and their bytes.
+"""The commands on the log's topic "settings", and their encoding.
 
-No I/O. The commands are arrays on the wire: tags and the order of the fields are fixed, the fields' names are not sent.
+No I/O. Commands are encoded as MessagePack arrays: the tags and the order of the fields are fixed, field names are not
+sent.
 """
 
 from __future__ import annotations
@@ -11,17 +12,17 @@
 from frostspindle.settings.schema import encode_msgpack
 
 TOPIC = "settings"
-TASK = "settings"  # whose lease holder is the publisher
+TASK = "settings"  # the coordinator that holds the lease of this task is the publisher
 
 
 class DraftPiece(Struct, array_like=True, tag="d", frozen=True):
-    """A piece of a draft, which anyone may propose; the complete draft waits for the publisher."""
+    """One piece of a draft, proposed by any coordinator; the complete draft is queued for the publisher."""
 
     author: str  # name of the coordinator
     process: int
-    number: int  # counts the author's drafts
-    base_version: int  # that the changes are from; -1: there are none, the rules are those of `target_version`
-    digest: bytes  # of the rules that the changes make
+    number: int  # sequence number of the author's drafts
+    base_version: int  # the changes apply to this version; -1: no changes, the rules are those of `target_version`
+    digest: bytes  # of the resulting rules
     piece_index: int = 0
     piece_count: int = 1
     data: bytes = b""
@@ -29,37 +30,38 @@
 
     @property
     def key(self) -> str:
-        """Identifier of the draft that all its pieces share: author, process and number."""
+        """Identifier shared by all pieces of the draft: author, process and number."""
         return f"{self.author}/{self.process}/{self.number}"
 
 
 class PublishVersion(Struct, array_like=True, tag="p", frozen=True):
     """The publisher's command to make a complete draft the pending version.
 
-    Coordinators act on the intersection of the pending and the active version from then on.
+    From then on coordinators act on the intersection of the active and the pending version.
     """
 
-    token: int  # fencing token of the publisher's lease, in all its commands
+    token: int  # fencing token of the publisher's lease, sent with each of its commands
     draft: str
 
 
 class RenewLease(Struct, array_like=True, tag="h", frozen=True):
-    """A coordinator's command that renews its lease, every quarter of it, and reports what it acts on."""
+    """A coordinator's command to renew its lease, sent every quarter of a lease; it also reports its state."""
 
     name: str
     process: int
     number: int
-    acknowledged: int = 0  # newest version that is checked, durable and acted on
-    active: int = 0  # the version acted on alone; 0: an intersection of several
-    rejected: int = 0  # a version that can't be applied here
-    reason: str = ""  # why it can't
-    figures: tuple[int, ...] = ()  # since the process began; see canary
+    acknowledged: int = 0  # newest version that is checked, durable and applied
+    active: int = 0  # the single version in force; 0: an intersection
+    rejected: int = 0  # a version that this coordinator can't apply
+    reason: str = ""  # why it can't apply it
+    figures: tuple[int, ...] = ()  # cumulative since the process started; see canary
 
 
 class Activate(Struct, array_like=True, tag="l", frozen=True):
     """The publisher's command to make the pending version the active one, on trial.
 
-    `baseline`: the figures before it (canary.BaselineFigures), so that any later publisher can judge the version.
+    `baseline` has the figures from before the activation (canary.BaselineFigures), so that a later publisher can judge
+    the version too.
     """
 
     token: int
@@ -68,7 +70,7 @@
 
 
 class Withdraw(Struct, array_like=True, tag="w", frozen=True):
-    """The publisher's command to drop the pending version, and why."""
+    """The publisher's command to drop the pending version, with the reason."""
 
     token: int
     version: int
@@ -76,16 +78,17 @@
 
 
 class Confirm(Struct, array_like=True, tag="g", frozen=True):
-    """The publisher's command to end the active version's trial: a later rollback goes to this version."""
+    """The publisher's command to end the active version's trial; later rollbacks return to this version."""
 
     token: int
     version: int
 
 
 class Rollback(Struct, array_like=True, tag="b", frozen=True):
-    """The publisher's command to roll back the active version, because it fails the canary check.
+    """The publisher's command to roll back the active version because it failed the canary check.
 
-    It is followed by a new version with the rules of the last confirmed one, and its digest is refused from then on.
+    A new pending version gets the rules of the last confirmed one. Versions with the digest of the failed one are
+    refused from then on.
     """
 
     token: int
@@ -94,16 +97,16 @@
 
 
 class RemoveMember(Struct, array_like=True, tag="f", frozen=True):
-    """The publisher's command to wait no more for a coordinator; refused if it has renewed after `number`."""
+    """The publisher's command to remove a silent coordinator; refused if it has renewed since `number`."""
 
     token: int
     name: str
     process: int
-    number: int  # of the last renewal that the publisher saw
+    number: int  # of the last renewal that the publisher observed
 
 
 class MemberLeaving(Struct, array_like=True, tag="q", frozen=True):
-    """A coordinator's last command: its process acts on no version any more."""
+    """A coordinator's last command before it stops: its process no longer acts on a single version."""
 
     name: str
     process: int
@@ -121,7 +124,7 @@
 
 
 def decode_command(data: bytes) -> Command | None:
-    """Decode a command of the log; None if it can't be read."""
+    """Decode a command of the log; return None if it is malformed."""
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError):
--- a/frostspindle/settings/member_decisions.py
+++ b/frostspindle/settings/member_decisions.py
@@ -1,22 +1,23 @@
-"""What one coordinator acts on: its lease, and the choice between one version and an intersection.
+"""One coordinator's lease, and its choice between a single version and an intersection.
 
-No I/O, no clock. A coordinator never acts on a version alone once its lease is over, and never acknowledges one that is
-not durable and acted on.
+No I/O, no clock. A coordinator never acts on a single version after its lease has expired, and never acknowledges a
+version that it has not made durable and applied.
 
-Why no two act on contradicting versions (times in ms; D the lease, d the drift, clocks within d of true time):
+Why no two coordinators act on contradicting versions (D is the lease, d the drift, clock rates are within d of true
+time):
 
-- A lease counts from before a renewal was proposed, for D(1 - d) of the coordinator's clock, so at most D of true time,
-  and is extended only when that renewal is applied here: then all that the log had before it is applied here too.
-- So from the entry that publishes v+1 on, whoever renews knows of v+1 and acts on the intersection of v and v+1; a
-  lease from before is over D after that entry was committed. The publisher waits until all that have leases have
-  acknowledged v+1, or D(1 + d) of its own clock since it applied the entry.
-- Between the entry that activates v+1 and its application, a coordinator acts on that intersection; once its lease is
-  over, on the intersection of all versions that it knows may be active.
+- A lease starts before its renewal is proposed and lasts D(1 - d) of the coordinator's clock, so at most D of true
+  time. It is extended only when the renewal is applied locally; by then all earlier entries of the log are applied too.
+- So each renewal after the entry that publishes v+1 makes its coordinator act on the intersection of v and v+1, and
+  leases renewed before that entry expire at most D after it was committed. The publisher activates v+1 only when all
+  coordinators with leases have acknowledged it, or D(1 + d) of its own clock after it applied the entry.
+- Until a coordinator applies the entry that activates v+1, it acts on that intersection; after its lease has expired,
+  it acts on the intersection of all versions that may be active as far as it knows.
 
 At most two adjacent versions are active at once, as in Rae et al., "Online, Asynchronous Schema Change in F1", VLDB
-2013; the intersection stands where F1 has intermediate states. A coordinator that is isolated for longer knows nothing
-of later versions: what its intersection can't cover, and the mode that stops instead (`alone = "refuse"`):
-docs/design/settings.md.
+2013; the intersection takes the place of F1's intermediate states. A coordinator that is isolated for longer misses
+later versions, which its intersection can't cover. For this case and the mode that rejects all queries instead
+(`alone = "refuse"`) see docs/design/settings.md.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 class MemberDecisions:
     """One coordinator's lease and choice of rules.
 
-    `inapplicability_reason(version)` returns why a version can't be applied here, or ""; it must be pure.
+    `inapplicability_reason(version)` returns why this coordinator can't apply a version, or ""; it must be pure.
     """
 
     def __init__(
@@ -67,25 +68,25 @@
         self.machine: SettingsStateMachine = machine
         self.inapplicability_reason: Callable[[Version], str] = inapplicability_reason
         self.restored: RestoredVersions = restored
-        self.lease_until_ms: float = -math.inf  # on the own clock
-        self.has_renewed: bool = False  # a renewal of this process was applied
+        self.lease_until_ms: float = -math.inf  # on this coordinator's clock
+        self.has_renewed: bool = False  # a renewal by this process has been applied
         self.durable_digests: dict[int, int] = {version.number: version.digest for version in restored.versions}
         self.counts: Counter[str] = Counter()
-        self.applied: ActiveRules = NOTHING_AGREED  # what the core acts on
-        self._renewals_in_flight: dict[int, float] = {}  # by number, when it was proposed
+        self.applied: ActiveRules = NOTHING_AGREED  # the rules in force in the core
+        self._renewals_in_flight: dict[int, float] = {}  # renewal number to the time of its proposal
         self._last_renewal: int = 0
         self._renewal_due_ms: float = now
         self._last_reported: tuple[int, int] = (0, 0)  # acknowledged and rejected version
-        self._rejection_reasons: dict[int, str] = {0: ""}  # by version; "": it can be applied here
+        self._rejection_reasons: dict[int, str] = {0: ""}  # by version; "" if it is applicable
         self._cached: tuple[CacheKey, ActiveRules] | None = None
         self._has_left: bool = False
 
     # Log entries.
 
     def on_entry_applied(self, now: float, command: bytes, result: bytes) -> None:
-        """Take note that an entry was applied to the machine; after a snapshot both texts are empty.
+        """Handle an entry that was applied to the state machine; `command` and `result` are empty for a snapshot.
 
-        An own renewal extends the lease, counted from when it was proposed.
+        A renewal by this process extends the lease, counted from its proposal.
         """
         decoded = decode_command(command) if command else None
         if isinstance(decoded, RenewLease) and decoded.name == self.name and decoded.process == self.process:
@@ -103,7 +104,7 @@
             self.has_renewed = True
 
     def _check_versions(self) -> None:
-        """Check the active and the pending version, once each."""
+        """Check whether the active and the pending version are applicable, once for each version."""
         numbers = (self.machine.active_version, self.machine.pending_version)
         for number in numbers:
             if number not in self._rejection_reasons:
@@ -112,17 +113,17 @@
             current = {number: self._rejection_reasons[number] for number in numbers}
             self._rejection_reasons = {0: "", **current}
 
-    # What to act on.
+    # Active rules.
 
     def current_rules(self, now: float) -> ActiveRules:
-        """Return what to act on now.
+        """Return the rules to act on now.
 
-        Called before each step, so that a lease that ran out in between takes effect at once.
+        Called before each step, so that an expired lease takes effect at once.
         """
         machine = self.machine
-        has_lease = now < self.lease_until_ms and not self._has_left
+        lease_is_valid = now < self.lease_until_ms and not self._has_left
         key: CacheKey = (
-            has_lease,
+            lease_is_valid,
             self.has_renewed,
             machine.candidate_versions,
             machine.pending_version,
@@ -130,7 +131,7 @@
         )
         if self._cached is not None and self._cached[0] == key:
             return self._cached[1]
-        rules = self._rules_with_lease() if has_lease else self._rules_without_lease()
+        rules = self._rules_with_lease() if lease_is_valid else self._rules_without_lease()
         if (
             self._cached is not None
             and rules.reason == RulesReason.ISOLATED
@@ -154,7 +155,7 @@
         return ActiveRules(RulesMode.VERSION, (active.number,), active.rules)
 
     def _rules_without_lease(self) -> ActiveRules:
-        """The intersection of all versions that may be active, or none of their queries at all."""
+        """Return the intersection of all versions that may be active; in the strict mode with all queries rejected."""
         candidates = {number: self.machine.version(number) for number in self.machine.candidate_versions}
         if not self.has_renewed:
             candidates = {version.number: version for version in self.restored.versions} | candidates
@@ -182,17 +183,17 @@
         return ActiveRules(RulesMode.INTERSECTION, numbers, rules, reason)
 
     def on_rules_applied(self, rules: ActiveRules) -> None:
-        """Note that the core acts on these rules."""
+        """Record that these rules are in force in the core."""
         self.applied = rules
 
-    # The store.
+    # Store.
 
     def versions_to_persist(self, include_removals: bool = True) -> tuple[Version, ...]:
-        """Return the versions to make durable, empty if those that must be are.
+        """Return the versions to make durable, empty if there is nothing to write.
 
-        With `include_removals` also if others are durable besides. A start takes the intersection of all durable
-        versions, so one more is no danger. Before a renewal of this process was applied, the machine may be behind what
-        is stored, and nothing is returned.
+        Without `include_removals`, surplus durable versions alone are no reason to write: a coordinator starts with the
+        intersection of all durable versions, so a surplus one is safe. Returns nothing until a renewal by this process
+        has been applied, as the state machine may still be behind the store.
         """
         if not self.has_renewed:
             return ()
@@ -209,13 +210,13 @@
         return needed
 
     def on_persisted(self, versions: Iterable[Version]) -> None:
-        """Note that these versions, and no others, are durable."""
+        """Record that exactly these versions are durable."""
         self.durable_digests = {version.number: version.digest for version in versions}
 
-    # What is proposed.
+    # Proposals.
 
     def next_renewal(self, now: float, figures: tuple[int, ...] = ()) -> RenewLease | None:
-        """Return the renewal to propose now, if one is due, else None; the caller must propose it at once."""
+        """Return the renewal to propose now, None if none is due. The caller must propose it at once."""
         if self._has_left:
             return None
         acknowledged = self._acknowledged_version()
@@ -244,11 +245,11 @@
         )
 
     def rejection_reason(self, number: int) -> str:
-        """Return why a version can't be applied here; "" if it can, or is not known."""
+        """Return why this coordinator can't apply a version; "" if it can or has not checked it."""
         return self._rejection_reasons.get(number, "")
 
     def leave(self) -> MemberLeaving:
-        """End the lease for good, then return the command that says so."""
+        """Give up the lease for good and return the command that announces it."""
         self._has_left = True
         return MemberLeaving(self.name, self.process)
 
@@ -257,9 +258,9 @@
 
     def _acknowledged_version(self) -> int:
         newest = self._newest_version()
-        is_acted_on = newest in self.applied.versions and not self._rejection_reasons.get(newest)
+        is_applied = newest in self.applied.versions and not self._rejection_reasons.get(newest)
         version = self.machine.version(newest)
-        if newest and is_acted_on and self.durable_digests.get(newest) == version.digest:
+        if newest and is_applied and self.durable_digests.get(newest) == version.digest:
             return newest
         last_acknowledged = self._last_reported[0]
         return last_acknowledged if last_acknowledged <= newest else 0
--- a/frostspindle/settings/operator_calls.py
+++ b/frostspindle/settings/operator_calls.py
@@ -1,4 +1,4 @@
-"""The operators' view of settings: status, history and differences. The keys of the replies are fixed."""
+"""Operators' calls for the status, the history and the differences of versions. The keys of the replies are fixed."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class OperatorCalls:
-    """Read-only calls on one coordinator's settings."""
+    """Read-only operators' calls on one coordinator's settings."""
 
     def __init__(self, service: SettingsService) -> None:
         self._service: SettingsService = service
 
     def status(self) -> dict[str, Any]:
-        """Return state, lease and members: who acts on which version, rejected one, or is on an intersection."""
+        """Return this coordinator's state and lease, and for each member the version in force and the rejected one."""
         service = self._service
         machine = service.machine
         member = service.member
@@ -52,7 +52,7 @@
         }
 
     def history(self) -> dict[str, Any]:
-        """Return the events, oldest first, and the versions that are kept."""
+        """Return the retained versions and events, oldest first."""
         machine = self._service.machine
         return {
             "live": machine.active_version,
@@ -74,14 +74,14 @@
         }
 
     def diff(self, old: int, new: int, max_shown: int = MAX_SHOWN_CHANGES) -> dict[str, Any]:
-        """Return up to `max_shown` changes from one kept version to another, without secrets.
+        """Return up to `max_shown` changes from one retained version to another, without secrets.
 
-        InvalidSettingsError if one is not kept.
+        Raise InvalidSettingsError if one of them is not retained.
         """
         try:
             changes = self._service.machine.versions.changes_between(old, new)
         except KeyError as error:
-            raise InvalidSettingsError(f"version {error} is not kept") from None
+            raise InvalidSettingsError(f"version {error} is not in the history") from None
         shown = {key: None if entry is None else redact(entry) for key, entry in sorted(changes.items())[:max_shown]}
         return {"from": old, "to": new, "changes": len(changes), "shown": shown}
 
--- a/frostspindle/settings/policy_overrides.py
+++ b/frostspindle/settings/policy_overrides.py
@@ -1,4 +1,4 @@
-"""Tenants' quotas and request classes of a version, laid over the settings that the program started with. No I/O."""
+"""Overrides the program's configured tenant quotas and request classes with those of a version. No I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from frostspindle.settings.schema import Class, Entry, Rules, Tenant
 
 KINDS = ("tenant/", "class/")
-MIN_QUOTA_PER_S = 1e-6  # 0 is no limit to the policy: with so little nothing is within the quota
+MIN_QUOTA_PER_S = 1e-6  # the policy takes 0 as unlimited; this small a quota admits nothing
 
 
 class PolicyOverrides:
-    """The entries of tenants and classes as the core has them."""
+    """The tenant and class entries in force in the core."""
 
     def __init__(self, program: Any) -> None:
         self._core = program.core
@@ -20,7 +20,7 @@
         self._entries: dict[str, Entry] = {}
 
     def apply(self, rules: Rules, changed_keys: set[str] | None) -> None:
-        """Have the core use the rules' entries; `changed_keys`: the keys that may differ, None for any."""
+        """Apply the rules' entries to the core; `changed_keys` are the keys that may differ (None: any)."""
         entries = self._select(rules, changed_keys)
         if entries == self._entries:
             return
@@ -42,7 +42,7 @@
         )
 
     def _select(self, rules: Rules, changed_keys: set[str] | None) -> dict[str, Entry]:
-        """The entries of the rules; of known changes, the rules are not walked."""
+        """Return the tenant and class entries of the rules, without walking all rules if the changes are known."""
         if changed_keys is None:
             return {key: entry for key, entry in rules.items() if key.startswith(KINDS)}
         entries: dict[str, Entry] = {}
@@ -58,14 +58,14 @@
             quotas[number] = max(entry.share_per_s, MIN_QUOTA_PER_S)
 
     def _override_class(self, classes: list[Any], entry: Class) -> None:
-        """Override a class of HTTP and the one of TDS of the same name."""
+        """Override the HTTP class and the TDS class of that name."""
         overrides = {
             "latency_objective_ms": entry.aim_ms,
             "deadline_ms": entry.deadline_ms,
             "priority_weight": entry.worth,
         }
-        given = {name: value for name, value in overrides.items() if value is not None}
+        specified = {name: value for name, value in overrides.items() if value is not None}
         http_numbers = {name: number for number, name in enumerate(self._config.classes)}
         for number in (http_numbers.get(entry.name), self._config.plan.classes.get(entry.name)):
             if number is not None:
-                classes[number] = dataclasses.replace(classes[number], **given)
+                classes[number] = dataclasses.replace(classes[number], **specified)
--- a/frostspindle/settings/publisher_decisions.py
+++ b/frostspindle/settings/publisher_decisions.py
@@ -1,7 +1,7 @@
-"""What the publisher, the coordinator that holds the lease of the task "settings", proposes next.
+"""The decisions of the publisher, the coordinator that holds the lease of the task "settings".
 
-No I/O, no clock. A version is activated only once every coordinator that may still act on another one alone knows of
-it (see member_decisions), and is confirmed or rolled back by the canary check of its trial.
+No I/O, no clock. A pending version is activated once no coordinator can act on the previous one alone any more (see
+member_decisions). After its trial it is confirmed or rolled back, depending on the canary check.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class _ObservedRenewal(NamedTuple):
-    """A coordinator's last renewal, and when it was observed here."""
+    """A coordinator's last renewal, and the local time at which it was observed."""
 
     process: int
     number: int
@@ -31,14 +31,14 @@
 
 
 class _ObservedVersion(NamedTuple):
-    """A version in some state (0: none), and since when it is observed so here."""
+    """The version that is pending or on trial (0: none), and since when in local time."""
 
     version: int
     since_ms: float
 
 
 class PublisherDecisions:
-    """The publisher's decisions; every coordinator observes, but only the one with the lease proposes."""
+    """The publisher's decisions. Every coordinator observes the members, only the lease holder proposes commands."""
 
     def __init__(
         self, settings: AgreementSettings, machine: SettingsStateMachine, canary: CanaryCheck | None = None
@@ -47,15 +47,15 @@
         self.machine: SettingsStateMachine = machine
         self.canary: CanaryCheck | None = canary
         self.token: int = 0  # fencing token; 0: this coordinator is not the publisher
-        self._observe_all: bool = True  # all members must be looked at, not only those that were updated
-        self._last_renewals: dict[str, _ObservedRenewal] = {}  # by coordinator, the latest observed one last
+        self._observe_all: bool = True  # visit all members and not only the updated ones
+        self._last_renewals: dict[str, _ObservedRenewal] = {}  # by coordinator, ordered by time of observation
         self._pending_since = _ObservedVersion(0, 0.0)
         self._trial_since = _ObservedVersion(0, 0.0)
 
     def on_lease_acquired(self, now: float, token: int) -> None:
-        """Start with a new fencing token.
+        """Start publishing with a new fencing token.
 
-        All waits and a trial begin anew; the figures before the version are in the machine.
+        All timeouts and a running trial start again; the trial's baseline is in the state machine.
         """
         self.token = token
         self._observe_all = True
@@ -64,13 +64,13 @@
         self._trial_since = _ObservedVersion(0, 0.0)
 
     def on_lease_lost(self) -> None:
-        """Forget the fencing token: nothing is proposed until `on_lease_acquired`."""
+        """Drop the fencing token, so that nothing is proposed until `on_lease_acquired`."""
         self.token = 0
 
     def next_command(self, now: float) -> Command | None:
-        """Return the next command to propose, if any; called after each entry and at intervals.
+        """Return the next command to propose, None if there is none.
 
-        Without a token it only observes.
+        Called after each log entry and periodically. Without a token it only observes.
         """
         self._observe_members(now)
         self._observe_versions(now)
@@ -90,7 +90,7 @@
         return self._remove_silent_member(now)
 
     def _observe_members(self, now: float) -> None:
-        """Look at the members that were updated since, and pass their figures to the canary check."""
+        """Record the renewals of updated members and pass their figures to the canary check."""
         machine = self.machine
         names = [*machine.members, *machine.updated_members] if self._observe_all else [*machine.updated_members]
         machine.updated_members.clear()
@@ -105,8 +105,8 @@
                 continue
             renewal = member.renewal
             figures[name] = (renewal.process, renewal.figures)
-            known = self._last_renewals.get(name)
-            if known is None or known[:2] != (renewal.process, renewal.number):
+            previous = self._last_renewals.get(name)
+            if previous is None or previous[:2] != (renewal.process, renewal.number):
                 self._last_renewals.pop(name, None)
                 self._last_renewals[name] = _ObservedRenewal(renewal.process, renewal.number, now)
         if self.canary is not None:
@@ -123,9 +123,9 @@
                 self.canary.start_trial(now, machine.baseline)
 
     def _decide_pending(self, now: float) -> Command | None:
-        """Activate the pending version, withdraw it, or wait.
+        """Return the command that activates or withdraws the pending version, None to wait.
 
-        A coordinator that can't apply it acts on the intersection for as long as it is pending.
+        Coordinators that can't apply the version act on the intersection while it is pending.
         """
         number = self.machine.pending_version
         all_acknowledged = True
@@ -139,7 +139,7 @@
         return None
 
     def _trial_verdict(self, now: float) -> str:
-        """The canary check's verdict on the version on trial; PASSED if there is none or nothing is checked."""
+        """Return the canary check's verdict on the version on trial; PASSED without a trial or a check."""
         trial = self._trial_since.version
         machine = self.machine
         if not trial or self.canary is None:
@@ -149,7 +149,7 @@
         return self.canary.verdict(now)
 
     def _remove_silent_member(self, now: float) -> Command | None:
-        """Remove the coordinator whose renewal is the longest ago, if that is two leases."""
+        """Return the command that removes the longest silent coordinator, if it has not renewed for two leases."""
         for name, renewal in self._last_renewals.items():
             if now - renewal.observed_at_ms >= 2.0 * self.settings.peer_lease_ms:
                 return RemoveMember(self.token, name, renewal.process, renewal.number)
--- a/frostspindle/settings/pushes.py
+++ b/frostspindle/settings/pushes.py
@@ -1,8 +1,8 @@
-"""The pushes of operators at this coordinator: their pieces as they arrive, their drafts in the log, their outcomes.
+"""Operators' pushes to this coordinator: receives their pieces, proposes their drafts and reports their outcomes.
 
-Each push has one task, which drafts the rules on the active version and proposes the pieces, again where another
-version became active meanwhile. The owner of the tasks is the settings service. Large versions are built in slices in
-the event loop: a thread that computes holds the interpreter for 5 ms at a time.
+Each push has one task, run by the settings service. It drafts the rules on the active version and proposes the pieces,
+and starts again if another version became active meanwhile. Large versions are built in slices in the event loop, as a
+computing thread would hold the interpreter lock for 5 ms at a time.
 """
 
 from __future__ import annotations
@@ -36,24 +36,24 @@
 
 PUSH_TIMEOUT_S = 15.0
 PROPOSE_TIMEOUT_S = 2.0
-WAIT_INTERVAL_S = 0.05  # between two looks at whether a draft may begin
+WAIT_INTERVAL_S = 0.05  # between two checks of whether drafting can start
 RETRY_INTERVAL_S = 0.2  # between two proposals of a piece
-MAX_PUSHES = 4  # under way
+MAX_PUSHES = 4  # in progress
 MAX_REMEMBERED_PUSHES = 32
 MAX_NAME_LENGTH = 64
 MAX_CALL_PIECES = 1 + MAX_PACKED_BYTES // 32_768
 
 
 class PushState(StrEnum):
-    """The state of a push until it is a version; then it is the kind of the version's last event."""
+    """States of a push before it is a version; after that its state is the kind of the version's last event."""
 
     RECEIVING = "coming"
     DRAFTED = "drafted"
-    UNCERTAIN = "uncertain"  # no outcome in time
+    UNCERTAIN = "uncertain"  # no outcome within the time limit
 
 
 class PendingPush:
-    """One push: its pieces as they arrive, and its outcome."""
+    """One push: the pieces received so far, and its outcome."""
 
     def __init__(self) -> None:
         self.pieces: list[bytes] = []
@@ -62,23 +62,23 @@
         self.version: int = 0
         self.reason: str = ""
         self.draft: str = ""  # key of the draft
-        self.settled = asyncio.Event()  # the publisher took the draft or turned it down
+        self.settled = asyncio.Event()  # the publisher has accepted or rejected the draft
 
     def set_outcome(self, state: str, reason: str = "", version: int | None = None) -> None:
-        """Set state and reason, and the version if it is known now."""
+        """Set the state and the reason, and the version if given."""
         self.state = state
         self.reason = reason
         if version is not None:
             self.version = version
 
     def report(self) -> dict[str, Any]:
-        """Return state, version and reason for the operators' port."""
+        """Return the state, version and reason as a reply of the operators' port."""
         return {"state": str(self.state), "version": self.version, "why": self.reason}
 
 
 @dataclass(slots=True, frozen=True)
 class _DraftContent:
-    """What a draft's pieces say; see log_commands.DraftPiece."""
+    """The content of a draft's pieces; see log_commands.DraftPiece."""
 
     base_version: int
     digest: bytes
@@ -86,30 +86,30 @@
     pieces: list[bytes]
 
 
-MakeContent = Callable[[Version], Awaitable[_DraftContent]]  # on the active version
+MakeContent = Callable[[Version], Awaitable[_DraftContent]]  # called with the active version
 
 
 class PushEnvironment(Protocol):
-    """What the pushes need of the settings service."""
+    """The interface that pushes need from the settings service."""
 
     member: MemberDecisions
     executor: Executor
 
     def now(self) -> float:
-        """Return ms of the service's clock."""
+        """Return the time of the service's clock in ms."""
 
     async def propose(self, command: bytes, timeout_s: float) -> bytes | None:
-        """Propose a command and return its result, None without one in time."""
+        """Propose a command and return its result; None if there is none in time."""
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run work in a task that the service cancels at its end."""
+        """Run work in a task that the service cancels when it closes."""
 
     def count(self, event: str) -> None:
         """Count an event."""
 
 
 async def _run_in_event_loop(work: SlicedWork[T]) -> T:
-    """Run one slice in each iteration of the event loop."""
+    """Run sliced work, one slice per iteration of the event loop."""
     while True:
         try:
             next(work)
@@ -120,33 +120,34 @@
 
 
 class PushService:
-    """All pushes made at this coordinator; runs in the event loop's thread."""
+    """All pushes to this coordinator. Runs in the event loop's thread."""
 
     def __init__(self, environment: PushEnvironment) -> None:
         self._environment: PushEnvironment = environment
         self._member: MemberDecisions = environment.member
         self._machine = environment.member.machine
-        self.pushes: dict[str, PendingPush] = {}  # by the name that the operator gave
+        self.pushes: dict[str, PendingPush] = {}  # by the name given by the operator
         self._last_draft: int = 0
 
-    # Calls.
+    # Operators' calls.
 
     def receive_piece(self, name: str, position: str, data: str) -> dict[str, Any]:
-        """Take one piece of a push, position `INDEX/COUNT`, base64 of packed rules; return the push's state.
+        """Receive one piece of a push and return the push's state.
 
-        The last piece has the rules read, checked and drafted. InvalidSettingsError for a bad position, a gap, or too
-        many pushes under way.
+        `position` is `INDEX/COUNT`, `data` the base64 encoding of packed rules. The last piece starts the decoding,
+        validation and drafting of the rules. Raise InvalidSettingsError for an invalid position, a missing piece or too
+        many pushes in progress.
         """
         index, count = self._parse_position(name, position)
         push = self.pushes.get(name)
         if push is None or index == 0:
-            push = self._begin(name, count)
+            push = self._start_push(name, count)
         if index != len(push.pieces) or count != push.piece_count:
             raise InvalidSettingsError(f"gap: piece {len(push.pieces)} of {push.piece_count} is next")
         try:
             push.pieces.append(base64.b64decode(data, validate=True))
         except (binascii.Error, ValueError):
-            raise InvalidSettingsError("a piece is not base64") from None
+            raise InvalidSettingsError("a piece is not valid base64") from None
         if len(push.pieces) == push.piece_count:
             packed = b"".join(push.pieces)
             push.pieces = []
@@ -154,15 +155,15 @@
         return push.report()
 
     def push_rules(self, name: str, rules: Rules) -> None:
-        """Push rules that are already read, such as those of this coordinator's own file."""
+        """Push rules that are already parsed, such as those of the local settings file."""
         push = PendingPush()
         self.pushes[name] = push
         self._start_drafting(push, lambda active: self._content_of_rules(rules, active))
 
     def push_rollback(self, name: str, number: int) -> dict[str, Any]:
-        """Push a return to an earlier version (0: the one before the active one) under a new number.
+        """Push the rules of an earlier version (0: the one before the active one) as a new version.
 
-        InvalidSettingsError if it is not kept or is the active one.
+        Raise InvalidSettingsError if the version is not in the history or is the active one.
         """
         active_version = self._machine.active_version
         if number == 0:
@@ -171,7 +172,7 @@
                 raise InvalidSettingsError("there is no earlier version")
             number = earlier[-1]
         if self._machine.versions.get(number) is None or number == active_version:
-            raise InvalidSettingsError(f"version {number} is not kept, or is the live one")
+            raise InvalidSettingsError(f"version {number} is not in the history, or is the live version")
         push = PendingPush()
         self.pushes[name] = push
 
@@ -182,14 +183,14 @@
         return push.report()
 
     def outcome(self, name: str) -> dict[str, Any]:
-        """Return what became of a push made here; InvalidSettingsError if none of that name is remembered."""
+        """Return the outcome of a push to this coordinator. Raise InvalidSettingsError if the name is unknown."""
         push = self.pushes.get(name)
         if push is None:
-            raise InvalidSettingsError("no such push here")
+            raise InvalidSettingsError("this coordinator has no push with that name")
         return push.report()
 
     def on_event(self, event: HistoryEvent) -> None:
-        """Take note of what happened to a version, for the push that it came from."""
+        """Update the push that an event's draft or version came from."""
         is_draft_outcome = event.kind in (EventKind.PUBLISHED, EventKind.TURNED_DOWN)
         for push in self.pushes.values():
             if is_draft_outcome and push.draft and push.draft == event.author and push.state == PushState.DRAFTED:
@@ -214,8 +215,8 @@
             raise InvalidSettingsError(f"a push has pieces 0/N to N-1/N, N at most {MAX_CALL_PIECES}")
         return int(index), int(count)
 
-    def _begin(self, name: str, piece_count: int) -> PendingPush:
-        """Begin a push; where too many are under way, the oldest whose pieces have not all arrived is dropped."""
+    def _start_push(self, name: str, piece_count: int) -> PendingPush:
+        """Start a push; if too many are in progress, drop the oldest one that is still receiving pieces."""
         receiving = [key for key, push in self.pushes.items() if push.state == PushState.RECEIVING]
         drafted = [key for key, push in self.pushes.items() if push.state == PushState.DRAFTED]
         if len(receiving) + len(drafted) >= MAX_PUSHES:
@@ -236,13 +237,13 @@
         return await self._content_of_rules(await _run_in_event_loop(unpack_changes_in_slices(packed)), active)
 
     async def _content_of_rules(self, rules: Rules, active: Version) -> _DraftContent:
-        """The changes that lead from the active version to these rules."""
+        """Return the draft that changes the active version to these rules."""
         changes = diff_rules(active.rules, rules)
         version = await _run_in_event_loop(active.child_in_slices(active.number + 1, changes))
-        await _run_in_event_loop(validate_in_slices(version.rules, version.changes))  # the active one's have passed
+        await _run_in_event_loop(validate_in_slices(version.rules, version.changes))  # the active version is valid
         if len(version.changes) <= SLICE_ENTRIES:
             packed = pack_changes(version.changes)
-        else:  # most of it is compression, which releases the interpreter
+        else:  # mostly compression, which releases the interpreter lock
             loop = asyncio.get_running_loop()
             packed = await loop.run_in_executor(self._environment.executor, pack_changes, version.changes)
         return _DraftContent(active.number, version.digest_bytes, -1, split_into_pieces(packed, PIECE_BYTES))
@@ -252,7 +253,7 @@
         self._environment.spawn(self._draft(push, make_content))
 
     async def _draft(self, push: PendingPush, make_content: MakeContent) -> None:
-        """Propose the draft, again if another version became active meanwhile, until it is a version or turned down."""
+        """Draft and propose until it is a version or rejected, again if another version became active meanwhile."""
         deadline = self._environment.now() + PUSH_TIMEOUT_S * 1000.0
         try:
             while self._environment.now() < deadline:
@@ -262,12 +263,12 @@
                 if await self._attempt_draft(push, make_content, deadline):
                     return
                 push.state = PushState.DRAFTED
-            push.set_outcome(PushState.UNCERTAIN, f"no publisher took it within {PUSH_TIMEOUT_S:g} s")
+            push.set_outcome(PushState.UNCERTAIN, f"no publisher accepted the draft within {PUSH_TIMEOUT_S:g} s")
         except InvalidSettingsError as error:
             push.set_outcome(EventKind.TURNED_DOWN, str(error))
 
     async def _attempt_draft(self, push: PendingPush, make_content: MakeContent, deadline: float) -> bool:
-        """Draft once on the active version; return False if that was no longer the active one at publication."""
+        """Draft once on the active version; return False if another version was active at publication."""
         active = self._machine.version(self._machine.active_version)
         content = await make_content(active)
         if content.target_version < 0 and content.digest == active.digest_bytes and active.number:
@@ -283,7 +284,7 @@
         return not (push.state == EventKind.TURNED_DOWN and push.reason.startswith("base: "))
 
     async def _propose_pieces(self, push: PendingPush, content: _DraftContent, deadline: float) -> bool:
-        """Propose all pieces of a draft; return False if the push is decided."""
+        """Propose all pieces of a draft; return False if the outcome of the push is already known."""
         member = self._member
         self._last_draft += 1
         number = self._last_draft
@@ -310,9 +311,9 @@
         return True
 
     async def _propose_until(self, push: PendingPush, command: bytes, deadline: float) -> bytes | None:
-        """Propose a piece until there is a result or the push is decided.
+        """Propose a piece until there is a result or the push has an outcome.
 
-        One that was applied although its result did not arrive is a repeat, which changes nothing.
+        Proposing a piece again that was applied, but whose result was lost, is safe: the repeat has no effect.
         """
         while True:
             result = await self._environment.propose(command, PROPOSE_TIMEOUT_S)
@@ -322,7 +323,7 @@
 
     def _on_piece_refused(self, push: PendingPush, result: bytes | None) -> None:
         if result is None:
-            push.set_outcome(PushState.UNCERTAIN, "no: the log does not answer")
+            push.set_outcome(PushState.UNCERTAIN, "no: the log did not commit the draft in time")
             return
         push.set_outcome(EventKind.TURNED_DOWN, result.decode())
         if result.startswith(b"no: full"):
--- a/frostspindle/settings/rollout_log.py
+++ b/frostspindle/settings/rollout_log.py
@@ -1,8 +1,10 @@
 """The log lines of a version's rollout at one coordinator.
 
-`settings_version`: a version is known here, its digest, and in what it contradicts its parent. `settings_unfit`: it
-can't be applied here. `settings_news`: an event of the history, from the publisher alone. `settings_acting`: what is
-acted on from `mono_ms` on (CLOCK_BOOTTIME); of a lease that ran out, since when: `until_ms`.
+- `settings_version_received`: a version has arrived, with its digest and the keys in which it contradicts its parent.
+- `settings_version_rejected`: this coordinator can't apply the version.
+- `settings_history_recorded`: an event of the history, logged by the publisher only.
+- `settings_rules_activated`: the rules in force from `mono_ms` on (CLOCK_BOOTTIME); after an expired lease, `until_ms`
+  is the time of its expiry.
 """
 
 from __future__ import annotations
@@ -20,12 +22,12 @@
 from frostspindle.telemetry import Telemetry
 
 MAX_REMEMBERED_VERSIONS = 64
-MAX_CHANGES_NAMED = 64  # of a version with more changes, its real contradictions are searched for
+MAX_CHANGES_NAMED = 64  # for a version with more changes, the tables are compared instead
 MAX_CONTRADICTIONS = 8
 
 
 class RolloutLog:
-    """Writes each line once; secrets and statements are in none."""
+    """Writes each line once. No line has secrets or statements."""
 
     def __init__(self, machine: SettingsStateMachine, member: MemberDecisions, telemetry: Telemetry) -> None:
         self._machine: SettingsStateMachine = machine
@@ -36,7 +38,7 @@
         self._last_event_index: int = 0
 
     def log_versions(self) -> None:
-        """Log the active and the pending version, and whether the newer one can't be applied here."""
+        """Log the active and the pending version, and whether this coordinator rejects the newer one."""
         for number in (self._machine.active_version, self._machine.pending_version):
             if number and number not in self._logged_versions:
                 self._logged_versions[number] = None
@@ -88,7 +90,7 @@
     def log_active_rules(
         self, previous: ActiveRules | None, rules: ActiveRules, restored: RestoredVersions, now: float
     ) -> None:
-        """Log what is acted on from now on."""
+        """Log the rules in force from now on."""
         fields: dict[str, Any] = {}
         lost_lease = previous is not None and previous.reason != RulesReason.ISOLATED
         if rules.reason == RulesReason.ISOLATED and lost_lease:
