--- a/frostspindle/settings/schema.py
+++ b/frostspindle/settings/schema.py
@@ -1,11 +1,11 @@
-"""The kinds of entries of a version: their fields, their keys, their encoding, and how two of one kind intersect.
+"""The kinds of entries of a version: their fields, keys and encoding, and how two entries of a kind intersect.
 
-No I/O. A version's rules are one flat table: `KIND/NAME` (of engines `engine/FRONT/NAME`) to an entry. What a table has
-no entry for is as the coordinator's own files say; a list that it does hold (`scope/...`) is complete: what is not on
-it does not exist.
+No I/O. A version's rules are one flat table from `KIND/NAME` (for engines `engine/FRONT/NAME`) to an entry. Where the
+table has no entry, the coordinator's local files apply. A list that the table has (`scope/...`) is complete: an element
+that is not on it doesn't exist.
 
-The entries' field names are fixed: entries are stored and sent as maps by field name, and the names are the keys of
-operators' files.
+The entries' field names are fixed: entries are stored and sent as maps keyed by field name, and the names are the keys
+of operators' files. The docstrings of the entries are the descriptions in the JSON Schema.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from frostspindle.config import STATES, TenantRule
 
 MAX_ENTRIES = 20_000
-MAX_VERSION_BYTES = 2 << 20  # of a version's entries
+MAX_VERSION_BYTES = 2 << 20  # total size of the entries of a version
 STATE_RANK = {"left": 0, "leaving": 1, "active": 2}
-IDEMPOTENCY_RANK = {"once": 0, "by_key": 1, "repeatable": 2}  # policy.Idempotency in reverse: the higher permits more
+IDEMPOTENCY_RANK = {"once": 0, "by_key": 1, "repeatable": 2}  # reverse of policy.Idempotency: higher permits more
 FIELD_RANKS: dict[str, dict[str, int]] = {"state": STATE_RANK, "effect": IDEMPOTENCY_RANK}
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[^/\s][^\s]*$")]
 Positive = Annotated[float, Meta(gt=0, le=1e12)]
@@ -35,7 +35,7 @@
 
 
 class InvalidSettingsError(SettingsError, ValueError):
-    """Settings that can't be taken; the message is one line that names the key at fault."""
+    """Invalid settings. The message is one line that names the key at fault."""
 
 
 class _Entry(Struct, forbid_unknown_fields=True, frozen=True, omit_defaults=True):
@@ -115,15 +115,16 @@
 
 @dataclass(slots=True, frozen=True)
 class EntryKind:
-    """How entries of a kind intersect.
+    """How entries of one kind intersect.
 
-    Fields that are in neither `minimum_fields` nor `union_fields` must be equal, or the intersection has no such entry.
+    If the entries differ in a field that is in neither `minimum_fields` nor `union_fields`, the intersection has no
+    such entry.
     """
 
     entry: type[Struct]
-    in_either: bool  # an entry of only one version is in the intersection, not only entries of both
-    minimum_fields: tuple[str, ...] = ()  # the intersection has the lower value; None is no limit
-    union_fields: tuple[str, ...] = ()  # the intersection has the elements of both
+    in_either: bool  # an entry that only one version has is in the intersection too
+    minimum_fields: tuple[str, ...] = ()  # the intersection has the lower value; None means unlimited
+    union_fields: tuple[str, ...] = ()  # the intersection has the elements of both versions
     fleet_wide: bool = True  # coordinators with different entries contradict each other
 
 
@@ -139,19 +140,22 @@
     "scope": EntryKind(ListScope, True, fleet_wide=False),
 }
 LIST_SCOPES = ("http", "tds", "login", "coordinator")
-Entry = Any  # one of the structs above; which one follows from the key
+Entry = Any  # one of the structs above, determined by the key
 Rules = Mapping[str, Entry]  # by key `KIND/NAME`
 encode_msgpack = msgspec.msgpack.Encoder().encode
 ENTRY_DECODERS = {name: msgspec.msgpack.Decoder(kind.entry).decode for name, kind in KINDS.items()}
 
 
 def kind_of(key: str) -> str:
-    """Return the part of a key before the first `/`; whether there is such a kind is not checked."""
+    """Return the part of a key before the first `/`, without checking that it is a known kind."""
     return key.partition("/")[0]
 
 
 def key_of(kind: str, entry: Entry) -> str:
-    """Return the key of an entry. Engines are keyed by front too, as a version may hold the list of one front alone."""
+    """Return the key of an entry.
+
+    Keys of engines include the front, as a version may have the engine list of one front only.
+    """
     if kind == "engine":
         return f"engine/{entry.front}/{entry.name}"
     if kind in ("ban", "drain"):
@@ -160,7 +164,7 @@
 
 
 def scope_of(key: str, entry: Entry) -> str:
-    """Return the key of the list that an entry is on: engines by front, others by kind."""
+    """Return the key of the list that an entry belongs to: for engines by front, for others by kind."""
     return f"scope/{entry.front}" if key.startswith("engine/") else f"scope/{kind_of(key)}"
 
 
@@ -168,12 +172,12 @@
     """Whether coordinators with different entries of this key contradict each other."""
     if not KINDS[kind_of(key)].fleet_wide:
         return False
-    # Other limits hold for each coordinator by itself: two different ones add up to nothing.
+    # All limits except limit/out apply to each coordinator separately, so different values can't add up to an overrun.
     return not key.startswith("limit/") or key == "limit/out"
 
 
 def decode_entry(key: str, data: bytes) -> Entry:
-    """Decode an entry from the wire; InvalidSettingsError if it is malformed or of an unknown kind."""
+    """Decode an entry from the wire. Raise InvalidSettingsError if it is malformed or of an unknown kind."""
     kind, _, name = key.partition("/")
     if kind not in KINDS or not 0 < len(name) <= 80:
         raise InvalidSettingsError(f"{key:.80}: no such kind of entry")
@@ -184,7 +188,7 @@
 
 
 def redact(entry: Entry) -> dict[str, Any]:
-    """Return an entry as plain data for operators, without its secret."""
+    """Return an entry as plain data for operators, with its secret masked."""
     fields: dict[str, Any] = msgspec.to_builtins(entry)
     if fields.get("secret"):
         fields["secret"] = fields["secret"].partition(":")[0] + ":..."
--- a/frostspindle/settings/secret_hash.py
+++ b/frostspindle/settings/secret_hash.py
@@ -1,4 +1,4 @@
-"""The form of secrets in a version: salted hashes (PBKDF2) or references, never the password itself."""
+"""Secrets in a version: salted hashes (PBKDF2) or references, never the password itself."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 
 def hash_secret(password: str, salt: bytes, rounds: int = 100_000) -> str:
-    """Return a password's salted hash (PBKDF2, SHA-256) in the form that may be in a version."""
+    """Return the salted hash (PBKDF2, SHA-256) of a password, in the form that a version accepts."""
     digest = hashlib.pbkdf2_hmac("sha256", password.encode(), salt, rounds)
     return f"pbkdf2:{rounds}:{salt.hex()}:{digest.hex()}"
 
 
 def verify_secret(secret: str, password: str) -> bool:
-    """Whether a password matches a hash, in constant time. False for references, which their readers resolve."""
+    """Whether a password matches a hash, compared in constant time.
+
+    False for references, which are resolved elsewhere.
+    """
     form, _, rest = secret.partition(":")
     if form != "pbkdf2" or rest.count(":") != 2:
         return False
--- a/frostspindle/settings/send_limits.py
+++ b/frostspindle/settings/send_limits.py
@@ -1,4 +1,4 @@
-"""The limits on queries at engines at once, of which this coordinator has its share. No I/O."""
+"""Enforces this coordinator's share of the limits on queries in flight. No I/O."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from frostspindle.core import Attempt
 from frostspindle.settings.schema import Rules
 
-ROUNDING = 1e-9  # so that a share of a limit that is a whole number in decimals is not rounded down
+ROUNDING_TOLERANCE = 1e-9  # keeps floating-point error from rounding an integral share down
 
 
 class SendLimits:
-    """The attempts that were let through and are not over, counted against the limits of the rules."""
+    """Counts admitted, unfinished attempts against the limits of the rules."""
 
     def __init__(self) -> None:
-        self.share: float = 1.0  # of what is limited for all coordinators together
+        self.share: float = 1.0  # of the limits that all coordinators share
         self._in_flight: dict[int, list[Attempt]] = {}  # by engine number
 
     def set_share(self, rules: Rules, name: str) -> None:
-        """Take the share of the coordinator of that name; one without an entry has none where shares are held."""
+        """Set the share of the named coordinator: 1 if the rules have no shares, 0 if they have none for this name."""
         entry = rules.get(f"coordinator/{name}")
         if "scope/coordinator" not in rules:
             self.share = 1.0
@@ -28,11 +28,11 @@
             self.share = entry.part
 
     def admit(self, rules: Rules, engine_key: str, attempt: Attempt) -> bool:
-        """Whether an attempt is within the limits; if so it counts until it is over."""
+        """Whether an attempt is within the limits; if so, count it until it finishes."""
         engine = rules.get(engine_key)
         total = rules.get("limit/out")
-        engine_limit = self._own_part(None if engine is None else engine.most)
-        total_limit = self._own_part(None if total is None else total.value)
+        engine_limit = self._local_share(None if engine is None else engine.most)
+        total_limit = self._local_share(None if total is None else total.value)
         if engine_limit == math.inf and total_limit == math.inf:
             return True
         in_flight = self._prune(attempt.engine)
@@ -47,11 +47,11 @@
         in_flight.append(attempt)
         return True
 
-    def _own_part(self, limit: float | None) -> float:
-        return math.inf if limit is None else math.floor(limit * self.share + ROUNDING)
+    def _local_share(self, limit: float | None) -> float:
+        return math.inf if limit is None else math.floor(limit * self.share + ROUNDING_TOLERANCE)
 
     def _prune(self, engine: int) -> list[Attempt]:
-        """Forget an engine's attempts that are over; return the others."""
+        """Drop an engine's finished attempts and return the others."""
         in_flight = [attempt for attempt in self._in_flight.get(engine, ()) if not attempt.is_finished]
         self._in_flight[engine] = in_flight
         return in_flight
--- a/frostspindle/settings/service.py
+++ b/frostspindle/settings/service.py
@@ -1,8 +1,9 @@
-"""Settings in a running coordinator: when the decisions are asked, and where their results go.
+"""The settings service of a running coordinator: drives the decisions and carries out their results.
 
-Owns the timer, the proposals to the log, the writes to the store and their tasks; runs in the event loop's thread, with
-one more thread for the store. It decides nothing about a version by itself and never blocks the event loop for the log
-or the disk. Log lines: see rollout_log; besides `settings_publisher` and `settings_keep_failed`.
+Runs the timer, the proposals to the log, the writes to the store and their tasks in the event loop's thread; one more
+thread does the store's I/O and the compression of large drafts, so the event loop never waits for the log or the disk.
+All decisions about versions are made in member_decisions and publisher_decisions. Logs the events of rollout_log, and
+`settings_publisher_changed` and `settings_version_store_failed`.
 """
 
 from __future__ import annotations
@@ -33,19 +34,19 @@
 TICK_S = 0.05
 PUBLISH_TIMEOUT_S = 1.0
 LEAVE_TIMEOUT_S = 0.5
-REFRESH_S = 30.0  # what is stored bears the time when it was last known to be current
-# What need not be stored any more may stay for so long, so that a run of versions is one batch each.
+REFRESH_S = 30.0  # how often the stored versions get a new timestamp, which says when they were last current
+# Surplus versions remain stored for this long, so that each version of a quick series costs a single batch.
 REMOVAL_DELAY_S = 1.0
 MAX_ERROR_LENGTH = 200
 
 
 def clock() -> float:
-    """Return milliseconds of a monotonic clock that runs on while the process is stopped or the machine sleeps."""
+    """Return ms of a monotonic clock that also advances while the process is stopped or the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 class SettingsService:
-    """One coordinator's settings in operation; must be made before its log starts."""
+    """One coordinator's settings service. It must be created before the coordinator's log starts."""
 
     _timer: asyncio.TimerHandle | None = None
     _is_publishing: bool = False
@@ -69,14 +70,17 @@
         canary: CanaryCheck | None,
         now: Callable[[], float] = clock,
     ) -> None:
-        """`apply_rules` has the core act on rules from then on; it must not fail. `figures`: of this coordinator."""
+        """Attach the state machine to the log, without starting the timer.
+
+        `apply_rules` puts rules into force in the core and must not raise; `figures` returns the current figures.
+        """
         self.log: ReplicatedLog = log
         self.settings: AgreementSettings = settings
         self.telemetry: Telemetry = telemetry
         self.apply_rules: Callable[[ActiveRules], None] = apply_rules
         self.figures: Callable[[], tuple[int, ...]] = figures
         self.ownership: TaskOwnership = ownership
-        self.store: VersionStore | None = store  # None: nothing is durable, so nothing is acknowledged
+        self.store: VersionStore | None = store  # None: no version is durable, so none is acknowledged
         self.now: Callable[[], float] = now
 
         process = int(time.time() * 1000.0)
@@ -96,7 +100,7 @@
     # Timer and log.
 
     def start(self) -> None:
-        """Look at everything once and start the timer; needs a running event loop."""
+        """Run one step and start the timer; needs a running event loop."""
         self.step()
         self._tick()
 
@@ -106,15 +110,15 @@
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
         try:
             self.step()
-        except Exception as error:  # noqa: BLE001 - the next tick looks at all again
-            self._report_fault(error)
+        except Exception as error:  # noqa: BLE001 - the next tick retries every step
+            self._report_exception(error)
 
     def _on_entry_applied(self, index: int, command: bytes, result: bytes) -> None:
         self.member.on_entry_applied(self.now(), command, result)
         self.step()
 
     def step(self) -> None:
-        """Check everything once: events, lease, store, renewal, drafts, publication. Does nothing after `close`."""
+        """Run each duty once: events, lease, store, renewal, drafts, publication. Does nothing after `close`."""
         if self._is_closed:
             return
         self._report_events()
@@ -122,7 +126,7 @@
         now = self.now()
         self._persist_if_needed(now)
         self._renew_if_due(now)
-        self._build_ahead()
+        self._prebuild_draft()
         self._publish(now)
 
     def _report_events(self) -> None:
@@ -135,7 +139,7 @@
     # Active rules.
 
     def refresh(self) -> ActiveRules:
-        """Return what is acted on now, after telling the core if that has just changed; called before each send."""
+        """Return the current rules, and put them into force first if they have changed. Called before each send."""
         now = self.now()
         rules = self.member.current_rules(now)
         if rules is not self.active_rules:
@@ -150,9 +154,9 @@
         self._rollout_log.log_active_rules(previous, rules, self.member.restored, now)
 
     def changed_keys(self, old: ActiveRules, new: ActiveRules) -> set[str] | None:
-        """Return the keys in which two active rules may differ, if all their versions follow one another.
+        """Return the keys in which two active rules may differ.
 
-        Else None (any).
+        None (any key) unless all versions but the oldest have their parent among them.
         """
         numbers = {*old.versions, *new.versions}
         keys: set[str] = set()
@@ -162,7 +166,7 @@
                 return None
             keys.update(version.changes)
         if "limit/out" in new.rules or "limit/out" in old.rules:
-            keys.add("limit/out")  # an intersection may lower it
+            keys.add("limit/out")  # an intersection may lower this limit
         return keys
 
     # Store.
@@ -187,7 +191,7 @@
             self.counts["keep_failed"] += 1
             self.telemetry.count("settings_keep_failed")
             self.telemetry.log("settings_version_store_failed", error=str(error)[:MAX_ERROR_LENGTH])
-            self.store = None  # nothing is acknowledged any more: the fleet waits a lease for this coordinator
+            self.store = None  # stop acknowledging: the publisher then waits for this coordinator's lease to expire
         else:
             self.member.on_persisted(versions)
             self._persisted_at = self.now()
@@ -203,13 +207,13 @@
         if renewal is not None:
             self.spawn(self.propose(encode_command(renewal), self.settings.lease_ms / 1000.0))
 
-    def _build_ahead(self) -> None:
+    def _prebuild_draft(self) -> None:
         if not self._is_building and self.machine.has_unbuilt_draft:
             self._is_building = True
             self.spawn(self._build_draft())
 
     async def _build_draft(self) -> None:
-        """Build a long draft's version ahead of its publication, one slice in each iteration of the event loop."""
+        """Build the version of a long draft before its publication, one slice per iteration of the event loop."""
         try:
             while self.machine.has_unbuilt_draft:
                 self.machine.build_slice()
@@ -220,7 +224,7 @@
 
     def _publish(self, now: float) -> None:
         lease = self.ownership.lease(TASK)
-        self._follow_lease(lease, now)
+        self._update_token(lease, now)
         command = self.publisher.next_command(now)
         if command is None or self._is_publishing or lease is None or not lease.holds():
             return
@@ -229,7 +233,7 @@
         self._is_publishing = True
         self.spawn(self._propose_as_publisher(encode_command(command)))
 
-    def _follow_lease(self, lease: TaskLease | None, now: float) -> None:
+    def _update_token(self, lease: TaskLease | None, now: float) -> None:
         token = lease.token if lease is not None else 0
         if token == self.publisher.token:
             return
@@ -247,7 +251,7 @@
         self.step()
 
     async def propose(self, command: bytes, timeout_s: float) -> bytes | None:
-        """Propose a command and return its result, None without one in time."""
+        """Propose a command and return its result; None if there is none in time."""
         try:
             entry = await self.log.propose(TOPIC, command, timeout_s)
             return entry.result
@@ -257,14 +261,14 @@
             self.counts["uncertain"] += 1
         return None
 
-    # Tasks and the end.
+    # Tasks and shutdown.
 
     def count(self, event: str) -> None:
         """Count an event for the operators' port."""
         self.counts[event] += 1
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run work in a task that `close` cancels; a fault of it is logged."""
+        """Run work in a task that `close` cancels; its exceptions are logged."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -275,14 +279,17 @@
             return
         error = task.exception()
         if error is not None:
-            self._report_fault(error)
+            self._report_exception(error)
 
-    def _report_fault(self, error: BaseException) -> None:
+    def _report_exception(self, error: BaseException) -> None:
         self.telemetry.count("faults")
         self.telemetry.log("exception_caught", error=repr(error), of="settings")
 
     async def close(self) -> None:
-        """Give up the lease and say so in the log, so that the others need not wait for this coordinator."""
+        """Stop the service after giving up the lease.
+
+        Giving it up is announced in the log, so that the publisher need not wait for the lease to expire.
+        """
         if self._is_closed:
             return
         leaving = self.member.leave()
--- a/frostspindle/settings/snapshot.py
+++ b/frostspindle/settings/snapshot.py
@@ -1,6 +1,6 @@
-"""The state machine's snapshot: its form and its bytes. No I/O.
+"""The state machine's snapshot and its encoding. No I/O.
 
-The snapshot is an array: the order of the fields is fixed, their names are not stored.
+The snapshot is encoded as a MessagePack array: the order of the fields is fixed, field names are not stored.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from frostspindle.settings.log_commands import DraftPiece, RenewLease
 from frostspindle.settings.schema import encode_msgpack
 from frostspindle.settings.version_encoding import pack_changes, unpack_changes
-from frostspindle.settings.versions import EMPTY_VERSION, KEPT_VERSIONS, VersionHistory
+from frostspindle.settings.versions import EMPTY_VERSION, HISTORY_CAPACITY, VersionHistory
 
 FORMAT_VERSION = 1
-MAX_SNAPSHOT_BYTES = 16 << 20  # not compressed
+MAX_SNAPSHOT_BYTES = 16 << 20  # uncompressed
 COMPRESSION_LEVEL = 1
 
-# Number, parent (-1: unknown), author, digest, bytes of its changes, and the packed changes from the version before.
+# Number, parent (-1: unknown), author, digest, size of the changes, and the packed changes from the previous row.
 VersionRow = tuple[int, int, str, bytes, int, bytes]
 
 
 class Snapshot(Struct, array_like=True):
-    """The machine's state. Counters and builds that run ahead are left out."""
+    """The machine's state without its counters and prebuilt versions."""
 
     format: int
     highest_token: int
@@ -53,19 +53,19 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Decode a snapshot; ValueError if it can't be read. Its versions are not checked yet."""
+    """Decode a snapshot, without checking its versions. Raise ValueError if it is malformed."""
     try:
         stream = zlib.decompressobj()
         encoded = stream.decompress(data, MAX_SNAPSHOT_BYTES)
         if not stream.eof:
-            raise ValueError("a state that is too long or cut short")
+            raise ValueError("settings: the snapshot is truncated or too large")
         return _decode(encoded)
     except (zlib.error, msgspec.MsgspecError) as error:
         raise ValueError(f"settings: {error}") from None
 
 
 def encode_versions(versions: VersionHistory) -> list[VersionRow]:
-    """Return the history as changes, each from the version before it here."""
+    """Return the history as rows, each with the changes from the row before."""
     rows: list[VersionRow] = []
     previous = EMPTY_VERSION
     for version in versions:
@@ -91,14 +91,14 @@
 
 
 def decode_versions(rows: list[VersionRow]) -> VersionHistory:
-    """Return the history; ValueError if a digest does not match."""
-    versions = VersionHistory(KEPT_VERSIONS)
+    """Return the history. Raise ValueError if a digest does not match."""
+    versions = VersionHistory(HISTORY_CAPACITY)
     previous = EMPTY_VERSION
     for number, parent, author, digest, changes_size, packed in rows:
         version = previous.child(number, unpack_changes(packed, MAX_SNAPSHOT_BYTES), author)
         if version.digest_bytes != digest or number <= previous.number:
-            raise ValueError(f"settings: the checksum of version {number} does not hold")
-        if parent < 0:  # its changes are unknown: there is no version -1, so tables are compared by walking
+            raise ValueError(f"settings: version {number} does not match its digest")
+        if parent < 0:  # there is no version -1, so differences from the parent are found by comparing whole tables
             version = replace(version, parent=-1, changes={})
         previous = replace(version, changes_size=changes_size)
         versions.add(previous)
--- a/frostspindle/settings/state_machine.py
+++ b/frostspindle/settings/state_machine.py
@@ -1,8 +1,8 @@
-"""The replicated state machine on the log's topic "settings": versions from draft to active, and acknowledgements.
+"""The replicated state machine on the log's topic "settings": the life cycle of versions, and the members' leases.
 
-No I/O, no clock; a command never raises. A publisher's command with a lower fencing token than the highest one seen is
-refused. There is never more than one version between the active one and the next: at most two adjacent versions are
-active at coordinators at once.
+No I/O, no clock; a command never raises. A publisher's command is refused if its fencing token is lower than the
+highest one seen. At most one version is pending at a time, so at most two adjacent versions are active at coordinators
+at once.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
     history_bytes,
 )
 from frostspindle.settings.version_encoding import VersionAssembly
-from frostspindle.settings.versions import KEPT_VERSIONS, Version, VersionHistory
+from frostspindle.settings.versions import HISTORY_CAPACITY, Version, VersionHistory
 
 OK = b"ok"
 MAX_MEMBERS = 1_024
@@ -59,19 +59,19 @@
 MAX_MEMBER_FIGURES = 64
 MAX_MEMBER_FIGURE = 1 << 62
 MAX_TOKEN = 1 << 63
-MIN_PREBUILT_BYTES = 4_096  # drafts from this size on are built ahead of their publication
+MIN_PREBUILT_BYTES = 4_096  # larger drafts are built before their publication
 
 
 @dataclass(slots=True, frozen=True)
 class MemberLease:
-    """A coordinator's last renewal, and the log entry that it was in."""
+    """A coordinator's last renewal and its log index."""
 
     renewal: RenewLease
     index: int
 
 
 class PreparedIntersection(NamedTuple):
-    """The intersection of two adjacent versions, made together with the second one."""
+    """The intersection of two adjacent versions, computed when the second one was built."""
 
     parent: int
     child: int
@@ -83,59 +83,62 @@
 
 @dataclass(slots=True)
 class SettingsStateMachine:
-    """The replicated state machine; see replica.base.StateMachine. Others only read, but clear `updated_members`."""
+    """The replicated state machine; see replica.base.StateMachine.
+
+    Other modules only read it, except that the publisher's decisions clear `updated_members`.
+    """
 
     highest_token: int = 0
     last_version: int = 0
     active_version: int = 0
-    confirmed_version: int = 0  # the newest that was active and passed its trial: where a rollback goes to
+    confirmed_version: int = 0  # the newest version that passed its trial; rollbacks return to it
     pending_version: int = 0
-    trial_index: int = 0  # the entry that activated the active version; 0: it is confirmed
-    baseline: tuple[float, ...] = ()  # the figures before the active version
-    versions: VersionHistory = field(default_factory=lambda: VersionHistory(KEPT_VERSIONS))
+    trial_index: int = 0  # log index of the activation of the active version; 0: it is not on trial
+    baseline: tuple[float, ...] = ()  # the figures before the activation of the active version
+    versions: VersionHistory = field(default_factory=lambda: VersionHistory(HISTORY_CAPACITY))
     drafts: Drafts = field(default_factory=dict)
     members: dict[str, MemberLease] = field(default_factory=dict)
-    rolled_back_digests: dict[bytes, int] = field(default_factory=dict)  # to the versions' numbers
+    rolled_back_digests: dict[bytes, int] = field(default_factory=dict)  # digest to version number
     events: list[HistoryEvent] = field(default_factory=list)
-    counts: Counter[str] = field(default_factory=Counter)  # of refused commands
+    counts: Counter[str] = field(default_factory=Counter)  # refused commands by reason
     applied_index: int = 0
-    updated_members: dict[str, None] = field(default_factory=dict)  # whom the publisher has not looked at since
+    updated_members: dict[str, None] = field(default_factory=dict)  # ordered set, cleared by the publisher's decisions
     prepared_intersection: PreparedIntersection = NOT_PREPARED
     _build: VersionBuild | None = field(default=None, init=False, compare=False)
 
-    # Reading.
+    # Queries.
 
     def version(self, number: int) -> Version:
-        """Return one of the versions that are always kept: active, pending or confirmed."""
+        """Return a version that is always in the history: the active, pending or confirmed one."""
         version = self.versions.get(number)
-        assert version is not None, f"version {number} is gone"
+        assert version is not None, f"version {number} is not in the history"
         return version
 
     @property
     def candidate_versions(self) -> tuple[int, ...]:
-        """Numbers of the versions that may be active now or become so without another publication."""
+        """Numbers of the versions that are active or can become so without another publication."""
         return tuple(sorted({self.confirmed_version, self.active_version, self.pending_version or self.active_version}))
 
     def first_complete_draft(self) -> WaitingDraft | None:
-        """Return the first draft all of whose pieces are here, None if there is none."""
+        """Return the oldest complete draft, None if there is none."""
         return draft_queue.first_complete(self.drafts)
 
-    # Building ahead of the log: it changes nothing but how long the publication takes.
+    # Prebuilding of drafts: it only shortens their publication and doesn't affect its result.
 
     @property
     def has_unbuilt_draft(self) -> bool:
-        """Whether the first complete draft is a long one whose build has not finished."""
+        """Whether the oldest complete draft is large and its build has not finished."""
         draft = self.first_complete_draft()
         return (
             draft is not None
             and not self.pending_version
             and draft.assembly.size > MIN_PREBUILT_BYTES
-            and draft.first_piece.target_version < 0  # its target may be removed from the history until then
+            and draft.first_piece.target_version < 0  # the target may be removed from the history before
             and not self._build_of(draft).is_finished
         )
 
     def build_slice(self) -> None:
-        """Run one more slice of the build of the first complete draft's version."""
+        """Run one more slice of the build of the oldest complete draft."""
         draft = self.first_complete_draft()
         if draft is not None:
             self._build_of(draft).run_slice()
@@ -153,7 +156,7 @@
     # Commands.
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply a command; return "ok", "ok N" with a version's number, or "no: why". Never raises for a command."""
+        """Apply a command and return "ok", "ok NUMBER" with a version's number, or "no: REASON". Never raises."""
         if index <= self.applied_index:
             return self._refusal("old")
         self.applied_index = index
@@ -194,7 +197,7 @@
         return f"no: {reason or counter}"[:MAX_REASON_LENGTH].encode()
 
     def _check_token(self, token: int) -> None:
-        """Check a publisher's fencing token; it is the highest one from then on."""
+        """Check a publisher's fencing token and record it as the highest one."""
         if not self.highest_token <= token < MAX_TOKEN or token <= 0:
             raise CommandRefusedError("stale")
         self.highest_token = token
@@ -226,7 +229,7 @@
         return b"ok %d" % version.number
 
     def _build_version(self, draft: WaitingDraft, number: int) -> Version:
-        """Return the version of a draft on the active one; InvalidSettingsError if it must not be published."""
+        """Return the version that a draft makes. Raise InvalidSettingsError if it must not be published."""
         build = self._build_of(draft)
         self._build = None
         built = build.run_to_end()
@@ -238,18 +241,18 @@
         return version
 
     def _add_version(self, index: int, version: Version, kind: EventKind, reason: str = "") -> None:
-        """Make a version the pending one, and remove old ones until the history fits into a snapshot."""
+        """Make a version the pending one and remove old versions until the history fits into a snapshot."""
         self.last_version = version.number
         self.pending_version = version.number
         needed = self.candidate_versions
         self.versions.add(version, needed)
-        kept = list(self.versions)
-        while history_bytes(kept) > MAX_HISTORY_BYTES:
-            removable = next((other for other in kept if other.number not in needed), None)
+        remaining = list(self.versions)
+        while history_bytes(remaining) > MAX_HISTORY_BYTES:
+            removable = next((other for other in remaining if other.number not in needed), None)
             if removable is None:
                 break
             self.versions.remove(removable.number)
-            kept.remove(removable)
+            remaining.remove(removable)
         self._add_event(index, kind, version.number, version.author, reason)
 
     def _activate(self, index: int, command: Activate) -> bytes:
@@ -309,8 +312,8 @@
     def _renew(self, index: int, renewal: RenewLease) -> bytes:
         member = self.members.get(renewal.name)
         if member is not None:
-            known = member.renewal
-            if (renewal.process, renewal.number) <= (known.process, known.number):
+            previous = member.renewal
+            if (renewal.process, renewal.number) <= (previous.process, previous.number):
                 raise CommandRefusedError("old")
         if (
             len(renewal.name) > MAX_NAME_LENGTH
@@ -347,7 +350,7 @@
     # Snapshots.
 
     def state(self) -> bytes:
-        """Return a compressed snapshot of the machine; `restore` reads it."""
+        """Return a compressed snapshot of the machine for `restore`."""
         return encode_snapshot(
             Snapshot(
                 format=FORMAT_VERSION,
@@ -368,12 +371,12 @@
         )
 
     def restore(self, index: int, state: bytes) -> None:
-        """Replace the state by a snapshot; ValueError if it can't be read, and nothing was changed."""
+        """Replace the state with a snapshot. Raise ValueError, without changing anything, if it is malformed."""
         snapshot = decode_snapshot(state)
         versions = decode_versions(snapshot.versions)
         needed = (snapshot.active_version, snapshot.confirmed_version, snapshot.pending_version)
         if snapshot.format != FORMAT_VERSION or any(versions.get(number) is None for number in needed):
-            raise ValueError("settings: another format, or versions are missing")
+            raise ValueError("settings: the snapshot has another format, or versions are missing")
         self.highest_token = snapshot.highest_token
         self.last_version = snapshot.last_version
         self.active_version = snapshot.active_version
--- a/frostspindle/settings/task_ownership.py
+++ b/frostspindle/settings/task_ownership.py
@@ -1,4 +1,4 @@
-"""What settings need of task ownership: the lease of the publisher's task. No I/O."""
+"""The interface that settings need from task ownership: the lease of the publisher's task. No I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
     @property
     def token(self) -> int:
-        """The fencing token."""
+        """Fencing token of the lease."""
 
     def holds(self) -> bool:
-        """Whether the lease has not run out."""
+        """Whether the lease has not expired."""
 
 
 class TaskOwnership(Protocol):
-    """The leases of this coordinator; see frostspindle/ownership."""
+    """This coordinator's leases on tasks; see frostspindle/ownership."""
 
     def lease(self, task: str) -> TaskLease | None:
         """Return this coordinator's lease on a task; None while it has none."""
@@ -31,8 +31,8 @@
 
 
 class LocalOwnership:
-    """Ownership for a coordinator that is alone with its own log: it always holds each task's lease."""
+    """Ownership for a standalone coordinator with a local log: it always holds the lease of every task."""
 
     def lease(self, task: str) -> TaskLease | None:
-        """Return a lease that always holds, with token 1."""
+        """Return a lease that never expires, with token 1."""
         return _PermanentLease()
--- a/frostspindle/settings/validation.py
+++ b/frostspindle/settings/validation.py
@@ -1,7 +1,7 @@
-"""The checks of a version by itself: each entry, the lists, the shares and the limit that relies on all engines.
+"""Validation of a version: its entries, lists, shares, and the limit that relies on the capacity of all engines.
 
-No I/O. Whether a version can be applied by a certain running program is checked in `applicability`. All errors are
-InvalidSettingsError and name the key at fault.
+No I/O. `applicability` checks whether a running program can apply a version. All errors are InvalidSettingsError and
+name the key at fault.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 
 
 class LimitBounds(NamedTuple):
-    """The smallest and the largest value that a limit may have."""
+    """The smallest and the largest valid value of a limit."""
 
     minimum: float
     maximum: float
 
 
 LIMITS: dict[str, LimitBounds] = {
-    "out": LimitBounds(0, 1_000_000),  # queries at engines at once, of all coordinators; relies on the engines' `most`
+    "out": LimitBounds(0, 1_000_000),  # queries in flight of all coordinators; bounded by the engines' `most`
     "open_requests": LimitBounds(16, 1_000_000),
     "tds_sessions": LimitBounds(1, 100_000),
     "tds_batch_bytes": LimitBounds(512, 1 << 26),
@@ -58,12 +58,12 @@
 
 
 def accepts_queries(rules: Rules, engine: Engine) -> bool:
-    """Whether queries may be sent to an engine: active, neither banned nor draining."""
+    """Whether queries may be sent to an engine: it is active, not banned and not draining."""
     return engine.state == "active" and f"ban/{engine.name}" not in rules and f"drain/{engine.name}" not in rules
 
 
 def engine_capacity(rules: Rules) -> float:
-    """Return how many queries at once all engines that accept any allow; inf if no limit is known."""
+    """Return the number of concurrent queries that the engines accept; inf if their limit is unknown."""
     engines = [entry for key, entry in rules.items() if key.startswith("engine/")]
     if not engines:
         return 0.0 if "scope/http" in rules and "scope/tds" in rules else math.inf
@@ -71,17 +71,17 @@
 
 
 def is_divided(key: str, entry: Entry) -> bool:
-    """Whether an entry is a limit of which each coordinator has its share."""
+    """Whether an entry is a limit that is divided among the coordinators by their shares."""
     return key == "limit/out" or (key.startswith("engine/") and entry.most is not None)
 
 
 def validate(rules: Rules, changes: Rules | None = None) -> None:
-    """Check a version by itself. `changes`: check only these, which were made to rules that passed."""
+    """Validate a version. If `changes` is given, check only these entries; they must be changes to valid rules."""
     run_to_end(validate_in_slices(rules, changes))
 
 
 def validate_in_slices(rules: Rules, changes: Rules | None = None) -> SlicedWork[None]:
-    """Check as `validate` does, in slices."""
+    """Do the work of `validate` in slices."""
     if len(rules) > MAX_ENTRIES:
         raise InvalidSettingsError(f"{len(rules)} entries, at most {MAX_ENTRIES}")
     if changes is None:
@@ -94,7 +94,7 @@
         if slice_ends:
             yield
         _check_entry(key, entry)
-    # Without its scope, entries that did not change may be on a list that the version no longer holds.
+    # If a scope was removed, unchanged entries may be on a list that the version no longer has.
     yield from _check_scopes(rules, rules if "scope" in changed_kinds else new_entries)
     if "coordinator" in changed_kinds:
         _check_shares(rules)
@@ -105,7 +105,7 @@
 
 
 def _check_scopes(rules: Rules, entries: Rules) -> SlicedWork[None]:
-    """A list that is no longer held must be empty, and without shares nothing may be divided."""
+    """Check that listed entries have their list, and that divided limits have shares."""
     has_shares = "scope/coordinator" in rules
     for (key, entry), slice_ends in iterate_in_slices(entries.items()):
         if slice_ends:
@@ -166,7 +166,7 @@
 def _check_engine(key: str, name: str, engine: Engine) -> None:
     if engine.front not in ("http", "tds"):
         raise InvalidSettingsError(f"{key}.front: not http or tds")
-    if _IPV4_ADDRESS.fullmatch(engine.dial):  # nearly all are; ten thousand parsed the general way take a second
+    if _IPV4_ADDRESS.fullmatch(engine.dial):  # fast path: the general parser takes a second for ten thousand addresses
         return
     try:
         address(engine.dial, f"{key}.dial")
--- a/frostspindle/settings/version_build.py
+++ b/frostspindle/settings/version_build.py
@@ -1,6 +1,6 @@
-"""Making the version of a draft on the active version, in slices, with its intersection with the active one. No I/O.
+"""Builds the version of a draft and its intersection with the active version, in slices. No I/O.
 
-A build changes no state: it may run ahead of the draft's publication, and then the publication takes its result.
+A build changes no replicated state, so it can run before the draft's publication, which then uses its result.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from frostspindle.settings.version_encoding import unpack_changes_in_slices
 from frostspindle.settings.versions import Version, VersionHistory
 
-MAX_HISTORY_BYTES = 3 << 20  # of the oldest kept version and the changes of all others: a snapshot has 4 MiB
+MAX_HISTORY_BYTES = 3 << 20  # the oldest version and the changes of the others; a snapshot is limited to 4 MiB
 
 
 class BuiltVersion(NamedTuple):
-    """The version of a draft, and its intersection with the version that it was built on."""
+    """The version of a draft, and its intersection with the active version that it was built on."""
 
     version: Version
     intersection: Table
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class VersionBuild:
-    """The build of a draft's version, as far as it has run: its result, or why there is none."""
+    """The build of a draft's version: the remaining work, and the result or the error once it has finished."""
 
     draft: str
     active_version: int
@@ -39,7 +39,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether it has a result or an error."""
+        """Whether the build has a result or an error."""
         return self.result is not None or bool(self.error)
 
     def run_slice(self) -> None:
@@ -52,7 +52,7 @@
             self.error = str(error)
 
     def run_to_end(self) -> BuiltVersion:
-        """Run the slices that are left and return the result; InvalidSettingsError if the version is invalid."""
+        """Run the remaining slices and return the result. Raise InvalidSettingsError if the version is invalid."""
         while not self.is_finished:
             self.run_slice()
         if self.result is None:
@@ -63,7 +63,7 @@
 def build_in_slices(
     waiting: WaitingDraft, active: Version, versions: VersionHistory, number: int
 ) -> SlicedWork[BuiltVersion]:
-    """Make the version of a complete draft; InvalidSettingsError if it is invalid or not based on the active one."""
+    """Build a complete draft. Raise InvalidSettingsError if it is invalid or not based on the active version."""
     draft = waiting.first_piece
     if draft.target_version >= 0:
         target = versions.get(draft.target_version)
@@ -89,9 +89,9 @@
 def check_publishable(
     version: Version, active: Version, rolled_back_digests: Mapping[bytes, int], needed: list[Version]
 ) -> None:
-    """Check a built version against the history; InvalidSettingsError if it must not be published.
+    """Check a built version against the history. Raise InvalidSettingsError if it must not be published.
 
-    `needed`: the versions that may be active, oldest first, which must fit into a snapshot together with it.
+    `needed` are the versions that may be active, oldest first; together with the new one they must fit into a snapshot.
     """
     if version.digest_bytes in rolled_back_digests:
         number = rolled_back_digests[version.digest_bytes]
@@ -108,5 +108,5 @@
 
 
 def history_bytes(versions: list[Version]) -> int:
-    """Return the bytes of the first version and the changes of the others, before compression."""
+    """Return the uncompressed size of the first version plus the changes of the others."""
     return versions[0].size + sum(version.changes_size for version in versions[1:])
--- a/frostspindle/settings/version_encoding.py
+++ b/frostspindle/settings/version_encoding.py
@@ -1,4 +1,4 @@
-"""The form in which a version's changes travel: compressed, with a checksum, and in pieces. No I/O."""
+"""Encoding of a version's changes for the log: compressed, with a checksum, split into pieces. No I/O."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from frostspindle.settings.versions import Changes
 from frostspindle.store.base import CorruptDataError, seal, unseal
 
-PIECE_BYTES = 48 * 1024  # of a version in one command of the log, whose own limit is 64 KiB
-MAX_PACKED_BYTES = 512 << 10  # of one version, compressed
+PIECE_BYTES = 48 * 1024  # in one command of the log, which is limited to 64 KiB
+MAX_PACKED_BYTES = 512 << 10  # of one draft, compressed
 MAX_PIECES = 1 + MAX_PACKED_BYTES // PIECE_BYTES
-MAX_CHANGES_BYTES = 2 * MAX_VERSION_BYTES  # of changes, not compressed
+MAX_CHANGES_BYTES = 2 * MAX_VERSION_BYTES  # of changes, uncompressed
 COMPRESSION_LEVEL = 3
 
 _decode_rows = msgspec.msgpack.Decoder(list[tuple[str, bytes | None]]).decode
 
 
 def pack_changes(changes: Changes) -> bytes:
-    """Encode changes as compressed bytes with a checksum."""
+    """Encode and compress changes, with a checksum."""
     rows = [(key, entry if entry is None else encode_msgpack(entry)) for key, entry in sorted(changes.items())]
     return seal(zlib.compress(encode_msgpack(rows), COMPRESSION_LEVEL))
 
 
 def unpack_changes(data: bytes, max_bytes: int = MAX_CHANGES_BYTES) -> dict[str, Entry | None]:
-    """Decode changes; InvalidSettingsError if they can't be read or are more than `max_bytes`."""
+    """Decode changes. Raise InvalidSettingsError if they are corrupt or larger than `max_bytes`."""
     return run_to_end(unpack_changes_in_slices(data, max_bytes))
 
 
 def unpack_changes_in_slices(data: bytes, max_bytes: int = MAX_CHANGES_BYTES) -> SlicedWork[dict[str, Entry | None]]:
-    """Decode as `unpack_changes` does, in slices."""
+    """Do the work of `unpack_changes` in slices."""
     try:
         stream = zlib.decompressobj()
         encoded_rows = stream.decompress(unseal(data), max_bytes)
@@ -60,19 +60,19 @@
 
 
 def split_into_pieces(data: bytes, piece_bytes: int = PIECE_BYTES) -> list[bytes]:
-    """Split a version's bytes into pieces, at least one."""
+    """Split bytes into pieces; empty input gives one empty piece."""
     return [data[start : start + piece_bytes] for start in range(0, len(data), piece_bytes)] or [b""]
 
 
 @dataclass(slots=True)
 class VersionAssembly:
-    """A version's pieces as they arrive, in order."""
+    """Collects the pieces of a draft in order."""
 
     piece_count: int
     pieces: list[bytes] = field(default_factory=list)
 
     def add(self, piece_index: int, piece_count: int, data: bytes) -> str:
-        """Take the next piece; return "" if taken, else what is wrong with it. A repeat changes nothing."""
+        """Add the next piece and return "", or return why it was not added. A repeated piece has no effect."""
         if (
             piece_count != self.piece_count
             or not 0 <= piece_index < piece_count <= MAX_PIECES
@@ -93,5 +93,5 @@
 
     @property
     def size(self) -> int:
-        """Number of bytes of the pieces that have arrived."""
+        """Total size of the pieces that have arrived, in bytes."""
         return sum(map(len, self.pieces))
--- a/frostspindle/settings/version_store.py
+++ b/frostspindle/settings/version_store.py
@@ -1,8 +1,8 @@
-"""The versions that may be active, in a durable store: what a coordinator serves by that starts without the fleet.
+"""Durable store of the versions that may be active, for a coordinator that starts while it can't reach the others.
 
-Owns the form of the records in a store (frostspindle/store, which applies a batch completely or not at all and has a
-checksum of each entry and of the whole). A version whose digest does not match is never returned. A stored version is
-not written again: each is stored as its changes from another one, and the first of such a chain as all its entries.
+Defines the records in a store (frostspindle/store, which applies batches atomically and checks each entry and the whole
+by checksums). A version whose digest does not match is never returned. A version is written once, as its changes from
+another stored version; the first version of such a chain is stored with all its entries.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 METADATA_KEY = b"settings/kept"
 PIECE_KEY_PREFIX = b"settings/v/"
 PIECE_BYTES = 60_000
-MAX_CHAIN_LENGTH = 24  # versions stored as changes, until one is stored completely again
+MAX_CHAIN_LENGTH = 24  # beyond this, versions are written completely again
 FORMAT_VERSION = 1
 
 
 class _StoredVersion(Struct, array_like=True):
     number: int
-    parent: int  # the version that the changes are from; 0: they are all entries
+    parent: int  # the version that the changes apply to; 0: all entries are stored
     author: str
     digest: bytes
     piece_count: int
@@ -33,7 +33,7 @@
 
 class _StoredMetadata(Struct, array_like=True):
     format: int
-    saved_at_ms: float  # Unix time
+    saved_at_ms: float  # Unix time in ms
     candidates: list[int]  # versions that may be active
     rows: list[_StoredVersion]
 
@@ -48,7 +48,7 @@
 class VersionStore:
     """One coordinator's store of versions.
 
-    Not safe for two threads at a time; store errors are raised to the caller.
+    Not thread-safe; errors of the store are raised to the caller.
     """
 
     def __init__(self, store: Store) -> None:
@@ -58,7 +58,7 @@
     def load(self) -> RestoredVersions:
         """Return what was saved last.
 
-        InvalidSettingsError if it can't be read (a store of another program version, or changed by hand).
+        Raise InvalidSettingsError if it is malformed (written by another program version, or modified by hand).
         """
         data = self.store.get(METADATA_KEY)
         if data is None:
@@ -66,28 +66,28 @@
         try:
             metadata = _decode_metadata(data)
         except msgspec.MsgspecError as error:
-            raise InvalidSettingsError(f"kept settings: {error}") from None
+            raise InvalidSettingsError(f"stored settings: {error}") from None
         if metadata.format != FORMAT_VERSION:
-            raise InvalidSettingsError(f"kept settings: format {metadata.format}")
+            raise InvalidSettingsError(f"stored settings: unsupported format {metadata.format}")
         versions = {0: EMPTY_VERSION}
         for row in metadata.rows:
             versions[row.number] = self._load_version(row, versions)
         if not set(metadata.candidates) <= versions.keys():
-            raise InvalidSettingsError("kept settings: a version is missing")
+            raise InvalidSettingsError("stored settings: a version is missing")
         self._rows = {row.number: row for row in metadata.rows}
         return RestoredVersions(tuple(versions[number] for number in sorted(metadata.candidates)), metadata.saved_at_ms)
 
     def _load_version(self, row: _StoredVersion, versions: dict[int, Version]) -> Version:
         if row.parent not in versions:
-            raise InvalidSettingsError(f"kept settings: version {row.number} has lost what it stands on")
+            raise InvalidSettingsError(f"stored settings: the parent of version {row.number} is missing")
         packed = b"".join(self.store.get(_piece_key(row.number, piece)) or b"" for piece in range(row.piece_count))
         version = versions[row.parent].child(row.number, unpack_changes(packed), row.author)
         if version.digest_bytes != row.digest:
-            raise InvalidSettingsError(f"kept settings: the checksum of version {row.number} does not hold")
+            raise InvalidSettingsError(f"stored settings: version {row.number} does not match its digest")
         return version
 
     def save(self, versions: tuple[Version, ...], unix_ms: float) -> None:
-        """Make these versions, which may be active, durable, all or none; StoreError if that fails."""
+        """Store the versions that may be active, atomically. Raise StoreError if that fails."""
         versions = tuple(sorted(versions, key=lambda version: version.number))
         rows: dict[int, _StoredVersion] = {}
         writes: dict[bytes, bytes | None] = {}
@@ -98,7 +98,7 @@
             if stored is not None and stored.digest == version.digest_bytes and not compact:
                 rows[version.number] = stored
             else:
-                parent, changes = self._base_of(version, previous, compact)
+                parent, changes = self._find_base(version, previous, compact)
                 pieces = split_into_pieces(pack_changes(changes), PIECE_BYTES)
                 rows[version.number] = _StoredVersion(
                     version.number, parent, version.author, version.digest_bytes, len(pieces)
@@ -115,10 +115,10 @@
         self.store.apply(writes)
         self._rows = ordered
 
-    def _base_of(self, version: Version, previous: Version, compact: bool) -> tuple[int, Changes]:
-        """The number of the version that a new one is stored on, and the changes from there.
+    def _find_base(self, version: Version, previous: Version, compact: bool) -> tuple[int, Changes]:
+        """Return the number of the version that a new one is stored relative to, and the changes from there.
 
-        That is the one saved before it in this batch; the first of a batch is stored on its parent if that is stored.
+        That is the previous version of the batch; for the first of a batch, its parent if that is stored.
         """
         parent = previous.number
         if not parent and not compact and version.parent in self._rows:
@@ -128,7 +128,7 @@
         return parent, diff_rules(previous.rules, version.rules)
 
     def _with_ancestors(self, rows: dict[int, _StoredVersion]) -> dict[int, _StoredVersion]:
-        """These rows and those that they are stored on."""
+        """Return these rows and the rows that they are stored relative to."""
         needed = dict(rows)
         for row in rows.values():
             while row.parent and row.parent not in needed:
@@ -137,17 +137,17 @@
         return needed
 
     def _removals(self, needed: dict[int, _StoredVersion]) -> dict[bytes, bytes | None]:
-        """Removals of the pieces that are needed no more."""
+        """Return the removals of pieces that are no longer needed."""
         removals: dict[bytes, bytes | None] = {}
         for row in self._rows.values():
-            kept = needed.get(row.number)
-            first_removed = kept.piece_count if kept is not None else 0
+            retained = needed.get(row.number)
+            first_removed = retained.piece_count if retained is not None else 0
             for piece in range(first_removed, row.piece_count):
                 removals[_piece_key(row.number, piece)] = None
         return removals
 
     def _chain_length(self, versions: tuple[Version, ...]) -> int:
-        """The longest chain of changes from any of these versions to one that is stored completely."""
+        """Return the length of the longest chain of stored rows that these versions build on."""
         longest = 0
         for version in versions:
             length = 0
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -1,6 +1,6 @@
-"""The settings of one program: its parts put together, and their operators' calls; imported only where it has settings.
+"""Assembles the settings of one program, starts and stops them, and registers their operators' calls.
 
-Owns the order in which the parts start and stop.
+Imported only if the program has a `[settings]` section.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def describe_program(config: Config) -> RunningProgram:
-    """Return what this coordinator was started with, as far as it decides which versions are applicable."""
+    """Return the startup configuration that determines which versions this coordinator can apply."""
     tenant_rules: dict[str, tuple[TenantRule, ...]] = dict.fromkeys(config.tenants.names, ())
     tenant_rules.update({tenant.name: tuple(tenant.rule) for tenant in config.operator.tenant})
     return RunningProgram(
@@ -64,9 +64,9 @@
 
 
 def open_version_store(folder: Path, name: str, telemetry: Telemetry) -> tuple[VersionStore | None, RestoredVersions]:
-    """Open the store of versions and return it with what it holds.
+    """Open the store of versions and return it with the restored versions.
 
-    Without a store (None) nothing is acknowledged, and the fleet waits a lease for this coordinator.
+    Without a store (None) no version is acknowledged, and the publisher waits for this coordinator's lease to expire.
     """
     store: VersionStore | None = None
     try:
@@ -76,7 +76,7 @@
         return store, store.load()
     except InvalidSettingsError as error:
         _report_store_failure(telemetry, error)
-        return store, RestoredVersions()  # intact for the store but not for us: it is written anew
+        return store, RestoredVersions()  # the store is intact but its records are invalid: they are overwritten
     except (StoreError, OSError, ValueError) as error:
         _report_store_failure(telemetry, error)
         return None, RestoredVersions()
@@ -88,7 +88,7 @@
 
 
 class SettingsComponent:
-    """All parts of settings in one program."""
+    """The settings of one program, with all their components."""
 
     def __init__(self, program: Program) -> None:
         section = program.config.operator.settings
@@ -99,8 +99,8 @@
 
         replica_log: Any = getattr(program, "replica", None)
         replica_section = program.config.operator.replica
-        self.is_alone: bool = replica_log is None
-        self.log: Any = LocalLog(program.config.name) if self.is_alone else replica_log
+        self.is_standalone: bool = replica_log is None
+        self.log: Any = LocalLog(program.config.name) if self.is_standalone else replica_log
         name = program.config.name if replica_section is None else replica_section.me
         self.applied = AppliedRules(program, name)
         self.figures = ResponseFigures(program.core.observer, lambda: program.core.open)
@@ -109,7 +109,7 @@
         restored = RestoredVersions()
         if section.folder:
             store, restored = open_version_store(Path(section.folder), name, program.telemetry)
-        self.lease_manager: LeaseManager | None = None  # of settings alone, without [ownership]
+        self.lease_manager: LeaseManager | None = None  # used only without [ownership]
         ownership = self._task_ownership(name)
         self.service = SettingsService(
             self.log,
@@ -125,20 +125,20 @@
             self._canary_check(),
         )
         self.applied.changed_keys = self.service.changed_keys
-        self._rules_of_start = self.read_local_file()
-        if self.is_alone and restored.versions:  # a log in memory has forgotten them
+        self._initial_rules = self.read_local_file()
+        if self.is_standalone and restored.versions:  # the local log is in memory and starts empty
             self._resume(max(restored.versions, key=lambda version: version.number))
         self.applied.refresh = self.service.refresh
 
     def _task_ownership(self, name: str) -> Any:
-        """Who has the publisher's lease: this program alone, its [ownership], or a lease manager for settings alone."""
-        if self.is_alone:
+        """Return the owner of the publisher's lease: local, the program's [ownership], or a separate lease manager."""
+        if self.is_standalone:
             return LocalOwnership()
-        ownership_part: Any = getattr(self.program, "owners", None)
-        if ownership_part is None:
+        ownership_component: Any = getattr(self.program, "owners", None)
+        if ownership_component is None:
             lease_settings = LeaseSettings(drift=self.section.drift)
             self.lease_manager = LeaseManager(self.log, name, lease_settings, self.telemetry)
-        ownership = self.lease_manager or ownership_part.owners
+        ownership = self.lease_manager or ownership_component.owners
         ownership.want(TASK)
         return ownership
 
@@ -154,7 +154,7 @@
         return CanaryCheck(CanaryThresholds(guard_bands=guard_bands))
 
     def _resume(self, version: Version) -> None:
-        """Begin with a restored version as the active and confirmed one."""
+        """Make a restored version the active and confirmed one."""
         machine = self.service.machine
         machine.versions.add(dataclasses.replace(version, parent=-1, changes={}))
         machine.last_version = version.number
@@ -162,25 +162,28 @@
         machine.confirmed_version = version.number
 
     def start(self) -> None:
-        """Start ownership and the service, and push the own file's rules; the log and the core must have started."""
+        """Start the lease manager and the service, and push the rules of the local file.
+
+        The log and the core must have been started.
+        """
         if self.lease_manager is not None:
             self.lease_manager.start()
         self.service.start()
-        if self._rules_of_start is not None:
-            self.service.pushes.push_rules("file", self._rules_of_start)
+        if self._initial_rules is not None:
+            self.service.pushes.push_rules("file", self._initial_rules)
 
     def reload(self, tds: Any, rules: Rules | None) -> None:
-        """Apply the program's own files again (SIGHUP).
+        """Apply the reloaded local files (SIGHUP).
 
-        The active rules have precedence; a coordinator that is alone pushes its file as its next version.
+        The active rules have precedence. A standalone coordinator pushes its settings file as the next version.
         """
         self.applied.reapply(tds)
         if rules is not None:
             self.service.pushes.push_rules(f"file-{clock():.0f}", rules)
 
     def read_local_file(self) -> Rules | None:
-        """Return the rules of the file of a coordinator that is alone, None without one; ConfigError names the key."""
-        if not self.is_alone or not self.section.file:
+        """Return the rules of a standalone coordinator's settings file, None without one. ConfigError names the key."""
+        if not self.is_standalone or not self.section.file:
             return None
         try:
             rules = parse_document(Path(self.section.file).read_bytes())
@@ -194,7 +197,7 @@
         return rules
 
     async def close(self) -> None:
-        """Stop sending engine lists, then the settings service, then this coordinator's own task leases."""
+        """Stop the engine list, then the settings service, then the lease manager."""
         self.applied.close()
         await self.service.close()
         if self.lease_manager is not None:
@@ -202,7 +205,7 @@
 
 
 def attach(program: Any) -> SettingsComponent:
-    """Create the settings of a program and register them at the operators' port."""
+    """Create the settings of a program and register their operators' calls."""
     component = SettingsComponent(program)
     if program.operator_server is not None:
         _register_operator_calls(program.operator_server, component.service)
@@ -223,7 +226,7 @@
         "settings-diff": _with_operator_errors(lambda old, new: calls.diff(_parse_version(old), _parse_version(new))),
     }
     operator_server.arguments |= {
-        "settings-push": "an id, a place and a piece",
+        "settings-push": "an id, a position and a piece",
         "settings-outcome": "an id",
         "settings-rollback": "an id and a version",
         "settings-diff": "two versions",
@@ -233,12 +236,12 @@
 
 
 def _with_operator_errors(call: Callable[..., Any]) -> Callable[..., Any]:
-    """Return the call with InvalidSettingsError turned into the error that the operators' port replies with."""
+    """Wrap a call so that an InvalidSettingsError is sent to the operator as the reply."""
     from frostspindle.net.operator import OperatorError
 
-    def wrapped(*words: str) -> Any:
+    def wrapped(*arguments: str) -> Any:
         try:
-            return call(*words)
+            return call(*arguments)
         except InvalidSettingsError as error:
             raise OperatorError(str(error)) from None
 
@@ -247,5 +250,5 @@
 
 def _parse_version(text: str) -> int:
     if not text.isascii() or not text.isdecimal() or len(text) > 9:
-        raise InvalidSettingsError(f"not a version: {text!r:.40}")
+        raise InvalidSettingsError(f"not a version number: {text!r:.40}")
     return int(text)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -55,7 +55,7 @@
     split_into_pieces,
     unpack_changes,
 )
-from frostspindle.settings.versions import EMPTY_VERSION, KEPT_VERSIONS, VersionHistory, diff_rules
+from frostspindle.settings.versions import EMPTY_VERSION, HISTORY_CAPACITY, VersionHistory, diff_rules
 
 ROOT = Path(__file__).parent.parent
 ENGINE = '[[engine]]\nname = "e1"\ndial = "127.0.0.1:1"\n'
@@ -253,7 +253,7 @@
         }
         with pytest.raises(KeyError):
             history.changes_between(5, 11)
-        assert len(VersionHistory(KEPT_VERSIONS)) == 0
+        assert len(VersionHistory(HISTORY_CAPACITY)) == 0
 
     def test_corrupt_oversized_and_duplicate_changes_are_rejected(self):
         data = pack_changes({"ban/e1": Ban("e1")})
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -32,7 +32,7 @@
 from frostspindle.settings.schema import Ban, Engine, Limit, ListScope
 from frostspindle.settings.state_machine import SettingsStateMachine
 from frostspindle.settings.version_encoding import PIECE_BYTES, pack_changes, split_into_pieces
-from frostspindle.settings.versions import EMPTY_VERSION, KEPT_VERSIONS
+from frostspindle.settings.versions import EMPTY_VERSION, HISTORY_CAPACITY
 
 
 class Fed:
@@ -195,14 +195,14 @@
 
     def test_draft_can_return_to_any_kept_version(self):
         fed = Fed()
-        tables = [fed.push(ban(f"e{n}")).rules for n in range(KEPT_VERSIONS + 4)]
-        assert len(fed.machine.versions) == KEPT_VERSIONS
-        for number, to in enumerate((KEPT_VERSIONS + 3, 6, 1, KEPT_VERSIONS + 4, 99), 100):
+        tables = [fed.push(ban(f"e{n}")).rules for n in range(HISTORY_CAPACITY + 4)]
+        assert len(fed.machine.versions) == HISTORY_CAPACITY
+        for number, to in enumerate((HISTORY_CAPACITY + 3, 6, 1, HISTORY_CAPACITY + 4, 99), 100):
             assert fed(DraftPiece("op", 1, number, -1, b"\0" * 16, target_version=to)) == "ok"
-        assert fed(PublishVersion(5, "op/1/100")) == f"ok {KEPT_VERSIONS + 5}"
+        assert fed(PublishVersion(5, "op/1/100")) == f"ok {HISTORY_CAPACITY + 5}"
         assert (
-            fed.machine.version(KEPT_VERSIONS + 5).rules == tables[KEPT_VERSIONS + 2]
-            and fed(Activate(5, KEPT_VERSIONS + 5)) == "ok"
+            fed.machine.version(HISTORY_CAPACITY + 5).rules == tables[HISTORY_CAPACITY + 2]
+            and fed(Activate(5, HISTORY_CAPACITY + 5)) == "ok"
         )
         assert (
             fed(PublishVersion(5, "op/1/101")).startswith("ok")
