--- a/tests/settings_cluster.py
+++ b/tests/settings_cluster.py
@@ -1,4 +1,4 @@
-"""Coordinators on one log in memory and on a simulated clock, for tests of the state machine and the decisions."""
+"""A simulated cluster for tests of the state machine and the decisions: one log in memory and a simulated clock."""
 
 from __future__ import annotations
 
@@ -21,10 +21,12 @@
 SETTINGS = AgreementSettings(2_000.0, 0.0, 4_000.0)
 
 
-def draft(base: Version, changes, number=1, by="op", process=1):
-    """A draft of one piece, and the version that it makes."""
-    made = base.child(base.number + 1, changes, by)
-    return DraftPiece(by, process, number, base.number, made.digest_bytes, 0, 1, pack_changes(made.changes)), made
+def draft(base: Version, changes, number=1, author="op", process=1):
+    """Return a draft of one piece, and the version that it makes."""
+    version = base.child(base.number + 1, changes, author)
+    return DraftPiece(
+        author, process, number, base.number, version.digest_bytes, 0, 1, pack_changes(version.changes)
+    ), version
 
 
 def ban(name):
@@ -32,13 +34,13 @@
 
 
 class ClusterMember:
-    """One coordinator's process, and its disk."""
+    """One coordinator's process, with its state machine and decisions."""
 
     def __init__(self, name, process, now, restored, settings, inapplicability_reason):
         self.name = name
         self.process = process
         self.machine = SettingsStateMachine()
-        self.applied = 0  # entries of the log
+        self.applied = 0  # number of applied log entries
         self.restored = restored
         self.member = MemberDecisions(name, process, settings, self.machine, now, inapplicability_reason, restored)
         self.publisher = PublisherDecisions(settings, self.machine)
@@ -67,7 +69,7 @@
 
 
 class SettingsCluster:
-    """The coordinators, their disks and the log; each entry has the next index."""
+    """The coordinators, their disks, the log and the clock. An entry's index is its position in the log, from 1."""
 
     def __init__(self, count, settings=SETTINGS, inapplicability_reason=lambda name, version: ""):
         self.now = 0.0
@@ -106,15 +108,15 @@
     def propose(self, command):
         self.log.append(command if isinstance(command, bytes) else log_commands.encode_command(command))
 
-    def apply(self, name, most=1):
+    def apply(self, name, max_entries=1):
         node = self.nodes[name]
-        for _ in range(most):
+        for _ in range(max_entries):
             if node.applied == len(self.log):
                 return
             command = self.log[node.applied]
             node.applied += 1
             result = node.machine.apply(node.applied, command)
-            assert self.results.setdefault(node.applied, result) == result, "the same entries, the same answers"
+            assert self.results.setdefault(node.applied, result) == result, "members disagree on the result of an entry"
             node.member.on_entry_applied(self.now, command, result)
             self.refresh(name)
 
@@ -148,7 +150,7 @@
             self.refresh(name)
 
     def settle(self, rounds=12, ms=400.0):
-        """Renew, publish, apply and persist everywhere for a while."""
+        """Renew, publish, apply and persist at all members for some rounds."""
         for _ in range(rounds):
             for name in self.nodes:
                 self.renew(name)
@@ -164,29 +166,29 @@
         return {name: node.member.current_rules(self.now) for name, node in self.nodes.items()}
 
     def fault(self):
-        """Return which invariant is violated now; None if none is."""
+        """Return a description of the first violated invariant, None if all hold."""
         rules_by_name = self.active_rules()
         sole_rules = [(name, rules) for name, rules in rules_by_name.items() if rules.mode == RulesMode.VERSION]
-        for place, (name, one) in enumerate(sole_rules):
-            for other, two in sole_rules[place + 1 :]:
-                if one.sole_version != two.sole_version and contradicts(one.rules, two.rules):
-                    return f"{name} acts on {one.sole_version}, {other} on {two.sole_version}"
+        for index, (name, first) in enumerate(sole_rules):
+            for other_name, second in sole_rules[index + 1 :]:
+                if first.sole_version != second.sole_version and contradicts(first.rules, second.rules):
+                    return f"{name} acts on {first.sole_version}, {other_name} on {second.sole_version}"
         for name, rules in rules_by_name.items():
             node = self.nodes[name]
             if rules.mode == RulesMode.VERSION and (
                 self.inapplicability_reason(name, node.machine.version(rules.sole_version))
                 or not node.member.has_renewed
             ):
-                return f"{name} acts on {rules.sole_version} alone, which it can't apply or without a renewal"
+                return f"{name} acts on {rules.sole_version} alone, though it can't apply it or has not renewed"
             if not node.member.has_renewed and any(
                 not permits_no_more(rules.rules, version.rules) for version in node.restored.versions
             ):
-                return f"{name} permits after its start what a version that may be active does not"
-        for name, kept in self.disks.items():
-            if any(self.inapplicability_reason(name, version) for version in kept.versions):
-                return f"{name} persists a version that it can't apply"
+                return f"{name} permits after its start what a restored version forbids"
+        for name, restored in self.disks.items():
+            if any(self.inapplicability_reason(name, version) for version in restored.versions):
+                return f"{name} stored a version that it can't apply"
         return None
 
 
-def span(node, version, begins, ends):
-    return ActivePeriod(node, version, float(begins), float(ends))
+def active_period(node, version, begin_ms, end_ms):
+    return ActivePeriod(node, version, float(begin_ms), float(end_ms))
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -7,7 +7,7 @@
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
-from settings_cluster import SETTINGS, SettingsCluster, ban, draft, span
+from settings_cluster import SETTINGS, SettingsCluster, active_period, ban, draft
 
 from frostspindle.lab.explore import explore
 from frostspindle.settings import drafts, log_commands, state_machine
@@ -620,15 +620,27 @@
 class TestAudit:
     def test_the_longest_contradiction_is_found_over_all_pairs(self):
         always = lambda one, two: True  # noqa: E731
-        assert find_longest_contradiction([span("a", 1, 0, 10), span("b", 2, 10, 20)], always).longest_ms == 0
-        found = find_longest_contradiction([span("a", 1, 0, 10), span("b", 2, 6, 20), span("c", 1, 9, 13)], always)
+        assert (
+            find_longest_contradiction([active_period("a", 1, 0, 10), active_period("b", 2, 10, 20)], always).longest_ms
+            == 0
+        )
+        found = find_longest_contradiction(
+            [active_period("a", 1, 0, 10), active_period("b", 2, 6, 20), active_period("c", 1, 9, 13)], always
+        )
         assert (found.longest_ms, found.total_ms) == (7.0, 7.0)
-        assert find_longest_contradiction([span("a", 1, 0, 10), span("a", 2, 5, 20)], always).longest_ms == 0
         assert (
-            find_longest_contradiction([span("a", 1, 0, 10), span("b", 2, 5, 20)], lambda one, two: False).longest_ms
+            find_longest_contradiction([active_period("a", 1, 0, 10), active_period("a", 2, 5, 20)], always).longest_ms
             == 0
         )
-        found = find_longest_contradiction([span("a", 1, 0, 4), span("b", 2, 2, 9), span("c", 3, 8, 20)], always)
+        assert (
+            find_longest_contradiction(
+                [active_period("a", 1, 0, 10), active_period("b", 2, 5, 20)], lambda one, two: False
+            ).longest_ms
+            == 0
+        )
+        found = find_longest_contradiction(
+            [active_period("a", 1, 0, 4), active_period("b", 2, 2, 9), active_period("c", 3, 8, 20)], always
+        )
         assert (found.longest_ms, found.total_ms, found.pair[0].node) == (2.0, 3.0, "a")
 
     def test_audit_reads_expired_leases_and_killed_processes_from_log_lines(self):
@@ -650,9 +662,9 @@
             line("a", 60, "version", 2),
         ]
         assert sorted(read_active_periods(lines, {"b": 30.0}, 100.0), key=lambda s: (s.node, s.begins)) == [
-            span("a", 1, 0, 40),
-            span("a", 2, 60, 100),
-            span("b", 1, 5, 30),
+            active_period("a", 1, 0, 40),
+            active_period("a", 2, 60, 100),
+            active_period("b", 1, 5, 30),
         ]
         told = read_contradictions(
             [
