--- a/tests/contracts/test_settings_keep.py
+++ b/tests/contracts/test_settings_keep.py
@@ -1,4 +1,4 @@
-"""The last good versions on the disk: every write point, kill -9, spoilt records, chains of changes."""
+"""The version store: crashes at every write, kill -9, corrupt records, and chains of changes."""
 
 import os
 import random
@@ -9,7 +9,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as runs
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from stores import Child, files, lay
 
@@ -22,64 +22,66 @@
 from frostspindle.store.opening import open_store
 from frostspindle.store.sqlite_engine import SqliteEngine
 
-WHERE = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
+TEMP_ROOT = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
 
 
 @pytest.fixture
 def folder():
-    path = tempfile.mkdtemp(dir=WHERE)
+    path = tempfile.mkdtemp(dir=TEMP_ROOT)
     yield Path(path, "s")
     shutil.rmtree(path)
 
 
-def chain(count, wide=40):
-    """Versions that follow one another, the first of many entries."""
-    versions, at = [], EMPTY_VERSION
+def chain(count, entry_count=40):
+    """Return a chain of versions, each the child of the one before; the first has `entry_count` extra entries."""
+    versions, latest = [], EMPTY_VERSION
     for number in range(1, count + 1):
-        changes = {f"ban/w{n}": Ban(f"w{n}") for n in range(wide)} if number == 1 else {}
-        at = at.child(number, changes | {f"ban/e{number}": Ban(f"e{number}", "x" * 50), f"ban/e{number - 3}": None})
-        versions.append(at)
+        changes = {f"ban/w{n}": Ban(f"w{n}") for n in range(entry_count)} if number == 1 else {}
+        latest = latest.child(
+            number, changes | {f"ban/e{number}": Ban(f"e{number}", "x" * 50), f"ban/e{number - 3}": None}
+        )
+        versions.append(latest)
     return versions
 
 
-def numbers(kept):
-    return [version.number for version in kept.versions]
+def numbers(restored):
+    return [version.number for version in restored.versions]
 
 
-@runs(max_examples=40, deadline=None, derandomize=True, database=None)
+@hypothesis_settings(max_examples=40, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 2), st.booleans()), min_size=1, max_size=60))
 def test_saved_versions_are_loaded_whatever_was_saved_before(steps):
-    versions, store, at = chain(120, 5), MemoryStore(), 0
-    keeper = VersionStore(store)
-    for step, back, again in steps:
-        at = min(len(versions) - 1, at + step)
-        needed = tuple(versions[max(0, at - back) : at + 1])
-        keeper.save(needed, 5.0)
-        if again:
-            keeper = VersionStore(store)
-            assert keeper.load() == RestoredVersions(needed, 5.0)
+    versions, store, newest = chain(120, 5), MemoryStore(), 0
+    version_store = VersionStore(store)
+    for advance, older, reopen in steps:
+        newest = min(len(versions) - 1, newest + advance)
+        needed = tuple(versions[max(0, newest - older) : newest + 1])
+        version_store.save(needed, 5.0)
+        if reopen:
+            version_store = VersionStore(store)
+            assert version_store.load() == RestoredVersions(needed, 5.0)
         assert VersionStore(store).load().versions == needed
-    assert len(store.scan()) <= MAX_CHAIN_LENGTH + 12, "what nobody needs is taken out"
+    assert len(store.scan()) <= MAX_CHAIN_LENGTH + 12, "unneeded records must be removed"
 
 
 def test_change_writes_little_and_a_long_chain_is_compacted():
-    versions, wrote = chain(80, 3_000), []
+    versions, batch_sizes = chain(80, 3_000), []
 
-    class Counted(MemoryStore):
+    class CountingStore(MemoryStore):
         def apply(self, changes):
-            wrote.append(sum(len(value) for value in changes.values() if value is not None))
+            batch_sizes.append(sum(len(value) for value in changes.values() if value is not None))
             return super().apply(changes)
 
-    keeper = VersionStore(Counted())
-    for one, two in zip(versions, versions[1:], strict=False):
-        keeper.save((one, two), 1.0)
-    assert sorted(wrote)[len(wrote) // 2] < max(wrote) / 5
-    assert 2 <= sum(size > max(wrote) / 2 for size in wrote) <= 6
+    version_store = VersionStore(CountingStore())
+    for older, newer in zip(versions, versions[1:], strict=False):
+        version_store.save((older, newer), 1.0)
+    assert sorted(batch_sizes)[len(batch_sizes) // 2] < max(batch_sizes) / 5
+    assert 2 <= sum(size > max(batch_sizes) / 2 for size in batch_sizes) <= 6
 
 
 def test_records_that_do_not_match_their_digest_are_never_loaded():
     versions = chain(4)
-    for spoil in (
+    for damage in (
         lambda s: s.apply({b"settings/v/2/0": None}),
         lambda s: s.apply({b"settings/v/2/0": b"x"}),
         lambda s: s.apply({b"settings/v/3/0": s.get(b"settings/v/2/0")}),
@@ -89,52 +91,52 @@
     ):
         store = MemoryStore()
         VersionStore(store).save(tuple(versions[:2]), 1.0)
-        keeper = VersionStore(store)
-        keeper.load()
-        keeper.save(tuple(versions[1:3]), 2.0)
-        spoil(store)
+        version_store = VersionStore(store)
+        version_store.load()
+        version_store.save(tuple(versions[1:3]), 2.0)
+        damage(store)
         with pytest.raises(InvalidSettingsError):
             VersionStore(store).load()
     assert VersionStore(MemoryStore()).load() == RestoredVersions()
 
 
 def test_at_every_write_point_a_start_has_the_versions_before_or_after(folder, monkeypatch):
-    """Steps that Python sees, of the store that has them; each also with the file under it torn."""
+    """Crash at each file operation of the marker engine, which writes by Python calls, also with a torn file."""
     versions, history = chain(4), VersionHistory()
     for version in versions:
         history.add(version)
     store = open_store(folder, "c1", MarkerEngine)
-    keeper = VersionStore(store)
-    keeper.save(tuple(versions[:2]), 1.0)
-    points = []
+    version_store = VersionStore(store)
+    version_store.save(tuple(versions[:2]), 1.0)
+    write_points = []
     for name, call in ((name, getattr(os, name)) for name in ("open", "write", "fsync", "replace", "unlink")):
 
-        def step(*args, call=call, **kw):
-            points.append(files(folder / "store"))
-            return call(*args, **kw)
+        def step(*args, call=call, **kwargs):
+            write_points.append(files(folder / "store"))
+            return call(*args, **kwargs)
 
         monkeypatch.setattr(os, name, step)
-    keeper.save(tuple(versions[1:4]), 2.0)
+    version_store.save(tuple(versions[1:4]), 2.0)
     monkeypatch.undo()
-    points.append(files(folder / "store"))
+    write_points.append(files(folder / "store"))
     store.close()
-    assert len(points) > 10
+    assert len(write_points) > 10
 
     def start():
         (folder / "witness").unlink(missing_ok=True)
-        found = open_store(folder, "c1", MarkerEngine, copy_approved=True)
+        reopened = open_store(folder, "c1", MarkerEngine, copy_approved=True)
         try:
-            return numbers(VersionStore(found).load()) if found.decision.condition == "good" else "aside"
+            return numbers(VersionStore(reopened).load()) if reopened.decision.condition == "good" else "aside"
         finally:
-            found.close()
+            reopened.close()
 
     seen = []
-    for before, now in zip([points[0], *points], points, strict=False):
-        lay(folder / "store", now)
+    for before, after in zip([write_points[0], *write_points], write_points, strict=False):
+        lay(folder / "store", after)
         seen.append(start())
-        for name in {name for name in now if now[name] != before.get(name)}:
+        for name in {name for name in after if after[name] != before.get(name)}:
             for part in (0, 1, 3):
-                lay(folder / "store", {**now, name: now[name][: len(now[name]) * part // 4]})
+                lay(folder / "store", {**after, name: after[name][: len(after[name]) * part // 4]})
                 assert start() in ([1, 2], [2, 3, 4], "aside")
     assert set(map(str, seen)) == {"[1, 2]", "[2, 3, 4]"} and seen == sorted(seen, key=len)
 
@@ -142,51 +144,51 @@
 def test_torn_or_corrupt_database_gives_a_complete_state_or_none(folder):
     versions, rng = chain(6), random.Random(9)
     store = open_store(folder, "c1", SqliteEngine)
-    keeper = VersionStore(store)
-    for at in range(5):
-        keeper.save(tuple(versions[at : at + 2]), 1.0)
+    version_store = VersionStore(store)
+    for first in range(5):
+        version_store.save(tuple(versions[first : first + 2]), 1.0)
     content = files(folder)
     store.close()
-    told = set()
+    conditions = set()
     for name in ("store/db", "store/db-wal"):
-        for turn in range(24):
+        for trial in range(24):
             data = bytearray(
-                content[name][: len(content[name]) * (turn % 12 + 1) // 13] if turn < 12 else content[name]
+                content[name][: len(content[name]) * (trial % 12 + 1) // 13] if trial < 12 else content[name]
             )
-            if turn >= 12:
+            if trial >= 12:
                 data[rng.randrange(len(data))] ^= 1 + rng.randrange(255)
             lay(folder, {**content, name: bytes(data)})
             (folder / "witness").unlink()
-            found = open_store(folder, "c1", SqliteEngine, copy_approved=True)
-            kept = VersionStore(found).load()
-            told.add(str(found.decision.condition))
-            assert numbers(kept) in ([[at, at + 1] for at in range(1, 6)] + [[]])
-            found.close()
-    assert "corrupt" in told
+            reopened = open_store(folder, "c1", SqliteEngine, copy_approved=True)
+            restored = VersionStore(reopened).load()
+            conditions.add(str(reopened.decision.condition))
+            assert numbers(restored) in ([[first, first + 1] for first in range(1, 6)] + [[]])
+            reopened.close()
+    assert "corrupt" in conditions
 
 
 def test_saved_versions_survive_kill_9(folder):
     versions, rng = chain(200), random.Random(7)
 
-    def write(tell):
+    def write(report):
         store = open_store(folder, "c1", SqliteEngine)
-        keeper = VersionStore(store)
-        first = (numbers(keeper.load()) or [0])[-1]
-        for at in range(first, 199):
-            keeper.save(tuple(versions[max(0, at - 1) : at + 1]), 1.0)
-            tell(at + 1)
+        version_store = VersionStore(store)
+        first = (numbers(version_store.load()) or [0])[-1]
+        for index in range(first, 199):
+            version_store.save(tuple(versions[max(0, index - 1) : index + 1]), 1.0)
+            report(index + 1)
 
-    told = 0
+    reported = 0
     for _ in range(6):
         child = Child(write)
-        words = child.words()
+        reports = child.words()
         for _ in range(rng.randrange(1, 9)):
-            told = next(words)
+            reported = next(reports)
         os.kill(child.pid, signal.SIGKILL)
-        told = max([told, *words])
+        reported = max([reported, *reports])
         child.wait()
         store = open_store(folder, "c1", SqliteEngine)
-        kept = VersionStore(store).load()
-        assert told <= numbers(kept)[-1] <= told + 1
-        assert kept.versions[-1].rules == versions[numbers(kept)[-1] - 1].rules
+        restored = VersionStore(store).load()
+        assert reported <= numbers(restored)[-1] <= reported + 1
+        assert restored.versions[-1].rules == versions[numbers(restored)[-1] - 1].rules
         store.close()
