--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -1,5 +1,8 @@
-"""Agreed settings between processes of the program: pushes, a cut, SIGSTOP over three versions, a killed publisher; one
-coordinator alone: SIGHUP, 10,000 engines while requests are open, a version that harms."""
+"""Agreed settings between processes of the program.
+
+Several coordinators: pushes, a partition, SIGSTOP over three versions, a killed publisher. A standalone coordinator:
+SIGHUP, 10,000 engines while requests are open, invalid pushes and kills, a harmful version.
+"""
 
 import asyncio
 import base64
@@ -19,7 +22,7 @@
 
 
 async def call(port: int, number: int) -> int:
-    """One request; its status."""
+    """Send one request and return the status of its final response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     path, method, body = "/call/lookup", "POST", b"SELECT 1"
     while True:
@@ -37,279 +40,299 @@
 
 
 def kind_of(number: int) -> str:
-    return random.Random(number).choice(("valid", "valid", "broken", "cut", "unfit"))
+    return random.Random(number).choice(("valid", "valid", "corrupt", "truncated", "inapplicable"))
 
 
-async def flood(port: int, number: int) -> tuple[str, str]:
-    """One push of a drawn kind, as a client makes it that stays; its kind and what was answered."""
+async def push_random(port: int, number: int) -> tuple[str, str]:
+    """Make one push of a random kind over a connection of its own and return the kind and the reply."""
     kind = kind_of(number)
     rules = {"ban/x": Ban("x", str(number))}
-    if kind == "unfit":
-        rules["class/lookup"] = Class("lookup", effect="once")  # needs a new start
-    data = pack_changes(rules)
-    data = {"broken": data[:-2] + b"??", "cut": data[:-5]}.get(kind, data)
+    if kind == "inapplicable":
+        rules["class/lookup"] = Class("lookup", effect="once")  # needs a restart
+    packed = pack_changes(rules)
+    packed = {"corrupt": packed[:-2] + b"??", "truncated": packed[:-5]}.get(kind, packed)
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(f"settings-push p{number} 0/1 {base64.b64encode(data).decode()}\n".encode())
+    writer.write(f"settings-push p{number} 0/1 {base64.b64encode(packed).decode()}\n".encode())
     answer = (await reader.read()).decode()
     writer.close()
     return kind, answer
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
-    async def agreeing(self, count: int, voters: int = 1, **more) -> Agreeing:
-        world = Agreeing(count, voters, parse("", count), 3, **more)
+    async def start_cluster(self, count: int, voters: int = 1, **options) -> Agreeing:
+        cluster = Agreeing(count, voters, parse("", count), 3, **options)
         self.codes = None
 
-        async def end() -> None:
+        async def close() -> None:
             if self.codes is None:
-                self.codes = await world.close()
+                self.codes = await cluster.close()
 
-        self.addAsyncCleanup(end)
-        return await world.start()
+        self.addAsyncCleanup(close)
+        return await cluster.start()
 
-    async def finish(self, world: Agreeing) -> None:
-        self.codes = await world.close()
-        self.assertEqual(self.codes, [0] * world.count)
+    async def finish(self, cluster: Agreeing) -> None:
+        self.codes = await cluster.close()
+        self.assertEqual(self.codes, [0] * cluster.count)
         self.assertEqual(
-            [x for p in world.processes for x in p.lines if x["event"] in ("exception_caught", "text")], []
+            [
+                line
+                for process in cluster.processes
+                for line in process.lines
+                if line["event"] in ("exception_caught", "text")
+            ],
+            [],
         )
 
 
 class FleetCase(Case):
     async def test_five_agree_through_a_stop_a_cut_and_a_killed_publisher(self):
-        world = await self.agreeing(5, 3)
-        c = world.processes
+        cluster = await self.start_cluster(5, 3)
+        processes = cluster.processes
 
-        async def push(at, *names):
-            code, said = await c[at].command("push", world.file(bans(*names)), "--wait", "40")
-            self.assertEqual(code, 0, said)
+        async def push(index, *names):
+            code, output = await processes[index].command("push", cluster.file(bans(*names)), "--wait", "40")
+            self.assertEqual(code, 0, output)
 
-        async def plain(version, *but):
-            for process in c:
-                if process.number not in but:
+        async def wait_for_version(version, *excluded):
+            for process in processes:
+                if process.number not in excluded:
                     await process.plain(version)
 
-        await world.publisher()
+        await cluster.publisher()
         await push(4, "toy-1")
-        await plain(1)
+        await wait_for_version(1)
 
-        # SIGSTOP over three versions: it is waited for, then wakes to act on none of them until it has heard.
-        c[3].send_signal(signal.SIGSTOP)
+        # SIGSTOP over three versions: the publisher waits for the lease, and the resumed process must not act on any of
+        # these versions until it has renewed.
+        processes[3].send_signal(signal.SIGSTOP)
         for name in ("toy-0", "toy-1", "toy-0"):
             await push(4, name)
-        await plain(4, 3)
-        marked = len(c[3].lines)
-        c[3].send_signal(signal.SIGCONT)
-        await plain(4)
-        woke = [line for line in c[3].lines[marked:] if line["event"] == "settings_rules_activated"]
-        self.assertEqual([woke[0]["mode"], woke[0]["why"]], ["meet", "alone"])
-        self.assertLess(woke[0]["until_ms"], woke[0]["mono_ms"])
-
-        # A cut: a voter and a follower hear nothing; the others agree on a version, and these on the meet meanwhile.
-        publisher = await world.publisher()
-        gone = next(n for n in range(3) if c[n] is not publisher)
-        world.streams.cut = {gone, 3}
+        await wait_for_version(4, 3)
+        logged_before = len(processes[3].lines)
+        processes[3].send_signal(signal.SIGCONT)
+        await wait_for_version(4)
+        after_resume = [
+            line for line in processes[3].lines[logged_before:] if line["event"] == "settings_rules_activated"
+        ]
+        self.assertEqual([after_resume[0]["mode"], after_resume[0]["why"]], ["meet", "alone"])
+        self.assertLess(after_resume[0]["until_ms"], after_resume[0]["mono_ms"])
+
+        # Partition: a voter and a follower are cut off and act on the intersection while the others agree on a version.
+        publisher = await cluster.publisher()
+        cut_voter = next(number for number in range(3) if processes[number] is not publisher)
+        cluster.streams.cut = {cut_voter, 3}
         await push(4, "toy-1")
-        await plain(5, gone, 3)
-        for n in (gone, 3):
-            self.assertEqual((c[n].acts()["mode"], c[n].acts()["why"]), ("meet", "alone"))
-            figures = await c[n].figures("show-settings")
+        await wait_for_version(5, cut_voter, 3)
+        for number in (cut_voter, 3):
+            self.assertEqual((processes[number].acts()["mode"], processes[number].acts()["why"]), ("meet", "alone"))
+            figures = await processes[number].figures("show-settings")
             self.assertEqual((figures["mode"], figures["versions"][-1], figures["left_ms"]), ("meet", 4, 0.0))
-        world.streams.cut = set()
-        await plain(5)
-
-        # A publisher that dies after its version is in the log and before all have acknowledged it.
-        publisher = await world.publisher()
-        held = next(p for p in c[3:] if p is not publisher)
-        held.send_signal(signal.SIGSTOP)  # so that it is waited for
-        other = next(p for p in c if p not in (publisher, held))
-        pushed = asyncio.create_task(other.command("push", world.file(bans("toy-0", "toy-9"))))
+        cluster.streams.cut = set()
+        await wait_for_version(5)
+
+        # The publisher is killed after its version is in the log and before all have acknowledged it.
+        publisher = await cluster.publisher()
+        stopped = next(candidate for candidate in processes[3:] if candidate is not publisher)
+        stopped.send_signal(signal.SIGSTOP)  # so that the publisher has to wait for its lease
+        other = next(candidate for candidate in processes if candidate not in (publisher, stopped))
+        pushed = asyncio.create_task(other.command("push", cluster.file(bans("toy-0", "toy-9"))))
         await publisher.until(lambda: publisher.events("settings_history_recorded", what="published", version=6))
         await publisher.kill()
         self.assertEqual(publisher.events("settings_history_recorded", what="live", version=6), [])
-        held.send_signal(signal.SIGCONT)
-        await world.publisher(but=publisher)
-        await plain(6, publisher.number)
+        stopped.send_signal(signal.SIGCONT)
+        await cluster.publisher(but=publisher)
+        await wait_for_version(6, publisher.number)
         await pushed
         await publisher.start()
         await publisher.until(
-            lambda: [x for x in publisher.events("settings_rules_activated", life=2) if x["mode"] == "meet"]
+            lambda: [line for line in publisher.events("settings_rules_activated", life=2) if line["mode"] == "meet"]
         )
-        start = publisher.events("settings_rules_activated", life=2)[0]
-        self.assertEqual((start["mode"], start["why"]), ("meet", "start"))
-        self.assertGreaterEqual(start["age_s"], 0.0)
+        first = publisher.events("settings_rules_activated", life=2)[0]
+        self.assertEqual((first["mode"], first["why"]), ("meet", "start"))
+        self.assertGreaterEqual(first["age_s"], 0.0)
         await publisher.until(lambda: publisher.events("settings_rules_activated", life=2, mode="version"))
 
-        found = world.found()
-        self.assertLessEqual(found.longest_ms, 1_000.0, found)
-        history = json.loads((await c[4].command("history", "--json"))[1])
-        self.assertEqual([v["version"] for v in history["versions"]], [1, 2, 3, 4, 5, 6])
-        await self.finish(world)
+        audit = cluster.found()
+        self.assertLessEqual(audit.longest_ms, 1_000.0, audit)
+        history = json.loads((await processes[4].command("history", "--json"))[1])
+        self.assertEqual([row["version"] for row in history["versions"]], [1, 2, 3, 4, 5, 6])
+        await self.finish(cluster)
 
     async def test_a_publisher_killed_while_a_harmful_version_is_on_trial_is_followed_by_one_that_rolls_it_back(self):
-        world = await self.agreeing(3, 3, delay_s=0.005)
-        c, ended = world.processes, asyncio.Event()
+        cluster = await self.start_cluster(3, 3, delay_s=0.005)
+        processes, stop_clients = cluster.processes, asyncio.Event()
         answers = 0
 
         async def client(number):
             nonlocal answers
-            while not ended.is_set():
+            while not stop_clients.is_set():
                 try:
-                    await call(c[number % 3].http, number * 100_000 + answers)
+                    await call(processes[number % 3].http, number * 100_000 + answers)
                 except (OSError, asyncio.IncompleteReadError):
-                    number += 1  # of the one that was killed: its clients go to the others
+                    number += 1  # the process was killed: continue at the next one
                     await asyncio.sleep(0.05)
                 answers += 1
 
-        await world.publisher()
-        clients = [asyncio.create_task(client(n)) for n in range(1, 13)]
+        await cluster.publisher()
+        clients = [asyncio.create_task(client(index)) for index in range(1, 13)]
         self.addAsyncCleanup(asyncio.gather, *clients)
-        self.addCleanup(ended.set)
+        self.addCleanup(stop_clients.set)
         while answers < 900:
             await asyncio.sleep(0.1)
-        publisher = await world.publisher()
+        publisher = await cluster.publisher()
         pushed = asyncio.create_task(
-            next(p for p in c if p is not publisher).command("push", world.file('lists = ["http"]\n'))
-        )  # no engine at all
+            next(process for process in processes if process is not publisher).command(
+                "push", cluster.file('lists = ["http"]\n')
+            )
+        )  # an empty list of engines
         await publisher.until(lambda: publisher.events("settings_history_recorded", what="live", version=1))
         await publisher.kill()
         self.assertEqual(publisher.events("settings_history_recorded", what="rolled back"), [])
-        after = await world.publisher(but=publisher)
-        back = await after.until(lambda: after.events("settings_history_recorded", what="rolled back"))
-        self.assertRegex(back[0]["why"], "^(refused|failed|slow|stalled): ")
-        await after.plain(2)
+        successor = await cluster.publisher(but=publisher)
+        rollbacks = await successor.until(lambda: successor.events("settings_history_recorded", what="rolled back"))
+        self.assertRegex(rollbacks[0]["why"], "^(refused|failed|slow|stalled): ")
+        await successor.plain(2)
         await pushed
-        self.assertEqual(await call(after.http, 77), 200)
+        self.assertEqual(await call(successor.http, 77), 200)
 
 
 class AloneCase(Case):
     async def test_sighup_reads_the_file_of_one_that_is_alone_and_a_bad_one_changes_nothing(self):
-        world = Agreeing(1, 1, parse("", 1), 3, more="")
-        world.terms += 'file = "FOLDER/version.toml"\n'
-        c0 = world.processes[0]
-        path = c0.folder / "version.toml"
-        original = c0.start
+        cluster = Agreeing(1, 1, parse("", 1), 3, more="")
+        cluster.terms += 'file = "FOLDER/version.toml"\n'
+        process = cluster.processes[0]
+        path = process.folder / "version.toml"
+        original = process.start
 
         async def start():
             path.write_text(bans("toy-1"))
             await original()
 
-        c0.start = start
+        process.start = start
         self.codes = None
-        await world.start()
-        self.addAsyncCleanup(world.close)
-        await c0.plain(1)
-        self.assertEqual(await call(c0.http, 1), 200)
-        self.assertEqual([engine.posts for engine in world.engines], [1, 0])
+        await cluster.start()
+        self.addAsyncCleanup(cluster.close)
+        await process.plain(1)
+        self.assertEqual(await call(process.http, 1), 200)
+        self.assertEqual([engine.posts for engine in cluster.engines], [1, 0])
         path.write_text(bans("toy-0"))
-        c0.send_signal(signal.SIGHUP)
-        await c0.plain(2)
-        self.assertEqual(await call(c0.http, 2), 200)
-        self.assertEqual([engine.posts for engine in world.engines], [1, 1])
-        for text, word in (
+        process.send_signal(signal.SIGHUP)
+        await process.plain(2)
+        self.assertEqual(await call(process.http, 2), 200)
+        self.assertEqual([engine.posts for engine in cluster.engines], [1, 1])
+        for text, message in (
             (bans("toy-0", "toy-0"), "stands there twice"),
             ('[[tenant]]\nname = "x"', "needs a new start"),
         ):
             path.write_text(text)
-            c0.send_signal(signal.SIGHUP)
-            await c0.until(
-                lambda word=word: [x for x in c0.events("config_reload_failed") if word in x.get("error", "")]
+            process.send_signal(signal.SIGHUP)
+            await process.until(
+                lambda message=message: [
+                    line for line in process.events("config_reload_failed") if message in line.get("error", "")
+                ]
             )
-        code, said = await c0.command("push", world.file('[[class]]\nname = "lookup"\neffect = "once"\n'))
-        self.assertEqual(code, 3, said)
-        self.assertIn("class/lookup.effect: needs a new start", said)
-        code, said = await c0.command("rollback")
-        self.assertIn("version 4: live", said)
-        self.assertIn("+ ban/toy-1", (await c0.command("diff", "2", "4"))[1])
-        self.assertIn("c0: version of 4", (await c0.command("status"))[1])
-        self.assertEqual((await c0.command("diff", "2", "99"))[0], 2)
-        await c0.kill()
-        await c0.start()  # a start serves from what was kept, and a restart never from a version that was turned down
-        await c0.until(lambda: c0.events("settings_rules_activated", life=2))
-        self.assertEqual(c0.events("settings_rules_activated", life=2)[0]["versions"][-1], 4)
+        code, output = await process.command("push", cluster.file('[[class]]\nname = "lookup"\neffect = "once"\n'))
+        self.assertEqual(code, 3, output)
+        self.assertIn("class/lookup.effect: needs a new start", output)
+        code, output = await process.command("rollback")
+        self.assertIn("version 4: live", output)
+        self.assertIn("+ ban/toy-1", (await process.command("diff", "2", "4"))[1])
+        self.assertIn("c0: version of 4", (await process.command("status"))[1])
+        self.assertEqual((await process.command("diff", "2", "99"))[0], 2)
+        await process.kill()
+        await process.start()  # it starts with the stored version, never with a rejected one
+        await process.until(lambda: process.events("settings_rules_activated", life=2))
+        self.assertEqual(process.events("settings_rules_activated", life=2)[0]["versions"][-1], 4)
 
     async def test_ten_thousand_engines_in_one_version_while_five_hundred_requests_are_open(self):
-        world = await self.agreeing(1, delay_s=2.0, engines=40)
-        c0 = world.processes[0]
-        open_ = [asyncio.create_task(call(c0.http, 1_000 + n)) for n in range(500)]
+        cluster = await self.start_cluster(1, delay_s=2.0, engines=40)
+        process = cluster.processes[0]
+        requests = [asyncio.create_task(call(process.http, 1_000 + n)) for n in range(500)]
         await asyncio.sleep(0)
-        many = "".join(
-            f'[[engine]]\nname = "toy-{n}"\ndial = "127.0.0.1:{world.engines[n].port if n < 40 else 9}"\n'
+        document = "".join(
+            f'[[engine]]\nname = "toy-{n}"\ndial = "127.0.0.1:{cluster.engines[n].port if n < 40 else 9}"\n'
             f'state = "{"active" if n < 40 else "leaving"}"\n'
             for n in range(10_000)
         )
-        # Each runs for 2 s: a machine too busy to have 400 out at once must not wait for that for ever.
-        while (await c0.figures("show-stat"))["inflight"] < 400 and not all(one.done() for one in open_):
+        # Each request takes 2 s: on a machine too busy to have 400 in flight at once, stop waiting once all are done.
+        while (await process.figures("show-stat"))["inflight"] < 400 and not all(
+            request.done() for request in requests
+        ):
             await asyncio.sleep(0.05)
-        code, said = await c0.command("push", world.file(many))
-        self.assertEqual(code, 0, said)
-        statuses = await asyncio.gather(*open_)  # each has its one answer; on a busy machine some are refused
+        code, output = await process.command("push", cluster.file(document))
+        self.assertEqual(code, 0, output)
+        statuses = await asyncio.gather(*requests)  # each gets one response; on a busy machine some are rejected
         self.assertLessEqual(set(statuses), {200, 503})
-        figures = await c0.figures("show-settings")
+        figures = await process.figures("show-settings")
         self.assertEqual((figures["live"], figures["entries"]), (1, 10_001))
-        await self.finish(world)
+        await self.finish(cluster)
 
     async def test_a_flood_of_all_kinds_leaves_each_request_its_answer_and_no_kill_a_bad_version(self):
-        world = await self.agreeing(1, delay_s=0.01)
-        c0, ended, rng = world.processes[0], asyncio.Event(), random.Random(6)
-        asked, statuses = 0, []
+        cluster = await self.start_cluster(1, delay_s=0.01)
+        process, stop_clients, rng = cluster.processes[0], asyncio.Event(), random.Random(6)
+        request_count, statuses = 0, []
 
         async def client(number):
-            nonlocal asked
-            while not ended.is_set():
-                asked += 1
-                statuses.append(await call(c0.http, number * 100_000 + asked))
+            nonlocal request_count
+            while not stop_clients.is_set():
+                request_count += 1
+                statuses.append(await call(process.http, number * 100_000 + request_count))
 
         clients = [asyncio.create_task(client(n)) for n in range(1, 7)]
-        number, last = 0, 0
+        number, last_valid = 0, 0
         while number < 60:
             number += 1
-            kind, answer = await flood(c0.desk, number)
+            kind, answer = await push_random(process.desk, number)
             if not answer.startswith("NAK"):
-                last = number if kind == "valid" else last
-                while (told := await c0.figures(f"settings-outcome p{number}"))["state"] in ("drafted", "published"):
+                last_valid = number if kind == "valid" else last_valid
+                while (outcome := await process.figures(f"settings-outcome p{number}"))["state"] in (
+                    "drafted",
+                    "published",
+                ):
                     await asyncio.sleep(0.01)
-                self.assertEqual(told["state"] in ("live", "proven"), kind == "valid", (kind, told))
-        ended.set()
+                self.assertEqual(outcome["state"] in ("live", "proven"), kind == "valid", (kind, outcome))
+        stop_clients.set()
         await asyncio.gather(*clients)
-        self.assertEqual(({*statuses}, len(statuses)), ({200}, asked))
-        for _ in range(4):  # killed between its check, its applying and its keeping, at whatever moment that is
-            pushing = asyncio.create_task(
-                asyncio.wait([asyncio.create_task(flood(c0.desk, number + n)) for n in range(1, 4)])
+        self.assertEqual(({*statuses}, len(statuses)), ({200}, request_count))
+        for _ in range(4):  # kill it at a random moment between check, application and storing
+            pushes = asyncio.create_task(
+                asyncio.wait([asyncio.create_task(push_random(process.desk, number + n)) for n in range(1, 4)])
             )
             await asyncio.sleep(rng.uniform(0.0, 0.12))
-            await c0.kill()
-            await pushing
+            await process.kill()
+            await pushes
             number += 3
-            await c0.start()
-            first = (await c0.until(lambda: c0.events("settings_rules_activated", life=c0.lives)))[0]
-            shown = (await c0.figures(f"settings-diff 0 {first['versions'][-1]}"))["shown"]
-            self.assertEqual({*shown}, {"ban/x"}, "a version that can't be taken is not what a start serves")
-            why = int(shown["ban/x"]["why"])
-            self.assertTrue(last <= why <= number and kind_of(why) == "valid", (last, why))
-            last = why
+            await process.start()
+            activated = (await process.until(lambda: process.events("settings_rules_activated", life=process.lives)))[0]
+            changes = (await process.figures(f"settings-diff 0 {activated['versions'][-1]}"))["shown"]
+            self.assertEqual({*changes}, {"ban/x"}, "a start must not use an invalid version")
+            restored_push = int(changes["ban/x"]["why"])
+            self.assertTrue(
+                last_valid <= restored_push <= number and kind_of(restored_push) == "valid", (last_valid, restored_push)
+            )
+            last_valid = restored_push
 
     async def test_a_version_that_harms_is_rolled_back_and_not_taken_again(self):
-        world = await self.agreeing(1, delay_s=0.005)
-        c0, ended = world.processes[0], asyncio.Event()
+        cluster = await self.start_cluster(1, delay_s=0.005)
+        process, stop_clients = cluster.processes[0], asyncio.Event()
         statuses: list[int] = []
 
         async def client(number):
-            while not ended.is_set():
-                statuses.append(await call(c0.http, number * 100_000 + len(statuses)))
+            while not stop_clients.is_set():
+                statuses.append(await call(process.http, number * 100_000 + len(statuses)))
 
         clients = [asyncio.create_task(client(n)) for n in range(1, 13)]
         while len(statuses) < 900:
             await asyncio.sleep(0.1)
-        harm = world.file('lists = ["http"]\n')  # no engine at all
-        await c0.command("push", harm)
-        back = await c0.until(lambda: c0.events("settings_history_recorded", what="rolled back"))
-        self.assertRegex(back[0]["why"], "^(refused|failed|slow|stalled): ")
-        await c0.plain(2)
-        ended.set()
+        harmful = cluster.file('lists = ["http"]\n')  # an empty list of engines
+        await process.command("push", harmful)
+        rollbacks = await process.until(lambda: process.events("settings_history_recorded", what="rolled back"))
+        self.assertRegex(rollbacks[0]["why"], "^(refused|failed|slow|stalled): ")
+        await process.plain(2)
+        stop_clients.set()
         await asyncio.gather(*clients)
-        code, said = await c0.command("push", harm)
-        self.assertEqual(code, 3, said)
-        self.assertIn("harmful: these are the rules of version 1", said)
-        self.assertEqual(await call(c0.http, 77), 200)
-        await self.finish(world)
+        code, output = await process.command("push", harmful)
+        self.assertEqual(code, 3, output)
+        self.assertIn("harmful: these are the rules of version 1", output)
+        self.assertEqual(await call(process.http, 77), 200)
+        await self.finish(cluster)
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -1,4 +1,4 @@
-"""Agreed settings in the program: off, configuration, what reaches the core, the operators' port, and the emulator."""
+"""Agreed settings in the program: configuration, applied rules, the service, operators' calls and the emulator."""
 
 import asyncio
 import base64
@@ -18,7 +18,7 @@
 from frostspindle.cli import cli
 from frostspindle.config import ConfigError
 from frostspindle.core import Attempt, ClientRequest
-from frostspindle.lab import settings as playing
+from frostspindle.lab import settings as emulator
 from frostspindle.lab.engines import document, host
 from frostspindle.lab.faults.script import parse
 from frostspindle.net.operator import MAX_CALL_BYTES, MAX_STREAM_CALL_BYTES, OperatorError
@@ -87,7 +87,7 @@
             files["config.json"].write_text(json.dumps(document([])))
             files["operator.toml"].write_text(f'[settings]\nfile = "{files["version.toml"]}"\n')
             files["version.toml"].write_text('[[class]]\nname = "lookup"\neffect = "once"\n')
-            ended = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "frostspindle"],
                 capture_output=True,
                 text=True,
@@ -95,8 +95,8 @@
                 cwd=ROOT,
                 env={"LB_CONFIG": str(files["config.json"]), "FROSTSPINDLE_OPERATOR": str(files["operator.toml"])},
             )
-        self.assertEqual(ended.returncode, 2, ended.stderr)
-        self.assertIn("settings.file: class/lookup.effect: needs a new start", ended.stderr.splitlines()[-1])
+        self.assertEqual(completed.returncode, 2, completed.stderr)
+        self.assertIn("settings.file: class/lookup.effect: needs a new start", completed.stderr.splitlines()[-1])
 
     def test_process_without_settings_loads_none_of_its_modules(self):
         loaded = subprocess.run(
@@ -107,9 +107,9 @@
         ).stdout.split()
         self.assertEqual(
             [
-                m
-                for m in loaded
-                if m.startswith(
+                module
+                for module in loaded
+                if module.startswith(
                     ("frostspindle.settings", "frostspindle.ownership", "frostspindle.replica", "immutables")
                 )
             ],
@@ -117,8 +117,8 @@
         )
 
     def test_schema_is_printed_and_invalid_file_names_the_key(self):
-        told = CliRunner().invoke(cli, ["settings", "schema"])
-        self.assertIn("share_per_s", json.loads(told.output)["$defs"]["Tenant"]["properties"])
+        printed = CliRunner().invoke(cli, ["settings", "schema"])
+        self.assertIn("share_per_s", json.loads(printed.output)["$defs"]["Tenant"]["properties"])
         good = CliRunner().invoke(cli, ["settings", "push", "--check", str(ROOT / "deploy/settings/version.toml")])
         self.assertEqual((good.exit_code, "9 entries, good" in good.output), (0, True))
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
@@ -131,8 +131,8 @@
 
 class EmulatorCase(unittest.TestCase):
     def test_lab_settings_prints_one_object_the_same_for_the_same_seed(self):
-        words = ["lab", "settings", "--nodes", "5", "--seed", "5", "--seconds", "12", "--json", "--faults", "drawn"]
-        first, second = (CliRunner().invoke(cli, words) for _ in range(2))
+        arguments = ["lab", "settings", "--nodes", "5", "--seed", "5", "--seconds", "12", "--json", "--faults", "drawn"]
+        first, second = (CliRunner().invoke(cli, arguments) for _ in range(2))
         self.assertEqual(first.output, second.output)
         self.assertEqual(json.loads(first.output)["contradiction_ms"], 0.0)
         self.assertEqual(CliRunner().invoke(cli, ["lab", "settings", "--faults", "1 rain"]).exit_code, 2)
@@ -140,8 +140,8 @@
     def test_no_contradiction_lasts_longer_than_a_lease_under_random_faults(self):
         versions = contradicting = leaders = 0
         for seed in range(10):
-            world = playing.play(5 + 2 * (seed % 2), seed, "drawn", 18.0)
-            figures = playing.measure(world)
+            world = emulator.play(5 + 2 * (seed % 2), seed, "drawn", 18.0)
+            figures = emulator.measure(world)
             self.assertLessEqual(figures["contradiction_ms"], figures["lease_ms"], seed)
             self.assertEqual(len(figures["lives_at_the_end"]), 1, (seed, figures))
             versions += figures["versions"]
@@ -151,34 +151,38 @@
         self.assertGreater(leaders, 11)
 
     def test_version_pushed_during_a_partition_reaches_the_majority_in_a_lease(self):
-        world = playing.Emulator(5, 3, parse("4-9 cut 0,1|2-4", 5), 14.0).run()
-        during = [at for number, at in world.live_at.items() if 4_500.0 < at < 9_000.0]
-        self.assertTrue(during)
-        meets = [span for span in world.spans if span.node in ("c0", "c1") and span.begins < 6_100.0 < span.ends]
-        self.assertEqual(meets, [], "who is cut off acts on nothing plainly past its lease")
-        self.assertEqual(len(playing.measure(world)["lives_at_the_end"]), 1)
+        world = emulator.Emulator(5, 3, parse("4-9 cut 0,1|2-4", 5), 14.0).run()
+        activations = [
+            activated_ms for number, activated_ms in world.live_at.items() if 4_500.0 < activated_ms < 9_000.0
+        ]
+        self.assertTrue(activations)
+        overstaying = [span for span in world.spans if span.node in ("c0", "c1") and span.begins < 6_100.0 < span.ends]
+        self.assertEqual(
+            overstaying, [], "an isolated coordinator acts on no single version after its lease has expired"
+        )
+        self.assertEqual(len(emulator.measure(world)["lives_at_the_end"]), 1)
 
     def test_process_stopped_over_three_versions_acts_on_none_of_them_when_it_wakes(self):
-        world = playing.Emulator(5, 9, parse("4 stop 3; 11 cont 3", 5), 16.0, push_s=(0.5, 0.9)).run()
-        live = max(number for number, at in world.live_at.items() if at < 11_000.0)
-        before = max(number for number, at in world.live_at.items() if at < 4_000.0)
-        self.assertGreaterEqual(live - before, 3)
-        woke = [span for span in world.spans if span.node == "c3" and span.begins >= 11_000.0]
-        self.assertGreaterEqual(woke[0].version, live)
+        world = emulator.Emulator(5, 9, parse("4 stop 3; 11 cont 3", 5), 16.0, push_s=(0.5, 0.9)).run()
+        version_before_resume = max(number for number, activated_ms in world.live_at.items() if activated_ms < 11_000.0)
+        version_before_stop = max(number for number, activated_ms in world.live_at.items() if activated_ms < 4_000.0)
+        self.assertGreaterEqual(version_before_resume - version_before_stop, 3)
+        after_resume = [span for span in world.spans if span.node == "c3" and span.begins >= 11_000.0]
+        self.assertGreaterEqual(after_resume[0].version, version_before_resume)
         self.assertEqual([span for span in world.spans if span.node == "c3" and 4_000.0 < span.ends < 11_000.0], [])
 
     def test_strict_mode_bounds_the_time_in_which_an_unknown_ban_is_ignored(self):
-        for refuse in (True, False):
-            terms = AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else RulesMode.INTERSECTION)
-            blind = [
-                playing.measure(playing.play(5, seed, "5-13 cut 4|0-3", 18.0, terms=terms))["blind_ms"]
+        for strict in (True, False):
+            settings = AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if strict else RulesMode.INTERSECTION)
+            blind_ms = [
+                emulator.measure(emulator.play(5, seed, "5-13 cut 4|0-3", 18.0, terms=settings))["blind_ms"]
                 for seed in range(2)
             ]
-            self.assertEqual(max(blind) > 2_000.0, not refuse, blind)
+            self.assertEqual(max(blind_ms) > 2_000.0, not strict, blind_ms)
 
 
 class AppliedCase(unittest.IsolatedAsyncioTestCase):
-    """What the rules make of a program that has not started."""
+    """Rules applied to a program that has not been started."""
 
     async def asyncSetUp(self):
         hosts = [host(f"toy-{n}", 9_000 + n) for n in range(3)]
@@ -188,18 +192,18 @@
         self.changed_keys, self.applied.changed_keys = (
             self.applied.changed_keys,
             lambda old, new: None,
-        )  # versions are of no machine
+        )  # the versions here are in no state machine
         self.program.bus.start()
         self.task = asyncio.create_task(self.core.run())
         self.bans = self.applied.wrap_ban_listener(self.core.ban)
-        await self.quiet()
+        await self.settle()
 
     async def close(self):
         self.task.cancel()
         await self.program.settings.close()
         await self.program.driver.close()
 
-    async def quiet(self):
+    async def settle(self):
         for _ in range(400):
             await asyncio.sleep(0)
             if not self.core.has_pending_changes and self.applied.engine_list.task is None:
@@ -210,13 +214,13 @@
         for key, entry in rules.items():
             table = table.set(key.replace("__", "/", 2).replace("_dash_", "-"), entry)
         self.applied.apply(ActiveRules(mode, (1,), table))
-        await self.quiet()
+        await self.settle()
         return {state.name: int(state.entry.health) for state in self.core.engines.values()}
 
     async def test_bans_and_drains_add_to_manual_bans_and_end_with_their_version(self):
         self.bans(frozenset({"toy-0"}))
-        told = await self.apply(ban__x=Ban("toy-1"), drain__y=Ban("toy-2"))
-        self.assertEqual((self.core.banned, set(told.values())), ({"toy-0", "toy-1", "toy-2"}, {2}))
+        health = await self.apply(ban__x=Ban("toy-1"), drain__y=Ban("toy-2"))
+        self.assertEqual((self.core.banned, set(health.values())), ({"toy-0", "toy-1", "toy-2"}, {2}))
         self.bans(frozenset())
         self.assertEqual(self.core.banned, {"toy-1", "toy-2"})
         self.assertEqual(await self.apply(), {"toy-0": 1, "toy-1": 1, "toy-2": 1})
@@ -231,15 +235,19 @@
         for n in range(250):
             table = table.set(f"engine/http/x{n}", Engine(f"x{n}", "127.0.0.1:9", state="leaving"))
         self.applied.apply(ActiveRules(RulesMode.VERSION, (1,), table))
-        self.assertTrue({"toy-1", "toy-2"} <= self.core.banned, "who is not on the list gets nothing more, at once")
+        self.assertTrue({"toy-1", "toy-2"} <= self.core.banned, "unlisted engines must be banned at once")
         for _ in range(3_000):
             await asyncio.sleep(0)
-        told = {state.name: int(state.entry.health) for state in self.core.engines.values()}
-        self.assertEqual([told[name] for name in ("toy-0", "toy-1", "new", "x7", "x249")], [1, 0, 1, 2, 2])
+        health = {state.name: int(state.entry.health) for state in self.core.engines.values()}
+        self.assertEqual([health[name] for name in ("toy-0", "toy-1", "new", "x7", "x249")], [1, 0, 1, 2, 2])
         with mock.patch.object(self.core, "ban", wraps=self.core.ban) as ban:
             self.applied._set_bans = ban
             self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), table))
-            self.assertEqual((ban.call_count, "x7" in self.applied.excluded), (0, False), "it was never sent to")
+            self.assertEqual(
+                (ban.call_count, "x7" in self.applied.excluded),
+                (0, False),
+                "an engine that was never active needs no ban",
+            )
         self.applied.apply(
             ActiveRules(
                 RulesMode.VERSION, (3,), table.set("engine/http/new", Engine("new", "127.0.0.1:9009", state="leaving"))
@@ -247,25 +255,27 @@
         )
         self.assertIn("new", self.core.banned)
         self.applied.apply(ActiveRules(RulesMode.VERSION, (4,), EMPTY_VERSION.rules))
-        await self.quiet()
-        told = {state.name: int(state.entry.health) for state in self.core.engines.values()}
-        self.assertEqual([told[name] for name in ("toy-0", "toy-1", "new", "x7")], [1, 1, 0, 0])
+        await self.settle()
+        health = {state.name: int(state.entry.health) for state in self.core.engines.values()}
+        self.assertEqual([health[name] for name in ("toy-0", "toy-1", "new", "x7")], [1, 1, 0, 0])
 
     async def test_quotas_and_objectives_reach_the_policy_and_are_undone(self):
         before = self.core.controller.settings
         await self.apply(tenant__blue=Tenant("blue", 7.0), class__lookup=Class("lookup", 900.0, worth=9.0))
-        now = self.core.controller.settings
+        after = self.core.controller.settings
         self.assertEqual(
-            (now.tenant_quotas_per_s[1], now.classes[0].latency_objective_ms, now.classes[0].priority_weight),
+            (after.tenant_quotas_per_s[1], after.classes[0].latency_objective_ms, after.classes[0].priority_weight),
             (7.0, 900.0, 9.0),
         )
-        self.assertEqual(now.classes[0].deadline_ms, before.classes[0].deadline_ms)
+        self.assertEqual(after.classes[0].deadline_ms, before.classes[0].deadline_ms)
         await self.apply(tenant__blue=Tenant("blue", 0.0), class__report=Class("report", 800.0))
-        now = self.core.controller.settings
-        self.assertLess(0.0, now.tenant_quotas_per_s[1])
-        self.assertLess(now.tenant_quotas_per_s[1], 0.001, "nothing is no bound to the module")
+        after = self.core.controller.settings
+        self.assertLess(0.0, after.tenant_quotas_per_s[1])
+        self.assertLess(
+            after.tenant_quotas_per_s[1], 0.001, "a quota of 0 must not become the policy's 0, which is unlimited"
+        )
         self.assertEqual(
-            [now.classes[n].latency_objective_ms for n in (0, 1, 3)],
+            [after.classes[n].latency_objective_ms for n in (0, 1, 3)],
             [before.classes[0].latency_objective_ms, 800.0, 800.0],
         )
         await self.apply()
@@ -274,7 +284,7 @@
     async def test_limits_and_tds_section_are_applied(self):
         program = self.program
         program.shared = SimpleNamespace(is_sharing=False)
-        with mock.patch.object(self.core, "set_open_limit") as bound:
+        with mock.patch.object(self.core, "set_open_limit") as set_limit:
             await self.apply(
                 limit__open_requests=Limit(40.0),
                 limit__tds_sessions=Limit(3.0),
@@ -282,14 +292,14 @@
                 login__a=Login("a", "report", "app"),
                 scope__tds=ListScope(),
             )
-        bound.assert_called_with(40)
+        set_limit.assert_called_with(40)
         self.assertEqual((program.tds.tds.max_sessions, program.tds.tds.login[0].application), (3, "app"))
         self.assertEqual(program.tds_driver.tds.engine, [])
         fresh = read("[settings]\n" + TDS.replace("t1", "t2")).operator.tds
-        self.applied.reapply(fresh)  # SIGHUP: the file has another engine, but the version holds the list
+        self.applied.reapply(fresh)  # SIGHUP: the file has another engine, but the version has the list
         self.assertEqual((program.tds.tds.max_sessions, program.tds.tds.engine), (3, []))
         await self.apply(mode=RulesMode.REJECT)
-        self.assertEqual((self.core.most_open, [e.name for e in program.tds.tds.engine]), (0, ["t2"]))
+        self.assertEqual((self.core.most_open, [engine.name for engine in program.tds.tds.engine]), (0, ["t2"]))
         await self.apply()
         self.assertGreater(self.core.most_open, 100)
 
@@ -305,19 +315,23 @@
         ):
             table = table.set(key, entry)
         self.applied.apply(ActiveRules(RulesMode.VERSION, (1,), table))
-        await self.quiet()
+        await self.settle()
         states = {state.name: state for state in self.core.engines.values()}
-        looks = []
-        self.applied.refresh = lambda: looks.append(1)
+        refreshes = []
+        self.applied.refresh = lambda: refreshes.append(1)
 
         def attempt(name):
-            ask = ClientRequest("http", 0, "t", "s", 0.0, 1.0, lambda answer: None)
-            return Attempt(ask, 0, states[name].entry.engine, 0.0, 1.0, "lookup", 0.0, 1)
+            request = ClientRequest("http", 0, "t", "s", 0.0, 1.0, lambda response: None)
+            return Attempt(request, 0, states[name].entry.engine, 0.0, 1.0, "lookup", 0.0, 1)
 
         sent = [attempt("toy-0") for _ in range(3)] + [attempt("toy-1") for _ in range(2)]
-        passed = [self.applied.may_send(states["toy-0" if n < 3 else "toy-1"], one) for n, one in enumerate(sent)]
-        self.assertEqual((passed, len(looks)), ([True, True, False, True, False], 5))  # 2 of 5, and 3 of 7 in all
-        self.assertTrue(self.applied.may_send(states["toy-0"], sent[0]), "asked again for one that has passed")
+        admitted = [
+            self.applied.may_send(states["toy-0" if n < 3 else "toy-1"], attempted) for n, attempted in enumerate(sent)
+        ]
+        self.assertEqual(
+            (admitted, len(refreshes)), ([True, True, False, True, False], 5)
+        )  # its half is 2 of 5 for each engine and 3 of 7 in total
+        self.assertTrue(self.applied.may_send(states["toy-0"], sent[0]), "an admitted attempt is admitted again")
         sent[0].is_finished = True
         self.assertTrue(self.applied.may_send(states["toy-1"], sent[4]))
         self.assertFalse(self.applied.may_send(states["toy-2"], attempt("toy-2")), "not on the list")
@@ -325,57 +339,57 @@
         self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), table.set("limit/open_requests", Limit(50.0))))
         sent[1].is_finished = sent[3].is_finished = sent[4].is_finished = True
         self.assertFalse(
-            self.applied.may_send(states["toy-0"], attempt("toy-0")), "without a part nothing is let through"
+            self.applied.may_send(states["toy-0"], attempt("toy-0")), "a coordinator without a share admits nothing"
         )
 
     async def test_change_is_applied_only_to_the_parts_that_it_concerns(self):
         machine, calls = self.program.settings.service.machine, []
         self.applied.changed_keys = self.changed_keys
-        one = EMPTY_VERSION.child(1, {"ban/toy-1": Ban("toy-1")})
-        two = one.child(2, {"limit/open_requests": Limit(50.0)})
-        for version in (one, two):
+        first = EMPTY_VERSION.child(1, {"ban/toy-1": Ban("toy-1")})
+        second = first.child(2, {"limit/open_requests": Limit(50.0)})
+        for version in (first, second):
             machine.versions.add(version)
         self.program.update_open_limit = lambda: calls.append("bounds")
         self.program.shared = SimpleNamespace(is_sharing=False)
         with mock.patch.object(self.core, "ban", side_effect=lambda names: calls.append(sorted(names))) as ban:
             self.applied._set_bans = ban
-            for acting in (
-                ActiveRules(RulesMode.VERSION, (1,), one.rules),
-                ActiveRules(RulesMode.INTERSECTION, (1, 2), two.rules),
-                ActiveRules(RulesMode.VERSION, (2,), two.rules),
-                ActiveRules(RulesMode.VERSION, (1,), one.rules),
+            for rules in (
+                ActiveRules(RulesMode.VERSION, (1,), first.rules),
+                ActiveRules(RulesMode.INTERSECTION, (1, 2), second.rules),
+                ActiveRules(RulesMode.VERSION, (2,), second.rules),
+                ActiveRules(RulesMode.VERSION, (1,), first.rules),
             ):
-                self.applied.apply(acting)
+                self.applied.apply(rules)
         self.assertEqual(calls, [["toy-1"], "bounds", "bounds", "bounds"])
 
     async def test_ban_among_many_entries_does_not_walk_the_others(self):
-        class Long(dict):
+        class UnwalkableDict(dict):
             def items(self):
-                raise AssertionError("all entries are looked through")
+                raise AssertionError("all entries are visited")
 
-        one = {f"ban/b{n}": Ban(f"b{n}") for n in range(50)} | {"scope/http": ListScope()}
-        await self.apply(**{key.replace("/", "__"): entry for key, entry in one.items()})
+        first = {f"ban/b{n}": Ban(f"b{n}") for n in range(50)} | {"scope/http": ListScope()}
+        await self.apply(**{key.replace("/", "__"): entry for key, entry in first.items()})
         self.assertEqual((len(self.applied.excluded), "toy-1" in self.applied.excluded), (53, True))
-        two = {
-            **one,
+        second = {
+            **first,
             "drain/b0": Ban("b0"),
             "ban/new": Ban("new"),
             "class/lookup": Class("lookup", 900.0),
             "engine/http/toy-1": Engine("toy-1", "127.0.0.1:9001"),
             "tenant/blue": Tenant("blue", 7.0),
         }
-        del two["ban/b0"], two["ban/b1"]
+        del second["ban/b0"], second["ban/b1"]
         self.applied.changed_keys = lambda old, new: {"engine/http/toy-1", "class/lookup", "tenant/blue"}
-        self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), Long(two)))
-        await self.quiet()
+        self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), UnwalkableDict(second)))
+        await self.settle()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
             (self.core.controller.settings.classes[0].latency_objective_ms, states["toy-1"], states["toy-2"]),
             (900.0, 1, 0),
         )
-        del two["class/lookup"], two["engine/http/toy-1"]
-        self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), Long(two)))
-        await self.quiet()
+        del second["class/lookup"], second["engine/http/toy-1"]
+        self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), UnwalkableDict(second)))
+        await self.settle()
         states = {state.name: int(state.entry.health) for state in self.core.engines.values()}
         self.assertEqual(
             (
@@ -386,20 +400,20 @@
             (self.program.config.settings.classes[0].latency_objective_ms, 7.0, 0),
         )
         self.applied.changed_keys = lambda old, new: {"ban/b0", "ban/b1", "drain/b0", "ban/new"}
-        with mock.patch.object(self.applied, "_find_unlisted", side_effect=AssertionError("all engines are")):
-            self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), Long(two)))
+        with mock.patch.object(self.applied, "_find_unlisted", side_effect=AssertionError("all engines are visited")):
+            self.applied.apply(ActiveRules(RulesMode.VERSION, (2,), UnwalkableDict(second)))
         self.assertEqual(self.events_of("faults"), 0)
         self.assertEqual(
             (len(self.applied.excluded), "b0" in self.core.banned, "b1" in self.core.banned, "new" in self.core.banned),
             (53, True, False, True),
         )
 
-    def events_of(self, what):
-        return self.program.telemetry.counts[what, "", ""]
+    def events_of(self, event):
+        return self.program.telemetry.counts[event, "", ""]
 
     async def test_operators_calls_are_checked(self):
-        does = self.program.operator_server.handlers
-        for call, words in (
+        handlers = self.program.operator_server.handlers
+        for call, arguments in (
             ("settings-push", ("a", "0/0", "")),
             ("settings-push", ("a", "x", "")),
             ("settings-push", ("a", "1/2", "")),
@@ -411,89 +425,91 @@
             ("settings-rollback", ("a", "0")),
             ("settings-rollback", ("a", "7")),
         ):
-            with self.assertRaises(OperatorError, msg=(call, words)):
-                does[call](*words)
-        self.assertEqual(does["show-settings"]()["mode"], "file")
-        desk = self.program.operator_server
-        self.assertIn(b"NAK settings-diff takes two versions", desk.answer(b"settings-diff 1"))
-        self.assertIn(b"NAK version", desk.answer(b"settings-diff 1 2"))
-        self.assertEqual(desk.max_bytes(b"settings-push a 0/1 eA=="), MAX_STREAM_CALL_BYTES)
-        self.assertEqual(desk.max_bytes(b"ready"), MAX_CALL_BYTES)
+            with self.assertRaises(OperatorError, msg=(call, arguments)):
+                handlers[call](*arguments)
+        self.assertEqual(handlers["show-settings"]()["mode"], "file")
+        server = self.program.operator_server
+        self.assertIn(b"NAK settings-diff takes two versions", server.answer(b"settings-diff 1"))
+        self.assertIn(b"NAK version", server.answer(b"settings-diff 1 2"))
+        self.assertEqual(server.max_bytes(b"settings-push a 0/1 eA=="), MAX_STREAM_CALL_BYTES)
+        self.assertEqual(server.max_bytes(b"ready"), MAX_CALL_BYTES)
 
 
 class ServiceCase(unittest.IsolatedAsyncioTestCase):
-    def service(self, log, name="c1", keeper=None, owners=None, told=None):
-        events = Telemetry(name, sink=mock.MagicMock())
-        events.log = lambda event, **more: (told if told is not None else []).append((event, more))
+    def service(self, log, name="c1", store=None, ownership=None, log_lines=None):
+        telemetry = Telemetry(name, sink=mock.MagicMock())
+        telemetry.log = lambda event, **fields: (log_lines if log_lines is not None else []).append((event, fields))
         service = SettingsService(
             log,
             name,
             AgreementSettings(600.0, 0.01, 300.0),
-            events,
-            lambda acting: None,
+            telemetry,
+            lambda rules: None,
             lambda version: "",
             lambda: (0,) * (HEADER_FIGURES + LATENCY_BUCKETS),
-            owners or LocalOwnership(),
-            keeper,
+            ownership or LocalOwnership(),
+            store,
             RestoredVersions(),
             None,
         )
         self.addAsyncCleanup(service.close)
         return service
 
-    async def until(self, true, within_s=20.0):
+    async def until(self, condition, within_s=20.0):
         async with asyncio.timeout(within_s):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.01)
 
-    def push(self, service, name, rules, spoil=lambda data: data):
-        pieces = split_into_pieces(spoil(pack_changes(rules)), 20_000)
-        for at, data in enumerate(pieces):
-            told = service.pushes.receive_piece(name, f"{at}/{len(pieces)}", base64.b64encode(data).decode())
-        return told
+    def push(self, service, name, rules, damage=lambda data: data):
+        pieces = split_into_pieces(damage(pack_changes(rules)), 20_000)
+        for index, data in enumerate(pieces):
+            report = service.pushes.receive_piece(name, f"{index}/{len(pieces)}", base64.b64encode(data).decode())
+        return report
 
     async def test_many_valid_corrupt_and_truncated_pushes_end_with_the_last_valid_one(self):
-        log, told, rng = LocalLog("c1"), [], random.Random(5)
-        other = log.join("c2")
-        one = self.service(log, keeper=VersionStore(MemoryStore()), told=told)
-        two = self.service(other, "c2", VersionStore(MemoryStore()), mock.Mock(lease=lambda task: None))
-        one.start()
-        two.start()
-        await self.until(lambda: one.member.has_renewed and two.member.has_renewed)
+        log, log_lines, rng = LocalLog("c1"), [], random.Random(5)
+        other_log = log.join("c2")
+        first = self.service(log, store=VersionStore(MemoryStore()), log_lines=log_lines)
+        second = self.service(other_log, "c2", VersionStore(MemoryStore()), mock.Mock(lease=lambda task: None))
+        first.start()
+        second.start()
+        await self.until(lambda: first.member.has_renewed and second.member.has_renewed)
         outcomes, last = [], {}
         for number in range(60):
-            service = rng.choice((one, two))
-            kind = rng.choice(("good", "good", "spoilt", "cut", "bad"))
+            service = rng.choice((first, second))
+            kind = rng.choice(("valid", "valid", "corrupt", "truncated", "invalid"))
             rules = {
                 f"ban/e{number % 5}": Ban(f"e{number % 5}", "x" * rng.randrange(1, 150)),
                 **({f"ban/w{n}": Ban(f"w{n}", rng.randbytes(80).hex()) for n in range(300)} if number % 9 == 0 else {}),
             }
-            if kind == "bad":
+            if kind == "invalid":
                 rules["limit/out"] = Limit(5.0)
-            spoil = {"spoilt": lambda d: d[:-1] + b"?", "cut": lambda d: d[:-9]}.get(kind, lambda d: d)
-            self.push(service, f"p{number}", rules, spoil)
+            damage = {"corrupt": lambda d: d[:-1] + b"?", "truncated": lambda d: d[:-9]}.get(kind, lambda d: d)
+            self.push(service, f"p{number}", rules, damage)
             await self.until(
                 lambda s=service, n=number: (
                     s.pushes.outcome(f"p{n}")["state"] in ("live", "turned down", "proven", "uncertain")
                 )
             )
             outcomes.append((kind, service.pushes.outcome(f"p{number}")["state"]))
-            last = rules if kind == "good" else last
-        self.assertEqual({state for kind, state in outcomes if kind == "good"} - {"proven"}, {"live"})
-        self.assertEqual({state for kind, state in outcomes if kind != "good"}, {"turned down"})
+            last = rules if kind == "valid" else last
+        self.assertEqual({state for kind, state in outcomes if kind == "valid"} - {"proven"}, {"live"})
+        self.assertEqual({state for kind, state in outcomes if kind != "valid"}, {"turned down"})
         await self.until(
-            lambda: two.machine.active_version == one.machine.active_version and two.active_rules.mode == "version"
+            lambda: (
+                second.machine.active_version == first.machine.active_version and second.active_rules.mode == "version"
+            )
         )
-        self.assertEqual((dict(one.active_rules.rules), dict(two.active_rules.rules)), (last, last))
-        self.assertNotIn("hunter2", str(told))
+        self.assertEqual((dict(first.active_rules.rules), dict(second.active_rules.rules)), (last, last))
+        self.assertNotIn("hunter2", str(log_lines))
 
     async def test_log_and_store_failures_are_reported_and_survived(self):
         class Failing(MemoryStore):
             def apply(self, changes):
                 raise StoreBrokenError("the disk")
 
-        log, told = LocalLog("c1"), []
-        service = self.service(log, keeper=VersionStore(Failing()), told=told)
+        log, log_lines = LocalLog("c1"), []
+        service = self.service(log, store=VersionStore(Failing()), log_lines=log_lines)
         service.start()
         await self.until(lambda: service.member.has_renewed)
         self.push(service, "p", {"ban/e1": Ban("e1")})
@@ -503,12 +519,14 @@
             (OperatorCalls(service).status()["members"]["c1"]["acked"], OperatorCalls(service).status()["keeps"]),
             (0, False),
         )
-        self.assertIn("settings_version_store_failed", [event for event, _ in told])
+        self.assertIn("settings_version_store_failed", [event for event, _ in log_lines])
         log.lead(False)
         await self.until(lambda: service.active_rules.reason == "alone")
         self.assertTrue(OperatorCalls(service).status()["counts"]["unavailable"])
-        lost = [more for event, more in told if event == "settings_rules_activated" and more["why"] == "alone"]
-        self.assertLessEqual(lost[0]["until_ms"], lost[0]["mono_ms"])
+        expired = [
+            fields for event, fields in log_lines if event == "settings_rules_activated" and fields["why"] == "alone"
+        ]
+        self.assertLessEqual(expired[0]["until_ms"], expired[0]["mono_ms"])
         with mock.patch("frostspindle.settings.pushes.PUSH_TIMEOUT_S", 0.5):
             self.push(service, "q", {"ban/e2": Ban("e2")})
             await self.until(lambda: service.pushes.outcome("q")["state"] == "uncertain")
@@ -519,7 +537,7 @@
 
     async def test_each_version_of_a_run_is_one_batch_and_removals_come_later(self):
         store, batches = MemoryStore(), []
-        service = self.service(LocalLog("c1"), keeper=VersionStore(store))
+        service = self.service(LocalLog("c1"), store=VersionStore(store))
         with (
             mock.patch.object(
                 store, "apply", side_effect=lambda changes, apply=store.apply: (batches.append(1), apply(changes))
@@ -540,23 +558,25 @@
         )
 
     async def test_large_version_is_built_in_slices_before_it_is_published(self):
-        service, slices, published = self.service(LocalLog("c1"), keeper=VersionStore(MemoryStore())), [], []
+        service, slices, published = self.service(LocalLog("c1"), store=VersionStore(MemoryStore())), [], []
         machine = service.machine
-        make, apply = SettingsStateMachine.build_slice, SettingsStateMachine.apply
+        original_build, original_apply = SettingsStateMachine.build_slice, SettingsStateMachine.apply
 
-        def applied(self, index, command):
+        def recording_apply(self, index, command):
             if isinstance(log_commands.decode_command(command), PublishVersion):
                 published.append(self.has_unbuilt_draft)
-            return apply(self, index, command)
+            return original_apply(self, index, command)
 
         with (
-            mock.patch.object(SettingsStateMachine, "build_slice", lambda self: (slices.append(1), make(self))),
-            mock.patch.object(SettingsStateMachine, "apply", applied),
+            mock.patch.object(
+                SettingsStateMachine, "build_slice", lambda self: (slices.append(1), original_build(self))
+            ),
+            mock.patch.object(SettingsStateMachine, "apply", recording_apply),
         ):
             service.start()
             await self.until(lambda: service.member.has_renewed)
             self.push(service, "p", {f"ban/e{n}": Ban(f"e{n}") for n in range(3_000)})
-            self.push(service, "q", {"ban/e": Ban("e")})  # on the same base: one of both is drafted again
+            self.push(service, "q", {"ban/e": Ban("e")})  # same base version: one of the two must be drafted again
             await self.until(lambda: machine.active_version == 2, 8.0)
         self.assertEqual(({*published}, len(slices) > 60), ({False}, True))
 
