--- a/frostspindle/settings/canary.py
+++ b/frostspindle/settings/canary.py
@@ -111,7 +111,7 @@
 
 
 # For each judged figure, how many requests of a window count as hits, given the first slow bucket.
-COUNTED_HITS: dict[str, Callable[[Row, int], int]] = {
+HIT_COUNTERS: dict[str, Callable[[Row, int], int]] = {
     FAILED: lambda row, first_slow: row[FAILED_REQUESTS],
     REJECTED: lambda row, first_slow: row[REJECTED_REQUESTS],
     SLOW: lambda row, first_slow: sum(row[HEADER_FIGURES + first_slow :]),
@@ -125,7 +125,7 @@
     first_slow = _first_slow_bucket(rows)
     windows_by_figure = [
         [(float(count_hits(row, first_slow)), float(row[ANSWERED_REQUESTS])) for row in rows]
-        for count_hits in COUNTED_HITS.values()
+        for count_hits in HIT_COUNTERS.values()
     ]
     return BaselineFigures(
         len(rows),
@@ -268,7 +268,7 @@
             reason = self._stall_reason(rows)
             if reason:
                 return reason
-            for name in COUNTED_HITS:
+            for name in HIT_COUNTERS:
                 reason = self._excess_reason(name, rows)
                 if reason:
                     return reason
@@ -300,7 +300,7 @@
         """Return the reason if a figure is significantly above its baseline, else ""."""
         thresholds = self.thresholds
         first_slow = int(self._baseline.first_slow_bucket)
-        windows = [(COUNTED_HITS[name](row, first_slow), row[ANSWERED_REQUESTS]) for row in rows]
+        windows = [(HIT_COUNTERS[name](row, first_slow), row[ANSWERED_REQUESTS]) for row in rows]
         hits = sum(window_hits for window_hits, _ in windows)
         count = sum(window_count for _, window_count in windows)
         if count < thresholds.min_requests:
--- a/frostspindle/settings/document.py
+++ b/frostspindle/settings/document.py
@@ -94,5 +94,5 @@
 
 def _add(rules: dict[str, Entry], key: str, entry: Entry, location: str) -> None:
     if key in rules:
-        raise InvalidSettingsError(f"{location}: {key.rpartition('/')[2]!r} stands there twice")
+        raise InvalidSettingsError(f"{location}: {key.rpartition('/')[2]!r} is defined twice")
     rules[key] = entry
--- a/frostspindle/settings/pushes.py
+++ b/frostspindle/settings/pushes.py
@@ -240,7 +240,7 @@
         """Return the draft that changes the active version to these rules."""
         changes = diff_rules(active.rules, rules)
         version = await _run_in_event_loop(active.child_in_slices(active.number + 1, changes))
-        await _run_in_event_loop(validate_in_slices(version.rules, version.changes))  # the active version is valid
+        await _run_in_event_loop(validate_in_slices(version.rules, version.changes))  # the active one is valid
         if len(version.changes) <= SLICE_ENTRIES:
             packed = pack_changes(version.changes)
         else:  # mostly compression, which releases the interpreter lock
