--- a/tests/contracts/test_settings_keep.py
+++ b/tests/contracts/test_settings_keep.py
@@ -100,7 +100,7 @@
     assert VersionStore(MemoryStore()).load() == RestoredVersions()
 
 
-def test_at_every_write_point_a_start_has_the_versions_before_or_after(folder, monkeypatch):
+def test_start_after_a_crash_at_any_write_has_the_versions_before_or_after(folder, monkeypatch):
     """Crash at each file operation of the marker engine, which writes by Python calls, also with a torn file."""
     versions, history = chain(4), VersionHistory()
     for version in versions:
--- a/tests/test_settings_agreement.py
+++ b/tests/test_settings_agreement.py
@@ -208,7 +208,7 @@
         assert driver(PublishVersion(5, "op/1/51")).startswith("no: harmful")
         driver.push(ban("e3"))
 
-    def test_draft_can_return_to_any_kept_version(self):
+    def test_draft_can_return_to_any_version_of_the_history(self):
         driver = MachineDriver()
         tables = [driver.push(ban(f"e{n}")).rules for n in range(HISTORY_CAPACITY + 4)]
         assert len(driver.machine.versions) == HISTORY_CAPACITY
@@ -229,7 +229,7 @@
             if driver.machine.pending_version:
                 driver(Activate(5, driver.machine.pending_version))
 
-    def test_every_table_is_bounded_and_refuses_when_full(self):
+    def test_every_table_is_bounded_and_refuses_entries_when_full(self):
         driver = MachineDriver()
         for number in range(drafts.MAX_DRAFTS):
             assert driver(draft(EMPTY_VERSION, ban("e1"), number, f"op{number}")[0]) == "ok"
@@ -466,7 +466,7 @@
         assert (rules.mode, rules.reason) == (RulesMode.INTERSECTION, "unfit") and cluster.fault() is None
         assert cluster.nodes["c0"].machine.members["c2"].renewal.rejected == 2
 
-    def test_next_publisher_continues_after_one_that_died_while_a_version_was_pending(self):
+    def test_next_publisher_continues_after_one_crashed_while_a_version_was_pending(self):
         cluster = agreed_cluster()
         push(cluster, ban("e2"), 2)
         cluster.apply("c0", 99)
@@ -523,7 +523,7 @@
             cluster.settle(1, 50.0)
         assert cluster.now - before <= 400.0
 
-    def test_publisher_looks_at_updated_members_alone_and_still_finds_silent_ones(self):
+    def test_publisher_visits_only_updated_members_and_still_finds_silent_ones(self):
         class UnwalkableDict(dict):
             def items(self):
                 raise AssertionError("all members are visited")
@@ -589,7 +589,7 @@
         run(0, 10)
         assert "ban/e4" in node.machine.version(node.machine.active_version).rules
 
-    def test_next_publisher_rolls_back_by_the_baseline_of_the_one_before(self):
+    def test_next_publisher_judges_a_trial_by_the_baseline_of_its_predecessor(self):
         cluster, counts = (
             agreed_cluster(),
             {name: [0] * (HEADER_FIGURES + LATENCY_BUCKETS) for name in ("c0", "c1", "c2")},
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -85,7 +85,7 @@
 
 
 class FleetCase(Case):
-    async def test_five_agree_through_a_stop_a_cut_and_a_killed_publisher(self):
+    async def test_five_coordinators_agree_through_a_stop_a_partition_and_a_killed_publisher(self):
         cluster = await self.start_cluster(5, 3)
         processes = cluster.processes
 
@@ -158,7 +158,7 @@
         self.assertEqual([row["version"] for row in history["versions"]], [1, 2, 3, 4, 5, 6])
         await self.finish(cluster)
 
-    async def test_a_publisher_killed_while_a_harmful_version_is_on_trial_is_followed_by_one_that_rolls_it_back(self):
+    async def test_successor_of_a_killed_publisher_rolls_back_a_harmful_version(self):
         cluster = await self.start_cluster(3, 3, delay_s=0.005)
         processes, stop_clients = cluster.processes, asyncio.Event()
         answers = 0
@@ -196,8 +196,8 @@
         self.assertEqual(await call(successor.http, 77), 200)
 
 
-class AloneCase(Case):
-    async def test_sighup_reads_the_file_of_one_that_is_alone_and_a_bad_one_changes_nothing(self):
+class StandaloneCase(Case):
+    async def test_sighup_reloads_the_file_of_a_standalone_coordinator_and_rejects_an_invalid_one(self):
         cluster = Agreeing(1, 1, parse("", 1), 3, more="")
         cluster.terms += 'file = "FOLDER/version.toml"\n'
         process = cluster.processes[0]
@@ -244,7 +244,7 @@
         await process.until(lambda: process.events("settings_rules_activated", life=2))
         self.assertEqual(process.events("settings_rules_activated", life=2)[0]["versions"][-1], 4)
 
-    async def test_ten_thousand_engines_in_one_version_while_five_hundred_requests_are_open(self):
+    async def test_version_with_ten_thousand_engines_is_applied_while_requests_are_open(self):
         cluster = await self.start_cluster(1, delay_s=2.0, engines=40)
         process = cluster.processes[0]
         requests = [asyncio.create_task(call(process.http, 1_000 + n)) for n in range(500)]
@@ -267,7 +267,7 @@
         self.assertEqual((figures["live"], figures["entries"]), (1, 10_001))
         await self.finish(cluster)
 
-    async def test_a_flood_of_all_kinds_leaves_each_request_its_answer_and_no_kill_a_bad_version(self):
+    async def test_valid_and_invalid_pushes_and_kills_lose_no_request_and_start_no_invalid_version(self):
         cluster = await self.start_cluster(1, delay_s=0.01)
         process, stop_clients, rng = cluster.processes[0], asyncio.Event(), random.Random(6)
         request_count, statuses = 0, []
@@ -312,7 +312,7 @@
             )
             last_valid = restored_push
 
-    async def test_a_version_that_harms_is_rolled_back_and_not_taken_again(self):
+    async def test_harmful_version_is_rolled_back_and_refused_when_pushed_again(self):
         cluster = await self.start_cluster(1, delay_s=0.005)
         process, stop_clients = cluster.processes[0], asyncio.Event()
         statuses: list[int] = []
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -162,7 +162,7 @@
         )
         self.assertEqual(len(emulator.measure(world)["lives_at_the_end"]), 1)
 
-    def test_process_stopped_over_three_versions_acts_on_none_of_them_when_it_wakes(self):
+    def test_process_stopped_over_three_versions_acts_on_none_of_them_when_it_resumes(self):
         world = emulator.Emulator(5, 9, parse("4 stop 3; 11 cont 3", 5), 16.0, push_s=(0.5, 0.9)).run()
         version_before_resume = max(number for number, activated_ms in world.live_at.items() if activated_ms < 11_000.0)
         version_before_stop = max(number for number, activated_ms in world.live_at.items() if activated_ms < 4_000.0)
@@ -342,7 +342,7 @@
             self.applied.may_send(states["toy-0"], attempt("toy-0")), "a coordinator without a share admits nothing"
         )
 
-    async def test_change_is_applied_only_to_the_parts_that_it_concerns(self):
+    async def test_change_is_applied_only_to_the_consumers_that_it_affects(self):
         machine, calls = self.program.settings.service.machine, []
         self.applied.changed_keys = self.changed_keys
         first = EMPTY_VERSION.child(1, {"ban/toy-1": Ban("toy-1")})
