--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -109,7 +109,7 @@
         restored = RestoredVersions()
         if section.folder:
             store, restored = open_version_store(Path(section.folder), name, program.telemetry)
-        self.lease_manager: LeaseManager | None = None  # used only without [ownership]
+        self.lease_manager: LeaseManager | None = None  # used with [replica] but without [ownership]
         ownership = self._task_ownership(name)
         self.service = SettingsService(
             self.log,
