--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -42,7 +42,7 @@
     """Base class of the errors of the mesh."""
 
 
-class WorkerGoneError(MeshError):
+class WorkerUnavailableError(MeshError):
     """The other worker has closed the connection, does not answer in time, or has too many calls waiting."""
 
 
@@ -223,19 +223,19 @@
             future.set_result(RelayedReply(status, body, extra, last))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail all calls that wait, with WorkerGoneError."""
+        """Fail all calls that wait, with WorkerUnavailableError."""
         for future in self.pending.values():
             if not future.done():
-                future.set_exception(WorkerGoneError("the owner ended its connection"))
+                future.set_exception(WorkerUnavailableError("the owner ended its connection"))
         self.pending.clear()
 
     async def call(self, method: bytes, url: bytes) -> RelayedReply:
-        """Send a call and return its response; WorkerGoneError if none can be had in time.
+        """Send a call and return its response; WorkerUnavailableError if none can be had in time.
 
         If it is cancelled, the owner is told that nobody waits for the response any more.
         """
         if len(self.pending) >= MAX_PENDING_CALLS:
-            raise WorkerGoneError("too many calls wait there")
+            raise WorkerUnavailableError("too many calls wait there")
         self.last_number += 1
         number = self.last_number
         future: asyncio.Future[RelayedReply] = asyncio.get_running_loop().create_future()
@@ -245,7 +245,7 @@
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await future
         except TimeoutError:
-            raise WorkerGoneError("the owner does not answer") from None
+            raise WorkerUnavailableError("the owner does not answer") from None
         except asyncio.CancelledError:
             self.send((number, ABANDON, url))
             raise
@@ -282,13 +282,13 @@
             outgoing.transport.abort()
 
     async def call(self, slot: int, method: bytes, url: bytes) -> RelayedReply:
-        """Relay a call to the worker in that slot and return its reply; WorkerGoneError if there is none in time."""
+        """Relay a call to the worker in that slot and return its reply; WorkerUnavailableError if there is none."""
         connection = self._open_connection(slot)
         if connection is None:
             try:
                 connection = await self._connect(slot)
             except (OSError, TimeoutError) as error:
-                raise WorkerGoneError(repr(error)) from None
+                raise WorkerUnavailableError(repr(error)) from None
         return await connection.call(method, url)
 
     async def _connect(self, slot: int) -> _CallerConnection:
--- a/frostspindle/cores/request_relay.py
+++ b/frostspindle/cores/request_relay.py
@@ -13,7 +13,7 @@
 from frostspindle.cores.bootstrap import monotonic_ms
 from frostspindle.cores.control_reader import ControlReader
 from frostspindle.cores.layout import HeadCell, WorkerState
-from frostspindle.cores.mesh import WorkerGoneError, WorkerMesh
+from frostspindle.cores.mesh import WorkerMesh, WorkerUnavailableError
 from frostspindle.cores.ownership import RequestOwner, Route
 from frostspindle.cores.shared_memory import RowSnapshot, WorkerRegion
 from frostspindle.net.fields import CallRejectedError
@@ -145,7 +145,7 @@
         self._telemetry.count("relayed", FRONT)
         try:
             reply = await self._mesh.call(owner_slot, method, url)
-        except WorkerGoneError as error:
+        except WorkerUnavailableError as error:
             self._telemetry.log("worker_relay_failed", owner=owner_slot, error=str(error))
             if method == b"DELETE":
                 call.reply(503, {"failure": "Busy"})
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -317,7 +317,7 @@
     async def _ask(self, source: int, target: int, data: bytes) -> None:
         try:
             answer = await self.meshes[source].call(target, b"GET", data)
-        except mesh.WorkerGoneError:
+        except mesh.WorkerUnavailableError:
             self.lost["gone"] += 1
         else:
             assert answer[:2] in ((200, data), (503, {"failure": "Busy"})), "the answer of another call"
