--- a/frostspindle/cores/applied_leases.py
+++ b/frostspindle/cores/applied_leases.py
@@ -1,4 +1,4 @@
-"""A worker's leases on the budgets of cold engines, and which of them it has applied."""
+"""The leases on cold engines' budgets that a worker has applied."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AppliedLeases:
-    """The serials of the leases that this worker has applied, by engine: its rows confirm them to the supervisor."""
+    """Serial of the applied lease by engine, which the worker's rows confirm to the supervisor."""
 
     def __init__(self, slot: int, board: SharedMemoryBoard, control: ControlReader) -> None:
         self.serials: dict[int, int] = {}
@@ -25,7 +25,7 @@
         return monotonic_ms() >= self._board.lease_expiry(self._slot)
 
     def apply(self, engine: int) -> float:
-        """Apply the published lease on an engine; return this worker's fraction of the engine's budget, 0 to 1."""
+        """Apply the published lease on an engine; return this worker's fraction (0 to 1) of the engine's budget."""
         units, serials = self._control.page.leases.get(engine, ((), ()))
         if self._slot >= len(units):
             return 0.0
@@ -33,10 +33,10 @@
         return leases.budget_fraction(units[self._slot], self._board.lease_expiry(self._slot), monotonic_ms())
 
     def retain(self, engines: AbstractSet[int]) -> None:
-        """Forget the leases on all engines but these."""
+        """Remove the leases on all engines except these."""
         for engine in self.serials.keys() - engines:
             del self.serials[engine]
 
     def forget(self, engine: int) -> None:
-        """Forget the lease on an engine."""
+        """Remove the lease on an engine."""
         self.serials.pop(engine, None)
--- a/frostspindle/cores/bootstrap.py
+++ b/frostspindle/cores/bootstrap.py
@@ -1,4 +1,4 @@
-"""What a worker process needs at its start, handed over by the supervisor in the environment."""
+"""Parameters that the supervisor passes to a new worker process in its environment."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 import msgspec
 
 BOOTSTRAP_VARIABLE = "FROSTSPINDLE_WORKER"
-CLOCK_OFFSET_VARIABLE = "FROSTSPINDLE_CLOCK_OFFSET_MS"  # of the steady clock, the same in all processes
+CLOCK_OFFSET_VARIABLE = "FROSTSPINDLE_CLOCK_OFFSET_MS"  # offset of the steady clock, equal in all processes
 
 
 class WorkerBootstrap(msgspec.Struct):
-    """The worker's identity and inherited descriptors, as JSON in the environment variable BOOTSTRAP_VARIABLE."""
+    """The worker's identity and inherited descriptors, encoded as JSON in the variable BOOTSTRAP_VARIABLE."""
 
     slot: int
     incarnation: int
-    slots: int  # number of all
-    nonce: int  # of the shared memory
-    sockets: int  # quota of descriptors at the start
-    board: int  # descriptor of the shared memory; `life`, `mesh`, `listener` and `tds` are descriptors too
-    life: int  # a pipe that reaches its end when the supervisor dies
+    slots: int  # number of slots
+    nonce: int  # identifies the shared memory of this instance
+    sockets: int  # initial quota of descriptors
+    board: int  # descriptor of the shared memory; `life`, `mesh`, `listener` and `tds` are also descriptors
+    life: int  # read end of a pipe; EOF on it means that the supervisor has exited
     mesh: int
     listener: int
     paths: dict[int, str]  # mesh address by slot
     tds: int | None = None
-    order: str = ""  # the folder in which processes keep the order of their keys
+    order: str = ""  # folder of the workers' shared key order state; empty if no class is ordered
 
 
 def monotonic_ms() -> float:
-    """Return CLOCK_MONOTONIC in ms, which all processes of one machine share."""
+    """Return CLOCK_MONOTONIC in ms; it is the same clock in all processes of a machine."""
     return time.monotonic() * 1000.0
--- a/frostspindle/cores/control_reader.py
+++ b/frostspindle/cores/control_reader.py
@@ -9,9 +9,10 @@
 
 
 class ControlReader:
-    """The newest control page that was read; `on_change` is called with the page before, once a newer one is in place.
+    """The newest control page that was read.
 
-    For the worker's event loop only.
+    After each change of `page`, `on_change` is called with the previous page. To be used only in the worker's event
+    loop.
     """
 
     def __init__(
@@ -19,21 +20,21 @@
     ) -> None:
         self.page = ControlPage()
         self.version = 0
-        self.lost_requests: frozenset[int] = frozenset()  # ids of requests that ended with their worker
+        self.lost_requests: frozenset[int] = frozenset()  # ids of requests that were open when their worker died
         self._board = board
         self._on_change = on_change
         self._telemetry = telemetry
 
     def refresh(self) -> bool:
-        """Read and apply the newest control page; False, counted as `board_torn`, if it could not be read."""
+        """Read and apply the newest control page; return False, counted as `board_torn`, if it can't be read."""
         if self._board.version == self.version:
             return True
         control = self._board.read_control()
         if control is None:
             self._telemetry.count("board_torn")
             return False
-        former_page = self.page
+        previous_page = self.page
         self.version, self.page = control
         self.lost_requests = frozenset(self.page.lost)
-        self._on_change(former_page)
+        self._on_change(previous_page)
         return True
--- a/frostspindle/cores/layout.py
+++ b/frostspindle/cores/layout.py
@@ -1,13 +1,13 @@
 """Binary layout of the memory that the supervisor and its workers share.
 
-Defines every offset and the encoding of rows, control pages and counter names with their checksums. It works on a
-buffer that shared_memory.py maps and does no I/O itself. Each cell has one writer: the supervisor writes the header,
-the two control pages and the lease expiries, the worker in a slot writes that slot's region (and the supervisor once
-that worker is dead). Numbers are little-endian. Aligned cells of eight bytes are written in one store; anything longer
-is preceded by a CRC-32, so that a reader detects a torn or unfinished write.
+Defines all offsets and the encoding of rows, control pages and counter names with their checksums, without I/O;
+shared_memory.py maps the buffer. Each cell has a single writer: the supervisor writes the header, the two control pages
+and the lease expiries; the worker in a slot writes that slot's region, as does the supervisor once that worker is dead.
+Numbers are little-endian. Aligned cells of eight bytes are written in one store; longer values are preceded by a
+CRC-32, so that a reader detects a torn write.
 
     header | control: version, 2 pages | lease expiries | request ids | region of slot 0 | region of slot 1 | ...
-    request ids: of each bucket, the cells of slot 0, then those of slot 1, ...: one read finds an id at any worker
+    request ids: each bucket has the cells of slot 0, then of slot 1, ..., so that one read finds an id of any worker
     region: head cells | counter values | counter names | row sequences | rows
 """
 
@@ -25,15 +25,15 @@
 VERSION = 1
 HEADER = struct.Struct("<8sIIIIIQQ")  # magic, version, slots, engines, counters, buckets, nonce, size
 HEADER_BYTES = 128  # reserved for the header
-CONTROL_PAGE_BYTES = 1024 * 1024  # one control page: length, CRC, content; only the part written occupies memory
+CONTROL_PAGE_BYTES = 1024 * 1024  # one page: length, CRC, content; untouched memory is not allocated
 PAGE_HEADER = struct.Struct("<II")
 REGION_HEAD_CELLS = 32  # cells of eight bytes at the start of a region
-COUNTER_NAME_BYTES = 96  # encoded name of a counter: what, front and class
-WAYS = 16  # request ids that one slot can store in a bucket
+COUNTER_NAME_BYTES = 96  # encoded name of a counter, with front and class
+WAYS = 16  # request ids that each slot can store in a bucket
 ROW = struct.Struct("<IIQIIIIddd8dffII64s32s")
 ROW_BYTES = 320
 _CRC = struct.Struct("<I")
-REPORT_VALUES = 8  # values of a load report that a row has room for
+REPORT_VALUES = 8  # maximum number of load report values in a row
 
 
 class SharedMemoryError(Exception):
@@ -41,7 +41,7 @@
 
 
 class IncompatibleMemoryError(SharedMemoryError):
-    """The memory has another format or version than this program's, or belongs to another instance."""
+    """The memory has an unknown format or another version, or belongs to another instance."""
 
 
 class ControlPageTooLongError(SharedMemoryError, ValueError):
@@ -57,9 +57,9 @@
     OPEN_REQUESTS = 3
     CLIENT_CONNECTIONS = 4
     DESCRIPTORS_USED = 5
-    ROW_UPDATES = 6  # incremented after rows were written
-    URGENT_UPDATES = 7  # incremented when an engine has left service
-    ROW_COUNT = 8  # row places ever used
+    ROW_UPDATES = 6  # incremented after each write of rows
+    URGENT_UPDATES = 7  # incremented when an engine stops accepting work
+    ROW_COUNT = 8  # highest number of rows used so far
     COUNTER_COUNT = 9
     CONTROL_VERSION = 10  # the newest control page that the worker has applied
     TDS_SESSIONS = 11
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes and byte offsets of the shared memory, all derived from four counts."""
+    """Sizes and byte offsets of the shared memory, derived from four counts."""
 
     slots: int
     engines: int = 1024
@@ -86,12 +86,12 @@
 
     @property
     def control_offset(self) -> int:
-        """Offset of the control area: a version of 8 bytes, then two pages."""
+        """Offset of the control area: an 8-byte version, then two pages."""
         return HEADER_BYTES
 
     @property
     def lease_expiries(self) -> int:
-        """Offset of the lease expiries: one f64 a slot, ms of CLOCK_MONOTONIC."""
+        """Offset of the lease expiries: one f64 per slot, in ms of CLOCK_MONOTONIC."""
         return self.control_offset + 8 + 2 * CONTROL_PAGE_BYTES
 
     @property
@@ -149,29 +149,29 @@
 
 
 def read_header(buffer: memoryview, nonce: int) -> Layout:
-    """Return the layout; IncompatibleMemoryError for another program, version or instance, or a damaged header."""
+    """Return the layout; raise IncompatibleMemoryError for another format, version or instance, or a corrupt header."""
     if len(buffer) < HEADER_BYTES:
-        raise IncompatibleMemoryError("it is shorter than a header")
+        raise IncompatibleMemoryError("shared memory is shorter than its header")
     head = bytes(buffer[: HEADER.size])
     magic, version, slots, engines, counters, buckets, written_nonce, size = HEADER.unpack(head)
     if magic != MAGIC:
-        raise IncompatibleMemoryError("it is no board")
+        raise IncompatibleMemoryError("shared memory has an unknown format")
     if version != VERSION:
-        raise IncompatibleMemoryError(f"it has version {version}, this program {VERSION}")
+        raise IncompatibleMemoryError(f"shared memory has version {version}, expected {VERSION}")
     if _CRC.unpack_from(buffer, HEADER.size)[0] != zlib.crc32(head):
-        raise IncompatibleMemoryError("its header is damaged")
+        raise IncompatibleMemoryError("shared memory header is corrupt")
     layout = Layout(slots, engines, counters, buckets)
     if size != layout.size or len(buffer) < size:
-        raise IncompatibleMemoryError(f"it has {len(buffer)} bytes in place of {layout.size}")
+        raise IncompatibleMemoryError(f"shared memory has {len(buffer)} bytes, expected {layout.size}")
     if written_nonce != nonce:
-        raise IncompatibleMemoryError("it belongs to another instance")
+        raise IncompatibleMemoryError("shared memory belongs to another instance")
     return layout
 
 
 def truncated(text: str, max_bytes: int) -> bytes:
     """Return the text as UTF-8 of at most `max_bytes` bytes.
 
-    A truncated text ends with a CRC-32 of the whole, so that two long names with the same start stay distinct.
+    A truncated text ends with a CRC-32 of the full text, so that long names with the same start remain distinct.
     """
     data = text.encode()
     if len(data) <= max_bytes:
@@ -180,7 +180,7 @@
 
 
 def pack_row(row: EngineLoadRow) -> bytes:
-    """Encode a row, preceded by its CRC-32; its report is limited to REPORT_VALUES values, long names are truncated."""
+    """Encode a row with a preceding CRC-32; limit its report to REPORT_VALUES values and truncate long names."""
     report = (*row.report[:REPORT_VALUES], *(0.0,) * (REPORT_VALUES - len(row.report)))
     body = ROW.pack(
         row.engine,
@@ -205,7 +205,7 @@
 
 
 def unpack_row(data: bytes) -> EngineLoadRow | None:
-    """Decode a row; None if its checksum does not match: it is being written, or was never written."""
+    """Decode a row; return None if its checksum does not match, as it is being written or was never written."""
     body = data[4 : 4 + ROW.size]
     if _CRC.unpack_from(data)[0] != zlib.crc32(body):
         return None
@@ -233,23 +233,23 @@
 
 
 def pack_page(content: bytes) -> bytes:
-    """Encode a control page: length, CRC-32, content. ControlPageTooLongError if the content does not fit."""
+    """Encode a control page: length, CRC-32, content. Raise ControlPageTooLongError if the content does not fit."""
     if len(content) > CONTROL_PAGE_BYTES - PAGE_HEADER.size:
         raise ControlPageTooLongError(f"{len(content)} bytes do not fit into a control page")
     return PAGE_HEADER.pack(len(content), zlib.crc32(content)) + content
 
 
 def unpack_page(data: bytes | memoryview) -> bytes | None:
-    """Decode a control page; None if its checksum does not match: it is being written."""
+    """Decode a control page; return None if its checksum does not match, as it is being written."""
     length, checksum = PAGE_HEADER.unpack_from(data)
     content = bytes(data[PAGE_HEADER.size : PAGE_HEADER.size + length])
     return content if len(content) == length and zlib.crc32(content) == checksum else None
 
 
 class CounterName(NamedTuple):
-    """The name of a counter: what is counted, at which front, for which request class; the last two may be empty."""
+    """The full name of a counter; `front` and `cls` (the class of requests) may be empty."""
 
-    what: str
+    counter: str
     front: str
     cls: str
 
@@ -257,7 +257,7 @@
 def pack_counter_name(name: CounterName) -> bytes:
     """Encode a counter's name to COUNTER_NAME_BYTES: length, CRC-32, text.
 
-    A name truncated before its class can't be decoded again.
+    A name that is truncated before its class can't be decoded.
     """
     text = "\x1f".join(name)
     data = truncated(text, COUNTER_NAME_BYTES - 5)
@@ -265,7 +265,7 @@
 
 
 def unpack_counter_name(data: bytes) -> CounterName | None:
-    """Decode a counter's name; None if it is empty, fails its checksum, or has not three parts."""
+    """Decode a counter's name; return None if it is empty, fails its checksum, or has other than three parts."""
     text = data[5 : 5 + data[0]]
     if not text or _CRC.unpack_from(data, 1)[0] != zlib.crc32(text):
         return None
--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -1,18 +1,17 @@
-"""Leases on the budget of a cold (warming up) engine: the workers together never exceed it, whatever one of them does.
+"""Leases on the budget of a cold (warming up) engine, so that the workers together never exceed it.
 
-Keeps the units of each cold engine: which slot holds how many, which were revoked and not yet confirmed, and which are
-cooling. No I/O and no clock. A unit is not granted to one worker while another's sends under it may still count in the
-window of the rule. How much work the budget is, the decision module determines.
+For each cold engine the arbiter records how many units each slot holds, which units are revoked but not yet confirmed,
+and which are cooling. The size of the budget is determined by the decision module. No I/O and no clock.
 
-The rule is a budget over any window of W ms. A worker with u of UNITS units sends at most u/UNITS of the budget in
-any W ms. A unit may be granted to another worker only when nothing that was sent under it lies within W:
+The budget limits the work sent in any window of W ms. A worker with u of UNITS units sends at most u/UNITS of the
+budget in any W ms. A unit is granted to another worker only when nothing that was sent under it lies within W:
 
     granted --revoke--> pending --worker confirms--> cooling (W + the time a decided send may still wait for its
     connection) --> free --> granted
 
-A worker that hangs confirms nothing: its leases end by themselves at their expiry, which is renewed only by heartbeats,
-and it compares the expiry with the clock before each use. The units of a worker that dies are cooling from its death
-on. All times are milliseconds of CLOCK_MONOTONIC, which the processes of one machine share.
+A hung worker does not confirm a revocation. Its leases expire, as only heartbeats renew them, and it compares the
+expiry with the clock before each use. The units of a dead worker start cooling at its death. All times are milliseconds
+of CLOCK_MONOTONIC, which is the same in all processes of a machine.
 """
 
 from __future__ import annotations
@@ -23,15 +22,15 @@
 
 from frostspindle.division import max_min_fair_shares
 
-UNITS = 240  # of one engine's budget; divisible by most numbers of workers
-RESERVE_DIVISOR = 4  # a live worker keeps this part of its even share, so that a first request need not wait
-MAX_SEND_DELAY_MS = 400.0  # a send to a cold engine that has waited longer for a connection is not covered by a lease
-LEASE_MS = 300.0  # a lease that is not renewed expires after this
+UNITS = 240  # into which an engine's budget is divided; divisible by most numbers of workers
+RESERVE_DIVISOR = 4  # a live worker keeps a quarter of its even share, so that a first request need not wait
+MAX_SEND_DELAY_MS = 400.0  # a lease does not cover a send that has waited longer for a connection
+LEASE_MS = 300.0  # until a lease expires that is not renewed
 
 
 @dataclass(slots=True, frozen=True)
 class BudgetDemand:
-    """A worker's report on one cold engine: fractions of the budget, and the serial of the newest applied lease."""
+    """A worker's demand for one cold engine, as fractions of the budget, and the serial of the lease it has applied."""
 
     spent: float = 0.0
     wanted: float = 0.0
@@ -39,20 +38,20 @@
 
 
 @dataclass(slots=True)
-class HeldUnits:
-    """The units of one engine that one slot holds, and those revoked from it and not yet confirmed."""
+class SlotUnits:
+    """The units of one engine that a slot holds, and those revoked from it but not yet confirmed."""
 
     units: int = 0
-    serial: int = 0  # of the last change
+    serial: int = 0  # incremented with each change
     pending: list[tuple[int, int]] = field(default_factory=list)  # serial and units of each unconfirmed revocation
 
     @property
     def pending_units(self) -> int:
-        """Number of units that were revoked and not yet confirmed."""
+        """Number of units that are revoked but not yet confirmed."""
         return sum(units for _, units in self.pending)
 
     def revoke_all(self) -> int:
-        """Take back all units, also those pending, without waiting for a confirmation; return their number."""
+        """Revoke all units, including pending ones, without a confirmation; return their number."""
         units = self.units + self.pending_units
         self.units = 0
         self.pending = []
@@ -64,25 +63,25 @@
 class BudgetLedger:
     """The units of one cold engine: held by slots, cooling, or free."""
 
-    slots: list[HeldUnits]
+    slots: list[SlotUnits]
     units: int = UNITS
-    cooling: list[tuple[float, int]] = field(default_factory=list)  # when they are free, units
+    cooling: list[tuple[float, int]] = field(default_factory=list)  # when they become free, number of units
     last_demand_at: float = 0.0
 
     @property
     def cooling_units(self) -> int:
-        """Number of units whose former use may still count in the window."""
+        """Number of units whose earlier use may still lie within the window."""
         return sum(units for _, units in self.cooling)
 
     @property
     def free(self) -> int:
-        """Number of units that no slot holds, and that are neither pending nor cooling."""
-        held = sum(slot.units + slot.pending_units for slot in self.slots)
-        return self.units - held - self.cooling_units
+        """Number of units that are neither held nor pending nor cooling."""
+        allocated = sum(slot.units + slot.pending_units for slot in self.slots)
+        return self.units - allocated - self.cooling_units
 
 
 def units_wanted(demand: BudgetDemand, slots: int, total: int = UNITS) -> int:
-    """Return the units for a demand, at least the reserve; one more than the demand, to make up for rounding down."""
+    """Return the units for a demand: at least the reserve, and one extra unit to compensate for rounding down."""
     reserve = total // (slots * RESERVE_DIVISOR)
     if not (demand.spent or demand.wanted):
         return reserve
@@ -90,7 +89,7 @@
 
 
 class LeaseArbiter:
-    """The supervisor's side of the leases: one ledger for each cold engine; times in ms of CLOCK_MONOTONIC."""
+    """The supervisor's side of the leases, with one ledger for each cold engine; times in ms of CLOCK_MONOTONIC."""
 
     def __init__(
         self, slots: int, window_ms: float, max_send_delay_ms: float, lease_ms: float = LEASE_MS, units: int = UNITS
@@ -102,14 +101,14 @@
         self.engines: dict[int, BudgetLedger] = {}
         self.lease_expiries = [-math.inf] * slots  # by slot
         self.alive = [False] * slots
-        self.changed = False  # leases differ from those last published; the caller resets it
+        self.changed = False  # the leases differ from the published ones; reset by the caller
 
     def worker_started(self, slot: int) -> None:
-        """Record that a new process serves in the slot; it holds nothing yet."""
+        """Record that a new process has started in the slot; it holds no units."""
         self.alive[slot] = True
 
     def worker_ended(self, slot: int, now: float) -> None:
-        """Record that the slot's process has ended: the units that it held are cooling from `now` on."""
+        """Record that the slot's process has exited; its units start cooling at `now`."""
         self.alive[slot] = False
         self.lease_expiries[slot] = -math.inf
         for ledger in self.engines.values():
@@ -130,7 +129,7 @@
         reported for the cooling time and a lease is forgotten.
         """
         for engine in demands.keys() - self.engines.keys():
-            self.engines[engine] = BudgetLedger([HeldUnits() for _ in range(self.slot_count)], self.units)
+            self.engines[engine] = BudgetLedger([SlotUnits() for _ in range(self.slot_count)], self.units)
         for engine, ledger in list(self.engines.items()):
             if engine in demands:
                 ledger.last_demand_at = now
@@ -142,52 +141,56 @@
             self._divide(ledger, now, demands.get(engine, {}))
 
     def _reclaim(self, ledger: BudgetLedger, now: float, demands: Mapping[int, BudgetDemand]) -> None:
-        """Let units cool whose revocation is confirmed or whose lease has expired, and free those that have cooled."""
-        for slot, held in enumerate(ledger.slots):
+        """Start cooling units whose revocation is confirmed or whose lease has expired; free cooled units."""
+        for slot, slot_units in enumerate(ledger.slots):
             confirmed_serial = demands[slot].lease_serial if slot in demands else -1
-            for serial, units in list(held.pending):
+            for serial, units in list(slot_units.pending):
                 if confirmed_serial >= serial:
-                    held.pending.remove((serial, units))
+                    slot_units.pending.remove((serial, units))
                     ledger.cooling.append((now + self.cooling_ms, units))
-            if now >= self.lease_expiries[slot] and (held.units or held.pending):
-                ledger.cooling.append((max(now, self.lease_expiries[slot]) + self.cooling_ms, held.revoke_all()))
+            if now >= self.lease_expiries[slot] and (slot_units.units or slot_units.pending):
+                ledger.cooling.append((max(now, self.lease_expiries[slot]) + self.cooling_ms, slot_units.revoke_all()))
                 self.changed = True
-        ledger.cooling = [(at, units) for at, units in ledger.cooling if now < at]
+        ledger.cooling = [(free_at, units) for free_at, units in ledger.cooling if now < free_at]
 
     def _divide(self, ledger: BudgetLedger, now: float, demands: Mapping[int, BudgetDemand]) -> None:
-        """Move units towards a max-min fair division by demand: revoke what others lack, grant what is free."""
-        live = [slot for slot in range(self.slot_count) if self.alive[slot] and now < self.lease_expiries[slot]]
-        wants = {slot: units_wanted(demands.get(slot, BudgetDemand()), self.slot_count, self.units) for slot in live}
-        target = max_min_fair_shares(wants, self.units)
+        """Move units towards a max-min fair division by demand: revoke units that others need, and grant free ones."""
+        live_slots = [slot for slot in range(self.slot_count) if self.alive[slot] and now < self.lease_expiries[slot]]
+        wanted = {
+            slot: units_wanted(demands.get(slot, BudgetDemand()), self.slot_count, self.units) for slot in live_slots
+        }
+        target = max_min_fair_shares(wanted, self.units)
         self._revoke(ledger, target)
         self._grant(ledger, target)
 
     def _revoke(self, ledger: BudgetLedger, target: Mapping[int, int]) -> None:
-        """Take back units above the target, but no more than others lack: units that nobody wants stay in place."""
-        lacking = sum(max(0, units - ledger.slots[slot].units) for slot, units in target.items())
-        coming = ledger.free + ledger.cooling_units + sum(held.pending_units for held in ledger.slots)
-        missing = lacking - coming
+        """Revoke units above the target, but no more than other slots need; units without demand are not moved."""
+        shortage = sum(max(0, units - ledger.slots[slot].units) for slot, units in target.items())
+        becoming_free = (
+            ledger.free + ledger.cooling_units + sum(slot_units.pending_units for slot_units in ledger.slots)
+        )
+        to_revoke = shortage - becoming_free
         for slot, target_units in target.items():
-            held = ledger.slots[slot]
-            revoked = min(held.units - target_units, missing)
+            slot_units = ledger.slots[slot]
+            revoked = min(slot_units.units - target_units, to_revoke)
             if revoked > 0:
-                held.units -= revoked
-                held.serial += 1
-                held.pending.append((held.serial, revoked))
-                missing -= revoked
+                slot_units.units -= revoked
+                slot_units.serial += 1
+                slot_units.pending.append((slot_units.serial, revoked))
+                to_revoke -= revoked
                 self.changed = True
 
     def _grant(self, ledger: BudgetLedger, target: Mapping[int, int]) -> None:
-        """Give free units to slots below the target."""
+        """Grant free units to slots below the target."""
         for slot, target_units in target.items():
-            held = ledger.slots[slot]
-            granted = min(target_units - held.units, ledger.free)
+            slot_units = ledger.slots[slot]
+            granted = min(target_units - slot_units.units, ledger.free)
             if granted > 0:
-                held.units += granted
-                held.serial += 1
+                slot_units.units += granted
+                slot_units.serial += 1
                 self.changed = True
 
 
 def budget_fraction(units: int, lease_expiry_ms: float, now: float) -> float:
-    """Return a worker's fraction of the budget now, 0 to 1; 0 once its lease has expired. Checked before each use."""
+    """Return a worker's fraction (0 to 1) of the budget at `now`; 0 if its lease has expired. Call before each use."""
     return units / UNITS if now < lease_expiry_ms else 0.0
--- a/frostspindle/cores/limits.py
+++ b/frostspindle/cores/limits.py
@@ -1,8 +1,8 @@
-"""Division of a limit of the whole coordinator among its workers, repeated whenever workers start or end.
+"""Division of a limit of the whole coordinator among its workers, repeated whenever workers start or exit.
 
-Decides how much of one limit (descriptors, memory, open requests, connections an engine) each worker may use. A quota
-grows only by what is free of all quotas and of all use, so that no worker is given what another may still use. No I/O
-and no enforcement: each worker keeps to its quota and publishes what it uses.
+Decides how much of one limit (descriptors, memory, open requests, connections per engine) each worker may use. A quota
+grows only by units that are outside all quotas and unused, so that no unit is assigned to two workers. Nothing is
+enforced here: each worker observes its quota and publishes its use. No I/O.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from frostspindle.division import split_evenly
 
-RESERVED_DESCRIPTORS = 12  # of a worker beside its connections
+RESERVED_DESCRIPTORS = 12  # that a worker uses in addition to its connections
 
 
 class LimitDivider:
@@ -19,26 +19,26 @@
 
     def __init__(self, total: int, minimum: int = 0) -> None:
         self.total = total
-        self.minimum = minimum  # a worker that has yet to start gets this much or nothing
+        self.minimum = minimum  # a worker that has not started yet gets at least this or 0
         self.quotas: dict[int, int] = {}
 
     def divide(self, used: Mapping[int, int]) -> dict[int, int]:
-        """Return the new quota of each live worker; 0 for one that has to wait until others have shrunk to theirs.
+        """Return the new quota of each live worker; 0 for one that must wait until others have reduced their use.
 
-        `used`: what each live worker uses now. Invariant: the sum over workers of the greater of quota and use stays
-        within the total, as long as each worker's use stays within the quota that it has received last.
+        `used` is the present use of each live worker. Invariant: the sum over workers of max(quota, use) does not
+        exceed the total, as long as each worker's use does not exceed its latest quota.
         """
         self.quotas = {slot: quota for slot, quota in self.quotas.items() if slot in used}
         slots = sorted(used)
         target = dict(zip(slots, split_evenly(self.total, len(slots)), strict=True))
-        for slot in slots:  # shrink first, to the target, but not below what is in use now
+        for slot in slots:  # shrink first, to the target, but not below the present use
             quota = self.quotas.get(slot, 0)
             if quota > target[slot]:
                 self.quotas[slot] = max(target[slot], min(quota, used[slot]))
         free = self.total - sum(max(self.quotas.get(slot, 0), used[slot]) for slot in slots)
         for slot in slots:
             quota = self.quotas.get(slot, 0)
-            # A worker that has yet to start gets nothing rather than less than it can run with.
+            # A worker that has not started yet gets 0 rather than less than the minimum.
             growth = min(target[slot] - quota, free)
             if growth > 0 and quota + growth >= min(self.minimum, target[slot]):
                 self.quotas[slot] = quota + growth
@@ -49,8 +49,8 @@
 
 
 def memory_quota(total_mb: float, workers: int, supervisor_mb: float) -> float:
-    """Return the megabytes of each worker, after those of the supervisor are subtracted.
+    """Return the memory limit of each worker in MB, after subtracting the supervisor's.
 
-    Memory that was used can't be reclaimed, so it is divided once, by the number of slots.
+    A process can't give back memory, so the limit is divided once, by the number of slots.
     """
     return (total_mb - supervisor_mb) / workers
--- a/frostspindle/cores/link.py
+++ b/frostspindle/cores/link.py
@@ -1,8 +1,8 @@
-"""A worker's connection to the supervisor and the other workers, by shared memory and the mesh.
+"""A worker's link to the supervisor and the other workers, by shared memory and the mesh.
 
-Composes the parts that read and write the shared memory, runs them once a tick and applies the supervisor's control
-page to the worker's program. It never waits for another process. Right before the first byte of each attempt it checks
-once more whether the attempt may be sent.
+In each tick the worker reads and writes the shared memory and applies the supervisor's control page to its program,
+without waiting for another process. Directly before the first byte of each attempt it checks again whether the attempt
+may be sent.
 """
 
 from __future__ import annotations
@@ -28,60 +28,60 @@
 from frostspindle.cores.shared_memory import ControlPage, RowSnapshot, SharedMemoryBoard, WorkerRegion
 from frostspindle.program import Program
 
-TICK_S = 0.02  # interval of heartbeats and of polls of the others' rows
-FULL_POLL_TICKS = 25  # interval at which all engines are evaluated, for what ages without a change
+TICK_S = 0.02  # interval of heartbeats and of polls of the other workers' rows
+FULL_POLL_TICKS = 25  # interval of evaluating all engines, as loads and reports expire without a row change
 
 
 class SharedMemoryLink:
-    """One worker's link to the others; it takes the place of `Shared`, which a single process has.
+    """One worker's link to the others, in place of the `Shared` of a single process.
 
-    For the worker's event loop only.
+    To be used only in the worker's event loop.
     """
 
     def __init__(self, bootstrap: WorkerBootstrap, board: SharedMemoryBoard, config: Config) -> None:
         self.bootstrap = bootstrap
         self.board = board
         self.config = config
-        self.own = RequestOwner(bootstrap.slot, bootstrap.incarnation)
+        self.identity = RequestOwner(bootstrap.slot, bootstrap.incarnation)
         self.region = WorkerRegion(board, bootstrap.slot)
         self.snapshots = {
             slot: RowSnapshot(WorkerRegion(board, slot)) for slot in range(bootstrap.slots) if slot != bootstrap.slot
         }
         self.banned: frozenset[str] = frozenset()
-        self.is_sharing = False  # another process of an upgrade runs, and shares the descriptors
-        self.orphaned = False  # the supervisor has died
-        self.open_elsewhere: int | None = None  # open requests of an upgrade's other process: unknown to workers
+        self.is_sharing = False  # another process of an upgrade runs and uses part of the descriptors
+        self.orphaned = False  # the supervisor has exited
+        self.open_elsewhere: int | None = None  # open requests of an upgrade's other process; never known in a worker
         self._tick_timer: asyncio.TimerHandle | None = None
         self._ticks = 0
 
     @property
     def order(self) -> Path | None:
-        """Folder in which the processes keep the order of their keys; None: no class keeps order."""
+        """Folder of the workers' shared key order state; None if no class is ordered."""
         return Path(self.bootstrap.order) if self.bootstrap.order else None
 
     @property
     def ending(self) -> bool:
-        """Whether the whole program ends, so that no other process accepts connections any more."""
+        """Whether the whole program shuts down, so that no other process accepts connections."""
         self.control.refresh()  # the page may have been published just before the signal
         return self.control.page.ending and not self.orphaned
 
-    # What the program calls.
+    # Interface to the program.
 
     def bind(self, program: Program) -> None:
-        """Hook this worker into the program's core, front and counters; clear its region and mark it as starting."""
+        """Connect this worker to the program's core, front and counters; clear its region and mark it as starting."""
         self.program = program
         self.core = program.core
         self.telemetry = program.telemetry
         self.region.clear()
         self.region.write_cell(HeadCell.PID, 0)
-        self.region.write_cell(HeadCell.INCARNATION, self.own.incarnation)
+        self.region.write_cell(HeadCell.INCARNATION, self.identity.incarnation)
         self.region.write_cell(HeadCell.STATE, WorkerState.STARTING)
         self._create_parts(program)
         self.telemetry.on_count_changed = self.region.store_counter
         self.core.may_start = self._may_start
         self.core.on_engine_changed = self._on_engine_changed
         program.platform.relay = self.relay
-        program.platform.prefix = ownership.path_prefix(self.own)
+        program.platform.prefix = ownership.path_prefix(self.identity)
 
     def _create_parts(self, program: Program) -> None:
         core = program.core
@@ -89,31 +89,31 @@
         front = program.platform
         mesh = WorkerMesh(self.bootstrap.mesh, self.bootstrap.paths, front)
         self.control = ControlReader(self.board, self._apply_control, telemetry)
-        self.leases = AppliedLeases(self.own.slot, self.board, self.control)
+        self.leases = AppliedLeases(self.identity.slot, self.board, self.control)
         self.publisher = LoadPublisher(self.region, core, self.leases, telemetry)
         self.peer_loads = PeerLoads(self.snapshots, core, self.control, self.leases, telemetry)
-        self.relay = RequestRelay(self.own, self.region, self.snapshots, self.control, mesh, front, telemetry)
+        self.relay = RequestRelay(self.identity, self.region, self.snapshots, self.control, mesh, front, telemetry)
 
     def start(
-        self, on_bans_changed: Callable[[frozenset[str]], None], on_crowded_changed: Callable[[bool], None]
+        self, on_bans_changed: Callable[[frozenset[str]], None], on_sharing_changed: Callable[[bool], None]
     ) -> None:
-        """Start the periodic exchange over the shared memory and the listening end of the mesh.
+        """Start the periodic exchange over the shared memory, and listen on the mesh.
 
-        `on_bans_changed` is called with the set of banned engines, `on_crowded_changed` with whether another process
-        of an upgrade runs, each now if already set and whenever it changes.
+        `on_bans_changed` is called with the set of banned engines, `on_sharing_changed` with whether another process
+        of an upgrade runs; each at once if already set, and on every change.
         """
         self._on_bans_changed = on_bans_changed
-        self._on_crowded_changed = on_crowded_changed
+        self._on_sharing_changed = on_sharing_changed
         self.control.refresh()
         self._tick()
         self.relay.start()
 
     def serving(self) -> None:
-        """Publish that this worker accepts clients; the program is ready once all workers do."""
+        """Publish that this worker accepts clients; the coordinator is ready once all workers do."""
         self.region.write_cell(HeadCell.STATE, WorkerState.SERVING)
 
     def leaving(self) -> None:
-        """Publish that this worker drains, so that its connections no longer count in the others' accept balance."""
+        """Publish that this worker drains, so that the others ignore its connections when they balance theirs."""
         self.region.write_cell(HeadCell.STATE, WorkerState.DRAINING)
 
     def close(self) -> None:
@@ -131,15 +131,15 @@
         self._tick_timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
         try:
             self._exchange()
-        except Exception as error:  # noqa: BLE001 - the next tick reads everything again
+        except Exception as error:  # noqa: BLE001 - the next tick tries again
             self.telemetry.count("faults")
             self.telemetry.log("exception_caught", error=repr(error), of="link")
 
     def _exchange(self) -> None:
-        """Read what the supervisor and the other workers have published, and publish this worker's own state."""
+        """Read the state of the supervisor and the other workers, and publish this worker's own."""
         self._ticks += 1
         is_full_poll = self._ticks % FULL_POLL_TICKS == 0
-        # A heartbeat renews the leases, so that a worker that can't read their revocation must not send one.
+        # The heartbeat renews this worker's leases: skip it if the control page, which may revoke them, is unreadable.
         if self.control.refresh():
             self._publish_head()
         engines = self.peer_loads.poll()
@@ -151,7 +151,7 @@
             self.peer_loads.report(engines)
 
     def _publish_head(self) -> None:
-        """Publish a heartbeat and the figures of this worker."""
+        """Publish this worker's heartbeat and figures."""
         platform = self.program.platform
         tds = self.program.tds
         descriptors = platform.connections + self.program.driver.connections + RESERVED_DESCRIPTORS
@@ -164,21 +164,21 @@
 
     # The supervisor's control page.
 
-    def _apply_control(self, former: ControlPage) -> None:
-        """Apply to the program what has changed on the control page since the former one."""
+    def _apply_control(self, previous: ControlPage) -> None:
+        """Apply the differences between the new control page and the previous one to the program."""
         page = self.control.page
         self._apply_bans(frozenset(page.bans))
-        if page.draining != former.draining:
+        if page.draining != previous.draining:
             self._apply_draining(page.draining)
         if page.crowded != self.is_sharing:
             self.is_sharing = page.crowded
-            self._on_crowded_changed(self.is_sharing)
-        quota = page.sockets.get(self.own.slot, 0)
-        if quota and quota != former.sockets.get(self.own.slot, 0):
+            self._on_sharing_changed(self.is_sharing)
+        quota = page.sockets.get(self.identity.slot, 0)
+        if quota and quota != previous.sockets.get(self.identity.slot, 0):
             self.program.resize(quota)
-        if page.leases != former.leases or page.ghosts != former.ghosts:
-            engines = page.leases.keys() | former.leases.keys()
-            engines |= {load.engine for load in [*page.ghosts, *former.ghosts]}
+        if page.leases != previous.leases or page.ghosts != previous.ghosts:
+            engines = page.leases.keys() | previous.leases.keys()
+            engines |= {load.engine for load in [*page.ghosts, *previous.ghosts]}
             self.peer_loads.report(engines)
 
     def _apply_bans(self, banned: frozenset[str]) -> None:
@@ -192,10 +192,10 @@
         else:
             self.program.resume()
 
-    # What the core calls.
+    # Callbacks of the core.
 
     def _on_engine_changed(self, engine: int, load_report: tuple[float, ...]) -> None:
-        """Publish that an engine's load or state has changed here; `load_report` is empty if there is no new one."""
+        """Publish an engine's changed load or state; `load_report` is empty if there is no new one."""
         if engine in self.core.engines:
             self.publisher.engine_changed(engine, load_report)
             return
@@ -204,15 +204,15 @@
         self.leases.forget(engine)
 
     def _may_start(self, state: EngineState, attempt: Attempt) -> bool:
-        """Return whether an attempt may be sent, right before its first byte, by the newest bans and ends of service.
+        """Return whether an attempt may be sent; called directly before its first byte, after the newest changes.
 
-        False, counted as `cold_stopped`, if the engine is cold and the attempt has waited for over MAX_SEND_DELAY_MS or
-        this worker's leases have expired.
+        Return False, counted as `cold_stopped`, if the engine is cold and either the attempt has waited for over
+        MAX_SEND_DELAY_MS or this worker's leases have expired.
         """
         self.control.refresh()
         self.peer_loads.poll_urgent()
-        since_ms = state.entry.since_ms
-        is_cold = since_ms > 0 and clock() - since_ms < self.core.settings.slow_start_duration_ms
+        engine_started_ms = state.entry.since_ms
+        is_cold = engine_started_ms > 0 and clock() - engine_started_ms < self.core.settings.slow_start_duration_ms
         if is_cold and (clock() - attempt.sent_ms > MAX_SEND_DELAY_MS or self.leases.is_expired):
             self.telemetry.count("cold_stopped")
             return False
--- a/frostspindle/cores/listening_sockets.py
+++ b/frostspindle/cores/listening_sockets.py
@@ -1,7 +1,7 @@
-"""Listening sockets of the supervisor: bound before the workers start, inherited by them.
+"""Listening sockets, which the supervisor binds before the workers start and the workers inherit.
 
-The supervisor accepts no connection itself. The HTTP listener may instead be inherited from the process that started
-the supervisor, as a descriptor number.
+The supervisor itself accepts no connections. The HTTP listener may be a descriptor inherited from the process that
+started the supervisor.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ListeningSockets:
-    """The listeners for HTTP and TDS clients; those that are not configured are None."""
+    """The listeners for HTTP and TDS clients; None for one that is not configured, or, for HTTP, inherited."""
 
     def __init__(self, config: Config) -> None:
         self._config = config
@@ -24,7 +24,7 @@
         self.tds: socket.socket | None = None
 
     def bind(self) -> None:
-        """Bind the listeners; OSError, its text naming the setting, if an address can't be bound."""
+        """Bind the listeners; raise OSError, whose text names the setting, if an address can't be bound."""
         is_http_inherited = self._config.inherited is not None
         if not is_http_inherited:
             host, port = self._config.listen
@@ -32,12 +32,12 @@
         tds = self._config.operator.tds
         if tds:
             host, port = configuration.address(tds.listen, "tds.listen")
-            # In an upgrade the process before still listens there.
+            # During an upgrade the old process still listens on this address.
             self.tds = _create_server(host, port, "tds.listen", TDS_BACKLOG, reuse_port=is_http_inherited)
 
     @property
     def http_fd(self) -> int:
-        """Descriptor of the HTTP listener, bound or inherited."""
+        """Descriptor of the HTTP listener, whether bound or inherited."""
         if self.http is not None:
             return self.http.fileno()
         assert self._config.inherited is not None
@@ -45,7 +45,7 @@
 
     @property
     def http_port(self) -> int:
-        """TCP port of the HTTP listener, bound or inherited."""
+        """TCP port of the HTTP listener, whether bound or inherited."""
         if self.http is not None:
             return int(self.http.getsockname()[1])
         with socket.socket(fileno=os.dup(self._config.inherited or 0)) as duplicate:
@@ -53,7 +53,7 @@
 
     @property
     def tds_port(self) -> int | None:
-        """TCP port of the TDS listener; None if there is none."""
+        """TCP port of the TDS listener; None if TDS is not configured."""
         return self.tds.getsockname()[1] if self.tds else None
 
 
--- a/frostspindle/cores/load_publisher.py
+++ b/frostspindle/cores/load_publisher.py
@@ -1,4 +1,4 @@
-"""Publication of this worker's load at each engine: its rows in shared memory, which the other workers read."""
+"""Publication of this worker's load on each engine, as rows in shared memory that the other workers read."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from frostspindle.policy import Health
 from frostspindle.telemetry import Telemetry
 
-FLUSH_DELAY_S = 0.005  # changed rows are written together, at most this late
+FLUSH_DELAY_S = 0.005  # changed rows are batched for this long
 
 
 class LoadPublisher:
-    """The engines whose rows have changed, and the timer that writes them. For the worker's event loop only."""
+    """The engines whose rows have changed, and the timer that writes them; only for the worker's event loop."""
 
     def __init__(self, region: WorkerRegion, core: Core, leases: AppliedLeases, telemetry: Telemetry) -> None:
-        self.demands: dict[int, tuple[float, float]] = {}  # spent and wanted fraction of the budget, by cold engine
+        self.demands: dict[int, tuple[float, float]] = {}  # spent and wanted fractions of the budget, by cold engine
         self._region = region
         self._core = core
         self._leases = leases
         self._telemetry = telemetry
         self._changed: set[int] = set()
-        self._load_reports: dict[int, tuple[float, tuple[float, ...]]] = {}  # by engine; when (Unix ms), values
+        self._load_reports: dict[int, tuple[float, tuple[float, ...]]] = {}  # by engine: Unix time in ms, values
         self._flush_timer: asyncio.TimerHandle | None = None
         self._is_overflow_logged = False
 
     def engine_changed(self, engine: int, load_report: tuple[float, ...]) -> None:
-        """Publish a listed engine's row: at once if the engine has left service, else within FLUSH_DELAY_S.
+        """Publish a listed engine's row: at once if the engine no longer accepts work, else within FLUSH_DELAY_S.
 
-        `load_report` is empty if it is not that which has changed.
+        `load_report` is empty if there is no new one.
         """
         if load_report:
             self._load_reports[engine] = (clock(), load_report)
@@ -45,12 +45,12 @@
             self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_DELAY_S, self.flush)
 
     def forget(self, engine: int) -> None:
-        """Erase the row of an engine that is not listed any more."""
+        """Erase the row of an engine that is no longer listed."""
         self._load_reports.pop(engine, None)
         self._region.erase_row(engine)
 
     def publish_demands(self, publish_all: bool) -> None:
-        """Publish the rows of cold engines whose demand or applied lease has changed, or with `publish_all` of all."""
+        """Publish the rows of cold engines whose demand or lease has changed, or of all with `publish_all`."""
         demands = self._core.controller.slow_start.needs(clock())
         for engine in demands.keys() | self.demands.keys():
             if demands.get(engine) != self.demands.get(engine) or publish_all:
@@ -58,15 +58,15 @@
         self.demands = demands
         self._leases.retain(demands.keys())
         for engine in demands:
-            former_serial = self._leases.serials.get(engine)
+            previous_serial = self._leases.serials.get(engine)
             self._leases.apply(engine)
-            if self._leases.serials.get(engine) != former_serial:
+            if self._leases.serials.get(engine) != previous_serial:
                 self._changed.add(engine)
         if self._changed:
             self.flush()
 
     def flush(self) -> None:
-        """Write all changed rows now and cancel the timer for them."""
+        """Write all changed rows now, and cancel the flush timer."""
         if self._flush_timer is not None:
             self._flush_timer.cancel()
             self._flush_timer = None
@@ -80,10 +80,10 @@
             self._region.increment_cell(HeadCell.ROW_UPDATES)
 
     def _log_overflow(self, engine_name: str) -> None:
-        """Log once that the shared memory has no row left for an engine."""
+        """Log that the shared memory has no free row for an engine; only the first time."""
         if not self._is_overflow_logged:
             self._is_overflow_logged = True
-            self._telemetry.log("shared_memory_degraded", error="more engines than it has rows for", engine=engine_name)
+            self._telemetry.log("shared_memory_degraded", error="no free engine row", engine=engine_name)
 
     def _row(self, engine: int, state: EngineState) -> EngineLoadRow:
         policy_engine = self._core.controller.engines.get(engine)
--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -1,8 +1,8 @@
-"""Relay of calls between workers: a client made the call at one worker, another one owns the request and answers.
+"""Relay of calls between workers, for calls that a client makes at a worker that does not own the request.
 
-Owns the Unix sockets between workers, one connection to each other worker that is called, and the framing on them: a
-length of four bytes, then msgpack. A call waits CALL_TIMEOUT_S at most, is passed on only after the front has checked
-it, and the owner's reply is returned unchanged. All of it runs in the worker's event loop.
+Workers connect to each other by Unix sockets, with one connection to each worker that is called. A frame is a length
+of four bytes followed by msgpack. The calling worker's front validates a call before it is relayed, the owner's reply
+is returned unchanged, and a call waits for at most CALL_TIMEOUT_S. To be used only in the worker's event loop.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from frostspindle.net.http.calls import OpenRequest, PendingCall
 from frostspindle.net.platform import HttpFront
 
-MAX_FRAME_BYTES = 1 << 20  # a result page with its frame is far shorter
-MAX_PENDING_CALLS = 512  # of one worker at another
-CALL_TIMEOUT_S = 1.5  # the owner holds a call (long poll) for 1 s
-ABANDON = b"ABANDON"  # in place of a method: the client of an earlier call has gone
+MAX_FRAME_BYTES = 1 << 20  # far more than a result page with its frame
+MAX_PENDING_CALLS = 512  # on one connection
+CALL_TIMEOUT_S = 1.5  # the owner holds a long poll for 1 s
+ABANDON = b"ABANDON"  # sent in place of a method: the client of this call has disconnected
 _ENCODE = msgspec.msgpack.Encoder().encode
 _CALL = msgspec.msgpack.Decoder(tuple[int, bytes, bytes])  # number, method, URL
 _REPLY = msgspec.msgpack.Decoder(tuple[int, int, Any, str, bool])
@@ -35,7 +35,7 @@
     status: int
     body: Any
     extra_headers: str
-    last: bool  # whether the client's connection ends with it
+    last: bool  # whether to close the client's connection after it
 
 
 class MeshError(Exception):
@@ -43,11 +43,11 @@
 
 
 class WorkerUnavailableError(MeshError):
-    """The other worker has closed the connection, does not answer in time, or has too many calls waiting."""
+    """The other worker closed the connection, did not reply in time, or has too many pending calls."""
 
 
 class _FrameProtocol(asyncio.Protocol):
-    """Frames of one connection; a frame that can't be decoded ends the connection."""
+    """Framing of one connection; a malformed frame aborts the connection."""
 
     decoder: msgspec.msgpack.Decoder[Any]
 
@@ -56,11 +56,11 @@
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        """Decode each complete frame and hand it on; a malformed or too long one ends the connection."""
+        """Decode and process each complete frame; abort the connection at a malformed or oversized one."""
         self.buffer += data
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "little")
@@ -79,25 +79,25 @@
             self.frame_received(content)
 
     def abort_malformed(self) -> None:
-        """Abort the connection, as a frame can't be decoded."""
+        """Abort the connection after a malformed frame."""
         self.buffer.clear()
         self.transport.abort()
 
     def frame_received(self, message: Any) -> None:
-        """Take one decoded frame."""
+        """Process one decoded frame."""
         raise NotImplementedError
 
     def send(self, message: Any) -> None:
-        """Write one message as a frame; nothing is written to a connection that closes."""
+        """Write a message as one frame, unless the connection is closing."""
         if not self.transport.is_closing():
             data = _ENCODE(message)
             self.transport.write(len(data).to_bytes(4, "little") + data)
 
 
 class _RemoteClient:
-    """Takes the place of a relayed call's client connection, which is at another worker; it lasts as long as the call.
+    """Stands in for the client connection of a relayed call, which is at another worker, for the duration of the call.
 
-    Once the call has its reply the client is away, as far as this worker can tell, until its next call comes.
+    After the reply to the call, the client counts as absent until its next call.
     """
 
     line: tuple[()] = ()
@@ -111,11 +111,11 @@
         return self.is_waiting
 
     def flush(self) -> None:
-        """Do nothing: the reply is passed on as it is given."""
+        """Do nothing, as replies are not buffered here."""
 
 
 class _RemoteCall(PendingCall):
-    """A call of another worker's client."""
+    """A call by a client that is connected to another worker."""
 
     __slots__ = ("front", "on_reply", "remote_client")
 
@@ -126,39 +126,39 @@
         self.on_reply = on_reply
 
     def reply(self, status: int, body: Any = None, extra: str = "", last: bool = False) -> None:
-        """Pass the response back to the calling worker, once."""
+        """Return the reply to the calling worker; later replies are ignored."""
         if self.data is None:
             self.data = b""
             self.on_reply(RelayedReply(status, body, extra, last))
-            self._end()
+            self._finish()
 
     def abandon(self) -> None:
-        """End the call without a reply: its client has gone, or the worker that it called."""
+        """End the call without a reply, as its client or the calling worker has disconnected."""
         self.data = b""
         self.front.gone(self)
-        self._end()
+        self._finish()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self.remote_client.is_waiting = False
         self.front.connection_ended(self.remote_client)
 
 
 class _OwnerConnection(_FrameProtocol):
-    """Incoming connection: another worker's calls, answered by this worker's front."""
+    """Incoming connection, with another worker's calls for this worker's front."""
 
     decoder = _CALL
 
     def __init__(self, front: HttpFront, connections: set[_OwnerConnection]) -> None:
         super().__init__()
         self.front = front
-        self.connections = connections  # all of the mesh
-        self.pending_calls: dict[int, _RemoteCall] = {}  # by number
+        self.connections = connections  # all incoming connections of the mesh
+        self.pending_calls: dict[int, _RemoteCall] = {}  # by call number
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the connection, unless a process of another user opened it."""
+        """Register the connection; abort it if the peer process belongs to another user."""
         super().connection_made(transport)
         self.connections.add(self)
-        # An abstract address has no file permissions: accept only processes of this user.
+        # Abstract addresses have no file permissions, so the peer's user is checked here.
         credentials = transport.get_extra_info("socket").getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
         if int.from_bytes(credentials[4:8], sys.byteorder) != os.geteuid():
             self.front.telemetry.count("mesh_strangers")
@@ -170,34 +170,34 @@
         super().abort_malformed()
 
     def frame_received(self, message: Any) -> None:
-        """Hand another worker's call to this worker's front; beyond MAX_PENDING_CALLS it is rejected."""
-        number, method, url = message
+        """Pass a call to this worker's front, or reject it if MAX_PENDING_CALLS are pending."""
+        call_number, method, url = message
         if method == ABANDON:
-            abandoned = self.pending_calls.pop(number, None)
-            if abandoned is not None:
-                abandoned.abandon()
+            abandoned_call = self.pending_calls.pop(call_number, None)
+            if abandoned_call is not None:
+                abandoned_call.abandon()
             return
-        call = _RemoteCall(self.front, lambda reply: self._send_reply(number, reply))
+        call = _RemoteCall(self.front, lambda reply: self._send_reply(call_number, reply))
         if len(self.pending_calls) >= MAX_PENDING_CALLS:
             call.reply(503, {"failure": "Busy"})
             return
-        self.pending_calls[number] = call
+        self.pending_calls[call_number] = call
         self.front.telemetry.count("relayed_in", "http")
         try:
             self.front.call(call, method, url, {}, b"")
         except CallRejectedError as rejection:
             call.reply(rejection.status, {"failure": rejection.text}, last=True)
-        except Exception as error:  # noqa: BLE001 - a fault ends this call only
+        except Exception as error:  # noqa: BLE001 - an exception fails only this call
             self.front.telemetry.count("faults")
             self.front.telemetry.log("exception_caught", error=repr(error), of="relayed call")
             call.reply(500, {"failure": "Failed"}, last=True)
 
-    def _send_reply(self, number: int, reply: RelayedReply) -> None:
-        self.pending_calls.pop(number, None)
-        self.send((number, *reply))
+    def _send_reply(self, call_number: int, reply: RelayedReply) -> None:
+        self.pending_calls.pop(call_number, None)
+        self.send((call_number, *reply))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Drop the calls that wait for a response."""
+        """Abandon the pending calls."""
         self.connections.discard(self)
         calls = list(self.pending_calls.values())
         self.pending_calls.clear()
@@ -206,51 +206,51 @@
 
 
 class _CallerConnection(_FrameProtocol):
-    """Outgoing connection of the worker that a client called, to the owner of the request."""
+    """Outgoing connection to the owners of requests at another worker."""
 
     decoder = _REPLY
 
     def __init__(self) -> None:
         super().__init__()
-        self.pending: dict[int, asyncio.Future[RelayedReply]] = {}  # by number of the call
-        self.last_number = 0
+        self.pending: dict[int, asyncio.Future[RelayedReply]] = {}  # by call number
+        self.last_call_number = 0
 
     def frame_received(self, message: Any) -> None:
-        """Resolve the call that the response belongs to."""
-        number, status, body, extra, last = message
-        future = self.pending.pop(number, None)
+        """Resolve the pending call to which the reply belongs."""
+        call_number, status, body, extra, last = message
+        future = self.pending.pop(call_number, None)
         if future is not None and not future.done():
             future.set_result(RelayedReply(status, body, extra, last))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail all calls that wait, with WorkerUnavailableError."""
+        """Fail all pending calls with WorkerUnavailableError."""
         for future in self.pending.values():
             if not future.done():
-                future.set_exception(WorkerUnavailableError("the owner ended its connection"))
+                future.set_exception(WorkerUnavailableError("the owner closed the connection"))
         self.pending.clear()
 
     async def call(self, method: bytes, url: bytes) -> RelayedReply:
-        """Send a call and return its response; WorkerUnavailableError if none can be had in time.
+        """Send a call and return the reply; raise WorkerUnavailableError if there is none within CALL_TIMEOUT_S.
 
-        If it is cancelled, the owner is told that nobody waits for the response any more.
+        On cancellation the owner is notified that the call is abandoned.
         """
         if len(self.pending) >= MAX_PENDING_CALLS:
-            raise WorkerUnavailableError("too many calls wait there")
-        self.last_number += 1
-        number = self.last_number
+            raise WorkerUnavailableError("too many pending calls to the owner")
+        self.last_call_number += 1
+        call_number = self.last_call_number
         future: asyncio.Future[RelayedReply] = asyncio.get_running_loop().create_future()
-        self.pending[number] = future
-        self.send((number, method, url))
+        self.pending[call_number] = future
+        self.send((call_number, method, url))
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await future
         except TimeoutError:
-            raise WorkerUnavailableError("the owner does not answer") from None
+            raise WorkerUnavailableError("the owner did not reply in time") from None
         except asyncio.CancelledError:
-            self.send((number, ABANDON, url))
+            self.send((call_number, ABANDON, url))
             raise
         finally:
-            self.pending.pop(number, None)
+            self.pending.pop(call_number, None)
 
 
 class WorkerMesh:
@@ -266,23 +266,23 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Accept the other workers' connections; their calls are answered by this worker's front."""
+        """Start accepting the other workers' connections."""
         self.listening_socket.setblocking(False)
         self._server = await asyncio.get_running_loop().create_unix_server(
             lambda: _OwnerConnection(self.front, self.incoming), sock=self.listening_socket
         )
 
     def close(self) -> None:
-        """Stop accepting, close incoming connections after what was written, and abort outgoing ones."""
+        """Stop accepting, close incoming connections after flushing them, and abort outgoing ones."""
         if self._server is not None:
-            self._server.close()  # this ends no connection that was accepted
+            self._server.close()  # accepted connections remain open
         for incoming in self.incoming:
             incoming.transport.close()
         for outgoing in self.outgoing.values():
             outgoing.transport.abort()
 
     async def call(self, slot: int, method: bytes, url: bytes) -> RelayedReply:
-        """Relay a call to the worker in that slot and return its reply; WorkerUnavailableError if there is none."""
+        """Relay a call to the worker in a slot and return its reply; raise WorkerUnavailableError if there is none."""
         connection = self._open_connection(slot)
         if connection is None:
             try:
@@ -292,7 +292,7 @@
         return await connection.call(method, url)
 
     async def _connect(self, slot: int) -> _CallerConnection:
-        """Return an open connection to a worker; concurrent calls wait for one connection rather than open several."""
+        """Return an open connection to a worker; concurrent calls share one connection attempt."""
         async with asyncio.timeout(CALL_TIMEOUT_S), self._connect_locks.setdefault(slot, asyncio.Lock()):
             connection = self._open_connection(slot)
             if connection is None:
--- a/frostspindle/cores/operator_commands.py
+++ b/frostspindle/cores/operator_commands.py
@@ -1,6 +1,6 @@
-"""Operators' commands to a coordinator of several workers: readiness, drain, bans and figures.
+"""Operator commands for a coordinator with several workers: readiness, drain and bans.
 
-Answers at once from shared memory and the control page; no command waits for a worker.
+Commands use only shared memory and the control page, so that none waits for a worker.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class OperatorCommands:
-    """The commands of the operators' port; each raises OperatorError with the reason if it is refused."""
+    """The commands of the operator port; each raises OperatorError with the reason if it is refused."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         status: CoordinatorStatus,
         is_stopping: Callable[[], bool],
     ) -> None:
-        self.was_ready = False  # all workers have served once, and the program does not end
+        self.was_ready = False  # all workers have served at the same time; False again during shutdown
         self._workers = workers
         self._control = control
         self._shared = shared
@@ -35,23 +35,23 @@
         self._is_stopping = is_stopping
 
     def ready(self) -> None:
-        """Check readiness: refused until all workers have served once, while draining, or if none serves now."""
+        """Check readiness: refused until all workers have started, during a drain, and while no worker serves."""
         if not self.was_ready:
             raise OperatorError("the program ends" if self._is_stopping() else "not yet")
         if self._control.page.draining:
             raise OperatorError("clients are being sent away")
         if not self._workers.any_serves():
-            raise OperatorError("no worker serves")
+            raise OperatorError("no worker is serving")
 
     def disable(self, name: str) -> None:
-        """Ban an engine by name; refused if it was never listed, MAX_BANS are banned, or the ban can't be written."""
+        """Ban an engine by name; refused if it was never listed, if MAX_BANS exist, or if the ban can't be stored."""
         self._check_listed(name)
         if len(self._shared.banned) >= MAX_BANS:
-            raise OperatorError(f"{MAX_BANS} engines are left out already")
+            raise OperatorError(f"{MAX_BANS} engines are banned already")
         self._set_ban(name, True)
 
     def enable(self, name: str) -> None:
-        """End an engine's ban; refused if it was never listed or the change can't be written."""
+        """Lift an engine's ban; refused if the engine was never listed or the change can't be stored."""
         self._check_listed(name)
         self._set_ban(name, False)
 
@@ -66,11 +66,11 @@
             raise OperatorError(f"the ban can't be kept: {error.strerror}") from None
 
     def drain(self) -> None:
-        """Have all workers send their clients away until `resume`; readiness fails meanwhile."""
+        """Drain client connections from all workers until `resume`; readiness fails meanwhile."""
         self._control.page.draining = True
         self._control.publish()
 
     def resume(self) -> None:
-        """End a drain: workers keep their clients' connections again."""
+        """End a drain: all workers accept and keep client connections again."""
         self._control.page.draining = False
         self._control.publish()
--- a/frostspindle/cores/peer_loads.py
+++ b/frostspindle/cores/peer_loads.py
@@ -1,6 +1,6 @@
-"""What a worker takes over from the other workers' rows: their load at each engine and ends of service.
+"""Reads the other workers' rows and reports their load, and engines that stopped accepting work, to the core.
 
-Reads the rows; how they are evaluated is decided in peer_workers.py. For the worker's event loop only.
+peer_workers.py evaluates the rows. To be used only in the worker's event loop.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class PeerLoads:
-    """Snapshots of the other workers' rows by slot, and what the core was told of them last."""
+    """Snapshots of the other workers' rows by slot, and the load last reported to the core."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._control = control
         self._leases = leases
         self._telemetry = telemetry
-        self._urgent_updates = dict.fromkeys(snapshots, -1)  # of each slot, as last polled
+        self._urgent_updates = dict.fromkeys(snapshots, -1)  # by slot, at the last poll
         self._reported: dict[int, WorkerLoad] = {}  # by engine
 
     def poll(self) -> set[int]:
@@ -46,13 +46,13 @@
         return changed
 
     def poll_urgent(self) -> None:
-        """Read the rows of those workers that have published an end of service since the last poll."""
+        """Read the rows of workers that have published an engine's end of service since the last poll."""
         for slot, snapshot in self._snapshots.items():
             if snapshot.region.read_cell(HeadCell.URGENT_UPDATES) != self._urgent_updates[slot]:
                 self._poll_slot(slot)
 
     def _poll_slot(self, slot: int) -> set[int]:
-        """Read a worker's changed rows; an end of service there overrides our own endpoint list at once."""
+        """Read a worker's changed rows; an end of service in them overrides this worker's endpoint list at once."""
         snapshot = self._snapshots[slot]
         torn_reads = snapshot.torn_reads
         urgent_updates = snapshot.region.read_cell(HeadCell.URGENT_UPDATES)
@@ -75,32 +75,32 @@
                 self._core.mark_draining(state.name, version)
 
     def report(self, engines: AbstractSet[int]) -> None:
-        """Notify the core of the other workers' load, ejections and load reports, where they have changed."""
+        """Report changes in the other workers' load, ejections and load reports to the core."""
         now_ms = clock()
         heartbeat_now_ms = monotonic_ms()
         peers = [
             PeerWorker(heartbeat_now_ms - snapshot.region.heartbeat_ms, snapshot.rows)
             for slot, snapshot in self._snapshots.items()
-            if slot in self._control.page.living  # what a dead one left is published as orphaned load
+            if slot in self._control.page.living  # a dead worker's load is published as orphaned load
         ]
         changed_loads = []
         for engine in engines & self._core.engines.keys():
             load = peer_workers.combined_load(
                 engine, peers, self._control.page.ghosts, now_ms, self._leases.apply(engine)
             )
-            if _is_news(load, self._reported.get(engine)):
+            if _has_changed(load, self._reported.get(engine)):
                 changed_loads.append(load)
             self._reported[engine] = load
         if changed_loads:
             self._core.update_worker_loads(tuple(changed_loads))
 
     def forget(self, engine: int) -> None:
-        """Forget what was reported of an engine that is not listed any more."""
+        """Remove the last reported load of an engine that is no longer listed."""
         self._reported.pop(engine, None)
 
 
-def _is_news(load: WorkerLoad, former: WorkerLoad | None) -> bool:
-    """Return whether a load differs from the former one in more than the age of its load report."""
-    if former is None or former[:5] != load[:5]:
+def _has_changed(load: WorkerLoad, previous: WorkerLoad | None) -> bool:
+    """Return whether a load differs from the previous one in more than the age of its load report."""
+    if previous is None or previous[:5] != load[:5]:
         return True
-    return bool(load.report) and load.report != former.report
+    return bool(load.report) and load.report != previous.report
--- a/frostspindle/cores/peer_workers.py
+++ b/frostspindle/cores/peer_workers.py
@@ -1,8 +1,7 @@
 """Evaluation of the other workers' rows: their load, their ejections and the newest load report of each engine.
 
-Defines whose load counts, for how long, and whose report of an engine's end of service overrides a worker's own
-endpoint list. Functions without I/O or clock; the results become an event for the decision module or an overlay on the
-endpoint list.
+Determines for how long each worker's load counts, and when another worker's row overrides this worker's endpoint list.
+Functions without I/O or clock; the results are passed to the decision module as an event or override the endpoint list.
 """
 
 from __future__ import annotations
@@ -13,23 +12,23 @@
 
 from frostspindle.policy import Health, WorkerLoad
 
-ENGINE_FORGETS_AFTER_MS = 2_100.0  # an engine drops a query that nobody has polled for 2 s (the platform's protocol)
-HEARTBEAT_FRESH_MS = 1_000.0  # with an older heartbeat a worker's ejections and load reports don't count
+ENGINE_FORGETS_AFTER_MS = 2_100.0  # by the platform's protocol an engine drops a query not polled for 2 s
+HEARTBEAT_FRESH_MS = 1_000.0  # a worker's ejections and load reports are ignored if its heartbeat is older
 
 
 class EngineLoadRow(NamedTuple):
-    """One worker's report on one engine; times are Unix ms, as the decision module's are."""
+    """One worker's published state of one engine; times are Unix ms, as in the decision module."""
 
     engine: int
-    version: int  # of the endpoint list's event with this health; 0: the list has no common numbers
+    version: int  # of the endpoint list event with this health; 0: the list has no versions common to all workers
     health: int
     ejected: bool
     threads: int
     granted_mb: float
     since_ms: float
     reported_at_ms: float
-    report: tuple[float, ...]  # the newest load report
-    spent: float  # fractions of a cold engine's budget
+    report: tuple[float, ...]  # values of the newest load report
+    spent: float  # as `wanted`, a fraction of a cold engine's budget
     wanted: float
     lease_serial: int  # of the newest lease that the worker has applied
     name: str
@@ -37,7 +36,7 @@
 
 
 class OrphanedLoad(NamedTuple):
-    """Load of a dead worker at an engine: it runs there until the engine drops it."""
+    """Load of a dead worker, which runs on an engine until the engine drops it."""
 
     engine: int
     threads: int
@@ -47,14 +46,14 @@
 
 @dataclass(slots=True)
 class PeerWorker:
-    """Another worker: the age of its last heartbeat in ms, and its rows by engine."""
+    """The age of another worker's last heartbeat in ms, and its rows by engine."""
 
     heartbeat_age_ms: float
     rows: Mapping[int, EngineLoadRow]
 
 
 def orphaned_loads(rows: Iterable[EngineLoadRow], died_ms: float) -> list[OrphanedLoad]:
-    """Return the load that a worker left when it died (Unix ms); it counts for ENGINE_FORGETS_AFTER_MS from then."""
+    """Return the load left by a worker that died at `died_ms` (Unix); it expires after ENGINE_FORGETS_AFTER_MS."""
     return [
         OrphanedLoad(row.engine, row.threads, row.granted_mb, died_ms + ENGINE_FORGETS_AFTER_MS)
         for row in rows
@@ -69,11 +68,10 @@
     now_ms: float,
     budget_fraction: float,
 ) -> WorkerLoad:
-    """Return what all other workers together report of one engine, in the form of the decision module's event.
+    """Return the combined load of all other workers on an engine, as an event of the decision module.
 
-    `now_ms` is Unix time. The load of a worker without a heartbeat for ENGINE_FORGETS_AFTER_MS does not count; without
-    one for HEARTBEAT_FRESH_MS its ejection and load report don't. `budget_fraction` is this worker's fraction of a cold
-    engine's budget.
+    `now_ms` is Unix time. A worker's load is ignored if its heartbeat is ENGINE_FORGETS_AFTER_MS old, its ejection and
+    load report if it is HEARTBEAT_FRESH_MS old. `budget_fraction` is this worker's fraction of a cold engine's budget.
     """
     threads = 0
     memory_mb = 0.0
@@ -84,9 +82,7 @@
         row = peer.rows.get(engine)
         if row is None:
             continue
-        if (
-            peer.heartbeat_age_ms < ENGINE_FORGETS_AFTER_MS
-        ):  # a hung worker does not poll either: its queries are dropped
+        if peer.heartbeat_age_ms < ENGINE_FORGETS_AFTER_MS:  # a hung worker does not poll, so its queries are dropped
             threads += row.threads
             memory_mb += row.granted_mb
         if peer.heartbeat_age_ms < HEARTBEAT_FRESH_MS:
@@ -103,10 +99,11 @@
 
 
 def newest_end_of_service(engine: int, version: int, peers: Iterable[PeerWorker]) -> tuple[int, int] | None:
-    """Return version and health of the newest list event by which the engine accepts nothing new, if after `version`.
+    """Return version and health of the newest list event if it is after `version` and ends the engine's service.
 
-    Only ends of service are taken from other workers, never starts: a late start costs a moment, a late end breaks a
-    rule. The age of the row does not matter: the event was received, even if that worker has died since.
+    Only ends of service are taken from other workers, not starts: a start that is noticed late only delays work, but
+    sending to an engine after its end of service violates the protocol. Rows of any age count, because the event was
+    received even if that worker has died since.
     """
     newest: tuple[int, int] | None = None
     for peer in peers:
--- a/frostspindle/cores/probe.py
+++ b/frostspindle/cores/probe.py
@@ -1,8 +1,8 @@
-"""Check whether this host lets the process start worker processes.
+"""Check whether this host allows starting worker processes.
 
-Asked once, before a supervisor is built. On some hosts a system-call filter answers ENOSYS or EPERM; a coordinator
-there serves as one process rather than failing to start. The check starts no program: it spawns a path that does not
-exist, for which a host that can start processes answers ENOENT.
+Done once, before the supervisor is created. On some hosts a system-call filter returns ENOSYS or EPERM; the coordinator
+then runs as a single process instead of failing to start. The check runs no program: it spawns a path that does not
+exist, which fails with ENOENT if the host can start processes.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import errno
 import os
 
-MISSING_PROGRAM = "/nonexistent/frostspindle-probe"  # no program exists there, so nothing runs if spawning works
+MISSING_PROGRAM = "/nonexistent/frostspindle-probe"  # must not exist
 
 
 def worker_start_refusal() -> str | None:
@@ -18,6 +18,6 @@
     try:
         os.posix_spawn(MISSING_PROGRAM, [MISSING_PROGRAM], {})
     except OSError as error:
-        if error.errno not in (errno.ENOENT, errno.ENOTDIR):  # these mean that only the path was missing
+        if error.errno not in (errno.ENOENT, errno.ENOTDIR):  # only the path is missing
             return f"starting a process: {errno.errorcode.get(error.errno or 0, error.errno)}"
     return None
--- a/frostspindle/cores/request_relay.py
+++ b/frostspindle/cores/request_relay.py
@@ -1,7 +1,6 @@
-"""The HTTP front's connection to those of the other workers: accept balance, unique request ids, relayed calls.
+"""Coordination of the workers' HTTP fronts: balanced accepts, unique request ids and relayed calls.
 
-Implements `WorkerRelay` of net/platform.py. Owns the mesh and the tasks of relayed calls. For the worker's event loop
-only.
+Implements `WorkerRelay` of net/platform.py. To be used only in the worker's event loop.
 """
 
 from __future__ import annotations
@@ -23,11 +22,11 @@
 
 
 class RequestRelay:
-    """Decides what this worker's front does with connections, ids and calls that may concern other workers."""
+    """Accepts connections, reserves request ids and relays calls on behalf of this worker's front."""
 
     def __init__(
         self,
-        own: RequestOwner,
+        identity: RequestOwner,
         region: WorkerRegion,
         snapshots: dict[int, RowSnapshot],
         control: ControlReader,
@@ -35,7 +34,7 @@
         front: HttpFront,
         telemetry: Telemetry,
     ) -> None:
-        self._own = own
+        self._identity = identity
         self._region = region
         self._snapshots = snapshots
         self._control = control
@@ -46,26 +45,26 @@
         self._relayed_calls: dict[PendingCall, asyncio.Task[None]] = {}
 
     def start(self) -> None:
-        """Begin to accept the other workers' connections."""
+        """Start accepting the other workers' connections."""
         self._create_task(self._mesh.start())
 
     def close(self) -> None:
-        """Cancel open relayed calls and close the mesh."""
+        """Cancel pending relayed calls and close the mesh."""
         for task in self._tasks:
             task.cancel()
         self._mesh.close()
 
-    def _create_task(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(work)
+    def _create_task(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def accepts(self) -> bool:
-        """Return whether to accept a new connection now, by the connections of the other workers that serve."""
+        """Return whether to accept a new connection now, by the connection counts of the serving workers."""
         now = monotonic_ms()
         own_connections = self._front.held
-        # Published at once and not with the next tick: the others compare while a burst is being accepted.
+        # Published at once, not with the next tick, as the others compare counts while a burst is accepted.
         self._region.write_cell(HeadCell.CLIENT_CONNECTIONS, own_connections)
         regions = [snapshot.region for snapshot in self._snapshots.values()]
         peer_connections = [
@@ -77,19 +76,18 @@
         return ownership.should_accept(own_connections, peer_connections)
 
     def claim(self, ticket: str) -> CallRejectedError | None:
-        """Reserve a request's id (hex) for this worker; return the rejection if it can't be had.
+        """Reserve a request's id (hex) for this worker; return None, or the rejection.
 
-        409: it is open at another worker; 502: it was open at a worker that died; 503: its bucket of the shared memory
-        is full. Of two workers that claim one id at the same moment at least one is rejected, maybe both. Id 0 is never
-        entered.
+        409: the id is open at another worker; 502: it was open at a worker that died; 503: its bucket in the shared
+        memory is full. If two workers claim an id at the same time, one or both are rejected. Id 0 is not reserved.
         """
         request_id = int(ticket, 16)
         if not request_id:
-            return None  # 0 marks an empty cell; the worker's own check for open ids still holds
+            return None  # 0 marks an empty cell; only this worker's own check for open ids applies
         self._control.refresh()
         if request_id in self._control.lost_requests:
             return CallRejectedError(502, "Failed")
-        # Written before it is looked for: of two workers at the same moment at least one finds the other's entry.
+        # Written before the search, so that of two concurrent workers at least one finds the other's entry.
         if not self._region.add_request(request_id):
             self._telemetry.count("full", FRONT)
             return CallRejectedError(503, "Busy")
@@ -104,33 +102,33 @@
         if request_id:
             self._region.remove_request(request_id)
 
-    def passes(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
-        """Return whether a call on a path unknown here belongs to another worker, and see to its answer.
+    def passes(self, call: PendingCall, method: bytes, path: str, url: bytes) -> bool:
+        """Relay a call on a path unknown here if another worker owns it; return whether the call is answered.
 
-        Only GET and DELETE are relayed. If the owner has died, a DELETE is answered 204 and a GET 502: the request may
-        have run.
+        Only GET and DELETE are relayed. If the owner has died, reply 204 to a DELETE, and 502 to a GET because the
+        request may have run.
         """
         if method not in (b"GET", b"DELETE"):
             return False
-        self._control.refresh()  # a worker may have died since the last tick
-        route = ownership.route(path, self._own, self._control.page.living)
+        self._control.refresh()  # the owner may have died since the last tick
+        route = ownership.route(path, self._identity, self._control.page.living)
         match route:
             case Route.UNKNOWN:
                 return False
             case Route.OWNER_ENDED:
-                self._reply_for_ended_owner(slot, method)
+                self._reply_for_ended_owner(call, method)
             case Route.RELAY:
                 owner = ownership.owner_of(path)
                 assert owner is not None
-                task = self._create_task(self._relay(slot, owner.slot, method, url))
-                if method == b"GET":  # a DELETE is carried out whether its client waits or not
-                    self._relayed_calls[slot] = task
-                    task.add_done_callback(lambda _: self._relayed_calls.pop(slot, None))
+                task = self._create_task(self._relay(call, owner.slot, method, url))
+                if method == b"GET":  # a DELETE is executed even if its client disconnects
+                    self._relayed_calls[call] = task
+                    task.add_done_callback(lambda _: self._relayed_calls.pop(call, None))
         return True
 
-    def abandon(self, slot: PendingCall) -> None:
-        """Stop waiting for the owner's reply to a call whose client has gone; the owner is told."""
-        task = self._relayed_calls.get(slot)
+    def abandon(self, call: PendingCall) -> None:
+        """Cancel the relay of a call whose client has disconnected, and notify the owner."""
+        task = self._relayed_calls.get(call)
         if task is not None:
             task.cancel()
 
@@ -141,7 +139,7 @@
             call.reply(502, {"failure": "Failed"})
 
     async def _relay(self, call: PendingCall, owner_slot: int, method: bytes, url: bytes) -> None:
-        """Relay a call to its owner and answer it; without the owner's reply the client is asked to retry."""
+        """Relay a call to its owner and pass on the reply; if there is none, have the client retry."""
         self._telemetry.count("relayed", FRONT)
         try:
             reply = await self._mesh.call(owner_slot, method, url)
@@ -149,7 +147,7 @@
             self._telemetry.log("worker_relay_failed", owner=owner_slot, error=str(error))
             if method == b"DELETE":
                 call.reply(503, {"failure": "Busy"})
-            else:  # the next poll finds the owner's answer, or that the owner has died
+            else:  # the next poll gets the owner's reply, or finds that the owner has died
                 call.reply(200, {"next": url.decode("latin-1")})
             return
         call.reply(*reply)
--- a/frostspindle/cores/resource_sharing.py
+++ b/frostspindle/cores/resource_sharing.py
@@ -1,7 +1,7 @@
 """Division of the coordinator's resources among its workers: budgets of cold engines and file descriptors.
 
-Reads the workers' regions and rows, has leases.py and limits.py decide, and puts the result on the control page. For
-the supervisor's event loop only.
+Reads the workers' regions and rows, lets leases.py and limits.py decide, and writes the result to the control page.
+To be used only in the supervisor's event loop.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from frostspindle.cores.worker_process import WorkerProcess
 
 MIN_WORKER_DESCRIPTORS = 64  # a worker is not started with fewer
-SUPERVISOR_DESCRIPTORS = 24  # of the supervisor itself
-DESCRIPTORS_A_WORKER = 4  # of the supervisor for each worker
+SUPERVISOR_DESCRIPTORS = 24  # reserved for the supervisor itself
+DESCRIPTORS_PER_WORKER = 4  # used by the supervisor for each worker
 
 
 class ResourceSharing:
@@ -28,7 +28,7 @@
     def __init__(self, config: Config, board: SharedMemoryBoard, control: ControlPublisher) -> None:
         workers = config.operator.cores.workers
         settings = config.settings
-        own_descriptors = SUPERVISOR_DESCRIPTORS + DESCRIPTORS_A_WORKER * workers
+        own_descriptors = SUPERVISOR_DESCRIPTORS + DESCRIPTORS_PER_WORKER * workers
         self._board = board
         self._control = control
         self._slow_start_duration_ms = settings.slow_start_duration_ms
@@ -36,7 +36,7 @@
         self._divider = LimitDivider(config.limits.sockets - own_descriptors, minimum=MIN_WORKER_DESCRIPTORS)
 
     def worker_started(self, slot: int) -> None:
-        """Let the slot's new process take part in the leases."""
+        """Include the slot's new process in the division of leases."""
         self._arbiter.worker_started(slot)
 
     def worker_ended(self, slot: int, now: float) -> None:
@@ -44,12 +44,12 @@
         self._arbiter.worker_ended(slot, now)
 
     def renew(self, slot: int, heartbeat_ms: float, now: float) -> None:
-        """Renew the slot's leases if its last heartbeat is more recent than a lease lasts."""
+        """Renew the slot's leases if its last heartbeat is younger than the lease duration."""
         if heartbeat_ms and now - heartbeat_ms < self._arbiter.lease_ms:
             self._arbiter.renew(slot, now)
 
     def lease_budgets(self, workers: Sequence[WorkerProcess], now: float) -> None:
-        """Divide the budgets of cold engines by the running workers' demand, and publish leases and expiries."""
+        """Divide the budgets of cold engines by the running workers' demands, and publish leases and expiries."""
         self._arbiter.rebalance(now, self._budget_demands(workers))
         if self._arbiter.changed:
             self._arbiter.changed = False
@@ -76,7 +76,7 @@
         return demands
 
     def divide_descriptors(self, workers: Sequence[WorkerProcess]) -> None:
-        """Divide the descriptors among the live workers by what they use, for the next publication."""
+        """Divide the descriptors among the live workers by their use, for the next publication."""
         used = {
             worker.slot: max(RESERVED_DESCRIPTORS, worker.region.read_cell(HeadCell.DESCRIPTORS_USED))
             for worker in workers
--- a/frostspindle/cores/status.py
+++ b/frostspindle/cores/status.py
@@ -1,6 +1,6 @@
-"""The coordinator's figures as operators and the SNMP agent read them: sums over all workers.
+"""The coordinator's figures for operators and the SNMP agent: sums over all workers.
 
-Reads the workers' counters, cells and rows in shared memory; never asks a worker and never waits for one.
+They are computed from the counters, cells and rows in shared memory, without a call to any worker.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _EngineView:
-    """An engine in the shape that the SNMP agent reads."""
+    """An engine in the form that the SNMP agent reads."""
 
     name: str
     address: tuple[str, int]
@@ -42,7 +42,7 @@
 
 
 class CoordinatorStatus:
-    """The figures of all workers together, in the shape that the core and telemetry of a single process have."""
+    """Figures summed over all workers, with the interface of a single process's core and telemetry."""
 
     def __init__(
         self,
@@ -62,38 +62,38 @@
         self._control = control
         self._shared = shared
         self._telemetry = telemetry
-        self._engine_names: dict[str, None] = {}  # that were listed, the most recent last
+        self._engine_names: dict[str, None] = {}  # of engines listed now or before, the most recent last
 
     @property
     def started(self) -> float:
-        """Start of the supervisor, in Unix seconds."""
+        """When the supervisor started, in Unix seconds."""
         return self._telemetry.started
 
     def up_s(self) -> float:
-        """Return how long the supervisor has run, in s."""
+        """Return how long the supervisor has run, in seconds."""
         return self._telemetry.up_s()
 
     @property
     def counts(self) -> Counter[totals.CounterKey]:
-        """Sums of all counters: the supervisor's own, of running workers and of those that have ended."""
+        """Sums of all counters over the supervisor, the running workers and those that have exited."""
         counts = Counter(self._telemetry.counts)
         for worker in self._workers.slots:
             counts.update(worker.past_counts)
-            counts.update(worker.present_counts)
+            counts.update(worker.current_counts)
         return counts
 
-    def count(self, what: str, front: str = "", cls: str = "", by: int = 1) -> None:
+    def count(self, counter: str, front: str = "", cls: str = "", by: int = 1) -> None:
         """Add `by` to one of the supervisor's own counters."""
-        self._telemetry.count(what, front, cls, by)
+        self._telemetry.count(counter, front, cls, by)
 
     @property
     def inflight(self) -> int:
-        """Number of open requests, from the counters: they are written at once, the cell OPEN_REQUESTS once a tick."""
-        signed = (OPEN_REQUEST_SIGNS.get(what, 0) * value for (what, _, _), value in self.counts.items())
-        return max(0, sum(signed))
+        """Number of open requests; from the counters, as the cell OPEN_REQUESTS is only updated once a tick."""
+        signed_counts = (OPEN_REQUEST_SIGNS.get(counter, 0) * value for (counter, _, _), value in self.counts.items())
+        return max(0, sum(signed_counts))
 
     def sessions(self) -> dict[str, int]:
-        """Return the open client connections of running workers, by front."""
+        """Return the number of open client connections of running workers, by front."""
         regions = [worker.region for worker in self._workers.running]
         return {
             FRONT: sum(region.read_cell(HeadCell.CLIENT_CONNECTIONS) for region in regions),
@@ -101,7 +101,7 @@
         }
 
     def engine_summaries(self) -> dict[int, totals.EngineSummary]:
-        """Return each engine's state by number, and remember the names of the engines."""
+        """Return each engine's state by number, and record the names of the engines."""
         rows = [worker.region.rows() for worker in self._workers.slots]
         summaries = totals.engine_summaries(rows, self._shared.banned)
         for summary in summaries.values():
@@ -112,7 +112,7 @@
         return summaries
 
     def was_listed(self, name: str) -> bool:
-        """Return whether an engine of this name is listed now or was before; MAX_ENGINE_NAMES are remembered."""
+        """Return whether an engine of this name is or was listed, among the last MAX_ENGINE_NAMES names."""
         self.engine_summaries()
         return name in self._engine_names
 
@@ -125,7 +125,7 @@
         }
 
     def figures(self) -> dict[str, Any]:
-        """Return the figures of `show-stat`: the sums of a single process, and under `workers` each worker's state."""
+        """Return the figures of `show-stat`: those of a single process, and under `workers` each worker's state."""
         figures = totals.figures(self.classes, self.counts, self.inflight, self.engine_summaries(), self._shared.banned)
         figures["workers"] = [self._worker_figures(worker) for worker in self._workers.slots]
         return figures
@@ -141,14 +141,14 @@
             "inflight": region.read_cell(HeadCell.OPEN_REQUESTS) if process else 0,
             "clients": region.read_cell(HeadCell.CLIENT_CONNECTIONS) if process else 0,
             "sockets": self._control.page.sockets.get(worker.slot, 0),
-            "taken": _taken(worker.past_counts) + _taken(worker.present_counts),
+            "taken": _requests_taken(worker.past_counts) + _requests_taken(worker.current_counts),
         }
 
     def log_report(self) -> None:
         """Write counters and figures to the log."""
         counters = [
-            {"what": what, "front": front, "class": cls, "count": count}
-            for (what, front, cls), count in sorted(self.counts.items())
+            {"what": counter, "front": front, "class": cls, "count": count}
+            for (counter, front, cls), count in sorted(self.counts.items())
         ]
         self._telemetry._write(
             time.time(),
@@ -166,6 +166,6 @@
         )
 
 
-def _taken(counts: Mapping[totals.CounterKey, int]) -> int:
-    """Return the number of requests taken, over all fronts and classes."""
-    return sum(value for (what, _, _), value in counts.items() if what == "taken")
+def _requests_taken(counts: Mapping[totals.CounterKey, int]) -> int:
+    """Return the number of requests taken, summed over all fronts and classes."""
+    return sum(value for (counter, _, _), value in counts.items() if counter == "taken")
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -1,8 +1,8 @@
-"""The supervisor: starts the workers, acts for them as one coordinator, and serves no request itself.
+"""The supervisor process: starts and restarts the workers, and serves the operator port and SNMP for all of them.
 
-Composes the parts of the supervisor's process: listening sockets, shared memory, worker processes, division of
-resources, the operators' port and the SNMP agent; owns the periodic tick and the signals. It accepts no client's
-connection, keeps no operator waiting for a worker, and lets no worker outlive the program.
+Creates the listening sockets and the shared memory, runs the periodic tick and handles the signals. It accepts no
+client connections. Operators' commands are answered from shared memory, so that they never wait for a worker. All
+workers are terminated before the supervisor exits.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 from frostspindle.telemetry import Telemetry
 
 TICK_S = 0.02
-STOP_TIMEOUT_S = 8.0  # beyond the platform's earliest kill, before workers are killed
-MIN_BUCKET_BITS = 8  # of the request ids in shared memory
+STOP_TIMEOUT_S = 8.0  # from the platform's earliest kill until remaining workers are killed
+MIN_BUCKET_BITS = 8  # the hash table of request ids in shared memory has at least 2**8 buckets
 
 
 class Supervisor:
-    """All workers of one coordinator, with the sockets and the shared memory that they use together."""
+    """All workers of one coordinator, with the sockets and the shared memory that they share."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
         self.stopping = asyncio.Event()
-        self.failed = False  # a crash loop ended the program
+        self.failed = False  # the program stops because of a crash loop
         self._loop = asyncio.get_running_loop()
         self._tick_timer: asyncio.TimerHandle | None = None
 
@@ -81,18 +81,18 @@
         }
         server = OperatorServer(self.config.operator_address, commands, self.telemetry)
         if self.config.operator.metrics:
-            from frostspindle.net import metrics  # the library costs memory that only its users pay
+            from frostspindle.net import metrics  # imported only if needed: the library takes memory
 
             server.handlers["metrics"] = lambda: metrics.text(self.status.figures())
         return server
 
-    # Start and end.
+    # Start and stop.
 
     async def start(self) -> None:
         """Bind the listening sockets, start the operators' port and all workers, and begin the periodic tick.
 
-        OSError, its text naming the setting, if an address can't be bound. Returns before the workers serve: see
-        the operators' command `ready`.
+        Raise OSError, whose text names the setting, if an address can't be bound. Return before the workers serve;
+        the operator command `ready` reports when they do.
         """
         if self.operator_server:
             try:
@@ -101,7 +101,7 @@
                 raise OSError(f"LB_OPERATOR: {error}") from None
         self.sockets.bind()
         self.workers.open_slots()
-        self.shared.start(self._on_bans_changed, self._on_crowded_changed)
+        self.shared.start(self._on_bans_changed, self._on_sharing_changed)
         self.workers.key_order_folder = self._key_order_folder()
         self.control.publish()
         self.workers.start()
@@ -109,10 +109,10 @@
         self._tick()
 
     def _key_order_folder(self) -> str:
-        """Return the folder in which the workers keep the order of their keys; empty if no class keeps order."""
+        """Return the folder for the workers' shared key order state; an empty string if no class is ordered."""
         if not any(cls.in_order for cls in self.config.settings.classes):
             return ""
-        if self.shared.order is None:  # without a $TMPDIR that lasts there are no other processes than these workers
+        if self.shared.order is None:  # without $TMPDIR no other process shares the key order with these workers
             self._own_order_folder = tempfile.TemporaryDirectory(prefix="frostspindle-")
             return self._own_order_folder.name
         return str(self.shared.order)
@@ -127,16 +127,16 @@
         await self.snmp_agent.start(self.config.inherited is not None)
 
     async def stop(self) -> None:
-        """Have all workers drain and end, and print the final report.
+        """Drain and terminate all workers, then write the final report.
 
-        Workers still running STOP_TIMEOUT_S after the platform's earliest kill are killed.
+        Workers that still run STOP_TIMEOUT_S after the platform's earliest kill are killed.
         """
         self.commands.was_ready = False
         self.control.page.ending = True
         self.control.publish()
         self.telemetry.log("shutdown_started", open=self.status.inflight)
         self.workers.terminate()
-        if self.config.inherited is not None:  # the new process of an upgrade takes over these addresses
+        if self.config.inherited is not None:  # an upgrade: the new process listens on these addresses too
             if self.snmp_agent:
                 self.snmp_agent.close()
             if self.sockets.tds:
@@ -150,7 +150,7 @@
         self.report()
 
     def close(self) -> None:
-        """Kill the workers that are left; close mesh sockets, the operators' port, the SNMP agent and shared files."""
+        """Kill the remaining workers; close the mesh sockets, the operator port, the SNMP agent and shared files."""
         if self._tick_timer is not None:
             self._tick_timer.cancel()
         self.workers.close()
@@ -162,7 +162,7 @@
         if self._own_order_folder is not None:
             self._own_order_folder.cleanup()
 
-    # The periodic tick, and changes reported by other parts.
+    # The periodic tick, and callbacks of other parts.
 
     def _tick(self) -> None:
         self._tick_timer = self._loop.call_later(TICK_S, self._tick)
@@ -193,31 +193,30 @@
         self.control.page.bans = sorted(banned)
         self.control.publish()
 
-    def _on_crowded_changed(self, crowded: bool) -> None:
-        """Another process of an upgrade has started or ended: workers share the descriptors with its workers."""
-        self.control.page.crowded = crowded
+    def _on_sharing_changed(self, is_sharing: bool) -> None:
+        """Publish whether another process of an upgrade runs, with whose workers the descriptors are shared."""
+        self.control.page.crowded = is_sharing
         self.control.publish()
-        self.telemetry.log("descriptors_divided", crowded=crowded)
+        self.telemetry.log("descriptors_divided", crowded=is_sharing)
 
     # Signals.
 
     def report(self) -> None:
-        """Write counters and figures to the log, on SIGUSR1 and at the end, and have each worker write its own."""
+        """Write counters and figures to the log, and signal each worker to write its own; on SIGUSR1 and on exit."""
         self.status.log_report()
         for worker in self.workers.slots:
             worker.send_signal(signal.SIGUSR1)
 
     def reload(self) -> None:
-        """Reload the configuration on SIGHUP: check it here, then signal the workers to read it.
+        """Reload the configuration on SIGHUP: validate it here, then signal the workers to reload it.
 
-        A configuration that can't be read, or that changes `cores`, is logged and counted, and changes nothing
-        anywhere.
+        A configuration that is invalid or changes `cores` is logged and counted, and no worker is signalled.
         """
         try:
-            fresh = configuration.read(self.config.environ)
-            if fresh.operator.cores != self.config.operator.cores:
+            new_config = configuration.read(self.config.environ)
+            if new_config.operator.cores != self.config.operator.cores:
                 raise ConfigError("cores: needs a new start")
-        except Exception as error:  # noqa: BLE001 - whatever the files contain, the program goes on as before
+        except Exception as error:  # noqa: BLE001 - a failed reload must not stop the program
             self.telemetry.count("reloads_failed")
             self.telemetry.log(
                 "config_reload_failed", error=str(error) if isinstance(error, ConfigError) else repr(error)
@@ -228,15 +227,14 @@
 
 
 async def run(config: Config) -> int:
-    """Run a supervisor until SIGTERM, SIGINT or a crash loop of its workers; return the exit code, 1 after a crash
-    loop.
+    """Run a supervisor until SIGTERM, SIGINT or a crash loop; return the exit code, which is 1 after a crash loop.
 
-    OSError if an address can't be bound. SIGUSR1 writes a report, SIGHUP reloads the configuration.
+    Raise OSError if an address can't be bound. SIGUSR1 writes a report, SIGHUP reloads the configuration.
     """
     supervisor = Supervisor(config)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, supervisor.stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, supervisor.stopping.set)
     loop.add_signal_handler(signal.SIGUSR1, supervisor.report)
     loop.add_signal_handler(signal.SIGHUP, supervisor.reload)
     signals.release()
--- a/frostspindle/cores/totals.py
+++ b/frostspindle/cores/totals.py
@@ -1,7 +1,7 @@
-"""Sums over all workers as one coordinator's figures: exact, also over workers that have died.
+"""Sums over all workers, including dead ones, as the figures of one coordinator.
 
-Functions without I/O or clock. A dead worker's last counts stay in the sums, and the requests that it had taken without
-an outcome count as lost. The sums are exact because a worker writes its counters to shared memory as it counts.
+The sums are exact because a worker writes its counters to shared memory as it counts. They include a dead worker's
+last counts; requests that it had taken without an outcome count as lost. Functions without I/O or clock.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from frostspindle.cores.peer_workers import EngineLoadRow
 from frostspindle.policy import Health
 
-CounterKey = tuple[str, str, str]  # what is counted, front, request class
-OUTCOME_COUNTERS = ("served", "refused", "failed", "left")  # one of them for each request `taken`
+CounterKey = tuple[str, str, str]  # counter, front, class of requests
+OUTCOME_COUNTERS = ("served", "refused", "failed", "left")  # each request `taken` is counted in one of them
 
 
 def lost_requests(counts: Mapping[CounterKey, int]) -> Counter[CounterKey]:
-    """Return, as counters `lost`, the requests that a dead worker had taken and that have no outcome."""
+    """Return the number of requests that a dead worker had taken without an outcome, as counters `lost`."""
     lost: Counter[CounterKey] = Counter()
-    for (what, front, cls), taken in counts.items():
-        if what == "taken":
-            missing = taken - sum(counts.get((outcome, front, cls), 0) for outcome in OUTCOME_COUNTERS)
-            if missing > 0:
-                lost["lost", front, cls] = missing
+    for (counter, front, cls), taken in counts.items():
+        if counter == "taken":
+            unfinished = taken - sum(counts.get((outcome, front, cls), 0) for outcome in OUTCOME_COUNTERS)
+            if unfinished > 0:
+                lost["lost", front, cls] = unfinished
     return lost
 
 
 @dataclass(slots=True, frozen=True)
 class EngineSummary:
-    """An engine as all workers together report it."""
+    """An engine's state, combined from the rows of all workers."""
 
     engine: int
     name: str
@@ -42,9 +42,9 @@
 
 
 def engine_summaries(workers: Iterable[Iterable[EngineLoadRow]], banned: frozenset[str]) -> dict[int, EngineSummary]:
-    """Return each engine's state: the newest list's health, ejected if any worker has ejected it.
+    """Return each engine's state: its health in the newest list, and whether any worker has ejected it.
 
-    A ready engine that is banned shows as draining.
+    A ready engine that is banned is shown as draining.
     """
     newest: dict[int, EngineLoadRow] = {}
     ejected_engines: set[int] = set()
@@ -75,11 +75,11 @@
     for front, name in classes:
         class_figures = calls.setdefault(name, dict.fromkeys(CLASS_FIGURES, 0))
         for figure, counters in CLASS_FIGURES.items():
-            class_figures[figure] += sum(counts.get((what, front, name), 0) for what in counters)
+            class_figures[figure] += sum(counts.get((counter, front, name), 0) for counter in counters)
     listed = [engine for engine in engines.values() if engine.health != Health.GONE]
     return {
         "calls": calls,
-        "backend_calls": sum(value for (what, _, _), value in counts.items() if what == "written"),
+        "backend_calls": sum(value for (counter, _, _), value in counts.items() if counter == "written"),
         "inflight": inflight,
         "hosts_listed": len(listed),
         "hosts_down": sum(engine.ejected or engine.name in banned for engine in listed),
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -1,7 +1,7 @@
-"""Entry point of a worker process: a complete coordinator on sockets and shared memory of its supervisor.
+"""Entry point of a worker process: a complete coordinator that uses the sockets and shared memory of its supervisor.
 
-Checks what the supervisor handed over and ends, after a drain, when the supervisor has died. It binds no address and
-serves by the same program as a single process does.
+The worker validates its bootstrap parameters and the shared memory, then runs the same program as a single process
+does. It binds no address. If the supervisor dies, the worker drains and exits.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 from frostspindle.cores.shared_memory import SharedMemoryBoard
 from frostspindle.program import run
 
-SUPERVISOR_MEMORY_MB = 40.0
+SUPERVISOR_MEMORY_MB = 40.0  # reserved for the supervisor
 
 
 def worker_config(config: Config, bootstrap: WorkerBootstrap) -> Config:
-    """Return the configuration of one of several workers: its share of each limit, and no address of its own."""
-    count, settings = bootstrap.slots, config.settings
+    """Return a worker's configuration: its share of each limit, without the operator address and SNMP."""
+    workers, settings = bootstrap.slots, config.settings
     operator = config.operator
     tds = operator.tds and msgspec.structs.replace(
-        operator.tds, max_sessions=max(1, division.split_evenly(operator.tds.max_sessions, count)[bootstrap.slot])
+        operator.tds, max_sessions=max(1, division.split_evenly(operator.tds.max_sessions, workers)[bootstrap.slot])
     )
     return msgspec.structs.replace(
         config,
@@ -47,26 +47,26 @@
             config.limits,
             sockets=bootstrap.sockets,
             memory_mb=limits.memory_quota(
-                config.limits.memory_mb, count, min(SUPERVISOR_MEMORY_MB, config.limits.memory_mb / 4)
+                config.limits.memory_mb, workers, min(SUPERVISOR_MEMORY_MB, config.limits.memory_mb / 4)
             ),
         ),
-        # To the decision module each worker is a coordinator with its share of every engine: docs/design/cores.md.
+        # The decision module treats each worker as a coordinator with its share of every engine: docs/design/cores.md.
         settings=dataclasses.replace(
             settings,
-            workers=count,
-            coordinators=settings.coordinators * count,
-            number=settings.number * count + bootstrap.slot,
-            retry_budget_min=settings.retry_budget_min // count,
+            workers=workers,
+            coordinators=settings.coordinators * workers,
+            number=settings.number * workers + bootstrap.slot,
+            retry_budget_min=settings.retry_budget_min // workers,
         ),
     )
 
 
 async def serve(config: Config, link: SharedMemoryLink) -> int:
-    """Run the worker's program until it ends, draining if the supervisor dies; return the exit code."""
+    """Run the worker's program, and drain it if the supervisor dies; return the exit code."""
     loop = asyncio.get_running_loop()
 
     def on_supervisor_died() -> None:
-        """Drain and end after the supervisor has died: nobody restarts this worker or adds up its counters any more."""
+        """Stop the program, as this worker is no longer restarted and its counters are no longer summed up."""
         loop.remove_reader(link.bootstrap.life)
         link.orphaned = True
         link.program.telemetry.log("worker_orphaned")
@@ -77,7 +77,7 @@
 
 
 def main() -> int:
-    """Run a worker by the bootstrap in its environment; return 2 for a bad start, 1 for OSError, else its exit code."""
+    """Run a worker by the bootstrap in its environment; return its exit code, 2 for invalid input, 1 for OSError."""
     signals.hold()
     try:
         bootstrap = msgspec.json.decode(os.environ[BOOTSTRAP_VARIABLE], type=WorkerBootstrap)
@@ -85,7 +85,7 @@
         board = SharedMemoryBoard.attach(bootstrap.board, bootstrap.nonce)
         config = worker_config(configuration.read(), bootstrap)
     except (KeyError, msgspec.DecodeError):
-        print("frostspindle: this is started by the supervisor only", file=sys.stderr)
+        print("frostspindle: a worker can only be started by the supervisor", file=sys.stderr)
         return 2
     except (IncompatibleMemoryError, ConfigError) as error:
         print(f"frostspindle: worker: {error}", file=sys.stderr)
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -188,7 +188,7 @@
         for number in range(1, 31):  # all connections that come now are taken by the other
             self.assertEqual((await self.in_thread(self.client().post, number))[0], 200)
         killed = await fleet.event("worker_killed", slot=0)
-        self.assertEqual(killed["why"], "does not move")
+        self.assertEqual(killed["why"], "no heartbeat")
         self.assertGreaterEqual(killed["silent_ms"], 800)
         await fleet.event("worker_started", 2, slot=0)  # a starved machine may have had the other one killed as well
         self.assertEqual((await self.figures())["calls"]["lookup"]["success"], 30)
@@ -244,7 +244,7 @@
         board = SharedMemoryBoard.create(memory_layout.Layout(2))
         self.addCleanup(board.close)
 
-        def start(nonce: int) -> tuple[int, str]:
+        def run(nonce: int) -> tuple[int, str]:
             bootstrap = {
                 "slot": 0,
                 "incarnation": 1,
@@ -268,9 +268,9 @@
             )
             return child.returncode, child.stderr
 
-        self.assertEqual(start(board.nonce ^ 1), (2, "frostspindle: worker: it belongs to another instance\n"))
+        self.assertEqual(run(board.nonce ^ 1), (2, "frostspindle: worker: shared memory belongs to another instance\n"))
         board.bytes[8:12] = (99).to_bytes(4, "little")
-        self.assertEqual(start(board.nonce), (2, "frostspindle: worker: it has version 99, this program 1\n"))
+        self.assertEqual(run(board.nonce), (2, "frostspindle: worker: shared memory has version 99, expected 1\n"))
 
 
 class Upgrades(FleetCase):
--- a/tests/test_cores_decisions.py
+++ b/tests/test_cores_decisions.py
@@ -165,7 +165,7 @@
 
 
 def test_restart_backoff_grows_until_a_crash_loop_is_detected():
-    policy = RestartPolicy(crashes=10, within_ms=60_000.0, hang_ms=3000.0)
+    policy = RestartPolicy(crash_limit=10, crash_window_ms=60_000.0, hang_timeout_ms=3000.0)
     now, waits = 0.0, []
     for _ in range(10):
         policy.worker_started(0, now)
@@ -175,7 +175,7 @@
 
 
 def test_backoff_starts_over_after_a_stable_run_or_a_requested_end():
-    policy = RestartPolicy(crashes=3, within_ms=1000.0, hang_ms=3000.0)
+    policy = RestartPolicy(crash_limit=3, crash_window_ms=1000.0, hang_timeout_ms=3000.0)
     policy.worker_started(0, 0.0)
     assert policy.backoff_after_end(0, 10.0, False) == 0.0
     for now in (0.0, 20_000.0, 40_000.0, 60_000.0):  # each long after the one before
@@ -272,7 +272,7 @@
     assert back.name != memory_layout.unpack_row(memory_layout.pack_row(long._replace(name="ü" * 61))).name
     assert memory_layout.unpack_row(memory_layout.pack_row(ROW)) == ROW
     name = memory_layout.CounterName("taken", "http", "k" * 200)
-    assert memory_layout.unpack_counter_name(memory_layout.pack_counter_name(name)).what == "taken"
+    assert memory_layout.unpack_counter_name(memory_layout.pack_counter_name(name)).counter == "taken"
 
 
 def test_a_torn_row_is_detected_and_never_returned():
--- a/tests/test_cores_model.py
+++ b/tests/test_cores_model.py
@@ -11,7 +11,7 @@
 from pyModelChecking import CTL, Kripke
 
 from frostspindle.cores import peer_workers
-from frostspindle.cores.leases import BudgetDemand, BudgetLedger, HeldUnits, LeaseArbiter
+from frostspindle.cores.leases import BudgetDemand, BudgetLedger, LeaseArbiter, SlotUnits
 from frostspindle.cores.peer_workers import EngineLoadRow, PeerWorker
 
 UP, HUNG, DEAD = "up", "hung", "dead"
@@ -113,7 +113,7 @@
         other.arbiter.lease_expiries, other.arbiter.alive = list(self.arbiter.lease_expiries), list(self.arbiter.alive)
         other.arbiter.engines = {
             engine: BudgetLedger(
-                [HeldUnits(h.units, h.serial, list(h.pending)) for h in ledger.slots],
+                [SlotUnits(h.units, h.serial, list(h.pending)) for h in ledger.slots],
                 ledger.units,
                 list(ledger.cooling),
                 ledger.last_demand_at,
