--- a/tests/compatibility/mesh.py
+++ b/tests/compatibility/mesh.py
@@ -1,12 +1,12 @@
-"""Frames between workers of one coordinator, taken from both ends of a connection without a socket."""
+"""Frames between workers of one coordinator, encoded and decoded by both ends of a connection without a socket."""
 
 import asyncio
 
 from frostspindle.cores import mesh
 
 
-class Written:
-    """A transport that keeps what is written."""
+class RecordingTransport:
+    """A transport that records the written bytes."""
 
     def __init__(self):
         self.data = b""
@@ -18,15 +18,15 @@
         self.data += data
 
 
-async def relayed(method, url, answer):
-    """Relay a call; return the frame that was sent and the reply that the frame `answer` brings."""
+async def relayed(method, url, answer_frame):
+    """Relay a call; return the frame that was sent, and the reply decoded from `answer_frame`."""
     caller = mesh._CallerConnection()
-    caller.transport = written = Written()
-    calling = asyncio.create_task(caller.call(method, url))
-    while not written.data:
+    caller.transport = recording_transport = RecordingTransport()
+    call_task = asyncio.create_task(caller.call(method, url))
+    while not recording_transport.data:
         await asyncio.sleep(0)
-    caller.data_received(answer)
-    return written.data, await calling
+    caller.data_received(answer_frame)
+    return recording_transport.data, await call_task
 
 
 def call_frame(method, url):
@@ -38,11 +38,11 @@
 def reply_frame(reply):
     """Return the frame of the reply to the first call on a connection."""
     owner = mesh._OwnerConnection(None, set())
-    owner.transport = written = Written()
+    owner.transport = recording_transport = RecordingTransport()
     owner._send_reply(1, reply)
-    return written.data
+    return recording_transport.data
 
 
 def call_of(frame):
-    """Decode the frame of a call as its receiver does, after the length."""
+    """Decode the frame of a call, without its length, as the receiver does."""
     return mesh._OwnerConnection.decoder.decode(frame[4:])
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -1,4 +1,4 @@
-"""Several workers as processes: what a client, an operator and an engine see, also when processes end or hang."""
+"""A coordinator with several worker processes, as clients, operators and engines see it, with crashes and hangs."""
 
 import asyncio
 import json
@@ -27,26 +27,26 @@
 
 
 class SeveralWorkers(FleetCase):
-    async def test_figures_are_exact_sums_and_sigterm_finishes_what_was_taken(self):
+    async def test_figures_are_exact_sums_and_open_requests_finish_after_sigterm(self):
         await self.start_engines(2, 0.3)
         fleet = await self.fleet(3)
         clients = [self.client() for _ in range(9)]
-        for turn in range(2):
-            answers = await asyncio.gather(
-                *(self.in_thread(c.post, 100 * turn + n + 1, ("lookup", "load")[n % 2]) for n, c in enumerate(clients))
+        for batch in range(2):
+            responses = await asyncio.gather(
+                *(self.in_thread(c.post, 100 * batch + n + 1, ("lookup", "load")[n % 2]) for n, c in enumerate(clients))
             )
-            self.assertEqual({status for status, _ in answers}, {200})
+            self.assertEqual({status for status, _ in responses}, {200})
         figures = await self.figures()
         self.assertEqual(
             ({n: row["success"] for n, row in figures["calls"].items()}, figures["inflight"]),
             ({"lookup": 10, "load": 8, "report": 0}, 0),
         )
         self.assertEqual((figures["backend_calls"], figures["hosts_listed"]), (18, 2))
-        self.assertGreater(sum(row["clients"] > 0 for row in figures["workers"]), 1)  # not all at one worker
-        open_ones = [asyncio.create_task(self.in_thread(c.post, 500 + n)) for n, c in enumerate(clients)]
+        self.assertGreater(sum(row["clients"] > 0 for row in figures["workers"]), 1)  # more than one worker serves
+        open_requests = [asyncio.create_task(self.in_thread(c.post, 500 + n)) for n, c in enumerate(clients)]
         await self.until(lambda: sum(e.posts for e in self.engines) == 27)
         fleet.process.send_signal(signal.SIGTERM)
-        self.assertEqual({status for status, _ in await asyncio.gather(*open_ones)}, {200})
+        self.assertEqual({status for status, _ in await asyncio.gather(*open_requests)}, {200})
         self.assertEqual(await fleet.exit(), 0)
         counters = await fleet.event("counters_reported")
         self.assertEqual(counters["figures"]["calls"]["lookup"]["success"], 19)
@@ -59,55 +59,55 @@
         status, body = await self.in_thread(other.post, 1)
         self.assertEqual((status, body["failure"]), (409, "X-Request-Id: this request is already open"))
         other = await self.client_at_other_worker(slot, 2000)
-        while "next" in (answer := await self.in_thread(other.ask, "GET", path))[1]:
-            path = answer[1]["next"]
-        self.assertEqual((answer[0], answer[1]["rows"][0][0]), (200, "s-00000001"))
+        while "next" in (response := await self.in_thread(other.ask, "GET", path))[1]:
+            path = response[1]["next"]
+        self.assertEqual((response[0], response[1]["rows"][0][0]), (200, "s-00000001"))
         _, path, slot = await self.post_deferred(2)
         other = await self.client_at_other_worker(slot, 3000)
         self.assertEqual((await self.in_thread(other.ask, "DELETE", path))[0], 204)
         self.assertEqual((await self.in_thread(other.ask, "GET", path))[0], 404)
-        await self.until(lambda: f"{2:016x}" not in self.engines[0].results)  # the engine was freed by the owner
+        await self.until(lambda: f"{2:016x}" not in self.engines[0].results)  # the owner released the query
 
     async def test_a_ban_holds_at_all_workers_once_it_is_acknowledged(self):
         await self.start_engines(2)
         await self.fleet(3)
         clients = [self.client() for _ in range(12)]
         self.assertEqual(await self.operate("disable-server s-00000001"), ["ACK"])
-        acked = time.time()
-        for turn in range(3):
-            await asyncio.gather(*(self.in_thread(c.post, 100 * turn + n + 1) for n, c in enumerate(clients)))
-        self.assertEqual([at for at, *_ in self.engines[0].sent if at > acked], [])
+        banned_at = time.time()
+        for batch in range(3):
+            await asyncio.gather(*(self.in_thread(c.post, 100 * batch + n + 1) for n, c in enumerate(clients)))
+        self.assertEqual([sent_at for sent_at, *_ in self.engines[0].sent if sent_at > banned_at], [])
         self.assertEqual(len(self.engines[1].sent), 36)
         self.assertEqual((await self.figures())["hosts_down"], 1)
         self.assertEqual((await self.operate("disable-server s-0000000f"))[0][:3], "NAK")
         self.assertEqual(await self.operate("enable-server s-00000001"), ["ACK"])
 
-        async def back() -> bool:
+        async def none_down() -> bool:
             return (await self.figures())["hosts_down"] == 0
 
-        await self.until(back)
+        await self.until(none_down)
 
-        # It is cold now, and comes back by its lease.
-        async def works() -> bool:
-            first = 5000 + self.engines[1].posts
-            await asyncio.gather(*(self.in_thread(c.post, first + n) for n, c in enumerate(clients)))
-            return any(at > acked for at, *_ in self.engines[0].sent)
+        # The engine is cold now, so that it receives requests only under a lease.
+        async def receives_requests() -> bool:
+            first_number = 5000 + self.engines[1].posts
+            await asyncio.gather(*(self.in_thread(c.post, first_number + n) for n, c in enumerate(clients)))
+            return any(sent_at > banned_at for sent_at, *_ in self.engines[0].sent)
 
-        await self.until(works)
+        await self.until(receives_requests)
 
-    async def test_one_drain_and_one_resume_reach_all_workers(self):
+    async def test_drain_and_resume_reach_all_workers(self):
         await self.start_engines(1)
         await self.fleet(2)
         self.assertEqual(await self.operate("drain"), ["ACK"])
         self.assertEqual((await self.operate("ready"))[0][:3], "NAK")
-        for _ in range(8):  # connections of both workers
+        for _ in range(8):  # enough connections to reach both workers
             await self.until(lambda: self.client().ask("GET", "/ping")[0] == 503)
         self.assertEqual(await self.operate("resume"), ["ACK"])
         for _ in range(8):
             await self.until(lambda: self.client().ask("GET", "/ping")[0] == 200)
         self.assertEqual(await self.operate("ready"), ["ACK"])
 
-    async def test_a_bad_file_on_sighup_changes_nothing_in_any_worker(self):
+    async def test_an_invalid_file_on_sighup_is_applied_by_no_worker(self):
         await self.start_engines(1)
         fleet = await self.fleet(2)
         fleet.operator.write_text("[cores]\nworkers = 3\n")
@@ -121,24 +121,26 @@
 
 
 class DelayedWatchEvents(FleetCase):
-    async def test_a_drain_notice_that_reaches_one_worker_late_stops_its_sends_in_time(self):
+    async def test_a_worker_that_receives_a_drain_event_late_still_stops_sending_in_time(self):
         await self.start_engines(2)
-        self.bus.delays = {1: 20.0}  # the second follower hears nothing for longer than the test
+        self.bus.delays = {1: 20.0}  # the second subscriber receives no event during the test
         await self.fleet(2)
         clients = [self.client() for _ in range(10)]
         await self.until(lambda: len(self.bus.followers) == 2)
-        told, number = 0.0, 0
-        while not told or time.time() < told + 1.2:  # a busy machine takes longer for the first requests
-            if not told and number > 40:
-                told = time.time()
+        notified_at, number = 0.0, 0
+        while not notified_at or time.time() < notified_at + 1.2:  # the first requests take longer on a busy machine
+            if not notified_at and number > 40:
+                notified_at = time.time()
                 self.bus.say(host("s-00000001", self.engines[0].port, "leaving"))
             await asyncio.gather(*(self.in_thread(c.post, number + n + 1) for n, c in enumerate(clients)))
             number += len(clients)
-        late = [round(at - told, 3) for at, *_ in self.engines[0].sent if at > told + 0.25]
-        self.assertEqual(late, [])
+        late_sends = [
+            round(sent_at - notified_at, 3) for sent_at, *_ in self.engines[0].sent if sent_at > notified_at + 0.25
+        ]
+        self.assertEqual(late_sends, [])
         self.assertGreater(len(self.engines[0].sent), 5)
-        served = await self.figures()
-        self.assertEqual(served["calls"]["lookup"]["success"], number)  # and nobody lost an answer by it
+        figures = await self.figures()
+        self.assertEqual(figures["calls"]["lookup"]["success"], number)  # no request failed
 
 
 class WorkerFailures(FleetCase):
@@ -152,8 +154,8 @@
         self.assertEqual((ended["code"], ended["slot"]), (-signal.SIGKILL, slot))
         self.assertGreaterEqual(ended["lost"], 1)
 
-        # The other worker's module counts what runs on at the engines: the load has two threads.
-        def seen() -> bool:
+        # The other worker's decision module counts the load that still runs at the engine with two threads.
+        def load_is_counted() -> bool:
             fleet.process.send_signal(signal.SIGUSR1)
             return any(
                 engine["peers"] >= 2
@@ -162,8 +164,8 @@
                 for engine in e["engines"]
             )
 
-        await self.until(seen, 2.0)  # engines forget it after that
-        # Its path and its id are failed everywhere: nobody runs it again.
+        await self.until(load_is_counted, 2.0)  # the engine drops the load after that
+        # Its path and its id fail at all workers, so that it does not run again.
         self.assertEqual(await self.in_thread(other.ask, "GET", path), (502, {"failure": "Failed"}))
         for _ in range(6):
             status, body = await self.in_thread(self.client().post, 1, "load")
@@ -185,34 +187,35 @@
         await self.start_engines(1)
         fleet = await self.fleet(2, "hang_ms = 800")
         os.kill(fleet.pid(0), signal.SIGSTOP)
-        for number in range(1, 31):  # all connections that come now are taken by the other
+        for number in range(1, 31):  # the other worker accepts all new connections
             self.assertEqual((await self.in_thread(self.client().post, number))[0], 200)
         killed = await fleet.event("worker_killed", slot=0)
         self.assertEqual(killed["why"], "no heartbeat")
         self.assertGreaterEqual(killed["silent_ms"], 800)
-        await fleet.event("worker_started", 2, slot=0)  # a starved machine may have had the other one killed as well
+        # On an overloaded machine the other worker may have been killed too.
+        await fleet.event("worker_started", 2, slot=0)
         self.assertEqual((await self.figures())["calls"]["lookup"]["success"], 30)
 
-    async def test_workers_end_in_good_order_when_their_supervisor_is_killed(self):
+    async def test_workers_drain_and_exit_when_their_supervisor_is_killed(self):
         await self.start_engines(1, 1.5)
         fleet = await self.fleet(2)
         client = self.client()
-        asked = asyncio.create_task(self.in_thread(client.post, 1))
+        pending_request = asyncio.create_task(self.in_thread(client.post, 1))
         await self.until(lambda: self.engines[0].posts == 1)
         pids = [fleet.pid(0), fleet.pid(1)]
         fleet.process.kill()
-        status, body = await asked
-        while "next" in body:  # finished, not dropped
+        status, body = await pending_request
+        while "next" in body:  # the request is completed, not dropped
             status, body = await self.in_thread(client.ask, "GET", body["next"])
         self.assertEqual((status, body["rows"][0][0]), (200, "s-00000001"))
-        await self.until(lambda: not any(alive(pid) for pid in pids))
+        await self.until(lambda: not any(is_running(pid) for pid in pids))
         with self.assertRaises(OSError):
             await self.in_thread(self.client().post, 2)
 
     async def test_a_crash_loop_ends_the_program(self):
         await self.start_engines(1)
         fleet = await self.fleet(10, "crashes = 10")
-        for count in range(10):  # the first of all, then each successor, whose waits grow, then the others
+        for count in range(10):  # slot 0 with growing backoffs, then the other slots
             slot = 0 if count < 3 else count
             started = await fleet.event("worker_started", 1 + (count if count < 3 else 0), slot=slot)
             os.kill(started["pid"], signal.SIGKILL)
@@ -220,24 +223,26 @@
         self.assertEqual((await fleet.event("crash_loop_detected"))["crashes"], 10)
         self.assertEqual(await fleet.exit(), 1)
 
-    async def test_a_slow_client_does_not_hold_a_worker_that_is_told_to_end(self):
+    async def test_a_slow_client_does_not_delay_the_exit_of_a_worker(self):
         await self.start_engines(1)
         fleet = await self.fleet(2)
-        slow = [socket.create_connection(("127.0.0.1", fleet.port)) for _ in range(12)]  # some at each worker
-        for line in slow:
-            self.addCleanup(line.close)
-            line.sendall(b"POST /call/lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00")
+        # Enough connections to reach both workers.
+        connections = [socket.create_connection(("127.0.0.1", fleet.port)) for _ in range(12)]
+        for connection in connections:
+            self.addCleanup(connection.close)
+            connection.sendall(b"POST /call/lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00")
 
-        async def taken() -> bool:
+        async def all_connected() -> bool:
             return sum(row["clients"] for row in (await self.figures())["workers"]) == 12
 
-        await self.until(taken)
+        await self.until(all_connected)
         os.kill(fleet.pid(0), signal.SIGTERM)
-        began = time.monotonic()
+        started_at = time.monotonic()
         ended = await fleet.event("worker_ended")
         self.assertEqual((ended["slot"], ended["code"]), (0, 0))
-        self.assertLess(time.monotonic() - began, 8.0)
-        self.assertEqual((await fleet.event("worker_started", 3))["slot"], 0)  # no crash: its successor comes at once
+        self.assertLess(time.monotonic() - started_at, 8.0)
+        # After a regular exit the worker is restarted without a backoff.
+        self.assertEqual((await fleet.event("worker_started", 3))["slot"], 0)
         self.assertEqual((await self.in_thread(self.client().post, 1))[0], 200)
 
     async def test_a_worker_rejects_shared_memory_of_another_instance_or_version(self):
@@ -276,31 +281,33 @@
 class Upgrades(FleetCase):
     async def test_an_upgrade_between_two_coordinators_with_several_workers_loses_no_request(self):
         (engine,) = await self.start_engines(1, 600.0)
-        listening = socket.create_server(("127.0.0.1", 0), backlog=300)
-        self.addCleanup(listening.close)
-        old = await self.fleet(2, listening=listening)
+        listening_socket = socket.create_server(("127.0.0.1", 0), backlog=300)
+        self.addCleanup(listening_socket.close)
+        old = await self.fleet(2, listening=listening_socket)
         client = self.client()
 
-        async def follow() -> tuple:
+        async def post_and_poll() -> tuple:
             status, body = await self.in_thread(client.post, 1, "load", timeout=40000.0)
-            while "next" in body:  # it always asks: as idle its connection would end while the new processes start
+            while "next" in body:  # an idle connection would be closed while the new processes start
                 status, body = await self.in_thread(client.ask, "GET", body["next"])
             return status, body
 
-        asked = asyncio.create_task(follow())
+        pending_request = asyncio.create_task(post_and_poll())
         await self.until(lambda: engine.posts == 1)
-        engine.delay_s = 0.0  # for those that come later
+        engine.delay_s = 0.0  # for later requests
         config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port, operator="")
-        new = await Coordinator(self, config, "[cores]\nworkers = 3\n", listening=listening, folder=old.folder).ready()
+        new = await Coordinator(
+            self, config, "[cores]\nworkers = 3\n", listening=listening_socket, folder=old.folder
+        ).ready()
         await old.event("descriptors_divided")
         old.process.send_signal(signal.SIGTERM)
         await old.event("shutdown_started", worker=0)
         await old.event("shutdown_started", worker=1)
-        engine._done(*engine.results, "")  # the load ends only now, whatever time the start took
-        later = [self.client() for _ in range(6)]
-        answers = await asyncio.gather(*(self.in_thread(c.post, 10 + n) for n, c in enumerate(later)))
-        self.assertEqual({status for status, _ in answers}, {200})
-        status, body = await asked
+        engine._done(*engine.results, "")  # end the load only now, however long the start took
+        later_clients = [self.client() for _ in range(6)]
+        responses = await asyncio.gather(*(self.in_thread(c.post, 10 + n) for n, c in enumerate(later_clients)))
+        self.assertEqual({status for status, _ in responses}, {200})
+        status, body = await pending_request
         self.assertEqual((status, len(body["rows"])), (200, 1))
         self.assertEqual(await old.exit(), 0)
         self.assertEqual((await old.event("counters_reported"))["figures"]["calls"]["load"]["success"], 1)
@@ -309,7 +316,7 @@
         self.assertEqual((await new.event("counters_reported"))["figures"]["calls"]["lookup"]["success"], 6)
 
 
-def alive(pid: int) -> bool:
+def is_running(pid: int) -> bool:
     try:
         with open(f"/proc/{pid}/stat") as stat:
             return stat.read().rpartition(")")[2].split()[0] != "Z"
@@ -337,31 +344,32 @@
 dial = "127.0.0.1:{tds.port}"
 """,
         )
-        ready = next(e for e in fleet.events if e["event"] == "coordinator_started" and "workers" in e)
-        clients = [await TdsClient(ready["tds"]).open() for _ in range(6)]
+        started = next(e for e in fleet.events if e["event"] == "coordinator_started" and "workers" in e)
+        clients = [await TdsClient(started["tds"]).open() for _ in range(6)]
         for client in clients:
             self.addCleanup(client.writer.close)
             self.assertEqual((await client.query("SELECT 1")).rows, 2)
-        https = [self.client() for _ in range(8)]
-        await asyncio.gather(*(self.in_thread(c.post, n + 1) for n, c in enumerate(https)))
+        http_clients = [self.client() for _ in range(8)]
+        await asyncio.gather(*(self.in_thread(c.post, n + 1) for n, c in enumerate(http_clients)))
         self.assertEqual((await self.operate("disable-server tds-1")), ["ACK"])
         manager = SnmpEngine()
         self.addCleanup(manager.close_dispatcher)
-        target = await UdpTransportTarget.create(("127.0.0.1", ready["snmp"]), retries=2, timeout=3.0)
+        target = await UdpTransportTarget.create(("127.0.0.1", started["snmp"]), retries=2, timeout=3.0)
 
-        async def ask(*oids: str) -> list[int]:
-            things = [ObjectType(ObjectIdentity(f"1.3.6.1.4.1.32473.1.{oid}")) for oid in oids]
-            failure, status, _, found = await get_cmd(
-                manager, CommunityData("watch", mpModel=1), target, ContextData(), *things, lookupMib=False
+        async def get_values(*oids: str) -> list[int]:
+            object_types = [ObjectType(ObjectIdentity(f"1.3.6.1.4.1.32473.1.{oid}")) for oid in oids]
+            failure, status, _, variables = await get_cmd(
+                manager, CommunityData("watch", mpModel=1), target, ContextData(), *object_types, lookupMib=False
             )
             self.assertEqual((failure, int(status)), (None, 0))
-            return [int(value) for _, value in found]
+            return [int(value) for _, value in variables]
 
-        written = sum(e.posts for e in self.engines) + len(tds.statements)  # 14, or more where one was sent again
-        # Served by class of each front, written attempts, engines listed and down: sums of both workers.
+        attempts_written = sum(e.posts for e in self.engines) + len(tds.statements)  # 14, plus retries
+        # Sums of both workers: served at each front, attempts written, engines listed, engines down.
         self.assertEqual(
-            await ask("1.2.1.7.1.1", "1.2.1.7.2.4", "1.1.6.0", "1.1.7.0", "1.1.8.0"), [8, 6, written, 3, 1]
+            await get_values("1.2.1.7.1.1", "1.2.1.7.2.4", "1.1.6.0", "1.1.7.0", "1.1.8.0"),
+            [8, 6, attempts_written, 3, 1],
         )
         figures = await self.figures()
-        self.assertEqual((figures["calls"]["lookup"]["success"], figures["backend_calls"]), (14, written))
-        self.assertEqual(await ask("1.4.1.2.2"), [6])
+        self.assertEqual((figures["calls"]["lookup"]["success"], figures["backend_calls"]), (14, attempts_written))
+        self.assertEqual(await get_values("1.4.1.2.2"), [6])
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Calls that workers relay to each other: what the owner is told when the client of one has gone."""
+"""Calls relayed between workers: the owner is notified when the client of a relayed call disconnects."""
 
 import asyncio
 import secrets
@@ -10,58 +10,59 @@
 
 
 class HoldingFront:
-    """A front that holds each call, and records what it is told of them."""
+    """A front that leaves all calls open and records the notifications about them."""
 
     def __init__(self):
         self.telemetry = Telemetry(sink=BytesIO())
         self.calls = []
-        self.gone_calls = []
-        self.ended = []
+        self.abandoned_calls = []
+        self.ended_connections = []
         self.changed = asyncio.Event()
 
-    def call(self, slot, method, url, fields, body):
-        self.calls.append(slot)
+    def call(self, call, method, url, fields, body):
+        self.calls.append(call)
         self.changed.set()
 
-    def gone(self, slot):
-        self.gone_calls.append(slot)
+    def gone(self, call):
+        self.abandoned_calls.append(call)
         self.changed.set()
 
     def connection_ended(self, connection):
-        self.ended.append(connection)
+        self.ended_connections.append(connection)
 
-    async def until(self, holds):
+    async def until(self, condition):
         async with asyncio.timeout(10.0):
-            while not holds():
+            while not condition():
                 self.changed.clear()
                 await self.changed.wait()
 
 
-# Guards against: the owner of a request took a client for present that had closed its connection to another worker.
-def test_call_whose_client_has_gone_is_abandoned_at_its_owner():
-    async def play():
+# Guards against: the owner of a request assumed that its client was connected, although the client had closed its
+# connection to another worker.
+def test_the_owner_abandons_a_relayed_call_whose_client_disconnects():
+    async def run():
         fronts = [HoldingFront(), HoldingFront()]
         paths = {number: f"\0mesh-{secrets.token_hex(8)}" for number in range(2)}
         meshes = []
         for number, front in enumerate(fronts):
-            listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            listening.bind(paths[number])
-            listening.listen(4)
-            meshes.append(WorkerMesh(listening.detach(), paths, front))
+            listening_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+            listening_socket.bind(paths[number])
+            listening_socket.listen(4)
+            meshes.append(WorkerMesh(listening_socket.detach(), paths, front))
             await meshes[-1].start()
         first, second = (asyncio.create_task(meshes[0].call(1, b"GET", b"/call/x/1")) for _ in range(2))
         owner = fronts[1]
         await owner.until(lambda: len(owner.calls) == 2)
         assert all(call.client.present() for call in owner.calls)
         first.cancel()
-        await owner.until(lambda: owner.gone_calls)
-        assert owner.gone_calls == owner.calls[:1]
+        await owner.until(lambda: owner.abandoned_calls)
+        assert owner.abandoned_calls == owner.calls[:1]
         assert [call.client.present() for call in owner.calls] == [False, True]
-        assert owner.ended == [owner.calls[0].client]
+        assert owner.ended_connections == [owner.calls[0].client]
         owner.calls[1].reply(200, {"next": "/call/x/1"})
         assert (await second).status == 200
-        assert not owner.calls[1].client.present()  # until it calls again
+        assert not owner.calls[1].client.present()  # absent until its next call
         for mesh in meshes:
             mesh.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
