--- a/tests/test_endings_settings.py
+++ b/tests/test_endings_settings.py
@@ -1,4 +1,4 @@
-"""Settings at their extremes: a coordinator serves one request of each class, or says which key it can't use."""
+"""Extreme and invalid settings: the coordinator serves each class, or names the key that it can't use."""
 
 import json
 import random
@@ -12,24 +12,24 @@
 
 EFFECTS = ("repeatable", "by_key", "once")
 SCOPES = ("all", "zone", "cell")
-RUNS = 24  # drawn coordinators
-
-
-def drawn(seed):
-    """Settings that a site may have: any number, order and effect of classes, limits from nothing to much."""
-    draw = random.Random(seed)
-    count = draw.choice((1, 2, 5, 12, 40))
-
-    def cls(number):
-        hard = draw.choice((400.0, 3_000.0, 600_000.0))
-        one = {
-            "name": f"q{number}-{draw.randrange(99)}",
-            "effect": draw.choice(EFFECTS),
-            "worth": draw.random() * 9,
-            "promise": hard * draw.choice((0.01, 0.5, 1.0, 3.0)),
-            "hardLimit": hard,
-            "window": draw.choice((0.0, 1.0, 600_000.0)),
-            "dedupScope": draw.choice(SCOPES),
+SEEDS = 24  # number of random configurations
+
+
+def random_settings(seed):
+    """Return random settings: any number and kind of classes, and limits from zero to large."""
+    rng = random.Random(seed)
+    count = rng.choice((1, 2, 5, 12, 40))
+
+    def cls(index):
+        deadline_ms = rng.choice((400.0, 3_000.0, 600_000.0))
+        class_settings = {
+            "name": f"q{index}-{rng.randrange(99)}",
+            "effect": rng.choice(EFFECTS),
+            "worth": rng.random() * 9,
+            "promise": deadline_ms * rng.choice((0.01, 0.5, 1.0, 3.0)),
+            "hardLimit": deadline_ms,
+            "window": rng.choice((0.0, 1.0, 600_000.0)),
+            "dedupScope": rng.choice(SCOPES),
         }
         for key, value in (
             ("aimStretch", 2.0),
@@ -39,69 +39,69 @@
             ("servedOn", [0]),
             ("failureDomainsOpen", [0, 1]),
         ):
-            if draw.random() < 0.2:
-                one[key] = value
-        return one
-
-    whole = settings(
-        categories=[cls(number) for number in range(count)],
-        balancers=draw.choice((1, 200)),
-        failureDomains=draw.choice((["floor-1"], ["floor-1", "floor-2"], [])),
-        unheard=draw.choice((None, {}, [{"a": 1}], "x")),
+            if rng.random() < 0.2:
+                class_settings[key] = value
+        return class_settings
+
+    document = settings(
+        categories=[cls(index) for index in range(count)],
+        balancers=rng.choice((1, 200)),
+        failureDomains=rng.choice((["floor-1"], ["floor-1", "floor-2"], [])),
+        unheard=rng.choice((None, {}, [{"a": 1}], "x")),
     )
-    whole["domain"] |= {
-        "classThreads": [draw.choice((1, 16)) for _ in range(count)],
-        "classLoad": [draw.random() < 0.2 for _ in range(count)],
-        "notePeriod": draw.choice((0.0, 1.0, 200.0)),
-        "mostGrant": draw.choice((0.01, 0.4, 1.0)),
-        "grants": draw.random() < 0.5,
-        "priorities": draw.random() < 0.5,
-        "whenShort": draw.choice(("wait", "shrink", "page")),
+    document["domain"] |= {
+        "classThreads": [rng.choice((1, 16)) for _ in range(count)],
+        "classLoad": [rng.random() < 0.2 for _ in range(count)],
+        "notePeriod": rng.choice((0.0, 1.0, 200.0)),
+        "mostGrant": rng.choice((0.01, 0.4, 1.0)),
+        "grants": rng.random() < 0.5,
+        "priorities": rng.random() < 0.5,
+        "whenShort": rng.choice(("wait", "shrink", "page")),
     }
-    whole["limits"] |= {
-        "mostTries": draw.choice((1, 2, 50)),
-        "dialTimeout": draw.choice((50.0, 250.0, 10_000.0)),
-        "connIdle": draw.choice((0.0, 300.0, 15_000.0, 3_600_000.0)),
-        "maxRetryAfter": draw.choice((0.0, 1_000.0)),
-        "retryAfter": draw.random() < 0.5,
-        "cancel": draw.random() < 0.5,
-        "probes": draw.random() < 0.5,
+    document["limits"] |= {
+        "mostTries": rng.choice((1, 2, 50)),
+        "dialTimeout": rng.choice((50.0, 250.0, 10_000.0)),
+        "connIdle": rng.choice((0.0, 300.0, 15_000.0, 3_600_000.0)),
+        "maxRetryAfter": rng.choice((0.0, 1_000.0)),
+        "retryAfter": rng.random() < 0.5,
+        "cancel": rng.random() < 0.5,
+        "probes": rng.random() < 0.5,
     }
-    whole["rules"] |= {
-        "stopSendingWithin": draw.choice((0.0, 250.0)),
-        "warmWithin": draw.choice((0.0, 15_000.0)),
-        "resendSpan": draw.choice((0.0, 1.0, 10_000.0)),
+    document["rules"] |= {
+        "stopSendingWithin": rng.choice((0.0, 250.0)),
+        "warmWithin": rng.choice((0.0, 15_000.0)),
+        "resendSpan": rng.choice((0.0, 1.0, 10_000.0)),
         "extraRatio": 0.1,
-        "orderPause": draw.choice((0.0, 1_000.0)),
+        "orderPause": rng.choice((0.0, 1_000.0)),
     }
-    for key in draw.sample(("report", "rules", "failureDomains", "kinds", "me", "balancers"), draw.randrange(4)):
-        del whole[key]
-    return whole
+    for key in rng.sample(("report", "rules", "failureDomains", "kinds", "me", "balancers"), rng.randrange(4)):
+        del document[key]
+    return document
 
 
-def read(folder, whole, **more):
+def read(folder, document, **other_keys):
     path = folder / "config.json"
-    path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": whole, **more}))
+    path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": document, **other_keys}))
     return configuration.read({"LB_CONFIG": str(path)})
 
 
 class Extremes(EdgeCase):
-    async def test_each_class_is_served_whatever_the_figures(self):
-        for seed in range(RUNS):
+    async def test_each_class_is_served_with_random_settings(self):
+        for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                whole = drawn(seed)
+                document = random_settings(seed)
                 (engine,) = await self.engines()
                 engine.script = lambda request, body: page("a\t1\tx\n") if request.method in ("POST", "GET") else None
                 await self.coordinator(
-                    [host("s-00000001", engine.port)], **whole, **dict.fromkeys(settings().keys() - whole.keys())
+                    [host("s-00000001", engine.port)], **document, **dict.fromkeys(settings().keys() - document.keys())
                 )
-                for number, cls in enumerate(whole["categories"], 1):
+                for number, cls in enumerate(document["categories"], 1):
                     status, body, _ = await self.ask(cls["name"], number, timeout=min(3_000.0, cls["hardLimit"]))
                     self.assertEqual((status, body), (200, {"rows": [["a", "1", "x"]]}), (number, cls))
                 self.assertEqual(self.count("faults"), 0, self.log)
 
 
-BAD = [
+INVALID_VALUES = [
     ("categories", []),
     ("categories", "x"),
     ("categories", None),
@@ -154,22 +154,22 @@
 ]
 
 
-@pytest.mark.parametrize("key, value", BAD, ids=lambda part: re.sub(r"\W+", "-", str(part)))
-def test_a_figure_that_can_not_be_used_is_one_line_that_names_its_key(key, value, tmp_path):
-    whole = settings()
+@pytest.mark.parametrize("key, value", INVALID_VALUES, ids=lambda part: re.sub(r"\W+", "-", str(part)))
+def test_an_invalid_value_is_reported_in_one_line_that_names_its_key(key, value, tmp_path):
+    document = settings()
     *path, last = key.split(".")
-    holder = whole
+    parent = document
     for part in path:
-        holder = holder[int(part)] if part.isdecimal() else holder[part]
-    holder[last] = value
-    with pytest.raises(ConfigError) as refused:
-        read(tmp_path, whole)
-    said = str(refused.value)
-    assert "\n" not in said and last in said, said
+        parent = parent[int(part)] if part.isdecimal() else parent[part]
+    parent[last] = value
+    with pytest.raises(ConfigError) as raised:
+        read(tmp_path, document)
+    message = str(raised.value)
+    assert "\n" not in message and last in message, message
 
 
 @pytest.mark.parametrize(
-    "more, key",
+    "other_keys, key",
     [
         ({"limits": {"memory_mb": 0}}, "limits.memory_mb"),
         ({"limits": {"sockets": 63}}, "limits.sockets"),
@@ -182,9 +182,9 @@
         ({"known": change(1, host("s-1", 1))}, None),
     ],
 )
-def test_what_stands_beside_the_settings_is_checked_likewise(more, key, tmp_path):
+def test_keys_beside_the_settings_are_checked_too(other_keys, key, tmp_path):
     if key is None:
-        read(tmp_path, settings(), **more)  # keys that nobody knows are passed over
+        read(tmp_path, settings(), **other_keys)  # unknown keys are ignored
         return
     with pytest.raises(ConfigError, match=key):
-        read(tmp_path, settings(), **more)
+        read(tmp_path, settings(), **other_keys)
