--- a/tests/test_endings_signals.py
+++ b/tests/test_endings_signals.py
@@ -1,4 +1,4 @@
-"""What is owed when a signal crosses a start, a drain or an end, or when the process is killed and started anew."""
+"""Signals during start, drain and exit, and restart after a kill: what the program owes its clients and operators."""
 
 import asyncio
 import contextlib
@@ -18,47 +18,50 @@
 
 from frostspindle import program, shutdown_plan
 
-KILL_S = 0.7  # the protocol's: SIGKILL comes no earlier than this after the longest deadline, counted from SIGTERM
-LONGEST_COUNTED_S = 3.0  # of which no more than this counts
-READY_S = 6.0  # and a coordinator that was killed is ready again within this
+# By the protocol, SIGKILL follows SIGTERM no earlier than after the longest deadline, at most 3 s of it, plus 0.7 s.
+KILL_DELAY_S = 0.7
+MAX_COUNTED_DEADLINE_S = 3.0
+READY_TIMEOUT_S = 6.0  # a killed coordinator must be ready again within this
 
-# Sends this process a signal at a named point: after `point` of a module has run, or where the interpreter ends.
-CROSSED = """
+# Sends this process a signal after the first call of the function `point`, or when the interpreter exits.
+SIGNAL_AT_POINT_SCRIPT = """
 import atexit, importlib, os, sys
-module, point, number = {point!r}.rpartition(".")[0], {point!r}.rpartition(".")[2], {number}
-def cross():
+module_name, point, number = {point!r}.rpartition(".")[0], {point!r}.rpartition(".")[2], {number}
+def send_signal():
     os.kill(os.getpid(), number)
 if point == "exit":
-    atexit.register(cross)
+    atexit.register(send_signal)
 else:
-    holder = importlib.import_module(module)
-    whole, crossed = getattr(holder, point), []
-    def stands(*args, **kw):
+    module = importlib.import_module(module_name)
+    original, signals_sent = getattr(module, point), []
+    def wrapper(*args, **kw):
         try:
-            return whole(*args, **kw)
+            return original(*args, **kw)
         finally:
-            if not crossed:
-                crossed.append(cross())
-    setattr(holder, point, stands)
+            if not signals_sent:
+                signals_sent.append(send_signal())
+    setattr(module, point, wrapper)
 from frostspindle.__main__ import main
 sys.exit(main())
 """
 
 
-def call(number, cls=LOOKUP, timeout=3000):
+def request_bytes(number, cls=LOOKUP, timeout=3000):
     return (
         f"POST /call/{cls} HTTP/1.1\r\nHost: t\r\nX-Request-Id: {number:016x}\r\nX-Timeout-Ms: {timeout}\r\n"
         f"X-Cost-Ms: 5\r\nX-Memory: 1\r\nContent-Length: {len(SQL)}\r\n\r\n{SQL}"
     ).encode()
 
 
-def test_a_signal_before_the_interpreter_runs_kills_nothing_and_later_ones_are_obeyed(tmp_path):
+def test_signals_before_the_interpreter_starts_are_ignored_and_later_ones_handled(tmp_path):
     path = tmp_path / "c.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": settings()}))
-    run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-    crossed = run.replace("exec ", "kill -HUP $$; kill -USR1 $$; exec ", 1).replace(".venv/bin/python", sys.executable)
+    run_command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
+    command = run_command.replace("exec ", "kill -HUP $$; kill -USR1 $$; exec ", 1).replace(
+        ".venv/bin/python", sys.executable
+    )
     with subprocess.Popen(
-        ["/bin/sh", "-c", crossed],
+        ["/bin/sh", "-c", command],
         cwd=ROOT,
         stderr=subprocess.PIPE,
         text=True,
@@ -78,41 +81,41 @@
     "point", ["frostspindle.config.read", "frostspindle.telemetry.Telemetry", "gc.collect", "exit"]
 )
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM], ids=lambda number: number.name)
-def test_a_signal_that_comes_before_or_after_its_handlers_kills_nothing(point, number, tmp_path):
+def test_a_signal_before_or_after_its_handlers_are_installed_does_not_kill_the_process(point, number, tmp_path):
     path = tmp_path / "c.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": settings()}))
-    code = CROSSED.format(point=point, number=int(number))
+    script = SIGNAL_AT_POINT_SCRIPT.format(point=point, number=int(number))
     with subprocess.Popen(
-        [sys.executable, "-c", code],
+        [sys.executable, "-c", script],
         cwd=ROOT,
         stderr=subprocess.PIPE,
         text=True,
         env={**os.environ, "LB_CONFIG": str(path)},
     ) as child:
         try:
-            said = [json.loads(child.stderr.readline())["event"]]
-            while "coordinator_started" not in said or (
-                point != "exit" and number == signal.SIGHUP and "config_reloaded" not in said
+            event_names = [json.loads(child.stderr.readline())["event"]]
+            while "coordinator_started" not in event_names or (
+                point != "exit" and number == signal.SIGHUP and "config_reloaded" not in event_names
             ):
-                said.append(json.loads(child.stderr.readline())["event"])
+                event_names.append(json.loads(child.stderr.readline())["event"])
             if number != signal.SIGTERM or point == "exit":
                 child.send_signal(signal.SIGTERM)
-            said += [json.loads(line)["event"] for line in child.communicate(timeout=60)[1].splitlines()]
+            event_names += [json.loads(line)["event"] for line in child.communicate(timeout=60)[1].splitlines()]
         finally:
             child.kill()
-    assert (child.returncode, said[-1]) == (0, "counters_reported"), said
-    assert ("config_reloaded" in said) == (point != "exit" and number == signal.SIGHUP)
+    assert (child.returncode, event_names[-1]) == (0, "counters_reported"), event_names
+    assert ("config_reloaded" in event_names) == (point != "exit" and number == signal.SIGHUP)
 
 
-class Drain(FleetCase):
-    """A real process that is told to end."""
+class DrainOnSigterm(FleetCase):
+    """A drain of a coordinator process after SIGTERM."""
 
-    async def begin(self, script=None, operator="", **changes):
+    async def start_coordinator(self, script=None, operator="", **changes):
         self.engine = await HttpEngine().start()
         self.addCleanup(self.engine.server.close)
         if script:
             self.engine.script = script
-        self.running = Coordinator(
+        self.coordinator_process = Coordinator(
             self,
             {
                 "name": "t0",
@@ -122,59 +125,62 @@
             },
             operator,
         )
-        self.port = int((await self.running.event("coordinator_started"))["listen"].rpartition(":")[2])
+        self.port = int((await self.coordinator_process.event("coordinator_started"))["listen"].rpartition(":")[2])
 
-    async def client(self, data=b"", **kw):
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.port, **kw)
+    async def client(self, data=b"", **options):
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.port, **options)
         self.addCleanup(writer.close)
         writer.write(data)
         return reader, writer
 
-    async def term(self):
-        self.running.process.send_signal(signal.SIGTERM)
-        return (await self.running.event("shutdown_started"))["last_s"]
+    async def send_sigterm(self):
+        self.coordinator_process.process.send_signal(signal.SIGTERM)
+        return (await self.coordinator_process.event("shutdown_started"))["last_s"]
 
-    async def test_the_end_is_planned_before_the_kill_with_one_process_and_with_workers(self):
-        """The soak found a supervisor that had not ended at the kill (seed 116); alone on a quiet machine, with an
-        engine that hangs through the drain, its workers ended 3.64 s after SIGTERM and it 3.66 to 3.7 s.
+    async def test_the_exit_is_planned_before_the_kill_with_one_process_and_with_workers(self):
+        """Guards against: a supervisor was still running at the kill (soak, seed 116). On an idle machine, with an
+        engine that hung during the drain, its workers exited 3.64 s after SIGTERM and it 3.66 to 3.7 s after.
 
-        A process ends by its own plan `exit_s` after SIGTERM; the supervisor needs a look at its workers and its own
-        end. How late a busy machine carries the plan out is the machine's: the margin is for that.
+        By its plan a process exits `exit_s` after SIGTERM. The supervisor needs time to notice that its workers have
+        exited, and to exit itself. The margin is for a busy machine that executes the plan late.
         """
-        longest_s = min(LONGEST_COUNTED_S, settings()["categories"][0]["hardLimit"] / 1000.0)
+        longest_s = min(MAX_COUNTED_DEADLINE_S, settings()["categories"][0]["hardLimit"] / 1000.0)
         for operator, supervisor_s in (("", 0.0), ("[cores]\nworkers = 2\n", shutdown_plan.SUPERVISOR_RESERVE_S)):
             with self.subTest(operator):
-                await self.begin(operator=operator)
+                await self.start_coordinator(operator=operator)
                 if operator:
-                    await self.running.ready()  # all its workers are
-                self.running.process.send_signal(signal.SIGTERM)
-                self.assertEqual(await self.running.exit(), 0)
-                plans = [event for event in self.running.events if event["event"] == "shutdown_started"]
-                plans = [event for event in plans if "last_s" in event]  # the supervisor's own has no plan
-                self.assertEqual(len(plans), 2 if operator else 1, self.running.events)
-                for plan in plans:
+                    await self.coordinator_process.ready()  # all workers serve
+                self.coordinator_process.process.send_signal(signal.SIGTERM)
+                self.assertEqual(await self.coordinator_process.exit(), 0)
+                shutdown_events = [
+                    event for event in self.coordinator_process.events if event["event"] == "shutdown_started"
+                ]
+                # The supervisor's own event has no plan.
+                shutdown_events = [event for event in shutdown_events if "last_s" in event]
+                self.assertEqual(len(shutdown_events), 2 if operator else 1, self.coordinator_process.events)
+                for plan in shutdown_events:
                     self.assertLessEqual(
-                        plan["exit_s"] + supervisor_s + shutdown_plan.EXIT_MARGIN_S, longest_s + KILL_S
+                        plan["exit_s"] + supervisor_s + shutdown_plan.EXIT_MARGIN_S, longest_s + KILL_DELAY_S
                     )
                     flushed_s = plan["last_s"] + program.DRAIN_POLL_INTERVAL_S + program.RESPONSE_FLUSH_S
-                    self.assertLess(flushed_s, plan["exit_s"])  # all have their answers before it closes
+                    self.assertLess(flushed_s, plan["exit_s"])  # all responses are sent before the process exits
 
-    async def test_what_hangs_at_an_engine_is_answered_before_the_kill(self):
-        """A client may wait for longer than its class's longest time; SIGKILL does not."""
+    async def test_requests_that_hang_at_an_engine_are_answered_before_the_kill(self):
+        """A client may wait for longer than the deadline of its class, but SIGKILL is not delayed for it."""
 
         async def hang():
             await asyncio.sleep(60)
 
-        await self.begin(lambda request, body: hang() if request.method != "DELETE" else None)
-        longest_s = min(LONGEST_COUNTED_S, settings()["categories"][0]["hardLimit"] / 1000.0)
-        clients = [await self.client(call(n, cls, 30000)) for n, cls in enumerate((LOOKUP, LOAD, LOAD), 1)]
+        await self.start_coordinator(lambda request, body: hang() if request.method != "DELETE" else None)
+        longest_s = min(MAX_COUNTED_DEADLINE_S, settings()["categories"][0]["hardLimit"] / 1000.0)
+        clients = [await self.client(request_bytes(n, cls, 30000)) for n, cls in enumerate((LOOKUP, LOAD, LOAD), 1)]
         await self.engine.seen("POST", 1)
-        last_s = await self.term()
-        # What it plans is held against the time of the kill; how late a busy machine carries it out is the machine's.
-        self.assertLess(last_s + 2 * program.DRAIN_POLL_INTERVAL_S + program.RESPONSE_FLUSH_S, longest_s + KILL_S)
-        clients.append(await self.client(call(9, LOOKUP, 30000)))  # on a connection that comes in the drain
-        for signalled in (signal.SIGTERM, signal.SIGUSR1, signal.SIGHUP):  # changes nothing
-            self.running.process.send_signal(signalled)
+        last_s = await self.send_sigterm()
+        # The plan must end before the earliest kill; a busy machine may execute it late.
+        self.assertLess(last_s + 2 * program.DRAIN_POLL_INTERVAL_S + program.RESPONSE_FLUSH_S, longest_s + KILL_DELAY_S)
+        clients.append(await self.client(request_bytes(9, LOOKUP, 30000)))  # on a connection opened during the drain
+        for signalled in (signal.SIGTERM, signal.SIGUSR1, signal.SIGHUP):  # ignored during a drain
+            self.coordinator_process.process.send_signal(signalled)
         for reader, writer in clients:
             async with asyncio.timeout(30.0):
                 while True:
@@ -185,55 +191,55 @@
                         break
                     writer.write(f"GET {body['next']} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
                 self.assertIn(head.split()[1], (b"502", b"503"))
-        self.assertEqual(await self.running.exit(), 0)
+        self.assertEqual(await self.coordinator_process.exit(), 0)
 
-    async def test_a_request_in_the_line_of_the_last_moment_gets_a_word(self):
-        """Nobody may be reset for having come just before the door closed: each has its answer, or was never read."""
-        await self.begin()
-        stop, ends = asyncio.Event(), []
+    async def test_connections_queued_when_the_listener_closes_are_answered(self):
+        """No connection accepted just before the listener closes is reset: its request is answered, or was not read."""
+        await self.start_coordinator()
+        stop, outcomes = asyncio.Event(), []
 
-        async def come(number):
+        async def send_requests(number):
             while not stop.is_set():
                 number += 1
                 try:
                     reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 except ConnectionError:
                     return
-                writer.write(call(number))
+                writer.write(request_bytes(number))
                 try:
-                    ends.append((await reader.read(200)).split(b" ")[1:2])
+                    outcomes.append((await reader.read(200)).split(b" ")[1:2])
                 except ConnectionError as error:
-                    ends.append(repr(error))
+                    outcomes.append(repr(error))
                 writer.close()
 
-        coming = [asyncio.create_task(come(1000 * n)) for n in range(1, 5)]
-        await self.term()
-        await self.running.exit()
+        tasks = [asyncio.create_task(send_requests(1000 * n)) for n in range(1, 5)]
+        await self.send_sigterm()
+        await self.coordinator_process.exit()
         stop.set()
-        await asyncio.gather(*coming)
-        served = [end for end in ends if end in ([b"200"], [b"503"])]
-        self.assertGreater(len(served), 0)
-        # At most the one of each that met the end itself.
-        self.assertLessEqual(len(ends) - len(served), len(coming), Counter(map(str, ends)))
+        await asyncio.gather(*tasks)
+        answered = [outcome for outcome in outcomes if outcome in ([b"200"], [b"503"])]
+        self.assertGreater(len(answered), 0)
+        # At most one connection of each task is left without an answer, at the exit itself.
+        self.assertLessEqual(len(outcomes) - len(answered), len(tasks), Counter(map(str, outcomes)))
 
 
-class Again(FleetCase):
-    async def test_a_killed_coordinator_is_ready_again_beside_a_silent_bus_and_old_clients(self):
-        mute = socket.create_server(("127.0.0.1", 0))  # accepts in the system and never speaks
-        self.addCleanup(mute.close)
+class RestartAfterKill(FleetCase):
+    async def test_a_killed_coordinator_is_ready_again_despite_a_silent_bus_and_reconnecting_clients(self):
+        silent_bus = socket.create_server(("127.0.0.1", 0))  # connections stay in the backlog and get no data
+        self.addCleanup(silent_bus.close)
         hosts = [host(f"s-{n:08x}", 9) for n in range(1, 501)]
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            port = free.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as free_socket:
+            port = free_socket.getsockname()[1]
         config = {
             "name": "t0",
             "listen": f"127.0.0.1:{port}",
             "settings": settings(),
-            "bus": f"127.0.0.1:{mute.getsockname()[1]}",
+            "bus": f"127.0.0.1:{silent_bus.getsockname()[1]}",
             "known": {"offset": 1, "batch": [change(1, *hosts, whole=True)]},
         }
         pinged = asyncio.Event()
 
-        async def hammer():
+        async def ping_repeatedly():
             while True:
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -243,47 +249,47 @@
                 await asyncio.sleep(0.01)
 
         for _ in range(20):
-            task = asyncio.create_task(hammer())
+            task = asyncio.create_task(ping_repeatedly())
             self.addCleanup(task.cancel)
         folder = str(self.scratch)
-        for bus in (config["bus"], config["bus"], "127.0.0.1:9"):  # silent, silent, then refusing
-            running = Coordinator(self, {**config, "bus": bus}, folder=folder)
-            async with asyncio.timeout(READY_S):
+        for bus in (config["bus"], config["bus"], "127.0.0.1:9"):  # silent twice, then refusing connections
+            coordinator_process = Coordinator(self, {**config, "bus": bus}, folder=folder)
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 await pinged.wait()
-            running.process.kill()
-            await running.exit()
-            await asyncio.sleep(0.05)  # answers of the one that was killed are no word of the next
+            coordinator_process.process.kill()
+            await coordinator_process.exit()
+            await asyncio.sleep(0.05)  # ignore late responses of the killed process
             pinged.clear()
 
 
-class Stop(EdgeCase):
-    async def test_an_answer_that_its_client_reads_slowly_is_waited_for(self):
-        """What waits in this process for a client to read on would end with it."""
+class StopWithClients(EdgeCase):
+    async def test_the_exit_waits_for_a_client_that_reads_its_response_slowly(self):
+        """Data in the process's write buffers would be lost on exit."""
         (engine,) = await self.start()
         engine.script = lambda request, body: page("\t".join(("x" * 1900,) * 3) + "\n") if body else None
-        small, loop = socket.socket(), asyncio.get_running_loop()
-        small.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        small.setblocking(False)
-        self.addCleanup(small.close)
-        await loop.sock_connect(small, ("127.0.0.1", self.program.platform.port))
+        client_socket, loop = socket.socket(), asyncio.get_running_loop()
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+        client_socket.setblocking(False)
+        self.addCleanup(client_socket.close)
+        await loop.sock_connect(client_socket, ("127.0.0.1", self.program.platform.port))
         number = 0
         while not any(client.transport.get_write_buffer_size() for client in self.program.platform.clients):
             number += 1
-            await loop.sock_sendall(small, call(number))
+            await loop.sock_sendall(client_socket, request_bytes(number))
             await engine.seen("POST", number)
             await self.until(lambda: not self.program.core.open)
         with unittest.mock.patch.object(shutdown_plan, "ACCEPT_S", 0.01):
             stopping = asyncio.create_task(self.program.stop())
-            self.assertEqual((await asyncio.wait((stopping,), timeout=0.5))[0], set())  # else it was over by now
+            self.assertEqual((await asyncio.wait((stopping,), timeout=0.5))[0], set())  # the stop is not finished
         data = bytearray()
         async with asyncio.timeout(20.0):
             while data.count(b'{"rows"') < number or not data.endswith(b"}"):
-                part = await loop.sock_recv(small, 65536)
-                self.assertTrue(part, "cut short")
-                data += part
+                chunk = await loop.sock_recv(client_socket, 65536)
+                self.assertTrue(chunk, "the response is truncated")
+                data += chunk
         await stopping
 
-    async def test_a_reload_within_a_drain_still_moves_the_bus(self):
+    async def test_a_reload_during_a_drain_still_changes_the_bus_address(self):
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
         await self.start()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades over loopback: a second process beside the first, on a socket that both inherit."""
+"""Upgrades over loopback: an old and a new process run at the same time, on a listening socket that both inherit."""
 
 import asyncio
 import fcntl
@@ -26,8 +26,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-class Running:
-    """One process of the program, and the events that it logs."""
+class ProgramProcess:
+    """A process of the program, and the events that it logs."""
 
     def __init__(
         self,
@@ -85,20 +85,20 @@
             )
         )
 
-    def run_one(self, **environ: Any) -> Running:
-        running = Running(self.config, self.listening, self.folder, **environ)
+    def run_one(self, **environ: Any) -> ProgramProcess:
+        running = ProgramProcess(self.config, self.listening, self.folder, **environ)
         self.addCleanup(running.end)
         return running
 
     async def ask(self, session, number):
         headers = {"X-Request-Id": f"{number:016x}", "X-Timeout-Ms": "50000", "X-Cost-Ms": "50"}
-        said = session.post("/call/load", data=SQL, headers=headers)
+        response_context = session.post("/call/load", data=SQL, headers=headers)
         while True:
-            async with said as response:
+            async with response_context as response:
                 body = await response.json()
                 if "next" not in body:
                     return response.status, body, response.headers.get("Connection", "")
-            said = session.get(body["next"])
+            response_context = session.get(body["next"])
 
     def session(self):
         session = aiohttp.ClientSession(f"http://127.0.0.1:{self.port}")
@@ -107,207 +107,212 @@
 
 
 class Upgrade(UpgradeCase):
-    def longer(self):
-        """The processes take a while to start: no deadline of a request decides meanwhile."""
+    def extend_deadlines(self):
+        """Extend all deadlines, so that no request times out while the processes start."""
         document = json.loads(self.config.read_text())
         for category in document["settings"]["categories"]:
             category["hardLimit"] = 60000.0
         self.config.write_text(json.dumps(document))
 
-    async def test_the_old_process_finishes_what_it_took_and_the_new_one_takes_what_comes(self):
+    async def test_the_old_process_finishes_its_requests_and_the_new_one_accepts_new_ones(self):
         release = asyncio.Event()
 
-        async def slow():  # an engine that says nothing for half a second is asked again, and this one must not answer
+        async def respond_in_progress():  # responds within 0.5 s, after which the request would be retried
             try:
                 async with asyncio.timeout(0.2):
                     await release.wait()
             except TimeoutError:
                 return web.Response(status=202, headers={"X-Remark": "pct", "X-Value": "0.01"})
 
-        self.engine.script = lambda request, body: slow() if request.method in ("POST", "GET") else None
-        self.longer()
-        waiting = socket.create_connection(("127.0.0.1", self.port))  # in the line before anybody accepts
-        self.addCleanup(waiting.close)
+        self.engine.script = lambda request, body: respond_in_progress() if request.method in ("POST", "GET") else None
+        self.extend_deadlines()
+        # A connection in the backlog before a process accepts.
+        queued_connection = socket.create_connection(("127.0.0.1", self.port))
+        self.addCleanup(queued_connection.close)
         old = self.run_one()
         await old.event("coordinator_started")
-        session, later = self.session(), self.session()
-        first = asyncio.create_task(self.ask(session, 1))
+        old_session, new_session = self.session(), self.session()
+        first_request = asyncio.create_task(self.ask(old_session, 1))
         await self.engine.seen("POST")
         new = self.run_one()
         await new.event("coordinator_started")
         old.process.send_signal(signal.SIGTERM)
         await old.event("shutdown_started")
-        second = asyncio.create_task(self.ask(later, 2))
+        second_request = asyncio.create_task(self.ask(new_session, 2))
         await self.engine.seen("POST", 2)
-        self.assertFalse(first.done() or second.done())
+        self.assertFalse(first_request.done() or second_request.done())
         release.set()
-        self.assertEqual(await first, (200, {"rows": [["a", "1", "x"]]}, "close"))
-        self.assertEqual((await second)[:2], (200, {"rows": [["a", "1", "x"]]}))
-        counted = (await old.event("counters_reported"))["figures"]["calls"]["load"]["success"]
-        self.assertEqual((counted, await asyncio.to_thread(old.process.wait, 60)), (1, 0))
-        self.assertEqual((await self.ask(later, 3))[0], 200)  # the socket was not shut down with the old one
+        self.assertEqual(await first_request, (200, {"rows": [["a", "1", "x"]]}, "close"))
+        self.assertEqual((await second_request)[:2], (200, {"rows": [["a", "1", "x"]]}))
+        success_count = (await old.event("counters_reported"))["figures"]["calls"]["load"]["success"]
+        self.assertEqual((success_count, await asyncio.to_thread(old.process.wait, 60)), (1, 0))
+        # The old process did not shut down the shared socket.
+        self.assertEqual((await self.ask(new_session, 3))[0], 200)
         self.assertEqual(len(self.engine.of("POST")), 3)
         new.process.send_signal(signal.SIGTERM)
         self.assertEqual((await new.event("counters_reported"))["figures"]["calls"]["load"]["success"], 2)
         self.assertEqual(await asyncio.to_thread(new.process.wait, 60), 0)
 
-    async def test_the_line_of_the_inherited_socket_keeps_its_length(self):
+    async def test_the_inherited_socket_keeps_its_backlog(self):
         await self.run_one().event("coordinator_started")
         self.assertEqual(self.backlog(), 300)
 
     def backlog(self):
-        """The longest line of the listening socket, as the system has it."""
+        """Return the backlog of the listening socket as set in the kernel."""
         # Field tcpi_sacked of TCP_INFO is the backlog of a listening socket.
         info = self.listening.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
         return int.from_bytes(info[28:32], sys.byteorder)
 
-    async def test_what_is_open_at_the_last_moment_is_answered_before_the_end(self):
-        self.longer()
+    async def test_requests_that_are_still_open_at_the_last_moment_are_answered_before_the_exit(self):
+        self.extend_deadlines()
 
-        async def at_work():
+        async def respond_in_progress():
             await asyncio.sleep(0.2)
             return web.Response(status=202, headers={"X-Remark": "pct", "X-Value": "0.01"})
 
-        self.engine.script = lambda request, body: at_work() if request.method in ("POST", "GET") else None
+        self.engine.script = lambda request, body: respond_in_progress() if request.method in ("POST", "GET") else None
         old, session = self.run_one(), self.session()
         await old.event("coordinator_started")
-        asked = asyncio.create_task(self.ask(session, 0))
+        pending_request = asyncio.create_task(self.ask(session, 0))
         await self.engine.seen("POST")
         old.process.send_signal(signal.SIGTERM)
-        began = asyncio.get_running_loop().time()
-        # What it plans is held against the 3.7 s after which it is killed; how late a busy machine carries that out is
-        # the machine's affair, as long as it is not the request's minute.
+        started_at = asyncio.get_running_loop().time()
+        # The plan must end before the earliest kill, after 3.7 s. A busy machine may execute it late, but far sooner
+        # than the request's deadline of a minute.
         last_s = (await old.event("shutdown_started"))["last_s"]
         self.assertLess(last_s + program.DRAIN_POLL_INTERVAL_S * 2 + program.RESPONSE_FLUSH_S, 3.7)
-        self.assertEqual((await asked)[0], 502)
+        self.assertEqual((await pending_request)[0], 502)
         self.assertEqual(await asyncio.to_thread(old.process.wait, 60), 0)
-        self.assertLess(asyncio.get_running_loop().time() - began, last_s + 5.0)
-
-    async def test_both_processes_hold_the_addresses_of_tds_and_snmp(self):
-        ports = [socket.create_server(("127.0.0.1", 0)), socket.socket(type=socket.SOCK_DGRAM)]
-        ports[1].bind(("127.0.0.1", 0))
-        tds, snmp = (port.getsockname()[1] for port in ports)
-        for port in ports:
-            port.close()
+        self.assertLess(asyncio.get_running_loop().time() - started_at, last_s + 5.0)
+
+    async def test_both_processes_listen_on_the_addresses_of_tds_and_snmp(self):
+        reserved_sockets = [socket.create_server(("127.0.0.1", 0)), socket.socket(type=socket.SOCK_DGRAM)]
+        reserved_sockets[1].bind(("127.0.0.1", 0))
+        tds, snmp = (reserved_socket.getsockname()[1] for reserved_socket in reserved_sockets)
+        for reserved_socket in reserved_sockets:
+            reserved_socket.close()
         operator = Path(self.folder, "operator.toml")
         operator.write_text(
             f'[snmp]\nlisten = "127.0.0.1:{snmp}"\ncommunity = "watch"\n'
             f'[tds]\nlisten = "127.0.0.1:{tds}"\n'
             '[[tds.login]]\nclass = "lookup"\n[[tds.engine]]\nname = "t"\ndial = "127.0.0.1:9"\n'
         )
-        both = [self.run_one(FROSTSPINDLE_OPERATOR=str(operator)) for _ in range(2)]
-        for running in both:
-            event = await running.event("coordinator_started")
+        processes = [self.run_one(FROSTSPINDLE_OPERATOR=str(operator)) for _ in range(2)]
+        for process in processes:
+            event = await process.event("coordinator_started")
             self.assertEqual((event["tds"], event["snmp"]), (tds, snmp))
-        both[0].process.send_signal(signal.SIGTERM)
-        await both[0].event("shutdown_started")
-        for _ in range(8):  # the old one accepts no session any more
+        processes[0].process.send_signal(signal.SIGTERM)
+        await processes[0].event("shutdown_started")
+        for _ in range(8):  # the old process accepts no sessions
             client = await TdsClient(tds).open()
             self.assertTrue(client.result.accepted)
             client.writer.close()
         logins = [
-            row["count"] for row in (await both[0].event("counters_reported"))["counters"] if row["what"] == "logins"
+            row["count"]
+            for row in (await processes[0].event("counters_reported"))["counters"]
+            if row["what"] == "logins"
         ]
-        self.assertEqual((logins, await asyncio.to_thread(both[0].process.wait, 60)), ([], 0))
+        self.assertEqual((logins, await asyncio.to_thread(processes[0].process.wait, 60)), ([], 0))
 
-    def test_what_is_no_socket_ends_it_with_2_and_one_line(self):
+    def test_an_inherited_descriptor_that_is_no_socket_is_an_error_in_one_line_with_exit_code_2(self):
         process = self.run_one(LB_INHERITED_FD="77").process
-        said = process.communicate(timeout=60)[1]
-        self.assertEqual((process.returncode, said.count("\n")), (2, 1), said)
-        self.assertIn("LB_INHERITED_FD", said)
+        stderr_text = process.communicate(timeout=60)[1]
+        self.assertEqual((process.returncode, stderr_text.count("\n")), (2, 1), stderr_text)
+        self.assertIn("LB_INHERITED_FD", stderr_text)
 
 
-FULL = """
+MANY_OBJECTS_SCRIPT = """
 import asyncio, atexit, ctypes, gc, json, sys, time
 from frostspindle import __main__, program
-books, stop = [], program.Program.stop
+objects, stop = [], program.Program.stop
 
-async def fill(self):
-    books.extend([[]] for _ in range(300_000))
-    ctypes.pythonapi.Py_IncRef(ctypes.py_object(books))  # never freed, so that nothing but a walk over them is measured
-    began = time.process_time()
+async def allocate_and_stop(self):
+    objects.extend([[]] for _ in range(300_000))
+    ctypes.pythonapi.Py_IncRef(ctypes.py_object(objects))  # never freed, so that only a traversal of them is measured
+    started_at = time.process_time()
     gc.collect()
-    books.append(time.process_time() - began)
+    objects.append(time.process_time() - started_at)
     await stop(self)
 
-program.Program.stop = fill
-atexit.register(lambda: print(json.dumps({"event": "over", "walk": books[-1], "cpu": time.process_time()}),
+program.Program.stop = allocate_and_stop
+atexit.register(lambda: print(json.dumps({"event": "exit", "gc_s": objects[-1], "cpu_s": time.process_time()}),
                               file=sys.stderr, flush=True))
 sys.exit(__main__.main())
 """
 
 
-class End(UpgradeCase):
-    async def test_the_end_of_a_process_does_not_walk_its_books_again(self):
-        """A process that ends shares its processors with the one that goes on, which has all the work by then."""
-        running = self.run_one(arguments=("-c", FULL))
+class ExitTime(UpgradeCase):
+    async def test_the_exit_of_a_process_does_not_traverse_its_objects_again(self):
+        """Guards against: garbage collection on exit took CPU time from the new process, which has all the load."""
+        running = self.run_one(arguments=("-c", MANY_OBJECTS_SCRIPT))
         await running.event("coordinator_started")
         running.process.send_signal(signal.SIGTERM)
-        over = await running.event("over")
-        _, status, used = await asyncio.to_thread(os.wait4, running.process.pid, 0)
+        exit_event = await running.event("exit")
+        _, status, usage = await asyncio.to_thread(os.wait4, running.process.pid, 0)
         running.process.returncode = os.waitstatus_to_exitcode(status)
         self.assertEqual(running.process.returncode, 0)
-        self.assertLess(used.ru_utime + used.ru_stime - over["cpu"], over["walk"])
+        self.assertLess(usage.ru_utime + usage.ru_stime - exit_event["cpu_s"], exit_event["gc_s"])
 
 
-class Ending(EdgeCase):
-    async def test_held_requests_are_given_up_without_a_further_send(self):
+class ShutdownLimits(EdgeCase):
+    async def test_open_requests_are_failed_without_further_attempts(self):
         (engine,) = await self.engines()
         await self.coordinator([host("s-00000001", engine.port)])
         engine.script = at_work(asyncio.Event())
         core = self.program.core
-        asked = [asyncio.create_task(self.ask(number=number)) for number in range(60)]
+        pending_requests = [asyncio.create_task(self.ask(number=number)) for number in range(60)]
         await self.until(lambda: core.open == 60 and core.controller.waiting_queue)
-        sent = self.count("sent")
+        sent_count = self.count("sent")
         core.fail_open_requests()
-        self.assertEqual({(await one)[0] for one in asked}, {503})  # lookups: a repeat does no harm
+        # 503, as lookups are idempotent and the client may retry.
+        self.assertEqual({(await request)[0] for request in pending_requests}, {503})
         await self.until(lambda: not core.ledger.entries)
         self.assertEqual((core.controller.requests, self.count("faults")), ({}, 0))
-        self.assertLessEqual(len(engine.of("POST")), sent)
+        self.assertLessEqual(len(engine.of("POST")), sent_count)
 
-    async def test_over_an_upgrade_a_process_may_have_open_what_the_other_leaves(self):
+    async def test_during_an_upgrade_the_limit_of_open_requests_depends_on_the_other_process(self):
         await self.coordinator()
         core, folder = self.program.core, self.program.shared.folder.parent
 
-        async def most(bound):
-            await self.until(lambda: core.controller.max_open_requests == bound)
+        async def limit_becomes(limit):
+            await self.until(lambda: core.controller.max_open_requests == limit)
 
-        await most(296)  # 29 percent of 1,024
-        other, theirs = Shared({"TMPDIR": str(folder)}, "t0", Telemetry(sink=io.BytesIO())), [250]
-        other.follow(lambda: theirs[0], lambda: None)
+        await limit_becomes(296)  # 29 percent of 1,024
+        other, other_open = Shared({"TMPDIR": str(folder)}, "t0", Telemetry(sink=io.BytesIO())), [250]
+        other.follow(lambda: other_open[0], lambda: None)
         other.start(lambda names: None, lambda crowded: None)
-        await most(59)  # the other has most in its line, and a fifth is for the new one all the same
-        theirs[0] = 20
-        await most(276)
+        await limit_becomes(59)  # the other process has most requests open; the new one gets at least a fifth
+        other_open[0] = 20
+        await limit_becomes(276)
         core.ledger.open_count = 41
         await self.until(lambda: other.open_elsewhere == 41)
         core.ledger.open_count = 0
         self.program.stopping.set()
-        theirs[0] = 21
-        await most(237)  # the one that ends keeps what it has, but for the new one's fifth
-        theirs[0] = 200
-        await most(96)
-        other._open_here = None  # one that does not tell: fixed parts
+        other_open[0] = 21
+        await limit_becomes(237)  # an exiting process has the rest, less the fifth for the new one
+        other_open[0] = 200
+        await limit_becomes(96)
+        other._open_here = None  # the other process does not publish its open requests: fixed shares
         os.ftruncate(other._lock.fileno(), 0)
-        await most(118)
+        await limit_becomes(118)
         other.close()
-        await most(296)
+        await limit_becomes(296)
 
 
-class Handover(unittest.TestCase):
-    def test_both_processes_keep_together_to_the_bound_and_neither_takes_what_the_other_holds(self):
-        for whole in (16, 111, 296):
-            for held in range(whole + 1):
-                new = open_request_limit(whole, held, is_draining=False)
+class OpenRequestLimit(unittest.TestCase):
+    def test_both_processes_together_stay_within_the_limit(self):
+        for total in (16, 111, 296):
+            for old_open in range(total + 1):
+                new_limit = open_request_limit(total, old_open, is_draining=False)
                 self.assertGreaterEqual(
-                    open_request_limit(whole, new, is_draining=True), min(held, whole - int(whole * 0.2))
+                    open_request_limit(total, new_limit, is_draining=True), min(old_open, total - int(total * 0.2))
                 )
-                self.assertLessEqual(held + new, whole + int(whole * 0.2))
+                self.assertLessEqual(old_open + new_limit, total + int(total * 0.2))
         self.assertEqual([open_request_limit(100, None, is_draining) for is_draining in (False, True)], [60, 40])
 
-    def test_a_figure_that_can_not_be_read_counts_as_not_told(self):
+    def test_an_unreadable_number_of_open_requests_counts_as_unknown(self):
         with tempfile.TemporaryDirectory() as folder:
-            for text, told in (
+            for text, expected in (
                 (b"      12", 12),
                 (b"", None),
                 (b"     -12", None),
@@ -316,59 +321,59 @@
             ):
                 marker = Path(folder, "run-1")
                 marker.write_bytes(text)
-                self.assertEqual(Shared._told_open(marker), told)
+                self.assertEqual(Shared._told_open(marker), expected)
             self.assertIsNone(Shared._told_open(Path(folder, "none")))
 
 
-class Presence(unittest.IsolatedAsyncioTestCase):
-    # Guards against: a folder that failed at the start was never used, and a ban of that time ended with the process.
-    async def test_a_folder_is_used_once_it_can_be_with_the_bans_of_the_time_before(self):
+class SharedFolder(unittest.IsolatedAsyncioTestCase):
+    # Guards against: a folder that was unusable at the start was never used, and bans set meanwhile were lost on exit.
+    async def test_a_folder_is_used_as_soon_as_it_is_usable_with_the_bans_set_before(self):
         with tempfile.TemporaryDirectory() as parent:
-            at = Path(parent, "tmp")
-            at.write_text("")  # not a folder
-            shared = Shared({"TMPDIR": str(at)}, "n", Telemetry(sink=io.BytesIO()))
+            folder = Path(parent, "tmp")
+            folder.write_text("")  # not a folder
+            shared = Shared({"TMPDIR": str(folder)}, "n", Telemetry(sink=io.BytesIO()))
             self.addCleanup(shared.close)
             shared.start(lambda names: None, lambda crowded: None)
             self.assertIsNone(shared.folder)
             shared.ban("s-1", True)
-            at.unlink()
-            at.mkdir()
+            folder.unlink()
+            folder.mkdir()
             async with asyncio.timeout(5.0):
                 while shared.folder is None:
                     await asyncio.sleep(0.01)
             self.assertEqual(shared.banned, frozenset({"s-1"}))
-            told = []
-            other = Shared({"TMPDIR": str(at)}, "n", Telemetry(sink=io.BytesIO()))
-            other.start(told.append, lambda crowded: None)
-            self.assertEqual(told, [frozenset({"s-1"})])
+            bans = []
+            other = Shared({"TMPDIR": str(folder)}, "n", Telemetry(sink=io.BytesIO()))
+            other.start(bans.append, lambda crowded: None)
+            self.assertEqual(bans, [frozenset({"s-1"})])
             self.assertTrue(other.is_sharing)
             other.close()
             shared.close()
 
-    async def test_without_a_folder_that_can_be_written_bans_are_kept_in_memory(self):
+    async def test_bans_are_kept_in_memory_without_a_writable_folder(self):
         with tempfile.NamedTemporaryFile() as file:
             for environ in ({}, {"TMPDIR": file.name}):
-                told = []
+                ban_changes = []
                 shared = Shared(environ, "n", Telemetry(sink=io.BytesIO()))
-                shared.start(told.append, lambda crowded: None)
+                shared.start(ban_changes.append, lambda crowded: None)
                 shared.ban("s-1", True)
                 shared.ban("s-1", False)
-                self.assertEqual(told, [{"s-1"}, frozenset()])
+                self.assertEqual(ban_changes, [{"s-1"}, frozenset()])
                 shared.close()
 
-    async def test_two_processes_see_each_other_and_what_a_killed_one_left_counts_for_nothing(self):
+    async def test_two_processes_detect_each_other_and_ignore_the_marker_of_a_killed_one(self):
         with tempfile.TemporaryDirectory() as folder:
-            heard: dict[str, list[bool]] = {"a": [], "b": []}
-            a, b = (Shared({"TMPDIR": folder}, "n", Telemetry(sink=io.BytesIO())) for _ in range(2))
-            a.start(lambda names: None, heard["a"].append)
-            (a.folder / "run-1").touch()  # of a process that was killed
-            b.start(lambda names: None, heard["b"].append)
-            a._read()
-            self.assertEqual(heard, {"a": [True], "b": [True]})
-            self.assertFalse((a.folder / "run-1").exists())
-            b.close()
-            a._read()
-            self.assertEqual(heard["a"], [True, False])
-            with open(a._lock.name, "rb") as other, self.assertRaises(BlockingIOError):
-                fcntl.flock(other, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            a.close()
+            sharing_changes: dict[str, list[bool]] = {"a": [], "b": []}
+            first, second = (Shared({"TMPDIR": folder}, "n", Telemetry(sink=io.BytesIO())) for _ in range(2))
+            first.start(lambda names: None, sharing_changes["a"].append)
+            (first.folder / "run-1").touch()  # left behind by a killed process
+            second.start(lambda names: None, sharing_changes["b"].append)
+            first._read()
+            self.assertEqual(sharing_changes, {"a": [True], "b": [True]})
+            self.assertFalse((first.folder / "run-1").exists())
+            second.close()
+            first._read()
+            self.assertEqual(sharing_changes["a"], [True, False])
+            with open(first._lock.name, "rb") as marker, self.assertRaises(BlockingIOError):
+                fcntl.flock(marker, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            first.close()
