--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -123,10 +123,10 @@
             self.lease_expiries[slot] = now + self.lease_ms
 
     def rebalance(self, now: float, demands: Mapping[int, Mapping[int, BudgetDemand]]) -> None:
-        """Reclaim what was confirmed or has expired, then divide each cold engine's units anew.
+        """Reclaim units after confirmed revocations and expired leases, then divide each cold engine's units again.
 
-        `demands`: for each engine that is cold for some worker, the report of each slot. An engine that no worker has
-        reported for the cooling time and a lease is forgotten.
+        `demands` has the demand of each slot for each engine that is cold at any worker. The ledger of an engine is
+        removed if no worker has reported it for the cooling time plus a lease duration.
         """
         for engine in demands.keys() - self.engines.keys():
             self.engines[engine] = BudgetLedger([SlotUnits() for _ in range(self.slot_count)], self.units)
@@ -134,7 +134,7 @@
             if engine in demands:
                 ledger.last_demand_at = now
             elif now - ledger.last_demand_at > self.cooling_ms + self.lease_ms:
-                del self.engines[engine]  # warm or gone for all of them
+                del self.engines[engine]  # no longer cold, or no longer listed, at any worker
                 self.changed = True
                 continue
             self._reclaim(ledger, now, demands.get(engine, {}))
--- a/frostspindle/cores/request_relay.py
+++ b/frostspindle/cores/request_relay.py
@@ -121,7 +121,7 @@
                 owner = ownership.owner_of(path)
                 assert owner is not None
                 task = self._create_task(self._relay(call, owner.slot, method, url))
-                if method == b"GET":  # a DELETE is executed even if its client disconnects
+                if method == b"GET":  # a DELETE is relayed even if its client disconnects
                     self._relayed_calls[call] = task
                     task.add_done_callback(lambda _: self._relayed_calls.pop(call, None))
         return True
--- a/tests/test_cores_model.py
+++ b/tests/test_cores_model.py
@@ -26,7 +26,7 @@
         self.units, self.now, self.failures_left, self.checks_expiry = units, 0, 1, checks_expiry
         self.state = [RUNNING] * workers
         self.lease_units = [0] * workers  # that each worker has applied
-        self.confirmed_serials = [0] * workers  # by worker
+        self.confirmed_serials = [0] * workers  # of the leases that each worker has confirmed
         self.sent = [() for _ in range(workers)]  # by worker, ages in ticks of the sends in the window
         self.is_rebalanced = False  # the arbiter has run in this tick
         for worker in range(workers):
--- a/tests/test_endings_signals.py
+++ b/tests/test_endings_signals.py
@@ -179,7 +179,7 @@
         # The plan must end before the earliest kill; a busy machine may execute it late.
         self.assertLess(last_s + 2 * program.DRAIN_POLL_INTERVAL_S + program.RESPONSE_FLUSH_S, longest_s + KILL_DELAY_S)
         clients.append(await self.client(request_bytes(9, LOOKUP, 30000)))  # on a connection opened during the drain
-        for signalled in (signal.SIGTERM, signal.SIGUSR1, signal.SIGHUP):  # ignored during a drain
+        for signalled in (signal.SIGTERM, signal.SIGUSR1, signal.SIGHUP):  # must not affect the drain
             self.coordinator_process.process.send_signal(signalled)
         for reader, writer in clients:
             async with asyncio.timeout(30.0):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -117,7 +117,7 @@
     async def test_the_old_process_finishes_its_requests_and_the_new_one_accepts_new_ones(self):
         release = asyncio.Event()
 
-        async def respond_in_progress():  # responds within 0.5 s, after which the request would be retried
+        async def respond_in_progress():  # reports progress, as a silent engine is asked again after 0.5 s
             try:
                 async with asyncio.timeout(0.2):
                     await release.wait()
