--- a/frostspindle/cores/leases.py
+++ b/frostspindle/cores/leases.py
@@ -156,10 +156,10 @@
     def _divide(self, ledger: BudgetLedger, now: float, demands: Mapping[int, BudgetDemand]) -> None:
         """Move units towards a max-min fair division by demand: revoke units that others need, and grant free ones."""
         live_slots = [slot for slot in range(self.slot_count) if self.alive[slot] and now < self.lease_expiries[slot]]
-        wanted = {
+        demanded_units = {
             slot: units_wanted(demands.get(slot, BudgetDemand()), self.slot_count, self.units) for slot in live_slots
         }
-        target = max_min_fair_shares(wanted, self.units)
+        target = max_min_fair_shares(demanded_units, self.units)
         self._revoke(ledger, target)
         self._grant(ledger, target)
 
