--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -180,7 +180,7 @@
 start = wiring.OwnershipComponent.start
 def begin(part):
     for n in range({tasks}):
-        part.owners.want(f"t{{n}}")
+        part.lease_manager.add_candidacy(f"t{{n}}")
     start(part)
 wiring.OwnershipComponent.start = begin
 runpy.run_module("frostspindle", run_name="__main__")
--- a/bench/replica.py
+++ b/bench/replica.py
@@ -90,7 +90,7 @@
                 took.append((time.perf_counter() - began) * 1e3)
             out[f"one after another, ms, {name}"] = quantiles(took)
         for log in logs:
-            log.worst_turn_s = 0.0
+            log.longest_slice_s = 0.0
         began, used = time.perf_counter(), cpu()
         many, size = 20, 1_000
 
@@ -103,7 +103,7 @@
         out["200 at once"] = {
             "a second": round(many * size / took_s),
             "cpu_us an entry, all five": round((cpu() - used) * 1e6 / (many * size)),
-            "longest turn, cpu ms": round(max(log.worst_turn_s for log in logs) * 1e3, 1),
+            "longest turn, cpu ms": round(max(log.longest_slice_s for log in logs) * 1e3, 1),
             "syncs": leader.counters["syncs"],
             "longest sync ms": round(max(log.worst_sync_s for log in logs) * 1e3, 1),
         }
--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -36,7 +36,7 @@
         lab.lives += 1
         self.holder = LeaseHolder(self.name, lab.lives, lab.terms, self.table, lab.random.getrandbits(32), self.now)
         for task in lab.tasks:
-            self.holder.want(task, 1.0)
+            self.holder.add_candidacy(task, 1.0)
         log.attach(TOPIC, self.table)
         log.watch(TOPIC, lambda index, command, result: self.told(command, result))
 
@@ -61,9 +61,9 @@
             # What a step of the clock ended was last acted under at the look before it.
             at = (
                 self.lab.now
-                if turn.held or turn.why.startswith(("released", "passed"))
+                if turn.held or turn.reason.startswith(("released", "passed"))
                 else self.looked
-                if turn.why != "over"
+                if turn.reason != "over"
                 else self.lab.now - before
             )
             self.lab.lines.append(
--- a/frostspindle/ownership/holder.py
+++ b/frostspindle/ownership/holder.py
@@ -120,7 +120,7 @@
 
     # Candidacy and releases.
 
-    def want(self, task: str, weight: float) -> None:
+    def add_candidacy(self, task: str, weight: float) -> None:
         """Be a candidate for a task from now on, or with another weight; the lease follows by `next_command`.
 
         ValueError: more than MAX_TASKS tasks, or a weight outside (0, 1e6].
@@ -134,7 +134,7 @@
         self._observe(task)
         self._observer.due_by(self._observer.watched_ms)
 
-    def unwant(self, task: str) -> None:
+    def withdraw_candidacy(self, task: str) -> None:
         """Be a candidate no longer; a held lease ends here at once and is released with the next command."""
         self.ranks.pop(task, None)
         if task in self.leases:
--- a/frostspindle/ownership/jobs.py
+++ b/frostspindle/ownership/jobs.py
@@ -80,7 +80,7 @@
         self.runs: dict[str, int] = dict.fromkeys(self.jobs, 0)  # completed, by task
         leases.on_change.append(self._on_lease_changed)
         for job in jobs:
-            leases.want(job.task, (weights or {}).get(job.task, 1.0))
+            leases.add_candidacy(job.task, (weights or {}).get(job.task, 1.0))
 
     def _on_lease_changed(self, task: str, lease: Lease | None) -> None:
         job = self.jobs.get(task)
--- a/frostspindle/ownership/lease.py
+++ b/frostspindle/ownership/lease.py
@@ -53,7 +53,7 @@
 
     on_change: list[LeaseListener]
 
-    def want(self, task: str, weight: float = 1.0) -> None:
+    def add_candidacy(self, task: str, weight: float = 1.0) -> None:
         """Be a candidate for a task: request its lease whenever it is free.
 
         A greater weight makes this coordinator likelier to get it.
@@ -61,7 +61,7 @@
         ValueError: a name that can't be used, a weight out of bounds, or more tasks than there may be.
         """
 
-    def unwant(self, task: str) -> None:
+    def withdraw_candidacy(self, task: str) -> None:
         """Be a candidate for the task no longer, and release its lease if it is held."""
 
     def lease(self, task: str) -> Lease | None:
--- a/frostspindle/ownership/lease_state.py
+++ b/frostspindle/ownership/lease_state.py
@@ -31,7 +31,7 @@
     task: str
     token: int
     held: bool
-    why: str = ""
+    reason: str = ""
     at: float = 0.0  # from when it was held, or until when, on the own clock
 
 
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -85,15 +85,15 @@
 
     # For users of leases.
 
-    def want(self, task: str, weight: float = 1.0) -> None:
+    def add_candidacy(self, task: str, weight: float = 1.0) -> None:
         """See LeaseProvider; ValueError unless the name has 1 to 64 printable ASCII characters without spaces."""
         if not _NAME.match(task):
             raise ValueError(f"a task's name has 1 to 64 printable ASCII characters: {task!r:.80}")
-        self.holder.want(task, weight)
+        self.holder.add_candidacy(task, weight)
 
-    def unwant(self, task: str) -> None:
+    def withdraw_candidacy(self, task: str) -> None:
         """See LeaseProvider; `on_change` is called before this returns, if the lease was held."""
-        self.holder.unwant(task)
+        self.holder.withdraw_candidacy(task)
         self._publish_changes()
 
     def lease(self, task: str) -> Lease | None:
@@ -204,7 +204,7 @@
         action = event.removeprefix("owner_")
         if len(changes) <= MAX_SINGLE_LINES:
             for change in changes:
-                reason = {"why": change.why} if change.why else {}
+                reason = {"why": change.reason} if change.reason else {}
                 self._log_event(event, change.task, change.token, action, True, at=round(change.at, 3), **reason)
             return
         for start in range(0, len(changes), MAX_CHANGES_A_LINE):
@@ -332,6 +332,6 @@
     """Return the name of the log event of a change."""
     if change.held:
         return "owner_took"
-    if change.why.startswith("released"):
+    if change.reason.startswith("released"):
         return "owner_released"
     return "owner_lost"
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -31,7 +31,7 @@
         config = program.config.operator.ownership
         assert config is not None and program.config.operator.replica is not None
         self.program: ProgramContext = program
-        self.owners: LeaseManager = LeaseManager(
+        self.lease_manager: LeaseManager = LeaseManager(
             program.replica,
             program.config.operator.replica.me,
             LeaseSettings(config.lease_ms, config.drift),
@@ -48,14 +48,14 @@
             jobs.append(self._warmup_job(config.warm))
             weights[WARMUP_TASK] = config.warm.weight
             self.cost_ms = config.warm.cost_ms
-        self.runner: JobRunner = JobRunner(self.owners, program.telemetry, jobs, weights)
+        self.runner: JobRunner = JobRunner(self.lease_manager, program.telemetry, jobs, weights)
         if program.operator_server:
             program.operator_server.handlers["show-owners"] = self.figures
             program.operator_server.handlers["release-owner"] = self.release
 
     def _export_job(self, task: Any) -> ExportJob:
         address = configuration.address(task.at, "ownership.task.at")
-        return ExportJob(task.name, address, task.every_ms, self.owners.name, self._exported_figures)
+        return ExportJob(task.name, address, task.every_ms, self.lease_manager.name, self._exported_figures)
 
     def _warmup_job(self, config: Any) -> WarmupJob:
         def run(number: int, ticket: str, statement: str) -> Awaitable[bool]:
@@ -115,23 +115,23 @@
 
     def figures(self) -> dict[str, Any]:
         """Return the leases' figures and the completed runs of the jobs here, for operators."""
-        return {**self.owners.figures(), "runs": self.runner.figures()}
+        return {**self.lease_manager.figures(), "runs": self.runner.figures()}
 
     def release(self, task: str) -> dict[str, Any]:
         """Begin an operator's release of a task, to be seen in `show-owners`; OperatorError if nobody holds it."""
-        grant = self.owners.force(task)
+        grant = self.lease_manager.force(task)
         if grant is None:
             raise OperatorError(f"nobody holds {task:.64}")
         return grant
 
     def start(self) -> None:
         """Start requesting leases; jobs run as leases are acquired."""
-        self.owners.start()
+        self.lease_manager.start()
 
     async def close(self) -> None:
         """Cancel the jobs and release all leases, early in the program's end, so that others take over meanwhile."""
         await self.runner.close()
-        await self.owners.close()
+        await self.lease_manager.close()
 
 
 def attach(program: ProgramContext) -> OwnershipComponent:
--- a/frostspindle/replica/disk.py
+++ b/frostspindle/replica/disk.py
@@ -36,9 +36,9 @@
     """The condition in which the journal's file was found."""
 
     FRESH = "fresh"  # there is no file
-    WHOLE = "whole"
+    COMPLETE = "whole"
     TORN = "torn"  # the last write was cut off; its beginning is removed
-    SPOILT = "spoilt"  # something that was synced can't be read
+    CORRUPT = "spoilt"  # something that was synced can't be read
 
 
 class FolderLockedError(ReplicaError):
@@ -94,19 +94,19 @@
         frame = _frame_at(data, offset)
         if frame is None or frame.number != number:
             if _has_later_frame(data, offset, number):
-                return ParsedJournal(JournalCondition.SPOILT, [], offset, number)
+                return ParsedJournal(JournalCondition.CORRUPT, [], offset, number)
             # Frame 0 is put in place by a rename after its sync, so that a crash can't tear it.
             is_torn = number > 0 and frame is None
-            condition = JournalCondition.TORN if is_torn else JournalCondition.SPOILT
+            condition = JournalCondition.TORN if is_torn else JournalCondition.CORRUPT
             return ParsedJournal(condition, records, offset, number)
         try:
             decoded = msgspec.msgpack.decode(frame.payload, type=list[list])
         except (msgspec.DecodeError, UnicodeDecodeError):
-            return ParsedJournal(JournalCondition.SPOILT, [], offset, number)
+            return ParsedJournal(JournalCondition.CORRUPT, [], offset, number)
         records += [tuple(record) for record in decoded]
         offset = frame.end
         number += 1
-    condition = JournalCondition.WHOLE if number else JournalCondition.SPOILT
+    condition = JournalCondition.COMPLETE if number else JournalCondition.CORRUPT
     return ParsedJournal(condition, records, offset, number)
 
 
@@ -150,7 +150,7 @@
             return JournalCondition.FRESH, []
         parsed = parse_journal(data)
         self._next_number = parsed.next_number
-        if parsed.condition is JournalCondition.SPOILT:
+        if parsed.condition is JournalCondition.CORRUPT:
             os.replace(self.path, self.path.with_suffix(".spoilt"))
             return parsed.condition, []
         self._file = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
--- a/frostspindle/replica/local.py
+++ b/frostspindle/replica/local.py
@@ -43,13 +43,13 @@
             return self._shared.members[0].name
         return None
 
-    def hold(self, held: bool = True) -> None:
+    def set_paused(self, held: bool = True) -> None:
         """Apply nothing for now; `hold(False)` applies what was appended meanwhile, in order."""
         self._paused = held
         if not held:
             self.catch_up()
 
-    def lead(self, led: bool) -> None:
+    def set_leader(self, led: bool) -> None:
         """Set whether the log has a leader; without one, all members' proposals raise LogUnavailableError."""
         self._shared.has_leader = led
 
--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -90,7 +90,7 @@
         self.stopped: str = ""  # the reason, once the log has stopped
         self.counters: Counter[str] = Counter()
         self._journal_writer: JournalWriter = JournalWriter(folder, telemetry, self.counters)
-        self.worst_turn_s: float = 0.0  # processor time for which the event loop was held
+        self.longest_slice_s: float = 0.0  # processor time for which the event loop was held
         self._turn_began: float = 0.0
 
     # The log.
@@ -194,7 +194,7 @@
         """Make the member from its journal and apply its snapshot; OSError, FolderLockedError, ValueError."""
         condition, records = await self._journal_writer.open()
         is_lost = condition is JournalCondition.FRESH and not self._is_first_start
-        votes_lost = condition is JournalCondition.SPOILT or is_lost
+        votes_lost = condition is JournalCondition.CORRUPT or is_lost
         self._report_journal(condition, len(records), votes_lost)
         member = LogMember(
             f"{self.me}={self._addresses.get(self.me) or self._listen_address}",
@@ -214,7 +214,7 @@
 
     def _report_journal(self, condition: JournalCondition, entries: int, votes_lost: bool) -> None:
         """Log a journal that was damaged, or that a voter has lost."""
-        is_damaged = condition in (JournalCondition.SPOILT, JournalCondition.TORN)
+        is_damaged = condition in (JournalCondition.CORRUPT, JournalCondition.TORN)
         if not is_damaged and not (votes_lost and self.me in self._addresses):
             return
         why = "its last write was cut off by a crash"
@@ -332,7 +332,7 @@
         self._turn_began = time.thread_time()
 
     def _end_turn(self) -> None:
-        self.worst_turn_s = max(self.worst_turn_s, time.thread_time() - self._turn_began)
+        self.longest_slice_s = max(self.longest_slice_s, time.thread_time() - self._turn_began)
 
     def _promote(self, member: LogMember) -> None:
         """Become a voter: all links end first, as the peers know this member as a follower."""
@@ -403,7 +403,7 @@
             "leader": self.leader,
             "index": self.index,
             "worst_sync_ms": round(self.worst_sync_s * 1e3, 1),
-            "worst_turn_ms": round(self.worst_turn_s * 1e3, 1),
+            "worst_turn_ms": round(self.longest_slice_s * 1e3, 1),
             **self.counters,
         }
         if self._member is not None:
--- a/frostspindle/settings/wiring.py
+++ b/frostspindle/settings/wiring.py
@@ -138,8 +138,8 @@
         if ownership_component is None:
             lease_settings = LeaseSettings(drift=self.section.drift)
             self.lease_manager = LeaseManager(self.log, name, lease_settings, self.telemetry)
-        ownership = self.lease_manager or ownership_component.owners
-        ownership.want(TASK)
+        ownership = self.lease_manager or ownership_component.lease_manager
+        ownership.add_candidacy(TASK)
         return ownership
 
     def _canary_check(self) -> CanaryCheck | None:
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -192,7 +192,7 @@
     found, records = file.load()
     file.close()
     journal = RaftJournal(records)
-    assert found is JournalCondition.WHOLE
+    assert found is JournalCondition.COMPLETE
     assert journal.entries == ENTRIES
     assert (journal.term, journal.getVotedForNodeId(), journal.votes_lost) == (4, None, True)
     before, last, voters, states = replica.decode_snapshot(journal.snapshot)
--- a/tests/contracts/logs.py
+++ b/tests/contracts/logs.py
@@ -64,13 +64,13 @@
     async def settle(self) -> None:
         """Until all members have applied what can be."""
 
-    def lead(self, led: bool) -> None:
+    def set_leader(self, led: bool) -> None:
         """Without a leader, or with one again."""
-        self.logs[0].lead(led)
+        self.logs[0].set_leader(led)
 
     def behind(self, number: int, held: bool) -> None:
         """Have a member hear nothing for now, or hear all again."""
-        self.logs[number].hold(held)
+        self.logs[number].set_paused(held)
 
     async def close(self) -> None: ...
 
@@ -92,7 +92,7 @@
     async def settle(self) -> None:
         self.lab.advance(1_000.0)
 
-    def lead(self, led: bool) -> None:
+    def set_leader(self, led: bool) -> None:
         self.part(range(len(self.logs)), led)
 
     def behind(self, number: int, held: bool) -> None:
@@ -141,7 +141,7 @@
             while any(log.index < first for log in self.logs):
                 await asyncio.sleep(0.01)
 
-    def lead(self, led: bool) -> None:
+    def set_leader(self, led: bool) -> None:
         for log in self.all:
             self.part(log, led)
 
--- a/tests/contracts/test_log_contract.py
+++ b/tests/contracts/test_log_contract.py
@@ -74,10 +74,10 @@
 def test_without_a_leader_a_proposal_is_unavailable_and_never_applied(kind):
     async def call(one):
         await one.finish(one.logs[0].propose("t", b"before", 20.0))
-        one.lead(False)
+        one.set_leader(False)
         answers = await one.finish(*(log.propose("t", b"lost", 0.3) for log in one.logs))
         assert all(isinstance(answer, LogUnavailableError | OutcomeUnknownError) for answer in answers)
-        one.lead(True)
+        one.set_leader(True)
         await one.finish(one.logs[0].propose("t", b"after", 30.0))
         assert all(isinstance(i, int) for i in await one.finish(*(log.barrier(30.0) for log in one.logs)))
         times = [command for _, command in one.books[0].entries].count(b"lost")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -217,7 +217,7 @@
         self.applied = dict.fromkeys(names, 0)
         for holder in self.holders.values():
             for task in wants:
-                holder.want(task, 1.0)
+                holder.add_candidacy(task, 1.0)
 
     def clock(self, name):
         return self.now * self.rates[name] + self.offsets[name]
@@ -293,7 +293,7 @@
         w.rates, w.offsets = dict(zip("abc", rates, strict=True)), dict(zip("abc", offsets, strict=True))
         for name in w.holders:
             w.holders[name] = LeaseHolder(name, 1, w.terms, w.tables[name], seed, w.clock(name))
-            w.holders[name].want("x", 1.0)
+            w.holders[name].add_candidacy("x", 1.0)
         w.run(500)
         first = w.owner()
         w.deaf.add(first)  # its renewals are appended, but it does not hear of them, nor of who takes over
@@ -384,7 +384,7 @@
         first = w.owner()
         other = "b" if first == "a" else "a"
         w.append(w.holders[other].force("x"))
-        assert not w.owners("x") and w.holders[first].changes[-1].why == "released by an operator"
+        assert not w.owners("x") and w.holders[first].changes[-1].reason == "released by an operator"
         w.run(300)
         assert w.owner() == other, "the holder said that it has stopped: nobody need wait it out"
         assert w.holders[other].force("y") is None
@@ -402,7 +402,7 @@
         w = World("a")
         command = w.asks()
         w.holders["a"].on_outcome(w.clock("a"), 1, CommandOutcome.UNKNOWN)
-        w.holders["a"].unwant("x")
+        w.holders["a"].withdraw_candidacy("x")
         w.append(command)
         assert not w.owners("x") and w.tables["a"].rows
         w.run(200)
@@ -428,7 +428,7 @@
             w.now += 20.0
         assert lease_table.decode_command(command).renewals
         holder.on_outcome(w.clock(first), holder.number, CommandOutcome.UNKNOWN)
-        holder.unwant("x")
+        holder.withdraw_candidacy("x")
         w.append(command)
         assert not w.owners("x") and not holder.leases
         w.run(400)
@@ -459,8 +459,8 @@
         for n, name in enumerate(names):
             w.holders[name].rng.seed(seed + n)
             for task in range(most):
-                w.holders[name].want(f"t{task}", weights[n])
-        w.holders["a"].want("only", 1.0)
+                w.holders[name].add_candidacy(f"t{task}", weights[n])
+        w.holders["a"].add_candidacy("only", 1.0)
         w.run(4_000)
         only = w.holders["a"].leases["only"].token
         w.down.clear()
@@ -495,7 +495,7 @@
         w = World("a", wants=("x", "y"))
         w.run(4_000)
         w.append(encode(RenewLeases("z", 1, 1, 1_000, [("x", 0, 0)])))
-        assert not w.owners("x") and w.owner("y") == "a" and w.holders["a"].changes[-1].why == "released to even out"
+        assert not w.owners("x") and w.owner("y") == "a" and w.holders["a"].changes[-1].reason == "released to even out"
         w.append(encode(RenewLeases("z", 1, 2, 1_000, [("y", 0, 0)])))
         assert w.owner("y") == "a", "one more than the other is within the margin"
         w.run(300)
@@ -506,8 +506,8 @@
     def test_a_greater_weight_keeps_more_and_who_gets_nothing_asks_more_and_more_seldom(self):
         w = World("a", "b", wants=())
         for n in range(40):
-            w.holders["a"].want(f"t{n}", 3.0)
-            w.holders["b"].want(f"t{n}", 1.0)
+            w.holders["a"].add_candidacy(f"t{n}", 3.0)
+            w.holders["b"].add_candidacy(f"t{n}", 1.0)
         w.down = {"b"}
         w.run(4_000)
         w.down.clear()
@@ -542,7 +542,7 @@
                 holder.on_outcome(w.clock("a"), holder.number, CommandOutcome.NOT_APPENDED)
         assert 7 <= asks <= 16
         with pytest.raises(ValueError):
-            holder.want("y", 0.0)
+            holder.add_candidacy("y", 0.0)
 
 
 def events():
@@ -599,7 +599,7 @@
 
     async def test_a_run_begins_only_after_the_last_one_has_ended(self):
         told, _ = events()
-        owners = SimpleNamespace(on_change=[], want=lambda task, weight: None, record_action=lambda *a: None)
+        owners = SimpleNamespace(on_change=[], add_candidacy=lambda task, weight: None, record_action=lambda *a: None)
         active, most, ending = 0, 0, asyncio.Event()
 
         class Slow:
@@ -654,7 +654,7 @@
             each.start()
         (first,) = await until(lambda: [n for n, job in enumerate(jobs) if len(job.sent) > 3])
         lease = owners[first].lease("x")
-        logs[first].hold()  # it hears nothing more, but what it asks reaches the others: its lease runs out
+        logs[first].set_paused()  # it hears nothing more, but what it asks reaches the others: its lease runs out
         (second,) = await until(lambda: [n for n, job in enumerate(jobs) if n != first and job.sent])
         assert not lease.holds() and owners[first].lease("x") is None
         with pytest.raises(LeaseLostError):
@@ -674,16 +674,16 @@
     async def test_without_a_leader_nobody_holds_and_it_says_so_and_goes_on_after(self):
         logs, owners, lines, told = self.make("a", "b")
         for each in owners:
-            each.want("x")
+            each.add_candidacy("x")
             each.start()
         await until(lambda: any(each.lease("x") for each in owners))
-        logs[0].lead(False)
+        logs[0].set_leader(False)
         await until(lambda: not any(each.lease("x") for each in owners))
         await until(lambda: all(each.figures()["waits"] for each in owners))
         assert [line["why"] for line in lines() if line["event"] == "lease_candidacy_delayed"] == [
             "no leader is heard of"
         ] * 2
-        logs[0].lead(True)
+        logs[0].set_leader(True)
         await until(lambda: any(each.lease("x") for each in owners))
         for each in owners:
             await each.close()
@@ -693,7 +693,7 @@
         logs, (a, b), lines, told = self.make("a", "b")
         a.busy, b.busy = (lambda: why["a"]), (lambda: why["b"])
         for each in (a, b):
-            each.want("x")
+            each.add_candidacy("x")
             each.start()
         await until(lambda: b.lease("x"))
         await asyncio.sleep(0)
@@ -707,7 +707,7 @@
         a.record_rejection("x", 1, "mark", 9)
         assert a.figures()["refusals"][0]["highest"] == 9 and a.figures()["refused"] == 1
         with pytest.raises(ValueError):
-            a.want("a name")
+            a.add_candidacy("a name")
         for each in (a, b):
             await each.close()
 
@@ -734,7 +734,7 @@
         cold[0] = ColdEngine(1, "e1", 9.0)  # a new start
         await until(lambda: len(asked) == 7)
         self.assertEqual(asked[5:], [(1, "s1"), (1, "s2")])
-        logs[0].lead(False)
+        logs[0].set_leader(False)
         await until(lambda: a.lease("warm") is None)
         cold[0] = ColdEngine(1, "e1", 11.0)
         await asyncio.sleep(0.1)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -148,11 +148,11 @@
             found, records, end, number = parse_journal(data[:size])
             whole = sum(length <= size for length in lengths)
             if not whole:
-                self.assertEqual(found, JournalCondition.SPOILT)  # the first frame comes whole, by a rename
+                self.assertEqual(found, JournalCondition.CORRUPT)  # the first frame comes whole, by a rename
                 continue
             self.assertEqual(
                 (found, end, number),
-                (JournalCondition.WHOLE if size == end else JournalCondition.TORN, lengths[whole - 1], whole),
+                (JournalCondition.COMPLETE if size == end else JournalCondition.TORN, lengths[whole - 1], whole),
             )
             journal = RaftJournal(records)
             self.assertEqual((journal.entries, journal.term, journal.vote), states[whole - 1])
@@ -160,7 +160,7 @@
         for more in (1, 2):
             disk = JournalFile(self.folder)
             found, records = disk.load()
-            self.assertEqual(found, JournalCondition.TORN if more == 1 else JournalCondition.WHOLE)
+            self.assertEqual(found, JournalCondition.TORN if more == 1 else JournalCondition.COMPLETE)
             journal = RaftJournal(records)
             journal.add(command(b"more"), journal.last[1] + 1, 9)
             disk.write(journal.take_pending_write())
@@ -173,10 +173,10 @@
         for place in range(0, lengths[-2]):
             spoilt = bytearray(data)
             spoilt[place] ^= 1 << place % 8
-            self.assertEqual(parse_journal(bytes(spoilt))[0], JournalCondition.SPOILT, place)
+            self.assertEqual(parse_journal(bytes(spoilt))[0], JournalCondition.CORRUPT, place)
         (self.folder / "journal").write_bytes(bytes(spoilt))
         disk = JournalFile(self.folder)
-        self.assertEqual(disk.load(), (JournalCondition.SPOILT, []))
+        self.assertEqual(disk.load(), (JournalCondition.CORRUPT, []))
         self.assertTrue((self.folder / "journal.spoilt").exists())
         with self.assertRaises(FolderLockedError):
             JournalFile(self.folder)
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -520,7 +520,7 @@
             (0, False),
         )
         self.assertIn("settings_version_store_failed", [event for event, _ in log_lines])
-        log.lead(False)
+        log.set_leader(False)
         await self.until(lambda: service.active_rules.reason == "alone")
         self.assertTrue(OperatorCalls(service).status()["counts"]["unavailable"])
         expired = [
@@ -532,7 +532,7 @@
             await self.until(lambda: service.pushes.outcome("q")["state"] == "uncertain")
         self.push(service, "r", {"ban/e3": Ban("e3")})
         await asyncio.sleep(0.3)
-        log.lead(True)
+        log.set_leader(True)
         await self.until(lambda: service.active_rules.mode == "version" and "ban/e3" in service.active_rules.rules)
 
     async def test_each_version_of_a_run_is_one_batch_and_removals_come_later(self):
