--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -94,7 +94,7 @@
                     outcome = CommandOutcome.UNKNOWN
                 holder.on_outcome(self.now, number, outcome)
 
-            self.log.submit(TOPIC, command, self.lab.terms.within_ms / 1_000.0, done)
+            self.log.submit(TOPIC, command, self.lab.terms.command_timeout_ms / 1_000.0, done)
         for task, own in list(self.holder.leases.items()):
             if own.announced and self.holder.holds(task, own.token, self.now):
                 self.lab.act(self, task, own.token)
--- a/frostspindle/ownership/progress.py
+++ b/frostspindle/ownership/progress.py
@@ -25,7 +25,7 @@
     token: Count
     engine: Name
     born_ms: Born
-    place: Count
+    position: Count
 
 
 class _State(Struct, array_like=True):
@@ -46,7 +46,7 @@
         self.starts: dict[str, tuple[float, int]] = {}  # by engine: its start and the count; latest recorded last
         self.refused: int = 0
 
-    def place(self, engine: str, born_ms: float) -> int:
+    def position(self, engine: str, born_ms: float) -> int:
         """Return how many statements succeeded at this start: the index of the next; 0 if none is known."""
         born, place = self.starts.get(engine, (0.0, 0))
         return place if born == born_ms else 0
@@ -67,12 +67,12 @@
         self.starts.pop(note.engine, None)
         if len(self.starts) >= MAX_ENGINES:
             del self.starts[next(iter(self.starts))]
-        self.starts[note.engine] = note.born_ms, note.place
+        self.starts[note.engine] = note.born_ms, note.position
         return b"1"
 
     def _is_outdated(self, note: RecordProgress) -> bool:
         known = self.starts.get(note.engine, (0.0, 0))
-        return note.token < self.highest or (note.born_ms, note.place) <= known
+        return note.token < self.highest or (note.born_ms, note.position) <= known
 
     def state(self) -> bytes:
         """Return the highest token and all starts as MessagePack, for a snapshot."""
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -153,7 +153,7 @@
     async def _propose(self, number: int, command: bytes) -> None:
         outcome = CommandOutcome.APPLIED
         try:
-            await self.log.propose(TOPIC, command, self.settings.within_ms / 1000.0)
+            await self.log.propose(TOPIC, command, self.settings.command_timeout_ms / 1000.0)
         except LogUnavailableError:
             outcome = CommandOutcome.NOT_APPENDED
         except OutcomeUnknownError:
--- a/frostspindle/ownership/timing.py
+++ b/frostspindle/ownership/timing.py
@@ -40,7 +40,7 @@
         return self.lease_ms / 2.0
 
     @property
-    def within_ms(self) -> float:
+    def command_timeout_ms(self) -> float:
         """Time limit of one command on the log, in ms."""
         return self.lease_ms * RENEW_PART
 
--- a/frostspindle/ownership/warmup.py
+++ b/frostspindle/ownership/warmup.py
@@ -84,7 +84,7 @@
         done_here = self.done.get((engine.name, engine.born_ms), 0)
         if self.progress_table is None:
             return done_here
-        return max(done_here, self.progress_table.place(engine.name, engine.born_ms))
+        return max(done_here, self.progress_table.position(engine.name, engine.born_ms))
 
     def _sender(self, engine: ColdEngine, statement: str) -> Callable[[int], Awaitable[bool]]:
         async def send(token: int) -> bool:
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -171,7 +171,7 @@
 OWNERSHIP_ANSWER = lease_table.CommandResult(
     reason="doubled", acquisitions=[True, False], renewals=[True], releases=[False]
 )
-WARMING_NOTE = progress.RecordProgress(token=135, engine="e7", born_ms=1_700_000_000_000.0, place=12)
+WARMING_NOTE = progress.RecordProgress(token=135, engine="e7", born_ms=1_700_000_000_000.0, position=12)
 
 # One entry of each kind; entries are stored by the names of their fields.
 RULES = {
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -130,7 +130,7 @@
     machine.restore(41, data)
     assert machine.state() == machines.warming().state() == data
     assert machine.highest == WARMING_NOTE.token
-    assert machine.place(engine=WARMING_NOTE.engine, born_ms=WARMING_NOTE.born_ms) == WARMING_NOTE.place
+    assert machine.position(engine=WARMING_NOTE.engine, born_ms=WARMING_NOTE.born_ms) == WARMING_NOTE.position
 
 
 @pytest.mark.parametrize("name", AGREED)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -150,7 +150,12 @@
             b"",
             b"1",
         ]
-        assert (p.place("e1", 11.0), p.place("e1", 10.0), p.place("e2", 3.0), p.place("e3", 1.0)) == (1, 0, 4, 0)
+        assert (p.position("e1", 11.0), p.position("e1", 10.0), p.position("e2", 3.0), p.position("e3", 1.0)) == (
+            1,
+            0,
+            4,
+            0,
+        )
         copy = WarmupProgress()
         copy.restore(9, p.state())
         assert copy.state() == p.state() and copy.apply(10, progress.encode(RecordProgress(7, "e2", 3.0, 5))) == b""
@@ -169,7 +174,7 @@
         p = WarmupProgress()
         for n in range(progress.MAX_ENGINES + 2):
             p.apply(n + 1, progress.encode(RecordProgress(1, f"e{n}", 1.0, 1)))
-        assert len(p.starts) == progress.MAX_ENGINES and not p.place("e1", 1.0) and p.place("e2", 1.0)
+        assert len(p.starts) == progress.MAX_ENGINES and not p.position("e1", 1.0) and p.position("e2", 1.0)
 
 
 class TestFence:
