--- a/frostspindle/ownership/__init__.py
+++ b/frostspindle/ownership/__init__.py
@@ -1,5 +1,4 @@
-"""Leases: which coordinator of a fleet does a task that only one may do at a time.
+"""Leases for tasks that only one coordinator of a fleet may do at a time, and the jobs that run under them.
 
-Grants are rows of a table on the replicated log, with fencing tokens for receivers, and the jobs that are done under
-leases are here too: docs/design/ownership.md.
+Grants are rows of a table on the replicated log, with fencing tokens for receivers. See docs/design/ownership.md.
 """
--- a/frostspindle/ownership/backoff.py
+++ b/frostspindle/ownership/backoff.py
@@ -8,27 +8,27 @@
 
 BACKOFF_MS = 50.0  # after the first failure
 MAX_BACKOFF_MS = 2_000.0
-MAX_FAILURES = 10  # that are counted
+MAX_FAILURES = 10  # upper bound of the failure count
 
 
 @dataclass(slots=True)
 class Backoff:
-    """The time until which nothing is to be tried again."""
+    """The time before which an operation is not to be retried."""
 
     until: float = -math.inf
     failures: int = 0
 
     def on_failure(self, now: float, rng: random.Random, max_ms: float) -> None:
-        """Note a failure: wait from BACKOFF_MS up, doubled with each, `max_ms` at most, times 0.5 to 1."""
+        """Back off: BACKOFF_MS, doubled with each failure up to `max_ms`, times a random factor of 0.5 to 1."""
         self.failures = min(self.failures + 1, MAX_FAILURES)
         delay_ms = min(max_ms, BACKOFF_MS * 2.0 ** (self.failures - 1))
         self.until = now + delay_ms * rng.uniform(0.5, 1.0)
 
     def on_success(self) -> None:
-        """Note a success: the wait ends, and the next one begins with the shortest."""
+        """End the backoff, and start the next one at its shortest."""
         self.until = -math.inf
         self.failures = 0
 
     def limit(self, until: float) -> None:
-        """Let the wait end at `until` at the latest."""
+        """Make the backoff end at `until` at the latest."""
         self.until = min(self.until, until)
--- a/frostspindle/ownership/export.py
+++ b/frostspindle/ownership/export.py
@@ -1,11 +1,11 @@
-"""The export of the fleet's figures, once a period, by the lease holder of its task: to a fenced sink over TCP.
+"""Export of the fleet's figures to a fenced sink over TCP, once per period, by the lease holder of its task.
 
-`Sink` is the client's side of the connection, `ExportJob` the job. Which period was sent is stored by the sink, so that
-another lease holder goes on from there; one request is in flight at most.
+`Sink` is the client side of the connection, `ExportJob` the job. The sink stores which period was sent, so that the
+next lease holder continues from there. At most one request is in flight.
 
-One JSON object a line: {"task", "token", "holder", "action", "key", "value"}; answers are {"ok": true}, {"stale":
-HIGHEST} or {"bad": WHY}. A sink takes the same key under the same or a higher token again, so a process that is killed
-between an export and its answer has done no harm: its successor sends the same period once more.
+The protocol has one JSON object per line: {"task", "token", "holder", "action", "key", "value"}. Responses are {"ok":
+true}, {"stale": HIGHEST} or {"bad": REASON}. A sink accepts the same key again under the same or a higher token, so a
+process may be killed between an export and its response: its successor sends the same period again.
 """
 
 from __future__ import annotations
@@ -20,60 +20,61 @@
 from frostspindle.ownership.jobs import JobContext
 from frostspindle.ownership.lease import OwnershipError
 
-ANSWER_TIMEOUT_S = 2.0
+RESPONSE_TIMEOUT_S = 2.0
 MAX_LINE_BYTES = 4_096
 
 
 class SinkError(OwnershipError):
-    """The sink can't be reached in time, rejects a line otherwise than as stale, or the line is too long."""
+    """The sink can't be reached in time, rejects a line for a reason other than a stale token, or the line is too
+    long."""
 
 
 class Sink:
-    """One connection to a fenced sink, opened when it is first needed and again after each failure."""
+    """One connection to a fenced sink, opened on first use and again after each failure."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address: tuple[str, int] = address
         self._connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def put(self, task: str, token: int, holder: str, action: str, key: str, value: Any) -> None:
-        """Send one line under a fencing token and wait for the sink's answer, ANSWER_TIMEOUT_S at most.
+        """Send one line under a fencing token and wait for the sink's response, RESPONSE_TIMEOUT_S at most.
 
-        StaleTokenError if the sink has seen a higher token, SinkError for any other failure. If no answer came, it is
-        not known whether the line was accepted.
+        Raise StaleTokenError if the sink has seen a higher token, and SinkError for any other failure. Without a
+        response it is unknown whether the line was accepted.
         """
         fields = {"task": task, "token": token, "holder": holder, "action": action, "key": key, "value": value}
         data = json.dumps(fields).encode() + b"\n"
         if len(data) > MAX_LINE_BYTES:
-            raise SinkError(f"{len(data)} bytes, at most {MAX_LINE_BYTES}")
+            raise SinkError(f"the line has {len(data)} bytes, more than {MAX_LINE_BYTES}")
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 if self._connection is None:
                     self._connection = await asyncio.open_connection(*self.address, limit=MAX_LINE_BYTES)
                 reader, writer = self._connection
                 writer.write(data)
-                answer = json.loads(await reader.readline() or b"null")
+                response = json.loads(await reader.readline() or b"null")
         except (OSError, TimeoutError, ValueError) as error:
             self.close()
             raise SinkError(repr(error)) from None
         except asyncio.CancelledError:
-            self.close()  # its answer would be read as the next one's
+            self.close()  # otherwise the next request would read this one's response
             raise
-        if isinstance(answer, dict) and "ok" in answer:
+        if isinstance(response, dict) and "ok" in response:
             return
-        if isinstance(answer, dict) and isinstance(answer.get("stale"), int):
-            raise StaleTokenError(task, token, answer["stale"])
+        if isinstance(response, dict) and isinstance(response.get("stale"), int):
+            raise StaleTokenError(task, token, response["stale"])
         self.close()
-        raise SinkError(str(answer)[:200])
+        raise SinkError(str(response)[:200])
 
     def close(self) -> None:
-        """Close the connection, if there is one; the next `put` opens another."""
+        """Close the connection, if it is open; the next `put` opens another."""
         if self._connection is not None:
             self._connection[1].close()
         self._connection = None
 
 
 class ExportJob:
-    """The job that exports the fleet's figures once a period; see jobs.Job."""
+    """The job that exports the fleet's figures once per period; see jobs.Job."""
 
     def __init__(
         self,
@@ -84,7 +85,7 @@
         figures: Callable[[], dict[str, int]],
         unix_s: Callable[[], float] = time.time,
     ) -> None:
-        """`figures`: a few sums, of the fleet where there is one, else of this coordinator; `unix_s`: the clock."""
+        """`figures` returns a few sums: of the fleet if there is one, else of this coordinator. `unix_s`: the clock."""
         self.task: str = task
         self.every_s: float = every_ms / 1000.0
         self.holder: str = holder
@@ -93,9 +94,9 @@
         self.sink: Sink = Sink(address)
 
     async def run(self, context: JobContext) -> None:
-        """Send the figures as the present period's value; of several exports in one period the last counts.
+        """Send the figures as the current period's value; of several exports in one period the last one counts.
 
-        LeaseLostError, SinkError.
+        Raise LeaseLostError or SinkError.
         """
         period = int(self.unix_s() / self.every_s)
         value = self.figures()
--- a/frostspindle/ownership/lease.py
+++ b/frostspindle/ownership/lease.py
@@ -1,6 +1,6 @@
-"""The interface of this package to others: leases for work that only one coordinator may do at a time.
+"""The public interface of this package: leases for work that only one coordinator may do at a time.
 
-Decides and stores nothing: `service.LeaseManager` does.
+The implementation is `service.LeaseManager`.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 class LeaseLostError(OwnershipError):
-    """The lease that work was done under is over; whatever is not sent yet must not be sent."""
+    """The lease of the current work has ended; nothing more may be sent under it."""
 
 
 class Lease:
-    """A lease granted to this process, as handed to its users; the same object over renewals."""
+    """A lease granted to this process; the same object across renewals."""
 
     __slots__ = ("task", "token", "_holds")
 
@@ -28,44 +28,44 @@
         self._holds: Callable[[], bool] = holds
 
     def holds(self) -> bool:
-        """Return whether the lease is held now; asked after each step and before each send.
+        """Return whether the lease is held now; to be called after each step and before each send.
 
-        True is no promise for the time after: a process may be stopped between the check and the send, so receivers
-        check the token besides.
+        The result holds only for this moment: the process may be suspended between the check and the send, so receivers
+        also check the token.
         """
         return self._holds()
 
     def check(self) -> None:
-        """Raise LeaseLostError if the lease is over."""
+        """Raise LeaseLostError if the lease has ended."""
         if not self._holds():
-            raise LeaseLostError(f"{self.task}: the lease of token {self.token} is over")
+            raise LeaseLostError(f"{self.task}: the lease with token {self.token} has ended")
 
     def __repr__(self) -> str:
         return f"Lease({self.task!r}, {self.token})"
 
 
-# Called with the task, and with its lease from now on; None: it is lost or released.
+# Called with the task, and with its lease if it was acquired or None if it was lost or released.
 LeaseListener = Callable[[str, Lease | None], None]
 
 
 class LeaseProvider(Protocol):
-    """The lease manager as other parts see it. Listeners are called in the event loop, and must not block or raise."""
+    """The lease manager's interface for other packages. Listeners run in the event loop and must not block or raise."""
 
     on_change: list[LeaseListener]
 
     def add_candidacy(self, task: str, weight: float = 1.0) -> None:
-        """Be a candidate for a task: request its lease whenever it is free.
+        """Become a candidate for a task: request its lease whenever it is free.
 
-        A greater weight makes this coordinator likelier to get it.
+        A greater weight makes this coordinator more likely to acquire it.
 
-        ValueError: a name that can't be used, a weight out of bounds, or more tasks than there may be.
+        Raise ValueError for an invalid name, a weight out of bounds, or too many tasks.
         """
 
     def withdraw_candidacy(self, task: str) -> None:
-        """Be a candidate for the task no longer, and release its lease if it is held."""
+        """Stop being a candidate for the task, and release its lease if it is held."""
 
     def lease(self, task: str) -> Lease | None:
-        """Return the task's lease; None: it is not held here now."""
+        """Return the task's lease, or None if this process does not hold it now."""
 
     def record_rejection(self, task: str, token: int, action: str, highest: int) -> None:
-        """Note that a receiver has rejected an action under this token: logged, counted and shown to operators."""
+        """Record that a receiver has rejected an action under this token: logged, counted and shown to operators."""
--- a/frostspindle/ownership/lease_state.py
+++ b/frostspindle/ownership/lease_state.py
@@ -1,4 +1,4 @@
-"""The state that a lease holder keeps of its leases and commands, and the changes that it reports."""
+"""A lease holder's state of leases and commands, and the changes that it reports."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 
 class CommandOutcome(Enum):
-    """What became of a proposed command."""
+    """The outcome of a proposed command."""
 
     APPLIED = "applied"
-    NOT_APPENDED = "not appended"  # and it never will be
+    NOT_APPENDED = "not appended"  # and never will be
     UNKNOWN = "unknown"  # it may be applied later
 
 
 @dataclass(slots=True)
 class HeldLease:
-    """A lease granted to this process; times in ms of its own clock."""
+    """A lease granted to this process; times in ms of its clock."""
 
     token: int
     requested_at: float
-    expires_at: float  # -inf: over until it is renewed
-    announced: bool = False  # its users know that it is held, and not yet that it is over
+    expires_at: float  # -inf: not usable until it is renewed
+    announced: bool = False  # the acquisition was reported to users, and the loss was not yet
 
 
 @dataclass(slots=True)
 class LeaseChanged:
-    """A lease that was acquired or lost, for its users."""
+    """The acquisition or loss of a lease, reported to its users."""
 
     task: str
     token: int
     held: bool
     reason: str = ""
-    at: float = 0.0  # from when it was held, or until when, on the own clock
+    at: float = 0.0  # when the lease began or ended, in ms of this process's clock
 
 
 @dataclass(slots=True)
--- a/frostspindle/ownership/lease_table.py
+++ b/frostspindle/ownership/lease_table.py
@@ -1,14 +1,19 @@
-"""The table of leases: a deterministic state machine on the replicated log, the same at every coordinator.
+"""The lease table: a deterministic state machine on the replicated log, identical at every coordinator.
 
-Records which task is granted to whom under which fencing token, and which commands were seen. No clock, and no error
-for any bytes. A task is granted only if its row is the one that the proposer saw (compare-and-set): whether the old
-lease is over is decided by the proposer (`holder.py`). A token is the log's index of its grant.
+Records the holder and fencing token of each task, and the last command number of each proposer. It reads no clock and
+raises for no input. A task is granted only if its row has the version that the proposer saw (compare-and-set); the
+proposer decides whether the previous lease has expired (`holder.py`). A token is the log index of its grant.
 
-Commands are MessagePack arrays: `RenewLeases` (acquisitions, renewals and releases of one coordinator in one entry),
-`ForceRelease` (an operator's release: nothing is renewed under that token any more, and the next holder still waits for
-the lease's expiry), `ReleaseAll` (a coordinator ends: all its leases are released, and commands that it sent before and
-that come later are dropped). Each carries the proposer's process (name, incarnation) and a growing number; one that is
-not greater than the last applied of that process is dropped, so that duplicates and overtaken commands change nothing.
+Commands are MessagePack arrays:
+
+- `RenewLeases`: acquisitions, renewals and releases of one coordinator in one entry.
+- `ForceRelease`: an operator's release. The lease with that token is no longer renewed, and the next holder still waits
+  for its expiry.
+- `ReleaseAll`: a coordinator shuts down. All its leases are released, and its commands that are applied later are
+  rejected.
+
+Each command has the proposer's process (name, incarnation) and an increasing number. A command whose number is not
+above the last one applied for that process is rejected, so that duplicates and reordered commands have no effect.
 """
 
 from __future__ import annotations
@@ -21,22 +26,22 @@
 
 MAX_TASKS = 4_096
 MAX_PROPOSERS = 512
-MAX_ITEMS = 512  # of one RenewLeases; with the longest names it stays under the log's limit
+MAX_ITEMS = 512  # per RenewLeases; with names of maximum length this stays below the log's command size limit
 NAME_PATTERN = r"^[!-~]{1,64}$"
 Name = Annotated[str, Meta(pattern=NAME_PATTERN)]
 Number = Annotated[int, Meta(ge=0, le=2**53)]
-DurationMs = Annotated[int, Meta(ge=100, le=600_000)]  # of a lease, ms
+DurationMs = Annotated[int, Meta(ge=100, le=600_000)]  # duration of a lease in ms
 Acquisitions = Annotated[
     list[tuple[Name, Number, Number]], Meta(max_length=MAX_ITEMS)
-]  # task, and the row that was seen
+]  # task, and the version of the row seen by the proposer
 Grants = Annotated[list[tuple[Name, Number]], Meta(max_length=MAX_ITEMS)]  # task, token
-NO_VERSION = (0, 0)  # of the row of a task that nobody holds
+NO_VERSION = (0, 0)  # version of a task without a holder
 
-Acquisition = tuple[str, int, int]  # task, and the version that was seen: token and number of renewals
+Acquisition = tuple[str, int, int]  # task, and the version seen by the proposer: token and number of renewals
 
 
 class RenewLeases(Struct, tag="ask", array_like=True, frozen=True):
-    """Command of one coordinator's process: takes, renewals and releases in one entry."""
+    """Command of one coordinator's process: acquisitions, renewals and releases in one entry."""
 
     holder: Name
     incarnation: Number
@@ -48,9 +53,9 @@
 
 
 class ForceRelease(Struct, tag="force", array_like=True, frozen=True):
-    """Command of an operator, proposed by a coordinator: the grant with this token is to be renewed no more."""
+    """Command of an operator, proposed by a coordinator: the grant with this token is no longer renewed."""
 
-    holder: Name  # who proposes it, not who holds the task
+    holder: Name  # the proposer, not the task's holder
     incarnation: Number
     number: Number
     task: Name
@@ -58,7 +63,7 @@
 
 
 class ReleaseAll(Struct, tag="leave", array_like=True, frozen=True):
-    """Command of a coordinator's process that ends: all its leases are released."""
+    """Command of a coordinator's process that shuts down: all its leases are released."""
 
     holder: Name
     incarnation: Number
@@ -69,7 +74,7 @@
 
 
 class LeaseRow(Struct, array_like=True, frozen=True):
-    """The present grant of one task."""
+    """The current grant of one task."""
 
     holder: Name
     incarnation: Number
@@ -80,12 +85,12 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Token and number of renewals: what a take must have seen to replace the row."""
+        """Token and number of renewals: an acquisition must state them to replace the row."""
         return self.token, self.renewals
 
 
 class CommandResult(Struct, array_like=True, frozen=True):
-    """The machine's result of a command; each list matches the command's, true where it was done."""
+    """The result of a command; each list has one value for each item in the command's list: whether it was applied."""
 
     reason: str = ""  # why the whole command was rejected
     acquisitions: list[bool] = []
@@ -105,7 +110,7 @@
 
 
 def decode_command(command: bytes) -> Command | None:
-    """Decode a command; None if it can't be read."""
+    """Decode a command; return None if it is malformed."""
     try:
         decoded: Any = _COMMAND.decode(command)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -114,7 +119,7 @@
 
 
 def decode_result(result: bytes) -> CommandResult:
-    """Decode the machine's result; one that can't be read counts as a rejection of the whole command."""
+    """Decode the result of a command; a malformed one counts as a rejection of the complete command."""
     try:
         return _RESULT.decode(result)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -122,7 +127,7 @@
 
 
 def affected_tasks(command: Command) -> Iterable[str] | None:
-    """Return the tasks that a command may have changed; None: any."""
+    """Return the tasks that a command may have changed; None means all."""
     if isinstance(command, RenewLeases):
         return [item[0] for item in (*command.acquisitions, *command.renewals, *command.releases)]
     if isinstance(command, ForceRelease):
@@ -131,23 +136,23 @@
 
 
 class LeaseTable:
-    """The state machine of the leases; see replica.base.StateMachine."""
+    """The state machine of the lease table; see replica.base.StateMachine."""
 
     def __init__(self) -> None:
         self.rows: dict[str, LeaseRow] = {}
-        self.refused: int = 0  # commands that were rejected as a whole
-        self._last_numbers: dict[tuple[str, int], int] = {}  # by process, the one of the latest command last
+        self.refused: int = 0  # number of commands that were rejected completely
+        self._last_numbers: dict[tuple[str, int], int] = {}  # by process, the one with the most recent command last
 
     def version(self, task: str) -> tuple[int, int]:
-        """Return the version of the task's row; NONE if nobody holds it."""
+        """Return the version of the task's row; NO_VERSION if the task has no holder."""
         row = self.rows.get(task)
         return NO_VERSION if row is None else row.version
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply a command and return an encoded CommandResult; never raises.
+        """Apply a command and return an encoded CommandResult; never raise.
 
-        Rejected as a whole, with a reason: bytes that can't be read, a number not above the process's last, more than
-        MAX_ITEMS items, and a ForceRelease of a grant that is not in force. A new grant's token is `index`.
+        Rejected completely, with a reason: a malformed command, a number not above the process's last one, more than
+        MAX_ITEMS items, and a ForceRelease of a grant that is no longer current. A new grant's token is `index`.
         """
         decoded = decode_command(command)
         if decoded is None:
@@ -157,7 +162,7 @@
             return self._reject("doubled")
         if isinstance(decoded, RenewLeases) and _item_count(decoded) > MAX_ITEMS:
             return self._reject("too many items")
-        self._note_number(process, decoded)
+        self._record_number(process, decoded)
         match decoded:
             case RenewLeases():
                 return encode(self._apply_renew_leases(index, decoded))
@@ -171,7 +176,7 @@
         self.refused += 1
         return encode(CommandResult(reason))
 
-    def _note_number(self, process: tuple[str, int], command: Command) -> None:
+    def _record_number(self, process: tuple[str, int], command: Command) -> None:
         self._last_numbers.pop(process, None)
         if len(self._last_numbers) >= MAX_PROPOSERS:
             del self._last_numbers[next(iter(self._last_numbers))]
@@ -186,7 +191,7 @@
         return encode(CommandResult())
 
     def _apply_renew_leases(self, index: int, command: RenewLeases) -> CommandResult:
-        """Release first, which makes room for acquisitions."""
+        """Apply releases, renewals and acquisitions, in this order: releases make room for acquisitions."""
         released = [self._release(command, task, token) for task, token in command.releases]
         renewed = [self._renew(command, task, token) for task, token in command.renewals]
         acquired = [
@@ -222,18 +227,18 @@
         return True
 
     def state(self) -> bytes:
-        """Return rows and last numbers as MessagePack, for a snapshot."""
+        """Return the rows and last numbers as MessagePack, for a snapshot."""
         last_numbers = [(*process, number) for process, number in self._last_numbers.items()]
         return encode(_State(dict(sorted(self.rows.items())), last_numbers))
 
     def restore(self, index: int, state: bytes) -> None:
-        """Take over a state made by `state`; ValueError if it can't be read or names a later token than `index`."""
+        """Restore a state returned by `state`. Raise ValueError if it is malformed or has a token above `index`."""
         try:
             decoded = _STATE.decode(state)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise ValueError(f"not a table of leases: {error}") from None
+            raise ValueError(f"malformed lease table: {error}") from None
         if any(row.token > index for row in decoded.rows.values()):
-            raise ValueError("a token of later than the state's index")
+            raise ValueError("the lease table has a token above its index")
         self.rows = decoded.rows
         self._last_numbers = {(name, incarnation): number for name, incarnation, number in decoded.last_numbers}
 
--- a/frostspindle/ownership/progress.py
+++ b/frostspindle/ownership/progress.py
@@ -1,8 +1,8 @@
-"""Progress of warming up, on the replicated log: where the next lease holder goes on from.
+"""Progress of engine warm-ups on the replicated log, from which the next lease holder continues.
 
-A deterministic state machine with the number of statements that succeeded at each engine's latest start, and the
-highest token under which one was recorded. It never goes back, rejects tokens lower than one seen, and raises for no
-bytes.
+A deterministic state machine with the number of statements that succeeded since each engine's latest start, and the
+highest token under which progress was recorded. Progress never decreases, tokens below the highest are rejected, and no
+input raises.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 MAX_ENGINES = 512
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
 Count = Annotated[int, Meta(ge=0, le=2**53)]
-Born = Annotated[float, Meta(ge=0, le=1e14)]
+StartMs = Annotated[float, Meta(ge=0, le=1e14)]
 
 
 class RecordProgress(Struct, array_like=True, frozen=True):
-    """Command: of the engine's start at `born_ms` (Unix ms), the first `place` statements succeeded."""
+    """Command: since the engine's start at `born_ms` (Unix ms), the first `position` statements succeeded."""
 
     token: Count
     engine: Name
-    born_ms: Born
+    born_ms: StartMs
     position: Count
 
 
 class _State(Struct, array_like=True):
     highest: Count
-    starts: Annotated[dict[Name, tuple[Born, Count]], Meta(max_length=MAX_ENGINES)]
+    starts: Annotated[dict[Name, tuple[StartMs, Count]], Meta(max_length=MAX_ENGINES)]
 
 
 encode = msgspec.msgpack.encode
@@ -43,46 +43,49 @@
 
     def __init__(self) -> None:
         self.highest: int = 0  # token
-        self.starts: dict[str, tuple[float, int]] = {}  # by engine: its start and the count; latest recorded last
+        self.starts: dict[
+            str, tuple[float, int]
+        ] = {}  # by engine: its start and the count; most recently recorded last
         self.refused: int = 0
 
     def position(self, engine: str, born_ms: float) -> int:
-        """Return how many statements succeeded at this start: the index of the next; 0 if none is known."""
-        born, place = self.starts.get(engine, (0.0, 0))
-        return place if born == born_ms else 0
+        """Return how many statements succeeded since this start, which is the index of the next one."""
+        recorded_start, position = self.starts.get(engine, (0.0, 0))
+        return position if recorded_start == born_ms else 0
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply a RecordProgress; return b"1" if it was accepted, b"" if rejected.
 
-        Rejected and counted: bytes that can't be read, a token below the highest seen, and a place that is no advance.
+        Rejected and counted: a malformed command, a token below the highest seen, and a position that is not an
+        advance.
         """
         try:
-            note = _COMMAND.decode(command)
+            record = _COMMAND.decode(command)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            note = None
-        if note is None or self._is_outdated(note):
+            record = None
+        if record is None or self._is_outdated(record):
             self.refused += 1
             return b""
-        self.highest = note.token
-        self.starts.pop(note.engine, None)
+        self.highest = record.token
+        self.starts.pop(record.engine, None)
         if len(self.starts) >= MAX_ENGINES:
             del self.starts[next(iter(self.starts))]
-        self.starts[note.engine] = note.born_ms, note.position
+        self.starts[record.engine] = record.born_ms, record.position
         return b"1"
 
-    def _is_outdated(self, note: RecordProgress) -> bool:
-        known = self.starts.get(note.engine, (0.0, 0))
-        return note.token < self.highest or (note.born_ms, note.position) <= known
+    def _is_outdated(self, record: RecordProgress) -> bool:
+        known = self.starts.get(record.engine, (0.0, 0))
+        return record.token < self.highest or (record.born_ms, record.position) <= known
 
     def state(self) -> bytes:
         """Return the highest token and all starts as MessagePack, for a snapshot."""
         return encode(_State(self.highest, self.starts))
 
     def restore(self, index: int, state: bytes) -> None:
-        """Take over a state made by `state`; ValueError if it can't be read, and nothing is changed."""
+        """Restore a state returned by `state`. Raise ValueError, without any change, if it is malformed."""
         try:
             decoded = _STATE.decode(state)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise ValueError(f"not a state of warmings-up: {error}") from None
+            raise ValueError(f"malformed warm-up progress: {error}") from None
         self.highest = decoded.highest
         self.starts = decoded.starts
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -1,12 +1,12 @@
-"""The lease manager of a running coordinator: its timer, its commands on the replicated log, and who is notified.
+"""The lease manager of a running coordinator: its timer, its commands on the replicated log, and its listeners.
 
-Runs in the event loop. All decisions about leases are `holder.LeaseHolder`'s; this module passes it the time, applied
-entries and outcomes, and proposes its commands, one at a time besides an operator's. It never waits for the log in the
-event loop.
+Runs in the event loop and never blocks it on the log. `holder.LeaseHolder` makes all lease decisions. This module
+passes it the time, applied entries and outcomes, and proposes its commands, one at a time apart from an operator's
+releases.
 
-Log lines, one an event: `owner_took`, `owner_lost`, `owner_released`, `owner_refused`, `owner_acted` with task, token,
-holder, action, accepted and `at`, ms of CLOCK_BOOTTIME (lab/history.py reads them); `owner_waits` and `owner_stands`
-when this coordinator stops and begins to be a candidate for its tasks, with the reason.
+Log lines: `owner_took`, `owner_lost`, `owner_released`, `owner_refused` and `owner_acted`, one per event, have task,
+token, holder, action, accepted and `at`, ms of CLOCK_BOOTTIME (read by lab/history.py). `lease_candidacy_delayed` (with
+the reason) and `lease_candidacy_started` tell when this coordinator stops and starts to be a candidate for its tasks.
 """
 
 from __future__ import annotations
@@ -29,23 +29,23 @@
 from frostspindle.telemetry import Telemetry
 
 TOPIC = "owners"
-TICK_S = 0.05  # under timing.PATIENCE_MS, as a candidate's wait counts only what it watched
+TICK_S = 0.05  # below timing.MAX_OBSERVED_STEP_MS, so that a candidate's observed time keeps up with the clock
 FORCE_TIMEOUT_S = 2.0
 LEAVE_TIMEOUT_S = 0.5
-MAX_REJECTIONS = 32  # that are kept for operators
+MAX_REJECTIONS = 32  # latest rejections shown to operators
 MAX_ROWS_SHOWN = 1_000
-MAX_SINGLE_LINES = 16  # so many changes at once have log lines of their own
-MAX_CHANGES_A_LINE = 256
+MAX_SINGLE_LINES = 16  # more simultaneous changes than this are combined in log lines
+MAX_CHANGES_PER_LINE = 256
 _NAME = re.compile(lease_table.NAME_PATTERN)
 
 
 def clock() -> float:
-    """Return CLOCK_BOOTTIME in ms: monotonic, and goes on while the process is stopped or the machine sleeps."""
+    """Return CLOCK_BOOTTIME in ms: monotonic, and advances while the process or the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 class LeaseManager:
-    """Implements lease.LeaseProvider. To be made before the log starts, as it attaches its topic."""
+    """Implements lease.LeaseProvider; must be created before the log starts, as it attaches its topic."""
 
     def __init__(
         self,
@@ -57,9 +57,9 @@
         now: Callable[[], float] = clock,
         seed: int | None = None,
     ) -> None:
-        """`busy` returns why this coordinator may acquire no lease now, or an empty string if it may."""
+        """`busy` returns why this coordinator must not acquire leases now, or an empty string if it may."""
         if not _NAME.match(name):
-            raise ValueError(f"a name of 1 to 64 printable ASCII characters: {name!r:.80}")
+            raise ValueError(f"a coordinator's name needs 1 to 64 printable ASCII characters: {name!r:.80}")
         self.log: ReplicatedLog = log
         self.name: str = name
         self.settings: LeaseSettings = settings
@@ -86,23 +86,23 @@
     # For users of leases.
 
     def add_candidacy(self, task: str, weight: float = 1.0) -> None:
-        """See LeaseProvider; ValueError unless the name has 1 to 64 printable ASCII characters without spaces."""
+        """See LeaseProvider; a task's name has 1 to 64 printable ASCII characters without spaces."""
         if not _NAME.match(task):
-            raise ValueError(f"a task's name has 1 to 64 printable ASCII characters: {task!r:.80}")
+            raise ValueError(f"a task's name needs 1 to 64 printable ASCII characters: {task!r:.80}")
         self.holder.add_candidacy(task, weight)
 
     def withdraw_candidacy(self, task: str) -> None:
-        """See LeaseProvider; `on_change` is called before this returns, if the lease was held."""
+        """See LeaseProvider; if the lease was held, the listeners are called before this returns."""
         self.holder.withdraw_candidacy(task)
         self._publish_changes()
 
     def lease(self, task: str) -> Lease | None:
-        """Return the task's lease after a look at the clock; None: it is not held here now."""
+        """Return the task's lease after checking the clock, or None if this process does not hold it now."""
         lease = self._leases.get(task)
         return lease if lease is not None and lease.holds() else None
 
     def record_rejection(self, task: str, token: int, action: str, highest: int) -> None:
-        """Count and log an action that a receiver rejected as stale; the last ones are kept for operators."""
+        """Count and log an action that a receiver rejected as stale; the latest ones are shown to operators."""
         self.rejected_actions += 1
         self.telemetry.count("owner_refused")
         rejection = {"task": task, "token": token, "action": action, "highest": highest}
@@ -111,21 +111,21 @@
         self._log_event("owner_refused", task, token, action, False, highest=highest)
 
     def record_action(self, task: str, token: int, action: str, receiver: str) -> None:
-        """Count and log an action that a receiver accepted under a token, or that it can't reject (an engine's)."""
+        """Count and log an action that a receiver accepted under a token, or, like an engine, can't reject."""
         self.accepted_actions += 1
         self._log_event("owner_acted", task, token, action, True, receiver=receiver)
 
     # Timer and log.
 
     def start(self) -> None:
-        """Start the timer that proposes commands every TICK_S; the event loop must run."""
+        """Start the timer that proposes commands every TICK_S; needs a running event loop."""
         self._timer_task = asyncio.create_task(self._run_timer())
 
     async def _run_timer(self) -> None:
         while True:
             try:
                 self._tick()
-            except Exception as error:  # noqa: BLE001 - the next tick looks at everything again
+            except Exception as error:  # noqa: BLE001 - the next tick retries
                 self._report_fault(error)
             await asyncio.sleep(TICK_S)
 
@@ -133,7 +133,7 @@
         now = self.now()
         wait_reason = self.busy()
         if not wait_reason and self.log.leader is None:
-            wait_reason = "no leader is heard of"
+            wait_reason = "no known leader"
         self._log_candidacy(wait_reason)
         command = self.holder.next_command(now, not wait_reason)
         self._publish_changes()
@@ -170,7 +170,7 @@
     # Changes of leases.
 
     def _publish_changes(self) -> None:
-        """Notify the listeners of the holder's changes and log them, in order."""
+        """Notify the listeners of the holder's changes in order, and log them."""
         changes = self.holder.changes
         self.holder.changes = []
         for change in changes:
@@ -181,7 +181,7 @@
             self._log_changes(event, list(group))
 
     def _update_lease(self, change: LeaseChanged) -> Lease | None:
-        """Return the task's lease from this change on."""
+        """Return the task's lease after this change."""
         if not change.held:
             self._leases.pop(change.task, None)
             return None
@@ -207,9 +207,9 @@
                 reason = {"why": change.reason} if change.reason else {}
                 self._log_event(event, change.task, change.token, action, True, at=round(change.at, 3), **reason)
             return
-        for start in range(0, len(changes), MAX_CHANGES_A_LINE):
-            part = changes[start : start + MAX_CHANGES_A_LINE]
-            many = [[change.task, change.token, round(change.at, 3)] for change in part]
+        for start in range(0, len(changes), MAX_CHANGES_PER_LINE):
+            chunk = changes[start : start + MAX_CHANGES_PER_LINE]
+            many = [[change.task, change.token, round(change.at, 3)] for change in chunk]
             self.telemetry.log(event, holder=self.name, action=action, accepted=True, many=many)
 
     def _log_event(self, event: str, task: str, token: int, action: str, accepted: bool, **more: Any) -> None:
@@ -245,9 +245,9 @@
     # Operators.
 
     def figures(self) -> dict[str, Any]:
-        """Return the table of leases as applied here, with counts, for operators; MAX_ROWS_SHOWN rows at most.
+        """Return the lease table as applied here and counters, for operators; MAX_ROWS_SHOWN rows at most.
 
-        `left_ms`: of own leases until their expiry, of others until they may be acquired, both by the own clock.
+        `left_ms` is the time until the expiry of this process's leases, and until others may be acquired here.
         """
         now = self.now()
         self.holder.advance_clock(now)
@@ -275,8 +275,8 @@
         waits = self.holder.remaining_wait_ms([task for task, _ in rows])
         figures = []
         for task, row in rows:
-            own = self.holder.leases.get(task)
-            left_ms = waits.get(task, 0.0) if own is None else max(0.0, own.expires_at - now)
+            held_lease = self.holder.leases.get(task)
+            left_ms = waits.get(task, 0.0) if held_lease is None else max(0.0, held_lease.expires_at - now)
             figures.append(
                 {
                     "task": task,
@@ -285,14 +285,14 @@
                     "renewals": row.renewals,
                     "lease_ms": row.duration_ms,
                     "left_ms": round(left_ms, 1),
-                    "here": own is not None,
+                    "here": held_lease is not None,
                     "forced": row.forced,
                 }
             )
         return figures
 
     def force(self, task: str) -> dict[str, Any] | None:
-        """Propose an operator's release and return at once which grant it is for; None: nobody holds the task."""
+        """Propose an operator's release and return the affected grant, or None if the task has no holder."""
         row = self.table.rows.get(task)
         command = self.holder.force(task)
         if row is None or command is None:
@@ -308,10 +308,10 @@
             fields["error"] = str(error)
         self.telemetry.log("lease_release_forced", **fields)
 
-    # The end.
+    # Shutdown.
 
     async def close(self) -> None:
-        """End all leases, first here, then in the table, waiting LEAVE_TIMEOUT_S at most; later calls do nothing."""
+        """End all leases here, then release them in the table within LEAVE_TIMEOUT_S; further calls have no effect."""
         if self._closed:
             return
         command = self.holder.leave()
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -1,4 +1,4 @@
-"""Leases and their jobs in the running program, made as configured and connected to the program's parts."""
+"""Leases and their jobs in the running program: created from the configuration and connected to other components."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 if TYPE_CHECKING:
     from frostspindle.host import ProgramContext
 
-MAX_EXPORTED_FIGURES = 32  # of one export
+MAX_EXPORTED_FIGURES = 32  # per export
 WARMUP_TASK = "warm"
 
 
 class OwnershipComponent:
-    """Leases and their jobs as the program starts and ends them; its calls `show-owners` and `release-owner`."""
+    """Starts and closes the leases and their jobs; serves the operator calls `show-owners` and `release-owner`."""
 
     def __init__(self, program: ProgramContext) -> None:
         config = program.config.operator.ownership
@@ -39,11 +39,11 @@
             self.busy,
         )
         self.progress: WarmupProgress = WarmupProgress()
-        # Also where nothing is warmed up, as all coordinators must have the same topics.
+        # Attached even without a warm-up, as all coordinators must have the same topics.
         program.replica.attach(TOPIC, self.progress)
         jobs: list[Job] = [self._export_job(task) for task in config.task]
         weights = {task.name: task.weight for task in config.task}
-        self.cost_ms: float = 0.0  # of one statement that warms up
+        self.cost_ms: float = 0.0  # cost of one warm-up statement
         if config.warm is not None:
             jobs.append(self._warmup_job(config.warm))
             weights[WARMUP_TASK] = config.warm.weight
@@ -66,14 +66,14 @@
             config.every_ms,
             config.statement,
             self._cold_engines,
-            self._pay,
+            self._spend_budget,
             run,
             self.program.replica,
             self.progress,
         )
 
     def busy(self) -> str:
-        """Return why this coordinator may acquire no lease now (draining, recovering); empty if it may."""
+        """Return why this coordinator must not acquire leases now (draining, recovering); empty if it may."""
         recovery = getattr(self.program, "recovery", None)
         if self.program.platform.draining:
             return "draining"
@@ -82,58 +82,59 @@
         return ""
 
     def _cold_engines(self) -> list[ColdEngine]:
-        """Return the HTTP engines that the decision module estimates as cold and ready now."""
+        """Return the HTTP engines that are ready and in slow start now, as estimated by the decision module."""
         core = self.program.core
         now = clock()
         return [
             ColdEngine(number, core.engines[number].name, started_ms(core.engines[number]))
-            for number, believed in core.controller.engines.items()
-            if believed.ready
-            and believed.in_slow_start(now)
+            for number, engine_state in core.controller.engines.items()
+            if engine_state.ready
+            and engine_state.in_slow_start(now)
             and number in core.engines
             and number in self.program.driver.pools
         ]
 
-    def _pay(self, engine: ColdEngine) -> bool:
-        """Buy the fleet's rights for one statement; False if there are none now."""
+    def _spend_budget(self, engine: ColdEngine) -> bool:
+        """Take the fleet's slow-start budget for one statement; False if there is none now."""
         now = clock()
         core = self.program.core
         warming = getattr(self.program, "warming", None)
-        believed = core.controller.engines.get(engine.number)
-        if believed is None or warming is None or warming.budgets is None or engine.name in core.banned:
+        engine_state = core.controller.engines.get(engine.number)
+        if engine_state is None or warming is None or warming.budgets is None or engine.name in core.banned:
             return False
-        budget = core.controller.slow_start.budget_ms(believed, now)
+        budget = core.controller.slow_start.budget_ms(engine_state, now)
         return bool(warming.budgets.spend(monotonic(), engine.name, engine.born_ms, now, self.cost_ms, budget))
 
     def _exported_figures(self) -> dict[str, int]:
-        """Return a few sums: of the fleet where there is one, else of this coordinator."""
+        """Return a few sums: of the fleet if there is one, else of this coordinator."""
         sums = self.program.fleet.figures().get("sums", {}) if self.program.fleet else {}
         if not sums:
             calls: dict[str, Any] = self.program.core.figures()["calls"]
-            sums = {f"{cls} {how}": count for cls, row in calls.items() for how, count in row.items()}
+            sums = {f"{cls} {outcome}": count for cls, row in calls.items() for outcome, count in row.items()}
         return {str(key): int(count) for key, count in sorted(sums.items())[:MAX_EXPORTED_FIGURES]}
 
     def figures(self) -> dict[str, Any]:
-        """Return the leases' figures and the completed runs of the jobs here, for operators."""
+        """Return the figures of the leases and the completed runs of the jobs, for operators."""
         return {**self.lease_manager.figures(), "runs": self.runner.figures()}
 
     def release(self, task: str) -> dict[str, Any]:
-        """Begin an operator's release of a task, to be seen in `show-owners`; OperatorError if nobody holds it."""
+        """Start an operator's release of a task; `show-owners` shows its progress. Raise OperatorError without a
+        holder."""
         grant = self.lease_manager.force(task)
         if grant is None:
-            raise OperatorError(f"nobody holds {task:.64}")
+            raise OperatorError(f"task {task:.64} has no holder")
         return grant
 
     def start(self) -> None:
-        """Start requesting leases; jobs run as leases are acquired."""
+        """Start requesting leases; jobs start as leases are acquired."""
         self.lease_manager.start()
 
     async def close(self) -> None:
-        """Cancel the jobs and release all leases, early in the program's end, so that others take over meanwhile."""
+        """Cancel the jobs and release all leases, early in the shutdown, so that other coordinators can take over."""
         await self.runner.close()
         await self.lease_manager.close()
 
 
 def attach(program: ProgramContext) -> OwnershipComponent:
-    """Make the part of a program that has [ownership] configured; to be called before the log starts."""
+    """Create the component of a program with [ownership] configured; to be called before the log starts."""
     return OwnershipComponent(program)
--- a/frostspindle/replica/local.py
+++ b/frostspindle/replica/local.py
@@ -85,7 +85,7 @@
         if self._stopped:
             raise LogUnavailableError("the log has stopped")
         if not self._shared.has_leader:
-            raise LogUnavailableError("no leader is heard of")
+            raise LogUnavailableError("no known leader")
         if self._open_proposals >= MAX_OPEN_PROPOSALS:
             raise LogUnavailableError(f"{MAX_OPEN_PROPOSALS} proposals are open")
         self._open_proposals += 1
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -21,7 +21,7 @@
 from frostspindle.ownership.ranking import rendezvous_rank
 from frostspindle.ownership.rebalancing import MAX_MOVES
 from frostspindle.ownership.service import LeaseManager
-from frostspindle.ownership.timing import PATIENCE_MS, LeaseSettings, expiry_ms, takeover_wait_ms
+from frostspindle.ownership.timing import MAX_OBSERVED_STEP_MS, LeaseSettings, expiry_ms, takeover_wait_ms
 from frostspindle.ownership.warmup import ColdEngine, WarmupJob
 from frostspindle.replica.local import LocalLog
 from frostspindle.store.memory import MemoryStore
@@ -284,7 +284,7 @@
         while not (others := [name for name in w.owners("x") if name != first]):
             w.run(20)
         assert w.now >= end and others, "never before the dead one's own end"
-        assert w.now - died <= takeover_wait_ms(1_000, 0.01) + w.terms.spread + 3 * 20 + PATIENCE_MS
+        assert w.now - died <= takeover_wait_ms(1_000, 0.01) + w.terms.spread + 3 * 20 + MAX_OBSERVED_STEP_MS
         assert w.holders[others[0]].leases["x"].token > token
 
     @given(
@@ -686,7 +686,7 @@
         await until(lambda: not any(each.lease("x") for each in owners))
         await until(lambda: all(each.figures()["waits"] for each in owners))
         assert [line["why"] for line in lines() if line["event"] == "lease_candidacy_delayed"] == [
-            "no leader is heard of"
+            "no known leader"
         ] * 2
         logs[0].set_leader(True)
         await until(lambda: any(each.lease("x") for each in owners))
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -48,7 +48,7 @@
         fleet.streams.cut = {holder.number, int(leads[1:])}
         mark = len(fleet.sink.lines)
         third = await fleet.acts(mark, holder.name)
-        self.assertEqual((await holder.figures("show-owners"))["waits"], "no leader is heard of")
+        self.assertEqual((await holder.figures("show-owners"))["waits"], "no known leader")
         fleet.streams.cut = set()
 
         # kill -9 between an action and its record here: the sink has taken it, and its answer is not there yet.
