--- a/frostspindle/ownership/export.py
+++ b/frostspindle/ownership/export.py
@@ -45,7 +45,7 @@
         fields = {"task": task, "token": token, "holder": holder, "action": action, "key": key, "value": value}
         data = json.dumps(fields).encode() + b"\n"
         if len(data) > MAX_LINE_BYTES:
-            raise SinkError(f"the line has {len(data)} bytes, more than {MAX_LINE_BYTES}")
+            raise SinkError(f"{len(data)} bytes in a line, the limit is {MAX_LINE_BYTES}")
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 if self._connection is None:
--- a/frostspindle/ownership/fence.py
+++ b/frostspindle/ownership/fence.py
@@ -19,7 +19,7 @@
     """The action's token is lower than one seen before: the lease has passed to another holder."""
 
     def __init__(self, task: str, token: int, highest: int) -> None:
-        super().__init__(f"{task}: token {token} is stale, the highest seen is {highest}")
+        super().__init__(f"{task}: token {token} is stale, {highest} was seen before")
         self.task: str = task
         self.token: int = token
         self.highest: int = highest
@@ -75,7 +75,7 @@
             raise StaleTokenError(task, token, highest)
         if token > highest:
             if task not in self._highest and len(self._highest) >= self._max_tasks:
-                raise FenceFullError(f"the fence is full: {self._max_tasks} tasks")
+                raise FenceFullError(f"{self._max_tasks} tasks, the fence is full")
             if self._store is not None:
                 self._store.apply({self._prefix + task.encode(): token.to_bytes(TOKEN_BYTES, "big")})
             self._highest[task] = token
--- a/frostspindle/ownership/holder.py
+++ b/frostspindle/ownership/holder.py
@@ -128,7 +128,7 @@
         Raise ValueError for more than MAX_TASKS tasks, or a weight outside (0, 1e6].
         """
         if task not in self.ranks and len(self.ranks) >= lease_table.MAX_TASKS:
-            raise ValueError(f"more than {lease_table.MAX_TASKS} tasks")
+            raise ValueError(f"{lease_table.MAX_TASKS} tasks are the limit")
         if not 0.0 < weight <= MAX_WEIGHT:
             raise ValueError(f"the weight must be above 0 and at most 1e6: {weight!r}")
         self.ranks[task] = rendezvous_rank(task, self.name, weight)
--- a/frostspindle/ownership/wiring.py
+++ b/frostspindle/ownership/wiring.py
@@ -122,7 +122,7 @@
         holder."""
         grant = self.lease_manager.force(task)
         if grant is None:
-            raise OperatorError(f"task {task:.64} has no holder")
+            raise OperatorError(f"no coordinator holds {task:.64}")
         return grant
 
     def start(self) -> None:
