--- a/frostspindle/replica/base.py
+++ b/frostspindle/replica/base.py
@@ -1,10 +1,9 @@
-"""The interface, limits and errors of a replicated log, for its implementations and its users.
+"""The interface, limits and errors of a replicated log, for its implementations and its users. No I/O and no clock.
 
-Defines what a command may be, what the result of a proposal guarantees and what an error means. No I/O and no clock.
-
-All members apply the same entries in the same order, and `index` strictly grows. A proposal that returned is applied at
-all members in the end; one that raised LogUnavailableError never at any; one that raised OutcomeUnknownError at all or
-none, and at most once. A machine restored from a snapshot is in the state that all entries up to it would have given.
+All members apply the same entries in the same order, and `index` strictly increases. A proposal that returned is
+eventually applied at all members. One that raised LogUnavailableError is never applied at any. One that raised
+OutcomeUnknownError is applied at all members or none, and at most once. A state machine restored from a snapshot has
+the same state as after applying all entries that the snapshot covers.
 """
 
 from __future__ import annotations
@@ -14,34 +13,34 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-MAX_COMMAND_BYTES = 64 << 10  # larger ones must be split by the user
-MAX_TOPIC_BYTES = 32  # of a topic's name
-MAX_STATE_BYTES = 4 << 20  # of one machine's state
-MAX_OPEN_PROPOSALS = 256  # of one member
+MAX_COMMAND_BYTES = 64 << 10  # larger commands must be split by the user
+MAX_TOPIC_BYTES = 32  # length of a topic's name
+MAX_STATE_BYTES = 4 << 20  # size of one state machine's state
+MAX_OPEN_PROPOSALS = 256  # per member
 
 
 class StateMachine(Protocol):
-    """A deterministic state machine without I/O or clock: the same entries give the same state at every member."""
+    """A deterministic state machine without I/O or clock: the same entries yield the same state at every member."""
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply one entry and return its result; never raise, whatever the bytes.
+        """Apply one entry and return its result; must not raise for any command.
 
-        `index` strictly grows, but not by 1: all topics share it.
+        `index` strictly increases, but not always by 1, as all topics share it.
         """
 
     def state(self) -> bytes:
-        """Return the whole state for a snapshot, MAX_STATE_BYTES at most."""
+        """Return the complete state for a snapshot, MAX_STATE_BYTES at most."""
 
     def restore(self, index: int, state: bytes) -> None:
-        """Take over the state after the entry `index`; ValueError if it can't be read."""
+        """Restore the state after the entry `index`. Raise ValueError if it is malformed."""
 
 
 @dataclass(slots=True, frozen=True)
 class AppliedEntry:
-    """A proposal that is committed and applied here."""
+    """A proposal that is committed and applied at this member."""
 
-    index: int  # the log's index of the entry: the fencing token of a grant
-    result: bytes  # what the machine here returned for it
+    index: int  # log index of the entry; used as the fencing token of a grant
+    result: bytes  # returned by the state machine of this member
 
 
 class ReplicaError(Exception):
@@ -49,14 +48,14 @@
 
 
 class LogUnavailableError(ReplicaError):
-    """Nothing was appended: no leader is known, too many proposals are open, or the log has stopped."""
+    """The command was not appended: no leader is known, too many proposals are open, or the log has stopped."""
 
 
 class OutcomeUnknownError(ReplicaError):
-    """The time limit passed first, or the leader that had the command is gone: it may be committed later or never."""
+    """The time limit was exceeded, or the leader that received the command was lost: it may be committed or not."""
 
 
-EntryListener = Callable[[int, bytes, bytes], None]  # index, command, result; after a snapshot: index, b"", b""
+EntryListener = Callable[[int, bytes, bytes], None]  # index, command, result; for a restored snapshot: index, b"", b""
 
 
 class ReplicatedLog(Protocol):
@@ -64,110 +63,114 @@
 
     @property
     def index(self) -> int:
-        """Index of the last entry applied here; 0: none."""
+        """Index of the last entry applied by this member; 0 if none was."""
 
     @property
     def leader(self) -> str | None:
-        """Name of the leader as known here; None: none is known."""
+        """Name of the leader as known by this member, or None."""
 
     def attach(self, topic: str, machine: StateMachine) -> None:
-        """Register the machine that a topic's entries are applied by; before the start, and one for each topic.
+        """Register the state machine of a topic; one per topic, and only before the log starts.
 
-        All members attach the same topics: one that meets an entry of another topic stops, as its snapshots would lack
-        that topic's state.
+        All members must attach the same topics. A member stops at an entry of a topic that it did not attach, as its
+        snapshots would lack that topic's state.
         """
 
     def watch(self, topic: str, listener: EntryListener) -> None:
-        """Call `listener` with each entry of a topic after it was applied, in order, in the event loop."""
+        """Call `listener` in the event loop with each entry of a topic, in order, after it was applied."""
 
     async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
-        """Append a command and return once it is applied here, within `within_s` seconds.
+        """Append a command and return once it is applied by this member, within `within_s` seconds.
 
-        ValueError where it is none that can be appended (its topic, or over MAX_COMMAND_BYTES), else
+        Raise ValueError for a command that can't be appended (unknown topic, or over MAX_COMMAND_BYTES), and otherwise
         LogUnavailableError or OutcomeUnknownError.
         """
 
     async def barrier(self, within_s: float) -> int:
-        """Wait until all that was committed before the call is applied here; return the index of a committed no-op.
+        """Wait until this member has applied all entries committed before the call; return the index of a no-op.
 
-        LogUnavailableError or OutcomeUnknownError, as `propose`.
+        Raise LogUnavailableError or OutcomeUnknownError as `propose` does.
         """
 
 
 class UnknownTopicError(ReplicaError):
-    """An entry or a snapshot has a topic without a machine here."""
+    """An entry or a snapshot has a topic without a state machine at this member."""
 
 
 class StateMachineRegistry:
-    """The machines and listeners of one member, by topic: applies committed entries and notifies listeners."""
+    """The state machines and listeners of one member by topic: applies committed entries and notifies listeners."""
 
     def __init__(self) -> None:
         self.machines: dict[str, StateMachine] = {}
         self.listeners: dict[str, list[EntryListener]] = {}
-        self.index: int = 0  # of the last entry applied; 0: none
-        self.faults: int = 0  # calls of machines and listeners that raised
+        self.index: int = 0  # of the last applied entry; 0 if none
+        self.faults: int = 0  # calls of state machines and listeners that raised
 
     def attach(self, topic: str, machine: StateMachine) -> None:
-        """Register a topic's machine; ValueError if it has one, or for a name not of 1 to MAX_TOPIC_BYTES."""
+        """Register a topic's state machine. Raise ValueError if it has one, or for a name not of 1 to MAX_TOPIC_BYTES
+        bytes."""
         if topic in self.machines:
-            raise ValueError(f"the topic {topic!r} has a machine already")
+            raise ValueError(f"topic {topic!r} already has a state machine")
         _check_topic_name(topic)
         self.machines[topic] = machine
 
     def watch(self, topic: str, listener: EntryListener) -> None:
-        """Add a listener of a topic; one that raises is counted in `faults` and does not stop the others."""
+        """Add a listener of a topic; exceptions of listeners are counted in `faults` and do not affect others."""
         self.listeners.setdefault(topic, []).append(listener)
 
     def check(self, topic: str, command: bytes) -> None:
-        """Raise ValueError for a command that can never be appended: its topic's name or machine, or its length."""
+        """Raise ValueError for a command with an invalid or unattached topic, or over MAX_COMMAND_BYTES."""
         _check_topic_name(topic)
         if topic not in self.machines:
-            raise ValueError(f"the topic {topic!r} has no machine here")
+            raise ValueError(f"topic {topic!r} has no state machine here")
         if len(command) > MAX_COMMAND_BYTES:
-            raise ValueError(f"a command of {len(command)} bytes, at most {MAX_COMMAND_BYTES}")
+            raise ValueError(f"a command of {len(command)} bytes, the limit is {MAX_COMMAND_BYTES}")
 
     def apply(self, index: int, topic: str, command: bytes) -> bytes:
-        """Apply one entry, notify the topic's listeners and return its result; UnknownTopicError.
+        """Apply one entry, notify the topic's listeners and return the result. Raise UnknownTopicError.
 
-        A machine that raises is counted in `faults`, and the result is empty.
+        An exception of the state machine is counted in `faults`, and the result is empty.
         """
-        assert index > self.index, "the index strictly grows"
+        assert index > self.index, "the index must strictly increase"
         machine = self.machines.get(topic)
         if machine is None:
             raise UnknownTopicError(
-                f"entry {index} is of the topic {topic!r}, which has no machine here: turn the same parts on "
+                f"entry {index} has the topic {topic!r}, which has no state machine here: enable the same components "
                 "at all coordinators"
             )
         self.index = index
         result = b""
         try:
             result = machine.apply(index, command)
-        except Exception:  # noqa: BLE001 - one topic's fault must not stop the others' entries
+        except Exception:  # noqa: BLE001 - a fault of one topic must not affect the others
             self.faults += 1
         self._notify(topic, index, command, result)
         return result
 
     def advance_to(self, index: int) -> None:
-        """Advance to the index of an entry that has no topic, such as a no-op."""
-        assert index > self.index, "the index strictly grows"
+        """Advance to the index of an entry without a topic, such as a no-op."""
+        assert index > self.index, "the index must strictly increase"
         self.index = index
 
     def states(self) -> dict[str, bytes]:
-        """Return the states of all machines by topic, for a snapshot; ValueError if one is over MAX_STATE_BYTES."""
+        """Return the states of all state machines by topic, for a snapshot.
+
+        Raise ValueError if one is over MAX_STATE_BYTES.
+        """
         states = {topic: machine.state() for topic, machine in self.machines.items()}
         for topic, state in states.items():
             if len(state) > MAX_STATE_BYTES:
-                raise ValueError(f"the state of {topic!r} has {len(state)} bytes, at most {MAX_STATE_BYTES}")
+                raise ValueError(f"the state of {topic!r} has {len(state)} bytes, the limit is {MAX_STATE_BYTES}")
         return states
 
     def restore(self, index: int, states: dict[str, bytes]) -> None:
-        """Restore all machines from a snapshot and notify all listeners; ValueError, UnknownTopicError.
+        """Restore all state machines from a snapshot and notify all listeners. Raise ValueError, UnknownTopicError.
 
-        A topic that is not in it had no entry before: a member that takes a snapshot has machines for all topics.
+        A topic missing in the snapshot had no entries, as the member that took it had state machines for all topics.
         """
         unknown = states.keys() - self.machines.keys()
         if unknown:
-            raise UnknownTopicError(f"a snapshot has the topics {sorted(unknown)}, which have no machine here")
+            raise UnknownTopicError(f"the snapshot has the topics {sorted(unknown)}, which have no state machine here")
         for topic, machine in self.machines.items():
             if topic in states:
                 machine.restore(index, states[topic])
@@ -185,28 +188,28 @@
 
 def _check_topic_name(topic: str) -> None:
     if not 0 < len(topic.encode()) <= MAX_TOPIC_BYTES:
-        raise ValueError(f"a topic of 1 to {MAX_TOPIC_BYTES} bytes: {topic!r:.80}")
+        raise ValueError(f"a topic needs 1 to {MAX_TOPIC_BYTES} bytes: {topic!r:.80}")
 
 
 class RegistryLog(ABC):
-    """What the logs of this package have in common: machines and listeners in a registry, and checked proposals."""
+    """Base class of the logs of this package: a registry of state machines and listeners, and checked proposals."""
 
     def __init__(self) -> None:
         self._registry: StateMachineRegistry = StateMachineRegistry()
 
     @property
     def index(self) -> int:
-        """Index of the last entry applied by this member; 0: none."""
+        """Index of the last entry applied by this member; 0 if none was applied."""
         return self._registry.index
 
     def attach(self, topic: str, machine: StateMachine) -> None:
-        """See ReplicatedLog; RuntimeError after the start, ValueError for an unusable topic."""
+        """See ReplicatedLog. Raise RuntimeError after the start, and ValueError for an invalid topic."""
         if self._has_started():
             raise RuntimeError("the log has started")
         self._registry.attach(topic, machine)
 
     def watch(self, topic: str, listener: EntryListener) -> None:
-        """See ReplicatedLog; a listener is also called, with an empty command, when a snapshot was restored."""
+        """See ReplicatedLog; listeners are also called, with an empty command, after a snapshot was restored."""
         self._registry.watch(topic, listener)
 
     async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
@@ -215,14 +218,14 @@
         return await self._append(topic, command, within_s)
 
     async def barrier(self, within_s: float) -> int:
-        """See ReplicatedLog; a no-op without a topic is appended."""
+        """See ReplicatedLog; appends a no-op without a topic."""
         entry = await self._append("", b"", within_s)
         return entry.index
 
     @abstractmethod
     def _has_started(self) -> bool:
-        """Whether it is too late to attach a machine."""
+        """Whether the log has started, so that no state machine can be attached."""
 
     @abstractmethod
     async def _append(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
-        """Append a checked command, or a no-op for an empty topic, and wait until it is applied here."""
+        """Append a checked command, or a no-op for an empty topic, and wait until this member has applied it."""
--- a/frostspindle/replica/disk.py
+++ b/frostspindle/replica/disk.py
@@ -1,13 +1,13 @@
 """A member's journal on disk: one append-only file of checksummed frames, replaced when a snapshot is taken.
 
-Locks, reads and writes the file, and classifies one that was found: complete, torn at its end by a crash, corrupt
-before its end, or missing. Calls block their thread. Nothing is reported durable before fsync has returned, and nothing
-is repaired without being reported.
-
-A frame is MAGIC, the length of its payload, its number, a checksum over number and payload, and the payload (msgpack of
-the records). Frame n + 1 is written only after frame n was synced; so a bad frame with a good one of a higher number
-behind it was corrupted after it was synced, while a bad one at the end is a write that was cut off, and nothing that
-depended on it was ever sent. Limit: corruption of the very last synced frame looks like a torn write.
+Locks, reads and writes the file, and classifies an existing one: complete, torn at its end by a crash, corrupt before
+its end, or missing. Calls block their thread. Data is reported durable only after fsync has returned, and every repair
+is reported.
+
+A frame has MAGIC, the length of its payload, its number, a checksum over number and payload, and the payload (msgpack
+of the records). Frame n + 1 is written only after frame n was synced. So a bad frame that is followed by a valid one
+with a higher number was corrupted after its sync, while a bad frame at the end is an incomplete write on which no
+message that was sent depends. Limit: corruption of the last synced frame can't be distinguished from a torn write.
 """
 
 from __future__ import annotations
@@ -33,31 +33,31 @@
 
 
 class JournalCondition(StrEnum):
-    """The condition in which the journal's file was found."""
+    """The condition of the journal's file when it is opened."""
 
-    FRESH = "fresh"  # there is no file
+    FRESH = "fresh"  # the file does not exist
     COMPLETE = "whole"
-    TORN = "torn"  # the last write was cut off; its beginning is removed
-    CORRUPT = "spoilt"  # something that was synced can't be read
+    TORN = "torn"  # the last write is incomplete; it is truncated
+    CORRUPT = "spoilt"  # synced data can't be read
 
 
 class FolderLockedError(ReplicaError):
-    """Another process holds the lock of this folder."""
+    """Another process has locked this folder."""
 
 
 class ParsedJournal(NamedTuple):
-    """What the bytes of a journal were parsed to."""
+    """The result of parsing the bytes of a journal."""
 
     condition: JournalCondition
-    records: list[Record]  # of the good frames
-    end: int  # offset behind the last good frame
-    next_number: int  # of the next frame to be written
+    records: list[Record]  # of the valid frames
+    end: int  # offset after the last valid frame
+    next_number: int  # number of the next frame to be written
 
 
 class _Frame(NamedTuple):
     number: int
     payload: bytes
-    end: int  # offset behind it
+    end: int  # offset after the frame
 
 
 def encode_frame(number: int, payload: bytes) -> bytes:
@@ -70,7 +70,7 @@
 
 
 def _frame_at(data: bytes, offset: int) -> _Frame | None:
-    """Return the frame at an offset; None if it is cut off or its checksum is wrong."""
+    """Return the frame at an offset, or None if it is incomplete or its checksum is wrong."""
     payload_start = offset + _HEADER.size
     if payload_start > len(data):
         return None
@@ -84,8 +84,8 @@
 def parse_journal(data: bytes) -> ParsedJournal:
     """Parse a journal's bytes.
 
-    A bad frame at the end is torn, unless it is the first; one with a good frame of a higher number behind it is
-    spoilt. Records of a spoilt journal must not be used.
+    A bad frame at the end is torn, unless it is the first; one followed by a valid frame with a higher number is
+    corrupt. Records of a corrupt journal must not be used.
     """
     records: list[Record] = []
     offset = 0
@@ -95,7 +95,7 @@
         if frame is None or frame.number != number:
             if _has_later_frame(data, offset, number):
                 return ParsedJournal(JournalCondition.CORRUPT, [], offset, number)
-            # Frame 0 is put in place by a rename after its sync, so that a crash can't tear it.
+            # Frame 0 is renamed into place after its sync, so a crash can't tear it.
             is_torn = number > 0 and frame is None
             condition = JournalCondition.TORN if is_torn else JournalCondition.CORRUPT
             return ParsedJournal(condition, records, offset, number)
@@ -111,7 +111,7 @@
 
 
 def _has_later_frame(data: bytes, offset: int, number: int) -> bool:
-    """Whether a good frame with a higher number begins behind an offset."""
+    """Whether a valid frame with a higher number begins after an offset."""
     later = data.find(MAGIC, offset + 1)
     while later >= 0:
         frame = _frame_at(data, later)
@@ -125,12 +125,13 @@
     """The journal's file, open and locked for one process."""
 
     def __init__(self, folder: Path) -> None:
-        """Create the folder if need be and lock it; FolderLockedError if another process has it, OSError."""
+        """Create the folder if it is missing and lock it. Raise FolderLockedError if another process has the lock,
+        OSError."""
         folder.mkdir(parents=True, exist_ok=True, mode=0o700)
         self.folder: Path = folder
         self.path: Path = folder / FILE_NAME
-        self.broken: bool = False  # a write has failed
-        self._file: int = -1  # descriptor; -1: not open
+        self.broken: bool = False  # a write failed
+        self._file: int = -1  # descriptor; -1 if not open
         self._next_number: int = 0
         self._lock: int = os.open(folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -140,9 +141,9 @@
             raise FolderLockedError(str(folder)) from None
 
     def load(self) -> tuple[JournalCondition, list[Record]]:
-        """Read the file, once, and return its condition and records; a torn end is cut off.
+        """Read the file and return its condition and records; to be called once. A torn end is truncated.
 
-        A spoilt file, also one of over MAX_FILE_BYTES, is renamed to `.spoilt` for later inspection. OSError.
+        A corrupt file, or one over MAX_FILE_BYTES, is renamed to `.spoilt` for later inspection. Raise OSError.
         """
         try:
             data = self.path.read_bytes() if self.path.stat().st_size <= MAX_FILE_BYTES else b""
@@ -159,16 +160,16 @@
             os.fsync(self._file)
         return parsed.condition, parsed.records
 
-    def write(self, writing: PendingWrite) -> int:
-        """Append the records, or replace the file with them, and sync; return the payload's bytes. Blocks its thread.
+    def write(self, pending_write: PendingWrite) -> int:
+        """Append the records, or replace the file with them, and sync; return the payload's size in bytes.
 
-        After an OSError all further writes fail, as it is not known what was written until the file is read anew.
+        After an OSError all further writes fail, as it is unknown what was written until the file is read again.
         """
         if self.broken:
-            raise OSError("the journal failed before")
-        payload = msgspec.msgpack.encode(writing.records)
+            raise OSError("an earlier write of the journal failed")
+        payload = msgspec.msgpack.encode(pending_write.records)
         try:
-            if writing.replaces_all or self._file < 0:
+            if pending_write.replaces_all or self._file < 0:
                 self._replace(encode_frame(0, payload))
             else:
                 self._append(self._file, encode_frame(self._next_number, payload))
@@ -180,29 +181,29 @@
         return len(payload)
 
     def _replace(self, data: bytes) -> None:
-        new = self.path.with_suffix(".new")
-        handle = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
+        new_path = self.path.with_suffix(".new")
+        descriptor = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
         try:
-            self._append(handle, data)
-            os.fsync(handle)
-            os.replace(new, self.path)
+            self._append(descriptor, data)
+            os.fsync(descriptor)
+            os.replace(new_path, self.path)
             sync_folder(self.folder)
         except BaseException:
-            os.close(handle)
+            os.close(descriptor)
             raise
         if self._file >= 0:
             os.close(self._file)
-        self._file = handle
+        self._file = descriptor
         self._next_number = 1
 
     @staticmethod
-    def _append(handle: int, data: bytes) -> None:
+    def _append(descriptor: int, data: bytes) -> None:
         view = memoryview(data)
         while view:
-            view = view[os.write(handle, view) :]
+            view = view[os.write(descriptor, view) :]
 
     def close(self) -> None:
-        """Close the file and release the folder's lock; to be called once."""
+        """Close the file and unlock the folder; to be called once."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
--- a/frostspindle/replica/figures.py
+++ b/frostspindle/replica/figures.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a member of the replicated log."""
+"""Figures of a member of the replicated log for operators."""
 
 from __future__ import annotations
 
--- a/frostspindle/replica/journal_writer.py
+++ b/frostspindle/replica/journal_writer.py
@@ -1,4 +1,4 @@
-"""Access to the journal's file from the event loop: reads, writes and long encodings run in one worker thread."""
+"""Access to the journal file from the event loop: reads, writes and long encodings run in one worker thread."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 Result = TypeVar("Result")
 
-SLOW_SYNC_S = 0.5  # a sync that took longer is logged
+SLOW_SYNC_S = 0.5  # longer syncs are logged
 
 
 class JournalWriter:
-    """The journal's file and its worker thread, which belongs to the object that made this one."""
+    """The journal file and its worker thread; the owner closes both."""
 
     def __init__(self, folder: Path, telemetry: Telemetry, counters: Counter[str]) -> None:
-        """`counters`: gets `syncs` and `written`, in bytes."""
+        """`counters` receives `syncs` and `written`, in bytes."""
         self.worst_sync_s: float = 0.0
         self._folder: Path = folder
         self._telemetry: Telemetry = telemetry
@@ -32,7 +32,7 @@
         self._file: JournalFile | None = None
 
     async def open(self) -> tuple[JournalCondition, list[Record]]:
-        """Lock and read the journal; OSError, FolderLockedError."""
+        """Lock and read the journal. Raise OSError, FolderLockedError."""
         return await self.run(self._open)
 
     def _open(self) -> tuple[JournalCondition, list[Record]]:
@@ -40,11 +40,11 @@
         return self._file.load()
 
     async def write(self, pending_write: PendingWrite) -> None:
-        """Write and sync; durable when it returns. OSError."""
+        """Write and sync; the records are durable when this returns. Raise OSError."""
         assert self._file is not None
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         size = await self.run(self._file.write, pending_write)
-        took_s = time.perf_counter() - began
+        took_s = time.perf_counter() - started_at
         self.worst_sync_s = max(self.worst_sync_s, took_s)
         self._counters["syncs"] += 1
         self._counters["written"] += size
@@ -64,5 +64,5 @@
             file.close()
 
     def shutdown(self) -> None:
-        """Let the worker thread end; it is not waited for, as the disk may hang."""
+        """Shut down the worker thread without waiting for it, as the disk may hang."""
         self._executor.shutdown(wait=False)
--- a/frostspindle/replica/known_entries.py
+++ b/frostspindle/replica/known_entries.py
@@ -1,7 +1,7 @@
-"""Guard 2 of member.py: entries that a follower has already are taken out of the leader's message.
+"""Guard 2 of member.py: removes entries that a follower already has from the leader's message. No I/O.
 
-The library cuts its log at `prevLogIdx` whatever comes, so an older message would remove entries that this follower has
-acknowledged. No I/O.
+The library always truncates its log at `prevLogIdx`, so an older message would remove entries that this follower has
+acknowledged.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 def remove_known_entries(journal: RaftJournal, message: dict[str, Any]) -> int | None:
-    """Take out of an `append_entries` message, in place, the entries that are in the journal.
+    """Remove from an `append_entries` message, in place, the entries that are in the journal.
 
-    Returns None if the library is to handle what is left, else the index up to which everything in the message was
-    known: then there is nothing left to append, and the journal has further entries that must not be cut off.
+    Return None if the library is to handle the remaining message. Otherwise the message had only known entries, the
+    journal has later ones that must not be truncated, and the index of the message's last entry is returned.
     """
     previous_index: int = message["prevLogIdx"]
     entries = message["entries"]
     if journal.term_at(previous_index) != message["prevLogTerm"]:
-        return None  # the library asks for earlier ones
+        return None  # the library requests earlier entries
     message["commit_index"] = min(message["commit_index"], previous_index + len(entries))
     known = 0
     while known < len(entries) and journal.term_at(entries[known][1]) == entries[known][2]:
--- a/frostspindle/replica/library_log.py
+++ b/frostspindle/replica/library_log.py
@@ -1,4 +1,4 @@
-"""The Raft library's warnings as log lines and a counter of the program."""
+"""Forwards the Raft library's warnings to the program's log, with a counter."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TelemetryLogHandler(logging.Handler):
-    """Passes records of warnings and errors to the telemetry, cut to 200 characters."""
+    """Passes warnings and errors to the telemetry, truncated to 200 characters."""
 
     def __init__(self, telemetry: Telemetry) -> None:
         super().__init__(logging.WARNING)
@@ -21,7 +21,7 @@
 
 
 def redirect_library_log(telemetry: Telemetry) -> None:
-    """Have the library's logger write to this telemetry alone."""
+    """Make the library's logger write only to this telemetry."""
     logger = logging.getLogger("pysyncobj")
     logger.handlers = [TelemetryLogHandler(telemetry)]
     logger.propagate = False
--- a/frostspindle/replica/links.py
+++ b/frostspindle/replica/links.py
@@ -1,9 +1,9 @@
 """Connections between members over TCP: dialling, accepting, heartbeats, and frames with a keyed checksum.
 
-A connection begins with the handshake (`handshake`). Then each frame is its length (4 bytes), a checksum of
+A connection begins with the handshake (`handshake`). Each frame after it has its length (4 bytes), a checksum of
 CHECKSUM_BYTES over its number and payload under a key of this connection and direction, and its payload
-(wire.encode_message; empty for a heartbeat). Whatever is malformed, too long, late or not authenticated ends its
-connection, with a counter and a log line that tells no content. Nothing of an unauthenticated peer is passed on.
+(wire.encode_message; empty for a heartbeat). A malformed, oversized, late or unauthenticated frame closes its
+connection, with a counter and a log line without content. Nothing from an unauthenticated peer is processed.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from frostspindle.replica.handshake import CHECKSUM_BYTES, LinkRefusedError, Session
 
 HANDSHAKE_TIMEOUT_S = 2.0
-SILENCE_TIMEOUT_S = 2.0  # without a frame: the connection is closed
+SILENCE_TIMEOUT_S = 2.0  # a connection without a frame for this time is closed
 HEARTBEAT_S = 0.5
-RECONNECT_DELAY_S = (0.1, 0.4)  # between attempts to connect, drawn
-MAX_UNAUTHENTICATED = 32  # connections whose handshake is not complete
-MAX_QUEUED_OUT_BYTES = 32 << 20  # that wait for one peer
-MAX_QUEUED_IN_BYTES = 32 << 20  # of messages that wait for the member; then nothing is read
+RECONNECT_DELAY_S = (0.1, 0.4)  # range of the random delay between connection attempts
+MAX_UNAUTHENTICATED = 32  # accepted connections with an incomplete handshake
+MAX_QUEUED_OUT_BYTES = 32 << 20  # send buffer of one peer
+MAX_QUEUED_IN_BYTES = 32 << 20  # received messages that the member has not handled; above it reading stops
 BACKPRESSURE_POLL_S = 0.005
 STREAM_BUFFER_BYTES = 1 << 17
 _LENGTH_BYTES = 4
 
 
 class MemberLink:
-    """One connection whose peer has proved that it knows the secret."""
+    """One connection to an authenticated peer."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, session: Session) -> None:
         self.reader: asyncio.StreamReader = reader
@@ -42,7 +42,7 @@
         self._incoming = session.incoming
 
     def send(self, payload: bytes) -> bool:
-        """Queue a frame; False, and nothing is queued, if more than MAX_QUEUED_OUT_BYTES would wait."""
+        """Queue a frame; return False without queueing it if the send buffer would exceed MAX_QUEUED_OUT_BYTES."""
         if self.writer.transport.get_write_buffer_size() + len(payload) > MAX_QUEUED_OUT_BYTES:
             return False
         self.writer.write(len(payload).to_bytes(_LENGTH_BYTES, "big") + self._outgoing.next(payload))
@@ -53,21 +53,21 @@
     async def receive(self) -> bytes:
         """Return the next frame's payload, empty for a heartbeat.
 
-        LinkRefusedError for a wrong checksum or length, TimeoutError after SILENCE_TIMEOUT_S without a frame, OSError
-        or IncompleteReadError when the connection ends.
+        Raise LinkRefusedError for a wrong checksum or length, TimeoutError after SILENCE_TIMEOUT_S without a frame, and
+        OSError or IncompleteReadError when the connection ends.
         """
         async with asyncio.timeout(SILENCE_TIMEOUT_S):
-            head = await self.reader.readexactly(_LENGTH_BYTES + CHECKSUM_BYTES)
-            length = int.from_bytes(head[:_LENGTH_BYTES], "big")
+            header = await self.reader.readexactly(_LENGTH_BYTES + CHECKSUM_BYTES)
+            length = int.from_bytes(header[:_LENGTH_BYTES], "big")
             if length > wire.MAX_FRAME_BYTES:
                 raise LinkRefusedError("too_long", f"{length} bytes")
             payload = await self.reader.readexactly(length)
-        if not hmac.compare_digest(self._incoming.next(payload), head[_LENGTH_BYTES:]):
+        if not hmac.compare_digest(self._incoming.next(payload), header[_LENGTH_BYTES:]):
             raise LinkRefusedError("sum")
         return payload
 
     async def receive_message(self) -> tuple[dict[str, Any] | None, int]:
-        """Return the next message and its length in bytes, or None for a heartbeat; errors as `receive`."""
+        """Return the next message (None for a heartbeat) and its length in bytes. Raise the errors of `receive`."""
         payload = await self.receive()
         if not payload:
             return None, 0
@@ -78,7 +78,7 @@
 
 
 class MemberLinks:
-    """All connections of one member; the callbacks are called in the event loop."""
+    """All connections of one member; the callbacks run in the event loop."""
 
     def __init__(
         self,
@@ -91,10 +91,10 @@
         has_capacity: Callable[[], bool],
         log_event: Callable[..., None],
     ) -> None:
-        """Start sending heartbeats; a running event loop is needed.
+        """Start sending heartbeats; needs a running event loop.
 
-        `on_message`: called with peer, message and its length in bytes. `is_known`: whether this id may connect now.
-        `has_capacity`: whether more may be read. `log_event(event, **fields)` counts and logs.
+        `on_message` is called with the peer, the message and its length in bytes. `is_known` returns whether an id may
+        connect now, `has_capacity` whether more may be read. `log_event(event, **fields)` counts and logs.
         """
         self.name: str = name
         self.id: str = name  # `~name` while it is a follower
@@ -114,14 +114,14 @@
         self._heartbeat_task: asyncio.Task[None] = asyncio.create_task(self._send_heartbeats())
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept connections at an address; return the port, as chosen by the system if it was 0. OSError."""
+        """Accept connections at an address; return the port, chosen by the system if `port` is 0. Raise OSError."""
         self._server = await asyncio.start_server(self._accept, host, port, limit=STREAM_BUFFER_BYTES)
         return int(self._server.sockets[0].getsockname()[1])
 
     def set_targets(self, own_id: str, targets: dict[str, str]) -> None:
-        """Be `own_id` from now on and keep connections to these voters, by name `IP:PORT`.
+        """Use `own_id` from now on, and keep connections to these voters: by name, the address `IP:PORT`.
 
-        With another id than before, all connections end first. Of two voters the one with the lower name dials.
+        If the id changes, all connections are closed first. Of two voters, the one with the lower name dials.
         """
         if own_id != self.id:
             for peer in list(self.links):
@@ -140,10 +140,10 @@
         return name != self.name and (self.id.startswith("~") or self.id < name)
 
     def send(self, peer: str, message: dict[str, Any]) -> None:
-        """Send one of the library's messages to a peer; nothing happens if it is not connected.
+        """Send one of the library's messages to a peer; without a connection, the message is dropped.
 
-        A message that can't be sent in one frame is counted and dropped. If too much waits for the peer, its connection
-        ends.
+        A message too long for one frame is counted and dropped. If the peer's send buffer is full, its connection is
+        closed.
         """
         link = self.links.get(peer)
         if link is None:
@@ -153,21 +153,21 @@
             if len(payload) > wire.MAX_FRAME_BYTES:
                 raise ValueError
         except ValueError:
-            self.counters["too_long"] += 1  # a fault of this end: nobody would read it
+            self.counters["too_long"] += 1  # a fault of this member: no peer would accept the frame
             return
         if not link.send(payload):
             self.counters["crowded"] += 1
             self.drop(peer)
 
     def drop(self, peer: str) -> None:
-        """End a peer's connection, with a call of `on_disconnected`; whichever end dials opens it anew."""
+        """Close a peer's connection and call `on_disconnected`; the dialling end reconnects."""
         link = self.links.pop(peer, None)
         if link is not None:
             link.writer.transport.abort()
             self._on_disconnected(peer)
 
     async def close(self) -> None:
-        """Stop listening, end all connections, each with a call of `on_disconnected`, and wait for their tasks."""
+        """Stop listening, close all connections, calling `on_disconnected` for each, and wait for their tasks."""
         self._heartbeat_task.cancel()
         if self._server is not None:
             self._server.close()
@@ -218,37 +218,37 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        shake_hands: Coroutine[Any, Any, Session],
+        run_handshake: Coroutine[Any, Any, Session],
     ) -> None:
-        """Run a connection from its handshake to its end."""
+        """Run a connection from the handshake until it closes."""
         link: MemberLink | None = None
         try:
-            link = MemberLink(reader, writer, await self._authenticate(shake_hands))
-            self.drop(link.peer)  # an older connection: its other end has closed it, or will
+            link = MemberLink(reader, writer, await self._authenticate(run_handshake))
+            self.drop(link.peer)  # an older connection, which the other end has closed or will close
             self.links[link.peer] = link
             self._on_connected(link.peer)
             await self._read_messages(link)
         except LinkRefusedError as error:
-            self.counters[error.why] += 1
+            self.counters[error.reason] += 1
             self._log_event("replica_link_refused", why=str(error), peer=link.peer if link else _address_of(writer))
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            self.counters["unproved" if link is None else "broken"] += 1  # silent or gone before its proof; later
+            self.counters["unproved" if link is None else "broken"] += 1  # before authentication; after it
         finally:
             writer.transport.abort()
             if link is not None and self.links.get(link.peer) is link:
                 del self.links[link.peer]
                 self._on_disconnected(link.peer)
 
-    async def _authenticate(self, shake_hands: Coroutine[Any, Any, Session]) -> Session:
+    async def _authenticate(self, run_handshake: Coroutine[Any, Any, Session]) -> Session:
         self._unauthenticated += 1
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-                return await shake_hands
+                return await run_handshake
         finally:
             self._unauthenticated -= 1
 
     async def _read_messages(self, link: MemberLink) -> None:
-        """Pass messages on until the connection ends; while the member has no capacity, nothing is read."""
+        """Pass messages to the member until the connection ends; stop reading while the member has no capacity."""
         while True:
             message, size = await link.receive_message()
             if message is None:
--- a/frostspindle/replica/local.py
+++ b/frostspindle/replica/local.py
@@ -1,7 +1,7 @@
-"""A replicated log in memory: members in one process, for tests and for a coordinator that is alone.
+"""A replicated log in memory: members in one process, for tests and for a coordinator without peers.
 
-Members apply entries at once, unless they are paused (`hold`) or the log has no leader (`lead(False)`), so that users
-can be tested against late members and LogUnavailableError. No I/O; nothing outlives the process.
+Members apply entries immediately, unless they are paused (`set_paused`) or the log has no leader (`set_leader(False)`),
+so that users can be tested with lagging members and LogUnavailableError. No I/O; the log is lost with the process.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
     RegistryLog,
 )
 
-MAX_ENTRIES = 1_024  # that are kept; a member that is further behind gets a snapshot
+MAX_ENTRIES = 1_024  # retained entries; a member that lags further behind is restored from a snapshot
 
 
 class LocalLog(RegistryLog):
-    """One member of a log in memory. The first is made directly, more by `join`."""
+    """One member of a log in memory. The first is constructed directly, others by `join`."""
 
     def __init__(self, name: str = "local", entries: _SharedEntries | None = None) -> None:
         super().__init__()
@@ -29,11 +29,11 @@
         self._paused: bool = False
         self._stopped: bool = False
         self._open_proposals: int = 0
-        self._applied: asyncio.Event = asyncio.Event()  # replaced whenever entries were applied
+        self._applied: asyncio.Event = asyncio.Event()  # set, and replaced by a new one, whenever entries were applied
         self._shared.members.append(self)
 
     def join(self, name: str) -> LocalLog:
-        """Return one more member of the same log; it applies nothing before the next entry or `catch_up`."""
+        """Return another member of the same log; it applies entries from the next `append` or `catch_up` on."""
         return LocalLog(name, self._shared)
 
     @property
@@ -43,23 +43,23 @@
             return self._shared.members[0].name
         return None
 
-    def set_paused(self, held: bool = True) -> None:
-        """Apply nothing for now; `hold(False)` applies what was appended meanwhile, in order."""
-        self._paused = held
-        if not held:
+    def set_paused(self, paused: bool = True) -> None:
+        """Pause applying entries; `set_paused(False)` applies those appended meanwhile, in order."""
+        self._paused = paused
+        if not paused:
             self.catch_up()
 
-    def set_leader(self, led: bool) -> None:
+    def set_leader(self, has_leader: bool) -> None:
         """Set whether the log has a leader; without one, all members' proposals raise LogUnavailableError."""
-        self._shared.has_leader = led
+        self._shared.has_leader = has_leader
 
     def stop(self) -> None:
-        """Stop this member for good: it applies nothing more, and open and later proposals fail."""
+        """Stop this member permanently: it applies no further entries, and open and later proposals fail."""
         self._stopped = True
         self._applied.set()
 
     def catch_up(self) -> None:
-        """Apply all entries appended since, or another member's snapshot if they are no longer kept."""
+        """Apply all missing entries, or restore another member's snapshot if they are no longer retained."""
         if self._paused or self._stopped:
             return
         shared = self._shared
@@ -96,7 +96,7 @@
                     await self._applied.wait()
                 await asyncio.sleep(0)
         except TimeoutError:
-            raise OutcomeUnknownError(f"not applied here within {within_s:g} s") from None
+            raise OutcomeUnknownError(f"not applied by this member within {within_s:g} s") from None
         finally:
             self._open_proposals -= 1
         if self.index < index:
@@ -115,11 +115,11 @@
         self.has_leader: bool = True
 
     def entries_after(self, index: int) -> list[tuple[str, bytes]]:
-        """Return the kept entries with a greater index."""
+        """Return the retained entries with a greater index."""
         return self.entries[max(0, index + 1 - self.first_index) :]
 
     def append(self, topic: str, command: bytes) -> int:
-        """Append an entry, have all members apply it and return its index."""
+        """Append an entry, make all members apply it and return its index."""
         self.entries.append((topic, bytes(command)))
         index = self.first_index + len(self.entries) - 1
         for member in self.members:
--- a/frostspindle/replica/outbox.py
+++ b/frostspindle/replica/outbox.py
@@ -1,6 +1,6 @@
-"""Messages to peers, queued with a bound for each peer until the journal is durable.
+"""Messages to peers, queued with a bound per peer until the journal is durable.
 
-No I/O: `LogMember` fills the queue, and its owner takes the messages out after syncing the journal and sends them.
+No I/O: `LogMember` fills the queue; its owner takes the messages after syncing the journal and sends them.
 """
 
 from __future__ import annotations
@@ -8,13 +8,13 @@
 from collections import Counter
 from typing import Any, NamedTuple
 
-MAX_QUEUED_BYTES = 24 << 20  # for one peer; above a snapshot of the largest states
+MAX_QUEUED_BYTES = 24 << 20  # per peer; above the size of the largest snapshot
 _MESSAGE_OVERHEAD_BYTES = 64
 _ENTRY_OVERHEAD_BYTES = 32
 
 
 class Outgoing(NamedTuple):
-    """What may leave once the journal is durable."""
+    """The messages that may be sent once the journal is durable."""
 
     messages: list[tuple[str, dict[str, Any]]]  # peer and message, in order
     overflowed: list[str]  # peers whose connection must be closed, as messages to them were dropped
@@ -29,7 +29,7 @@
         self._overflowed: list[str] = []
 
     def add(self, peer: str, message: dict[str, Any]) -> bool:
-        """Queue a message; False, and the peer counts as overflowed, if more than MAX_QUEUED_BYTES would wait."""
+        """Queue a message; return False and mark the peer as overflowed if MAX_QUEUED_BYTES would be exceeded."""
         size = _estimated_bytes(message)
         if self._queued_bytes[peer] + size > MAX_QUEUED_BYTES:
             if peer not in self._overflowed:
@@ -40,7 +40,7 @@
         return True
 
     def take(self) -> Outgoing:
-        """Empty the queue and return it without the messages to overflowed peers."""
+        """Empty the queue and return its contents without the messages to overflowed peers."""
         messages = [(peer, message) for peer, message in self._messages if peer not in self._overflowed]
         outgoing = Outgoing(messages, self._overflowed)
         self._messages = []
--- a/frostspindle/replica/peer_events.py
+++ b/frostspindle/replica/peer_events.py
@@ -1,4 +1,4 @@
-"""What the connections report to the member's loop, queued between two of its cycles. No I/O."""
+"""Events of connections, queued for the next cycle of the member's loop. No I/O."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerConnected:
-    """A peer proved the secret."""
+    """A peer completed authentication."""
 
-    peer: str  # a voter's name, or `~name` of a follower
+    peer: str  # a voter's name, or `~name` for a follower
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +32,7 @@
 
 
 class PeerEventQueue:
-    """Events in the order in which they happened."""
+    """Queue of events in the order in which they occurred."""
 
     def __init__(self) -> None:
         self._events: list[PeerEvent] = []
@@ -51,7 +51,7 @@
         return events
 
     def take_disconnected(self) -> list[str]:
-        """Return the peers whose connections ended and drop all events; `message_bytes` stays until `take`."""
+        """Return the peers whose connections ended and drop all events; `message_bytes` is kept until `take`."""
         peers = [event.peer for event in self._events if isinstance(event, PeerDisconnected)]
         self._events = []
         return peers
--- a/frostspindle/replica/proposals.py
+++ b/frostspindle/replica/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of one member that wait for their outcome: their bound, time limits, and when they are submitted again.
+"""Proposals of one member that have no outcome yet: their bound, time limits and resubmission.
 
 No I/O and no clock: times are seconds of a monotonic clock, passed in.
 """
@@ -20,34 +20,34 @@
     FAIL_REASON.MISSING_LEADER,
     FAIL_REASON.NOT_LEADER,
     FAIL_REASON.REQUEST_DENIED,
-    FAIL_REASON.DISCARDED,  # another term's entry was committed at its index, so it is never committed
+    FAIL_REASON.DISCARDED,  # an entry of another term was committed at its index, so it never will be
 }
 OUTCOME_UNKNOWN = {FAIL_REASON.LEADER_CHANGED, FAIL_REASON.UNKNOWN_OUTCOME}
 
 Outcome = AppliedEntry | LogUnavailableError | OutcomeUnknownError
-ResponseHandler = Callable[[Any, int], None]  # result and FAIL_REASON, as the library calls it
+ResponseHandler = Callable[[Any, int], None]  # called by the library with result and FAIL_REASON
 Submit = Callable[[bytes, ResponseHandler], None]
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A proposal that waits for its outcome here."""
+    """A proposal without an outcome yet."""
 
     command: bytes
     deadline: float
     on_done: Callable[[Outcome], None]
     is_no_op: bool
-    min_remaining: float  # with less time left it is not submitted, as no outcome could arrive any more
+    min_remaining: float  # not submitted with less time left, as its outcome could not arrive in time
     submitted: bool = False
-    lost_in_term: int | None = None  # the leader that it was forwarded to in this term has gone
+    lost_in_term: int | None = None  # term in which the leader that it was forwarded to was lost
 
     def is_expired(self, now: float) -> bool:
-        """Whether its time is over, or too little is left to submit it."""
+        """Whether its time limit is exceeded, or too little time is left to submit it."""
         reserve = 0.0 if self.submitted else self.min_remaining
         return now >= self.deadline - reserve
 
     def fail(self, unknown_text: str, unavailable_text: str) -> None:
-        """End it: with OutcomeUnknownError if it was submitted, else with LogUnavailableError."""
+        """Complete it with OutcomeUnknownError if it was submitted, else with LogUnavailableError."""
         if self.submitted:
             self.on_done(OutcomeUnknownError(unknown_text))
         else:
@@ -55,19 +55,19 @@
 
 
 class ProposalQueue:
-    """The open proposals of one member, by the token that their entries carry."""
+    """The open proposals of one member, by the token in their entries."""
 
     def __init__(self, token_prefix: bytes, max_open: int, heartbeat_s: float) -> None:
-        """`token_prefix`: 8 bytes that no other incarnation of any member uses."""
+        """`token_prefix`: 8 bytes unique to this incarnation of this member."""
         self.pending: dict[bytes, PendingProposal] = {}
         self._token_prefix: bytes = token_prefix
         self._max_open: int = max_open
         self._heartbeat_s: float = heartbeat_s
-        self._lost: bool = False  # some were forwarded to a leader that has gone
+        self._has_lost: bool = False  # some were forwarded to a leader that was lost
         self._last_number: int = 0
 
     def add(self, now: float, topic: str, command: bytes, timeout_s: float, on_done: Callable[[Outcome], None]) -> None:
-        """Queue a proposal; an empty topic makes it a no-op. Fails at once if too many are open."""
+        """Queue a proposal; an empty topic makes it a no-op. It fails at once if too many are open."""
         if len(self.pending) >= self._max_open:
             on_done(LogUnavailableError(f"{self._max_open} proposals are open"))
             return
@@ -83,19 +83,19 @@
 
     @property
     def has_unsubmitted(self) -> bool:
-        """Whether a proposal waits to be submitted."""
+        """Whether a proposal is not submitted yet."""
         return any(not proposal.submitted for proposal in self.pending.values())
 
     def expire_and_submit(self, now: float, term: int, leader_is_known: Callable[[], bool], submit: Submit) -> None:
-        """End the proposals whose time is over, and submit up to MAX_SUBMITTED_PER_TICK others if there is a leader.
+        """Fail expired proposals, and submit up to MAX_SUBMITTED_PER_TICK others if there is a leader.
 
-        `term`: the member's current one.
+        `term`: the member's current term.
         """
         submitted = 0
         for token, proposal in list(self.pending.items()):
             if proposal.is_expired(now):
                 del self.pending[token]
-                proposal.fail("the time was over first", "no leader was heard of in time")
+                proposal.fail("the time limit was exceeded", "no known leader within the time limit")
             elif not proposal.submitted and submitted < MAX_SUBMITTED_PER_TICK and leader_is_known():
                 proposal.submitted = True
                 submitted += 1
@@ -107,7 +107,7 @@
             if proposal is None:
                 return
             if error in NOT_APPENDED:
-                proposal.submitted = False  # it was appended nowhere and never will be: submit it again in time
+                proposal.submitted = False  # it was not appended and never will be, so it is submitted again
             elif error == FAIL_REASON.UNKNOWN_OUTCOME:
                 self._on_covered_by_snapshot(token, proposal)
             elif error == FAIL_REASON.LEADER_CHANGED:
@@ -116,34 +116,34 @@
         return on_response
 
     def _on_covered_by_snapshot(self, token: bytes, proposal: PendingProposal) -> None:
-        """A snapshot may cover the entry, and its result is not known; a no-op may be submitted again."""
+        """End a proposal whose entry a snapshot may cover, so that its result is unknown; submit no-ops again."""
         if proposal.is_no_op:
             proposal.submitted = False
             return
         del self.pending[token]
-        proposal.on_done(OutcomeUnknownError("a snapshot may hold it"))
+        proposal.on_done(OutcomeUnknownError("a snapshot may contain the entry"))
 
     def _on_leader_lost(self, proposal: PendingProposal, term: int) -> None:
-        """Its leader has gone before it told whether it appended the entry; a no-op may be submitted again."""
+        """Mark a proposal whose leader was lost before it reported the outcome; submit no-ops again."""
         if proposal.is_no_op:
             proposal.submitted = False
             return
         proposal.lost_in_term = term
-        self._lost = True
+        self._has_lost = True
 
-    def end_lost(self, applied_term: int) -> None:
-        """End proposals whose leader has gone, as an entry of `applied_term` is applied.
+    def fail_lost(self, applied_term: int) -> None:
+        """End proposals of lost leaders from terms before `applied_term`, as an entry of that term was applied.
 
-        What the former leader appended and others have is applied before an entry of a later term. Whether it is gone
-        for good is not known: a message that the former leader has yet to read may still be appended.
+        Entries of a former leader that survive are applied before any entry of a later term. The proposals' outcome
+        is still unknown: the former leader may yet read and append a forwarded message.
         """
-        if not self._lost:
+        if not self._has_lost:
             return
         for token, proposal in list(self.pending.items()):
             if proposal.lost_in_term is not None and proposal.lost_in_term < applied_term:
                 del self.pending[token]
-                proposal.on_done(OutcomeUnknownError("the leader that had it is gone"))
-        self._lost = any(proposal.lost_in_term is not None for proposal in self.pending.values())
+                proposal.on_done(OutcomeUnknownError("the leader that received the proposal was lost"))
+        self._has_lost = any(proposal.lost_in_term is not None for proposal in self.pending.values())
 
     def resubmit_no_ops(self) -> None:
         """Submit all no-ops again, after a snapshot was restored that may cover them."""
@@ -152,14 +152,14 @@
                 proposal.submitted = False
 
     def complete(self, token: bytes, index: int, result: bytes) -> None:
-        """End the proposal of an applied entry, if it is one of this member."""
+        """Complete the proposal of an applied entry, if this member proposed it."""
         proposal = self.pending.pop(token, None)
         if proposal is not None:
             proposal.on_done(AppliedEntry(index, result))
 
     def close(self) -> None:
-        """End all proposals; later ones fail at once."""
+        """Fail all proposals; later ones fail at once."""
         self._max_open = 0
         for proposal in self.pending.values():
-            proposal.fail("the log stops", "the log stops")
+            proposal.fail("the log is stopping", "the log is stopping")
         self.pending.clear()
--- a/frostspindle/replica/raft.py
+++ b/frostspindle/replica/raft.py
@@ -1,8 +1,8 @@
-"""The Raft library (pysyncobj 0.3.17) behind one adapter, the only place that knows the library's private names.
+"""Adapter of the Raft library (pysyncobj 0.3.17), the only module that uses the library's private names.
 
-`RaftNode` is the library's node with this package's journal, transport and snapshot transfer. No I/O: the library is
-ticked by `LogMember`, and what it sends goes to the callback given to `RaftTransport`. A test checks that the installed
-version has the private names that are used here.
+`RaftNode` is the library's node with this package's journal, transport and snapshot transfer. No I/O: `LogMember` ticks
+the library, and outgoing messages go to the callback given to `RaftTransport`. A test checks that the installed version
+has the private names that are used here.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from frostspindle.replica.snapshot_transfer import SnapshotTransfer
 from frostspindle.replica.voters import VoterNode
 
-Message = dict[str, Any]  # one of the library's messages, keyed by the library's names
+Message = dict[str, Any]  # a message of the library, with the library's keys
 
 
 @dataclass(slots=True, frozen=True)
 class RaftTimeouts:
-    """Raft's times in seconds.
+    """Raft's timeouts in seconds.
 
-    The election timeout is drawn between `election_min` and `election_max`; a leader that has not heard from a majority
-    for `fallback` steps down.
+    The election timeout is random between `election_min` and `election_max`; a leader without contact to a majority for
+    `fallback` steps down.
     """
 
     heartbeat: float = 0.1
@@ -39,7 +39,7 @@
 
 
 class RaftTransport(Transport):
-    """The library's transport: hands each message to a callback, which queues it until the journal is durable."""
+    """The library's transport: passes each message to a callback, which queues it until the journal is durable."""
 
     def __init__(self, send: Callable[[Node, Message], bool], on_voters_changed: Callable[[], None]) -> None:
         super().__init__(None, None, [])
@@ -47,23 +47,23 @@
         self._on_voters_changed: Callable[[], None] = on_voters_changed
 
     def send(self, node: Node, message: Message) -> bool:
-        """Queue a message for a node; False if it was not queued."""
+        """Queue a message for a node; return False if it was not queued."""
         return self._send(node, message)
 
     def addNode(self, node: Node) -> None:
-        """Note that a voter was added."""
+        """Report that a voter was added."""
         self._on_voters_changed()
 
     def dropNode(self, node: Node) -> None:
-        """Note that a voter was removed."""
+        """Report that a voter was removed."""
         self._on_voters_changed()
 
     def destroy(self) -> None:
-        """Do nothing: there are no connections here."""
+        """Do nothing: this transport has no connections."""
 
 
 def library_config(timeouts: RaftTimeouts) -> SyncObjConf:
-    """Return the library's configuration: ticked from outside, without its own compaction."""
+    """Return the library's configuration: ticked by the caller, with the library's compaction disabled."""
     return SyncObjConf(
         autoTick=False,
         appendEntriesPeriod=timeouts.heartbeat,
@@ -92,7 +92,7 @@
         transport: RaftTransport,
         snapshots: SnapshotTransfer,
     ) -> None:
-        """`self_node`: None for a follower that has no vote."""
+        """`self_node`: None for a follower, which has no vote."""
         super().__init__(self_node, other_voters, library_config(timeouts), nodeClass=VoterNode, transport=transport)
         self._SyncObj__raftLog = journal
         self._SyncObj__raftCurrentTerm = max(journal.getCurrentTerm(), journal.last[2])
@@ -108,31 +108,31 @@
 
     @property
     def leader_name(self) -> str | None:
-        """Name of the last known leader, which may be out of reach by now; None: none is known."""
+        """Name of the last known leader, which may be unreachable by now, or None."""
         node = self._getLeader()
         return None if node is None else str(node.id)
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node is the leader, as far as it knows."""
+        """Whether this node considers itself the leader."""
         return bool(self._isLeader())
 
     def on_connected(self, peer: str, is_voter: bool) -> None:
-        """Note a connection to a voter or to a follower without a vote."""
+        """Handle a new connection to a voter or to a follower."""
         if is_voter:
             self.transport._onNodeConnected(VoterNode(peer))
         else:
             self.transport._onReadonlyNodeConnected(VoterNode(peer))
 
     def on_disconnected(self, peer: str, is_voter: bool) -> None:
-        """Note the end of a connection."""
+        """Handle the end of a connection."""
         if is_voter:
             self.transport._onNodeDisconnected(VoterNode(peer))
         else:
             self.transport._onReadonlyNodeDisconnected(VoterNode(peer))
 
     def on_send_queue_overflow(self, node: Node) -> None:
-        """Note that a voter counts as unreachable, as its send queue is full."""
+        """Treat a voter as unreachable, as its send queue is full."""
         self.transport._onNodeDisconnected(node)
 
     def on_message(self, node: Node, message: Message) -> None:
@@ -140,9 +140,9 @@
         self.transport._onMessageReceived(node, message)
 
     def on_append_response(self, node: Node, message: Message) -> None:
-        """Handle the answer to `append_entries` without sending entries again that are still on their way.
+        """Handle the response to `append_entries` without resending entries that are still in flight.
 
-        Connections lose nothing, and after a break the follower asks for what it lacks (`reset`).
+        Connections are reliable, and after a reconnect the follower requests the missing entries (`reset`).
         """
         next_index = self._SyncObj__raftNextIndex
         previous = next_index.get(node, 0)
@@ -151,7 +151,7 @@
             next_index[node] = previous
 
     def submit(self, command: bytes, on_response: Callable[[Any, int], None], kind: int | None = None) -> None:
-        """Hand a command to the library; `on_response` gets its result and its FAIL_REASON."""
+        """Submit a command to the library; `on_response` is called with its result and its FAIL_REASON."""
         if kind is None:
             self._applyCommand(command, on_response)
         else:
@@ -162,5 +162,5 @@
         self._SyncObj__newAppendEntriesTime = 0.0
 
     def abandon_forwarded_commands(self) -> None:
-        """Give up the answers of a leader that is out of reach: they will not come."""
+        """Stop waiting for responses of a leader that is unreachable."""
         self._SyncObj__onLeaderChanged()
--- a/frostspindle/replica/snapshot_transfer.py
+++ b/frostspindle/replica/snapshot_transfer.py
@@ -1,6 +1,6 @@
-"""Transfer of snapshots between members in parts, in the interface of the library's serializer.
+"""Transfer of snapshots between members in chunks, with the interface of the library's serializer.
 
-Sends the journal's snapshot in parts of wire.BATCH_BYTES, and puts the parts of a received one together. No I/O. The
+Sends the journal's snapshot in chunks of wire.BATCH_BYTES, and assembles the chunks of a received one. No I/O. The
 method names are the library's.
 """
 
@@ -19,13 +19,13 @@
 
 MAX_SNAPSHOT_BYTES = 4 * MAX_STATE_BYTES
 
-Part = tuple[bytes, bool, bool]  # data, whether it is the first part, whether it is the last
-LibrarySnapshot = tuple[None, wire.Entry, wire.Entry, list[Node]]  # the form that the library's deserializer returns
+Chunk = tuple[bytes, bool, bool]  # data, whether it is the first chunk, whether it is the last
+LibrarySnapshot = tuple[None, wire.Entry, wire.Entry, list[Node]]  # as returned by the library's deserializer
 
 
 @dataclass(slots=True, frozen=True)
 class RestorableState:
-    """The states of all machines after an entry, taken from a snapshot."""
+    """The states of all state machines after an entry, from a snapshot."""
 
     index: int  # of the last entry that the snapshot covers
     states: dict[str, bytes]  # by topic
@@ -34,11 +34,11 @@
 @dataclass(slots=True, frozen=True)
 class _OutgoingTransfer:
     data: bytes
-    offset: int  # of the next part
+    offset: int  # of the next chunk
 
 
 class SnapshotTransfer:
-    """Takes the place of the library's serializer."""
+    """Replaces the library's serializer."""
 
     def __init__(
         self,
@@ -48,9 +48,9 @@
         make_node: Callable[[str], Node],
         on_received: Callable[[RestorableState], None],
     ) -> None:
-        """`make_node`: makes the library's node of a voter's `name=address`.
+        """`make_node` returns the library's node for a voter's `name=address`.
 
-        `on_received` is called when a received snapshot has replaced the journal's.
+        `on_received` is called after a received snapshot has replaced the journal's.
         """
         self._journal: RaftJournal = journal
         self._registry: StateMachineRegistry = registry
@@ -62,11 +62,11 @@
         self._deserialized: LibrarySnapshot | None = None
 
     def checkSerializing(self) -> tuple[int, None]:
-        """Return that the library must not start a snapshot: the member takes its own once all is applied."""
+        """Report a running snapshot, so that the library starts none: LogMember takes the snapshots."""
         return SERIALIZER_STATE.SERIALIZING, None
 
-    def getTransmissionData(self, node: Node) -> Part:
-        """Return the next part for a node; an empty one ends the transfer."""
+    def getTransmissionData(self, node: Node) -> Chunk:
+        """Return the next chunk for a node; an empty one ends the transfer."""
         transfer = self._outgoing.get(node) or _OutgoingTransfer(self._journal.snapshot, 0)
         data = transfer.data[transfer.offset : transfer.offset + wire.BATCH_BYTES]
         if data:
@@ -76,14 +76,14 @@
         return data, transfer.offset == 0, not data
 
     def cancelTransmisstion(self, node: Node) -> None:
-        """Forget how far the transfer to a node has come."""
+        """Abort the transfer to a node."""
         self._outgoing.pop(node, None)
 
-    def setTransmissionData(self, part: Part | None) -> bool:
-        """Take in a part of the leader's snapshot; return whether it completed a snapshot that was accepted."""
-        if part is None:
+    def setTransmissionData(self, chunk: Chunk | None) -> bool:
+        """Add a chunk of the leader's snapshot; return whether it completed a snapshot that was accepted."""
+        if chunk is None:
             return False
-        data, is_first, is_last = part
+        data, is_first, is_last = chunk
         if is_first:
             self._incoming = bytearray()
         if self._incoming is None:
@@ -115,5 +115,5 @@
         return True
 
     def deserialize(self) -> LibrarySnapshot | None:
-        """Return the accepted snapshot's entries and voters in the library's form."""
+        """Return the accepted snapshot's entries and voters in the library's format."""
         return self._deserialized
--- a/frostspindle/replica/voters.py
+++ b/frostspindle/replica/voters.py
@@ -1,4 +1,4 @@
-"""Voters by name and address, and how the entries of a journal change them. No I/O."""
+"""Voters by name and address, and their changes by journal entries. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class VoterNode(Node):
-    """A voter, given as `name=address` or by its name alone; nodes are equal by name."""
+    """A voter, given as `name=address` or only its name; nodes are compared by name."""
 
     def __init__(self, text: str) -> None:
         name, _, address = text.partition("=")
@@ -17,12 +17,12 @@
 
     @property
     def text(self) -> str:
-        """The node as `name=address`, or its name if it has no address."""
+        """The node as `name=address`, or only its name if it has no address."""
         return f"{self.id}={self.address}" if self.address else str(self.id)
 
 
 def apply_voter_changes(voters: list[VoterNode], journal: RaftJournal) -> list[VoterNode]:
-    """Return the voters after the latest of the journal's entries, committed or not, as Raft requires."""
+    """Return the voters after all journal entries, committed or not, as Raft requires."""
     by_name = {node.id: node for node in voters}
     for command, _, _ in journal.entries_between(journal.applied, journal.last[1]):
         change = wire.decode_voter_change(command)
--- a/frostspindle/replica/wiring.py
+++ b/frostspindle/replica/wiring.py
@@ -1,4 +1,4 @@
-"""The replicated log of the running program: made as configured, with its operator call and the library's log lines."""
+"""The replicated log of the running program, created from the configuration, with its operator call."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def attach(program: ProgramContext) -> ReplicaService:
-    """Make the program's log as configured, with its call `show-replica`; OSError, ValueError for a bad secret."""
+    """Create the program's log from the configuration, with its operator call `show-replica`.
+
+    Raise OSError, or ValueError for an invalid secret.
+    """
     config = program.config.operator.replica
     assert config is not None
     election_s = config.election_ms / 1e3
@@ -43,9 +46,9 @@
 
 
 def read_secret(path: str) -> bytes:
-    """Read the shared secret from a file, without white space at its ends; OSError, ValueError for its length."""
+    """Read the shared secret from a file, without white space at its ends. Raise OSError, ValueError for its length."""
     with open(path, "rb") as file:
         secret = file.read(MAX_SECRET_BYTES + 1).strip()
     if not MIN_SECRET_BYTES <= len(secret) <= MAX_SECRET_BYTES:
-        raise ValueError(f"a secret of {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes")
+        raise ValueError(f"the secret must have {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes")
     return secret
