--- a/frostspindle/replica/member.py
+++ b/frostspindle/replica/member.py
@@ -1,27 +1,28 @@
-"""One member of the log, without I/O: Raft, its journal in memory, outgoing messages, and the proposals made here.
+"""One member of the log, without I/O: Raft, its journal in memory, outgoing messages, and the member's proposals.
 
-Keeps the order that Raft's durability needs: received messages go to the library, it is ticked, what must be durable is
-taken (`journal.take_pending_write`) and written by the owner, only then are the queued messages sent, and only then are
-committed entries applied (`apply_committed`). The library never reads anything that could run code.
+Keeps the order that Raft's durability requires. Received messages are passed to the library, and it is ticked. The
+owner then writes and syncs the changes of the journal (`journal.take_pending_write`), sends the queued messages only
+after that, and only then applies committed entries (`apply_committed`). The library never unpickles received data.
 
     member.receive(peer, message); member.tick(now)      # and `connected`, `disconnected`, `propose`
-    writing = member.journal.take_pending_write()        # written and synced by the owner, if there is any
+    pending_write = member.journal.take_pending_write()  # written and synced by the owner, unless None
     for peer, message in member.take_outbox().messages: ...  # sent
     member.apply_committed(); member.compact()
 
-Guards around the library (pysyncobj 0.3.17), each tried out without it, see docs/design/replica.md:
- 1. `next_node_idx`, by which a leader counts who has what, carries no term: it is stamped with the sender's, and one
-    of another term than the receiver's is dropped.
- 2. A follower cuts its log at `prevLogIdx` whatever comes, also where the entries that come are those that it has: an
-    older message would take away what it has answered for. Entries that it has are taken out of the message first; see
-    `known_entries`.
- 3. A snapshot replaces the whole log, also a longer one: it is passed over where its last entry is here already; see
-    `snapshot_transfer`.
- 4. The library answers for what was not synced: see the order above; its own journal never syncs.
- 5. Its transport and snapshots unpickle what comes: not used; see `wire`.
- 6. A part of a snapshot carries the leader's commit index, up to which a follower then commits whatever it has, also
-    the end of its log that nobody compared: it is taken out.
-11. Its import puts a `socket.inet_ntop` for Windows into the whole process: taken back, in `journal`, which all import.
+Guards around the library (pysyncobj 0.3.17). The fault behind each was reproduced without it, see
+docs/design/replica.md:
+ 1. `next_node_idx`, which acknowledges entries to the leader, has no term. It is stamped with the sender's term, and
+    dropped if the receiver's term differs.
+ 2. A follower always truncates its log at `prevLogIdx`, even if it has the message's entries, so an older message would
+    remove acknowledged entries. Entries that it has are removed from the message first; see `known_entries`.
+ 3. A snapshot replaces the complete log, even a longer one. It is ignored if its last entry is already in the journal;
+    see `snapshot_transfer`.
+ 4. The library acknowledges entries before they are synced, and its own journal never syncs: see the order above.
+ 5. The library's transport and snapshots unpickle received data: neither is used; see `wire`.
+ 6. A snapshot chunk has the leader's commit index, up to which a follower would commit all its entries, including an
+    unverified end of its log. The index is cleared.
+11. The library's import replaces `socket.inet_ntop` in the complete process by a version for Windows. `journal`, which
+    all other modules import, restores it.
 """
 
 from __future__ import annotations
@@ -44,11 +45,11 @@
 from frostspindle.replica.voters import VoterNode, apply_voter_changes
 
 CATCH_UP_TIMEOUT_S = 5.0
-LOST_VOTES_TERM_INCREMENT = 1_000  # moves a member that lost its votes past any term in which it may have voted
+LOST_VOTES_TERM_INCREMENT = 1_000  # raises the term past any in which a member that lost its votes may have voted
 
 
 class LogMember:
-    """A voter, or a follower, which reads entries and proposes but does not vote."""
+    """A voter, or a follower, which applies entries and proposes but does not vote."""
 
     def __init__(
         self,
@@ -62,36 +63,36 @@
         snapshot_after: int = SNAPSHOT_AFTER_ENTRIES,
         registry: StateMachineRegistry | None = None,
     ) -> None:
-        """`me` and `voters`: `name=address` or names alone; a member that is not among the voters is a follower.
+        """`me` and `voters`: `name=address` or only names; a member that is not among the voters is a follower.
 
-        `token`: 8 bytes that no other incarnation of any member uses. `votes_lost`: the journal of a voter was lost or
-        spoilt, so that its votes and acknowledgements are not known. `snapshot_after`: so many entries make a snapshot
-        due. ValueError: the journal's snapshot can't be read.
+        `token`: 8 bytes unique to this incarnation of this member. `votes_lost`: the journal of a voter was lost or
+        corrupt, so that its votes and acknowledgements are unknown. `snapshot_after`: the number of entries after which
+        a snapshot is due. Raise ValueError if the journal's snapshot is malformed.
         """
         if votes_lost:
-            journal.set_votes_lost(True)  # recorded until it votes again, also over restarts
+            journal.set_votes_lost(True)  # stored until it votes again, also across restarts
         self.me: VoterNode = VoterNode(me)
         self.timeouts: RaftTimeouts = timeouts or RaftTimeouts()
         self.journal: RaftJournal = journal
         self.registry: StateMachineRegistry = registry or StateMachineRegistry()
         self.proposals: ProposalQueue = ProposalQueue(token, max_open, self.timeouts.heartbeat)
         self.counters: Counter[str] = Counter()
-        self.restoring: RestorableState | None = None  # a snapshot that the machines are to be restored from
+        self.restoring: RestorableState | None = None  # a snapshot from which the state machines are to be restored
         self.voters_changed: bool = False
-        self.peers: dict[str, bool] = {}  # connected peers, and whether as a voter
+        self.peers: dict[str, bool] = {}  # connected peers, and whether each is a voter
         self._outbox: Outbox = Outbox()
         self._compaction: CompactionPolicy = CompactionPolicy(snapshot_after)
-        self._announced: tuple[int, int] = (0, 0)  # last index and commit index that were sent at once as a leader
-        self._now: float = 0.0  # of the last tick
+        self._sent_indexes: tuple[int, int] = (0, 0)  # as leader: the last index and commit index that were sent
+        self._now: float = 0.0  # time of the last tick
         self._leader_heard_at: float = 0.0
-        self._catching_up: bool = False  # a no-op of this member is under way
+        self._catching_up: bool = False  # a no-op of this member is in flight
         initial_voters = apply_voter_changes(self._voters_of_snapshot([VoterNode(text) for text in voters]), journal)
         self.voter: bool = self.me in initial_voters and not journal.votes_lost
-        self.ready_to_vote: bool = False  # the owner is to close all links and call `promote`
+        self.ready_to_vote: bool = False  # the owner must close all links and call `promote`
         self._raft: RaftNode = self._make_raft_node(initial_voters)
 
     def _voters_of_snapshot(self, configured: list[VoterNode]) -> list[VoterNode]:
-        """Have the journal's snapshot restored, if there is one, and return its voters, else the configured ones."""
+        """Schedule the restore of the journal's snapshot, if any, and return its voters, else the configured ones."""
         if not self.journal.snapshot:
             return configured
         snapshot = wire.decode_snapshot(self.journal.snapshot)
@@ -119,11 +120,11 @@
     def _on_voters_changed(self) -> None:
         self.voters_changed = True
 
-    # What is known.
+    # State.
 
     @property
     def leader(self) -> str | None:
-        """Name of the leader while it is heard; None otherwise, also where the library goes on naming a former one."""
+        """Name of the leader while it sends messages, else None, even if the library still names a former one."""
         if self.is_leader:
             return str(self.me.id)
         name = self._raft.leader_name
@@ -135,7 +136,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member is the leader, as far as it knows."""
+        """Whether this member considers itself the leader."""
         return self._raft.is_leader
 
     @property
@@ -145,7 +146,7 @@
 
     @property
     def commit_index(self) -> int:
-        """Index of the last entry known here to be committed; it may not be applied yet."""
+        """Index of the last entry that this member knows to be committed; it may not be applied yet."""
         return int(self._raft.raftCommitIndex)
 
     @property
@@ -158,18 +159,18 @@
 
     @property
     def has_unsubmitted_proposals(self) -> bool:
-        """Whether proposals wait that could be submitted now."""
+        """Whether there are proposals that could be submitted now."""
         return self.leader is not None and self.proposals.has_unsubmitted
 
     # Connections and messages.
 
     def connected(self, peer: str, voter: bool) -> None:
-        """Note that a peer can be reached, as one of the voters or as a follower."""
+        """Handle a new connection to a peer, which is a voter or a follower."""
         self.peers[peer] = voter
         self._raft.on_connected(peer, voter)
 
     def disconnected(self, peer: str) -> None:
-        """Note that a peer can't be reached; if it was the leader, answers awaited from it are given up."""
+        """Handle the end of a peer's connection; if it was the leader, stop waiting for its responses."""
         voter = self.peers.pop(peer, None)
         if voter is None:
             return
@@ -178,10 +179,10 @@
         self._raft.on_disconnected(peer, voter)
 
     def receive(self, peer: str, message: Message) -> None:
-        """Hand a connected peer's message to the library, after guards 1, 2 and 6; LogDivergedError.
+        """Pass a connected peer's message to the library, after guards 1, 2 and 6. Raise LogDivergedError.
 
-        Messages of unconnected peers, of followers that act as voters, and answers of another term are dropped;
-        proposals of topics without a machine here are denied.
+        Messages of unconnected peers, voter messages from followers, and responses of another term are dropped.
+        Proposals of topics without a state machine here are denied.
         """
         if peer not in self.peers or not self._is_acceptable(peer, message):
             return
@@ -206,7 +207,7 @@
     def _is_acceptable(self, peer: str, message: Message) -> bool:
         kind = message["type"]
         if kind in ("append_entries", "request_vote", "response_vote") and not self.peers[peer]:
-            self.counters["refused"] += 1  # a follower neither leads nor votes
+            self.counters["refused"] += 1  # a follower must neither lead nor vote
             return False
         if kind == "next_node_idx" and message["term"] != self.term:
             self.counters["stale"] += 1  # guard 1
@@ -223,13 +224,13 @@
         return not topic or topic in self.registry.machines
 
     def _deny_proposal(self, node: VoterNode, request_id: int) -> None:
-        """A leader must not append what it could not apply."""
+        """Deny a proposal that this leader could not apply."""
         self.counters["unheld"] += 1
         response = {"type": "apply_command_response", "request_id": request_id, "error": FAIL_REASON.REQUEST_DENIED}
         self._send(node, response)
 
     def _acknowledge_known(self, node: VoterNode, message: Message, known_index: int) -> None:
-        """Answer a message whose entries are all here, with later ones that the library would cut off (guard 2)."""
+        """Acknowledge a message with only known entries, as the library would truncate later ones (guard 2)."""
         self.counters["kept"] += 1
         heartbeat = {key: message[key] for key in ("type", "term", "commit_index")}
         heartbeat["serialized"] = None
@@ -251,7 +252,7 @@
     def take_outbox(self) -> Outgoing:
         """Return the messages that may be sent once the journal is durable, and the peers to disconnect.
 
-        Those peers fell so far behind that messages to them were dropped.
+        Messages to those peers were dropped because their send queues were full.
         """
         return self._outbox.take()
 
@@ -260,18 +261,18 @@
     def propose(
         self, now: float, topic: str, command: bytes, timeout_s: float, on_done: Callable[[Outcome], None]
     ) -> None:
-        """Queue a proposal; `on_done` is called once, in `tick`, `apply_committed` or `stop`, or here if too many are
-        open.
+        """Queue a proposal; an empty topic proposes a no-op.
 
-        `now` in seconds of a monotonic clock. An empty topic proposes a no-op.
+        `on_done` is called once: in `tick`, `apply_committed` or `stop`, or here if too many are open. `now` is in
+        seconds of a monotonic clock.
         """
         self.proposals.add(now, topic, command, timeout_s, on_done)
 
     def change_voters(self, kind: str, voter: str, on_done: Callable[[int], None]) -> None:
         """Add or remove ("add", "rem") a voter, given as `name=address`.
 
-        `on_done` is called with the library's FAIL_REASON, 0 for success. One change at a time: another is refused
-        meanwhile, and all are while no leader is in reach: the library would forward them to a former one.
+        `on_done` is called with the library's FAIL_REASON, 0 for success. Only one change may be in progress. Changes
+        are rejected without a reachable leader, as the library would forward them to a former one.
         """
         if self.leader is None:
             on_done(FAIL_REASON.MISSING_LEADER)
@@ -279,29 +280,29 @@
         self._raft.submit(wire.encode_voter_change(kind, voter), lambda _result, error: on_done(error))
 
     def tick(self, now: float) -> None:
-        """End proposals whose time is over, submit queued ones and tick the library; LogDivergedError.
+        """Fail expired proposals, submit queued ones and tick the library. Raise LogDivergedError.
 
-        `now` in seconds of a monotonic clock. A leader with new entries or a new commit index is ticked twice, as the
-        library sends them only in the next tick.
+        `now` is in seconds of a monotonic clock. A leader with new entries or a new commit index is ticked twice, as
+        the library sends them only in the next tick.
         """
         self._now = now
         self.proposals.expire_and_submit(now, self.term, lambda: self.leader is not None, self._submit_entry)
         if not self.voter and not self.ready_to_vote:
             self._check_right_to_vote(now)
         self._raft.doTick(0.0)
-        if self.is_leader and (self.journal.last[1], self.commit_index) != self._announced:
+        if self.is_leader and (self.journal.last[1], self.commit_index) != self._sent_indexes:
             self._raft.send_entries_now()
             self._raft.doTick(0.0)
-            self._announced = (self.journal.last[1], self.commit_index)
+            self._sent_indexes = (self.journal.last[1], self.commit_index)
 
     def _submit_entry(self, command: bytes, on_response: Callable[[object, int], None]) -> None:
         self._raft.submit(command, on_response, wire.ENTRY)
 
     def _check_right_to_vote(self, now: float) -> None:
-        """Make a follower that the others count among the voters ready to vote.
+        """Make a follower that is in the set of voters ready to vote.
 
-        At once, or, if it lost its votes, once it has all that was committed before: a no-op of its own, which the
-        others committed without its vote, proves that.
+        If it lost its votes, it first must have all entries committed before. A no-op proposed by this member, which
+        the others commit without its vote, proves that.
         """
         if self.me.id not in self.voters:
             return
@@ -320,7 +321,7 @@
     def apply_committed(self, max_entries: int = 512) -> bool:
         """Restore a received snapshot and apply up to `max_entries` committed entries; return whether there are more.
 
-        ValueError: a machine can't read its state; UnknownTopicError: a topic has no machine here.
+        Raise ValueError if a state is malformed, and UnknownTopicError if a topic has no state machine here.
         """
         if self.restoring is not None:
             state = self.restoring
@@ -331,17 +332,17 @@
         up_to = min(self._raft.raftLastApplied, self.registry.index + max_entries)
         for command, index, term in self.journal.entries_between(after, up_to):
             self._apply(index, command)
-            self.proposals.end_lost(term)
+            self.proposals.fail_lost(term)
         self.journal.applied = max(self.journal.applied, self.registry.index)
         return bool(up_to < self._raft.raftLastApplied)
 
     def _apply(self, index: int, command: bytes) -> None:
-        body = wire.NO_BODY
+        body = wire.EMPTY_BODY
         if command[0] == wire.ENTRY:
             try:
                 body = wire.decode_body(command[1:])
             except ValueError:
-                self.counters["spoilt_entries"] += 1  # the same at all members
+                self.counters["spoilt_entries"] += 1  # identical at all members
         result = b""
         if body.topic:
             result = self.registry.apply(index, body.topic, body.command)
@@ -350,7 +351,7 @@
         self.proposals.complete(body.token, index, result)
 
     def compact(self) -> bool:
-        """Take a snapshot if the journal has grown long; return whether one was taken."""
+        """Take a snapshot if one is due; return whether one was taken."""
         contents = self.due_snapshot()
         if contents is None:
             return False
@@ -358,10 +359,10 @@
         return True
 
     def due_snapshot(self) -> wire.SnapshotContents | None:
-        """Return the contents of a snapshot, if the journal has grown long; else None.
+        """Return the contents of a snapshot if one is due, else None.
 
-        `wire.encode_snapshot` encodes it, which takes time and may run in another thread while nothing else is called
-        here.
+        Encoding by `wire.encode_snapshot` is slow and may run in another thread, as long as no other method of this
+        member is called.
         """
         index = self.registry.index
         if index != self._raft.raftLastApplied or self.journal.term_at(index - 1) is None:
@@ -371,7 +372,7 @@
         try:
             states = self.registry.states()
         except ValueError:
-            self.counters["states_too_long"] += 1  # the journal grows on; tried again once it has doubled
+            self.counters["states_too_long"] += 1  # retried when the journal has doubled
             self._compaction.postpone()
             return None
         before, last = self.journal.entries_between(index - 2, index)
@@ -385,10 +386,10 @@
     # Changes of role.
 
     def promote(self) -> None:
-        """Become a voter, after `ready_to_vote`; all links must have been closed.
+        """Become a voter, after `ready_to_vote`; all links must have been closed before.
 
-        The term of a member that lost its votes is raised by LOST_VOTES_TERM_INCREMENT, past all in which it may have
-        voted.
+        The term of a member that lost its votes is raised by LOST_VOTES_TERM_INCREMENT, past all terms in which it may
+        have voted.
         """
         voters = [VoterNode(text) for text in self.voters.values()]
         self.voter = True
@@ -400,5 +401,5 @@
         self._raft = self._make_raft_node(voters)
 
     def stop(self) -> None:
-        """End all open proposals with OutcomeUnknownError or LogUnavailableError; later ones fail at once."""
+        """Fail all open proposals with OutcomeUnknownError or LogUnavailableError; later ones fail at once."""
         self.proposals.close()
--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -1,9 +1,9 @@
 """One process's member of the replicated log: its connections, its journal file and the loop that drives it.
 
-The loop, a task of the event loop, keeps the order of writing, syncing, sending and applying that `member` needs. Disk
-writes and the encoding of snapshots run in one worker thread, so that the event loop is never blocked by them, and
-nothing is sent before the disk has answered. A fault of the log does not end the process: the log stops, logs that
-once, and all its users get LogUnavailableError.
+The loop is a task of the event loop and keeps the order of writing, syncing, sending and applying that `member`
+requires. Disk writes and the encoding of snapshots run in one worker thread, so that they never block the event loop.
+Messages are sent only after the journal is synced. A fault of the log does not end the process: the log stops, logs
+this once, and its users get LogUnavailableError.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 Result = TypeVar("Result")
 
 TICK_S = 0.025
-MAX_ENTRIES_PER_TURN = 64  # events handled or entries applied before other tasks of the event loop run
-TIMEOUT_GRACE_S = 0.25  # past its time limit, a proposal is answered also while the disk hangs
+MAX_ENTRIES_PER_SLICE = 64  # events handled or entries applied before other tasks of the event loop run
+TIMEOUT_GRACE_S = 0.25  # after a proposal's time limit; then it fails even while the disk hangs
 
 
 class ReplicaService(RegistryLog):
@@ -61,9 +61,9 @@
         max_open: int = MAX_OPEN_PROPOSALS,
         snapshot_after: int = SNAPSHOT_AFTER_ENTRIES,
     ) -> None:
-        """`me`: a name; `voters`: `name=IP:PORT`; `listen`: where this one listens, if not at its own address there.
+        """`me`: this member's name; `voters`: `name=IP:PORT`; `listen`: the listening address, if not that in `voters`.
 
-        `first_start`: the operator states that an empty folder is not one whose journal was lost.
+        `first_start`: the operator's statement that an empty folder does not mean a lost journal.
         """
         super().__init__()
         self.me: str = me
@@ -90,26 +90,26 @@
         self.stopped: str = ""  # the reason, once the log has stopped
         self.counters: Counter[str] = Counter()
         self._journal_writer: JournalWriter = JournalWriter(folder, telemetry, self.counters)
-        self.longest_slice_s: float = 0.0  # processor time for which the event loop was held
-        self._turn_began: float = 0.0
+        self.longest_slice_s: float = 0.0  # longest CPU time for which the event loop was blocked
+        self._slice_started_at: float = 0.0
 
-    # The log.
+    # Log operations.
 
     @property
     def worst_sync_s(self) -> float:
-        """Duration of the longest write with its sync."""
+        """Duration of the longest write, including its sync."""
         return self._journal_writer.worst_sync_s
 
     @property
     def leader(self) -> str | None:
-        """Name of the leader while it is heard; None if there is none, or the log has stopped or not started."""
+        """Name of the leader while it sends messages; None without one, or if the log does not run."""
         return self._member.leader if self._member is not None and not self.stopped else None
 
     async def change_voters(self, kind: str, voter: str, within_s: float) -> None:
         """Add or remove ("add", "rem") a voter, given as `name=IP:PORT`; one change at a time.
 
-        LogUnavailableError if it is refused or the log does not run, OutcomeUnknownError if its leader has gone, or
-        after `within_s` seconds without an answer.
+        Raise LogUnavailableError if it is rejected or the log does not run, and OutcomeUnknownError if the leader that
+        received it is lost, or after `within_s` seconds without a response.
         """
         member = self._running_member()
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -119,17 +119,17 @@
             async with asyncio.timeout(within_s):
                 error = await future
         except TimeoutError:
-            raise OutcomeUnknownError("the time was over first") from None
+            raise OutcomeUnknownError("the time limit was exceeded") from None
         if error in OUTCOME_UNKNOWN:
-            raise OutcomeUnknownError("the leader that had it is gone")
+            raise OutcomeUnknownError("the leader that received the change was lost")
         if error:
-            raise LogUnavailableError(f"the change was refused, by reason {error} of the library's")
+            raise LogUnavailableError(f"the change was rejected with the FAIL_REASON {error} of the library")
 
     def _has_started(self) -> bool:
         return self.started
 
     async def _append(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
-        """Propose a command; answered TIMEOUT_GRACE_S after the time limit at the latest, also while the disk hangs."""
+        """Propose a command; return or raise within the time limit plus TIMEOUT_GRACE_S, even while the disk hangs."""
         member = self._running_member()
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         member.propose(time.monotonic(), topic, command, within_s, _resolver(future))
@@ -139,7 +139,7 @@
                 outcome = await future
         except TimeoutError:
             self.counters["held_up"] += 1
-            outcome = OutcomeUnknownError("the disk or the event loop held it up")
+            outcome = OutcomeUnknownError("the disk or the event loop was blocked")
         if isinstance(outcome, AppliedEntry):
             return outcome
         raise outcome
@@ -149,19 +149,20 @@
             raise LogUnavailableError(self.stopped or "the log has not started")
         return self._member
 
-    # Start and end.
+    # Start and shutdown.
 
     async def start(self) -> None:
         """Read the journal, apply its snapshot, listen and start the member's loop.
 
-        OSError if the address can't be bound. A fault of the disk or the journal stops the log alone, with a log line.
+        Raise OSError if the address can't be bound. A fault of the disk or the journal only stops the log, with a log
+        line.
         """
         self.started = True
         redirect_library_log(self.telemetry)
         try:
             member = await self._restore_member()
         except FolderLockedError as error:
-            self._stop(f"another process has {error}")
+            self._stop(f"another process has locked {error}")
             return
         except (OSError, ValueError) as error:
             self._stop(f"the journal can't be used: {error}")
@@ -176,7 +177,7 @@
             self._has_capacity,
             self._log_link_event,
         )
-        if self._listen_address:  # a follower listens too, as it may become a voter
+        if self._listen_address:  # followers also listen, as they may become voters
             host, _, port = self._listen_address.rpartition(":")
             self.port = await self._links.listen(host.strip("[]"), int(port))
         self._update_targets()
@@ -191,7 +192,7 @@
         )
 
     async def _restore_member(self) -> LogMember:
-        """Make the member from its journal and apply its snapshot; OSError, FolderLockedError, ValueError."""
+        """Create the member from its journal and apply its snapshot. Raise OSError, FolderLockedError, ValueError."""
         condition, records = await self._journal_writer.open()
         is_lost = condition is JournalCondition.FRESH and not self._is_first_start
         votes_lost = condition is JournalCondition.CORRUPT or is_lost
@@ -208,28 +209,28 @@
             self._registry,
         )
         self._member = member
-        while member.apply_committed(MAX_ENTRIES_PER_TURN):
+        while member.apply_committed(MAX_ENTRIES_PER_SLICE):
             await asyncio.sleep(0)
         return member
 
     def _report_journal(self, condition: JournalCondition, entries: int, votes_lost: bool) -> None:
-        """Log a journal that was damaged, or that a voter has lost."""
+        """Log a damaged journal, or a journal that a voter has lost."""
         is_damaged = condition in (JournalCondition.CORRUPT, JournalCondition.TORN)
         if not is_damaged and not (votes_lost and self.me in self._addresses):
             return
-        why = "its last write was cut off by a crash"
+        consequence = "a crash left the last write incomplete"
         if votes_lost:
-            why = "comes back as a follower, and votes once it has caught up"
+            consequence = "restarts as a follower, and votes again once it has caught up"
         self.telemetry.count("replica_journals_" + condition)
         self.telemetry.log(
-            "replica_journal_opened", found=str(condition), entries=entries, votes=not votes_lost, why=why
+            "replica_journal_opened", found=str(condition), entries=entries, votes=not votes_lost, why=consequence
         )
 
     async def close(self) -> None:
-        """End open proposals, the loop, the links and the disk; what was accepted is on the disk."""
+        """Fail open proposals, end the loop, close the links and the journal; all accepted entries are durable."""
         if self._member is not None:
             self._member.stop()
-        self.stopped = self.stopped or "the log stops"
+        self.stopped = self.stopped or "the log is stopping"
         self._wake.set()
         if self._loop_task is not None:
             await self._loop_task
@@ -243,37 +244,37 @@
             await links.close()
         self._journal_writer.close_file()
 
-    def _stop(self, why: str) -> None:
-        """Stop the log for good; the process goes on."""
-        self.stopped = why
+    def _stop(self, reason: str) -> None:
+        """Stop the log permanently; the process continues."""
+        self.stopped = reason
         self.telemetry.count("replica_stopped")
-        self.telemetry.log("replica_stopped", why=why)
+        self.telemetry.log("replica_stopped", why=reason)
         if self._member is not None:
             self._member.stop()
 
-    # The loop.
+    # Loop.
 
     async def _run(self) -> None:
         assert self._member is not None
         try:
             while not self.stopped:
                 await self._run_cycle(self._member)
-        except Exception as error:  # noqa: BLE001 - of the disk, a machine or the library: the process must go on
+        except Exception as error:  # noqa: BLE001 - faults of the disk, a state machine or the library must not end the process
             self._stop(f"{type(error).__name__}: {error}")
             await self._release()
 
     async def _run_cycle(self, member: LogMember) -> None:
-        """Handle what came, tick, write, send and apply, in this order."""
+        """Handle events, tick, write, send and apply, in this order."""
         await self._wait_for_work(member)
-        self._begin_turn()
+        self._begin_slice()
         await self._handle_events(member)
         member.tick(time.monotonic())
         pending_write = member.journal.take_pending_write()
-        self._end_turn()
+        self._end_slice()
         if pending_write is not None:
             await self._journal_writer.write(pending_write)
         self._send_outbox(member)
-        while member.apply_committed(MAX_ENTRIES_PER_TURN):
+        while member.apply_committed(MAX_ENTRIES_PER_SLICE):
             await asyncio.sleep(0)
         await self._compact(member)
         if member.ready_to_vote:
@@ -285,7 +286,7 @@
         self._log_leader(member)
 
     async def _wait_for_work(self, member: LogMember) -> None:
-        """Return at once if there is work, else when some comes or the next tick is due."""
+        """Wait until there is work or the next tick is due."""
         if not self._wake.is_set() and not member.journal.dirty and not member.has_unsubmitted_proposals:
             try:
                 async with asyncio.timeout(TICK_S):
@@ -296,10 +297,10 @@
 
     async def _handle_events(self, member: LogMember) -> None:
         for number, event in enumerate(self._events.take(), 1):
-            if number % MAX_ENTRIES_PER_TURN == 0:
-                self._end_turn()
+            if number % MAX_ENTRIES_PER_SLICE == 0:
+                self._end_slice()
                 await asyncio.sleep(0)
-                self._begin_turn()
+                self._begin_slice()
             match event:
                 case MessageReceived(peer, message):
                     member.receive(peer, message)
@@ -309,33 +310,33 @@
                     member.disconnected(peer)
 
     def _send_outbox(self, member: LogMember) -> None:
-        self._begin_turn()
+        self._begin_slice()
         assert self._links is not None
         outgoing = member.take_outbox()
         for peer, message in outgoing.messages:
             self._links.send(peer, message)
         for peer in outgoing.overflowed:
             self._links.drop(peer)
-        self._end_turn()
+        self._end_slice()
 
     async def _compact(self, member: LogMember) -> None:
-        self._begin_turn()
+        self._begin_slice()
         contents = member.due_snapshot()
-        self._end_turn()
+        self._end_slice()
         if contents is None:
             return
         data = await self._journal_writer.run(wire.encode_snapshot, *contents)
         member.compact_journal(contents, data)
 
-    def _begin_turn(self) -> None:
-        """Begin to measure how long the event loop is held, as processor time: on a busy machine a clock shows more."""
-        self._turn_began = time.thread_time()
+    def _begin_slice(self) -> None:
+        """Start measuring how long the event loop is blocked, in CPU time: elapsed time also counts other processes."""
+        self._slice_started_at = time.thread_time()
 
-    def _end_turn(self) -> None:
-        self.longest_slice_s = max(self.longest_slice_s, time.thread_time() - self._turn_began)
+    def _end_slice(self) -> None:
+        self.longest_slice_s = max(self.longest_slice_s, time.thread_time() - self._slice_started_at)
 
     def _promote(self, member: LogMember) -> None:
-        """Become a voter: all links end first, as the peers know this member as a follower."""
+        """Become a voter: close all links first, as the peers know this member as a follower."""
         assert self._links is not None
         self._links.set_targets(self.me, {})
         for peer in self._events.take_disconnected():
@@ -381,7 +382,7 @@
         return self._events.message_bytes < MAX_QUEUED_IN_BYTES
 
     def _is_known_peer(self, peer: str) -> bool:
-        """Whether a peer may connect: any follower with a fitting name, or a voter; and only to a voter."""
+        """Whether a peer may connect: any follower with a valid name, or a voter; and only if this is a voter."""
         member = self._member
         if member is None or not member.voter or self.stopped:
             return False
@@ -414,7 +415,7 @@
 
 
 def _resolver(future: asyncio.Future[Result]) -> Callable[[Result], None]:
-    """Return a callback that resolves a future, unless it is done already."""
+    """Return a callback that resolves a future, unless it is already done."""
 
     def resolve(result: Result) -> None:
         if not future.done():
