--- a/tests/test_ownership_lab.py
+++ b/tests/test_ownership_lab.py
@@ -1,4 +1,4 @@
-"""The history checker on planted faults, and owners in simulated time: each hard case, and runs under drawn faults."""
+"""Tests of the history checker on injected faults, and of leases in simulated time under scripted and random faults."""
 
 import io
 import json
@@ -38,12 +38,12 @@
 
 
 def dropped():
-    """As the program tells it."""
+    """The program's log line that reports dropped lines."""
     sink = io.BytesIO()
-    told = Telemetry("a", sink=sink)
+    telemetry = Telemetry("a", sink=sink)
     with mock.patch("frostspindle.telemetry.time.time", side_effect=[1_000.0] * (MAX_LINES_PER_S + 1) + [1_001.0]):
         for _ in range(MAX_LINES_PER_S + 2):
-            told.log("storm")
+            telemetry.log("storm")
     return json.loads(sink.getvalue().splitlines()[-2])
 
 
@@ -58,10 +58,10 @@
 ]
 
 
-def test_a_good_history_is_good():
-    found = check(GOOD, expect=2)
-    assert found.good and (found.accepted, found.refused, found.grants, found.tasks) == (2, 1, 2, 1)
-    # A killed holder's lease ends with it; one line may tell many; a renewed one goes on under its token.
+def test_correct_history_passes():
+    result = check(GOOD, expect=2)
+    assert result.good and (result.accepted, result.refused, result.grants, result.tasks) == (2, 1, 2, 1)
+    # A killed holder's lease ends with the process; one line may report many leases; a renewal keeps the token.
     assert check([took(0, 3, "a"), took(12, 7, "b")], {"a": [5.0]}).good
     assert check([took(5.001, 3, "a"), took(12, 7, "b")], {"a": [1.0, 5.0006]}).good
     many = {"event": "owner_took", "holder": "a", "many": [["x", 3, 0.0], ["y", 3, 0.0]]}
@@ -69,12 +69,12 @@
 
 
 @pytest.mark.parametrize(
-    "lines, words",
+    "lines, expected",
     (
         ([*GOOD, acted(3, 15, 3, "a")], "was accepted after 7"),
         ([*GOOD, acted(0, 15, 3, "a", receiver="other")], "were accepted after the first of b"),
         ([*GOOD[:2], lost(13, 3, "a"), *GOOD[3:]], "overlap from 12.0 to 13.0"),
-        ([*GOOD[:2], *GOOD[3:]], "overlap"),  # the first never said that it was over
+        ([*GOOD[:2], *GOOD[3:]], "overlap"),  # the first holder never logged its loss
         ([*GOOD, took(30, 7, "c"), lost(31, 7, "c")], "two holders"),
         ([*GOOD, acted(3, 15, 8, "b")], "granted to nobody"),
         ([*GOOD, acted(3, 15, 7, "a")], "used by a"),
@@ -86,50 +86,50 @@
         (GOOD[:1], "nothing is shown"),
     ),
 )
-def test_a_planted_fault_is_found(lines, words):
-    found = check(lines, expect=1)
-    assert not found.good and any(words in fault for fault in found.faults), found.faults
+def test_injected_fault_is_found(lines, expected):
+    result = check(lines, expect=1)
+    assert not result.good and any(expected in fault for fault in result.faults), result.faults
 
 
-def test_a_sink_answers_whatever_it_is_sent():
+def test_sink_responds_to_any_request():
     sink = Sink("s", lambda: 1.0)
     good = {"task": "x", "token": 5, "holder": "a", "action": "mark", "key": "k", "value": 1}
     assert sink.take(good) == {"ok": True} and sink.entries == {"k": 1}
     assert sink.take({**good, "token": 4, "value": 2}) == {"stale": 5} and sink.entries == {"k": 1}
-    for said in ({}, {**good, "token": "5"}, {**good, "task": 1}, {**good, "token": -1}):
-        assert "bad" in sink.take(said)
+    for request in ({}, {**good, "token": "5"}, {**good, "task": 1}, {**good, "token": -1}):
+        assert "bad" in sink.take(request)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_under_drawn_faults_nothing_stale_is_accepted(seed):
-    found = measure(play(5, seed, "drawn", 12.0, lease_ms=1_000, late=0.3, voters=(3, 5)[seed % 2]))
-    assert found["good"] and found["accepted"] > 200 and not found["log_faults"], found
+def test_no_stale_action_is_accepted_under_random_faults(seed):
+    result = measure(play(5, seed, "drawn", 12.0, lease_ms=1_000, late=0.3, voters=(3, 5)[seed % 2]))
+    assert result["good"] and result["accepted"] > 200 and not result["log_faults"], result
 
 
 def stopped(fenced=True, make=Coordinator):
-    """A holder that is stopped for twice its lease, some of whose sends leave as late, with a second one acting."""
+    """Run a holder that is suspended for twice its lease, with delayed sends, while another holder acts."""
     return play(
         5, 2, "3 stop 0-1; 5 cont 0-1", 9.0, lease_ms=1_000, late=0.4, voters=5, tasks=8, fenced=fenced, make=make
     )
 
 
-def test_a_holder_stopped_for_twice_its_lease_does_no_harm_and_without_the_fence_it_does():
+def test_fence_rejects_actions_of_a_holder_suspended_for_twice_its_lease():
     good, bad = measure(stopped()), measure(stopped(fenced=False))
     assert good["good"] and good["refused"] > 0, good
     assert bad["stale_accepted"] > 0 and not bad["good"]
 
 
-def test_candidates_that_wait_less_than_a_lease_are_found_out(monkeypatch):
+def test_too_short_takeover_wait_is_detected(monkeypatch):
     monkeypatch.setattr(timing, "takeover_wait_ms", lambda duration_ms, drift: duration_ms / 2.0)
     lab = play(5, 2, "3 oneway 0>1,2,3,4; 6 oneway 1>0,2,3,4", 9.0, lease_ms=2_000, voters=3, tasks=8)
     assert any("overlap" in fault for fault in lab.checked().faults)
 
 
-def test_the_logs_leader_cut_off_with_a_holder():
+def test_partition_of_the_log_leader_and_a_holder():
     lab = Lab(5, 4, "", tasks=10, lease_ms=1_000, voters=5).run(3.0)
     (leader,) = lab.replicas.leaders()
-    held = {row.holder for row in lab.coordinators[leader].table.rows.values()}
-    other = next(n for n in range(5) if n != leader and f"c{n}" in held)
+    holders = {row.holder for row in lab.coordinators[leader].table.rows.values()}
+    other = next(n for n in range(5) if n != leader and f"c{n}" in holders)
     side, rest = f"{leader},{other}", ",".join(str(n) for n in range(5) if n not in (leader, other))
     lab = play(5, 4, f"3-6 cut {side}|{rest}", 9.0, tasks=10, lease_ms=1_000, voters=5)
     assert lab.checked(100).good
@@ -137,23 +137,29 @@
     assert cut and {line["holder"] for line in cut} <= {f"c{n}" for n in range(5) if n not in (leader, other)}
 
 
-def test_a_holder_whose_clock_jumps_forward_and_back():
+def test_holder_clock_jumps_forward_and_back():
     lab = Lab(3, 5, "", tasks=3, lease_ms=1_000).run(3.0)
     for n, jump in ((0, 20_000.0), (1, -3_000.0), (2, 400.0)):
         lab.jumps[n] = jump
     lab.run(5.0)
     lab.jumps = {0: 0.0, 1: 7.0, 2: -5_000.0}
     lab.run(9.0)
-    assert lab.checked(100).good and all(who.holder.counts["clock_steps"] for who in lab.coordinators.values())
+    assert lab.checked(100).good and all(
+        coordinator.holder.counts["clock_steps"] for coordinator in lab.coordinators.values()
+    )
 
 
-def test_a_majority_lost_holds_all_up_and_a_voter_whose_journal_is_lost_comes_back():
+def test_no_actions_without_a_majority_and_a_voter_with_a_lost_journal_recovers():
     lab = Lab(5, 6, "", tasks=3, lease_ms=1_000).run(3.0)
     for n in (0, 1):
         lab.replicas.kill(n)
     lab.run(5.0)
     before = len(lab.sink.lines)
-    assert not any(who.holder.held_leases(who.now) for n, who in lab.coordinators.items() if n not in (0, 1))
+    assert not any(
+        coordinator.holder.held_leases(coordinator.now)
+        for n, coordinator in lab.coordinators.items()
+        if n not in (0, 1)
+    )
     lab.run(6.0)
     assert not [line for line in lab.sink.lines[before:] if line["accepted"] and line["action"] != "late"]
     lab.replicas.start(0)
@@ -168,46 +174,46 @@
     lab = Lab(5, 7, "3 kill 0", tasks=1_000, lease_ms=1_000, late=0.0)
     act, sent = lab.act, set()
 
-    def once(who, task, token):  # an action a grant is enough here
+    def act_once(coordinator, task, token):  # one action per grant
         if (task, token) not in sent:
             sent.add((task, token))
-            act(who, task, token)
+            act(coordinator, task, token)
 
-    lab.act = once
+    lab.act = act_once
     lab.run(6.0)
     assert lab.checked(1_000).good
     assert len(lab.coordinators[1].table.rows) == 1_000
     assert "c0" not in {row.holder for row in lab.coordinators[1].table.rows.values()}
 
 
-def held(lab):
+def lease_counts(lab):
     rows = lab.coordinators[1].table.rows.values()
     return sorted(sum(row.holder == f"c{n}" for row in rows) for n in range(5))
 
 
-def test_tasks_that_fall_free_at_once_go_evenly():
+def test_tasks_free_at_once_are_spread_evenly():
     lab = Lab(5, 1, "", tasks=1_000, late=0.0)
-    lab.act = lambda who, task, token: None
-    counts = held(lab.run(4.0))
+    lab.act = lambda coordinator, task, token: None
+    counts = lease_counts(lab.run(4.0))
     assert sum(counts) == 1_000 and counts[0] >= 160 and counts[-1] <= 240, counts
-    assert not any(who.holder.counts["given"] for who in lab.coordinators.values())
+    assert not any(coordinator.holder.counts["given"] for coordinator in lab.coordinators.values())
 
 
-def test_one_that_comes_late_gets_its_part_and_then_nothing_moves():
+def test_late_coordinator_gets_its_share_and_then_no_lease_moves():
     lab = Lab(5, 3, "3 kill 4; 8 start 4", tasks=30, lease_ms=1_000, late=0.0)
-    assert held(lab.run(8.0))[0] == 0
-    counts = held(lab.run(40.0))
+    assert lease_counts(lab.run(8.0))[0] == 0
+    counts = lease_counts(lab.run(40.0))
     assert sum(counts) == 30 and counts[-1] - counts[0] <= 2, counts
 
-    def given():
-        return sum(who.holder.counts["given"] for who in lab.coordinators.values())
+    def transfers():
+        return sum(coordinator.holder.counts["given"] for coordinator in lab.coordinators.values())
 
-    moved = given()
+    before = transfers()
     lab.run(52.0)
-    assert given() == moved <= 30 and lab.checked(1_000).good
+    assert transfers() == before <= 30 and lab.checked(1_000).good
 
 
-def test_lab_ownership_prints_one_object_the_same_for_the_same_seed():
+def test_lab_ownership_output_is_the_same_for_the_same_seed():
     call = ["lab", "ownership", "--seed", "5", "--seconds", "8", "--json", "--faults", "4-6 cut 0|1-4"]
     first, second = (CliRunner().invoke(cli, call) for _ in range(2))
     assert first.output == second.output and json.loads(first.output)["good"] is True
