--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -1,4 +1,4 @@
-"""Five processes of the program, a relay between them and a fenced sink: holders that are stopped, cut off, killed."""
+"""Five processes of the program, a relay and a fenced sink: lease holders that are suspended, partitioned or killed."""
 
 import asyncio
 import json
@@ -26,12 +26,12 @@
 
         return await asyncio.to_thread(call)
 
-    async def test_stopped_for_twice_its_lease_cut_off_with_the_leader_killed_and_released(self):
+    async def test_holder_suspended_partitioned_with_the_leader_killed_and_released(self):
         fleet = await self.start(5)
         first = await fleet.acts()
         holder = fleet.process(first["holder"])
 
-        # SIGSTOP for twice the lease, on while another holds: nothing of it is accepted under the old token.
+        # SIGSTOP for twice the lease, until another process holds it: actions under the old token are rejected.
         holder.send_signal(signal.SIGSTOP)
         mark = len(fleet.sink.lines)
         second = await fleet.acts(mark, holder.name)
@@ -40,39 +40,39 @@
         await holder.until(lambda: holder.events("owner_lost"))
         self.assertGreater(second["token"], first["token"])
 
-        # Its holder, and the leader of the log, cut off from the others (the sink hears both).
+        # The holder and the leader of the log are partitioned from the others (the sink still receives from both).
         holder = fleet.process((await fleet.acts(len(fleet.sink.lines)))["holder"])
-        async with asyncio.timeout(20.0):  # one that comes back may have had a vote called
-            while (leads := (await holder.figures("show-owners"))["leader"]) is None:
+        async with asyncio.timeout(20.0):  # the resumed process may have caused an election
+            while (leader := (await holder.figures("show-owners"))["leader"]) is None:
                 await asyncio.sleep(0.02)
-        fleet.streams.cut = {holder.number, int(leads[1:])}
+        fleet.streams.cut = {holder.number, int(leader[1:])}
         mark = len(fleet.sink.lines)
         third = await fleet.acts(mark, holder.name)
         self.assertEqual((await holder.figures("show-owners"))["waits"], "no known leader")
         fleet.streams.cut = set()
 
-        # kill -9 between an action and its record here: the sink has taken it, and its answer is not there yet.
+        # kill -9 after the sink accepted an action, before the holder received the response and logged the action.
         holder = fleet.process(third["holder"])
         fleet.server.silent = True
-        taken = await fleet.acts(len(fleet.sink.lines))
-        self.assertEqual(taken["holder"], holder.name)
+        accepted = await fleet.acts(len(fleet.sink.lines))
+        self.assertEqual(accepted["holder"], holder.name)
         await fleet.kill(holder)
         fleet.server.silent = False
         self.assertEqual(
-            len(holder.events("owner_acted", token=taken["token"])),
-            sum(line["token"] == taken["token"] for line in fleet.accepted()) - 1,
+            len(holder.events("owner_acted", token=accepted["token"])),
+            sum(line["token"] == accepted["token"] for line in fleet.accepted()) - 1,
         )
         mark = len(fleet.sink.lines)
         fourth = await fleet.acts(mark, holder.name)
         await holder.start()
 
-        # An operator takes it away; SIGTERM gives it back at once.
-        told = await self.command(fleet.process(fourth["holder"]), "release", "x")
-        self.assertEqual(told.exit_code, 0, told.output)
-        self.assertIn("is released", told.output)
+        # An operator releases the lease; SIGTERM releases it at once.
+        release_call = await self.command(fleet.process(fourth["holder"]), "release", "x")
+        self.assertEqual(release_call.exit_code, 0, release_call.output)
+        self.assertIn("is released", release_call.output)
         fifth = await fleet.acts(len(fleet.sink.lines), fourth["holder"])
-        told = await self.command(fleet.process(fourth["holder"]), "--json")
-        self.assertEqual(json.loads(told.output)["holders"], {fifth["holder"]: 1})
+        release_call = await self.command(fleet.process(fourth["holder"]), "--json")
+        self.assertEqual(json.loads(release_call.output)["holders"], {fifth["holder"]: 1})
         self.assertIn(fifth["holder"], (await self.command(fleet.process(fourth["holder"]))).output)
         self.assertEqual((await self.command(fleet.process(fourth["holder"]), "release", "nothing")).exit_code, 2)
         ending = fleet.process(fifth["holder"])
@@ -80,17 +80,17 @@
         self.assertTrue(ending.events("owner_released"))
         await fleet.acts(len(fleet.sink.lines), ending.name)
 
-        found = fleet.checked(expect=20)
-        self.assertTrue(found.good, found.faults)
-        self.assertGreaterEqual(found.grants, 6)
+        result = fleet.checked(expect=20)
+        self.assertTrue(result.good, result.faults)
+        self.assertGreaterEqual(result.grants, 6)
 
-    async def test_without_a_majority_nobody_holds_and_it_says_so(self):
+    async def test_no_lease_is_held_without_a_majority_and_the_reason_is_shown(self):
         fleet = await self.start(3)
         await fleet.acts()
-        gone = fleet.processes[1:3]
-        await asyncio.gather(*(fleet.kill(process) for process in gone))
-        rest = [fleet.processes[0], *fleet.processes[3:]]
-        for process in rest:
+        killed = fleet.processes[1:3]
+        await asyncio.gather(*(fleet.kill(process) for process in killed))
+        running = [fleet.processes[0], *fleet.processes[3:]]
+        for process in running:
             await process.until(lambda p=process: p.events("lease_candidacy_delayed"))
             async with asyncio.timeout(20.0):
                 while any(row["here"] and row["left_ms"] for row in (await process.figures("show-owners"))["owners"]):
@@ -98,79 +98,79 @@
         mark = len(fleet.sink.lines)
         await asyncio.sleep(0.3)
         self.assertEqual(fleet.sink.lines[mark:], [])
-        journal = gone[0].folder / "log" / "journal"
+        journal = killed[0].folder / "log" / "journal"
         with journal.open("ab") as file:
             file.write(b"FSLJ\xff\x00\x00\x00half a frame")
-        await gone[0].start()
+        await killed[0].start()
         await fleet.acts(mark)
-        self.assertEqual(gone[0].events("replica_journal_opened", life=2)[0]["found"], "torn")
-        found = fleet.checked()
-        self.assertTrue(found.good, found.faults)
+        self.assertEqual(killed[0].events("replica_journal_opened", life=2)[0]["found"], "torn")
+        result = fleet.checked()
+        self.assertTrue(result.good, result.faults)
 
-    async def test_one_warms_a_new_engine_and_another_goes_on_when_it_is_stopped_or_killed_or_the_engine_goes(self):
+    async def test_warm_up_of_a_new_engine_continues_after_suspended_or_killed_holders_and_lost_engines(self):
         rng, statements = random.Random(7), tuple(f"SELECT {n}" for n in range(1, 9))
         fleet = self.fleet = Owned(voters=5, tasks=(), every_ms=20, statements=statements)
         self.addAsyncCleanup(fleet.close)
         await fleet.start()
         first, second = fleet.engines
 
-        async def said(engine, most, after):
+        async def wait_for_statements(engine, count, after):
             async with asyncio.timeout(60.0):
-                while len({text for _, _, text in engine.said[after:]}) < most:
+                while len({text for _, _, text in engine.said[after:]}) < count:
                     await asyncio.sleep(0.002)
             return engine.said[after:]
 
-        def once(found, least=0):
-            """In order, each at the engine, and no more than one of them again for each change of the owner."""
-            texts = [text for _, _, text in found]
-            again = sum(one == other for one, other in zip(texts, texts[1:], strict=False))
+        def assert_in_order(received, min_count=0):
+            """Check that statements arrived in order, with at most one repeated per change of the lease holder."""
+            texts = [text for _, _, text in received]
+            repeated = sum(text == following for text, following in zip(texts, texts[1:], strict=False))
             self.assertEqual(
                 [text for n, text in enumerate(texts) if n == 0 or texts[n - 1] != text],
-                list(statements[: max(len(set(texts)), least)]),
+                list(statements[: max(len(set(texts)), min_count)]),
             )
-            self.assertLessEqual(again, len({token for _, token, _ in found}) - 1)
+            self.assertLessEqual(repeated, len({token for _, token, _ in received}) - 1)
 
-        # What has long been warm is sent nothing; a new start is warmed by one, one statement at a time.
+        # Warm engines get no statements; a restarted engine is warmed up by one holder, one statement at a time.
         self.assertEqual((first.said, second.said), ([], []))
         fleet.begins(0)
-        found = await said(first, 8, 0)
-        once(found, 8)
-        self.assertEqual(len({token for _, token, _ in found}), 1)
+        received = await wait_for_statements(first, 8, 0)
+        assert_in_order(received, 8)
+        self.assertEqual(len({token for _, token, _ in received}), 1)
 
-        # SIGSTOP of the owner mid-way, for two leases: another goes on from there, and the late one sends one at most.
+        # SIGSTOP of the holder for two leases during a warm-up: another continues; the first sends at most one more.
         fleet.begins(0)
-        token = (await said(first, rng.randint(2, 4), 8))[-1][1]
-        holder = self.holding(token)
+        token = (await wait_for_statements(first, rng.randint(2, 4), 8))[-1][1]
+        holder = self.process_with_token(token)
         holder.send_signal(signal.SIGSTOP)
-        await said(first, 8, 8)
+        await wait_for_statements(first, 8, 8)
         await asyncio.sleep(1.0)
         holder.send_signal(signal.SIGCONT)
         await holder.until(lambda: holder.events("owner_lost", task="warm", token=token))
-        found = first.said[8:]
-        once(found, 8)
-        new = [n for n, one in enumerate(found) if one[1] != token]
-        self.assertLessEqual(sum(one[1] == token for one in found[new[0] :]), 1)
-        self.assertGreater(min(found[n][1] for n in new), token)
+        received = first.said[8:]
+        assert_in_order(received, 8)
+        later = [n for n, statement in enumerate(received) if statement[1] != token]
+        self.assertLessEqual(sum(statement[1] == token for statement in received[later[0] :]), 1)
+        self.assertGreater(min(received[n][1] for n in later), token)
 
-        # kill -9 of the owner mid-way, at another engine.
+        # kill -9 of the holder during the warm-up of another engine.
         fleet.begins(1)
-        token = (await said(second, rng.randint(2, 4), 0))[-1][1]
-        holder = self.holding(token)
+        token = (await wait_for_statements(second, rng.randint(2, 4), 0))[-1][1]
+        holder = self.process_with_token(token)
         await fleet.kill(holder)
-        await said(second, 8, 0)
+        await wait_for_statements(second, 8, 0)
         self.assertGreater(second.said[-1][1], token)
-        once(second.said, 8)
+        assert_in_order(second.said, 8)
         await holder.start()
 
-        # An engine that is gone before it is warm gets nothing more, and holds the others up for nothing.
-        mark, other = len(first.said), len(second.said)
+        # An engine that is lost during its warm-up gets no more statements and does not delay other engines.
+        mark, second_mark = len(first.said), len(second.said)
         fleet.begins(0)
-        await said(first, 2, mark)
+        await wait_for_statements(first, 2, mark)
         first.server.close()
         for line in list(first.lines):
             line.transport.abort()
         fleet.bus.say(host(second.name, second.port, born_ms=time.time() * 1_000.0), whole=True)
-        once(await said(second, 8, other), 8)
+        assert_in_order(await wait_for_statements(second, 8, second_mark), 8)
         self.assertLess(len(first.said) - mark, 8)
         self.assertEqual((first.most, second.most), (1, 1), "one at a time")
         self.assertFalse([line for process in fleet.processes for line in process.events("lease_job_failed")])
@@ -178,7 +178,7 @@
         self.assertTrue(checked.good, checked.faults)
         self.assertGreaterEqual(checked.grants, 3)
 
-    def holding(self, token):
+    def process_with_token(self, token):
         (name,) = {
             line["holder"]
             for process in self.fleet.processes
--- a/tests/test_ownership_program.py
+++ b/tests/test_ownership_program.py
@@ -1,4 +1,4 @@
-"""Owners in the program: off, their configuration, and the ledger's sink of exports over a durable store."""
+"""Leases in the program: disabled, their configuration, and the ledger's export sink over a durable store."""
 
 import asyncio
 import io
@@ -22,7 +22,7 @@
 GOOD = (Path(__file__).parent.parent / "deploy" / "ownership.toml").read_text()
 
 
-def test_a_process_without_ownership_loads_nothing_of_it():
+def test_process_without_ownership_does_not_load_its_modules():
     loaded = subprocess.run(
         [sys.executable, "-c", "import sys, frostspindle.program; print(*sys.modules)"],
         capture_output=True,
@@ -34,7 +34,7 @@
 
 
 class ConfigCase(Replicas):
-    def test_the_example_is_good_and_each_fault_is_named_by_its_key(self):
+    def test_example_is_valid_and_errors_name_the_key(self):
         good = (
             GOOD.replace("/etc/frostspindle/replica.key", str(self.folder / "key"))
             .replace("# [[ownership.task]]  ", "[[ownership.task]]")
@@ -68,12 +68,12 @@
         yield Path(name)
 
 
-def test_a_fence_and_a_sink_of_exports_know_their_tokens_after_a_kill(folder):
+def test_fence_and_export_sink_keep_their_tokens_after_a_kill(folder):
     store = open_store(folder, "sink", MarkerEngine)
     fence, sink = TokenFence(store), ExportSink(store)
     fence.check("x", 5)
     assert sink.begin("2026-11", 5) is True and sink.take("2026-11", 5, b"rows") is True
-    store._engine.close()  # as a kill: nothing is told to the witness, nothing is closed in order
+    store._engine.close()  # like a kill: the witness is not updated and nothing is closed cleanly
     store._lock.close()
 
     store = open_store(folder, "sink", MarkerEngine)
@@ -83,7 +83,7 @@
     with pytest.raises(StaleExportError) as caught:
         sink.take("2026-11", 4, b"rows")
     assert caught.value.highest == 5 and sink.stale == 1
-    # Between the export and its record the exporter was killed: its successor sends the same, which stands once.
+    # The exporter was killed between the export and its record: the successor's repeated export is stored once.
     assert sink.begin("2026-11", 9) is False and sink.take("2026-11", 9, b"rows") is False
     with pytest.raises(ValueError):
         sink.take("2026-11", 9, b"other rows")
@@ -97,7 +97,7 @@
 
 
 class Peer:
-    """Answers by a list of statuses; None: silence."""
+    """Responds with the listed statuses; None means no response."""
 
     def __init__(self, *statuses):
         self.statuses, self.calls = list(statuses), []
@@ -113,15 +113,15 @@
 
 
 @pytest.mark.parametrize(
-    "statuses, well, methods",
+    "statuses, succeeds, methods",
     (
         ((200,), True, ["POST"]),
         ((202, 202, 200), True, ["POST", "GET", "GET"]),
         ((503,), False, ["POST"]),
-        ((202, None, 204), False, ["POST", "GET", "DELETE"]),  # given up, and the engine is told
+        ((202, None, 204), False, ["POST", "GET", "DELETE"]),  # abandoned, with a request to the engine to stop
     ),
 )
-def test_a_statement_that_warms_is_followed_to_its_end_or_given_up(statuses, well, methods):
+def test_warm_up_statement_is_polled_to_its_end_or_abandoned(statuses, succeeds, methods):
     async def warm():
         peer, tasks = Peer(*statuses), []
         driver = SimpleNamespace(
@@ -130,7 +130,7 @@
             spawn=lambda work: tasks.append(asyncio.create_task(work)),
         )
         driver._drop = lambda peer, path: HttpEngines._drop(driver, peer, path)
-        assert await HttpEngines.warm(driver, 1, "00aa", "SELECT 1", "lookup", 100.0) is well
+        assert await HttpEngines.warm(driver, 1, "00aa", "SELECT 1", "lookup", 100.0) is succeeds
         assert await HttpEngines.warm(driver, 2, "00aa", "SELECT 1", "lookup", 100.0) is False
         await asyncio.gather(*tasks)
         assert [method for method, *_ in peer.calls] == methods and peer.calls[0][2] == b"SELECT 1"
--- a/tests/test_replica_leader_loss.py
+++ b/tests/test_replica_leader_loss.py
@@ -1,12 +1,11 @@
-"""What a proposal, a barrier or a change of voters is told when the leader ends that it was forwarded to.
+"""Outcomes of proposals, barriers and voter changes whose leader ends after they were forwarded to it.
 
-The fault: `test_a_follower_that_listens_becomes_a_voter_and_stays_one` failed now and then beside load with
-`OutcomeUnknownError: the time was over first`. Of 144 runs side by side one failed; its log lines showed why: the
-member that the test closes was the leader (`replica_leader_changed`, as in a third of the runs), the proposal was
-forwarded to it in the millisecond before `replica_member_lost`, and although a successor led after 0.57 s, the answer
-came only when the 20 s were over. Such a proposal's outcome is unknown, but that is known once an entry of a later term
-is applied. A barrier has no effect, so that it can be proposed again. A change of voters was told "refused" where it
-may have been made.
+Guards against a fault seen in 1 of 144 parallel runs of `test_listening_follower_becomes_and_stays_a_voter`, as an
+OutcomeUnknownError after the time limit. The closed member was the leader (as in a third of the runs), and the proposal
+was forwarded to it in the millisecond before `replica_member_lost`. A successor was elected after 0.57 s, but the
+outcome was reported only after the 20 s of the time limit. The outcome of such a proposal is unknown, which is certain
+once an entry of a later term is applied. A barrier has no effect, so it can be proposed again. A voter change was
+reported as rejected although it may have been applied.
 """
 
 import asyncio
@@ -24,13 +23,13 @@
 from frostspindle.replica.service import ReplicaService
 from frostspindle.telemetry import Telemetry
 
-ELECTED_MS = 3_000.0  # by then a leader has been elected
-FORWARDED_MS = 0.2  # a member has forwarded a proposal to the leader, which has not read it
+ELECTED_MS = 3_000.0  # until a leader is elected
+FORWARDED_MS = 0.2  # until a member has forwarded a proposal to the leader, which has not read it
 TIME_LIMIT_S = 20.0
 
 
-def forwarded_to_a_leader_that_is_killed(topic, command):
-    """The replicas, and the outcomes of a proposal that a follower forwards to a leader that is killed then."""
+def forward_to_killed_leader(topic, command):
+    """Forward a follower's proposal to a leader, kill the leader, and return the replicas and the outcomes."""
     run = mock.Mock(entries={}, sums={}, bad=[])
     replicas = EmulatedReplicas(4, 3, 3, attach=lambda number, log: log.attach("t", Sum(run)), times=RaftTimeouts())
     replicas.advance(ELECTED_MS)
@@ -44,8 +43,8 @@
     return replicas, outcomes
 
 
-def test_outcome_is_told_unknown_once_a_later_leader_has_entries():
-    replicas, outcomes = forwarded_to_a_leader_that_is_killed("t", b"lost")
+def test_outcome_is_reported_unknown_once_a_later_leader_has_entries():
+    replicas, outcomes = forward_to_killed_leader("t", b"lost")
     replicas.advance(4_000.0)
     assert replicas.leaders()
     assert [type(outcome) for outcome in outcomes] == [OutcomeUnknownError]
@@ -53,19 +52,19 @@
 
 
 def test_barrier_is_proposed_again_to_the_next_leader():
-    replicas, outcomes = forwarded_to_a_leader_that_is_killed("", b"")
+    replicas, outcomes = forward_to_killed_leader("", b"")
     replicas.advance(4_000.0)
     assert [type(outcome) for outcome in outcomes] == [AppliedEntry]
 
 
-def test_change_of_voters_without_a_leader_in_reach_is_refused_at_once():
+def test_voter_change_without_a_reachable_leader_is_rejected_at_once():
     run = mock.Mock(entries={}, sums={}, bad=[])
     replicas = EmulatedReplicas(3, 3, 3, attach=lambda number, log: log.attach("t", Sum(run)), times=RaftTimeouts())
     replicas.advance(ELECTED_MS)
     (leader,) = replicas.leaders()
     other = (leader + 1) % 3
     member = replicas.nodes[other].member
-    member.disconnected(f"c{leader}")  # the library goes on naming this leader until the next election
+    member.disconnected(f"c{leader}")  # the library still names this leader until the next election
     errors = []
     replicas.change_voters(other, "add", "c9", errors.append)
     replicas.advance(1.0)
@@ -82,7 +81,7 @@
         (FAIL_REASON.DISCARDED, LogUnavailableError),
     ],
 )
-def test_change_of_voters_is_refused_only_where_it_was_not_made(reason, error):
+def test_voter_change_is_rejected_only_if_it_was_not_made(reason, error):
     service = ReplicaService("c0", ["c0=127.0.0.1:1"], Path("unused"), b"s" * 16, Telemetry("c0"))
     service._member = mock.Mock(change_voters=lambda kind, voter, on_done: on_done(reason))
     with unittest.TestCase().assertRaises(error):
--- a/tests/test_replica_program.py
+++ b/tests/test_replica_program.py
@@ -1,4 +1,4 @@
-"""The replicated log in the program: off, its configuration, its port, its end."""
+"""The replicated log in the program: its configuration, its operator call and its shutdown."""
 
 import json
 import signal
@@ -38,7 +38,7 @@
             }
         )
 
-    def test_the_example_is_good_and_each_fault_is_named_by_its_key(self):
+    def test_example_is_valid_and_errors_name_the_key(self):
         self.assertEqual(self.read(self.good).operator.replica.me, "c1")
         self.assertIsNone(self.read("").operator.replica)
         (self.folder / "short").write_text("0123456789")
@@ -67,7 +67,7 @@
 
 
 class ProgramCase(FleetCase):
-    async def test_three_coordinators_agree_and_end_in_order(self):
+    async def test_three_coordinators_agree_on_a_leader_and_shut_down_cleanly(self):
         from frostspindle.operator_client import call_operator
 
         await self.start_engines(1)
@@ -75,32 +75,34 @@
         ports = [free_port(socket.SOCK_STREAM) for _ in range(3)]
         key = Path(tempfile.mkdtemp(dir=self.scratch), "key")
         key.write_text("only known to the three of them")
-        all_ = []
+        coordinators = []
         for name in ("c0", "c1", "c2"):
             folder = tempfile.mkdtemp(dir=self.scratch)
             voters = ", ".join(f'"c{n}=127.0.0.1:{port}"' for n, port in enumerate(ports))
-            desk = free_port(socket.SOCK_STREAM)
-            one = Coordinator(
+            operator_port = free_port(socket.SOCK_STREAM)
+            coordinator = Coordinator(
                 self,
                 config,
                 f'[replica]\nvoters = [{voters}]\nfolder = "{folder}/log"\nsecret = "{key}"\nfirst_start = true\n',
                 LB_NAME=name,
-                LB_OPERATOR=f"127.0.0.1:{desk}",
+                LB_OPERATOR=f"127.0.0.1:{operator_port}",
                 LB_LISTEN="127.0.0.1:0",
             )
-            all_.append((one, desk))
+            coordinators.append((coordinator, operator_port))
         leaders = {
-            (await one.until(lambda one=one: [e for e in one.events if e["event"] == "replica_leader_changed"]))[0][
-                "leader"
-            ]
-            for one, _ in all_
+            (
+                await coordinator.until(
+                    lambda c=coordinator: [e for e in c.events if e["event"] == "replica_leader_changed"]
+                )
+            )[0]["leader"]
+            for coordinator, _ in coordinators
         }
         self.assertEqual(len(leaders), 1)
-        for one, desk in all_:
-            answer = await self.in_thread(call_operator, ("127.0.0.1", desk), "show-replica")
-            figures = json.loads(answer.splitlines()[0])
+        for coordinator, operator_port in coordinators:
+            reply = await self.in_thread(call_operator, ("127.0.0.1", operator_port), "show-replica")
+            figures = json.loads(reply.splitlines()[0])
             self.assertEqual((figures["votes"], figures["stopped"], len(figures["voters"])), (True, "", 3))
-            one.process.send_signal(signal.SIGTERM)
-        for one, _ in all_:
-            self.assertEqual(await one.exit(), 0)
-            self.assertNotIn("only known", str(one.events))
+            coordinator.process.send_signal(signal.SIGTERM)
+        for coordinator, _ in coordinators:
+            self.assertEqual(await coordinator.exit(), 0)
+            self.assertNotIn("only known", str(coordinator.events))
