--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -67,12 +67,12 @@
         await holder.start()
 
         # An operator releases the lease; SIGTERM releases it at once.
-        release_call = await self.command(fleet.process(fourth["holder"]), "release", "x")
-        self.assertEqual(release_call.exit_code, 0, release_call.output)
-        self.assertIn("is released", release_call.output)
+        command_result = await self.command(fleet.process(fourth["holder"]), "release", "x")
+        self.assertEqual(command_result.exit_code, 0, command_result.output)
+        self.assertIn("is released", command_result.output)
         fifth = await fleet.acts(len(fleet.sink.lines), fourth["holder"])
-        release_call = await self.command(fleet.process(fourth["holder"]), "--json")
-        self.assertEqual(json.loads(release_call.output)["holders"], {fifth["holder"]: 1})
+        command_result = await self.command(fleet.process(fourth["holder"]), "--json")
+        self.assertEqual(json.loads(command_result.output)["holders"], {fifth["holder"]: 1})
         self.assertIn(fifth["holder"], (await self.command(fleet.process(fourth["holder"]))).output)
         self.assertEqual((await self.command(fleet.process(fourth["holder"]), "release", "nothing")).exit_code, 2)
         ending = fleet.process(fifth["holder"])
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""The replicated log's own parts: forms, journal and disk, each guard around the library, runs in simulated time."""
+"""Tests of the replicated log: wire format, journal and disk, the guards around the library, simulated runs, links."""
 
 import ast
 import asyncio
@@ -46,34 +46,35 @@
 entries = st.lists(st.binary(max_size=50) | st.just(None) | st.just(("add", "c9=1.2.3.4:5")), max_size=6)
 
 
-def command(told):
-    if told is None:
+def command(content):
+    """Return the library's command of an entry body, a voter change (tuple) or a no-op (None)."""
+    if content is None:
         return wire.build_command(wire.NO_OP, b"")
-    return wire.encode_voter_change(*told) if isinstance(told, tuple) else wire.build_command(wire.ENTRY, told)
+    return wire.encode_voter_change(*content) if isinstance(content, tuple) else wire.build_command(wire.ENTRY, content)
 
 
 class WireCase(unittest.TestCase):
     @settings(max_examples=20, deadline=None)
     @given(indexes, indexes, st.integers(0, 1_000), entries)
-    def test_messages_come_as_they_were_sent(self, term, commit, at, told):
-        many = [(command(one), number, 3) for number, one in enumerate(told, at + 1)]
+    def test_messages_are_decoded_as_encoded(self, term, commit, index, contents):
+        log_entries = [(command(content), number, 3) for number, content in enumerate(contents, index + 1)]
         for message in (
             {
                 "type": "append_entries",
                 "term": term,
                 "commit_index": commit,
-                "prevLogIdx": at,
+                "prevLogIdx": index,
                 "prevLogTerm": 2,
-                "entries": many,
+                "entries": log_entries,
             },
             {"type": "append_entries", "term": term, "commit_index": commit, "serialized": (b"x" * 9, True, False)},
             {"type": "append_entries", "term": term, "commit_index": commit, "serialized": None},
-            {"type": "request_vote", "term": term, "last_log_index": at, "last_log_term": commit},
+            {"type": "request_vote", "term": term, "last_log_index": index, "last_log_term": commit},
             {"type": "response_vote", "term": term},
-            {"type": "next_node_idx", "term": term, "next_node_idx": at, "reset": True, "success": False},
-            {"type": "apply_command_response", "request_id": at, "error": 4},
-            {"type": "apply_command_response", "request_id": at, "log_idx": commit, "log_term": term},
-            *({"type": "apply_command", "request_id": at, "command": one[0]} for one in many),
+            {"type": "next_node_idx", "term": term, "next_node_idx": index, "reset": True, "success": False},
+            {"type": "apply_command_response", "request_id": index, "error": 4},
+            {"type": "apply_command_response", "request_id": index, "log_idx": commit, "log_term": term},
+            *({"type": "apply_command", "request_id": index, "command": entry[0]} for entry in log_entries),
         ):
             self.assertEqual(wire.decode_message(wire.encode_message(message)), message)
 
@@ -85,16 +86,16 @@
             lambda inner: st.lists(inner, max_size=7),
         ).map(msgspec.msgpack.encode)
     )
-    def test_whatever_comes_is_read_or_a_value_error_and_never_unpickled(self, data):
+    def test_any_input_is_decoded_or_raises_value_error_and_is_never_unpickled(self, data):
         with (
             mock.patch.object(pickle, "loads", side_effect=AssertionError),
             mock.patch.object(pickle, "load", side_effect=AssertionError),
         ):
-            for reader in (wire.decode_message, wire.decode_body, wire.decode_snapshot):
+            for decode in (wire.decode_message, wire.decode_body, wire.decode_snapshot):
                 with contextlib.suppress(ValueError):
-                    reader(data)
+                    decode(data)
 
-    def test_commands_that_the_library_would_unpickle_are_refused(self):
+    def test_commands_that_the_library_would_unpickle_are_rejected(self):
         evil = pickle.dumps(os.getcwd)
         for kind in (0, 3, 4, 255):
             with self.assertRaises(ValueError):
@@ -127,11 +128,12 @@
         self.addCleanup(scratch.cleanup)
         self.folder = Path(scratch.name)
 
-    def fill(self, many=6):
+    def fill(self, count=6):
+        """Write `count` frames; return the file's length and the journal's contents after each."""
         disk = JournalFile(self.folder)
         self.assertEqual(disk.load(), (JournalCondition.FRESH, []))
         journal, lengths, states = RaftJournal(), [], []
-        for number in range(many):
+        for number in range(count):
             if number:
                 journal.add(command(b"%d" % number), number + 1, number)
                 journal.setCurrentTerm(number, "c1")
@@ -141,40 +143,40 @@
         disk.close()
         return lengths, states
 
-    def test_a_file_cut_off_anywhere_gives_its_whole_frames_and_can_be_written_on(self):
+    def test_file_truncated_anywhere_yields_its_complete_frames_and_stays_writable(self):
         lengths, states = self.fill()
         data = (self.folder / "journal").read_bytes()
         for size in range(len(data) + 1):
-            found, records, end, number = parse_journal(data[:size])
-            whole = sum(length <= size for length in lengths)
-            if not whole:
-                self.assertEqual(found, JournalCondition.CORRUPT)  # the first frame comes whole, by a rename
+            condition, records, end, number = parse_journal(data[:size])
+            complete = sum(length <= size for length in lengths)
+            if not complete:
+                self.assertEqual(condition, JournalCondition.CORRUPT)  # the first frame is renamed into place
                 continue
             self.assertEqual(
-                (found, end, number),
-                (JournalCondition.COMPLETE if size == end else JournalCondition.TORN, lengths[whole - 1], whole),
+                (condition, end, number),
+                (JournalCondition.COMPLETE if size == end else JournalCondition.TORN, lengths[complete - 1], complete),
             )
             journal = RaftJournal(records)
-            self.assertEqual((journal.entries, journal.term, journal.vote), states[whole - 1])
+            self.assertEqual((journal.entries, journal.term, journal.vote), states[complete - 1])
         (self.folder / "journal").write_bytes(data[:-3])
-        for more in (1, 2):
+        for attempt in (1, 2):
             disk = JournalFile(self.folder)
-            found, records = disk.load()
-            self.assertEqual(found, JournalCondition.TORN if more == 1 else JournalCondition.COMPLETE)
+            condition, records = disk.load()
+            self.assertEqual(condition, JournalCondition.TORN if attempt == 1 else JournalCondition.COMPLETE)
             journal = RaftJournal(records)
             journal.add(command(b"more"), journal.last[1] + 1, 9)
             disk.write(journal.take_pending_write())
             disk.close()
-        self.assertEqual([one[0] for one in journal.entries[-2:]], [command(b"more")] * 2)
+        self.assertEqual([entry[0] for entry in journal.entries[-2:]], [command(b"more")] * 2)
 
-    def test_any_bit_spoilt_before_the_last_frame_is_noticed(self):
+    def test_any_flipped_bit_before_the_last_frame_is_detected(self):
         lengths, _ = self.fill()
         data = (self.folder / "journal").read_bytes()
-        for place in range(0, lengths[-2]):
-            spoilt = bytearray(data)
-            spoilt[place] ^= 1 << place % 8
-            self.assertEqual(parse_journal(bytes(spoilt))[0], JournalCondition.CORRUPT, place)
-        (self.folder / "journal").write_bytes(bytes(spoilt))
+        for offset in range(0, lengths[-2]):
+            corrupt = bytearray(data)
+            corrupt[offset] ^= 1 << offset % 8
+            self.assertEqual(parse_journal(bytes(corrupt))[0], JournalCondition.CORRUPT, offset)
+        (self.folder / "journal").write_bytes(bytes(corrupt))
         disk = JournalFile(self.folder)
         self.assertEqual(disk.load(), (JournalCondition.CORRUPT, []))
         self.assertTrue((self.folder / "journal.spoilt").exists())
@@ -182,7 +184,7 @@
             JournalFile(self.folder)
         disk.close()
 
-    def test_after_a_failed_sync_nothing_more_is_written(self):
+    def test_no_writes_after_a_failed_sync(self):
         self.fill()
         disk = JournalFile(self.folder)
         journal = RaftJournal(disk.load()[1])
@@ -192,7 +194,7 @@
                 disk.write(journal.take_pending_write())
         disk.close()
 
-    def test_an_applied_entry_is_never_cut_off_and_records_must_follow(self):
+    def test_applied_entries_are_never_removed_and_records_must_be_consecutive(self):
         journal = RaftJournal()
         for number in range(2, 6):
             journal.add(command(b""), number, 1)
@@ -206,11 +208,11 @@
                 RaftJournal(records)
 
 
-def voter(log=(), term=5, snapshot_after=1_024):
-    """A member c0 of three with these (index, term) after the first entry, that hears c1 and c2."""
+def make_voter(log=(), term=5, snapshot_after=1_024):
+    """Return member c0 of three, connected to c1 and c2, with these (index, term) after the first entry."""
     journal = RaftJournal()
-    for index, its in log:
-        journal.add(command(b"%d" % index), index, its)
+    for index, entry_term in log:
+        journal.add(command(b"%d" % index), index, entry_term)
     journal.setCurrentTerm(term, None)
     member = LogMember("c0", ["c0", "c1", "c2"], journal, b"t" * 8, snapshot_after=snapshot_after)
     for peer in ("c1", "c2"):
@@ -218,24 +220,25 @@
     return member
 
 
-def append(at, its, told=(), term=5, commit=1, **more):
+def append_message(previous_index, previous_term, log=(), term=5, commit=1, **fields):
+    """Return an `append_entries` message with these (index, term)."""
     return {
         "type": "append_entries",
         "term": term,
         "commit_index": commit,
-        "prevLogIdx": at,
-        "prevLogTerm": its,
-        "entries": [(command(b"%d" % index), index, one) for index, one in told],
-        **more,
+        "prevLogIdx": previous_index,
+        "prevLogTerm": previous_term,
+        "entries": [(command(b"%d" % index), index, entry_term) for index, entry_term in log],
+        **fields,
     }
 
 
 class GuardsCase(unittest.TestCase):
-    """Each guard around the library where it alone matters."""
+    """Tests each guard around the library in isolation."""
 
-    def test_the_library_is_the_one_whose_private_names_are_used(self):
+    def test_library_version_has_the_private_names_in_use(self):
         self.assertEqual(VERSION, "0.3.17")
-        told = set(
+        existing = set(
             vars(
                 library.SyncObj(
                     "c0",
@@ -252,11 +255,11 @@
             for node in ast.walk(source)
             if isinstance(node, ast.Attribute) and node.attr.startswith("_SyncObj__")
         }
-        self.assertEqual(used - told, set())
+        self.assertEqual(used - existing, set())
         self.assertGreater(len(used), 7)
 
-    def test_1_an_answer_of_another_term_counts_for_nothing(self):
-        member = voter([(2, 1), (3, 1)])
+    def test_guard_1_response_of_another_term_is_ignored(self):
+        member = make_voter([(2, 1), (3, 1)])
         member.tick(0.0)
         member._raft._SyncObj__raftElectionDeadline = 0.0
         member.tick(0.0)
@@ -274,40 +277,44 @@
         member.tick(0.2)
         self.assertEqual(member.commit_index, 4)
 
-    def test_2_an_older_message_takes_nothing_away(self):
+    def test_guard_2_older_message_removes_no_entries(self):
         for log in ([(2, 5), (3, 5), (4, 5)], [(2, 4), (3, 4), (4, 4)]):
-            its = log[0][1]
-            for older in (append(1, 0, log[:1]), append(2, its), append(1, 0, log[:2], commit=9)):
-                member = voter(log)
+            previous_term = log[0][1]
+            for older in (
+                append_message(1, 0, log[:1]),
+                append_message(2, previous_term),
+                append_message(1, 0, log[:2], commit=9),
+            ):
+                member = make_voter(log)
                 member.receive("c1", older)
                 self.assertEqual(member.journal.last[1], 4)
-                answer = member.take_outbox()[0][-1][1]
+                response = member.take_outbox()[0][-1][1]
                 compared = older["prevLogIdx"] + len(older["entries"])
-                self.assertEqual((answer["success"], answer["next_node_idx"]), (True, compared + 1))
+                self.assertEqual((response["success"], response["next_node_idx"]), (True, compared + 1))
                 self.assertLessEqual(member.commit_index, compared)
-        member = voter([(2, 4), (3, 4), (4, 4)])
-        member.receive("c1", append(2, 4, [(3, 5)]))
+        member = make_voter([(2, 4), (3, 4), (4, 4)])
+        member.receive("c1", append_message(2, 4, [(3, 5)]))
         self.assertEqual((member.journal.last[1:], member.take_outbox()[0][-1][1]["next_node_idx"]), ((3, 5), 4))
 
-    def test_3_a_snapshot_of_what_is_here_takes_nothing_away(self):
-        member = voter([(2, 4), (3, 4), (4, 4)])
+    def test_guard_3_snapshot_of_known_entries_removes_no_entries(self):
+        member = make_voter([(2, 4), (3, 4), (4, 4)])
         data = wire.encode_snapshot((command(b"2"), 2, 4), (command(b"3"), 3, 4), ["c0", "c1", "c2"], {})
-        for part in ((data, True, False), (b"", False, True)):
-            member.receive("c1", {"type": "append_entries", "term": 5, "commit_index": 4, "serialized": part})
+        for chunk in ((data, True, False), (b"", False, True)):
+            member.receive("c1", {"type": "append_entries", "term": 5, "commit_index": 4, "serialized": chunk})
         self.assertEqual(member.journal.last[1], 4)
 
-    def test_6_a_part_of_a_snapshot_commits_nothing(self):
-        member = voter([(2, 1), (3, 1), (4, 1)])
+    def test_guard_6_snapshot_chunk_commits_nothing(self):
+        member = make_voter([(2, 1), (3, 1), (4, 1)])
         member.receive(
             "c1", {"type": "append_entries", "term": 5, "commit_index": 90, "serialized": (b"x", True, False)}
         )
         member.tick(0.0)
         self.assertEqual(member.commit_index, 1)
 
-    def test_a_leader_counts_while_it_is_heard_and_the_journals_changes_of_voters_from_the_start_on(self):
-        member = voter([(2, 5)])
+    def test_leader_is_known_while_it_sends_and_voter_changes_in_the_journal_apply_at_start(self):
+        member = make_voter([(2, 5)])
         member.tick(10.0)
-        member.receive("c1", append(2, 5))
+        member.receive("c1", append_message(2, 5))
         member.tick(10.2)
         self.assertEqual(member.leader, "c1")
         member.tick(10.0 + RaftTimeouts().election_max + 0.1)
@@ -317,7 +324,7 @@
             journal.add(wire.encode_voter_change(*change), index, 1)
         self.assertEqual(sorted(LogMember("c0", ["c0", "c1", "c2"], journal, b"t" * 8).voters), ["c0", "c2", "c3"])
 
-    def test_a_state_that_is_too_long_stops_no_log(self):
+    def test_too_large_state_does_not_stop_the_log(self):
         member = LogMember("c0", ["c0"], RaftJournal(), b"t" * 8, snapshot_after=10)
         machine = mock.Mock(**{"apply.return_value": b"", "state.return_value": b"x" * (MAX_STATE_BYTES + 1)})
         member.registry.attach("t", machine)
@@ -330,48 +337,50 @@
         self.assertGreater(member.registry.index, 50)
         self.assertEqual((machine.state.call_count, member.journal.snapshot), (3, b""))
 
-    def test_a_spoilt_or_endless_snapshot_is_refused(self):
-        member = voter([(2, 1)])
+    def test_corrupt_or_too_large_snapshot_is_rejected(self):
+        member = make_voter([(2, 1)])
         good = wire.encode_snapshot((command(b"8"), 8, 4), (command(b"9"), 9, 4), ["c0"], {"t": b"x" * 200})
         with mock.patch.object(snapshot_transfer, "MAX_SNAPSHOT_BYTES", 100):
             for data in (good, b"x" * 90):
-                for part in ((data, True, False), (b"", False, True)):
-                    member.receive("c1", {"type": "append_entries", "term": 5, "commit_index": 9, "serialized": part})
+                for chunk in ((data, True, False), (b"", False, True)):
+                    member.receive("c1", {"type": "append_entries", "term": 5, "commit_index": 9, "serialized": chunk})
         self.assertEqual((member.counters["snapshots_refused"], member.journal.last[1], member.restoring), (2, 2, None))
 
-    def test_who_is_no_voter_neither_leads_nor_gets_votes_and_a_peer_that_takes_nothing_is_given_up(self):
-        member = voter([(2, 1)])
+    def test_follower_can_neither_lead_nor_get_votes_and_overflowed_peer_is_disconnected(self):
+        member = make_voter([(2, 1)])
         member.connected("~c9", False)
         for message in (
-            append(1, 0, term=99),
+            append_message(1, 0, term=99),
             {"type": "request_vote", "term": 99, "last_log_index": 9, "last_log_term": 9},
         ):
             member.receive("~c9", message)
         self.assertEqual((member.term, member.counters["refused"]), (5, 2))
         with mock.patch.object(outbox, "MAX_QUEUED_BYTES", 300):
             for _ in range(9):
-                member.receive("c1", append(1, 0))
-            out, full = member.take_outbox()
-        self.assertEqual((full, [peer for peer, _ in out]), (["c1"], []))
+                member.receive("c1", append_message(1, 0))
+            messages, overflowed = member.take_outbox()
+        self.assertEqual((overflowed, [peer for peer, _ in messages]), (["c1"], []))
 
-    def test_a_vote_is_on_the_disk_before_it_is_sent_and_given_once(self):
-        member = voter([(2, 1)])
+    def test_vote_is_durable_before_it_is_sent_and_is_cast_once(self):
+        member = make_voter([(2, 1)])
         member.journal.take_pending_write()
         for peer in ("c1", "c2"):
             member.receive(peer, {"type": "request_vote", "term": 6, "last_log_index": 2, "last_log_term": 1})
         self.assertIn((2, 6, "c1"), member.journal.take_pending_write().records)
         self.assertEqual([(peer, m["type"]) for peer, m in member.take_outbox()[0]], [("c1", "response_vote")])
-        again = LogMember("c0", ["c0", "c1", "c2"], RaftJournal([(3, b"", [(1, b"", 1, 0)], 6, "c1", False)]), b"t" * 8)
-        again.connected("c2", True)
-        again.receive("c2", {"type": "request_vote", "term": 6, "last_log_index": 2, "last_log_term": 1})
-        self.assertEqual(again.take_outbox()[0], [])
+        restarted = LogMember(
+            "c0", ["c0", "c1", "c2"], RaftJournal([(3, b"", [(1, b"", 1, 0)], 6, "c1", False)]), b"t" * 8
+        )
+        restarted.connected("c2", True)
+        restarted.receive("c2", {"type": "request_vote", "term": 6, "last_log_index": 2, "last_log_term": 1})
+        self.assertEqual(restarted.take_outbox()[0], [])
 
 
 @pytest.mark.parametrize("seed", [17])
-def test_under_faults_committed_entries_never_differ_and_are_never_lost(seed):
+def test_committed_entries_never_differ_or_get_lost_under_faults(seed):
     run = Run(seed, seconds=9)
     assert run.bad == [], run.script
-    assert sum(isinstance(told[0], AppliedEntry) for told in run.answers.values()) > 100
+    assert sum(isinstance(outcomes[0], AppliedEntry) for outcomes in run.answers.values()) > 100
     assert any(node.member.counters["snapshots"] for node in run.lab.nodes)
 
 
@@ -386,126 +395,126 @@
 
         return EmulatedReplicas(nodes, voters, 3, attach=attach, **more)
 
-    def propose(self, lab, at, many, within=3.0):
-        out = []
-        for number in range(many):
-            lab.member(at).submit("t", b"%d %d" % (lab.now, number), within, out.append)
-        lab.advance(within * 1_000.0 + 200.0)
-        self.assertEqual(len(out), many)
-        return out
+    def propose(self, lab, member, count, within_s=3.0):
+        outcomes = []
+        for number in range(count):
+            lab.member(member).submit("t", b"%d %d" % (lab.now, number), within_s, outcomes.append)
+        lab.advance(within_s * 1_000.0 + 200.0)
+        self.assertEqual(len(outcomes), count)
+        return outcomes
 
-    def test_the_same_seed_gives_the_same_run(self):
-        told = []
+    def test_same_seed_gives_the_same_run(self):
+        runs = []
         for _ in range(2):
             lab = self.lab()
-            out = self.propose(lab, 3, 20)
-            told.append((out, lab.network.events, self.machines[0].sum, lab.leaders()))
-        self.assertEqual(*told)
+            outcomes = self.propose(lab, 3, 20)
+            runs.append((outcomes, lab.network.events, self.machines[0].sum, lab.leaders()))
+        self.assertEqual(*runs)
 
-    def test_a_voter_whose_journal_is_lost_votes_again_only_once_it_has_all_and_in_no_term_of_before(self):
+    def test_voter_with_lost_journal_votes_again_only_after_catching_up_and_in_a_new_term(self):
         lab = self.lab()
         lab.advance(3_000.0)
         self.propose(lab, 0, 30)
-        one = next(n for n in range(3) if n not in lab.leaders())
-        other = next(n for n in range(3) if n != one and n not in lab.leaders())
-        term = lab.nodes[one].member.term
-        lab.kill(one)
-        lab.lose(one)
-        lab.kill(other)  # the leader alone commits nothing, and an empty voter must not help it
-        lab.start(one)
+        lost = next(n for n in range(3) if n not in lab.leaders())
+        other = next(n for n in range(3) if n != lost and n not in lab.leaders())
+        term = lab.nodes[lost].member.term
+        lab.kill(lost)
+        lab.lose(lost)
+        lab.kill(other)  # the leader alone can't commit, and a voter without its journal must not help it
+        lab.start(lost)
         lab.advance(5_000.0)
-        self.assertFalse(lab.nodes[one].member.voter)
-        lab.kill(one)
-        lab.start(one)  # what it forgot it still does not know
+        self.assertFalse(lab.nodes[lost].member.voter)
+        lab.kill(lost)
+        lab.start(lost)  # a restart does not restore its votes
         lab.advance(3_000.0)
-        self.assertFalse(lab.nodes[one].member.voter)
-        self.assertEqual({type(out) for out in self.propose(lab, one, 2)}, {LogUnavailableError})
+        self.assertFalse(lab.nodes[lost].member.voter)
+        self.assertEqual({type(outcome) for outcome in self.propose(lab, lost, 2)}, {LogUnavailableError})
         lab.start(other)
         lab.advance(8_000.0)
-        self.assertTrue(lab.nodes[one].member.voter)
-        self.assertGreater(lab.nodes[one].member.term, term + 900)
-        lab.kill(one)
-        lab.start(one)
-        self.assertTrue(lab.nodes[one].member.voter)  # at once: it is made up for
+        self.assertTrue(lab.nodes[lost].member.voter)
+        self.assertGreater(lab.nodes[lost].member.term, term + 900)
+        lab.kill(lost)
+        lab.start(lost)
+        self.assertTrue(lab.nodes[lost].member.voter)  # at once, as its journal is complete again
         lab.advance(3_000.0)
-        self.propose(lab, one, 3)
+        self.propose(lab, lost, 3)
         lab.advance(1_000.0)
         self.assertEqual((len({m.sum for m in self.machines.values()}), lab.faults), (1, []))
 
-    def test_a_voter_is_added_and_one_removed_while_the_log_goes_on(self):
+    def test_voter_is_added_and_removed_while_the_log_runs(self):
         lab = self.lab()
         lab.advance(3_000.0)
-        told = []
-        lab.change_voters(lab.leaders()[0], "add", "c3", told.append)
+        errors = []
+        lab.change_voters(lab.leaders()[0], "add", "c3", errors.append)
         lab.advance(4_000.0)
-        self.assertEqual(told, [0])
+        self.assertEqual(errors, [0])
         self.assertTrue(lab.nodes[3].member.voter)
         leader = lab.leaders()[0]
-        gone = next(n for n in range(3) if n != leader)
-        lab.change_voters(leader, "rem", f"c{gone}", told.append)
+        removed = next(n for n in range(3) if n != leader)
+        lab.change_voters(leader, "rem", f"c{removed}", errors.append)
         lab.advance(2_000.0)
-        self.assertEqual(told, [0, 0])
-        lab.kill(gone)
-        lab.kill(next(n for n in range(3) if n not in (gone, leader)))  # two of three voters are left
+        self.assertEqual(errors, [0, 0])
+        lab.kill(removed)
+        lab.kill(next(n for n in range(3) if n not in (removed, leader)))  # two of three voters remain
         lab.advance(4_000.0)
-        self.assertEqual({type(out) for out in self.propose(lab, 3, 5)}, {AppliedEntry})
-        # A member that starts again knows the voters by its journal.
+        self.assertEqual({type(outcome) for outcome in self.propose(lab, 3, 5)}, {AppliedEntry})
+        # A restarted member knows the voters from its journal.
         lab.kill(3)
         lab.start(3)
         lab.advance(4_000.0)
         self.assertTrue(lab.nodes[3].member.voter)
-        self.assertEqual({type(out) for out in self.propose(lab, 3, 5)}, {AppliedEntry})
+        self.assertEqual({type(outcome) for outcome in self.propose(lab, 3, 5)}, {AppliedEntry})
         self.assertEqual(lab.faults, [])
 
-    def test_an_entry_whose_place_another_terms_took_goes_out_again_once(self):
+    def test_entry_replaced_by_one_of_another_term_is_submitted_again_once(self):
         lab = self.lab(5, 5, times=RaftTimeouts())
         lab.advance(3_000.0)
         leader, fate = lab.leaders()[0], lab.network.weather.fate
         lab.network.weather.fate = lambda now, a, b: [] if leader in (a, b) else fate(now, a, b)
-        out = []
-        lab.member(leader).submit("t", b"of the old one", 8.0, out.append)
+        outcomes = []
+        lab.member(leader).submit("t", b"of the old one", 8.0, outcomes.append)
         lab.advance(1_500.0)
-        self.assertEqual({type(one) for one in self.propose(lab, lab.leaders()[0], 3)}, {AppliedEntry})
+        self.assertEqual({type(outcome) for outcome in self.propose(lab, lab.leaders()[0], 3)}, {AppliedEntry})
         lab.network.weather.fate = fate
         lab.advance(2_000.0)
-        self.assertIsInstance(out[0], AppliedEntry)  # not Uncertain once its eight seconds are over: it can't come
+        self.assertIsInstance(outcomes[0], AppliedEntry)  # not OutcomeUnknownError: it was certainly not committed
         self.assertEqual(list(self.run.entries.values()).count(b"of the old one"), 1)
 
-    def test_what_waited_for_a_leader_is_not_handed_to_one_that_comes_as_its_time_ends(self):
+    def test_expiring_proposal_is_not_submitted_to_a_new_leader(self):
         lab = self.lab(3, 3, times=RaftTimeouts())
         lab.advance(3_000.0)
         member = lab.nodes[0].member
-        with mock.patch.object(LogMember, "leader", new_callable=mock.PropertyMock, return_value=None) as leads:
-            out = []
-            lab.member(0).submit("t", b"late", 0.5, out.append)
+        with mock.patch.object(LogMember, "leader", new_callable=mock.PropertyMock, return_value=None) as leader:
+            outcomes = []
+            lab.member(0).submit("t", b"late", 0.5, outcomes.append)
             lab.advance(440.0)
-            leads.return_value = f"c{lab.leaders()[0]}"
+            leader.return_value = f"c{lab.leaders()[0]}"
             lab.advance(200.0)
-            self.assertEqual([type(one) for one in out], [LogUnavailableError])
-            lab.member(0).submit("t", b"short", 0.05, out.append)  # one that has little time from the first
+            self.assertEqual([type(outcome) for outcome in outcomes], [LogUnavailableError])
+            lab.member(0).submit("t", b"short", 0.05, outcomes.append)  # a short time limit
             lab.advance(200.0)
-            self.assertIsInstance(out[1], AppliedEntry)
+            self.assertIsInstance(outcomes[1], AppliedEntry)
         self.assertFalse(member.proposals.pending)
 
-    def test_a_cut_off_leader_commits_nothing_and_steps_down(self):
+    def test_partitioned_leader_commits_nothing_and_steps_down(self):
         lab = self.lab(5, 5, times=RaftTimeouts())
         lab.advance(3_000.0)
         leader = lab.leaders()[0]
         fate = lab.network.weather.fate
         lab.network.weather.fate = lambda now, a, b: [] if leader in (a, b) else fate(now, a, b)
-        out = []
-        lab.member(leader).submit("t", b"of the old one", 3.0, out.append)
+        outcomes = []
+        lab.member(leader).submit("t", b"of the old one", 3.0, outcomes.append)
         lab.advance(2_500.0)
         self.assertNotIn(leader, lab.leaders())
         self.assertEqual(len(lab.leaders()), 1)
         lab.advance(1_000.0)
-        self.assertIsInstance(out[0], OutcomeUnknownError)
+        self.assertIsInstance(outcomes[0], OutcomeUnknownError)
         lab.network.weather.fate = fate
         lab.advance(4_000.0)
         self.propose(lab, leader, 2)
         self.assertEqual(len({m.sum for m in self.machines.values()}), 1)
 
-    def test_a_topic_that_not_all_hold_is_refused_by_who_lacks_it_or_stops_it_and_never_lost_from_a_snapshot(self):
+    def test_topic_missing_at_a_member_is_denied_by_its_leader_or_stops_its_followers(self):
         for lacking in ("leader", "follower"):
             lab = EmulatedReplicas(
                 3,
@@ -519,19 +528,19 @@
             for number in range(3):
                 if (number == leader) == (lacking == "follower"):
                     lab.nodes[number].member.registry.attach("u", Sum(mock.Mock(entries={}, sums={}, bad=[])))
-            one = next(number for number in range(3) if (number == leader) == (lacking == "follower"))
-            out = []
-            lab.member(one).submit("u", b"x", 2.0, out.append)
+            proposer = next(number for number in range(3) if (number == leader) == (lacking == "follower"))
+            outcomes = []
+            lab.member(proposer).submit("u", b"x", 2.0, outcomes.append)
             lab.advance(3_000.0)
             if lacking == "leader":
-                self.assertEqual((type(out[0]), lab.faults, lab.leaders()), (LogUnavailableError, [], [leader]))
+                self.assertEqual((type(outcomes[0]), lab.faults, lab.leaders()), (LogUnavailableError, [], [leader]))
             else:
                 self.assertEqual(len(lab.faults), 2)
                 self.assertIn("UnknownTopicError", lab.faults[0])
 
 
 class ServiceCase(unittest.IsolatedAsyncioTestCase):
-    async def test_a_disk_that_fails_stops_the_log_and_not_the_process(self):
+    async def test_disk_failure_stops_the_log_but_not_the_process(self):
         with tempfile.TemporaryDirectory() as folder:
             sink = BytesIO()
             log = ReplicaService(
@@ -547,19 +556,19 @@
                 await log.propose("t", b"after", 5.0)
             await log.close()
             self.assertIn(b"replica_stopped", sink.getvalue())
-            # And what was durable is there again.
-            again = ReplicaService("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()))
+            # Durable entries are restored after a restart.
+            restarted = ReplicaService("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()))
             machine = Sum(mock.Mock(entries={}, sums={}, bad=[]))
-            again.attach("t", machine)
-            await again.start()
-            await again.barrier(5.0)
+            restarted.attach("t", machine)
+            await restarted.start()
+            await restarted.barrier(5.0)
             self.assertIn(b"x" * MAX_COMMAND_BYTES, machine.run.entries.values())
-            await again.close()
+            await restarted.close()
 
-    async def test_a_follower_that_listens_becomes_a_voter_and_stays_one(self):
+    async def test_listening_follower_becomes_and_stays_a_voter(self):
         with tempfile.TemporaryDirectory() as folder:
-            at = [f"127.0.0.1:{free_port(socket.SOCK_STREAM)}" for _ in range(4)]
-            voters = [f"c{number}={one}" for number, one in enumerate(at[:3])]
+            addresses = [f"127.0.0.1:{free_port(socket.SOCK_STREAM)}" for _ in range(4)]
+            voters = [f"c{number}={address}" for number, address in enumerate(addresses[:3])]
             run = mock.Mock(entries={}, sums={}, bad=[])
 
             async def start(number):
@@ -569,7 +578,7 @@
                     Path(folder, f"c{number}"),
                     b"s" * 16,
                     Telemetry(f"c{number}", BytesIO()),
-                    at[number],
+                    addresses[number],
                     True,
                 )
                 log.attach("t", Sum(run))
@@ -580,13 +589,13 @@
             logs = [await start(number) for number in range(4)]
             await logs[3].propose("t", b"before", 10.0)
             self.assertFalse(logs[3].figures()["votes"])
-            await logs[0].change_voters("add", f"c3={at[3]}", 10.0)
+            await logs[0].change_voters("add", f"c3={addresses[3]}", 10.0)
             async with asyncio.timeout(20.0):
                 while not logs[3].figures()["votes"] or len(logs[3].figures()["peers"]) < 3:
                     await asyncio.sleep(0.02)
-            await logs[1].close()  # of four voters three are left
-            # What is forwarded to a leader in the moment in which it ends has an unknown outcome, as
-            # test_replica_leader_loss.py tells; of one that goes on, or of its successor, it is known.
+            await logs[1].close()  # three of four voters remain
+            # A proposal forwarded to a leader that is just closing has an unknown outcome (see
+            # test_replica_leader_loss.py), so wait until a member that keeps running is the leader.
             async with asyncio.timeout(20.0):
                 while logs[3].leader not in ("c0", "c2", "c3"):
                     await asyncio.sleep(0.01)
@@ -597,14 +606,16 @@
             await logs[3].barrier(20.0)
             await logs[3].close()
             Path(folder, "c3", "journal").unlink()
-            logs[3] = ReplicaService("c3", voters, Path(folder, "c3"), b"s" * 16, Telemetry("c3", BytesIO()), at[3])
+            logs[3] = ReplicaService(
+                "c3", voters, Path(folder, "c3"), b"s" * 16, Telemetry("c3", BytesIO()), addresses[3]
+            )
             logs[3].attach("t", Sum(run))
             await logs[3].start()
-            self.assertTrue(logs[3]._member.journal.votes_lost)  # though its own list never had it among the voters
+            self.assertTrue(logs[3]._member.journal.votes_lost)  # although it is not among its configured voters
             await logs[3].close()
             self.assertEqual(run.bad, [])
 
-    async def test_a_hanging_disk_holds_up_no_answer_and_not_the_loop(self):
+    async def test_hanging_disk_delays_neither_outcomes_nor_the_event_loop(self):
         with tempfile.TemporaryDirectory() as folder:
             log = ReplicaService(
                 "c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()), first_start=True
@@ -613,13 +624,13 @@
             await log.start()
             await log.barrier(5.0)
             loop = asyncio.get_running_loop()
-            real, back, written = os.fdatasync, threading.Event(), []
+            real_sync, resume, synced = os.fdatasync, threading.Event(), []
 
-            def slow(handle):
-                back.wait(20.0)
-                written.append(real(handle))
+            def slow_sync(descriptor):
+                resume.wait(20.0)
+                synced.append(real_sync(descriptor))
 
-            with mock.patch("os.fdatasync", side_effect=slow):
+            with mock.patch("os.fdatasync", side_effect=slow_sync):
                 worst, last = 0.0, loop.time()
                 task = asyncio.create_task(log.propose("t", b"x", 0.1))
                 while not task.done():
@@ -627,17 +638,17 @@
                     worst, last = max(worst, loop.time() - last), loop.time()
                 with self.assertRaises(OutcomeUnknownError):
                     await task
-                self.assertEqual(written, [])  # it hangs still
+                self.assertEqual(synced, [])  # the sync still hangs
                 self.assertLess(worst, 5.0)
-                back.set()
+                resume.set()
                 await log.close()
 
 
 class OffCase(unittest.TestCase):
-    def test_11_the_library_leaves_the_processs_sockets_as_they_are(self):
+    def test_guard_11_library_does_not_change_the_socket_module(self):
         self.assertEqual(socket.inet_ntop(socket.AF_INET, b"\x7f\0\0\1"), "127.0.0.1")
 
-    def test_a_process_without_it_loads_nothing_of_it(self):
+    def test_process_without_a_log_does_not_load_its_modules(self):
         loaded = subprocess.run(
             [sys.executable, "-c", "import sys, frostspindle.program; print(*sys.modules)"],
             capture_output=True,
@@ -649,39 +660,39 @@
 
 
 class LinksCase(unittest.IsolatedAsyncioTestCase):
-    async def pair(self, room=lambda: True):
-        self.heard, self.downs = [], []
-        made = []
+    async def connect_pair(self, has_capacity=lambda: True):
+        self.received, self.disconnected = [], []
+        pair = []
         for name in ("m0", "m1"):
-            made.append(
+            pair.append(
                 links.MemberLinks(
                     name,
                     b"s" * 16,
                     lambda peer: None,
-                    self.downs.append,
-                    lambda peer, message, size: self.heard.append(message),
+                    self.disconnected.append,
+                    lambda peer, message, size: self.received.append(message),
                     lambda peer: True,
-                    room,
+                    has_capacity,
                     lambda *args, **fields: None,
                 )
             )
-            self.addAsyncCleanup(made[-1].close)
-        port = await made[1].listen("127.0.0.1", 0)
-        made[0].set_targets("m0", {"m1": f"127.0.0.1:{port}"})
-        await self.until(lambda: made[0].links and made[1].links)
-        return made
+            self.addAsyncCleanup(pair[-1].close)
+        port = await pair[1].listen("127.0.0.1", 0)
+        pair[0].set_targets("m0", {"m1": f"127.0.0.1:{port}"})
+        await self.wait_until(lambda: pair[0].links and pair[1].links)
+        return pair
 
-    async def until(self, true):
+    async def wait_until(self, condition):
         async with asyncio.timeout(10.0):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.005)
 
-    async def test_a_frame_that_is_changed_repeated_or_too_long_ends_its_connection(self):
-        one, other = await self.pair()
+    async def test_changed_repeated_or_oversized_frame_closes_its_connection(self):
+        dialler, acceptor = await self.connect_pair()
         vote = {"type": "response_vote", "term": 3}
         payload = wire.encode_message(vote)
         for kind in ("sum", "repeated", "too_long", "spoilt"):
-            link = one.links["m1"]
+            link = dialler.links["m1"]
             if kind == "sum":
                 link.writer.write(len(payload).to_bytes(4, "big") + b"\0" * 16 + payload)
             elif kind == "repeated":
@@ -691,33 +702,37 @@
                 link.writer.write((wire.MAX_FRAME_BYTES + 1).to_bytes(4, "big") + b"\0" * 16)
             else:
                 link.send(b"\x93\xff\x80\x04.")
-            await self.until(lambda link=link: one.links.get("m1") not in (None, link) and "m0" in other.links)
-        self.assertEqual((other.counters["sum"], other.counters["too_long"], other.counters["spoilt"]), (2, 1, 1))
-        self.assertEqual(self.heard, [vote])  # the repeated one's first
-
-    async def test_who_is_silent_or_goes_before_its_proof_is_counted(self):
-        one, other = await self.pair()
-        port = other._server.sockets[0].getsockname()[1]
-        before = other.counters["unproved"]
+            await self.wait_until(
+                lambda link=link: dialler.links.get("m1") not in (None, link) and "m0" in acceptor.links
+            )
+        self.assertEqual(
+            (acceptor.counters["sum"], acceptor.counters["too_long"], acceptor.counters["spoilt"]), (2, 1, 1)
+        )
+        self.assertEqual(self.received, [vote])  # the first of the repeated frames
+
+    async def test_peer_that_is_silent_or_disconnects_before_its_proof_is_counted(self):
+        dialler, acceptor = await self.connect_pair()
+        port = acceptor._server.sockets[0].getsockname()[1]
+        before = acceptor.counters["unproved"]
         with mock.patch.object(links, "HANDSHAKE_TIMEOUT_S", 0.1):
             _, writer = await asyncio.open_connection("127.0.0.1", port)
-            await self.until(lambda: other.counters["unproved"] == before + 1)
+            await self.wait_until(lambda: acceptor.counters["unproved"] == before + 1)
         writer.close()
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"\x00")
         writer.close()
-        await self.until(lambda: other.counters["unproved"] == before + 2)
+        await self.wait_until(lambda: acceptor.counters["unproved"] == before + 2)
 
-    async def test_what_waits_for_a_peer_that_takes_nothing_is_bounded_and_the_peer_given_up(self):
-        one, other = await self.pair(room=lambda: False)
+    async def test_send_buffer_of_a_peer_that_does_not_read_is_bounded_and_the_peer_disconnected(self):
+        dialler, acceptor = await self.connect_pair(has_capacity=lambda: False)
         message = {"type": "apply_command", "request_id": 1, "command": b"\7" + b"x" * MAX_COMMAND_BYTES}
         with mock.patch.object(links, "MAX_QUEUED_OUT_BYTES", 4 << 20):
             for number in range(1_000):
                 if number % 50 == 0:
                     await asyncio.sleep(0)
-                one.send("m1", message)
-                if one.counters["crowded"]:
+                dialler.send("m1", message)
+                if dialler.counters["crowded"]:
                     break
-                self.assertLessEqual(one.links["m1"].writer.transport.get_write_buffer_size(), 5 << 20)
-        self.assertEqual((one.counters["crowded"], self.downs[:1]), (1, ["m1"]))
-        self.assertLess(len(self.heard), 2)
+                self.assertLessEqual(dialler.links["m1"].writer.transport.get_write_buffer_size(), 5 << 20)
+        self.assertEqual((dialler.counters["crowded"], self.disconnected[:1]), (1, ["m1"]))
+        self.assertLess(len(self.received), 2)
