--- a/tests/contracts/logs.py
+++ b/tests/contracts/logs.py
@@ -1,6 +1,7 @@
-"""The replicated logs that the contract is put to, each behind the same few calls: a new one is one more line in LOGS.
+"""Adapters of the replicated logs for the contract tests, with a common interface; LOGS lists them.
 
-An adapter starts members with a machine each and lets time pass as its log counts it. It must never mend a log.
+An adapter starts members with a state machine each and advances time in its log's way. It must not repair a log's
+faults.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
 COUNT = 3
 
 
-class Book:
-    """A machine that remembers all it was given; its state is what a snapshot must carry."""
+class RecordingMachine:
+    """A state machine that records its entries; its state is a checksum over them, which a snapshot must preserve."""
 
     def __init__(self) -> None:
         self.entries: list[tuple[int, bytes]] = []
@@ -48,41 +49,41 @@
 class Local:
     """In memory."""
 
-    open = MAX_OPEN_PROPOSALS
+    max_open = MAX_OPEN_PROPOSALS
 
     async def start(self, count: int = COUNT) -> None:
         first = LocalLog("m0")
         self.logs: list[Any] = [first] + [first.join(f"m{n}") for n in range(1, count)]
-        self.books = [Book() for _ in self.logs]
-        for log, book in zip(self.logs, self.books, strict=True):
-            log.attach("t", book)
+        self.machines = [RecordingMachine() for _ in self.logs]
+        for log, machine in zip(self.logs, self.machines, strict=True):
+            log.attach("t", machine)
 
     async def finish(self, *work: Any) -> list[Any]:
-        """Run coroutines to their ends; errors are handed out as results."""
+        """Run coroutines to completion; exceptions are returned as results."""
         return list(await asyncio.gather(*work, return_exceptions=True))
 
     async def settle(self) -> None:
-        """Until all members have applied what can be."""
+        """Wait until all members have applied all committed entries that they can."""
 
-    def set_leader(self, led: bool) -> None:
-        """Without a leader, or with one again."""
-        self.logs[0].set_leader(led)
+    def set_leader(self, has_leader: bool) -> None:
+        """Take the leader away, or allow one again."""
+        self.logs[0].set_leader(has_leader)
 
-    def behind(self, number: int, held: bool) -> None:
-        """Have a member hear nothing for now, or hear all again."""
-        self.logs[number].set_paused(held)
+    def set_lagging(self, number: int, lagging: bool) -> None:
+        """Stop a member from receiving entries, or let it catch up."""
+        self.logs[number].set_paused(lagging)
 
     async def close(self) -> None: ...
 
 
 class Emulated:
-    """The members on the Raft library in simulated time: two would vote, so all three do."""
+    """Members on the Raft library in simulated time; all three vote."""
 
-    open = MAX_OPEN_PROPOSALS
+    max_open = MAX_OPEN_PROPOSALS
 
     async def start(self, count: int = COUNT) -> None:
-        self.books = [Book() for _ in range(count)]
-        self.lab = EmulatedReplicas(count, count, 11, attach=lambda n, log: log.attach("t", self.books[n]))
+        self.machines = [RecordingMachine() for _ in range(count)]
+        self.lab = EmulatedReplicas(count, count, 11, attach=lambda n, log: log.attach("t", self.machines[n]))
         self.logs = [self.lab.member(n) for n in range(count)]
         self.lab.advance(4_000.0)
 
@@ -92,17 +93,17 @@
     async def settle(self) -> None:
         self.lab.advance(1_000.0)
 
-    def set_leader(self, led: bool) -> None:
-        self.part(range(len(self.logs)), led)
+    def set_leader(self, has_leader: bool) -> None:
+        self.set_connected(range(len(self.logs)), has_leader)
 
-    def behind(self, number: int, held: bool) -> None:
-        self.part([number], not held)
+    def set_lagging(self, number: int, lagging: bool) -> None:
+        self.set_connected([number], not lagging)
 
-    def part(self, numbers: Any, joined: bool) -> None:
-        """Cut some off from all others, or join them again."""
-        gone = set() if joined else set(numbers)
+    def set_connected(self, numbers: Any, connected: bool) -> None:
+        """Partition some members from all others, or reconnect them."""
+        isolated = set() if connected else set(numbers)
         fate = type(self.lab.network.weather).fate.__get__(self.lab.network.weather)
-        self.lab.network.weather.fate = lambda now, a, b: [] if a in gone or b in gone else fate(now, a, b)
+        self.lab.network.weather.fate = lambda now, a, b: [] if a in isolated or b in isolated else fate(now, a, b)
         self.lab.advance(6_000.0)
 
     async def close(self) -> None:
@@ -110,48 +111,48 @@
 
 
 class Sockets:
-    """The same members over TCP, each with a journal on disk; the third does not vote."""
+    """Members over TCP, each with a journal on disk; the third does not vote."""
 
-    open = MAX_OPEN_PROPOSALS
+    max_open = MAX_OPEN_PROPOSALS
 
     async def start(self, count: int = COUNT) -> None:
         self.folder = tempfile.TemporaryDirectory()
         ports = [free_port(socket.SOCK_STREAM) for _ in range(3)]
         voters = [f"m{n}=127.0.0.1:{port}" for n, port in zip((0, 1, 9), ports, strict=True)]
-        self.books = [Book() for _ in range(count)]
-        made = [
+        self.machines = [RecordingMachine() for _ in range(count)]
+        services = [
             ReplicaService(
                 name, voters, Path(self.folder.name, name), b"s" * 16, Telemetry(name, BytesIO()), first_start=True
             )
             for name in ("m0", "m1", "m2", "m9")
         ]
-        self.logs, self.all = made[:3], made
-        for log, book in zip(made, (*self.books, Book()), strict=True):
-            log.attach("t", book)
-        for log in made:
+        self.logs, self.all = services[:3], services
+        for log, machine in zip(services, (*self.machines, RecordingMachine()), strict=True):
+            log.attach("t", machine)
+        for log in services:
             await log.start()
-        await asyncio.gather(*(log.barrier(20.0) for log in made))
+        await asyncio.gather(*(log.barrier(20.0) for log in services))
 
     async def finish(self, *work: Any) -> list[Any]:
         return list(await asyncio.gather(*work, return_exceptions=True))
 
     async def settle(self) -> None:
-        first = max(log.index for log in self.logs)
+        highest = max(log.index for log in self.logs)
         async with asyncio.timeout(20.0):
-            while any(log.index < first for log in self.logs):
+            while any(log.index < highest for log in self.logs):
                 await asyncio.sleep(0.01)
 
-    def set_leader(self, led: bool) -> None:
+    def set_leader(self, has_leader: bool) -> None:
         for log in self.all:
-            self.part(log, led)
+            self.set_connected(log, has_leader)
 
-    def behind(self, number: int, held: bool) -> None:
-        self.part(self.logs[number], not held)
+    def set_lagging(self, number: int, lagging: bool) -> None:
+        self.set_connected(self.logs[number], not lagging)
 
-    def part(self, log: Any, joined: bool) -> None:
+    def set_connected(self, log: Any, connected: bool) -> None:
         links = log._links
-        links._is_known = log._is_known_peer if joined else lambda peer: False
-        if joined:
+        links._is_known = log._is_known_peer if connected else lambda peer: False
+        if connected:
             log._update_targets()
         else:
             links.set_targets(links.id, {})
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -1,7 +1,7 @@
-"""The transports that the contract is put to, each behind the same few calls: a new one is one more line in TRANSPORTS.
+"""Adapters of the transports for the contract tests, with a common interface; TRANSPORTS lists them.
 
-An adapter sends through the transport's own sending side and hears at the place where its user is called. It must never
-mend what the transport did on the way.
+An adapter sends through the transport's own sending side, and receives where the transport calls its user. It must not
+repair the transport's faults.
 """
 
 from __future__ import annotations
@@ -27,52 +27,53 @@
 
 COUNT = 3
 FAR_MS = 1e12
-Heard = tuple[Any, bytes]  # the sender's number; a stranger's address; None where the transport does not tell
+Received = tuple[Any, bytes]  # sender (its number, a stranger's address, or None if not reported) and data
 
 
 class Transport:
     """COUNT peers on one machine."""
 
-    most: int  # bytes of a message
-    bound: int  # messages that wait at most
-    faults = False  # plays a script
-    tells = True  # tells who sent
+    max_bytes: int  # of a message
+    bound: int  # maximum number of waiting messages
+    faults = False  # supports a fault script
+    reports_sender = True
 
     def __init__(self, script: str = "") -> None:
         self.script = parse(script, COUNT)
-        self.heard: list[list[Heard]] = [[] for _ in range(COUNT)]
-        self.copies = 0  # that a script lets through
+        self.received: list[list[Received]] = [[] for _ in range(COUNT)]
+        self.copies = 0  # deliveries according to the script
 
     async def start(self) -> None: ...
 
     def send(self, source: int, target: int, data: bytes) -> None: ...
 
     async def settle(self) -> None:
-        """Until what was sent has come or never will, as far as that does not wait for a timer."""
+        """Wait until sent messages have arrived or were lost, as far as this does not depend on a timer."""
         quiet, before = 0, -1
         while quiet < 20:
             await asyncio.sleep(0)
-            now = sum(map(len, self.heard))
+            now = sum(map(len, self.received))
             quiet, before = (quiet + 1 if now == before else 0), now
 
     def counted(self) -> Counter[str]:
-        """What the transport says it did not carry."""
+        """Return the transport's counters of messages that it did not deliver."""
         return Counter()
 
-    async def flood(self, many: int) -> int:
-        """Send so many to a peer that does not take them; the most that waited."""
+    async def flood(self, count: int) -> int:
+        """Send messages to a peer that does not read them; return the maximum number that waited."""
         raise NotImplementedError
 
     def stranger(self, target: int, data: bytes) -> Any:
-        """A message from nobody's address; that address, or None if there can be no such message."""
+        """Send a message from an unknown address; return that address, or None if this is impossible."""
         return None
 
     def end(self, number: int) -> None:
-        """Close one peer's end."""
+        """Close one peer."""
 
     def close(self) -> None: ...
 
-    def watch(self, weather: Any) -> None:
+    def count_deliveries(self, weather: Any) -> None:
+        """Count in `copies` the deliveries that the fault script decides."""
         fate = weather.fate
 
         def counting(*args: Any) -> list[float]:
@@ -83,22 +84,22 @@
         weather.fate = counting
 
 
-def address(line: socket.socket) -> tuple[str, int]:
-    return line.getsockname()
+def address(udp_socket: socket.socket) -> tuple[str, int]:
+    return udp_socket.getsockname()
 
 
-def udp() -> socket.socket:
-    line = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    line.bind(("127.0.0.1", 0))
-    line.setblocking(False)
-    return line
+def make_udp_socket() -> socket.socket:
+    udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    udp_socket.bind(("127.0.0.1", 0))
+    udp_socket.setblocking(False)
+    return udp_socket
 
 
-class _Ear:
-    """Stands where a node has its place: notes what comes, and lets the node's own reader refuse what is too long."""
+class _ReceiverStub:
+    """Replaces a node: records received datagrams, and lets the real node reject those that are too long."""
 
-    def __init__(self, heard: Callable[[tuple[str, int], bytes], None], node: FleetNode | None = None) -> None:
-        self.heard, self.node = heard, node
+    def __init__(self, on_received: Callable[[tuple[str, int], bytes], None], node: FleetNode | None = None) -> None:
+        self.on_received, self.node = on_received, node
         self.verdicts = SimpleNamespace(agreed=lambda *args: set())
         self.membership = SimpleNamespace(false_suspicions=0)
 
@@ -106,7 +107,7 @@
         if self.node is not None and len(data) > wire.MAX_PACKET_BYTES:
             assert not self.node.receive(now, source, data)
         else:
-            self.heard(source, data)
+            self.on_received(source, data)
         return []
 
     def tick(self, *args: Any) -> list[Datagram]:
@@ -126,7 +127,7 @@
 class Fleet(Transport):
     """The fleet's UDP socket."""
 
-    most, bound = wire.MAX_PACKET_BYTES, service.DATAGRAMS_PER_TURN
+    max_bytes, bound = wire.MAX_PACKET_BYTES, service.DATAGRAMS_PER_TURN
 
     async def start(self) -> None:
         core = SimpleNamespace(engines={}, banned=frozenset())
@@ -136,74 +137,78 @@
             )
             for n in range(COUNT)
         ]
-        for number, one in enumerate(self.services):
-            await one.start()
-            while one.node is None:
+        for number, fleet in enumerate(self.services):
+            await fleet.start()
+            while fleet.node is None:
                 await asyncio.sleep(0)
-            one.node = _Ear(lambda source, data, n=number: self.heard[n].append((self.number(source), data)), one.node)
-        self.at = [address(one.socket) for one in self.services]
+            fleet.node = _ReceiverStub(
+                lambda source, data, n=number: self.received[n].append((self.number(source), data)), fleet.node
+            )
+        self.addresses = [address(fleet.socket) for fleet in self.services]
         self.strangers: list[socket.socket] = []
 
     def number(self, source: tuple[str, int]) -> Any:
-        return self.at.index(source) if source in self.at else source
+        return self.addresses.index(source) if source in self.addresses else source
 
     def send(self, source: int, target: int, data: bytes) -> None:
-        self.services[source]._send([Datagram(self.at[target], data)])
+        self.services[source]._send([Datagram(self.addresses[target], data)])
 
     def counted(self) -> Counter[str]:
-        out: Counter[str] = Counter()
-        for one in self.services:
-            out["refused"] += one.node.node.counted["fleet_undecodable"] if one.node else 0
-            out["unsent"] += one.telemetry.counts["fleet_unsent", "", ""]
-        return out
-
-    async def flood(self, many: int) -> int:
-        for _ in range(many):
+        counters: Counter[str] = Counter()
+        for fleet in self.services:
+            counters["refused"] += fleet.node.node.counted["fleet_undecodable"] if fleet.node else 0
+            counters["unsent"] += fleet.telemetry.counts["fleet_unsent", "", ""]
+        return counters
+
+    async def flood(self, count: int) -> int:
+        for _ in range(count):
             self.send(0, 1, b"x" * 100)
-        self.services[1]._read()  # one turn of the loop; the rest waits in the system's buffer, which is bounded
-        return len(self.heard[1])
+        self.services[1]._read()  # one iteration of the loop; the others wait in the bounded socket buffer
+        return len(self.received[1])
 
     def stranger(self, target: int, data: bytes) -> Any:
-        self.strangers.append(udp())
-        self.strangers[-1].sendto(data, self.at[target])
+        self.strangers.append(make_udp_socket())
+        self.strangers[-1].sendto(data, self.addresses[target])
         return address(self.strangers[-1])
 
     def end(self, number: int) -> None:
         self.services[number].close()
 
     def close(self) -> None:
-        for one in self.services:
-            if one.node is not None:
-                one.close()
-        for line in self.strangers:
-            line.close()
+        for fleet in self.services:
+            if fleet.node is not None:
+                fleet.close()
+        for stranger in self.strangers:
+            stranger.close()
 
 
 class Relay(Transport):
-    """The relay between processes; plain sockets stand for the processes."""
+    """The relay between processes; plain sockets represent the processes."""
 
-    most, bound, faults = relay.MOST, relay.WAITING, True
+    max_bytes, bound, faults = relay.MOST, relay.WAITING, True
 
     async def start(self) -> None:
         self.relay = relay.Relay(COUNT, self.script, 3).start()
-        self.watch(self.relay.weather)
-        self.lines = [udp() for _ in range(COUNT)]
-        self.outside = [address(line) for line in self.relay.sockets]
-        for number, line in enumerate(self.lines):
-            self.relay.place(number, address(line))
-            asyncio.get_running_loop().add_reader(line, self._read, number)
+        self.count_deliveries(self.relay.weather)
+        self.sockets = [make_udp_socket() for _ in range(COUNT)]
+        self.relay_addresses = [address(relay_socket) for relay_socket in self.relay.sockets]
+        for number, udp_socket in enumerate(self.sockets):
+            self.relay.place(number, address(udp_socket))
+            asyncio.get_running_loop().add_reader(udp_socket, self._read, number)
         self.relay.begin()
         self.strangers: list[socket.socket] = []
 
     def _read(self, number: int) -> None:
         try:
-            data, source = self.lines[number].recvfrom(1 << 16)
+            data, source = self.sockets[number].recvfrom(1 << 16)
         except OSError:
             return
-        self.heard[number].append((self.outside.index(source) if source in self.outside else source, data))
+        self.received[number].append(
+            (self.relay_addresses.index(source) if source in self.relay_addresses else source, data)
+        )
 
     def send(self, source: int, target: int, data: bytes) -> None:
-        self.lines[source].sendto(data, self.outside[target])
+        self.sockets[source].sendto(data, self.relay_addresses[target])
 
     def counted(self) -> Counter[str]:
         return Counter(
@@ -213,58 +218,58 @@
             unknown=self.relay.unknown,
         )
 
-    async def flood(self, many: int) -> int:
+    async def flood(self, count: int) -> int:
         self.relay.weather.script = parse("delay 60000-60000", COUNT)
         self.relay.weather._now = (-1.0, [])
         self.relay.weather._edges = [0.0]
-        most = 0
-        for _ in range(many):
+        max_waiting = 0
+        for _ in range(count):
             self.send(0, 1, b"x")
             await asyncio.sleep(0)
-            most = max(most, self.relay.waiting)
-        return most
+            max_waiting = max(max_waiting, self.relay.waiting)
+        return max_waiting
 
     def stranger(self, target: int, data: bytes) -> Any:
-        self.strangers.append(udp())
-        self.strangers[-1].sendto(data, self.outside[target])
+        self.strangers.append(make_udp_socket())
+        self.strangers[-1].sendto(data, self.relay_addresses[target])
         return address(self.strangers[-1])
 
     def end(self, number: int) -> None:
-        asyncio.get_running_loop().remove_reader(self.lines[number])
-        self.lines[number].close()
+        asyncio.get_running_loop().remove_reader(self.sockets[number])
+        self.sockets[number].close()
 
     def close(self) -> None:
         self.relay.close()
-        for number, line in enumerate(self.lines):
-            if line.fileno() >= 0:
+        for number, udp_socket in enumerate(self.sockets):
+            if udp_socket.fileno() >= 0:
                 self.end(number)
-        for line in self.strangers:
-            line.close()
+        for stranger in self.strangers:
+            stranger.close()
 
 
 class Emulated(Transport):
     """The emulator's network."""
 
-    most, bound, faults = wire.MAX_PACKET_BYTES, network.WAITING, True
+    max_bytes, bound, faults = wire.MAX_PACKET_BYTES, network.WAITING, True
 
     async def start(self) -> None:
         self.network = network.Network(COUNT, self.script, 5)
-        self.watch(self.network.weather)
+        self.count_deliveries(self.network.weather)
 
     def send(self, source: int, target: int, data: bytes) -> None:
         self.network.send(source, target, data)
 
     async def settle(self) -> None:
-        for _, node, what in self.network.deliver(self.network.now + 1_000.0):
-            self.heard[node].append(what)
+        for _, node, message in self.network.deliver(self.network.now + 1_000.0):
+            self.received[node].append(message)
 
     def counted(self) -> Counter[str]:
-        said = self.network.counted
-        return Counter(lost=self.network.weather.lost, refused=said["too_long"], crowded=said["not_read"])
+        counted = self.network.counted
+        return Counter(lost=self.network.weather.lost, refused=counted["too_long"], crowded=counted["not_read"])
 
-    async def flood(self, many: int) -> int:
+    async def flood(self, count: int) -> int:
         self.network.paused[1] = True
-        for _ in range(many):
+        for _ in range(count):
             self.send(0, 1, b"x")
         await self.settle()
         return len(self.network.waiting[1])
@@ -273,19 +278,24 @@
         self.network.end(number)
 
 
-class _Front:
-    """Stands where a worker has its front: answers each call with its own URL, but not in the order of the calls."""
+class _FrontStub:
+    """Replaces a worker's front: answers each call with its own URL, but not in the order of the calls."""
 
-    def __init__(self, heard: Callable[[bytes], None]) -> None:
-        self.heard, self.telemetry, self.held, self.holds = heard, Telemetry(sink=BytesIO()), [], False
+    def __init__(self, on_received: Callable[[bytes], None]) -> None:
+        self.on_received, self.telemetry, self.unanswered, self.is_silent = (
+            on_received,
+            Telemetry(sink=BytesIO()),
+            [],
+            False,
+        )
 
     def connection_ended(self, connection: Any) -> None:
         pass
 
     def call(self, slot: Any, method: bytes, url: bytes, headers: dict[str, str], body: bytes) -> None:
-        self.heard(url)
-        if self.holds:
-            self.held.append(slot)
+        self.on_received(url)
+        if self.is_silent:
+            self.unanswered.append(slot)
         elif len(url) % 2:
             asyncio.get_running_loop().call_soon(slot.reply, 200, url)
         else:
@@ -295,33 +305,33 @@
 
 
 class Mesh(Transport):
-    """The workers' mesh. It does not tell the front who asks; what it must tell right is whose the answer is."""
+    """The workers' mesh. It does not report the caller to the front, but must match responses to calls."""
 
-    # 12: number, method and frame round the URL
-    most, bound, tells = mesh.MAX_FRAME_BYTES - 12, mesh.MAX_PENDING_CALLS, False
+    # 12: number, method and frame around the URL
+    max_bytes, bound, reports_sender = mesh.MAX_FRAME_BYTES - 12, mesh.MAX_PENDING_CALLS, False
 
     async def start(self) -> None:
-        self.fronts = [_Front(lambda url, n=n: self.heard[n].append((None, url))) for n in range(COUNT)]
+        self.fronts = [_FrontStub(lambda url, n=n: self.received[n].append((None, url))) for n in range(COUNT)]
         paths = {n: f"\0contract-{secrets.token_hex(8)}" for n in range(COUNT)}
         self.paths, self.meshes, self.tasks, self.lost = paths, [], set(), Counter()
         for number, front in enumerate(self.fronts):
-            line = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            line.bind(paths[number])
-            line.listen(16)
-            self.meshes.append(mesh.WorkerMesh(line.detach(), paths, front))
+            listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+            listener.bind(paths[number])
+            listener.listen(16)
+            self.meshes.append(mesh.WorkerMesh(listener.detach(), paths, front))
             await self.meshes[-1].start()
 
     def send(self, source: int, target: int, data: bytes) -> None:
-        self.tasks.add(asyncio.get_running_loop().create_task(self._ask(source, target, data)))
+        self.tasks.add(asyncio.get_running_loop().create_task(self._call(source, target, data)))
 
-    async def _ask(self, source: int, target: int, data: bytes) -> None:
+    async def _call(self, source: int, target: int, data: bytes) -> None:
         try:
-            answer = await self.meshes[source].call(target, b"GET", data)
+            response = await self.meshes[source].call(target, b"GET", data)
         except mesh.WorkerGoneError:
             self.lost["gone"] += 1
         else:
-            assert answer[:2] in ((200, data), (503, {"failure": "Busy"})), "the answer of another call"
-            self.lost["busy"] += answer[0] == 503
+            assert response[:2] in ((200, data), (503, {"failure": "Busy"})), "the response to another call"
+            self.lost["busy"] += response[0] == 503
 
     async def settle(self) -> None:
         await asyncio.gather(*self.tasks)
@@ -330,28 +340,28 @@
         broken = sum(front.telemetry.counts["mesh_broken", "", ""] for front in self.fronts)
         return Counter(refused=self.lost["gone"], broken=broken)
 
-    async def flood(self, many: int) -> int:
-        self.fronts[1].holds = True
-        for _ in range(many):
+    async def flood(self, count: int) -> int:
+        self.fronts[1].is_silent = True
+        for _ in range(count):
             self.send(0, 1, b"/x")
         await Transport.settle(self)
-        return max(len(self.fronts[1].held), len(self.meshes[0].outgoing[1].pending))
+        return max(len(self.fronts[1].unanswered), len(self.meshes[0].outgoing[1].pending))
 
     def end(self, number: int) -> None:
         self.meshes[number].close()
 
     def close(self) -> None:
-        for one in self.meshes:
-            one.close()
+        for worker_mesh in self.meshes:
+            worker_mesh.close()
         for front in self.fronts:
-            for slot in front.held:
+            for slot in front.unanswered:
                 slot.data = b""
 
 
 class Replicas(Transport):
-    """The log's links. What may wait is counted in bytes there: a test of its own holds that bound."""
+    """The log's links. Their bound is in bytes, and is tested in test_replica.py."""
 
-    most, bound = MAX_COMMAND_BYTES + 200, None
+    max_bytes, bound = MAX_COMMAND_BYTES + 200, None
 
     async def start(self) -> None:
         self.all, ports, self.ended = [], [], set()
@@ -362,7 +372,7 @@
                     b"s" * 16,
                     lambda peer: None,
                     lambda peer: None,
-                    lambda peer, message, size, n=n: self.heard[n].append((int(peer[1:]), message["command"][1:])),
+                    lambda peer, message, size, n=n: self.received[n].append((int(peer[1:]), message["command"][1:])),
                     lambda peer: peer in ("m0", "m1", "m2"),
                     lambda: True,
                     lambda *args, **fields: None,
@@ -370,10 +380,10 @@
             )
             ports.append(await self.all[-1].listen("127.0.0.1", 0))
         self.ports = ports
-        for one in self.all:
-            one.set_targets(one.name, {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(ports)})
+        for member in self.all:
+            member.set_targets(member.name, {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(ports)})
         async with asyncio.timeout(10.0):
-            while any(len(one.links) < COUNT - 1 for one in self.all):
+            while any(len(member.links) < COUNT - 1 for member in self.all):
                 await asyncio.sleep(0.01)
 
     def send(self, source: int, target: int, data: bytes) -> None:
@@ -385,17 +395,17 @@
             await asyncio.sleep(0.05)
 
     def counted(self) -> Counter[str]:
-        out: Counter[str] = Counter()
-        for one in self.all:
-            out["refused"] += one.counters["too_long"]
-            out["unknown"] += one.counters["hello"] + one.counters["not_proved"]
-        return out
+        counters: Counter[str] = Counter()
+        for member in self.all:
+            counters["refused"] += member.counters["too_long"]
+            counters["unknown"] += member.counters["hello"] + member.counters["not_proved"]
+        return counters
 
     def stranger(self, target: int, data: bytes) -> Any:
-        line = socket.create_connection(("127.0.0.1", self.ports[target]))
-        line.sendall(len(data).to_bytes(2, "big") + data)
-        self.line = line
-        return line.getsockname()
+        connection = socket.create_connection(("127.0.0.1", self.ports[target]))
+        connection.sendall(len(data).to_bytes(2, "big") + data)
+        self.stranger_connection = connection
+        return connection.getsockname()
 
     def end(self, number: int) -> None:
         self.ended.add(asyncio.get_running_loop().create_task(self.all[number].close()))
