--- a/frostspindle/ownership/lease_table.py
+++ b/frostspindle/ownership/lease_table.py
@@ -92,7 +92,7 @@
 class CommandResult(Struct, array_like=True, frozen=True):
     """The result of a command; each list has one value for each item in the command's list: whether it was applied."""
 
-    reason: str = ""  # why the whole command was rejected
+    reason: str = ""  # why the complete command was rejected
     acquisitions: list[bool] = []
     renewals: list[bool] = []
     releases: list[bool] = []
