--- a/frostspindle/replica/service.py
+++ b/frostspindle/replica/service.py
@@ -218,12 +218,12 @@
         is_damaged = condition in (JournalCondition.CORRUPT, JournalCondition.TORN)
         if not is_damaged and not (votes_lost and self.me in self._addresses):
             return
-        consequence = "a crash left the last write incomplete"
+        explanation = "a crash left the last write incomplete"
         if votes_lost:
-            consequence = "restarts as a follower, and votes again once it has caught up"
+            explanation = "restarts as a follower, and votes again once it has caught up"
         self.telemetry.count("replica_journals_" + condition)
         self.telemetry.log(
-            "replica_journal_opened", found=str(condition), entries=entries, votes=not votes_lost, why=consequence
+            "replica_journal_opened", found=str(condition), entries=entries, votes=not votes_lost, why=explanation
         )
 
     async def close(self) -> None:
