--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -36,7 +36,7 @@
         lab.lives += 1
         self.holder = LeaseHolder(self.name, lab.lives, lab.terms, self.table, lab.random.getrandbits(32), self.now)
         for task in lab.tasks:
-            self.holder.want(task, 1.0)
+            self.holder.add_candidacy(task, 1.0)
         log.attach(TOPIC, self.table)
         log.watch(TOPIC, lambda index, command, result: self.told(command, result))
 
@@ -61,9 +61,9 @@
             # What a step of the clock ended was last acted under at the look before it.
             at = (
                 self.lab.now
-                if turn.held or turn.why.startswith(("released", "passed"))
+                if turn.held or turn.reason.startswith(("released", "passed"))
                 else self.looked
-                if turn.why != "over"
+                if turn.reason != "over"
                 else self.lab.now - before
             )
             self.lab.lines.append(
@@ -94,7 +94,7 @@
                     outcome = CommandOutcome.UNKNOWN
                 holder.on_outcome(self.now, number, outcome)
 
-            self.log.submit(TOPIC, command, self.lab.terms.within_ms / 1_000.0, done)
+            self.log.submit(TOPIC, command, self.lab.terms.command_timeout_ms / 1_000.0, done)
         for task, own in list(self.holder.leases.items()):
             if own.announced and self.holder.holds(task, own.token, self.now):
                 self.lab.act(self, task, own.token)
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -162,7 +162,7 @@
     with mock.patch("os.urandom", return_value=ID[:8]):
         made = SharedMemoryBoard.create(Layout(slots=2, engines=2, counters=2, buckets=2))
     made.publish(CONTROL)
-    made.set_lease_expiry(slot=1, at_ms=5_000.5)
+    made.set_lease_expiry(slot=1, time_ms=5_000.5)
     region = WorkerRegion(board=made, slot=1)
     for cell, value in HEAD_CELLS.items():
         region.write_cell(cell=cell, value=value)
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -283,7 +283,7 @@
             telemetry=self.events,
             operator_server=None,
             platform=platform,
-            fleet=SimpleNamespace(parts=[], name="c1", node=None),
+            fleet=SimpleNamespace(channels=[], name="c1", node=None),
         )
         wiring.attach(program)
         ask = ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=17)
