--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -133,10 +133,10 @@
     assert (kept.versions, kept.saved_at_ms) == ((stored.VERSION_3, stored.VERSION_4), stored.KEPT_AT_MS)
     assert [version.rules for version in kept.versions] == [stored.VERSION_3.rules, stored.VERSION_4.rules]
     node = RecoveryNode(
-        settings=RecoverySettings(name="c1", seeds=("c1", "c2", "c3")), now=0.0, unix=TICKET.at_ms + 1.0, seed=1
+        settings=RecoverySettings(name="c1", seeds=("c1", "c2", "c3")), now=0.0, unix_ms=TICKET.at_ms + 1.0, seed=1
     )
     opened = OpenedStore(verdict="good", usable=True, trusted=True, entries=tuple(store.scan()))
-    node.on_store_opened(now=0.0, unix=TICKET.at_ms + 1.0, opened=opened)
+    node.on_store_opened(now=0.0, unix_ms=TICKET.at_ms + 1.0, opened=opened)
     assert node.bans.statements == {(BAN.origin, BAN.engine): BAN}
     assert (node.peer_stores.states, node.store.heartbeat, node.idle_mark.marked) == ({"c2": STORE}, BEAT, True)
     assert (node.published.stored.last_event, node.published.stored.engines) == (BEAT.last_event, {LISTED.name: LISTED})
