--- a/bench/scatter.py
+++ b/bench/scatter.py
@@ -23,7 +23,7 @@
 from frostspindle.predicates.summaries import Summary
 from frostspindle.scatter.leases import LoadIntent, widen
 from frostspindle.scatter.merge import merge
-from frostspindle.scatter.plan import Planner, in_steps
+from frostspindle.scatter.plan import Planner, step_cells
 from frostspindle.scatter.service import ScatterService
 from frostspindle.telemetry import Telemetry
 
@@ -81,10 +81,10 @@
     planner, numbers = Planner(catalogue), iter(range(10**9))
     known = SQL.format(5, 9)
     planner.plan(17, known)
-    summary = Summary(catalogue.summed(17), 4_096)
+    summary = Summary(catalogue.summary_columns(17), 4_096)
     cells = [(1, str(n)) for n in range(100, 600, 3)]
     widen(
-        summary, LoadIntent(200, {"n": cells, "n\0": in_steps(cells, 5), "s": [(2, f"agent-{n}") for n in range(50)]})
+        summary, LoadIntent(200, {"n": cells, "n\0": step_cells(cells, 5), "s": [(2, f"agent-{n}") for n in range(50)]})
     )
     plan = planner.plan(17, known)
     core = SimpleNamespace(classes=[("http", "lookup")], open=0, max_open_requests=99)
--- a/frostspindle/catalogue.py
+++ b/frostspindle/catalogue.py
@@ -26,7 +26,7 @@
 TEXT = "text"
 TIME = "time"
 FLOAT = "float"
-CELLS = "\0"  # behind a column's name: the numbers of the cells that its values lie in; in no statement
+CELL_SUFFIX = "\0"  # behind a column's name: the numbers of the cells that its values lie in; in no statement
 TYPES = (INTEGER, DECIMAL, TEXT, TIME, FLOAT)
 DIALECTS = ("sqlite", "tsql", "postgres", "mysql")
 _SCHEMA = re.compile(r"[a-z]\w*?_(\d{1,18})", re.ASCII)  # as the front finds it in a statement
@@ -96,7 +96,7 @@
 class Catalogue:
     """The checked `[scatter]`, indexed. `classes` has the module's number of a class of parts, by class and site."""
 
-    terms: ScatterSection
+    settings: ScatterSection
     groups: dict[int, TableGroup]
     sites: dict[str, Site]
     classes: dict[tuple[int, str], int]
@@ -106,7 +106,7 @@
     @cached_property
     def digest(self) -> int:
         """A 48-bit hash of the table: leases and summaries pass only between coordinators where it is the same."""
-        return int.from_bytes(blake2b(msgspec.json.encode(self.terms), digest_size=6).digest())
+        return int.from_bytes(blake2b(msgspec.json.encode(self.settings), digest_size=6).digest())
 
     @cached_property
     def columns(self) -> dict[int, dict[str, Column]]:
@@ -117,13 +117,13 @@
         """Return the names of the sites that hold rows of a group, all if it lists none; KeyError if it is unknown."""
         return self.groups[group].sites or list(self.sites)
 
-    def summed(self, group: int) -> list[str]:
+    def summary_columns(self, group: int) -> list[str]:
         """Return the columns that summaries hold: not floats, as engines may compare those at other precision."""
         return [
             name
             for column in self.groups[group].column
             if column.type != FLOAT
-            for name in ([column.name, column.name + CELLS] if column.step else [column.name])
+            for name in ([column.name, column.name + CELL_SUFFIX] if column.step else [column.name])
         ]
 
     def keys(self, group: int) -> list[str]:
--- a/frostspindle/lab/scatter.py
+++ b/frostspindle/lab/scatter.py
@@ -14,17 +14,17 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.catalogue import CELLS, Column, home_of, key_of
+from frostspindle.catalogue import CELL_SUFFIX, Column, home_of, key_of
 from frostspindle.lab.faults.script import Script, parse
 from frostspindle.lab.network import Network
 from frostspindle.predicates import Predicate, all_of, between, compare, match, may_match
 from frostspindle.scatter import wire
 from frostspindle.scatter.leases import LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings
-from frostspindle.scatter.plan import in_steps, stepped
+from frostspindle.scatter.plan import step_cells, with_step_cells
 
 GROUP, STEP = 17, 5
 N = Column("n", "integer", step=STEP)
-COLUMNS = (N.name, N.name + CELLS, "s")
+COLUMNS = (N.name, N.name + CELL_SUFFIX, "s")
 WIDTH = 1_000  # numbers of one site
 AGENT = 20  # numbers of one agent
 LOOK_MS = 250.0  # how often homes look for what to learn
@@ -66,7 +66,7 @@
     epoch: int = 1
     home: SummaryHome | None = None
     holder: SummaryCache | None = None
-    due: float = math.inf  # true time of its next turn
+    next_tick_ms: float = math.inf  # true time of its next turn
     loads: dict[int, tuple[Row, float]] = field(default_factory=dict)  # its core's number: what, taken when
     later: list[Any] = field(default_factory=list)  # what clients asked for while it was stopped
 
@@ -93,7 +93,7 @@
         clocks = dict(script.clocks)
         self.processes = [Process(f"c{n}", clocks.get(n, 1.0), self.random.uniform(0.0, 1e6)) for n in range(count)]
         self.numbers = {process.name: n for n, process in enumerate(self.processes)}
-        self.terms = SummaryLeaseSettings(lease_ms, drift, 1, 60_000.0, bits)
+        self.settings = SummaryLeaseSettings(lease_ms, drift, 1, 60_000.0, bits)
         self.sites = [f"s{n}" for n in range(sites)]
         self.homes = {
             key_of(site, GROUP): home_of(key_of(site, GROUP), [p.name for p in self.processes[:3]])
@@ -123,7 +123,7 @@
             if self.random.random() < 0.95
             else self.random.randrange(len(self.sites) * WIDTH)
         )
-        return Row(site, {"n": number, "n" + CELLS: number // STEP, "s": f"agent-{number // AGENT}"})
+        return Row(site, {"n": number, "n" + CELL_SUFFIX: number // STEP, "s": f"agent-{number // AGENT}"})
 
     # Processes.
 
@@ -134,9 +134,9 @@
     def _begin(self, n: int) -> None:
         process = self.processes[n]
         own = {key: COLUMNS for key, home in self.homes.items() if home == process.name}
-        process.home = SummaryHome(process.epoch, self.terms, own, self.clock(process))
-        process.holder = SummaryCache(self.terms, self.homes)
-        process.loads, process.later, process.due = {}, [], math.inf
+        process.home = SummaryHome(process.epoch, self.settings, own, self.clock(process))
+        process.holder = SummaryCache(self.settings, self.homes)
+        process.loads, process.later, process.next_tick_ms = {}, [], math.inf
 
     def run(self) -> None:
         """Play the run until `seconds` of simulated time."""
@@ -177,7 +177,7 @@
         elif kind == "load":
             self._load(process)
         elif kind == "tick":
-            if self.network.now < process.due:
+            if self.network.now < process.next_tick_ms:
                 return
             self._turn(n, process)
             return
@@ -193,7 +193,7 @@
 
     def _turn(self, n: int, process: Process) -> None:
         assert process.home is not None and process.holder is not None
-        process.due = math.inf
+        process.next_tick_ms = math.inf
         process.home.tick(self.clock(process))
         process.holder.tick(self.clock(process))
         self._flush(n, process)
@@ -202,10 +202,10 @@
         home, holder = process.home, process.holder
         if home is None or holder is None:
             return
-        while home.out or holder.out or holder.changed:
-            sending = home.out + holder.out
-            home.out, holder.out = [], []
-            changed, holder.changed = holder.changed, []
+        while home.outbox or holder.outbox or holder.changed_loads:
+            sending = home.outbox + holder.outbox
+            home.outbox, holder.outbox = [], []
+            changed, holder.changed_loads = holder.changed_loads, []
             for load in changed:
                 self._moved(n, process, load)
             for name, data in sending:
@@ -213,10 +213,10 @@
                     self._word(process, process.name, process.epoch, data)
                 else:  # the epoch as the fleet's packets carry it
                     self.network.send(n, self.numbers[name], process.epoch.to_bytes(8) + data)
-        at = (min(home.due(self.clock(process)), holder.due()) - process.offset) / process.rate + 1e-5
-        if at < process.due:
-            process.due = max(at, self.network.now)
-            self.network.at(process.due, n, "tick")
+        at = (min(home.next_tick_ms(self.clock(process)), holder.next_tick_ms()) - process.offset) / process.rate + 1e-5
+        if at < process.next_tick_ms:
+            process.next_tick_ms = max(at, self.network.now)
+            self.network.at(process.next_tick_ms, n, "tick")
 
     def _hear(self, n: int, process: Process, source: int, data: bytes) -> None:
         self._word(process, self.processes[source].name, int.from_bytes(data[:8]), data[8:])
@@ -239,14 +239,14 @@
                 number = self.random.choice(rows).values["n"]
             return compare("n", "=", number)
         if draw < 0.9:
-            return stepped(between("n", number, number + 20), {"n": N})
+            return with_step_cells(between("n", number, number + 20), {"n": N})
         return all_of(compare("s", "=", f"agent-{number // AGENT}"), between("n", number, number + WIDTH // 2))
 
     def _query(self, process: Process) -> None:
         """Decided as the service does; then the oracle looks at every row."""
         assert process.holder is not None
         predicate, now = self._predicate(), self.clock(process)
-        process.holder.want(now, list(self.homes))
+        process.holder.mark_used(now, list(self.homes))
         left_out = could = 0
         for site in self.sites:
             summary = process.holder.summary(now, key_of(site, GROUP))
@@ -302,15 +302,15 @@
         load = process.holder.loads.get(number)
         if load is not None:
             self.counted["refused" if not load.ran and load.state == "widening" else "failed"] += 1
-            process.holder.over(self.clock(process), number, not load.ran and load.state == "widening")
+            process.holder.drop_load(self.clock(process), number, not load.ran and load.state == "widening")
             del process.loads[number]
 
     # Learning.
 
     def _learn(self, n: int, process: Process) -> None:
         assert process.home is not None
-        for key in process.home.unlearnt(self.clock(process)):
-            process.home.begin(key)
+        for key in process.home.keys_to_learn(self.clock(process)):
+            process.home.begin_learning(key)
             self.network.at(self.network.now + self.random.uniform(*LEARN_MS), n, f"read {process.epoch} {key}")
 
     def _read(self, n: int, process: Process, text: str) -> None:
@@ -319,13 +319,13 @@
         if int(epoch) != process.epoch:
             return
         rows = [row.values for row in self.rows[key.rpartition("/")[0]] if row.landed]
-        if process.home.learnt(self.clock(process), key, [LoadIntent(len(rows), _cells(rows))], 500.0):
+        if process.home.finish_learning(self.clock(process), key, [LoadIntent(len(rows), _cells(rows))], 500.0):
             self.counted["learnt"] += 1
 
 
 def _cells(rows: list[dict[str, Any]]) -> dict[str, list[tuple[int, str]]]:
     numbers = sorted({(1, str(row["n"])) for row in rows})
-    return {"n": numbers, "n" + CELLS: in_steps(numbers, STEP), "s": sorted({(2, row["s"]) for row in rows})}
+    return {"n": numbers, "n" + CELL_SUFFIX: step_cells(numbers, STEP), "s": sorted({(2, row["s"]) for row in rows})}
 
 
 class _Late(str):
@@ -344,7 +344,7 @@
     it and the waits (ms) count from when the first leases could be held. `asked_without_lease`: over the whole run,
     sites that could be left out but were asked for want of a lease."""
     e = emulator
-    begin = min(e.seconds * 500.0, e.terms.back_ms + 1_500.0)
+    begin = min(e.seconds * 500.0, e.settings.back_ms + 1_500.0)
     seen = [(left_out, could) for at, left_out, could in e.seen if at >= begin]
     left_out, could = (sum(column) for column in zip(*seen, strict=True)) if seen else (0, 0)
     waits = sorted(wait for at, wait in e.waits if at >= begin)
--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -114,7 +114,7 @@
             column.values = summary.rows
 
 
-def knows(summary: Summary, told: LoadIntent) -> bool:
+def covers_rows(summary: Summary, told: LoadIntent) -> bool:
     """Tell whether the summary allows for such rows already, so that no holder need be told."""
     assert told.cells is not None
     if not summary.rows:
@@ -180,14 +180,14 @@
     """The summaries that this process keeps as their home."""
 
     def __init__(self, epoch: int, terms: SummaryLeaseSettings, columns: dict[str, Sequence[str]], now: float) -> None:
-        self.epoch, self.terms = epoch, terms
+        self.epoch, self.settings = epoch, terms
         rest = now + terms.back_ms
-        self.shelves = {key: SummaryRecord(key, names, rest) for key, names in columns.items()}
-        self.out: list[Post] = []
+        self.records = {key: SummaryRecord(key, names, rest) for key, names in columns.items()}
+        self.outbox: list[Post] = []
         self.pushed = self.refused = 0
 
     def _say(self, name: str, message: wire.Message) -> None:
-        self.out.append((name, wire.encode(message)))
+        self.outbox.append((name, wire.encode(message)))
 
     # Leases.
 
@@ -198,8 +198,8 @@
         another digest, a key that is not kept here, and too many holders are counted in `refused`. Versions that the
         holder reports as installed may settle waiting loads, also where no lease is granted.
         """
-        shelf = self.shelves.get(ask.key)
-        if shelf is None or ask.terms != self.terms.digest:
+        shelf = self.records.get(ask.key)
+        if shelf is None or ask.catalogue_digest != self.settings.digest:
             self.refused += 1
             return
         who = name, epoch
@@ -213,7 +213,7 @@
                 self.refused += 1
                 return
             holder = shelf.holders[who] = _SummaryHolder(0.0, shelf.version)
-        holder.ends = max(holder.ends, now + self.terms.back_ms)
+        holder.ends = max(holder.ends, now + self.settings.back_ms)
         if ask.epoch == self.epoch and ask.have == shelf.version:
             self._say(name, wire.LeaseUnchanged(ask.key, ask.seq, shelf.version))
             return
@@ -225,13 +225,13 @@
 
     def on_update_acknowledged(self, now: float, name: str, epoch: int, word: wire.UpdateAcknowledged) -> None:
         """Record that a holder uses no summary older than `version`; loads that waited for that are acknowledged."""
-        shelf = self.shelves.get(word.key)
+        shelf = self.records.get(word.key)
         if shelf is not None and word.epoch == self.epoch and (holder := shelf.holders.get((name, epoch))) is not None:
             self._has(now, shelf, holder, word.version)
 
     def on_release_lease(self, now: float, name: str, epoch: int, word: wire.ReleaseLease) -> None:
         """Drop a holder that uses this summary no more; loads that waited for it alone are acknowledged."""
-        shelf = self.shelves.get(word.key)
+        shelf = self.records.get(word.key)
         if shelf is not None and word.epoch == self.epoch and shelf.holders.pop((name, epoch), None) is not None:
             self._settle(now, shelf)
 
@@ -248,8 +248,8 @@
         A repeat of an acknowledged intent is answered at once, one that still waits is ignored. Refused, and counted,
         with MOST_STANDING intents waiting, for another catalogue, or a key that is not kept here.
         """
-        shelf = self.shelves.get(word.key)
-        if shelf is None or word.terms != self.terms.digest:
+        shelf = self.records.get(word.key)
+        if shelf is None or word.catalogue_digest != self.settings.digest:
             self.refused += 1
             return
         intent = name, epoch, word.load, word.chunk
@@ -277,7 +277,7 @@
         shelf.tops.pop(intent, None)
         shelf.acked.pop(intent, None)
         if told.cells is not None:
-            shelf.sunk = shelf.sunk or Summary(shelf.columns, self.terms.bits)
+            shelf.sunk = shelf.sunk or Summary(shelf.columns, self.settings.bits)
             widen(shelf.sunk, told)
 
     def _take(self, now: float, shelf: SummaryRecord, told: LoadIntent) -> None:
@@ -289,7 +289,7 @@
             return
         if shelf.learning is not None:
             widen(shelf.learning, told)
-        if shelf.summary is None or knows(shelf.summary, told):
+        if shelf.summary is None or covers_rows(shelf.summary, told):
             return
         widen(shelf.summary, told)
         self._set(now, shelf, shelf.summary, told)
@@ -316,7 +316,7 @@
         them acknowledged; if not, they are forgotten, and the sender must announce the load anew before it may answer
         its client.
         """
-        shelf = self.shelves.get(word.key)
+        shelf = self.records.get(word.key)
         if shelf is None:
             return
         load = name, epoch, word.load
@@ -355,38 +355,38 @@
 
     # Learning a site anew.
 
-    def unlearnt(self, now: float) -> list[str]:
+    def keys_to_learn(self, now: float) -> list[str]:
         """Return the keys of the summaries that are unknown and may be learnt now."""
         return [
             key
-            for key, shelf in self.shelves.items()
+            for key, shelf in self.records.items()
             if shelf.summary is None
             and shelf.learning is None
             and now >= max(shelf.rest_until, shelf.retry_at)
             and all(now - at >= TOP_MS for at in shelf.tops.values())
         ]
 
-    def begin(self, key: str) -> None:
+    def begin_learning(self, key: str) -> None:
         """Start learning a summary: what is read of the site from now on, with the loads under way and those told
         meanwhile, is the whole of it.
         """
-        shelf = self.shelves[key]
+        shelf = self.records[key]
         for intent in list(shelf.tops):  # older than TOP_MS: should its load end after all, it is told anew
             for table in (shelf.standing, shelf.acked, shelf.waits, shelf.tops):
                 table.pop(intent, None)  # type: ignore[attr-defined]
-        shelf.learning, shelf.spoilt = Summary(shelf.columns, self.terms.bits), False
+        shelf.learning, shelf.spoilt = Summary(shelf.columns, self.settings.bits), False
         if shelf.sunk is not None:
             shelf.learning.merge(shelf.sunk)
         for told, _ in shelf.standing.values():
             if told.cells is not None:
                 widen(shelf.learning, told)
 
-    def learnt(self, now: float, key: str, told: Sequence[LoadIntent] | None, retry_ms: float) -> bool:
+    def finish_learning(self, now: float, key: str, told: Sequence[LoadIntent] | None, retry_ms: float) -> bool:
         """Install what was read (None: it failed).
 
         False: the summary stays unknown and is retried after `retry_ms`, also if a load of unknown rows came meanwhile.
         """
-        shelf = self.shelves[key]
+        shelf = self.records[key]
         made, shelf.learning = shelf.learning, None
         if told is None or made is None or shelf.spoilt:
             shelf.retry_at = now + retry_ms
@@ -403,7 +403,7 @@
         """End leases that are over, acknowledge loads that no lease holds up any more, and repeat the new version's
         number to holders that have not confirmed it, with backoff.
         """
-        for shelf in self.shelves.values():
+        for shelf in self.records.values():
             self._settle(now, shelf)
             if not shelf.waits:
                 continue
@@ -412,10 +412,10 @@
                     holder.said, holder.wait = now, min(AGAIN_MOST_MS, 2.0 * holder.wait)
                     self._say(name, wire.SummaryUpdated(shelf.key, shelf.version, 0, None))
 
-    def due(self, now: float) -> float:
+    def next_tick_ms(self, now: float) -> float:
         """Return when `tick` must be called next, in ms of the monotonic clock; inf while no load waits."""
         at = math.inf
-        for shelf in self.shelves.values():
+        for shelf in self.records.values():
             if not shelf.waits:
                 continue
             if now < shelf.rest_until:
@@ -470,32 +470,32 @@
     """The leased summaries by which this process may leave sites out, and its own loads."""
 
     def __init__(self, terms: SummaryLeaseSettings, homes: dict[str, str]) -> None:
-        self.terms = terms
-        self.held = {key: _LeasedSummary(key, home) for key, home in homes.items()}
+        self.settings = terms
+        self.leases = {key: _LeasedSummary(key, home) for key, home in homes.items()}
         self.loads: dict[int, Load] = {}
-        self.out: list[Post] = []
-        self.changed: list[Load] = []  # that are ready, kept or have to wait again
+        self.outbox: list[Post] = []
+        self.changed_loads: list[Load] = []  # that are ready, kept or have to wait again
         self._seq = self._numbers = 0
 
     def _say(self, name: str, message: wire.Message) -> None:
-        self.out.append((name, wire.encode(message)))
+        self.outbox.append((name, wire.encode(message)))
 
     # Queries.
 
     def summary(self, now: float, key: str) -> Summary | None:
         """Return the summary by which the site may be left out at this moment; None if it may not."""
-        held = self.held.get(key)
+        held = self.leases.get(key)
         return held.summary if held is not None and held.summary is not None and now < held.ends else None
 
-    def want(self, now: float, keys: Sequence[str]) -> bool:
+    def mark_used(self, now: float, keys: Sequence[str]) -> bool:
         """Note that these keys were used, so that their leases are renewed for `keep_ms`.
 
         Return whether some must be requested by a tick.
         """
         fresh = False
         for key in keys:
-            held = self.held[key]
-            if now - held.used > self.terms.keep_ms:
+            held = self.leases[key]
+            if now - held.used > self.settings.keep_ms:
                 held.next, held.wait = now, AGAIN_MS
                 fresh = True
             held.used = now
@@ -506,12 +506,12 @@
         held.asked[self._seq] = now
         while len(held.asked) > MOST_ASKED:
             del held.asked[next(iter(held.asked))]
-        held.next, held.wait = now + held.wait, min(AGAIN_MOST_MS, self.terms.lease_ms / 4.0, 2.0 * held.wait)
+        held.next, held.wait = now + held.wait, min(AGAIN_MOST_MS, self.settings.lease_ms / 4.0, 2.0 * held.wait)
         self._say(
             held.home,
             wire.LeaseRequest(
                 held.key,
-                self.terms.digest,
+                self.settings.digest,
                 self._seq,
                 held.epoch,
                 held.floor,
@@ -533,7 +533,7 @@
 
         Ignored if late, unasked or from an earlier process.
         """
-        held = self.held.get(word.key)
+        held = self.leases.get(word.key)
         if not self._heard(held, name, epoch):
             return
         assert held is not None
@@ -547,7 +547,7 @@
         Dropped: pieces that were not asked for or of an older answer, a version older than one acknowledged (its home
         counts on its not being used), and bytes that are no summary.
         """
-        held = self.held.get(word.key)
+        held = self.leases.get(word.key)
         if not self._heard(held, name, epoch):
             return
         assert held is not None
@@ -576,8 +576,8 @@
 
     def _lease(self, held: _LeasedSummary, asked: float) -> None:
         """Counted from the asking: when the home answered is not known here."""
-        held.ends = max(held.ends, asked + self.terms.lease_ms)
-        held.next, held.wait = max(held.next, asked + RENEW * self.terms.lease_ms), AGAIN_MS
+        held.ends = max(held.ends, asked + self.settings.lease_ms)
+        held.next, held.wait = max(held.next, asked + RENEW * self.settings.lease_ms), AGAIN_MS
 
     def on_summary_updated(self, now: float, name: str, epoch: int, word: wire.SummaryUpdated) -> None:
         """Widen the summary here, or drop it if the new version does not directly follow or names no values;
@@ -585,7 +585,7 @@
 
         From then on no version older than this one is installed. Repeats and late messages are acknowledged as well.
         """
-        held = self.held.get(word.key)
+        held = self.leases.get(word.key)
         if not self._heard(held, name, epoch):
             return
         assert held is not None
@@ -612,7 +612,7 @@
             else [LoadIntent(rows if not at else 0, part) for at, part in enumerate(parts)]
         )
         self._numbers += 1
-        load = Load(self._numbers, key, self.held[key].home, told, now, set(range(len(told))))
+        load = Load(self._numbers, key, self.leases[key].home, told, now, set(range(len(told))))
         self.loads[load.number] = load
         self._widen(now, load)
         return load
@@ -622,7 +622,7 @@
         for at in sorted(load.missing):
             told = load.told[at]
             self._say(
-                load.home, wire.LoadAnnounced(load.key, self.terms.digest, load.number, at, told.rows, told.cells)
+                load.home, wire.LoadAnnounced(load.key, self.settings.digest, load.number, at, told.rows, told.cells)
             )
 
     def on_load_permitted(self, now: float, name: str, epoch: int, word: wire.LoadPermitted) -> None:
@@ -644,7 +644,7 @@
             self._confirm(now, load)
         else:
             load.state = "ready"
-            self.changed.append(load)
+            self.changed_loads.append(load)
 
     def ran(self, now: float, number: int) -> None:
         """Note that the engine served the load; its client may be told so once the state is `kept`."""
@@ -667,13 +667,13 @@
         if word.kept and epoch == load.epoch:
             load.state = "kept"
             del self.loads[word.load]
-            self.changed.append(load)
+            self.changed_loads.append(load)
         elif not word.kept:
             load.state, load.wait = "widening", AGAIN_MS
             load.epoch, load.missing = epoch, set(range(len(load.told)))
             self._widen(now, load)
 
-    def over(self, now: float, number: int, never_ran: bool) -> None:
+    def drop_load(self, now: float, number: int, never_ran: bool) -> None:
         """Drop a load that ended otherwise. Unless it never ran, its intent stands at the home."""
         load = self.loads.pop(number, None)
         if load is None:
@@ -688,8 +688,8 @@
         """Renew leases in use, drop expired summaries that nobody asked for in `keep_ms`, and repeat unanswered
         messages of loads, with backoff.
         """
-        for held in self.held.values():
-            if now - held.used > self.terms.keep_ms:
+        for held in self.leases.values():
+            if now - held.used > self.settings.keep_ms:
                 if held.summary is not None and now >= held.ends:
                     held.summary, held.ends = None, -math.inf
                 continue
@@ -702,20 +702,20 @@
                 elif load.state == "confirming":
                     self._confirm(now, load)
 
-    def due(self) -> float:
+    def next_tick_ms(self) -> float:
         """Return when `tick` must be called next, in ms of the monotonic clock; inf if nothing is pending."""
         at = math.inf
-        for held in self.held.values():
-            if held.next - held.used <= self.terms.keep_ms:
+        for held in self.leases.values():
+            if held.next - held.used <= self.settings.keep_ms:
                 at = min(at, held.next)
         for load in self.loads.values():
             if load.state in ("widening", "confirming"):
                 at = min(at, load.said + load.wait)
         return at
 
-    def bye(self) -> None:
+    def release_all(self) -> None:
         """Drop all summaries and tell their homes."""
-        for held in self.held.values():
+        for held in self.leases.values():
             held.asked.clear()
             if held.summary is not None:
                 held.summary, held.ends = None, -math.inf
--- a/frostspindle/scatter/plan.py
+++ b/frostspindle/scatter/plan.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 from sqlglot import exp
 
-from frostspindle.catalogue import CELLS, DECIMAL, FLOAT, INTEGER, TEXT, Catalogue, Column
+from frostspindle.catalogue import CELL_SUFFIX, DECIMAL, FLOAT, INTEGER, TEXT, Catalogue, Column
 from frostspindle.catalogue import TIME as TIME_TYPE
 from frostspindle.predicates.algebra import And, Compare, Or, Predicate, all_of, any_of, one_of
 from frostspindle.predicates.statements import MAX_LENGTH, MAX_OPEN, Reader, most_open, plain_moment, plain_number
@@ -110,7 +110,7 @@
     """Reads statements on a catalogue's tables; remembers the last CACHED texts."""
 
     def __init__(self, catalogue: Catalogue) -> None:
-        terms = catalogue.terms
+        terms = catalogue.settings
         self.catalogue, self.dialect, self.binary = catalogue, terms.dialect, terms.binary
         self._readers: dict[int, Reader] = {}
         for at, group in catalogue.groups.items():
@@ -149,7 +149,7 @@
         made = _Select(self, group, tree, table)
         statement, how = made.grouped() if made.is_grouped else made.plain()
         name = f"{self.catalogue.groups[group].schema}.{table.name.lower()}"
-        return Plan("", statement or sql, how, stepped(read.predicate(name), self.catalogue.columns[group]))
+        return Plan("", statement or sql, how, with_step_cells(read.predicate(name), self.catalogue.columns[group]))
 
     def _table(self, group: int, table: exp.Expression) -> exp.Table:
         spread = self.catalogue.groups[group]
@@ -198,7 +198,7 @@
             found = {_cell(columns[name], row[at]) if at >= 0 else (UNKNOWN_CELL, "") for row in rows}
             cells[name] = sorted(found)
             if columns[name].step:
-                cells[name + CELLS] = in_steps(cells[name], columns[name].step)
+                cells[name + CELL_SUFFIX] = step_cells(cells[name], columns[name].step)
         places = ()
         if spread.by and set(spread.by) <= set(names):
             ats = [names.index(name) for name in spread.by]
@@ -238,18 +238,18 @@
     return UNKNOWN_CELL, ""
 
 
-def in_steps(cells: Sequence[tuple[int, str]], step: int) -> list[tuple[int, str]]:
+def step_cells(cells: Sequence[tuple[int, str]], step: int) -> list[tuple[int, str]]:
     """Return the step cells that a load's values lie in; values that are no numbers stay as they are."""
     return sorted({(kind, str(math.floor(number(text)) // step) if kind == NUMBER else text) for kind, text in cells})
 
 
-def stepped(predicate: Predicate, columns: dict[str, Column]) -> Predicate:
+def with_step_cells(predicate: Predicate, columns: dict[str, Column]) -> Predicate:
     """Return the predicate with, for each narrow range, the cells in which all rows within that range lie."""
     if type(predicate) is Or:
-        return any_of(*(stepped(part, columns) for part in predicate.parts))
+        return any_of(*(with_step_cells(part, columns) for part in predicate.parts))
     if type(predicate) is not And:
         return predicate
-    parts = [stepped(part, columns) for part in predicate.parts]
+    parts = [with_step_cells(part, columns) for part in predicate.parts]
     for name, column in columns.items():
         bounds = [part for part in parts if type(part) is Compare and part.column == name and part.kind == NUMBER]
         least = [part.value for part in bounds if part.op in (">", ">=")]
@@ -257,7 +257,7 @@
         if column.step and least and most:
             first, last = (math.floor(end) // column.step for end in (max(least), min(most)))  # type: ignore[type-var]
             if first <= last < first + MOST_CELLS:
-                parts.append(one_of(name + CELLS, range(first, last + 1)))
+                parts.append(one_of(name + CELL_SUFFIX, range(first, last + 1)))
     return all_of(*parts)
 
 
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -17,7 +17,7 @@
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any
 
-from frostspindle.catalogue import CELLS, FLOAT, TEXT, Catalogue, Column, home_of, key_of, site_of
+from frostspindle.catalogue import CELL_SUFFIX, FLOAT, TEXT, Catalogue, Column, home_of, key_of, site_of
 from frostspindle.core import SUBREQUEST_FRONT, ClientRequest, Core, Response, ResponseStatus, clock
 from frostspindle.predicates import may_match
 from frostspindle.predicates.values import KINDS, canonical
@@ -25,7 +25,7 @@
 from frostspindle.scatter.gather import Gather, GatheredResponse, estimates
 from frostspindle.scatter.leases import UNKNOWN, Load, LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings
 from frostspindle.scatter.merge import MergeMismatchError, value
-from frostspindle.scatter.plan import Planner, Rows, in_steps
+from frostspindle.scatter.plan import Planner, Rows, step_cells
 from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
@@ -82,9 +82,9 @@
     def __init__(self, catalogue: Catalogue, core: Core, telemetry: Telemetry, fleet: Fleet, classes: int) -> None:
         self.catalogue, self.core, self.telemetry, self.fleet = catalogue, core, telemetry, fleet
         self.classes = classes  # of the front that is scattered; others' requests have higher numbers
-        terms = catalogue.terms
+        terms = catalogue.settings
         self.planner = Planner(catalogue)
-        self.terms = SummaryLeaseSettings(terms.lease_ms, terms.drift, catalogue.digest, terms.keep_ms, terms.bits)
+        self.settings = SummaryLeaseSettings(terms.lease_ms, terms.drift, catalogue.digest, terms.keep_ms, terms.bits)
         self.home: SummaryHome | None = None
         self.holder: SummaryCache | None = None
         self.queries: dict[ClientRequest, _ScatteredQuery] = {}
@@ -104,8 +104,8 @@
         learning sites; called once the fleet's port is ours.
         """
         homes = {key: home_of(key, node.homes) for key in self.catalogue.all_keys()}
-        own = {key: self.catalogue.summed(site_of(key)[1]) for key, home in homes.items() if home == node.name}
-        self.home, self.holder = SummaryHome(node.epoch, self.terms, own, now), SummaryCache(self.terms, homes)
+        own = {key: self.catalogue.summary_columns(site_of(key)[1]) for key, home in homes.items() if home == node.name}
+        self.home, self.holder = SummaryHome(node.epoch, self.settings, own, now), SummaryCache(self.settings, homes)
         self.telemetry.log(
             "scatter_started", sites=len(self.catalogue.sites), groups=len(self.catalogue.groups), keeps=len(own)
         )
@@ -158,10 +158,10 @@
         if home is None or holder is None or self.fleet.node is None:
             return
         own, epoch = self.fleet.name, self.fleet.node.epoch
-        while home.out or holder.out or holder.changed:
-            sending = home.out + holder.out
-            home.out, holder.out = [], []
-            changed, holder.changed = holder.changed, []
+        while home.outbox or holder.outbox or holder.changed_loads:
+            sending = home.outbox + holder.outbox
+            home.outbox, holder.outbox = [], []
+            changed, holder.changed_loads = holder.changed_loads, []
             for load in changed:
                 self._moved(load)
             for name, data in sending:
@@ -173,7 +173,7 @@
                     self.telemetry.count("scatter_too_long")
         if self._timer is not None:
             self._timer.cancel()
-        due = min(home.due(now), holder.due())
+        due = min(home.next_tick_ms(now), holder.next_tick_ms())
         if due < float("inf"):
             self._timer = asyncio.get_running_loop().call_later(max(0.001, (due - monotonic()) / 1000.0), self._tick)
 
@@ -269,7 +269,7 @@
         self.telemetry.count("scatter_left_out", amount=len(skipped))
         query = _ScatteredQuery(
             request,
-            Gather(plan.merge, asked, self.catalogue.terms.null, request.partial, self.catalogue.terms.most_rows),
+            Gather(plan.merge, asked, self.catalogue.settings.null, request.partial, self.catalogue.settings.most_rows),
             {},
         )
         if (whole := query.gather.begin()) is not None:
@@ -302,7 +302,7 @@
         rows: dict[str, int] = {}
         if self.holder is None:
             return skipped, rows
-        if self.holder.want(monotonic(), self.catalogue.keys(group)):
+        if self.holder.mark_used(monotonic(), self.catalogue.keys(group)):
             asyncio.get_running_loop().call_soon(self._tick)
         for site in sites:
             if self.catalogue.sites[site].foreign_loads:
@@ -353,12 +353,15 @@
             )
             return
         columns = (
-            self.catalogue.summed(request.group)
+            self.catalogue.summary_columns(request.group)
             if told.cells is None
             else [name for name, cells in told.cells.items() if cells]
         )
         turn = self.turns[request] = _ScatteredLoad(
-            request, site, began=monotonic(), columns=tuple(dict.fromkeys(name.removesuffix(CELLS) for name in columns))
+            request,
+            site,
+            began=monotonic(),
+            columns=tuple(dict.fromkeys(name.removesuffix(CELL_SUFFIX) for name in columns)),
         )
         if request.key:
             self.lines.setdefault(request.key, deque()).append(turn)
@@ -471,7 +474,7 @@
         if turn.timer is not None:
             turn.timer.cancel()
         if turn.load is not None and self.holder is not None:
-            self.holder.over(monotonic(), turn.load.number, never_ran)
+            self.holder.drop_load(monotonic(), turn.load.number, never_ran)
             asyncio.get_running_loop().call_soon(self._flush, monotonic())
         self._next(turn)
 
@@ -482,8 +485,8 @@
         if self.home is None or self.catalogue.learn_class < 0:
             return
         now = monotonic()
-        for key in self.home.unlearnt(now)[: max(0, LEARNING - len(self._learning))]:
-            self.home.begin(key)
+        for key in self.home.keys_to_learn(now)[: max(0, LEARNING - len(self._learning))]:
+            self.home.begin_learning(key)
             task = asyncio.get_running_loop().create_task(self._learn(key))
             self._learning[key] = task
             task.add_done_callback(lambda _, key=key: self._learning.pop(key, None))
@@ -501,7 +504,7 @@
                     read = await self._read(site, group, f"SELECT DISTINCT {column.name} FROM {name}")
                     cells[column.name] = held = self._cells(column, read)
                     if column.step:
-                        cells[column.name + CELLS] = in_steps(held, column.step)
+                        cells[column.name + CELL_SUFFIX] = step_cells(held, column.step)
                 told.append(LoadIntent(int(count[0][0]), cells))
         except (_SummaryQueryError, MergeMismatchError, ValueError, IndexError) as error:
             told = None
@@ -511,7 +514,7 @@
             self.telemetry.log("scatter_summary_failed", key=key, why=why)
         if self.home is not None:
             now = monotonic()
-            if self.home.learnt(now, key, told, self.catalogue.terms.learn_ms):
+            if self.home.finish_learning(now, key, told, self.catalogue.settings.learn_ms):
                 self.telemetry.log("scatter_summary_learned", key=key, rows=sum(part.rows for part in told or ()))
             self._flush(now)
 
@@ -539,7 +542,7 @@
 
     def _cells(self, column: Column, rows: list[list[str]]) -> list[tuple[int, str]]:
         """A column's distinct values; a text that looks like null may be either."""
-        null = self.catalogue.terms.null
+        null = self.catalogue.settings.null
         if len(rows) > MOST_DISTINCT:
             return [(UNKNOWN, "")]
         out: list[tuple[int, str]] = []
@@ -569,7 +572,7 @@
             "loads_unannounced": counts["scatter_loads_unannounced", "", ""],
             "loads_unconfirmed": counts["scatter_loads_unconfirmed", "", ""],
             "load_wait_ms_p99": round(waits[int(0.99 * (len(waits) - 1))], 1) if waits else None,
-            "leases": sorted(key for key in self.holder.held if self.holder.summary(now, key) is not None)
+            "leases": sorted(key for key in self.holder.leases if self.holder.summary(now, key) is not None)
             if self.holder
             else [],
             "keeps": {
@@ -579,7 +582,7 @@
                     "holders": len(shelf.holders),
                     "standing": len(shelf.standing),
                 }
-                for key, shelf in self.home.shelves.items()
+                for key, shelf in self.home.records.items()
             }
             if self.home
             else {},
@@ -603,7 +606,7 @@
         for task in list(self._learning.values()):
             task.cancel()
         if self.holder is not None:
-            self.holder.bye()
+            self.holder.release_all()
             self._flush(monotonic())
             if self._timer is not None:
                 self._timer.cancel()
--- a/frostspindle/scatter/wire.py
+++ b/frostspindle/scatter/wire.py
@@ -38,7 +38,7 @@
     """
 
     key: Key
-    terms: Whole  # a digest of the catalogue
+    catalogue_digest: Whole  # a digest of the catalogue
     seq: Whole
     epoch: Whole  # of the home's process that `floor` and `have` are of
     floor: Whole
@@ -91,7 +91,7 @@
     """Intent of a load: it is about to insert these rows; `cells` None: any rows."""
 
     key: Key
-    terms: Whole
+    catalogue_digest: Whole
     load: Whole  # the sender's number of it
     chunk: Chunk
     rows: Whole
--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -30,7 +30,7 @@
     binary=True,
     learn_class="batch",
 )
-CATALOGUE = Catalogue(terms=TABLE, groups={}, sites={}, classes={}, loads=frozenset(), learn_class=-1)
+CATALOGUE = Catalogue(settings=TABLE, groups={}, sites={}, classes={}, loads=frozenset(), learn_class=-1)
 
 
 def node():
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -115,13 +115,13 @@
 
 CELLS = {"region": [(2, "north"), (1, "7")]}
 SCATTER = {
-    "lease request": scatter.LeaseRequest(key="t/0", terms=81, seq=82, epoch=83, floor=84, have=85),
+    "lease request": scatter.LeaseRequest(key="t/0", catalogue_digest=81, seq=82, epoch=83, floor=84, have=85),
     "lease renewed": scatter.LeaseUnchanged(key="t/0", seq=86, version=87),
     "summary piece": scatter.SummaryPiece(key="t/0", seq=88, version=89, at=1, of=3, data=b"piece"),
     "summary updated": scatter.SummaryUpdated(key="t/0", version=90, rows=91, cells=CELLS),
     "summary updated, unknown": scatter.SummaryUpdated(key="t/0", version=92, rows=93, cells=None),
     "version acknowledged": scatter.UpdateAcknowledged(key="t/0", epoch=94, version=95),
-    "load intent": scatter.LoadAnnounced(key="t/0", terms=96, load=97, chunk=2, rows=98, cells=CELLS),
+    "load intent": scatter.LoadAnnounced(key="t/0", catalogue_digest=96, load=97, chunk=2, rows=98, cells=CELLS),
     "load intent known": scatter.LoadPermitted(key="t/0", load=99, chunk=2),
     "load ended": scatter.LoadEnded(key="t/0", load=100, chunks=3, ran=True),
     "load known": scatter.LoadRecorded(key="t/0", load=101, kept=True),
--- a/tests/scatter.py
+++ b/tests/scatter.py
@@ -56,20 +56,20 @@
     """True time in ms; `rates`: how much faster each process's clock runs."""
 
     def __init__(self, names, lease_ms=2_000.0, drift=0.0, rates=(), most=99, bits=0, learnt=True):
-        self.terms = SummaryLeaseSettings(lease_ms, drift, 1, 1e9, bits)
+        self.settings = SummaryLeaseSettings(lease_ms, drift, 1, 1e9, bits)
         self.names, self.most, self.now = names, most, 0.0
         self.rates = dict(rates)
-        self.home, self.epoch = SummaryHome(1, self.terms, {KEY: ["n"]}, self.clock(HOME)), 1
-        self.holders = {name: SummaryCache(self.terms, {KEY: HOME}) for name in names}
+        self.home, self.epoch = SummaryHome(1, self.settings, {KEY: ["n"]}, self.clock(HOME)), 1
+        self.holders = {name: SummaryCache(self.settings, {KEY: HOME}) for name in names}
         self.lives = dict.fromkeys(names, 1)
         self.wire: list[tuple[str, str, int, bytes]] = []  # to, from, its epoch, what
         self.rows, self.answered = set(), set()  # at the site; loads that were answered
         self.loads: dict[int, tuple[str, int, int, str]] = {}  # by row: coordinator, its life, number, state
         self.scan: set[int] | None = None  # what a scan under way has read
         if learnt:  # as after a long time without loads
-            self.now = self.terms.back_ms / (1.0 - drift) + 1.0
-            self.home.begin(KEY)
-            self.home.learnt(self.clock(HOME), KEY, [LoadIntent(0, {"n": []})], 0.0)
+            self.now = self.settings.back_ms / (1.0 - drift) + 1.0
+            self.home.begin_learning(KEY)
+            self.home.finish_learning(self.clock(HOME), KEY, [LoadIntent(0, {"n": []})], 0.0)
 
     def copy(self):
         out = copy.copy(self)
@@ -91,14 +91,14 @@
     def collect(self, name):
         part = self.home if name == HOME else self.holders[name]
         epoch = self.epoch if name == HOME else self.lives[name]
-        for to, data in part.out:
+        for to, data in part.outbox:
             message = to, name, epoch, data
             if message not in self.wire:
                 self.wire.append(message)
         del self.wire[: -self.most]  # more are not under way: the oldest is lost
-        part.out = []
+        part.outbox = []
         if name != HOME:
-            for load in part.changed:
+            for load in part.changed_loads:
                 row = next(
                     row
                     for row, (who, life, number, _) in self.loads.items()
@@ -107,7 +107,7 @@
                 if load.state == "kept":
                     self.answered.add(row)
                 self.loads[row] = (*self.loads[row][:3], load.state)
-            part.changed = []
+            part.changed_loads = []
 
     # What can happen.
 
@@ -125,8 +125,8 @@
             getattr(part, HEARS[type(word)])(self.clock(to), source, epoch, word)
         self.collect(to)
 
-    def want(self, name):
-        self.of(name).want(self.clock(name), [KEY])
+    def mark_used(self, name):
+        self.of(name).mark_used(self.clock(name), [KEY])
 
     def load(self, name, row, told=True):
         load = self.of(name).load(self.clock(name), KEY, 1, {"n": [(1, str(row))]} if told else None)
@@ -149,18 +149,18 @@
     def crash(self, name):
         if name == HOME:
             self.epoch += 1
-            self.home = SummaryHome(self.epoch, self.terms, {KEY: ["n"]}, self.clock(HOME))
+            self.home = SummaryHome(self.epoch, self.settings, {KEY: ["n"]}, self.clock(HOME))
             self.scan = None
         else:
             self.lives[name] += 1
-            self.holders[name] = SummaryCache(self.terms, {KEY: HOME})
+            self.holders[name] = SummaryCache(self.settings, {KEY: HOME})
             self.loads = {
                 row: (*load[:3], "lost") if load[0] == name and load[3] not in ("ready", "landed") else load
                 for row, load in self.loads.items()
             }
 
     def begin(self):
-        self.of(HOME).begin(KEY)
+        self.of(HOME).begin_learning(KEY)
         self.scan = None
 
     def read(self):
@@ -168,7 +168,7 @@
 
     def learnt(self):
         told = [LoadIntent(len(self.scan), {"n": [(1, str(row)) for row in sorted(self.scan)]})]
-        self.of(HOME).learnt(self.clock(HOME), KEY, told, 0.0)
+        self.of(HOME).finish_learning(self.clock(HOME), KEY, told, 0.0)
         self.scan = None
         self.collect(HOME)
 
--- a/tests/test_scatter_leases.py
+++ b/tests/test_scatter_leases.py
@@ -9,7 +9,7 @@
 from frostspindle.lab.explore import explore
 from frostspindle.predicates.summaries import Summary
 from frostspindle.scatter import leases, wire
-from frostspindle.scatter.leases import LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings, knows, widen
+from frostspindle.scatter.leases import LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings, covers_rows, widen
 
 STEP = 1_000.0  # ms: a whole lease of the model checks
 
@@ -30,7 +30,7 @@
 
 def _key(world):
     """All of a state that matters, with times relative to now."""
-    now, shelf = world.now, world.home.shelves[KEY]
+    now, shelf = world.now, world.home.records[KEY]
     home = (
         world.home.epoch,
         max(0, shelf.rest_until - now),
@@ -52,7 +52,7 @@
     )
     parts = []
     for holder in world.holders.values():
-        held = holder.held[KEY]
+        held = holder.leases[KEY]
         parts.append(
             (
                 held.epoch,
@@ -97,9 +97,9 @@
         yield step("time", pass_, left=(times - 1, crashes))
     for message in world.wire:
         yield step(f"deliver {type(wire.decode(message[3])).__name__}", World.deliver, message)
-    if world.holders["a"].due() <= world.now:
+    if world.holders["a"].next_tick_ms() <= world.now:
         yield step("ask", World.tick, "a")
-    if world.home.due(world.now) <= world.now:
+    if world.home.next_tick_ms(world.now) <= world.now:
         yield step("home", World.tick, HOME)
     if 7 not in world.loads:
         yield step("load", World.load, "b", 7)
@@ -110,9 +110,9 @@
             yield step("ran", World.ran, row)
     if crashes:
         yield step("crash", World.crash, HOME, left=(times, crashes - 1))
-    if world.home.unlearnt(world.now):
+    if world.home.keys_to_learn(world.now):
         yield step("begin", World.begin)
-    if world.home.shelves[KEY].learning is not None:
+    if world.home.records[KEY].learning is not None:
         yield step("read", World.read) if world.scan is None else step("learnt", World.learnt)
 
 
@@ -123,7 +123,7 @@
     monkeypatch.setattr(leases, "AGAIN_MOST_MS", STEP)
     start = World(["a", "b"], STEP, most=most)
     start.left = times, crashes
-    start.want("a")
+    start.mark_used("a")
     start.tick("a")
     while start.wire:
         start.deliver(start.wire[0])
@@ -145,7 +145,7 @@
         self.world = World(self.names, drift=0.05, rates=dict(zip((*self.names, HOME), rates, strict=True)), bits=64)
         self.row = 0
         for name in self.names:
-            self.world.want(name)
+            self.world.mark_used(name)
 
     @rule(ms=st.sampled_from([1.0, 70.0, 400.0, 900.0, 2_200.0]))
     def time(self, ms):
@@ -196,14 +196,14 @@
     def crash(self, name):
         self.world.crash(name)
         if name != HOME:
-            self.world.want(name)
+            self.world.mark_used(name)
 
-    @precondition(lambda self: self.world.home.unlearnt(self.world.clock(HOME)))
+    @precondition(lambda self: self.world.home.keys_to_learn(self.world.clock(HOME)))
     @rule()
     def learn(self):
         self.world.begin()
 
-    @precondition(lambda self: self.world.home.shelves[KEY].learning is not None)
+    @precondition(lambda self: self.world.home.records[KEY].learning is not None)
     @rule()
     def read(self):
         if self.world.scan is None:
@@ -229,7 +229,7 @@
 def world(*names, **kw):
     out = World(names or ("a", "b"), **kw)
     for name in out.names:
-        out.want(name)
+        out.mark_used(name)
         out.tick(name)
     drain(out)
     return out
@@ -260,13 +260,13 @@
     w.land(7)
     w.ran(7)
     drain(w)
-    assert w.answered == {7} and not w.home.shelves[KEY].standing and not w.holders["b"].loads
+    assert w.answered == {7} and not w.home.records[KEY].standing and not w.holders["b"].loads
 
 
 @pytest.mark.parametrize(("slow", "fast"), [("a", HOME), (HOME, "a")])
 def test_a_lease_is_over_here_before_it_is_there_however_clocks_run(slow, fast):
     w = World(("a", "b"), drift=0.05, rates={slow: 0.95, fast: 1.05})
-    w.want("a")
+    w.mark_used("a")
     w.tick("a")
     drain(w)
     w.load("b", 7)
@@ -297,10 +297,10 @@
     for row, never_ran in ((7, True), (8, False)):
         w.load("b", row)
         drain(w)
-        w.holders["b"].over(w.now, w.loads[row][2], never_ran)
+        w.holders["b"].drop_load(w.now, w.loads[row][2], never_ran)
         w.collect("b")
         drain(w)
-    assert [told.cells for told, _ in w.home.shelves[KEY].standing.values()] == [{"n": [(1, "8")]}]
+    assert [told.cells for told, _ in w.home.records[KEY].standing.values()] == [{"n": [(1, "8")]}]
 
 
 def test_any_rows_make_a_site_unknown_until_that_load_has_ended_and_it_is_learnt_anew():
@@ -308,11 +308,11 @@
     w.load("b", 7, told=False)
     drain(w)
     assert w.loads[7][3] == "ready" and w.holders["a"].summary(w.now, KEY) is None
-    assert w.home.unlearnt(w.now) == []
+    assert w.home.keys_to_learn(w.now) == []
     w.land(7)
     w.ran(7)
     drain(w)
-    assert w.answered == {7} and w.home.unlearnt(w.now) == [KEY]
+    assert w.answered == {7} and w.home.keys_to_learn(w.now) == [KEY]
     w.begin()
     w.read()
     w.learnt()
@@ -325,13 +325,13 @@
 
 def test_what_may_bring_any_row_while_a_site_is_learnt_spoils_that():
     w = World(("a", "b"), learnt=False)
-    w.now = w.terms.back_ms + 1.0
+    w.now = w.settings.back_ms + 1.0
     w.begin()
     w.read()
     w.load("b", 7, told=False)
     w.deliver(w.wire[0])
     w.learnt()
-    assert w.home.shelves[KEY].summary is None and w.home.unlearnt(w.now) == []
+    assert w.home.records[KEY].summary is None and w.home.keys_to_learn(w.now) == []
 
 
 def test_a_later_process_of_the_home_is_told_anew_before_a_load_is_answered():
@@ -348,19 +348,19 @@
     drain(w)
     assert w.answered == {7}
     # Its summaries are its own: what its predecessor said, however late, and however high its versions were, is void.
-    w.holders["a"].held[KEY].floor = 9
+    w.holders["a"].leases[KEY].floor = 9
     w.begin()
     w.read()
     w.learnt()
     w.now += 1_000.0
     w.tick("a")
     drain(w)
-    assert w.holders["a"].summary(w.now, KEY) is not None and w.holders["a"].held[KEY].floor == 2
+    assert w.holders["a"].summary(w.now, KEY) is not None and w.holders["a"].leases[KEY].floor == 2
     w.now += 1_000.0
     w.tick("a")
-    seq = max(w.holders["a"].held[KEY].asked)
+    seq = max(w.holders["a"].leases[KEY].asked)
     w.holders["a"].on_summary_piece(w.now, HOME, 1, wire.SummaryPiece(KEY, seq, 50, 0, 1, Summary(["n"], 0).encode()))
-    assert w.holders["a"].held[KEY].version == 2
+    assert w.holders["a"].leases[KEY].version == 2
 
 
 def test_only_who_was_told_says_kept_and_what_was_told_anew_is_confirmed_anew():
@@ -371,9 +371,9 @@
     for epoch, kept, state in ((3, True, "confirming"), (1, False, "confirming"), (3, False, "widening")):
         holder.on_load_recorded(2.0, HOME, epoch, wire.LoadRecorded(KEY, 1, kept))
         assert load.state == state
-    holder.out.clear()
+    holder.outbox.clear()
     holder.on_load_permitted(3.0, HOME, 3, wire.LoadPermitted(KEY, 1, 0))
-    assert [wire.decode(data) for _, data in holder.out] == [
+    assert [wire.decode(data) for _, data in holder.outbox] == [
         wire.LoadEnded(KEY, 1, 1, True)
     ] and load.state == "confirming"
     holder.on_load_recorded(4.0, HOME, 3, wire.LoadRecorded(KEY, 1, True))
@@ -398,18 +398,18 @@
         if row == 7:
             w.wire.clear()
     drain(w)
-    assert w.home.shelves[KEY].version == 4 and w.holders["a"].held[KEY].floor == 4
+    assert w.home.records[KEY].version == 4 and w.holders["a"].leases[KEY].floor == 4
     assert w.holders["a"].summary(w.now, KEY) is None and w.loads[7][3] == "ready" == w.loads[8][3]
     w.now += 100.0
     w.tick("a")
     drain(w)
-    assert knows(w.holders["a"].summary(w.now, KEY), LoadIntent(2, {"n": [(1, "7"), (1, "8")]}))
+    assert covers_rows(w.holders["a"].summary(w.now, KEY), LoadIntent(2, {"n": [(1, "7"), (1, "8")]}))
 
 
 def test_who_has_another_catalogue_gets_no_lease_and_loads_nothing(monkeypatch):
     w = World(("a",))
-    w.holders["a"].terms = SummaryLeaseSettings(2_000.0, 0.0, 2, 1e9, 0)
-    w.want("a")
+    w.holders["a"].settings = SummaryLeaseSettings(2_000.0, 0.0, 2, 1e9, 0)
+    w.mark_used("a")
     w.tick("a")
     w.load("a", 7)
     drain(w)
@@ -420,15 +420,15 @@
     for name, most in (("MOST_HOLDERS", 1), ("MOST_STANDING", 2), ("MOST_ENDED", 1), ("MOST_LOADS", 4)):
         monkeypatch.setattr(leases, name, most)
     w = world("a", "b")
-    assert len(w.home.shelves[KEY].holders) == 1 and w.home.refused
+    assert len(w.home.records[KEY].holders) == 1 and w.home.refused
     for row in range(4):
         w.load("b", row)
         drain(w)
     assert w.holders["b"].load(0.0, KEY, 1, {}) is None
-    shelf = w.home.shelves[KEY]
+    shelf = w.home.records[KEY]
     assert len(shelf.standing) == 2 and shelf.sunk.rows  # the oldest goes on there
-    w.home.begin(KEY)
-    assert knows(shelf.learning, LoadIntent(1, {"n": [(1, "0"), (1, "3")]}))
+    w.home.begin_learning(KEY)
+    assert covers_rows(shelf.learning, LoadIntent(1, {"n": [(1, "0"), (1, "3")]}))
     assert [w.loads[row][3] for row in range(4)] == ["ready"] * 4
     w.land(0)
     w.ran(0)  # its intent has sunk: it is told anew before it is answered
@@ -443,12 +443,12 @@
         wire.ReleaseLease("x/1", 1),
     ):
         getattr(home, HEARS[type(message)])(0.0, "a", 1, message)
-    assert home.out == []
+    assert home.outbox == []
 
 
 def test_word_that_is_late_of_others_or_spoilt_makes_no_lease():
     holder = SummaryCache(SummaryLeaseSettings(2_000.0, 0.0), {KEY: HOME})
-    holder.want(0.0, [KEY])
+    holder.mark_used(0.0, [KEY])
     holder.tick(0.0)
     data = Summary(["n"], 0).encode()
     for now, name, epoch, word in (
@@ -478,7 +478,7 @@
 
 def test_a_summary_of_many_messages_is_whole_or_not_there():
     w = World(("a",), bits=16_384)
-    w.want("a")
+    w.mark_used("a")
     w.tick("a")
     w.deliver(w.wire[0])
     assert len(w.wire) == 3
@@ -496,22 +496,24 @@
         w.tick("a")
         drain(w)
         assert w.holders["a"].summary(w.now, KEY) is not None
-    w.holders["a"].bye()
+    w.holders["a"].release_all()
     w.collect("a")
     drain(w)
-    assert not w.home.shelves[KEY].holders and w.holders["a"].summary(w.now, KEY) is None
+    assert not w.home.records[KEY].holders and w.holders["a"].summary(w.now, KEY) is None
 
 
 def test_what_a_summary_knows_need_not_be_told():
     summary = Summary(["n", "s"], 64)
     told = LoadIntent(1, {"n": [(1, "7"), (0, "")], "s": [(2, "b" * 80)]})
-    assert not knows(summary, told)
+    assert not covers_rows(summary, told)
     widen(summary, told)
-    assert knows(summary, told)
+    assert covers_rows(summary, told)
     for cells in ({"n": [(1, "8")]}, {"s": [(0, "")]}, {"s": [(1, "7")]}, {"n": [(4, "")]}, {"s": [(2, "c")]}):
-        assert not knows(summary, LoadIntent(1, cells))
+        assert not covers_rows(summary, LoadIntent(1, cells))
     widen(summary, LoadIntent(1, {"n": [(4, "")], "s": []}))
-    assert knows(summary, LoadIntent(1, {"n": [(2, "any")]}))
+    assert covers_rows(summary, LoadIntent(1, {"n": [(2, "any")]}))
     wide = Summary(["n"], 1_024)
     widen(wide, LoadIntent(2, {"n": [(1, "1"), (1, "9")]}))
-    assert knows(wide, LoadIntent(1, {"n": [(1, "9")]})) and not knows(wide, LoadIntent(1, {"n": [(1, "7")]}))
+    assert covers_rows(wide, LoadIntent(1, {"n": [(1, "9")]})) and not covers_rows(
+        wide, LoadIntent(1, {"n": [(1, "7")]})
+    )
--- a/tests/test_scatter_plan.py
+++ b/tests/test_scatter_plan.py
@@ -7,14 +7,14 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from frostspindle.catalogue import CELLS, Catalogue, CatalogueError, Column, read, with_scatter
+from frostspindle.catalogue import CELL_SUFFIX, Catalogue, CatalogueError, Column, read, with_scatter
 from frostspindle.predicates import all_of, compare, may_match
 from frostspindle.predicates.summaries import Summary
 from frostspindle.predicates.values import KINDS, canonical
 from frostspindle.scatter.gather import Gather, estimates
 from frostspindle.scatter.leases import LoadIntent, widen
 from frostspindle.scatter.merge import KEY, Cell, Merge, MergeMismatchError, Order, merge
-from frostspindle.scatter.plan import Planner, in_steps, stepped
+from frostspindle.scatter.plan import Planner, step_cells, with_step_cells
 from frostspindle.scatter.wire import MAX_MESSAGE_BYTES, MOST_CHUNKS, LoadAnnounced, chunks, encode
 
 NULL = "\\N"
@@ -117,13 +117,13 @@
         return
     asked = []
     for rows in sites:
-        summary = Summary(["n", "n" + CELLS, "m", "s"], 1_024)
+        summary = Summary(["n", "n" + CELL_SUFFIX, "m", "s"], 1_024)
         for row in rows:
             cells = {
                 name: [(0, "") if held is None else (KINDS[type(held)], str(held))]
                 for name, held in zip("nms", row, strict=True)
             }
-            widen(summary, LoadIntent(1, {**cells, "n" + CELLS: in_steps(cells["n"], 3)}))
+            widen(summary, LoadIntent(1, {**cells, "n" + CELL_SUFFIX: step_cells(cells["n"], 3)}))
         if may_match(plan.predicate, summary):  # the others are left out
             asked.append(texts(table(rows), plan.statement or sql))
     found = merge(plan.merge, asked, NULL)
@@ -157,21 +157,21 @@
 @settings(max_examples=60, deadline=None)
 @given(DECIMALS, DECIMALS, st.sampled_from([">", ">="]), st.sampled_from(["<", "<="]), DECIMALS, st.integers(1, 7))
 def test_a_range_asks_for_the_cells_of_all_that_lie_in_it(low, high, above, below, held, step):
-    summary = Summary(["d", "d" + CELLS], 1_024)
+    summary = Summary(["d", "d" + CELL_SUFFIX], 1_024)
     cells = [(1, canonical(held))]
-    widen(summary, LoadIntent(1, {"d": cells, "d" + CELLS: in_steps(cells, step)}))
+    widen(summary, LoadIntent(1, {"d": cells, "d" + CELL_SUFFIX: step_cells(cells, step)}))
     within = all_of(compare("d", above, low), compare("d", below, high))
-    found = stepped(within, {"d": Column("d", "decimal", 1, step)})
+    found = with_step_cells(within, {"d": Column("d", "decimal", 1, step)})
     assert may_match(found, summary) == may_match(within, summary)  # of one value the bounds are exact
 
 
 def test_a_narrow_range_between_two_values_is_left_out():
     plan = PLAN.plan(17, "SELECT s FROM calls_17.notes WHERE n BETWEEN 30 AND 33 OR n > 40 AND n < 44")
-    summary = Summary(["n", "n" + CELLS], 1_024)
+    summary = Summary(["n", "n" + CELL_SUFFIX], 1_024)
     for held in ("1", "99"):
-        widen(summary, LoadIntent(1, {"n": [(1, held)], "n" + CELLS: in_steps([(1, held)], 3)}))
+        widen(summary, LoadIntent(1, {"n": [(1, held)], "n" + CELL_SUFFIX: step_cells([(1, held)], 3)}))
     assert not may_match(plan.predicate, summary)
-    widen(summary, LoadIntent(1, {"n": [(1, "43")], "n" + CELLS: in_steps([(1, "43")], 3)}))
+    widen(summary, LoadIntent(1, {"n": [(1, "43")], "n" + CELL_SUFFIX: step_cells([(1, "43")], 3)}))
     assert may_match(plan.predicate, summary)
 
 
@@ -264,7 +264,7 @@
 
     sure = told("(1, 'x', '2026-01-02', -0.25), (NULL, 'x', NULL, 3)")
     assert (sure["n"], sure["s"], sure["d"]) == ([(0, ""), (1, "1")], [(2, "x")], [(1, "-0.25"), (1, "3")])
-    assert (sure["n" + CELLS], sure["d" + CELLS]) == ([(0, ""), (1, "0")], [(1, "-1"), (1, "0")])
+    assert (sure["n" + CELL_SUFFIX], sure["d" + CELL_SUFFIX]) == ([(0, ""), (1, "0")], [(1, "-1"), (1, "0")])
     assert sure["m"] == [(4, "")]  # its default is not known
     assert "f" not in sure
     for values in ("('1', 'x', NULL, 1)", "(1.5, 'x', NULL, 1)", "(1 + 1, 'x', NULL, 1)"):
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -129,11 +129,11 @@
         now = monotonic()
         with unittest.mock.patch.object(ScatterService, "_search"):  # what is learnt is told below
             self.scatter.on_started(now - 60_000.0, self.scatter.fleet.node)
-        for key in self.scatter.home.shelves if learnt else ():
-            self.scatter.home.begin(key)
+        for key in self.scatter.home.records if learnt else ():
+            self.scatter.home.begin_learning(key)
             cells = {"agent": [(2, key[0])], "at": [], "note": [(1, "5")], "note\0": [(1, "0")]}
-            self.scatter.home.learnt(now, key, [LoadIntent(1, cells)], 0.0)
-        self.scatter.holder.want(now, list(self.scatter.holder.held))
+            self.scatter.home.finish_learning(now, key, [LoadIntent(1, cells)], 0.0)
+        self.scatter.holder.mark_used(now, list(self.scatter.holder.leases))
         self.scatter._tick()
 
     async def turn(self):
@@ -197,7 +197,9 @@
         sites = self.scatter.catalogue.sites
         sites["b"] = replace(sites["b"], foreign_loads=True)
         await self.begin()
-        self.scatter.holder.held.setdefault("b/17", self.scatter.holder.held["floor-1/17"])  # what it must not look at
+        self.scatter.holder.leases.setdefault(
+            "b/17", self.scatter.holder.leases["floor-1/17"]
+        )  # what it must not look at
         self.ask("SELECT note FROM calls_17.notes WHERE agent = 'nobody'")
         self.assertEqual([part.cls for part in self.core.asks], [self.config.scatter.classes[0, "b"]])
         self.ask(INSERT.format("x"), "load", 2, site="b")
@@ -206,12 +208,12 @@
 
     async def test_a_lease_that_ran_out_while_the_process_stood_still_leaves_nothing_out(self):
         await self.begin()
-        held = self.scatter.holder.held["floor-1/17"]
+        held = self.scatter.holder.leases["floor-1/17"]
         judge, stands = sys.modules["frostspindle.scatter.service"].may_match, []
 
         def stopped(predicate, summary):  # for longer than the lease, after it was looked at
             stands.append(held.ends)
-            for one in self.scatter.holder.held.values():
+            for one in self.scatter.holder.leases.values():
                 one.ends = monotonic() - 1.0
             return judge(predicate, summary)
 
@@ -234,7 +236,7 @@
         self.core.asks[1].on_response(Response(ResponseStatus.FAILED))
         self.assertEqual((self.answers[2].status, self.scatter.lines), (ResponseStatus.FAILED, {}))
         self.assertEqual(told, [("b", 17, ("agent", "at", "note"))])  # of the one that was answered as served
-        self.assertEqual(len(self.scatter.home.shelves["b/17"].standing), 1)  # it may have run
+        self.assertEqual(len(self.scatter.home.records["b/17"].standing), 1)  # it may have run
         agents = [
             next(f"a{n}" for n in range(99) if home_of(f"2a{n}", ["floor-1", "b"]) == site) for site in ("floor-1", "b")
         ]  # one of each site
