--- a/frostspindle/lab/scatter.py
+++ b/frostspindle/lab/scatter.py
@@ -344,7 +344,7 @@
     it and the waits (ms) count from when the first leases could be held. `asked_without_lease`: over the whole run,
     sites that could be left out but were asked for want of a lease."""
     e = emulator
-    begin = min(e.seconds * 500.0, e.settings.back_ms + 1_500.0)
+    begin = min(e.seconds * 500.0, e.settings.home_lease_ms + 1_500.0)
     seen = [(left_out, could) for at, left_out, could in e.seen if at >= begin]
     left_out, could = (sum(column) for column in zip(*seen, strict=True)) if seen else (0, 0)
     waits = sorted(wait for at, wait in e.waits if at >= begin)
--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -53,7 +53,7 @@
     bits: int = 4_096
 
     @property
-    def back_ms(self) -> float:
+    def home_lease_ms(self) -> float:
         """Time in ms after which the home counts a lease as over, by its own clock and after its answer: the lease,
         stretched by the drift of both clocks.
         """
@@ -181,7 +181,7 @@
 
     def __init__(self, epoch: int, terms: SummaryLeaseSettings, columns: dict[str, Sequence[str]], now: float) -> None:
         self.epoch, self.settings = epoch, terms
-        rest = now + terms.back_ms
+        rest = now + terms.home_lease_ms
         self.records = {key: SummaryRecord(key, names, rest) for key, names in columns.items()}
         self.outbox: list[Post] = []
         self.pushed = self.refused = 0
@@ -213,7 +213,7 @@
                 self.refused += 1
                 return
             holder = shelf.holders[who] = _SummaryHolder(0.0, shelf.version)
-        holder.ends = max(holder.ends, now + self.settings.back_ms)
+        holder.ends = max(holder.ends, now + self.settings.home_lease_ms)
         if ask.epoch == self.epoch and ask.have == shelf.version:
             self._say(name, wire.LeaseUnchanged(ask.key, ask.seq, shelf.version))
             return
--- a/tests/scatter.py
+++ b/tests/scatter.py
@@ -67,7 +67,7 @@
         self.loads: dict[int, tuple[str, int, int, str]] = {}  # by row: coordinator, its life, number, state
         self.scan: set[int] | None = None  # what a scan under way has read
         if learnt:  # as after a long time without loads
-            self.now = self.settings.back_ms / (1.0 - drift) + 1.0
+            self.now = self.settings.home_lease_ms / (1.0 - drift) + 1.0
             self.home.begin_learning(KEY)
             self.home.finish_learning(self.clock(HOME), KEY, [LoadIntent(0, {"n": []})], 0.0)
 
--- a/tests/test_scatter_leases.py
+++ b/tests/test_scatter_leases.py
@@ -325,7 +325,7 @@
 
 def test_what_may_bring_any_row_while_a_site_is_learnt_spoils_that():
     w = World(("a", "b"), learnt=False)
-    w.now = w.settings.back_ms + 1.0
+    w.now = w.settings.home_lease_ms + 1.0
     w.begin()
     w.read()
     w.load("b", 7, told=False)
