--- a/frostspindle/scatter/__init__.py
+++ b/frostspindle/scatter/__init__.py
@@ -1,7 +1,7 @@
-"""Scattered requests: one statement answered from the sites whose summaries say that they may hold rows of its answer.
+"""Scatter/gather: one statement is sent to the sites that may have rows of its result, and their rows are merged.
 
-Owns the catalogue of what is spread over which sites (`catalogue`), what a statement becomes (`plan`, `merge`), who may
-leave a site out and what a load owes before and after it runs (`leases`, `wire`), one request's parts (`gather`), and
-how all of it hangs in the program (`service`, `wiring`). It must never send a part by itself, each goes through the
-core like any client's request, and nothing of it is loaded where no operator's file has a `[scatter]`.
+`catalogue` defines which tables are spread over which sites, `plan` and `merge` what a statement becomes, `leases` and
+`wire` who may skip a site and what a load does before and after it runs, `gather` collects the parts of one request,
+and `service` and `wiring` connect all of it to the program. Parts are submitted to the core like any client's request.
+Nothing here is imported unless the operator's file has a `[scatter]`.
 """
--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -1,19 +1,19 @@
-"""Leases on summaries, by which sites are left out, and what a load must do before and after it runs: both sides.
-
-Owns both decision cores, without I/O and without a clock: messages and the own monotonic time in ms come in, messages
-go out by `out`. It must never let two things be true at once: that a load has been answered as served, and that some
-coordinator leaves its site out by a summary without that load's rows.
-
-    A holder leaves a site out by a summary for `lease` ms of its clock from the moment it ASKED, then never again.
-    The home counts the lease as over `lease` ms times (1 + drift) / (1 - drift) after it ANSWERED.
-    A load's rows are told to the home BEFORE the load is sent (an intent), and the load is sent only when each holder
-    has acknowledged them or its lease is over. After the load, and before its answer, the home confirms that it still
-    is the process that was told: a later one knows nothing, and is told anew first.
-    A holder that has acknowledged a version installs no older one, however late it comes.
-    A home that starts can't know who holds what its predecessor lent: it acknowledges nothing for a whole lease. It
-    knows no summary either until the site was learnt anew; an intent that stands meanwhile is in whatever is learnt.
-
-No summary (None) says that any row may be there.
+"""Leases on summaries of sites: the protocol between a summary's home and the coordinators that skip sites by it.
+
+`SummaryHome` and `SummaryCache` are the two sides, without I/O and without a clock: they take messages and the local
+monotonic time in ms, and leave messages in `outbox`. Invariant: while any coordinator skips a site by a summary, every
+load that has been answered as served is included in that summary.
+
+    A holder uses a summary for `lease_ms` of its own clock from the moment at which it sent the request.
+    The home counts the lease as expired `lease_ms` * (1 + drift) / (1 - drift) after it sent the response.
+    Before a load is sent, its rows are announced to the home (an intent). The load is sent once each holder has
+    acknowledged them or its lease has expired. After the load has run and before its response, the home confirms that
+    it is still the process that took the intent; a later process has no record of it, and the load is announced again.
+    A holder that has acknowledged a version never installs an older one, even if it arrives later.
+    A home that starts does not know which leases its predecessor granted. It acknowledges nothing for the length of a
+    lease, and has no summary until it has read the site again. The rows of open intents are added to what it reads.
+
+No summary (None) means that the site may have any row.
 """
 
 from __future__ import annotations
@@ -29,22 +29,23 @@
 from frostspindle.scatter import wire
 from frostspindle.scatter.wire import Cells
 
-AGAIN_MS = 60.0  # what is not answered is said again after this, then twice as late each time
-AGAIN_MOST_MS = 1_000.0
-MOST_HOLDERS = 4_096  # of one summary
-MOST_STANDING = 4_096  # intents of one summary whose loads' ends are not known; the oldest go on in `sunk`
-MOST_ENDED = 4_096
-MOST_LOADS = 1_024  # of one coordinator, between their intent and their answer
-MOST_ASKED = 8  # asks of one holder that may still be answered
-TOP_MS = 600_000.0  # what may bring any row keeps its site from being learnt for so long, if its end is never told
-RENEW = 0.4  # a lease is renewed when this part of it is over
-UNKNOWN = 4  # kind of a value that nobody can tell
-UNTYPED = object()  # which makes a summary's column unknown
+RETRY_MS = 60.0  # unanswered messages are sent again after this, with exponential backoff
+MAX_RETRY_MS = 1_000.0
+MAX_HOLDERS = 4_096  # of one summary
+MAX_OPEN_INTENTS = 4_096  # of one summary; beyond it the oldest are merged into `overflow`
+MAX_ENDED_LOADS = 4_096
+MAX_LOADS = 1_024  # unfinished ones of one coordinator
+MAX_UNANSWERED_REQUESTS = 8  # lease requests of one holder for one summary
+# A load of unknown rows whose end is never reported keeps its site from being learnt for this long.
+UNKNOWN_ROWS_HOLD_MS = 600_000.0
+RENEW_FRACTION = 0.4  # of a lease, after which it is renewed
+UNKNOWN_KIND = 4  # kind of a value that is not known
+UNTYPED = object()  # a value that can't be typed; it makes a column of a summary unknown
 
 
 @dataclass(slots=True, frozen=True)
 class SummaryLeaseSettings:
-    """Lease times in ms, drift and sketch size, the same at all coordinators."""
+    """Lease times in ms, maximum clock drift and sketch size in bits; all coordinators must have the same."""
 
     lease_ms: float
     drift: float
@@ -54,27 +55,28 @@
 
     @property
     def home_lease_ms(self) -> float:
-        """Time in ms after which the home counts a lease as over, by its own clock and after its answer: the lease,
-        stretched by the drift of both clocks.
+        """Time in ms after the response at which the home, by its own clock, counts a lease as expired.
+
+        It is the lease time, extended by the drift of both clocks.
         """
         return self.lease_ms * (1.0 + self.drift) / (1.0 - self.drift)
 
 
 class LoadIntent(NamedTuple):
-    """What a load is about to insert; `cells` None: any row."""
+    """The rows that a load will insert; `cells` None: they are not known."""
 
     rows: int
     cells: Cells | None
 
 
-Post = tuple[str, bytes]  # to whom, what
+Outgoing = tuple[str, bytes]  # receiver, message
 
 
 # Summaries and values.
 
 
-def raw(cell: tuple[int, str]) -> object:
-    """Return a told value as a summary takes it; UNTYPED for one that nobody can tell."""
+def cell_value(cell: tuple[int, str]) -> object:
+    """Convert the cell of a message to a value for a summary; UNTYPED if the value is not known or can't be parsed."""
     kind, text = cell
     if kind == 0:
         return None
@@ -92,18 +94,21 @@
         return UNTYPED
 
 
-def widen(summary: Summary, told: LoadIntent) -> None:
-    """Widen the summary by rows of known values; the row counts are then made consistent by `balance`."""
-    assert told.cells is not None
-    for name, cells in told.cells.items():
+def widen(summary: Summary, intent: LoadIntent) -> None:
+    """Widen the summary by rows of known values and make its counts consistent."""
+    assert intent.cells is not None
+    for name, cells in intent.cells.items():
         if (column := summary.columns.get(name)) is not None:
             for cell in cells:
-                column.widen(raw(cell))
-    balance(summary, told.rows)
+                column.widen(cell_value(cell))
+    balance(summary, intent.rows)
 
 
 def balance(summary: Summary, rows: int = 0) -> None:
-    """Make the counts consistent, erring to more rows: values are told once each, however many rows hold them."""
+    """Make the counts consistent, erring to more rows.
+
+    Intents list each distinct value once, so the counts of values and nulls are not those of rows.
+    """
     summary.rows = max([summary.rows + rows, *(column.values + column.nulls for column in summary.columns.values())])
     for column in summary.columns.values():
         if not column.values:
@@ -114,19 +119,19 @@
             column.values = summary.rows
 
 
-def covers_rows(summary: Summary, told: LoadIntent) -> bool:
-    """Tell whether the summary allows for such rows already, so that no holder need be told."""
-    assert told.cells is not None
+def covers_rows(summary: Summary, intent: LoadIntent) -> bool:
+    """Return whether the summary already allows such rows, so that no holder has to be updated."""
+    assert intent.cells is not None
     if not summary.rows:
         return False
     for name, column in summary.columns.items():
-        for cell in told.cells.get(name, ()):
-            value = raw(cell)
+        for cell in intent.cells.get(name, ()):
+            value = cell_value(cell)
             if value is None:
                 if not column.nulls:
                     return False
                 continue
-            if column.kind == 4:  # of several kinds: nothing is known of it
+            if column.kind == 4:  # values of several kinds: the column excludes nothing
                 continue
             if value is UNTYPED:
                 return False
@@ -141,505 +146,546 @@
     return True
 
 
-# The home's side.
+# The home.
 
 
 @dataclass(slots=True)
 class _SummaryHolder:
-    """One process that may leave the site out, as its home has it."""
+    """The home's record of one process that has a lease on a summary."""
 
-    ends: float
-    version: int  # it leaves nothing out by an older one
-    said: float = -math.inf
-    wait: float = AGAIN_MS
+    expires_at: float
+    version: int  # the oldest version that the holder may still use
+    last_sent_at: float = -math.inf
+    retry_ms: float = RETRY_MS
 
 
 @dataclass(slots=True)
 class SummaryRecord:
-    """One summary at its home, with its holders and the loads under way."""
+    """One summary at its home, with its holders and the open intents of loads."""
 
     key: str
     columns: Sequence[str]
-    rest_until: float
+    silent_until: float  # end of the pause after a start, in which nothing is granted or acknowledged
     summary: Summary | None = None
     version: int = 1
-    data: bytes | None = None  # the summary, written
+    encoded: bytes | None = None  # the summary
     holders: dict[tuple[str, int], _SummaryHolder] = field(default_factory=dict)
-    standing: OrderedDict[tuple[str, int, int, int], tuple[LoadIntent, float]] = field(default_factory=OrderedDict)
-    sunk: Summary | None = None
-    ended: OrderedDict[tuple[str, int, int], None] = field(default_factory=OrderedDict)
-    waits: dict[tuple[str, int, int, int], int] = field(default_factory=dict)  # intents: the version all must have
-    acked: OrderedDict[tuple[str, int, int, int], None] = field(default_factory=OrderedDict)
-    learning: Summary | None = None
-    spoilt: bool = False  # something that may bring any row came while it was learnt
+    open_intents: OrderedDict[tuple[str, int, int, int], tuple[LoadIntent, float]] = field(default_factory=OrderedDict)
+    overflow: Summary | None = None  # the rows of the intents beyond MAX_OPEN_INTENTS
+    ended_loads: OrderedDict[tuple[str, int, int], None] = field(default_factory=OrderedDict)
+    # Intents that are not acknowledged yet, and the version that all holders must have before.
+    waiting_intents: dict[tuple[str, int, int, int], int] = field(default_factory=dict)
+    acked_intents: OrderedDict[tuple[str, int, int, int], None] = field(default_factory=OrderedDict)
+    learning: Summary | None = None  # the summary that is being learnt
+    is_learning_invalid: bool = False  # a load of unknown rows was announced meanwhile
     retry_at: float = 0.0
-    tops: dict[tuple[str, int, int, int], float] = field(default_factory=dict)  # intents that may bring any row
+    # Intents of unknown rows, and the times at which they were announced.
+    unknown_row_intents: dict[tuple[str, int, int, int], float] = field(default_factory=dict)
 
 
 class SummaryHome:
-    """The summaries that this process keeps as their home."""
+    """The summaries whose home this process is: grants leases, takes intents of loads and updates the holders."""
 
     def __init__(self, epoch: int, terms: SummaryLeaseSettings, columns: dict[str, Sequence[str]], now: float) -> None:
         self.epoch, self.settings = epoch, terms
-        rest = now + terms.home_lease_ms
-        self.records = {key: SummaryRecord(key, names, rest) for key, names in columns.items()}
-        self.outbox: list[Post] = []
+        silent_until = now + terms.home_lease_ms
+        self.records = {key: SummaryRecord(key, names, silent_until) for key, names in columns.items()}
+        self.outbox: list[Outgoing] = []
         self.pushed = self.refused = 0
 
-    def _say(self, name: str, message: wire.Message) -> None:
+    def _send(self, name: str, message: wire.Message) -> None:
         self.outbox.append((name, wire.encode(message)))
 
     # Leases.
 
-    def on_lease_request(self, now: float, name: str, epoch: int, ask: wire.LeaseRequest) -> None:
+    def on_lease_request(self, now: float, name: str, epoch: int, message: wire.LeaseRequest) -> None:
         """Grant or renew a holder's lease, and send it the summary unless it has the newest version.
 
-        Not answered if the summary is unknown, at rest after a start, or has MOST_HOLDERS holders; a catalogue with
-        another digest, a key that is not kept here, and too many holders are counted in `refused`. Versions that the
-        holder reports as installed may settle waiting loads, also where no lease is granted.
+        There is no response if the summary is unknown, during the pause after a start, or beyond MAX_HOLDERS holders.
+        A different digest of the catalogue, a key whose home this is not, and too many holders are counted in
+        `refused`. The version that the holder reports may release waiting intents even if no lease is granted.
         """
-        shelf = self.records.get(ask.key)
-        if shelf is None or ask.catalogue_digest != self.settings.digest:
+        record = self.records.get(message.key)
+        if record is None or message.catalogue_digest != self.settings.digest:
             self.refused += 1
             return
-        who = name, epoch
-        holder = shelf.holders.get(who)
-        if holder is not None and ask.epoch == self.epoch:
-            self._has(now, shelf, holder, ask.floor)
-        if shelf.summary is None or now < shelf.rest_until:
-            return  # nothing to lend: who asks leaves nothing out
+        holder_key = name, epoch
+        holder = record.holders.get(holder_key)
+        if holder is not None and message.epoch == self.epoch:
+            self._confirm_version(now, record, holder, message.floor)
+        if record.summary is None or now < record.silent_until:
+            return  # without a lease the sender skips no site
         if holder is None:
-            if len(shelf.holders) >= MOST_HOLDERS:
+            if len(record.holders) >= MAX_HOLDERS:
                 self.refused += 1
                 return
-            holder = shelf.holders[who] = _SummaryHolder(0.0, shelf.version)
-        holder.ends = max(holder.ends, now + self.settings.home_lease_ms)
-        if ask.epoch == self.epoch and ask.have == shelf.version:
-            self._say(name, wire.LeaseUnchanged(ask.key, ask.seq, shelf.version))
+            holder = record.holders[holder_key] = _SummaryHolder(0.0, record.version)
+        holder.expires_at = max(holder.expires_at, now + self.settings.home_lease_ms)
+        if message.epoch == self.epoch and message.have == record.version:
+            self._send(name, wire.LeaseUnchanged(message.key, message.seq, record.version))
             return
-        if shelf.data is None:
-            shelf.data = shelf.summary.encode()
-        parts = [shelf.data[at : at + wire.PIECE] for at in range(0, len(shelf.data), wire.PIECE)]
-        for at, part in enumerate(parts):
-            self._say(name, wire.SummaryPiece(ask.key, ask.seq, shelf.version, at, len(parts), part))
-
-    def on_update_acknowledged(self, now: float, name: str, epoch: int, word: wire.UpdateAcknowledged) -> None:
-        """Record that a holder uses no summary older than `version`; loads that waited for that are acknowledged."""
-        shelf = self.records.get(word.key)
-        if shelf is not None and word.epoch == self.epoch and (holder := shelf.holders.get((name, epoch))) is not None:
-            self._has(now, shelf, holder, word.version)
-
-    def on_release_lease(self, now: float, name: str, epoch: int, word: wire.ReleaseLease) -> None:
-        """Drop a holder that uses this summary no more; loads that waited for it alone are acknowledged."""
-        shelf = self.records.get(word.key)
-        if shelf is not None and word.epoch == self.epoch and shelf.holders.pop((name, epoch), None) is not None:
-            self._settle(now, shelf)
-
-    def _has(self, now: float, shelf: SummaryRecord, holder: _SummaryHolder, version: int) -> None:
+        if record.encoded is None:
+            record.encoded = record.summary.encode()
+        pieces = [
+            record.encoded[index : index + wire.PIECE_BYTES]
+            for index in range(0, len(record.encoded), wire.PIECE_BYTES)
+        ]
+        for index, piece in enumerate(pieces):
+            self._send(name, wire.SummaryPiece(message.key, message.seq, record.version, index, len(pieces), piece))
+
+    def on_update_acknowledged(self, now: float, name: str, epoch: int, message: wire.UpdateAcknowledged) -> None:
+        """Record that a holder uses no summary older than `version`, and acknowledge the intents that waited for it."""
+        record = self.records.get(message.key)
+        if (
+            record is not None
+            and message.epoch == self.epoch
+            and (holder := record.holders.get((name, epoch))) is not None
+        ):
+            self._confirm_version(now, record, holder, message.version)
+
+    def on_release_lease(self, now: float, name: str, epoch: int, message: wire.ReleaseLease) -> None:
+        """Remove a holder that no longer uses the summary, and acknowledge the intents that waited for it."""
+        record = self.records.get(message.key)
+        if record is not None and message.epoch == self.epoch and record.holders.pop((name, epoch), None) is not None:
+            self._acknowledge_ready(now, record)
+
+    def _confirm_version(self, now: float, record: SummaryRecord, holder: _SummaryHolder, version: int) -> None:
         if version > holder.version:
-            holder.version, holder.wait = min(version, shelf.version), AGAIN_MS
-            self._settle(now, shelf)
+            holder.version, holder.retry_ms = min(version, record.version), RETRY_MS
+            self._acknowledge_ready(now, record)
 
     # Loads.
 
-    def on_load_announced(self, now: float, name: str, epoch: int, word: wire.LoadAnnounced) -> None:
-        """Take a load's intent: widen the summary, tell the holders, acknowledge once none uses an older version.
+    def on_load_announced(self, now: float, name: str, epoch: int, message: wire.LoadAnnounced) -> None:
+        """Take a load's intent: widen the summary, update the holders, and acknowledge once none uses an older version.
 
-        A repeat of an acknowledged intent is answered at once, one that still waits is ignored. Refused, and counted,
-        with MOST_STANDING intents waiting, for another catalogue, or a key that is not kept here.
+        A repeat of an acknowledged intent is acknowledged at once; a repeat of one that still waits is ignored. Ignored
+        and counted in `refused`: a different digest of the catalogue, a key whose home this is not, and any intent
+        while MAX_OPEN_INTENTS wait.
         """
-        shelf = self.records.get(word.key)
-        if shelf is None or word.catalogue_digest != self.settings.digest:
+        record = self.records.get(message.key)
+        if record is None or message.catalogue_digest != self.settings.digest:
             self.refused += 1
             return
-        intent = name, epoch, word.load, word.chunk
-        if intent in shelf.acked:
-            self._say(name, wire.LoadPermitted(word.key, word.load, word.chunk))
+        intent_key = name, epoch, message.load, message.chunk
+        if intent_key in record.acked_intents:
+            self._send(name, wire.LoadPermitted(message.key, message.load, message.chunk))
             return
-        if intent in shelf.waits:
+        if intent_key in record.waiting_intents:
             return
-        if len(shelf.waits) >= MOST_STANDING:
+        if len(record.waiting_intents) >= MAX_OPEN_INTENTS:
             self.refused += 1
             return
-        told = LoadIntent(word.rows, word.cells)
-        shelf.standing[intent] = told, now
-        if word.cells is None:
-            shelf.tops[intent] = now
-        if len(shelf.standing) > MOST_STANDING:
-            self._sink(shelf)
-        self._take(now, shelf, told)
-        shelf.waits[intent] = shelf.version
-        self._settle(now, shelf)
-
-    def _sink(self, shelf: SummaryRecord) -> None:
-        """The oldest intent goes on in what all others of its kind share."""
-        intent, (told, _) = shelf.standing.popitem(last=False)
-        shelf.tops.pop(intent, None)
-        shelf.acked.pop(intent, None)
-        if told.cells is not None:
-            shelf.sunk = shelf.sunk or Summary(shelf.columns, self.settings.bits)
-            widen(shelf.sunk, told)
-
-    def _take(self, now: float, shelf: SummaryRecord, told: LoadIntent) -> None:
-        """Rows are about to come: widen what is held, and what is being learnt."""
-        if told.cells is None:
-            shelf.spoilt = True
-            if shelf.summary is not None:
-                self._set(now, shelf, None, None)
+        intent = LoadIntent(message.rows, message.cells)
+        record.open_intents[intent_key] = intent, now
+        if message.cells is None:
+            record.unknown_row_intents[intent_key] = now
+        if len(record.open_intents) > MAX_OPEN_INTENTS:
+            self._merge_oldest_intent(record)
+        self._apply_intent(now, record, intent)
+        record.waiting_intents[intent_key] = record.version
+        self._acknowledge_ready(now, record)
+
+    def _merge_oldest_intent(self, record: SummaryRecord) -> None:
+        """Merge the rows of the oldest open intent into `overflow` and forget the intent."""
+        intent_key, (intent, _) = record.open_intents.popitem(last=False)
+        record.unknown_row_intents.pop(intent_key, None)
+        record.acked_intents.pop(intent_key, None)
+        if intent.cells is not None:
+            record.overflow = record.overflow or Summary(record.columns, self.settings.bits)
+            widen(record.overflow, intent)
+
+    def _apply_intent(self, now: float, record: SummaryRecord, intent: LoadIntent) -> None:
+        """Widen the summary, and the one being learnt, by an intent; drop the summary if the rows are unknown."""
+        if intent.cells is None:
+            record.is_learning_invalid = True
+            if record.summary is not None:
+                self._install_version(now, record, None, None)
             return
-        if shelf.learning is not None:
-            widen(shelf.learning, told)
-        if shelf.summary is None or covers_rows(shelf.summary, told):
+        if record.learning is not None:
+            widen(record.learning, intent)
+        if record.summary is None or covers_rows(record.summary, intent):
             return
-        widen(shelf.summary, told)
-        self._set(now, shelf, shelf.summary, told)
-
-    def _set(self, now: float, shelf: SummaryRecord, summary: Summary | None, told: LoadIntent | None) -> None:
-        """There is a newer version; `told`: all that it has more than the one before."""
-        shelf.summary, shelf.data = summary, None
-        shelf.version += 1
-        for (name, _), holder in shelf.holders.items():
-            if now < holder.ends:
-                holder.said, holder.wait = now, AGAIN_MS
+        widen(record.summary, intent)
+        self._install_version(now, record, record.summary, intent)
+
+    def _install_version(
+        self, now: float, record: SummaryRecord, summary: Summary | None, intent: LoadIntent | None
+    ) -> None:
+        """Install a new version and send it to the holders; `intent`: its difference from the version before."""
+        record.summary, record.encoded = summary, None
+        record.version += 1
+        for (name, _), holder in record.holders.items():
+            if now < holder.expires_at:
+                holder.last_sent_at, holder.retry_ms = now, RETRY_MS
                 self.pushed += 1
-                self._say(
+                self._send(
                     name,
                     wire.SummaryUpdated(
-                        shelf.key, shelf.version, told.rows if told else 0, told.cells if told else None
+                        record.key, record.version, intent.rows if intent else 0, intent.cells if intent else None
                     ),
                 )
 
-    def on_load_ended(self, now: float, name: str, epoch: int, word: wire.LoadEnded) -> None:
-        """Take the end of a load.
+    def on_load_ended(self, now: float, name: str, epoch: int, message: wire.LoadEnded) -> None:
+        """Handle that a load has ended.
 
-        If it never ran, its intents are dropped without an answer. Else answer whether this process still has all of
-        them acknowledged; if not, they are forgotten, and the sender must announce the load anew before it may answer
-        its client.
+        If it never ran, its intents are dropped without a response. Otherwise the response says whether this process
+        has acknowledged all of them. If it has not, they are forgotten, and the sender has to announce the load again
+        before it responds to its client.
         """
-        shelf = self.records.get(word.key)
-        if shelf is None:
+        record = self.records.get(message.key)
+        if record is None:
             return
-        load = name, epoch, word.load
-        if not word.ran:
-            self._end(shelf, load, word.chunks)
+        load = name, epoch, message.load
+        if not message.ran:
+            self._forget_load(record, load, message.chunks)
             return
-        intents = [(*load, chunk) for chunk in range(word.chunks)]
-        kept = load in shelf.ended or all(one in shelf.acked for one in intents)
-        if kept:
-            self._end(shelf, load, word.chunks)
+        intent_keys = [(*load, chunk) for chunk in range(message.chunks)]
+        is_kept = load in record.ended_loads or all(intent_key in record.acked_intents for intent_key in intent_keys)
+        if is_kept:
+            self._forget_load(record, load, message.chunks)
         else:
-            for one in intents:  # to be told anew as if it had never been
-                shelf.acked.pop(one, None)
-        self._say(name, wire.LoadRecorded(word.key, word.load, kept))
+            for intent_key in intent_keys:  # so that a repeated announcement counts as a new one
+                record.acked_intents.pop(intent_key, None)
+        self._send(name, wire.LoadRecorded(message.key, message.load, is_kept))
 
-    def _end(self, shelf: SummaryRecord, load: tuple[str, int, int], chunks: int) -> None:
+    def _forget_load(self, record: SummaryRecord, load: tuple[str, int, int], chunks: int) -> None:
         for chunk in range(chunks):
-            intent = (*load, chunk)
-            for table in (shelf.standing, shelf.acked, shelf.waits, shelf.tops):
-                table.pop(intent, None)  # type: ignore[attr-defined]
-        shelf.ended[load] = None
-        if len(shelf.ended) > MOST_ENDED:
-            shelf.ended.popitem(last=False)
-
-    def _settle(self, now: float, shelf: SummaryRecord) -> None:
-        """Acknowledge the intents that no lease stands against any more."""
-        for who in [who for who, holder in shelf.holders.items() if now >= holder.ends]:
-            del shelf.holders[who]
-        if now < shelf.rest_until or not shelf.waits:
+            intent_key = (*load, chunk)
+            for table in (
+                record.open_intents,
+                record.acked_intents,
+                record.waiting_intents,
+                record.unknown_row_intents,
+            ):
+                table.pop(intent_key, None)  # type: ignore[attr-defined]
+        record.ended_loads[load] = None
+        if len(record.ended_loads) > MAX_ENDED_LOADS:
+            record.ended_loads.popitem(last=False)
+
+    def _acknowledge_ready(self, now: float, record: SummaryRecord) -> None:
+        """Remove expired holders and acknowledge the intents whose version all holders have."""
+        for holder_key in [holder_key for holder_key, holder in record.holders.items() if now >= holder.expires_at]:
+            del record.holders[holder_key]
+        if now < record.silent_until or not record.waiting_intents:
             return
-        least = min((holder.version for holder in shelf.holders.values()), default=2**53)
-        for intent in [intent for intent, version in shelf.waits.items() if version <= least]:
-            del shelf.waits[intent]
-            shelf.acked[intent] = None
-            self._say(intent[0], wire.LoadPermitted(shelf.key, intent[2], intent[3]))
+        min_version = min((holder.version for holder in record.holders.values()), default=2**53)
+        for intent_key in [
+            intent_key for intent_key, version in record.waiting_intents.items() if version <= min_version
+        ]:
+            del record.waiting_intents[intent_key]
+            record.acked_intents[intent_key] = None
+            self._send(intent_key[0], wire.LoadPermitted(record.key, intent_key[2], intent_key[3]))
 
-    # Learning a site anew.
+    # Learning a summary.
 
     def keys_to_learn(self, now: float) -> list[str]:
-        """Return the keys of the summaries that are unknown and may be learnt now."""
+        """Return the keys of the summaries that are unknown and may be learnt now, by reading their sites."""
         return [
             key
-            for key, shelf in self.records.items()
-            if shelf.summary is None
-            and shelf.learning is None
-            and now >= max(shelf.rest_until, shelf.retry_at)
-            and all(now - at >= TOP_MS for at in shelf.tops.values())
+            for key, record in self.records.items()
+            if record.summary is None
+            and record.learning is None
+            and now >= max(record.silent_until, record.retry_at)
+            and all(now - announced_at >= UNKNOWN_ROWS_HOLD_MS for announced_at in record.unknown_row_intents.values())
         ]
 
     def begin_learning(self, key: str) -> None:
-        """Start learning a summary: what is read of the site from now on, with the loads under way and those told
-        meanwhile, is the whole of it.
+        """Start learning a summary.
+
+        It will consist of what is read of the site from now on, the open intents, and the intents announced meanwhile.
         """
-        shelf = self.records[key]
-        for intent in list(shelf.tops):  # older than TOP_MS: should its load end after all, it is told anew
-            for table in (shelf.standing, shelf.acked, shelf.waits, shelf.tops):
-                table.pop(intent, None)  # type: ignore[attr-defined]
-        shelf.learning, shelf.spoilt = Summary(shelf.columns, self.settings.bits), False
-        if shelf.sunk is not None:
-            shelf.learning.merge(shelf.sunk)
-        for told, _ in shelf.standing.values():
-            if told.cells is not None:
-                widen(shelf.learning, told)
-
-    def finish_learning(self, now: float, key: str, told: Sequence[LoadIntent] | None, retry_ms: float) -> bool:
-        """Install what was read (None: it failed).
-
-        False: the summary stays unknown and is retried after `retry_ms`, also if a load of unknown rows came meanwhile.
+        record = self.records[key]
+        # These have expired. If such a load ends after all, it has to be announced again.
+        for intent_key in list(record.unknown_row_intents):
+            for table in (
+                record.open_intents,
+                record.acked_intents,
+                record.waiting_intents,
+                record.unknown_row_intents,
+            ):
+                table.pop(intent_key, None)  # type: ignore[attr-defined]
+        record.learning, record.is_learning_invalid = Summary(record.columns, self.settings.bits), False
+        if record.overflow is not None:
+            record.learning.merge(record.overflow)
+        for intent, _ in record.open_intents.values():
+            if intent.cells is not None:
+                widen(record.learning, intent)
+
+    def finish_learning(self, now: float, key: str, intents: Sequence[LoadIntent] | None, retry_ms: float) -> bool:
+        """Install the summary of the rows that were read; `intents` None: reading failed.
+
+        Return False if the summary stays unknown, because of that or of a load of unknown rows announced meanwhile. It
+        may be learnt again after `retry_ms`.
         """
-        shelf = self.records[key]
-        made, shelf.learning = shelf.learning, None
-        if told is None or made is None or shelf.spoilt:
-            shelf.retry_at = now + retry_ms
+        record = self.records[key]
+        learnt, record.learning = record.learning, None
+        if intents is None or learnt is None or record.is_learning_invalid:
+            record.retry_at = now + retry_ms
             return False
-        for part in told:
-            widen(made, part)
-        made.version = 0
-        self._set(now, shelf, made, None)
+        for intent in intents:
+            widen(learnt, intent)
+        learnt.version = 0
+        self._install_version(now, record, learnt, None)
         return True
 
     # Time.
 
     def tick(self, now: float) -> None:
-        """End leases that are over, acknowledge loads that no lease holds up any more, and repeat the new version's
-        number to holders that have not confirmed it, with backoff.
+        """End expired leases, acknowledge the intents that waited for them, and resend the number of the newest version
+        to holders that have not acknowledged it, with backoff.
         """
-        for shelf in self.records.values():
-            self._settle(now, shelf)
-            if not shelf.waits:
+        for record in self.records.values():
+            self._acknowledge_ready(now, record)
+            if not record.waiting_intents:
                 continue
-            for (name, _), holder in shelf.holders.items():
-                if holder.version < shelf.version and now >= holder.said + holder.wait:
-                    holder.said, holder.wait = now, min(AGAIN_MOST_MS, 2.0 * holder.wait)
-                    self._say(name, wire.SummaryUpdated(shelf.key, shelf.version, 0, None))
+            for (name, _), holder in record.holders.items():
+                if holder.version < record.version and now >= holder.last_sent_at + holder.retry_ms:
+                    holder.last_sent_at, holder.retry_ms = now, min(MAX_RETRY_MS, 2.0 * holder.retry_ms)
+                    self._send(name, wire.SummaryUpdated(record.key, record.version, 0, None))
 
     def next_tick_ms(self, now: float) -> float:
         """Return when `tick` must be called next, in ms of the monotonic clock; inf while no load waits."""
-        at = math.inf
-        for shelf in self.records.values():
-            if not shelf.waits:
+        earliest = math.inf
+        for record in self.records.values():
+            if not record.waiting_intents:
                 continue
-            if now < shelf.rest_until:
-                at = min(at, shelf.rest_until)
-            for holder in shelf.holders.values():
-                at = min(at, holder.ends)
-                if holder.version < shelf.version:
-                    at = min(at, holder.said + holder.wait)
-        return at
+            if now < record.silent_until:
+                earliest = min(earliest, record.silent_until)
+            for holder in record.holders.values():
+                earliest = min(earliest, holder.expires_at)
+                if holder.version < record.version:
+                    earliest = min(earliest, holder.last_sent_at + holder.retry_ms)
+        return earliest
 
 
-# The holders' side.
+# The holders.
 
 
 @dataclass(slots=True)
 class _LeasedSummary:
-    """One summary as a coordinator that may leave its site out has it."""
+    """A holder's state of the lease on one summary."""
 
     key: str
     home: str
     epoch: int = 0  # of the home's process
-    floor: int = 0  # of that process; nothing older is used any more
+    min_version: int = 0  # of that process; no older one may be installed
     summary: Summary | None = None
     version: int = 0
-    ends: float = -math.inf
-    asked: dict[int, float] = field(default_factory=dict)  # when each Hold went out
+    expires_at: float = -math.inf
+    requested_at: dict[int, float] = field(default_factory=dict)  # by the sequence numbers of unanswered requests
     pieces: dict[int, bytes] = field(default_factory=dict)
-    coming: tuple[int, int, int] = (0, 0, 0)  # seq, version, how many of the pieces
-    used: float = -math.inf
-    next: float = -math.inf  # when to ask
-    wait: float = AGAIN_MS
+    incoming: tuple[int, int, int] = (0, 0, 0)  # sequence number, version and count of `pieces`
+    last_used_at: float = -math.inf
+    next_request_at: float = -math.inf
+    retry_ms: float = RETRY_MS
 
 
 @dataclass(slots=True)
 class Load:
-    """One load between its intent and its answer. `state`: widening, ready, confirming, kept or over."""
+    """A load from its intent to its response. `state`: widening, ready, confirming, kept or over."""
 
     number: int
     key: str
     home: str
-    told: list[LoadIntent]
-    began: float
-    missing: set[int]
-    epoch: int = 0  # of the home's process that acknowledged it
+    intents: list[LoadIntent]
+    started_at: float
+    unacknowledged: set[int]
+    epoch: int = 0  # of the home's process that acknowledged the intents
     ran: bool = False
     state: str = "widening"
-    said: float = -math.inf
-    wait: float = AGAIN_MS
+    last_sent_at: float = -math.inf
+    retry_ms: float = RETRY_MS
 
 
 class SummaryCache:
-    """The leased summaries by which this process may leave sites out, and its own loads."""
+    """The summaries that this process has leased and may skip sites by, and the loads that it announces."""
 
     def __init__(self, terms: SummaryLeaseSettings, homes: dict[str, str]) -> None:
         self.settings = terms
         self.leases = {key: _LeasedSummary(key, home) for key, home in homes.items()}
         self.loads: dict[int, Load] = {}
-        self.outbox: list[Post] = []
-        self.changed_loads: list[Load] = []  # that are ready, kept or have to wait again
-        self._seq = self._numbers = 0
+        self.outbox: list[Outgoing] = []
+        self.changed_loads: list[Load] = []  # those that have become ready or kept
+        self._last_seq = self._last_load_number = 0
 
-    def _say(self, name: str, message: wire.Message) -> None:
+    def _send(self, name: str, message: wire.Message) -> None:
         self.outbox.append((name, wire.encode(message)))
 
     # Queries.
 
     def summary(self, now: float, key: str) -> Summary | None:
-        """Return the summary by which the site may be left out at this moment; None if it may not."""
-        held = self.leases.get(key)
-        return held.summary if held is not None and held.summary is not None and now < held.ends else None
+        """Return the summary by which the site may be skipped at this moment; None without a valid lease."""
+        lease = self.leases.get(key)
+        return lease.summary if lease is not None and lease.summary is not None and now < lease.expires_at else None
 
     def mark_used(self, now: float, keys: Sequence[str]) -> bool:
-        """Note that these keys were used, so that their leases are renewed for `keep_ms`.
+        """Record the use of these keys, so that their leases are renewed for `keep_ms`.
 
-        Return whether some must be requested by a tick.
+        Return whether a tick is needed to request some of the leases.
         """
-        fresh = False
+        must_request = False
         for key in keys:
-            held = self.leases[key]
-            if now - held.used > self.settings.keep_ms:
-                held.next, held.wait = now, AGAIN_MS
-                fresh = True
-            held.used = now
-        return fresh
-
-    def _ask(self, now: float, held: _LeasedSummary) -> None:
-        self._seq += 1
-        held.asked[self._seq] = now
-        while len(held.asked) > MOST_ASKED:
-            del held.asked[next(iter(held.asked))]
-        held.next, held.wait = now + held.wait, min(AGAIN_MOST_MS, self.settings.lease_ms / 4.0, 2.0 * held.wait)
-        self._say(
-            held.home,
+            lease = self.leases[key]
+            if now - lease.last_used_at > self.settings.keep_ms:
+                lease.next_request_at, lease.retry_ms = now, RETRY_MS
+                must_request = True
+            lease.last_used_at = now
+        return must_request
+
+    def _request_lease(self, now: float, lease: _LeasedSummary) -> None:
+        self._last_seq += 1
+        lease.requested_at[self._last_seq] = now
+        while len(lease.requested_at) > MAX_UNANSWERED_REQUESTS:
+            del lease.requested_at[next(iter(lease.requested_at))]
+        lease.next_request_at, lease.retry_ms = (
+            now + lease.retry_ms,
+            min(MAX_RETRY_MS, self.settings.lease_ms / 4.0, 2.0 * lease.retry_ms),
+        )
+        self._send(
+            lease.home,
             wire.LeaseRequest(
-                held.key,
+                lease.key,
                 self.settings.digest,
-                self._seq,
-                held.epoch,
-                held.floor,
-                held.version if held.summary is not None else 0,
+                self._last_seq,
+                lease.epoch,
+                lease.min_version,
+                lease.version if lease.summary is not None else 0,
             ),
         )
 
-    def _heard(self, held: _LeasedSummary | None, name: str, epoch: int) -> bool:
-        """Whether word of a summary comes from its home, and not from one that another process has followed."""
-        if held is None or name != held.home or epoch < held.epoch:
+    def _accept_sender(self, lease: _LeasedSummary | None, name: str, epoch: int) -> bool:
+        """Return whether a message comes from the home's newest known process; discard the state of an earlier one."""
+        if lease is None or name != lease.home or epoch < lease.epoch:
             return False
-        if epoch > held.epoch:
-            held.epoch, held.floor, held.summary, held.version, held.ends = epoch, 0, None, 0, -math.inf
-            held.coming, held.pieces = (0, 0, 0), {}
+        if epoch > lease.epoch:
+            lease.epoch, lease.min_version, lease.summary, lease.version, lease.expires_at = (
+                epoch,
+                0,
+                None,
+                0,
+                -math.inf,
+            )
+            lease.incoming, lease.pieces = (0, 0, 0), {}
         return True
 
-    def on_lease_unchanged(self, now: float, name: str, epoch: int, word: wire.LeaseUnchanged) -> None:
-        """Extend the lease from when we asked: the summary here is the newest.
+    def on_lease_unchanged(self, now: float, name: str, epoch: int, message: wire.LeaseUnchanged) -> None:
+        """Extend the lease, counted from the request, as the summary here is the newest.
 
-        Ignored if late, unasked or from an earlier process.
+        Ignored if the request is unknown or the sender is an earlier process of the home.
         """
-        held = self.leases.get(word.key)
-        if not self._heard(held, name, epoch):
+        lease = self.leases.get(message.key)
+        if not self._accept_sender(lease, name, epoch):
             return
-        assert held is not None
-        asked = held.asked.pop(word.seq, None)
-        if asked is not None and held.summary is not None:  # which is never older than `floor`
-            self._lease(held, asked)
+        assert lease is not None
+        requested_at = lease.requested_at.pop(message.seq, None)
+        if requested_at is not None and lease.summary is not None:  # never older than `min_version`
+            self._extend_lease(lease, requested_at)
 
-    def on_summary_piece(self, now: float, name: str, epoch: int, word: wire.SummaryPiece) -> None:
-        """Collect a summary's pieces; with the last one install it and take the lease, counted from when we asked.
+    def on_summary_piece(self, now: float, name: str, epoch: int, message: wire.SummaryPiece) -> None:
+        """Collect a summary's pieces; with the last one install it and take the lease, counted from the request.
 
-        Dropped: pieces that were not asked for or of an older answer, a version older than one acknowledged (its home
-        counts on its not being used), and bytes that are no summary.
+        Ignored: pieces that were not requested or belong to an older response, a version older than an acknowledged
+        one, and data that can't be decoded.
         """
-        held = self.leases.get(word.key)
-        if not self._heard(held, name, epoch):
+        lease = self.leases.get(message.key)
+        if not self._accept_sender(lease, name, epoch):
             return
-        assert held is not None
-        if word.seq not in held.asked or word.at >= word.of:
+        assert lease is not None
+        if message.seq not in lease.requested_at or message.index >= message.count:
             return
-        coming = word.seq, word.version, word.of
-        if coming != held.coming:
-            if word.seq < held.coming[0]:
+        incoming = message.seq, message.version, message.count
+        if incoming != lease.incoming:
+            if message.seq < lease.incoming[0]:
                 return
-            held.coming, held.pieces = coming, {}
-        held.pieces[word.at] = word.data
-        if len(held.pieces) < word.of:
+            lease.incoming, lease.pieces = incoming, {}
+        lease.pieces[message.index] = message.data
+        if len(lease.pieces) < message.count:
             return
-        asked = held.asked.pop(word.seq)
-        data = b"".join(held.pieces[at] for at in range(word.of))
-        held.coming, held.pieces = (0, 0, 0), {}
-        if word.version < held.floor:
-            return  # older than what was acknowledged: its home counts on its not being used
-        if held.summary is None or word.version > held.version:
+        requested_at = lease.requested_at.pop(message.seq)
+        data = b"".join(lease.pieces[index] for index in range(message.count))
+        lease.incoming, lease.pieces = (0, 0, 0), {}
+        if message.version < lease.min_version:
+            return  # a newer version was acknowledged, so the home relies on this one not being used
+        if lease.summary is None or message.version > lease.version:
             try:
-                held.summary, held.version = Summary.decode(data), word.version
+                lease.summary, lease.version = Summary.decode(data), message.version
             except SummaryError:
                 return
-        held.floor = max(held.floor, word.version)
-        self._lease(held, asked)
-
-    def _lease(self, held: _LeasedSummary, asked: float) -> None:
-        """Counted from the asking: when the home answered is not known here."""
-        held.ends = max(held.ends, asked + self.settings.lease_ms)
-        held.next, held.wait = max(held.next, asked + RENEW * self.settings.lease_ms), AGAIN_MS
+        lease.min_version = max(lease.min_version, message.version)
+        self._extend_lease(lease, requested_at)
+
+    def _extend_lease(self, lease: _LeasedSummary, requested_at: float) -> None:
+        """Extend the lease, counted from the request, as the time of the home's response is not known here."""
+        lease.expires_at = max(lease.expires_at, requested_at + self.settings.lease_ms)
+        lease.next_request_at, lease.retry_ms = (
+            max(lease.next_request_at, requested_at + RENEW_FRACTION * self.settings.lease_ms),
+            RETRY_MS,
+        )
 
-    def on_summary_updated(self, now: float, name: str, epoch: int, word: wire.SummaryUpdated) -> None:
-        """Widen the summary here, or drop it if the new version does not directly follow or names no values;
-        acknowledge.
+    def on_summary_updated(self, now: float, name: str, epoch: int, message: wire.SummaryUpdated) -> None:
+        """Widen the summary, or drop it if the new version is not the next one or has no cells; acknowledge.
 
-        From then on no version older than this one is installed. Repeats and late messages are acknowledged as well.
+        No version older than this one is installed afterwards. Repeated and late messages are acknowledged as well.
         """
-        held = self.leases.get(word.key)
-        if not self._heard(held, name, epoch):
+        lease = self.leases.get(message.key)
+        if not self._accept_sender(lease, name, epoch):
             return
-        assert held is not None
-        if word.version > held.floor or held.summary is None:
-            follows = held.summary is not None and word.version == held.version + 1 and word.cells is not None
-            if follows and held.summary is not None:
-                widen(held.summary, LoadIntent(word.rows, word.cells))
-                held.version = word.version
-            elif held.version < word.version:
-                held.summary, held.ends, held.next, held.wait = None, -math.inf, now, AGAIN_MS
-            held.floor = max(held.floor, word.version)
-        self._say(name, wire.UpdateAcknowledged(word.key, epoch, held.floor))
+        assert lease is not None
+        if message.version > lease.min_version or lease.summary is None:
+            is_successor = (
+                lease.summary is not None and message.version == lease.version + 1 and message.cells is not None
+            )
+            if is_successor and lease.summary is not None:
+                widen(lease.summary, LoadIntent(message.rows, message.cells))
+                lease.version = message.version
+            elif lease.version < message.version:
+                lease.summary, lease.expires_at, lease.next_request_at, lease.retry_ms = None, -math.inf, now, RETRY_MS
+            lease.min_version = max(lease.min_version, message.version)
+        self._send(name, wire.UpdateAcknowledged(message.key, epoch, lease.min_version))
 
     # Loads.
 
     def load(self, now: float, key: str, rows: int, cells: Cells | None) -> Load | None:
-        """Announce a load to its home; None if MOST_LOADS are under way. It may be sent once its state is `ready`."""
-        if len(self.loads) >= MOST_LOADS:
+        """Announce a load to its home; it may be sent once its state is `ready`. None if MAX_LOADS are unfinished."""
+        if len(self.loads) >= MAX_LOADS:
             return None
-        parts = None if cells is None else wire.chunks(cells)
-        told = (
+        chunks = None if cells is None else wire.chunks(cells)
+        intents = (
             [LoadIntent(rows, None)]
-            if parts is None
-            else [LoadIntent(rows if not at else 0, part) for at, part in enumerate(parts)]
+            if chunks is None
+            else [LoadIntent(rows if not index else 0, chunk) for index, chunk in enumerate(chunks)]
         )
-        self._numbers += 1
-        load = Load(self._numbers, key, self.leases[key].home, told, now, set(range(len(told))))
+        self._last_load_number += 1
+        load = Load(self._last_load_number, key, self.leases[key].home, intents, now, set(range(len(intents))))
         self.loads[load.number] = load
-        self._widen(now, load)
+        self._announce(now, load)
         return load
 
-    def _widen(self, now: float, load: Load) -> None:
-        load.said, load.wait = now, min(AGAIN_MOST_MS, 2.0 * load.wait)
-        for at in sorted(load.missing):
-            told = load.told[at]
-            self._say(
-                load.home, wire.LoadAnnounced(load.key, self.settings.digest, load.number, at, told.rows, told.cells)
+    def _announce(self, now: float, load: Load) -> None:
+        load.last_sent_at, load.retry_ms = now, min(MAX_RETRY_MS, 2.0 * load.retry_ms)
+        for chunk in sorted(load.unacknowledged):
+            intent = load.intents[chunk]
+            self._send(
+                load.home,
+                wire.LoadAnnounced(load.key, self.settings.digest, load.number, chunk, intent.rows, intent.cells),
             )
 
-    def on_load_permitted(self, now: float, name: str, epoch: int, word: wire.LoadPermitted) -> None:
-        """Take the home's acknowledgement of one message of a load.
+    def on_load_permitted(self, now: float, name: str, epoch: int, message: wire.LoadPermitted) -> None:
+        """Take the home's acknowledgement of one of a load's messages.
 
-        With the last one the load is ready, or, if it has run, confirmed again. A later process of the home must
-        acknowledge all of them anew.
+        With the last one the load becomes ready or, if it has run already, its confirmation is requested again. A later
+        process of the home has to acknowledge all messages again.
         """
-        load = self.loads.get(word.load)
+        load = self.loads.get(message.load)
         if load is None or name != load.home or load.state != "widening" or epoch < load.epoch:
             return
-        if epoch > load.epoch:  # what an earlier process acknowledged is not known to this one
-            load.epoch, load.missing = epoch, set(range(len(load.told)))
-        load.missing.discard(word.chunk)
-        if load.missing:
+        if epoch > load.epoch:  # it has no record of what an earlier process acknowledged
+            load.epoch, load.unacknowledged = epoch, set(range(len(load.intents)))
+        load.unacknowledged.discard(message.chunk)
+        if load.unacknowledged:
             return
-        load.wait = AGAIN_MS
+        load.retry_ms = RETRY_MS
         if load.ran:
             self._confirm(now, load)
         else:
@@ -647,76 +693,77 @@
             self.changed_loads.append(load)
 
     def ran(self, now: float, number: int) -> None:
-        """Note that the engine served the load; its client may be told so once the state is `kept`."""
+        """Handle that the engine served the load; the client may get the response once the state is `kept`."""
         load = self.loads[number]
-        load.ran, load.wait = True, AGAIN_MS
+        load.ran, load.retry_ms = True, RETRY_MS
         self._confirm(now, load)
 
     def _confirm(self, now: float, load: Load) -> None:
         load.state = "confirming"
-        load.said, load.wait = now, min(AGAIN_MOST_MS, 2.0 * load.wait)
-        self._say(load.home, wire.LoadEnded(load.key, load.number, len(load.told), True))
+        load.last_sent_at, load.retry_ms = now, min(MAX_RETRY_MS, 2.0 * load.retry_ms)
+        self._send(load.home, wire.LoadEnded(load.key, load.number, len(load.intents), True))
+
+    def on_load_recorded(self, now: float, name: str, epoch: int, message: wire.LoadRecorded) -> None:
+        """Take the home's confirmation: the load may be answered as served.
 
-    def on_load_recorded(self, now: float, name: str, epoch: int, word: wire.LoadRecorded) -> None:
-        """Take the home's confirmation: the load is kept and may be answered as served, or, if the home's process has
-        forgotten it, is announced anew.
+        If the home has no record of it, it is announced again.
         """
-        load = self.loads.get(word.load)
+        load = self.loads.get(message.load)
         if load is None or name != load.home or load.state != "confirming" or epoch < load.epoch:
             return
-        if word.kept and epoch == load.epoch:
+        if message.kept and epoch == load.epoch:
             load.state = "kept"
-            del self.loads[word.load]
+            del self.loads[message.load]
             self.changed_loads.append(load)
-        elif not word.kept:
-            load.state, load.wait = "widening", AGAIN_MS
-            load.epoch, load.missing = epoch, set(range(len(load.told)))
-            self._widen(now, load)
+        elif not message.kept:
+            load.state, load.retry_ms = "widening", RETRY_MS
+            load.epoch, load.unacknowledged = epoch, set(range(len(load.intents)))
+            self._announce(now, load)
 
     def drop_load(self, now: float, number: int, never_ran: bool) -> None:
-        """Drop a load that ended otherwise. Unless it never ran, its intent stands at the home."""
+        """Drop a load that is not answered as served. Unless it never ran, its intent stays open at the home."""
         load = self.loads.pop(number, None)
         if load is None:
             return
         load.state = "over"
         if never_ran:
-            self._say(load.home, wire.LoadEnded(load.key, load.number, len(load.told), False))
+            self._send(load.home, wire.LoadEnded(load.key, load.number, len(load.intents), False))
 
     # Time.
 
     def tick(self, now: float) -> None:
-        """Renew leases in use, drop expired summaries that nobody asked for in `keep_ms`, and repeat unanswered
-        messages of loads, with backoff.
+        """Renew leases in use, drop expired summaries that were not used for `keep_ms`, and resend unanswered messages
+        of loads, with backoff.
         """
-        for held in self.leases.values():
-            if now - held.used > self.settings.keep_ms:
-                if held.summary is not None and now >= held.ends:
-                    held.summary, held.ends = None, -math.inf
+        for lease in self.leases.values():
+            if now - lease.last_used_at > self.settings.keep_ms:
+                if lease.summary is not None and now >= lease.expires_at:
+                    lease.summary, lease.expires_at = None, -math.inf
                 continue
-            if now >= held.next:
-                self._ask(now, held)
+            if now >= lease.next_request_at:
+                self._request_lease(now, lease)
         for load in self.loads.values():
-            if now >= load.said + load.wait:
+            if now >= load.last_sent_at + load.retry_ms:
                 if load.state == "widening":
-                    self._widen(now, load)
+                    self._announce(now, load)
                 elif load.state == "confirming":
                     self._confirm(now, load)
 
     def next_tick_ms(self) -> float:
         """Return when `tick` must be called next, in ms of the monotonic clock; inf if nothing is pending."""
-        at = math.inf
-        for held in self.leases.values():
-            if held.next - held.used <= self.settings.keep_ms:
-                at = min(at, held.next)
+        earliest = math.inf
+        for lease in self.leases.values():
+            if lease.next_request_at - lease.last_used_at <= self.settings.keep_ms:
+                earliest = min(earliest, lease.next_request_at)
         for load in self.loads.values():
             if load.state in ("widening", "confirming"):
-                at = min(at, load.said + load.wait)
-        return at
+                earliest = min(earliest, load.last_sent_at + load.retry_ms)
+        return earliest
 
     def release_all(self) -> None:
-        """Drop all summaries and tell their homes."""
-        for held in self.leases.values():
-            held.asked.clear()
-            if held.summary is not None:
-                held.summary, held.ends = None, -math.inf
-                self._say(held.home, wire.ReleaseLease(held.key, held.epoch))
+        """Drop all summaries and release their leases."""
+        for lease in self.leases.values():
+            lease.requested_at.clear()
+            if lease.summary is not None:
+                lease.summary, lease.expires_at = None, -math.inf
+                self._send(lease.home, wire.ReleaseLease(lease.key, lease.epoch))
--- a/frostspindle/scatter/plan.py
+++ b/frostspindle/scatter/plan.py
@@ -1,8 +1,9 @@
-"""What a statement on spread tables becomes: one statement for each site and the merge of their rows, or why it can't.
+"""Planning of a statement on spread tables: the statement for each site and the merge of the rows, or why not.
 
-Owns what is scattered and what is turned down, and which rows a load brings. What is not known to be exact is turned
-down: parts see their site's rows alone, so that only what is computed row by row may stand anywhere in a statement. It
-must never guess, never raise for any text, and is loaded only where something is spread: it loads the SQL parser.
+Decides which statements are scattered and which are rejected, and which rows a load inserts. Each part sees the rows of
+its site only, so a statement may contain nothing but what is computed row by row, and aggregates that can be merged.
+What is not known to be exact is rejected. No text raises an exception. This loads the SQL parser, so it is imported
+only where tables are spread.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 from frostspindle.predicates.statements import MAX_LENGTH, MAX_OPEN, Reader, most_open, plain_moment, plain_number
 from frostspindle.predicates.values import MAX_TEXT, NUMBER, TIME, Value, canonical, number
 from frostspindle.predicates.values import TEXT as TEXT_KIND
-from frostspindle.scatter.merge import COUNT, GREATEST, KEY, LEAST, MEAN, SUM, Cell, Merge, Order
-
-CACHED = 1_024  # statements
-MOST_COLUMNS = 256  # of a part's row
-MOST_NUMBER = 10**9  # of a limit
-NULL_CELL, UNKNOWN_CELL = 0, 4  # kinds of a load's value beside those of predicates.values
-MOST_CELL = 600  # letters of a value that a load tells of; longer ones are unknown
-MOST_CELLS = 64  # cells of a range that a summary is asked for
-Cells = dict[str, list[tuple[int, str]]]  # by column the distinct values of a load's rows: kind and canonical text
-# What is computed of a row alone, and is the same wherever the row is.
+from frostspindle.scatter.merge import AVG, COUNT, KEY, MAX, MIN, SUM, Cell, Merge, Order
+
+MAX_CACHED_STATEMENTS = 1_024  # statements
+MAX_COLUMNS = 256  # of a part's row
+MAX_LIMIT = 10**9  # of LIMIT and OFFSET
+NULL_CELL, UNKNOWN_CELL = 0, 4  # kinds of a load's cells, in addition to those of predicates.values
+MAX_CELL_BYTES = 600  # of a text that a load announces; longer ones are announced as unknown
+MAX_RANGE_CELLS = 64  # step cells of a range that is looked up in a summary
+Cells = dict[str, list[tuple[int, str]]]  # kind and canonical text of the distinct values of a load, by column
+# Expressions that depend on the row alone, so that they have the same value at each site.
 _ROW_WISE = (
     exp.Column,
     exp.Identifier,
@@ -82,11 +83,14 @@
     "windows": "a window",
     "with_": "WITH",
 }
-_TOTALS = {exp.Count: COUNT, exp.Sum: SUM, exp.Min: LEAST, exp.Max: GREATEST, exp.Avg: MEAN}
+_AGGREGATES = {exp.Count: COUNT, exp.Sum: SUM, exp.Min: MIN, exp.Max: MAX, exp.Avg: AVG}
 
 
 class Plan(Struct, frozen=True):
-    """Either the parts' statement, the merge and the predicate on rows, or the reason (`refused`) why there is none."""
+    """The statement of the parts, the merge and the predicate on rows; or `refused`, the reason for having none.
+
+    `statement` is empty if the parts have the client's statement.
+    """
 
     refused: str = ""
     statement: str = ""
@@ -94,157 +98,166 @@
     predicate: Predicate | None = None
 
 
-class Rows(Struct, frozen=True):
-    """What a load inserts. `cells` None: it can't be told. `places`: the values of the columns that place rows."""
+class InsertedRows(Struct, frozen=True):
+    """The rows that a load inserts. `cells` None: they are not known. `places`: the values that determine the site."""
 
     count: int = 0
     cells: Cells | None = None
-    places: tuple[str, ...] = ()  # of each row, once
+    places: tuple[str, ...] = ()  # distinct ones
 
 
-class _CantError(Exception):
+class _NotScatterableError(Exception):
     """The reason why a statement is not scattered."""
 
 
 class Planner:
-    """Reads statements on a catalogue's tables; remembers the last CACHED texts."""
+    """Plans statements on a catalogue's tables; caches the plans of MAX_CACHED_STATEMENTS texts."""
 
     def __init__(self, catalogue: Catalogue) -> None:
-        terms = catalogue.settings
-        self.catalogue, self.dialect, self.binary = catalogue, terms.dialect, terms.binary
+        section = catalogue.settings
+        self.catalogue, self.dialect, self.binary = catalogue, section.dialect, section.binary
         self._readers: dict[int, Reader] = {}
-        for at, group in catalogue.groups.items():
+        for group_number, group in catalogue.groups.items():
             times = [column.name for column in group.column if column.type == TIME_TYPE]
-            self._readers[at] = Reader(terms.dialect, times, terms.binary)
-        self.plan = lru_cache(maxsize=CACHED)(self._plan)  # of a group's number and a statement
+            self._readers[group_number] = Reader(section.dialect, times, section.binary)
+        self.plan = lru_cache(maxsize=MAX_CACHED_STATEMENTS)(self._plan)  # of a group's number and a statement
 
     # Queries.
 
     def _plan(self, group: int, sql: str) -> Plan:
         try:
             return self._select(group, sql)
-        except _CantError as error:
+        except _NotScatterableError as error:
             return Plan(refused=f"not scatterable: {error}")
-        except Exception:  # a parser's fault on a client's text must not become the coordinator's
+        except Exception:  # a fault of the parser on a client's text must not become one of the coordinator
             return Plan(refused="not scatterable: not understood")
 
     def _select(self, group: int, sql: str) -> Plan:
         if len(sql) > MAX_LENGTH:
-            raise _CantError(f"longer than {MAX_LENGTH} characters")
+            raise _NotScatterableError(f"longer than {MAX_LENGTH} characters")
         if "\0" in sql:
-            raise _CantError("a character that is none")
+            raise _NotScatterableError("a NUL character")
         read = self._readers[group].read(sql)
         if not read.understood:
-            raise _CantError("not a plain SELECT")
+            raise _NotScatterableError("not a plain SELECT")
         tree = sqlglot.parse_one(sql, read=self.dialect)
         if type(tree) is not exp.Select:
-            raise _CantError("not a plain SELECT")
-        for name, held in tree.args.items():
-            if held and _CLAUSES.get(name, name):
-                raise _CantError(_CLAUSES.get(name, name.strip("_").upper()))
+            raise _NotScatterableError("not a plain SELECT")
+        for name, argument in tree.args.items():
+            if argument and _CLAUSES.get(name, name):
+                raise _NotScatterableError(_CLAUSES.get(name, name.strip("_").upper()))
         table = self._table(group, tree.args["from_"].this)
         for node in tree.find_all(exp.Query):
             if node is not tree:
-                raise _CantError("a query within the statement")
-        made = _Select(self, group, tree, table)
-        statement, how = made.grouped() if made.is_grouped else made.plain()
+                raise _NotScatterableError("a query within the statement")
+        select = _Select(self, group, tree, table)
+        statement, merge_plan = select.plan_grouped() if select.is_grouped else select.plan_rows()
         name = f"{self.catalogue.groups[group].schema}.{table.name.lower()}"
-        return Plan("", statement or sql, how, with_step_cells(read.predicate(name), self.catalogue.columns[group]))
+        return Plan(
+            "", statement or sql, merge_plan, with_step_cells(read.predicate(name), self.catalogue.columns[group])
+        )
 
     def _table(self, group: int, table: exp.Expression) -> exp.Table:
-        spread = self.catalogue.groups[group]
+        table_group = self.catalogue.groups[group]
         if type(table) is not exp.Table or not isinstance(table.this, exp.Identifier):
-            raise _CantError("not of one table")
-        if table.catalog or table.db.lower() != spread.schema or table.name.lower() not in spread.tables:
-            raise _CantError("a table that is not spread")
+            raise _NotScatterableError("not a single table")
+        if table.catalog or table.db.lower() != table_group.schema or table.name.lower() not in table_group.tables:
+            raise _NotScatterableError("a table that is not spread")
         alias = table.args.get("alias")
-        if (alias and alias.columns) or {name for name, held in table.args.items() if held} - {"this", "db", "alias"}:
-            raise _CantError("a sample, hint or renamed columns")
+        if (alias and alias.columns) or {name for name, argument in table.args.items() if argument} - {
+            "this",
+            "db",
+            "alias",
+        }:
+            raise _NotScatterableError("a sample, hint or renamed columns")
         return table
 
     # Loads.
 
-    def load(self, group: int, sql: str) -> Rows:
-        """Return the rows of an INSERT of plain values; Rows() (any rows) if it is not understood.
+    def load(self, group: int, sql: str) -> InsertedRows:
+        """Return the rows of an INSERT of plain values; InsertedRows(), for unknown rows, if it can't be read.
 
-        A value that can't be told for certain makes its column unknown.
+        A value that is not certain makes its column unknown.
         """
         try:
             return self._insert(group, sql)
-        except Exception:  # whatever it is, it may bring any row
-            return Rows()
+        except Exception:  # a statement that can't be read may insert any row
+            return InsertedRows()
 
-    def _insert(self, group: int, sql: str) -> Rows:
-        spread = self.catalogue.groups[group]
+    def _insert(self, group: int, sql: str) -> InsertedRows:
+        table_group = self.catalogue.groups[group]
         if len(sql) > MAX_LENGTH or most_open(sql) > MAX_OPEN or "/*" in sql or "--" in sql:
-            raise _CantError("too long")
+            raise _NotScatterableError("too long or with comments")
         trees = [tree for tree in sqlglot.parse(sql, read=self.dialect) if type(tree) is not exp.Semicolon]
         tree = trees[0]
-        held = {name for name, value in tree.args.items() if value}
-        if len(trees) != 1 or type(tree) is not exp.Insert or held - {"this", "expression"}:
-            raise _CantError("not an INSERT")
+        clauses = {name for name, value in tree.args.items() if value}
+        if len(trees) != 1 or type(tree) is not exp.Insert or clauses - {"this", "expression"}:
+            raise _NotScatterableError("not an INSERT")
         target, values = tree.this, tree.expression
         if type(target) is not exp.Schema or type(values) is not exp.Values:
-            raise _CantError("no columns or no values")
+            raise _NotScatterableError("without columns or values")
         self._table(group, target.this)
-        names = [one.name.lower() for one in target.expressions]
+        names = [column.name.lower() for column in target.expressions]
         columns = self.catalogue.columns[group]
         rows = [list(row.expressions) for row in values.expressions]
         if len(set(names)) != len(names) or any(len(row) != len(names) for row in rows):
-            raise _CantError("values that don't fit")
+            raise _NotScatterableError("values that don't match the columns")
         cells: Cells = {}
-        for name in (one.name for one in spread.column if one.type != FLOAT):
-            at = names.index(name) if name in names else -1  # left out: its default, which nobody here knows
-            found = {_cell(columns[name], row[at]) if at >= 0 else (UNKNOWN_CELL, "") for row in rows}
+        for name in (column.name for column in table_group.column if column.type != FLOAT):
+            index = names.index(name) if name in names else -1  # -1: its default, which is not known here
+            found = {_cell(columns[name], row[index]) if index >= 0 else (UNKNOWN_CELL, "") for row in rows}
             cells[name] = sorted(found)
             if columns[name].step:
                 cells[name + CELL_SUFFIX] = step_cells(cells[name], columns[name].step)
         places = ()
-        if spread.by and set(spread.by) <= set(names):
-            ats = [names.index(name) for name in spread.by]
-            by = [columns[name] for name in spread.by]
-            told = [[_cell(column, row[at]) for column, at in zip(by, ats, strict=True)] for row in rows]
-            if not any(kind == UNKNOWN_CELL for row in told for kind, _ in row):
-                places = tuple(sorted({"\0".join(f"{kind}{text}" for kind, text in row) for row in told}))
-        return Rows(len(rows), cells, places)
+        if table_group.by and set(table_group.by) <= set(names):
+            indexes = [names.index(name) for name in table_group.by]
+            placing_columns = [columns[name] for name in table_group.by]
+            placing_cells = [
+                [_cell(column, row[index]) for column, index in zip(placing_columns, indexes, strict=True)]
+                for row in rows
+            ]
+            if not any(kind == UNKNOWN_CELL for row in placing_cells for kind, _ in row):
+                places = tuple(sorted({"\0".join(f"{kind}{text}" for kind, text in row) for row in placing_cells}))
+        return InsertedRows(len(rows), cells, places)
 
 
 def _cell(column: Column, node: exp.Expression) -> tuple[int, str]:
-    """A value as the engine will hold it, where that is certain."""
+    """Return the cell of a value as the engine will store it; UNKNOWN_CELL if that is not certain."""
     try:
         if type(node) is exp.Null:
             return NULL_CELL, ""
-        found: Value = None
+        parsed: Value = None
         if column.type in (INTEGER, DECIMAL):
             sign = "-" if type(node) is exp.Neg else ""
             inner = node.this if sign else node
             if type(inner) is not exp.Literal or inner.is_string:
                 return UNKNOWN_CELL, ""
-            found = plain_number(sign + inner.name)
+            parsed = plain_number(sign + inner.name)
             scale = column.scale if column.type == DECIMAL else 0
-            if found != round(found, scale):  # type: ignore[arg-type, call-overload]
-                return UNKNOWN_CELL, ""  # the engine rounds it its way
-            return NUMBER, canonical(found)
+            if parsed != round(parsed, scale):  # type: ignore[arg-type, call-overload]
+                return UNKNOWN_CELL, ""  # engines round in their own ways
+            return NUMBER, canonical(parsed)
         if type(node) is not exp.National and not (type(node) is exp.Literal and node.is_string):
             return UNKNOWN_CELL, ""
         if "\\" in node.name or "\0" in node.name:
             return UNKNOWN_CELL, ""
         if column.type == TIME_TYPE:
             return TIME, canonical(plain_moment(node.name))
-        if column.type == TEXT and len(node.name.encode()) <= min(MAX_TEXT, MOST_CELL):
+        if column.type == TEXT and len(node.name.encode()) <= min(MAX_TEXT, MAX_CELL_BYTES):
             return TEXT_KIND, node.name
-    except Exception:  # a literal that is none
+    except Exception:  # a malformed literal
         pass
     return UNKNOWN_CELL, ""
 
 
 def step_cells(cells: Sequence[tuple[int, str]], step: int) -> list[tuple[int, str]]:
-    """Return the step cells that a load's values lie in; values that are no numbers stay as they are."""
+    """Return the step cells that contain a load's values; cells that are not numbers are returned unchanged."""
     return sorted({(kind, str(math.floor(number(text)) // step) if kind == NUMBER else text) for kind, text in cells})
 
 
 def with_step_cells(predicate: Predicate, columns: dict[str, Column]) -> Predicate:
-    """Return the predicate with, for each narrow range, the cells in which all rows within that range lie."""
+    """Return the predicate with, for each narrow range, a condition on the step cells of that range."""
     if type(predicate) is Or:
         return any_of(*(with_step_cells(part, columns) for part in predicate.parts))
     if type(predicate) is not And:
@@ -252,11 +265,11 @@
     parts = [with_step_cells(part, columns) for part in predicate.parts]
     for name, column in columns.items():
         bounds = [part for part in parts if type(part) is Compare and part.column == name and part.kind == NUMBER]
-        least = [part.value for part in bounds if part.op in (">", ">=")]
-        most = [part.value for part in bounds if part.op in ("<", "<=")]
-        if column.step and least and most:
-            first, last = (math.floor(end) // column.step for end in (max(least), min(most)))  # type: ignore[type-var]
-            if first <= last < first + MOST_CELLS:
+        lower_bounds = [part.value for part in bounds if part.op in (">", ">=")]
+        upper_bounds = [part.value for part in bounds if part.op in ("<", "<=")]
+        if column.step and lower_bounds and upper_bounds:
+            first, last = (math.floor(bound) // column.step for bound in (max(lower_bounds), min(upper_bounds)))  # type: ignore[type-var]
+            if first <= last < first + MAX_RANGE_CELLS:
                 parts.append(one_of(name + CELL_SUFFIX, range(first, last + 1)))
     return all_of(*parts)
 
@@ -272,214 +285,237 @@
         self.ordered: list[exp.Expression] = tree.args["order"].expressions if tree.args.get("order") else []
         self.limit, self.offset = self._number("limit"), max(0, self._number("offset"))
         if where := tree.args.get("where"):
-            self._row_wise(where)
+            self._check_row_wise(where)
         if self.distinct is not None and self.distinct.args.get("on"):
-            raise _CantError("DISTINCT ON")
-        totals = [node for one in tree.expressions for node in one.find_all(exp.AggFunc)]
-        self.is_grouped = bool(totals or self.group)
-        if len(tree.expressions) > MOST_COLUMNS:
-            raise _CantError(f"more than {MOST_COLUMNS} columns")
+            raise _NotScatterableError("DISTINCT ON")
+        aggregates = [node for expression in tree.expressions for node in expression.find_all(exp.AggFunc)]
+        self.is_grouped = bool(aggregates or self.group)
+        if len(tree.expressions) > MAX_COLUMNS:
+            raise _NotScatterableError(f"more than {MAX_COLUMNS} columns")
 
     def _number(self, name: str) -> int:
         clause = self.tree.args.get(name)
         if clause is None:
             return -1
-        held = clause.expression if type(clause) in (exp.Limit, exp.Offset) else None
+        expression = clause.expression if type(clause) in (exp.Limit, exp.Offset) else None
         others = {key for key, value in clause.args.items() if value} - {"expression"}
-        if type(held) is not exp.Literal or held.is_string or not held.name.isdecimal() or others:
-            raise _CantError(f"a {name} that is no plain number")
-        number = int(held.name)
-        if number > MOST_NUMBER:
-            raise _CantError(f"a {name} above {MOST_NUMBER}")
+        if type(expression) is not exp.Literal or expression.is_string or not expression.name.isdecimal() or others:
+            raise _NotScatterableError(f"a {name} that is not a plain number")
+        number = int(expression.name)
+        if number > MAX_LIMIT:
+            raise _NotScatterableError(f"a {name} above {MAX_LIMIT}")
         return number
 
-    def _row_wise(self, node: exp.Expression) -> None:
+    def _check_row_wise(self, node: exp.Expression) -> None:
         for part in node.walk():
             if isinstance(part, exp.AggFunc):
-                raise _CantError("a total within an expression")
+                raise _NotScatterableError("an aggregate within an expression")
             if not isinstance(part, _ROW_WISE):
-                raise _CantError(f"{type(part).__name__.upper()} is not known to hang on the row alone")
+                raise _NotScatterableError(f"{type(part).__name__.upper()} may depend on more than the row")
 
-    def _column(self, node: exp.Expression, what: str) -> Column:
-        """A column of the catalogue; `what` is done with it beyond the row."""
+    def _column(self, node: exp.Expression, usage: str) -> Column:
+        """Return the catalogue's column of a plain column expression; `usage` names the clause in errors."""
         if type(node) is not exp.Column or type(node.this) is not exp.Identifier or node.args.get("db"):
-            raise _CantError(f"{what} of what is no plain column")
+            raise _NotScatterableError(f"{usage} of something other than a plain column")
         if node.table and node.table.lower() != self.alias:
-            raise _CantError(f"{what} of another table")
+            raise _NotScatterableError(f"{usage} of another table")
         column = self.columns.get(node.name.lower())
         if column is None:
-            raise _CantError(f"{what} of a column that the catalogue does not have")
+            raise _NotScatterableError(f"{usage} of a column that the catalogue does not have")
         return column
 
-    def _ordered_by(self, node: exp.Expression, what: str) -> Column:
-        """A column whose values are told apart and ordered here as the engine does."""
-        column = self._column(node, what)
+    def _comparable_column(self, node: exp.Expression, usage: str) -> Column:
+        """Return a column whose values compare here as they do in the engine."""
+        column = self._column(node, usage)
         if column.type == FLOAT:
-            raise _CantError(f"{what} of a float")
+            raise _NotScatterableError(f"{usage} of a float")
         if column.type == TEXT and not self.planner.binary:
-            raise _CantError(f"{what} of a text, which the engines may compare in their own way")
+            raise _NotScatterableError(f"{usage} of a text, which the engines may compare differently")
         return column
 
-    # Rows as they are.
+    # Rows without aggregates.
 
-    def plain(self) -> tuple[str, Merge]:
-        shown = self.tree.expressions
+    def plan_rows(self) -> tuple[str, Merge]:
+        selected = self.tree.expressions
         star = any(
-            isinstance(one, exp.Star) or (type(one) is exp.Column and isinstance(one.this, exp.Star)) for one in shown
+            isinstance(expression, exp.Star)
+            or (type(expression) is exp.Column and isinstance(expression.this, exp.Star))
+            for expression in selected
         )
-        for one in shown:
-            if not isinstance(one.this if type(one) is exp.Column else one, exp.Star):
-                self._row_wise(one)
+        for expression in selected:
+            if not isinstance(expression.this if type(expression) is exp.Column else expression, exp.Star):
+                self._check_row_wise(expression)
         distinct: tuple[str, ...] = ()
         if self.distinct is not None:
             if star:
-                raise _CantError("DISTINCT of *")
-            distinct = tuple(self._ordered_by(one.unalias(), "DISTINCT").type for one in shown)
+                raise _NotScatterableError("DISTINCT of *")
+            distinct = tuple(self._comparable_column(expression.unalias(), "DISTINCT").type for expression in selected)
         hidden: list[exp.Expression] = []
         order = []
-        for one in self.ordered:
-            at, column = self._place(one.this, [] if star else shown, star)
-            if at < 0:
+        for expression in self.ordered:
+            index, column = self._find_order_column(expression.this, [] if star else selected, star)
+            if index < 0:
                 if distinct:
-                    raise _CantError("ORDER BY of a column that DISTINCT does not show")
-                hidden.append(one.this.copy())
-                at = len(hidden)  # from the end, once all are known
-                order.append((one, column, None, at))
+                    raise _NotScatterableError("ORDER BY of a column that DISTINCT does not select")
+                hidden.append(expression.this.copy())
+                index = len(hidden)  # becomes a position from the end once all are known
+                order.append((expression, column, None, index))
             else:
-                order.append((one, column, at, 0))
+                order.append((expression, column, index, 0))
         keys = tuple(
-            _order(one, column, at if at is not None else place - 1 - len(hidden)) for one, column, at, place in order
+            _order(expression, column, index if index is not None else hidden_index - 1 - len(hidden))
+            for expression, column, index, hidden_index in order
         )
-        how = Merge(
+        merge_plan = Merge(
             distinct=distinct,
             hidden=len(hidden),
             order=keys,
             limit=self.limit,
             offset=self.offset,
-            width=0 if star else len(shown) + len(hidden),
+            width=0 if star else len(selected) + len(hidden),
         )
         if not hidden and not self.offset:
-            return "", how
-        part = self.tree.copy()
+            return "", merge_plan
+        part_tree = self.tree.copy()
         for extra in hidden:
-            part.append("expressions", extra)
-        part.set("offset", None)
+            part_tree.append("expressions", extra)
+        part_tree.set("offset", None)
         if self.limit >= 0:
-            part.set("limit", exp.Limit(expression=exp.Literal.number(self.limit + self.offset)))
+            part_tree.set("limit", exp.Limit(expression=exp.Literal.number(self.limit + self.offset)))
         elif self.offset and self.planner.dialect == "tsql":
-            part.set("order", None)  # which it does not take without the rest
-        return part.sql(dialect=self.planner.dialect), how
+            part_tree.set("order", None)  # T-SQL does not accept it without OFFSET
+        return part_tree.sql(dialect=self.planner.dialect), merge_plan
 
-    def _place(self, key: exp.Expression, shown: Sequence[exp.Expression], star: bool) -> tuple[int, Column]:
-        """The column of the answer that an order names, or -1 and the table's column."""
+    def _find_order_column(
+        self, key: exp.Expression, selected: Sequence[exp.Expression], star: bool
+    ) -> tuple[int, Column]:
+        """Return the position and column of a selected sort key, or -1 and the table's column."""
         if type(key) is exp.Literal and not key.is_string:
-            at = int(key.name) - 1 if key.name.isdecimal() else -1
-            if star or not 0 <= at < len(shown):
-                raise _CantError("ORDER BY a place that can't be told")
-            return at, self._ordered_by(shown[at].unalias(), "ORDER BY")
+            index = int(key.name) - 1 if key.name.isdecimal() else -1
+            if star or not 0 <= index < len(selected):
+                raise _NotScatterableError("ORDER BY an invalid column position")
+            return index, self._comparable_column(selected[index].unalias(), "ORDER BY")
         if type(key) is exp.Column and not key.table:
-            named = [at for at, one in enumerate(shown) if one.alias_or_name.lower() == key.name.lower()]
-            if len(named) > 1 and len({shown[at].unalias().sql() for at in named}) > 1:
-                raise _CantError("ORDER BY a name that stands there twice")
-            if named:
-                return named[0], self._ordered_by(shown[named[0]].unalias(), "ORDER BY")
-        if star and any(one.alias for one in self.tree.expressions):
-            raise _CantError("ORDER BY beside * and other names")
-        return -1, self._ordered_by(key, "ORDER BY")
-
-    # Groups and totals.
-
-    def grouped(self) -> tuple[str, Merge]:
+            matches = [
+                index
+                for index, expression in enumerate(selected)
+                if expression.alias_or_name.lower() == key.name.lower()
+            ]
+            if len(matches) > 1 and len({selected[index].unalias().sql() for index in matches}) > 1:
+                raise _NotScatterableError("ORDER BY an ambiguous name")
+            if matches:
+                return matches[0], self._comparable_column(selected[matches[0]].unalias(), "ORDER BY")
+        if star and any(expression.alias for expression in self.tree.expressions):
+            raise _NotScatterableError("ORDER BY with * and aliases")
+        return -1, self._comparable_column(key, "ORDER BY")
+
+    # Groups and aggregates.
+
+    def plan_grouped(self) -> tuple[str, Merge]:
         if self.distinct is not None:
-            raise _CantError("DISTINCT of groups")
-        shown = self.tree.expressions
+            raise _NotScatterableError("DISTINCT of groups")
+        selected = self.tree.expressions
         keys: dict[str, Cell] = {}
         by: list[exp.Expression] = []
         if self.group is not None:
-            if {name for name, held in self.group.args.items() if held} - {"expressions"}:
-                raise _CantError("GROUP BY of several levels")
+            if {name for name, argument in self.group.args.items() if argument} - {"expressions"}:
+                raise _NotScatterableError("GROUP BY of several levels")
             for node in self.group.expressions:
-                column = self._ordered_by(node, "GROUP BY")
-                for one in shown:
-                    if one.alias and one.alias.lower() == column.name and one.unalias().name.lower() != column.name:
-                        raise _CantError("GROUP BY a name that stands for something else too")
+                column = self._comparable_column(node, "GROUP BY")
+                for expression in selected:
+                    if (
+                        expression.alias
+                        and expression.alias.lower() == column.name
+                        and expression.unalias().name.lower() != column.name
+                    ):
+                        raise _NotScatterableError("GROUP BY a name that is also the alias of another column")
                 if column.name not in keys:
                     keys[column.name] = Cell(KEY, len(by), column.type)
                     by.append(node.copy())
-        totals: list[exp.Expression] = []
-        cells = tuple(self._shown(one.unalias(), keys, len(by), totals) for one in shown)
-        order = tuple(self._grouped_order(one, shown, cells) for one in self.ordered)
-        part = self.tree.copy()
-        part.set("expressions", [*by, *totals])
+        aggregates: list[exp.Expression] = []
+        cells = tuple(self._grouped_cell(expression.unalias(), keys, len(by), aggregates) for expression in selected)
+        order = tuple(self._grouped_order(expression, selected, cells) for expression in self.ordered)
+        part_tree = self.tree.copy()
+        part_tree.set("expressions", [*by, *aggregates])
         for clause in ("order", "limit", "offset"):
-            part.set(clause, None)
-        how = Merge(
+            part_tree.set(clause, None)
+        merge_plan = Merge(
             cells,
             tuple(keys.values()),
             True,
-            width=len(by) + len(totals),
+            width=len(by) + len(aggregates),
             order=order,
             limit=self.limit,
             offset=self.offset,
         )
-        return part.sql(dialect=self.planner.dialect), how
+        return part_tree.sql(dialect=self.planner.dialect), merge_plan
 
-    def _shown(self, node: exp.Expression, keys: dict[str, Cell], first: int, totals: list[exp.Expression]) -> Cell:
+    def _grouped_cell(
+        self, node: exp.Expression, keys: dict[str, Cell], first: int, aggregates: list[exp.Expression]
+    ) -> Cell:
         if type(node) is exp.Column:
-            column = self._column(node, "a column beside totals")
+            column = self._column(node, "a column next to aggregates")
             if column.name not in keys:
-                raise _CantError("a column that GROUP BY does not name")
+                raise _NotScatterableError("a column that GROUP BY does not name")
             return keys[column.name]
-        what = _TOTALS.get(type(node))
-        if what is None:
-            raise _CantError("an expression of totals or groups")
-        if {name for name, held in node.args.items() if held} - {"this", "big_int"}:
-            raise _CantError("a total of several values")
-        if what == COUNT:
+        aggregate = _AGGREGATES.get(type(node))
+        if aggregate is None:
+            raise _NotScatterableError("an expression of aggregates or groups")
+        if {name for name, argument in node.args.items() if argument} - {"this", "big_int"}:
+            raise _NotScatterableError("an aggregate of several values")
+        if aggregate == COUNT:
             if not isinstance(node.this, exp.Star):
                 self._column(node.this, "COUNT")
-            return self._total(Cell(COUNT, first + len(totals), INTEGER), node, totals)
-        if what in (LEAST, GREATEST):
-            column = self._ordered_by(node.this, what.upper())
-            return self._total(Cell(what, first + len(totals), column.type), node, totals)
-        column = self._column(node.this, what.upper())
+            return self._add_aggregate(Cell(COUNT, first + len(aggregates), INTEGER), node, aggregates)
+        if aggregate in (MIN, MAX):
+            column = self._comparable_column(node.this, aggregate.upper())
+            return self._add_aggregate(Cell(aggregate, first + len(aggregates), column.type), node, aggregates)
+        column = self._column(node.this, aggregate.upper())
         if column.type != INTEGER and not (column.type == DECIMAL and self.planner.dialect != "sqlite"):
-            raise _CantError(f"{what.upper()} of a {column.type}, which the engines round")
-        if what == SUM:
-            return self._total(Cell(SUM, first + len(totals), column.type), node, totals)
+            raise _NotScatterableError(f"{aggregate.upper()} of a {column.type}, which the engines round")
+        if aggregate == SUM:
+            return self._add_aggregate(Cell(SUM, first + len(aggregates), column.type), node, aggregates)
         if self.planner.dialect != "tsql" or column.type != INTEGER:
-            raise _CantError("AVG, which the engines round")
-        at = first + len(totals)
+            raise _NotScatterableError("AVG, which the engines round")
+        index = first + len(aggregates)
         wide = exp.Cast(this=node.this.copy(), to=exp.DataType.build("bigint"))
-        totals += [exp.Sum(this=wide), exp.Count(this=node.this.copy(), big_int=True)]
-        return Cell(MEAN, at, INTEGER, at + 1)
+        aggregates += [exp.Sum(this=wide), exp.Count(this=node.this.copy(), big_int=True)]
+        return Cell(AVG, index, INTEGER, index + 1)
 
     @staticmethod
-    def _total(cell: Cell, node: exp.Expression, totals: list[exp.Expression]) -> Cell:
-        totals.append(node.copy())
+    def _add_aggregate(cell: Cell, node: exp.Expression, aggregates: list[exp.Expression]) -> Cell:
+        aggregates.append(node.copy())
         return cell
 
-    def _grouped_order(self, one: exp.Expression, shown: Sequence[exp.Expression], cells: tuple[Cell, ...]) -> Order:
-        key, at = one.this, -1
-        if type(key) is exp.Literal and not key.is_string and key.name.isdecimal():
-            at = int(key.name) - 1
+    def _grouped_order(
+        self, sort_key: exp.Expression, selected: Sequence[exp.Expression], cells: tuple[Cell, ...]
+    ) -> Order:
+        sort_expression, index = sort_key.this, -1
+        if type(sort_expression) is exp.Literal and not sort_expression.is_string and sort_expression.name.isdecimal():
+            index = int(sort_expression.name) - 1
         else:
-            named = [
-                n
-                for n, each in enumerate(shown)
-                if type(key) is exp.Column and not key.table and each.alias_or_name.lower() == key.name.lower()
+            by_name = [
+                position
+                for position, expression in enumerate(selected)
+                if type(sort_expression) is exp.Column
+                and not sort_expression.table
+                and expression.alias_or_name.lower() == sort_expression.name.lower()
+            ]
+            matches = by_name or [
+                position
+                for position, expression in enumerate(selected)
+                if _is_same(expression.unalias(), sort_expression)
             ]
-            same = named or [n for n, each in enumerate(shown) if _same(each.unalias(), key)]
-            if len({cells[n] for n in same}) == 1:
-                at = same[0]
-        if not 0 <= at < len(shown):
-            raise _CantError("ORDER BY what the answer does not show")
-        return Order(at, cells[at].type, bool(one.args.get("desc")), bool(one.args.get("nulls_first")))
+            if len({cells[position] for position in matches}) == 1:
+                index = matches[0]
+        if not 0 <= index < len(selected):
+            raise _NotScatterableError("ORDER BY an expression that is not selected")
+        return Order(index, cells[index].type, bool(sort_key.args.get("desc")), bool(sort_key.args.get("nulls_first")))
 
 
-def _same(one: exp.Expression, other: exp.Expression) -> bool:
-    return one.sql().lower() == other.sql().lower()
+def _is_same(first: exp.Expression, second: exp.Expression) -> bool:
+    return first.sql().lower() == second.sql().lower()
 
 
-def _order(one: exp.Expression, column: Column, at: int) -> Order:
-    return Order(at, column.type, bool(one.args.get("desc")), bool(one.args.get("nulls_first")))
+def _order(sort_key: exp.Expression, column: Column, index: int) -> Order:
+    return Order(index, column.type, bool(sort_key.args.get("desc")), bool(sort_key.args.get("nulls_first")))
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -1,9 +1,9 @@
-"""Scatter in the program: requests on spread tables, their parts through the core, and the summaries' messages.
+"""Scatter/gather in the program: requests on spread tables, their parts, and the messages about summaries.
 
-Owns which requests are taken from the fronts before the core's ledger, the timers of the lease cores, and the queries
-that learn a site anew. It must never send anything to an engine: parts, loads and these queries are requests of the
-core like any other, with numbers of their own. Nor does it decide: what is left out is `leases` and `predicates`, what
-a statement becomes `plan`, what parts become `gather`.
+Takes such requests from the fronts before the core's ledger, runs the timers of the lease protocol, and queries sites
+to learn their summaries. Nothing is sent to an engine from here: parts, loads and these queries are submitted to the
+core as requests of their own. The decisions are made elsewhere: which sites are skipped in `leases` and `predicates`,
+what a statement becomes in `plan`, and what the parts' responses become in `gather`.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from frostspindle.predicates.values import KINDS, canonical
 from frostspindle.scatter import wire
 from frostspindle.scatter.gather import Gather, GatheredResponse, estimates
-from frostspindle.scatter.leases import UNKNOWN, Load, LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings
+from frostspindle.scatter.leases import UNKNOWN_KIND, Load, LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings
 from frostspindle.scatter.merge import MergeMismatchError, value
-from frostspindle.scatter.plan import Planner, Rows, step_cells
+from frostspindle.scatter.plan import InsertedRows, Planner, step_cells
 from frostspindle.telemetry import Telemetry
 
 if TYPE_CHECKING:
@@ -33,24 +33,24 @@
     from frostspindle.fleet.service import FleetService as Fleet
 
 CHANNEL = 2
-MERGE_MS = 10.0  # of a request's time that parts leave for the merge
-CONFIRM = 0.1  # part of a load's time that is left for its confirmation
-WIDEN = 0.6  # part of it after which a load that could not be announced is refused
-AGAIN_S = 0.05  # a load waits so for a fleet that is not there yet
-LOOK_S = 0.25  # how often it is looked for summaries to learn
-LEARNING = 2  # summaries that are learnt at a time
-MOST_DISTINCT = 50_000  # values of a column that are learnt; with more nothing is known of it
-LEARN_MS = 20_000.0  # of one query
+MERGE_RESERVE_MS = 10.0  # of a request's time, reserved for the merge
+CONFIRM_FRACTION = 0.1  # of a load's time, reserved for its confirmation
+ANNOUNCE_FRACTION = 0.6  # of it, after which a load that is not announced yet is rejected
+FLEET_RETRY_S = 0.05  # interval at which a load checks whether the fleet has started
+LEARN_CHECK_S = 0.25  # interval of the search for summaries to learn
+MAX_CONCURRENT_LEARNING = 2  # summaries
+MAX_DISTINCT_VALUES = 50_000  # of a column; with more it is learnt as unknown
+LEARN_QUERY_TIMEOUT_MS = 20_000.0
 
 
 def monotonic() -> float:
-    """Return milliseconds of a clock that runs on while the process is stopped."""
+    """Return the monotonic time in ms; it advances while the process is stopped."""
     return time.monotonic() * 1000.0
 
 
-def ticket(whole: str, site: str) -> str:
-    """Return a part's id, of the same form as a client's."""
-    return blake2b(f"{whole}:{site}".encode(), digest_size=8).hexdigest()
+def ticket(request_ticket: str, site: str) -> str:
+    """Return the ticket of a part, in the same form as a client's."""
+    return blake2b(f"{request_ticket}:{site}".encode(), digest_size=8).hexdigest()
 
 
 @dataclass(slots=True, eq=False)
@@ -62,120 +62,129 @@
 
 @dataclass(slots=True, eq=False)
 class _ScatteredLoad:
-    """One load: announced, sent, confirmed."""
+    """A load, which is announced, sent and confirmed."""
 
     request: ClientRequest
     site: str
-    load: Load | None = None
+    announcement: Load | None = None
     part: ClientRequest | None = None
     result: Any = None
     timer: asyncio.TimerHandle | None = None
-    began: float = 0.0
-    columns: tuple[str, ...] = ()  # that it wrote, of those with a summary; all of these where nobody can tell
+    started_at: float = 0.0
+    columns: tuple[str, ...] = ()  # columns with a summary that it wrote; all of them if not known
 
 
 class ScatterService:
-    """One process's side of scattering; a frostspindle.fleet.service.FleetChannel."""
+    """Scatter/gather of one process; a frostspindle.fleet.service.FleetChannel."""
 
     channel = CHANNEL
 
     def __init__(self, catalogue: Catalogue, core: Core, telemetry: Telemetry, fleet: Fleet, classes: int) -> None:
         self.catalogue, self.core, self.telemetry, self.fleet = catalogue, core, telemetry, fleet
-        self.classes = classes  # of the front that is scattered; others' requests have higher numbers
-        terms = catalogue.settings
+        self.classes = classes  # of the front whose requests are scattered; higher numbers are other fronts'
+        section = catalogue.settings
         self.planner = Planner(catalogue)
-        self.settings = SummaryLeaseSettings(terms.lease_ms, terms.drift, catalogue.digest, terms.keep_ms, terms.bits)
+        self.settings = SummaryLeaseSettings(
+            section.lease_ms, section.drift, catalogue.digest, section.keep_ms, section.bits
+        )
         self.home: SummaryHome | None = None
         self.holder: SummaryCache | None = None
         self.queries: dict[ClientRequest, _ScatteredQuery] = {}
-        self.turns: dict[ClientRequest, _ScatteredLoad] = {}
-        self.lines: dict[int, deque[_ScatteredLoad]] = {}  # loads of one key, in the order taken
-        # Told of each load that is answered as served: its site, group and columns.
+        self.loads: dict[ClientRequest, _ScatteredLoad] = {}
+        self.key_queues: dict[int, deque[_ScatteredLoad]] = {}  # loads of one key, in the order accepted
+        # Called for each load that is answered as served, with its site, group and columns.
         self.loaded: Callable[[str, int, tuple[str, ...]], None] = lambda site, group, columns: None
-        self.waits: deque[float] = deque(maxlen=1_000)  # ms that the last loads waited to be announced
+        self.announce_waits_ms: deque[float] = deque(maxlen=1_000)  # of the last loads
         self._timer: asyncio.TimerHandle | None = None
-        self._look: asyncio.TimerHandle | None = None
-        self._learning: dict[str, asyncio.Task[None]] = {}
+        self._learn_timer: asyncio.TimerHandle | None = None
+        self._learning_tasks: dict[str, asyncio.Task[None]] = {}
 
-    # What the fleet calls.
+    # Called by the fleet.
 
     def on_started(self, now: float, node: FleetNode) -> None:
-        """Create the lease cores under the node's epoch, with the summaries whose home this process is, and start
-        learning sites; called once the fleet's port is ours.
+        """Create both sides of the lease protocol with the node's epoch, and start learning the summaries whose home
+        this process is. Called once this process has the fleet's port.
         """
         homes = {key: home_of(key, node.homes) for key in self.catalogue.all_keys()}
-        own = {key: self.catalogue.summary_columns(site_of(key)[1]) for key, home in homes.items() if home == node.name}
-        self.home, self.holder = SummaryHome(node.epoch, self.settings, own, now), SummaryCache(self.settings, homes)
+        own_columns = {
+            key: self.catalogue.summary_columns(site_of(key)[1]) for key, home in homes.items() if home == node.name
+        }
+        self.home, self.holder = (
+            SummaryHome(node.epoch, self.settings, own_columns, now),
+            SummaryCache(self.settings, homes),
+        )
         self.telemetry.log(
-            "scatter_started", sites=len(self.catalogue.sites), groups=len(self.catalogue.groups), keeps=len(own)
+            "scatter_started",
+            sites=len(self.catalogue.sites),
+            groups=len(self.catalogue.groups),
+            keeps=len(own_columns),
         )
-        self._search()
+        self._check_learning()
 
     def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
-        """Decode and dispatch a member's message, then send what the lease cores answer.
-
-        An undecodable one is counted.
-        """
-        self._hear(now, name, epoch, data)
+        """Decode and dispatch a member's message and send the responses; undecodable messages are counted."""
+        self._dispatch(now, name, epoch, data)
         self._flush(now)
 
     def on_member_changed(self, now: float, name: str, state: str) -> None:
-        """Do nothing: leases end by time alone, as a member that is held for dead may only be cut off."""
+        """Do nothing: leases end only by time, as a member that is thought dead may just be cut off."""
 
-    def _hear(self, now: float, name: str, epoch: int, data: bytes) -> None:
+    def _dispatch(self, now: float, name: str, epoch: int, data: bytes) -> None:
         if self.home is None or self.holder is None:
             return
         try:
-            word = wire.decode(data)
+            message = wire.decode(data)
         except wire.InvalidPacketError:
             self.telemetry.count("scatter_undecodable")
             return
-        kind = type(word)
+        kind = type(message)
         if kind is wire.LeaseRequest:
-            self.home.on_lease_request(now, name, epoch, word)
+            self.home.on_lease_request(now, name, epoch, message)
         elif kind is wire.UpdateAcknowledged:
-            self.home.on_update_acknowledged(now, name, epoch, word)
+            self.home.on_update_acknowledged(now, name, epoch, message)
         elif kind is wire.LoadAnnounced:
-            self.home.on_load_announced(now, name, epoch, word)
+            self.home.on_load_announced(now, name, epoch, message)
         elif kind is wire.LoadEnded:
-            self.home.on_load_ended(now, name, epoch, word)
+            self.home.on_load_ended(now, name, epoch, message)
         elif kind is wire.ReleaseLease:
-            self.home.on_release_lease(now, name, epoch, word)
+            self.home.on_release_lease(now, name, epoch, message)
         elif kind is wire.LeaseUnchanged:
-            self.holder.on_lease_unchanged(now, name, epoch, word)
+            self.holder.on_lease_unchanged(now, name, epoch, message)
         elif kind is wire.SummaryPiece:
-            self.holder.on_summary_piece(now, name, epoch, word)
+            self.holder.on_summary_piece(now, name, epoch, message)
         elif kind is wire.SummaryUpdated:
-            self.holder.on_summary_updated(now, name, epoch, word)
+            self.holder.on_summary_updated(now, name, epoch, message)
         elif kind is wire.LoadPermitted:
-            self.holder.on_load_permitted(now, name, epoch, word)
+            self.holder.on_load_permitted(now, name, epoch, message)
         else:
-            self.holder.on_load_recorded(now, name, epoch, word)
+            self.holder.on_load_recorded(now, name, epoch, message)
 
     def _flush(self, now: float) -> None:
-        """Carry what both cores say, to ourselves too, go on with loads, and plan the next turn."""
+        """Deliver outgoing messages, also those to this process, continue changed loads, and schedule the next tick."""
         home, holder = self.home, self.holder
         if home is None or holder is None or self.fleet.node is None:
             return
-        own, epoch = self.fleet.name, self.fleet.node.epoch
+        own_name, epoch = self.fleet.name, self.fleet.node.epoch
         while home.outbox or holder.outbox or holder.changed_loads:
             sending = home.outbox + holder.outbox
             home.outbox, holder.outbox = [], []
-            changed, holder.changed_loads = holder.changed_loads, []
-            for load in changed:
-                self._moved(load)
+            changed_loads, holder.changed_loads = holder.changed_loads, []
+            for announcement in changed_loads:
+                self._on_load_state_changed(announcement)
             for name, data in sending:
-                if name == own:
-                    self._hear(now, own, epoch, data)
+                if name == own_name:
+                    self._dispatch(now, own_name, epoch, data)
                 elif len(data) <= wire.MAX_MESSAGE_BYTES:
                     self.fleet.post(name, CHANNEL, data)
                 else:
                     self.telemetry.count("scatter_too_long")
         if self._timer is not None:
             self._timer.cancel()
-        due = min(home.next_tick_ms(now), holder.next_tick_ms())
-        if due < float("inf"):
-            self._timer = asyncio.get_running_loop().call_later(max(0.001, (due - monotonic()) / 1000.0), self._tick)
+        next_tick_ms = min(home.next_tick_ms(now), holder.next_tick_ms())
+        if next_tick_ms < float("inf"):
+            self._timer = asyncio.get_running_loop().call_later(
+                max(0.001, (next_tick_ms - monotonic()) / 1000.0), self._tick
+            )
 
     def _tick(self) -> None:
         if self.home is not None and self.holder is not None:
@@ -184,15 +193,15 @@
             self.holder.tick(now)
             self._flush(now)
 
-    # What the core calls.
+    # Called by the core.
 
     @property
     def open(self) -> int:
-        """Number of scattered queries and loads that are not answered yet."""
-        return len(self.queries) + len(self.turns)
+        """Number of scattered queries and loads that have no response yet."""
+        return len(self.queries) + len(self.loads)
 
     def try_take(self, request: ClientRequest) -> bool | None:
-        """Take a request if it reads spread tables. True: it is settled here; False: full; None: not one of ours."""
+        """Accept a request on spread tables: True if accepted, False if too many are open, None for other tables."""
         if request.group not in self.catalogue.groups or request.front == SUBREQUEST_FRONT:
             return None
         name = self.core.classes[request.cls][1]
@@ -201,91 +210,100 @@
             return False
         self.telemetry.count("taken", request.front, name)
         if request.cls >= self.classes:
-            self._soon(request, Response(ResponseStatus.REJECTED, reason="not scatterable: not by this front"))
+            self._respond_later(request, Response(ResponseStatus.REJECTED, reason="not scatterable: not by this front"))
         elif request.cls in self.catalogue.loads:
-            self._load(request)
+            self._start_load(request)
         else:
-            self._query(request)
+            self._start_query(request)
         return True
 
     def client_disconnected(self, request: ClientRequest) -> bool:
-        """Note that a client left and cancel its parts; return False if the request is not one of ours."""
+        """Drop a request whose client has disconnected, and cancel its parts.
+
+        Return False if it was not accepted here.
+        """
         if (query := self.queries.pop(request, None)) is not None:
-            query.gather.left()
+            query.gather.on_client_disconnected()
             for site in query.gather.open:
                 if site in query.parts:
                     self.core.client_disconnected(query.parts[site])
-        elif (turn := self.turns.pop(request, None)) is not None:
-            self._close(turn, turn.part is None)
-            if turn.part is not None:
-                self.core.client_disconnected(turn.part)
+        elif (load := self.loads.pop(request, None)) is not None:
+            self._clean_up(load, load.part is None)
+            if load.part is not None:
+                self.core.client_disconnected(load.part)
         else:
             return request.group in self.catalogue.groups and request.front != SUBREQUEST_FRONT
         self.telemetry.count("left", request.front, self.core.classes[request.cls][1])
         return True
 
     def subrequests(self, request: ClientRequest) -> Sequence[ClientRequest]:
-        """Return the parts of a request that are submitted and not answered yet."""
+        """Return the unanswered parts of a request."""
         if (query := self.queries.get(request)) is not None:
             return [query.parts[site] for site in query.gather.open if site in query.parts]
-        turn = self.turns.get(request)
-        return [turn.part] if turn is not None and turn.part is not None else []
+        load = self.loads.get(request)
+        return [load.part] if load is not None and load.part is not None else []
 
     def _submit_part(self, request: ClientRequest, part: ClientRequest) -> bool:
-        """Submit a part of a client's request: nothing is sent for it while that client is away or has gone."""
+        """Submit a part of a client's request, which is not sent while that client is suspended or has disconnected."""
         part.is_client_connected = request.is_client_connected
         part.is_suspended = request.is_suspended
         return self.core.submit(part)
 
-    def _soon(self, request: ClientRequest, answer: Response) -> None:
-        """Not before the front has noted that the request is taken."""
-        asyncio.get_running_loop().call_soon(self._settle, request, answer)
+    def _respond_later(self, request: ClientRequest, response: Response) -> None:
+        """Respond once the front has recorded that the request is accepted."""
+        asyncio.get_running_loop().call_soon(self._respond, request, response)
 
-    def _settle(self, request: ClientRequest, answer: Response) -> None:
-        self.telemetry.count(answer.status, request.front, self.core.classes[request.cls][1])
-        if answer.reason:
+    def _respond(self, request: ClientRequest, response: Response) -> None:
+        self.telemetry.count(response.status, request.front, self.core.classes[request.cls][1])
+        if response.reason:
             self.telemetry.count(
-                "scatter_turned_down" if answer.status == ResponseStatus.REJECTED else "scatter_unmerged"
+                "scatter_turned_down" if response.status == ResponseStatus.REJECTED else "scatter_unmerged"
             )
-        request.on_response(answer)
+        request.on_response(response)
         request.statement = ""
 
     @staticmethod
-    def _left_ms(request: ClientRequest) -> float:
+    def _remaining_ms(request: ClientRequest) -> float:
         return request.timeout_ms - (clock() - request.received_ms)
 
     # Queries.
 
-    def _query(self, request: ClientRequest) -> None:
+    def _start_query(self, request: ClientRequest) -> None:
         plan = self.planner.plan(request.group, request.statement)
         if plan.refused:
-            self._soon(request, Response(ResponseStatus.REJECTED, reason=plan.refused))
+            self._respond_later(request, Response(ResponseStatus.REJECTED, reason=plan.refused))
             return
         sites = self.catalogue.sites_of(request.group)
-        skipped, rows = self._skips(request.group, sites, plan.predicate)
-        asked = [site for site in sites if site not in skipped]
+        skipped, rows = self._sites_to_skip(request.group, sites, plan.predicate)
+        queried_sites = [site for site in sites if site not in skipped]
         self.telemetry.count("scatter_requests")
-        self.telemetry.count("scatter_parts", amount=len(asked))
+        self.telemetry.count("scatter_parts", amount=len(queried_sites))
         self.telemetry.count("scatter_left_out", amount=len(skipped))
         query = _ScatteredQuery(
             request,
-            Gather(plan.merge, asked, self.catalogue.settings.null, request.partial, self.catalogue.settings.most_rows),
+            Gather(
+                plan.merge,
+                queried_sites,
+                self.catalogue.settings.null,
+                request.partial,
+                self.catalogue.settings.most_rows,
+            ),
             {},
         )
-        if (whole := query.gather.begin()) is not None:
-            self._soon(request, self._answer(whole))
+        if (gathered := query.gather.start()) is not None:
+            self._respond_later(request, self._to_response(gathered))
             return
         self.queries[request] = query
-        _, rank = estimates(request.cost_ms, [rows.get(site) for site in asked])
-        for site in asked:
+        _, rank = estimates(request.cost_ms, [rows.get(site) for site in queried_sites])
+        for site in queried_sites:
             query.parts[site] = ClientRequest(
                 SUBREQUEST_FRONT,
                 self.catalogue.classes[request.cls, site],
                 ticket(request.ticket, site),
                 plan.statement or request.statement,
                 clock(),
-                max(1.0, self._left_ms(request) - MERGE_MS),
-                partial(self._part, query, site),
+                max(1.0, self._remaining_ms(request) - MERGE_RESERVE_MS),
+                partial(self._on_part_response, query, site),
                 rank,
                 request.memory_mb,
                 request.group,
@@ -294,10 +312,12 @@
             )
         for site, part in query.parts.items():
             if not self._submit_part(request, part):
-                asyncio.get_running_loop().call_soon(self._part, query, site, Response(ResponseStatus.REJECTED))
+                asyncio.get_running_loop().call_soon(
+                    self._on_part_response, query, site, Response(ResponseStatus.REJECTED)
+                )
 
-    def _skips(self, group: int, sites: Sequence[str], predicate: Any) -> tuple[set[str], dict[str, int]]:
-        """The sites that nobody need ask, and how many rows the summaries of the others speak of."""
+    def _sites_to_skip(self, group: int, sites: Sequence[str], predicate: Any) -> tuple[set[str], dict[str, int]]:
+        """Return the sites that can be skipped, and the row counts of the sites that have a summary."""
         skipped: set[str] = set()
         rows: dict[str, int] = {}
         if self.holder is None:
@@ -314,38 +334,38 @@
             rows[site] = summary.rows
             if not may_match(predicate, summary):
                 skipped.add(site)
-        # The process may have been stopped meanwhile: only leases that still hold say anything.
+        # The process may have been stopped meanwhile, so check that the leases are still valid.
         now = monotonic()
         skipped = {site for site in skipped if self.holder.summary(now, key_of(site, group)) is not None}
         return skipped, rows
 
-    def _part(self, query: _ScatteredQuery, site: str, answer: Response) -> None:
-        if answer.status == ResponseStatus.SERVED:
-            whole = query.gather.served(site, answer.result[0])
+    def _on_part_response(self, query: _ScatteredQuery, site: str, response: Response) -> None:
+        if response.status == ResponseStatus.SERVED:
+            gathered = query.gather.on_part_rows(site, response.result[0])
         else:
-            whole = query.gather.ended(site, answer.status, answer.retry_after_ms)
-        if whole is None or self.queries.pop(query.request, None) is None:
+            gathered = query.gather.on_part_failed(site, response.status, response.retry_after_ms)
+        if gathered is None or self.queries.pop(query.request, None) is None:
             return
         for other in query.gather.open:
             self.core.client_disconnected(query.parts[other])
-        self._settle(query.request, self._answer(whole))
+        self._respond(query.request, self._to_response(gathered))
 
-    def _answer(self, whole: GatheredResponse) -> Response:
-        if whole.status != ResponseStatus.SERVED:
-            return Response(whole.status, None, whole.retry_after_ms, whole.reason)
-        size = sum(len(text) + 1 for row in whole.rows for text in row) + len(whole.rows)
-        if whole.missing:
+    def _to_response(self, gathered: GatheredResponse) -> Response:
+        if gathered.status != ResponseStatus.SERVED:
+            return Response(gathered.status, None, gathered.retry_after_ms, gathered.reason)
+        size = sum(len(text) + 1 for row in gathered.rows for text in row) + len(gathered.rows)
+        if gathered.missing:
             self.telemetry.count("scatter_partial")
-        return Response(ResponseStatus.SERVED, (whole.rows, size), missing_parts=",".join(whole.missing))
+        return Response(ResponseStatus.SERVED, (gathered.rows, size), missing_parts=",".join(gathered.missing))
 
     # Loads.
 
-    def _load(self, request: ClientRequest) -> None:
-        told = self.planner.load(request.group, request.statement)
+    def _start_load(self, request: ClientRequest) -> None:
+        rows = self.planner.load(request.group, request.statement)
         sites = self.catalogue.sites_of(request.group)
-        site = request.site or (home_of(told.places[0], sites) if len(told.places) == 1 else "")
+        site = request.site or (home_of(rows.places[0], sites) if len(rows.places) == 1 else "")
         if site not in sites:
-            self._soon(
+            self._respond_later(
                 request,
                 Response(
                     ResponseStatus.REJECTED, reason="not scatterable: a load of one site's rows names it in X-Site"
@@ -354,64 +374,64 @@
             return
         columns = (
             self.catalogue.summary_columns(request.group)
-            if told.cells is None
-            else [name for name, cells in told.cells.items() if cells]
+            if rows.cells is None
+            else [name for name, cells in rows.cells.items() if cells]
         )
-        turn = self.turns[request] = _ScatteredLoad(
+        load = self.loads[request] = _ScatteredLoad(
             request,
             site,
-            began=monotonic(),
+            started_at=monotonic(),
             columns=tuple(dict.fromkeys(name.removesuffix(CELL_SUFFIX) for name in columns)),
         )
         if request.key:
-            self.lines.setdefault(request.key, deque()).append(turn)
+            self.key_queues.setdefault(request.key, deque()).append(load)
         if self.catalogue.sites[site].foreign_loads:
-            self._send(turn)
+            self._submit_load(load)
             return
-        turn.timer = asyncio.get_running_loop().call_later(
-            max(0.0, WIDEN * self._left_ms(request)) / 1000.0, self._late, turn
+        load.timer = asyncio.get_running_loop().call_later(
+            max(0.0, ANNOUNCE_FRACTION * self._remaining_ms(request)) / 1000.0, self._on_load_timeout, load
         )
-        asyncio.get_running_loop().call_soon(self._announce, turn, told)
+        asyncio.get_running_loop().call_soon(self._announce, load, rows)
 
-    def _announce(self, turn: _ScatteredLoad, told: Rows) -> None:
-        if turn.request not in self.turns:
+    def _announce(self, load: _ScatteredLoad, rows: InsertedRows) -> None:
+        if load.request not in self.loads:
             return
         now = monotonic()
-        if self.holder is None:  # in an upgrade the other process has the fleet's port for a while
-            asyncio.get_running_loop().call_later(AGAIN_S, self._announce, turn, told)
+        if self.holder is None:  # during an upgrade the other process still has the fleet's port
+            asyncio.get_running_loop().call_later(FLEET_RETRY_S, self._announce, load, rows)
             return
-        turn.load = self.holder.load(now, key_of(turn.site, turn.request.group), told.count, told.cells)
-        if turn.load is None:
-            self._end(turn, Response(ResponseStatus.REJECTED), True)
+        load.announcement = self.holder.load(now, key_of(load.site, load.request.group), rows.count, rows.cells)
+        if load.announcement is None:
+            self._finish_load(load, Response(ResponseStatus.REJECTED), True)
         self._flush(now)
 
-    def _moved(self, load: Load) -> None:
-        turn = next((turn for turn in self.turns.values() if turn.load is load), None)
-        if turn is None:
+    def _on_load_state_changed(self, announcement: Load) -> None:
+        load = next((load for load in self.loads.values() if load.announcement is announcement), None)
+        if load is None:
             return
-        if load.state == "ready":
-            self.waits.append(monotonic() - turn.began)
-            self._send(turn)
-        elif load.state == "kept":
-            turn.load = None
-            self._end(turn, Response(ResponseStatus.SERVED, turn.result), False)
-
-    def _send(self, turn: _ScatteredLoad) -> None:
-        """The load itself, once it may go; loads of one key in the order taken."""
-        line = self.lines.get(turn.request.key) if turn.request.key else None
-        if turn.part is None and (line is None or line[0] is turn):
-            request = turn.request
-            if turn.timer is not None:
-                turn.timer.cancel()
-            left_ms = self._left_ms(request)
-            turn.part = ClientRequest(
+        if announcement.state == "ready":
+            self.announce_waits_ms.append(monotonic() - load.started_at)
+            self._submit_load(load)
+        elif announcement.state == "kept":
+            load.announcement = None
+            self._finish_load(load, Response(ResponseStatus.SERVED, load.result), False)
+
+    def _submit_load(self, load: _ScatteredLoad) -> None:
+        """Submit a load that is ready, unless an earlier one of its key has not been submitted."""
+        queue = self.key_queues.get(load.request.key) if load.request.key else None
+        if load.part is None and (queue is None or queue[0] is load):
+            request = load.request
+            if load.timer is not None:
+                load.timer.cancel()
+            left_ms = self._remaining_ms(request)
+            load.part = ClientRequest(
                 SUBREQUEST_FRONT,
-                self.catalogue.classes[request.cls, turn.site],
-                ticket(request.ticket, turn.site),
+                self.catalogue.classes[request.cls, load.site],
+                ticket(request.ticket, load.site),
                 request.statement,
                 clock(),
-                max(1.0, left_ms * (1.0 - CONFIRM)),
-                partial(self._ran, turn),
+                max(1.0, left_ms * (1.0 - CONFIRM_FRACTION)),
+                partial(self._on_load_response, load),
                 request.cost_ms,
                 request.memory_mb,
                 request.group,
@@ -419,109 +439,112 @@
                 request.tenant,
                 request.key,
             )
-            turn.timer = asyncio.get_running_loop().call_later(max(0.0, left_ms) / 1000.0, self._late, turn)
-            if not self._submit_part(request, turn.part):
-                asyncio.get_running_loop().call_soon(self._ran, turn, Response(ResponseStatus.REJECTED))
-            self._next(turn)
-
-    def _next(self, turn: _ScatteredLoad) -> None:
-        """The line of a key goes on without this load."""
-        line = self.lines.get(turn.request.key) if turn.request.key else None
-        if line is None or turn not in line:
+            load.timer = asyncio.get_running_loop().call_later(max(0.0, left_ms) / 1000.0, self._on_load_timeout, load)
+            if not self._submit_part(request, load.part):
+                asyncio.get_running_loop().call_soon(self._on_load_response, load, Response(ResponseStatus.REJECTED))
+            self._dequeue(load)
+
+    def _dequeue(self, load: _ScatteredLoad) -> None:
+        """Remove a load from its key's queue and submit the next one if it is ready."""
+        queue = self.key_queues.get(load.request.key) if load.request.key else None
+        if queue is None or load not in queue:
             return
-        line.remove(turn)
-        if not line:
-            del self.lines[turn.request.key]
+        queue.remove(load)
+        if not queue:
+            del self.key_queues[load.request.key]
         elif (
-            line[0].load is None
-            and self.catalogue.sites[line[0].site].foreign_loads
-            or (line[0].load is not None and line[0].load.state == "ready")
+            queue[0].announcement is None
+            and self.catalogue.sites[queue[0].site].foreign_loads
+            or (queue[0].announcement is not None and queue[0].announcement.state == "ready")
         ):
-            self._send(line[0])
+            self._submit_load(queue[0])
 
-    def _ran(self, turn: _ScatteredLoad, answer: Response) -> None:
-        if turn.request not in self.turns:
+    def _on_load_response(self, load: _ScatteredLoad, response: Response) -> None:
+        if load.request not in self.loads:
             return
-        if answer.status != ResponseStatus.SERVED:
-            self._end(turn, answer, answer.status == ResponseStatus.REJECTED)
+        if response.status != ResponseStatus.SERVED:
+            self._finish_load(load, response, response.status == ResponseStatus.REJECTED)
             return
-        turn.result = answer.result
-        if turn.load is None:  # its site is never left out
-            self._end(turn, answer, False)
+        load.result = response.result
+        if load.announcement is None:  # the site has foreign loads and is never skipped
+            self._finish_load(load, response, False)
             return
         assert self.holder is not None
         now = monotonic()
-        self.holder.ran(now, turn.load.number)
+        self.holder.ran(now, load.announcement.number)
         self._flush(now)
 
-    def _late(self, turn: _ScatteredLoad) -> None:
-        """Not announced in time: nothing was sent. Or not confirmed in time: it ran, and nobody may say served."""
-        self.telemetry.count("scatter_loads_unannounced" if turn.part is None else "scatter_loads_unconfirmed")
-        part = turn.part
-        self._end(turn, Response(ResponseStatus.REJECTED if part is None else ResponseStatus.FAILED), part is None)
+    def _on_load_timeout(self, load: _ScatteredLoad) -> None:
+        """End a load that was not announced in time, so not sent, or not confirmed in time, so it may have run."""
+        self.telemetry.count("scatter_loads_unannounced" if load.part is None else "scatter_loads_unconfirmed")
+        part = load.part
+        self._finish_load(
+            load, Response(ResponseStatus.REJECTED if part is None else ResponseStatus.FAILED), part is None
+        )
         if part is not None:
             self.core.client_disconnected(part)
 
-    def _end(self, turn: _ScatteredLoad, answer: Response, never_ran: bool) -> None:
-        if self.turns.pop(turn.request, None) is None:
+    def _finish_load(self, load: _ScatteredLoad, response: Response, never_ran: bool) -> None:
+        if self.loads.pop(load.request, None) is None:
             return
-        self._close(turn, never_ran)
-        if answer.status == ResponseStatus.SERVED:
-            self.loaded(turn.site, turn.request.group, turn.columns)
-        self._settle(turn.request, answer)
-
-    def _close(self, turn: _ScatteredLoad, never_ran: bool) -> None:
-        if turn.timer is not None:
-            turn.timer.cancel()
-        if turn.load is not None and self.holder is not None:
-            self.holder.drop_load(monotonic(), turn.load.number, never_ran)
+        self._clean_up(load, never_ran)
+        if response.status == ResponseStatus.SERVED:
+            self.loaded(load.site, load.request.group, load.columns)
+        self._respond(load.request, response)
+
+    def _clean_up(self, load: _ScatteredLoad, never_ran: bool) -> None:
+        if load.timer is not None:
+            load.timer.cancel()
+        if load.announcement is not None and self.holder is not None:
+            self.holder.drop_load(monotonic(), load.announcement.number, never_ran)
             asyncio.get_running_loop().call_soon(self._flush, monotonic())
-        self._next(turn)
+        self._dequeue(load)
 
-    # Learning a site anew.
+    # Learning summaries.
 
-    def _search(self) -> None:
-        self._look = asyncio.get_running_loop().call_later(LOOK_S, self._search)
+    def _check_learning(self) -> None:
+        self._learn_timer = asyncio.get_running_loop().call_later(LEARN_CHECK_S, self._check_learning)
         if self.home is None or self.catalogue.learn_class < 0:
             return
         now = monotonic()
-        for key in self.home.keys_to_learn(now)[: max(0, LEARNING - len(self._learning))]:
+        for key in self.home.keys_to_learn(now)[: max(0, MAX_CONCURRENT_LEARNING - len(self._learning_tasks))]:
             self.home.begin_learning(key)
-            task = asyncio.get_running_loop().create_task(self._learn(key))
-            self._learning[key] = task
-            task.add_done_callback(lambda _, key=key: self._learning.pop(key, None))
+            task = asyncio.get_running_loop().create_task(self._learn_summary(key))
+            self._learning_tasks[key] = task
+            task.add_done_callback(lambda _, key=key: self._learning_tasks.pop(key, None))
 
-    async def _learn(self, key: str) -> None:
-        told: list[LoadIntent] | None = []
+    async def _learn_summary(self, key: str) -> None:
+        intents: list[LoadIntent] | None = []
         try:
             site, group = site_of(key)
-            spread = self.catalogue.groups[group]
-            for table in spread.tables:
-                name = f"{spread.schema}.{table}"
-                count = await self._read(site, group, f"SELECT COUNT(*) FROM {name}")
+            table_group = self.catalogue.groups[group]
+            for table in table_group.tables:
+                name = f"{table_group.schema}.{table}"
+                count = await self._run_query(site, group, f"SELECT COUNT(*) FROM {name}")
                 cells = {}
-                for column in (one for one in spread.column if one.type != FLOAT):
-                    read = await self._read(site, group, f"SELECT DISTINCT {column.name} FROM {name}")
-                    cells[column.name] = held = self._cells(column, read)
+                for column in (candidate for candidate in table_group.column if candidate.type != FLOAT):
+                    read = await self._run_query(site, group, f"SELECT DISTINCT {column.name} FROM {name}")
+                    cells[column.name] = column_cells = self._to_cells(column, read)
                     if column.step:
-                        cells[column.name + CELL_SUFFIX] = step_cells(held, column.step)
-                told.append(LoadIntent(int(count[0][0]), cells))
+                        cells[column.name + CELL_SUFFIX] = step_cells(column_cells, column.step)
+                intents.append(LoadIntent(int(count[0][0]), cells))
         except (_SummaryQueryError, MergeMismatchError, ValueError, IndexError) as error:
-            told = None
-            why = (
-                str(error) if isinstance(error, _SummaryQueryError) else type(error).__name__
-            )  # others' texts may hold values
-            self.telemetry.log("scatter_summary_failed", key=key, why=why)
+            intents = None
+            # Texts of other errors may contain values.
+            reason = str(error) if isinstance(error, _SummaryQueryError) else type(error).__name__
+            self.telemetry.log("scatter_summary_failed", key=key, why=reason)
         if self.home is not None:
             now = monotonic()
-            if self.home.finish_learning(now, key, told, self.catalogue.settings.learn_ms):
-                self.telemetry.log("scatter_summary_learned", key=key, rows=sum(part.rows for part in told or ()))
+            if self.home.finish_learning(now, key, intents, self.catalogue.settings.learn_ms):
+                self.telemetry.log(
+                    "scatter_summary_learned", key=key, rows=sum(intent.rows for intent in intents or ())
+                )
             self._flush(now)
 
-    async def _read(self, site: str, group: int, sql: str) -> list[list[str]]:
-        answered: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
+    async def _run_query(self, site: str, group: int, sql: str) -> list[list[str]]:
+        response_future: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
         cls = self.catalogue.classes[self.catalogue.learn_class, site]
-        left_ms = min(LEARN_MS, self.core.settings.classes[cls].deadline_ms)
+        left_ms = min(LEARN_QUERY_TIMEOUT_MS, self.core.settings.classes[cls].deadline_ms)
         request = ClientRequest(
             SUBREQUEST_FRONT,
             cls,
@@ -529,39 +552,39 @@
             sql,
             clock(),
             left_ms,
-            lambda answer: answered.done() or answered.set_result(answer),
+            lambda response: response_future.done() or response_future.set_result(response),
             group=group,
         )
         if not self.core.submit(request):
             raise _SummaryQueryError("full")
-        answer = await answered
-        if answer.status != ResponseStatus.SERVED:
-            raise _SummaryQueryError(answer.status)
-        rows: list[list[str]] = answer.result[0]
+        response = await response_future
+        if response.status != ResponseStatus.SERVED:
+            raise _SummaryQueryError(response.status)
+        rows: list[list[str]] = response.result[0]
         return rows
 
-    def _cells(self, column: Column, rows: list[list[str]]) -> list[tuple[int, str]]:
-        """A column's distinct values; a text that looks like null may be either."""
+    def _to_cells(self, column: Column, rows: list[list[str]]) -> list[tuple[int, str]]:
+        """Return a column's distinct values as cells; a text that equals the null text counts as both."""
         null = self.catalogue.settings.null
-        if len(rows) > MOST_DISTINCT:
-            return [(UNKNOWN, "")]
-        out: list[tuple[int, str]] = []
+        if len(rows) > MAX_DISTINCT_VALUES:
+            return [(UNKNOWN_KIND, "")]
+        cells: list[tuple[int, str]] = []
         for (text,) in rows:
             if text == null:
-                out.append((0, ""))
+                cells.append((0, ""))
                 if column.type == TEXT:
-                    out.append((KINDS[str], text))
+                    cells.append((KINDS[str], text))
             else:
-                found = value(text, column.type, null)
-                out.append((KINDS[type(found)], canonical(found)))
-        return out
+                parsed = value(text, column.type, null)
+                cells.append((KINDS[type(parsed)], canonical(parsed)))
+        return cells
 
-    # What is told, and the end.
+    # Figures and shutdown.
 
     def figures(self) -> dict[str, Any]:
         """Return the figures for the operators' port."""
         now, counts = monotonic(), self.telemetry.counts
-        waits = sorted(self.waits)
+        waits = sorted(self.announce_waits_ms)
         return {
             "open": self.open,
             "requests": counts["scatter_requests", "", ""],
@@ -577,33 +600,33 @@
             else [],
             "keeps": {
                 key: {
-                    "known": shelf.summary is not None,
-                    "version": shelf.version,
-                    "holders": len(shelf.holders),
-                    "standing": len(shelf.standing),
+                    "known": record.summary is not None,
+                    "version": record.version,
+                    "holders": len(record.holders),
+                    "standing": len(record.open_intents),
                 }
-                for key, shelf in self.home.records.items()
+                for key, record in self.home.records.items()
             }
             if self.home
             else {},
         }
 
     def give_up(self) -> None:
-        """Answer, at the program's end, the loads that have no part under way; the core answers for the parts."""
-        for turn in list(self.turns.values()):
-            if turn.part is None or turn.result is not None:
-                self._end(
-                    turn,
-                    Response(ResponseStatus.REJECTED if turn.part is None else ResponseStatus.FAILED),
-                    turn.part is None,
+        """Answer the loads without a part in flight, at shutdown; the core answers the parts."""
+        for load in list(self.loads.values()):
+            if load.part is None or load.result is not None:
+                self._finish_load(
+                    load,
+                    Response(ResponseStatus.REJECTED if load.part is None else ResponseStatus.FAILED),
+                    load.part is None,
                 )
 
     def close(self) -> None:
-        """Stop timers and learning tasks, and tell the homes that no summary of theirs is used any more."""
-        for timer in (self._timer, self._look):
+        """Stop the timers and learning tasks, and release the leases on summaries."""
+        for timer in (self._timer, self._learn_timer):
             if timer is not None:
                 timer.cancel()
-        for task in list(self._learning.values()):
+        for task in list(self._learning_tasks.values()):
             task.cancel()
         if self.holder is not None:
             self.holder.release_all()
@@ -614,4 +637,4 @@
 
 
 class _SummaryQueryError(Exception):
-    """A query that learns was not served."""
+    """A query that reads a site to learn its summary was not served."""
--- a/frostspindle/scatter/wire.py
+++ b/frostspindle/scatter/wire.py
@@ -1,7 +1,7 @@
-"""What coordinators tell each other of summaries: msgspec structs in msgpack, each in one message of the fleet's.
+"""Messages about summaries between coordinators: msgspec structs in msgpack, each in one message of the fleet.
 
-Owns the form of every message and the bounds on its parts, and how a load's rows are cut into messages. It must never
-hold state; what can't be decoded or is out of its range is a InvalidPacketError here, before anything is made of it.
+Defines the messages and their bounds, and how a load's rows are split into messages. Data that can't be decoded or is
+out of its bounds raises InvalidPacketError before it is used.
 """
 
 from __future__ import annotations
@@ -16,121 +16,121 @@
 from frostspindle.fleet.wire import decoder
 from frostspindle.fleet.wire import encode as encode
 
-PIECE = 800  # bytes of a summary in one message
-MOST_PIECES = 1_024
-MOST_CHUNKS = 64  # messages that one load's rows may take; beyond, nobody knows what it brings
-ROOM = 700  # bytes of values in one of them
+PIECE_BYTES = 800  # of an encoded summary, in one message
+MAX_PIECES = 1_024
+MAX_CHUNKS = 64  # messages of one load's rows; with more, the rows are announced as unknown
+CHUNK_BYTES = 700  # of values, in one of these messages
 
-Whole = Annotated[int, Meta(ge=0, le=2**53)]
+UnsignedInt = Annotated[int, Meta(ge=0, le=2**53)]
 Key = Annotated[str, Meta(min_length=3, max_length=40)]
 Cell = tuple[Annotated[int, Meta(ge=0, le=4)], Annotated[str, Meta(max_length=1_000)]]
 Cells = Annotated[
     dict[Annotated[str, Meta(min_length=1, max_length=64)], Annotated[list[Cell], Meta(max_length=512)]],
     Meta(max_length=64),
 ]
-Chunk = Annotated[int, Meta(ge=0, lt=MOST_CHUNKS)]
+ChunkIndex = Annotated[int, Meta(ge=0, lt=MAX_CHUNKS)]
 
 
 class LeaseRequest(Struct, array_like=True, frozen=True, tag=0):
     """Request for a lease on a summary.
 
-    The sender installs nothing older than `floor`, and has version `have` (0: none).
+    The sender installs no version older than `floor`, and has version `have` (0: none).
     """
 
     key: Key
-    catalogue_digest: Whole  # a digest of the catalogue
-    seq: Whole
-    epoch: Whole  # of the home's process that `floor` and `have` are of
-    floor: Whole
-    have: Whole
+    catalogue_digest: UnsignedInt
+    seq: UnsignedInt
+    epoch: UnsignedInt  # of the home's process whose versions `floor` and `have` are
+    floor: UnsignedInt
+    have: UnsignedInt
 
 
 class LeaseUnchanged(Struct, array_like=True, frozen=True, tag=1):
-    """Answer to a Hold: the holder's summary is the newest, and its lease counts from when it asked."""
+    """Response to LeaseRequest: the sender of the request has the newest version; its lease counts from the request."""
 
     key: Key
-    seq: Whole
-    version: Whole
+    seq: UnsignedInt
+    version: UnsignedInt
 
 
 class SummaryPiece(Struct, array_like=True, frozen=True, tag=2):
-    """Answer to a Hold: one piece of the newest summary.
+    """Response to LeaseRequest: one piece of the newest version.
 
-    With all pieces the lease counts from when the holder asked.
+    Once the holder has all pieces, its lease counts from the request.
     """
 
     key: Key
-    seq: Whole
-    version: Whole
-    at: Annotated[int, Meta(ge=0, lt=MOST_PIECES)]
-    of: Annotated[int, Meta(ge=1, le=MOST_PIECES)]
-    data: Annotated[bytes, Meta(max_length=PIECE)]
+    seq: UnsignedInt
+    version: UnsignedInt
+    index: Annotated[int, Meta(ge=0, lt=MAX_PIECES)]
+    count: Annotated[int, Meta(ge=1, le=MAX_PIECES)]
+    data: Annotated[bytes, Meta(max_length=PIECE_BYTES)]
 
 
 class SummaryUpdated(Struct, array_like=True, frozen=True, tag=3):
-    """Notice that the summary has become `version`.
+    """Notice that the summary has a new version.
 
-    A holder of the version before it may add `cells`; any other, or without cells, must drop its summary.
+    A holder of the previous version may add `cells`; any other holder, or one without cells, must drop its summary.
     """
 
     key: Key
-    version: Whole
-    rows: Whole
+    version: UnsignedInt
+    rows: UnsignedInt
     cells: Cells | None
 
 
 class UpdateAcknowledged(Struct, array_like=True, frozen=True, tag=4):
-    """Acknowledgement: the sender uses no version older than `version` of the home's process any more."""
+    """Acknowledgement that the sender uses no version of the home's process older than `version`."""
 
     key: Key
-    epoch: Whole
-    version: Whole
+    epoch: UnsignedInt
+    version: UnsignedInt
 
 
 class LoadAnnounced(Struct, array_like=True, frozen=True, tag=5):
-    """Intent of a load: it is about to insert these rows; `cells` None: any rows."""
+    """Intent of a load to insert these rows; `cells` None: the rows are not known."""
 
     key: Key
-    catalogue_digest: Whole
-    load: Whole  # the sender's number of it
-    chunk: Chunk
-    rows: Whole
+    catalogue_digest: UnsignedInt
+    load: UnsignedInt  # number at the sender
+    chunk: ChunkIndex
+    rows: UnsignedInt
     cells: Cells | None
 
 
 class LoadPermitted(Struct, array_like=True, frozen=True, tag=6):
-    """Answer to a Widen: nobody leaves the site out by a summary without those rows any more."""
+    """Response to LoadAnnounced: no holder skips the site by a summary without these rows any more."""
 
     key: Key
-    load: Whole
-    chunk: Chunk
+    load: UnsignedInt
+    chunk: ChunkIndex
 
 
 class LoadEnded(Struct, array_like=True, frozen=True, tag=7):
-    """Notice that the load has ended, `chunks` messages having told of it.
+    """Notice that a load has ended that was announced in `chunks` messages.
 
-    If it ran, asks whether all of that is still known.
+    If it `ran`, the home responds whether it still has all of them.
     """
 
     key: Key
-    load: Whole
-    chunks: Annotated[int, Meta(ge=1, le=MOST_CHUNKS)]
+    load: UnsignedInt
+    chunks: Annotated[int, Meta(ge=1, le=MAX_CHUNKS)]
     ran: bool
 
 
 class LoadRecorded(Struct, array_like=True, frozen=True, tag=8):
-    """Answer to a Done: the rows are known (`kept`), or the home's process has forgotten them and must be told anew."""
+    """Response to LoadEnded: the home has the rows (`kept`), or the load has to be announced again."""
 
     key: Key
-    load: Whole
+    load: UnsignedInt
     kept: bool
 
 
 class ReleaseLease(Struct, array_like=True, frozen=True, tag=9):
-    """Notice that the sender uses the receiver's summary no more."""
+    """Notice that the sender no longer uses the receiver's summary."""
 
     key: Key
-    epoch: Whole
+    epoch: UnsignedInt
 
 
 Message = (
@@ -149,21 +149,21 @@
 
 
 def chunks(cells: dict[str, list[tuple[int, str]]]) -> list[Cells] | None:
-    """Split a load's values into as many messages as they need; None if these are more than MOST_CHUNKS."""
-    out: list[Cells] = []
-    room = 0
-    for name, cell, size in _sized(cells):
-        if not out or size > room or len(out[-1].get(name, ())) >= 512:
-            if len(out) == MOST_CHUNKS:
+    """Split a load's values into the cells of several messages; None if more than MAX_CHUNKS are needed."""
+    messages: list[Cells] = []
+    bytes_left = 0
+    for name, cell, size in _cells_with_size(cells):
+        if not messages or size > bytes_left or len(messages[-1].get(name, ())) >= 512:
+            if len(messages) == MAX_CHUNKS:
                 return None
-            out.append({})
-            room = ROOM
-        out[-1].setdefault(name, []).append(cell)
-        room -= size
-    return out or [{}]
+            messages.append({})
+            bytes_left = CHUNK_BYTES
+        messages[-1].setdefault(name, []).append(cell)
+        bytes_left -= size
+    return messages or [{}]
 
 
-def _sized(cells: dict[str, list[tuple[int, str]]]) -> Iterator[tuple[str, tuple[int, str], int]]:
-    for name, held in cells.items():
-        for cell in held:
+def _cells_with_size(cells: dict[str, list[tuple[int, str]]]) -> Iterator[tuple[str, tuple[int, str], int]]:
+    for name, column_cells in cells.items():
+        for cell in column_cells:
             yield name, cell, len(cell[1].encode()) + len(name) + 8
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -1,7 +1,7 @@
-"""Ties scatter to a program; imported only where the operator's file has a `[scatter]`.
+"""Attaches scatter/gather to a program; imported only if the operator's file has a `[scatter]`.
 
-Owns the headers by which a client's request says more than its statement, and what is called when. It must never hold
-state.
+Defines the headers of client requests on spread tables, and registers the service with the fleet, the core, the front
+and the operators' port.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 
 def attach(program: ProgramContext) -> Any:
-    """Create the scatter part of a program and register it with fleet, core and front."""
+    """Create the scatter service of a program and register it."""
     catalogue = program.config.scatter
     assert catalogue is not None and program.fleet is not None
     scatter = ScatterService(catalogue, program.core, program.telemetry, program.fleet, len(program.config.classes))
     program.fleet.channels.append(scatter)
     program.core.interceptor = scatter
 
-    def marks(ask: ClientRequest, fields: Mapping[bytes, bytes]) -> None:
-        """`X-Partial: yes`: an answer without some sites will do; `X-Site`: where a load's rows go."""
-        if ask.group not in catalogue.groups:
+    def read_headers(request: ClientRequest, fields: Mapping[bytes, bytes]) -> None:
+        """Read `X-Partial: yes`, which allows a response without some sites, and `X-Site`, the site of a load."""
+        if request.group not in catalogue.groups:
             return
         if (partial := fields.get(b"x-partial")) is not None:
             if partial not in (b"yes", b"no"):
-                raise CallRejectedError(400, "X-Partial: neither yes nor no")
-            ask.partial = partial == b"yes"
+                raise CallRejectedError(400, "X-Partial: must be yes or no")
+            request.partial = partial == b"yes"
         if (site := fields.get(b"x-site")) is not None:
-            ask.site = site.decode("latin-1")
-            if ask.site not in catalogue.sites_of(ask.group):
+            request.site = site.decode("latin-1")
+            if request.site not in catalogue.sites_of(request.group):
                 raise CallRejectedError(400, "X-Site: not a site of these tables")
 
-    program.platform.marks = marks
+    program.platform.marks = read_headers
     if program.operator_server:
         program.operator_server.handlers["show-scatter"] = scatter.figures
     return scatter
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -117,7 +117,7 @@
 SCATTER = {
     "lease request": scatter.LeaseRequest(key="t/0", catalogue_digest=81, seq=82, epoch=83, floor=84, have=85),
     "lease renewed": scatter.LeaseUnchanged(key="t/0", seq=86, version=87),
-    "summary piece": scatter.SummaryPiece(key="t/0", seq=88, version=89, at=1, of=3, data=b"piece"),
+    "summary piece": scatter.SummaryPiece(key="t/0", seq=88, version=89, index=1, count=3, data=b"piece"),
     "summary updated": scatter.SummaryUpdated(key="t/0", version=90, rows=91, cells=CELLS),
     "summary updated, unknown": scatter.SummaryUpdated(key="t/0", version=92, rows=93, cells=None),
     "version acknowledged": scatter.UpdateAcknowledged(key="t/0", epoch=94, version=95),
--- a/tests/test_scatter_leases.py
+++ b/tests/test_scatter_leases.py
@@ -1,23 +1,23 @@
-"""Leases of summaries: whatever comes in whatever order, no query misses a row whose load was answered before it."""
+"""Leases on summaries: in every order of events, no query misses a row whose load was answered before it."""
 
 import hypothesis.strategies as st
 import pytest
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from scatter import HEARS, HOME, KEY, World
+from scatter import HANDLERS, HOME, KEY, World
 
 from frostspindle.lab.explore import explore
 from frostspindle.predicates.summaries import Summary
 from frostspindle.scatter import leases, wire
 from frostspindle.scatter.leases import LoadIntent, SummaryCache, SummaryHome, SummaryLeaseSettings, covers_rows, widen
 
-STEP = 1_000.0  # ms: a whole lease of the model checks
+LEASE_MS = 1_000.0  # of the model checks
 
 
-# Every order.
+# Exhaustive model checks.
 
 
-def _summed(summary):
+def _summary_key(summary):
     return (
         None
         if summary is None
@@ -28,74 +28,88 @@
     )
 
 
-def _key(world):
-    """All of a state that matters, with times relative to now."""
-    now, shelf = world.now, world.home.records[KEY]
+def _state_key(world):
+    """Return what distinguishes a state, with times relative to now."""
+    now, record = world.now, world.home.records[KEY]
     home = (
         world.home.epoch,
-        max(0, shelf.rest_until - now),
-        _summed(shelf.summary),
-        shelf.version,
+        max(0, record.silent_until - now),
+        _summary_key(record.summary),
+        record.version,
         tuple(
             sorted(
-                (who, max(-1, one.ends - now), one.version, max(-1, one.said + one.wait - now))
-                for who, one in shelf.holders.items()
+                (
+                    holder_key,
+                    max(-1, holder_record.expires_at - now),
+                    holder_record.version,
+                    max(-1, holder_record.last_sent_at + holder_record.retry_ms - now),
+                )
+                for holder_key, holder_record in record.holders.items()
             )
         ),
-        tuple(shelf.standing),
-        tuple(shelf.ended),
-        tuple(shelf.acked),
-        tuple(sorted(shelf.waits.items())),
-        _summed(shelf.learning),
-        shelf.spoilt,
-        tuple(shelf.tops),
+        tuple(record.open_intents),
+        tuple(record.ended_loads),
+        tuple(record.acked_intents),
+        tuple(sorted(record.waiting_intents.items())),
+        _summary_key(record.learning),
+        record.is_learning_invalid,
+        tuple(record.unknown_row_intents),
     )
-    parts = []
+    holder_keys = []
     for holder in world.holders.values():
-        held = holder.leases[KEY]
-        parts.append(
+        lease = holder.leases[KEY]
+        holder_keys.append(
             (
-                held.epoch,
-                held.floor,
-                _summed(held.summary),
-                held.version,
-                max(-1, held.ends - now),
-                holder._seq,
-                tuple((seq, max(-5 * STEP, at - now)) for seq, at in held.asked.items()),
-                max(-1, held.next - now),
+                lease.epoch,
+                lease.min_version,
+                _summary_key(lease.summary),
+                lease.version,
+                max(-1, lease.expires_at - now),
+                holder._last_seq,
                 tuple(
-                    (load.number, load.state, tuple(load.missing), load.epoch, load.ran, max(-1, load.said - now))
+                    (seq, max(-5 * LEASE_MS, requested_at - now)) for seq, requested_at in lease.requested_at.items()
+                ),
+                max(-1, lease.next_request_at - now),
+                tuple(
+                    (
+                        load.number,
+                        load.state,
+                        tuple(load.unacknowledged),
+                        load.epoch,
+                        load.ran,
+                        max(-1, load.last_sent_at - now),
+                    )
                     for load in holder.loads.values()
                 ),
             )
         )
     return (
         home,
-        *parts,
-        *world.lives.values(),
-        frozenset(world.wire),
+        *holder_keys,
+        *world.incarnations.values(),
+        frozenset(world.in_flight),
         frozenset(world.rows),
         frozenset(world.answered),
         tuple(sorted(world.loads.items())),
-        None if world.scan is None else frozenset(world.scan),
-        world.left,
+        None if world.scanned_rows is None else frozenset(world.scanned_rows),
+        world.remaining,
     )
 
 
-def _steps(world):
-    def step(label, change, *args, left=None):
-        out = world.copy()
-        change(out, *args)
-        out.left = left or world.left
-        return label, out
+def _transitions(world):
+    def step(label, change, *args, remaining=None):
+        changed = world.copy()
+        change(changed, *args)
+        changed.remaining = remaining or world.remaining
+        return label, changed
 
-    def pass_(out):
-        out.now += STEP
+    def advance(changed):
+        changed.now += LEASE_MS
 
-    times, crashes = world.left
+    times, crashes = world.remaining
     if times:
-        yield step("time", pass_, left=(times - 1, crashes))
-    for message in world.wire:
+        yield step("time", advance, remaining=(times - 1, crashes))
+    for message in world.in_flight:
         yield step(f"deliver {type(wire.decode(message[3])).__name__}", World.deliver, message)
     if world.holders["a"].next_tick_ms() <= world.now:
         yield step("ask", World.tick, "a")
@@ -105,36 +119,38 @@
         yield step("load", World.load, "b", 7)
     for row, (_, _, _, state) in world.loads.items():
         if state == "ready":
-            yield step("land", World.land, row)
+            yield step("land", World.run_at_engine, row)
         elif state == "landed":
-            yield step("ran", World.ran, row)
+            yield step("ran", World.report_served, row)
     if crashes:
-        yield step("crash", World.crash, HOME, left=(times, crashes - 1))
+        yield step("crash", World.crash, HOME, remaining=(times, crashes - 1))
     if world.home.keys_to_learn(world.now):
-        yield step("begin", World.begin)
+        yield step("begin", World.begin_learning)
     if world.home.records[KEY].learning is not None:
-        yield step("read", World.read) if world.scan is None else step("learnt", World.learnt)
-
-
-@pytest.mark.parametrize(("times", "crashes", "most"), [(2, 0, 2), (1, 1, 2), (2, 1, 1)])
-def test_no_order_of_widen_lease_load_query_and_crash_misses_a_row(monkeypatch, times, crashes, most):
-    """One that holds a lease, one that loads, their home: up to two leases' time, `most` messages under way."""
-    monkeypatch.setattr(leases, "AGAIN_MS", STEP)
-    monkeypatch.setattr(leases, "AGAIN_MOST_MS", STEP)
-    start = World(["a", "b"], STEP, most=most)
-    start.left = times, crashes
+        yield step("read", World.scan_site) if world.scanned_rows is None else step("learnt", World.finish_learning)
+
+
+@pytest.mark.parametrize(("times", "crashes", "max_in_flight"), [(2, 0, 2), (1, 1, 2), (2, 1, 1)])
+def test_no_interleaving_of_updates_leases_loads_and_crashes_misses_an_answered_row(
+    monkeypatch, times, crashes, max_in_flight
+):
+    """A holder, a loader and their home, for up to two lease times, with at most `max_in_flight` messages in flight."""
+    monkeypatch.setattr(leases, "RETRY_MS", LEASE_MS)
+    monkeypatch.setattr(leases, "MAX_RETRY_MS", LEASE_MS)
+    start = World(["a", "b"], LEASE_MS, max_in_flight=max_in_flight)
+    start.remaining = times, crashes
     start.mark_used("a")
     start.tick("a")
-    while start.wire:
-        start.deliver(start.wire[0])
+    while start.in_flight:
+        start.deliver(start.in_flight[0])
     assert start.holders["a"].summary(start.now, KEY) is not None
-    found = explore(start, _steps, World.missed, 60_000, key=_key)
+    found = explore(start, _transitions, World.missed_row, 60_000, key=_state_key)
     assert found.holds, str(found)
     assert all(found.labels[label] for label in ("time", "deliver", "ask", "home", "load", "land", "ran"))
     assert not crashes or all(found.labels[label] for label in ("crash", "begin", "read", "learnt"))
 
 
-# Drawn orders of more: three coordinators, clocks apart, loss and repeats, several loads, some of any rows.
+# Random runs: three coordinators, clock drift, message loss and repeats, several loads, some of unknown rows.
 
 
 class Machine(RuleBasedStateMachine):
@@ -148,49 +164,49 @@
             self.world.mark_used(name)
 
     @rule(ms=st.sampled_from([1.0, 70.0, 400.0, 900.0, 2_200.0]))
-    def time(self, ms):
+    def advance_time(self, ms):
         self.world.now += ms
 
     @rule(name=st.sampled_from(names))
-    def ask(self, name):
-        """What a process does in time: who is stopped does nothing for a while."""
+    def tick_holder(self, name):
+        """Tick a process; one that is not ticked for a while stands for a stopped process."""
         self.world.tick(name)
 
     @rule()
-    def keep(self):
+    def tick_home(self):
         self.world.tick(HOME)
 
-    @precondition(lambda self: self.world.wire)
-    @rule(at=st.integers(0, 50), again=st.sampled_from([False, False, True]))
-    def deliver(self, at, again):
-        self.world.deliver(self.world.wire[at % len(self.world.wire)], again)
+    @precondition(lambda self: self.world.in_flight)
+    @rule(index=st.integers(0, 50), is_repeat=st.sampled_from([False, False, True]))
+    def deliver(self, index, is_repeat):
+        self.world.deliver(self.world.in_flight[index % len(self.world.in_flight)], is_repeat)
 
-    @precondition(lambda self: self.world.wire)
+    @precondition(lambda self: self.world.in_flight)
     @rule()
-    def drain(self):
-        """All that is under way comes, in order."""
+    def deliver_all(self):
+        """Deliver all messages in flight, in order."""
         for _ in range(60):
-            if self.world.wire:
-                self.world.deliver(self.world.wire[0])
+            if self.world.in_flight:
+                self.world.deliver(self.world.in_flight[0])
 
-    @precondition(lambda self: self.world.wire)
+    @precondition(lambda self: self.world.in_flight)
     @rule()
-    def lose(self):
-        self.world.wire.clear()
+    def lose_messages(self):
+        self.world.in_flight.clear()
 
-    @rule(name=st.sampled_from(names), told=st.sampled_from([True, True, True, False]))
-    def load(self, name, told):
+    @rule(name=st.sampled_from(names), is_known=st.sampled_from([True, True, True, False]))
+    def load(self, name, is_known):
         self.row += 1
-        self.world.load(name, self.row, told)
+        self.world.load(name, self.row, is_known)
 
     @precondition(lambda self: any(load[3] in ("ready", "landed") for load in self.world.loads.values()))
     @rule()
-    def run(self):
+    def run_loads(self):
         for row, (_, _, _, state) in list(self.world.loads.items()):
             if state == "ready":
-                self.world.land(row)
-            elif state == "landed" and self.world.mine(row):
-                self.world.ran(row)
+                self.world.run_at_engine(row)
+            elif state == "landed" and self.world.is_process_alive(row):
+                self.world.report_served(row)
 
     @rule(name=st.sampled_from((*names, HOME, HOME)))
     def crash(self, name):
@@ -200,21 +216,21 @@
 
     @precondition(lambda self: self.world.home.keys_to_learn(self.world.clock(HOME)))
     @rule()
-    def learn(self):
-        self.world.begin()
+    def begin_learning(self):
+        self.world.begin_learning()
 
     @precondition(lambda self: self.world.home.records[KEY].learning is not None)
     @rule()
-    def read(self):
-        if self.world.scan is None:
-            self.world.read()
+    def scan_or_finish_learning(self):
+        if self.world.scanned_rows is None:
+            self.world.scan_site()
         else:
-            self.world.learnt()
+            self.world.finish_learning()
 
     @invariant()
-    def none_is_missed(self):
+    def no_answered_row_is_missed(self):
         if hasattr(self, "world"):
-            assert self.world.missed() is None
+            assert self.world.missed_row() is None
 
 
 TestMachine = Machine.TestCase
@@ -223,66 +239,66 @@
 )
 
 
-# Bounds, and word of who is not meant.
+# Single cases: bounds, and messages that must be ignored.
 
 
 def world(*names, **kw):
-    out = World(names or ("a", "b"), **kw)
-    for name in out.names:
-        out.mark_used(name)
-        out.tick(name)
-    drain(out)
-    return out
+    model = World(names or ("a", "b"), **kw)
+    for name in model.names:
+        model.mark_used(name)
+        model.tick(name)
+    drain(model)
+    return model
 
 
-def drain(out):
+def drain(model):
     for _ in range(200):
-        if out.wire:
-            out.deliver(out.wire[0])
+        if model.in_flight:
+            model.deliver(model.in_flight[0])
 
 
-def test_a_load_waits_for_who_is_silent_only_until_its_lease_is_over():
+def test_load_waits_for_an_unreachable_holder_until_its_lease_expires():
     w = world()
     w.load("b", 7)
     drain(w)  # both holders acknowledge
     assert w.loads[7][3] == "ready"
     w = world()
     w.load("b", 7)
-    w.wire = [message for message in w.wire if message[0] == HOME]
-    w.deliver(w.wire[0])
-    w.wire = [message for message in w.wire if message[0] != "a"]  # it hears nothing any more
+    w.in_flight = [message for message in w.in_flight if message[0] == HOME]
+    w.deliver(w.in_flight[0])
+    w.in_flight = [message for message in w.in_flight if message[0] != "a"]  # it receives nothing from here on
     drain(w)
     assert w.loads[7][3] == "widening"
     w.now += 2_001.0
     w.tick(HOME)
     drain(w)
     assert w.loads[7][3] == "ready" and w.holders["a"].summary(w.now, KEY) is None
-    w.land(7)
-    w.ran(7)
+    w.run_at_engine(7)
+    w.report_served(7)
     drain(w)
-    assert w.answered == {7} and not w.home.records[KEY].standing and not w.holders["b"].loads
+    assert w.answered == {7} and not w.home.records[KEY].open_intents and not w.holders["b"].loads
 
 
 @pytest.mark.parametrize(("slow", "fast"), [("a", HOME), (HOME, "a")])
-def test_a_lease_is_over_here_before_it_is_there_however_clocks_run(slow, fast):
+def test_lease_expires_at_the_holder_before_it_does_at_the_home_under_clock_drift(slow, fast):
     w = World(("a", "b"), drift=0.05, rates={slow: 0.95, fast: 1.05})
     w.mark_used("a")
     w.tick("a")
     drain(w)
     w.load("b", 7)
-    w.wire = [message for message in w.wire if message[0] == HOME]
-    w.deliver(w.wire[0])
-    w.wire.clear()  # `a` hears nothing
+    w.in_flight = [message for message in w.in_flight if message[0] == HOME]
+    w.deliver(w.in_flight[0])
+    w.in_flight.clear()  # `a` receives nothing
     for _ in range(60):
         w.now += 50.0
         w.tick(HOME)
-        w.wire = [message for message in w.wire if message[0] == "b"]
+        w.in_flight = [message for message in w.in_flight if message[0] == "b"]
         drain(w)
         assert w.loads[7][3] == "widening" or w.holders["a"].summary(w.clock("a"), KEY) is None
     assert w.loads[7][3] == "ready"
 
 
-def test_rows_that_the_summary_knows_already_are_told_to_nobody():
+def test_holders_are_not_updated_for_rows_that_the_summary_covers():
     w = world()
     for row in (7, 7):
         w.loads.clear()
@@ -292,7 +308,7 @@
     assert w.home.pushed == 2  # to both, once
 
 
-def test_what_never_ran_is_taken_back_and_what_may_have_stands():
+def test_intent_of_a_load_that_never_ran_is_dropped_and_any_other_stays_open():
     w = world()
     for row, never_ran in ((7, True), (8, False)):
         w.load("b", row)
@@ -300,76 +316,78 @@
         w.holders["b"].drop_load(w.now, w.loads[row][2], never_ran)
         w.collect("b")
         drain(w)
-    assert [told.cells for told, _ in w.home.records[KEY].standing.values()] == [{"n": [(1, "8")]}]
+    assert [intent.cells for intent, _ in w.home.records[KEY].open_intents.values()] == [{"n": [(1, "8")]}]
 
 
-def test_any_rows_make_a_site_unknown_until_that_load_has_ended_and_it_is_learnt_anew():
+def test_load_of_unknown_rows_makes_the_summary_unknown_until_it_ends_and_the_site_is_learnt_again():
     w = world()
-    w.load("b", 7, told=False)
+    w.load("b", 7, is_known=False)
     drain(w)
     assert w.loads[7][3] == "ready" and w.holders["a"].summary(w.now, KEY) is None
     assert w.home.keys_to_learn(w.now) == []
-    w.land(7)
-    w.ran(7)
+    w.run_at_engine(7)
+    w.report_served(7)
     drain(w)
     assert w.answered == {7} and w.home.keys_to_learn(w.now) == [KEY]
-    w.begin()
-    w.read()
-    w.learnt()
+    w.begin_learning()
+    w.scan_site()
+    w.finish_learning()
     for name in w.names:
         w.now += 1_000.0
         w.tick(name)
     drain(w)
-    assert w.holders["a"].summary(w.now, KEY) is not None and w.missed() is None
+    assert w.holders["a"].summary(w.now, KEY) is not None and w.missed_row() is None
 
 
-def test_what_may_bring_any_row_while_a_site_is_learnt_spoils_that():
-    w = World(("a", "b"), learnt=False)
+def test_load_of_unknown_rows_invalidates_learning_in_progress():
+    w = World(("a", "b"), has_summary=False)
     w.now = w.settings.home_lease_ms + 1.0
-    w.begin()
-    w.read()
-    w.load("b", 7, told=False)
-    w.deliver(w.wire[0])
-    w.learnt()
+    w.begin_learning()
+    w.scan_site()
+    w.load("b", 7, is_known=False)
+    w.deliver(w.in_flight[0])
+    w.finish_learning()
     assert w.home.records[KEY].summary is None and w.home.keys_to_learn(w.now) == []
 
 
-def test_a_later_process_of_the_home_is_told_anew_before_a_load_is_answered():
+def test_load_is_announced_again_to_a_restarted_home_before_it_is_answered():
     w = world()
     w.load("b", 7)
     drain(w)
-    w.land(7)
+    w.run_at_engine(7)
     w.crash(HOME)
-    w.ran(7)
+    w.report_served(7)
     drain(w)
-    assert not w.answered and w.holders["b"].loads[1].state == "widening"  # it rests, and acknowledges nothing
+    assert (
+        not w.answered and w.holders["b"].loads[1].state == "widening"
+    )  # the new process is silent and acknowledges nothing
     w.now += 2_001.0
     w.tick(HOME)
     drain(w)
     assert w.answered == {7}
-    # Its summaries are its own: what its predecessor said, however late, and however high its versions were, is void.
-    w.holders["a"].leases[KEY].floor = 9
-    w.begin()
-    w.read()
-    w.learnt()
+    # Messages of the predecessor have no effect, however late they arrive and however high their versions are.
+    w.holders["a"].leases[KEY].min_version = 9
+    w.begin_learning()
+    w.scan_site()
+    w.finish_learning()
     w.now += 1_000.0
     w.tick("a")
     drain(w)
-    assert w.holders["a"].summary(w.now, KEY) is not None and w.holders["a"].leases[KEY].floor == 2
+    assert w.holders["a"].summary(w.now, KEY) is not None and w.holders["a"].leases[KEY].min_version == 2
     w.now += 1_000.0
     w.tick("a")
-    seq = max(w.holders["a"].leases[KEY].asked)
+    seq = max(w.holders["a"].leases[KEY].requested_at)
     w.holders["a"].on_summary_piece(w.now, HOME, 1, wire.SummaryPiece(KEY, seq, 50, 0, 1, Summary(["n"], 0).encode()))
     assert w.holders["a"].leases[KEY].version == 2
 
 
-def test_only_who_was_told_says_kept_and_what_was_told_anew_is_confirmed_anew():
+def test_only_the_process_that_acknowledged_a_load_confirms_it():
     holder = SummaryCache(SummaryLeaseSettings(2_000.0, 0.0, 1, 1e9, 0), {KEY: HOME})
     load = holder.load(0.0, KEY, 1, {"n": [(1, "5")]})
     holder.on_load_permitted(0.0, HOME, 2, wire.LoadPermitted(KEY, 1, 0))
     holder.ran(1.0, 1)
-    for epoch, kept, state in ((3, True, "confirming"), (1, False, "confirming"), (3, False, "widening")):
-        holder.on_load_recorded(2.0, HOME, epoch, wire.LoadRecorded(KEY, 1, kept))
+    for epoch, is_kept, state in ((3, True, "confirming"), (1, False, "confirming"), (3, False, "widening")):
+        holder.on_load_recorded(2.0, HOME, epoch, wire.LoadRecorded(KEY, 1, is_kept))
         assert load.state == state
     holder.outbox.clear()
     holder.on_load_permitted(3.0, HOME, 3, wire.LoadPermitted(KEY, 1, 0))
@@ -380,25 +398,25 @@
     assert load.state == "kept" and not holder.loads
 
 
-def test_a_load_of_several_messages_is_told_to_one_process_whole():
+def test_all_messages_of_a_load_must_be_acknowledged_by_one_process():
     holder = SummaryCache(SummaryLeaseSettings(2_000.0, 0.0), {KEY: HOME})
     load = holder.load(0.0, KEY, 1, {"n": [(2, "x" * 500), (2, "y" * 500)]})
     for epoch, chunk in ((1, 0), (2, 1)):
         holder.on_load_permitted(1.0, HOME, epoch, wire.LoadPermitted(KEY, 1, chunk))
-    assert load.state == "widening" and load.missing == {0}
+    assert load.state == "widening" and load.unacknowledged == {0}
     holder.on_load_permitted(1.0, HOME, 2, wire.LoadPermitted(KEY, 1, 0))
     assert load.state == "ready"
 
 
-def test_who_missed_a_version_leaves_nothing_out_by_the_next():
+def test_holder_that_missed_a_version_drops_its_summary_at_the_next():
     w = world()
     for row in (7, 8):
         w.load("b", row)
-        w.deliver(next(message for message in w.wire if message[0] == HOME))
+        w.deliver(next(message for message in w.in_flight if message[0] == HOME))
         if row == 7:
-            w.wire.clear()
+            w.in_flight.clear()
     drain(w)
-    assert w.home.records[KEY].version == 4 and w.holders["a"].leases[KEY].floor == 4
+    assert w.home.records[KEY].version == 4 and w.holders["a"].leases[KEY].min_version == 4
     assert w.holders["a"].summary(w.now, KEY) is None and w.loads[7][3] == "ready" == w.loads[8][3]
     w.now += 100.0
     w.tick("a")
@@ -406,7 +424,7 @@
     assert covers_rows(w.holders["a"].summary(w.now, KEY), LoadIntent(2, {"n": [(1, "7"), (1, "8")]}))
 
 
-def test_who_has_another_catalogue_gets_no_lease_and_loads_nothing(monkeypatch):
+def test_different_catalogue_gets_no_lease_and_no_load(monkeypatch):
     w = World(("a",))
     w.holders["a"].settings = SummaryLeaseSettings(2_000.0, 0.0, 2, 1e9, 0)
     w.mark_used("a")
@@ -416,8 +434,8 @@
     assert w.home.refused == 2 and w.holders["a"].summary(w.now, KEY) is None and w.loads[7][3] == "widening"
 
 
-def test_every_table_has_its_bound(monkeypatch):
-    for name, most in (("MOST_HOLDERS", 1), ("MOST_STANDING", 2), ("MOST_ENDED", 1), ("MOST_LOADS", 4)):
+def test_every_table_is_bounded(monkeypatch):
+    for name, most in (("MAX_HOLDERS", 1), ("MAX_OPEN_INTENTS", 2), ("MAX_ENDED_LOADS", 1), ("MAX_LOADS", 4)):
         monkeypatch.setattr(leases, name, most)
     w = world("a", "b")
     assert len(w.home.records[KEY].holders) == 1 and w.home.refused
@@ -425,15 +443,15 @@
         w.load("b", row)
         drain(w)
     assert w.holders["b"].load(0.0, KEY, 1, {}) is None
-    shelf = w.home.records[KEY]
-    assert len(shelf.standing) == 2 and shelf.sunk.rows  # the oldest goes on there
+    record = w.home.records[KEY]
+    assert len(record.open_intents) == 2 and record.overflow.rows  # the oldest intents are merged there
     w.home.begin_learning(KEY)
-    assert covers_rows(shelf.learning, LoadIntent(1, {"n": [(1, "0"), (1, "3")]}))
+    assert covers_rows(record.learning, LoadIntent(1, {"n": [(1, "0"), (1, "3")]}))
     assert [w.loads[row][3] for row in range(4)] == ["ready"] * 4
-    w.land(0)
-    w.ran(0)  # its intent has sunk: it is told anew before it is answered
+    w.run_at_engine(0)
+    w.report_served(0)  # its intent is in `overflow`, so the load is announced again before it is answered
     drain(w)
-    assert w.answered == {0} and len(shelf.ended) <= 1
+    assert w.answered == {0} and len(record.ended_loads) <= 1
     home = SummaryHome(1, SummaryLeaseSettings(2_000.0, 0.0), {KEY: ["n"]}, 0.0)
     for message in (
         wire.LeaseRequest("x/1", 0, 1, 0, 0, 0),
@@ -442,29 +460,29 @@
         wire.UpdateAcknowledged("x/1", 1, 1),
         wire.ReleaseLease("x/1", 1),
     ):
-        getattr(home, HEARS[type(message)])(0.0, "a", 1, message)
+        getattr(home, HANDLERS[type(message)])(0.0, "a", 1, message)
     assert home.outbox == []
 
 
-def test_word_that_is_late_of_others_or_spoilt_makes_no_lease():
+def test_late_foreign_or_malformed_messages_grant_no_lease():
     holder = SummaryCache(SummaryLeaseSettings(2_000.0, 0.0), {KEY: HOME})
     holder.mark_used(0.0, [KEY])
     holder.tick(0.0)
     data = Summary(["n"], 0).encode()
-    for now, name, epoch, word in (
+    for now, name, epoch, message in (
         (1.0, "x", 1, wire.SummaryPiece(KEY, 1, 1, 0, 1, data)),
         (1.0, HOME, 1, wire.SummaryPiece(KEY, 9, 1, 0, 1, data)),
         (1.0, HOME, 1, wire.SummaryPiece(KEY, 1, 1, 0, 1, b"spoilt")),
         (1.0, HOME, 1, wire.LeaseUnchanged(KEY, 1, 1)),
         (3_000.0, HOME, 1, wire.SummaryPiece(KEY, 1, 1, 0, 1, data)),
     ):
-        getattr(holder, HEARS[type(word)])(now, name, epoch, word)
+        getattr(holder, HANDLERS[type(message)])(now, name, epoch, message)
         assert holder.summary(now, KEY) is None
     holder.on_summary_piece(1.0, HOME, 1, wire.SummaryPiece(KEY, 1, 1, 0, 1, data))
     holder.tick(100.0)
     holder.on_summary_piece(100.0, HOME, 1, wire.SummaryPiece(KEY, 2, 1, 0, 1, data))
     assert holder.summary(2_099.0, KEY) is not None
-    holder.on_lease_unchanged(1_000.0, HOME, 1, wire.LeaseUnchanged(KEY, 99, 1))  # never asked
+    holder.on_lease_unchanged(1_000.0, HOME, 1, wire.LeaseUnchanged(KEY, 99, 1))  # never requested
     assert holder.summary(2_101.0, KEY) is None
     for bad in (
         b"",
@@ -476,20 +494,20 @@
             wire.decode(bad)
 
 
-def test_a_summary_of_many_messages_is_whole_or_not_there():
+def test_summary_of_several_messages_is_installed_when_complete():
     w = World(("a",), bits=16_384)
     w.mark_used("a")
     w.tick("a")
-    w.deliver(w.wire[0])
-    assert len(w.wire) == 3
-    for message in w.wire[:2]:
+    w.deliver(w.in_flight[0])
+    assert len(w.in_flight) == 3
+    for message in w.in_flight[:2]:
         w.deliver(message, True)
         assert w.holders["a"].summary(w.now, KEY) is None
-    w.deliver(w.wire[2])
+    w.deliver(w.in_flight[2])
     assert w.holders["a"].summary(w.now, KEY) is not None
 
 
-def test_leases_are_renewed_while_they_are_used_and_let_go_at_the_end():
+def test_leases_are_renewed_while_used_and_released_at_shutdown():
     w = world("a")
     for _ in range(20):
         w.now += 250.0
@@ -502,12 +520,12 @@
     assert not w.home.records[KEY].holders and w.holders["a"].summary(w.now, KEY) is None
 
 
-def test_what_a_summary_knows_need_not_be_told():
+def test_rows_covered_by_a_summary():
     summary = Summary(["n", "s"], 64)
-    told = LoadIntent(1, {"n": [(1, "7"), (0, "")], "s": [(2, "b" * 80)]})
-    assert not covers_rows(summary, told)
-    widen(summary, told)
-    assert covers_rows(summary, told)
+    intent = LoadIntent(1, {"n": [(1, "7"), (0, "")], "s": [(2, "b" * 80)]})
+    assert not covers_rows(summary, intent)
+    widen(summary, intent)
+    assert covers_rows(summary, intent)
     for cells in ({"n": [(1, "8")]}, {"s": [(0, "")]}, {"s": [(1, "7")]}, {"n": [(4, "")]}, {"s": [(2, "c")]}):
         assert not covers_rows(summary, LoadIntent(1, cells))
     widen(summary, LoadIntent(1, {"n": [(4, "")], "s": []}))
