--- a/tests/test_scatter_processes.py
+++ b/tests/test_scatter_processes.py
@@ -46,7 +46,7 @@
         west.hold = None
         await restart(fleet.processes[killed])
 
-        # A holder is stopped for longer than its lease: a load waits for the expiry, and the holder uses no old summary.
+        # A holder is stopped past its lease: a load waits for the expiry, and the holder uses no old summary.
         await cluster.leased([silent])
         fleet.processes[silent].send_signal(signal.SIGSTOP)
         began = time.monotonic()
@@ -56,7 +56,7 @@
         fleet.processes[silent].send_signal(signal.SIGCONT)
         self.assertEqual(await late, 1)
 
-        # A home is stopped for longer than its leases: no process skips its site any more, and no load is sent.
+        # A home is stopped past its leases: no process skips its site any more, and no load is sent.
         await cluster.leased([other])
         loads = len(west.loads)
         fleet.processes[home].send_signal(signal.SIGSTOP)
@@ -75,7 +75,7 @@
         await cluster.leased([other])
         self.assertEqual(await cluster.count(other, "n = 780"), 1)
 
-        # Loads and queries at all, two stopped past their leases and continued meanwhile.
+        # Loads and queries at all processes, while two of them are stopped past their leases and continued.
         async def stops() -> None:
             for process in (4, 1):
                 await asyncio.sleep(0.4)
