--- a/bench/scatter.py
+++ b/bench/scatter.py
@@ -16,7 +16,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from frostspindle.catalogue import Catalogue, read
+from frostspindle.catalogue import Catalogue, read_section
 from frostspindle.core import ClientRequest
 from frostspindle.lab.scatter import Emulator, measure, play
 from frostspindle.predicates import may_match
@@ -74,7 +74,7 @@
 
 def costs() -> dict[str, float]:
     """Return the CPU microseconds of each decision that scattering takes."""
-    made = read(RAW)
+    made = read_section(RAW)
     catalogue = Catalogue(
         made, {group.number: group for group in made.group}, {s.name: s for s in made.site}, {}, frozenset(), -1
     )
--- a/frostspindle/catalogue.py
+++ b/frostspindle/catalogue.py
@@ -151,7 +151,7 @@
     return max(homes, key=lambda name: blake2b(f"{key}:{name}".encode(), digest_size=8).digest())
 
 
-def read(raw: Any) -> ScatterSection:
+def read_section(raw: Any) -> ScatterSection:
     """Check the operator's table and return it; CatalogueError names the key that can't be used."""
     try:
         section = msgspec.convert(raw, ScatterSection)
@@ -213,7 +213,7 @@
     A part runs on engines of its site only. The module itself sees to that, by its rule on placement: each class of
     parts is bound to its site's failure domains.
     """
-    section = read(raw)
+    section = read_section(raw)
     if section.learn_class and section.learn_class not in classes:
         raise CatalogueError(f"scatter.learn_class: the settings have no class {section.learn_class!r}")
     all_classes = list(settings.classes)
--- a/frostspindle/predicates/algebra.py
+++ b/frostspindle/predicates/algebra.py
@@ -12,7 +12,17 @@
 
 from msgspec import Struct
 
-from frostspindle.predicates.values import KIND_NAMES, KINDS, MAX_TEXT, NULL, TEXT, FilterError, Value, column, literal
+from frostspindle.predicates.values import (
+    KIND_NAMES,
+    KINDS,
+    MAX_TEXT,
+    NULL,
+    TEXT,
+    FilterError,
+    Value,
+    fold_column,
+    literal,
+)
 
 MAX_DEPTH = 32  # of the tree
 MAX_NODES = 1_000
@@ -25,7 +35,7 @@
     ">": operator.gt,
     ">=": operator.ge,
 }
-OPPOSITE = {"=": "<>", "<>": "=", "<": ">=", "<=": ">", ">": "<=", ">=": "<"}
+NEGATED_OPERATORS = {"=": "<>", "<>": "=", "<": ">=", "<=": ">", ">": "<=", ">=": "<"}
 Row = Mapping[str, Value]
 
 
@@ -185,7 +195,7 @@
     if op not in OPERATORS:
         raise FilterError(f"no comparison {op!r:.20}")
     held = literal(value)
-    return Compare(column(name), op, held, KINDS[type(held)])
+    return Compare(fold_column(name), op, held, KINDS[type(held)])
 
 
 def one_of(name: str, values: Iterable[object]) -> In:
@@ -198,7 +208,7 @@
         names = " and ".join(KIND_NAMES[kind] for kind in sorted(kinds))
         raise FilterError(f"IN takes values of one kind, not {names}")
     return In(
-        column(name),
+        fold_column(name),
         frozenset(value for value in held if value is not None),
         kinds.pop() if kinds else NULL,
         None in held,
@@ -217,12 +227,12 @@
     """
     if type(prefix) is not str or len(prefix) > MAX_TEXT:
         raise FilterError(f"a prefix is a text of up to {MAX_TEXT} characters")
-    return Starts(column(name), literal(prefix))  # type: ignore[arg-type]
+    return Starts(fold_column(name), literal(prefix))  # type: ignore[arg-type]
 
 
 def is_null(name: str) -> IsNull:
     """Make `name IS NULL`; FilterError for a name out of bounds."""
-    return IsNull(column(name))
+    return IsNull(fold_column(name))
 
 
 def all_of(*parts: Predicate) -> Predicate:
--- a/frostspindle/predicates/implication.py
+++ b/frostspindle/predicates/implication.py
@@ -24,14 +24,14 @@
     bounded,
     has_unknown,
 )
-from frostspindle.predicates.normal import Term, inward, normal
+from frostspindle.predicates.normal import Term, normal, push_negations_inward
 from frostspindle.predicates.values import NULL, Value, successor
 
 TRUE, FALSE, NEITHER = 1, 2, 4
 ANY = TRUE | FALSE | NEITHER
 
 
-class View(Protocol):
+class ColumnView(Protocol):
     """What is known of one column in a set of rows. Bounds are of values that are not null; None: no bound."""
 
     nulls: bool  # some row may have null
@@ -47,16 +47,16 @@
         """Tell whether some row may have this value; errs to yes."""
 
 
-class Summed(Protocol):
+class RowSetSummary(Protocol):
     """What `may_match` needs of a summary of a set of rows."""
 
     rows: int
 
-    def view(self, column: str) -> View | None:
+    def view(self, column: str) -> ColumnView | None:
         """Return what is known of a column; None if nothing is."""
 
 
-def may_match(predicate: Predicate, summary: Summed) -> bool:
+def may_match(predicate: Predicate, summary: RowSetSummary) -> bool:
     """Tell whether some row of the summarised set may match. Errs only to yes.
 
     So for what was not understood, for columns that the summary does not have, and for values that an engine might
@@ -64,7 +64,7 @@
     """
     if not summary.rows:
         return has_unknown(predicate)
-    return bool(truths(predicate, summary.view) & TRUE)
+    return bool(possible_truths(predicate, summary.view) & TRUE)
 
 
 def covers(wider: Predicate, narrower: Predicate) -> bool:
@@ -79,10 +79,10 @@
     terms = normal(narrower)
     if terms is None:
         return False
-    wider = inward(wider)
+    wider = push_negations_inward(wider)
     for term in terms:
         spans = _spans(term)
-        if spans is not None and truths(wider, spans.get, frozenset(term)) != TRUE:
+        if spans is not None and possible_truths(wider, spans.get, frozenset(term)) != TRUE:
             return False
     return True
 
@@ -105,8 +105,8 @@
 _SWAP = tuple(_swap(mask) for mask in range(8))
 
 
-def truths(
-    predicate: Predicate, view_of: Callable[[str], View | None], known: frozenset[Atom | Unknown] = frozenset()
+def possible_truths(
+    predicate: Predicate, view_of: Callable[[str], ColumnView | None], known: frozenset[Atom | Unknown] = frozenset()
 ) -> int:
     """Return the truths that rows of the set may give, as a mask of TRUE, FALSE and NEITHER.
 
@@ -116,19 +116,19 @@
     if kind is And:
         out = TRUE
         for part in predicate.parts:  # type: ignore[union-attr]
-            out = _AND[out][truths(part, view_of, known)]
+            out = _AND[out][possible_truths(part, view_of, known)]
             if out == FALSE:
                 break
         return out
     if kind is Or:
         out = TRUE  # of the negated parts' conjunction
         for part in predicate.parts:  # type: ignore[union-attr]
-            out = _AND[out][_SWAP[truths(part, view_of, known)]]
+            out = _AND[out][_SWAP[possible_truths(part, view_of, known)]]
             if out == FALSE:
                 break
         return _SWAP[out]
     if kind is Not:
-        return _SWAP[truths(predicate.part, view_of, known)]  # type: ignore[union-attr]
+        return _SWAP[possible_truths(predicate.part, view_of, known)]  # type: ignore[union-attr]
     if kind is Const:
         return TRUE if predicate.value else FALSE  # type: ignore[union-attr]
     if kind is Unknown:
@@ -139,7 +139,7 @@
     return ANY if view is None else _atom(predicate, view)  # type: ignore[arg-type]
 
 
-def _atom(atom: Atom, view: View) -> int:
+def _atom(atom: Atom, view: ColumnView) -> int:
     if type(atom) is IsNull:
         mask = (TRUE if view.nulls else 0) | (FALSE if view.some else 0)
         return _SWAP[mask] if atom.negated else mask
@@ -165,7 +165,7 @@
     return out | (_SWAP[mask] if getattr(atom, "negated", False) else mask)
 
 
-def _inside(value: Value, view: View) -> bool:
+def _inside(value: Value, view: ColumnView) -> bool:
     lo, hi = view.lo, view.hi
     return (
         (lo is None or lo < value or lo == value and not view.lo_open)
@@ -174,11 +174,11 @@
     )
 
 
-def _single(view: View) -> bool:
+def _single(view: ColumnView) -> bool:
     return view.lo is not None and view.lo == view.hi and not view.lo_open and not view.hi_open
 
 
-def _compared(op: str, value: Value, view: View) -> tuple[bool, bool]:
+def _compared(op: str, value: Value, view: ColumnView) -> tuple[bool, bool]:
     """Whether the comparison may be true, and whether it may be false, for values within the view's bounds."""
     lo, hi = view.lo, view.hi
     match op:
@@ -191,7 +191,7 @@
     return (yes, no) if op in ("=", "<", "<=") else (no, yes)
 
 
-def _started(prefix: str, view: View) -> tuple[bool, bool]:
+def _started(prefix: str, view: ColumnView) -> tuple[bool, bool]:
     """The same for a prefix: the texts from it up to its successor."""
     lo, hi, top = view.lo, view.hi, successor(prefix)
     yes = (hi is None or hi > prefix or hi == prefix and not view.hi_open) and (lo is None or top is None or lo < top)
--- a/frostspindle/predicates/index.py
+++ b/frostspindle/predicates/index.py
@@ -23,7 +23,7 @@
 MAX_FILTERS = 200_000
 MAX_PLACES = 64  # of one filter
 MAX_SHAPES = 64  # sets of columns; filters of further sets stand under some of their columns or none
-FEW = 8  # filters of a bucket that need no further order: to try them is cheaper
+MAX_UNSORTED = 8  # filters of a bucket that need no further order: to try them is cheaper
 MAX_PREFIX = 32  # characters by which a prefix is found
 _EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 _STEP = timedelta(microseconds=1)
@@ -79,7 +79,7 @@
                         yield table[end]
 
     def add(self, key: Key, place: _Place) -> None:
-        if place is None or key in self.plain or len(self.plain) < FEW:
+        if place is None or key in self.plain or len(self.plain) < MAX_UNSORTED:
             self.plain[key] = None
             return
         side, column, kind, at = place
--- a/frostspindle/predicates/language.py
+++ b/frostspindle/predicates/language.py
@@ -37,7 +37,7 @@
     one_of,
     starts,
 )
-from frostspindle.predicates.values import FilterError, Value, moment, number
+from frostspindle.predicates.values import FilterError, Value, parse_number, parse_time
 
 MAX_LENGTH = 16_384  # characters
 MAX_NESTING = 2 * MAX_DEPTH  # of parentheses and NOTs that are open at once
@@ -142,10 +142,10 @@
         return _unquoted(children[0])
 
     def number(self, children: list) -> Value:
-        return _at(children[0], number, str(children[0]))
+        return _at(children[0], parse_number, str(children[0]))
 
     def time(self, children: list) -> Value:
-        return _at(children[1], moment, _unquoted(children[1]))
+        return _at(children[1], parse_time, _unquoted(children[1]))
 
     def null(self, _: list) -> Value:
         return None
--- a/frostspindle/predicates/normal.py
+++ b/frostspindle/predicates/normal.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from frostspindle.predicates.algebra import (
-    OPPOSITE,
+    NEGATED_OPERATORS,
     UNKNOWN,
     And,
     Atom,
@@ -37,20 +37,20 @@
     pass
 
 
-def inward(predicate: Predicate, negated: bool = False) -> Predicate:
+def push_negations_inward(predicate: Predicate, negated: bool = False) -> Predicate:
     """Return a predicate without `Not` that has the same truth (true, false or neither) for every row."""
     match predicate:
         case Not():
-            return inward(predicate.part, not negated)
+            return push_negations_inward(predicate.part, not negated)
         case And() | Or():
             join = all_of if (type(predicate) is And) is not negated else any_of
-            return join(*[inward(part, negated) for part in predicate.parts])
+            return join(*[push_negations_inward(part, negated) for part in predicate.parts])
         case _ if not negated:
             return predicate
         case Const():
             return Const(not predicate.value)
         case Compare():
-            return Compare(predicate.column, OPPOSITE[predicate.op], predicate.value, predicate.kind)
+            return Compare(predicate.column, NEGATED_OPERATORS[predicate.op], predicate.value, predicate.kind)
         case In() | Starts() | IsNull():
             return replace(predicate, negated=not predicate.negated)
         case _:
@@ -64,7 +64,7 @@
     one: always. The predicate must be `bounded`.
     """
     try:
-        return tuple(tuple(term) for term in _spread(inward(predicate)))
+        return tuple(tuple(term) for term in _spread(push_negations_inward(predicate)))
     except _TooLargeError:
         return None
 
--- a/frostspindle/predicates/statements.py
+++ b/frostspindle/predicates/statements.py
@@ -30,10 +30,10 @@
     one_of,
     starts,
 )
-from frostspindle.predicates.values import FilterError, Value, column, moment, number
+from frostspindle.predicates.values import FilterError, Value, fold_column, parse_number, parse_time
 
 MAX_LENGTH = 4_096  # characters; longer statements are not read, nor kept
-MAX_OPEN = 64  # parentheses open at once
+MAX_OPEN_PARENTHESES = 64  # parentheses open at once
 CACHED = 1_024  # statements
 _OPERATORS = {exp.EQ: "=", exp.NEQ: "<>", exp.LT: "<", exp.LTE: "<=", exp.GT: ">", exp.GTE: ">="}
 _FLIPPED = {"=": "=", "<>": "<>", "<": ">", "<=": ">=", ">": "<", ">=": "<="}
@@ -104,7 +104,7 @@
 
     def __init__(self, dialect: str = "", times: Iterable[str] = (), binary: bool = True, cached: int = CACHED):
         self.dialect, self.binary = dialect, binary
-        self.times = {column(name) for name in times}
+        self.times = {fold_column(name) for name in times}
         self.unread = 0  # statements of which nothing was understood, cached ones not counted again
         self._cached = lru_cache(maxsize=cached)(self._read)
         self.cache_info = self._cached.cache_info
@@ -128,7 +128,7 @@
             return _NOTHING
 
     def _statement(self, sql: str) -> Statement:
-        if most_open(sql) > MAX_OPEN or _ODD_COMMENT.search(sql):
+        if max_open_parentheses(sql) > MAX_OPEN_PARENTHESES or _ODD_COMMENT.search(sql):
             raise _CantError
         trees = [tree for tree in sqlglot.parse(sql, read=self.dialect or None) if type(tree) is not exp.Semicolon]
         if len(trees) != 1 or type(trees[0]) is not exp.Select:
@@ -152,7 +152,7 @@
         return Statement(True, tuple(sources))
 
 
-def most_open(sql: str) -> int:
+def max_open_parentheses(sql: str) -> int:
     """Return the greatest number of parentheses open at once, to guard the parser's recursion.
 
     Quotes and comments are not looked at, and unmatched closing ones are subtracted from those that follow.
@@ -269,7 +269,7 @@
                 raise _CantError
         elif not self.alone:
             raise _CantError
-        return column(node.name)
+        return fold_column(node.name)
 
     def _value(self, name: str, node: exp.Expression) -> Value:
         kind = type(node)
@@ -278,14 +278,14 @@
         if kind is exp.Null:
             return None
         if kind is exp.Neg and type(node.this) is exp.Literal and not node.this.is_string:
-            return plain_number("-" + node.this.name)
+            return exact_number("-" + node.this.name)
         if kind is exp.Literal and not node.is_string:
-            return plain_number(node.name)
+            return exact_number(node.name)
         if kind is exp.Cast and type(node.to) is exp.DataType and node.to.this in _DATES:
-            return plain_moment(self._text(node.this))
+            return exact_time(self._text(node.this))
         text = self._text(node)
         if name in self.times:
-            return plain_moment(text)
+            return exact_time(text)
         if not self.binary:
             raise _CantError
         return text
@@ -298,9 +298,9 @@
         raise _CantError
 
 
-def plain_number(text: str) -> int | Decimal:
+def exact_number(text: str) -> int | Decimal:
     """Return a number that is the same whether the engine takes it as a decimal or as a double; raises for others."""
-    value = number(text)
+    value = parse_number(text)
     if type(value) is int and -(2**53) <= value <= 2**53:
         return value
     if type(value) is Decimal and len(value.as_tuple().digits) <= 15 and abs(value.adjusted()) <= 15:
@@ -308,8 +308,8 @@
     raise _CantError
 
 
-def plain_moment(text: str) -> Value:
+def exact_time(text: str) -> Value:
     """Return a time of whole seconds without a zone; raises for others, as engines round fractions differently."""
     if len(text) not in (10, 19):
         raise _CantError
-    return moment(text)
+    return parse_time(text)
--- a/frostspindle/predicates/summaries.py
+++ b/frostspindle/predicates/summaries.py
@@ -23,9 +23,9 @@
     TIME,
     Value,
     canonical,
-    column,
-    moment,
-    number,
+    fold_column,
+    parse_number,
+    parse_time,
     successor,
     typed,
 )
@@ -154,7 +154,7 @@
 
     def __init__(self, columns: Iterable[str], bits: int = 4_096):
         """`bits` of each column's sketch, a multiple of 8; 0: no sketch. SummaryError beyond the bounds."""
-        names = [column(name) for name in columns]
+        names = [fold_column(name) for name in columns]
         if len(names) > MAX_COLUMNS or len(set(names)) != len(names):
             raise SummaryError(f"a summary has up to {MAX_COLUMNS} columns, each once")
         if bits % 8 or not 0 <= bits <= MAX_BITS:
@@ -224,7 +224,7 @@
                 raise SummaryError(f"a summary of format {wire.format}, not {FORMAT}")
             out = cls([one.name for one in wire.columns], 0)
             for one in wire.columns:
-                if column(one.name) != one.name:
+                if fold_column(one.name) != one.name:
                     raise SummaryError("a column's name is not folded")
                 _fill(out.columns[one.name], one, wire.rows)
         except SummaryError:
@@ -277,7 +277,7 @@
             raise SummaryError(f"a bound of more than {MAX_BOUND} characters")
         return typed(text)
     if kind == NUMBER:
-        return number(text)
+        return parse_number(text)
     if not re.fullmatch(r"[0-9T:.+-]+", text):
         raise SummaryError("a bound that is no time")
-    return moment(text)
+    return parse_time(text)
--- a/frostspindle/predicates/values.py
+++ b/frostspindle/predicates/values.py
@@ -80,7 +80,7 @@
     out: dict[str, Value] = {}
     for name, value in row.items():
         try:
-            folded = column(name)
+            folded = fold_column(name)
             if folded in out:
                 raise ValueError("two columns that differ in case only")
             out[folded] = typed(value)
@@ -89,7 +89,7 @@
     return out
 
 
-def column(name: str) -> str:
+def fold_column(name: str) -> str:
     """Fold a column's name to lower case, as SQL ignores case; FilterError if it is out of bounds."""
     if not name or len(name) > MAX_NAME or _SURROGATE.search(name):
         raise FilterError(f"a column's name has 1 to {MAX_NAME} characters")
@@ -107,14 +107,14 @@
     return value
 
 
-def number(text: str) -> int | Decimal:
+def parse_number(text: str) -> int | Decimal:
     """Parse a number such as `12`, `-0.5` or `1e3`; ValueError for anything else."""
     if len(text) > 2 * MAX_DIGITS + 8 or not re.fullmatch(r"[+-]?(\d+\.?\d*|\.\d+)([eE][+-]?\d{1,3})?", text, re.ASCII):
         raise ValueError("not a number of bounded length")
     return typed(int(text) if text.lstrip("+-").isdigit() else Decimal(text))  # type: ignore[return-value]
 
 
-def moment(text: str) -> datetime:
+def parse_time(text: str) -> datetime:
     """Parse `YYYY-MM-DD`, optionally with `HH:MM:SS`, a fraction of up to six digits and a zone as in ISO 8601.
 
     Return it in UTC; without a zone it is taken as UTC. ValueError for anything else.
--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -25,7 +25,7 @@
 from typing import NamedTuple
 
 from frostspindle.predicates.summaries import Summary, SummaryError
-from frostspindle.predicates.values import KINDS, MAX_TEXT, NUMBER, TEXT, moment, number, typed
+from frostspindle.predicates.values import KINDS, MAX_TEXT, NUMBER, TEXT, parse_number, parse_time, typed
 from frostspindle.scatter import wire
 from frostspindle.scatter.wire import Cells
 
@@ -84,9 +84,9 @@
         return (
             text
             if kind == TEXT and len(text) <= MAX_TEXT
-            else number(text)
+            else parse_number(text)
             if kind == NUMBER
-            else moment(text)
+            else parse_time(text)
             if kind == 3
             else UNTYPED
         )
--- a/frostspindle/scatter/merge.py
+++ b/frostspindle/scatter/merge.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from frostspindle.catalogue import DECIMAL, INTEGER, TEXT, TIME
-from frostspindle.predicates.values import moment, number
+from frostspindle.predicates.values import parse_number, parse_time
 
 KEY, COUNT, SUM, MIN, MAX, AVG = "key", "count", "sum", "min", "max", "avg"
 INTEGER_LIMIT = 2**63  # an engine's own SUM overflows from here on
@@ -68,14 +68,14 @@
         return None
     try:
         if kind == INTEGER:
-            parsed = number(text)
+            parsed = parse_number(text)
             if type(parsed) is not int:
                 raise ValueError("not an integer")
             return parsed
         if kind == DECIMAL:
-            return Decimal(number(text))
+            return Decimal(parse_number(text))
         if kind == TIME:
-            return moment(text)
+            return parse_time(text)
     except ValueError as error:
         raise MergeMismatchError(f"a part returned a malformed {kind}: {error}") from None
     if kind != TEXT:
--- a/frostspindle/scatter/plan.py
+++ b/frostspindle/scatter/plan.py
@@ -19,8 +19,15 @@
 from frostspindle.catalogue import CELL_SUFFIX, DECIMAL, FLOAT, INTEGER, TEXT, Catalogue, Column
 from frostspindle.catalogue import TIME as TIME_TYPE
 from frostspindle.predicates.algebra import And, Compare, Or, Predicate, all_of, any_of, one_of
-from frostspindle.predicates.statements import MAX_LENGTH, MAX_OPEN, Reader, most_open, plain_moment, plain_number
-from frostspindle.predicates.values import MAX_TEXT, NUMBER, TIME, Value, canonical, number
+from frostspindle.predicates.statements import (
+    MAX_LENGTH,
+    MAX_OPEN_PARENTHESES,
+    Reader,
+    exact_number,
+    exact_time,
+    max_open_parentheses,
+)
+from frostspindle.predicates.values import MAX_TEXT, NUMBER, TIME, Value, canonical, parse_number
 from frostspindle.predicates.values import TEXT as TEXT_KIND
 from frostspindle.scatter.merge import AVG, COUNT, KEY, MAX, MIN, SUM, Cell, Merge, Order
 
@@ -186,7 +193,7 @@
 
     def _insert(self, group: int, sql: str) -> InsertedRows:
         table_group = self.catalogue.groups[group]
-        if len(sql) > MAX_LENGTH or most_open(sql) > MAX_OPEN or "/*" in sql or "--" in sql:
+        if len(sql) > MAX_LENGTH or max_open_parentheses(sql) > MAX_OPEN_PARENTHESES or "/*" in sql or "--" in sql:
             raise _NotScatterableError("too long or with comments")
         trees = [tree for tree in sqlglot.parse(sql, read=self.dialect) if type(tree) is not exp.Semicolon]
         tree = trees[0]
@@ -233,7 +240,7 @@
             inner = node.this if sign else node
             if type(inner) is not exp.Literal or inner.is_string:
                 return UNKNOWN_CELL, ""
-            parsed = plain_number(sign + inner.name)
+            parsed = exact_number(sign + inner.name)
             scale = column.scale if column.type == DECIMAL else 0
             if parsed != round(parsed, scale):  # type: ignore[arg-type, call-overload]
                 return UNKNOWN_CELL, ""  # engines round in their own ways
@@ -243,7 +250,7 @@
         if "\\" in node.name or "\0" in node.name:
             return UNKNOWN_CELL, ""
         if column.type == TIME_TYPE:
-            return TIME, canonical(plain_moment(node.name))
+            return TIME, canonical(exact_time(node.name))
         if column.type == TEXT and len(node.name.encode()) <= min(MAX_TEXT, MAX_CELL_BYTES):
             return TEXT_KIND, node.name
     except Exception:  # a malformed literal
@@ -253,7 +260,9 @@
 
 def step_cells(cells: Sequence[tuple[int, str]], step: int) -> list[tuple[int, str]]:
     """Return the step cells that contain a load's values; cells that are not numbers are returned unchanged."""
-    return sorted({(kind, str(math.floor(number(text)) // step) if kind == NUMBER else text) for kind, text in cells})
+    return sorted(
+        {(kind, str(math.floor(parse_number(text)) // step) if kind == NUMBER else text) for kind, text in cells}
+    )
 
 
 def with_step_cells(predicate: Predicate, columns: dict[str, Column]) -> Predicate:
--- a/tests/test_predicates.py
+++ b/tests/test_predicates.py
@@ -33,7 +33,7 @@
 from frostspindle.predicates import index as index_module
 from frostspindle.predicates.index import FilterIndex
 from frostspindle.predicates.language import MAX_LENGTH, parse, text
-from frostspindle.predicates.normal import inward
+from frostspindle.predicates.normal import push_negations_inward
 from frostspindle.predicates.summaries import MAX_BYTES, Summary, SummaryError
 
 law = partial(settings, derandomize=True, deadline=None)
@@ -59,7 +59,7 @@
         for (truth,) in DATABASE.execute(f"SELECT {asked} FROM t ORDER BY rowid", args)
     ]
     assert [predicate.truth(row) for row in ROWS] == theirs
-    without_not = inward(predicate)
+    without_not = push_negations_inward(predicate)
     assert [without_not.truth(row) for row in ROWS] == theirs
     if (terms := normal(predicate)) is not None:
         for row, truth in zip(ROWS, theirs, strict=True):
@@ -73,7 +73,7 @@
     answers = [may_match(predicate, one)]
     for row in first:
         truth = {True: implication.TRUE, False: implication.FALSE, None: implication.NEITHER}[predicate.truth(row)]
-        assert implication.truths(predicate, one.view) & truth, "a truth that a row gives is left out"
+        assert implication.possible_truths(predicate, one.view) & truth, "a truth that a row gives is left out"
     assert answers[0] or not any(match(predicate, row) for row in first)
     for row in second:
         one.widen(row)
@@ -471,8 +471,8 @@
 @given(st.lists(predicates(leaves=5), max_size=12), st.lists(st.sampled_from(ROWS), max_size=8), st.data())
 def test_the_index_finds_what_a_scan_finds(filters, rows, data):
     most = data.draw(st.sampled_from([2, 64]))
-    before, few = (index_module.MAX_SHAPES, index_module.FEW), data.draw(st.sampled_from([0, 1, 8]))
-    index_module.MAX_SHAPES, index_module.FEW = most, few
+    before, few = (index_module.MAX_SHAPES, index_module.MAX_UNSORTED), data.draw(st.sampled_from([0, 1, 8]))
+    index_module.MAX_SHAPES, index_module.MAX_UNSORTED = most, few
     try:
         index, plain = FilterIndex(), {}
         for predicate in filters:
@@ -489,7 +489,7 @@
             index.remove(key)
         assert not index._shapes, "something stays behind a removed filter"
     finally:
-        index_module.MAX_SHAPES, index_module.FEW = before
+        index_module.MAX_SHAPES, index_module.MAX_UNSORTED = before
 
 
 @law(max_examples=300)
@@ -497,7 +497,7 @@
 @given(st.integers(-300, 300), st.integers(0, 300), st.integers(-300, 700))
 def test_a_range_is_found_from_end_to_end(low, width, at):
     index = FilterIndex()
-    for n in range(index_module.FEW):
+    for n in range(index_module.MAX_UNSORTED):
         index.add(f"first {n}", compare("other", "=", None))
         index.add(f"none {n}", compare("other", "<>", n))
     index.add(1, all_of(compare("n", ">=", low), compare("n", "<=", low + width)))
--- a/tests/test_scatter_plan.py
+++ b/tests/test_scatter_plan.py
@@ -7,7 +7,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from frostspindle.catalogue import CELL_SUFFIX, Catalogue, CatalogueError, Column, read, with_scatter
+from frostspindle.catalogue import CELL_SUFFIX, Catalogue, CatalogueError, Column, read_section, with_scatter
 from frostspindle.predicates import all_of, compare, may_match
 from frostspindle.predicates.summaries import Summary
 from frostspindle.predicates.values import KINDS, canonical
@@ -40,7 +40,7 @@
 
 
 def planner(**changes) -> Planner:
-    section = read({**SECTION, **changes})
+    section = read_section({**SECTION, **changes})
     return Planner(
         Catalogue(
             section,
