--- a/frostspindle/catalogue.py
+++ b/frostspindle/catalogue.py
@@ -1,7 +1,7 @@
-"""What is spread over which sites: the operator's `[scatter]`, checked, and the classes that bind a part to its site.
+"""The catalogue of spread tables: the operator's `[scatter]`, checked, and the classes that bind parts to sites.
 
-Owns the form of that table, its cross-checks and the numbers of the classes of parts. It must never guess a column's
-type: what is not named here is never merged, ordered or summed up. Its digest shows whether all have the same.
+Defines the form of that table, its cross-checks, and the numbers of the classes of parts. A column without a type here
+is never merged, ordered or summarised. The digest of the table tells whether coordinators have the same catalogue.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 TEXT = "text"
 TIME = "time"
 FLOAT = "float"
-CELL_SUFFIX = "\0"  # behind a column's name: the numbers of the cells that its values lie in; in no statement
+CELL_SUFFIX = "\0"  # on a column's name: the numbers of its values' step cells; can't occur in a statement
 TYPES = (INTEGER, DECIMAL, TEXT, TIME, FLOAT)
 DIALECTS = ("sqlite", "tsql", "postgres", "mysql")
-_SCHEMA = re.compile(r"[a-z]\w*?_(\d{1,18})", re.ASCII)  # as the front finds it in a statement
+_SCHEMA = re.compile(r"[a-z]\w*?_(\d{1,18})", re.ASCII)  # as the front recognises it in a statement
 _NAME = re.compile(r"[a-z_]\w*", re.ASCII)
 Name = Annotated[str, Meta(min_length=1, max_length=24)]
 
 
 class CatalogueError(ValueError):
-    """A fault in `[scatter]`, as one line that names the key at fault."""
+    """`[scatter]` is invalid; the message is one line that names the key."""
 
 
 class Site(Struct, forbid_unknown_fields=True, frozen=True):
-    """A place with engines of its own: all engines that the list has in these failure domains."""
+    """A site: all listed engines in these failure domains."""
 
     name: Name
-    zones: list[str] = []  # else the one of its name
-    foreign_loads: bool = False  # rows come there past the fleet: it is never left out
+    zones: list[str] = []  # default: the one with the site's name
+    foreign_loads: bool = False  # rows are also loaded from outside the fleet, so the site is never skipped
 
 
 class Column(Struct, forbid_unknown_fields=True, frozen=True):
     """A column that summaries and merges use.
 
-    `scale`: of a decimal, digits after the point that the engine keeps. `step`: of numbers, the width of the cells of
-    which a summary knows those that hold values, for narrow ranges; 0: none.
+    `scale`: of a decimal, the digits after the point that the engine stores. `step`: of numbers, the width of the cells
+    for which a summary records whether they contain values, to skip sites for narrow ranges; 0: none.
     """
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -60,19 +60,19 @@
 
 
 class TableGroup(Struct, forbid_unknown_fields=True, frozen=True):
-    """Tables of one schema whose rows are spread over sites; a column's name means the same in all of them."""
+    """Tables of one schema whose rows are spread over sites; columns of one name are alike in all of them."""
 
     schema: Annotated[str, Meta(min_length=3, max_length=64)]
     tables: Annotated[list[Annotated[str, Meta(min_length=1, max_length=64)]], Meta(min_length=1, max_length=32)]
     column: Annotated[list[Column], Meta(min_length=1, max_length=32)]
-    sites: list[str] = []  # else all
-    by: list[str] = []  # a load without a site's name goes where these columns' values say
+    sites: list[str] = []  # default: all
+    by: list[str] = []  # columns whose values determine the site of a load that does not name one
 
     @property
     def number(self) -> int:
         """Number behind the underscore in the schema's name, modulo 2^24 as the fronts compute it; -1: none."""
-        found = _SCHEMA.fullmatch(self.schema)
-        return int(found.group(1)) % (1 << 24) if found else -1
+        schema_match = _SCHEMA.fullmatch(self.schema)
+        return int(schema_match.group(1)) % (1 << 24) if schema_match else -1
 
 
 class ScatterSection(Struct, forbid_unknown_fields=True, frozen=True):
@@ -81,20 +81,20 @@
     site: Annotated[list[Site], Meta(min_length=1, max_length=MAX_SITES)]
     group: Annotated[list[TableGroup], Meta(min_length=1, max_length=MAX_GROUPS)]
     dialect: str = "sqlite"
-    binary: bool = False  # engines tell texts apart and order them by code point, blanks and cases too
-    null: Annotated[str, Meta(max_length=16)] = "\\N"  # what an engine writes for null
-    learn_class: str = ""  # of the queries that learn a site anew; else it stays as it is: never left out
-    learn_ms: Annotated[float, Meta(ge=100, le=3_600_000)] = 5_000.0  # between two tries
+    binary: bool = False  # engines compare texts by code point, including case and trailing blanks
+    null: Annotated[str, Meta(max_length=16)] = "\\N"  # an engine's text for null
+    learn_class: str = ""  # of the queries that read sites; without it no summary is learnt and no site skipped
+    learn_ms: Annotated[float, Meta(ge=100, le=3_600_000)] = 5_000.0  # between two attempts
     lease_ms: Annotated[float, Meta(ge=500, le=600_000)] = 3_000.0
     drift: Annotated[float, Meta(ge=0, le=0.2)] = 0.055
-    keep_ms: Annotated[float, Meta(ge=1_000, le=3_600_000)] = 60_000.0  # leases are kept so long after their last use
+    keep_ms: Annotated[float, Meta(ge=1_000, le=3_600_000)] = 60_000.0  # renewal of unused leases
     bits: Annotated[int, Meta(ge=0, le=16_384, multiple_of=8)] = 4_096  # of each column's sketch
-    most_rows: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000  # of one merged answer's parts together
+    most_rows: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000  # of all parts of one request
 
 
 @dataclasses.dataclass(frozen=True)
 class Catalogue:
-    """The checked `[scatter]`, indexed. `classes` has the module's number of a class of parts, by class and site."""
+    """The checked `[scatter]`, indexed. `classes`: the number of the class of parts, by class and site."""
 
     settings: ScatterSection
     groups: dict[int, TableGroup]
@@ -105,7 +105,7 @@
 
     @cached_property
     def digest(self) -> int:
-        """A 48-bit hash of the table: leases and summaries pass only between coordinators where it is the same."""
+        """A 48-bit hash of the table; only coordinators with the same one exchange leases and summaries."""
         return int.from_bytes(blake2b(msgspec.json.encode(self.settings), digest_size=6).digest())
 
     @cached_property
@@ -118,7 +118,7 @@
         return self.groups[group].sites or list(self.sites)
 
     def summary_columns(self, group: int) -> list[str]:
-        """Return the columns that summaries hold: not floats, as engines may compare those at other precision."""
+        """Return the columns of summaries: all but floats, which engines may compare at a different precision."""
         return [
             name
             for column in self.groups[group].column
@@ -147,12 +147,12 @@
 
 
 def home_of(key: str, homes: Sequence[str]) -> str:
-    """Return the seed that keeps a summary, by rendezvous hashing, so that the seeds share the work."""
+    """Return the home of a key among `homes`, by rendezvous hashing."""
     return max(homes, key=lambda name: blake2b(f"{key}:{name}".encode(), digest_size=8).digest())
 
 
 def read_section(raw: Any) -> ScatterSection:
-    """Check the operator's table and return it; CatalogueError names the key that can't be used."""
+    """Check the operator's table and return it; CatalogueError names an invalid key."""
     try:
         section = msgspec.convert(raw, ScatterSection)
     except msgspec.ValidationError as error:
@@ -174,23 +174,23 @@
 def _check_site_names(sites: Sequence[Site]) -> None:
     for number, site in enumerate(sites):
         if "/" in site.name or not site.name.isascii() or not site.name.isprintable():
-            raise CatalogueError(f"scatter.site[{number}].name: not plain, or with a slash: {site.name!r}")
+            raise CatalogueError(f"scatter.site[{number}].name: not printable ASCII without a slash: {site.name!r}")
 
 
 def _check_group(group: TableGroup, key: str, site_names: set[str]) -> None:
     if group.number < 0:
-        raise CatalogueError(f"{key}.schema: not of the form name_17 in small letters: {group.schema!r}")
+        raise CatalogueError(f"{key}.schema: not of the form name_17 in lower case: {group.schema!r}")
     column_names = [column.name for column in group.column]
     _check_unique(f"{key}.tables", group.tables)
     _check_unique(f"{key}.column", column_names)
     for name in (*group.tables, *column_names):
         if not _NAME.fullmatch(name) or name != name.lower():
-            raise CatalogueError(f"{key}: not a plain name in small letters: {name!r}")
+            raise CatalogueError(f"{key}: not a plain name in lower case: {name!r}")
     for column in group.column:
         if column.type not in TYPES:
             raise CatalogueError(f"{key}.column {column.name}: type: not one of {', '.join(TYPES)}")
         if column.step and column.type not in (INTEGER, DECIMAL):
-            raise CatalogueError(f"{key}.column {column.name}: step: only of integers and decimals")
+            raise CatalogueError(f"{key}.column {column.name}: step: only for integers and decimals")
     for name in group.sites:
         if name not in site_names:
             raise CatalogueError(f"{key}.sites: there is no [[scatter.site]] {name!r}")
@@ -202,7 +202,7 @@
 def _check_unique(key: str, names: Sequence[Any]) -> None:
     for number, name in enumerate(names):
         if name in names[:number]:
-            raise CatalogueError(f"{key}[{number}]: {name!r} stands there twice")
+            raise CatalogueError(f"{key}[{number}]: {name!r} occurs twice")
 
 
 def with_scatter(
@@ -210,7 +210,7 @@
 ) -> tuple[Settings, Catalogue]:
     """Return the decision module's settings with a class of parts for each class and site added, and the catalogue.
 
-    A part runs on engines of its site only. The module itself sees to that, by its rule on placement: each class of
+    A part runs only on engines of its site. The decision module ensures this by its rule on placement, as each class of
     parts is bound to its site's failure domains.
     """
     section = read_section(raw)
@@ -219,15 +219,15 @@
     all_classes = list(settings.classes)
     numbers: dict[tuple[int, str], int] = {}
     site_by_zone: dict[str, str] = {}
-    for at, site in enumerate(section.site):
-        key = f"scatter.site[{at}].zones"
+    for index, site in enumerate(section.site):
+        key = f"scatter.site[{index}].zones"
         site_zones = _zone_numbers(site, zones, site_by_zone, key)
         for number, name in enumerate(classes):
             request_class = settings.classes[number]
             only_zones = request_class.only_zones
             allowed = site_zones if only_zones is None else site_zones & only_zones
             if not allowed:
-                raise CatalogueError(f"{key}: none is open to class {name!r}")
+                raise CatalogueError(f"{key}: none is allowed for class {name!r}")
             numbers[number, site.name] = len(all_classes)
             all_classes.append(dataclasses.replace(request_class, only_zones=allowed))
     catalogue = Catalogue(
@@ -242,14 +242,15 @@
 
 
 def _zone_numbers(site: Site, zones: Sequence[str], site_by_zone: dict[str, str], key: str) -> frozenset[int]:
-    """Return the numbers of a site's failure domains and note them as the site's; CatalogueError if one is unknown or
-    another site's.
+    """Return the numbers of a site's failure domains and assign them to the site in `site_by_zone`.
+
+    CatalogueError if one is unknown or belongs to another site.
     """
     site_zones = site.zones or [site.name]
     for zone in site_zones:
         if zone not in zones:
             raise CatalogueError(f"{key}: the settings have no failure domain {zone!r}")
         if zone in site_by_zone:
-            raise CatalogueError(f"{key}: {zone!r} is of {site_by_zone[zone]!r}")
+            raise CatalogueError(f"{key}: {zone!r} belongs to site {site_by_zone[zone]!r}")
         site_by_zone[zone] = site.name
     return frozenset(zones.index(zone) for zone in site_zones)
--- a/frostspindle/predicates/__init__.py
+++ b/frostspindle/predicates/__init__.py
@@ -1,7 +1,7 @@
-"""One algebra of predicates on rows: what scatter queries and subscriptions are built on.
+"""Predicates on rows, as used by scatter queries and subscriptions.
 
-Importing this loads neither the parser of the filter language (`language`), nor that of SQL (`statements`), nor the
-sketches (`summaries`): their users import them.
+Importing this package loads neither the parser of the filter language (`language`), nor that of SQL (`statements`), nor
+the sketches (`summaries`); their users import these modules.
 """
 
 from frostspindle.predicates.algebra import (
--- a/frostspindle/predicates/algebra.py
+++ b/frostspindle/predicates/algebra.py
@@ -1,8 +1,8 @@
 """Predicates on rows, and whether a row matches one.
 
-Owns the tree and SQL's three-valued logic on it: a comparison with null, or between values of two kinds, is neither
-true nor false (None), and only what is true matches. Must never do I/O and never hold what its constructors would
-refuse: columns are folded, values typed and bounded.
+The tree of a predicate and SQL's three-valued logic on it: a comparison with null, or between values of two kinds, is
+neither true nor false (None), and only what is true matches. The constructor functions fold column names and check that
+values are typed and bounded.
 """
 
 from __future__ import annotations
@@ -50,10 +50,10 @@
 
 
 class Unknown(Struct, frozen=True):
-    """A part of a statement that was not understood: its truth is not known for any row."""
+    """A part of a statement that could not be read: its truth is not known for any row."""
 
     def truth(self, row: Row) -> bool | None:
-        """Raise ValueError, as the answer can't be told for any row."""
+        """Raise ValueError, as the truth is not known."""
         raise ValueError("the predicate has a part that was not understood")
 
 
@@ -74,7 +74,7 @@
 
 
 class In(Struct, frozen=True):
-    """`column [NOT] IN (values)`; `null` says that the list names null too."""
+    """`column [NOT] IN (values)`; `null`: the list contains null too."""
 
     column: str
     values: frozenset[Value]
@@ -83,7 +83,7 @@
     negated: bool = False
 
     def truth(self, row: Row) -> bool | None:
-        """Tell whether the row's value is listed (or not, if `negated`).
+        """Return whether the row's value is listed (or not, if `negated`).
 
         None if it is null, missing, of another kind, or not listed while null is.
         """
@@ -104,7 +104,7 @@
     kind: int = TEXT
 
     def truth(self, row: Row) -> bool | None:
-        """Tell whether the row's text begins with the prefix (or not, if `negated`).
+        """Return whether the row's text begins with the prefix (or not, if `negated`).
 
         None if the value is not a text.
         """
@@ -119,7 +119,7 @@
     negated: bool = False
 
     def truth(self, row: Row) -> bool | None:
-        """Tell whether the row's value is null or missing (or neither, if `negated`); never None."""
+        """Return whether the row's value is null or missing (or neither, if `negated`); never None."""
         return (row.get(self.column) is None) is not self.negated
 
 
@@ -131,16 +131,16 @@
     def truth(self, row: Row) -> bool | None:
         """Return False if any part is false, else None if any is None, else True.
 
-        Stops at the first false part, so that an Unknown after it raises nothing.
+        Stops at the first false part, so an Unknown after it does not raise.
         """
-        out: bool | None = True
+        result: bool | None = True
         for part in self.parts:
             truth = part.truth(row)
             if truth is False:
                 return False
             if truth is None:
-                out = None
-        return out
+                result = None
+        return result
 
 
 class Or(Struct, frozen=True):
@@ -151,16 +151,16 @@
     def truth(self, row: Row) -> bool | None:
         """Return True if any part is true, else None if any is None, else False.
 
-        Stops at the first true part, so that an Unknown after it raises nothing.
+        Stops at the first true part, so an Unknown after it does not raise.
         """
-        out: bool | None = False
+        result: bool | None = False
         for part in self.parts:
             truth = part.truth(row)
             if truth is True:
                 return True
             if truth is None:
-                out = None
-        return out
+                result = None
+        return result
 
 
 class Not(Struct, frozen=True):
@@ -180,9 +180,9 @@
 
 
 def match(predicate: Predicate, row: Row) -> bool:
-    """Return whether the row matches, exactly. ValueError if that hangs on a part that was not understood.
+    """Return whether the row matches. ValueError if that depends on a part that was not understood.
 
-    `row` has folded names and typed values (see `typed_row`); a column that it lacks is null.
+    `row` has folded names and typed values (see `typed_row`); a missing column is null.
     """
     return predicate.truth(row) is True
 
@@ -194,24 +194,24 @@
     """
     if op not in OPERATORS:
         raise FilterError(f"no comparison {op!r:.20}")
-    held = literal(value)
-    return Compare(fold_column(name), op, held, KINDS[type(held)])
+    typed_value = literal(value)
+    return Compare(fold_column(name), op, typed_value, KINDS[type(typed_value)])
 
 
 def one_of(name: str, values: Iterable[object]) -> In:
     """Make `name IN (values)`; FilterError unless there are 1 to MAX_VALUES values, all of one kind except nulls."""
-    held = [literal(value) for value in values]
-    kinds = {KINDS[type(value)] for value in held} - {NULL}
-    if not held or len(held) > MAX_VALUES:
+    typed_values = [literal(value) for value in values]
+    kinds = {KINDS[type(value)] for value in typed_values} - {NULL}
+    if not typed_values or len(typed_values) > MAX_VALUES:
         raise FilterError(f"IN takes 1 to {MAX_VALUES} values")
     if len(kinds) > 1:
         names = " and ".join(KIND_NAMES[kind] for kind in sorted(kinds))
         raise FilterError(f"IN takes values of one kind, not {names}")
     return In(
         fold_column(name),
-        frozenset(value for value in held if value is not None),
+        frozenset(value for value in typed_values if value is not None),
         kinds.pop() if kinds else NULL,
-        None in held,
+        None in typed_values,
     )
 
 
@@ -236,37 +236,37 @@
 
 
 def all_of(*parts: Predicate) -> Predicate:
-    """Make the conjunction, flattened; of no part: true."""
+    """Make the conjunction, flattened; true if there are no parts."""
     flat = tuple(inner for part in parts for inner in (part.parts if type(part) is And else (part,)))
     return flat[0] if len(flat) == 1 else And(flat) if flat else TRUE
 
 
 def any_of(*parts: Predicate) -> Predicate:
-    """Make the disjunction, flattened; of no part: false."""
+    """Make the disjunction, flattened; false if there are no parts."""
     flat = tuple(inner for part in parts for inner in (part.parts if type(part) is Or else (part,)))
     return flat[0] if len(flat) == 1 else Or(flat) if flat else FALSE
 
 
 def negate(part: Predicate) -> Not:
-    """Make the negation; nothing is simplified."""
+    """Make the negation, without simplification."""
     return Not(part)
 
 
 def nodes(predicate: Predicate) -> Iterator[tuple[Predicate, int]]:
-    """Iterate over the nodes with their depth, without recursion, so that a hostile tree can be measured."""
-    waiting = [(predicate, 1)]
-    while waiting:
-        node, depth = waiting.pop()
+    """Iterate over the nodes with their depth, without recursion, so that a tree of any depth can be measured."""
+    pending = [(predicate, 1)]
+    while pending:
+        node, depth = pending.pop()
         yield node, depth
         kind = type(node)
         if kind is And or kind is Or:
-            waiting.extend((part, depth + 1) for part in node.parts)  # type: ignore[union-attr]
+            pending.extend((part, depth + 1) for part in node.parts)  # type: ignore[union-attr]
         elif kind is Not:
-            waiting.append((node.part, depth + 1))  # type: ignore[union-attr]
+            pending.append((node.part, depth + 1))  # type: ignore[union-attr]
 
 
 def bounded(predicate: Predicate) -> Predicate:
-    """Return the predicate itself; FilterError if it is larger or deeper than recursion on it may be."""
+    """Return the predicate; FilterError if it exceeds MAX_DEPTH, which bounds recursion, or MAX_NODES."""
     for count, (_, depth) in enumerate(nodes(predicate), 1):
         if depth > MAX_DEPTH:
             raise FilterError(f"nested deeper than {MAX_DEPTH}")
@@ -276,5 +276,5 @@
 
 
 def has_unknown(predicate: Predicate) -> bool:
-    """Tell whether the tree has a part that was not understood, at any depth."""
+    """Return whether the tree has a part that was not understood, at any depth."""
     return any(type(node) is Unknown for node, _ in nodes(predicate))
--- a/frostspindle/predicates/index.py
+++ b/frostspindle/predicates/index.py
@@ -1,9 +1,8 @@
-"""An index of filters: finds those that match a row without trying all.
+"""An index of filters, which finds those that match a row without evaluating all of them.
 
-Owns the index: each filter is filed under what a row must have for it to match. First under all columns for which its
-conjunction names values, then within that under a prefix or a range. A filter that is filed under nothing is tried on
-each row. Whatever is found is tried exactly, so that the index only saves work. Must never miss a filter, and never
-hold more than its bounds.
+Each filter is stored under conditions that a row must meet for it to match: first under all columns that its
+conjunction compares with listed values, then within that under a prefix or a range. A filter without such conditions is
+evaluated for each row. All candidates are evaluated exactly, so the index never misses a filter and only saves work.
 """
 
 from __future__ import annotations
@@ -22,20 +21,23 @@
 
 MAX_FILTERS = 200_000
 MAX_PLACES = 64  # of one filter
-MAX_SHAPES = 64  # sets of columns; filters of further sets stand under some of their columns or none
-MAX_UNSORTED = 8  # filters of a bucket that need no further order: to try them is cheaper
-MAX_PREFIX = 32  # characters by which a prefix is found
+MAX_SHAPES = 64  # sets of columns; filters with further sets are stored under some of their columns or none
+MAX_UNSORTED = 8  # filters of a bucket; to evaluate these is cheaper than a further lookup
+MAX_PREFIX = 32  # characters of a prefix that are indexed
 _EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
-_STEP = timedelta(microseconds=1)
+_TIME_UNIT = timedelta(microseconds=1)
 Key = Hashable
 Keys = dict[Key, None]
 _Shape = tuple[str, ...]
 _Place = tuple[str, str, int, Hashable] | None
 
 
-class _Cells:
-    """Ranges with two ends of one column and kind: each in the cell of its lower end, of the least power of two above
-    its width, so that it reaches into the next cell at most."""
+class _IntervalCells:
+    """Ranges with two bounds, of one column and kind.
+
+    Each is stored in the cell of its lower bound. The cell's size is the least power of two above the range's width, so
+    the range extends at most into the next cell.
+    """
 
     __slots__ = ("levels", "table")
 
@@ -44,23 +46,23 @@
         self.levels: Counter[int] = Counter()  # cells in use by power of two
 
     def find(self, value: Value) -> Iterator[Keys]:
-        place = _step(value)
+        position = _to_units(value)
         for level in self.levels:
-            cell = place >> level
-            for at in (cell, cell - 1):
-                if keys := self.table.get((level, at)):
+            cell = position >> level
+            for index in (cell, cell - 1):
+                if keys := self.table.get((level, index)):
                     yield keys
 
 
 class _Bucket:
-    """The filters under one set of columns' values: the first few as they are, more under their prefix or range."""
+    """The filters under one combination of column values: the first few in a list, the others by prefix or range."""
 
     __slots__ = ("more", "plain")
 
     def __init__(self) -> None:
         self.plain: Keys = {}
-        # By what a place says of itself: ends in order (above, below), cells, or prefixes of one length.
-        self.more: dict[tuple[str, str, int], SortedDict | _Cells | dict[str, Keys]] = {}
+        # By side, column and kind: sorted bounds (above, below), cells, or prefixes of one length.
+        self.more: dict[tuple[str, str, int], SortedDict | _IntervalCells | dict[str, Keys]] = {}
 
     def find(self, row: Row) -> Iterator[Keys]:
         if self.plain:
@@ -82,29 +84,29 @@
         if place is None or key in self.plain or len(self.plain) < MAX_UNSORTED:
             self.plain[key] = None
             return
-        side, column, kind, at = place
+        side, column, kind, position = place
         table = self.more.get(place[:3])
         if table is None:
-            table = self.more[place[:3]] = {"prefix": dict, "cell": _Cells}.get(side, SortedDict)()
+            table = self.more[place[:3]] = {"prefix": dict, "cell": _IntervalCells}.get(side, SortedDict)()
         if side == "cell":
-            if at not in table.table:
-                table.levels[at[0]] += 1
+            if position not in table.table:
+                table.levels[position[0]] += 1
             table = table.table
-        table.setdefault(at, {})[key] = None
+        table.setdefault(position, {})[key] = None
 
     def remove(self, key: Key, place: _Place) -> bool:
-        """Takes the key out, wherever it stands; whether the bucket is empty now."""
+        """Remove the key from its place; return whether the bucket is empty."""
         self.plain.pop(key, None)
-        held = self.more.get(place[:3]) if place else None
-        if held is not None:
-            at = place[3]
-            table = held.table if type(held) is _Cells else held
-            if (keys := table.get(at)) is not None and keys.pop(key, 0) is None and not keys:
-                del table[at]
-                if type(held) is _Cells:
-                    held.levels[at[0]] -= 1
-                    if not held.levels[at[0]]:
-                        del held.levels[at[0]]
+        stored = self.more.get(place[:3]) if place else None
+        if stored is not None:
+            position = place[3]
+            table = stored.table if type(stored) is _IntervalCells else stored
+            if (keys := table.get(position)) is not None and keys.pop(key, 0) is None and not keys:
+                del table[position]
+                if type(stored) is _IntervalCells:
+                    stored.levels[position[0]] -= 1
+                    if not stored.levels[position[0]]:
+                        del stored.levels[position[0]]
                 if not table:
                     del self.more[place[:3]]
         return not (self.plain or self.more)
@@ -125,7 +127,7 @@
     def add(self, key: Key, predicate: Predicate) -> None:
         """Add a filter, or replace the one under this key.
 
-        FilterError, and no change, if it is too large, was not wholly understood, or the index is full.
+        FilterError, without a change, if it is too large, was not fully understood, or the index is full.
         """
         bounded(predicate)
         if has_unknown(predicate):
@@ -152,8 +154,8 @@
         return True
 
     def find(self, row: Row) -> list[Key]:
-        """Return the keys of all filters that the row matches, each once, in no order. `row` as for `match`."""
-        found, seen = [], set()
+        """Return the keys of all filters that match the row, each once, in no order. `row` is as for `match`."""
+        matches, seen = [], set()
         for columns, table in self._shapes.items():
             bucket = table.get(tuple([row.get(column) for column in columns]))
             if bucket is None:
@@ -163,9 +165,9 @@
                     if key not in seen:
                         seen.add(key)
                         if self._filters[key][0].truth(row) is True:
-                            found.append(key)
+                            matches.append(key)
         self.tried += len(seen)
-        return found
+        return matches
 
     def _places(self, predicate: Predicate) -> Iterator[tuple[_Shape, tuple, _Place]]:
         terms = normal(predicate)
@@ -173,36 +175,36 @@
             yield (), (), None
             return
         for term in terms:
-            equal = _equal(term, MAX_PLACES // len(terms))
-            columns = self._shape(tuple(sorted(equal)))
-            place = _narrowest(term)
-            for values in product(*[equal[column] for column in columns]):
+            required = _required_values(term, MAX_PLACES // len(terms))
+            columns = self._shape(tuple(sorted(required)))
+            place = _choose_place(term)
+            for values in product(*[required[column] for column in columns]):
                 yield columns, values, place
 
     def _shape(self, columns: _Shape) -> _Shape:
-        """The columns, or fewer of them, so that a row is never looked up under more than MAX_SHAPES."""
+        """Return the columns, or some of them, so that a row is looked up under at most MAX_SHAPES sets."""
         if columns in self._shapes or len(self._shapes) < MAX_SHAPES:
             return columns
         fewer = [shape for shape in self._shapes if set(shape) < set(columns)]
         return max(fewer, key=len, default=())
 
 
-def _equal(term: Term, most: int) -> dict[str, frozenset[Value]]:
-    """The values that the term asks for by column, while all their combinations are `most` at most."""
-    out: dict[str, frozenset[Value]] = {}
+def _required_values(term: Term, most: int) -> dict[str, frozenset[Value]]:
+    """Return the values that a term requires, by column, with at most `most` combinations."""
+    required: dict[str, frozenset[Value]] = {}
     combinations = 1
     for atom in sorted((atom for atom in term if type(atom) is In and not atom.negated), key=lambda a: len(a.values)):
-        if atom.column not in out and combinations * len(atom.values) <= most:
+        if atom.column not in required and combinations * len(atom.values) <= most:
             combinations *= len(atom.values)
-            out[atom.column] = atom.values
+            required[atom.column] = atom.values
     for atom in term:
         if type(atom) is Compare and atom.op == "=":
-            out[atom.column] = frozenset((atom.value,))
-    return out
+            required[atom.column] = frozenset((atom.value,))
+    return required
 
 
-def _narrowest(term: Term) -> _Place:
-    """The place in a bucket: under the longest prefix, else a range with two ends, else one with one end."""
+def _choose_place(term: Term) -> _Place:
+    """Return the place in a bucket: the longest prefix, else a range with two bounds, else one with one bound."""
     prefixes = [atom for atom in term if type(atom) is Starts and not atom.negated and atom.prefix]
     if prefixes:
         longest = max(prefixes, key=lambda atom: len(atom.prefix))
@@ -218,9 +220,9 @@
     cells = []
     for (column, kind), (low, high) in ends.items():
         if low is not None and high is not None and kind in (NUMBER, TIME):
-            at, end = _step(low), _step(high)
-            level = max(0, end - at).bit_length()
-            cells.append((level, column, kind, (level, at >> level)))
+            start, end = _to_units(low), _to_units(high)
+            level = max(0, end - start).bit_length()
+            cells.append((level, column, kind, (level, start >> level)))
     if cells:
         _, column, kind, cell = min(cells)
         return "cell", column, kind, cell
@@ -229,6 +231,6 @@
     return None
 
 
-def _step(value: Value) -> int:
-    """The whole number (of microseconds, for a time) at or below the value."""
-    return (value - _EPOCH) // _STEP if type(value) is datetime else math.floor(value)  # type: ignore
+def _to_units(value: Value) -> int:
+    """Return the value, or the microseconds of a time, rounded down to an integer."""
+    return (value - _EPOCH) // _TIME_UNIT if type(value) is datetime else math.floor(value)  # type: ignore
--- a/frostspindle/predicates/language.py
+++ b/frostspindle/predicates/language.py
@@ -1,7 +1,7 @@
-"""The operators' filter language: text to predicate and back.
+"""The operators' filter language: parsing and formatting of predicates.
 
-Owns the grammar (docs/filters.md) and its errors. Must never raise anything but FilterError for any text, nor take
-longer than its bounds on length and depth allow.
+The grammar is described in docs/filters.md. No text raises anything but FilterError, and the bounds on length and
+nesting limit the time that parsing takes.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from frostspindle.predicates.values import FilterError, Value, parse_number, parse_time
 
 MAX_LENGTH = 16_384  # characters
-MAX_NESTING = 2 * MAX_DEPTH  # of parentheses and NOTs that are open at once
+MAX_NESTING = 2 * MAX_DEPTH  # open parentheses and chained NOTs
 KEYWORDS = ("AND", "OR", "NOT", "IN", "BETWEEN", "LIKE", "STARTS", "WITH", "IS", "NULL", "TRUE", "FALSE", "TIME")
 _PLAIN = re.compile(rf"(?!(?:{'|'.join(KEYWORDS)})$)[a-z_][a-z0-9_]*", re.ASCII | re.IGNORECASE)
 GRAMMAR = r"""
@@ -73,7 +73,7 @@
 """.replace("KEYWORDS", "|".join(KEYWORDS)).replace(
     "WORDS", "\n    ".join(rf"{word}: /{word}\b/i" for word in KEYWORDS)
 )
-_READABLE = {
+_TERMINAL_NAMES = {
     "NAME": "a column",
     "QUOTED": "a column in double quotes",
     "TEXT": "a text in single quotes",
@@ -87,8 +87,8 @@
 }
 
 
-class _Build(lark.Transformer):
-    """Called by the parser as it goes, from the innermost part outwards, so that no depth of text recurses."""
+class _PredicateBuilder(lark.Transformer):
+    """Builds the predicate during parsing, from the innermost part outwards, so that nesting causes no recursion."""
 
     def start(self, children: list) -> Predicate:
         return children[0]
@@ -113,26 +113,26 @@
 
     def compared(self, children: list) -> Predicate:
         name, sign, value = children
-        return _at(name, compare, name.value, "<>" if sign == "!=" else str(sign), value)
+        return _build_at(name, compare, name.value, "<>" if sign == "!=" else str(sign), value)
 
     def listed(self, children: list) -> Predicate:
         values = [child for child in children[1:] if type(child) is not lark.Token]
-        return self._not(children, _at(children[0], one_of, children[0].value, values))
+        return self._not(children, _build_at(children[0], one_of, children[0].value, values))
 
     def ranged(self, children: list) -> Predicate:
-        return self._not(children, _at(children[0], between, children[0].value, children[-3], children[-1]))
+        return self._not(children, _build_at(children[0], between, children[0].value, children[-3], children[-1]))
 
     def like(self, children: list) -> Predicate:
         pattern = _unquoted(children[-1])
         if not pattern.endswith("%") or "%" in pattern[:-1] or "_" in pattern:
-            raise _ParseStoppedError(children[-1], "LIKE takes one % at the end and no _ (STARTS WITH takes any text)")
-        return self._not(children, _at(children[-1], starts, children[0].value, pattern[:-1]))
+            raise _RejectedTokenError(children[-1], "LIKE takes one % at the end and no _ (STARTS WITH takes any text)")
+        return self._not(children, _build_at(children[-1], starts, children[0].value, pattern[:-1]))
 
     def started(self, children: list) -> Predicate:
-        return self._not(children, _at(children[-1], starts, children[0].value, _unquoted(children[-1])))
+        return self._not(children, _build_at(children[-1], starts, children[0].value, _unquoted(children[-1])))
 
     def nulled(self, children: list) -> Predicate:
-        return self._not(children, _at(children[0], is_null, children[0].value))
+        return self._not(children, _build_at(children[0], is_null, children[0].value))
 
     def name(self, children: list) -> lark.Token:
         token = children[0]
@@ -142,33 +142,33 @@
         return _unquoted(children[0])
 
     def number(self, children: list) -> Value:
-        return _at(children[0], parse_number, str(children[0]))
+        return _build_at(children[0], parse_number, str(children[0]))
 
     def time(self, children: list) -> Value:
-        return _at(children[1], parse_time, _unquoted(children[1]))
+        return _build_at(children[1], parse_time, _unquoted(children[1]))
 
     def null(self, _: list) -> Value:
         return None
 
     @staticmethod
-    def _not(children: list, made: Predicate) -> Predicate:
+    def _not(children: list, predicate: Predicate) -> Predicate:
         if not any(type(child) is lark.Token and child.type == "NOT" for child in children):
-            return made
-        return replace(made, negated=True) if isinstance(made, In | Starts | IsNull) else negate(made)
+            return predicate
+        return replace(predicate, negated=True) if isinstance(predicate, In | Starts | IsNull) else negate(predicate)
 
 
-class _ParseStoppedError(Exception):
-    """What a part of the text says can't be; `token` tells where."""
+class _RejectedTokenError(Exception):
+    """A part of the text is syntactically valid but has no meaning; `token` is its position."""
 
     def __init__(self, token: lark.Token, reason: str):
         self.token, self.reason = token, reason
 
 
-def _at(token: lark.Token, make: Any, *values: Any) -> Any:
+def _build_at(token: lark.Token, make: Any, *values: Any) -> Any:
     try:
         return make(*values)
     except ValueError as error:
-        raise _ParseStoppedError(token, getattr(error, "reason", str(error))) from None
+        raise _RejectedTokenError(token, getattr(error, "reason", str(error))) from None
 
 
 def _unquoted(token: lark.Token) -> str:
@@ -178,7 +178,9 @@
 
 @cache
 def _parser() -> lark.Lark:
-    return lark.Lark(GRAMMAR, parser="lalr", lexer="contextual", transformer=_Build(), propagate_positions=False)
+    return lark.Lark(
+        GRAMMAR, parser="lalr", lexer="contextual", transformer=_PredicateBuilder(), propagate_positions=False
+    )
 
 
 def parse(text: str) -> Predicate:
@@ -187,31 +189,31 @@
         raise FilterError(f"a filter is a text of up to {MAX_LENGTH} characters")
     _check_nesting(text)
     try:
-        made = _parser().parse(text)
-    except _ParseStoppedError as stop:
+        predicate = _parser().parse(text)
+    except _RejectedTokenError as stop:
         raise FilterError(stop.reason, stop.token.line, stop.token.column) from None
     except lark.UnexpectedInput as error:
-        raise _unexpected(text, error) from None
-    return bounded(made)
+        raise _syntax_error(text, error) from None
+    return bounded(predicate)
 
 
 def _check_nesting(text: str) -> None:
-    """Refuses early what is nested too deep: parentheses and chains of NOT, quoted texts apart."""
-    open_ = nots = 0
-    for found in re.finditer(r"'[^']*'|\"[^\"]*\"|[()]|\w+", text):
-        word = found[0]
-        open_ += (word == "(") - (word == ")")
-        nots = nots + 1 if word.upper() == "NOT" else nots if word == "(" else 0
-        if open_ + nots > MAX_NESTING:
-            line, column = _place(text, found.start())
+    """Raise FilterError for text that is nested too deep by parentheses and chains of NOT, ignoring quoted texts."""
+    open_count = not_count = 0
+    for word_match in re.finditer(r"'[^']*'|\"[^\"]*\"|[()]|\w+", text):
+        word = word_match[0]
+        open_count += (word == "(") - (word == ")")
+        not_count = not_count + 1 if word.upper() == "NOT" else not_count if word == "(" else 0
+        if open_count + not_count > MAX_NESTING:
+            line, column = _line_and_column(text, word_match.start())
             raise FilterError(f"nested deeper than {MAX_NESTING}", line, column)
 
 
-def _place(text: str, at: int) -> tuple[int, int]:
-    return text.count("\n", 0, at) + 1, at - text.rfind("\n", 0, at)
+def _line_and_column(text: str, offset: int) -> tuple[int, int]:
+    return text.count("\n", 0, offset) + 1, offset - text.rfind("\n", 0, offset)
 
 
-def _unexpected(text: str, error: lark.UnexpectedInput) -> FilterError:
+def _syntax_error(text: str, error: lark.UnexpectedInput) -> FilterError:
     if isinstance(error, lark.UnexpectedCharacters):
         reason = "a quote that is not closed" if error.char in "'\"" else f"{error.char!r} can't stand here"
         names = error.allowed or set()
@@ -219,10 +221,10 @@
         token = error.token
         reason = "the filter ends too early" if token.type == "$END" else f"{str(token)!r:.40} can't stand here"
         names = error.accepts or error.expected
-    at = error.pos_in_stream
-    ends = at is None or getattr(getattr(error, "token", None), "type", "") == "$END"
-    line, column = _place(text, len(text) if ends else at)
-    return FilterError(reason, line, column, tuple(sorted(_READABLE.get(name, name) for name in names)))
+    offset = error.pos_in_stream
+    is_at_end = offset is None or getattr(getattr(error, "token", None), "type", "") == "$END"
+    line, column = _line_and_column(text, len(text) if is_at_end else offset)
+    return FilterError(reason, line, column, tuple(sorted(_TERMINAL_NAMES.get(name, name) for name in names)))
 
 
 def text(predicate: Predicate) -> str:
@@ -230,19 +232,19 @@
 
     ValueError for parts that were not understood.
     """
-    return _text(predicate, 0)
+    return _format(predicate, 0)
 
 
-def _text(predicate: Predicate, tight: int) -> str:
-    """`tight`: 0 anywhere, 1 within AND, 2 after NOT."""
+def _format(predicate: Predicate, binding: int) -> str:
+    """Format a part; `binding`: 0 anywhere, 1 within AND, 2 after NOT."""
     match predicate:
         case Or() | And():
             level = 0 if type(predicate) is Or else 1
             word = " OR " if level == 0 else " AND "
-            out = word.join(_text(part, level + 1) for part in predicate.parts)
-            return f"({out})" if tight > level else out
+            joined = word.join(_format(part, level + 1) for part in predicate.parts)
+            return f"({joined})" if binding > level else joined
         case Not():
-            return f"NOT {_text(predicate.part, 2)}"
+            return f"NOT {_format(predicate.part, 2)}"
         case Const():
             return "TRUE" if predicate.value else "FALSE"
         case Compare():
--- a/frostspindle/predicates/normal.py
+++ b/frostspindle/predicates/normal.py
@@ -1,8 +1,8 @@
-"""The normal form of a predicate: a disjunction of conjunctions of atoms without NOT.
+"""The normal form of a predicate: a disjunction of conjunctions of atoms, without NOT.
 
-Owns the rewriting, which keeps three-valued truth while NOT is pushed inwards, and what matches once it is spread out.
-Must never grow past its bounds: a predicate that would has no normal form (None), and each user errs to its safe side:
-`covers` says no, the index tries the filter on every row, `may_match` needs no normal form.
+NOT is pushed inwards, which preserves three-valued truth; the expansion into conjunctions preserves which rows match. A
+predicate that would exceed the bounds has no normal form (None), and each user then errs to its safe side: `covers`
+returns False, the index evaluates the filter for every row, and `may_match` needs no normal form.
 """
 
 from __future__ import annotations
@@ -60,29 +60,29 @@
 def normal(predicate: Predicate) -> tuple[Term, ...] | None:
     """Return the disjunctive normal form: a row matches the predicate if and only if it matches one conjunction.
 
-    None if there would be more than MAX_TERMS conjunctions or MAX_ATOMS atoms. No conjunction: never matches; an empty
-    one: always. The predicate must be `bounded`.
+    None if there would be more than MAX_TERMS conjunctions or MAX_ATOMS atoms. Without conjunctions nothing matches; an
+    empty conjunction matches every row. The predicate must be `bounded`.
     """
     try:
-        return tuple(tuple(term) for term in _spread(push_negations_inward(predicate)))
+        return tuple(tuple(term) for term in _expand(push_negations_inward(predicate)))
     except _TooLargeError:
         return None
 
 
-def _spread(predicate: Predicate) -> list[dict[Atom | Unknown, None]]:
-    """Terms as dicts: a set that keeps its order."""
+def _expand(predicate: Predicate) -> list[dict[Atom | Unknown, None]]:
+    """Return the terms as dicts, used as ordered sets."""
     match predicate:
         case Const():
             return [{}] if predicate.value else []
         case Or():
-            return _checked([term for part in predicate.parts for term in _spread(part)])
+            return _check_size([term for part in predicate.parts for term in _expand(part)])
         case And():
             terms: list[dict[Atom | Unknown, None]] = [{}]
             for part in predicate.parts:
-                more = _spread(part)
-                if len(terms) * len(more) > MAX_TERMS:
+                part_terms = _expand(part)
+                if len(terms) * len(part_terms) > MAX_TERMS:
                     raise _TooLargeError
-                terms = _checked([term | other for term in terms for other in more])
+                terms = _check_size([term | other for term in terms for other in part_terms])
             return terms
         case Compare() | In() if predicate.kind == NULL:
             return []  # a comparison with null is never true
@@ -92,7 +92,7 @@
             return [{predicate: None}]
 
 
-def _checked(terms: list[dict[Atom | Unknown, None]]) -> list[dict[Atom | Unknown, None]]:
+def _check_size(terms: list[dict[Atom | Unknown, None]]) -> list[dict[Atom | Unknown, None]]:
     if len(terms) > MAX_TERMS or sum(map(len, terms)) > MAX_ATOMS:
         raise _TooLargeError
     return terms
--- a/frostspindle/predicates/statements.py
+++ b/frostspindle/predicates/statements.py
@@ -1,8 +1,8 @@
-"""The WHERE clause of a statement as a predicate on each of its tables' rows.
+"""Reading the WHERE clause of a statement as a predicate on the rows of each of its tables.
 
-Owns what is read from SQL, and that it errs to one side only: whatever is not understood becomes UNKNOWN, which may
-match. A table's predicate says which of its rows can have part in the answer at all. Must never raise for any text, and
-never be imported on the path of requests that scatter nothing: it loads the SQL parser.
+A table's predicate tells which of its rows can affect the result. Whatever is not understood becomes UNKNOWN, which may
+match, so errors are to one side only. No text raises an exception. This loads the SQL parser, so it must not be
+imported for requests that are not scattered.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 )
 from frostspindle.predicates.values import FilterError, Value, fold_column, parse_number, parse_time
 
-MAX_LENGTH = 4_096  # characters; longer statements are not read, nor kept
-MAX_OPEN_PARENTHESES = 64  # parentheses open at once
-CACHED = 1_024  # statements
+MAX_LENGTH = 4_096  # characters; longer statements are neither read nor cached
+MAX_OPEN_PARENTHESES = 64
+MAX_CACHED_STATEMENTS = 1_024
 _OPERATORS = {exp.EQ: "=", exp.NEQ: "<>", exp.LT: "<", exp.LTE: "<=", exp.GT: ">", exp.GTE: ">="}
-_FLIPPED = {"=": "=", "<>": "<>", "<": ">", "<=": ">=", ">": "<", ">=": "<="}
-# Clauses that leave a row's part in the answer to WHERE alone. Any other makes the whole statement unknown.
+_SWAPPED_OPERATORS = {"=": "=", "<>": "<>", "<": ">", "<=": ">=", ">": "<", ">=": "<="}
+# With these clauses WHERE alone decides whether a row can affect the result. Others make the statement unknown.
 _CLAUSES = {
     "expressions",
     "from_",
@@ -54,9 +54,9 @@
     "hint",
 }
 _DATES = {exp.DType.DATE, exp.DType.DATETIME, exp.DType.DATETIME2, exp.DType.TIMESTAMP}
-# What some engines run, nest or compute (4--1 is 5), while others pass over it as a comment.
-_ODD_COMMENT = re.compile(r"/\*M?!|/\*(?:(?!\*/).)*?/\*|--[^\s-]", re.DOTALL)
-logging.getLogger("sqlglot").setLevel(logging.CRITICAL)  # clients' statements are no matter for the log
+# Some engines execute, nest or compute these (4--1 is 5), others skip them as comments.
+_AMBIGUOUS_COMMENT = re.compile(r"/\*M?!|/\*(?:(?!\*/).)*?/\*|--[^\s-]", re.DOTALL)
+logging.getLogger("sqlglot").setLevel(logging.CRITICAL)  # keeps clients' statements out of the log
 
 
 class Source(Struct, frozen=True):
@@ -68,86 +68,88 @@
 
 
 class Statement(Struct, frozen=True):
-    """What was read of a statement. `understood` False: nothing was, and each table may match."""
+    """The result of reading a statement. `understood` False: nothing is known, and each table may match."""
 
     understood: bool
     sources: tuple[Source, ...] = ()
 
     def predicate(self, table: str) -> Predicate:
-        """Return the predicate on the rows of `schema.table` or `table`: any of those at the places that name it.
+        """Return the predicate on the rows of `schema.table` or `table`, the disjunction over all its occurrences.
 
-        UNKNOWN if none does.
+        UNKNOWN if the statement does not name the table.
         """
         schema, _, name = table.lower().rpartition(".")
-        found = [
+        predicates = [
             source.predicate
             for source in self.sources
             if source.table == name and (not schema or not source.schema or source.schema == schema)
         ]
-        return any_of(*found) if found else UNKNOWN
+        return any_of(*predicates) if predicates else UNKNOWN
 
 
-_NOTHING = Statement(False)
+_NOT_UNDERSTOOD = Statement(False)
 
 
-class _CantError(Exception):
-    """What can't be read here."""
+class _NotUnderstoodError(Exception):
+    """A part of the statement can't be read."""
 
 
 class Reader:
-    """Reads statements of one dialect (a name that sqlglot knows; "": its own mix) and remembers the last CACHED texts.
+    """Reads statements of one of sqlglot's dialects ("": its own) and caches the results of the last `cached` texts.
 
-    `times` names the columns that the engine compares as times, so that a text beside one is read as a time; elsewhere
-    a text beside a number or time may match. `binary`: the engine tells texts apart and orders them by code point; if
-    it folds cases or trailing blanks, set it to False, and nothing is made of texts.
+    `times` names the columns that the engine compares as times, so that a text compared with one is read as a time; for
+    other columns a text compared with a number or time may match. `binary`: the engine compares texts by code point. If
+    it folds case or trailing blanks, it must be False, and comparisons of texts are not understood.
     """
 
-    def __init__(self, dialect: str = "", times: Iterable[str] = (), binary: bool = True, cached: int = CACHED):
+    def __init__(
+        self, dialect: str = "", times: Iterable[str] = (), binary: bool = True, cached: int = MAX_CACHED_STATEMENTS
+    ):
         self.dialect, self.binary = dialect, binary
         self.times = {fold_column(name) for name in times}
-        self.unread = 0  # statements of which nothing was understood, cached ones not counted again
+        self.unread = 0  # statements that were not understood; cached ones are not counted again
         self._cached = lru_cache(maxsize=cached)(self._read)
         self.cache_info = self._cached.cache_info
 
     def read(self, sql: str) -> Statement:
-        """Return what the statement reads; never raises.
+        """Return the predicates of the statement; never raises.
 
-        Longer than MAX_LENGTH, or not understood: the statement of which nothing is known, counted in `unread` (a
-        cached one is counted once).
+        A statement that is longer than MAX_LENGTH or can't be read is not `understood` and is counted in `unread`,
+        once while it is cached.
         """
         if len(sql) > MAX_LENGTH:
             self.unread += 1
-            return _NOTHING
+            return _NOT_UNDERSTOOD
         return self._cached(sql)
 
     def _read(self, sql: str) -> Statement:
         try:
             return self._statement(sql)
-        except Exception:  # a parser's fault on a client's text must not become the coordinator's
+        except Exception:  # a fault of the parser on a client's text must not become one of the coordinator
             self.unread += 1
-            return _NOTHING
+            return _NOT_UNDERSTOOD
 
     def _statement(self, sql: str) -> Statement:
-        if max_open_parentheses(sql) > MAX_OPEN_PARENTHESES or _ODD_COMMENT.search(sql):
-            raise _CantError
+        if max_open_parentheses(sql) > MAX_OPEN_PARENTHESES or _AMBIGUOUS_COMMENT.search(sql):
+            raise _NotUnderstoodError
         trees = [tree for tree in sqlglot.parse(sql, read=self.dialect or None) if type(tree) is not exp.Semicolon]
         if len(trees) != 1 or type(trees[0]) is not exp.Select:
-            raise _CantError
+            raise _NotUnderstoodError
         tree = trees[0]
         if {name for name, value in tree.args.items() if value} - _CLAUSES or not tree.args.get("from_"):
-            raise _CantError
-        if any(one.args.get("join_mark") for one in tree.find_all(exp.Column)):
-            raise _CantError  # an outer join within WHERE
-        direct, optional = _direct(tree)
+            raise _NotUnderstoodError
+        if any(column_node.args.get("join_mark") for column_node in tree.find_all(exp.Column)):
+            raise _NotUnderstoodError  # an outer join written in WHERE
+        joined, optional = _joined_tables(tree)
         where = tree.args.get("where")
         sources = []
         for table in tree.find_all(exp.Table):
             schema, name = table.db.lower(), table.name.lower()
             if not name:
-                raise _CantError  # a function's rows may be those of any table
+                raise _NotUnderstoodError  # a table function may return rows of any table
             predicate: Predicate = UNKNOWN
-            if id(table) in direct and id(table) not in optional and _is_plain(table):
-                predicate = _Scope(self, table, list(direct.values())).read(where.this) if where else Const(True)
+            if id(table) in joined and id(table) not in optional and _is_plain(table):
+                predicate = _Scope(self, table, list(joined.values())).read(where.this) if where else Const(True)
             sources.append(Source(schema, name, predicate))
         return Statement(True, tuple(sources))
 
@@ -155,23 +157,25 @@
 def max_open_parentheses(sql: str) -> int:
     """Return the greatest number of parentheses open at once, to guard the parser's recursion.
 
-    Quotes and comments are not looked at, and unmatched closing ones are subtracted from those that follow.
+    Quotes and comments are not recognised, and unmatched closing parentheses are subtracted from later opening ones.
     """
-    most = open_ = 0
+    maximum = open_count = 0
     for letter in sql:
         if letter == "(":
-            open_ += 1
-            most = max(most, open_)
+            open_count += 1
+            maximum = max(maximum, open_count)
         elif letter == ")":
-            open_ -= 1
-    return most
+            open_count -= 1
+    return maximum
 
 
-def _direct(tree: exp.Select) -> tuple[dict[int, exp.Expression], set[int]]:
-    """What FROM and JOIN name by id, and those of which a missing row shows as nulls instead: to leave their rows out
-    would make answers that are not there."""
+def _joined_tables(tree: exp.Select) -> tuple[dict[int, exp.Expression], set[int]]:
+    """Return the tables of FROM and JOIN by id, and the ids of the optional ones, whose missing rows become nulls.
+
+    To skip rows of an optional table would add rows to the result.
+    """
     first = tree.args["from_"].this
-    direct, optional = {id(first): first}, set()
+    joined, optional = {id(first): first}, set()
     for join in tree.args.get("joins") or ():
         side, kind, method = join.side.upper(), join.kind.upper(), join.method.upper()
         if method not in ("", "NATURAL") or (side, kind) not in (
@@ -181,15 +185,15 @@
             ("LEFT", ""),
             ("LEFT", "OUTER"),
         ):
-            raise _CantError
-        direct[id(join.this)] = join.this
+            raise _NotUnderstoodError
+        joined[id(join.this)] = join.this
         if side:
             optional.add(id(join.this))
-    return direct, optional
+    return joined, optional
 
 
 def _is_plain(table: exp.Table) -> bool:
-    """A table's own rows under its own columns' names: no function, sample, pivot, older state or renamed columns."""
+    """Return whether it is a table as such: no function, sample, pivot, historical state or renamed columns."""
     alias = table.args.get("alias")
     return (
         isinstance(table.this, exp.Identifier)
@@ -199,10 +203,10 @@
 
 
 class _Scope:
-    """Reads WHERE for the rows of one table among those that the statement names."""
+    """Reads WHERE as a predicate on the rows of one of the statement's tables."""
 
     def __init__(self, reader: Reader, table: exp.Table, sources: list[exp.Expression]):
-        self.times, self.binary, self.alone = reader.times, reader.binary, len(sources) == 1
+        self.times, self.binary, self.is_only_table = reader.times, reader.binary, len(sources) == 1
         self.alias, self.schema = table.alias_or_name.lower(), "" if table.alias else table.db.lower()
         self.unique = sum(source.alias_or_name.lower() == self.alias for source in sources) == 1
 
@@ -225,17 +229,17 @@
             return Const(node.this)
         try:
             return self._atom(kind, node)
-        except (_CantError, ValueError):
+        except (_NotUnderstoodError, ValueError):
             return UNKNOWN
 
     def _atom(self, kind: type, node: exp.Expression) -> Predicate:
         if kind in _OPERATORS:
             left, right, op = node.this, node.expression, _OPERATORS[kind]
             if type(left) is not exp.Column:
-                left, right, op = right, left, _FLIPPED[op]
+                left, right, op = right, left, _SWAPPED_OPERATORS[op]
             name = self._column(left)
             return compare(name, op, self._value(name, right))
-        if kind is exp.In:  # of a query, it lists no value, which `one_of` refuses
+        if kind is exp.In:  # IN of a query has no listed values, which `one_of` rejects
             name = self._column(node.this)
             return one_of(name, [self._value(name, value) for value in node.expressions])
         if kind is exp.Between and not node.args.get("symmetric"):
@@ -248,27 +252,27 @@
             return is_null(self._column(node.this))
         if kind is exp.Like and self.binary and not set(node.args) - {"this", "expression"}:
             return self._like(self._column(node.this), self._text(node.expression))
-        raise _CantError
+        raise _NotUnderstoodError
 
     def _like(self, name: str, pattern: str) -> Predicate:
-        """LIKE may or may not tell ASCII's cases apart: what holds either way is how the text begins, in some case."""
+        """Read LIKE as a prefix in any ASCII case, AND UNKNOWN, as it may or may not be case-sensitive."""
         prefixes = [""]
         for letter in pattern:
             if letter in "%_[\\" or not letter.isascii() or len(prefixes) > 4:
                 break
             prefixes = [prefix + case for prefix in prefixes for case in sorted({letter.lower(), letter.upper()})]
         if prefixes == [""]:
-            raise _CantError
+            raise _NotUnderstoodError
         return all_of(any_of(*[starts(name, prefix) for prefix in prefixes]), UNKNOWN)
 
     def _column(self, node: exp.Expression) -> str:
         if type(node) is not exp.Column or type(node.this) is not exp.Identifier:
-            raise _CantError
+            raise _NotUnderstoodError
         if node.table:
             if node.table.lower() != self.alias or not self.unique or node.db.lower() not in ("", self.schema):
-                raise _CantError
-        elif not self.alone:
-            raise _CantError
+                raise _NotUnderstoodError
+        elif not self.is_only_table:
+            raise _NotUnderstoodError
         return fold_column(node.name)
 
     def _value(self, name: str, node: exp.Expression) -> Value:
@@ -287,29 +291,29 @@
         if name in self.times:
             return exact_time(text)
         if not self.binary:
-            raise _CantError
+            raise _NotUnderstoodError
         return text
 
     def _text(self, node: exp.Expression) -> str:
-        """A text that is the same in each dialect."""
+        """Return a text literal that means the same in each dialect."""
         if type(node) is exp.National or type(node) is exp.Literal and node.is_string:
             if "\\" not in node.name and "\0" not in node.name:
                 return node.name
-        raise _CantError
+        raise _NotUnderstoodError
 
 
 def exact_number(text: str) -> int | Decimal:
-    """Return a number that is the same whether the engine takes it as a decimal or as a double; raises for others."""
+    """Parse a number that has the same value as a decimal and as a double; raises for others."""
     value = parse_number(text)
     if type(value) is int and -(2**53) <= value <= 2**53:
         return value
     if type(value) is Decimal and len(value.as_tuple().digits) <= 15 and abs(value.adjusted()) <= 15:
         return value
-    raise _CantError
+    raise _NotUnderstoodError
 
 
 def exact_time(text: str) -> Value:
-    """Return a time of whole seconds without a zone; raises for others, as engines round fractions differently."""
+    """Parse a time of whole seconds without a zone; raises for others, as engines round fractions differently."""
     if len(text) not in (10, 19):
-        raise _CantError
+        raise _NotUnderstoodError
     return parse_time(text)
--- a/frostspindle/predicates/values.py
+++ b/frostspindle/predicates/values.py
@@ -1,8 +1,7 @@
 """The typed values that predicates compare: text, number (integer or decimal), time, null.
 
-Owns what counts as a value and how two are ordered. Text goes by code point (binary collation), numbers by their exact
-value, times by their instant. Must never guess: what is no such value is refused, and values of two kinds are never
-compared.
+Text is ordered by code point (binary collation), numbers by their exact value, times by their instant. Any other value
+is rejected, and values of different kinds are never compared.
 """
 
 from __future__ import annotations
@@ -21,29 +20,26 @@
 MAX_NAME = 128  # characters of a column's name
 _LIMIT = 10**MAX_DIGITS
 _TIME = re.compile(r"(\d{4}-\d\d-\d\d)(?:[T ](\d\d:\d\d:\d\d)(\.\d{1,6})?)?(Z|[+-]\d\d:\d\d)?", re.ASCII)
-# UTF-8 has no surrogates, so no engine holds them; they would also break the order by code point.
+# UTF-8 has no surrogates, so no engine stores them; they would also break the order by code point.
 _SURROGATE = re.compile("[\ud800-\udfff]")
 
 Value = str | int | Decimal | datetime | None
 
 
 class FilterError(ValueError):
-    """A filter that can't be used. `line` and `column` count from 1, 0 where there is no text.
-
-    `expected` says what could have stood there instead.
-    """
+    """A filter is invalid. `line` and `column` count from 1 and are 0 without a text; `expected` lists valid tokens."""
 
     def __init__(self, reason: str, line: int = 0, column: int = 0, expected: tuple[str, ...] = ()):
-        at = f"line {line}, column {column}: " if line else ""
-        super().__init__(at + reason + (f"; expected {' or '.join(expected)}" if expected else ""))
+        position = f"line {line}, column {column}: " if line else ""
+        super().__init__(position + reason + (f"; expected {' or '.join(expected)}" if expected else ""))
         self.reason, self.line, self.column, self.expected = reason, line, column, expected
 
 
 def typed(value: Any) -> Value:
-    """Convert a value to the form that predicates take; ValueError if it has none.
+    """Convert a value to one that predicates compare; ValueError if it has no such form.
 
-    A float becomes its shortest decimal (a whole float an integer), so that 0.1 is what an engine prints as 0.1. Times
-    are converted to UTC; one without a zone is taken as UTC, a date as its midnight.
+    A float becomes its shortest decimal (an integral float an integer), so that 0.1 is what an engine prints as 0.1. Times
+    are converted to UTC; a time without a zone is taken as UTC, and a date as its midnight.
     """
     kind = type(value)
     if kind is str:
@@ -76,17 +72,17 @@
 
 
 def typed_row(row: Mapping[str, Any]) -> dict[str, Value]:
-    """Return a row with typed values and folded column names; ValueError names the column that can't be used."""
-    out: dict[str, Value] = {}
+    """Return a row with typed values and folded column names; ValueError names an invalid column."""
+    typed_values: dict[str, Value] = {}
     for name, value in row.items():
         try:
             folded = fold_column(name)
-            if folded in out:
+            if folded in typed_values:
                 raise ValueError("two columns that differ in case only")
-            out[folded] = typed(value)
+            typed_values[folded] = typed(value)
         except ValueError as error:
             raise ValueError(f"column {name!r:.140}: {error}") from None
-    return out
+    return typed_values
 
 
 def fold_column(name: str) -> str:
@@ -119,19 +115,21 @@
 
     Return it in UTC; without a zone it is taken as UTC. ValueError for anything else.
     """
-    found = _TIME.fullmatch(text)
-    if not found:
+    parts = _TIME.fullmatch(text)
+    if not parts:
         raise ValueError("not a time as in 2026-01-31T23:59:59Z")
-    day, clock, fraction, zone = found.groups()
-    stamp = f"{day}T{clock or '00:00:00'}{(fraction or '.').ljust(7, '0')}{'+00:00' if zone in (None, 'Z') else zone}"
+    day, clock, fraction, zone = parts.groups()
+    iso_text = (
+        f"{day}T{clock or '00:00:00'}{(fraction or '.').ljust(7, '0')}{'+00:00' if zone in (None, 'Z') else zone}"
+    )
     try:
-        return datetime.fromisoformat(stamp).astimezone(UTC)
+        return datetime.fromisoformat(iso_text).astimezone(UTC)
     except OverflowError as error:
         raise ValueError(str(error)) from None
 
 
 def canonical(value: Value) -> str:
-    """Return a text that two values of one kind share if and only if they are equal (as 1 and 1.0 are)."""
+    """Return a text that is the same for two values of one kind if and only if they are equal, as 1 and 1.0 are."""
     kind = type(value)
     if kind is str:
         return value  # type: ignore[return-value]
--- a/tests/test_scatter_leases.py
+++ b/tests/test_scatter_leases.py
@@ -358,9 +358,7 @@
     w.crash(HOME)
     w.report_served(7)
     drain(w)
-    assert (
-        not w.answered and w.holders["b"].loads[1].state == "widening"
-    )  # the new process is silent and acknowledges nothing
+    assert not w.answered and w.holders["b"].loads[1].state == "widening"  # the new home acknowledges nothing yet
     w.now += 2_001.0
     w.tick(HOME)
     drain(w)
