--- a/frostspindle/catalogue.py
+++ b/frostspindle/catalogue.py
@@ -87,7 +87,7 @@
     learn_ms: Annotated[float, Meta(ge=100, le=3_600_000)] = 5_000.0  # between two attempts
     lease_ms: Annotated[float, Meta(ge=500, le=600_000)] = 3_000.0
     drift: Annotated[float, Meta(ge=0, le=0.2)] = 0.055
-    keep_ms: Annotated[float, Meta(ge=1_000, le=3_600_000)] = 60_000.0  # renewal of unused leases
+    keep_ms: Annotated[float, Meta(ge=1_000, le=3_600_000)] = 60_000.0  # renewal after the last use
     bits: Annotated[int, Meta(ge=0, le=16_384, multiple_of=8)] = 4_096  # of each column's sketch
     most_rows: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000  # of all parts of one request
 
--- a/frostspindle/predicates/values.py
+++ b/frostspindle/predicates/values.py
@@ -38,8 +38,8 @@
 def typed(value: Any) -> Value:
     """Convert a value to one that predicates compare; ValueError if it has no such form.
 
-    A float becomes its shortest decimal (an integral float an integer), so that 0.1 is what an engine prints as 0.1. Times
-    are converted to UTC; a time without a zone is taken as UTC, and a date as its midnight.
+    A float becomes its shortest decimal (an integral float an integer), so that 0.1 is what an engine prints as 0.1.
+    Times are converted to UTC; a time without a zone is taken as UTC, and a date as its midnight.
     """
     kind = type(value)
     if kind is str:
--- a/tests/predicates.py
+++ b/tests/predicates.py
@@ -1,4 +1,4 @@
-"""Rows, predicates and SQLite's opinion of them, for the tests of the algebra."""
+"""Rows and random predicates, and their translation to SQLite, for the tests of predicates."""
 
 import itertools
 import sqlite3
@@ -33,25 +33,25 @@
 ROWS = [dict(zip(POOLS, values, strict=True)) for values in itertools.product(*POOLS.values())]
 
 
-def stored(value):
-    """As SQLite holds it: decimals in hundredths, times in seconds."""
+def to_sqlite(value):
+    """Return a value as SQLite stores it: decimals in hundredths, times in seconds."""
     if isinstance(value, datetime):
         return int(value.timestamp())
     return int(value * 100) if isinstance(value, int | Decimal) else value
 
 
 def database():
-    out = sqlite3.connect(":memory:")
-    out.execute("CREATE TABLE t (n INTEGER, s TEXT, t INTEGER)")
-    out.executemany("INSERT INTO t VALUES (?, ?, ?)", [tuple(map(stored, row.values())) for row in ROWS])
-    return out
+    connection = sqlite3.connect(":memory:")
+    connection.execute("CREATE TABLE t (n INTEGER, s TEXT, t INTEGER)")
+    connection.executemany("INSERT INTO t VALUES (?, ?, ?)", [tuple(map(to_sqlite, row.values())) for row in ROWS])
+    return connection
 
 
 def sql(predicate, args):
-    """The predicate in SQLite's words, its values appended to `args`."""
+    """Return the predicate as an SQLite condition, and append its values to `args`."""
 
     def arg(value):
-        args.append(stored(value))
+        args.append(to_sqlite(value))
         return "?"
 
     match predicate:
@@ -68,8 +68,8 @@
         case Compare():
             return f"({predicate.column} {predicate.op} {arg(predicate.value)})"
         case In():
-            listed = ", ".join([arg(value) for value in predicate.values] + ["NULL"] * predicate.null)
-            return f"({predicate.column} {'NOT ' * predicate.negated}IN ({listed}))"
+            in_list = ", ".join([arg(value) for value in predicate.values] + ["NULL"] * predicate.null)
+            return f"({predicate.column} {'NOT ' * predicate.negated}IN ({in_list}))"
         case Starts():
             op = "<>" if predicate.negated else "="
             return f"(substr({predicate.column}, 1, {len(predicate.prefix)}) {op} {arg(predicate.prefix)})"
@@ -78,15 +78,17 @@
 
 
 def _atoms(columns):
-    one = st.sampled_from(columns).flatmap(lambda name: st.tuples(st.just(name), st.sampled_from(POOLS[name])))
-    many = st.sampled_from(columns).flatmap(
+    column_and_value = st.sampled_from(columns).flatmap(
+        lambda name: st.tuples(st.just(name), st.sampled_from(POOLS[name]))
+    )
+    column_and_values = st.sampled_from(columns).flatmap(
         lambda name: st.tuples(st.just(name), st.lists(st.sampled_from(POOLS[name]), min_size=1, max_size=4))
     )
     op = st.sampled_from(["=", "=", "<>", "<", "<=", ">", ">="])
     return st.one_of(
-        st.builds(lambda at, op: compare(at[0], op, at[1]), one, op),
-        st.builds(lambda at: one_of(*at), many),
-        st.builds(lambda at, other: between(at[0], at[1][0], at[1][-1]), many, st.none()),
+        st.builds(lambda at, op: compare(at[0], op, at[1]), column_and_value, op),
+        st.builds(lambda at: one_of(*at), column_and_values),
+        st.builds(lambda at, other: between(at[0], at[1][0], at[1][-1]), column_and_values, st.none()),
         st.builds(lambda prefix: starts("s", prefix), st.sampled_from([text for text in TEXTS if text is not None])),
         st.builds(is_null, st.sampled_from(columns)),
         st.builds(Const, st.booleans()),
--- a/tests/test_predicates.py
+++ b/tests/test_predicates.py
@@ -1,4 +1,4 @@
-"""The laws of the predicates' algebra, against SQLite and brute force on each row of a small world."""
+"""Properties of predicates, checked against SQLite and against a scan of all rows of a small table."""
 
 import subprocess
 import sys
@@ -36,69 +36,69 @@
 from frostspindle.predicates.normal import push_negations_inward
 from frostspindle.predicates.summaries import MAX_BYTES, Summary, SummaryError
 
-law = partial(settings, derandomize=True, deadline=None)
+property_settings = partial(settings, derandomize=True, deadline=None)
 DATABASE = database()
 some_rows = st.lists(st.sampled_from(ROWS), max_size=6)
 bits = st.sampled_from([0, 64, 512])
 
 
-def summed(rows, bits=512, columns=("n", "s", "t")):
-    out = Summary(columns, bits)
+def summarise(rows, bits=512, columns=("n", "s", "t")):
+    summary = Summary(columns, bits)
     for row in rows:
-        out.widen(row)
-    return out
+        summary.widen(row)
+    return summary
 
 
-@law(max_examples=200)
+@property_settings(max_examples=200)
 @given(predicates())
-def test_truth_is_sqlites_and_normal_forms_keep_it(predicate):
+def test_truth_equals_that_of_sqlite_and_is_preserved_by_normal_forms(predicate):
     args = []
-    asked = sql(predicate, args)
-    theirs = [
+    condition = sql(predicate, args)
+    expected = [
         None if truth is None else bool(truth)
-        for (truth,) in DATABASE.execute(f"SELECT {asked} FROM t ORDER BY rowid", args)
+        for (truth,) in DATABASE.execute(f"SELECT {condition} FROM t ORDER BY rowid", args)
     ]
-    assert [predicate.truth(row) for row in ROWS] == theirs
+    assert [predicate.truth(row) for row in ROWS] == expected
     without_not = push_negations_inward(predicate)
-    assert [without_not.truth(row) for row in ROWS] == theirs
+    assert [without_not.truth(row) for row in ROWS] == expected
     if (terms := normal(predicate)) is not None:
-        for row, truth in zip(ROWS, theirs, strict=True):
+        for row, truth in zip(ROWS, expected, strict=True):
             assert any(all(match(atom, row) for atom in term) for term in terms) == (truth is True)
 
 
-@law(max_examples=300)
+@property_settings(max_examples=300)
 @given(predicates(), some_rows, some_rows, bits, bits)
 def test_may_match_misses_no_row_and_only_widens(predicate, first, second, bits_first, bits_second):
-    one, other = summed(first, bits_first), summed(second, bits_second)
-    answers = [may_match(predicate, one)]
+    summary, other = summarise(first, bits_first), summarise(second, bits_second)
+    answers = [may_match(predicate, summary)]
     for row in first:
         truth = {True: implication.TRUE, False: implication.FALSE, None: implication.NEITHER}[predicate.truth(row)]
-        assert implication.possible_truths(predicate, one.view) & truth, "a truth that a row gives is left out"
+        assert implication.possible_truths(predicate, summary.view) & truth, "a possible truth is missing"
     assert answers[0] or not any(match(predicate, row) for row in first)
     for row in second:
-        one.widen(row)
-        answers.append(may_match(predicate, one))
-    assert answers == sorted(answers), "widening took a yes back"
+        summary.widen(row)
+        answers.append(may_match(predicate, summary))
+    assert answers == sorted(answers), "widening changed a yes to a no"
     assert answers[-1] or not any(match(predicate, row) for row in first + second)
-    merged = summed(first, bits_first)
+    merged = summarise(first, bits_first)
     before = [may_match(predicate, merged), may_match(predicate, other)]
     merged.merge(other)
     assert may_match(predicate, merged) or not any(before) and not any(match(predicate, row) for row in first + second)
     assert (merged.rows, merged.version > other.version) == (len(first + second), True)
-    again = Summary.decode(merged.encode())
-    assert again.encode() == merged.encode() and may_match(predicate, again) == may_match(predicate, merged)
+    decoded = Summary.decode(merged.encode())
+    assert decoded.encode() == merged.encode() and may_match(predicate, decoded) == may_match(predicate, merged)
 
 
-@law(max_examples=400)
+@property_settings(max_examples=400)
 @given(predicates(("n", "s"), 4), predicates(("n", "s"), 4), st.booleans())
-def test_covers_is_never_yes_where_a_row_separates(wider, narrower, narrowed):
+def test_covers_is_false_if_a_row_matches_only_the_narrower(wider, narrower, narrowed):
     narrower = all_of(narrower, wider) if narrowed else narrower
     if covers(wider, narrower):
         assert not [row for row in ROWS if match(narrower, row) and not match(wider, row)]
 
 
 @pytest.mark.parametrize(
-    ("wider", "narrower", "yes"),
+    ("wider", "narrower", "is_covered"),
     [
         ("n > 1", "n > 1", True),
         ("n > 1", "n >= 1", False),
@@ -130,25 +130,25 @@
         ("TRUE", "s > 'x'", True),
         ("s = 'x'", "n NOT IN (1, NULL)", True),
         ("s > 'x'", "FALSE", True),
-        ("n < 2 OR n >= 2", "n IS NOT NULL", False),  # only both parts together: not seen
+        ("n < 2 OR n >= 2", "n IS NOT NULL", False),  # only both parts together cover it, which is not recognised
     ],
 )
-def test_covers_sees_what_one_part_implies(wider, narrower, yes):
-    assert covers(parse(wider), parse(narrower)) is yes
+def test_covers_recognises_implication_by_one_part(wider, narrower, is_covered):
+    assert covers(parse(wider), parse(narrower)) is is_covered
 
 
-def test_what_was_not_understood_is_known_of_nowhere():
+def test_unknown_parts_may_match_and_imply_nothing():
     part = all_of(compare("n", "=", 1), UNKNOWN)
     assert not covers(part, part) and covers(compare("n", ">", 0), part) and not covers(UNKNOWN, compare("n", "=", 1))
-    assert may_match(part, summed([{"n": 1}])) and may_match(negate(part), summed([{"n": 1}]))
-    assert not may_match(part, summed([{"n": 2}])) and may_match(UNKNOWN, summed([]))
+    assert may_match(part, summarise([{"n": 1}])) and may_match(negate(part), summarise([{"n": 1}]))
+    assert not may_match(part, summarise([{"n": 2}])) and may_match(UNKNOWN, summarise([]))
     with pytest.raises(ValueError, match="not understood"):
         match(part, {"n": 1})
     with pytest.raises(FilterError, match="not understood"):
         FilterIndex().add(1, part)
 
 
-def test_beyond_the_normal_forms_bounds_each_user_errs_to_its_safe_side():
+def test_each_user_errs_to_its_safe_side_beyond_the_bounds_of_the_normal_form():
     large = all_of(*[any_of(compare(f"a{n}", "=", 1), compare(f"b{n}", "=", 1)) for n in range(7)])
     assert normal(large) is None and not covers(compare("a0", ">", -1), large)
     index = FilterIndex()
@@ -157,16 +157,16 @@
     wide = any_of(*[all_of(*[compare(f"c{n}", "=", m) for n in range(20)]) for m in range(60)])
     assert normal(wide) is None
     with pytest.raises(FilterError, match="deeper than 32"):
-        index.add("deep", FOLDED)
+        index.add("deep", DEEP)
     with pytest.raises(FilterError, match="more than 1000 parts"):
         bounded(any_of(*[compare("n", "=", n) for n in range(1_000)]))
 
 
-FOLDED = compare("n", "=", 1)
+DEEP = compare("n", "=", 1)
 for _ in range(5_000):
-    FOLDED = negate(FOLDED)
+    DEEP = negate(DEEP)
 
-SEEN = summed(
+SUMMARY = summarise(
     [{"n": n, "s": s, "m": m} for n, s, m in [(10, "beta", 1), (20, "gamma" + "x" * 80, "1")]],
     columns=("n", "s", "z", "m"),
 )
@@ -214,13 +214,13 @@
         ("TRUE", True),
     ],
 )
-def test_may_match_skips_what_the_summary_rules_out(filter_, may):
-    assert may_match(parse(filter_), SEEN) is may
-    assert may_match(parse(filter_), Summary.decode(SEEN.encode())) is may
-    assert not may_match(parse(filter_), summed([]))
+def test_may_match_is_false_if_the_summary_excludes_a_match(filter_, may):
+    assert may_match(parse(filter_), SUMMARY) is may
+    assert may_match(parse(filter_), Summary.decode(SUMMARY.encode())) is may
+    assert not may_match(parse(filter_), summarise([]))
 
 
-def test_summaries_are_the_same_in_each_process_and_bounded_whatever_the_rows_hold():
+def test_summaries_are_equal_in_each_process_and_bounded_for_any_rows():
     code = (
         "import sys, hashlib; import frostspindle.predicates as p; assert not {'lark', 'sqlglot', 'rbloom'} & set("
         "sys.modules); from frostspindle.predicates.summaries import Summary; s = Summary(['a'], 256);"
@@ -236,7 +236,7 @@
         )
         assert done.stdout.strip() == "4abacadec93995ce65c9e43fce44a654a29ffc3104b80cb02928d6a2658ebefe"
     full = Summary([f"{n:0128}" for n in range(64)], 65_536)
-    full.widen(dict.fromkeys(full.columns, "\ud7ff" * 1_000))  # cut upwards without a surrogate
+    full.widen(dict.fromkeys(full.columns, "\ud7ff" * 1_000))  # truncated upwards, skipping the surrogates
     assert Summary.decode(full.encode()).encode() == full.encode()
     for value in ("\U0010ffff" * 1_000, "a", -Decimal("9" * 38 + "." + "9" * 38), object(), "\ud800", 1e300):
         full.widen(dict.fromkeys(full.columns, value))
@@ -247,25 +247,25 @@
             Summary(columns, size)
 
 
-@law(max_examples=400)
+@property_settings(max_examples=400)
 @given(st.data(), some_rows, bits)
-def test_hostile_bytes_are_no_summary_or_a_usable_one(data, rows, bits):
-    made = bytearray(summed(rows, bits).encode())
+def test_corrupt_summary_is_rejected_or_usable(data, rows, bits):
+    data_bytes = bytearray(summarise(rows, bits).encode())
     for _ in range(data.draw(st.integers(1, 4))):
-        at = data.draw(st.integers(0, len(made) - 1))
-        made[at : at + data.draw(st.integers(0, 2))] = data.draw(st.binary(max_size=2))
+        position = data.draw(st.integers(0, len(data_bytes) - 1))
+        data_bytes[position : position + data.draw(st.integers(0, 2))] = data.draw(st.binary(max_size=2))
     try:
-        summary = Summary.decode(bytes(made))
+        summary = Summary.decode(bytes(data_bytes))
     except SummaryError:
         return
     may_match(parse("n = 1 OR s STARTS WITH 'b' AND t > TIME '2026-01-01'"), summary)
     summary.widen(ROWS[0])
-    summary.merge(summed(rows, 64))
+    summary.merge(summarise(rows, 64))
     assert Summary.decode(summary.encode()).encode() == summary.encode()
 
 
 @pytest.mark.parametrize(
-    ("wire", "why"),
+    ("wire", "reason"),
     [
         (b"", "not a summary"),
         (b"\xc1", "not a summary"),
@@ -280,46 +280,50 @@
         (b"\x90" * 2_000_000, "of more than"),
     ],
 )
-def test_a_refused_summary_says_why(wire, why):
-    with pytest.raises(SummaryError, match=why):
+def test_rejected_summary_names_the_reason(wire, reason):
+    with pytest.raises(SummaryError, match=reason):
         Summary.decode(wire)
 
 
-def test_a_greatest_text_without_a_successor_stays_without_bound():
-    one, ask = summed([{"s": "\U0010ffff" * 100}, {"s": "a"}], columns=["s"]), parse("s > '\U0010ffff'")
-    other = summed([{"s": "a"}], columns=["s"])
-    other.merge(one)
-    one.merge(summed([{"s": "a"}], columns=["s"]))
-    assert may_match(ask, one) and may_match(ask, other) and not may_match(ask, summed([{"s": "a"}]))
+def test_text_without_a_successor_leaves_no_upper_bound():
+    unbounded, predicate = summarise([{"s": "\U0010ffff" * 100}, {"s": "a"}], columns=["s"]), parse("s > '\U0010ffff'")
+    other = summarise([{"s": "a"}], columns=["s"])
+    other.merge(unbounded)
+    unbounded.merge(summarise([{"s": "a"}], columns=["s"]))
+    assert (
+        may_match(predicate, unbounded)
+        and may_match(predicate, other)
+        and not may_match(predicate, summarise([{"s": "a"}]))
+    )
 
 
-def test_of_a_column_that_one_side_lacks_nothing_is_known():
-    one, ask = summed([{"n": 1, "s": "a"}], columns=["n", "s"]), parse("n = 2 AND s = 'b'")
-    one.merge(summed([{"n": 1}], columns=["n"]))
-    assert list(one.columns) == ["n"] and may_match(parse("s = 'b'"), one) and not may_match(ask, one)
+def test_column_missing_on_one_side_of_a_merge_becomes_unknown():
+    summary, predicate = summarise([{"n": 1, "s": "a"}], columns=["n", "s"]), parse("n = 2 AND s = 'b'")
+    summary.merge(summarise([{"n": 1}], columns=["n"]))
+    assert list(summary.columns) == ["n"] and may_match(parse("s = 'b'"), summary) and not may_match(predicate, summary)
 
 
-def test_counts_stay_within_what_a_summary_can_be_read_with():
-    most = 2**62
-    wire = b"\x95\x01" + (b"\xcf" + most.to_bytes(8)) * 2 + b"\x04\x90"
-    one = Summary.decode(wire)
+def test_counts_stay_within_the_decodable_range():
+    max_count = 2**62
+    wire = b"\x95\x01" + (b"\xcf" + max_count.to_bytes(8)) * 2 + b"\x04\x90"
+    summary = Summary.decode(wire)
     with pytest.raises(SummaryError, match="rows"):
-        one.merge(summed([ROWS[0]]))
-    one.merge(Summary([]))
-    assert one.encode() == wire and one.version == most
+        summary.merge(summarise([ROWS[0]]))
+    summary.merge(Summary([]))
+    assert summary.encode() == wire and summary.version == max_count
 
 
-@law(max_examples=300)
+@property_settings(max_examples=300)
 @given(predicates())
-def test_text_and_predicate_turn_into_each_other(predicate):
-    said = text(predicate)
-    again = parse(said)
-    assert text(again) == said and parse(text(again)) == again
-    assert [again.truth(row) for row in ROWS[::7]] == [predicate.truth(row) for row in ROWS[::7]]
+def test_predicate_survives_formatting_and_parsing(predicate):
+    formatted = text(predicate)
+    parsed = parse(formatted)
+    assert text(parsed) == formatted and parse(text(parsed)) == parsed
+    assert [parsed.truth(row) for row in ROWS[::7]] == [predicate.truth(row) for row in ROWS[::7]]
 
 
 @pytest.mark.parametrize(
-    ("filter_", "same"),
+    ("filter_", "canonical"),
     [
         ("a=1 and not b<>2 or c!=3", "a = 1 AND NOT b <> 2 OR c <> 3"),
         ("A LIKE 'x%'", "a STARTS WITH 'x'"),
@@ -336,12 +340,12 @@
         ("t < time '2026-01-01T02:00:00.5+01:00'", "t < TIME '2026-01-01T01:00:00.500000Z'"),
     ],
 )
-def test_the_canonical_text(filter_, same):
-    assert text(parse(filter_)) == same and text(parse(same)) == same
+def test_canonical_text(filter_, canonical):
+    assert text(parse(filter_)) == canonical and text(parse(canonical)) == canonical
 
 
 @pytest.mark.parametrize(
-    ("filter_", "line", "column", "said"),
+    ("filter_", "line", "column", "message"),
     [
         ("", 1, 1, "ends too early; expected '(' or FALSE"),
         ("a = ", 1, 5, "expected NULL or TIME '...' or a number"),
@@ -367,13 +371,13 @@
         ("\ud800 = 1", 1, 1, "can't stand here"),
     ],
 )
-def test_errors_say_where_and_what_was_expected(filter_, line, column, said):
+def test_errors_have_the_position_and_the_expected_tokens(filter_, line, column, message):
     with pytest.raises(FilterError) as caught:
         parse(filter_)
-    assert (caught.value.line, caught.value.column) == (line, column) and said in str(caught.value)
+    assert (caught.value.line, caught.value.column) == (line, column) and message in str(caught.value)
 
 
-PIECES = [
+FRAGMENTS = [
     "a",
     "or",
     " AND ",
@@ -404,17 +408,17 @@
 ]
 
 
-@law(max_examples=600)
+@property_settings(max_examples=600)
 @given(
     st.one_of(
         st.binary(max_size=60).map(lambda raw: raw.decode("latin-1")),
-        st.lists(st.sampled_from(PIECES), max_size=25).map("".join),
-        st.tuples(predicates().map(text), st.integers(0, 200), st.integers(0, 5), st.sampled_from(PIECES)).map(
+        st.lists(st.sampled_from(FRAGMENTS), max_size=25).map("".join),
+        st.tuples(predicates().map(text), st.integers(0, 200), st.integers(0, 5), st.sampled_from(FRAGMENTS)).map(
             lambda cut: cut[0][: cut[1]] + cut[3] + cut[0][cut[1] + cut[2] :]
         ),
     )
 )
-def test_any_text_is_a_filter_or_a_filter_error(filter_):
+def test_any_text_gives_a_filter_or_a_filter_error(filter_):
     try:
         made = parse(filter_)
     except FilterError:
@@ -422,7 +426,7 @@
     assert parse(text(made)) == made
 
 
-def test_the_longest_hostile_filters_end_soon():
+def test_longest_malformed_filters_are_rejected_quickly():
     for unit in (
         "'",
         "''",
@@ -443,7 +447,7 @@
         assert time.process_time() - began < 2.0, unit
 
 
-def test_values_are_typed_or_refused():
+def test_values_are_typed_or_rejected():
     row = typed_row({"A": 0.1, "b": 2.0, "c": datetime(2026, 1, 1), "d": None})
     assert row == {"a": Decimal("0.1"), "b": 2, "c": datetime(2026, 1, 1, tzinfo=UTC), "d": None}
     for value in (
@@ -467,35 +471,35 @@
     assert compare("n", "=", 1).truth({"n": "1"}) is None and starts("n", "").truth({"n": 1}) is None
 
 
-@law(max_examples=150)
+@property_settings(max_examples=150)
 @given(st.lists(predicates(leaves=5), max_size=12), st.lists(st.sampled_from(ROWS), max_size=8), st.data())
-def test_the_index_finds_what_a_scan_finds(filters, rows, data):
-    most = data.draw(st.sampled_from([2, 64]))
-    before, few = (index_module.MAX_SHAPES, index_module.MAX_UNSORTED), data.draw(st.sampled_from([0, 1, 8]))
-    index_module.MAX_SHAPES, index_module.MAX_UNSORTED = most, few
+def test_index_finds_the_same_filters_as_a_scan(filters, rows, data):
+    max_shapes = data.draw(st.sampled_from([2, 64]))
+    before, max_unsorted = (index_module.MAX_SHAPES, index_module.MAX_UNSORTED), data.draw(st.sampled_from([0, 1, 8]))
+    index_module.MAX_SHAPES, index_module.MAX_UNSORTED = max_shapes, max_unsorted
     try:
-        index, plain = FilterIndex(), {}
+        index, expected = FilterIndex(), {}
         for predicate in filters:
             key = data.draw(st.integers(0, 9))
             if data.draw(st.integers(0, 3)):
                 index.add(key, predicate)
-                plain[key] = predicate
+                expected[key] = predicate
             else:
-                assert index.remove(key) == (plain.pop(key, None) is not None)
+                assert index.remove(key) == (expected.pop(key, None) is not None)
             for row in rows:
-                assert sorted(index.find(row)) == sorted(key for key, one in plain.items() if match(one, row))
-            assert len(index) == len(plain) and len(index._shapes) <= most + 1
-        for key in list(plain):
+                assert sorted(index.find(row)) == sorted(key for key, one in expected.items() if match(one, row))
+            assert len(index) == len(expected) and len(index._shapes) <= max_shapes + 1
+        for key in list(expected):
             index.remove(key)
-        assert not index._shapes, "something stays behind a removed filter"
+        assert not index._shapes, "a removed filter left an entry"
     finally:
         index_module.MAX_SHAPES, index_module.MAX_UNSORTED = before
 
 
-@law(max_examples=300)
+@property_settings(max_examples=300)
 @example(-8, 7, 8)
 @given(st.integers(-300, 300), st.integers(0, 300), st.integers(-300, 700))
-def test_a_range_is_found_from_end_to_end(low, width, at):
+def test_range_is_found_between_and_at_its_bounds(low, width, at):
     index = FilterIndex()
     for n in range(index_module.MAX_UNSORTED):
         index.add(f"first {n}", compare("other", "=", None))
@@ -508,7 +512,7 @@
     )
 
 
-def test_the_index_tries_few_and_refuses_more_than_its_bound():
+def test_index_evaluates_few_filters_and_rejects_more_than_its_bound():
     index = FilterIndex(most=2_000)
     for n in range(500):
         index.add(("equal", n), parse(f"tenant = 't{n}' AND class = 'bulk' AND cost > 5"))
@@ -531,7 +535,7 @@
     assert ("equal", 7) not in index.find(row) and len(index) == 2_000
 
 
-def test_a_row_is_looked_up_and_a_filter_stands_in_few_places(monkeypatch):
+def test_places_of_a_filter_and_lookups_of_a_row_are_bounded(monkeypatch):
     monkeypatch.setattr(index_module, "MAX_SHAPES", 3)
     index = FilterIndex()
     for n in range(20):
--- a/tests/test_predicates_statements.py
+++ b/tests/test_predicates_statements.py
@@ -1,4 +1,4 @@
-"""What is read from a statement's WHERE never skips a row that SQLite needs for its answer."""
+"""Reading of statements: no row that SQLite needs for its result is skipped."""
 
 import random
 import sqlite3
@@ -14,15 +14,15 @@
 from frostspindle.predicates.summaries import Summary
 
 COLUMNS = ("n", "r", "s", "at")
-DRAW = random.Random(7)
+RANDOM = random.Random(7)
 DAYS = [f"2026-01-0{day} 12:00:00" for day in range(1, 5)]
 ROWS = {
     table: [
         (
-            DRAW.choice([None, -1, 0, 1, 2, 5]),
-            DRAW.choice([None, 0.1, 0.1 + 0.2, 1.0, 2.5, -5.0]),
-            DRAW.choice([None, "", "a", "A", "ab", "Abc", "b", "5", "é"]),
-            DRAW.choice([None, *DAYS]),
+            RANDOM.choice([None, -1, 0, 1, 2, 5]),
+            RANDOM.choice([None, 0.1, 0.1 + 0.2, 1.0, 2.5, -5.0]),
+            RANDOM.choice([None, "", "a", "A", "ab", "Abc", "b", "5", "é"]),
+            RANDOM.choice([None, *DAYS]),
         )
         for _ in range(14)
     ]
@@ -155,43 +155,43 @@
 )
 
 
-def fill(kept):
-    for table, rows in kept.items():
+def fill(rows_by_table):
+    for table, rows in rows_by_table.items():
         DATABASE.execute(f"DELETE FROM {table}")
         DATABASE.executemany(f"INSERT INTO {table} VALUES (?, ?, ?, ?)", rows)
 
 
-def kept(statement, table, part):
-    """What a scatter would ask of one table: the rows of those parts that may match."""
-    out = []
-    for at in range(0, len(ROWS[table]), part):
+def select_rows(statement, table, part_size):
+    """Return the rows that a scattered query would read of one table: those of the parts that may match."""
+    selected = []
+    for start in range(0, len(ROWS[table]), part_size):
         summary = Summary(COLUMNS, 256)
-        rows = ROWS[table][at : at + part]
+        rows = ROWS[table][start : start + part_size]
         for row in rows:
             values = dict(zip(COLUMNS, row, strict=True))
             if values["at"]:
                 values["at"] = datetime.fromisoformat(values["at"]).replace(tzinfo=UTC)
             summary.widen(values)
-        out += rows if may_match(statement.predicate(f"main.{table}"), summary) else []
-    return out
+        selected += rows if may_match(statement.predicate(f"main.{table}"), summary) else []
+    return selected
 
 
 @settings(derandomize=True, deadline=None, max_examples=900)
 @given(SHAPES, FROMS, WHERE, st.sampled_from(["sqlite", ""]), st.integers(1, 3))
-def test_no_row_that_sqlite_needs_is_skipped(shape, source, where, dialect, part):
+def test_no_row_that_sqlite_needs_is_skipped(shape, source, where, dialect, part_size):
     sources, prefix = source
     sql = shape.format(sources, where.format(**{name: prefix + name for name in COLUMNS}))
     fill(ROWS)
     try:
-        theirs = sorted(map(repr, DATABASE.execute(sql)))
+        expected = sorted(map(repr, DATABASE.execute(sql)))
     except sqlite3.Error:
         return
     statement = Reader(dialect, ["at"]).read(sql)
-    fill({table: kept(statement, table, part) for table in ROWS})
-    assert sorted(map(repr, DATABASE.execute(sql))) == theirs
+    fill({table: select_rows(statement, table, part_size) for table in ROWS})
+    assert sorted(map(repr, DATABASE.execute(sql))) == expected
 
 
-def no(sql, row, table="calls_17.notes", **settings):
+def is_skipped(sql, row, table="calls_17.notes", **settings):
     summary = Summary(row, 256)
     summary.widen(row)
     return not may_match(Reader(**settings).read(sql).predicate(table), summary)
@@ -243,8 +243,8 @@
         ("n = NULL", True),
     ],
 )
-def test_what_a_clause_lets_be_skipped(where, skips):
-    assert no(f"SELECT s, count(*) FROM calls_17.notes x WHERE {where} GROUP BY s", ROW, times=["at"]) is skips
+def test_where_clause_decides_what_is_skipped(where, skips):
+    assert is_skipped(f"SELECT s, count(*) FROM calls_17.notes x WHERE {where} GROUP BY s", ROW, times=["at"]) is skips
 
 
 @pytest.mark.parametrize(
@@ -282,19 +282,21 @@
         ("SELECT 1 FROM calls_17.notes WHERE n IN (" + "4, " * 1_000 + "4)", False),
     ],
 )
-def test_which_statements_and_tables_are_read(sql, skips):
-    assert no(sql, ROW) is skips
+def test_supported_statements_and_tables(sql, skips):
+    assert is_skipped(sql, ROW) is skips
 
 
-def test_like_leaves_folding_beyond_ascii_open():
-    assert not no("SELECT 1 FROM notes WHERE s LIKE 'İx%'", {"s": "ixx"})
-    assert no("SELECT 1 FROM notes WHERE s LIKE '5İ%'", {"s": "ixx"})
+def test_like_may_match_under_any_folding_beyond_ascii():
+    assert not is_skipped("SELECT 1 FROM notes WHERE s LIKE 'İx%'", {"s": "ixx"})
+    assert is_skipped("SELECT 1 FROM notes WHERE s LIKE '5İ%'", {"s": "ixx"})
 
 
-def test_a_dialect_is_read_as_its_own():
-    assert no("SELECT TOP 5 * FROM [calls_17].[notes] WITH (NOLOCK) WHERE [n] = 4", ROW, dialect="tsql")
-    assert not no("SELECT 1 FROM x.o, calls_17.notes b WHERE o.n = b.n(+) AND b.n IS NULL", ROW, dialect="oracle")
-    assert no("SELECT 1 FROM `calls_17`.`notes` WHERE n = 4", ROW, dialect="mysql")
+def test_dialects():
+    assert is_skipped("SELECT TOP 5 * FROM [calls_17].[notes] WITH (NOLOCK) WHERE [n] = 4", ROW, dialect="tsql")
+    assert not is_skipped(
+        "SELECT 1 FROM x.o, calls_17.notes b WHERE o.n = b.n(+) AND b.n IS NULL", ROW, dialect="oracle"
+    )
+    assert is_skipped("SELECT 1 FROM `calls_17`.`notes` WHERE n = 4", ROW, dialect="mysql")
 
 
 @pytest.mark.parametrize(
@@ -309,11 +311,11 @@
         ("at > '2026-02-01'", True),
     ],
 )
-def test_nothing_is_made_of_texts_where_the_engine_folds_them(where, skips):
-    assert no(f"SELECT 1 FROM notes WHERE {where}", ROW, times=["at"], binary=False) is skips
+def test_text_comparisons_are_unknown_if_the_engine_folds_texts(where, skips):
+    assert is_skipped(f"SELECT 1 FROM notes WHERE {where}", ROW, times=["at"], binary=False) is skips
 
 
-def test_known_statements_come_from_a_bounded_cache(monkeypatch):
+def test_statements_are_cached_within_a_bound(monkeypatch):
     reader, read = Reader(cached=2), []
     monkeypatch.setattr(
         statements_module.sqlglot,
@@ -326,7 +328,9 @@
     assert read == [first, second, third, second] and reader.cache_info().currsize == 2
     assert reader.unread == 0 and not reader.read(first + " " * MAX_LENGTH).understood and reader.unread == 1
     assert not reader.read("(" * 65).understood and reader.unread == 2
-    assert len(read) == 4 and reader.cache_info().currsize == 2, "what is too long is not read, nor kept"
+    assert len(read) == 4 and reader.cache_info().currsize == 2, (
+        "a statement that is too long is neither read nor cached"
+    )
     assert not reader.read("SELECT '").understood and reader.unread == 3 and reader.read("x").predicate("t") == UNKNOWN
 
 
@@ -374,8 +378,8 @@
     assert Reader("tsql").read(sql) is not None
 
 
-def test_a_statement_from_a_deep_place_is_unknown_not_an_error():
-    def deeper(left):
-        return deeper(left - 1) if left else Reader().read("SELECT 1 FROM t WHERE " + "(" * 60 + "n = 1" + ")" * 60)
+def test_statement_read_near_the_recursion_limit_is_unknown():
+    def recurse(depth):
+        return recurse(depth - 1) if depth else Reader().read("SELECT 1 FROM t WHERE " + "(" * 60 + "n = 1" + ")" * 60)
 
-    assert not deeper(800).understood and match(Reader().read("SELECT 1 FROM t WHERE n = 1").predicate("t"), {"n": 1})
+    assert not recurse(800).understood and match(Reader().read("SELECT 1 FROM t WHERE n = 1").predicate("t"), {"n": 1})
