--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -506,7 +506,7 @@
         self.leases = {key: _LeasedSummary(key, home) for key, home in homes.items()}
         self.loads: dict[int, Load] = {}
         self.outbox: list[Outgoing] = []
-        self.changed_loads: list[Load] = []  # those that have become ready or kept
+        self.changed_loads: list[Load] = []  # those that became ready or kept since the last flush
         self._last_seq = self._last_load_number = 0
 
     def _send(self, name: str, message: wire.Message) -> None:
@@ -555,7 +555,7 @@
         )
 
     def _accept_sender(self, lease: _LeasedSummary | None, name: str, epoch: int) -> bool:
-        """Return whether a message comes from the home's newest known process; discard the state of an earlier one."""
+        """Return whether a message is from the newest known process of the home; discard the state of earlier ones."""
         if lease is None or name != lease.home or epoch < lease.epoch:
             return False
         if epoch > lease.epoch:
--- a/frostspindle/scatter/plan.py
+++ b/frostspindle/scatter/plan.py
@@ -396,19 +396,19 @@
         return part_tree.sql(dialect=self.planner.dialect), merge_plan
 
     def _find_order_column(
-        self, key: exp.Expression, selected: Sequence[exp.Expression], star: bool
+        self, sort_expression: exp.Expression, selected: Sequence[exp.Expression], star: bool
     ) -> tuple[int, Column]:
         """Return the position and column of a selected sort key, or -1 and the table's column."""
-        if type(key) is exp.Literal and not key.is_string:
-            index = int(key.name) - 1 if key.name.isdecimal() else -1
+        if type(sort_expression) is exp.Literal and not sort_expression.is_string:
+            index = int(sort_expression.name) - 1 if sort_expression.name.isdecimal() else -1
             if star or not 0 <= index < len(selected):
                 raise _NotScatterableError("ORDER BY an invalid column position")
             return index, self._comparable_column(selected[index].unalias(), "ORDER BY")
-        if type(key) is exp.Column and not key.table:
+        if type(sort_expression) is exp.Column and not sort_expression.table:
             matches = [
                 index
                 for index, expression in enumerate(selected)
-                if expression.alias_or_name.lower() == key.name.lower()
+                if expression.alias_or_name.lower() == sort_expression.name.lower()
             ]
             if len(matches) > 1 and len({selected[index].unalias().sql() for index in matches}) > 1:
                 raise _NotScatterableError("ORDER BY an ambiguous name")
@@ -416,7 +416,7 @@
                 return matches[0], self._comparable_column(selected[matches[0]].unalias(), "ORDER BY")
         if star and any(expression.alias for expression in self.tree.expressions):
             raise _NotScatterableError("ORDER BY with * and aliases")
-        return -1, self._comparable_column(key, "ORDER BY")
+        return -1, self._comparable_column(sort_expression, "ORDER BY")
 
     # Groups and aggregates.
 
@@ -425,7 +425,7 @@
             raise _NotScatterableError("DISTINCT of groups")
         selected = self.tree.expressions
         keys: dict[str, Cell] = {}
-        by: list[exp.Expression] = []
+        group_columns: list[exp.Expression] = []
         if self.group is not None:
             if {name for name, argument in self.group.args.items() if argument} - {"expressions"}:
                 raise _NotScatterableError("GROUP BY of several levels")
@@ -439,20 +439,22 @@
                     ):
                         raise _NotScatterableError("GROUP BY a name that is also the alias of another column")
                 if column.name not in keys:
-                    keys[column.name] = Cell(KEY, len(by), column.type)
-                    by.append(node.copy())
+                    keys[column.name] = Cell(KEY, len(group_columns), column.type)
+                    group_columns.append(node.copy())
         aggregates: list[exp.Expression] = []
-        cells = tuple(self._grouped_cell(expression.unalias(), keys, len(by), aggregates) for expression in selected)
+        cells = tuple(
+            self._grouped_cell(expression.unalias(), keys, len(group_columns), aggregates) for expression in selected
+        )
         order = tuple(self._grouped_order(expression, selected, cells) for expression in self.ordered)
         part_tree = self.tree.copy()
-        part_tree.set("expressions", [*by, *aggregates])
+        part_tree.set("expressions", [*group_columns, *aggregates])
         for clause in ("order", "limit", "offset"):
             part_tree.set(clause, None)
         merge_plan = Merge(
             cells,
             tuple(keys.values()),
             True,
-            width=len(by) + len(aggregates),
+            width=len(group_columns) + len(aggregates),
             order=order,
             limit=self.limit,
             offset=self.offset,
@@ -460,7 +462,7 @@
         return part_tree.sql(dialect=self.planner.dialect), merge_plan
 
     def _grouped_cell(
-        self, node: exp.Expression, keys: dict[str, Cell], first: int, aggregates: list[exp.Expression]
+        self, node: exp.Expression, keys: dict[str, Cell], first_index: int, aggregates: list[exp.Expression]
     ) -> Cell:
         if type(node) is exp.Column:
             column = self._column(node, "a column next to aggregates")
@@ -475,18 +477,18 @@
         if aggregate == COUNT:
             if not isinstance(node.this, exp.Star):
                 self._column(node.this, "COUNT")
-            return self._add_aggregate(Cell(COUNT, first + len(aggregates), INTEGER), node, aggregates)
+            return self._add_aggregate(Cell(COUNT, first_index + len(aggregates), INTEGER), node, aggregates)
         if aggregate in (MIN, MAX):
             column = self._comparable_column(node.this, aggregate.upper())
-            return self._add_aggregate(Cell(aggregate, first + len(aggregates), column.type), node, aggregates)
+            return self._add_aggregate(Cell(aggregate, first_index + len(aggregates), column.type), node, aggregates)
         column = self._column(node.this, aggregate.upper())
         if column.type != INTEGER and not (column.type == DECIMAL and self.planner.dialect != "sqlite"):
             raise _NotScatterableError(f"{aggregate.upper()} of a {column.type}, which the engines round")
         if aggregate == SUM:
-            return self._add_aggregate(Cell(SUM, first + len(aggregates), column.type), node, aggregates)
+            return self._add_aggregate(Cell(SUM, first_index + len(aggregates), column.type), node, aggregates)
         if self.planner.dialect != "tsql" or column.type != INTEGER:
             raise _NotScatterableError("AVG, which the engines round")
-        index = first + len(aggregates)
+        index = first_index + len(aggregates)
         wide = exp.Cast(this=node.this.copy(), to=exp.DataType.build("bigint"))
         aggregates += [exp.Sum(this=wide), exp.Count(this=node.this.copy(), big_int=True)]
         return Cell(AVG, index, INTEGER, index + 1)
--- a/tests/scatter.py
+++ b/tests/scatter.py
@@ -190,5 +190,5 @@
             summary = holder.summary(self.clock(name), KEY)
             for row in self.answered if summary is not None else ():
                 if not may_match(compare("n", "=", row), summary):
-                    return f"{name} leaves the site out of a query for {row}, whose load was answered"
+                    return f"{name} skips the site in a query for {row}, whose load was answered"
         return None
--- a/tests/test_scatter_leases.py
+++ b/tests/test_scatter_leases.py
@@ -169,7 +169,7 @@
 
     @rule(name=st.sampled_from(names))
     def tick_holder(self, name):
-        """Tick a process; one that is not ticked for a while stands for a stopped process."""
+        """Tick a process; one that is not ticked for a while models a stopped process."""
         self.world.tick(name)
 
     @rule()
--- a/tests/test_scatter_plan.py
+++ b/tests/test_scatter_plan.py
@@ -328,7 +328,7 @@
         ({"site": [{"name": "x"}]}, "zones"),
         ({"group": [{**group, "column": [{"name": "n", "type": "int"}]}]}, "type"),
         ({"group": [{**group, "column": [{"name": "n", "type": "text", "step": 1}]}]}, "step"),
-        ({"site": [{"name": "a", "zones": ["z0"]}, {"name": "b", "zones": ["z0"]}]}, "'z0' is of 'a'"),
+        ({"site": [{"name": "a", "zones": ["z0"]}, {"name": "b", "zones": ["z0"]}]}, "'z0' belongs to site 'a'"),
     ):
         with pytest.raises(CatalogueError, match=key):
             with_scatter(module(), ["lookup"], ["z0"], {**base, **change})
@@ -340,21 +340,23 @@
     def gather(partial=False, most=9):
         return Gather(Merge(width=1), ["a", "b"], NULL, partial, most)
 
-    one = gather()
-    assert one.on_part_rows("a", [["1"]]) is None and one.open == ["b"]
-    assert one.on_part_rows("b", [["2"]]).rows == [["1"], ["2"]]
-    assert one.on_part_rows("b", [["2"]]) is None and one.on_part_failed("b", "failed") is None
-    two = gather()
-    assert two.on_part_failed("a", "refused", 7.0) == ("refused", [], "", 7.0, ()) and two.open == ["b"]
-    three = gather(True)
-    assert three.on_part_failed("a", "failed") is None
-    assert three.on_part_rows("b", [["2"]])[1:] == ([["2"]], "", 0.0, ("a",))
-    four = gather(True)
-    assert four.on_part_failed("a", "refused", 3.0) is None and four.on_part_failed("b", "failed").status == "failed"
+    complete = gather()
+    assert complete.on_part_rows("a", [["1"]]) is None and complete.open == ["b"]
+    assert complete.on_part_rows("b", [["2"]]).rows == [["1"], ["2"]]
+    assert complete.on_part_rows("b", [["2"]]) is None and complete.on_part_failed("b", "failed") is None
+    rejected = gather()
+    assert rejected.on_part_failed("a", "refused", 7.0) == ("refused", [], "", 7.0, ()) and rejected.open == ["b"]
+    partial_result = gather(True)
+    assert partial_result.on_part_failed("a", "failed") is None
+    assert partial_result.on_part_rows("b", [["2"]])[1:] == ([["2"]], "", 0.0, ("a",))
+    failed = gather(True)
+    assert (
+        failed.on_part_failed("a", "refused", 3.0) is None and failed.on_part_failed("b", "failed").status == "failed"
+    )
     assert gather(most=1).on_part_rows("a", [["1"], ["2"]]).reason.startswith("more than 1 rows")
-    five = gather()
-    five.on_client_disconnected()
-    assert five.on_part_rows("a", []) is None
+    disconnected = gather()
+    disconnected.on_client_disconnected()
+    assert disconnected.on_part_rows("a", []) is None
     assert Gather(Merge(), [], NULL, False, 9).start().rows == []
     assert estimates(60.0, [10, None, 50]) == (
         [pytest.approx(60 / 9), 20.0, pytest.approx(300 / 9)],
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -145,8 +145,8 @@
     async def test_only_sites_that_may_match_are_queried_and_their_rows_merged(self):
         await self.begin()
         self.submit("SELECT note FROM calls_17.notes WHERE agent = 'b'")
-        asked = [(part.front, self.core.classes[part.cls][1], part.group) for part in self.core.submitted]
-        self.assertEqual(asked, [(SUBREQUEST_FRONT, "lookup", 17)])
+        submitted = [(part.front, self.core.classes[part.cls][1], part.group) for part in self.core.submitted]
+        self.assertEqual(submitted, [(SUBREQUEST_FRONT, "lookup", 17)])
         self.core.submitted[0].on_response(Response(ResponseStatus.SERVED, ([["5"]], 2)))
         self.assertEqual(self.answers[1].result[0], [["5"]])
         self.submit("SELECT COUNT(*) FROM calls_17.notes WHERE agent = 'nobody'", number=2)
@@ -285,7 +285,7 @@
             telemetry=self.events,
             operator_server=None,
             platform=platform,
-            fleet=SimpleNamespace(parts=[], name="c1", node=None),
+            fleet=SimpleNamespace(channels=[], name="c1", node=None),
         )
         wiring.attach(program)
         request = ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=17)
