--- a/frostspindle/scatter/wire.py
+++ b/frostspindle/scatter/wire.py
@@ -70,7 +70,8 @@
 class SummaryUpdated(Struct, array_like=True, frozen=True, tag=3):
     """Notice that the summary has a new version.
 
-    A holder of the previous version may add `cells`; any other holder, or one without cells, must drop its summary.
+    A holder of the previous version may add `cells`. Any other holder, and every one if `cells` is None, must drop its
+    summary.
     """
 
     key: Key
--- a/tests/test_scatter_leases.py
+++ b/tests/test_scatter_leases.py
@@ -258,125 +258,129 @@
 
 
 def test_load_waits_for_an_unreachable_holder_until_its_lease_expires():
-    w = world()
-    w.load("b", 7)
-    drain(w)  # both holders acknowledge
-    assert w.loads[7][3] == "ready"
-    w = world()
-    w.load("b", 7)
-    w.in_flight = [message for message in w.in_flight if message[0] == HOME]
-    w.deliver(w.in_flight[0])
-    w.in_flight = [message for message in w.in_flight if message[0] != "a"]  # it receives nothing from here on
-    drain(w)
-    assert w.loads[7][3] == "widening"
-    w.now += 2_001.0
-    w.tick(HOME)
-    drain(w)
-    assert w.loads[7][3] == "ready" and w.holders["a"].summary(w.now, KEY) is None
-    w.run_at_engine(7)
-    w.report_served(7)
-    drain(w)
-    assert w.answered == {7} and not w.home.records[KEY].open_intents and not w.holders["b"].loads
+    model = world()
+    model.load("b", 7)
+    drain(model)  # both holders acknowledge
+    assert model.loads[7][3] == "ready"
+    model = world()
+    model.load("b", 7)
+    model.in_flight = [message for message in model.in_flight if message[0] == HOME]
+    model.deliver(model.in_flight[0])
+    model.in_flight = [message for message in model.in_flight if message[0] != "a"]  # it receives nothing from here on
+    drain(model)
+    assert model.loads[7][3] == "widening"
+    model.now += 2_001.0
+    model.tick(HOME)
+    drain(model)
+    assert model.loads[7][3] == "ready" and model.holders["a"].summary(model.now, KEY) is None
+    model.run_at_engine(7)
+    model.report_served(7)
+    drain(model)
+    assert model.answered == {7} and not model.home.records[KEY].open_intents and not model.holders["b"].loads
 
 
 @pytest.mark.parametrize(("slow", "fast"), [("a", HOME), (HOME, "a")])
 def test_lease_expires_at_the_holder_before_it_does_at_the_home_under_clock_drift(slow, fast):
-    w = World(("a", "b"), drift=0.05, rates={slow: 0.95, fast: 1.05})
-    w.mark_used("a")
-    w.tick("a")
-    drain(w)
-    w.load("b", 7)
-    w.in_flight = [message for message in w.in_flight if message[0] == HOME]
-    w.deliver(w.in_flight[0])
-    w.in_flight.clear()  # `a` receives nothing
+    model = World(("a", "b"), drift=0.05, rates={slow: 0.95, fast: 1.05})
+    model.mark_used("a")
+    model.tick("a")
+    drain(model)
+    model.load("b", 7)
+    model.in_flight = [message for message in model.in_flight if message[0] == HOME]
+    model.deliver(model.in_flight[0])
+    model.in_flight.clear()  # `a` receives nothing
     for _ in range(60):
-        w.now += 50.0
-        w.tick(HOME)
-        w.in_flight = [message for message in w.in_flight if message[0] == "b"]
-        drain(w)
-        assert w.loads[7][3] == "widening" or w.holders["a"].summary(w.clock("a"), KEY) is None
-    assert w.loads[7][3] == "ready"
+        model.now += 50.0
+        model.tick(HOME)
+        model.in_flight = [message for message in model.in_flight if message[0] == "b"]
+        drain(model)
+        assert model.loads[7][3] == "widening" or model.holders["a"].summary(model.clock("a"), KEY) is None
+    assert model.loads[7][3] == "ready"
 
 
 def test_holders_are_not_updated_for_rows_that_the_summary_covers():
-    w = world()
+    model = world()
     for row in (7, 7):
-        w.loads.clear()
-        w.load("b", row)
-        drain(w)
-        assert w.loads[7][3] == "ready"
-    assert w.home.pushed == 2  # to both, once
+        model.loads.clear()
+        model.load("b", row)
+        drain(model)
+        assert model.loads[7][3] == "ready"
+    assert model.home.pushed == 2  # to both, once
 
 
 def test_intent_of_a_load_that_never_ran_is_dropped_and_any_other_stays_open():
-    w = world()
+    model = world()
     for row, never_ran in ((7, True), (8, False)):
-        w.load("b", row)
-        drain(w)
-        w.holders["b"].drop_load(w.now, w.loads[row][2], never_ran)
-        w.collect("b")
-        drain(w)
-    assert [intent.cells for intent, _ in w.home.records[KEY].open_intents.values()] == [{"n": [(1, "8")]}]
+        model.load("b", row)
+        drain(model)
+        model.holders["b"].drop_load(model.now, model.loads[row][2], never_ran)
+        model.collect("b")
+        drain(model)
+    assert [intent.cells for intent, _ in model.home.records[KEY].open_intents.values()] == [{"n": [(1, "8")]}]
 
 
 def test_load_of_unknown_rows_makes_the_summary_unknown_until_it_ends_and_the_site_is_learnt_again():
-    w = world()
-    w.load("b", 7, is_known=False)
-    drain(w)
-    assert w.loads[7][3] == "ready" and w.holders["a"].summary(w.now, KEY) is None
-    assert w.home.keys_to_learn(w.now) == []
-    w.run_at_engine(7)
-    w.report_served(7)
-    drain(w)
-    assert w.answered == {7} and w.home.keys_to_learn(w.now) == [KEY]
-    w.begin_learning()
-    w.scan_site()
-    w.finish_learning()
-    for name in w.names:
-        w.now += 1_000.0
-        w.tick(name)
-    drain(w)
-    assert w.holders["a"].summary(w.now, KEY) is not None and w.missed_row() is None
+    model = world()
+    model.load("b", 7, is_known=False)
+    drain(model)
+    assert model.loads[7][3] == "ready" and model.holders["a"].summary(model.now, KEY) is None
+    assert model.home.keys_to_learn(model.now) == []
+    model.run_at_engine(7)
+    model.report_served(7)
+    drain(model)
+    assert model.answered == {7} and model.home.keys_to_learn(model.now) == [KEY]
+    model.begin_learning()
+    model.scan_site()
+    model.finish_learning()
+    for name in model.names:
+        model.now += 1_000.0
+        model.tick(name)
+    drain(model)
+    assert model.holders["a"].summary(model.now, KEY) is not None and model.missed_row() is None
 
 
 def test_load_of_unknown_rows_invalidates_learning_in_progress():
-    w = World(("a", "b"), has_summary=False)
-    w.now = w.settings.home_lease_ms + 1.0
-    w.begin_learning()
-    w.scan_site()
-    w.load("b", 7, is_known=False)
-    w.deliver(w.in_flight[0])
-    w.finish_learning()
-    assert w.home.records[KEY].summary is None and w.home.keys_to_learn(w.now) == []
+    model = World(("a", "b"), has_summary=False)
+    model.now = model.settings.home_lease_ms + 1.0
+    model.begin_learning()
+    model.scan_site()
+    model.load("b", 7, is_known=False)
+    model.deliver(model.in_flight[0])
+    model.finish_learning()
+    assert model.home.records[KEY].summary is None and model.home.keys_to_learn(model.now) == []
 
 
 def test_load_is_announced_again_to_a_restarted_home_before_it_is_answered():
-    w = world()
-    w.load("b", 7)
-    drain(w)
-    w.run_at_engine(7)
-    w.crash(HOME)
-    w.report_served(7)
-    drain(w)
-    assert not w.answered and w.holders["b"].loads[1].state == "widening"  # the new home acknowledges nothing yet
-    w.now += 2_001.0
-    w.tick(HOME)
-    drain(w)
-    assert w.answered == {7}
+    model = world()
+    model.load("b", 7)
+    drain(model)
+    model.run_at_engine(7)
+    model.crash(HOME)
+    model.report_served(7)
+    drain(model)
+    assert (
+        not model.answered and model.holders["b"].loads[1].state == "widening"
+    )  # the new home acknowledges nothing yet
+    model.now += 2_001.0
+    model.tick(HOME)
+    drain(model)
+    assert model.answered == {7}
     # Messages of the predecessor have no effect, however late they arrive and however high their versions are.
-    w.holders["a"].leases[KEY].min_version = 9
-    w.begin_learning()
-    w.scan_site()
-    w.finish_learning()
-    w.now += 1_000.0
-    w.tick("a")
-    drain(w)
-    assert w.holders["a"].summary(w.now, KEY) is not None and w.holders["a"].leases[KEY].min_version == 2
-    w.now += 1_000.0
-    w.tick("a")
-    seq = max(w.holders["a"].leases[KEY].requested_at)
-    w.holders["a"].on_summary_piece(w.now, HOME, 1, wire.SummaryPiece(KEY, seq, 50, 0, 1, Summary(["n"], 0).encode()))
-    assert w.holders["a"].leases[KEY].version == 2
+    model.holders["a"].leases[KEY].min_version = 9
+    model.begin_learning()
+    model.scan_site()
+    model.finish_learning()
+    model.now += 1_000.0
+    model.tick("a")
+    drain(model)
+    assert model.holders["a"].summary(model.now, KEY) is not None and model.holders["a"].leases[KEY].min_version == 2
+    model.now += 1_000.0
+    model.tick("a")
+    seq = max(model.holders["a"].leases[KEY].requested_at)
+    model.holders["a"].on_summary_piece(
+        model.now, HOME, 1, wire.SummaryPiece(KEY, seq, 50, 0, 1, Summary(["n"], 0).encode())
+    )
+    assert model.holders["a"].leases[KEY].version == 2
 
 
 def test_only_the_process_that_acknowledged_a_load_confirms_it():
@@ -407,49 +411,53 @@
 
 
 def test_holder_that_missed_a_version_drops_its_summary_at_the_next():
-    w = world()
+    model = world()
     for row in (7, 8):
-        w.load("b", row)
-        w.deliver(next(message for message in w.in_flight if message[0] == HOME))
+        model.load("b", row)
+        model.deliver(next(message for message in model.in_flight if message[0] == HOME))
         if row == 7:
-            w.in_flight.clear()
-    drain(w)
-    assert w.home.records[KEY].version == 4 and w.holders["a"].leases[KEY].min_version == 4
-    assert w.holders["a"].summary(w.now, KEY) is None and w.loads[7][3] == "ready" == w.loads[8][3]
-    w.now += 100.0
-    w.tick("a")
-    drain(w)
-    assert covers_rows(w.holders["a"].summary(w.now, KEY), LoadIntent(2, {"n": [(1, "7"), (1, "8")]}))
+            model.in_flight.clear()
+    drain(model)
+    assert model.home.records[KEY].version == 4 and model.holders["a"].leases[KEY].min_version == 4
+    assert model.holders["a"].summary(model.now, KEY) is None and model.loads[7][3] == "ready" == model.loads[8][3]
+    model.now += 100.0
+    model.tick("a")
+    drain(model)
+    assert covers_rows(model.holders["a"].summary(model.now, KEY), LoadIntent(2, {"n": [(1, "7"), (1, "8")]}))
 
 
 def test_different_catalogue_gets_no_lease_and_no_load(monkeypatch):
-    w = World(("a",))
-    w.holders["a"].settings = SummaryLeaseSettings(2_000.0, 0.0, 2, 1e9, 0)
-    w.mark_used("a")
-    w.tick("a")
-    w.load("a", 7)
-    drain(w)
-    assert w.home.refused == 2 and w.holders["a"].summary(w.now, KEY) is None and w.loads[7][3] == "widening"
+    model = World(("a",))
+    model.holders["a"].settings = SummaryLeaseSettings(2_000.0, 0.0, 2, 1e9, 0)
+    model.mark_used("a")
+    model.tick("a")
+    model.load("a", 7)
+    drain(model)
+    assert (
+        model.home.refused == 2
+        and model.holders["a"].summary(model.now, KEY) is None
+        and model.loads[7][3] == "widening"
+    )
 
 
 def test_every_table_is_bounded(monkeypatch):
     for name, most in (("MAX_HOLDERS", 1), ("MAX_OPEN_INTENTS", 2), ("MAX_ENDED_LOADS", 1), ("MAX_LOADS", 4)):
         monkeypatch.setattr(leases, name, most)
-    w = world("a", "b")
-    assert len(w.home.records[KEY].holders) == 1 and w.home.refused
+    model = world("a", "b")
+    assert len(model.home.records[KEY].holders) == 1 and model.home.refused
     for row in range(4):
-        w.load("b", row)
-        drain(w)
-    assert w.holders["b"].load(0.0, KEY, 1, {}) is None
-    record = w.home.records[KEY]
+        model.load("b", row)
+        drain(model)
+    assert model.holders["b"].load(0.0, KEY, 1, {}) is None
+    record = model.home.records[KEY]
     assert len(record.open_intents) == 2 and record.overflow.rows  # the oldest intents are merged there
-    w.home.begin_learning(KEY)
+    model.home.begin_learning(KEY)
     assert covers_rows(record.learning, LoadIntent(1, {"n": [(1, "0"), (1, "3")]}))
-    assert [w.loads[row][3] for row in range(4)] == ["ready"] * 4
-    w.run_at_engine(0)
-    w.report_served(0)  # its intent is in `overflow`, so the load is announced again before it is answered
-    drain(w)
-    assert w.answered == {0} and len(record.ended_loads) <= 1
+    assert [model.loads[row][3] for row in range(4)] == ["ready"] * 4
+    model.run_at_engine(0)
+    model.report_served(0)  # its intent is in `overflow`, so the load is announced again before it is answered
+    drain(model)
+    assert model.answered == {0} and len(record.ended_loads) <= 1
     home = SummaryHome(1, SummaryLeaseSettings(2_000.0, 0.0), {KEY: ["n"]}, 0.0)
     for message in (
         wire.LeaseRequest("x/1", 0, 1, 0, 0, 0),
@@ -493,29 +501,29 @@
 
 
 def test_summary_of_several_messages_is_installed_when_complete():
-    w = World(("a",), bits=16_384)
-    w.mark_used("a")
-    w.tick("a")
-    w.deliver(w.in_flight[0])
-    assert len(w.in_flight) == 3
-    for message in w.in_flight[:2]:
-        w.deliver(message, True)
-        assert w.holders["a"].summary(w.now, KEY) is None
-    w.deliver(w.in_flight[2])
-    assert w.holders["a"].summary(w.now, KEY) is not None
+    model = World(("a",), bits=16_384)
+    model.mark_used("a")
+    model.tick("a")
+    model.deliver(model.in_flight[0])
+    assert len(model.in_flight) == 3
+    for message in model.in_flight[:2]:
+        model.deliver(message, True)
+        assert model.holders["a"].summary(model.now, KEY) is None
+    model.deliver(model.in_flight[2])
+    assert model.holders["a"].summary(model.now, KEY) is not None
 
 
 def test_leases_are_renewed_while_used_and_released_at_shutdown():
-    w = world("a")
+    model = world("a")
     for _ in range(20):
-        w.now += 250.0
-        w.tick("a")
-        drain(w)
-        assert w.holders["a"].summary(w.now, KEY) is not None
-    w.holders["a"].release_all()
-    w.collect("a")
-    drain(w)
-    assert not w.home.records[KEY].holders and w.holders["a"].summary(w.now, KEY) is None
+        model.now += 250.0
+        model.tick("a")
+        drain(model)
+        assert model.holders["a"].summary(model.now, KEY) is not None
+    model.holders["a"].release_all()
+    model.collect("a")
+    drain(model)
+    assert not model.home.records[KEY].holders and model.holders["a"].summary(model.now, KEY) is None
 
 
 def test_rows_covered_by_a_summary():
--- a/tests/test_scatter_plan.py
+++ b/tests/test_scatter_plan.py
@@ -337,8 +337,8 @@
 
 
 def test_gather_responds_once_and_names_missing_sites():
-    def gather(partial=False, most=9):
-        return Gather(Merge(width=1), ["a", "b"], NULL, partial, most)
+    def gather(partial=False, max_rows=9):
+        return Gather(Merge(width=1), ["a", "b"], NULL, partial, max_rows)
 
     complete = gather()
     assert complete.on_part_rows("a", [["1"]]) is None and complete.open == ["b"]
@@ -353,7 +353,7 @@
     assert (
         failed.on_part_failed("a", "refused", 3.0) is None and failed.on_part_failed("b", "failed").status == "failed"
     )
-    assert gather(most=1).on_part_rows("a", [["1"], ["2"]]).reason.startswith("more than 1 rows")
+    assert gather(max_rows=1).on_part_rows("a", [["1"], ["2"]]).reason.startswith("more than 1 rows")
     disconnected = gather()
     disconnected.on_client_disconnected()
     assert disconnected.on_part_rows("a", []) is None
