--- a/bench/scatter.py
+++ b/bench/scatter.py
@@ -16,14 +16,14 @@
 from types import SimpleNamespace
 from typing import Any
 
-from frostspindle.catalogue import Catalogue, read
+from frostspindle.catalogue import Catalogue, read_section
 from frostspindle.core import ClientRequest
 from frostspindle.lab.scatter import Emulator, measure, play
 from frostspindle.predicates import may_match
 from frostspindle.predicates.summaries import Summary
 from frostspindle.scatter.leases import LoadIntent, widen
 from frostspindle.scatter.merge import merge
-from frostspindle.scatter.plan import Planner, in_steps
+from frostspindle.scatter.plan import Planner, step_cells
 from frostspindle.scatter.service import ScatterService
 from frostspindle.telemetry import Telemetry
 
@@ -74,17 +74,17 @@
 
 def costs() -> dict[str, float]:
     """Return the CPU microseconds of each decision that scattering takes."""
-    made = read(RAW)
+    made = read_section(RAW)
     catalogue = Catalogue(
         made, {group.number: group for group in made.group}, {s.name: s for s in made.site}, {}, frozenset(), -1
     )
     planner, numbers = Planner(catalogue), iter(range(10**9))
     known = SQL.format(5, 9)
     planner.plan(17, known)
-    summary = Summary(catalogue.summed(17), 4_096)
+    summary = Summary(catalogue.summary_columns(17), 4_096)
     cells = [(1, str(n)) for n in range(100, 600, 3)]
     widen(
-        summary, LoadIntent(200, {"n": cells, "n\0": in_steps(cells, 5), "s": [(2, f"agent-{n}") for n in range(50)]})
+        summary, LoadIntent(200, {"n": cells, "n\0": step_cells(cells, 5), "s": [(2, f"agent-{n}") for n in range(50)]})
     )
     plan = planner.plan(17, known)
     core = SimpleNamespace(classes=[("http", "lookup")], open=0, max_open_requests=99)
