--- a/example/toy.py
+++ b/example/toy.py
@@ -96,7 +96,7 @@
 
 async def tds(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Serve one TDS session: log in anybody without encryption, and answer each batch with itself as one row."""
-    splitter = codec.Splitter(1 << 20)
+    splitter = codec.PacketReassembler(1 << 20)
     while data := await reader.read(4096):
         for message in splitter.feed(data):
             if message.kind == codec.PRELOGIN:
--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -100,13 +100,13 @@
     Once the call has its reply the client is away, as far as this worker can tell, until its next call comes.
     """
 
-    line: tuple[()] = ()
+    pending_calls: tuple[()] = ()
 
     def __init__(self) -> None:
         self.requests: dict[OpenRequest, None] = {}
         self.is_waiting = True
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether the call still waits for its reply."""
         return self.is_waiting
 
@@ -135,7 +135,7 @@
     def abandon(self) -> None:
         """End the call without a reply: its client has gone, or the worker that it called."""
         self.data = b""
-        self.front.gone(self)
+        self.front.call_abandoned(self)
         self._end()
 
     def _end(self) -> None:
--- a/frostspindle/cores/request_relay.py
+++ b/frostspindle/cores/request_relay.py
@@ -64,7 +64,7 @@
     def accepts(self) -> bool:
         """Return whether to accept a new connection now, by the connections of the other workers that serve."""
         now = monotonic_ms()
-        own_connections = self._front.held
+        own_connections = self._front.open_connections
         # Published at once and not with the next tick: the others compare while a burst is being accepted.
         self._region.write_cell(HeadCell.CLIENT_CONNECTIONS, own_connections)
         regions = [snapshot.region for snapshot in self._snapshots.values()]
@@ -104,7 +104,7 @@
         if request_id:
             self._region.remove_request(request_id)
 
-    def passes(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
+    def relay_call(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
         """Return whether a call on a path unknown here belongs to another worker, and see to its answer.
 
         Only GET and DELETE are relayed. If the owner has died, a DELETE is answered 204 and a GET 502: the request may
--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -109,7 +109,7 @@
         self.telemetry = telemetry
         self.at = config.bus
         self.last = 0
-        self.spoke = False
+        self.has_received_valid = False
         self.reserve = ReservedDescriptor()  # for its connection, while clients hold all other descriptors
         self._moved = asyncio.Event()
         self._random = random.Random(config.seed)
@@ -234,7 +234,7 @@
             if message.offset > self.last + 1 and not skip:
                 raise ValueError(f"event {message.offset} came after {self.last}")
             self._apply(message)
-            self.spoke = True
+            self.has_received_valid = True
         except ValueError as error:  # also all that msgspec raises
             if not skip:
                 self._invalid_lines += 1
@@ -248,7 +248,7 @@
             raise ValueError(f"the bus is at {offset}, here it is {self.last}")
         if offset < self.last:  # no event is taken back: what it tells anew has an offset above ours, or we had it
             self.telemetry.count("bus_behind")
-        self.spoke = True
+        self.has_received_valid = True
 
     def _apply(self, event: BusEvent) -> None:
         if event.offset <= self.last:
--- a/frostspindle/net/http/calls.py
+++ b/frostspindle/net/http/calls.py
@@ -29,7 +29,7 @@
     def flush(self) -> None:
         """Write the responses that are due, in the order of the calls."""
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether the client is still connected; if not, its open calls are ended."""
 
 
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -59,7 +59,7 @@
     def call(self, slot: PendingCall, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         """Take a whole call; Refusal if it goes no further."""
 
-    def gone(self, slot: PendingCall) -> None:
+    def call_abandoned(self, slot: PendingCall) -> None:
         """Note that the connection of a call has ended."""
 
     def connection_ended(self, client: ClientConnection) -> None:
@@ -80,7 +80,7 @@
         self.front, self.now = front, front.loop.time
         self.parser = HttpRequestParser(self)
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
-        self.line: deque[PendingCall] = deque()
+        self.pending_calls: deque[PendingCall] = deque()
         self.requests: dict[OpenRequest, None] = {}  # the open ones, in order, whose client is on this connection
         self.since = self.now()
         self.spoken = self.leaving = self.deaf = self.partial = self.headed = False
@@ -103,7 +103,7 @@
         """Return the connection's state, one of those of places.py: FRESH, COMING, IDLE, BUSY or LEAVING."""
         if self.leaving:
             return CLOSING
-        if self.line:
+        if self.pending_calls:
             return BUSY
         if self.partial:
             return RECEIVING
@@ -133,12 +133,12 @@
         self.leaving = self.deaf = True
         self.partial = False
         self.since = self.now()
-        line, self.line = self.line, deque()
+        line, self.pending_calls = self.pending_calls, deque()
         for slot in line:
-            self.front.gone(slot)
+            self.front.call_abandoned(slot)
         self.front.connection_ended(self)
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether the client is connected, by polling the socket: its end may lie behind unread bytes."""
         if self.transport.is_closing():
             return False
@@ -170,7 +170,7 @@
             self.transport.pause_reading()
 
     def _read_on(self) -> None:
-        if self.stuck_at == math.inf and len(self.line) < AHEAD and not self.transport.is_reading():
+        if self.stuck_at == math.inf and len(self.pending_calls) < AHEAD and not self.transport.is_reading():
             self.watched = self.front.arrival_clock.count
             self.transport.resume_reading()
 
@@ -184,7 +184,7 @@
         if self.deaf:  # refused: what still comes is only read so that the refusal arrives
             self.dropped += len(data)
             if self.dropped > LINGER_BYTES:
-                self._read_off(0.0) if self.line else self.transport.abort()  # answers are owed before it ends
+                self._read_off(0.0) if self.pending_calls else self.transport.abort()  # answers are owed before it ends
             return
         self.came += len(data)
         self.came_ms = self.front.arrival_clock.earliest_ms(self.watched, self.unseen_ms)
@@ -203,7 +203,7 @@
         finally:
             self.feeding = False
         self.flush()
-        if len(self.line) >= AHEAD:
+        if len(self.pending_calls) >= AHEAD:
             self._read_off(self.came_ms)
 
     def end(self) -> None:
@@ -227,7 +227,7 @@
 
     def finish(self) -> None:
         """Shut down as the program ends, unless a response is owed or bytes lie unread, which are handled first."""
-        if self.leaving or self.line or self.unread():
+        if self.leaving or self.pending_calls or self.unread():
             return
         if self.partial:
             self.refuse(CallRejectedError(503, "Busy"))
@@ -236,7 +236,7 @@
 
     def is_owed_an_answer(self) -> bool:
         """Return whether a call is open here or may lie unread, on a connection that was not shut down."""
-        return not self.leaving and (bool(self.line) or self.unread())
+        return not self.leaving and (bool(self.pending_calls) or self.unread())
 
     def rests(self, since: float) -> bool:
         """Return whether it was shut down before `since` (loop time), all responses left, and nothing came after."""
@@ -244,7 +244,7 @@
 
     def give_way(self) -> bool:
         """Close to make room for another connection; False: a response is owed, or bytes lie unread in the socket."""
-        if self.line or self.stuck_at < math.inf or self.unread():
+        if self.pending_calls or self.stuck_at < math.inf or self.unread():
             return False
         if self.partial:
             self.refuse(CallRejectedError(503, "Busy"))
@@ -261,7 +261,7 @@
         self.front.telemetry.count("bad_calls", FRONT)
         self.front.telemetry.log("call_rejected", status=refusal.status)  # its text may hold what the client sent
         slot = PendingCall(self)
-        self.line.append(slot)
+        self.pending_calls.append(slot)
         slot.reply(refusal.status, {"failure": refusal.text}, self.front.advice if refusal.status == 503 else "", True)
 
     def flush(self) -> None:
@@ -272,12 +272,12 @@
         if self.feeding or self.leaving or self.transport.is_closing():
             return
         out, closes = [], False
-        while self.line and self.line[0].data is not None:
-            slot = self.line.popleft()
+        while self.pending_calls and self.pending_calls[0].data is not None:
+            slot = self.pending_calls.popleft()
             self.awaited = slot.more
-            closes = not self.line and self._closes(slot)
+            closes = not self.pending_calls and self._closes(slot)
             out.append(slot.wire(closes))
-        if self.expects and not self.line:
+        if self.expects and not self.pending_calls:
             self.expects = False
             out.append(_CONTINUE)
         if not out:
@@ -285,7 +285,7 @@
         self.transport.write(b"".join(out))
         if closes:
             self.leave()
-        elif not self.line:
+        elif not self.pending_calls:
             if not self.partial:
                 self.since = self.now()
             self._read_on()
@@ -352,14 +352,14 @@
         A CallRejectedError becomes the connection's last response; any other exception a 500 for this call, logged.
         """
         self.came, self.partial, self.spoken, self.expects = 0, False, True, False
-        self.ahead = self.ahead or bool(self.line)
+        self.ahead = self.ahead or bool(self.pending_calls)
         slot = PendingCall(self)
         slot.last = self.deaf = not self.parser.should_keep_alive()
-        self.line.append(slot)
+        self.pending_calls.append(slot)
         try:
             self.front.call(slot, self.parser.get_method(), self.url, self.fields, b"".join(self.body))
         except CallRejectedError as refusal:
-            self.line.remove(slot)
+            self.pending_calls.remove(slot)
             self._stop(refusal.status, refusal.text)
         except Exception as error:  # noqa: BLE001 - a fault ends one call
             self.front.telemetry.count("faults")
--- a/frostspindle/net/http/request_registry.py
+++ b/frostspindle/net/http/request_registry.py
@@ -45,7 +45,7 @@
         self._alarm: asyncio.TimerHandle | None = None
 
     @property
-    def owing(self) -> int:
+    def unfetched_responses(self) -> int:
         """Number of requests whose client has yet to fetch the last response."""
         return sum(not opened.told for opened in self.open.values())
 
@@ -90,7 +90,7 @@
         opened = slot.opened
         assert opened is not None
         if slot.page < 0:
-            if not slot.client.present():
+            if not slot.client.is_connected():
                 return  # it left without a path, and would be taken for one that comes back with it
             self._publish(opened)
             self.core.telemetry.log("response_path_given", ticket=opened.ticket)
@@ -175,7 +175,7 @@
             opened.return_timer.cancel()
             opened.return_timer = None
 
-    def gone(self, slot: PendingCall) -> None:
+    def call_abandoned(self, slot: PendingCall) -> None:
         """Note that the connection of a call has ended, and nobody waits for its answer."""
         self._holds.pop(slot, None)
         opened = slot.opened
@@ -200,7 +200,7 @@
         self.core.suspend_request(opened.request)
         opened.return_timer = self.loop.call_later(RETURN_TIMEOUT_S, self.leave, opened, DepartureReason.NOT_RETURNED)
 
-    def present(self, opened: OpenRequest) -> bool:
+    def is_connected(self, opened: OpenRequest) -> bool:
         """Return whether the client of a request is connected, by a look at its connection.
 
         Where it is not, the request is suspended or given up, as it would be once the end is read.
@@ -208,7 +208,7 @@
         connection = opened.connection
         if opened.answer is not None or connection is None:
             return False
-        if connection.present():
+        if connection.is_connected():
             return True
         self.connection_ended(connection)
         return False
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -44,7 +44,7 @@
     def release(self, ticket: str) -> None:
         """Free a request id once its request is settled."""
 
-    def passes(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
+    def relay_call(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
         """Pass a call on a path unknown here to the worker that has it; return whether one answers it."""
 
     def abandon(self, slot: PendingCall) -> None:
@@ -66,7 +66,7 @@
         self.prefix = ""  # of paths: it names the worker among several
         self.relay: WorkerRelay | None = None
         self.tenant: Callable[[RequestAttributes, bytes | None], int] | None = None
-        self.marks: Callable[[ClientRequest, dict[bytes, bytes]], None] | None = (
+        self.annotate_request: Callable[[ClientRequest, dict[bytes, bytes]], None] | None = (
             None  # what else its head says of a request
         )
         self.most_memory = max((*core.settings.kind_memory_mb, 1.0))
@@ -97,9 +97,9 @@
         return self.listener.port
 
     @property
-    def owing(self) -> int:
+    def unfetched_responses(self) -> int:
         """Number of requests whose client has yet to fetch the last response."""
-        return self.paths.owing
+        return self.paths.unfetched_responses
 
     @property
     def connections(self) -> int:
@@ -107,12 +107,12 @@
         return len(self.clients)
 
     @property
-    def held(self) -> int:
+    def open_connections(self) -> int:
         """Number of connections, with those that were accepted in this turn."""
         return len(self.clients) + self.listener.joining
 
     @property
-    def coming(self) -> bool:
+    def is_receiving_request(self) -> bool:
         """Whether a request is partly read; `_sweep` ends each in time."""
         return any(client.state() == RECEIVING for client in self.clients)
 
@@ -201,7 +201,7 @@
 
     def _room(self) -> bool:
         """Whether one more connection may be accepted, be it to hear that there is no place for it."""
-        if self.held < self.most_clients + self.reserve:
+        if self.open_connections < self.most_clients + self.reserve:
             return True
         self._make_room(None, connection_limits.RECLAIM_FOR_CONNECTION)
         now = self.loop.time()
@@ -209,7 +209,7 @@
             if client.leaving and now - client.since > connection_limits.CLOSING_RECLAIM_S and not client.unread():
                 self.clients.discard(client)
                 client.transport.abort()
-        return self.held < self.most_clients + self.reserve
+        return self.open_connections < self.most_clients + self.reserve
 
     def _sweep(self) -> None:
         """Close whoever has had its time: a word or a close is owed within 3 s of connecting."""
@@ -217,7 +217,7 @@
         now = self.loop.time()
         for client in list(self.clients):
             # Nobody reads there, so that the client's end would not be noticed.
-            if not client.leaving and not client.transport.is_reading() and not client.present():
+            if not client.leaving and not client.transport.is_reading() and not client.is_connected():
                 continue
             step = connection_limits.next_step(
                 client.state(), now - client.since, now - client.stuck_at, now - self._drained_at, client.awaited
@@ -241,9 +241,9 @@
                     self.telemetry.count("silent_clients", FRONT)
                 client.end()
 
-    def gone(self, slot: PendingCall) -> None:
+    def call_abandoned(self, slot: PendingCall) -> None:
         """Note that the connection of a call has ended."""
-        self.paths.gone(slot)
+        self.paths.call_abandoned(slot)
         if self.relay is not None:
             self.relay.abandon(slot)
 
@@ -271,7 +271,7 @@
             return
         path, _, page = url.decode("latin-1").rpartition("/")
         opened = self.paths.open.get(path)
-        if opened is None and self.relay is not None and self.relay.passes(slot, method, path, url):
+        if opened is None and self.relay is not None and self.relay.relay_call(slot, method, path, url):
             return
         if method == b"DELETE":
             if opened is None:
@@ -305,7 +305,7 @@
         tenant = self._tenant_of(slot, fields, statement, described.tenant)
         if described.ticket in self.paths.ids:
             raise CallRejectedError(409, "X-Request-Id: this request is already open")
-        if not slot.client.present():
+        if not slot.client.is_connected():
             return
         if not self._has_capacity(slot, number) or not self._claim_id(slot, described.ticket):
             return
@@ -324,7 +324,7 @@
             tenant=tenant,
             key=described.key,
             idempotency_key=described.idempotency_key,
-            is_client_connected=lambda: self.paths.present(opened),
+            is_client_connected=lambda: self.paths.is_connected(opened),
         )
         self._mark(request, fields)
         if described.retry:
@@ -347,7 +347,7 @@
         client = slot.client
         client.extra = client.extra and not self._make_room(client, connection_limits.RECLAIM_FOR_REQUEST)
         draining_s = self.loop.time() - self._drained_at
-        if not client.extra and len(client.line) <= AHEAD and connection_limits.accepts_requests(draining_s):
+        if not client.extra and len(client.pending_calls) <= AHEAD and connection_limits.accepts_requests(draining_s):
             return True
         self.telemetry.count("full", FRONT, self.core.classes[number][1])
         slot.reply(503, {"failure": "Busy"}, self.advice, last=client.extra)
@@ -365,10 +365,10 @@
 
     def _mark(self, request: ClientRequest, fields: dict[bytes, bytes]) -> None:
         """Add what optional parts read from the head; CallRejectedError if that can't be used."""
-        if self.marks is None:
+        if self.annotate_request is None:
             return
         try:
-            self.marks(request, fields)
+            self.annotate_request(request, fields)
         except CallRejectedError:
             self._released(request.ticket)
             raise
--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -64,7 +64,7 @@
     body: bytes
 
 
-class Splitter:
+class PacketReassembler:
     """Reassembles messages from packets, however the stream was cut or joined."""
 
     def __init__(self, most: int) -> None:
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -43,7 +43,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, most: int) -> None:
         self.reader, self.writer = reader, writer
         self.used, self.idle_at = False, 0.0
-        self.splitter = codec.Splitter(most)
+        self.splitter = codec.PacketReassembler(most)
         self._stray: asyncio.Task[bytes] | None = None
 
     @classmethod
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -43,7 +43,7 @@
 
     def __init__(self, front: TdsFront, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.front, self.reader, self.writer = front, reader, writer
-        self.splitter = codec.Splitter(front.tds.max_batch_bytes)
+        self.splitter = codec.PacketReassembler(front.tds.max_batch_bytes)
         self.messages: list[codec.Message] = []
         self.packet = codec.PACKET
         self.profile: TdsLogin | None = None
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -313,7 +313,12 @@
     @property
     def _has_unfinished_work(self) -> bool:
         """Something is open, answered but not yet fetched (a long result comes in several calls), or half read."""
-        return bool(self.core.open or self.platform.owing or self.platform.coming or self._has_unsent_responses)
+        return bool(
+            self.core.open
+            or self.platform.unfetched_responses
+            or self.platform.is_receiving_request
+            or self._has_unsent_responses
+        )
 
     @property
     def _has_unsent_responses(self) -> bool:
--- a/frostspindle/recovery/service.py
+++ b/frostspindle/recovery/service.py
@@ -238,7 +238,12 @@
         if self._cooldown_ended(now):
             self.node.on_cooldown_over(now, unix_ms)
         agreed = self.node.agreed
-        if self.excluded.withheld_by_lists and agreed is not None and bus.spoke and bus.last >= agreed.last_event:
+        if (
+            self.excluded.withheld_by_lists
+            and agreed is not None
+            and bus.has_received_valid
+            and bus.last >= agreed.last_event
+        ):
             self.excluded.release_listed()
 
     def _cooldown_ended(self, now: float) -> bool:
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -38,7 +38,7 @@
             if ask.site not in catalogue.sites_of(ask.group):
                 raise CallRejectedError(400, "X-Site: not a site of these tables")
 
-    program.platform.marks = marks
+    program.platform.annotate_request = marks
     if program.operator_server:
         program.operator_server.handlers["show-scatter"] = scatter.figures
     return scatter
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -220,7 +220,7 @@
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        splitter = codec.Splitter(1 << 20)
+        splitter = codec.PacketReassembler(1 << 20)
         try:
             while data := await reader.read(4096):
                 for message in splitter.feed(data):
@@ -259,7 +259,7 @@
     """A client that writes packets by hand."""
 
     def __init__(self, port: int) -> None:
-        self.port, self.splitter = port, codec.Splitter(1 << 20)
+        self.port, self.splitter = port, codec.PacketReassembler(1 << 20)
         self.waiting: list[codec.Message] = []
 
     async def open(self, database: str = "calls", application: str = "app") -> TdsClient:
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -65,7 +65,7 @@
 
         for number in range(2, 6):
             await late(number)
-        await self.until(lambda: self.program.bus.spoke)
+        await self.until(lambda: self.program.bus.has_received_valid)
 
     async def test_a_pause_of_this_process_is_no_silence_of_the_bus(self):
         self.mocked(SILENCE_TIMEOUT_S=0.5)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -88,7 +88,9 @@
                 await engine.seen("POST")
                 self.front.drain()
                 writer.write(PING + (post(2) if where == "with it" else b""))
-                await self.until(lambda: len(self.client.line) > 1 and self.client.line[1].data is not None)
+                await self.until(
+                    lambda: len(self.client.pending_calls) > 1 and self.client.pending_calls[1].data is not None
+                )
                 if where == "taken":
                     writer.write(post(2))
                 if where in ("taken", "with it"):
@@ -98,7 +100,7 @@
                     await self.until(lambda: self.client.partial)
                 else:
                     writer.write(post(2))
-                    self.client.line[0].opened.on_response(Response(ResponseStatus.FAILED))
+                    self.client.pending_calls[0].opened.on_response(Response(ResponseStatus.FAILED))
                 self.go.set()
                 first = await self.answers(reader, 2)
                 if where == "half read":
@@ -343,7 +345,7 @@
         _, second = await self.open()
         third = asyncio.create_task(self.said(post(3)))  # waits in the system
         await asyncio.sleep(0.1)
-        self.assertEqual(self.front.held, 2)
+        self.assertEqual(self.front.open_connections, 2)
         self.client.since -= 1.0
         self.assertTrue((await third).startswith(b"HTTP/1.1 503"))
         self.go.set()
@@ -472,7 +474,7 @@
         plain.sendall(post(1))
         await self.until(lambda: asks)
         self.go_away(plain, "shut")
-        (slot,) = self.client.line
+        (slot,) = self.client.pending_calls
         self.front.paths._held(slot)
         self.assertEqual((left, self.front.paths.open), (asks, {}))
 
@@ -513,7 +515,7 @@
             writer.write(post(1))
             path = json.loads((await self.answers(reader, 1))[0][2])["next"]
         writer.write(f"GET {path} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
-        await self.until(lambda: self.client.line)
+        await self.until(lambda: self.client.pending_calls)
         self.assertEqual([(await self.call("DELETE", path))[0] for _ in range(2)], [204, 404])
         self.assertEqual((await self.answers(reader, 1))[0][0], 502)
         await engine.seen("DELETE")
@@ -526,7 +528,7 @@
             writer.write(post(1))
             path = json.loads((await self.answers(reader, 1))[0][2])["next"]
         writer.write(f"GET {path} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
-        await self.until(lambda: self.client.line)
+        await self.until(lambda: self.client.pending_calls)
         writer.transport.abort()
         await self.until(lambda: not self.front.clients)
         self.go.set()
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -52,15 +52,15 @@
         first, second = (asyncio.create_task(meshes[0].call(1, b"GET", b"/call/x/1")) for _ in range(2))
         owner = fronts[1]
         await owner.until(lambda: len(owner.calls) == 2)
-        assert all(call.client.present() for call in owner.calls)
+        assert all(call.client.is_connected() for call in owner.calls)
         first.cancel()
         await owner.until(lambda: owner.gone_calls)
         assert owner.gone_calls == owner.calls[:1]
-        assert [call.client.present() for call in owner.calls] == [False, True]
+        assert [call.client.is_connected() for call in owner.calls] == [False, True]
         assert owner.ended == [owner.calls[0].client]
         owner.calls[1].reply(200, {"next": "/call/x/1"})
         assert (await second).status == 200
-        assert not owner.calls[1].client.present()  # until it calls again
+        assert not owner.calls[1].client.is_connected()  # until it calls again
         for mesh in meshes:
             mesh.close()
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -159,7 +159,7 @@
         idle.writer.write(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
         self.assertEqual(await idle.answer(), (200, "ok"))
         half.writer.write(call(1, timeout=3000)[:-9])
-        await self.until(lambda: self.program.platform.coming)
+        await self.until(lambda: self.program.platform.is_receiving_request)
         waiting = await Raw().open(port)  # in the system's line: nobody has accepted it yet
         self.addCleanup(waiting.writer.close)
         self.program.platform.finish()
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -287,12 +287,12 @@
         )
         wiring.attach(program)
         ask = ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=17)
-        platform.marks(ask, {b"x-partial": b"yes", b"x-site": b"b"})
+        platform.annotate_request(ask, {b"x-partial": b"yes", b"x-site": b"b"})
         self.assertEqual((ask.partial, ask.site), (True, "b"))
         for fields in ({b"x-partial": b"maybe"}, {b"x-site": b"cellar"}, {b"x-site": b"\xff"}):
             with self.assertRaises(CallRejectedError):
-                platform.marks(ask, fields)
-        platform.marks(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=18), {b"x-partial": b"maybe"})
+                platform.annotate_request(ask, fields)
+        platform.annotate_request(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=18), {b"x-partial": b"maybe"})
 
 
 def test_lab_scatter_prints_one_object_the_same_for_the_same_seed():
