--- a/example/toy.py
+++ b/example/toy.py
@@ -102,7 +102,7 @@
             if message.kind == codec.PRELOGIN:
                 out = codec.prelogin({codec.O_ENCRYPTION: bytes((codec.ENCRYPT_NOT_SUP,))})
             elif message.kind == codec.LOGIN7:
-                out = codec.login_ack("toy", codec.PACKET)
+                out = codec.login_ack("toy", codec.DEFAULT_PACKET_BYTES)
             elif message.kind == codec.ATTENTION:
                 out = codec.done(codec.DONE_ATTN)
             else:
--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -107,7 +107,7 @@
         self.core = core
         self.driver = driver
         self.telemetry = telemetry
-        self.at = config.bus
+        self.bus_address = config.bus
         self.last = 0
         self.has_received_valid = False
         self.reserve = ReservedDescriptor()  # for its connection, while clients hold all other descriptors
@@ -127,8 +127,8 @@
 
     def move(self, at: Address | None) -> None:
         """Change the address of the bus: reconnect there at once, from the last offset on."""
-        if at != self.at:
-            self.at = at
+        if at != self.bus_address:
+            self.bus_address = at
             self._moved.set()
 
     def restore(self, event: BusEvent) -> None:
@@ -141,8 +141,8 @@
         while True:
             self._moved.clear()
             last_before = self.last
-            if self.at is not None:
-                await self._follow_until_moved(self.at)
+            if self.bus_address is not None:
+                await self._follow_until_moved(self.bus_address)
                 backoff_s = MIN_BACKOFF_S if self.last != last_before else min(MAX_BACKOFF_S, backoff_s * 2)
             await self._wait_for_move(backoff_s)
 
@@ -161,7 +161,7 @@
         a bus in the same moment, from returning in one.
         """
         timeout_s = None
-        if self.at is not None:
+        if self.bus_address is not None:
             timeout_s = backoff_s * (1 + self._random.random()) / 2
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
@@ -300,9 +300,9 @@
         self._starts[number] = (born_unix_ms, started_ms)
         return started_ms
 
-    def _reject(self, host: Host, **why: str) -> None:
+    def _reject(self, host: Host, **details: str) -> None:
         self.telemetry.count("bus_bad_hosts")
-        self.telemetry.log("endpoint_rejected", name=host.host, **why)
+        self.telemetry.log("endpoint_rejected", name=host.host, **details)
 
     def _index(self, names: tuple[str, ...], name: str) -> int:
         if name in names:
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -38,41 +38,41 @@
         self.idle_s = pools.idle_timeout_ms(config.idle_ms) / 1000.0
         self.sockets = config.limits.sockets
         self.share_descriptors(False)
-        self.opening = self.lines = self.waiters = 0
+        self.opening = self.established = self.waiters = 0
         self.load_reports = LoadReportParser(telemetry, core.settings.load_report_columns)
         self.runner = AttemptRunner(core, telemetry, self.load_reports)
         self.pools: dict[int, ConnectionPool] = {}
         self.retired: set[ConnectionPool] = set()  # with calls that have yet to end
-        self._tidier = self.loop.call_later(IDLE_SWEEP_S, self._tidy)
+        self._idle_timer = self.loop.call_later(IDLE_SWEEP_S, self._close_idle)
 
     def share_descriptors(self, is_sharing: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
-        self.most, self.most_each = pools.connection_limits(self.sockets, is_sharing)
+        self.max_connections, self.max_per_engine = pools.connection_limits(self.sockets, is_sharing)
 
     @property
     def connections(self) -> int:
         """Number of connections to all engines together, with those that are being opened."""
-        return self.lines + self.opening
+        return self.established + self.opening
 
     def may_open(self, pool: ConnectionPool) -> bool:
         """Return whether the bounds allow one more connection; at the common one, an idle one is closed for it."""
-        if self.connections < self.most:
-            return len(pool.lines) + pool.opening < self.most_each
-        self.spare(pool)
+        if self.connections < self.max_connections:
+            return len(pool.established) + pool.opening < self.max_per_engine
+        self.reclaim_idle(pool)
         return False
 
-    def spare(self, pool: ConnectionPool) -> None:
+    def reclaim_idle(self, pool: ConnectionPool) -> None:
         """Close an idle connection of another engine; its descriptor is free only once the loop has closed it."""
         if spare := next((p for p in (*self.pools.values(), *self.retired) if p.idle and p is not pool), None):
             spare.idle[0].drop()
 
-    def _tidy(self) -> None:
-        self._tidier = self.loop.call_later(IDLE_SWEEP_S, self._tidy)
+    def _close_idle(self) -> None:
+        self._idle_timer = self.loop.call_later(IDLE_SWEEP_S, self._close_idle)
         before = self.loop.time() - self.idle_s
         for pool in self.pools.values():
-            while pool.idle and pool.idle[0].idle_at < before:
+            while pool.idle and pool.idle[0].idle_since_s < before:
                 pool.idle.pop(0).drop()
-        self.retired = {pool for pool in self.retired if pool.lines}
+        self.retired = {pool for pool in self.retired if pool.established}
 
     # The core's interface.
 
@@ -102,14 +102,14 @@
 
     async def close(self) -> None:
         """Cancel all attempts, wait until their ends are reported, and drop all connections."""
-        self._tidier.cancel()
+        self._idle_timer.cancel()
         for pool in [*self.pools.values(), *self.retired]:
-            for connection in list(pool.lines):
+            for connection in list(pool.established):
                 if isinstance(connection.waiter, DirectAttempt):
                     connection.waiter.cancel()
         await super().close()
         for pool in [*self.pools.values(), *self.retired]:
-            for connection in list(pool.lines):
+            for connection in list(pool.established):
                 connection.drop()
 
     # One attempt.
@@ -120,26 +120,26 @@
         if pool is None or not pool.idle or self.left_s(attempt) <= RESPONSE_TIMEOUT_S:
             super().start_attempt(attempt)
             return
-        first = DirectAttempt(self.runner, pool, attempt, self._ended, self._on, self._off)
+        direct = DirectAttempt(self.runner, pool, attempt, self._on_ended, self._on_continued, self._on_cancelled)
         if (connection := pool.take()) is None:
             super().start_attempt(attempt)
         elif self.core.may_send(attempt):
-            first.send(connection)
+            direct.send(connection)
         else:
             pool.release(connection)
             self.core.attempt_ended(attempt, attempt.unsent_outcome)
 
-    def _ended(self, attempt: Attempt, end: AttemptEnd) -> None:
+    def _on_ended(self, attempt: Attempt, end: AttemptEnd) -> None:
         self.core.attempt_ended(attempt, *end)
 
-    def _on(self, first: DirectAttempt, received: EngineReply | Exception) -> None:
+    def _on_continued(self, direct: DirectAttempt, received: EngineReply | Exception) -> None:
         """What the POST did not end is followed by a task."""
-        first.attempt.task = task = self.spawn(self.attempt(first.attempt, first.pool, first.progress, received))
+        direct.attempt.task = task = self.spawn(self.attempt(direct.attempt, direct.pool, direct.progress, received))
         # One that is cancelled before its first step never runs, and the engine has the query.
-        task.add_done_callback(lambda task: self._off(first) if task.cancelled() else None)
+        task.add_done_callback(lambda task: self._on_cancelled(direct) if task.cancelled() else None)
 
-    def _off(self, first: DirectAttempt) -> None:
-        self.spawn(self._free(first.pool, first.attempt, first.progress, AttemptOutcome.CANCELLED))
+    def _on_cancelled(self, direct: DirectAttempt) -> None:
+        self.spawn(self._free(direct.pool, direct.attempt, direct.progress, AttemptOutcome.CANCELLED))
 
     async def attempt(
         self,
@@ -191,7 +191,7 @@
         finally:
             self.core.attempt_ended(attempt, outcome)
 
-    async def warm(self, engine: int, ticket: str, statement: str, cls: str, most_ms: float) -> bool:
+    async def warm(self, engine: int, ticket: str, statement: str, cls: str, timeout_ms: float) -> bool:
         """Run a statement that no client asked for, drop its rows, and return whether it succeeded.
 
         It is given up after `most_ms`. The caller accounts for it, and must be the fleet's owner of that work.
@@ -199,14 +199,14 @@
         pool, wired, path = self.pools.get(engine), [False], f"/v1/store/{ticket}"
         if pool is None:
             return False
-        status, until = 0, clock() + most_ms
+        status, until = 0, clock() + timeout_ms
 
         def head() -> str:
             left_ms = max(1, int(until - clock()))
             return f"X-Ticket: {ticket}\r\nX-Queue: {cls}\r\nX-Max-Ms: {left_ms}\r\nX-Priority: 0\r\n"
 
         try:
-            async with asyncio.timeout(most_ms / 1000.0):
+            async with asyncio.timeout(timeout_ms / 1000.0):
                 reply = await pool.call("POST", "/v1/store", head, statement.encode(), wired=wired, page=0)
                 while reply.status == 202:
                     reply = await pool.call("GET", f"{path}/0", page=0)
--- a/frostspindle/net/fields.py
+++ b/frostspindle/net/fields.py
@@ -13,11 +13,11 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-RANGE = 10.0  # a client may say that it waits for so many times its class's longest wait
-MOST_COST_MS = 3_600_000.0  # and that its work takes this long
-TEXT = 256  # bytes of a key
+MAX_TIMEOUT_RATIO = 10.0  # a client may say that it waits for so many times its class's longest wait
+MAX_COST_MS = 3_600_000.0  # and that its work takes this long
+MAX_TEXT_BYTES = 256  # bytes of a key
 # Those that mean one thing only: given twice, which of the two would hold is anyone's guess.
-SINGLE = frozenset(
+SINGLE_HEADERS = frozenset(
     (
         b"x-request-id",
         b"x-timeout-ms",
@@ -30,9 +30,9 @@
     )
 )
 _ID = re.compile(rb"[0-9a-f]{16}\Z")
-_FIGURE = re.compile(rb"[0-9]{1,10}(?:\.[0-9]{0,9})?\Z")
+_DECIMAL = re.compile(rb"[0-9]{1,10}(?:\.[0-9]{0,9})?\Z")
 _RETRY = re.compile(rb"[0-9]{1,3}\Z")
-_TEXT = re.compile(rb"[\x21-\x7e]{1,%d}\Z" % TEXT)
+_TEXT = re.compile(rb"[\x21-\x7e]{1,%d}\Z" % MAX_TEXT_BYTES)
 
 Fields = Mapping[bytes, bytes]  # by lower-case name
 
@@ -49,7 +49,7 @@
     """The fields of one request; times in ms, memory in MB, an estimate of 0 was not given."""
 
     ticket: str
-    left_ms: float
+    timeout_ms: float
     cost_ms: float
     memory_mb: float
     key: int  # of what it keeps its order with; 0: with nothing
@@ -58,8 +58,8 @@
     idempotency_key: str = ""  # of a class whose requests are repeated by key; engines know repeats by it
 
 
-def read(
-    fields: Fields, cls: int, deadline_ms: float, most_memory_mb: float, in_order: bool, by_key: bool = False
+def read_request(
+    fields: Fields, cls: int, deadline_ms: float, max_memory_mb: float, in_order: bool, by_key: bool = False
 ) -> RequestFields:
     """Return the checked fields of a request of that class; Refusal (400) names one that can't be used, and why."""
     ticket = fields.get(b"x-request-id", b"")
@@ -72,9 +72,9 @@
         raise CallRejectedError(400, "X-Retry: not a small number")
     return RequestFields(
         ticket.decode(),
-        _figure(fields, b"X-Timeout-Ms", RANGE * deadline_ms),
-        _figure(fields, b"X-Cost-Ms", MOST_COST_MS, False),
-        _figure(fields, b"X-Memory", most_memory_mb, False),
+        _decimal(fields, b"X-Timeout-Ms", MAX_TIMEOUT_RATIO * deadline_ms),
+        _decimal(fields, b"X-Cost-Ms", MAX_COST_MS, False),
+        _decimal(fields, b"X-Memory", max_memory_mb, False),
         0 if key is None else key_number(cls, key),
         fields.get(b"x-tenant"),
         int(retry) > 0,
@@ -90,16 +90,16 @@
 def _text(fields: Fields, header: bytes) -> bytes | None:
     text = fields.get(header.lower())
     if text is not None and not _TEXT.match(text):
-        raise CallRejectedError(400, f"{header.decode()}: not of 1 to {TEXT} plain characters")
+        raise CallRejectedError(400, f"{header.decode()}: not of 1 to {MAX_TEXT_BYTES} plain characters")
     return text
 
 
-def _figure(fields: Fields, header: bytes, most: float, needed: bool = True) -> float:
+def _decimal(fields: Fields, header: bytes, maximum: float, required: bool = True) -> float:
     """A figure in plain digits and in its range."""
     text = fields.get(header.lower(), b"")
-    if not text and not needed:
+    if not text and not required:
         return 0.0
-    value = float(text) if _FIGURE.match(text) else math.nan
-    if not 0.0 <= value <= most or (needed and value <= 0):
+    value = float(text) if _DECIMAL.match(text) else math.nan
+    if not 0.0 <= value <= maximum or (required and value <= 0):
         raise CallRejectedError(400, f"{header.decode()}: missing or not a usable figure")
     return value
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -24,16 +24,16 @@
 from frostspindle.net.http.duplicate_responses import confirmation_time_s
 from frostspindle.net.http.engine_connection import ConnectionBrokenError, EngineConnection, RequestNotWrittenError
 from frostspindle.net.http.load_reports import LoadReportParser
-from frostspindle.net.http.replies import RESULT_BYTES, EngineReply, InvalidReplyError, Rows
+from frostspindle.net.http.replies import MAX_RESULT_BYTES, EngineReply, InvalidReplyError, Rows
 from frostspindle.policy import AttemptOutcome, Health, Idempotency
 from frostspindle.pools import AttemptProgress
 from frostspindle.telemetry import Telemetry
 
-GOOD_END = 200
-NOTHING_NEW = 202
+OK_STATUS = 200
+PENDING_STATUS = 202
 ERROR_STATUS = 500
 SHED_STATUSES = (503, 504)
-DELETE_TRIES = 2
+MAX_DELETE_ATTEMPTS = 2
 CANCEL_TIMEOUT_S = 0.3  # how long a DELETE may wait for its answer
 CANCEL_POLL_S = 0.05  # so often it is looked whether an old connection has answered
 
@@ -62,7 +62,7 @@
     def __init__(self, core: Core, telemetry: Telemetry, readings: LoadReportParser) -> None:
         self.core, self.telemetry, self.load_reports = core, telemetry, readings
 
-    def head(self, attempt: Attempt, progress: AttemptProgress) -> str:
+    def header_fields(self, attempt: Attempt, progress: AttemptProgress) -> str:
         """Return the header fields of the POST, made as it is written: time passes while a connection is awaited."""
         progress.priority = attempt.priority
         grant = f"X-Memory-Mb: {attempt.grant_mb:.3f}\r\n" if attempt.grant_mb > 0 else ""
@@ -121,18 +121,18 @@
                 if progress.priority != attempt.priority:
                     progress.priority = attempt.priority
                     await self._send_priority(pool, attempt, progress)
-                reply = await self.news(pool, attempt, path, 0, progress)
+                reply = await self.poll(pool, attempt, path, 0, progress)
                 if reply is None:
                     return AttemptEnd(AttemptOutcome.RESET, report)
             report = self.load_reports.report(reply) or report
-            if reply.status != NOTHING_NEW:
-                return await self._end_of(pool, attempt, path, progress, reply, report)
+            if reply.status != PENDING_STATUS:
+                return await self._end_from(pool, attempt, path, progress, reply, report)
             note = self.load_reports.note(reply)
             if note is not None:
                 self.core.report_progress(attempt, *note)
             reply = None
 
-    async def _end_of(
+    async def _end_from(
         self,
         pool: ConnectionPool,
         attempt: Attempt,
@@ -147,9 +147,9 @@
             # That it never ran, or runs no more, is likely and unproven.
             self.telemetry.count("queries_unknown")
             return AttemptEnd(AttemptOutcome.CANCELLED, report)
-        if reply.status != GOOD_END:
+        if reply.status != OK_STATUS:
             return AttemptEnd(self._failure_outcome(reply), report)
-        rows = await self._pages(pool, attempt, path, reply, progress)
+        rows = await self._fetch_pages(pool, attempt, path, reply, progress)
         outcome = AttemptOutcome.OK if rows is not None else AttemptOutcome.ERROR
         return AttemptEnd(outcome, report, rows, self.load_reports.needed(reply))
 
@@ -161,7 +161,7 @@
             reply = await pool.call(
                 "POST",
                 "/v1/store",
-                lambda: self.head(attempt, progress),
+                lambda: self.header_fields(attempt, progress),
                 statement,
                 attempt,
                 progress.wired,
@@ -182,12 +182,12 @@
         has_never_run = reply.status in SHED_STATUSES and reply.headers.get(b"x-shed") == b"1"
         return AttemptOutcome.OVERLOADED if has_never_run else AttemptOutcome.ERROR
 
-    def end_at_once(self, reply: EngineReply) -> AttemptEnd | None:
+    def immediate_end(self, reply: EngineReply) -> AttemptEnd | None:
         """Return the end that the response to a POST gives by itself; None: there is more to come."""
-        if reply.status == NOTHING_NEW or reply.pages > 1:
+        if reply.status == PENDING_STATUS or reply.pages > 1:
             return None
         report = self.load_reports.report(reply)
-        if reply.status != GOOD_END:
+        if reply.status != OK_STATUS:
             return AttemptEnd(self._failure_outcome(reply), report)
         result = (reply.rows, len(reply.body))
         return AttemptEnd(AttemptOutcome.OK, report, result, self.load_reports.needed(reply))
@@ -201,7 +201,7 @@
         elif isinstance(error, ConnectionBrokenError):
             self.telemetry.count("engine_breaks")
 
-    async def news(
+    async def poll(
         self, pool: ConnectionPool, attempt: Attempt, path: str, number: int, progress: AttemptProgress
     ) -> EngineReply | None:
         """Poll for news or a page, on a new connection after a broken response.
@@ -219,7 +219,7 @@
                     wired=wired,
                     fresh=fresh,
                     page=number,
-                    stay=True,
+                    same_process=True,
                     until_ms=progress.ends_at_ms,
                 )
                 wired[0] = reply.status != 500  # a process that does not know it keeps nothing going
@@ -245,17 +245,17 @@
             fresh = progress.is_doubtful = True
             await asyncio.sleep(0.0 if wired[0] else 0.2)
 
-    async def _pages(
+    async def _fetch_pages(
         self, pool: ConnectionPool, attempt: Attempt, path: str, first: EngineReply, progress: AttemptProgress
     ) -> tuple[Rows, int] | None:
         """All rows of the result, in order; None: a page is lost."""
         rows, size = first.rows, len(first.body)
         for number in range(1, first.pages):
-            reply = await self.news(pool, attempt, path, number, progress)
+            reply = await self.poll(pool, attempt, path, number, progress)
             if reply is None or reply.status != 200:
                 return None
             size += len(reply.body)
-            if size > RESULT_BYTES:
+            if size > MAX_RESULT_BYTES:
                 raise InvalidReplyError("a result is too long")
             rows += reply.rows
         return rows, size
@@ -287,36 +287,36 @@
 
     async def _end_query(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress) -> ReleaseReason:
         """Send the DELETE, and wait where its answer, or the lack of one, does not show that the query has ended."""
-        terms = self.core.settings.classes[attempt.request.cls]
-        holds_key = bool(terms.in_order and attempt.request.key)
-        never_again = terms.idempotency == Idempotency.NON_IDEMPOTENT and not holds_key
+        class_settings = self.core.settings.classes[attempt.request.cls]
+        holds_key = bool(class_settings.in_order and attempt.request.key)
+        never_resent = class_settings.idempotency == Idempotency.NON_IDEMPOTENT and not holds_key
         path = f"/v1/store/{attempt.request.ticket}"
         delete = [False]  # it may have reached the engine
-        for _ in range(DELETE_TRIES):
+        for _ in range(MAX_DELETE_ATTEMPTS):
             is_repeated = delete[0]
-            unsure = progress.may_be_other_process(clock())
+            may_be_other_process = progress.may_be_other_process(clock())
             try:
-                reply = await self._delete(pool, path, delete, fresh=is_repeated, eldest=unsure)
-                if not unsure or never_again or progress.is_same_process(reply.line_ms):
+                reply = await self._delete(pool, path, delete, fresh=is_repeated, oldest=may_be_other_process)
+                if not may_be_other_process or never_resent or progress.is_same_process(reply.connection_opened_ms):
                     return ReleaseReason.DELETED
                 break
             except PoolExhaustedError as error:
                 is_draining = pool.state.entry.health == Health.DRAINING
-                if error.refused and (never_again or progress.refusal_ends_query(holds_key, is_draining)):
+                if error.refused and (never_resent or progress.refusal_ends_query(holds_key, is_draining)):
                     return ReleaseReason.REFUSED
             except (ConnectionBrokenError, TimeoutError, InvalidReplyError) as error:
                 if isinstance(error, RequestNotWrittenError):
                     delete[0] = is_repeated
-                if is_repeated and delete[0] and (never_again or not unsure):
+                if is_repeated and delete[0] and (never_resent or not may_be_other_process):
                     return ReleaseReason.DELETE_WRITTEN  # a live machine has the whole call; it does not answer
         await self._wait_for_expiry(pool, path, progress, delete)
         return ReleaseReason.EXPIRED
 
     async def _delete(
-        self, pool: ConnectionPool, path: str, delete: list[bool], fresh: bool, eldest: bool
+        self, pool: ConnectionPool, path: str, delete: list[bool], fresh: bool, oldest: bool
     ) -> EngineReply:
         return await pool.call(
-            "DELETE", path, wired=delete, within_s=CANCEL_TIMEOUT_S, fresh=fresh, eldest=eldest, stay=True
+            "DELETE", path, wired=delete, within_s=CANCEL_TIMEOUT_S, fresh=fresh, oldest=oldest, same_process=True
         )
 
     async def _wait_for_expiry(
@@ -324,13 +324,13 @@
     ) -> None:
         """Return once the query can't run any more; a DELETE that has not left goes out once there is a connection."""
         deleted_ms = clock() if delete[0] else math.inf  # without a DELETE no answer ends the wait
-        while (left_ms := progress.remaining_wait_ms(clock(), deleted_ms, pool.lines)) > 0:
+        while (left_ms := progress.remaining_wait_ms(clock(), deleted_ms, pool.established)) > 0:
             await asyncio.sleep(min(CANCEL_POLL_S, left_ms / 1000.0))
             if delete[0] or not pool.idle:
                 continue
             deleted_ms = clock()
             try:
-                await self._delete(pool, path, delete, fresh=False, eldest=True)
+                await self._delete(pool, path, delete, fresh=False, oldest=True)
             except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
                 if not delete[0]:
                     deleted_ms = math.inf
@@ -351,22 +351,32 @@
     that is not the end, or an error) and `off` (cancelled), once.
     """
 
-    __slots__ = ("runner", "pool", "attempt", "progress", "ended", "on", "off", "connection", "over")
+    __slots__ = (
+        "runner",
+        "pool",
+        "attempt",
+        "progress",
+        "on_ended",
+        "on_continued",
+        "on_cancelled",
+        "connection",
+        "is_over",
+    )
     connection: EngineConnection
 
     def __init__(
         self,
-        life: AttemptRunner,
+        runner: AttemptRunner,
         pool: ConnectionPool,
         attempt: Attempt,
-        ended: Callable[[Attempt, AttemptEnd], None],
-        on: Callable[[DirectAttempt, EngineReply | Exception], None],
-        off: Callable[[DirectAttempt], None],
+        on_ended: Callable[[Attempt, AttemptEnd], None],
+        on_continued: Callable[[DirectAttempt, EngineReply | Exception], None],
+        on_cancelled: Callable[[DirectAttempt], None],
     ) -> None:
-        self.runner, self.pool, self.attempt = life, pool, attempt
+        self.runner, self.pool, self.attempt = runner, pool, attempt
         self.progress = AttemptProgress(clock(), attempt.ends_at_ms)
-        self.ended, self.on, self.off = ended, on, off
-        self.over = False
+        self.on_ended, self.on_continued, self.on_cancelled = on_ended, on_continued, on_cancelled
+        self.is_over = False
 
     def send(self, connection: EngineConnection) -> None:
         """Write the POST; called once, in the turn in which the engine was found ready and the connection usable."""
@@ -375,7 +385,7 @@
             connection,
             "POST",
             "/v1/store",
-            self.runner.head(self.attempt, self.progress),
+            self.runner.header_fields(self.attempt, self.progress),
             self.attempt.request.statement.encode(),
             self.attempt,
             RESPONSE_TIMEOUT_S,
@@ -387,7 +397,7 @@
 
     def done(self) -> bool:
         """Return whether the response or an error has come, or the attempt was cancelled."""
-        return self.over
+        return self.is_over
 
     def set_result(self, reply: EngineReply) -> None:
         """Take the response to the POST: release the connection, then report the end or hand on to `on`.
@@ -397,23 +407,23 @@
         received: EngineReply | Exception = reply
         end: AttemptEnd | None = None
         try:
-            end = self.runner.end_at_once(self.pool.heard(self.connection, reply, 0))
+            end = self.runner.immediate_end(self.pool.check_response(self.connection, reply, 0))
         except InvalidReplyError as error:
-            self.connection.good, received = False, error
-        self._let_go()
+            self.connection.is_reusable, received = False, error
+        self._release_connection()
         if end is not None:
-            self.ended(self.attempt, end)
+            self.on_ended(self.attempt, end)
         else:
-            self.on(self, received)
+            self.on_continued(self, received)
 
     def set_exception(self, error: Exception) -> None:
         """Release the connection and hand the error to `on`: the engine may have the query."""
-        self._let_go()
-        self.on(self, error)
+        self._release_connection()
+        self.on_continued(self, error)
 
-    def _let_go(self) -> None:
-        self.over, self.attempt.task = True, None  # a circle would be left to the collector
-        self.connection.over()
+    def _release_connection(self) -> None:
+        self.is_over, self.attempt.task = True, None  # a circle would be left to the collector
+        self.connection.end_call()
         self.pool.release(self.connection)
 
     # What the driver stops.
@@ -424,11 +434,11 @@
         The connection is kept for a response still due where `EngineConnection.leave` allows it, else released. A POST
         that had not left whole counts as not sent.
         """
-        if not self.over:
-            self.over, self.attempt.task = True, None
-            if not self.connection.leave():
-                self.connection.over()
-                self.progress.wired[0] = not self.connection.unwritten
+        if not self.is_over:
+            self.is_over, self.attempt.task = True, None
+            if not self.connection.detach():
+                self.connection.end_call()
+                self.progress.wired[0] = not self.connection.has_unwritten
                 self.pool.release(self.connection)
             self.progress.record_poll(self.progress.last_poll_ms, clock(), is_open=True)
-            self.off(self)
+            self.on_cancelled(self)
--- a/frostspindle/net/http/calls.py
+++ b/frostspindle/net/http/calls.py
@@ -37,47 +37,47 @@
     """One request at this front: its answer, and the path under which its result is fetched."""
 
     __slots__ = (
-        "answer",
+        "response",
         "connection",
         "pages",
         "path",
         "request",
         "return_timer",
-        "settled",
-        "size",
-        "slots",
+        "on_settled",
+        "result_bytes",
+        "waiting_calls",
         "ticket",
         "timer",
-        "told",
+        "is_fetched",
     )
 
-    def __init__(self, settled: Callable[[OpenRequest], None], ticket: str, path: str) -> None:
-        self.settled, self.ticket, self.path = settled, ticket, path
+    def __init__(self, on_settled: Callable[[OpenRequest], None], ticket: str, path: str) -> None:
+        self.on_settled, self.ticket, self.path = on_settled, ticket, path
         self.request: ClientRequest | None = None
-        self.answer: Response | None = None
+        self.response: Response | None = None
         self.pages: list[list[Any]] | None = None
-        self.size, self.told = 0, False  # told: the client has had the last answer
-        self.slots: list[PendingCall] = []  # the calls that wait for its answer
+        self.result_bytes, self.is_fetched = 0, False  # told: the client has had the last answer
+        self.waiting_calls: list[PendingCall] = []  # the calls that wait for its answer
         self.timer: asyncio.TimerHandle | None = None
         self.connection: CallConnection | None = None  # its client's last one; None: that has ended
         self.return_timer: asyncio.TimerHandle | None = None  # runs while the client is away
 
     def on_response(self, answer: Response) -> None:
         """Take the one answer; later ones are dropped."""
-        if self.answer is None:
-            self.answer, self.request = answer, None
-            self.settled(self)
+        if self.response is None:
+            self.response, self.request = answer, None
+            self.on_settled(self)
 
 
 class PendingCall:
     """One call in its connection's queue; responses leave in the order of the calls."""
 
-    __slots__ = ("client", "opened", "page", "head", "data", "more", "last")
+    __slots__ = ("client", "opened", "page", "head", "data", "has_next", "last")
 
     def __init__(self, client: CallConnection, opened: OpenRequest | None = None, page: int = 0) -> None:
         self.client, self.opened, self.page = client, opened, page
         self.head, self.data = "", None  # type: str, bytes | None
-        self.more = False  # the answer names a `next`
+        self.has_next = False  # the answer names a `next`
         self.last = False  # it is to be the connection's last answer, unless calls have come behind it
 
     def reply(self, status: int, body: Any = None, extra: str = "", last: bool = False) -> None:
@@ -86,7 +86,7 @@
         `body` is encoded as JSON; `extra` is further header lines, each with its CRLF; `last` asks to close the
         connection behind it.
         """
-        self.more = isinstance(body, dict) and "next" in body
+        self.has_next = isinstance(body, dict) and "next" in body
         self.last = self.last or last
         data = b"" if body is None else _ENCODE(body)
         length = "" if status == 204 else f"Content-Length: {len(data)}\r\n"
@@ -96,7 +96,7 @@
         self.data = data
         self.client.flush()
 
-    def wire(self, closes: bool) -> bytes:
+    def encode(self, closes: bool) -> bytes:
         """Return the response's bytes; `closes` adds `Connection: close`, known only as it is written."""
         assert self.data is not None
         return f"{self.head}{_CLOSE if closes else ''}\r\n".encode() + self.data
--- a/frostspindle/net/http/connection_pool.py
+++ b/frostspindle/net/http/connection_pool.py
@@ -43,13 +43,13 @@
     core: Core
     pools: dict[int, ConnectionPool]
     opening: int
-    lines: int  # connections that stand, of all peers
+    established: int  # connections that stand, of all peers
     waiters: int  # calls that wait for one
 
     def may_open(self, pool: ConnectionPool) -> bool:
         """Return whether the bounds allow one more connection."""
 
-    def spare(self, pool: ConnectionPool) -> None:
+    def reclaim_idle(self, pool: ConnectionPool) -> None:
         """Close an idle connection of another engine; its descriptor is free only once the loop has closed it."""
 
 
@@ -59,16 +59,16 @@
     def __init__(self, driver: PoolContext, state: EngineState) -> None:
         self.driver, self.state = driver, state
         self.idle: list[EngineConnection] = []
-        self.lines: set[EngineConnection] = set()
+        self.established: set[EngineConnection] = set()
         self.opening = 0
         self.waiting: deque[asyncio.Future[None]] = deque()
-        self.gone = False
+        self.is_retired = False
         self.host = f"{state.address[0]}:{state.address[1]}"
         self.confirmations = ConfirmationBackoff()
 
     def retire(self) -> None:
         """Drop the idle connections, as the process is gone; the others end with their calls."""
-        self.gone = True
+        self.is_retired = True
         for connection in self.idle:
             connection.drop()
         self.idle.clear()
@@ -80,19 +80,19 @@
 
     def connection_opened(self, connection: EngineConnection) -> None:
         """Count a connection that has been opened."""
-        self.lines.add(connection)
-        self.driver.lines += 1
+        self.established.add(connection)
+        self.driver.established += 1
 
     def connection_closed(self, connection: EngineConnection) -> None:
         """Forget a connection that has ended, and let the next waiting call have its place."""
-        if connection in self.lines:
-            self.lines.remove(connection)
-            self.driver.lines -= 1
+        if connection in self.established:
+            self.established.remove(connection)
+            self.driver.established -= 1
         if connection in self.idle:
             self.idle.remove(connection)
-        self._next()
+        self._wake_waiter()
 
-    def _next(self) -> None:
+    def _wake_waiter(self) -> None:
         """A line or a place is free: for a call that waits here, or else for one that waits for another engine."""
         if not self.driver.waiters:
             return  # as nearly always, and looking through a thousand engines takes longer than the call did
@@ -105,16 +105,16 @@
 
     def release(self, connection: EngineConnection) -> None:
         """Put a connection back as idle and wake the next waiting call; drop it if it or the process is not usable."""
-        if not connection.good or self.gone:
+        if not connection.is_reusable or self.is_retired:
             connection.drop()
             return
         self.idle.append(connection)
-        self._next()
+        self._wake_waiter()
 
-    def take(self, eldest: bool = False) -> EngineConnection | None:
+    def take(self, oldest: bool = False) -> EngineConnection | None:
         """Take an idle connection, the last used or the eldest; None if no idle one is usable."""
         while self.idle:
-            connection = pools.choose_idle(self.idle, eldest)
+            connection = pools.choose_idle(self.idle, oldest)
             if connection is self.idle[-1]:
                 self.idle.pop()
             else:
@@ -124,19 +124,19 @@
             connection.drop()
         return None
 
-    async def acquire(self, fresh: bool = False, eldest: bool = False, stay: bool = False) -> EngineConnection:
+    async def acquire(self, fresh: bool = False, oldest: bool = False, same_process: bool = False) -> EngineConnection:
         """Return an idle connection unless it must be fresh, else a new one; PoolExhaustedError if none comes in time.
 
         An engine that drains refuses new connections and serves the old ones: a call that must reach this very process
         (`stay`) then waits for one of those.
         """
-        if not fresh and (connection := self.take(eldest)) is not None:
+        if not fresh and (connection := self.take(oldest)) is not None:
             return connection
         limit_s, resets, bound = self.driver.core.settings.connect_timeout_ms / 1000.0, 0, False
         try:
             async with asyncio.timeout(limit_s):
                 while True:
-                    if not fresh and (connection := self.take(eldest)) is not None:
+                    if not fresh and (connection := self.take(oldest)) is not None:
                         return connection
                     if self.driver.may_open(self):
                         # Reset when new: nothing was written yet, so that one more can be tried.
@@ -148,7 +148,7 @@
                                 raise PoolExhaustedError("connections are reset as they open")
                             continue
                         except PoolExhaustedError as error:
-                            if not (stay and error.refused and self.lines):
+                            if not (same_process and error.refused and self.established):
                                 raise
                             fresh = False
                             if self.idle:
@@ -163,7 +163,7 @@
                         self.driver.waiters -= 1
         except TimeoutError:
             # One may have become idle while a new one was awaited.
-            if not fresh and (connection := self.take(eldest)) is not None:
+            if not fresh and (connection := self.take(oldest)) is not None:
                 return connection
             raise PoolExhaustedError("no connection in time", full=bound) from None
 
@@ -179,7 +179,7 @@
             return None
         except OSError as error:
             if error.errno in NO_DESCRIPTORS:  # ours are all in use, which is no fault of the engine's
-                self.driver.spare(self)
+                self.driver.reclaim_idle(self)
                 raise PoolExhaustedError(repr(error), full=True) from None
             raise PoolExhaustedError(repr(error), isinstance(error, ConnectionRefusedError)) from None
         finally:
@@ -201,8 +201,8 @@
         within_s: float = RESPONSE_TIMEOUT_S,
         fresh: bool = False,
         page: int | None = None,
-        eldest: bool = False,
-        stay: bool = False,
+        oldest: bool = False,
+        same_process: bool = False,
         until_ms: float = math.inf,
     ) -> EngineReply:
         """Send one call and return its response, checked as that of `page` if given; a bad one ends the connection.
@@ -212,7 +212,7 @@
         EngineDrainedError if nothing was written; else ConnectionBrokenError, InvalidReplyError or TimeoutError after
         `within_s`.
         """
-        connection = await self.acquire(fresh, eldest, stay)
+        connection = await self.acquire(fresh, oldest, same_process)
         if sending is not None:
             await self._check_sending(sending, connection)
         if wired is not None:
@@ -223,19 +223,19 @@
             if page is not None:  # its response must not be a copy of another query's
                 confirm_s = confirmation_time_s((until_ms - clock()) / 1000.0)
             self.request(connection, method, path, head(), body, sending, within_s, waiter, confirm_s)
-            return self.heard(connection, await waiter, page)
+            return self.check_response(connection, await waiter, page)
         except asyncio.CancelledError:
-            if not connection.leave():
-                connection.over()
-                if connection.unwritten and wired is not None:
+            if not connection.detach():
+                connection.end_call()
+                if connection.has_unwritten and wired is not None:
                     wired[0] = False
             raise
         except InvalidReplyError:
-            connection.good = False
+            connection.is_reusable = False
             raise
         finally:
             if connection.waiter is waiter:
-                connection.over()
+                connection.end_call()
             if connection.waiter is None:  # else an answer is still to come
                 self.release(connection)
 
@@ -271,9 +271,9 @@
             self.driver.core.count_written(sending)
 
     @staticmethod
-    def heard(connection: EngineConnection, reply: EngineReply, page: int | None) -> EngineReply:
+    def check_response(connection: EngineConnection, reply: EngineReply, page: int | None) -> EngineReply:
         """Note that a response has come and return it; InvalidReplyError if it can't be that of `page`."""
-        reply.line_ms, connection.last_response_ms = connection.opened_ms, clock()
+        reply.connection_opened_ms, connection.last_response_ms = connection.opened_ms, clock()
         if page is not None:
-            reply.read(page)
+            reply.check_page(page)
         return reply
--- a/frostspindle/net/http/duplicate_responses.py
+++ b/frostspindle/net/http/duplicate_responses.py
@@ -25,7 +25,7 @@
 MAX_PAUSE_S = 60.0
 COPIES_REMEMBERED_S = 60.0  # so long after a copy a response in doubt is not taken unconfirmed
 
-NOTHING_NEW = 202  # a copy of it only causes a further poll of the same query
+PENDING_STATUS = 202  # a copy of it only causes a further poll of the same query
 NO_CONTENT = 204
 # What a response says of its query. The load report is left out: it is of the moment, not of the query.
 COMPARED_HEADERS = (b"x-pages", b"x-page", b"x-shed", b"x-cost-ms", b"x-needed-mb", b"x-remark", b"x-value")
@@ -53,7 +53,7 @@
 
     def may_be_copy(self, reply: EngineReply, now_s: float) -> bool:
         """Return whether an equal response came on this connection within COPY_WINDOW_S."""
-        if reply.status in (NOTHING_NEW, NO_CONTENT) or not self._recent:
+        if reply.status in (PENDING_STATUS, NO_CONTENT) or not self._recent:
             return False
         fingerprint = _fingerprint(reply)
         return any(seen == fingerprint and now_s - came_at_s < COPY_WINDOW_S for came_at_s, seen in self._recent)
--- a/frostspindle/net/http/engine_connection.py
+++ b/frostspindle/net/http/engine_connection.py
@@ -15,9 +15,16 @@
 
 from frostspindle.core import clock
 from frostspindle.net.http.duplicate_responses import MIN_CONFIRMATION_S, ConfirmationBackoff, RecentResponses
-from frostspindle.net.http.replies import ANSWER_BYTES, FIELD, FIELDS, PAGE_BYTES, EngineReply, InvalidReplyError
+from frostspindle.net.http.replies import (
+    MAX_HEADER_BYTES,
+    MAX_HEADERS,
+    MAX_PAGE_BYTES,
+    MAX_RESPONSE_BYTES,
+    EngineReply,
+    InvalidReplyError,
+)
 
-GOOD_END = 200
+OK_STATUS = 200
 
 
 class ConnectionBrokenError(Exception):
@@ -78,12 +85,12 @@
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
         self.parser = HttpResponseParser(self)
         self.waiter: ResponseWaiter | None = None
-        self.due = 0.0  # when the answer is overdue
+        self.deadline_s = 0.0  # when the answer is overdue
         self.timer: asyncio.TimerHandle | None = None  # the loop's, for that or an earlier call's
-        self.good, self.whole, self.idle_at = True, False, self.loop.time()
-        self.unwritten = False  # the system has yet to take a part of the call
+        self.is_reusable, self.is_complete, self.idle_since_s = True, False, self.loop.time()
+        self.has_unwritten = False  # the system has yet to take a part of the call
         self.opened_ms = self.last_response_ms = clock()  # up since, and last answered
-        self.came = self.fields = self.status = 0
+        self.response_bytes = self.header_count = self.status = 0
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
         self.poll = select.poll()
@@ -109,7 +116,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Cancel the timer, unregister, and fail the open call: ConnectionBrokenError or RequestNotWrittenError."""
-        self.good = False
+        self.is_reusable = False
         if self.timer is not None:
             self.timer.cancel()
         self.pool.connection_closed(self)
@@ -117,11 +124,11 @@
 
     def pause_writing(self) -> None:
         """Note that part of the call is still unwritten."""
-        self.unwritten = True
+        self.has_unwritten = True
 
     def resume_writing(self) -> None:
         """Note that the system has taken all of the call."""
-        self.unwritten = False
+        self.has_unwritten = False
 
     def eof_received(self) -> None:
         """Abort the connection, as the engine has ended its side."""
@@ -137,23 +144,23 @@
             self.pool.count_copy()
             self.drop()  # nothing was asked: what it is can't be known, nor what it would do to the next answer
             return
-        self.came += len(data)
+        self.response_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade) as error:
-            self.good = False  # noise behind a whole answer leaves that answer good
+            self.is_reusable = False  # noise behind a whole answer leaves that answer good
             if self._doubtful is not None:  # it was whole; whether it was a copy can't be told any more
                 self._fail(ConnectionBrokenError("noise behind a response that may be a copy"))
-            elif not self.whole:
+            elif not self.is_complete:
                 self._fail(InvalidReplyError(str(error.__context__ or error)))
-        if self.whole:
-            if self.unwritten:
+        if self.is_complete:
+            if self.has_unwritten:
                 self._fail(InvalidReplyError("an answer to a call that was not written yet"))
             elif not self.waiter.done():
                 self._deliver(EngineReply(self.status, self.headers, b"".join(self.body)))
-        elif self.came > ANSWER_BYTES:
+        elif self.response_bytes > MAX_RESPONSE_BYTES:
             self._fail(InvalidReplyError("an answer is too long"))
-        if not self.good:
+        if not self.is_reusable:
             self.drop()
 
     def _deliver(self, reply: EngineReply) -> None:
@@ -167,7 +174,7 @@
 
     def _confirms(self, reply: EngineReply) -> bool:
         """Return whether a response is kept back until the call's own one has come, or is overdue."""
-        if not self._is_checked or self.unwritten or not self.parser.should_keep_alive():
+        if not self._is_checked or self.has_unwritten or not self.parser.should_keep_alive():
             return False
         now_s = self.loop.time()
         return self._recent.may_be_copy(reply, now_s) and self.pool.confirmations.allows_wait(reply.status, now_s)
@@ -191,8 +198,8 @@
             self.drop()
             return
         self.pool.confirmations.record_honest(reply.status, now_s)
-        self.whole = True
-        self.idle_at = now_s
+        self.is_complete = True
+        self.idle_since_s = now_s
         self._deliver(reply)
 
     def _end_doubt(self) -> None:
@@ -202,15 +209,15 @@
             self._doubt_timer = None
 
     def _fail(self, error: Exception) -> None:
-        self.good = False
+        self.is_reusable = False
         doubtful = self._doubtful
         self._end_doubt()
-        if doubtful is not None and doubtful.status != GOOD_END:
+        if doubtful is not None and doubtful.status != OK_STATUS:
             # An error is taken: the news would be asked for by an id that another request may have.
             doubtful.headers.pop(b"x-shed", None)  # what may be a copy proves nothing
             self._deliver(doubtful)
             return
-        if self.unwritten:
+        if self.has_unwritten:
             error = RequestNotWrittenError(str(error))
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_exception(error)
@@ -219,16 +226,16 @@
 
     def on_message_begin(self) -> None:
         """Reset headers and body; InvalidReplyError if a whole response to this call came already."""
-        if self.whole:
-            self.good = False
+        if self.is_complete:
+            self.is_reusable = False
             self.pool.count_copy()
             raise InvalidReplyError("more than one answer")
-        self.headers, self.body, self.fields = {}, [], 0
+        self.headers, self.body, self.header_count = {}, [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep a header by its lower-case name; InvalidReplyError beyond FIELDS headers or FIELD bytes."""
-        self.fields += 1
-        if self.fields > FIELDS or len(name) + len(value) > FIELD:
+        self.header_count += 1
+        if self.header_count > MAX_HEADERS or len(name) + len(value) > MAX_HEADER_BYTES:
             raise InvalidReplyError("a head without bounds")
         self.headers[name.lower()] = value
 
@@ -241,7 +248,7 @@
             and not (b"content-length" in self.headers or b"transfer-encoding" in self.headers)
         ):
             raise InvalidReplyError("an answer without a length")  # nothing would show that it was cut
-        if int(self.headers.get(b"content-length", b"0")) > PAGE_BYTES:
+        if int(self.headers.get(b"content-length", b"0")) > MAX_PAGE_BYTES:
             raise InvalidReplyError("an answer is too long")
 
     def on_body(self, part: bytes) -> None:
@@ -260,23 +267,23 @@
             self._start_doubt(reply)
             return
         self._end_doubt()
-        self.whole, self.idle_at = True, self.loop.time()
-        self.good = self.good and self.parser.should_keep_alive() and not self._has_copies
+        self.is_complete, self.idle_since_s = True, self.loop.time()
+        self.is_reusable = self.is_reusable and self.parser.should_keep_alive() and not self._has_copies
 
     # What the peer calls.
 
     def is_usable(self) -> bool:
         """Return whether a call may be written now: a hang-up, a reset or stray bytes may lie unread in the socket."""
         return (
-            self.good
+            self.is_reusable
             and not self.transport.is_closing()
-            and self.loop.time() - self.idle_at < self.pool.driver.idle_s
+            and self.loop.time() - self.idle_since_s < self.pool.driver.idle_s
             and not self.poll.poll(0)
         )
 
     def drop(self) -> None:
         """Abort the connection; it is not used again."""
-        self.good = False
+        self.is_reusable = False
         self.transport.abort()
 
     def expire(self) -> None:
@@ -291,51 +298,51 @@
         this call at the latest; negative: it is not checked.
         """
         self.waiter = waiter
-        self.whole, self.came = False, 0
+        self.is_complete, self.response_bytes = False, 0
         now_s = self.loop.time()
         self._is_checked = confirm_s >= 0.0
         self._written_at_s = now_s
         self._has_copies = False
         self._confirmed_by_s = now_s + min(confirm_s, within_s)
-        self.due = now_s + within_s
-        if self.timer is None or self.timer.when() > self.due:
+        self.deadline_s = now_s + within_s
+        if self.timer is None or self.timer.when() > self.deadline_s:
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer = self.loop.call_at(self.due, self._rings)
+            self.timer = self.loop.call_at(self.deadline_s, self._on_timer)
         self.transport.write(data)
         if self.transport.is_closing():
-            self.unwritten = True  # reset before this call: the system took none of it
+            self.has_unwritten = True  # reset before this call: the system took none of it
 
-    def _rings(self) -> None:
+    def _on_timer(self) -> None:
         """One timer serves a connection's calls in turn: setting one for each costs more than a look here."""
         self.timer = None
         if self.waiter is None:
             return
-        if self.loop.time() < self.due:
-            self.timer = self.loop.call_at(self.due, self._rings)
+        if self.loop.time() < self.deadline_s:
+            self.timer = self.loop.call_at(self.deadline_s, self._on_timer)
         else:
             self.expire()
 
-    def over(self) -> None:
+    def end_call(self) -> None:
         """End the wait for the call's response; a connection without a whole response is dropped."""
         self._end_doubt()
         self.waiter = None
-        if not self.whole:  # not to be read: whatever still comes belongs to no call
+        if not self.is_complete:  # not to be read: whatever still comes belongs to no call
             self.drop()
 
-    def leave(self) -> bool:
+    def detach(self) -> bool:
         """Stop waiting for the response; return whether the connection is kept until it comes, and released then."""
-        if not self.good or self.whole or self.unwritten:
+        if not self.is_reusable or self.is_complete or self.has_unwritten:
             return False  # what is not written yet must not follow
         # The answer is on its way, and a new connection costs the engine more.
-        unheard: asyncio.Future[EngineReply] = self.loop.create_future()
-        unheard.add_done_callback(self._unheard)
-        self.waiter = unheard
+        detached: asyncio.Future[EngineReply] = self.loop.create_future()
+        detached.add_done_callback(self._on_detached_response)
+        self.waiter = detached
         return True
 
-    def _unheard(self, waiter: asyncio.Future[EngineReply]) -> None:
+    def _on_detached_response(self, waiter: asyncio.Future[EngineReply]) -> None:
         """The answer to a call that was given up has come, or will not: the line is free, or gone."""
         self.waiter = None
         if waiter.cancelled() or waiter.exception() is not None:
-            self.good = False
+            self.is_reusable = False
         self.pool.release(self)
--- a/frostspindle/net/metrics.py
+++ b/frostspindle/net/metrics.py
@@ -13,15 +13,15 @@
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.metrics_core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-BEFORE = "frostspindle_"
+PREFIX = "frostspindle_"
 # A family for each figure: its key in `show-stat`, whether it only grows, its name, and what it counts.
-WHOLE = (
+PROCESS_METRICS = (
     ("backend_calls", True, "backend_calls", "Attempts that were written whole to engines."),
     ("inflight", False, "inflight", "Requests taken and not yet ended."),
     ("hosts_listed", False, "hosts_listed", "Engines in the list."),
     ("hosts_down", False, "hosts_down", "Listed engines that get no work now."),
 )
-OF_WORKER = (
+WORKER_METRICS = (
     ("restarts", True, "worker_restarts", "Times that the worker was started again."),
     ("taken", True, "worker_taken", "Requests that the worker took."),
     ("inflight", False, "worker_inflight", "Requests of the worker that have not yet ended."),
@@ -38,16 +38,18 @@
 
     def collect(self) -> Iterator[Metric]:
         calls = CounterMetricFamily(
-            BEFORE + "calls", "Requests by class and end, of all fronts.", labels=("class", "end")
+            PREFIX + "calls", "Requests by class and end, of all fronts.", labels=("class", "end")
         )
         for name, row in self.figures["calls"].items():
             for end, count in row.items():
                 calls.add_metric((name, end), count)
         yield calls
-        for key, grows, name, text in WHOLE:
-            yield (CounterMetricFamily if grows else GaugeMetricFamily)(BEFORE + name, text, value=self.figures[key])
-        for key, grows, name, text in OF_WORKER if "workers" in self.figures else ():
-            family = (CounterMetricFamily if grows else GaugeMetricFamily)(BEFORE + name, text, labels=("worker",))
+        for key, is_counter, name, text in PROCESS_METRICS:
+            yield (CounterMetricFamily if is_counter else GaugeMetricFamily)(
+                PREFIX + name, text, value=self.figures[key]
+            )
+        for key, is_counter, name, text in WORKER_METRICS if "workers" in self.figures else ():
+            family = (CounterMetricFamily if is_counter else GaugeMetricFamily)(PREFIX + name, text, labels=("worker",))
             for row in self.figures["workers"]:
                 family.add_metric((str(row["worker"]),), row[key])
             yield family
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -121,7 +121,7 @@
     """
 
     def __init__(self, at: Address | str, handlers: dict[str, Callable[..., Any]], telemetry: Telemetry) -> None:
-        self.at = at
+        self.address = at
         self.handlers = handlers
         self.telemetry = telemetry
         self.stream_handlers: dict[str, StreamHandler] = {}
@@ -136,10 +136,10 @@
     async def start(self) -> None:
         """Listen on the Unix socket or the TCP address; OSError if that can't be had."""
         loop = asyncio.get_running_loop()
-        if isinstance(self.at, str):
-            self._server = await loop.create_unix_server(self._make_protocol, self.at, backlog=MAX_CALLERS)
+        if isinstance(self.address, str):
+            self._server = await loop.create_unix_server(self._make_protocol, self.address, backlog=MAX_CALLERS)
         else:
-            self._server = await loop.create_server(self._make_protocol, *self.at, backlog=MAX_CALLERS)
+            self._server = await loop.create_server(self._make_protocol, *self.address, backlog=MAX_CALLERS)
 
     def _make_protocol(self) -> _OperatorConnection:
         return _OperatorConnection(self)
@@ -218,11 +218,11 @@
         if name not in self.handlers:
             calls = ", ".join(sorted((*self.handlers, *self.stream_handlers)))
             raise OperatorError(f"no such call; there are {calls}")
-        wanted = _ARGUMENTS.get(name) or self.arguments.get(name, "")
+        expected = _ARGUMENTS.get(name) or self.arguments.get(name, "")
         if name.endswith("-server"):
-            wanted = "one engine"
-        if len(words) != _count_arguments(wanted):
-            raise OperatorError(f"{name} takes {wanted or 'nothing more'}")
+            expected = "one engine"
+        if len(words) != _count_arguments(expected):
+            raise OperatorError(f"{name} takes {expected or 'nothing more'}")
 
     def _refuse(self, refusal: OperatorError) -> bytes:
         self.telemetry.count("operator_naks")
@@ -238,6 +238,6 @@
     return line[:_NAME_BYTES].split(b" ", 1)[0].decode("ascii", "replace")
 
 
-def _count_arguments(wanted: str) -> int:
+def _count_arguments(expected: str) -> int:
     """Return how many arguments a description in words stands for."""
-    return 2 * wanted.startswith("two ") + sum(word in ("a", "an", "one") for word in wanted.split())
+    return 2 * expected.startswith("two ") + sum(word in ("a", "an", "one") for word in expected.split())
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -16,11 +16,11 @@
 from frostspindle.core import ArrivalClock, ClientRequest, Core
 from frostspindle.ledger.tenant_rules import RequestAttributes
 from frostspindle.ledger.tenants import UnknownTenantError
-from frostspindle.net import fields as read
+from frostspindle.net import fields as request_fields
 from frostspindle.net.fields import CallRejectedError
 from frostspindle.net.http import connection_limits
 from frostspindle.net.http.calls import FRONT, OpenRequest, PendingCall
-from frostspindle.net.http.clients import AHEAD, ClientConnection
+from frostspindle.net.http.clients import MAX_PIPELINED_CALLS, ClientConnection
 from frostspindle.net.http.connection_limits import RECEIVING, ConnectionStep
 from frostspindle.net.http.listener import Listener
 from frostspindle.net.http.request_registry import DepartureReason, RequestRegistry
@@ -28,11 +28,11 @@
 from frostspindle.policy import Idempotency
 from frostspindle.telemetry import Telemetry
 
-SWEEP_S = 0.2
-ADVISED_MS = 200  # so long a client that finds the program full stays away
-LAST_S = 0.3  # the end waits so long for clients that still send
-SILENT_S = 0.04  # and for them to be silent
-LAST_PASSES = 5  # over the connections, to answer what came late, where no time is left
+SWEEP_INTERVAL_S = 0.2
+DEFAULT_RETRY_AFTER_MS = 200  # so long a client that finds the program full stays away
+CLOSE_GRACE_S = 0.3  # the end waits so long for clients that still send
+QUIET_S = 0.04  # and for them to be silent
+FINAL_PASSES = 5  # over the connections, to answer what came late, where no time is left
 
 
 class WorkerRelay(Protocol):
@@ -44,10 +44,10 @@
     def release(self, ticket: str) -> None:
         """Free a request id once its request is settled."""
 
-    def relay_call(self, slot: PendingCall, method: bytes, path: str, url: bytes) -> bool:
+    def relay_call(self, call: PendingCall, method: bytes, path: str, url: bytes) -> bool:
         """Pass a call on a path unknown here to the worker that has it; return whether one answers it."""
 
-    def abandon(self, slot: PendingCall) -> None:
+    def abandon(self, call: PendingCall) -> None:
         """Note that the client of a call that was passed on has gone."""
 
     def accepts(self) -> bool:
@@ -69,16 +69,18 @@
         self.annotate_request: Callable[[ClientRequest, dict[bytes, bytes]], None] | None = (
             None  # what else its head says of a request
         )
-        self.most_memory = max((*core.settings.kind_memory_mb, 1.0))
+        self.max_memory_mb = max((*core.settings.kind_memory_mb, 1.0))
         self.classes = {name.encode(): number for number, name in enumerate(config.classes)}
         self.clients: set[ClientConnection] = set()
-        self.listener = Listener(self.loop, telemetry, lambda since_ms: ClientConnection(self, since_ms), self._room)
-        self.paths = RequestRegistry(core, self.loop, int(config.limits.memory_mb * 2**20 / 24), self._released)
-        self.connection_ended = self.paths.connection_ended
+        self.listener = Listener(
+            self.loop, telemetry, lambda since_ms: ClientConnection(self, since_ms), self._has_room
+        )
+        self.registry = RequestRegistry(core, self.loop, int(config.limits.memory_mb * 2**20 / 24), self._released)
+        self.connection_ended = self.registry.connection_ended
         self._sweeper: asyncio.TimerHandle | None = None
         self._drained_at = math.inf
         most_ms = core.settings.max_retry_after_ms
-        self.advice = f"Retry-After-Ms: {min(ADVISED_MS, max(1, int(most_ms))) if most_ms > 0 else ADVISED_MS}\r\n"
+        self.retry_after_header = f"Retry-After-Ms: {min(DEFAULT_RETRY_AFTER_MS, max(1, int(most_ms))) if most_ms > 0 else DEFAULT_RETRY_AFTER_MS}\r\n"
 
     def start(self) -> None:
         """Accept from the socket that the platform holds, or from a new one; OSError if that can't be had."""
@@ -99,7 +101,7 @@
     @property
     def unfetched_responses(self) -> int:
         """Number of requests whose client has yet to fetch the last response."""
-        return self.paths.unfetched_responses
+        return self.registry.unfetched_responses
 
     @property
     def connections(self) -> int:
@@ -133,11 +135,13 @@
         if self._sweeper is not None:
             self._sweeper.cancel()
         self.leave()
-        last = min(self.loop.time() + LAST_S, until_s)
-        while (now := self.loop.time()) < last and not all(client.rests(now - SILENT_S) for client in self.clients):
+        last = min(self.loop.time() + CLOSE_GRACE_S, until_s)
+        while (now := self.loop.time()) < last and not all(
+            client.is_quiescent(now - QUIET_S) for client in self.clients
+        ):
             await self._finish_clients()
-        for _ in range(LAST_PASSES):
-            if not any(client.is_owed_an_answer() for client in self.clients):
+        for _ in range(FINAL_PASSES):
+            if not any(client.has_call_pending() for client in self.clients):
                 break
             await self._finish_clients()
         for client in list(self.clients):
@@ -146,12 +150,12 @@
     async def _finish_clients(self) -> None:
         for client in list(self.clients):
             client.finish()
-        await asyncio.sleep(SILENT_S / 4.0)
+        await asyncio.sleep(QUIET_S / 4.0)
 
     def share_descriptors(self, is_sharing: bool) -> None:
         """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
-        self.most_clients = connection_limits.max_connections(self.sockets, is_sharing)
-        self.reserve = connection_limits.reserved_connections(self.most_clients, is_sharing)
+        self.max_clients = connection_limits.max_connections(self.sockets, is_sharing)
+        self.reserved_connections = connection_limits.reserved_connections(self.max_clients, is_sharing)
 
     # Draining.
 
@@ -170,86 +174,97 @@
 
     # Connections.
 
-    def joined(self, client: ClientConnection) -> None:
+    def register(self, client: ClientConnection) -> None:
         """Register a connection; over the bound, one that can be spared is closed, else this one is marked `extra`."""
         self.clients.add(client)
-        client.extra = not self._make_room(client, connection_limits.RECLAIM_FOR_CONNECTION)
+        client.is_over_limit = not self._make_room(client, connection_limits.RECLAIM_FOR_CONNECTION)
 
     def _make_room(self, newest: ClientConnection | None, least: float) -> bool:
         """End those that need their places least: silent, long idle or slow; never one with a call at work or unread.
         Those that are ending already have no place any more."""
-        if len(self.clients) <= self.most_clients:
+        if len(self.clients) <= self.max_clients:
             return True
-        over, now = sum(not client.leaving for client in self.clients) - self.most_clients, self.loop.time()
+        over, now = sum(not client.is_closing for client in self.clients) - self.max_clients, self.loop.time()
         ranked = (
             [
-                (connection_limits.reclaim_score(client.state(), now - client.since), client)
+                (connection_limits.reclaim_score(client.state(), now - client.state_since), client)
                 for client in self.clients
-                if client is not newest and not client.leaving
+                if client is not newest and not client.is_closing
             ]
             if over > 0
             else []
         )
         # Half a request, or a path that is about to be called, goes only where there is nobody else.
-        for rank, client in sorted(ranked, key=lambda one: (one[1].partial or one[1].awaited, -one[0])):
+        for rank, client in sorted(ranked, key=lambda one: (one[1].is_receiving or one[1].expects_poll, -one[0])):
             if over <= 0:
                 break
-            if rank >= least and client.give_way():
+            if rank >= least and client.reclaim():
                 self.telemetry.count("places_cleared", FRONT)
                 over -= 1
         return over <= 0
 
-    def _room(self) -> bool:
+    def _has_room(self) -> bool:
         """Whether one more connection may be accepted, be it to hear that there is no place for it."""
-        if self.open_connections < self.most_clients + self.reserve:
+        if self.open_connections < self.max_clients + self.reserved_connections:
             return True
         self._make_room(None, connection_limits.RECLAIM_FOR_CONNECTION)
         now = self.loop.time()
         for client in list(self.clients):
-            if client.leaving and now - client.since > connection_limits.CLOSING_RECLAIM_S and not client.unread():
+            if (
+                client.is_closing
+                and now - client.state_since > connection_limits.CLOSING_RECLAIM_S
+                and not client.has_unread()
+            ):
                 self.clients.discard(client)
                 client.transport.abort()
-        return self.open_connections < self.most_clients + self.reserve
+        return self.open_connections < self.max_clients + self.reserved_connections
 
     def _sweep(self) -> None:
         """Close whoever has had its time: a word or a close is owed within 3 s of connecting."""
-        self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for client in list(self.clients):
             # Nobody reads there, so that the client's end would not be noticed.
-            if not client.leaving and not client.transport.is_reading() and not client.is_connected():
+            if not client.is_closing and not client.transport.is_reading() and not client.is_connected():
                 continue
             step = connection_limits.next_step(
-                client.state(), now - client.since, now - client.stuck_at, now - self._drained_at, client.awaited
+                client.state(),
+                now - client.state_since,
+                now - client.write_paused_at,
+                now - self._drained_at,
+                client.expects_poll,
             )
             if step is ConnectionStep.KEEP:
                 continue
             self.telemetry.count(f"connections_ended_{step.name.lower()}", FRONT)
-            if client.awaited:
+            if client.expects_poll:
                 self.telemetry.log("connection_ended", reason=step.name.lower(), path_awaited=True)
             if step is ConnectionStep.ABORT:
                 client.transport.abort()
             elif step is ConnectionStep.REQUEST_TOO_SLOW:
-                if client.unread() and now - client.since < connection_limits.REQUEST_TIMEOUT_S + 2 * SWEEP_S:
+                if (
+                    client.has_unread()
+                    and now - client.state_since < connection_limits.REQUEST_TIMEOUT_S + 2 * SWEEP_INTERVAL_S
+                ):
                     continue  # its end may lie there
                 self.telemetry.count("slow_clients", FRONT)
-                client.refuse(CallRejectedError(408, "the request did not come in time"))
+                client.reject(CallRejectedError(408, "the request did not come in time"))
             elif step is ConnectionStep.REJECT_IN_DRAIN:
-                client.refuse(CallRejectedError(503, "Busy"))
+                client.reject(CallRejectedError(503, "Busy"))
             else:
                 if step is ConnectionStep.CLOSE_SILENT:
                     self.telemetry.count("silent_clients", FRONT)
                 client.end()
 
-    def call_abandoned(self, slot: PendingCall) -> None:
+    def call_abandoned(self, call: PendingCall) -> None:
         """Note that the connection of a call has ended."""
-        self.paths.call_abandoned(slot)
+        self.registry.call_abandoned(call)
         if self.relay is not None:
-            self.relay.abandon(slot)
+            self.relay.abandon(call)
 
     # One call.
 
-    def call(self, slot: PendingCall, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+    def call(self, call: PendingCall, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         """Answer a whole call or submit its request to the core.
 
         Raises Refusal, a 4xx that ends the connection. A POST is answered 503 where clients are over the bound, a
@@ -262,61 +277,61 @@
             if method not in (b"GET", b"HEAD"):
                 raise CallRejectedError(405, "only GET")
             if self.draining:
-                slot.reply(503, {"failure": "Busy"}, self.advice, last=True)
+                call.reply(503, {"failure": "Busy"}, self.retry_after_header, last=True)
                 return
-            slot.reply(200) if method == b"HEAD" else slot.reply(200, "ok")
+            call.reply(200) if method == b"HEAD" else call.reply(200, "ok")
             return
         if method == b"POST":
-            self._post(slot, url[6:], fields, body)
+            self._post(call, url[6:], fields, body)
             return
         path, _, page = url.decode("latin-1").rpartition("/")
-        opened = self.paths.open.get(path)
-        if opened is None and self.relay is not None and self.relay.relay_call(slot, method, path, url):
+        opened = self.registry.open.get(path)
+        if opened is None and self.relay is not None and self.relay.relay_call(call, method, path, url):
             return
         if method == b"DELETE":
             if opened is None:
                 raise CallRejectedError(404, "no such request")
-            self.paths.leave(opened, DepartureReason.DELETED)
-            slot.reply(204)
+            self.registry.abandon(opened, DepartureReason.DELETED)
+            call.reply(204)
         elif method != b"GET":
             raise CallRejectedError(405, "only POST, GET and DELETE")
         elif opened is None or not (page.isascii() and page.isdecimal()) or len(page) > 4:
             raise CallRejectedError(404, "no such request")
         else:
-            slot.opened, slot.page = opened, int(page)
-            self.paths.wait(slot)
+            call.opened, call.page = opened, int(page)
+            self.registry.wait(call)
 
-    def _post(self, slot: PendingCall, class_name: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
+    def _post(self, call: PendingCall, class_name: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         """Check a request, and submit it to the core where there is capacity for it."""
         if class_name not in self.classes:
             raise CallRejectedError(404, "no such class")
         number = self.classes[class_name]
         class_settings = self.core.settings.classes[number]
         has_idempotency_key = class_settings.idempotency == Idempotency.WITH_KEY
-        described = read.read(
+        described = request_fields.read_request(
             fields,
             number,
             class_settings.deadline_ms,
-            self.most_memory,
+            self.max_memory_mb,
             class_settings.in_order,
             has_idempotency_key,
         )
         statement = _read_statement(body)
-        tenant = self._tenant_of(slot, fields, statement, described.tenant)
-        if described.ticket in self.paths.ids:
+        tenant = self._tenant_of(call, fields, statement, described.tenant)
+        if described.ticket in self.registry.ids:
             raise CallRejectedError(409, "X-Request-Id: this request is already open")
-        if not slot.client.is_connected():
+        if not call.client.is_connected():
             return
-        if not self._has_capacity(slot, number) or not self._claim_id(slot, described.ticket):
+        if not self._has_capacity(call, number) or not self._claim_id(call, described.ticket):
             return
-        opened = self.paths.new(described.ticket, f"/call/{class_name.decode()}/{self.prefix}")
+        opened = self.registry.new(described.ticket, f"/call/{class_name.decode()}/{self.prefix}")
         request = ClientRequest(
             FRONT,
             number,
             described.ticket,
             statement,
-            slot.client.came_ms,
-            described.left_ms,
+            call.client.received_ms,
+            described.timeout_ms,
             opened.on_response,
             described.cost_ms,
             described.memory_mb,
@@ -324,43 +339,51 @@
             tenant=tenant,
             key=described.key,
             idempotency_key=described.idempotency_key,
-            is_client_connected=lambda: self.paths.is_connected(opened),
+            is_client_connected=lambda: self.registry.is_connected(opened),
         )
         self._mark(request, fields)
         if described.retry:
             self.telemetry.count("client_retries", FRONT, self.core.classes[number][1])
-        self._submit(slot, opened, request)
+        self._submit(call, opened, request)
 
-    def _tenant_of(self, slot: PendingCall, fields: dict[bytes, bytes], statement: str, named: bytes | None) -> int:
+    def _tenant_of(self, call: PendingCall, fields: dict[bytes, bytes], statement: str, named: bytes | None) -> int:
         """Return the number of the request's tenant; CallRejectedError if it names one that is unknown."""
         if self.tenant is None:
             return 0
-        peer = slot.client.transport.get_extra_info("peername") or ("",)
+        peer = call.client.transport.get_extra_info("peername") or ("",)
         attributes = RequestAttributes(FRONT, peer[0], fields, schema=schema(statement))
         try:
             return self.tenant(attributes, named)
         except UnknownTenantError as unknown:
             raise CallRejectedError(400, f"X-Tenant: {unknown}") from None
 
-    def _has_capacity(self, slot: PendingCall, number: int) -> bool:
+    def _has_capacity(self, call: PendingCall, number: int) -> bool:
         """Return whether one more request may be submitted; if not, the call is answered."""
-        client = slot.client
-        client.extra = client.extra and not self._make_room(client, connection_limits.RECLAIM_FOR_REQUEST)
+        client = call.client
+        client.is_over_limit = client.is_over_limit and not self._make_room(
+            client, connection_limits.RECLAIM_FOR_REQUEST
+        )
         draining_s = self.loop.time() - self._drained_at
-        if not client.extra and len(client.pending_calls) <= AHEAD and connection_limits.accepts_requests(draining_s):
+        if (
+            not client.is_over_limit
+            and len(client.pending_calls) <= MAX_PIPELINED_CALLS
+            and connection_limits.accepts_requests(draining_s)
+        ):
             return True
         self.telemetry.count("full", FRONT, self.core.classes[number][1])
-        slot.reply(503, {"failure": "Busy"}, self.advice, last=client.extra)
+        call.reply(503, {"failure": "Busy"}, self.retry_after_header, last=client.is_over_limit)
         return False
 
-    def _claim_id(self, slot: PendingCall, ticket: str) -> bool:
+    def _claim_id(self, call: PendingCall, ticket: str) -> bool:
         """Reserve the request's id among the workers; if it can't be had, the call is answered or rejected."""
         rejection = self.relay.claim(ticket) if self.relay is not None else None
         if rejection is None:
             return True
         if rejection.status < 500:
             raise rejection
-        slot.reply(rejection.status, {"failure": rejection.text}, self.advice if rejection.status == 503 else "")
+        call.reply(
+            rejection.status, {"failure": rejection.text}, self.retry_after_header if rejection.status == 503 else ""
+        )
         return False
 
     def _mark(self, request: ClientRequest, fields: dict[bytes, bytes]) -> None:
@@ -373,16 +396,16 @@
             self._released(request.ticket)
             raise
 
-    def _submit(self, slot: PendingCall, opened: OpenRequest, request: ClientRequest) -> None:
+    def _submit(self, call: PendingCall, opened: OpenRequest, request: ClientRequest) -> None:
         if not self.core.submit(request):
             self._released(request.ticket)
-            slot.reply(503, {"failure": "Busy"}, self.advice)
+            call.reply(503, {"failure": "Busy"}, self.retry_after_header)
             return
         opened.request = request
-        slot.opened = opened
-        slot.page = -1
-        self.paths.ids.add(request.ticket)
-        self.paths.wait(slot)
+        call.opened = opened
+        call.page = -1
+        self.registry.ids.add(request.ticket)
+        self.registry.wait(call)
 
     def _released(self, ticket: str) -> None:
         if self.relay is not None:
--- a/frostspindle/net/snmp.py
+++ b/frostspindle/net/snmp.py
@@ -31,7 +31,7 @@
 FRONTS = {"http": 1, "tds": 2}
 CLASS_COUNTS = ("taken", "full", "sent", "served", "refused", "failed", "left")
 HEALTH = {0: 3, 1: 1, 2: 2}  # the module's numbers to the MIB's: ready, draining, gone
-OLD_MS = 200.0  # a walk reads many objects of one picture; it is drawn anew after this
+SNAPSHOT_MAX_AGE_MS = 200.0  # a walk reads many objects of one picture; it is drawn anew after this
 Oid = tuple[int, ...]
 
 
@@ -40,11 +40,11 @@
 
     def __init__(self, core: Core, telemetry: Telemetry, sessions: Callable[[], dict[str, int]]) -> None:
         self.core, self.telemetry, self.sessions = core, telemetry, sessions
-        self._at, self._values, self._order = 0.0, dict[Oid, Any](), list[Oid]()
+        self._taken_ms, self._values, self._order = 0.0, dict[Oid, Any](), list[Oid]()
 
-    def _picture(self) -> dict[Oid, Any]:
+    def _snapshot(self) -> dict[Oid, Any]:
         now = time.monotonic() * 1000.0
-        if self._order and now - self._at < OLD_MS:
+        if self._order and now - self._taken_ms < SNAPSHOT_MAX_AGE_MS:
             return self._values
         telemetry, counts, out = self.telemetry, self.telemetry.counts, {}
         figures = self.core.figures()
@@ -75,19 +75,19 @@
             out[(*ENGINES, 4, *row)] = rfc1902.Integer32(HEALTH[state.entry.health])
         for front, count in self.sessions().items():
             out[(*SESSIONS, 2, FRONTS[front])] = rfc1902.Gauge32(count)
-        self._at, self._values, self._order = now, out, sorted(out)
+        self._taken_ms, self._values, self._order = now, out, sorted(out)
         return out
 
-    def _allowed(self, name: Oid, context: dict[str, Any]) -> None:
+    def _check_access(self, name: Oid, context: dict[str, Any]) -> None:
         context["acFun"]("read", (rfc1902.ObjectName(name), None), **{**context, "idx": 0})
 
     def read_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Answer a GET: each object by its whole name."""
-        values = self._picture()
+        values = self._snapshot()
         out = []
         for name, _ in varBinds:
             oid = tuple(name)
-            self._allowed(ROOT, context)
+            self._check_access(ROOT, context)
             if oid in values:
                 out.append((name, values[oid]))
             else:
@@ -97,13 +97,13 @@
 
     def read_next_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Answer a GETNEXT or GETBULK: the object that follows each name in order."""
-        values = self._picture()
+        values = self._snapshot()
         out = []
         for name, _ in varBinds:
-            self._allowed(ROOT, context)
-            at = bisect.bisect_right(self._order, tuple(name))
-            if at < len(self._order):
-                out.append((rfc1902.ObjectName(self._order[at]), values[self._order[at]]))
+            self._check_access(ROOT, context)
+            index = bisect.bisect_right(self._order, tuple(name))
+            if index < len(self._order):
+                out.append((rfc1902.ObjectName(self._order[index]), values[self._order[index]]))
             else:
                 out.append((name, rfc1905.endOfMibView))
         return out
--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -14,7 +14,7 @@
 BATCH, RPC, RESULT, ATTENTION, BULK, MANAGER, LOGIN7, SSPI, PRELOGIN = 1, 3, 4, 6, 7, 14, 16, 17, 18
 EOM, IGNORE, RESET_CONNECTION = 0x01, 0x02, 0x08
 HEADER = struct.Struct(">BBHHBB")
-PACKET, LEAST_PACKET, MOST_PACKET = 4096, 512, 32767
+DEFAULT_PACKET_BYTES, MIN_PACKET_BYTES, MAX_PACKET_BYTES = 4096, 512, 32767
 VERSION = 0x74000004
 
 # Tokens.
@@ -67,13 +67,13 @@
 class PacketReassembler:
     """Reassembles messages from packets, however the stream was cut or joined."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # bytes of one message
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes  # bytes of one message
         self._data, self._body = bytearray(), bytearray()
         self._kind = -1
 
     @property
-    def partial(self) -> bool:
+    def is_partial(self) -> bool:
         """Whether a message has begun and is not whole."""
         return bool(self._data or self._body)
 
@@ -86,14 +86,14 @@
         self._data += data
         while len(self._data) >= HEADER.size:
             kind, status, length, _, _, _ = HEADER.unpack_from(self._data)
-            if length < HEADER.size or length > MOST_PACKET:
+            if length < HEADER.size or length > MAX_PACKET_BYTES:
                 raise ProtocolError(f"a packet of {length} bytes")
             if kind not in (BATCH, RPC, RESULT, ATTENTION, BULK, MANAGER, LOGIN7, SSPI, PRELOGIN):
                 raise ProtocolError(f"a packet of unknown type {kind}")
             if self._kind not in (-1, kind):
                 raise ProtocolError(f"a packet of type {kind} inside a message of type {self._kind}")
-            if len(self._body) + length - HEADER.size > self.most:
-                raise MessageTooLongError(f"a message of more than {self.most} bytes")
+            if len(self._body) + length - HEADER.size > self.max_bytes:
+                raise MessageTooLongError(f"a message of more than {self.max_bytes} bytes")
             if len(self._data) < length:
                 return
             self._kind = kind
@@ -106,10 +106,10 @@
                 yield message
 
 
-def packets(kind: int, body: bytes, size: int = PACKET, status: int = 0) -> bytes:
+def packets(kind: int, body: bytes, size: int = DEFAULT_PACKET_BYTES, status: int = 0) -> bytes:
     """Return a message as packets of at most `size` bytes; `status` bits go on the first."""
-    room, out = size - HEADER.size, bytearray()
-    chunks = [body[at : at + room] for at in range(0, len(body), room)] or [b""]
+    chunk_bytes, out = size - HEADER.size, bytearray()
+    chunks = [body[at : at + chunk_bytes] for at in range(0, len(body), chunk_bytes)] or [b""]
     for number, chunk in enumerate(chunks):
         bits = (status if number == 0 else 0) | (EOM if number == len(chunks) - 1 else 0)
         out += HEADER.pack(kind, bits, HEADER.size + len(chunk), 0, (number + 1) & 0xFF, 0) + chunk
@@ -155,7 +155,7 @@
     user: str = ""
     application: str = ""
     database: str = ""
-    packet: int = PACKET
+    packet: int = DEFAULT_PACKET_BYTES
     version: int = VERSION
 
 
@@ -172,14 +172,20 @@
         offset, count = struct.unpack_from("<HH", body, at)
         if count > 128 or offset + 2 * count > len(body):
             raise ProtocolError("a LOGIN7 field runs past its message")
-        return _utf16(body[offset : offset + 2 * count])
+        return _decode_utf16(body[offset : offset + 2 * count])
 
     if version >> 24 < 0x72:
         raise ProtocolError(f"TDS version {version:08x} is older than 7.2")
-    return Login(text(40), text(48), text(68), max(LEAST_PACKET, min(MOST_PACKET, packet or PACKET)), version)
+    return Login(
+        text(40),
+        text(48),
+        text(68),
+        max(MIN_PACKET_BYTES, min(MAX_PACKET_BYTES, packet or DEFAULT_PACKET_BYTES)),
+        version,
+    )
 
 
-def login(user: str, password: str, application: str, database: str, packet: int = PACKET) -> bytes:
+def login(user: str, password: str, application: str, database: str, packet: int = DEFAULT_PACKET_BYTES) -> bytes:
     """Return the body of a LOGIN7; the password is obfuscated as MS-TDS asks, not encrypted."""
     secret = bytes((((b << 4) | (b >> 4)) & 0xFF) ^ 0xA5 for b in password.encode("utf-16-le"))
     fields = [
@@ -203,7 +209,7 @@
     return struct.pack("<I", 4 + len(body)) + body
 
 
-def _utf16(data: bytes) -> str:
+def _decode_utf16(data: bytes) -> str:
     try:
         return data.decode("utf-16-le")
     except UnicodeDecodeError:
@@ -220,7 +226,7 @@
     skip = struct.unpack_from("<I", body)[0]
     if not 4 <= skip <= len(body) or (len(body) - skip) % 2:
         raise ProtocolError("a batch's headers run past it")
-    return _utf16(body[skip:])
+    return _decode_utf16(body[skip:])
 
 
 def batch(statement: str) -> bytes:
@@ -231,7 +237,7 @@
 # Tokens that are written here.
 
 
-def _short(text: str) -> bytes:
+def _b_varchar(text: str) -> bytes:
     return bytes((len(text),)) + text.encode("utf-16-le")
 
 
@@ -241,8 +247,8 @@
     body = (
         struct.pack("<iBBH", number, 1, severity, len(text))
         + text.encode("utf-16-le")
-        + _short(server)
-        + _short("")
+        + _b_varchar(server)
+        + _b_varchar("")
         + struct.pack("<I", 1)
     )
     return struct.pack("<BH", ERROR, len(body)) + body
@@ -256,10 +262,10 @@
 def login_ack(database: str, packet: int) -> bytes:
     """Return the tokens that accept a log-in: LOGINACK, ENVCHANGE for database and packet size, and the last DONE."""
     name = "frostspindle"
-    ack = b"\x01" + struct.pack(">I", VERSION) + _short(name) + bytes((1, 0, 0, 0))
+    ack = b"\x01" + struct.pack(">I", VERSION) + _b_varchar(name) + bytes((1, 0, 0, 0))
     out = struct.pack("<BH", LOGINACK, len(ack)) + ack
-    for kind, new, old in ((1, database, ""), (4, str(packet), str(PACKET))):
-        change = bytes((kind,)) + _short(new) + _short(old)
+    for kind, new, old in ((1, database, ""), (4, str(packet), str(DEFAULT_PACKET_BYTES))):
+        change = bytes((kind,)) + _b_varchar(new) + _b_varchar(old)
         out += struct.pack("<BH", ENVCHANGE, len(change)) + change
     return out + done()
 
@@ -268,7 +274,7 @@
     """Return a result of text columns; used by stand-ins and examples."""
     out = bytearray(struct.pack("<BH", COLMETADATA, len(columns)))
     for column in columns:
-        out += struct.pack("<IHBH", 0, 9, NVARCHAR, 8000) + _COLLATION + _short(column)
+        out += struct.pack("<IHBH", 0, 9, NVARCHAR, 8000) + _COLLATION + _b_varchar(column)
     for row in rows:
         out.append(ROW)
         for value in row:
@@ -294,7 +300,7 @@
     """What a whole response holds. `tokens` leaves out those about the engine's session only."""
 
     tokens: bytes = b""
-    faults: list[ErrorToken] = field(default_factory=list)
+    errors: list[ErrorToken] = field(default_factory=list)
     status: int = 0  # of the last DONE
     rows: int = 0
     accepted: bool = False  # a LOGINACK came
@@ -322,119 +328,119 @@
         return self.data[start : start + count]
 
 
-def _column(r: _Reader) -> tuple[str, int]:
+def _read_column(reader: _Reader) -> tuple[str, int]:
     """One column's type information: how its values are measured."""
-    r.skip(6)
-    kind = r.number("B")
+    reader.skip(6)
+    kind = reader.number("B")
     if kind in _FIXED:
-        how = ("fixed", _FIXED[kind])
+        encoding = ("fixed", _FIXED[kind])
     elif kind in _BYTE_LEN:
-        r.skip(_BYTE_LEN[kind])
-        how = ("byte", 0)
+        reader.skip(_BYTE_LEN[kind])
+        encoding = ("byte", 0)
     elif kind in _SHORT_LEN:
-        most = r.number("H")
-        r.skip(_SHORT_LEN[kind])
-        how = ("plp", 0) if most == 0xFFFF else ("short", 0)
+        max_bytes = reader.number("H")
+        reader.skip(_SHORT_LEN[kind])
+        encoding = ("plp", 0) if max_bytes == 0xFFFF else ("short", 0)
     elif kind in _LONG_LEN:
-        r.skip(4 + _LONG_LEN[kind])
-        for _ in range(r.number("B")):
-            r.skip(2 * r.number("H"))
-        how = ("text", 0)
+        reader.skip(4 + _LONG_LEN[kind])
+        for _ in range(reader.number("B")):
+            reader.skip(2 * reader.number("H"))
+        encoding = ("text", 0)
     elif kind == _VARIANT:
-        r.skip(4)
-        how = ("long", 0)
+        reader.skip(4)
+        encoding = ("long", 0)
     elif kind == _XML:
-        if r.number("B"):
-            r.skip(2 * r.number("B"))
-            r.skip(2 * r.number("B"))
-            r.skip(2 * r.number("H"))
-        how = ("plp", 0)
+        if reader.number("B"):
+            reader.skip(2 * reader.number("B"))
+            reader.skip(2 * reader.number("B"))
+            reader.skip(2 * reader.number("H"))
+        encoding = ("plp", 0)
     else:
         raise ProtocolError(f"a column of type {kind:#04x}")
-    r.skip(2 * r.number("B"))
-    return how
+    reader.skip(2 * reader.number("B"))
+    return encoding
 
 
-def _value(r: _Reader, how: tuple[str, int]) -> None:
-    form, size = how
+def _skip_value(reader: _Reader, encoding: tuple[str, int]) -> None:
+    form, size = encoding
     if form == "fixed":
-        r.skip(size)
+        reader.skip(size)
     elif form == "byte":
-        r.skip(r.number("B"))
+        reader.skip(reader.number("B"))
     elif form == "short":
-        size = r.number("H")
-        r.skip(0 if size == 0xFFFF else size)
+        size = reader.number("H")
+        reader.skip(0 if size == 0xFFFF else size)
     elif form == "long":
-        r.skip(r.number("I"))
+        reader.skip(reader.number("I"))
     elif form == "text":
-        if pointer := r.number("B"):
-            r.skip(pointer + 8)
-            r.skip(r.number("I"))
-    elif r.number("Q") != 0xFFFFFFFFFFFFFFFF:
-        while size := r.number("I"):
-            r.skip(size)
+        if pointer := reader.number("B"):
+            reader.skip(pointer + 8)
+            reader.skip(reader.number("I"))
+    elif reader.number("Q") != 0xFFFFFFFFFFFFFFFF:
+        while size := reader.number("I"):
+            reader.skip(size)
 
 
 def read_result(data: bytes) -> Result:
     """Check and read a whole response of an engine; ProtocolError if it is cut, unknown or lacks its last DONE."""
-    r, result, kept = _Reader(data), Result(), bytearray()
+    reader, result, kept = _Reader(data), Result(), bytearray()
     columns: list[tuple[str, int]] = []
     last = False
-    while r.at < len(data):
-        start, token = r.at, r.number("B")
+    while reader.at < len(data):
+        start, token = reader.at, reader.number("B")
         last = False
         keep = True
         if token == COLMETADATA:
-            count = r.number("H")
-            columns = [] if count == 0xFFFF else [_column(r) for _ in range(count)]
+            count = reader.number("H")
+            columns = [] if count == 0xFFFF else [_read_column(reader) for _ in range(count)]
         elif token == ROW:
             if not columns:
                 raise ProtocolError("a row without columns")
-            for how in columns:
-                _value(r, how)
+            for encoding in columns:
+                _skip_value(reader, encoding)
             result.rows += 1
         elif token == NBCROW:
             if not columns:
                 raise ProtocolError("a row without columns")
-            nulls = r.chunk((len(columns) + 7) // 8)
-            for number, how in enumerate(columns):
+            nulls = reader.chunk((len(columns) + 7) // 8)
+            for number, encoding in enumerate(columns):
                 if not nulls[number // 8] >> (number % 8) & 1:
-                    _value(r, how)
+                    _skip_value(reader, encoding)
             result.rows += 1
         elif token in (DONE, DONEPROC, DONEINPROC):
-            result.status = r.number("H")
-            r.skip(10)
+            result.status = reader.number("H")
+            reader.skip(10)
             last = not result.status & DONE_MORE and token != DONEINPROC
         elif token == ERROR:
-            result.faults.append(_fault(r.chunk(r.number("H"))))
+            result.errors.append(_read_error(reader.chunk(reader.number("H"))))
         elif token in (INFO, ORDER, TABNAME, COLINFO):
-            r.skip(r.number("H"))
+            reader.skip(reader.number("H"))
         elif token == RETURNSTATUS:
-            r.skip(4)
+            reader.skip(4)
         elif token in (LOGINACK, ENVCHANGE):
-            r.skip(r.number("H"))
+            reader.skip(reader.number("H"))
             result.accepted |= token == LOGINACK
             keep = False
         elif token == SESSIONSTATE:
-            r.skip(r.number("I"))
+            reader.skip(reader.number("I"))
             keep = False
         elif token == FEATUREEXTACK:
-            while r.number("B") != 0xFF:
-                r.skip(r.number("I"))
+            while reader.number("B") != 0xFF:
+                reader.skip(reader.number("I"))
             keep = False
         else:
             raise ProtocolError(f"a token of unknown type {token:#04x}")
         if keep:
-            kept += data[start : r.at]
+            kept += data[start : reader.at]
     if not last:
         raise ProtocolError("an answer without its last DONE")
     result.tokens = bytes(kept)
     return result
 
 
-def _fault(body: bytes) -> ErrorToken:
-    r = _Reader(body)
-    number = r.number("i")
-    r.skip(1)
-    severity = r.number("B")
-    return ErrorToken(number, severity, _utf16(r.chunk(2 * r.number("H"))))
+def _read_error(body: bytes) -> ErrorToken:
+    reader = _Reader(body)
+    number = reader.number("i")
+    reader.skip(1)
+    severity = reader.number("B")
+    return ErrorToken(number, severity, _decode_utf16(reader.chunk(2 * reader.number("H"))))
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -22,11 +22,11 @@
 from frostspindle.telemetry import Telemetry
 
 SHUTTING_DOWN = {6005, 6006, 17142, 17147, 18401}  # the numbers of a server that stops or pauses
-SOFT = 16  # up to this severity an error is the statement's own, and is its answer
-DEADLOCK, TOO_LONG = 1205, 50003
-ATTENTION_S = 1.0  # an engine that does not confirm an Attention by then loses the connection
-IDLE_S, POOL = 30.0, 16  # idle connections of one engine
-AGAIN_S = 0.5  # how often an engine that shut down is tried
+MAX_STATEMENT_SEVERITY = 16  # up to this severity an error is the statement's own, and is its answer
+DEADLOCK, RESULT_TOO_LONG = 1205, 50003
+ATTENTION_TIMEOUT_S = 1.0  # an engine that does not confirm an Attention by then loses the connection
+IDLE_TIMEOUT_S, MAX_IDLE_SESSIONS = 30.0, 16  # idle connections of one engine
+RECONNECT_INTERVAL_S = 0.5  # how often an engine that shut down is tried
 
 
 class SessionUnavailableError(Exception):
@@ -40,19 +40,19 @@
 class _Connection:
     """One logged-in session at an engine."""
 
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, most: int) -> None:
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, max_bytes: int) -> None:
         self.reader, self.writer = reader, writer
         self.used, self.idle_at = False, 0.0
-        self.splitter = codec.PacketReassembler(most)
-        self._stray: asyncio.Task[bytes] | None = None
+        self.splitter = codec.PacketReassembler(max_bytes)
+        self._stray_read: asyncio.Task[bytes] | None = None
 
     @classmethod
-    async def open(cls, at: tuple[str, int], tds: TdsSection, database: str, most: int) -> _Connection:
+    async def open(cls, at: tuple[str, int], tds: TdsSection, database: str, max_bytes: int) -> _Connection:
         try:
             reader, writer = await asyncio.open_connection(*at, limit=64 * 1024)
         except OSError as error:
             raise SessionUnavailableError(repr(error)) from None
-        connection = cls(reader, writer, most)
+        connection = cls(reader, writer, max_bytes)
         try:
             await connection._log_in(tds, database)
         except BaseException:
@@ -85,9 +85,9 @@
             result = codec.read_result(await self.answer())
         except (OSError, EOFError, codec.ProtocolError) as error:
             raise SessionUnavailableError(f"no log-in: {error!r}") from None
-        if not result.accepted or result.faults:
+        if not result.accepted or result.errors:
             raise SessionUnavailableError(
-                "log-in refused: " + "; ".join(f.text for f in result.faults), [f.number for f in result.faults]
+                "log-in refused: " + "; ".join(f.text for f in result.errors), [f.number for f in result.errors]
             )
 
     async def answer(self) -> bytes:
@@ -110,7 +110,7 @@
     async def attention(self) -> bool:
         """Stop what runs here; True once the engine has confirmed it."""
         try:
-            async with asyncio.timeout(ATTENTION_S):
+            async with asyncio.timeout(ATTENTION_TIMEOUT_S):
                 self.writer.write(codec.packets(codec.ATTENTION, b""))
                 while True:
                     result = codec.read_result(await self.answer())
@@ -119,23 +119,23 @@
         except (OSError, EOFError, TimeoutError, codec.ProtocolError):
             return False
 
-    def park(self) -> None:
+    def set_idle(self) -> None:
         """Left idle: whatever the engine writes now, or its end of the stream, makes this session stale."""
         self.idle_at = clock()
-        self._stray = asyncio.ensure_future(self.reader.read(1))
+        self._stray_read = asyncio.ensure_future(self.reader.read(1))
 
-    async def unpark(self) -> bool:
+    async def reuse(self) -> bool:
         """Take it up again; False: stale. A word left over must not be read as the next batch's answer."""
-        assert self._stray is not None
-        stray, self._stray = self._stray, None
-        fresh = not stray.done() and clock() - self.idle_at < IDLE_S * 1000.0
+        assert self._stray_read is not None
+        stray, self._stray_read = self._stray_read, None
+        fresh = not stray.done() and clock() - self.idle_at < IDLE_TIMEOUT_S * 1000.0
         stray.cancel()
         await asyncio.wait((stray,))
         return fresh and stray.cancelled()
 
     def close(self) -> None:
-        if self._stray is not None:
-            self._stray.cancel()
+        if self._stray_read is not None:
+            self._stray_read.cancel()
         self.writer.transport.abort()
 
 
@@ -150,27 +150,27 @@
         self.states: dict[int, EngineState] = {}
         self._names: dict[str, int] = {}
         self._idle: dict[tuple[int, str], deque[_Connection]] = {}
-        self._watched: set[int] = set()
+        self._watched_engines: set[int] = set()
         self._version = 0
 
     # The operator's list.
 
-    def configure(self, engines: Iterable[TdsEngine], how: int = EndpointListKind.DELTA) -> None:
+    def configure(self, engines: Iterable[TdsEngine], list_kind: int = EndpointListKind.DELTA) -> None:
         """Apply the operator's list, at the start and again on SIGHUP; engines no longer in it are gone."""
         changed, named = [], set()
         for engine in engines:
-            number = self._number(engine.name)
+            number = self._engine_id(engine.name)
             named.add(number)
             state = self._state(engine, number)
             known = self.states.get(number)
             if known is None or (known.entry, known.address) != (state.entry, state.address):
                 changed.append(state)
         changed += [
-            self._with(s, Health.GONE)
+            self._with_health(s, Health.GONE)
             for n, s in self.states.items()
             if n not in named and s.entry.health != Health.GONE
         ]
-        self._tell(changed, how)
+        self._publish(changed, list_kind)
 
     def _state(self, engine: TdsEngine, number: int) -> EngineState:
         known = self.states.get(number)
@@ -180,17 +180,17 @@
         entry = EngineEntry(number, 0, self.kinds[engine.cores, engine.memory_mb], 0, STATES[engine.state], 1.0, since)
         return EngineState(entry, engine.name, address(engine.dial, engine.name), self)
 
-    def _with(self, state: EngineState, health: int, since: float | None = None) -> EngineState:
+    def _with_health(self, state: EngineState, health: int, since: float | None = None) -> EngineState:
         entry = state.entry._replace(health=health, since_ms=state.entry.since_ms if since is None else since)
         return EngineState(entry, state.name, state.address, self)
 
-    def _tell(self, states: list[EngineState], how: int = EndpointListKind.DELTA) -> None:
+    def _publish(self, states: list[EngineState], list_kind: int = EndpointListKind.DELTA) -> None:
         if states:
             self._version += 1
             self.states.update({state.entry.engine: state for state in states})
-            self.core.update_endpoints(self, states, how, self._version)
+            self.core.update_endpoints(self, states, list_kind, self._version)
 
-    def _number(self, name: str) -> int:
+    def _engine_id(self, name: str) -> int:
         if name not in self._names:
             number = zlib.crc32(b"tds " + name.encode())
             while number in self._names.values() or number in self.core.engines:
@@ -198,21 +198,21 @@
             self._names[name] = number
         return self._names[name]
 
-    def _drains(self, number: int) -> None:
+    def _mark_draining(self, number: int) -> None:
         """The engine itself says that it stops: no new work, until it takes log-ins again."""
         state = self.states[number]
         if state.entry.health == Health.READY:
             self.telemetry.count("shutdowns_heard", "tds")
-            self._tell([self._with(state, Health.DRAINING)])
-        if number not in self._watched:
-            self._watched.add(number)
+            self._publish([self._with_health(state, Health.DRAINING)])
+        if number not in self._watched_engines:
+            self._watched_engines.add(number)
             self.spawn(self._watch(number))
 
     async def _watch(self, number: int) -> None:
         """Wait for an engine that shut down to take log-ins again; it then counts as just started."""
         try:
             while self.states[number].entry.health == Health.DRAINING:
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RECONNECT_INTERVAL_S)
                 state = self.states[number]
                 try:
                     async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
@@ -221,9 +221,9 @@
                     continue
                 connection.close()
                 if self.states[number].entry.health == Health.DRAINING:
-                    self._tell([self._with(self.states[number], Health.READY, clock())])
+                    self._publish([self._with_health(self.states[number], Health.READY, clock())])
         finally:
-            self._watched.discard(number)
+            self._watched_engines.discard(number)
 
     # The core's interface.
 
@@ -240,8 +240,8 @@
     async def close(self) -> None:
         """Cancel all attempts, wait for their ends, and close the idle sessions."""
         await super().close()
-        for line in self._idle.values():
-            for connection in line:
+        for idle in self._idle.values():
+            for connection in idle:
                 connection.close()
 
     # One attempt.
@@ -265,14 +265,14 @@
                     outcome = AttemptOutcome.RESET
                     connection.request(attempt.request.statement)
                     self.core.count_written(attempt)
-                    outcome, tokens = self._read(attempt, await connection.answer())
-                    self._put_back(attempt, connection)
+                    outcome, tokens = self._interpret(attempt, await connection.answer())
+                    self._return_to_pool(attempt, connection)
                     connection = None
         except (OSError, EOFError) as error:
             self.telemetry.log("tds_engine_failed", engine=self.states[attempt.engine].name, error=repr(error))
         except MessageTooLongError:
             outcome = AttemptOutcome.OK
-            tokens = codec.error(TOO_LONG, f"The result passes {self.tds.max_result_bytes} bytes") + codec.done(
+            tokens = codec.error(RESULT_TOO_LONG, f"The result passes {self.tds.max_result_bytes} bytes") + codec.done(
                 codec.DONE_ERROR
             )
             self.telemetry.count("results_too_long", "tds")
@@ -299,11 +299,11 @@
     async def _connect(self, attempt: Attempt) -> _Connection | None:
         """An idle session of the engine for this database, or a new one; None: none could be had."""
         key = (attempt.engine, attempt.request.database)
-        while line := self._idle.get(key):
-            connection = line.pop()
-            if not line:
+        while idle := self._idle.get(key):
+            connection = idle.pop()
+            if not idle:
                 del self._idle[key]  # clients name the databases: what is empty is not kept
-            if await connection.unpark():
+            if await connection.reuse():
                 return connection
             connection.close()
         state = self.states[attempt.engine]
@@ -315,37 +315,40 @@
         except (SessionUnavailableError, TimeoutError) as error:
             self.telemetry.log("connect_failed", engine=state.name, error=str(error))
             if isinstance(error, SessionUnavailableError) and error.numbers & SHUTTING_DOWN:
-                self._drains(attempt.engine)
+                self._mark_draining(attempt.engine)
             return None
 
-    def _read(self, attempt: Attempt, body: bytes) -> tuple[int, bytes | None]:
+    def _interpret(self, attempt: Attempt, body: bytes) -> tuple[int, bytes | None]:
         """What a whole answer says of the attempt."""
         result = codec.read_result(body)
-        numbers = {fault.number for fault in result.faults}
+        numbers = {fault.number for fault in result.errors}
         if numbers & SHUTTING_DOWN:
-            self._drains(attempt.engine)
+            self._mark_draining(attempt.engine)
             return AttemptOutcome.ERROR, None
-        hard = [f for f in result.faults if f.severity > SOFT or f.number == DEADLOCK]
-        if hard:
+        engine_errors = [f for f in result.errors if f.severity > MAX_STATEMENT_SEVERITY or f.number == DEADLOCK]
+        if engine_errors:
             self.telemetry.log(
-                "tds_engine_failed", engine=self.states[attempt.engine].name, error=hard[0].text, number=hard[0].number
+                "tds_engine_failed",
+                engine=self.states[attempt.engine].name,
+                error=engine_errors[0].text,
+                number=engine_errors[0].number,
             )
             return AttemptOutcome.ERROR, None
-        if result.faults:  # the statement's own: repeating it elsewhere would only fail again
+        if result.errors:  # the statement's own: repeating it elsewhere would only fail again
             self.telemetry.count("statement_errors", "tds")
         return AttemptOutcome.OK, result.tokens
 
-    def _put_back(self, attempt: Attempt, connection: _Connection) -> None:
-        line = self._idle.setdefault((attempt.engine, attempt.request.database), deque())
-        connection.park()
-        line.append(connection)
-        before = clock() - IDLE_S * 1000.0
+    def _return_to_pool(self, attempt: Attempt, connection: _Connection) -> None:
+        idle = self._idle.setdefault((attempt.engine, attempt.request.database), deque())
+        connection.set_idle()
+        idle.append(connection)
+        before = clock() - IDLE_TIMEOUT_S * 1000.0
         for key, others in list(self._idle.items()):
-            while others and (others[0].idle_at < before or len(others) > POOL):
+            while others and (others[0].idle_at < before or len(others) > MAX_IDLE_SESSIONS):
                 others.popleft().close()
             if not others:
                 del self._idle[key]
-        if sum(map(len, self._idle.values())) > 8 * POOL:
+        if sum(map(len, self._idle.values())) > 8 * MAX_IDLE_SESSIONS:
             key = min(self._idle, key=lambda key: self._idle[key][0].idle_at)
             self._idle[key].popleft().close()
             if not self._idle[key]:
@@ -370,7 +373,7 @@
         except SessionUnavailableError as error:
             outcome = AttemptOutcome.CONNECT_FAILED
             if error.numbers & SHUTTING_DOWN:
-                self._drains(engine)
+                self._mark_draining(engine)
         except TimeoutError:
             outcome = AttemptOutcome.TIMEOUT
         self.core.health_check_completed(engine, outcome, clock() - began)
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -25,12 +25,12 @@
 FRONT = "tds"
 REFUSED, FAILED = 40501, 50001
 UNSUPPORTED, LOGIN_FAILED, TOO_MANY, BAD_STREAM = 50010, 18456, 17809, 4002
-CHUNK = 16 * 1024
-WHOLE_S = 2.4  # from a message's first byte until it is whole, as for HTTP clients
-EASE_S, TAKE_S = 0.3, 1.8  # in a drain: how long a session may be idle, and until when new ones are taken
-ACCEPT, BACKLOG = 8, 128  # sessions accepted in one turn, and those that the system keeps waiting
-ADVISED_MS = 100.0  # named in a refusal for which the module has no advice
-_NOT_TAKEN = {
+READ_BYTES = 16 * 1024
+MESSAGE_TIMEOUT_S = 2.4  # from a message's first byte until it is whole, as for HTTP clients
+DRAIN_IDLE_S, DRAIN_ACCEPT_S = 0.3, 1.8  # in a drain: how long a session may be idle, and until when new ones are taken
+ACCEPTS_PER_TURN, BACKLOG = 8, 128  # sessions accepted in one turn, and those that the system keeps waiting
+DEFAULT_RETRY_AFTER_MS = 100.0  # named in a refusal for which the module has no advice
+_UNSUPPORTED_MESSAGES = {
     codec.RPC: "RPC requests are not taken here; send a SQL batch",
     codec.BULK: "Bulk load is not taken here",
     codec.MANAGER: "Transactions across batches are not taken here; use autocommit",
@@ -45,23 +45,23 @@
         self.front, self.reader, self.writer = front, reader, writer
         self.splitter = codec.PacketReassembler(front.tds.max_batch_bytes)
         self.messages: list[codec.Message] = []
-        self.packet = codec.PACKET
+        self.packet = codec.DEFAULT_PACKET_BYTES
         self.profile: TdsLogin | None = None
         self.database = ""
         self.login: codec.Login | None = None
-        self.since = asyncio.get_running_loop().time()  # when it began to wait for its client
+        self.waiting_since_s = asyncio.get_running_loop().time()  # when it began to wait for its client
         self.busy = False  # a batch runs
-        self.watch = SocketWatch(writer.transport)
+        self.socket_watch = SocketWatch(writer.transport)
 
     async def message(self) -> codec.Message | None:
         """The next message, or None at the end of the stream."""
         begun: float | None = None
         while not self.messages:
-            if self.splitter.partial and begun is None:
+            if self.splitter.is_partial and begun is None:
                 begun = asyncio.get_running_loop().time()
             try:
-                async with asyncio.timeout_at(begun + WHOLE_S if begun is not None else None) as limit:
-                    data = await self.reader.read(CHUNK)
+                async with asyncio.timeout_at(begun + MESSAGE_TIMEOUT_S if begun is not None else None) as limit:
+                    data = await self.reader.read(READ_BYTES)
             except TimeoutError:
                 if limit.expired():
                     raise codec.ProtocolError("a message did not come in time") from None
@@ -78,9 +78,9 @@
 
         It has hung up or sent an Attention otherwise, which may lie unread; nothing else may come behind a batch.
         """
-        if self.writer.is_closing() or self.watch.has_hung_up():
+        if self.writer.is_closing() or self.socket_watch.has_hung_up():
             return False
-        return not (self.messages or self.splitter.partial or self.watch.has_unread())
+        return not (self.messages or self.splitter.is_partial or self.socket_watch.has_unread())
 
     async def send(self, tokens: bytes) -> None:
         self.writer.write(codec.packets(codec.RESULT, tokens, self.packet))
@@ -115,9 +115,9 @@
             elif message.kind == codec.BATCH:
                 if not await self._batch(codec.read_batch(message.body)):
                     return
-            elif message.kind in _NOT_TAKEN:
+            elif message.kind in _UNSUPPORTED_MESSAGES:
                 front.telemetry.count("not_taken", FRONT)
-                await self.fail(UNSUPPORTED, _NOT_TAKEN[message.kind])
+                await self.fail(UNSUPPORTED, _UNSUPPORTED_MESSAGES[message.kind])
             else:
                 raise codec.ProtocolError(f"a message of type {message.kind} after the log-in")
 
@@ -166,7 +166,7 @@
         try:
             return await self._run_batch(statement)
         finally:
-            self.busy, self.since = False, asyncio.get_running_loop().time()
+            self.busy, self.waiting_since_s = False, asyncio.get_running_loop().time()
 
     async def _run_batch(self, statement: str) -> bool:
         front, profile = self.front, self.profile
@@ -176,19 +176,19 @@
             return True
         answered: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
-        def settle(answer: Response) -> None:
+        def on_response(answer: Response) -> None:
             if not answered.done():
                 answered.set_result(answer)
 
-        front.tickets += 1
+        front.last_ticket += 1
         request = ClientRequest(
             FRONT,
             front.classes[profile.cls],
-            f"{front.seed ^ front.tickets:016x}",
+            f"{front.seed ^ front.last_ticket:016x}",
             statement,
             clock(),
             profile.deadline_ms,
-            settle,
+            on_response,
             profile.cost_ms,
             profile.memory_mb,
             front.group(statement),
@@ -199,14 +199,14 @@
             peer = self.writer.get_extra_info("peername") or ("",)
             request.tenant = front.tenant(self.login, peer[0], statement)
         if not front.core.submit(request):
-            await self.fail(REFUSED, _busy(ADVISED_MS))
+            await self.fail(REFUSED, _busy(DEFAULT_RETRY_AFTER_MS))
             return True
-        word = asyncio.ensure_future(self.message())  # an Attention, or the end of the stream
+        next_message = asyncio.ensure_future(self.message())  # an Attention, or the end of the stream
         try:
-            await asyncio.wait((answered, word), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((answered, next_message), return_when=asyncio.FIRST_COMPLETED)
             if not answered.done():
                 front.core.client_disconnected(request)
-                message = word.result()
+                message = next_message.result()
                 if message is None:
                     return False
                 if message.kind != codec.ATTENTION:
@@ -215,8 +215,8 @@
                 return True
             # The word that was being waited for belongs to what comes after this answer.
             await self._answer(answered.result())
-            if word.done():
-                message = word.result()
+            if next_message.done():
+                message = next_message.result()
                 if message is None:
                     return False
                 self.messages.insert(0, message)
@@ -226,9 +226,9 @@
                 front.core.client_disconnected(request)
             raise
         finally:
-            if not word.done():
-                word.cancel()
-                await asyncio.wait((word,))
+            if not next_message.done():
+                next_message.cancel()
+                await asyncio.wait((next_message,))
 
     async def _answer(self, answer: Response) -> None:
         if answer.status == ResponseStatus.SERVED:
@@ -236,7 +236,7 @@
         elif answer.reason:
             await self.fail(FAILED, answer.reason)
         elif answer.status == ResponseStatus.REJECTED:
-            await self.fail(REFUSED, _busy(answer.retry_after_ms or ADVISED_MS))
+            await self.fail(REFUSED, _busy(answer.retry_after_ms or DEFAULT_RETRY_AFTER_MS))
         else:
             await self.fail(FAILED, "The request failed. It may have run; do not repeat what must not run twice.")
 
@@ -263,28 +263,28 @@
     ) -> None:
         self.tds, self.listen, self.classes, self.core, self.telemetry = tds, listen, classes, core, telemetry
         self.tenant: Callable[[codec.Login, str, str], int] | None = None  # of a log-in, address and statement
-        self.group, self.seed, self.tickets = group, seed & 0xFFFFFFFFFFFFFFFF, 0
+        self.group, self.seed, self.last_ticket = group, seed & 0xFFFFFFFFFFFFFFFF, 0
         self.sessions: dict[asyncio.Task[None], _Session] = {}
         self._server: asyncio.Server | None = None
-        self._easing: asyncio.TimerHandle | None = None
+        self._drain_timer: asyncio.TimerHandle | None = None
         self._drained_at = 0.0
 
     def profile(self, login: codec.Login) -> TdsLogin | None:
         """Return the first log-in entry of the operator's file that fits application and database, or None."""
-        return _first(self.tds.login, login)
+        return _matching_login(self.tds.login, login)
 
-    async def start(self, shared: bool = False, held: int | None = None) -> None:
+    async def start(self, shared: bool = False, inherited_fd: int | None = None) -> None:
         """Listen on the configured address or the socket `held`; OSError if that can't be had.
 
         `shared`: during an upgrade the other process may still hold the address.
         """
-        if held is not None:
+        if inherited_fd is not None:
             self._server = await asyncio.start_server(
-                self._serve, sock=socket.socket(fileno=held), limit=CHUNK, backlog=ACCEPT
+                self._serve, sock=socket.socket(fileno=inherited_fd), limit=READ_BYTES, backlog=ACCEPTS_PER_TURN
             )
         else:
             self._server = await asyncio.start_server(
-                self._serve, *self.listen, limit=CHUNK, backlog=ACCEPT, reuse_port=shared or None
+                self._serve, *self.listen, limit=READ_BYTES, backlog=ACCEPTS_PER_TURN, reuse_port=shared or None
             )
         for listening in self._server.sockets:  # so many may be accepted at a stretch; others wait in the system
             listening._sock.listen(BACKLOG)
@@ -297,21 +297,21 @@
 
     def drain(self) -> None:
         """Begin a drain: sessions end between two batches, and after TAKE_S no new ones are taken."""
-        if self._easing is None:
+        if self._drain_timer is None:
             self._drained_at = asyncio.get_running_loop().time()
-            self._ease()
+            self._close_idle_sessions()
 
     def resume(self) -> None:
         """End a drain: idle sessions are kept again and new ones are taken."""
-        if self._easing is not None:
-            self._easing.cancel()
-            self._easing = None
+        if self._drain_timer is not None:
+            self._drain_timer.cancel()
+            self._drain_timer = None
 
-    def _ease(self) -> None:
+    def _close_idle_sessions(self) -> None:
         loop = asyncio.get_running_loop()
-        self._easing = loop.call_later(EASE_S, self._ease)
+        self._drain_timer = loop.call_later(DRAIN_IDLE_S, self._close_idle_sessions)
         for task, session in list(self.sessions.items()):
-            if not session.busy and loop.time() - session.since > EASE_S:
+            if not session.busy and loop.time() - session.waiting_since_s > DRAIN_IDLE_S:
                 self.sessions.pop(task).writer.close()
                 task.cancel()
 
@@ -334,14 +334,14 @@
         session = _Session(self, reader, writer)
         self.sessions[task] = session
         try:
-            if self._easing is not None and session.since - self._drained_at > TAKE_S:
+            if self._drain_timer is not None and session.waiting_since_s - self._drained_at > DRAIN_ACCEPT_S:
                 await session.fail(TOO_MANY, "The service takes no new sessions now", 20)
                 return
             if len(self.sessions) > self.tds.max_sessions and not self._make_room(session):
                 self.telemetry.count("sessions_refused", FRONT)
                 await session.fail(TOO_MANY, "All sessions are in use; connect again later", 20)
                 return
-            await self._guarded(session.run)
+            await self._run_guarded(session.run)
         except asyncio.CancelledError:
             pass  # the program ends
         finally:
@@ -352,9 +352,9 @@
         """Close the session that needs its place least: not logged in, else idle for longest; never a busy one."""
         now = asyncio.get_running_loop().time()
         idle = [
-            (s.profile is None, now - s.since, task)
+            (s.profile is None, now - s.waiting_since_s, task)
             for task, s in self.sessions.items()
-            if not s.busy and s is not newest and now - s.since > (0.1 if s.profile is None else 1.0)
+            if not s.busy and s is not newest and now - s.waiting_since_s > (0.1 if s.profile is None else 1.0)
         ]
         if not idle:
             return False
@@ -364,7 +364,7 @@
         task.cancel()
         return True
 
-    async def _guarded(self, run: Callable[[], Awaitable[None]]) -> None:
+    async def _run_guarded(self, run: Callable[[], Awaitable[None]]) -> None:
         """A session's fault ends that session, with an ERROR where one can still be written."""
         session: _Session = run.__self__  # type: ignore[attr-defined]
         try:
@@ -381,7 +381,7 @@
             self.telemetry.log("exception_caught", error=repr(error), of="tds session")
 
 
-def _first(logins: Iterable[TdsLogin], login: codec.Login) -> TdsLogin | None:
+def _matching_login(logins: Iterable[TdsLogin], login: codec.Login) -> TdsLogin | None:
     for entry in logins:
         if entry.application in ("", login.application) and entry.database in ("", login.database):
             return entry
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -116,7 +116,7 @@
 
     async def test_connections_that_say_nothing_give_way_to_those_that_ask(self):
         await self.start()
-        self.program.platform.most_clients = 4
+        self.program.platform.max_clients = 4
         await self.ask(number=1)  # keeps its connection
         keepers = [await self.open() for _ in range(6)]
         for number in range(2, 9):
@@ -343,7 +343,7 @@
         await self.start()
         for number in range(30):
             self.assertEqual((await self.ask(number=number, timeout=3900.0))[0], 200)
-        paths = self.program.platform.paths
+        paths = self.program.platform.registry
         self.assertEqual((self.program.core.ledger.entries, paths.open, paths.ids), ({}, {}, set()))
         self.assertLess(len(self.program.core.dispatcher.timers), 5, "the module's reminders and no dead ones")
 
@@ -357,7 +357,7 @@
         await engine.seen("DELETE")
         with contextlib.suppress(TimeoutError):
             await self.until(lambda: not self.program.core.ledger.entries)
-        self.assertEqual((self.program.core.ledger.entries, self.program.platform.paths.ids), ({}, set()))
+        self.assertEqual((self.program.core.ledger.entries, self.program.platform.registry.ids), ({}, set()))
 
 
 class OtherDeployments(EdgeCase):
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -167,7 +167,7 @@
                 await self.until(lambda: self.asks and not self.core.ledger.entries)
                 self.nothing_sent()
                 writer.close()  # only now the front sees what the look saw
-                await self.until(lambda: not self.program.platform.paths.ids)
+                await self.until(lambda: not self.program.platform.registry.ids)
                 self.assertEqual((len(looks), self.count("ended_moot")), (1, 1))
                 await self.quiet()
                 self.assertEqual(self.count("left"), 1)
@@ -460,7 +460,7 @@
                 go.set()
                 if where == "place":
                     may_open.stop()
-                    peer._next()
+                    peer._wake_waiter()
                 await self.until(lambda: self.count("ended_connect_failed"))
                 self.assertEqual(self.posts(), [])
 
@@ -477,7 +477,7 @@
         with fails:
             writer.write(post(1))
             await self.until(lambda: self.count("ended_full"))
-            self.assertEqual([line.good for line in other.lines], [])
+            self.assertEqual([line.is_reusable for line in other.established], [])
         self.assertEqual([engine.failure_rate for engine in self.core.controller.engines.values()], [0.0, 0.0])
 
 
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -191,7 +191,7 @@
                 [(line["event"], "LB_CONFIG" in line["error"]) for line in self.log[before:]],
                 [("config_reload_failed", True)],
             )
-        self.assertEqual((self.count("reloads_failed"), self.program.bus.at[1]), (8, bus.port))
+        self.assertEqual((self.count("reloads_failed"), self.program.bus.bus_address[1]), (8, bus.port))
         bus.say(self.drain(2))
         await self.until(lambda: self.program.core.engines[1].entry.health == DRAINING)
         self.config_file.write_text(whole)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -67,9 +67,9 @@
 
     async def read(self, writer, data):
         """Send this; the front has read it."""
-        before = self.client.heard
+        before = self.client.last_received_at
         writer.write(data)
-        await self.until(lambda: self.client.heard > before)
+        await self.until(lambda: self.client.last_received_at > before)
 
     def submitted(self):
         """The requests that go on to the core, which does not hear of them."""
@@ -217,9 +217,9 @@
             (client,) = self.front.clients
             client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             plain.sendall(post(1))
-            await self.until(lambda: client.leaving)
+            await self.until(lambda: client.is_closing)
             self.assertGreater(client.transport.get_write_buffer_size(), 0)
-            client.since -= connection_limits.LINGER_TIMEOUT_S + 0.1
+            client.state_since -= connection_limits.LINGER_TIMEOUT_S + 0.1
             self.front._sweep()
             reader, writer = await asyncio.open_connection(sock=plain)
             ((status, _, body),) = await self.answers(reader)
@@ -259,7 +259,7 @@
             writer.write(post(1)[:50])
             await self.until(lambda: self.client.partial)
             writer.write(rest)
-            self.client.since -= connection_limits.REQUEST_TIMEOUT_S + 0.1
+            self.client.state_since -= connection_limits.REQUEST_TIMEOUT_S + 0.1
             self.front._sweep()
             self.assertEqual((await self.answers(reader, 1))[0][0], status)
 
@@ -268,11 +268,11 @@
     async def crowd(self, *ages):
         """Connections that say nothing since so long, and no place for another one."""
         await self.start()
-        self.front.most_clients = len(ages)
+        self.front.max_clients = len(ages)
         self.silent = []
         for age in ages:
             self.silent.append((*await self.open(), self.client))
-            self.client.since -= age
+            self.client.state_since -= age
         return self.silent
 
     async def newcomer(self, number, status):
@@ -295,11 +295,11 @@
         (reader, writer, client), other = await self.crowd(0.0, 0.5)
         writer.write(post(1)[:50])
         await self.until(lambda: client.partial)
-        client.since -= 0.6
+        client.state_since -= 0.6
         await self.newcomer(2, 200)
         self.assertEqual(await self.answers(other[0]), [])
         self.assertTrue(client.partial)
-        self.front.most_clients = 1
+        self.front.max_clients = 1
         for one in self.front.clients - {client}:
             one.transport.abort()
         await self.until(lambda: self.front.clients == {client})
@@ -316,7 +316,7 @@
 
     async def test_where_all_are_at_work_each_call_of_a_newcomer_is_refused_once_whatever_its_pieces(self):
         engine = await self.held()
-        self.front.most_clients = 1
+        self.front.max_clients = 1
         busy, writer = await self.open()
         writer.write(post(1))
         await engine.seen("POST")
@@ -338,7 +338,7 @@
 
     async def test_no_more_are_accepted_than_the_bound_and_its_reserve_and_the_others_are_later(self):
         engine = await self.held()
-        self.front.most_clients, self.front.reserve = 1, 1
+        self.front.max_clients, self.front.reserved_connections = 1, 1
         busy, writer = await self.open()
         writer.write(post(1))
         await engine.seen("POST")
@@ -346,7 +346,7 @@
         third = asyncio.create_task(self.said(post(3)))  # waits in the system
         await asyncio.sleep(0.1)
         self.assertEqual(self.front.open_connections, 2)
-        self.client.since -= 1.0
+        self.client.state_since -= 1.0
         self.assertTrue((await third).startswith(b"HTTP/1.1 503"))
         self.go.set()
         self.assertEqual((await self.answers(busy, 1))[0][0], 200)
@@ -361,7 +361,7 @@
         reader, writer = await self.open()
         writer.write(post(3)[:50])
         await self.until(lambda: self.client.partial)
-        self.client.since -= connection_limits.DRAIN_NEW_CONNECTION_S + 0.1
+        self.client.state_since -= connection_limits.DRAIN_NEW_CONNECTION_S + 0.1
         self.front._sweep()
         refused.append((await self.answers(reader))[0][1])
         for head in refused:
@@ -403,13 +403,13 @@
                 self.assertFalse(asks[1].is_client_connected() or asks[0].is_client_connected())
                 self.assertEqual(left, asks)
                 await self.until(lambda: not self.front.clients)
-                self.assertEqual((left, self.front.paths.ids), (asks, set()))
+                self.assertEqual((left, self.front.registry.ids), (asks, set()))
 
     async def test_a_client_with_a_path_is_away_without_its_connection_until_it_calls_or_deletes(self):
         await self.start()
         asks, left = self.submitted(), []
         self.program.core.client_disconnected = left.append
-        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             ((_, _, body),) = await self.answers(reader, 1)
@@ -430,7 +430,7 @@
         await self.start()
         asks, left = self.submitted(), []
         self.program.core.client_disconnected = left.append
-        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             ((_, _, body),) = await self.answers(reader, 1)
@@ -455,7 +455,7 @@
         asks, left = self.submitted(), []
         self.program.core.client_disconnected = left.append
         with (
-            unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05),
+            unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05),
             unittest.mock.patch("frostspindle.net.http.request_registry.RETURN_TIMEOUT_S", 0.05),
         ):
             reader, writer = await self.open()
@@ -463,7 +463,7 @@
             ((_, _, body),) = await self.answers(reader, 1)
             writer.transport.abort()
             await self.until(lambda: left)
-        self.assertEqual((left, self.front.paths.open, self.front.paths.ids), (asks, {}, set()))
+        self.assertEqual((left, self.front.registry.open, self.front.registry.ids), (asks, {}, set()))
         self.assertEqual((await self.call("GET", json.loads(body)["next"]))[0], 404)
 
     async def test_a_client_that_went_before_it_was_given_a_path_has_left(self):
@@ -475,8 +475,8 @@
         await self.until(lambda: asks)
         self.go_away(plain, "shut")
         (slot,) = self.client.pending_calls
-        self.front.paths._held(slot)
-        self.assertEqual((left, self.front.paths.open), (asks, {}))
+        self.front.registry._on_hold_expired(slot)
+        self.assertEqual((left, self.front.registry.open), (asks, {}))
 
     async def test_what_a_client_sent_and_left_is_not_sent_on(self):
         (engine,) = await self.start()
@@ -510,7 +510,7 @@
 
     async def test_a_delete_beside_a_held_call_or_an_answer_under_way_leaves_once(self):
         engine = await self.held()
-        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             path = json.loads((await self.answers(reader, 1))[0][2])["next"]
@@ -523,7 +523,7 @@
 
     async def test_a_get_that_a_broken_connection_took_along_is_answered_when_it_comes_again(self):
         engine = await self.held()
-        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             path = json.loads((await self.answers(reader, 1))[0][2])["next"]
@@ -570,7 +570,7 @@
     async def test_a_request_that_waited_for_earlier_ones_of_its_connection_counts_from_before_that(self):
         await self.start()
         asks = self.submitted()
-        with unittest.mock.patch("frostspindle.net.http.clients.AHEAD", 1):
+        with unittest.mock.patch("frostspindle.net.http.clients.MAX_PIPELINED_CALLS", 1):
             _, writer = await self.open()
             writer.write(post(1))
             await self.until(lambda: asks)
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -12,13 +12,13 @@
 from frostspindle.config.tenants import join_tenants
 from frostspindle.ledger.tenant_rules import RequestAttributes, Rule
 from frostspindle.ledger.tenants import Tenants, UnknownTenantError
-from frostspindle.net.fields import TEXT, CallRejectedError, key_number, read
+from frostspindle.net.fields import MAX_TEXT_BYTES, CallRejectedError, key_number, read_request
 
 GOOD = {b"x-request-id": b"00000000000000ab", b"x-timeout-ms": b"1500"}
 
 
 def said(in_order=True, **fields):
-    return read(
+    return read_request(
         GOOD | {b"x-" + name.encode().replace(b"_", b"-"): value for name, value in fields.items()},
         2,
         10_000.0,
@@ -31,7 +31,7 @@
     "fields, word",
     [
         ({"object": b""}, "X-Object"),
-        ({"object": b"k" * (TEXT + 1)}, "X-Object"),
+        ({"object": b"k" * (MAX_TEXT_BYTES + 1)}, "X-Object"),
         ({"object": b"a b"}, "X-Object"),
         ({"object": b"\xff\xfe"}, "X-Object"),
         ({"object": b"a\x00"}, "X-Object"),
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -63,13 +63,13 @@
         """The task never runs then, and the engine works on."""
         first = [web.Response(status=202)]
         engine, _, attempt, _ = await self.out(lambda request, body: first.pop() if first else None)
-        goes_on = self.driver._on
+        goes_on = self.driver._on_continued
 
         def stopped(first, came):
             goes_on(first, came)
             attempt.task.cancel()
 
-        with unittest.mock.patch.object(attempt.task, "on", stopped):
+        with unittest.mock.patch.object(attempt.task, "on_continued", stopped):
             await engine.seen("DELETE")
         await self.until(lambda: attempt.is_finished)
         self.assertEqual([method for method, *_ in engine.calls[:2]], ["POST", "DELETE"])
@@ -106,7 +106,7 @@
         self.assertGreater(line.timer.when(), line.loop.time() + 0.1)
         with unittest.mock.patch.object(line, "transport"):
             line.request(b"", 0.1, asyncio.get_running_loop().create_future())
-        self.assertEqual(line.timer.when(), line.due)
+        self.assertEqual(line.timer.when(), line.deadline_s)
 
     async def test_news_and_further_pages_follow_on_the_same_query(self):
         answers = [
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -23,7 +23,7 @@
         self.calls.append(slot)
         self.changed.set()
 
-    def gone(self, slot):
+    def call_abandoned(self, slot):
         self.gone_calls.append(slot)
         self.changed.set()
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -129,7 +129,7 @@
         go = asyncio.Event()
         engine.script = at_work(go)
         with (
-            unittest.mock.patch.object(request_registry, "HOLD_S", 0.05),
+            unittest.mock.patch.object(request_registry, "POLL_HOLD_S", 0.05),
             unittest.mock.patch.object(connection_limits, "DRAIN_IDLE_CLOSE_S", 0.0),
         ):
             reader, writer = await self.connect()
@@ -164,11 +164,11 @@
             operator='[tds]\nlisten = "127.0.0.1:0"\n[[tds.login]]\nclass = "lookup"\n'
             '[[tds.engine]]\nname = "t"\ndial = "127.0.0.1:9"\n'
         )
-        with unittest.mock.patch.object(tds_front, "EASE_S", 0.05):
+        with unittest.mock.patch.object(tds_front, "DRAIN_IDLE_S", 0.05):
             idle = await TdsClient(self.program.tds.port).open()
             await self.operate("drain")
             self.assertEqual(await asyncio.wait_for(idle.reader.read(), 2.0), b"")
-            with unittest.mock.patch.object(tds_front, "TAKE_S", -1.0):
+            with unittest.mock.patch.object(tds_front, "DRAIN_ACCEPT_S", -1.0):
                 late, _ = await asyncio.open_connection("127.0.0.1", self.program.tds.port)
                 self.assertIn("no new sessions".encode("utf-16-le"), await asyncio.wait_for(late.read(), 2.0))
             await self.operate("resume")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -195,7 +195,7 @@
             course.last_poll_ms = 5.0
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.05):
-                    await self.program.driver.runner.news(Peer(), None, "/v1/store/x/", 0, course)
+                    await self.program.driver.runner.poll(Peer(), None, "/v1/store/x/", 0, course)
             self.assertEqual(course.last_poll_ms > 5.0, Peer.wired)
 
     async def test_a_clients_close_and_its_delete_free_the_engines_work(self):
@@ -307,7 +307,7 @@
     async def test_an_idle_connection_of_another_engine_makes_room_at_once_when_all_are_taken(self):
         first, second = await self.start(2)
         await self.operate("disable-server s-00000001")
-        self.program.driver.most = 2
+        self.program.driver.max_connections = 2
         answers = await asyncio.gather(self.ask(number=1), self.ask(number=2))
         self.assertEqual([status for status, _, _ in answers], [200, 200])
         self.assertEqual(len(self.program.driver.pools[0].idle), 2)
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -41,7 +41,7 @@
         return client
 
     def faults(self, result: codec.Result) -> list[int]:
-        return [fault.number for fault in result.faults]
+        return [fault.number for fault in result.errors]
 
     async def test_silent_sessions_give_way_and_half_a_message_ends_in_time(self):
         await self.start(1, "max_sessions = 2")
@@ -50,17 +50,17 @@
             self.addCleanup(writer.close)
         await self.until(lambda: len(self.program.tds.sessions) == 2)
         for session in self.program.tds.sessions.values():
-            session.since -= 1.0
+            session.waiting_since_s -= 1.0
         client = await self.client()
         self.assertEqual((await client.query("SELECT 1")).tokens, ROWS)
         self.assertEqual((self.count("places_cleared"), self.count("sessions_refused")), (1, 0))
-        with unittest.mock.patch.object(front, "WHOLE_S", 0.1):
+        with unittest.mock.patch.object(front, "MESSAGE_TIMEOUT_S", 0.1):
             client.writer.write(codec.packets(codec.BATCH, codec.batch("SELECT 2"))[:-3])
             self.assertEqual(self.faults(codec.read_result((await client.message()).body)), [front.BAD_STREAM])
 
     async def test_databases_that_clients_name_are_not_kept_for_ever(self):
         (engine,) = await self.start(1, '[[tds.login]]\nclass = "lookup"\n')
-        with unittest.mock.patch.object(driver, "IDLE_S", 0.0):
+        with unittest.mock.patch.object(driver, "IDLE_TIMEOUT_S", 0.0):
             for number in range(20):
                 client = await self.client(f"d{number}")
                 self.assertEqual((await client.query("SELECT 1")).tokens, ROWS)
@@ -136,7 +136,7 @@
                 connections.pop().close()
         result = await client.query("INSERT")  # no connection: nothing ran, so it is harmless to refuse
         self.assertEqual(self.faults(result), [front.REFUSED])
-        self.assertRegex(result.faults[0].text, r"Retry the request after [0-9.]+ seconds")
+        self.assertRegex(result.errors[0].text, r"Retry the request after [0-9.]+ seconds")
         self.assertEqual((self.count("failed"), self.count("refused")), (1, 1))
 
     async def test_a_deadline_and_a_clients_attention_end_the_engines_work_by_attention(self):
