--- a/frostspindle/net/__init__.py
+++ b/frostspindle/net/__init__.py
@@ -1,7 +1,7 @@
-"""The wires: the platform's HTTP front and engines, the event bus, TDS and SNMP.
+"""Network protocols: the HTTP front and HTTP engines, the event bus, TDS, SNMP and the operators' port.
 
-Owns what the engine drivers share, the tasks that their attempts run in. It must never let an attempt go without
-its one end, however its task ends.
+Defines the base class of the engine drivers, which runs attempts in tasks. The end of each attempt is reported to the
+core exactly once, however its task ends.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class TaskDriver:
-    """A driver that runs each attempt in a task of its own."""
+    """A driver that runs each attempt in a separate task."""
 
     has_shared_versions = False
 
@@ -26,7 +26,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def update_engine(self, engine: EngineState) -> None:
-        """Take a new or changed engine of the list; each driver implements this."""
+        """Apply a new or changed engine of the list; each driver implements this."""
         raise NotImplementedError
 
     def update_priority(self, attempt: Attempt) -> None:
@@ -34,7 +34,7 @@
         raise NotImplementedError
 
     def attempt(self, attempt: Attempt) -> Work:
-        """Return a coroutine that runs the attempt and reports its end by Core.attempt_ended whatever happens."""
+        """Return a coroutine that runs the attempt and always reports its end by Core.attempt_ended."""
         raise NotImplementedError
 
     def health_check(self, engine: int) -> Work:
@@ -42,20 +42,20 @@
         raise NotImplementedError
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Run an attempt in a task of its own; one that is cancelled before its first step is reported as CANCELLED."""
+        """Run an attempt in a task; if that is cancelled before its first step, report it as CANCELLED."""
         attempt.task = task = self.spawn(self.attempt(attempt))
-        # A task that is cancelled before its first step never runs: nothing was sent, but its end is owed.
+        # A task that is cancelled before its first step never runs: nothing was sent, but its end must be reported.
         task.add_done_callback(
             lambda task: self.core.attempt_ended(attempt, AttemptOutcome.CANCELLED) if task.cancelled() else None
         )
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel the attempt's task, if any; the task reports the attempt's end once the engine is free of it."""
+        """Cancel the attempt's task, if any; the task reports the end once the engine has stopped the query."""
         if attempt.task is not None:
             attempt.task.cancel()
 
     def start_health_check(self, engine: int) -> None:
-        """Start a health check of an engine in a task of its own."""
+        """Start a health check of an engine in a task."""
         self.spawn(self.health_check(engine))
 
     def spawn(self, work: Work) -> asyncio.Task[None]:
@@ -66,13 +66,13 @@
         return task
 
     async def close(self) -> None:
-        """Cancel all tasks and wait until none is left, nor one that a cancelled task starts to free an engine."""
-        while self.tasks:  # what is cancelled may leave a task that frees an engine
+        """Cancel all tasks and wait for them, including tasks that they start to free an engine."""
+        while self.tasks:  # a cancelled task may start one that frees its engine
             for task in list(self.tasks):
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
 
     @staticmethod
     def left_s(attempt: Attempt) -> float:
-        """Return the seconds that the attempt still has; less than 0 if its time is up."""
+        """Return the attempt's remaining time in seconds; negative after its deadline."""
         return attempt.remaining_ms(clock()) / 1000.0
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -1,9 +1,8 @@
-"""The driver of engines that speak the platform's HTTP.
+"""The driver of engines that speak the platform's HTTP protocol.
 
-Owns which engine's process stands behind a number, the connections to all of them together, and an attempt's one
-report. It must never report an attempt's end while the engine may still be running it, and never take a successor at
-the same address for the process before. How an attempt runs on the wire is in net/http/attempts.py; which engine, when
-and for how long is not its affair.
+Maps engine numbers to connection pools, one for each engine process, and reports the end of each attempt exactly once,
+not before the engine has stopped the query. A restarted engine at the same address gets a new pool. The protocol of an
+attempt is in net/http/attempts.py; the core chooses engines and deadlines.
 """
 
 from __future__ import annotations
@@ -23,13 +22,13 @@
 from frostspindle.pools import AttemptProgress
 from frostspindle.telemetry import Telemetry
 
-IDLE_SWEEP_S = 1.0  # so often idle connections are looked through
+IDLE_SWEEP_S = 1.0  # interval at which idle connections are checked
 
 
 class HttpEngines(TaskDriver):
     """The driver of HTTP engines."""
 
-    has_shared_versions = True  # the event bus counts
+    has_shared_versions = True  # of the engine list, from the event bus
 
     def __init__(self, config: Config, core: Core, telemetry: Telemetry) -> None:
         super().__init__(core)
@@ -42,29 +41,29 @@
         self.load_reports = LoadReportParser(telemetry, core.settings.load_report_columns)
         self.runner = AttemptRunner(core, telemetry, self.load_reports)
         self.pools: dict[int, ConnectionPool] = {}
-        self.retired: set[ConnectionPool] = set()  # with calls that have yet to end
+        self.retired: set[ConnectionPool] = set()  # pools whose connections are not all closed yet
         self._idle_timer = self.loop.call_later(IDLE_SWEEP_S, self._close_idle)
 
     def share_descriptors(self, is_sharing: bool) -> None:
-        """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
+        """Set the connection limits; while two processes serve, they share the descriptors."""
         self.max_connections, self.max_per_engine = pools.connection_limits(self.sockets, is_sharing)
 
     @property
     def connections(self) -> int:
-        """Number of connections to all engines together, with those that are being opened."""
+        """Number of connections to all engines, including those being opened."""
         return self.established + self.opening
 
     def may_open(self, pool: ConnectionPool) -> bool:
-        """Return whether the bounds allow one more connection; at the common one, an idle one is closed for it."""
+        """Return whether one more connection may be opened; at the total limit, close an idle one."""
         if self.connections < self.max_connections:
             return len(pool.established) + pool.opening < self.max_per_engine
         self.reclaim_idle(pool)
         return False
 
     def reclaim_idle(self, pool: ConnectionPool) -> None:
-        """Close an idle connection of another engine; its descriptor is free only once the loop has closed it."""
-        if spare := next((p for p in (*self.pools.values(), *self.retired) if p.idle and p is not pool), None):
-            spare.idle[0].drop()
+        """Close an idle connection of another engine; the loop frees its descriptor later."""
+        if pool_with_idle := next((p for p in (*self.pools.values(), *self.retired) if p.idle and p is not pool), None):
+            pool_with_idle.idle[0].drop()
 
     def _close_idle(self) -> None:
         self._idle_timer = self.loop.call_later(IDLE_SWEEP_S, self._close_idle)
@@ -79,8 +78,8 @@
     def update_engine(self, engine: EngineState) -> None:
         """Create, update or retire the connection pool of a listed engine.
 
-        An engine with another address or a later start is another process: it gets a new pool, so that no call goes out
-        on a connection to the process before.
+        An engine with a different address or a later start is a new process: it gets a new pool, so that no call is sent
+        on a connection to the previous process.
         """
         number = engine.entry.engine
         pool = self.pools.get(number)
@@ -98,10 +97,10 @@
             self.pools[number] = ConnectionPool(self, engine)
 
     def update_priority(self, attempt: Attempt) -> None:
-        """Do nothing: the next poll, within 250 ms, carries the new priority; a call now would cost a connection."""
+        """Do nothing: the priority goes out before the next poll, within 250 ms, without another connection."""
 
     async def close(self) -> None:
-        """Cancel all attempts, wait until their ends are reported, and drop all connections."""
+        """Cancel all attempts, wait until their ends are reported, and abort all connections."""
         self._idle_timer.cancel()
         for pool in [*self.pools.values(), *self.retired]:
             for connection in list(pool.established):
@@ -115,7 +114,7 @@
     # One attempt.
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Send the attempt on an idle connection, without a task, unless its time may be up within ANSWER_S."""
+        """Send the attempt on an idle connection, without a task, if more than RESPONSE_TIMEOUT_S remain."""
         pool = self.pools.get(attempt.engine)
         if pool is None or not pool.idle or self.left_s(attempt) <= RESPONSE_TIMEOUT_S:
             super().start_attempt(attempt)
@@ -133,9 +132,9 @@
         self.core.attempt_ended(attempt, *end)
 
     def _on_continued(self, direct: DirectAttempt, received: EngineReply | Exception) -> None:
-        """What the POST did not end is followed by a task."""
+        """Continue an attempt in a task, as the response to its POST did not end it."""
         direct.attempt.task = task = self.spawn(self.attempt(direct.attempt, direct.pool, direct.progress, received))
-        # One that is cancelled before its first step never runs, and the engine has the query.
+        # A task that is cancelled before its first step never runs, but the engine has the query.
         task.add_done_callback(lambda task: self._on_cancelled(direct) if task.cancelled() else None)
 
     def _on_cancelled(self, direct: DirectAttempt) -> None:
@@ -148,11 +147,11 @@
         progress: AttemptProgress | None = None,
         received: EngineReply | Exception | None = None,
     ) -> None:
-        """Run an attempt to its end and report that once, by Core.attempt_ended.
+        """Run an attempt to its end and report it once by Core.attempt_ended.
 
-        The last three arguments are given for one whose POST was already sent without a task: its engine's process, its
-        progress, and what came in answer to the POST. Where the engine may still be running the query, a further task
-        frees the engine first and then reports.
+        The last three arguments are given if the POST was already sent without a task: its pool, its progress, and the
+        response to the POST or the error. If the engine may still be running the query, another task stops it there
+        before the end is reported.
         """
         pool = pool or self.pools.get(attempt.engine)
         if pool is None:
@@ -172,17 +171,17 @@
                 "engine_reply_rejected", engine=pool.state.name, ticket=attempt.request.ticket, error=str(error)
             )
             outcome = AttemptOutcome.ERROR
-        except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
+        except Exception as error:  # noqa: BLE001 - a fault must not affect other attempts
             self.telemetry.count("faults")
             self.telemetry.log("exception_caught", error=repr(error), of="attempt", ticket=attempt.request.ticket)
             outcome = AttemptOutcome.ERROR
         else:
             # Neither broken connections nor an engine that does not know the query prove that it has ended: a POST
-            # may still be on its way, or have reached what stood there before. It is given up first.
+            # may still be in flight, or have reached the previous process. The query is cancelled first.
             if outcome not in (AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
                 self.core.attempt_ended(attempt, outcome, report, rows, needed)
                 return
-        # A task of its own: a further cancel must not cut short what frees the engine.
+        # A separate task: another cancel must not interrupt it before the engine is free.
         self.spawn(self._free(pool, attempt, progress, outcome))
 
     async def _free(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress, outcome: int) -> None:
@@ -192,9 +191,9 @@
             self.core.attempt_ended(attempt, outcome)
 
     async def warm(self, engine: int, ticket: str, statement: str, cls: str, timeout_ms: float) -> bool:
-        """Run a statement that no client asked for, drop its rows, and return whether it succeeded.
+        """Run a warm-up statement, discard its rows, and return whether it succeeded within `timeout_ms`.
 
-        It is given up after `most_ms`. The caller accounts for it, and must be the fleet's owner of that work.
+        The caller accounts for its cost and must own that task in the fleet.
         """
         pool, wired, path = self.pools.get(engine), [False], f"/v1/store/{ticket}"
         if pool is None:
@@ -222,10 +221,10 @@
         try:
             await pool.call("DELETE", path, within_s=0.3)
         except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
-            self.telemetry.count("warm_left")  # the engine ends it by X-Max-Ms
+            self.telemetry.count("warm_left")  # the engine ends the query by X-Max-Ms
 
     async def health_check(self, engine: int) -> None:
-        """Ask the engine for `/stats` within 0.3 s and report it with the load by Core.health_check_completed."""
+        """Request `/stats` within 0.3 s and report the outcome and load by Core.health_check_completed."""
         began, pool, wired = clock(), self.pools.get(engine), [False]
         outcome, report = AttemptOutcome.CONNECT_FAILED, ()
         if pool is not None:
--- a/frostspindle/net/http/__init__.py
+++ b/frostspindle/net/http/__init__.py
@@ -1,3 +1,5 @@
-"""HTTP/1.1 as the platform speaks it, by concern: towards clients (door, clients, places, calls, paths, statements)
-and towards engines (line, peer, replies, readings, attempts). net/platform.py and net/engines.py put them together.
+"""HTTP/1.1 of the platform, towards clients (listener, clients, connection_limits, calls, request_registry, statements)
+and towards engines (engine_connection, connection_pool, replies, load_reports, duplicate_responses, attempts).
+
+net/platform.py and net/engines.py combine them.
 """
--- a/frostspindle/net/http/calls.py
+++ b/frostspindle/net/http/calls.py
@@ -1,8 +1,7 @@
-"""A client's call, and the request that calls ask for: the objects that the parts of the front share.
+"""Calls of clients and the open requests that they refer to: the objects shared by the parts of the HTTP front.
 
-Owns the form of an answer on the wire, and that each call is answered once. It must never decide what an answer says,
-nor whether its connection ends with it (the connection does, when it writes), never write to a connection past its
-line (`flush` does, in the order of the calls), and never hold more of a request than its one answer and who waits.
+Encodes the responses. `ClientConnection.flush` writes them in the order of the calls and decides whether the connection
+is closed with one. An open request holds its response and the calls that wait for it.
 """
 
 from __future__ import annotations
@@ -22,19 +21,19 @@
 
 
 class CallConnection(Protocol):
-    """The connection that a call came on."""
+    """The connection of a call."""
 
-    requests: dict[OpenRequest, None]  # the open ones, in order, whose client made its last call on this connection
+    requests: dict[OpenRequest, None]  # open, in order; their client last called on this connection
 
     def flush(self) -> None:
-        """Write the responses that are due, in the order of the calls."""
+        """Write the responses that are ready, in the order of the calls."""
 
     def is_connected(self) -> bool:
-        """Return whether the client is still connected; if not, its open calls are ended."""
+        """Return whether the client is still connected; if not, cancel its open calls."""
 
 
 class OpenRequest:
-    """One request at this front: its answer, and the path under which its result is fetched."""
+    """One request at this front: its response and the path at which its result is fetched."""
 
     __slots__ = (
         "response",
@@ -56,35 +55,35 @@
         self.request: ClientRequest | None = None
         self.response: Response | None = None
         self.pages: list[list[Any]] | None = None
-        self.result_bytes, self.is_fetched = 0, False  # told: the client has had the last answer
-        self.waiting_calls: list[PendingCall] = []  # the calls that wait for its answer
+        self.result_bytes, self.is_fetched = 0, False  # is_fetched: the last response was sent
+        self.waiting_calls: list[PendingCall] = []  # calls that wait for the response
         self.timer: asyncio.TimerHandle | None = None
-        self.connection: CallConnection | None = None  # its client's last one; None: that has ended
-        self.return_timer: asyncio.TimerHandle | None = None  # runs while the client is away
+        self.connection: CallConnection | None = None  # the client's last connection; None after its end
+        self.return_timer: asyncio.TimerHandle | None = None  # while the client has no connection
 
-    def on_response(self, answer: Response) -> None:
-        """Take the one answer; later ones are dropped."""
+    def on_response(self, response: Response) -> None:
+        """Take the response; later ones are ignored."""
         if self.response is None:
-            self.response, self.request = answer, None
+            self.response, self.request = response, None
             self.on_settled(self)
 
 
 class PendingCall:
-    """One call in its connection's queue; responses leave in the order of the calls."""
+    """One call in its connection's queue; responses are sent in the order of the calls."""
 
     __slots__ = ("client", "opened", "page", "head", "data", "has_next", "last")
 
     def __init__(self, client: CallConnection, opened: OpenRequest | None = None, page: int = 0) -> None:
         self.client, self.opened, self.page = client, opened, page
         self.head, self.data = "", None  # type: str, bytes | None
-        self.has_next = False  # the answer names a `next`
-        self.last = False  # it is to be the connection's last answer, unless calls have come behind it
+        self.has_next = False  # the response has a `next` path
+        self.last = False  # close the connection after the response, unless further calls have arrived
 
     def reply(self, status: int, body: Any = None, extra: str = "", last: bool = False) -> None:
-        """Set the response and write it as soon as those of earlier calls are out.
+        """Set the response; it is written once those of earlier calls are.
 
         `body` is encoded as JSON; `extra` is further header lines, each with its CRLF; `last` asks to close the
-        connection behind it.
+        connection after it.
         """
         self.has_next = isinstance(body, dict) and "next" in body
         self.last = self.last or last
@@ -97,6 +96,6 @@
         self.client.flush()
 
     def encode(self, closes: bool) -> bytes:
-        """Return the response's bytes; `closes` adds `Connection: close`, known only as it is written."""
+        """Return the response's bytes; `closes` adds `Connection: close`, which is known only when it is written."""
         assert self.data is not None
         return f"{self.head}{_CLOSE if closes else ''}\r\n".encode() + self.data
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -1,13 +1,13 @@
-"""One client's connection: what it sends is parsed within bounds, its calls are answered in their order.
+"""One client connection: parses requests within limits and answers them in order (HTTP pipelining).
 
-Owns the parser, the bounds of a head, a body and a line of calls, and how long the connection has been as it is. It
-must never pass on what is not a whole and bounded call, never answer a call before those that came earlier, and never
-close over an answer that is still to arrive. The parser is httptools (llhttp in its strict mode); this file only adds
-bounds to it.
+Only complete calls within the limits are passed to the front, responses leave in the order of the calls, and a
+connection is not closed before its responses have arrived. The parser is httptools (llhttp in strict mode); this module
+adds the limits.
 
-A connection ends in three steps, so that no answer is lost and nothing is read that is not answered: the side to the
-client is shut, only while nothing is half read, in line or unread; what still comes is read and dropped; then it is
-closed. A client that has shut or closed its own side has gone, and all that it asked on this connection with it.
+A connection is closed in three steps, so that no response is lost and every call that was read is answered: the sending
+side is shut down, only while no call is partly received, pending or unread; further input is read and discarded; then
+the connection is closed. A client that shuts down or closes its side counts as disconnected, and all its calls on this
+connection are cancelled.
 """
 
 from __future__ import annotations
@@ -27,20 +27,18 @@
 from frostspindle.net.http.connection_limits import BUSY, CLOSING, IDLE, NEW, RECEIVING
 from frostspindle.telemetry import Telemetry
 
-MAX_BODY_BYTES = 64 * 1024  # the longest statement
-MAX_URL_BYTES, MAX_HEADER_BYTES, MAX_HEADERS = 2048, 4096, 64  # the longest path and header, and how many headers
-MAX_HEAD_BYTES = 16 * 1024  # a head, from which the parser tells nothing before a header is whole
-MAX_REQUEST_BYTES = (
-    MAX_BODY_BYTES + 128 * 1024
-)  # the most bytes that one request may take on the wire, its head and chunks included
-MAX_LINGER_BYTES = 64 << 20  # so much of what a refused client still sends is read and dropped
-MAX_PIPELINED_CALLS = 16  # calls of one connection that are taken while earlier ones are not yet answered
+MAX_BODY_BYTES = 64 * 1024  # of a statement
+MAX_URL_BYTES, MAX_HEADER_BYTES, MAX_HEADERS = 2048, 4096, 64  # length of a path and a header, and headers of a request
+MAX_HEAD_BYTES = 16 * 1024  # the parser reports a header only when it is complete
+MAX_REQUEST_BYTES = MAX_BODY_BYTES + 128 * 1024  # on the wire, with head and chunk framing
+MAX_LINGER_BYTES = 64 << 20  # read and discarded after a rejection
+MAX_PIPELINED_CALLS = 16  # accepted on one connection while earlier ones are unanswered
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _SINGLE_HEADERS = request_fields.SINGLE_HEADERS | {b"host", b"content-encoding"}
 
 
 class ConnectionContext(Protocol):
-    """What a connection needs of the front."""
+    """The interface of the front that connections use."""
 
     loop: asyncio.AbstractEventLoop
     telemetry: Telemetry
@@ -49,60 +47,53 @@
 
     @property
     def draining(self) -> bool:
-        """Whether clients are being sent away: connections end once nothing is open on them."""
+        """Whether the front drains: connections are closed once they have no open calls."""
 
     @property
     def retry_after_header(self) -> str:
-        """The `Retry-After-Ms` header line of the front's own refusals."""
+        """The `Retry-After-Ms` header line of the front's own rejections."""
 
     def register(self, client: ClientConnection) -> None:
-        """Register a connection that is set up."""
+        """Register an established connection."""
 
     def call(self, call: PendingCall, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
-        """Take a whole call; Refusal if it goes no further."""
+        """Process a complete call; raise CallRejectedError if it is rejected."""
 
     def call_abandoned(self, call: PendingCall) -> None:
-        """Note that the connection of a call has ended."""
+        """Drop a call whose connection has ended."""
 
     def connection_ended(self, client: ClientConnection) -> None:
-        """Note that a client's connection has ended."""
+        """Handle the end of a client's connection."""
 
 
 class _ParsingStoppedError(Exception):
-    """Nothing more of this connection is parsed."""
+    """Raised in a parser callback to stop parsing."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection: its parser, its queue of calls, and how long it has been in its state.
+    """One client's connection: its parser, its queue of pending calls, and the time in its state.
 
-    `unseen_ms`: its first bytes can't have come before this (Unix ms).
+    `unread_since_ms`: the earliest time (Unix ms) at which its first bytes can have arrived.
     """
 
-    def __init__(self, front: ConnectionContext, unseen_ms: float) -> None:
+    def __init__(self, front: ConnectionContext, unread_since_ms: float) -> None:
         self.front, self.loop_time = front, front.loop.time
         self.parser = HttpRequestParser(self)
-        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set in connection_made
         self.pending_calls: deque[PendingCall] = deque()
-        self.requests: dict[OpenRequest, None] = {}  # the open ones, in order, whose client is on this connection
+        self.requests: dict[OpenRequest, None] = {}  # open, in order; their client last called on this connection
         self.state_since = self.loop_time()
-        self.has_completed_call = self.is_closing = self.ignores_input = self.is_receiving = self.is_head_complete = (
-            False
-        )
-        self.is_parsing = self.expects_continue = (
-            False  # the parser is at work; the client waits for a 100 before its body
-        )
-        self.has_pipelined = False  # it has sent a call while an earlier one was not yet answered
-        self.is_over_limit = (
-            False  # beyond the bound on connections: it has a place once it asks and another one gives way
-        )
-        self.unread_since_ms = self.received_ms = (
-            unseen_ms  # since when bytes may lie unread; the earliest that the last came
-        )
-        self.last_poll = 0  # the looks of the loop that were over when reading began
+        self.has_called = self.is_closing = self.ignores_input = self.is_receiving = self.is_head_complete = False
+        self.is_parsing = self.expects_continue = False  # expects_continue: the client waits for a 100
+        self.has_pipelined = False  # it has sent a call before the response to an earlier one
+        self.is_over_limit = False  # of connections: its request needs another one to be closed
+        # The earliest possible arrival of unread bytes, and of the last bytes that were read.
+        self.unread_since_ms = self.received_ms = unread_since_ms
+        self.last_poll = 0  # count of the arrival clock when reading was resumed
         self.socket_watch: SocketWatch = None  # type: ignore[assignment]  # set with the transport
-        self.expects_poll = False  # it was given a `next`, which only this process knows, and has not called it yet
+        self.expects_poll = False  # its client got a response path (`next`) and has not called it yet
         self.write_paused_at = math.inf
-        self.last_received_at = self.state_since  # when bytes last came
+        self.last_received_at = self.state_since  # loop time
         self.request_bytes = self.dropped_bytes = self.body_bytes = 0
         self.rejection: CallRejectedError | None = None
         self.url = b""
@@ -110,46 +101,46 @@
         self.body: list[bytes] = []
 
     def state(self) -> int:
-        """Return the connection's state, one of those of places.py: FRESH, COMING, IDLE, BUSY or LEAVING."""
+        """Return the connection's state, as in connection_limits: NEW, RECEIVING, IDLE, BUSY or CLOSING."""
         if self.is_closing:
             return CLOSING
         if self.pending_calls:
             return BUSY
         if self.is_receiving:
             return RECEIVING
-        return IDLE if self.has_completed_call else NEW
+        return IDLE if self.has_called else NEW
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, watch the socket for unread bytes and hang-up, and register with the front."""
+        """Store the transport, watch the socket for unread bytes and hang-up, and register with the front."""
         self.transport = transport  # type: ignore[assignment]
-        self.transport.set_write_buffer_limits(0)  # it is told of each answer that the system does not take whole
+        self.transport.set_write_buffer_limits(0)  # report every response that the system does not take completely
         self.socket_watch = SocketWatch(transport)
         self.last_poll = self.front.arrival_clock.count
         self.front.register(self)
 
     def eof_received(self) -> None:
-        """Treat a client that shuts its sending side as gone, and all its open calls with it."""
+        """Treat a client that shuts down its sending side as disconnected, and cancel its open calls."""
         self._on_client_closed()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Remove the connection from the front and report its open calls as gone."""
+        """Remove the connection from the front and cancel its open calls."""
         self.front.clients.discard(self)
         self._on_client_closed()
 
     def _on_client_closed(self) -> None:
-        """The client has closed or shut its side: nothing is owed, and its calls are told so once."""
+        """The client has closed or shut down its side: cancel its calls, once."""
         self.is_closing = self.ignores_input = True
         self.is_receiving = False
         self.state_since = self.loop_time()
-        line, self.pending_calls = self.pending_calls, deque()
-        for call in line:
+        calls, self.pending_calls = self.pending_calls, deque()
+        for call in calls:
             self.front.call_abandoned(call)
         self.front.connection_ended(self)
 
     def is_connected(self) -> bool:
-        """Return whether the client is connected, by polling the socket: its end may lie behind unread bytes."""
+        """Return whether the client is connected, by polling the socket: a FIN may follow unread bytes."""
         if self.transport.is_closing():
             return False
         if self.socket_watch.has_hung_up():
@@ -159,19 +150,19 @@
         return True
 
     def has_unread(self) -> bool:
-        """Return whether bytes lie unread in the socket."""
+        """Return whether the socket has unread bytes."""
         return self.socket_watch.has_unread()
 
     def pause_writing(self) -> None:
-        """Stop reading while the client does not take its responses, and note since when."""
+        """Stop reading while the client does not read its responses, and record since when."""
         self.write_paused_at = self.loop_time()
         self._pause_reading(self.front.arrival_clock.poll_returned_ms)
 
     def resume_writing(self) -> None:
-        """Read again, unless too many calls are open; a connection that is ending starts its linger time now."""
+        """Resume reading unless too many calls are open; a closing connection starts its linger time now."""
         self.write_paused_at = math.inf
         if self.is_closing:
-            self.state_since = self.loop_time()  # its last answer has left only now
+            self.state_since = self.loop_time()  # its last response was written only now
         self._resume_reading()
 
     def _pause_reading(self, unseen_ms: float) -> None:
@@ -189,18 +180,17 @@
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came and answer what is due.
+        """Parse the data and write the responses that are ready.
 
-        A request that is malformed, too long, or wants another protocol is refused with a 4xx, the connection's last
-        response. After a refusal up to LINGER_BYTES are read and dropped. Reading pauses while AHEAD calls are open.
+        A request that is malformed, too long, or asks for another protocol is rejected with a 4xx, the connection's
+        last response. After that up to MAX_LINGER_BYTES are read and discarded. Reading pauses while
+        MAX_PIPELINED_CALLS are open.
         """
         self.last_received_at = self.loop_time()
-        if self.ignores_input:  # refused: what still comes is only read so that the refusal arrives
+        if self.ignores_input:  # after a rejection: input is read only so that the response arrives
             self.dropped_bytes += len(data)
             if self.dropped_bytes > MAX_LINGER_BYTES:
-                self._pause_reading(
-                    0.0
-                ) if self.pending_calls else self.transport.abort()  # answers are owed before it ends
+                self._pause_reading(0.0) if self.pending_calls else self.transport.abort()  # first send the responses
             return
         self.request_bytes += len(data)
         self.received_ms = self.front.arrival_clock.earliest_ms(self.last_poll, self.unread_since_ms)
@@ -210,13 +200,11 @@
             if self.request_bytes > (MAX_REQUEST_BYTES if self.is_head_complete else MAX_HEAD_BYTES):
                 raise CallRejectedError(413 if self.is_head_complete else 431, "the request is too long")
         except HttpParserUpgrade:
-            self.reject(CallRejectedError(400, "no other protocol is spoken here"))
+            self.reject(CallRejectedError(400, "protocol upgrades are not supported"))
         except CallRejectedError as rejection:
             self.reject(rejection)
-        except HttpParserError as error:  # a Refusal from below comes wrapped in one
-            if (
-                not self.ignores_input
-            ):  # else it is what came behind a call that was to be the last, or behind the client's end
+        except HttpParserError as error:  # httptools wraps a CallRejectedError of a callback
+            if not self.ignores_input:  # else input after the last call or after a hang-up
                 self.reject(self.rejection or CallRejectedError(400, f"unreadable: {error}"))
         finally:
             self.is_parsing = False
@@ -225,26 +213,26 @@
             self._pause_reading(self.received_ms)
 
     def end(self) -> None:
-        """Shut down a connection on which nothing is open, unless bytes lie unread in the socket."""
+        """Shut down a connection without open calls, unless the socket has unread bytes."""
         if not self.has_unread():
             self.leave()
 
     def leave(self) -> None:
-        """Shut down the sending side; what the client still sends is read and dropped until it ends, or for a while.
+        """Shut down the sending side; read and discard input until the client closes, or for the linger time.
 
-        A close over unread bytes would reset the connection and could lose the last response.
+        Closing with unread bytes would reset the connection and could lose the last response.
         """
         self.is_closing = self.ignores_input = True
         self.is_receiving = False
         self.state_since = self.loop_time()
         try:
             self.transport.write_eof()
-        except OSError:  # the client was first
+        except OSError:  # the client has already closed
             self.transport.abort()
         self._resume_reading()
 
     def finish(self) -> None:
-        """Shut down as the program ends, unless a response is owed or bytes lie unread, which are handled first."""
+        """Shut down at the end of the program, unless calls are open or bytes are unread; these come first."""
         if self.is_closing or self.pending_calls or self.has_unread():
             return
         if self.is_receiving:
@@ -253,11 +241,11 @@
             self.leave()
 
     def has_call_pending(self) -> bool:
-        """Return whether a call is open here or may lie unread, on a connection that was not shut down."""
+        """Return whether a call is open or may be unread, on a connection that was not shut down."""
         return not self.is_closing and (bool(self.pending_calls) or self.has_unread())
 
     def is_quiescent(self, since: float) -> bool:
-        """Return whether it was shut down before `since` (loop time), all responses left, and nothing came after."""
+        """Return whether it was shut down before `since` (loop time), all responses sent, and no input after."""
         return (
             self.is_closing
             and max(self.last_received_at, self.state_since) < since
@@ -266,23 +254,23 @@
         )
 
     def reclaim(self) -> bool:
-        """Close to make room for another connection; False: a response is owed, or bytes lie unread in the socket."""
+        """Close to free the descriptor; return False if calls are open, or bytes are unwritten or unread."""
         if self.pending_calls or self.write_paused_at < math.inf or self.has_unread():
             return False
         if self.is_receiving:
             self.reject(CallRejectedError(503, "Busy"))
         elif self.has_pipelined:
-            self.leave()  # more may be on its way behind an answer that is not yet read
+            self.leave()  # more calls may be in flight
         else:
             self.front.clients.discard(self)
             self.transport.close()
         return True
 
     def reject(self, rejection: CallRejectedError) -> None:
-        """Queue the connection's last response, an error; nothing more of it is parsed."""
+        """Queue an error as the connection's last response and stop parsing."""
         self.ignores_input, self.is_receiving, self.expects_continue = True, False, False
         self.front.telemetry.count("bad_calls", FRONT)
-        self.front.telemetry.log("call_rejected", status=rejection.status)  # its text may hold what the client sent
+        self.front.telemetry.log("call_rejected", status=rejection.status)  # the text may contain client input
         call = PendingCall(self)
         self.pending_calls.append(call)
         call.reply(
@@ -293,25 +281,25 @@
         )
 
     def flush(self) -> None:
-        """Write the responses that are due, in order; the connection ends only with one that has nothing behind it.
+        """Write the responses that are ready, in order; close the connection only after the last one.
 
-        Not while the parser is running: the rest of its data may hold further calls.
+        Does nothing while the parser is running, as the rest of its data may contain further calls.
         """
         if self.is_parsing or self.is_closing or self.transport.is_closing():
             return
-        out, closes = [], False
+        out, is_last = [], False
         while self.pending_calls and self.pending_calls[0].data is not None:
             call = self.pending_calls.popleft()
             self.expects_poll = call.has_next
-            closes = not self.pending_calls and self._is_last_response(call)
-            out.append(call.encode(closes))
+            is_last = not self.pending_calls and self._is_last_response(call)
+            out.append(call.encode(is_last))
         if self.expects_continue and not self.pending_calls:
             self.expects_continue = False
             out.append(_CONTINUE)
         if not out:
             return
         self.transport.write(b"".join(out))
-        if closes:
+        if is_last:
             self.leave()
         elif not self.pending_calls:
             if not self.is_receiving:
@@ -319,8 +307,10 @@
             self._resume_reading()
 
     def _is_last_response(self, call: PendingCall) -> bool:
-        """Whether the connection ends with this answer, the last in line. A call that is half read or lies unread in
-        the system would be lost with it: the connection stays then, and is ended when it rests."""
+        """Return whether the connection is closed after this response, the last pending one.
+
+        Not while a call is partly received or unread, which would be lost; the connection is then closed when idle.
+        """
         if self.ignores_input:
             return True
         return (
@@ -329,49 +319,51 @@
             and not self.has_unread()
         )
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def _stop_parsing(self, status: int, text: str) -> None:
         self.rejection = CallRejectedError(status, text)
         raise self.rejection
 
     def on_message_begin(self) -> None:
-        """Reset the request's fields, and its clock unless it is the first; `_Over` where no more calls are taken."""
+        """Start a request: reset its fields, and its timer unless it is the first. Stop after the last call."""
         if self.ignores_input:
             raise _ParsingStoppedError
         self.url, self.fields, self.body, self.body_bytes = b"", {}, [], 0
         self.is_receiving, self.is_head_complete, self.expects_poll = True, False, False
-        if self.has_completed_call:
+        if self.has_called:
             self.state_since = self.loop_time()
 
     def on_url(self, url: bytes) -> None:
-        """Collect the path; 414 beyond URL bytes."""
+        """Collect the path; reject with 414 beyond MAX_URL_BYTES."""
         self.url += url
         if len(self.url) > MAX_URL_BYTES:
             self._stop_parsing(414, "the path is too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header by its lower-case name; 431 beyond the bounds, 400 for one of `_SINGLE` given twice."""
+        """Store a header by its lower-case name; reject with 431 beyond the limits, 400 for a repeated single one."""
         if len(self.fields) >= MAX_HEADERS or len(name) + len(value) > MAX_HEADER_BYTES:
             self._stop_parsing(431, "too many headers, or too long ones")
         name = name.lower()
         if name in self.fields and name in _SINGLE_HEADERS:
-            self._stop_parsing(400, f"{name.decode().title()}: given twice")  # ours: one of _SINGLE
+            self._stop_parsing(
+                400, f"{name.decode().title()}: given twice"
+            )  # a name of _SINGLE_HEADERS, not client input
         self.fields[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the head: 415 for an encoded body, 413 for a length beyond BODY; note an `Expect: 100-continue`."""
+        """Check the head: 415 for an encoded body, 413 for a length over MAX_BODY_BYTES, `Expect: 100-continue`."""
         self.is_head_complete = True
         if b"content-encoding" in self.fields and self.fields[b"content-encoding"] != b"identity":
             self._stop_parsing(415, "Content-Encoding: not taken here")
         length = self.fields.get(b"content-length", b"0")
-        if len(length) > 6 or int(length) > MAX_BODY_BYTES:  # the parser lets digits only through
+        if len(length) > 6 or int(length) > MAX_BODY_BYTES:  # the parser accepts only digits
             self._stop_parsing(413, "the statement is too long")
         if self.fields.get(b"expect", b"").lower() == b"100-continue" and self.parser.get_http_version() != "1.0":
-            self.expects_continue = True  # told behind the answers to earlier calls
+            self.expects_continue = True  # sent after the responses to earlier calls
 
     def on_body(self, part: bytes) -> None:
-        """Collect a part of the body; 413 beyond BODY bytes in all."""
+        """Collect a part of the body; reject with 413 beyond MAX_BODY_BYTES in total."""
         self.expects_continue = False
         self.body_bytes += len(part)
         if self.body_bytes > MAX_BODY_BYTES:
@@ -379,11 +371,11 @@
         self.body.append(part)
 
     def on_message_complete(self) -> None:
-        """Queue the call and hand it to the front.
+        """Queue the call and pass it to the front.
 
-        A CallRejectedError becomes the connection's last response; any other exception a 500 for this call, logged.
+        A CallRejectedError becomes the connection's last response; any other exception is logged and answered with 500.
         """
-        self.request_bytes, self.is_receiving, self.has_completed_call, self.expects_continue = 0, False, True, False
+        self.request_bytes, self.is_receiving, self.has_called, self.expects_continue = 0, False, True, False
         self.has_pipelined = self.has_pipelined or bool(self.pending_calls)
         call = PendingCall(self)
         call.last = self.ignores_input = not self.parser.should_keep_alive()
@@ -393,7 +385,7 @@
         except CallRejectedError as rejection:
             self.pending_calls.remove(call)
             self._stop_parsing(rejection.status, rejection.text)
-        except Exception as error:  # noqa: BLE001 - a fault ends one call
+        except Exception as error:  # noqa: BLE001 - a fault ends this call only
             self.front.telemetry.count("faults")
             self.front.telemetry.log("exception_caught", error=repr(error), of="call")
             call.reply(500, {"failure": "Failed"}, last=True)
--- a/frostspindle/net/http/listener.py
+++ b/frostspindle/net/http/listener.py
@@ -1,7 +1,7 @@
-"""The listening socket of the HTTP front: accepts client connections within the descriptors that there are.
+"""The listening socket of the HTTP front: accepts client connections within the descriptor limit.
 
-Runs in the event loop. On a socket that the platform holds it only accepts: no bind, no shutdown and no new listen, as
-another process shares it.
+Runs in the event loop. On an inherited socket it only accepts, without bind, shutdown or a new listen, as another
+process shares the socket.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from frostspindle.telemetry import Telemetry
 
 MAX_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the event loop
-BACKLOG = 512  # connections that the system queues
+BACKLOG = 512  # connections queued by the system
 FULL_PAUSE_S = 0.02  # pause in accepting while all connections are in use by clients with requests
 YIELD_TO_WORKER_S = 0.003  # delay before this worker accepts, so that a less loaded worker can accept first
-# Pause in accepting after an accept failed, as for lack of descriptors. A DELETE may wait there, and nothing may be
-# sent 0.1 s after its client has left.
+# Pause in accepting after an accept failed, as for lack of descriptors. A DELETE may be queued, and nothing may be sent
+# to engines later than 0.1 s after its client has left.
 FAILED_PAUSE_S = 0.02
-FAILURE_LOG_INTERVAL_S = 1.0  # between two lines on accepts that go on failing
+FAILURE_LOG_INTERVAL_S = 1.0  # between two log lines about failing accepts
 
 
 class Listener:
     """Accepts connections until it is closed.
 
-    `make_protocol` makes the protocol of a new connection, given the earliest time (Unix ms) at which its bytes can
-    have come; `has_room` tells whether one more may be accepted.
+    `make_protocol` creates the protocol of a new connection, given the earliest time (Unix ms) at which its bytes can
+    have arrived; `has_room` returns whether one more may be accepted.
     """
 
     def __init__(
@@ -45,26 +45,25 @@
         self.make_protocol = make_protocol
         self.has_room = has_room
         self.arrival_clock = ArrivalClock.of(loop)
-        # With several workers: whether this one accepts next, before another one does.
+        # With several workers: returns whether this one should accept before the others.
         self.may_accept: Callable[[], bool] | None = None
         self.port = 0
         self._socket: socket.socket | None = None
-        self._queued_since_ms = clock()  # no connection in the system's queue came before this
-        self._last_poll = 0  # count of the arrival clock when that time was taken
+        self._queued_since_ms = clock()  # no queued connection arrived before this
+        self._last_poll = 0  # count of the arrival clock at that time
         self._joining: set[asyncio.Task[Any]] = set()
         self._failure_logged_at_s = -math.inf
 
     @property
     def joining(self) -> int:
-        """Number of connections that were accepted in this turn."""
+        """Number of connections accepted in this turn of the event loop."""
         return len(self._joining)
 
     def start(self, config: Config) -> None:
-        """Accept from the socket that the platform holds, or from a new one; OSError if that can't be had."""
+        """Accept from the inherited socket or a new one. Raise OSError if it cannot be opened."""
         inherited = config.inherited if config.listener is None else config.listener
         if inherited is not None:
-            # Shared with the platform and another process: no bind, no shutdown, and no listen, which would set its
-            # backlog anew.
+            # Shared with another process: no bind, no shutdown, and no listen, which would change its backlog.
             listening = socket.socket(fileno=inherited)
         else:
             host, _ = config.listen
@@ -77,14 +76,14 @@
         self._resume()
 
     def close(self) -> None:
-        """Stop accepting; connections that queue at an inherited socket are left to the other process."""
+        """Stop accepting; connections queued at an inherited socket are left to the other process."""
         if self._socket is not None:
             self.loop.remove_reader(self._socket)
             self._socket.close()
             self._socket = None
 
     def accept_queued(self) -> None:
-        """Accept all that queue at the socket, which would be reset with it, and stop accepting."""
+        """Accept all queued connections, which closing the socket would reset, and stop accepting."""
         self._note_poll()
         for _ in range(BACKLOG):
             if self._socket is None or not self._accept_one():
@@ -109,7 +108,7 @@
         self._last_poll = self.arrival_clock.count
 
     def _accept(self) -> None:
-        """Accept a few connections: all of one turn must fit into the descriptors; the others stay queued."""
+        """Accept up to MAX_ACCEPTS_PER_TURN connections while there is room; the others stay queued."""
         self._note_poll()
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self._socket is None:
@@ -118,7 +117,7 @@
                 self._pause(FULL_PAUSE_S)
                 return
             if self.may_accept is not None and not self.may_accept():
-                # A worker with fewer connections may accept first; whoever still waits after that is accepted here.
+                # A worker with fewer connections may accept first; what is still queued after that is accepted here.
                 self._pause(YIELD_TO_WORKER_S, accept_first=True)
                 return
             if not self._accept_one():
@@ -139,15 +138,15 @@
             accepted, _ = self._socket.accept()
         except BlockingIOError:
             self._queued_since_ms = self.arrival_clock.poll_returned_ms
-            return False  # the other process was first
+            return False  # another process accepted it
         except (InterruptedError, ConnectionAbortedError):
             return False
         except OSError as error:
             self._on_accept_failed(error)
             return False
         accepted.setblocking(False)
-        # A listener that was made by address does not tell asyncio that its connections are TCP's: small responses
-        # would be held back, and be lost with a reset.
+        # asyncio does not set this for sockets of this kind: small responses would be delayed by Nagle's algorithm, and
+        # lost with a reset.
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         protocol = self.make_protocol(self._queued_since_ms)
         joining = self.loop.create_task(self.loop.connect_accepted_socket(lambda: protocol, accepted))
--- a/frostspindle/net/http/request_registry.py
+++ b/frostspindle/net/http/request_registry.py
@@ -1,8 +1,8 @@
-"""The requests that clients have open, how a call waits for an answer, and the paths under which answers are kept.
+"""The open requests of clients: long polling, response paths, and results kept in pages.
 
-Owns the ids that are open, the paths with their answers cut into pages, and how long and how many of them are kept.
-It must never answer a request before it is settled, never let a path give other rows a second time, never keep more
-than its bound in bytes, and never leave a request at the core that its client has given up.
+Holds the ids of open requests and the response paths with their paged results, within a limit in bytes. Calls are
+answered only with the final response or a path to poll; a path returns the same rows each time. Requests that their
+clients abandon are cancelled in the core.
 """
 
 from __future__ import annotations
@@ -16,55 +16,55 @@
 from frostspindle.core import Core, Response, ResponseStatus
 from frostspindle.net.http.calls import CallConnection, OpenRequest, PendingCall
 
-POLL_HOLD_S = 1.0  # a call is held this long for its answer, then the client is given a path to ask again
-MAX_PAGE_BYTES = 48 * 1024  # rows in one answer
-MIN_RETRY_AFTER_MS = 1  # a refusal always says how long to stay away
-RESULT_RETENTION_S = 5.0  # how long answers are kept for a repeated GET
-RETURN_TIMEOUT_S = 2.0  # how long a client whose connection has ended may take to call its path again
+POLL_HOLD_S = 1.0  # a call waits this long for its response, then the client gets a path to poll
+MAX_PAGE_BYTES = 48 * 1024  # of the rows in one response
+MIN_RETRY_AFTER_MS = 1  # a rejection always names a delay
+RESULT_RETENTION_S = 5.0  # how long results are kept for a repeated GET
+RETURN_TIMEOUT_S = 2.0  # how long a client without a connection may take to poll its path
 
 
 class DepartureReason(StrEnum):
-    """How it was learnt that the client of an open request has left."""
+    """How the departure of an open request's client was detected."""
 
-    CONNECTION_ENDED = "connection ended"  # before the client was given a path
+    CONNECTION_ENDED = "connection ended"  # before the client got a path
     DELETED = "deleted"
     NOT_RETURNED = "not returned"  # within RETURN_TIMEOUT_S
 
 
 class RequestRegistry:
-    """The requests that are open at this front, by id and by path, and their results."""
+    """The open requests of this front, by id and by path, and their results."""
 
     def __init__(
         self, core: Core, loop: asyncio.AbstractEventLoop, max_kept_bytes: int, on_released: Callable[[str], None]
     ) -> None:
         self.core, self.loop, self.max_kept_bytes, self.on_released = core, loop, max_kept_bytes, on_released
-        self.ids: set[str] = set()  # of the requests that are open
+        self.ids: set[str] = set()  # of open requests
         self.open: dict[str, OpenRequest] = {}  # by path
         self._kept_bytes = self._last_number = 0
-        self._hold_until: dict[PendingCall, float] = {}  # until when each call is held, in their order: all as long
+        self._hold_until: dict[PendingCall, float] = {}  # in the order of expiry, as all calls wait equally long
         self._hold_timer: asyncio.TimerHandle | None = None
 
     @property
     def unfetched_responses(self) -> int:
-        """Number of requests whose client has yet to fetch the last response."""
+        """Number of requests whose last response has not been fetched yet."""
         return sum(not opened.is_fetched for opened in self.open.values())
 
-    def new(self, ticket: str, before: str) -> OpenRequest:
-        """Return a new request under a unique path that starts with `before`."""
+    def new(self, ticket: str, prefix: str) -> OpenRequest:
+        """Return a new request with a unique path that starts with `prefix`."""
         self._last_number += 1
-        return OpenRequest(self._settled, ticket, f"{before}{self._last_number:x}-{ticket}")
+        return OpenRequest(self._settled, ticket, f"{prefix}{self._last_number:x}-{ticket}")
 
     def _settled(self, opened: OpenRequest) -> None:
         self._unbind(opened)
         self.ids.discard(opened.ticket)
         self.on_released(opened.ticket)
-        slots, opened.waiting_calls = opened.waiting_calls, []
-        for call in slots:
+        calls, opened.waiting_calls = opened.waiting_calls, []
+        for call in calls:
             self._hold_until.pop(call, None)
             self.send_response(call)
 
     def wait(self, call: PendingCall) -> None:
-        """Answer the call now, or once the request is settled, or after HOLD_S with a path to ask again."""
+        """Answer the call now, when the request completes, or after POLL_HOLD_S with a path to poll."""
         assert call.opened is not None
         if call.opened.response is not None:
             self.send_response(call)
@@ -76,7 +76,7 @@
                 self._hold_timer = self.loop.call_at(until, self._on_hold_timer)
 
     def _on_hold_timer(self) -> None:
-        """The call that was held longest, if it was so long enough: a timer for each costs more than one for all."""
+        """Handle the call that has waited longest, if its time is over; one timer for all costs less than one each."""
         self._hold_timer, (call, until) = None, next(iter(self._hold_until.items()), (None, 0.0))
         is_expired = call is not None and until <= self.loop.time()
         if is_expired:
@@ -91,33 +91,33 @@
         assert opened is not None
         if call.page < 0:
             if not call.client.is_connected():
-                return  # it left without a path, and would be taken for one that comes back with it
+                return  # it left without a path, and must not count as one that can return
             self._assign_path(opened)
             self.core.telemetry.log("response_path_given", ticket=opened.ticket)
         opened.waiting_calls.remove(call)
         call.reply(200, {"next": f"{opened.path}/{max(0, call.page)}"})
 
     def _assign_path(self, opened: OpenRequest) -> None:
-        """From here on the request outlives its connection: a poor link may break, the path stays."""
+        """Register the path; from now on the request outlives its connection."""
         self.open[opened.path] = opened
         left_ms = opened.request.timeout_ms if opened.request is not None else 0.0
         opened.timer = self.loop.call_later(left_ms / 1000.0 + RESULT_RETENTION_S, self._drop, opened)
 
     def send_response(self, call: PendingCall) -> None:
-        """Answer a call whose request is settled."""
+        """Answer a call whose request has completed."""
         opened = call.opened
         assert opened is not None and opened.response is not None
-        answer, page = opened.response, max(0, call.page)
-        if answer.status != ResponseStatus.SERVED:
+        response, page = opened.response, max(0, call.page)
+        if response.status != ResponseStatus.SERVED:
             self._mark_fetched(opened)
-            if answer.status == ResponseStatus.REJECTED:
-                wait_ms = max(MIN_RETRY_AFTER_MS, math.ceil(answer.retry_after_ms))
+            if response.status == ResponseStatus.REJECTED:
+                wait_ms = max(MIN_RETRY_AFTER_MS, math.ceil(response.retry_after_ms))
                 call.reply(503, {"failure": "Busy"}, f"Retry-After-Ms: {wait_ms}\r\n")
             else:
                 call.reply(502, {"failure": "Failed"})
             return
         if opened.pages is None:
-            opened.pages, opened.result_bytes = _split_into_pages(*answer.result)
+            opened.pages, opened.result_bytes = _split_into_pages(*response.result)
             if call.page < 0 and len(opened.pages) > 1:
                 self._assign_path(opened)
             if opened.path in self.open:
@@ -133,7 +133,7 @@
         call.reply(200, body)
 
     def _mark_fetched(self, opened: OpenRequest) -> None:
-        """The client has all; the path stays a little, should its connection have broken meanwhile."""
+        """Mark the result as fetched; the path is kept a little longer in case the response was lost."""
         opened.is_fetched = True
         if opened.timer is not None:
             opened.timer.cancel()
@@ -153,10 +153,10 @@
             if opened.timer is not None:
                 opened.timer.cancel()
 
-    # Whether the client is there.
+    # Presence of the client.
 
     def _bind(self, opened: OpenRequest, connection: CallConnection) -> None:
-        """Note on which connection the client of an open request is; one that was away has returned."""
+        """Bind an open request to its client's connection, and resume it if it was suspended."""
         if opened.connection is connection:
             return
         self._unbind(opened)
@@ -176,23 +176,23 @@
             opened.return_timer = None
 
     def call_abandoned(self, call: PendingCall) -> None:
-        """Note that the connection of a call has ended, and nobody waits for its answer."""
+        """Drop a call whose connection has ended."""
         self._hold_until.pop(call, None)
         opened = call.opened
         if opened is not None and call in opened.waiting_calls:
             opened.waiting_calls.remove(call)
 
     def connection_ended(self, connection: CallConnection) -> None:
-        """Note that a client's connection has ended: its requests without a path are over, the others suspended."""
+        """Handle the end of a client's connection: cancel requests without a path, suspend the others."""
         for opened in list(connection.requests):
             if opened.path in self.open:
                 self._suspend(opened)
             else:
-                # The client has no path yet: its connection was the request.
+                # Without a path the client cannot return to the request.
                 self.abandon(opened, DepartureReason.CONNECTION_ENDED)
 
     def _suspend(self, opened: OpenRequest) -> None:
-        """Send nothing for a request whose client has no connection, and give it up if none comes in time."""
+        """Suspend a request whose client has no connection, and cancel it after RETURN_TIMEOUT_S."""
         self._unbind(opened)
         if opened.request is None:
             return
@@ -201,9 +201,9 @@
         opened.return_timer = self.loop.call_later(RETURN_TIMEOUT_S, self.abandon, opened, DepartureReason.NOT_RETURNED)
 
     def is_connected(self, opened: OpenRequest) -> bool:
-        """Return whether the client of a request is connected, by a look at its connection.
+        """Return whether the client of a request is connected, by polling its socket.
 
-        Where it is not, the request is suspended or given up, as it would be once the end is read.
+        If not, the request is suspended or cancelled, as it would be when the event loop reports the hang-up.
         """
         connection = opened.connection
         if opened.response is not None or connection is None:
@@ -214,7 +214,7 @@
         return False
 
     def abandon(self, opened: OpenRequest, reason: DepartureReason) -> None:
-        """Drop a request whose client has stopped waiting, and free the engine's work."""
+        """Cancel a request whose client has stopped waiting, and free the engine."""
         self._drop(opened)
         self._unbind(opened)
         if opened.response is None and opened.request is not None:
@@ -224,7 +224,7 @@
 
 
 def _split_into_pages(rows: list[list[str]], size: int) -> tuple[list[list[Any]], int]:
-    """Cut the rows into answers, once; the same path gives the same rows again."""
+    """Split rows into pages, once, so that a path always returns the same rows."""
     if size <= MAX_PAGE_BYTES:
         return [rows], size
     pages: list[list[Any]] = []
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -1,8 +1,9 @@
-"""The platform's front: clients that speak HTTP/1.1.
+"""The HTTP front: serves clients of the platform that speak HTTP/1.1.
 
-Routes each call by its path, checks a request and submits it to the core, rejects what goes beyond its limits, and owns
-the connections of all clients together. Its parts are in net/http/: `listener` accepts, `clients` is one connection,
-`connection_limits` decides whose connection ends, `calls` and `request_registry` hold calls, paths and responses.
+Routes each call by its path, validates requests and submits them to the core, rejects calls beyond its limits, and
+manages the connections of all clients. Its parts are in net/http/: `listener` accepts connections, `clients` handles
+one connection, `connection_limits` decides which connections are closed, and `calls` and `request_registry` hold calls,
+paths and responses.
 """
 
 from __future__ import annotations
@@ -29,26 +30,26 @@
 from frostspindle.telemetry import Telemetry
 
 SWEEP_INTERVAL_S = 0.2
-DEFAULT_RETRY_AFTER_MS = 200  # so long a client that finds the program full stays away
-CLOSE_GRACE_S = 0.3  # the end waits so long for clients that still send
-QUIET_S = 0.04  # and for them to be silent
-FINAL_PASSES = 5  # over the connections, to answer what came late, where no time is left
+DEFAULT_RETRY_MS = 200  # Retry-After-Ms of the front's own rejections
+CLOSE_GRACE_S = 0.3  # at shutdown, how long to wait for clients that still send
+QUIET_S = 0.04  # a client that sent nothing for this long has finished
+FINAL_PASSES = 5  # over the connections after the grace period, to answer late calls
 
 
 class WorkerRelay(Protocol):
-    """What ties this front to those of the other workers; a single process has none."""
+    """Connects this front to the fronts of other workers; not used in a single process."""
 
     def claim(self, ticket: str) -> CallRejectedError | None:
-        """Reserve a request id for this worker; a Refusal is returned if it can't be had."""
+        """Reserve a request id for this worker; return a CallRejectedError if it is not available."""
 
     def release(self, ticket: str) -> None:
-        """Free a request id once its request is settled."""
+        """Release a request id once its request has completed."""
 
     def relay_call(self, call: PendingCall, method: bytes, path: str, url: bytes) -> bool:
-        """Pass a call on a path unknown here to the worker that has it; return whether one answers it."""
+        """Relay a call for an unknown path to the worker that owns it; return whether there is one."""
 
     def abandon(self, call: PendingCall) -> None:
-        """Note that the client of a call that was passed on has gone."""
+        """Cancel a relayed call, as its client has disconnected."""
 
     def accepts(self) -> bool:
         """Return whether this worker should accept a new connection before the others do."""
@@ -60,14 +61,14 @@
     def __init__(self, config: Config, core: Core, telemetry: Telemetry) -> None:
         self.config, self.core, self.telemetry = config, core, telemetry
         self.loop = asyncio.get_running_loop()
-        self.sockets = config.limits.sockets  # this process's, of which clients have a part
+        self.sockets = config.limits.sockets  # descriptors of this process; clients get a share
         self.arrival_clock = ArrivalClock.of(self.loop)
         self.share_descriptors(False)
-        self.prefix = ""  # of paths: it names the worker among several
+        self.prefix = ""  # of response paths; identifies the worker if there are several
         self.relay: WorkerRelay | None = None
         self.tenant: Callable[[RequestAttributes, bytes | None], int] | None = None
         self.annotate_request: Callable[[ClientRequest, dict[bytes, bytes]], None] | None = (
-            None  # what else its head says of a request
+            None  # reads further headers
         )
         self.max_memory_mb = max((*core.settings.kind_memory_mb, 1.0))
         self.classes = {name.encode(): number for number, name in enumerate(config.classes)}
@@ -79,47 +80,49 @@
         self.connection_ended = self.registry.connection_ended
         self._sweeper: asyncio.TimerHandle | None = None
         self._drained_at = math.inf
-        most_ms = core.settings.max_retry_after_ms
-        self.retry_after_header = f"Retry-After-Ms: {min(DEFAULT_RETRY_AFTER_MS, max(1, int(most_ms))) if most_ms > 0 else DEFAULT_RETRY_AFTER_MS}\r\n"
+        max_ms = core.settings.max_retry_after_ms
+        self.retry_after_header = (
+            f"Retry-After-Ms: {min(DEFAULT_RETRY_MS, max(1, int(max_ms))) if max_ms > 0 else DEFAULT_RETRY_MS}\r\n"
+        )
 
     def start(self) -> None:
-        """Accept from the socket that the platform holds, or from a new one; OSError if that can't be had."""
+        """Accept from the inherited socket or a new one. Raise OSError if it cannot be opened."""
         if self.relay is not None:
             self.listener.may_accept = self.relay.accepts
         self.listener.start(self.config)
         self._sweep()
 
     def leave(self) -> None:
-        """Stop accepting; connections that queue at an inherited socket are left to the other process."""
+        """Stop accepting; connections queued at an inherited socket are left to the other process."""
         self.listener.close()
 
     @property
     def port(self) -> int:
-        """TCP port that is listened on; 0 before the start."""
+        """TCP port of the listening socket; 0 before the start."""
         return self.listener.port
 
     @property
     def unfetched_responses(self) -> int:
-        """Number of requests whose client has yet to fetch the last response."""
+        """Number of requests whose last response has not been fetched yet."""
         return self.registry.unfetched_responses
 
     @property
     def connections(self) -> int:
-        """Number of clients' connections that are set up."""
+        """Number of established client connections."""
         return len(self.clients)
 
     @property
     def open_connections(self) -> int:
-        """Number of connections, with those that were accepted in this turn."""
+        """Number of connections, including those accepted in this turn of the event loop."""
         return len(self.clients) + self.listener.joining
 
     @property
     def is_receiving_request(self) -> bool:
-        """Whether a request is partly read; `_sweep` ends each in time."""
+        """Whether a request is partly received; `_sweep` times these out."""
         return any(client.state() == RECEIVING for client in self.clients)
 
     def finish(self) -> None:
-        """Take nothing more, as the program ends; a request that is partly read is refused and not just cut off."""
+        """Accept nothing more, at shutdown; reject partly received requests."""
         self.listener.accept_queued()
         self._drained_at = -math.inf
         for client in list(self.clients):
@@ -127,16 +130,16 @@
                 client.finish()
 
     async def close(self, until_s: float = math.inf) -> None:
-        """Stop accepting, give clients time to take responses and fall silent, then close all connections.
+        """Stop accepting, let clients take their responses, then close all connections.
 
-        They have LAST_S, or until `until_s` of the event loop's time if that is sooner. Calls that came while the
-        process did not run are answered all the same.
+        Clients have CLOSE_GRACE_S, or until `until_s` (loop time) if that is sooner. Calls that arrived while the process
+        was not running are still answered.
         """
         if self._sweeper is not None:
             self._sweeper.cancel()
         self.leave()
-        last = min(self.loop.time() + CLOSE_GRACE_S, until_s)
-        while (now := self.loop.time()) < last and not all(
+        deadline = min(self.loop.time() + CLOSE_GRACE_S, until_s)
+        while (now := self.loop.time()) < deadline and not all(
             client.is_quiescent(now - QUIET_S) for client in self.clients
         ):
             await self._finish_clients()
@@ -153,7 +156,7 @@
         await asyncio.sleep(QUIET_S / 4.0)
 
     def share_descriptors(self, is_sharing: bool) -> None:
-        """Set the bounds on connections; while another process serves too, both must fit into the descriptors."""
+        """Set the connection limits; while two processes serve, they share the descriptors."""
         self.max_clients = connection_limits.max_connections(self.sockets, is_sharing)
         self.reserved_connections = connection_limits.reserved_connections(self.max_clients, is_sharing)
 
@@ -161,50 +164,55 @@
 
     @property
     def draining(self) -> bool:
-        """Whether clients are being sent away."""
+        """Whether the front is draining."""
         return self._drained_at < math.inf
 
     def drain(self) -> None:
-        """Begin a drain: new calls are still served for TAKE_S, and each connection ends once nothing is open on it."""
+        """Begin a drain: accept requests for DRAIN_LAST_REQUEST_S more; close connections without open calls."""
         self._drained_at = min(self._drained_at, self.loop.time())
 
     def resume(self) -> None:
-        """End a drain: serve and keep connections as before."""
+        """End a drain: accept requests and keep connections again."""
         self._drained_at = math.inf
 
     # Connections.
 
     def register(self, client: ClientConnection) -> None:
-        """Register a connection; over the bound, one that can be spared is closed, else this one is marked `extra`."""
+        """Register a connection; over the limit, close another one or mark this one `is_over_limit`."""
         self.clients.add(client)
         client.is_over_limit = not self._make_room(client, connection_limits.RECLAIM_FOR_CONNECTION)
 
-    def _make_room(self, newest: ClientConnection | None, least: float) -> bool:
-        """End those that need their places least: silent, long idle or slow; never one with a call at work or unread.
-        Those that are ending already have no place any more."""
+    def _make_room(self, newest: ClientConnection | None, min_score: float) -> bool:
+        """Close the connections with the best reclaim scores, of at least `min_score`, until the limit is met.
+
+        Connections with open or unread calls stay; those that are closing already do not count. Return whether the
+        limit is met.
+        """
         if len(self.clients) <= self.max_clients:
             return True
-        over, now = sum(not client.is_closing for client in self.clients) - self.max_clients, self.loop.time()
+        excess, now = sum(not client.is_closing for client in self.clients) - self.max_clients, self.loop.time()
         ranked = (
             [
                 (connection_limits.reclaim_score(client.state(), now - client.state_since), client)
                 for client in self.clients
                 if client is not newest and not client.is_closing
             ]
-            if over > 0
+            if excess > 0
             else []
         )
-        # Half a request, or a path that is about to be called, goes only where there is nobody else.
-        for rank, client in sorted(ranked, key=lambda one: (one[1].is_receiving or one[1].expects_poll, -one[0])):
-            if over <= 0:
+        # Connections with a partial request or an expected poll are closed last.
+        for score, client in sorted(
+            ranked, key=lambda entry: (entry[1].is_receiving or entry[1].expects_poll, -entry[0])
+        ):
+            if excess <= 0:
                 break
-            if rank >= least and client.reclaim():
+            if score >= min_score and client.reclaim():
                 self.telemetry.count("places_cleared", FRONT)
-                over -= 1
-        return over <= 0
+                excess -= 1
+        return excess <= 0
 
     def _has_room(self) -> bool:
-        """Whether one more connection may be accepted, be it to hear that there is no place for it."""
+        """Return whether one more connection may be accepted, if only to reject its request."""
         if self.open_connections < self.max_clients + self.reserved_connections:
             return True
         self._make_room(None, connection_limits.RECLAIM_FOR_CONNECTION)
@@ -220,11 +228,11 @@
         return self.open_connections < self.max_clients + self.reserved_connections
 
     def _sweep(self) -> None:
-        """Close whoever has had its time: a word or a close is owed within 3 s of connecting."""
+        """Close connections that timed out; clients get a response or a close within 3 s of connecting."""
         self._sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for client in list(self.clients):
-            # Nobody reads there, so that the client's end would not be noticed.
+            # While reading is paused the event loop does not report a hang-up.
             if not client.is_closing and not client.transport.is_reading() and not client.is_connected():
                 continue
             step = connection_limits.next_step(
@@ -246,9 +254,9 @@
                     client.has_unread()
                     and now - client.state_since < connection_limits.REQUEST_TIMEOUT_S + 2 * SWEEP_INTERVAL_S
                 ):
-                    continue  # its end may lie there
+                    continue  # the rest of the request may be unread
                 self.telemetry.count("slow_clients", FRONT)
-                client.reject(CallRejectedError(408, "the request did not come in time"))
+                client.reject(CallRejectedError(408, "the request was not complete in time"))
             elif step is ConnectionStep.REJECT_IN_DRAIN:
                 client.reject(CallRejectedError(503, "Busy"))
             else:
@@ -257,7 +265,7 @@
                 client.end()
 
     def call_abandoned(self, call: PendingCall) -> None:
-        """Note that the connection of a call has ended."""
+        """Drop a call whose connection has ended."""
         self.registry.call_abandoned(call)
         if self.relay is not None:
             self.relay.abandon(call)
@@ -267,9 +275,9 @@
     def call(self, call: PendingCall, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
         """Answer a whole call or submit its request to the core.
 
-        Raises Refusal, a 4xx that ends the connection. A POST is answered 503 where clients are over the bound, a
-        drain is past its time, or the core is full; GET waits for a page or the result; DELETE gives the request up.
-        Calls on paths of other workers are passed on.
+        Raise CallRejectedError for a 4xx, which ends the connection. A POST gets a 503 if the connection is over the
+        limit, the drain no longer accepts requests, or the core is full; GET waits for a page or the result; DELETE
+        cancels the request. Calls for paths of other workers are relayed.
         """
         if not url.startswith(b"/call/"):
             if url != b"/ping":
@@ -302,52 +310,52 @@
             self.registry.wait(call)
 
     def _post(self, call: PendingCall, class_name: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
-        """Check a request, and submit it to the core where there is capacity for it."""
+        """Validate a request and submit it to the core if there is capacity."""
         if class_name not in self.classes:
             raise CallRejectedError(404, "no such class")
         number = self.classes[class_name]
         class_settings = self.core.settings.classes[number]
-        has_idempotency_key = class_settings.idempotency == Idempotency.WITH_KEY
-        described = request_fields.read_request(
+        uses_idempotency_key = class_settings.idempotency == Idempotency.WITH_KEY
+        request_head = request_fields.read_request(
             fields,
             number,
             class_settings.deadline_ms,
             self.max_memory_mb,
             class_settings.in_order,
-            has_idempotency_key,
+            uses_idempotency_key,
         )
         statement = _read_statement(body)
-        tenant = self._tenant_of(call, fields, statement, described.tenant)
-        if described.ticket in self.registry.ids:
+        tenant = self._tenant_of(call, fields, statement, request_head.tenant)
+        if request_head.ticket in self.registry.ids:
             raise CallRejectedError(409, "X-Request-Id: this request is already open")
         if not call.client.is_connected():
             return
-        if not self._has_capacity(call, number) or not self._claim_id(call, described.ticket):
+        if not self._has_capacity(call, number) or not self._claim_id(call, request_head.ticket):
             return
-        opened = self.registry.new(described.ticket, f"/call/{class_name.decode()}/{self.prefix}")
+        opened = self.registry.new(request_head.ticket, f"/call/{class_name.decode()}/{self.prefix}")
         request = ClientRequest(
             FRONT,
             number,
-            described.ticket,
+            request_head.ticket,
             statement,
             call.client.received_ms,
-            described.timeout_ms,
+            request_head.timeout_ms,
             opened.on_response,
-            described.cost_ms,
-            described.memory_mb,
+            request_head.cost_ms,
+            request_head.memory_mb,
             table_group(statement),
             tenant=tenant,
-            key=described.key,
-            idempotency_key=described.idempotency_key,
+            key=request_head.key,
+            idempotency_key=request_head.idempotency_key,
             is_client_connected=lambda: self.registry.is_connected(opened),
         )
-        self._mark(request, fields)
-        if described.retry:
+        self._annotate(request, fields)
+        if request_head.retry:
             self.telemetry.count("client_retries", FRONT, self.core.classes[number][1])
         self._submit(call, opened, request)
 
     def _tenant_of(self, call: PendingCall, fields: dict[bytes, bytes], statement: str, named: bytes | None) -> int:
-        """Return the number of the request's tenant; CallRejectedError if it names one that is unknown."""
+        """Return the number of the request's tenant; raise CallRejectedError if it is unknown."""
         if self.tenant is None:
             return 0
         peer = call.client.transport.get_extra_info("peername") or ("",)
@@ -358,7 +366,7 @@
             raise CallRejectedError(400, f"X-Tenant: {unknown}") from None
 
     def _has_capacity(self, call: PendingCall, number: int) -> bool:
-        """Return whether one more request may be submitted; if not, the call is answered."""
+        """Return whether one more request may be submitted; if not, answer the call."""
         client = call.client
         client.is_over_limit = client.is_over_limit and not self._make_room(
             client, connection_limits.RECLAIM_FOR_REQUEST
@@ -375,7 +383,7 @@
         return False
 
     def _claim_id(self, call: PendingCall, ticket: str) -> bool:
-        """Reserve the request's id among the workers; if it can't be had, the call is answered or rejected."""
+        """Reserve the request's id among the workers; if that fails, answer or reject the call."""
         rejection = self.relay.claim(ticket) if self.relay is not None else None
         if rejection is None:
             return True
@@ -386,8 +394,8 @@
         )
         return False
 
-    def _mark(self, request: ClientRequest, fields: dict[bytes, bytes]) -> None:
-        """Add what optional parts read from the head; CallRejectedError if that can't be used."""
+    def _annotate(self, request: ClientRequest, fields: dict[bytes, bytes]) -> None:
+        """Let optional parts read further headers; raise CallRejectedError for invalid ones."""
         if self.annotate_request is None:
             return
         try:
@@ -413,7 +421,7 @@
 
 
 def _read_statement(body: bytes) -> str:
-    """Return the statement of a body; CallRejectedError if there is none."""
+    """Return the statement in a body; raise CallRejectedError if there is none."""
     try:
         statement = body.decode()
     except UnicodeDecodeError:
