--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -1,7 +1,7 @@
-"""Endpoint discovery: follows the event bus that tells which engines there are, and reports them to the core.
+"""Endpoint discovery: follows the event bus that announces engines, and reports them to the core.
 
-Runs in the event loop, as one task. Its events go to the core ahead of all client work, each at most once and in order.
-A bus that is silent for too long is joined anew, since what it told counts as notified meanwhile.
+Runs in the event loop, as one task. Its events go to the core before all client work, each at most once and in order.
+If the bus is silent for too long the watcher reconnects, as events of the bus count as delivered after a fixed time.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from frostspindle.reserved_descriptor import NO_DESCRIPTOR_ERRORS, ReservedDescriptor
 from frostspindle.telemetry import Telemetry
 
-# The bus writes a line every second, and its events count as notified after 7 s. Each further connection on which
-# nothing comes is given more time, up to MAX_SILENCE_TIMEOUT_S, so that a bus that is merely slow is heard in the end.
+# The bus writes a line every second, and its events count as delivered after 7 s. The timeout grows with each
+# connection without data, up to MAX_SILENCE_TIMEOUT_S, so that a slow bus is received eventually.
 SILENCE_TIMEOUT_S = 1.6
 MAX_SILENCE_TIMEOUT_S = 4.0
 SILENCE_TIMEOUT_GROWTH = 1.5
@@ -30,15 +30,15 @@
 MAX_LINE_BYTES = 1 << 20
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.5
-MAX_RETRIES_OF_INVALID_LINE = 2  # so often the bus is asked again for what was invalid; then it is skipped
+MAX_RETRIES_OF_INVALID_LINE = 2  # after that the line is skipped
 _DECODER = msgspec.json.Decoder(BusEvent | int)
 
 
 class WatchConnection(asyncio.Protocol):
     """One connection to the bus.
 
-    Each line is handed on in the turn of the event loop in which it came, so that a pause of this process is not taken
-    for silence of the bus: what the system has queued is read before the time is checked.
+    Each line is processed in the turn of the event loop in which it is received, so that a pause of this process does
+    not count as silence of the bus: queued data is read before the time is checked.
     """
 
     def __init__(
@@ -52,20 +52,20 @@
         self.reserve = reserve
         self.on_line = on_line
         self.monotonic_s = monotonic_s
-        self.last_line_s = monotonic_s()  # when the last line came, or the connection began
+        self.last_line_s = monotonic_s()  # time of the last line, or of the connection
         self.has_received = False
         self.closed = asyncio.Event()
-        self.error = Exception()  # why it was closed
+        self.error = Exception()  # the reason for closing
         self._partial_line = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; asyncio calls this once connected."""
+        """Store the transport."""
         self.transport: asyncio.Transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        """Hand each complete line to `on_line` and note the time of the last one.
+        """Pass each complete line to `on_line` and record the time of the last one.
 
-        A line beyond MAX_LINE_BYTES, or an exception of `on_line`, ends the connection, with the error in `error`.
+        A line beyond MAX_LINE_BYTES, or an exception of `on_line`, closes the connection, with the error in `error`.
         """
         if self.closed.is_set():
             return
@@ -79,12 +79,12 @@
                     self.on_line(bytes(line))
             if len(self._partial_line) > MAX_LINE_BYTES:
                 raise ValueError("a line is too long")
-        except Exception as error:  # noqa: BLE001 - whatever the bus writes, it is joined again
+        except Exception as error:  # noqa: BLE001 - reconnect whatever the bus sends
             self._close(error)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Close the socket, fill the descriptor reserve again, and note why the connection ended."""
-        # Closed here and not by the transport after this call: the reserve is filled before anybody else can open one.
+        """Close the socket, refill the descriptor reserve, and record the reason."""
+        # Closed here, not later by the transport, so that the reserve is refilled before another descriptor is opened.
         self.sock.close()
         self.reserve.take()
         self._close(error or EOFError("the bus ended its connection"))
@@ -98,8 +98,8 @@
 class EndpointWatcher:
     """Reads the endpoint events of the bus and reports engines to the core.
 
-    `last` is the offset of the last event that was applied, `at` the address of the bus (None: there is none), `spoke`
-    whether the bus itself has sent anything valid.
+    `last` is the offset of the last applied event, `bus_address` the address of the bus (None if there is none),
+    `has_received_valid` whether the bus itself has sent a valid message.
     """
 
     def __init__(self, config: Config, core: Core, driver: Driver, telemetry: Telemetry) -> None:
@@ -110,33 +110,33 @@
         self.bus_address = config.bus
         self.last = 0
         self.has_received_valid = False
-        self.reserve = ReservedDescriptor()  # for its connection, while clients hold all other descriptors
+        self.reserve = ReservedDescriptor()  # for its connection when clients use all other descriptors
         self._moved = asyncio.Event()
         self._random = random.Random(config.seed)
         self._first_line_timeout_s = SILENCE_TIMEOUT_S
         self._invalid_lines = 0  # since the last event
-        self._ids: dict[str, int] = {}  # by name, of the engines that are not gone
+        self._ids: dict[str, int] = {}  # by name, without removed engines
         self._used_ids: set[int] = set()
-        self._starts: dict[int, tuple[float, float]] = {}  # by id: as the list tells it, and on the steady clock
+        self._starts: dict[int, tuple[float, float]] = {}  # by id: as announced (Unix ms), and on the monotonic clock
 
     def start(self) -> None:
-        """Apply the events that the configuration already has; `run` follows the bus from there on."""
+        """Apply the events of the configuration; `run` follows the bus after those."""
         for event in self.config.known:
             self._apply(event)
         self.last = max(self.last, self.config.known_offset)
 
     def move(self, at: Address | None) -> None:
-        """Change the address of the bus: reconnect there at once, from the last offset on."""
+        """Change the address of the bus and reconnect at once, continuing after the last offset."""
         if at != self.bus_address:
             self.bus_address = at
             self._moved.set()
 
     def restore(self, event: BusEvent) -> None:
-        """Apply the whole list as another coordinator has it from the bus, unless it is not newer than this one."""
+        """Apply the complete list received by another coordinator, if it is newer."""
         self._apply(event)
 
     async def run(self) -> None:
-        """Follow the bus until cancelled; reconnect with backoff and jitter when it ends, moves or sends bad lines."""
+        """Follow the bus until cancelled; reconnect with backoff and jitter if it ends, moves or sends bad lines."""
         backoff_s = MIN_BACKOFF_S
         while True:
             self._moved.clear()
@@ -155,10 +155,10 @@
             moved.cancel()
 
     async def _wait_for_move(self, backoff_s: float) -> None:
-        """Wait out the backoff, or without an address until there is one.
+        """Wait for the backoff, or without an address until there is one.
 
-        A move cuts the wait short, as the old bus may never write again. The jitter keeps coordinators, which all lose
-        a bus in the same moment, from returning in one.
+        A move ends the wait, as the old bus may never send again. The jitter spreads the reconnects of coordinators,
+        which all lose a bus at the same time.
         """
         timeout_s = None
         if self.bus_address is not None:
@@ -170,7 +170,7 @@
     async def _follow_once(self, at: Address) -> None:
         try:
             await self._follow(at)
-        except Exception as error:  # noqa: BLE001 - whatever the bus writes, it is joined again
+        except Exception as error:  # noqa: BLE001 - reconnect whatever the bus sends
             self.telemetry.count("bus_reconnects")
             self.telemetry.log("discovery_disconnected", error=repr(error), last=self.last)
 
@@ -214,7 +214,7 @@
         return watch
 
     def _open_socket(self, family: socket.AddressFamily) -> socket.socket:
-        """Open a socket, with the reserved descriptor if no other is to be had."""
+        """Open a socket, using the reserved descriptor if no other is available."""
         try:
             return socket.socket(family, socket.SOCK_STREAM)
         except OSError as error:
@@ -224,7 +224,7 @@
             return socket.socket(family, socket.SOCK_STREAM)
 
     def _on_line(self, line: bytes) -> None:
-        """Take one line; an invalid one is asked for again, and skipped if it stays as it is."""
+        """Process one line; an invalid one is requested again, and skipped if it stays invalid."""
         skip = self._invalid_lines >= MAX_RETRIES_OF_INVALID_LINE
         try:
             message = _DECODER.decode(line)
@@ -232,10 +232,10 @@
                 self._on_heartbeat(message, skip)
                 return
             if message.offset > self.last + 1 and not skip:
-                raise ValueError(f"event {message.offset} came after {self.last}")
+                raise ValueError(f"event {message.offset} received after {self.last}")
             self._apply(message)
             self.has_received_valid = True
-        except ValueError as error:  # also all that msgspec raises
+        except ValueError as error:  # includes the exceptions of msgspec
             if not skip:
                 self._invalid_lines += 1
                 raise
@@ -243,16 +243,16 @@
             self.telemetry.log("discovery_message_rejected", error=str(error), last=self.last)
 
     def _on_heartbeat(self, offset: int, skip: bool) -> None:
-        """Compare the offset that the bus is at with ours; ValueError if events are missing here, unless `skip`."""
+        """Compare the bus's offset with the local one; raise ValueError if events are missing, unless `skip`."""
         if offset > self.last and not skip:
-            raise ValueError(f"the bus is at {offset}, here it is {self.last}")
-        if offset < self.last:  # no event is taken back: what it tells anew has an offset above ours, or we had it
+            raise ValueError(f"the bus is at offset {offset}, the last event received is {self.last}")
+        if offset < self.last:  # events are never withdrawn: new ones have a greater offset
             self.telemetry.count("bus_behind")
         self.has_received_valid = True
 
     def _apply(self, event: BusEvent) -> None:
         if event.offset <= self.last:
-            return  # a repeat, as after a reconnect
+            return  # repeated, as after a reconnect
         self.last = event.offset
         self._invalid_lines = 0
         if event.topology is None:
@@ -272,7 +272,7 @@
                 continue
             try:
                 at = address(host.dial, host.host) if host.dial else ("", 0)
-            except Exception as error:  # noqa: BLE001 - one bad host must not hide the others
+            except Exception as error:  # noqa: BLE001 - an invalid host must not hide the others
                 self._reject(host, error=str(error))
                 continue
             if not at[1]:
@@ -293,7 +293,7 @@
         )
 
     def _started_ms(self, number: int, born_unix_ms: float) -> float:
-        """Return a start on the steady clock: the time that was found when the endpoint list first told of it."""
+        """Return a start time on the monotonic clock, converted when it was first announced."""
         if number in self._starts and self._starts[number][0] == born_unix_ms:
             return self._starts[number][1]
         started_ms = from_unix_ms(born_unix_ms)
@@ -311,7 +311,7 @@
         return 0
 
     def _id_of(self, name: str) -> int:
-        """Return the engine's id, the same at every coordinator; the decision module sorts nothing by it."""
+        """Return the engine's id, equal at all coordinators; the decision module does not order engines by it."""
         if name not in self._ids:
             suffix = name.rpartition("-")[2]
             try:
@@ -325,7 +325,7 @@
         return self._ids[name]
 
     def _release_ids(self, names: Iterable[str]) -> None:
-        """Forget engines that are gone: new ones come under new names for ever."""
+        """Release the ids of removed engines, as the number of names over time is unbounded."""
         for name in names:
             number = self._ids.pop(name, -1)
             self._used_ids.discard(number)
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -78,8 +78,8 @@
     def update_engine(self, engine: EngineState) -> None:
         """Create, update or retire the connection pool of a listed engine.
 
-        An engine with a different address or a later start is a new process: it gets a new pool, so that no call is sent
-        on a connection to the previous process.
+        An engine with a different address or a later start is a new process: it gets a new pool, so that no call is
+        sent on a connection to the previous process.
         """
         number = engine.entry.engine
         pool = self.pools.get(number)
@@ -97,7 +97,7 @@
             self.pools[number] = ConnectionPool(self, engine)
 
     def update_priority(self, attempt: Attempt) -> None:
-        """Do nothing: the priority goes out before the next poll, within 250 ms, without another connection."""
+        """Do nothing: the priority is sent before the next poll, within 250 ms; this saves a connection."""
 
     async def close(self) -> None:
         """Cancel all attempts, wait until their ends are reported, and abort all connections."""
--- a/frostspindle/net/fields.py
+++ b/frostspindle/net/fields.py
@@ -1,8 +1,7 @@
-"""What the headers of a client's request say, read within bounds.
+"""Parses and validates the headers of a client's request.
 
-Owns the form and the range of each field of a request, and what a client is told of one that can't be used. It must
-never let a figure through that is not plain digits in its range, never keep a text longer than its bound, and never
-repeat what a client wrote. Source of the fields: the platform's protocol, "Clients to coordinators".
+Numbers must be plain decimals within their range, and texts have a maximum length. Error messages never repeat client
+input. The fields are those of the platform's protocol, "Clients to coordinators".
 """
 
 from __future__ import annotations
@@ -13,10 +12,10 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-MAX_TIMEOUT_RATIO = 10.0  # a client may say that it waits for so many times its class's longest wait
-MAX_COST_MS = 3_600_000.0  # and that its work takes this long
-MAX_TEXT_BYTES = 256  # bytes of a key
-# Those that mean one thing only: given twice, which of the two would hold is anyone's guess.
+MAX_TIMEOUT_RATIO = 10.0  # maximum X-Timeout-Ms, as a multiple of the class's deadline
+MAX_COST_MS = 3_600_000.0  # maximum X-Cost-Ms
+MAX_TEXT_BYTES = 256  # of a key
+# Headers that must not be repeated, as the values could contradict each other.
 SINGLE_HEADERS = frozenset(
     (
         b"x-request-id",
@@ -38,7 +37,7 @@
 
 
 class CallRejectedError(Exception):
-    """A client's call that is answered with an error status and goes no further; its connection is closed."""
+    """A client's call is rejected with an error status; its connection is closed."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -46,26 +45,26 @@
 
 
 class RequestFields(NamedTuple):
-    """The fields of one request; times in ms, memory in MB, an estimate of 0 was not given."""
+    """The fields of one request; times in ms, memory in MB; an estimate is 0 if missing."""
 
     ticket: str
     timeout_ms: float
     cost_ms: float
     memory_mb: float
-    key: int  # of what it keeps its order with; 0: with nothing
-    tenant: bytes | None  # as the client names it
+    key: int  # number of its ordering key; 0 if none
+    tenant: bytes | None  # name sent by the client
     retry: bool
-    idempotency_key: str = ""  # of a class whose requests are repeated by key; engines know repeats by it
+    idempotency_key: str = ""  # for classes with such keys; engines detect repeated requests by it
 
 
 def read_request(
     fields: Fields, cls: int, deadline_ms: float, max_memory_mb: float, in_order: bool, by_key: bool = False
 ) -> RequestFields:
-    """Return the checked fields of a request of that class; Refusal (400) names one that can't be used, and why."""
+    """Return the validated fields of a request; raise CallRejectedError (400) naming an invalid one."""
     ticket = fields.get(b"x-request-id", b"")
     if not _ID.match(ticket):
         raise CallRejectedError(400, "X-Request-Id: not 16 hex digits")
-    # A key means something where the class keeps order, and nothing elsewhere.
+    # The key is used only by classes with ordered requests.
     key = _text(fields, b"X-Object") if in_order else None
     retry = fields.get(b"x-retry", b"0")
     if not _RETRY.match(retry):
@@ -83,7 +82,7 @@
 
 
 def key_number(cls: int, key: bytes) -> int:
-    """Return a number for a class's key, the same in every process; keys that collide merely wait for each other."""
+    """Return a number for a class's key, equal in all processes; colliding keys only wait for each other."""
     return int.from_bytes(hashlib.blake2b(b"%d:%b" % (cls, key), digest_size=8).digest()) >> 1 or 1
 
 
@@ -95,7 +94,7 @@
 
 
 def _decimal(fields: Fields, header: bytes, maximum: float, required: bool = True) -> float:
-    """A figure in plain digits and in its range."""
+    """Return a header's plain decimal number; raise CallRejectedError if missing but required, or out of range."""
     text = fields.get(header.lower(), b"")
     if not text and not required:
         return 0.0
--- a/frostspindle/net/hangup.py
+++ b/frostspindle/net/hangup.py
@@ -1,6 +1,6 @@
-"""Looks at a connected socket without reading from it: has the peer hung up, and do bytes lie unread?
+"""Detects a hang-up and unread bytes on a connected socket without reading from it.
 
-The event loop tells of a hang-up only once it reads, which it does not while reading is paused.
+The event loop reports a hang-up only when it reads, which it does not do while reading is paused.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class SocketWatch:
-    """Watches the socket of one transport; one system call for each question."""
+    """Polls the socket of one transport; each query is one system call."""
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
@@ -20,9 +20,9 @@
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
 
     def has_hung_up(self) -> bool:
-        """Return whether the peer has closed, shut or reset the connection, also behind bytes that lie unread."""
+        """Return whether the peer has closed, shut down or reset the connection, even after unread bytes."""
         return any(events & _HUNG_UP for _, events in self._poll.poll(0))
 
     def has_unread(self) -> bool:
-        """Return whether bytes lie unread in the socket of a transport that is not being closed."""
+        """Return whether the socket has unread bytes, unless the transport is being closed."""
         return not self._transport.is_closing() and any(events & select.POLLIN for _, events in self._poll.poll(0))
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -1,8 +1,7 @@
-"""The life of one attempt at an engine: its POST, its news, its pages, its rank, and its end when it is given up.
+"""The protocol of one attempt at an engine: POST, polls, result pages, priority updates, and cancellation by DELETE.
 
-Owns the order of these calls and what each answer means for the attempt. It must never resend what may have reached
-an engine, never report an end while the engine may still be running the query, and never report a good end without
-all rows in hand. Which engine, when and for how long is not its affair.
+A POST that may have reached an engine is never sent again. The end of an attempt is reported only when the engine can
+no longer be running the query, and success only with all rows. The core chooses engines and deadlines.
 """
 
 from __future__ import annotations
@@ -34,36 +33,36 @@
 ERROR_STATUS = 500
 SHED_STATUSES = (503, 504)
 MAX_DELETE_ATTEMPTS = 2
-CANCEL_TIMEOUT_S = 0.3  # how long a DELETE may wait for its answer
-CANCEL_POLL_S = 0.05  # so often it is looked whether an old connection has answered
+CANCEL_TIMEOUT_S = 0.3  # of one DELETE
+CANCEL_POLL_S = 0.05  # interval at which older connections are checked for responses
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt ended, in the order in which `Core.attempt_ended` takes it."""
+    """The end of an attempt, in the order of the arguments of `Core.attempt_ended`."""
 
     outcome: int  # an AttemptOutcome
     report: tuple[float, ...] = ()  # the engine's load
-    result: tuple[Rows, int] | None = None  # rows, and the bytes that they took
+    result: tuple[Rows, int] | None = None  # rows, and their size in bytes
     cost: MeasuredCost = UNKNOWN_COST
 
 
 class ReleaseReason(StrEnum):
-    """Why a query that was given up is taken not to run any more; the values are parts of counters' names."""
+    """Why a cancelled query is considered ended; the values are parts of counter names."""
 
     DELETED = "deleted"  # its process answered the DELETE
-    DELETE_WRITTEN = "delete_written"  # a live machine has the whole DELETE
-    REFUSED = "refused"  # its engine refuses connections and is taken to be gone
-    EXPIRED = "expired"  # its engine has not been polled for it for so long that it must have dropped it
+    DELETE_WRITTEN = "delete_written"  # the complete DELETE reached a live machine
+    REFUSED = "refused"  # its engine refuses connections, so the process has ended
+    EXPIRED = "expired"  # not polled for so long that the engine must have dropped it
 
 
 class AttemptRunner:
-    """The steps of attempts at HTTP engines; their state is in each attempt's AttemptProgress."""
+    """Runs attempts at HTTP engines; the state of each is in its AttemptProgress."""
 
-    def __init__(self, core: Core, telemetry: Telemetry, readings: LoadReportParser) -> None:
-        self.core, self.telemetry, self.load_reports = core, telemetry, readings
+    def __init__(self, core: Core, telemetry: Telemetry, load_reports: LoadReportParser) -> None:
+        self.core, self.telemetry, self.load_reports = core, telemetry, load_reports
 
     def header_fields(self, attempt: Attempt, progress: AttemptProgress) -> str:
-        """Return the header fields of the POST, made as it is written: time passes while a connection is awaited."""
+        """Return the header fields of the POST; built as it is written, as waiting for a connection takes time."""
         progress.priority = attempt.priority
         grant = f"X-Memory-Mb: {attempt.grant_mb:.3f}\r\n" if attempt.grant_mb > 0 else ""
         nonce = f"X-Nonce: {attempt.request.idempotency_key}\r\n" if attempt.request.idempotency_key else ""
@@ -80,16 +79,16 @@
         progress: AttemptProgress,
         received: EngineReply | Exception | None = None,
     ) -> AttemptEnd:
-        """Run an attempt from its POST, or from what came in answer to it, to the last page; return its end.
+        """Run an attempt from its POST, or from the response or error in `received`, to the last page; return its end.
 
-        The verdicts RESET and CANCELLED leave open whether the query has ended.
+        After RESET and CANCELLED the query may still be running.
         """
         if received is None:
             try:
                 received = await self._post(pool, attempt, progress)
             except EngineDrainedError:
                 return AttemptEnd(attempt.unsent_outcome)
-            except PoolExhaustedError as error:  # nothing was written: proof that nothing ran
+            except PoolExhaustedError as error:  # nothing was written, so nothing ran
                 self._log_connect_failure(pool, error)
                 return AttemptEnd(AttemptOutcome.OVERLOADED if error.full else AttemptOutcome.CONNECT_FAILED)
             except (ConnectionBrokenError, InvalidReplyError, TimeoutError) as error:
@@ -102,7 +101,7 @@
             return AttemptEnd(attempt.unsent_outcome)
         if isinstance(received, EngineReply):
             return await self._follow_reply(pool, attempt, progress, received)
-        self._record_failure(pool, attempt, received)  # it may run: its news are asked for
+        self._record_failure(pool, attempt, received)  # the query may be running: poll it
         progress.is_doubtful = True
         progress.was_unanswered = isinstance(received, TimeoutError)
         return await self._follow_reply(pool, attempt, progress, None)
@@ -113,7 +112,7 @@
     async def _follow_reply(
         self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress, reply: EngineReply | None
     ) -> AttemptEnd:
-        """Poll from a reply on, or from the start where there is none, until the query has ended."""
+        """Poll until the query has ended, starting with `reply` if there is one."""
         path = f"/v1/store/{attempt.request.ticket}/"
         report: tuple[float, ...] = ()
         while True:
@@ -141,10 +140,10 @@
         reply: EngineReply,
         report: tuple[float, ...],
     ) -> AttemptEnd:
-        """Return the end that a reply tells, with all rows of a good one."""
+        """Return the end that a reply reports, with all rows if it succeeded."""
         if progress.is_doubtful and reply.status == ERROR_STATUS:
-            # The engine lives and does not know the query: the POST was lost, or the process that took it.
-            # That it never ran, or runs no more, is likely and unproven.
+            # The engine is alive and does not know the query: the POST was lost, or the process has restarted.
+            # The query has probably ended, but that is not proven.
             self.telemetry.count("queries_unknown")
             return AttemptEnd(AttemptOutcome.CANCELLED, report)
         if reply.status != OK_STATUS:
@@ -154,7 +153,7 @@
         return AttemptEnd(outcome, report, rows, self.load_reports.needed(reply))
 
     async def _post(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress) -> EngineReply:
-        """Send the query; raise what `ConnectionPool.call` raises."""
+        """Send the query; raise the exceptions of `ConnectionPool.call`."""
         statement = attempt.request.statement.encode()
         is_open = True
         try:
@@ -183,7 +182,7 @@
         return AttemptOutcome.OVERLOADED if has_never_run else AttemptOutcome.ERROR
 
     def immediate_end(self, reply: EngineReply) -> AttemptEnd | None:
-        """Return the end that the response to a POST gives by itself; None: there is more to come."""
+        """Return the end if the response to a POST is final, else None."""
         if reply.status == PENDING_STATUS or reply.pages > 1:
             return None
         report = self.load_reports.report(reply)
@@ -204,10 +203,10 @@
     async def poll(
         self, pool: ConnectionPool, attempt: Attempt, path: str, number: int, progress: AttemptProgress
     ) -> EngineReply | None:
-        """Poll for news or a page, on a new connection after a broken response.
+        """Poll for progress or a page, on a new connection after a broken response.
 
-        An engine repeats its response, so that a damaged one is not yet lost. Of ASKS broken connections or damaged
-        responses the last decides: None as if the process were gone, or InvalidReplyError. None also if it is gone.
+        Engines repeat responses, so a damaged one can be polled again. The last of MAX_BROKEN_RESPONSES decides: None
+        for a broken connection, InvalidReplyError for a damaged response. None also if the process has ended.
         """
         broken, fresh = 0, False
         while True:
@@ -222,13 +221,13 @@
                     same_process=True,
                     until_ms=progress.ends_at_ms,
                 )
-                wired[0] = reply.status != 500  # a process that does not know it keeps nothing going
+                wired[0] = reply.status != 500  # a process that does not know the query keeps nothing running
                 is_open = False
                 return reply
             except PoolExhaustedError as error:
                 if error.refused:
                     return None
-            except TimeoutError:  # silent: ask again until the attempt's own time is over
+            except TimeoutError:  # no response: poll again until the attempt's deadline
                 is_open = False
                 progress.was_unanswered = True
             except (ConnectionBrokenError, InvalidReplyError) as error:
@@ -240,7 +239,7 @@
                         raise
                     return None
             finally:
-                if wired[0]:  # what had no connection can't have been an ask that keeps the query going
+                if wired[0]:  # without a connection it was no poll that keeps the query alive
                     progress.record_poll(began, clock(), is_open)
             fresh = progress.is_doubtful = True
             await asyncio.sleep(0.0 if wired[0] else 0.2)
@@ -248,7 +247,7 @@
     async def _fetch_pages(
         self, pool: ConnectionPool, attempt: Attempt, path: str, first: EngineReply, progress: AttemptProgress
     ) -> tuple[Rows, int] | None:
-        """All rows of the result, in order; None: a page is lost."""
+        """Return all rows of the result, in order, and their size; None if a page is lost."""
         rows, size = first.rows, len(first.body)
         for number in range(1, first.pages):
             reply = await self.poll(pool, attempt, path, number, progress)
@@ -256,17 +255,17 @@
                 return None
             size += len(reply.body)
             if size > MAX_RESULT_BYTES:
-                raise InvalidReplyError("a result is too long")
+                raise InvalidReplyError("the result is too long")
             rows += reply.rows
         return rows, size
 
     async def give_up(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress) -> None:
-        """Free the engine's work and return once the attempt can't be running any more.
+        """Cancel the query at the engine and return once it can no longer be running.
 
-        After a silence or a broken response the process that gets the DELETE may be a successor of the one that has the
-        query, or had it written to it: a restarted machine answers 204 to an id that it never saw. Only a connection as
-        old as the query proves that the process is the same. What may never be sent again needs no such proof, unless
-        its end lets the next request of its key go.
+        After a timeout or a broken response the process that gets the DELETE may be a successor of the one that got the
+        query: a restarted machine answers 204 to an unknown id. Only a connection as old as the query proves that the
+        process is the same. A query that is never sent again needs no such proof, unless its end releases the next
+        request of its key.
         """
         if not progress.wired[0]:
             return
@@ -286,17 +285,17 @@
             )
 
     async def _end_query(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress) -> ReleaseReason:
-        """Send the DELETE, and wait where its answer, or the lack of one, does not show that the query has ended."""
+        """Send the DELETE; wait for expiry if its response, or the lack of one, does not prove the end."""
         class_settings = self.core.settings.classes[attempt.request.cls]
         holds_key = bool(class_settings.in_order and attempt.request.key)
         never_resent = class_settings.idempotency == Idempotency.NON_IDEMPOTENT and not holds_key
         path = f"/v1/store/{attempt.request.ticket}"
-        delete = [False]  # it may have reached the engine
+        delete_sent = [False]  # it may have reached the engine
         for _ in range(MAX_DELETE_ATTEMPTS):
-            is_repeated = delete[0]
+            is_repeated = delete_sent[0]
             may_be_other_process = progress.may_be_other_process(clock())
             try:
-                reply = await self._delete(pool, path, delete, fresh=is_repeated, oldest=may_be_other_process)
+                reply = await self._delete(pool, path, delete_sent, fresh=is_repeated, oldest=may_be_other_process)
                 if not may_be_other_process or never_resent or progress.is_same_process(reply.connection_opened_ms):
                     return ReleaseReason.DELETED
                 break
@@ -306,33 +305,33 @@
                     return ReleaseReason.REFUSED
             except (ConnectionBrokenError, TimeoutError, InvalidReplyError) as error:
                 if isinstance(error, RequestNotWrittenError):
-                    delete[0] = is_repeated
-                if is_repeated and delete[0] and (never_resent or not may_be_other_process):
-                    return ReleaseReason.DELETE_WRITTEN  # a live machine has the whole call; it does not answer
-        await self._wait_for_expiry(pool, path, progress, delete)
+                    delete_sent[0] = is_repeated
+                if is_repeated and delete_sent[0] and (never_resent or not may_be_other_process):
+                    return ReleaseReason.DELETE_WRITTEN  # a live machine has the complete call but does not answer
+        await self._wait_for_expiry(pool, path, progress, delete_sent)
         return ReleaseReason.EXPIRED
 
     async def _delete(
-        self, pool: ConnectionPool, path: str, delete: list[bool], fresh: bool, oldest: bool
+        self, pool: ConnectionPool, path: str, delete_sent: list[bool], fresh: bool, oldest: bool
     ) -> EngineReply:
         return await pool.call(
-            "DELETE", path, wired=delete, within_s=CANCEL_TIMEOUT_S, fresh=fresh, oldest=oldest, same_process=True
+            "DELETE", path, wired=delete_sent, within_s=CANCEL_TIMEOUT_S, fresh=fresh, oldest=oldest, same_process=True
         )
 
     async def _wait_for_expiry(
-        self, pool: ConnectionPool, path: str, progress: AttemptProgress, delete: list[bool]
+        self, pool: ConnectionPool, path: str, progress: AttemptProgress, delete_sent: list[bool]
     ) -> None:
-        """Return once the query can't run any more; a DELETE that has not left goes out once there is a connection."""
-        deleted_ms = clock() if delete[0] else math.inf  # without a DELETE no answer ends the wait
+        """Return once the query has expired; send a DELETE that was not sent before on an idle connection."""
+        deleted_ms = clock() if delete_sent[0] else math.inf  # without a DELETE no response ends the wait
         while (left_ms := progress.remaining_wait_ms(clock(), deleted_ms, pool.established)) > 0:
             await asyncio.sleep(min(CANCEL_POLL_S, left_ms / 1000.0))
-            if delete[0] or not pool.idle:
+            if delete_sent[0] or not pool.idle:
                 continue
             deleted_ms = clock()
             try:
-                await self._delete(pool, path, delete, fresh=False, oldest=True)
+                await self._delete(pool, path, delete_sent, fresh=False, oldest=True)
             except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
-                if not delete[0]:
+                if not delete_sent[0]:
                     deleted_ms = math.inf
 
     async def _send_priority(self, pool: ConnectionPool, attempt: Attempt, progress: AttemptProgress) -> None:
@@ -345,10 +344,10 @@
 
 
 class DirectAttempt:
-    """An attempt whose POST is out, without a task: most attempts need nothing more.
+    """An attempt whose POST is in flight, without a task: most attempts end with its response.
 
-    It is the connection's waiter. It calls exactly one of `ended` (the response was the end), `on` (with a response
-    that is not the end, or an error) and `off` (cancelled), once.
+    It is the connection's waiter. It calls exactly one of `on_ended` (the response was final), `on_continued` (with a
+    response that is not final, or an error) and `on_cancelled`, once.
     """
 
     __slots__ = (
@@ -379,7 +378,7 @@
         self.is_over = False
 
     def send(self, connection: EngineConnection) -> None:
-        """Write the POST; called once, in the turn in which the engine was found ready and the connection usable."""
+        """Write the POST; called once, in the turn of the event loop in which engine and connection were checked."""
         self.connection, self.attempt.task, self.progress.wired[0] = connection, self, True
         self.pool.request(
             connection,
@@ -393,16 +392,16 @@
             confirmation_time_s(self.attempt.remaining_ms(clock()) / 1000.0),
         )
 
-    # The connection's waiter.
+    # Interface of ResponseWaiter.
 
     def done(self) -> bool:
-        """Return whether the response or an error has come, or the attempt was cancelled."""
+        """Return whether it has a response or an error, or was cancelled."""
         return self.is_over
 
     def set_result(self, reply: EngineReply) -> None:
-        """Take the response to the POST: release the connection, then report the end or hand on to `on`.
+        """Take the response to the POST: release the connection, then call `on_ended` or `on_continued`.
 
-        A response that can't be read goes to `on` as a InvalidReplyError, and its connection is not used again.
+        An invalid response is passed on as an InvalidReplyError, and its connection is not reused.
         """
         received: EngineReply | Exception = reply
         end: AttemptEnd | None = None
@@ -417,22 +416,22 @@
             self.on_continued(self, received)
 
     def set_exception(self, error: Exception) -> None:
-        """Release the connection and hand the error to `on`: the engine may have the query."""
+        """Release the connection and pass the error to `on_continued`: the engine may have the query."""
         self._release_connection()
         self.on_continued(self, error)
 
     def _release_connection(self) -> None:
-        self.is_over, self.attempt.task = True, None  # a circle would be left to the collector
+        self.is_over, self.attempt.task = True, None  # breaks a reference cycle
         self.connection.end_call()
         self.pool.release(self.connection)
 
-    # What the driver stops.
+    # Interface for the driver.
 
     def cancel(self) -> None:
-        """Give the attempt up and hand it to `off`; no effect once it is over.
+        """Cancel the attempt and call `on_cancelled`; no effect once it is over.
 
-        The connection is kept for a response still due where `EngineConnection.leave` allows it, else released. A POST
-        that had not left whole counts as not sent.
+        The connection is kept for the outstanding response if `EngineConnection.detach` allows it, else released. A
+        POST that was not completely written counts as not sent.
         """
         if not self.is_over:
             self.is_over, self.attempt.task = True, None
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -355,7 +355,7 @@
         """Check the head: 415 for an encoded body, 413 for a length over MAX_BODY_BYTES, `Expect: 100-continue`."""
         self.is_head_complete = True
         if b"content-encoding" in self.fields and self.fields[b"content-encoding"] != b"identity":
-            self._stop_parsing(415, "Content-Encoding: not taken here")
+            self._stop_parsing(415, "Content-Encoding: not supported")
         length = self.fields.get(b"content-length", b"0")
         if len(length) > 6 or int(length) > MAX_BODY_BYTES:  # the parser accepts only digits
             self._stop_parsing(413, "the statement is too long")
--- a/frostspindle/net/http/connection_pool.py
+++ b/frostspindle/net/http/connection_pool.py
@@ -1,7 +1,7 @@
-"""One engine's process: the connections to it, who waits for one, and a call from its place in line to its answer.
+"""The connection pool of one engine process: connections, calls that wait for one, and the calls themselves.
 
-Owns the use of the pool, whose bounds pools.py decides. It must never begin a send to an engine that has started to
-drain meanwhile, never give one connection to two calls, and never open one past the bounds.
+pools.py decides the limits. A connection serves one call at a time, and no attempt is sent to an engine that started to
+drain while the call waited for its connection.
 """
 
 from __future__ import annotations
@@ -19,42 +19,42 @@
 from frostspindle.net.http.engine_connection import ConnectionSettings, EngineConnection, ResponseWaiter
 from frostspindle.net.http.replies import EngineReply, InvalidReplyError
 
-RESPONSE_TIMEOUT_S = 0.5  # news come within 250 ms; an answer that is lost on the way is asked for again
-NOT_CHECKED = -1.0  # in place of the time for which a response may be kept back
-MAX_BROKEN_RESPONSES = 3  # so many broken or unreadable answers to one ask for news or a page are borne
+RESPONSE_TIMEOUT_S = 0.5  # engines answer polls within 250 ms; a lost response is polled again
+NOT_CHECKED = -1.0  # passed as `confirm_s`: the response is not checked for being a copy
+MAX_BROKEN_RESPONSES = 3  # broken connections or invalid responses to one poll
 NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
 
 
 class EngineDrainedError(Exception):
-    """The engine may get nothing new, or the attempt is over; nothing of the call was written."""
+    """The engine accepts no new attempts, or the attempt is over; nothing was written."""
 
 
 class PoolExhaustedError(Exception):
-    """No connection was available; nothing of the call was written."""
+    """No connection was available; nothing was written."""
 
     def __init__(self, text: str, refused: bool = False, full: bool = False) -> None:
         super().__init__(text)
-        self.refused, self.full = refused, full  # by the engine's machine; by the bounds here
+        self.refused, self.full = refused, full  # refused: by the engine's machine; full: by the local limits
 
 
 class PoolContext(ConnectionSettings, Protocol):
-    """What the processes of all engines share."""
+    """State shared by the pools of all engines."""
 
     core: Core
     pools: dict[int, ConnectionPool]
     opening: int
-    established: int  # connections that stand, of all peers
-    waiters: int  # calls that wait for one
+    established: int  # established connections of all pools
+    waiters: int  # calls that wait for a connection
 
     def may_open(self, pool: ConnectionPool) -> bool:
-        """Return whether the bounds allow one more connection."""
+        """Return whether the limits allow one more connection."""
 
     def reclaim_idle(self, pool: ConnectionPool) -> None:
-        """Close an idle connection of another engine; its descriptor is free only once the loop has closed it."""
+        """Close an idle connection of another engine; the loop frees its descriptor later."""
 
 
 class ConnectionPool:
-    """One engine's process: its address and its connections. A successor at the same address has its own."""
+    """The connections to one engine process; a restarted engine at the same address gets another pool."""
 
     def __init__(self, driver: PoolContext, state: EngineState) -> None:
         self.driver, self.state = driver, state
@@ -67,14 +67,14 @@
         self.confirmations = ConfirmationBackoff()
 
     def retire(self) -> None:
-        """Drop the idle connections, as the process is gone; the others end with their calls."""
+        """Drop the idle connections, as the process has ended; the others end with their calls."""
         self.is_retired = True
         for connection in self.idle:
             connection.drop()
         self.idle.clear()
 
     def count_copy(self) -> None:
-        """Count a second copy of a response, or another one that nothing asked for."""
+        """Count a duplicate or unsolicited response."""
         self.confirmations.record_copy(self.driver.loop.time())
         self.driver.core.telemetry.count("engine_surplus_responses")
 
@@ -84,7 +84,7 @@
         self.driver.established += 1
 
     def connection_closed(self, connection: EngineConnection) -> None:
-        """Forget a connection that has ended, and let the next waiting call have its place."""
+        """Remove a connection that has ended and wake the next waiting call."""
         if connection in self.established:
             self.established.remove(connection)
             self.driver.established -= 1
@@ -93,9 +93,9 @@
         self._wake_waiter()
 
     def _wake_waiter(self) -> None:
-        """A line or a place is free: for a call that waits here, or else for one that waits for another engine."""
+        """Wake a call that waits for this engine, or else for another one."""
         if not self.driver.waiters:
-            return  # as nearly always, and looking through a thousand engines takes longer than the call did
+            return  # the usual case: scanning a thousand engines takes longer than a call
         for pool in (self, *self.driver.pools.values()):
             while pool.waiting:
                 waiter = pool.waiting.popleft()
@@ -104,7 +104,7 @@
                     return
 
     def release(self, connection: EngineConnection) -> None:
-        """Put a connection back as idle and wake the next waiting call; drop it if it or the process is not usable."""
+        """Return a connection to the pool and wake the next waiting call; drop it if it cannot be reused."""
         if not connection.is_reusable or self.is_retired:
             connection.drop()
             return
@@ -112,7 +112,7 @@
         self._wake_waiter()
 
     def take(self, oldest: bool = False) -> EngineConnection | None:
-        """Take an idle connection, the last used or the eldest; None if no idle one is usable."""
+        """Take an idle connection, the last used or the oldest; None if no idle one is usable."""
         while self.idle:
             connection = pools.choose_idle(self.idle, oldest)
             if connection is self.idle[-1]:
@@ -125,27 +125,27 @@
         return None
 
     async def acquire(self, fresh: bool = False, oldest: bool = False, same_process: bool = False) -> EngineConnection:
-        """Return an idle connection unless it must be fresh, else a new one; PoolExhaustedError if none comes in time.
+        """Return an idle connection, unless it must be fresh, or a new one; raise PoolExhaustedError after a timeout.
 
-        An engine that drains refuses new connections and serves the old ones: a call that must reach this very process
-        (`stay`) then waits for one of those.
+        A draining engine refuses new connections and serves existing ones: a call that must reach the same process
+        (`same_process`) then waits for one of those.
         """
         if not fresh and (connection := self.take(oldest)) is not None:
             return connection
-        limit_s, resets, bound = self.driver.core.settings.connect_timeout_ms / 1000.0, 0, False
+        limit_s, resets, is_full = self.driver.core.settings.connect_timeout_ms / 1000.0, 0, False
         try:
             async with asyncio.timeout(limit_s):
                 while True:
                     if not fresh and (connection := self.take(oldest)) is not None:
                         return connection
                     if self.driver.may_open(self):
-                        # Reset when new: nothing was written yet, so that one more can be tried.
+                        # Reset as it opened: nothing was written, so another one can be tried.
                         try:
                             if (connection := await self._open()) is not None:
                                 return connection
                             resets += 1
                             if resets >= MAX_BROKEN_RESPONSES:
-                                raise PoolExhaustedError("connections are reset as they open")
+                                raise PoolExhaustedError("connections are reset while being opened")
                             continue
                         except PoolExhaustedError as error:
                             if not (same_process and error.refused and self.established):
@@ -153,7 +153,7 @@
                             fresh = False
                             if self.idle:
                                 continue
-                    bound = True
+                    is_full = True
                     waiter: asyncio.Future[None] = self.driver.loop.create_future()
                     self.waiting.append(waiter)
                     self.driver.waiters += 1
@@ -162,13 +162,13 @@
                     finally:
                         self.driver.waiters -= 1
         except TimeoutError:
-            # One may have become idle while a new one was awaited.
+            # One may have become idle while a new one was being opened.
             if not fresh and (connection := self.take(oldest)) is not None:
                 return connection
-            raise PoolExhaustedError("no connection in time", full=bound) from None
+            raise PoolExhaustedError("no connection before the timeout", full=is_full) from None
 
     async def _open(self) -> EngineConnection | None:
-        """A new connection; None: reset as it opened."""
+        """Open a connection; return None if it was reset at once."""
         self.opening += 1
         self.driver.opening += 1
         try:
@@ -178,7 +178,7 @@
         except ConnectionResetError:
             return None
         except OSError as error:
-            if error.errno in NO_DESCRIPTORS:  # ours are all in use, which is no fault of the engine's
+            if error.errno in NO_DESCRIPTORS:  # a local limit, not a fault of the engine
                 self.driver.reclaim_idle(self)
                 raise PoolExhaustedError(repr(error), full=True) from None
             raise PoolExhaustedError(repr(error), isinstance(error, ConnectionRefusedError)) from None
@@ -205,12 +205,12 @@
         same_process: bool = False,
         until_ms: float = math.inf,
     ) -> EngineReply:
-        """Send one call and return its response, checked as that of `page` if given; a bad one ends the connection.
+        """Send one call and return its response, validated as that of `page` if given.
 
-        `wired[0]` is set once bytes may go out; `sending` is the attempt whose POST this is; `head` gives the header
-        fields as they are written; `until_ms` (Unix) is the end of the request's time. Raises PoolExhaustedError or
-        EngineDrainedError if nothing was written; else ConnectionBrokenError, InvalidReplyError or TimeoutError after
-        `within_s`.
+        An invalid response ends the connection. `wired[0]` is set once bytes may be sent; `sending` is the attempt
+        whose POST this is; `head` returns the header fields at the time of writing; `until_ms` (Unix) is the request's
+        deadline. Raise PoolExhaustedError or EngineDrainedError if nothing was written; else ConnectionBrokenError,
+        InvalidReplyError, or TimeoutError after `within_s`.
         """
         connection = await self.acquire(fresh, oldest, same_process)
         if sending is not None:
@@ -220,7 +220,7 @@
         waiter: asyncio.Future[EngineReply] = self.driver.loop.create_future()
         try:
             confirm_s = NOT_CHECKED
-            if page is not None:  # its response must not be a copy of another query's
+            if page is not None:  # its response must not be a copy of another query's response
                 confirm_s = confirmation_time_s((until_ms - clock()) / 1000.0)
             self.request(connection, method, path, head(), body, sending, within_s, waiter, confirm_s)
             return self.check_response(connection, await waiter, page)
@@ -236,11 +236,11 @@
         finally:
             if connection.waiter is waiter:
                 connection.end_call()
-            if connection.waiter is None:  # else an answer is still to come
+            if connection.waiter is None:  # else a response is still expected
                 self.release(connection)
 
     async def _check_sending(self, attempt: Attempt, connection: EngineConnection) -> None:
-        """Release the connection again and raise EngineDrainedError unless the attempt may be sent now."""
+        """Raise EngineDrainedError and release the connection unless the attempt may be sent now."""
         may_send = False
         try:
             await self.driver.core.catch_up()
@@ -249,7 +249,7 @@
             if not may_send:
                 self.release(connection)
         if not may_send:
-            raise EngineDrainedError("the engine drains")
+            raise EngineDrainedError("the engine is draining")
 
     def request(
         self,
@@ -272,7 +272,7 @@
 
     @staticmethod
     def check_response(connection: EngineConnection, reply: EngineReply, page: int | None) -> EngineReply:
-        """Note that a response has come and return it; InvalidReplyError if it can't be that of `page`."""
+        """Record a response and return it; raise InvalidReplyError if it is not that of `page`."""
         reply.connection_opened_ms, connection.last_response_ms = connection.opened_ms, clock()
         if page is not None:
             reply.check_page(page)
--- a/frostspindle/net/http/duplicate_responses.py
+++ b/frostspindle/net/http/duplicate_responses.py
@@ -1,9 +1,9 @@
-"""Recognises a response that may be a second copy of an earlier one on the same connection.
+"""Detects a response that may be a duplicate of an earlier one on the same connection.
 
-No response of an engine names its query, so that a copy that arrives while the next call is in flight looks like that
-call's response. What gives it away is that it equals a response that came shortly before on the connection. Honest
-responses can be equal too; the two are told apart by waiting on the connection: behind a copy the call's own response
-follows. No I/O and no clock; times are seconds of the event loop.
+Responses of engines do not name their query, so a duplicate that arrives while the next call is in flight looks like
+that call's response. It equals a response received shortly before on the connection. Genuine responses can be equal
+too; waiting tells them apart, as a duplicate is followed by the call's own response. No I/O and no clock; times are
+seconds of the event loop.
 """
 
 from __future__ import annotations
@@ -14,33 +14,34 @@
 
 from frostspindle.net.http.replies import EngineReply
 
-COPY_WINDOW_S = 0.25  # so long after a response a copy of it is reckoned with
-MAX_RECENT_RESPONSES = 8  # of one connection
-# An engine responds to each call within 250 ms; the rest is for the network and a busy engine.
+COPY_WINDOW_S = 0.25  # how long after a response a copy of it may arrive
+MAX_RECENT_RESPONSES = 8  # remembered for each connection
+# An engine responds to each call within 250 ms; the rest allows for the network and a busy engine.
 OWN_RESPONSE_DUE_S = 0.3
-MIN_CONFIRMATION_S = 0.25  # a shorter wait, as the request's time ends, confirms nothing
-DELIVERY_RESERVE_S = 0.1  # of a request's time, for its response to reach the client
-# Equal responses that prove honest cost latency: after each the next wait at that engine is this much later.
+MIN_CONFIRMATION_S = 0.25  # a shorter wait, because of the request's deadline, confirms nothing
+DELIVERY_RESERVE_S = 0.1  # of a request's remaining time, for the response to reach the client
+# Waiting costs latency: after each response that proves genuine, waits at that engine pause for this long, doubled each
+# time up to MAX_PAUSE_S.
 FIRST_PAUSE_S = 0.25
 MAX_PAUSE_S = 60.0
-COPIES_REMEMBERED_S = 60.0  # so long after a copy a response in doubt is not taken unconfirmed
+COPIES_REMEMBERED_S = 60.0  # how long after a copy doubtful responses need confirmation
 
-PENDING_STATUS = 202  # a copy of it only causes a further poll of the same query
+PENDING_STATUS = 202  # a copy only causes another poll of the same query
 NO_CONTENT = 204
-# What a response says of its query. The load report is left out: it is of the moment, not of the query.
+# Headers about the query. The load report is left out: it describes the moment, not the query.
 COMPARED_HEADERS = (b"x-pages", b"x-page", b"x-shed", b"x-cost-ms", b"x-needed-mb", b"x-remark", b"x-value")
 
 
 def confirmation_time_s(remaining_s: float) -> float:
-    """Return how long after its call a response in doubt may be kept back; 0: not at all.
+    """Return how long after its call a doubtful response may be held back; 0 for not at all.
 
-    `remaining_s`: what is left of the request's time as the call is written, which the response has to meet.
+    `remaining_s`: the request's remaining time when the call is written, within which it has to be answered.
     """
     return max(0.0, min(OWN_RESPONSE_DUE_S, remaining_s - DELIVERY_RESERVE_S))
 
 
 class RecentResponses:
-    """The last responses on one connection, as hashes: memory stays small, and a collision costs one wait."""
+    """The last responses on one connection, as hashes: this saves memory, and a collision costs one wait."""
 
     __slots__ = ("_recent",)
 
@@ -48,7 +49,7 @@
         self._recent: deque[tuple[float, int]] = deque(maxlen=MAX_RECENT_RESPONSES)
 
     def record(self, reply: EngineReply, now_s: float) -> None:
-        """Remember a response that was taken for that of its call."""
+        """Record a response that was accepted as that of its call."""
         self._recent.append((now_s, _fingerprint(reply)))
 
     def may_be_copy(self, reply: EngineReply, now_s: float) -> bool:
@@ -56,7 +57,9 @@
         if reply.status in (PENDING_STATUS, NO_CONTENT) or not self._recent:
             return False
         fingerprint = _fingerprint(reply)
-        return any(seen == fingerprint and now_s - came_at_s < COPY_WINDOW_S for came_at_s, seen in self._recent)
+        return any(
+            seen == fingerprint and now_s - received_at_s < COPY_WINDOW_S for received_at_s, seen in self._recent
+        )
 
 
 @dataclass(slots=True)
@@ -66,34 +69,34 @@
 
 
 class ConfirmationBackoff:
-    """Limits the waits at one engine by status, where its equal responses keep proving to be honest."""
+    """Limits the waits at one engine, by status, while its equal responses keep proving genuine."""
 
     __slots__ = ("_pauses", "_copy_seen_at_s")
 
     def __init__(self) -> None:
-        self._pauses: dict[int, _Pause] = {}  # by status, of which there are few
+        self._pauses: dict[int, _Pause] = {}  # by status
         self._copy_seen_at_s = -math.inf
 
     def allows_wait(self, status: int, now_s: float) -> bool:
-        """Return whether a response with this status that may be a copy is to be confirmed by a wait."""
+        """Return whether a possible copy with this status is to be confirmed by waiting."""
         pause = self._pauses.get(status)
         return pause is None or now_s >= pause.until_s
 
-    def record_honest(self, status: int, now_s: float) -> None:
-        """Note that nothing followed a response in doubt: wait less often."""
+    def record_genuine(self, status: int, now_s: float) -> None:
+        """Record that nothing followed a doubtful response: wait less often."""
         pause = self._pauses.get(status)
         length_s = FIRST_PAUSE_S if pause is None else min(MAX_PAUSE_S, 2.0 * pause.length_s)
         self._pauses[status] = _Pause(length_s, now_s + length_s)
 
     def record_copy(self, now_s: float) -> None:
-        """Note that the engine has sent a copy: confirm each response in doubt."""
+        """Record that the engine has sent a copy: confirm every doubtful response."""
         self._pauses.clear()
         self._copy_seen_at_s = now_s
 
-    def takes_unconfirmed(self, now_s: float) -> bool:
-        """Return whether a response in doubt is taken when no other has followed it in time.
+    def accepts_unconfirmed(self, now_s: float) -> bool:
+        """Return whether a doubtful response is accepted when no other has followed it in time.
 
-        Not at an engine that has sent copies lately: its own response may only be late.
+        Not at an engine that has sent copies recently: the genuine response may only be late.
         """
         return now_s - self._copy_seen_at_s > COPIES_REMEMBERED_S
 
--- a/frostspindle/net/http/engine_connection.py
+++ b/frostspindle/net/http/engine_connection.py
@@ -1,8 +1,7 @@
-"""One connection to an engine: a call is written, one answer is read.
+"""One connection to an engine: writes one call at a time and reads its response within limits.
 
-Owns the parser and the bounds of an answer, and whether the connection may be used again. It must never be used again
-after the first doubt: when more or less came than one good answer, or something that was not asked for. The parser is
-httptools (llhttp in its strict mode).
+A connection is reused only after exactly one valid response to each call; surplus, partial or unsolicited bytes end it.
+The parser is httptools (llhttp in strict mode).
 """
 
 from __future__ import annotations
@@ -32,90 +31,90 @@
 
 
 class RequestNotWrittenError(ConnectionBrokenError):
-    """The connection ended before the system had taken the whole call: the engine can't have run it."""
+    """The connection ended before the call was written completely: the engine cannot have run it."""
 
 
 class ConnectionSettings(Protocol):
-    """What holds for the connections to all engines."""
+    """Settings of the connections to all engines."""
 
     loop: asyncio.AbstractEventLoop
-    idle_s: float  # how long an idle one is used
+    idle_s: float  # idle connections older than this are not used
 
 
 class ConnectionOwner(Protocol):
-    """The owner of a connection: the engine's process behind it."""
+    """The owner of a connection: the pool of the engine's process."""
 
     confirmations: ConfirmationBackoff
 
     @property
     def driver(self) -> ConnectionSettings:
-        """What holds for the connections to all engines."""
+        """Settings of the connections to all engines."""
 
     def count_copy(self) -> None:
-        """Count a second copy of a response, or another one that nothing asked for."""
+        """Count a duplicate or unsolicited response."""
 
     def connection_opened(self, connection: EngineConnection) -> None:
         """Register a connection that has been opened."""
 
     def connection_closed(self, connection: EngineConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
 
     def release(self, connection: EngineConnection) -> None:
-        """Take back a connection whose call is over; it may serve another one."""
+        """Take back a connection whose call is over, for the next call."""
 
 
 class ResponseWaiter(Protocol):
-    """What waits for a response: a task's future, or an attempt without a task. It is told once."""
+    """Waits for a response: a task's future, or an attempt without a task. It is completed once."""
 
     def done(self) -> bool:
-        """Return whether it has been told a response or an error, or was cancelled."""
+        """Return whether it has a response or an error, or was cancelled."""
 
     def set_result(self, reply: EngineReply, /) -> None:
         """Take the response."""
 
     def set_exception(self, error: BaseException, /) -> None:
-        """Take the error that came in place of a response: ConnectionBrokenError, InvalidReplyError or TimeoutError."""
+        """Take the error in place of a response: ConnectionBrokenError, InvalidReplyError or TimeoutError."""
 
 
 class EngineConnection(asyncio.Protocol):
-    """One connection to an engine; one call at a time, and nothing more after the first doubt."""
+    """One connection to an engine; one call at a time, and none after a protocol violation."""
 
     def __init__(self, pool: ConnectionOwner) -> None:
         self.pool, self.loop = pool, pool.driver.loop
-        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set in connection_made
         self.parser = HttpResponseParser(self)
         self.waiter: ResponseWaiter | None = None
-        self.deadline_s = 0.0  # when the answer is overdue
-        self.timer: asyncio.TimerHandle | None = None  # the loop's, for that or an earlier call's
+        self.deadline_s = 0.0  # loop time at which the response is overdue
+        self.timer: asyncio.TimerHandle | None = None  # for this deadline or that of an earlier call
         self.is_reusable, self.is_complete, self.idle_since_s = True, False, self.loop.time()
-        self.has_unwritten = False  # the system has yet to take a part of the call
-        self.opened_ms = self.last_response_ms = clock()  # up since, and last answered
+        self.has_unwritten = False  # part of the call is still in the write buffer
+        self.opened_ms = self.last_response_ms = clock()  # Unix ms
         self.response_bytes = self.header_count = self.status = 0
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
         self.poll = select.poll()
         self._recent = RecentResponses()
-        self._is_checked = False  # the response to this call may be a copy that has to be recognised
+        self._is_checked = False  # the response to this call is checked for being a copy
         self._written_at_s = 0.0
-        self._confirmed_by_s = 0.0  # by then it has to be delivered
-        self._doubtful: EngineReply | None = None  # it may be a copy: the call's own response is waited for
+        self._confirmed_by_s = 0.0  # loop time by which a doubtful response has to be delivered
+        self._doubtful: EngineReply | None = None  # may be a copy of an earlier response; another one may follow
         self._doubt_timer: asyncio.TimerHandle | None = None
-        self._has_copies = False  # a copy came in answer to this call
+        self._has_copies = False  # a copy was received during this call
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, register with the peer, and watch the socket for unread bytes.
+        """Store the transport, register with the pool, and watch the socket for unread bytes.
 
         A write buffer limit of 0 makes asyncio report every byte that the system has not taken.
         """
         self.transport = transport  # type: ignore[assignment]
-        self.transport.set_write_buffer_limits(0)  # to be told of every byte that it holds back
+        self.transport.set_write_buffer_limits(0)  # report every buffered byte
         self.pool.connection_opened(self)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel the timer, unregister, and fail the open call: ConnectionBrokenError or RequestNotWrittenError."""
+        """Cancel the timer, unregister, and fail the open call by ConnectionBrokenError or RequestNotWrittenError."""
         self.is_reusable = False
         if self.timer is not None:
             self.timer.cancel()
@@ -123,57 +122,57 @@
         self._fail(ConnectionBrokenError(repr(error) if error else "the engine ended its connection"))
 
     def pause_writing(self) -> None:
-        """Note that part of the call is still unwritten."""
+        """Record that part of the call is still buffered."""
         self.has_unwritten = True
 
     def resume_writing(self) -> None:
-        """Note that the system has taken all of the call."""
+        """Record that the call was written completely."""
         self.has_unwritten = False
 
     def eof_received(self) -> None:
-        """Abort the connection, as the engine has ended its side."""
-        self.drop()  # a mere close would first write out the rest of a call to an engine that has ended
+        """Abort the connection, as the engine has closed its side."""
+        self.drop()  # a close would first write the rest of a call to an engine that has ended
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came and pass a whole response to the waiter.
+        """Parse the data and pass a complete response to the waiter.
 
-        Bytes that were not asked for, a malformed or too long response, and one to a call that is not written yet end
-        the connection; the waiter gets the error.
+        Unsolicited bytes, a malformed or too long response, and one to a call that is not completely written end the
+        connection; the waiter gets the error.
         """
         if self.waiter is None or self.waiter.done():
             self.pool.count_copy()
-            self.drop()  # nothing was asked: what it is can't be known, nor what it would do to the next answer
+            self.drop()  # unsolicited: it could be taken for the next call's response
             return
         self.response_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade) as error:
-            self.is_reusable = False  # noise behind a whole answer leaves that answer good
-            if self._doubtful is not None:  # it was whole; whether it was a copy can't be told any more
-                self._fail(ConnectionBrokenError("noise behind a response that may be a copy"))
+            self.is_reusable = False  # a complete response before invalid bytes is still valid
+            if self._doubtful is not None:  # complete, but it can no longer be told whether it is a copy
+                self._fail(ConnectionBrokenError("invalid data after a response that may be a copy"))
             elif not self.is_complete:
                 self._fail(InvalidReplyError(str(error.__context__ or error)))
         if self.is_complete:
             if self.has_unwritten:
-                self._fail(InvalidReplyError("an answer to a call that was not written yet"))
+                self._fail(InvalidReplyError("a response before the call was written completely"))
             elif not self.waiter.done():
                 self._deliver(EngineReply(self.status, self.headers, b"".join(self.body)))
         elif self.response_bytes > MAX_RESPONSE_BYTES:
-            self._fail(InvalidReplyError("an answer is too long"))
+            self._fail(InvalidReplyError("the response is too long"))
         if not self.is_reusable:
             self.drop()
 
     def _deliver(self, reply: EngineReply) -> None:
-        """Pass a response to the waiter, as that of the call."""
+        """Pass a response to the waiter as that of the call."""
         if self._is_checked:
             self._recent.record(reply, self.loop.time())
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(reply)
 
-    # A response that may be a second copy of an earlier one.
+    # Responses that may be copies of earlier ones.
 
-    def _confirms(self, reply: EngineReply) -> bool:
-        """Return whether a response is kept back until the call's own one has come, or is overdue."""
+    def _must_confirm(self, reply: EngineReply) -> bool:
+        """Return whether a response is held back until the call's own response has come or is overdue."""
         if not self._is_checked or self.has_unwritten or not self.parser.should_keep_alive():
             return False
         now_s = self.loop.time()
@@ -185,19 +184,19 @@
             self._doubt_timer = self.loop.call_at(self._confirmed_by_s, self._on_doubt_over)
 
     def _on_doubt_over(self) -> None:
-        """Take a response for that of the call, as no other has followed it; not from an engine that sends copies."""
+        """Accept a doubtful response, as no other has followed it, unless the engine has recently sent copies."""
         reply = self._doubtful
         self._end_doubt()
         if reply is None:
             return
         now_s = self.loop.time()
         is_confirmed = now_s - self._written_at_s >= MIN_CONFIRMATION_S
-        if not is_confirmed or not self.pool.confirmations.takes_unconfirmed(now_s):
+        if not is_confirmed or not self.pool.confirmations.accepts_unconfirmed(now_s):
             self._doubtful = reply
             self._fail(ConnectionBrokenError("the response may be a copy of an earlier one"))
             self.drop()
             return
-        self.pool.confirmations.record_honest(reply.status, now_s)
+        self.pool.confirmations.record_genuine(reply.status, now_s)
         self.is_complete = True
         self.idle_since_s = now_s
         self._deliver(reply)
@@ -213,8 +212,8 @@
         doubtful = self._doubtful
         self._end_doubt()
         if doubtful is not None and doubtful.status != OK_STATUS:
-            # An error is taken: the news would be asked for by an id that another request may have.
-            doubtful.headers.pop(b"x-shed", None)  # what may be a copy proves nothing
+            # An error response is accepted: polling by its id could reach another request with that id.
+            doubtful.headers.pop(b"x-shed", None)  # a possible copy is no proof that the query never ran
             self._deliver(doubtful)
             return
         if self.has_unwritten:
@@ -222,58 +221,58 @@
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_exception(error)
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Reset headers and body; InvalidReplyError if a whole response to this call came already."""
+        """Reset headers and body; raise InvalidReplyError if this call already has a complete response."""
         if self.is_complete:
             self.is_reusable = False
             self.pool.count_copy()
-            raise InvalidReplyError("more than one answer")
+            raise InvalidReplyError("more than one response")
         self.headers, self.body, self.header_count = {}, [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header by its lower-case name; InvalidReplyError beyond FIELDS headers or FIELD bytes."""
+        """Store a header by its lower-case name; raise InvalidReplyError beyond the limits."""
         self.header_count += 1
         if self.header_count > MAX_HEADERS or len(name) + len(value) > MAX_HEADER_BYTES:
-            raise InvalidReplyError("a head without bounds")
+            raise InvalidReplyError("too many headers, or too long ones")
         self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """Check the head; InvalidReplyError if a final response has no length, or one beyond PAGE_BYTES."""
+        """Check the head; raise InvalidReplyError if a final response has no length or one over MAX_PAGE_BYTES."""
         self.status = self.parser.get_status_code()
         if (
             self.status >= 200
             and self.status != 204
             and not (b"content-length" in self.headers or b"transfer-encoding" in self.headers)
         ):
-            raise InvalidReplyError("an answer without a length")  # nothing would show that it was cut
+            raise InvalidReplyError("a response without a length")  # truncation could not be detected
         if int(self.headers.get(b"content-length", b"0")) > MAX_PAGE_BYTES:
-            raise InvalidReplyError("an answer is too long")
+            raise InvalidReplyError("the response is too long")
 
     def on_body(self, part: bytes) -> None:
-        """Collect a part of the body; `data_received` bounds the whole."""
+        """Collect a part of the body; `data_received` limits the total."""
         self.body.append(part)
 
     def on_message_complete(self) -> None:
-        """Mark a final response (not 1xx) as whole; without keep-alive the connection is not used again."""
+        """Mark a final response (not 1xx) as complete; without keep-alive the connection is not reused."""
         if self.status < 200:
             return
         reply = EngineReply(self.status, self.headers, b"".join(self.body))
-        if self._doubtful is not None:  # so the one before it was a copy
+        if self._doubtful is not None:  # so the previous one was a copy
             self.pool.count_copy()
             self._has_copies = True
-        if self._confirms(reply):
+        if self._must_confirm(reply):
             self._start_doubt(reply)
             return
         self._end_doubt()
         self.is_complete, self.idle_since_s = True, self.loop.time()
         self.is_reusable = self.is_reusable and self.parser.should_keep_alive() and not self._has_copies
 
-    # What the peer calls.
+    # Interface for the pool.
 
     def is_usable(self) -> bool:
-        """Return whether a call may be written now: a hang-up, a reset or stray bytes may lie unread in the socket."""
+        """Return whether a call may be written now; a hang-up, reset or stray bytes may be unread in the socket."""
         return (
             self.is_reusable
             and not self.transport.is_closing()
@@ -282,20 +281,20 @@
         )
 
     def drop(self) -> None:
-        """Abort the connection; it is not used again."""
+        """Abort the connection."""
         self.is_reusable = False
         self.transport.abort()
 
     def expire(self) -> None:
-        """End an overdue call with TimeoutError, or RequestNotWrittenError, and abort the connection."""
+        """Fail an overdue call by TimeoutError or RequestNotWrittenError and abort the connection."""
         self._fail(TimeoutError())  # type: ignore[arg-type]
         self.drop()
 
     def request(self, data: bytes, within_s: float, waiter: ResponseWaiter, confirm_s: float = -1.0) -> None:
         """Write a call at once; `waiter` gets its response or an error, after `within_s` a TimeoutError.
 
-        A response that equals a recent one is kept back until it is known not to be a copy of that, `confirm_s` after
-        this call at the latest; negative: it is not checked.
+        A response that equals a recent one is held back until it is known not to be a copy, for at most `confirm_s`
+        after this call; it is not checked if `confirm_s` is negative.
         """
         self.waiter = waiter
         self.is_complete, self.response_bytes = False, 0
@@ -311,10 +310,10 @@
             self.timer = self.loop.call_at(self.deadline_s, self._on_timer)
         self.transport.write(data)
         if self.transport.is_closing():
-            self.has_unwritten = True  # reset before this call: the system took none of it
+            self.has_unwritten = True  # reset before this call: none of it was written
 
     def _on_timer(self) -> None:
-        """One timer serves a connection's calls in turn: setting one for each costs more than a look here."""
+        """Expire an overdue call. One timer serves all calls in turn: one for each call costs more."""
         self.timer = None
         if self.waiter is None:
             return
@@ -324,24 +323,24 @@
             self.expire()
 
     def end_call(self) -> None:
-        """End the wait for the call's response; a connection without a whole response is dropped."""
+        """Stop waiting for the response; drop the connection if the response is not complete."""
         self._end_doubt()
         self.waiter = None
-        if not self.is_complete:  # not to be read: whatever still comes belongs to no call
+        if not self.is_complete:  # further input would belong to no call
             self.drop()
 
     def detach(self) -> bool:
-        """Stop waiting for the response; return whether the connection is kept until it comes, and released then."""
+        """Stop waiting for the response; return whether the connection is kept until it comes and then released."""
         if not self.is_reusable or self.is_complete or self.has_unwritten:
-            return False  # what is not written yet must not follow
-        # The answer is on its way, and a new connection costs the engine more.
+            return False  # the rest of a call must not be written any more
+        # The response is on its way, and a new connection costs the engine more.
         detached: asyncio.Future[EngineReply] = self.loop.create_future()
         detached.add_done_callback(self._on_detached_response)
         self.waiter = detached
         return True
 
     def _on_detached_response(self, waiter: asyncio.Future[EngineReply]) -> None:
-        """The answer to a call that was given up has come, or will not: the line is free, or gone."""
+        """Release the connection, as the response to a cancelled call has come or failed."""
         self.waiter = None
         if waiter.cancelled() or waiter.exception() is not None:
             self.is_reusable = False
--- a/frostspindle/net/http/listener.py
+++ b/frostspindle/net/http/listener.py
@@ -145,8 +145,8 @@
             self._on_accept_failed(error)
             return False
         accepted.setblocking(False)
-        # asyncio does not set this for sockets of this kind: small responses would be delayed by Nagle's algorithm, and
-        # lost with a reset.
+        # asyncio does not see that a socket accepted by a listener that was created by address is TCP: small responses
+        # would be held back, and be lost with a reset.
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         protocol = self.make_protocol(self._queued_since_ms)
         joining = self.loop.create_task(self.loop.connect_accepted_socket(lambda: protocol, accepted))
--- a/frostspindle/net/metrics.py
+++ b/frostspindle/net/metrics.py
@@ -1,8 +1,7 @@
-"""The figures of `show-stat` in Prometheus' text form, for the operators' call `metrics`.
+"""The figures of `show-stat` in Prometheus text format, for the operators' call `metrics`.
 
-Owns the families' names and which figure is which. It must never count by itself: it is handed the one source's figures
-at each call. It must never be imported where `metrics` is off: the library costs memory that only its users pay. No
-I/O, no clock.
+Defines the metric families and maps the figures to them; it counts nothing itself. Import it only if `metrics` is
+enabled, as the library needs memory. No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 from prometheus_client.metrics_core import CounterMetricFamily, GaugeMetricFamily, Metric
 
 PREFIX = "frostspindle_"
-# A family for each figure: its key in `show-stat`, whether it only grows, its name, and what it counts.
+# For each family: its key in `show-stat`, whether it is a counter, its name, and its help text.
 PROCESS_METRICS = (
     ("backend_calls", True, "backend_calls", "Attempts that were written whole to engines."),
     ("inflight", False, "inflight", "Requests taken and not yet ended."),
@@ -31,7 +30,7 @@
 
 
 class _Figures:
-    """A collector of one call's figures."""
+    """A collector for the figures of one call."""
 
     def __init__(self, figures: Mapping[str, Any]) -> None:
         self.figures = figures
@@ -56,7 +55,7 @@
 
 
 def text(figures: Mapping[str, Any]) -> bytes:
-    """Return the Prometheus text exposition 0.0.4, ended by a comment `# EOF`; `figures` as `show-stat` has them."""
+    """Return `figures`, as in `show-stat`, in the Prometheus text format 0.0.4, with a final comment `# EOF`."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Figures(figures))  # type: ignore[arg-type]
     return generate_latest(registry) + b"# EOF\n"
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -1,7 +1,7 @@
-"""The operators' port: one line a connection, one answer, then a close; or a stream of lines to a caller that stays.
+"""The operators' port: each connection makes one call, gets one answer and is closed, or receives a stream of lines.
 
-Runs in the event loop and answers each call in the callback that brings its last byte, never behind client work. What a
-call does is given by the parts of the program as handlers; nothing about requests is decided here.
+Runs in the event loop and answers each call in the callback that receives its last byte, without waiting for client
+work. The other parts of the program provide the handlers.
 """
 
 from __future__ import annotations
@@ -16,39 +16,39 @@
 from frostspindle.telemetry import Telemetry
 
 MAX_CALL_BYTES = 1024
-MAX_CALLERS = 16  # connected at once; streams are counted apart
-MAX_STREAM_CALL_BYTES = 65_536  # the longest call that opens a stream
+MAX_CALLERS = 16  # connected at once; streams are counted separately
+MAX_STREAM_CALL_BYTES = 65_536  # of a call that opens a stream
 MAX_STREAMS = 10_000
-MAX_UNREAD_BYTES = 65_536  # bytes that wait for a stream before its caller counts as not reading
+MAX_UNREAD_BYTES = 65_536  # buffered for a stream before its caller counts as not reading
 CALL_TIMEOUT_S = 5.0  # from connecting until a call must be complete
-MAX_WORDS = 5  # of a call that are read
-_NAME_BYTES = 32  # of a call's line, in which its name stands
+MAX_WORDS = 5  # of a call; the rest is ignored
+_NAME_BYTES = 32  # at the start of a call's line; contain its name
 _ARGUMENTS = {"unsubscribe": "one number", "release-owner": "one task"}
 _encode = msgspec.json.Encoder().encode
 
 
 class OperatorError(Exception):
-    """The reason why a call is refused; it becomes the `NAK` line."""
+    """The reason for rejecting a call; sent as the `NAK` line."""
 
 
 class CallerStream(Protocol):
-    """What writes to a caller that keeps its connection."""
+    """Writes to a caller that keeps its connection."""
 
     def paused(self, on: bool) -> None:
-        """Take that the caller has stopped reading (`on`) or reads again."""
+        """Handle that the caller has stopped reading (`on`) or reads again."""
 
     def gone(self) -> None:
-        """Take that the connection has ended."""
+        """Handle the end of the connection."""
 
 
 class _OperatorConnection(asyncio.Protocol):
-    """One connection: it reads up to the first line feed, answers, and closes, or becomes a stream."""
+    """One connection: reads up to the first line feed, then answers and closes, or becomes a stream."""
 
     def __init__(self, server: OperatorServer) -> None:
         self.server = server
         self.received = b""
         self.stream: CallerStream | None = None
-        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set before anything else is called
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # set in connection_made
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
@@ -73,7 +73,7 @@
             self._run(line)
 
     def eof_received(self) -> None:
-        # A caller may end its line by ending its side of the connection, unless it wants a stream.
+        # A caller may end its line by closing its side of the connection, except for a stream.
         if self.received and self.stream is None and not self.transport.is_closing():
             self._run(self.received)
 
@@ -115,9 +115,9 @@
 
 
 class OperatorServer:
-    """The operators' port: all callers, and the handler of each call.
+    """The operators' port: its callers and the handlers of calls.
 
-    `handlers` answer at once; `stream_handlers` are given the rest of the call's line and keep the connection.
+    `handlers` answer at once; `stream_handlers` get the rest of the call's line and keep the connection.
     """
 
     def __init__(self, at: Address | str, handlers: dict[str, Callable[..., Any]], telemetry: Telemetry) -> None:
@@ -125,16 +125,16 @@
         self.handlers = handlers
         self.telemetry = telemetry
         self.stream_handlers: dict[str, StreamHandler] = {}
-        # What a call takes, in words: one argument for each "a", "an" or "one", or "two ...".
+        # Description of a call's arguments: each "a", "an" or "one" stands for one, "two ..." for two.
         self.arguments: dict[str, str] = {}
-        self.unlogged_calls = {"ready"}  # they come too often for a line each
+        self.unlogged_calls = {"ready"}  # too frequent for the log
         self.long_calls: set[str] = set()  # calls that may be as long as those that open a stream
-        self.callers: dict[_OperatorConnection, None] = {}  # in the order in which they came
+        self.callers: dict[_OperatorConnection, None] = {}  # in the order of connecting
         self.streams: set[_OperatorConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on the Unix socket or the TCP address; OSError if that can't be had."""
+        """Listen on the Unix socket or TCP address; raise OSError if it is not available."""
         loop = asyncio.get_running_loop()
         if isinstance(self.address, str):
             self._server = await loop.create_unix_server(self._make_protocol, self.address, backlog=MAX_CALLERS)
@@ -146,7 +146,7 @@
 
     @property
     def port(self) -> int:
-        """TCP port that is listened on."""
+        """TCP port of the listening socket."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -158,7 +158,7 @@
             caller.transport.close()
 
     def connected(self, caller: _OperatorConnection) -> None:
-        """Register a caller; beyond MAX_CALLERS the one that has been connected longest without a call is dropped."""
+        """Register a caller; beyond MAX_CALLERS, abort the one connected longest without a call."""
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
             first = next(iter(self.callers))
@@ -166,19 +166,19 @@
             first.transport.abort()
 
     def stream_handler(self, line: bytes) -> StreamHandler | None:
-        """Return the handler of a call that opens a stream, or None if this is another call."""
+        """Return the handler of a call that opens a stream, or None for other calls."""
         if not self.stream_handlers:
             return None
-        return self.stream_handlers.get(_name_in(line).strip())
+        return self.stream_handlers.get(_call_name(line).strip())
 
     def max_bytes(self, line: bytes) -> int:
-        """Return how long the call that begins so may be."""
-        if self.stream_handler(line) is not None or (self.long_calls and _name_in(line) in self.long_calls):
+        """Return the maximum length of a call that starts with `line`."""
+        if self.stream_handler(line) is not None or (self.long_calls and _call_name(line) in self.long_calls):
             return MAX_STREAM_CALL_BYTES
         return MAX_CALL_BYTES
 
     def open_stream(self, caller: _OperatorConnection, handler: StreamHandler, line: bytes) -> bytes | None:
-        """Let a caller keep its connection and return None, or return the line that refuses it."""
+        """Open a stream and return None, or return the line that rejects the call."""
         self.telemetry.count("operator_calls")
         name, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
         try:
@@ -187,7 +187,7 @@
             caller.stream = handler(rest.strip(), caller)
         except OperatorError as refusal:
             return self._refuse(refusal)
-        except Exception as error:  # noqa: BLE001 - a caller's fault is its own
+        except Exception as error:  # noqa: BLE001 - a fault ends this call only
             return self._log_exception(name, error)
         caller.timer.cancel()
         caller.transport.set_write_buffer_limits(MAX_UNREAD_BYTES)
@@ -197,7 +197,7 @@
         return None
 
     def answer(self, line: bytes) -> bytes:
-        """Run one call and return its response; an exception in it is logged and answered with a `NAK` line."""
+        """Run one call and return its response; exceptions are logged and answered with a `NAK` line."""
         name, *words = line.decode("utf-8", "replace").split()[:MAX_WORDS] or [""]
         self.telemetry.count("operator_calls")
         try:
@@ -205,16 +205,16 @@
             result = self.handlers[name](*words)
         except OperatorError as refusal:
             return self._refuse(refusal)
-        except Exception as error:  # noqa: BLE001 - a caller's fault is its own
+        except Exception as error:  # noqa: BLE001 - a fault ends this call only
             return self._log_exception(name, error)
         if name not in self.unlogged_calls:
             self.telemetry.log("operator_called", call=name, of=words[:2] if name in self.long_calls else words)
-        if isinstance(result, bytes):  # it has its own form and end
+        if isinstance(result, bytes):  # already formatted
             return result
         return b"ACK\n" if result is None else _encode(result) + b"\n--\n"
 
     def _check(self, name: str, words: list[str]) -> None:
-        """Raise OperatorError unless there is such a call and it has as many arguments as it takes."""
+        """Raise OperatorError unless the call exists and has the right number of arguments."""
         if name not in self.handlers:
             calls = ", ".join(sorted((*self.handlers, *self.stream_handlers)))
             raise OperatorError(f"no such call; there are {calls}")
@@ -234,10 +234,10 @@
         return b"NAK a fault, see the log\n"
 
 
-def _name_in(line: bytes) -> str:
+def _call_name(line: bytes) -> str:
     return line[:_NAME_BYTES].split(b" ", 1)[0].decode("ascii", "replace")
 
 
 def _count_arguments(expected: str) -> int:
-    """Return how many arguments a description in words stands for."""
+    """Return the number of arguments in a description."""
     return 2 * expected.startswith("two ") + sum(word in ("a", "an", "one") for word in expected.split())
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -132,8 +132,8 @@
     async def close(self, until_s: float = math.inf) -> None:
         """Stop accepting, let clients take their responses, then close all connections.
 
-        Clients have CLOSE_GRACE_S, or until `until_s` (loop time) if that is sooner. Calls that arrived while the process
-        was not running are still answered.
+        Clients have CLOSE_GRACE_S, or until `until_s` (loop time) if that is sooner. Calls that arrived while the
+        process was not running are still answered.
         """
         if self._sweeper is not None:
             self._sweeper.cancel()
--- a/frostspindle/net/snmp.py
+++ b/frostspindle/net/snmp.py
@@ -1,8 +1,8 @@
 """The SNMP agent: the program's counters, engines and sessions, read-only, by SNMPv2c.
 
-Owns one UDP socket and the objects of mibs/FROSTSPINDLE-MIB.txt, which it fills from the same counters and figures
-that SIGUSR1 prints and operators are told. It must never change anything (every set is refused), never answer a
-wrong community, and never be imported unless the operator's file sets it up.
+Serves the objects of mibs/FROSTSPINDLE-MIB.txt on one UDP socket, from the same counters and figures as SIGUSR1 and the
+operators' port. Every SET is rejected, and requests with a wrong community are not answered. Import it only if the
+operator's file enables it.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 SCALARS, CLASSES, ENGINES, SESSIONS = (*ROOT, 1, 1), (*ROOT, 1, 2, 1), (*ROOT, 1, 3, 1), (*ROOT, 1, 4, 1)
 FRONTS = {"http": 1, "tds": 2}
 CLASS_COUNTS = ("taken", "full", "sent", "served", "refused", "failed", "left")
-HEALTH = {0: 3, 1: 1, 2: 2}  # the module's numbers to the MIB's: ready, draining, gone
-SNAPSHOT_MAX_AGE_MS = 200.0  # a walk reads many objects of one picture; it is drawn anew after this
+HEALTH = {0: 3, 1: 1, 2: 2}  # decision module's value: MIB value; ready, draining, gone
+SNAPSHOT_MAX_AGE_MS = 200.0  # one snapshot serves the many reads of a walk
 Oid = tuple[int, ...]
 
 
 class Objects(AbstractMibInstrumController):
-    """All objects, as one ordered snapshot that is drawn again after OLD_MS."""
+    """All objects, as an ordered snapshot that is renewed after SNAPSHOT_MAX_AGE_MS."""
 
     def __init__(self, core: Core, telemetry: Telemetry, sessions: Callable[[], dict[str, int]]) -> None:
         self.core, self.telemetry, self.sessions = core, telemetry, sessions
@@ -66,8 +66,8 @@
         for index, (front, cls) in enumerate(self.core.classes, 1):
             row = (FRONTS[front], index)
             out[(*CLASSES, 3, *row)] = rfc1902.OctetString(cls.encode())
-            for column, what in enumerate(CLASS_COUNTS, 4):
-                out[(*CLASSES, column, *row)] = rfc1902.Counter64(counts[what, front, cls])
+            for column, name in enumerate(CLASS_COUNTS, 4):
+                out[(*CLASSES, column, *row)] = rfc1902.Counter64(counts[name, front, cls])
         for number, state in self.core.engines.items():
             row = (number + 1,) if number < 0xFFFFFFFF else (number,)
             out[(*ENGINES, 2, *row)] = rfc1902.OctetString(state.name.encode()[:255])
@@ -82,7 +82,7 @@
         context["acFun"]("read", (rfc1902.ObjectName(name), None), **{**context, "idx": 0})
 
     def read_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
-        """Answer a GET: each object by its whole name."""
+        """Answer a GET: look up each object by its complete name."""
         values = self._snapshot()
         out = []
         for name, _ in varBinds:
@@ -109,7 +109,7 @@
         return out
 
     def write_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
-        """Refuse a SET, whatever it names, by NotWritableError."""
+        """Reject every SET by NotWritableError."""
         self.telemetry.count("snmp_sets_refused")
         raise error.NotWritableError(idx=0)
 
@@ -126,9 +126,9 @@
         self._engine: Any = None
 
     async def start(self, shared: bool = False) -> None:
-        """Listen; OSError if that can't be had.
+        """Listen; raise OSError if the address is not available.
 
-        `shared`: during an upgrade the other process may still hold the address.
+        `shared`: the other process of an upgrade may still be bound to the address.
         """
         logging.getLogger("pysnmp").addHandler(logging.NullHandler())
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -140,7 +140,7 @@
         self._engine = SnmpEngine()
         snmp_config.add_transport(self._engine, udp.DOMAIN_NAME, udp.UdpTransport().open_server_mode(sock=sock))
         snmp_config.add_v1_system(self._engine, "reader", self.snmp.community)
-        # 2: SNMPv2c alone; the community has a view for reading and none for writing.
+        # 2: SNMPv2c only; the community has a read view and no write view.
         snmp_config.add_vacm_user(self._engine, 2, "reader", "noAuthNoPriv", readSubTree=ROOT)
         scope = context.SnmpContext(self._engine)
         scope.unregister_context_name(b"")
--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -1,8 +1,7 @@
-"""The codec of TDS 7.4: packets, PRELOGIN, LOGIN7, batches and the tokens of a result.
+"""A codec for TDS 7.4 (MS-TDS): packets, PRELOGIN, LOGIN7, SQL batches and the tokens of a result.
 
-Owns the byte layouts of MS-TDS and the bounds on what is read. It must never open a socket, never wait, never
-take a length on trust, and never change the bytes of a row: a result is walked to see that it is whole and is
-then passed on as it came. Whatever breaks the layout raises ProtocolError.
+Lengths are checked before use, and input that violates the layout or exceeds a limit raises ProtocolError. Results are
+parsed to check that they are complete; their rows are passed on unchanged. No I/O.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 COLMETADATA, ERROR, INFO, LOGINACK, ROW, NBCROW, ENVCHANGE = 0x81, 0xAA, 0xAB, 0xAD, 0xD1, 0xD2, 0xE3
 ORDER, RETURNSTATUS, FEATUREEXTACK, DONE, DONEPROC, DONEINPROC = 0xA9, 0x79, 0xAE, 0xFD, 0xFE, 0xFF
 TABNAME, COLINFO, SESSIONSTATE = 0xA4, 0xA5, 0xE4
-# What DONE says.
+# Status bits of DONE.
 DONE_MORE, DONE_ERROR, DONE_COUNT, DONE_ATTN = 0x01, 0x02, 0x10, 0x20
 ENCRYPT_NOT_SUP, ENCRYPT_OFF = 2, 0
 O_VERSION, O_ENCRYPTION, O_INSTANCE, O_THREAD, O_MARS, O_END = 0, 1, 2, 3, 4, 0xFF
@@ -40,24 +39,24 @@
     0x29: 1,
     0x2A: 1,
     0x2B: 1,
-}  # bytes of type information before the values' one-byte lengths
+}  # bytes of type information; values have one-byte lengths
 _SHORT_LEN = {0xA5: 0, 0xAD: 0, 0xA7: 5, 0xAF: 5, 0xE7: 5, 0xEF: 5}  # bytes of collation
 _LONG_LEN = {0x23: 5, 0x63: 5, 0x22: 0}
 _VARIANT, _XML, NVARCHAR = 0x62, 0xF1, 0xE7
-_COLLATION = bytes((0x09, 0x04, 0xD0, 0x00, 0x34))  # US English, case and accent as Windows sorts them
+_COLLATION = bytes((0x09, 0x04, 0xD0, 0x00, 0x34))  # US English, Windows collation
 
 
 class ProtocolError(Exception):
-    """The peer's bytes break the layout of MS-TDS, or exceed a bound."""
+    """The peer's bytes violate MS-TDS or exceed a limit."""
 
 
 class MessageTooLongError(ProtocolError):
-    """A message exceeds its bound."""
+    """A message exceeds its maximum length."""
 
 
 @dataclass(slots=True)
 class Message:
-    """One whole message: its packet type, the status bits of its last packet, and its body without packet headers."""
+    """One complete message: packet type, status bits of the last packet, and body without packet headers."""
 
     kind: int
     status: int
@@ -65,35 +64,35 @@
 
 
 class PacketReassembler:
-    """Reassembles messages from packets, however the stream was cut or joined."""
+    """Reassembles messages from packets, independent of the boundaries of reads."""
 
     def __init__(self, max_bytes: int) -> None:
-        self.max_bytes = max_bytes  # bytes of one message
+        self.max_bytes = max_bytes  # of one message
         self._data, self._body = bytearray(), bytearray()
         self._kind = -1
 
     @property
     def is_partial(self) -> bool:
-        """Whether a message has begun and is not whole."""
+        """Whether a message is partly received."""
         return bool(self._data or self._body)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Add bytes from the stream and yield the messages that are whole now.
+        """Add bytes from the stream and yield the messages that are now complete.
 
-        A generator: nothing is taken in before it is iterated. Raises ProtocolError for a packet of an impossible
-        length or type, or of another type than its message, and TooLong once a message passes `most` bytes.
+        A generator: it must be iterated for the bytes to be added. Raise ProtocolError for a packet with an invalid
+        length or type, or a type other than its message's, and MessageTooLongError for a message over `max_bytes`.
         """
         self._data += data
         while len(self._data) >= HEADER.size:
             kind, status, length, _, _, _ = HEADER.unpack_from(self._data)
             if length < HEADER.size or length > MAX_PACKET_BYTES:
-                raise ProtocolError(f"a packet of {length} bytes")
+                raise ProtocolError(f"invalid packet length {length}")
             if kind not in (BATCH, RPC, RESULT, ATTENTION, BULK, MANAGER, LOGIN7, SSPI, PRELOGIN):
-                raise ProtocolError(f"a packet of unknown type {kind}")
+                raise ProtocolError(f"unknown packet type {kind}")
             if self._kind not in (-1, kind):
-                raise ProtocolError(f"a packet of type {kind} inside a message of type {self._kind}")
+                raise ProtocolError(f"packet of type {kind} in a message of type {self._kind}")
             if len(self._body) + length - HEADER.size > self.max_bytes:
-                raise MessageTooLongError(f"a message of more than {self.max_bytes} bytes")
+                raise MessageTooLongError(f"message longer than {self.max_bytes} bytes")
             if len(self._data) < length:
                 return
             self._kind = kind
@@ -107,9 +106,9 @@
 
 
 def packets(kind: int, body: bytes, size: int = DEFAULT_PACKET_BYTES, status: int = 0) -> bytes:
-    """Return a message as packets of at most `size` bytes; `status` bits go on the first."""
+    """Return a message as packets of at most `size` bytes; the first has the `status` bits."""
     chunk_bytes, out = size - HEADER.size, bytearray()
-    chunks = [body[at : at + chunk_bytes] for at in range(0, len(body), chunk_bytes)] or [b""]
+    chunks = [body[start : start + chunk_bytes] for start in range(0, len(body), chunk_bytes)] or [b""]
     for number, chunk in enumerate(chunks):
         bits = (status if number == 0 else 0) | (EOM if number == len(chunks) - 1 else 0)
         out += HEADER.pack(kind, bits, HEADER.size + len(chunk), 0, (number + 1) & 0xFF, 0) + chunk
@@ -120,26 +119,26 @@
 
 
 def read_prelogin(body: bytes) -> dict[int, bytes]:
-    """Return the options of a PRELOGIN by their tokens; ProtocolError if it is cut or has no terminator."""
+    """Return the options of a PRELOGIN by token; raise ProtocolError if truncated or without terminator."""
     options: dict[int, bytes] = {}
-    at = 0
+    position = 0
     while True:
-        if at >= len(body):
-            raise ProtocolError("a PRELOGIN without an end")
-        option = body[at]
+        if position >= len(body):
+            raise ProtocolError("PRELOGIN without terminator")
+        option = body[position]
         if option == O_END:
             return options
-        if at + 5 > len(body):
-            raise ProtocolError("a PRELOGIN option is cut")
-        offset, length = struct.unpack_from(">HH", body, at + 1)
+        if position + 5 > len(body):
+            raise ProtocolError("truncated PRELOGIN option")
+        offset, length = struct.unpack_from(">HH", body, position + 1)
         if offset + length > len(body):
-            raise ProtocolError("a PRELOGIN option runs past its message")
+            raise ProtocolError("PRELOGIN option exceeds its message")
         options[option] = body[offset : offset + length]
-        at += 5
+        position += 5
 
 
 def prelogin(options: dict[int, bytes]) -> bytes:
-    """Return the body of a PRELOGIN with these options, in their order."""
+    """Return the body of a PRELOGIN with the options in their order."""
     head, data = bytearray(), bytearray()
     start = 5 * len(options) + 1
     for option, value in options.items():
@@ -150,7 +149,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Login:
-    """What is used of a LOGIN7: names, the client's packet size in bytes (clamped), and its TDS version."""
+    """Fields of a LOGIN7: names, the client's packet size in bytes (clamped), and its TDS version."""
 
     user: str = ""
     application: str = ""
@@ -160,18 +159,18 @@
 
 
 def read_login(body: bytes) -> Login:
-    """Read a LOGIN7 and clamp its packet size to the bounds (0 means the default).
+    """Parse a LOGIN7 and clamp its packet size to the limits (0 means the default).
 
-    Raises ProtocolError if it is cut, a name is longer than 128 characters or not UTF-16, or the version is below 7.2.
+    Raise ProtocolError if it is truncated, a name exceeds 128 characters or is not UTF-16, or the version is below 7.2.
     """
     if len(body) < 94 or struct.unpack_from("<I", body)[0] > len(body):
-        raise ProtocolError("a LOGIN7 is cut")
+        raise ProtocolError("truncated LOGIN7")
     version, packet = struct.unpack_from("<II", body, 4)
 
-    def text(at: int) -> str:
-        offset, count = struct.unpack_from("<HH", body, at)
+    def text(position: int) -> str:
+        offset, count = struct.unpack_from("<HH", body, position)
         if count > 128 or offset + 2 * count > len(body):
-            raise ProtocolError("a LOGIN7 field runs past its message")
+            raise ProtocolError("LOGIN7 field exceeds its message")
         return _decode_utf16(body[offset : offset + 2 * count])
 
     if version >> 24 < 0x72:
@@ -186,7 +185,7 @@
 
 
 def login(user: str, password: str, application: str, database: str, packet: int = DEFAULT_PACKET_BYTES) -> bytes:
-    """Return the body of a LOGIN7; the password is obfuscated as MS-TDS asks, not encrypted."""
+    """Return the body of a LOGIN7; the password is obfuscated as MS-TDS requires, not encrypted."""
     secret = bytes((((b << 4) | (b >> 4)) & 0xFF) ^ 0xA5 for b in password.encode("utf-16-le"))
     fields = [
         b"",
@@ -213,19 +212,19 @@
     try:
         return data.decode("utf-16-le")
     except UnicodeDecodeError:
-        raise ProtocolError("text that is not UTF-16") from None
+        raise ProtocolError("text is not UTF-16") from None
 
 
 # Batches.
 
 
 def read_batch(body: bytes) -> str:
-    """Return the statement of a SQL batch, without its ALL_HEADERS; ProtocolError if it is cut or not UTF-16."""
+    """Return the statement of a SQL batch without its ALL_HEADERS; raise ProtocolError if invalid."""
     if len(body) < 4:
-        raise ProtocolError("a batch without its headers")
+        raise ProtocolError("batch without ALL_HEADERS")
     skip = struct.unpack_from("<I", body)[0]
     if not 4 <= skip <= len(body) or (len(body) - skip) % 2:
-        raise ProtocolError("a batch's headers run past it")
+        raise ProtocolError("ALL_HEADERS exceed the batch")
     return _decode_utf16(body[skip:])
 
 
@@ -234,7 +233,7 @@
     return struct.pack("<IIHQI", 22, 18, 2, 0, 1) + statement.encode("utf-16-le")
 
 
-# Tokens that are written here.
+# Encoding of tokens.
 
 
 def _b_varchar(text: str) -> bytes:
@@ -255,12 +254,12 @@
 
 
 def done(status: int = 0, rows: int = 0) -> bytes:
-    """Return a DONE token; clients read `rows` only if `status` has DONE_COUNT."""
+    """Return a DONE token; clients use `rows` only if `status` includes DONE_COUNT."""
     return struct.pack("<BHHQ", DONE, status, 0, rows)
 
 
 def login_ack(database: str, packet: int) -> bytes:
-    """Return the tokens that accept a log-in: LOGINACK, ENVCHANGE for database and packet size, and the last DONE."""
+    """Return the tokens that accept a login: LOGINACK, ENVCHANGE for database and packet size, and a final DONE."""
     name = "frostspindle"
     ack = b"\x01" + struct.pack(">I", VERSION) + _b_varchar(name) + bytes((1, 0, 0, 0))
     out = struct.pack("<BH", LOGINACK, len(ack)) + ack
@@ -271,7 +270,7 @@
 
 
 def text_result(columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> bytes:
-    """Return a result of text columns; used by stand-ins and examples."""
+    """Return a result of text columns; for test engines and examples."""
     out = bytearray(struct.pack("<BH", COLMETADATA, len(columns)))
     for column in columns:
         out += struct.pack("<IHBH", 0, 9, NVARCHAR, 8000) + _COLLATION + _b_varchar(column)
@@ -283,7 +282,7 @@
     return bytes(out) + done(DONE_COUNT, len(rows))
 
 
-# Walking a result.
+# Parsing of results.
 
 
 @dataclass(slots=True)
@@ -297,17 +296,17 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a whole response holds. `tokens` leaves out those about the engine's session only."""
+    """A complete response. `tokens` excludes those that concern only the engine's session."""
 
     tokens: bytes = b""
     errors: list[ErrorToken] = field(default_factory=list)
     status: int = 0  # of the last DONE
     rows: int = 0
-    accepted: bool = False  # a LOGINACK came
+    accepted: bool = False  # it contains a LOGINACK
 
 
 class _Reader:
-    """Bytes taken in order; past the end is a ProtocolError."""
+    """Reads bytes in order; raises ProtocolError past the end."""
 
     def __init__(self, data: bytes) -> None:
         self.data, self.at = data, 0
@@ -315,7 +314,7 @@
     def skip(self, count: int) -> int:
         start = self.at
         if count < 0 or start + count > len(self.data):
-            raise ProtocolError("a token runs past its message")
+            raise ProtocolError("token exceeds its message")
         self.at += count
         return start
 
@@ -329,7 +328,7 @@
 
 
 def _read_column(reader: _Reader) -> tuple[str, int]:
-    """One column's type information: how its values are measured."""
+    """Read a column's type information; return the length encoding of its values and a size."""
     reader.skip(6)
     kind = reader.number("B")
     if kind in _FIXED:
@@ -356,7 +355,7 @@
             reader.skip(2 * reader.number("H"))
         encoding = ("plp", 0)
     else:
-        raise ProtocolError(f"a column of type {kind:#04x}")
+        raise ProtocolError(f"unknown column type {kind:#04x}")
     reader.skip(2 * reader.number("B"))
     return encoding
 
@@ -382,7 +381,7 @@
 
 
 def read_result(data: bytes) -> Result:
-    """Check and read a whole response of an engine; ProtocolError if it is cut, unknown or lacks its last DONE."""
+    """Parse a complete response; raise ProtocolError if truncated, with unknown tokens or without a final DONE."""
     reader, result, kept = _Reader(data), Result(), bytearray()
     columns: list[tuple[str, int]] = []
     last = False
@@ -395,13 +394,13 @@
             columns = [] if count == 0xFFFF else [_read_column(reader) for _ in range(count)]
         elif token == ROW:
             if not columns:
-                raise ProtocolError("a row without columns")
+                raise ProtocolError("row without column metadata")
             for encoding in columns:
                 _skip_value(reader, encoding)
             result.rows += 1
         elif token == NBCROW:
             if not columns:
-                raise ProtocolError("a row without columns")
+                raise ProtocolError("row without column metadata")
             nulls = reader.chunk((len(columns) + 7) // 8)
             for number, encoding in enumerate(columns):
                 if not nulls[number // 8] >> (number % 8) & 1:
@@ -429,11 +428,11 @@
                 reader.skip(reader.number("I"))
             keep = False
         else:
-            raise ProtocolError(f"a token of unknown type {token:#04x}")
+            raise ProtocolError(f"unknown token type {token:#04x}")
         if keep:
             kept += data[start : reader.at]
     if not last:
-        raise ProtocolError("an answer without its last DONE")
+        raise ProtocolError("response without a final DONE")
     result.tokens = bytes(kept)
     return result
 
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -1,9 +1,8 @@
-"""The driver of TDS engines: one attempt from its batch to its last DONE.
+"""The driver of TDS engines: runs attempts from the SQL batch to the final DONE.
 
-Owns the connections to those engines, the operator's list of them, and the Attention that frees an engine's
-work. It must never write a batch to an engine that has begun to drain, never write one twice, never report a
-good end without the whole answer in hand, and never hand on an answer that it could not walk. An engine that
-says it shuts down is told to the core as draining until it takes log-ins again.
+Manages the sessions to the engines of the operator's file and cancels batches by Attention. A batch is written at most
+once, and not to an engine that has begun to drain. Success is reported only with a complete response that was parsed
+without errors. An engine that reports its shutdown counts as draining until it accepts logins again.
 """
 
 from __future__ import annotations
@@ -21,12 +20,12 @@
 from frostspindle.policy import AttemptOutcome, EndpointListKind, EngineEntry, Health
 from frostspindle.telemetry import Telemetry
 
-SHUTTING_DOWN = {6005, 6006, 17142, 17147, 18401}  # the numbers of a server that stops or pauses
-MAX_STATEMENT_SEVERITY = 16  # up to this severity an error is the statement's own, and is its answer
+SHUTTING_DOWN = {6005, 6006, 17142, 17147, 18401}  # error numbers of a server that stops or pauses
+MAX_STATEMENT_SEVERITY = 16  # errors up to this severity are caused by the statement and returned to the client
 DEADLOCK, RESULT_TOO_LONG = 1205, 50003
-ATTENTION_TIMEOUT_S = 1.0  # an engine that does not confirm an Attention by then loses the connection
-IDLE_TIMEOUT_S, MAX_IDLE_SESSIONS = 30.0, 16  # idle connections of one engine
-RECONNECT_INTERVAL_S = 0.5  # how often an engine that shut down is tried
+ATTENTION_TIMEOUT_S = 1.0  # then the connection is closed
+IDLE_TIMEOUT_S, MAX_IDLE_SESSIONS = 30.0, 16  # of one engine and database
+RECONNECT_INTERVAL_S = 0.5  # login attempts at an engine that shut down
 
 
 class SessionUnavailableError(Exception):
@@ -76,56 +75,56 @@
                     ),
                 )
             )
-            options = codec.read_prelogin(await self.answer())
+            options = codec.read_prelogin(await self.read_message())
             if options.get(codec.O_ENCRYPTION, b"\x02")[0] not in (codec.ENCRYPT_NOT_SUP, codec.ENCRYPT_OFF):
-                raise SessionUnavailableError("the engine asks for encryption, which is not spoken here")
+                raise SessionUnavailableError("the engine requires encryption, which is not supported")
             self.writer.write(
                 codec.packets(codec.LOGIN7, codec.login(tds.engine_user, tds.engine_password, "frostspindle", database))
             )
-            result = codec.read_result(await self.answer())
+            result = codec.read_result(await self.read_message())
         except (OSError, EOFError, codec.ProtocolError) as error:
-            raise SessionUnavailableError(f"no log-in: {error!r}") from None
+            raise SessionUnavailableError(f"login failed: {error!r}") from None
         if not result.accepted or result.errors:
             raise SessionUnavailableError(
-                "log-in refused: " + "; ".join(f.text for f in result.errors), [f.number for f in result.errors]
+                "login rejected: " + "; ".join(f.text for f in result.errors), [f.number for f in result.errors]
             )
 
-    async def answer(self) -> bytes:
-        """The next whole message, however it is cut."""
+    async def read_message(self) -> bytes:
+        """Read the next complete message."""
         while True:
             data = await self.reader.read(64 * 1024)
             if not data:
                 raise EOFError("the engine ended its connection")
             for message in self.splitter.feed(data):
                 if message.kind != codec.RESULT:
-                    raise codec.ProtocolError(f"a message of type {message.kind} from an engine")
+                    raise codec.ProtocolError(f"unexpected message type {message.kind} from an engine")
                 return message.body
 
     def request(self, statement: str) -> None:
-        """Write the batch; a session that was used before starts afresh."""
+        """Write the batch; a session that was used before is reset."""
         status = codec.RESET_CONNECTION if self.used else 0
         self.used = True
         self.writer.write(codec.packets(codec.BATCH, codec.batch(statement), status=status))
 
     async def attention(self) -> bool:
-        """Stop what runs here; True once the engine has confirmed it."""
+        """Cancel the running batch; return whether the engine confirmed it."""
         try:
             async with asyncio.timeout(ATTENTION_TIMEOUT_S):
                 self.writer.write(codec.packets(codec.ATTENTION, b""))
                 while True:
-                    result = codec.read_result(await self.answer())
+                    result = codec.read_result(await self.read_message())
                     if result.status & codec.DONE_ATTN:
                         return True
         except (OSError, EOFError, TimeoutError, codec.ProtocolError):
             return False
 
     def set_idle(self) -> None:
-        """Left idle: whatever the engine writes now, or its end of the stream, makes this session stale."""
+        """Mark the session idle; any input or the end of the stream makes it stale."""
         self.idle_at = clock()
         self._stray_read = asyncio.ensure_future(self.reader.read(1))
 
     async def reuse(self) -> bool:
-        """Take it up again; False: stale. A word left over must not be read as the next batch's answer."""
+        """Reuse the idle session; return False if stale, as stray input must not be read as the next response."""
         assert self._stray_read is not None
         stray, self._stray_read = self._stray_read, None
         fresh = not stray.done() and clock() - self.idle_at < IDLE_TIMEOUT_S * 1000.0
@@ -153,10 +152,10 @@
         self._watched_engines: set[int] = set()
         self._version = 0
 
-    # The operator's list.
+    # The operator's engine list.
 
     def configure(self, engines: Iterable[TdsEngine], list_kind: int = EndpointListKind.DELTA) -> None:
-        """Apply the operator's list, at the start and again on SIGHUP; engines no longer in it are gone."""
+        """Apply the operator's list, at the start and on SIGHUP; engines no longer listed are removed."""
         changed, named = [], set()
         for engine in engines:
             number = self._engine_id(engine.name)
@@ -176,7 +175,7 @@
         known = self.states.get(number)
         since = known.entry.since_ms if known else 0.0
         if known is not None and known.entry.health == Health.GONE and STATES[engine.state] == Health.READY:
-            since = clock()  # it comes back, and comes back cold
+            since = clock()  # it returns with a cold cache
         entry = EngineEntry(number, 0, self.kinds[engine.cores, engine.memory_mb], 0, STATES[engine.state], 1.0, since)
         return EngineState(entry, engine.name, address(engine.dial, engine.name), self)
 
@@ -199,7 +198,7 @@
         return self._names[name]
 
     def _mark_draining(self, number: int) -> None:
-        """The engine itself says that it stops: no new work, until it takes log-ins again."""
+        """Mark an engine that reports its shutdown as draining, until it accepts logins again."""
         state = self.states[number]
         if state.entry.health == Health.READY:
             self.telemetry.count("shutdowns_heard", "tds")
@@ -209,7 +208,7 @@
             self.spawn(self._watch(number))
 
     async def _watch(self, number: int) -> None:
-        """Wait for an engine that shut down to take log-ins again; it then counts as just started."""
+        """Wait until an engine that shut down accepts logins again; it then counts as just started."""
         try:
             while self.states[number].entry.health == Health.DRAINING:
                 await asyncio.sleep(RECONNECT_INTERVAL_S)
@@ -228,14 +227,14 @@
     # The core's interface.
 
     def update_engine(self, engine: EngineState) -> None:
-        """Close the idle sessions of an engine that is gone; nothing else of the list needs work here."""
+        """Close the idle sessions of a removed engine; other changes need no action."""
         if engine.entry.health == Health.GONE:
             for key in [key for key in self._idle if key[0] == engine.entry.engine]:
                 for connection in self._idle.pop(key):
                     connection.close()
 
     def update_priority(self, attempt: Attempt) -> None:
-        """Do nothing: TDS has no way to change a priority."""
+        """Do nothing: TDS cannot change a priority."""
 
     async def close(self) -> None:
         """Cancel all attempts, wait for their ends, and close the idle sessions."""
@@ -247,10 +246,10 @@
     # One attempt.
 
     async def attempt(self, attempt: Attempt) -> None:
-        """Run an attempt to its end and report that once, by Core.attempt_ended.
+        """Run an attempt to its end and report it once by Core.attempt_ended.
 
-        Errors up to severity SOFT are the statement's own and go to the client; a result beyond `max_result_bytes` is
-        answered with an ERROR token. After a timeout or a cancel the engine is freed by Attention first.
+        Errors up to MAX_STATEMENT_SEVERITY are returned to the client; a result over `max_result_bytes` is replaced by
+        an ERROR token. After a timeout or cancellation the batch is first cancelled by Attention.
         """
         connection: _Connection | None = None
         outcome, tokens = AttemptOutcome.CONNECT_FAILED, None
@@ -258,14 +257,14 @@
             async with asyncio.timeout(self.left_s(attempt)):
                 connection = await self._connect(attempt)
                 await self.core.catch_up()
-                # A wait for a connection may have been long: the engine may have begun to drain meanwhile.
+                # The engine may have begun to drain during the wait for a connection.
                 if connection is not None and not self.core.may_send(attempt):
                     outcome = attempt.unsent_outcome
                 elif connection is not None:
                     outcome = AttemptOutcome.RESET
                     connection.request(attempt.request.statement)
                     self.core.count_written(attempt)
-                    outcome, tokens = self._interpret(attempt, await connection.answer())
+                    outcome, tokens = self._interpret(attempt, await connection.read_message())
                     self._return_to_pool(attempt, connection)
                     connection = None
         except (OSError, EOFError) as error:
@@ -284,12 +283,12 @@
             outcome = AttemptOutcome.TIMEOUT if connection is not None else outcome
         except asyncio.CancelledError:
             outcome = AttemptOutcome.CANCELLED
-        except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
+        except Exception as error:  # noqa: BLE001 - a fault must not affect other attempts
             outcome = AttemptOutcome.ERROR if connection is not None else outcome
             self.telemetry.count("faults")
             self.telemetry.log("exception_caught", error=repr(error), of="tds attempt")
         if connection is not None and connection.used and outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED):
-            # A task of its own: a further cancel must not cut short what frees the engine.
+            # A separate task: another cancel must not interrupt it before the engine is free.
             self.spawn(self._free(attempt, connection, outcome))
             return
         if connection is not None:
@@ -297,12 +296,12 @@
         self.core.attempt_ended(attempt, outcome, (), tokens)
 
     async def _connect(self, attempt: Attempt) -> _Connection | None:
-        """An idle session of the engine for this database, or a new one; None: none could be had."""
+        """Return an idle session for the engine and database, or a new one; None if neither is available."""
         key = (attempt.engine, attempt.request.database)
         while idle := self._idle.get(key):
             connection = idle.pop()
             if not idle:
-                del self._idle[key]  # clients name the databases: what is empty is not kept
+                del self._idle[key]  # clients choose database names: keep no empty entries
             if await connection.reuse():
                 return connection
             connection.close()
@@ -319,7 +318,7 @@
             return None
 
     def _interpret(self, attempt: Attempt, body: bytes) -> tuple[int, bytes | None]:
-        """What a whole answer says of the attempt."""
+        """Return the outcome of a complete response, and its tokens for the client."""
         result = codec.read_result(body)
         numbers = {fault.number for fault in result.errors}
         if numbers & SHUTTING_DOWN:
@@ -334,7 +333,7 @@
                 number=engine_errors[0].number,
             )
             return AttemptOutcome.ERROR, None
-        if result.errors:  # the statement's own: repeating it elsewhere would only fail again
+        if result.errors:  # caused by the statement: it would fail on other engines too
             self.telemetry.count("statement_errors", "tds")
         return AttemptOutcome.OK, result.tokens
 
@@ -355,7 +354,7 @@
                 del self._idle[key]
 
     async def _free(self, attempt: Attempt, connection: _Connection, outcome: int) -> None:
-        """End the engine's work by Attention; a session that does not confirm it is closed, which ends it too."""
+        """Cancel the batch by Attention and close the session, which also ends an unconfirmed batch."""
         try:
             if await connection.attention():
                 self.telemetry.count("attentions_confirmed", "tds")
@@ -364,7 +363,7 @@
             self.core.attempt_ended(attempt, outcome)
 
     async def health_check(self, engine: int) -> None:
-        """Log in to the engine within the connect timeout and report it by Core.health_check_completed."""
+        """Log in to the engine within the connect timeout and report the outcome by Core.health_check_completed."""
         began, state = clock(), self.states[engine]
         outcome = AttemptOutcome.OK
         try:
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -1,12 +1,11 @@
-"""The TDS front: sessions of clients that speak TDS 7.4.
+"""The TDS front: client sessions that speak TDS 7.4.
 
-Owns the listening socket, each session's log-in, its one batch at a time, and the tokens of its answers. It
-must never decide by itself what becomes of a request (no retries, no routing: the core asks the module),
-never give a batch more than one final answer, and never let one session's bytes harm another. Encryption is
-not spoken, and PRELOGIN says so.
+Handles the listening socket, logins, one batch at a time for each session, and the tokens of responses. Retries and
+routing are decided by the core. Each batch gets exactly one final response. Encryption is not supported, which the
+PRELOGIN response states.
 
-The numbers of its ERROR tokens: REFUSED is the documented transient number of a busy service, with the wait in
-its text; FAILED says that the batch may have run; the others say what is not taken here.
+Numbers of the ERROR tokens: REFUSED is the documented transient error of a busy service, with the delay in its text;
+FAILED means that the batch may have run; the others name unsupported or invalid input.
 """
 
 from __future__ import annotations
@@ -26,15 +25,15 @@
 REFUSED, FAILED = 40501, 50001
 UNSUPPORTED, LOGIN_FAILED, TOO_MANY, BAD_STREAM = 50010, 18456, 17809, 4002
 READ_BYTES = 16 * 1024
-MESSAGE_TIMEOUT_S = 2.4  # from a message's first byte until it is whole, as for HTTP clients
-DRAIN_IDLE_S, DRAIN_ACCEPT_S = 0.3, 1.8  # in a drain: how long a session may be idle, and until when new ones are taken
-ACCEPTS_PER_TURN, BACKLOG = 8, 128  # sessions accepted in one turn, and those that the system keeps waiting
-DEFAULT_RETRY_AFTER_MS = 100.0  # named in a refusal for which the module has no advice
+MESSAGE_TIMEOUT_S = 2.4  # from a message's first byte until it is complete, as for HTTP clients
+DRAIN_IDLE_S, DRAIN_ACCEPT_S = 0.3, 1.8  # while draining: idle time of sessions, and how long new ones are accepted
+ACCEPTS_PER_TURN, BACKLOG = 8, 128  # BACKLOG: connections queued by the system
+DEFAULT_RETRY_AFTER_MS = 100.0  # in a rejection for which the core has no delay
 _UNSUPPORTED_MESSAGES = {
-    codec.RPC: "RPC requests are not taken here; send a SQL batch",
-    codec.BULK: "Bulk load is not taken here",
-    codec.MANAGER: "Transactions across batches are not taken here; use autocommit",
-    codec.SSPI: "Integrated log-in is not taken here",
+    codec.RPC: "RPC requests are not supported; send a SQL batch",
+    codec.BULK: "Bulk load is not supported",
+    codec.MANAGER: "Transactions across batches are not supported; use autocommit",
+    codec.SSPI: "Integrated authentication is not supported",
 }
 
 
@@ -49,12 +48,12 @@
         self.profile: TdsLogin | None = None
         self.database = ""
         self.login: codec.Login | None = None
-        self.waiting_since_s = asyncio.get_running_loop().time()  # when it began to wait for its client
-        self.busy = False  # a batch runs
+        self.waiting_since_s = asyncio.get_running_loop().time()  # loop time since which it waits for its client
+        self.busy = False  # a batch is running
         self.socket_watch = SocketWatch(writer.transport)
 
     async def message(self) -> codec.Message | None:
-        """The next message, or None at the end of the stream."""
+        """Return the next message, or None at the end of the stream."""
         begun: float | None = None
         while not self.messages:
             if self.splitter.is_partial and begun is None:
@@ -64,19 +63,19 @@
                     data = await self.reader.read(READ_BYTES)
             except TimeoutError:
                 if limit.expired():
-                    raise codec.ProtocolError("a message did not come in time") from None
+                    raise codec.ProtocolError("a message was not complete in time") from None
                 raise
             if not data:
                 return None
             self.messages += self.splitter.feed(data)
             if len(self.messages) > 16:
-                raise codec.ProtocolError("too many messages ahead of their answers")
+                raise codec.ProtocolError("too many pipelined messages")
         return self.messages.pop(0)
 
     def waits_for_answer(self) -> bool:
-        """Return whether the client still waits for the answer to its batch.
+        """Return whether the client still waits for the response to its batch.
 
-        It has hung up or sent an Attention otherwise, which may lie unread; nothing else may come behind a batch.
+        Otherwise it has hung up or sent an Attention, which may be unread; nothing else may follow a batch.
         """
         if self.writer.is_closing() or self.socket_watch.has_hung_up():
             return False
@@ -84,7 +83,7 @@
 
     async def send(self, tokens: bytes) -> None:
         self.writer.write(codec.packets(codec.RESULT, tokens, self.packet))
-        async with asyncio.timeout(30.0):  # a client that does not read gives up its session
+        async with asyncio.timeout(30.0):  # the session of a client that does not read is closed
             await self.writer.drain()
 
     async def fail(self, number: int, text: str, severity: int = 16) -> None:
@@ -111,7 +110,7 @@
             if message.kind == codec.ATTENTION:
                 await self.send(codec.done(codec.DONE_ATTN))
             elif message.status & codec.IGNORE:
-                await self.send(codec.done())  # the client took its message back before it was whole
+                await self.send(codec.done())  # the client cancelled the message while sending it
             elif message.kind == codec.BATCH:
                 if not await self._batch(codec.read_batch(message.body)):
                     return
@@ -119,7 +118,7 @@
                 front.telemetry.count("not_taken", FRONT)
                 await self.fail(UNSUPPORTED, _UNSUPPORTED_MESSAGES[message.kind])
             else:
-                raise codec.ProtocolError(f"a message of type {message.kind} after the log-in")
+                raise codec.ProtocolError(f"unexpected message type {message.kind} after the login")
 
     async def _log_in(self) -> bool:
         message = await self.message()
@@ -141,7 +140,7 @@
         if message is None:
             return False
         if message.kind != codec.LOGIN7:
-            raise codec.ProtocolError(f"a message of type {message.kind} in place of a log-in")
+            raise codec.ProtocolError(f"message type {message.kind} instead of a login")
         login = codec.read_login(message.body)
         self.profile = self.front.profile(login)
         if self.profile is None:
@@ -157,11 +156,11 @@
         self.front.telemetry.count("logins", FRONT, self.profile.cls)
         tokens = codec.login_ack(login.database, login.packet)
         await self.send(tokens)
-        self.packet = login.packet  # from the next message on
+        self.packet = login.packet  # applies from the next message on
         return True
 
     async def _batch(self, statement: str) -> bool:
-        """One batch to its one final answer; False: the client has gone."""
+        """Run one batch and send its final response; return False if the client has disconnected."""
         self.busy = True
         try:
             return await self._run_batch(statement)
@@ -210,10 +209,12 @@
                 if message is None:
                     return False
                 if message.kind != codec.ATTENTION:
-                    raise codec.ProtocolError("a message before the answer to the one ahead; MARS is not spoken")
+                    raise codec.ProtocolError(
+                        "a message before the response to the previous one; MARS is not supported"
+                    )
                 await self.send(codec.done(codec.DONE_ATTN))
                 return True
-            # The word that was being waited for belongs to what comes after this answer.
+            # The next message, if there is one, is handled after this response.
             await self._answer(answered.result())
             if next_message.done():
                 message = next_message.result()
@@ -249,7 +250,7 @@
 
 
 class TdsFront:
-    """The TDS front: its listening socket and all its sessions."""
+    """The TDS front: its listening socket and sessions."""
 
     def __init__(
         self,
@@ -262,7 +263,7 @@
         group: Callable[[str], int],
     ) -> None:
         self.tds, self.listen, self.classes, self.core, self.telemetry = tds, listen, classes, core, telemetry
-        self.tenant: Callable[[codec.Login, str, str], int] | None = None  # of a log-in, address and statement
+        self.tenant: Callable[[codec.Login, str, str], int] | None = None  # by login, address and statement
         self.group, self.seed, self.last_ticket = group, seed & 0xFFFFFFFFFFFFFFFF, 0
         self.sessions: dict[asyncio.Task[None], _Session] = {}
         self._server: asyncio.Server | None = None
@@ -270,13 +271,13 @@
         self._drained_at = 0.0
 
     def profile(self, login: codec.Login) -> TdsLogin | None:
-        """Return the first log-in entry of the operator's file that fits application and database, or None."""
+        """Return the first login entry of the operator's file that matches application and database, or None."""
         return _matching_login(self.tds.login, login)
 
     async def start(self, shared: bool = False, inherited_fd: int | None = None) -> None:
-        """Listen on the configured address or the socket `held`; OSError if that can't be had.
+        """Listen on the configured address or the socket `inherited_fd`; raise OSError if it is not available.
 
-        `shared`: during an upgrade the other process may still hold the address.
+        `shared`: the other process of an upgrade may still be bound to the address.
         """
         if inherited_fd is not None:
             self._server = await asyncio.start_server(
@@ -286,23 +287,23 @@
             self._server = await asyncio.start_server(
                 self._serve, *self.listen, limit=READ_BYTES, backlog=ACCEPTS_PER_TURN, reuse_port=shared or None
             )
-        for listening in self._server.sockets:  # so many may be accepted at a stretch; others wait in the system
+        for listening in self._server.sockets:  # asyncio accepts ACCEPTS_PER_TURN at once; the others are queued
             listening._sock.listen(BACKLOG)
 
     @property
     def port(self) -> int:
-        """TCP port that is listened on, once started."""
+        """TCP port of the listening socket, once started."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     def drain(self) -> None:
-        """Begin a drain: sessions end between two batches, and after TAKE_S no new ones are taken."""
+        """Begin a drain: close sessions between batches, and reject new ones after DRAIN_ACCEPT_S."""
         if self._drain_timer is None:
             self._drained_at = asyncio.get_running_loop().time()
             self._close_idle_sessions()
 
     def resume(self) -> None:
-        """End a drain: idle sessions are kept again and new ones are taken."""
+        """End a drain: keep idle sessions and accept new ones again."""
         if self._drain_timer is not None:
             self._drain_timer.cancel()
             self._drain_timer = None
@@ -316,7 +317,7 @@
                 task.cancel()
 
     def leave(self) -> None:
-        """Stop accepting; open sessions go on."""
+        """Stop accepting; open sessions continue."""
         if self._server is not None:
             self._server.close()
 
@@ -343,13 +344,13 @@
                 return
             await self._run_guarded(session.run)
         except asyncio.CancelledError:
-            pass  # the program ends
+            pass  # at shutdown
         finally:
             self.sessions.pop(task, None)
             writer.close()
 
     def _make_room(self, newest: _Session) -> bool:
-        """Close the session that needs its place least: not logged in, else idle for longest; never a busy one."""
+        """Close a session without a login, else the one idle for longest; never a busy one."""
         now = asyncio.get_running_loop().time()
         idle = [
             (s.profile is None, now - s.waiting_since_s, task)
@@ -365,7 +366,7 @@
         return True
 
     async def _run_guarded(self, run: Callable[[], Awaitable[None]]) -> None:
-        """A session's fault ends that session, with an ERROR where one can still be written."""
+        """Run a session; a fault ends it, with an ERROR token if one can still be written."""
         session: _Session = run.__self__  # type: ignore[attr-defined]
         try:
             await run()
@@ -376,7 +377,7 @@
                 await session.fail(BAD_STREAM, f"The incoming TDS stream is incorrect: {error}", 20)
         except (OSError, TimeoutError):
             self.telemetry.count("broken_sessions", FRONT)
-        except Exception as error:  # noqa: BLE001 - one session's fault is its own
+        except Exception as error:  # noqa: BLE001 - a fault must not affect other sessions
             self.telemetry.count("faults")
             self.telemetry.log("exception_caught", error=repr(error), of="tds session")
 
--- a/tests/test_duplicate_responses.py
+++ b/tests/test_duplicate_responses.py
@@ -67,22 +67,22 @@
     now_s, pause_s = 100.0, FIRST_PAUSE_S
     for _ in range(20):
         assert backoff.allows_wait(200, now_s)
-        backoff.record_honest(200, now_s)
+        backoff.record_genuine(200, now_s)
         assert not backoff.allows_wait(200, now_s + pause_s - 0.01)
         assert backoff.allows_wait(503, now_s)  # each status by itself
         now_s += pause_s
         pause_s = min(MAX_PAUSE_S, 2.0 * pause_s)
-    backoff.record_honest(200, now_s)
+    backoff.record_genuine(200, now_s)
     backoff.record_copy(now_s)
     assert backoff.allows_wait(200, now_s)
 
 
 def test_a_response_in_doubt_is_not_taken_unconfirmed_from_an_engine_that_sends_copies():
     backoff = ConfirmationBackoff()
-    assert backoff.takes_unconfirmed(100.0)
+    assert backoff.accepts_unconfirmed(100.0)
     backoff.record_copy(100.0)
-    assert not backoff.takes_unconfirmed(100.0 + COPIES_REMEMBERED_S)
-    assert backoff.takes_unconfirmed(100.1 + COPIES_REMEMBERED_S)
+    assert not backoff.accepts_unconfirmed(100.0 + COPIES_REMEMBERED_S)
+    assert backoff.accepts_unconfirmed(100.1 + COPIES_REMEMBERED_S)
 
 
 def test_a_response_in_doubt_is_kept_back_only_as_long_as_its_request_has_time():
