--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -97,7 +97,7 @@
                     await engine.seen("POST", 2)
                 elif where == "half read":
                     writer.write(post(2)[:50])
-                    await self.until(lambda: self.client.partial)
+                    await self.until(lambda: self.client.is_receiving)
                 else:
                     writer.write(post(2))
                     self.client.pending_calls[0].opened.on_response(Response(ResponseStatus.FAILED))
@@ -257,7 +257,7 @@
         for rest, status in ((post(1)[50:], 200), (b"", 408)):
             reader, writer = await self.open()
             writer.write(post(1)[:50])
-            await self.until(lambda: self.client.partial)
+            await self.until(lambda: self.client.is_receiving)
             writer.write(rest)
             self.client.state_since -= connection_limits.REQUEST_TIMEOUT_S + 0.1
             self.front._sweep()
@@ -294,11 +294,11 @@
     async def test_half_a_request_gives_way_last_and_with_a_word(self):
         (reader, writer, client), other = await self.crowd(0.0, 0.5)
         writer.write(post(1)[:50])
-        await self.until(lambda: client.partial)
+        await self.until(lambda: client.is_receiving)
         client.state_since -= 0.6
         await self.newcomer(2, 200)
         self.assertEqual(await self.answers(other[0]), [])
-        self.assertTrue(client.partial)
+        self.assertTrue(client.is_receiving)
         self.front.max_clients = 1
         for one in self.front.clients - {client}:
             one.transport.abort()
@@ -360,7 +360,7 @@
         refused.append(await self.newcomer(2, 503))
         reader, writer = await self.open()
         writer.write(post(3)[:50])
-        await self.until(lambda: self.client.partial)
+        await self.until(lambda: self.client.is_receiving)
         self.client.state_since -= connection_limits.DRAIN_NEW_CONNECTION_S + 0.1
         self.front._sweep()
         refused.append((await self.answers(reader))[0][1])
@@ -550,7 +550,7 @@
                 reader, writer = await (super().open() if how == "new" else self.open())
                 if how == "rest of it":
                     writer.write(post(1)[:50])
-                    await self.until(lambda: self.client.partial)
+                    await self.until(lambda: self.client.is_receiving)
                 await asyncio.sleep(0.3)
                 if how == "new":
                     writer.close()
