--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -205,7 +205,7 @@
 
 # Guards against: a request with a path was sent on 4.8 s after its client had closed its connection.
 @pytest.mark.parametrize("leave", DEPARTURES)
-def test_nothing_is_sent_for_a_client_that_left_as_it_was_given_a_path(tmp_path, leave):
+def test_nothing_is_sent_for_a_client_that_left_when_it_got_a_path(tmp_path, leave):
     async def play():
         async with running_site(tmp_path) as site:
             await leave(site)
@@ -231,7 +231,7 @@
 
 # Guards against: a client whose connection broke and that calls its path again is not served any more.
 @pytest.mark.parametrize("operator", ["", WORKERS_FILE])
-def test_a_client_that_calls_its_path_on_a_new_connection_is_served(tmp_path, operator):
+def test_client_that_polls_its_path_on_a_new_connection_is_served(tmp_path, operator):
     async def play():
         async with running_site(tmp_path, operator) as site:
             _, first, path = await take_path(site)
@@ -280,7 +280,7 @@
 
 # Guards against: a process that stood still sent a request on before it read the DELETE that had come meanwhile.
 @pytest.mark.parametrize("stopped_s", [0.15, 0.25, 0.6])
-def test_a_delete_that_came_while_the_process_stood_still_is_read_before_anything_is_sent(tmp_path, stopped_s):
+def test_delete_received_while_the_process_was_stopped_is_read_before_anything_is_sent(tmp_path, stopped_s):
     async def play():
         async with running_site(tmp_path) as site:
             await idle_connection(site)
--- a/tests/test_duplicate_responses.py
+++ b/tests/test_duplicate_responses.py
@@ -47,7 +47,7 @@
     assert not recent.may_be_copy(reply(x_pages=b"1", x_cost_ms=b"3.5"), 10.01)
 
 
-def test_responses_before_the_last_are_remembered_up_to_a_bound():
+def test_number_of_remembered_responses_is_limited():
     recent = RecentResponses()
     for number in range(MAX_RECENT_RESPONSES + 1):
         recent.record(reply(body=b"%d\n" % number), 10.0)
@@ -55,14 +55,14 @@
     assert all(recent.may_be_copy(reply(body=b"%d\n" % number), 10.0) for number in range(1, MAX_RECENT_RESPONSES + 1))
 
 
-def test_a_response_without_news_is_never_in_doubt():
+def test_responses_without_content_are_never_doubtful():
     recent = RecentResponses()
     for status in (202, 204):
         recent.record(reply(status, b""), 10.0)
         assert not recent.may_be_copy(reply(status, b""), 10.0)
 
 
-def test_waits_become_rarer_while_equal_responses_are_honest_and_frequent_again_after_a_copy():
+def test_waits_become_rarer_with_genuine_equal_responses_and_frequent_after_a_copy():
     backoff = ConfirmationBackoff()
     now_s, pause_s = 100.0, FIRST_PAUSE_S
     for _ in range(20):
@@ -77,7 +77,7 @@
     assert backoff.allows_wait(200, now_s)
 
 
-def test_a_response_in_doubt_is_not_taken_unconfirmed_from_an_engine_that_sends_copies():
+def test_doubtful_response_needs_confirmation_at_an_engine_that_sends_copies():
     backoff = ConfirmationBackoff()
     assert backoff.accepts_unconfirmed(100.0)
     backoff.record_copy(100.0)
@@ -85,7 +85,7 @@
     assert backoff.accepts_unconfirmed(100.1 + COPIES_REMEMBERED_S)
 
 
-def test_a_response_in_doubt_is_kept_back_only_as_long_as_its_request_has_time():
+def test_doubtful_response_is_held_back_within_the_requests_deadline():
     assert confirmation_time_s(10.0) == OWN_RESPONSE_DUE_S
     assert confirmation_time_s(0.3) == pytest.approx(0.3 - DELIVERY_RESERVE_S)
     assert confirmation_time_s(DELIVERY_RESERVE_S) == 0.0
@@ -96,7 +96,7 @@
         status, body, _ = await self.ask(LOAD, number=number)
         return status, body.get("rows")
 
-    async def test_copy_and_own_response_that_come_together_are_told_apart(self):
+    async def test_copy_and_genuine_response_received_together_are_distinguished(self):
         await self.start(idle=True)
         (engine,) = self.peers
 
@@ -111,7 +111,7 @@
         self.assertEqual(reading, [(200, [["a", "1", "x"]]), (200, [["b", "2", "y"]])])
         self.assertEqual((self.count("engine_surplus_responses"), len(engine.of("POST"))), (1, 2))
 
-    async def test_copies_of_two_earlier_responses_are_both_recognised(self):
+    async def test_copies_of_two_earlier_responses_are_both_detected(self):
         """The soak found it (seed 0): the second copy was taken for the response that shows the first to be a copy."""
         await self.start(idle=True)
         (engine,) = self.peers
@@ -131,7 +131,7 @@
         self.assertEqual([rows for _, rows in reading], [[["a", "1", "x"]], [["c", "3", "z"]], [["b", "2", "y"]]])
         self.assertEqual((self.count("engine_surplus_responses"), len(engine.of("POST"))), (2, 3))
 
-    async def test_copy_is_not_taken_where_the_engine_that_sends_copies_is_late_with_its_own(self):
+    async def test_copy_is_not_accepted_if_the_genuine_response_is_late(self):
         """The news tell the query's own rows; the engine has sent a copy before, on the resting connection."""
         await self.start(idle=True)
         (engine,) = self.peers
@@ -168,7 +168,7 @@
         self.assertEqual((self.count("engine_surplus_responses"), engine.of("GET")), (1, []))
         return statuses, len(engine.of("POST")) - 1
 
-    async def test_equal_error_of_an_engine_that_sends_copies_is_taken_and_no_news_are_asked_for(self):
+    async def test_equal_error_of_an_engine_that_sends_copies_is_accepted_without_polling(self):
         """News are asked for by id, which another request may have: a client was given that one's rows (second site,
         join+brink+mass, seed 293860874044, in two of three plays: "gave a bad client the answer 'served'")."""
         self.assertEqual(await self.errors_at_an_engine_that_sends_copies(status=500), ([502, 502], 2))
@@ -178,7 +178,7 @@
         statuses, posts = await self.errors_at_an_engine_that_sends_copies(**shed)
         self.assertEqual((statuses, posts), ([503, 502], 2))
 
-    async def test_connection_that_breaks_behind_a_response_in_doubt_leaves_it_unread(self):
+    async def test_doubtful_response_is_dropped_if_its_connection_breaks(self):
         """It may have been the copy; the news tell what became of the query, which is sent once."""
         await self.start(idle=True)
         (engine,) = self.peers
@@ -195,7 +195,7 @@
         self.assertEqual([await self.rows(1), await self.rows(2)], [(200, [["a", "1", "x"]]), (200, [["b", "2", "y"]])])
         self.assertEqual((len(engine.of("POST")), len(engine.of("GET"))), (2, 1))
 
-    async def test_error_in_doubt_is_taken_where_its_connection_breaks(self):
+    async def test_doubtful_error_is_accepted_if_its_connection_breaks(self):
         await self.start(idle=True)
         (engine,) = self.peers
 
@@ -212,7 +212,7 @@
         self.assertEqual([(await self.rows(number))[0] for number in (1, 2)], [502, 502])
         self.assertEqual(engine.of("GET"), [])
 
-    async def test_copy_of_an_error_does_not_end_a_request_that_holds_a_key(self):
+    async def test_copy_of_an_error_does_not_end_a_request_with_a_key(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
         await self.start(idle=True, categories=classes)
@@ -248,20 +248,20 @@
             self.assertEqual((await self.ask(LOOKUP, number=number))[0], 200)
         return len(transports), clock() - began
 
-    async def test_they_cost_no_connection_and_few_waits(self):
+    async def test_they_need_one_connection_and_few_waits(self):
         await self.start(idle=True)
         connections, took_s = await self.connections_and_time()
         self.assertEqual((connections, self.count("engine_surplus_responses")), (1, 0))
         # A wait each 0.25, 0.5, 1 and 2 s at most, so that the most is reached within a few seconds of requests.
         self.assertLess(took_s, 6 * OWN_RESPONSE_DUE_S + 0.02 * self.COUNT)
 
-    async def test_they_are_served_where_the_engine_takes_no_more_connections(self):
+    async def test_they_are_served_if_the_engine_accepts_no_more_connections(self):
         (engine,) = await self.start(idle=True)
         engine.server.close()
         connections, _ = await self.connections_and_time()
         self.assertEqual((connections, self.count("served")), (1, self.COUNT))
 
-    async def test_they_are_served_where_no_descriptor_is_left(self):
+    async def test_they_are_served_without_free_descriptors(self):
         await self.start(idle=True)
         (pool,) = self.driver.pools.values()
         with unittest.mock.patch.object(pool, "_open", side_effect=PoolExhaustedError("no descriptors", full=True)):
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -36,7 +36,7 @@
 
 
 class HostileClients(Wire):
-    async def test_what_cannot_be_read_or_used_gets_a_word_and_a_close_and_is_never_forwarded(self):
+    async def test_invalid_requests_are_rejected_and_never_forwarded(self):
         (engine,) = await self.start()
         hidden = "0\r\n\r\n" + post(9).decode()
         for name, status, data in (
@@ -80,7 +80,7 @@
         self.assertEqual(engine.calls, [])
         self.assertEqual((await self.ask())[0], 200)
 
-    async def test_a_refusal_reaches_a_client_that_goes_on_sending(self):
+    async def test_rejection_reaches_a_client_that_keeps_sending(self):
         await self.start()
         reader, writer = await self.open()
         writer.write((HEAD % 1 + f"Content-Length: {8 << 20}\r\n\r\n").encode())
@@ -90,7 +90,7 @@
             await writer.drain()  # raises if the connection was reset meanwhile
         self.assertTrue((await said).startswith(b"HTTP/1.1 413 "))
 
-    async def test_an_open_id_with_another_statement_is_refused_and_the_first_is_served(self):
+    async def test_duplicate_request_id_is_rejected_and_the_first_request_is_served(self):
         (engine,) = await self.start()
         go = asyncio.Event()
         engine.script = at_work(go)
@@ -101,7 +101,7 @@
         self.assertEqual((await first)[0], 200)
         self.assertEqual(engine.of("POST"), [("POST", "/v1/store", SQL)])
 
-    async def test_silence_and_half_a_request_end_in_time_wherever_they_come(self):
+    async def test_silent_connections_and_partial_requests_time_out(self):
         await self.start()
         with unittest.mock.patch.multiple(connection_limits, REQUEST_TIMEOUT_S=0.3, IDLE_TIMEOUT_S=0.5):
             silent, half, late = [
@@ -114,7 +114,7 @@
             self.assertEqual((await self.said(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n"))[9:12], b"200")
         self.assertEqual((self.count("silent_clients"), self.count("slow_clients")), (2, 2))
 
-    async def test_connections_that_say_nothing_give_way_to_those_that_ask(self):
+    async def test_silent_connections_are_closed_for_those_with_requests(self):
         await self.start()
         self.program.platform.max_clients = 4
         await self.ask(number=1)  # keeps its connection
@@ -128,7 +128,7 @@
         self.assertLessEqual(self.program.platform.connections, 4)
         self.assertEqual((self.count("served"), self.count("full")), (8, 0))
 
-    async def test_calls_sent_ahead_are_answered_in_order_and_too_many_of_them_are_refused(self):
+    async def test_pipelined_calls_are_answered_in_order_and_rejected_over_the_limit(self):
         (engine,) = await self.start()
         go, texts = asyncio.Event(), {}
 
@@ -167,7 +167,7 @@
         engine.script = script
         return engine, transports
 
-    async def test_what_comes_before_or_behind_a_good_answer_leaves_it_good_and_ends_its_connection(self):
+    async def test_extra_bytes_around_a_valid_response_keep_it_and_close_its_connection(self):
         for extra in (
             self.GOOD + self.GOOD,
             self.GOOD + b"\x00noise",
@@ -181,7 +181,7 @@
                 self.assertIsNot(transports[0], transports[1])
             self.assertEqual(self.count("engine_bad_replies"), 0)
 
-    async def test_a_spoilt_answer_is_asked_for_again_on_another_connection_and_nothing_runs_twice(self):
+    async def test_malformed_response_is_polled_again_on_another_connection(self):
         for name, spoilt in (
             ("noise", b"\x00\x01\x02\x03"),
             ("bad head", b"HTTP/1.1 2x0 OK\r\n\r\n"),
@@ -200,19 +200,19 @@
                 self.assertEqual(([c[0] for c in engine.calls], self.count("engine_bad_replies")), (["POST", "GET"], 1))
                 self.assertIsNot(transports[0], transports[1])
 
-    async def test_an_answer_that_never_arrives_is_asked_for_again_while_there_is_time(self):
+    async def test_missing_response_is_polled_again_before_the_deadline(self):
         engine, transports = await self.script(b"")
         self.assertEqual((await self.ask(LOAD, timeout=900.0))[:2], (200, {"rows": [["a", "1", "x"]]}))
         self.assertEqual([c[0] for c in engine.calls], ["POST", "GET"])
         self.assertIsNot(transports[0], transports[1])
 
-    async def test_an_answer_that_stays_spoilt_fails_the_attempt(self):
+    async def test_response_that_stays_malformed_fails_the_attempt(self):
         engine, _ = await self.script(*[b"\x00\x01"] * 9)
         self.assertEqual((await self.ask(LOAD))[0], 502)
         self.assertEqual(len(engine.of("POST")), 1)
 
     @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 200.0)
-    async def test_resets_on_the_way_do_not_speak_against_an_engine_that_lives(self):
+    async def test_connection_resets_do_not_count_as_engine_failures(self):
         (engine,) = await self.start()
         cut = []
 
@@ -269,7 +269,7 @@
         asks = [t for method, t in at if method in ("POST", "GET")]
         return [method for method, _ in at], asks[-1] - asks[-3]
 
-    async def test_what_a_machine_that_came_back_does_not_know_runs_again_only_once_it_must_be_forgotten(self):
+    async def test_query_unknown_to_a_restarted_machine_is_retried_only_after_its_expiry(self):
         """A zone that was lost returned: its processes said 204 to ids they never saw, and each got a second copy."""
         for when, calls in (
             ("the POST is never answered", ["POST", "GET", "DELETE", "POST"]),
@@ -280,12 +280,12 @@
                 self.assertEqual(seen, calls)
                 self.assertGreater(ms, 850.0)
 
-    async def test_an_older_connection_that_answers_shows_that_the_process_is_the_same(self):
+    async def test_response_on_an_older_connection_proves_the_process_is_the_same(self):
         calls, ms = await self.lost("the POST is never answered", True)
         self.assertEqual(calls, ["POST", "GET", "DELETE", "POST"])
         self.assertLess(ms, 2000.0)
 
-    async def test_a_connection_reset_as_it_opens_is_opened_again_before_anything_is_written(self):
+    async def test_connection_reset_while_opening_is_reopened_before_writing(self):
         (engine,) = await self.start()
         create, failed = asyncio.get_running_loop().create_connection, []
 
@@ -299,7 +299,7 @@
             status = await self.said(post(1, extra="Connection: close\r\n"))
         self.assertEqual((status[9:12], len(engine.of("POST")), self.count("ended_connect_failed")), (b"200", 1, 0))
 
-    async def test_an_idle_connection_that_was_reset_is_not_written_to(self):
+    async def test_reset_idle_connection_is_not_written_to(self):
         (engine,) = await self.start()
         transports = []
         engine.script = lambda request, body: transports.append(request.transport)
@@ -314,7 +314,7 @@
 
 
 class LongDays(Wire):
-    async def test_engines_that_come_and_go_leave_nothing_behind_and_a_successor_starts_afresh(self):
+    async def test_removed_engines_leave_no_state_and_successors_get_new_pools(self):
         (engine,) = await self.engines()
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
@@ -339,7 +339,7 @@
         self.assertEqual((before.idle, driver.pools[39].idle), ([], []))
         self.assertEqual((await self.ask(number=2))[0], 200)
 
-    async def test_what_is_answered_is_let_go_of_long_before_the_clients_time_is_over(self):
+    async def test_state_of_answered_requests_is_released_before_their_deadline(self):
         await self.start()
         for number in range(30):
             self.assertEqual((await self.ask(number=number, timeout=3900.0))[0], 200)
@@ -347,7 +347,7 @@
         self.assertEqual((self.program.core.ledger.entries, paths.open, paths.ids), ({}, {}, set()))
         self.assertLess(len(self.program.core.dispatcher.timers), 5, "the module's reminders and no dead ones")
 
-    async def test_a_client_that_leaves_costs_nothing_further(self):
+    async def test_disconnected_client_leaves_no_state(self):
         (engine,) = await self.start()
         engine.script = at_work(asyncio.Event())
         reader, writer = await self.open()
@@ -363,7 +363,7 @@
 class OtherDeployments(EdgeCase):
     """What one site's engines say and another's do not."""
 
-    async def test_a_report_of_other_columns_is_read_and_one_that_answers_do_not_carry_is_missed_by_nobody(self):
+    async def test_load_reports_with_other_columns_or_without_headers_are_accepted(self):
         for how, columns, meter, report in (
             ("piggyback", ["inflight", "x1", "util"], "util:0.61;x1:0.3;inflight:7", (7.0, 0.3, 0.61)),
             ("pull", ["inflight", "x1"], "", ()),
@@ -381,7 +381,7 @@
             self.assertEqual([(await self.ask(number=n))[0] for n in range(1, 4)], [200] * 3)
             self.assertEqual((heard, self.count("engine_bad_reports")), ([report] * 3, 0))
 
-    async def test_what_an_engine_drops_as_over_never_ran_and_goes_elsewhere_though_it_may_run_once_only(self):
+    async def test_shed_non_repeatable_request_is_retried_at_another_engine(self):
         for status, shed, answer, posts in ((504, "1", 200, 2), (503, "1", 200, 2), (504, "", 502, 1)):
             engines, first = await self.start(2), []
 
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -93,7 +93,7 @@
         self.assertEqual((await self.ask(number=number, timeout=2000.0))[0], 200)
         return float(self.peers[0].headers[-1]["X-Max-Ms"])
 
-    async def test_an_engine_is_told_what_is_left_when_a_late_connection_has_come_up(self):
+    async def test_remaining_time_is_sent_after_waiting_for_a_connection(self):
         await self.start()
         go, awaited = self.late()
         asked = asyncio.create_task(self.told(1))
@@ -104,7 +104,7 @@
         go.set()
         self.assertLessEqual(await asked, left_ms)
 
-    async def test_an_engine_is_told_what_is_left_on_an_idle_connection(self):
+    async def test_remaining_time_is_sent_on_an_idle_connection(self):
         await self.start(idle=True)
         left = []
 
@@ -118,7 +118,7 @@
         self.assertEqual((len(left), self.driver.tasks), (1, set()), "it took the way without a task")
         self.assertLessEqual(told, left[0])
 
-    async def test_it_is_never_told_more_than_its_client_has_left(self):
+    async def test_time_limit_never_exceeds_the_clients_remaining_time(self):
         for idle in (False, True):
             await self.start(idle=idle)
             start = self.driver.start_attempt
@@ -130,7 +130,7 @@
             with unittest.mock.patch.object(self.driver, "start_attempt", longer):
                 self.assertLessEqual(await self.told(1), 2000.0)
 
-    async def test_what_has_no_time_left_is_not_sent_and_speaks_against_no_engine(self):
+    async def test_request_past_its_deadline_is_not_sent_and_counts_against_no_engine(self):
         for idle in (False, True):
             await self.start(idle=idle)
             start = self.driver.start_attempt
@@ -155,7 +155,7 @@
             [engine.failure_rate for engine in self.core.controller.engines.values()], [0.0] * len(self.peers)
         )
 
-    async def test_where_the_last_look_finds_no_client_nothing_is_written_and_it_has_left_once(self):
+    async def test_nothing_is_written_if_the_final_check_finds_no_client(self):
         for idle in (False, True):
             with self.subTest(idle=idle):
                 looks = []
@@ -172,7 +172,7 @@
                 await self.quiet()
                 self.assertEqual(self.count("left"), 1)
 
-    async def test_one_that_leaves_while_a_connection_is_awaited_is_not_sent_when_it_comes_up(self):
+    async def test_request_is_not_sent_if_its_client_leaves_while_a_connection_opens(self):
         for cancel in (True, False):
             with self.subTest(cancel=cancel):
                 await self.start(limits={"cancel": cancel, "mostTries": 5, "dialTimeout": 250.0, "connIdle": 4000.0})
@@ -185,7 +185,7 @@
                 await self.until(lambda: not self.core.ledger.entries)
                 self.nothing_sent()
 
-    async def test_a_leave_that_is_still_in_line_at_the_core_counts_already(self):
+    async def test_departure_still_queued_at_the_core_prevents_sending(self):
         await self.start()
         (go, awaited), guard, behind = self.late(), self.core.event_handlers.handle, []
         self.core.event_handlers.handle = lambda now, event: (
@@ -202,7 +202,7 @@
             guard(*event)
         self.nothing_sent()
 
-    async def test_one_that_leaves_between_two_attempts_is_not_sent_again(self):
+    async def test_request_is_not_retried_if_its_client_leaves_between_attempts(self):
         await self.start(2, idle=True)
         for engine in self.peers:
             engine.script = lambda request, body: web.Response(status=503, headers={"X-Shed": "1"})
@@ -217,7 +217,7 @@
         await self.until(lambda: self.asks and not self.core.ledger.entries)
         self.assertEqual((len(self.posts()), self.count("left")), (1, 1))
 
-    async def test_one_that_leaves_while_a_page_is_fetched_frees_the_engine_and_nothing_is_sent_again(self):
+    async def test_client_that_leaves_while_a_page_is_fetched_frees_the_engine(self):
         (engine,) = await self.start()
         go = asyncio.Event()
 
@@ -283,20 +283,20 @@
         await self.slow.ended.wait()
         self.assertLess(len(self.slow.came), 60_000)
 
-    async def test_the_rest_is_not_written_for_a_client_that_has_left(self):
+    async def test_rest_of_a_post_is_not_written_after_its_client_left(self):
         _, _, _, writer = await self.out()
         writer.close()
         await self.until(lambda: self.count("ended_cancelled"))
         await self.never_whole()
 
-    async def test_the_rest_is_not_written_to_an_engine_that_ends_its_side_and_a_load_goes_elsewhere(self):
+    async def test_rest_of_a_post_is_not_written_after_the_engine_closed_its_side(self):
         engines, _, reader, _ = await self.out()
         self.slow.transport.write_eof()
         self.assertEqual((await reader.readexactly(12))[9:], b"200")
         self.assertEqual([len(engine.of("POST")) for engine in engines], [0, 1])
         await self.never_whole()
 
-    async def test_a_load_goes_elsewhere_after_a_reset_and_once_the_rest_is_overdue(self):
+    async def test_partly_written_load_is_sent_to_another_engine_after_reset_or_timeout(self):
         for how in ("reset", "silence"):
             with self.subTest(how):
                 engines, _, reader, _ = await self.out()
@@ -306,14 +306,14 @@
                 self.assertEqual([engine.calls[0][0] for engine in engines if engine.calls], ["POST"])
                 self.assertEqual(len(self.posts()), 1)
 
-    async def test_an_answer_before_the_call_is_whole_is_none(self):
+    async def test_response_before_the_post_is_complete_is_ignored(self):
         engines, _, reader, _ = await self.out()
         self.slow.transport.write(FIRST)
         self.assertEqual((await reader.readexactly(12))[9:], b"200")
         self.assertEqual([len(engine.of("POST")) for engine in engines], [0, 1])
         await self.never_whole()
 
-    async def test_a_call_on_a_connection_that_was_reset_before_it_never_ran(self):
+    async def test_post_on_a_connection_reset_before_it_never_ran(self):
         engines = await self.start(2, idle=True)
         for engine in engines:
             accepted = []
@@ -339,7 +339,7 @@
 class Resets(Crossing):
     """A reset under a request that has begun: it may have run, so that its news are asked for and it is sent once."""
 
-    async def test_at_any_byte_of_an_answer_and_on_any_page(self):
+    async def test_reset_at_any_byte_of_any_page_is_recovered_without_resending(self):
         pages = [GOOD % (2, b""), GOOD % (2, b"X-Page: 1\r\n")]
         for idle in (False, True):
             (engine,) = await self.start(idle=idle)
@@ -366,7 +366,7 @@
 
 
 class SecondAnswers(Crossing):
-    async def test_a_copy_that_comes_when_the_connection_carries_another_call_is_not_taken_for_its_answer(self):
+    async def test_copy_received_during_another_call_is_not_taken_for_its_response(self):
         """No answer names its query, and a copy may come when the next call is out on the same connection."""
         for answer in (FIRST, b"HTTP/1.1 503 X\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n"):
             (engine,) = await self.start(idle=True)
@@ -391,7 +391,7 @@
             self.assertEqual(statuses[1:], [(200, {"rows": [[*row]]}) for row in ("b2y", "d4w")])
             self.assertEqual(len(engine.of("POST")), 3)
 
-    async def test_an_error_that_is_told_twice_is_one_and_no_news_are_asked_for(self):
+    async def test_repeated_error_is_accepted_without_polling(self):
         """News are asked for by id, which another request may have: that one's rows would be taken for its own."""
         (engine,) = await self.start(idle=True)
         engine.script = lambda request, body: (
@@ -403,7 +403,7 @@
 
 
 class EndlessAnswers(Crossing):
-    async def test_answers_without_end_end_in_time_with_one_answer_and_closed_connections(self):
+    async def test_endless_responses_end_before_the_deadline_and_close_connections(self):
         for name, head, drip in (
             ("body", b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 60000\r\n\r\n", b"x"),
             ("chunks", b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nx\r\n"),
@@ -439,7 +439,7 @@
 
 
 class EnginesThatEnd(Crossing):
-    async def test_a_drain_that_is_told_while_a_connection_or_a_place_is_awaited_stops_the_send(self):
+    async def test_attempt_waiting_for_a_connection_is_not_sent_to_a_draining_engine(self):
         for where in ("connection", "place"):
             with self.subTest(where):
                 await self.start()
@@ -464,7 +464,7 @@
                 await self.until(lambda: self.count("ended_connect_failed"))
                 self.assertEqual(self.posts(), [])
 
-    async def test_a_want_of_descriptors_is_held_against_no_engine_and_makes_room(self):
+    async def test_lack_of_descriptors_counts_against_no_engine_and_closes_an_idle_connection(self):
         await self.start(2)
         other = self.driver.pools[1]
         other.release(await other._open())
@@ -515,7 +515,7 @@
         go.set()
         return (await asked)[0], len(self.posts())
 
-    async def test_its_idempotency_key_goes_on_unchanged_with_each_attempt_and_a_spoilt_one_nowhere(self):
+    async def test_idempotency_key_is_sent_with_each_attempt_and_invalid_ones_are_rejected(self):
         keyed = {"name": LOOKUP, "effect": "by_key", "window": 60_000.0, "promise": 1000.0, "hardLimit": 4000.0}
         engines = await self.start(2, categories=[keyed, {**keyed, "name": LOAD, "effect": "repeatable"}])
         for engine in engines:
@@ -530,8 +530,8 @@
             self.assertEqual((await self.ask(number=3, **{"Idempotency-Key": spoilt}))[0], 400)
         self.assertEqual(sum(len(engine.headers) for engine in engines), len(sent))
 
-    async def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(self):
+    async def test_retry_is_not_sent_after_the_idempotency_window(self):
         self.assertEqual(await self.repeated(400.0, 0.5), (503, 1))
 
-    async def test_a_repeat_whose_connection_comes_up_within_its_window_is_sent(self):
+    async def test_retry_is_sent_within_the_idempotency_window(self):
         self.assertEqual(await self.repeated(60_000.0, 0.5), (200, 2))
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -43,7 +43,7 @@
 
 
 class Silence(Bussed):
-    async def test_a_drain_is_obeyed_in_time_though_the_next_two_connections_are_silent_too(self):
+    async def test_drain_is_applied_in_time_after_two_silent_reconnects(self):
         bus = await self.joined()
         began = time.monotonic()
         bus.say(1)  # the last word before all watches fall silent; the drain is told right after
@@ -55,7 +55,7 @@
         self.assertEqual((await self.ask(timeout=400.0))[0], 503)
         self.assertEqual(self.engine.of("POST"), [])
 
-    async def test_a_bus_that_is_slow_on_each_new_connection_is_heard_in_the_end(self):
+    async def test_bus_that_is_slow_on_each_connection_is_received_eventually(self):
         self.mocked(SILENCE_TIMEOUT_S=0.1, MAX_SILENCE_TIMEOUT_S=2.0)
         bus = await self.joined()
 
@@ -67,7 +67,7 @@
             await late(number)
         await self.until(lambda: self.program.bus.has_received_valid)
 
-    async def test_a_pause_of_this_process_is_no_silence_of_the_bus(self):
+    async def test_pause_of_this_process_does_not_count_as_silence_of_the_bus(self):
         self.mocked(SILENCE_TIMEOUT_S=0.5)
         bus = await self.joined()
         for _ in range(2):
@@ -76,7 +76,7 @@
             await asyncio.sleep(0.1)
         self.assertEqual((len(bus.froms), self.count("bus_reconnects")), (1, 0))
 
-    async def test_half_a_line_that_drips_is_no_word(self):
+    async def test_incomplete_line_does_not_reset_the_silence_timeout(self):
         self.mocked(SILENCE_TIMEOUT_S=0.3)
         bus = await self.joined()
 
@@ -93,7 +93,7 @@
 
 
 class Lines(Bussed):
-    async def test_an_event_cut_anywhere_is_asked_for_again_and_taken_once(self):
+    async def test_truncated_event_is_requested_again_and_applied_once(self):
         bus = await self.joined()
         for number, cut in enumerate((1, 2, 60, -3, -1, None), 2):
             line = json.dumps(change(number, host("s-00000001", self.engine.port))).encode()
@@ -112,7 +112,7 @@
         await asyncio.sleep(0.05)
         self.assertEqual(sum(line["event"] == "engine_updated" for line in self.log), 7)
 
-    async def test_a_line_without_bounds_ends_its_connection_and_a_long_list_does_not(self):
+    async def test_too_long_line_closes_the_connection_and_a_long_list_does_not(self):
         bus = await self.joined()
         bus.writers[-1].write(b"[" * (watching.MAX_LINE_BYTES + 70_000))
         await bus.joined(2)
@@ -121,7 +121,7 @@
         await self.until(lambda: len(self.program.core.engines) == len(hosts))
         self.assertEqual(bus.froms, ["from 1", "from 1"])
 
-    async def test_a_whole_list_takes_away_what_it_leaves_out_and_a_lower_number_changes_nothing(self):
+    async def test_complete_list_removes_missing_engines_and_lower_offsets_are_ignored(self):
         bus = await self.joined()
         bus.say(0, change(2, host("s-00000002", self.engine.port), whole=True), 1, 2)
         await self.until(lambda: self.program.bus.last == 2 and self.count("bus_behind") == 2)
@@ -138,7 +138,7 @@
         await new.joined()
         return new
 
-    async def test_a_move_in_the_middle_of_a_line_starts_with_a_line_of_its_own(self):
+    async def test_move_within_a_line_discards_the_partial_line(self):
         bus = await self.joined()
         bus.writers[-1].write(json.dumps(self.drain(2)).encode()[:-1])
         await asyncio.sleep(0.05)
@@ -149,7 +149,7 @@
         new.say(self.drain(2))
         await self.until(lambda: self.program.core.engines[1].entry.health == DRAINING)
 
-    async def test_a_move_while_a_connection_hangs_is_followed_at_once(self):
+    async def test_move_during_a_hanging_connect_is_applied_at_once(self):
         self.mocked(CONNECT_TIMEOUT_S=60.0)
         hanging = socket.socket()  # a line of none that is full: further SYNs are dropped
         hanging.bind(("127.0.0.1", 0))
@@ -168,7 +168,7 @@
             new = await self.moved()
         self.assertEqual(new.froms, ["from 1"])
 
-    async def test_files_that_can_not_be_read_change_nothing_and_say_so_in_one_line_each(self):
+    async def test_invalid_configuration_files_are_logged_and_ignored(self):
         bus = await self.joined()
         whole = json.dumps(self.document)
         for text in (
@@ -283,12 +283,12 @@
             self.assertEqual((await self.ask(number))[0], b"200")
         self.assertEqual(len(self.engines[0].of("POST")), sent)
 
-    async def test_a_bus_that_returns_is_joined_while_no_descriptor_is_free(self):
+    async def test_returning_bus_is_joined_without_free_descriptors(self):
         await self.fill()
         await self.back(self.bus.port)
         await self.obeys()
 
-    async def test_a_new_configuration_is_read_and_followed_while_no_descriptor_is_free(self):
+    async def test_new_configuration_is_applied_without_free_descriptors(self):
         await self.fill()
         port = await self.back()
         self.running.config.write_text(json.dumps({**self.config, "bus": f"127.0.0.1:{port}"}))
@@ -305,7 +305,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, before)
 
 
-def test_the_reserve_is_one_descriptor_lent_for_one_file_at_a_time(bound):
+def test_reserved_descriptor_is_available_for_one_file_at_a_time(bound):
     spare = ReservedDescriptor()
     with open(os.devnull) as last:
         bound(last.fileno() + 1)
@@ -321,7 +321,7 @@
         assert spare.free()
 
 
-def test_no_more_sockets_are_planned_with_than_the_system_gives(bound, tmp_path):
+def test_socket_limit_is_capped_by_the_descriptor_limit(bound, tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "settings": settings(), "limits": {"sockets": 1024}}))
     assert configuration.read({"LB_CONFIG": str(path)}).limits.sockets == 1024
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -79,7 +79,7 @@
 
 
 class LastAnswers(Endings):
-    async def test_a_call_behind_the_last_answer_of_a_drain_is_answered_wherever_it_is(self):
+    async def test_call_after_the_last_response_of_a_drain_is_answered(self):
         for where in ("taken", "with it", "half read", "unread"):
             with self.subTest(where):
                 engine = await self.held()
@@ -109,14 +109,14 @@
                 self.assertEqual([one[0] for one in answers], [502 if where == "unread" else 200, 503, 200])
                 self.assertEqual([b"Connection: close" in one[1] for one in answers], [False, False, True])
 
-    async def test_what_is_parsed_behind_an_answer_given_at_once_is_answered_too(self):
+    async def test_calls_parsed_after_an_immediate_response_are_answered(self):
         await self.start()
         self.front.drain()
         reader, writer = await self.open()
         writer.write(PING + post(1) + PING)
         self.assertEqual([one[0] for one in await self.answers(reader)], [503, 200, 503])
 
-    async def test_nothing_behind_a_call_that_was_to_be_the_last_is_sent_on(self):
+    async def test_calls_after_the_last_call_of_a_connection_are_ignored(self):
         (engine,) = await self.start()
         for last in (post(1, extra="Connection: close\r\n"), post(1).replace(b"HTTP/1.1", b"HTTP/1.0")):
             reader, writer = await self.open()
@@ -125,7 +125,7 @@
             self.assertEqual((status, b"Connection: close" in head), (200, True))
         self.assertEqual((len(engine.of("POST")), self.count("taken"), self.count("bad_calls")), (2, 2, 0))
 
-    async def test_earlier_answers_leave_before_the_word_on_what_cannot_be_read(self):
+    async def test_earlier_responses_precede_a_rejection(self):
         engine = await self.held()
         for number, (status, spoilt) in enumerate(
             (
@@ -148,7 +148,7 @@
             self.go.clear()
         self.assertEqual(len(engine.of("POST")), 5)
 
-    async def test_bytes_that_come_as_a_resting_connection_is_ended_reset_nothing_and_are_not_sent_on(self):
+    async def test_bytes_received_while_an_idle_connection_is_closed_cause_no_reset(self):
         (engine,) = await self.start()
         for end in ("end", "close"):
             with self.subTest(end):
@@ -162,14 +162,14 @@
                     await ended
         self.assertEqual(len(engine.of("POST")), 2)
 
-    async def test_a_resting_connection_with_a_call_unread_is_not_ended(self):
+    async def test_idle_connection_with_an_unread_call_is_not_closed(self):
         await self.start()
         reader, writer = await self.open()
         writer.write(post(1))
         self.client.end()
         self.assertEqual((await self.answers(reader, 1))[0][0], 200)
 
-    async def test_a_call_that_lies_unread_as_the_program_ends_is_refused_and_not_cut_off(self):
+    async def test_unread_call_at_shutdown_gets_a_rejection(self):
         (engine,) = await self.start()
         reader, writer = await self.open()
         self.front.finish()
@@ -179,7 +179,7 @@
         self.assertEqual((status, b"Retry-After-Ms: " in head, body, engine.calls), (503, True, BUSY, []))
 
     # Guards against: a process that stood still until its end closed over calls that had come meanwhile.
-    async def test_calls_that_lie_unread_when_no_time_is_left_are_refused_and_not_cut_off(self):
+    async def test_unread_calls_at_shutdown_without_remaining_time_get_a_rejection(self):
         (engine,) = await self.start()
         connections = [await self.open() for _ in range(3)]
         self.front.finish()
@@ -192,7 +192,7 @@
             self.assertEqual((status, body), (503, BUSY))
         self.assertEqual(engine.calls, [])
 
-    async def test_the_end_waits_for_clients_that_still_send_and_not_for_others(self):
+    async def test_close_waits_for_clients_that_still_send(self):
         await self.start()
         reader, writer = await self.open()
         closing, loop = asyncio.create_task(self.front.close()), asyncio.get_running_loop()
@@ -204,7 +204,7 @@
         self.assertLess(loop.time() - began, 0.6)
         await self.until(lambda: not self.front.clients)
 
-    async def test_a_last_answer_that_does_not_fit_into_the_system_is_read_whole_late(self):
+    async def test_last_response_larger_than_the_socket_buffer_is_delivered_completely(self):
         (engine,) = await self.start()
         rows = [["x" * 1000, str(n), "y"] for n in range(45)]
         engine.script = lambda request, body: page("".join("\t".join(row) + "\n" for row in rows))
@@ -226,13 +226,13 @@
             self.assertEqual((status, json.loads(body)["rows"]), (200, rows))
             writer.close()
 
-    async def test_answers_leave_at_once_however_small_they_are(self):
+    async def test_small_responses_are_sent_at_once(self):
         await self.start()
         await self.open()
         option = self.client.transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.assertNotEqual(option, 0)
 
-    async def test_a_client_told_to_go_on_hears_it_behind_the_answers_to_its_earlier_calls(self):
+    async def test_100_continue_follows_the_responses_to_earlier_calls(self):
         engine = await self.held()
         reader, writer = await self.open()
         head, _, body = post(2, extra="Expect: 100-continue\r\n").partition(b"\r\n\r\n")
@@ -243,7 +243,7 @@
         writer.write(body)
         self.assertEqual((await self.answers(reader, 1))[0][0], 200)
 
-    async def test_a_request_in_two_pieces_is_taken_once_wherever_it_is_cut(self):
+    async def test_request_split_at_any_byte_is_accepted_once(self):
         await self.start()
         reader, writer = await self.open()
         pair = post(1) + post(2)
@@ -252,7 +252,7 @@
             writer.write(pair[cut:])
             self.assertEqual([one[0] for one in await self.answers(reader, 2)], [200, 200], cut)
 
-    async def test_a_slow_request_whose_end_lies_unread_is_answered_and_another_is_told_so(self):
+    async def test_slow_request_is_answered_if_its_end_is_unread_and_times_out_otherwise(self):
         await self.start()
         for rest, status in ((post(1)[50:], 200), (b"", 408)):
             reader, writer = await self.open()
@@ -282,7 +282,7 @@
         self.assertEqual(said, status)
         return head
 
-    async def test_a_connection_with_a_call_unread_keeps_its_place(self):
+    async def test_connection_with_an_unread_call_is_not_reclaimed(self):
         (reader, writer, client), other = await self.crowd(2.0, 1.0)
         client.transport.pause_reading()
         writer.write(post(1))
@@ -291,7 +291,7 @@
         self.assertEqual((await self.answers(reader, 1))[0][0], 200)
         self.assertEqual(await self.answers(other[0]), [])
 
-    async def test_half_a_request_gives_way_last_and_with_a_word(self):
+    async def test_connection_with_a_partial_request_is_reclaimed_last_with_a_rejection(self):
         (reader, writer, client), other = await self.crowd(0.0, 0.5)
         writer.write(post(1)[:50])
         await self.until(lambda: client.is_receiving)
@@ -307,14 +307,14 @@
         ((status, head, body),) = await self.answers(reader)
         self.assertEqual((status, b"Retry-After-Ms: " in head, body), (503, True, BUSY))
 
-    async def test_who_has_just_come_keeps_its_place_until_another_asks(self):
+    async def test_new_connection_is_kept_until_another_one_sends_a_request(self):
         ((first, _, client),) = await self.crowd(0.0)
         await self.open()
         self.assertFalse(client.transport.is_closing())
         await self.newcomer(1, 200)
         self.assertEqual(await self.answers(first), [])
 
-    async def test_where_all_are_at_work_each_call_of_a_newcomer_is_refused_once_whatever_its_pieces(self):
+    async def test_calls_of_a_new_connection_are_rejected_while_all_others_are_busy(self):
         engine = await self.held()
         self.front.max_clients = 1
         busy, writer = await self.open()
@@ -336,7 +336,7 @@
         self.assertEqual((await self.answers(busy, 1))[0][0], 200)
         self.assertEqual(len(engine.of("POST")), 1)
 
-    async def test_no_more_are_accepted_than_the_bound_and_its_reserve_and_the_others_are_later(self):
+    async def test_connections_over_limit_and_reserve_are_accepted_later(self):
         engine = await self.held()
         self.front.max_clients, self.front.reserved_connections = 1, 1
         busy, writer = await self.open()
@@ -351,7 +351,7 @@
         self.go.set()
         self.assertEqual((await self.answers(busy, 1))[0][0], 200)
 
-    async def test_each_refusal_of_the_fronts_own_says_how_long_to_stay_away(self):
+    async def test_rejections_of_the_front_have_a_retry_after_header(self):
         await self.start()
         self.program.core.max_open_requests = 0
         refused = [await self.newcomer(1, 503)]
@@ -385,7 +385,7 @@
         else:
             plain.shutdown(socket.SHUT_WR)
 
-    async def test_a_client_that_has_gone_is_not_present_before_its_end_is_read_and_leaves_once(self):
+    async def test_disconnect_is_detected_before_it_is_read_and_reported_once(self):
         await self.start()
         asks, left = self.submitted(), []
         self.program.core.client_disconnected = left.append
@@ -405,7 +405,7 @@
                 await self.until(lambda: not self.front.clients)
                 self.assertEqual((left, self.front.registry.ids), (asks, set()))
 
-    async def test_a_client_with_a_path_is_away_without_its_connection_until_it_calls_or_deletes(self):
+    async def test_client_with_a_path_is_suspended_without_connection_until_its_next_call(self):
         await self.start()
         asks, left = self.submitted(), []
         self.program.core.client_disconnected = left.append
@@ -426,7 +426,7 @@
         self.assertEqual((ask.is_client_connected(), left), (False, [ask]))
 
     # Guards against: a DELETE waited for 0.1 s and more behind an accept that failed once, and its request was sent on.
-    async def test_a_delete_is_taken_soon_after_an_accept_has_failed(self):
+    async def test_delete_is_accepted_soon_after_a_failed_accept(self):
         await self.start()
         asks, left = self.submitted(), []
         self.program.core.client_disconnected = left.append
@@ -450,7 +450,7 @@
         self.assertLess(clock() - began, 0.1 + lag.lost(began_unix))
         self.assertEqual(self.count("accepts_failed"), 2)
 
-    async def test_a_client_that_does_not_call_its_path_again_has_left(self):
+    async def test_client_that_does_not_poll_its_path_has_left(self):
         await self.start()
         asks, left = self.submitted(), []
         self.program.core.client_disconnected = left.append
@@ -466,7 +466,7 @@
         self.assertEqual((left, self.front.registry.open, self.front.registry.ids), (asks, {}, set()))
         self.assertEqual((await self.call("GET", json.loads(body)["next"]))[0], 404)
 
-    async def test_a_client_that_went_before_it_was_given_a_path_has_left(self):
+    async def test_client_that_disconnects_before_it_gets_a_path_has_left(self):
         await self.start()
         asks, left = self.submitted(), []
         self.program.core.client_disconnected = left.append
@@ -478,7 +478,7 @@
         self.front.registry._on_hold_expired(slot)
         self.assertEqual((left, self.front.registry.open), (asks, {}))
 
-    async def test_what_a_client_sent_and_left_is_not_sent_on(self):
+    async def test_calls_of_a_disconnected_client_are_not_forwarded(self):
         (engine,) = await self.start()
         for how in ("reset", "shut"):
             plain = await self.plain()
@@ -489,7 +489,7 @@
             await self.until(lambda: not self.front.clients)
         self.assertEqual((self.count("taken"), engine.calls), (0, []))
 
-    async def test_a_client_that_is_not_read_and_goes_is_noticed(self):
+    async def test_disconnect_is_detected_while_reading_is_paused(self):
         engine = await self.held()
         plain = await self.plain()
         plain.sendall(b"".join(post(n) for n in range(16)))
@@ -499,7 +499,7 @@
         await self.until(lambda: not self.program.core.open, 2.0)
         self.assertEqual(self.count("left"), 16)
 
-    async def test_a_reset_while_a_call_is_held_frees_the_engines_work(self):
+    async def test_reset_during_a_held_call_frees_the_engine(self):
         engine = await self.held()
         plain = await self.plain()
         plain.sendall(post(1))
@@ -508,7 +508,7 @@
         await engine.seen("DELETE")
         self.assertEqual(self.count("left"), 1)
 
-    async def test_a_delete_beside_a_held_call_or_an_answer_under_way_leaves_once(self):
+    async def test_delete_beside_a_held_call_is_counted_once(self):
         engine = await self.held()
         with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
@@ -521,7 +521,7 @@
         await engine.seen("DELETE")
         self.assertEqual((self.count("left"), self.program.core.open), (1, 0))
 
-    async def test_a_get_that_a_broken_connection_took_along_is_answered_when_it_comes_again(self):
+    async def test_get_lost_with_its_connection_is_answered_when_repeated(self):
         engine = await self.held()
         with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
@@ -541,7 +541,7 @@
 class Arrival(Endings):
     """A client's time counts from its last byte, also where the loop was at work when it came."""
 
-    async def test_a_request_counts_from_before_the_work_that_kept_the_loop_from_reading_it(self):
+    async def test_receive_time_precedes_work_that_blocked_the_event_loop(self):
         await self.start()
         asks = self.submitted()
         for how in ("known", "new", "rest of it", "quiet"):
@@ -567,7 +567,7 @@
                 self.assertGreater(asks[0].received_ms, came - 150.0)
                 asks[0].on_response(Response(ResponseStatus.FAILED))
 
-    async def test_a_request_that_waited_for_earlier_ones_of_its_connection_counts_from_before_that(self):
+    async def test_receive_time_precedes_the_wait_for_earlier_calls(self):
         await self.start()
         asks = self.submitted()
         with unittest.mock.patch("frostspindle.net.http.clients.MAX_PIPELINED_CALLS", 1):
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -47,25 +47,25 @@
         ({"request_id": b"AB"}, "X-Request-Id"),
     ],
 )
-def test_a_field_that_can_t_be_used_is_named_and_not_repeated(fields, word):
+def test_invalid_field_is_named_and_its_value_not_repeated(fields, word):
     with pytest.raises(CallRejectedError, match=word) as refusal:
         said(**fields)
     assert refusal.value.status == 400 and len(refusal.value.text) < 80
 
 
-def test_fields_are_read_and_a_key_counts_only_where_the_class_keeps_order():
+def test_fields_are_parsed_and_the_key_is_used_only_by_ordered_classes():
     request = said(object=b"7f3a9c21e0b4d655", tenant=b"acme", retry=b"1", cost_ms=b"820.0", memory=b"96")
     assert request == ("00000000000000ab", 1500.0, 820.0, 96.0, key_number(2, b"7f3a9c21e0b4d655"), b"acme", True, "")
     assert said(False, object=b"\x00" * 900).key == 0 and said().key == 0 and not said(retry=b"0").retry
 
 
 @given(strategies.binary(min_size=1, max_size=64), strategies.integers(0, 5))
-def test_a_key_s_number_is_the_same_everywhere_and_another_in_another_class(key, cls):
+def test_key_number_is_deterministic_and_differs_between_classes(key, cls):
     number = key_number(cls, key)
     assert 0 < number < 1 << 63 and number == key_number(cls, key) != key_number(cls + 1, key)
 
 
-def test_the_operator_s_rule_goes_before_the_client_s_word_and_an_unknown_name_is_a_mistake():
+def test_tenant_rules_take_precedence_over_the_header_and_unknown_names_are_rejected():
     tenants = Tenants(
         ("east", "west"), [Rule("blue", header="X-Team=blue"), Rule("west", database="w")], ("blue", "west"), "east"
     )
@@ -95,7 +95,7 @@
             )
         return engines
 
-    async def test_key_tenant_and_what_a_query_needed_reach_the_module(self):
+    async def test_key_tenant_and_measured_cost_reach_the_decision_module(self):
         parties = [{"name": "east", "allowancePerS": 30.0}, {"name": "west", "allowancePerS": 10.0}]
         (engine,) = await self.begin('[[tenant]]\nname = "west"\nshare_per_s = 4.0\n', parties=parties)
         engine.script = lambda request, body: page("a\t1\tx\n", X_Cost_Ms="812.5", X_Needed_Mb="96")
@@ -109,7 +109,7 @@
         self.assertEqual((self.asked[1].tenant, self.asked[1].key, self.ends[1][6:8]), (0, 0, (0.0, 0.0)))
         self.assertEqual(self.count("engine_bad_needs"), 1)
 
-    async def test_bad_fields_end_at_the_edge_with_a_word_and_a_count(self):
+    async def test_invalid_fields_are_rejected_with_a_reason_and_counted(self):
         await self.begin(parties=[{"name": "east", "allowancePerS": 30.0}])
         cases = [
             ("X-Object", "k" * 4000),
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize(
     "parties, word", [([{"name": "a"}, {"name": "a"}], "twice"), ("east", "parties"), ([1], "parties")]
 )
-def test_tenants_of_the_settings_that_can_t_be_used_are_named(parties, word):
+def test_invalid_tenants_in_the_settings_are_reported(parties, word):
     with pytest.raises(ConfigError, match=word):
         rule = TenantRule(front="tds")
         join_tenants(entry_names({"parties": parties}, "parties"), [Tenant("b", rule=[rule])], "default")
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -38,7 +38,7 @@
     async def gone(self, attempt):
         await self.until(lambda: attempt.is_finished and not self.program.core.ledger.entries)
 
-    async def test_it_has_no_task_and_ends_with_its_answer(self):
+    async def test_direct_attempt_has_no_task_and_ends_with_its_response(self):
         go = asyncio.Event()
         _, line, attempt, _ = await self.out(at_work(go))
         self.assertEqual((self.driver.tasks, line.waiter), (set(), attempt.task))
@@ -47,7 +47,7 @@
         self.assertEqual((self.count("served"), self.driver.pools[0].idle), (2, [line]))
         self.assertIsNone(attempt.task, "nothing is left to the collector")
 
-    async def test_a_client_that_leaves_frees_the_engine_and_the_connection_waits_for_its_answer(self):
+    async def test_disconnected_client_frees_the_engine_and_the_connection_waits_for_the_response(self):
         go = asyncio.Event()
         engine, line, attempt, writer = await self.out(at_work(go))
         writer.close()
@@ -59,7 +59,7 @@
         self.assertEqual((await self.ask(LOAD, number=2))[0], 200)
         self.assertEqual(len(engine.of("POST")), 2)
 
-    async def test_what_is_stopped_as_its_task_begins_is_freed_at_the_engine(self):
+    async def test_attempt_cancelled_as_its_task_starts_is_cancelled_at_the_engine(self):
         """The task never runs then, and the engine works on."""
         first = [web.Response(status=202)]
         engine, _, attempt, _ = await self.out(lambda request, body: first.pop() if first else None)
@@ -74,19 +74,19 @@
         await self.until(lambda: attempt.is_finished)
         self.assertEqual([method for method, *_ in engine.calls[:2]], ["POST", "DELETE"])
 
-    async def test_an_engine_that_drains_gets_nothing_on_an_idle_connection(self):
+    async def test_draining_engine_gets_no_attempt_on_an_idle_connection(self):
         (engine,) = await self.start()
         with unittest.mock.patch.object(self.program.core, "may_send", lambda attempt: False):
             await self.ask(LOAD)
         self.assertEqual((engine.of("POST"), len(self.driver.pools[0].idle)), ([], 1))
         self.assertGreater(self.count("ended_connect_failed"), 0)
 
-    async def test_a_time_that_may_be_up_before_an_answer_is_due_is_kept_by_a_task(self):
+    async def test_attempt_with_little_remaining_time_runs_in_a_task(self):
         with unittest.mock.patch("frostspindle.net.engines.HttpEngines.left_s", staticmethod(lambda attempt: 0.4)):
             _, _, attempt, _ = await self.out(at_work(asyncio.Event()))
             self.assertIsInstance(attempt.task, asyncio.Task)
 
-    async def test_an_answer_that_is_no_page_ends_its_connection(self):
+    async def test_response_that_is_no_valid_page_closes_its_connection(self):
         (engine,) = await self.start()
         transports, answers = [], [page("a\t\n", 99)]
 
@@ -99,7 +99,7 @@
         self.assertEqual([method for method, *_ in engine.calls], ["POST", "GET"])
         self.assertIsNot(transports[0], transports[1])
 
-    async def test_a_connections_timer_rings_for_the_call_that_is_out(self):
+    async def test_connection_timer_is_moved_to_an_earlier_deadline(self):
         """One is left from an earlier call, for later."""
         await self.start()
         line = self.driver.pools[0].take()
@@ -108,7 +108,7 @@
             line.request(b"", 0.1, asyncio.get_running_loop().create_future())
         self.assertEqual(line.timer.when(), line.deadline_s)
 
-    async def test_news_and_further_pages_follow_on_the_same_query(self):
+    async def test_progress_and_further_pages_are_polled_for_the_same_query(self):
         answers = [
             web.Response(status=202, headers={"X-Remark": "pct", "X-Value": "0.5"}),
             page("a\t\n", 2),
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -42,7 +42,7 @@
     }
 
 
-def test_every_figure_is_there_under_its_name():
+def test_all_figures_are_exported():
     from frostspindle.net import metrics
 
     found = read(metrics.text(FIGURES).decode())
@@ -63,7 +63,7 @@
 
 
 class Called(EdgeCase):
-    async def test_it_tells_what_show_stat_tells_and_only_where_it_is_on(self):
+    async def test_metrics_match_show_stat(self):
         await self.start(operator="metrics = true")
         self.assertEqual((await self.ask())[0], 200)
         stat = json.loads((await self.operate("show-stat"))[0])
@@ -82,7 +82,7 @@
         self.assertIn("NAK", (await self.operate("metrics now"))[0])
 
 
-def test_off_it_is_no_call_and_its_library_is_not_loaded():
+def test_prometheus_client_is_not_loaded_when_metrics_is_off():
     loaded = subprocess.run(
         [sys.executable, "-c", "import sys, frostspindle.program, frostspindle.cores.supervisor; print(*sys.modules)"],
         capture_output=True,
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("desk, found, word", [("", True, "needs operator"), ("127.0.0.1:0", False, "needs the extra")])
-def test_where_it_cant_be_answered_the_start_says_why(tmp_path, monkeypatch, desk, found, word):
+def test_start_fails_if_metrics_cannot_be_served(tmp_path, monkeypatch, desk, found, word):
     (tmp_path / "c.json").write_text(
         json.dumps({"listen": "127.0.0.1:0", "seed": "1", "operator": desk, "settings": settings()})
     )
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -25,7 +25,7 @@
 
 
 class Calls(Operated):
-    async def test_each_call_gets_one_line_however_it_is_cut_and_nonsense_is_a_no(self):
+    async def test_calls_may_be_split_and_invalid_ones_get_a_nak(self):
         await self.start()
         self.assertEqual(await self.operate("ready"), ["ACK"])
         reader, writer = await asyncio.open_connection("127.0.0.1", self.program.operator_server.port)
@@ -38,7 +38,7 @@
             (answer,) = await self.operate(call)
             self.assertTrue(answer.startswith("NAK "), answer)
 
-    async def test_callers_that_say_nothing_hold_up_nobody(self):
+    async def test_silent_callers_do_not_block_others(self):
         await self.start()
         with unittest.mock.patch.object(operator, "CALL_TIMEOUT_S", 0.3):
             silent = [await asyncio.open_connection("127.0.0.1", self.program.operator_server.port) for _ in range(40)]
@@ -49,7 +49,7 @@
         for _, writer in silent:
             writer.close()
 
-    async def test_an_answer_does_not_wait_behind_the_inbox(self):
+    async def test_calls_are_answered_while_the_core_task_is_stopped(self):
         await self.start()
         self.program.tasks[0].cancel()  # the core's: whatever comes now stays in its inbox
         self.assertEqual(await self.operate("ready"), ["ACK"])
@@ -57,7 +57,7 @@
 
 
 class Figures(Operated):
-    async def test_the_figures_tell_what_was_answered_sent_and_is_open(self):
+    async def test_show_stat_counts_answered_sent_and_open_requests(self):
         (engine,) = await self.start()
         go = asyncio.Event()
         await self.ask(number=1)
@@ -102,7 +102,7 @@
             length = int(head.partition("Content-Length: ")[2].partition("\r\n")[0])
             return head, json.loads(await reader.readexactly(length))
 
-    async def test_a_drain_says_no_serves_what_comes_and_ends_each_connection_until_resumed(self):
+    async def test_drain_reports_not_ready_serves_requests_and_closes_connections_until_resumed(self):
         await self.start()
         idle, kept = await self.connect(), await self.connect()
         for reader, writer in (idle, kept):
@@ -124,7 +124,7 @@
             fresh[1].write((HEAD % number).encode())
             self.assertNotIn("Connection: close", (await self.answer(fresh[0]))[0])
 
-    async def test_a_connection_stays_from_a_next_to_the_last_page(self):
+    async def test_connection_with_a_response_path_is_kept_until_the_last_page(self):
         (engine,) = await self.start()
         go = asyncio.Event()
         engine.script = at_work(go)
@@ -148,7 +148,7 @@
                 head, body = await self.answer(reader)
             self.assertEqual((body, "Connection: close" in head), ({"rows": [["a", "1", "x"]]}, True))
 
-    async def test_late_in_a_drain_nothing_new_is_taken(self):
+    async def test_requests_late_in_a_drain_are_rejected(self):
         (engine,) = await self.start()
         with unittest.mock.patch.object(connection_limits, "DRAIN_LAST_REQUEST_S", 0.0):
             await self.operate("drain")
@@ -159,7 +159,7 @@
         self.assertEqual(engine.calls, [])
         self.assertEqual((await self.figures())["calls"]["lookup"]["busy"], 1)
 
-    async def test_tds_sessions_end_between_two_batches(self):
+    async def test_draining_closes_tds_sessions_between_batches(self):
         await self.start(
             operator='[tds]\nlisten = "127.0.0.1:0"\n[[tds.login]]\nclass = "lookup"\n'
             '[[tds.engine]]\nname = "t"\ndial = "127.0.0.1:9"\n'
@@ -178,7 +178,7 @@
 
 
 class Bans(Operated):
-    async def test_a_banned_engine_gets_nothing_new_whatever_the_bus_says_until_it_is_called_back(self):
+    async def test_banned_engine_gets_no_requests_until_it_is_enabled(self):
         first, second = await self.engines(2)
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
@@ -206,7 +206,7 @@
         believed = self.program.core.controller.engines[0]
         self.assertEqual((believed.ejected, believed.in_slow_start(clock())), (False, True))
 
-    async def test_an_engine_whose_restart_was_told_meanwhile_is_cold_from_then_on(self):
+    async def test_engine_restarted_during_a_ban_is_cold_since_its_announced_start(self):
         (engine,) = await self.engines()
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
@@ -227,7 +227,7 @@
             # Told: the time that the list tells, on the clock of this process. Else: that of the end of the ban.
             self.assertTrue(abs(since - began) < 2.0 if told else since > began + 19.0, (began, since))
 
-    async def test_a_ban_holds_for_what_waits_to_be_sent_and_for_an_engine_that_leaves_and_returns(self):
+    async def test_ban_applies_to_waiting_attempts_and_to_a_returning_engine(self):
         (engine,) = await self.engines()
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
@@ -246,7 +246,7 @@
         self.assertEqual((await self.ask(number=2, timeout=300.0))[0], 503)
         self.assertEqual(len(engine.of("POST")), 1)
 
-    async def test_another_process_of_the_same_name_takes_the_bans_over_and_both_follow_each_other(self):
+    async def test_processes_of_the_same_name_share_bans(self):
         (engine,) = await self.start()
         self.assertEqual(await self.operate("disable-server s-00000000"), ["ACK"])
         name, told = "s/%é.. 1", []
@@ -261,7 +261,7 @@
         await self.until(lambda: self.program.core.banned == {name})
         self.assertEqual((await self.ask())[0], 200)
 
-    async def test_names_of_engines_are_kept_up_to_a_bound_and_bans_outlast_it(self):
+    async def test_number_of_engine_names_is_limited_and_banned_names_are_kept(self):
         (engine,) = await self.start()
         core = self.program.core
         await self.until(lambda: core.names)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -50,13 +50,13 @@
         (RECEIVING, 2.5, NO, math.inf, False, ConnectionStep.REQUEST_TOO_SLOW),
     ],
 )
-def test_each_bound_ends_a_connection_just_past_it(state, waited, stuck, drained, awaited, step):
+def test_each_timeout_ends_a_connection_just_after_it(state, waited, stuck, drained, awaited, step):
     assert next_step(state, waited, stuck, drained, awaited) is step
 
 
 @settings(derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(STATES, TIMES, SINCE, SINCE, some.booleans())
-def test_a_call_at_work_ends_only_for_unread_answers_and_silence_always_ends(state, waited, stuck, drained, awaited):
+def test_busy_connections_end_only_with_unread_responses_and_silent_ones_always(state, waited, stuck, drained, awaited):
     step = next_step(state, waited, stuck, drained, awaited)
     if state == BUSY:
         assert step is (ConnectionStep.ABORT if stuck > 5.0 else ConnectionStep.KEEP)
@@ -68,7 +68,7 @@
         )
 
 
-def test_who_needs_a_place_least_gives_it_and_a_call_at_work_never():
+def test_reclaim_scores_order_connections_and_spare_busy_ones():
     order = [(CLOSING, 0.0), (NEW, 0.2), (IDLE, 1.1), (RECEIVING, 0.6), (IDLE, 0.5), (NEW, 0.05), (RECEIVING, 0.3)]
     ranks = [reclaim_score(state, waited) for state, waited in order]
     assert ranks == sorted(ranks, reverse=True) and ranks[-1] > 0.0 == reclaim_score(BUSY, 100.0)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,7 +24,7 @@
 
 
 class Serving(EdgeCase):
-    async def test_rows_pass_unchanged_over_all_pages_and_a_repeated_get_gives_them_again(self):
+    async def test_rows_are_unchanged_over_all_pages_and_pages_can_be_fetched_again(self):
         (engine,) = await self.start()
         pages = ["".join(f'{n}-{i}\té "{i}"\t{"x" * 900}\n' for i in range(6)) for n in range(12)]
 
@@ -50,7 +50,7 @@
         self.assertIn(sent["X-Priority"], "0123")
 
     @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 200.0)
-    async def test_a_repeatable_request_is_tried_again_when_its_engine_dies_and_a_load_is_not(self):
+    async def test_repeatable_request_is_retried_after_a_reset_and_a_load_is_not(self):
         engines = await self.start(2)
         for engine in engines:
             engine.script = lambda request, body, e=engine: "kill" if not self.moved(e) else None
@@ -63,7 +63,7 @@
         self.assertEqual((status, body), (502, {"failure": "Failed"}))
         self.assertEqual(sum(len(e.of("POST")) for e in engines), posts + 1)
 
-    async def test_nothing_is_resent_quietly_on_a_connection_that_was_used_before(self):
+    async def test_load_is_not_resent_after_a_reset_of_a_reused_connection(self):
         (engine,) = await self.start()
         transports = set()
 
@@ -81,7 +81,7 @@
         """True once another engine has had a POST."""
         return any(other.of("POST") for other in self.peers if other is not engine)
 
-    async def test_a_lost_page_is_an_error_and_never_a_short_result(self):
+    async def test_lost_page_is_an_error_and_not_a_truncated_result(self):
         (engine,) = await self.start()
         engine.script = lambda request, body: (
             web.Response(status=500) if request.path.endswith("/1") else page("a\t1\tx\n", 2)
@@ -89,14 +89,14 @@
         self.assertEqual((await self.ask(LOAD))[0], 502)
         self.assertEqual(self.count("served"), 0)
 
-    async def test_an_engine_that_sheds_leaves_a_load_harmless_to_refuse(self):
+    async def test_load_shed_by_its_engine_is_rejected_as_busy(self):
         (engine,) = await self.start()
         engine.script = lambda request, body: web.Response(status=503, headers={"X-Shed": "1"})
         status, body, _ = await self.ask(LOAD, timeout=600.0)
         self.assertEqual((status, body), (503, {"failure": "Busy"}))
         self.assertEqual(self.count("refused"), 1)
 
-    async def test_a_silent_engine_is_given_up_before_the_next_attempt_goes_out(self):
+    async def test_attempt_at_a_silent_engine_is_cancelled_before_the_next_attempt(self):
         # No promise decides: on a busy machine it would be past before the engine is found silent.
         engines = await self.start(
             2, categories=[cls | {"promise": 60000.0, "hardLimit": 60000.0} for cls in settings()["categories"]]
@@ -119,7 +119,7 @@
         self.assertLess(order.index("DELETE"), order.index("again"))
 
     @unittest.mock.patch("frostspindle.pools.UNPOLLED_QUERY_EXPIRY_MS", 200.0)
-    async def test_a_query_behind_broken_connections_is_given_up_before_the_next_attempt(self):
+    async def test_query_with_broken_connections_is_cancelled_before_the_next_attempt(self):
         engines = await self.start(2)
         order = []
 
@@ -134,7 +134,7 @@
         self.assertEqual((await self.ask())[0], 200)
         self.assertEqual([m for m in order if m != "GET"], ["POST", "DELETE", "POST"])
 
-    async def test_a_query_is_given_up_on_its_own_connection_where_a_draining_engine_refuses_new_ones(self):
+    async def test_query_at_a_draining_engine_is_cancelled_on_its_existing_connection(self):
         """Refused was taken for gone: on a day of 40 coordinators the request ran at two engines."""
         engines, order = await self.start(2), []
 
@@ -160,7 +160,7 @@
         )
         self.assertEqual(len(self.program.driver.pools[engines.index(first)].idle), 1, "the connection was kept")
 
-    async def test_priorities_change_on_the_querys_own_connection(self):
+    async def test_priority_updates_use_the_querys_connection(self):
         (engine,) = await self.start()
         transports, go = set(), asyncio.Event()
 
@@ -181,7 +181,7 @@
         self.assertEqual((await asked)[0], 200)
         self.assertEqual(([body for _, _, body in engine.of("PUT")], len(transports)), (["3"], 1))
 
-    async def test_only_an_ask_that_had_a_connection_keeps_a_query_going(self):
+    async def test_only_a_poll_with_a_connection_counts_as_a_poll(self):
         class Peer:
             wired = False
 
@@ -198,7 +198,7 @@
                     await self.program.driver.runner.poll(Peer(), None, "/v1/store/x/", 0, course)
             self.assertEqual(course.last_poll_ms > 5.0, Peer.wired)
 
-    async def test_a_clients_close_and_its_delete_free_the_engines_work(self):
+    async def test_close_and_delete_of_a_client_cancel_the_query(self):
         (engine,) = await self.start()
         engine.script = lambda request, body: (
             None if request.method == "DELETE" else self.later(web.Response(status=202))
@@ -217,7 +217,7 @@
         await asyncio.sleep(0.05)
         return answer
 
-    async def test_bad_calls_get_4xx_and_are_never_forwarded(self):
+    async def test_invalid_calls_get_4xx_and_are_never_forwarded(self):
         (engine,) = await self.start()
         good = {"X-Request-Id": "0" * 16, "X-Timeout-Ms": "900"}
         for status, method, path, body, headers in (
@@ -240,7 +240,7 @@
         self.assertEqual(engine.calls, [])
         self.assertEqual((await self.ask())[0], 200, "and the next good call is served")
 
-    async def test_a_fault_of_the_module_costs_one_request(self):
+    async def test_exception_in_the_decision_module_fails_one_request(self):
         await self.start()
         handle = self.program.core.controller.handle
 
@@ -254,7 +254,7 @@
         self.assertEqual((await self.ask(number=2))[0], 200)
         self.assertEqual((self.count("faults"), self.program.core.open), (1, 0))
 
-    async def test_a_fault_in_the_modules_clock_does_not_stop_its_deadlines(self):
+    async def test_exception_in_a_timer_does_not_stop_deadlines(self):
         (engine,) = await self.start()
         engine.script = lambda request, body: self.later(web.Response(status=202))
         handle, broken = self.program.core.controller.handle, []
@@ -269,7 +269,7 @@
         self.assertEqual((await self.ask(timeout=400.0))[0], 503, "the module itself refused in time")
         self.assertEqual((self.count("faults"), self.count("refused")), (1, 1))
 
-    async def test_an_attempt_stopped_before_its_first_step_still_has_its_end(self):
+    async def test_attempt_cancelled_before_its_first_step_is_reported(self):
         (engine,) = await self.start()
         start = self.program.driver.start_attempt
 
@@ -282,13 +282,13 @@
         self.assertEqual((await self.ask())[0], 200, "tried again after its end")
         self.assertEqual((self.count("ended_cancelled"), len(engine.of("POST"))), (1, 1))
 
-    async def test_a_full_program_refuses_at_the_door(self):
+    async def test_request_over_the_limit_of_open_requests_is_rejected(self):
         await self.start()
         self.program.core.max_open_requests = 0
         self.assertEqual((await self.ask())[:2], (503, {"failure": "Busy"}))
         self.assertEqual((self.count("full"), self.count("taken")), (1, 0))
 
-    async def test_a_drain_told_while_an_attempt_waits_for_a_connection_stops_it(self):
+    async def test_attempt_is_not_sent_if_its_engine_drains_while_it_waits_for_a_connection(self):
         (engine,) = await self.start()
         core = self.program.core
         peer = next(iter(self.program.driver.pools.values()))
@@ -304,7 +304,7 @@
         self.assertEqual((status, body), (503, {"failure": "Busy"}))
         self.assertEqual(engine.of("POST"), [])
 
-    async def test_an_idle_connection_of_another_engine_makes_room_at_once_when_all_are_taken(self):
+    async def test_idle_connection_of_another_engine_is_closed_at_the_connection_limit(self):
         first, second = await self.start(2)
         await self.operate("disable-server s-00000001")
         self.program.driver.max_connections = 2
@@ -320,7 +320,7 @@
 
 
 class BusStories(EdgeCase):
-    async def test_the_bus_is_joined_again_from_the_last_number_and_repeats_are_dropped(self):
+    async def test_bus_reconnects_continue_at_the_last_offset_and_repeats_are_dropped(self):
         first, second = await self.engines(2)
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
@@ -340,7 +340,7 @@
         await bus.joined(3)
         self.assertEqual((bus.froms[-1], self.count("bus_reconnects")), ("from 3", 2))
 
-    async def test_sighup_follows_a_new_bus_from_the_last_number_and_a_bad_file_changes_nothing(self):
+    async def test_sighup_moves_to_a_new_bus_and_ignores_an_invalid_file(self):
         (engine,) = await self.engines()
         old, new = [await Bus().start() for _ in range(2)]
         for bus in (old, new):
@@ -362,7 +362,7 @@
         await self.until(lambda: self.program.core.engines[1].entry.health == 2)
         self.assertEqual((new.froms, len(old.froms), self.count("bus_reconnects")), (["from 2"], 1, 0))
 
-    async def test_an_event_that_can_never_be_read_does_not_keep_the_later_ones_away(self):
+    async def test_permanently_invalid_event_is_skipped(self):
         (engine,) = await self.engines()
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
@@ -392,7 +392,7 @@
             env={**os.environ, "LB_CONFIG": str(path), **environ},
         )
 
-    def test_sigterm_ends_it_with_0_and_the_counters_are_printed(self):
+    def test_sigterm_exits_with_0_and_reports_the_counters(self):
         process = self.start({"listen": "127.0.0.1:0", "settings": settings()})
         self.assertEqual(json.loads(process.stderr.readline())["event"], "coordinator_started")
         process.send_signal(signal.SIGUSR1)
@@ -401,7 +401,7 @@
         events = [json.loads(line)["event"] for line in process.communicate(timeout=60)[1].splitlines()]
         self.assertEqual((process.returncode, events), (0, ["shutdown_started", "counters_reported"]))
 
-    def test_sigterm_goes_on_accepting_and_answers_what_was_taken(self):
+    def test_after_sigterm_requests_are_accepted_and_answered_for_a_while(self):
         async def story():
             engine = await HttpEngine().start()
             release = asyncio.Event()
@@ -439,7 +439,7 @@
 
         asyncio.run(story())
 
-    def test_a_bad_configuration_exits_2_with_one_line_naming_the_key(self):
+    def test_invalid_configuration_exits_with_2_and_one_line_naming_the_key(self):
         good = {"listen": "127.0.0.1:0", "settings": settings()}
         for key, document in (
             ("LB_CONFIG", "{"),
@@ -459,7 +459,7 @@
 
 
 class Reading(unittest.TestCase):
-    def test_the_group_of_tables_is_found_outside_strings_comments_and_staging(self):
+    def test_table_group_is_found_outside_strings_comments_and_staging(self):
         for statement, group in (
             ("SELECT day FROM sales_17.orders WHERE tag = 'x_9.y'", 17),
             ("-- a_1.b\nSELECT 1 FROM c_2.d", 2),
@@ -471,7 +471,7 @@
         ):
             self.assertEqual(table_group(statement), group, statement)
 
-    def test_an_operators_file_names_the_key_at_fault(self):
+    def test_invalid_operator_file_is_reported_with_the_key(self):
         for key, text in (
             ("tds.listen", '[tds]\nlisten="x"\n[[tds.login]]\nclass="lookup"'),
             ("class", '[tds]\nlisten="127.0.0.1:0"\n[[tds.login]]\nclass="none"'),
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -47,7 +47,7 @@
 
 
 class Ending(FleetCase):
-    async def test_sigterm_with_two_hundred_connections_owes_each_request_its_one_answer(self):
+    async def test_sigterm_with_200_connections_answers_each_request_once(self):
         engines = [await HttpEngine().start() for _ in range(4)]
         release = asyncio.Event()
 
@@ -150,7 +150,7 @@
 
 
 class LastMoment(EdgeCase):
-    async def test_who_asks_in_the_last_moment_is_told_and_not_cut_off(self):
+    async def test_requests_at_the_last_moment_get_a_rejection(self):
         (engine,) = await self.start()
         port = self.program.platform.port
         idle, half, fresh = [await Raw().open(port) for _ in range(3)]
@@ -180,14 +180,14 @@
         await self.until(lambda: any(event["event"] == "shutdown_started" for event in self.log))
         return stopping
 
-    async def test_new_work_is_taken_for_a_while_though_nothing_is_open(self):
+    async def test_requests_are_accepted_for_a_while_after_sigterm(self):
         await self.start()
         stopping = await self.stop()
         self.assertEqual((await self.ask())[0], 200)
         await stopping
 
     @unittest.mock.patch("frostspindle.shutdown_plan.ACCEPT_S", 0.0)
-    async def test_a_long_answer_that_is_half_fetched_is_waited_for(self):
+    async def test_shutdown_waits_for_a_partly_fetched_result(self):
         (engine,) = await self.start()
         engine.script = lambda request, body: page(f"a\t1\t{20_000 * 'x'}\n" * 3)  # more than one answer holds
         status, body, _ = await self.ask()
@@ -200,7 +200,7 @@
 
     @unittest.mock.patch("frostspindle.shutdown_plan.ACCEPT_S", 0.0)
     @unittest.mock.patch("frostspindle.program.RESPONSE_FLUSH_S", 1.0)
-    async def test_who_asks_while_the_last_answers_leave_is_told_so(self):
+    async def test_requests_during_the_final_flush_get_a_rejection(self):
         await self.start()
         port, last = self.program.platform.port, asyncio.Event()
         line = await Raw().open(port)
@@ -236,7 +236,7 @@
     @unittest.mock.patch(
         "frostspindle.net.discovery.SILENCE_TIMEOUT_S", 60.0
     )  # no word is lost over a new connection to the bus
-    async def test_six_of_ten_engines_are_replaced_at_their_old_addresses_under_load(self):
+    async def test_six_of_ten_engines_are_replaced_at_their_addresses_under_load(self):
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
         olds = [await self.engine(f"s-{n:08x}") for n in range(10)]
--- a/tests/test_snmp.py
+++ b/tests/test_snmp.py
@@ -44,7 +44,7 @@
         )
         return failure, int(status), [(str(name)[len(ROOT) :], value) for name, value in found]
 
-    async def test_get_walks_a_wrong_community_and_sets(self):
+    async def test_get_walk_wrong_community_and_set(self):
         (engine,) = await self.engines()
         await self.coordinator(
             [host("s-00000004", engine.port)], operator='[snmp]\nlisten = "127.0.0.1:0"\ncommunity = "watch"'
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -43,7 +43,7 @@
     def faults(self, result: codec.Result) -> list[int]:
         return [fault.number for fault in result.errors]
 
-    async def test_silent_sessions_give_way_and_half_a_message_ends_in_time(self):
+    async def test_silent_sessions_are_closed_at_the_limit_and_partial_messages_time_out(self):
         await self.start(1, "max_sessions = 2")
         silent = [await asyncio.open_connection("127.0.0.1", self.program.tds.port) for _ in range(2)]
         for _, writer in silent:
@@ -58,7 +58,7 @@
             client.writer.write(codec.packets(codec.BATCH, codec.batch("SELECT 2"))[:-3])
             self.assertEqual(self.faults(codec.read_result((await client.message()).body)), [front.BAD_STREAM])
 
-    async def test_databases_that_clients_name_are_not_kept_for_ever(self):
+    async def test_idle_sessions_for_client_chosen_databases_are_removed(self):
         (engine,) = await self.start(1, '[[tds.login]]\nclass = "lookup"\n')
         with unittest.mock.patch.object(driver, "IDLE_TIMEOUT_S", 0.0):
             for number in range(20):
@@ -66,7 +66,7 @@
                 self.assertEqual((await client.query("SELECT 1")).tokens, ROWS)
         self.assertLessEqual(len(self.program.tds_driver._idle), 1)
 
-    async def test_rows_pass_unchanged_and_sessions_are_used_again(self):
+    async def test_rows_are_unchanged_and_sessions_are_reused(self):
         (engine,) = await self.start()
         client = await self.client()
         self.assertEqual(client.options[codec.O_ENCRYPTION], bytes((codec.ENCRYPT_NOT_SUP,)))
@@ -106,7 +106,7 @@
         self.assertEqual([tuple(row) for row in rows], [("a",), ("b",)])
         self.assertIn("Invalid object name", error)
 
-    async def test_packets_may_be_split_and_joined_at_any_byte(self):
+    async def test_packets_may_be_split_or_joined_at_any_byte(self):
         await self.start()
         client = TdsClient(self.program.tds.port)
         client.reader, client.writer = await asyncio.open_connection("127.0.0.1", client.port)
@@ -124,7 +124,7 @@
         self.assertEqual((await client.message()).body, ROWS)
         self.assertEqual(self.peers[0].statements, ["SELECT '" + "é" * 700 + "'"])
 
-    async def test_a_refusal_is_a_transient_number_with_the_wait_and_a_failure_another(self):
+    async def test_rejection_and_failure_have_different_error_numbers(self):
         (engine,) = await self.start()
         client = await self.client("loads")
         engine.script = lambda statement: codec.error(701, "no memory", 17) + codec.done(codec.DONE_ERROR)
@@ -139,7 +139,7 @@
         self.assertRegex(result.errors[0].text, r"Retry the request after [0-9.]+ seconds")
         self.assertEqual((self.count("failed"), self.count("refused")), (1, 1))
 
-    async def test_a_deadline_and_a_clients_attention_end_the_engines_work_by_attention(self):
+    async def test_deadline_and_client_attention_cancel_the_batch_by_attention(self):
         (engine,) = await self.start()
         engine.script = lambda statement: "hang"
         client = await self.client("loads")
@@ -156,7 +156,7 @@
         self.assertEqual((self.count("left"), self.count("failed"), self.count("served")), (1, 1, 1))
 
     # Guards against: a batch was sent on though the end of its session, or its Attention, lay unread in the socket.
-    async def test_a_client_that_has_gone_or_sent_an_attention_is_found_before_it_is_read(self):
+    async def test_disconnect_and_attention_are_detected_while_unread(self):
         for how in ("close", "reset", "attention"):
             with self.subTest(how):
                 (engine,) = await self.start()
@@ -179,7 +179,7 @@
                 self.assertFalse(submitted[0].is_client_connected())
                 session.writer.transport.resume_reading()
 
-    async def test_a_load_cut_mid_stream_is_failed_once_and_never_replayed(self):
+    async def test_load_with_a_truncated_response_fails_and_is_not_resent(self):
         engines = await self.start(2)
         for engine in engines:
             engine.script = lambda statement: "cut"
@@ -188,7 +188,7 @@
         self.assertEqual(sum(len(e.statements) for e in engines), 1)
         self.assertEqual((self.count("failed"), self.count("sent")), (1, 1))
 
-    async def test_a_draining_engine_gets_nothing_new_by_the_file_or_by_its_own_word(self):
+    async def test_engine_that_drains_by_file_or_by_its_error_gets_no_new_batches(self):
         first, second = await self.start(2)
         client = await self.client()
         self.operator_file.write_text(self.file("", "leaving", "active"))
@@ -213,7 +213,7 @@
                 states = {s.name: s.entry for s in self.program.core.engines.values()}
         self.assertGreater(states["t1"].since_ms, 0.0, "it comes back as a cold engine")
 
-    async def test_random_kills_leave_each_request_counted_once(self):
+    async def test_each_request_is_counted_once_under_random_failures(self):
         chance = random.Random(20261201)
         engines = await self.start(3)
         for engine in engines:
@@ -243,7 +243,7 @@
         )
         self.assertEqual(self.program.core.open, 0)
 
-    async def test_bad_bytes_end_one_session_and_others_live_on(self):
+    async def test_invalid_bytes_end_one_session_only(self):
         await self.start(1, "max_batch_bytes = 4096\nlogin_ms = 1000\nmax_sessions = 6")
         good = await self.client()
         for bad in (
@@ -266,7 +266,7 @@
             await idle.message()
         self.assertEqual((self.count("bad_streams"), self.count("login_timeouts")), (5, 1))
 
-    async def test_what_is_not_taken_gets_a_clear_error_and_the_session_goes_on(self):
+    async def test_unsupported_messages_get_an_error_and_the_session_continues(self):
         (engine,) = await self.start(1, "max_sessions = 1")
         client = await self.client()
         for kind in (codec.RPC, codec.BULK, codec.MANAGER):
@@ -283,7 +283,7 @@
         stranger = await TdsClient(self.program.tds.port).open("elsewhere")
         self.assertEqual(self.faults(stranger.result), [front.LOGIN_FAILED])
 
-    async def test_an_engines_unreadable_answer_and_a_result_too_long(self):
+    async def test_malformed_responses_and_too_long_results_fail(self):
         (engine,) = await self.start(1, "max_result_bytes = 2000")
         client = await self.client("loads")
         for answer in (b"\x00garbage", ROWS[:-3], b"\xd1" + ROWS, ROWS + b"\xaa"):
@@ -293,7 +293,7 @@
         engine.script = lambda statement: codec.text_result(("a",), [("x" * 100,)] * 30)
         self.assertEqual(self.faults(await client.query("INSERT")), [50003])
 
-    async def test_where_a_class_keeps_order_batches_have_no_key_and_wait_for_nobody(self):
+    async def test_batches_of_an_ordered_class_have_no_key_and_run_in_parallel(self):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
         (engine,) = await self.start(categories=classes)
@@ -306,14 +306,14 @@
             ({0}, 0),
         )
 
-    async def test_tds_requests_stay_at_tds_engines(self):
+    async def test_http_requests_are_not_sent_to_tds_engines(self):
         await self.start()
         self.assertEqual((await self.ask(LOAD, timeout=400.0))[0], 503, "no HTTP engine is there")
         self.assertEqual(self.peers[0].statements, [])
 
 
 class Codec(unittest.TestCase):
-    def test_every_cut_of_a_result_is_found(self):
+    def test_every_truncation_of_a_result_is_detected(self):
         columns = (
             b"\x81\x05\x00"
             + b"\x00" * 6
@@ -346,6 +346,6 @@
             with self.assertRaises(codec.ProtocolError):
                 codec.read_result(whole[:cut])
 
-    def test_a_login_is_read_as_it_was_written(self):
+    def test_login_is_parsed_as_encoded(self):
         login = codec.read_login(codec.login("ü", "secret", "app", "db", 8000))
         self.assertEqual((login.user, login.application, login.database, login.packet), ("ü", "app", "db", 8000))
