--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets, and a coordinator in the test's own event loop."""
+"""Scripted peers on loopback sockets, and a coordinator in the event loop of the test."""
 
 from __future__ import annotations
 
@@ -82,10 +82,10 @@
 
 
 class Lag:
-    """How much time a busy machine has taken from this process: so much later may be what is held against a bound."""
+    """Measures event loop lag on a busy machine, by which time limits in tests are extended."""
 
     def __init__(self) -> None:
-        self._late: list[tuple[float, float]] = []  # when, by the clock of the day, and how much
+        self._late: list[tuple[float, float]] = []  # Unix time, and lag in s
         self._watching = asyncio.create_task(self._watch())
 
     async def _watch(self) -> None:
@@ -93,16 +93,16 @@
         while True:
             began = clock()
             await asyncio.sleep(0.02)
-            if (late := clock() - began - 0.022) > 0.0:  # what a quiet machine takes for it is no lag
+            if (late := clock() - began - 0.022) > 0.0:  # the usual time on an idle machine is no lag
                 self._late.append((time.time(), late))
 
     def lost(self, since: float, until: float = math.inf) -> float:
-        """So many seconds between the two, of `time.time()`."""
+        """Return the lag in s between two times of `time.time()`."""
         return sum(late for at, late in self._late if since <= at and at - late <= until)
 
 
 class HttpEngine:
-    """An engine of the platform; `script(call)` answers a call, None: as a healthy one does, "kill": resets."""
+    """An engine of the platform; `script` answers a call: None as a healthy engine does, "kill" by a reset."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, str, str]] = []  # method, path, body
@@ -158,7 +158,7 @@
 
 
 def at_work(go: asyncio.Event) -> Any:
-    """A script: until released it is at work, and says so before it is asked for news (`ANSWER_S`)."""
+    """Return a script that reports progress, within RESPONSE_TIMEOUT_S of each call, until `go` is set."""
 
     async def hold() -> web.Response | None:
         try:
@@ -172,7 +172,7 @@
 
 
 class Bus:
-    """The event bus: remembers each `from N` and says what it is told."""
+    """The event bus: records each `from N` and sends the lines given to `say`."""
 
     def __init__(self) -> None:
         self.froms: list[str] = []
@@ -185,7 +185,9 @@
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if asked := (await reader.readline()).decode().strip():  # a connection given up before its word joins nothing
+        if (
+            asked := (await reader.readline()).decode().strip()
+        ):  # a connection closed before its first line does not count
             self.froms.append(asked)
             self.writers.append(writer)
             self.news.set()
@@ -199,13 +201,13 @@
                 self.news.clear()
                 await self.news.wait()
 
-    def say(self, *words: Any) -> None:
-        for word in words:
-            self.writers[-1].write((word if isinstance(word, bytes) else json.dumps(word).encode()) + b"\n")
+    def say(self, *lines: Any) -> None:
+        for line in lines:
+            self.writers[-1].write((line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n")
 
 
 class TdsEngine:
-    """A stand-in TDS engine; `script(statement)` gives tokens, "hang", "cut" (mid-stream) or "kill"."""
+    """A scripted TDS engine; `script(statement)` returns tokens, "hang", "cut" (mid-stream) or "kill"."""
 
     def __init__(self) -> None:
         self.statements: list[str] = []
@@ -256,7 +258,7 @@
 
 
 class TdsClient:
-    """A client that writes packets by hand."""
+    """A TDS client that writes its own packets."""
 
     def __init__(self, port: int) -> None:
         self.port, self.splitter = port, codec.PacketReassembler(1 << 20)
@@ -288,7 +290,7 @@
 
 
 class EdgeCase(unittest.IsolatedAsyncioTestCase):
-    """Starts a coordinator on ephemeral ports and ends it, and all else, with the test."""
+    """Runs a coordinator on ephemeral ports and stops it and its peers at the end of the test."""
 
     async def engines(self, count: int = 1) -> list[HttpEngine]:
         self.peers = [await HttpEngine().start() for _ in range(count)]
@@ -297,7 +299,7 @@
         return self.peers
 
     async def start(self, count: int = 1, **kw: Any) -> list[HttpEngine]:
-        """So many engines, and a coordinator that knows them."""
+        """Start `count` engines and a coordinator that knows them."""
         engines = await self.engines(count)
         await self.coordinator([host(f"s-{i:08x}", e.port) for i, e in enumerate(engines)], **kw)
         return engines
@@ -305,7 +307,9 @@
     async def coordinator(
         self, hosts: list[dict[str, Any]] = (), bus: int = 0, operator: str = "", **changes: Any
     ) -> Program:
-        folder = tempfile.mkdtemp(dir=self.scratch)  # each coordinator's own: in one they would be an upgrade's two
+        folder = tempfile.mkdtemp(
+            dir=self.scratch
+        )  # a separate one each: two coordinators in one folder are an upgrade
         document = {
             "name": "t0",
             "listen": "127.0.0.1:0",
@@ -370,7 +374,7 @@
         )
 
     async def operate(self, call: str) -> list[str]:
-        """One call of an operator's: the lines of the answer."""
+        """Make an operator's call and return the lines of the answer."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.program.operator_server.port)
         writer.write(call.encode() + b"\n")
         async with asyncio.timeout(30.0):
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -1,7 +1,7 @@
-"""What is sent to engines for a client that has left, however it left: real processes, raw connections.
+"""Requests of clients that have left are not sent to engines: real processes, raw connections.
 
-The engine joins only once the client has gone, so that its request still waits then. A second request, sent later by
-a client that stays, shows that the coordinator has dispatched what it held.
+The engine joins only after the client has left, so that its request is still queued then. A second request, sent later
+by another client, shows that the coordinator has dispatched its queue.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from frostspindle.lab.engines import Bus, Engine, document, host
 from frostspindle.lab.faults.runner import Process, free_port
 
-PATH_GIVEN_S = 3.0  # within which a held POST is answered with a path
-LEFT_SLACK_S = 0.1  # an attempt may begin so long after its client left
+PATH_GIVEN_S = 3.0  # within which a held POST gets a path
+LEFT_SLACK_S = 0.1  # an attempt may start this long after its client left
 LEFT, STAYS, FIRST = "00000000000000a1", "00000000000000b2", "00000000000000c3"
 WORKERS_FILE = "[cores]\nworkers = 2\n"
 
 
 class Site:
-    """A coordinator without an engine, an engine that can join it, and the event bus between them."""
+    """A coordinator, an engine that is announced later, and the event bus between them."""
 
     def __init__(self, process, engine, bus):
         self.process = process
@@ -31,7 +31,7 @@
         self.bus = bus
 
     async def join_engine(self):
-        """Let the engine join behind the time in which an attempt for a client that left may still begin."""
+        """Announce the engine after the time in which an attempt for a departed client may still start."""
         await asyncio.sleep(2.0 * LEFT_SLACK_S)
         self.bus.say(host(self.engine.name, self.engine.port))
 
@@ -84,7 +84,7 @@
 
 
 async def follow(reader, writer, path=""):
-    """Read to the last answer, calling each path on the same connection."""
+    """Read to the final response, polling each path on the same connection."""
     if path:
         writer.write(get(path))
     while True:
@@ -95,7 +95,7 @@
 
 
 async def serve_another(site):
-    """Send a second request and return its last answer, with the engine joining while it waits."""
+    """Send a second request and return its final response; the engine is announced while it waits."""
     reader, writer = await site.open()
     writer.write(post(STAYS))
     await site.join_engine()
@@ -105,11 +105,11 @@
     return answer
 
 
-# How a client leaves, once its POST was held for as long as it can be.
+# Ways in which a client leaves, after its POST was held for the maximum time.
 
 
 async def close_unread(site):
-    """It gives up without a path while the answer that names one is under way, which resets the connection."""
+    """Close while the response with the path is in flight, which resets the connection."""
     plain = socket.socket()
     plain.setblocking(False)
     loop = asyncio.get_running_loop()
@@ -124,7 +124,7 @@
 
 
 async def reset_unread(site):
-    """The same, by a client or a network that resets the connection."""
+    """Reset the connection while the response with the path is in flight."""
     plain = socket.socket()
     plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     plain.setblocking(False)
@@ -148,30 +148,30 @@
 
 
 async def close_after_path(site):
-    """It has read its path and closes the connection; its DELETE never comes."""
+    """Read the path and close the connection without a DELETE."""
     _, writer, _ = await take_path(site)
     writer.close()
     await writer.wait_closed()
 
 
 async def shut_after_path(site):
-    """It has read its path and shuts its side of the connection."""
+    """Read the path and shut down the sending side."""
     _, writer, _ = await take_path(site)
     writer.write_eof()
 
 
 async def close_under_call(site):
-    """It waits under its path and closes that connection."""
+    """Poll the path and close that connection."""
     _, writer, path = await take_path(site)
     writer.write(get(path))
     await writer.drain()
-    await asyncio.sleep(LEFT_SLACK_S)  # the call has come, and is held
+    await asyncio.sleep(LEFT_SLACK_S)  # the call has arrived and is held
     writer.close()
     await writer.wait_closed()
 
 
 async def close_other_connection(site):
-    """It calls its path on a second connection and closes both."""
+    """Poll the path on a second connection and close both."""
     _, first, path = await take_path(site)
     _, second = await site.open()
     second.write(get(path))
@@ -183,7 +183,7 @@
 
 
 async def delete_path(site):
-    """It gives up by DELETE on a new connection."""
+    """Send a DELETE on a new connection."""
     _, writer, path = await take_path(site)
     reader, other = await site.open()
     other.write(f"DELETE {path} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
@@ -203,7 +203,7 @@
 ]
 
 
-# Guards against: a request with a path was sent on 4.8 s after its client had closed its connection.
+# Guards against: a request with a path was sent 4.8 s after its client had closed its connection.
 @pytest.mark.parametrize("leave", DEPARTURES)
 def test_nothing_is_sent_for_a_client_that_left_when_it_got_a_path(tmp_path, leave):
     async def play():
@@ -216,7 +216,7 @@
     asyncio.run(play())
 
 
-# Guards against the same at a worker whose client called the path at another worker.
+# Guards against the same at a worker whose client polled the path at another worker.
 @pytest.mark.parametrize("leave", [close_after_path, close_other_connection])
 def test_nothing_is_sent_for_a_client_that_left_over_several_workers(tmp_path, leave):
     async def play():
@@ -229,7 +229,7 @@
     asyncio.run(play())
 
 
-# Guards against: a client whose connection broke and that calls its path again is not served any more.
+# Guards against: a client that polls its path again after its connection broke is not served any more.
 @pytest.mark.parametrize("operator", ["", WORKERS_FILE])
 def test_client_that_polls_its_path_on_a_new_connection_is_served(tmp_path, operator):
     async def play():
@@ -249,7 +249,7 @@
     asyncio.run(play())
 
 
-# Guards against: a client that returned after its engine had joined found its request forgotten.
+# Guards against: the request of a client that returned after its engine had joined was lost.
 def test_a_request_is_sent_when_its_client_returns(tmp_path):
     async def play():
         async with running_site(tmp_path) as site:
@@ -268,7 +268,7 @@
 
 
 async def idle_connection(site):
-    """Leave the coordinator with an idle connection to its engine, which then takes nothing for a while."""
+    """Give the coordinator an idle connection to its engine, which then drains for a while."""
     site.bus.say(host(site.engine.name, site.engine.port))
     reader, writer = await site.open()
     writer.write(post(FIRST))
@@ -278,7 +278,7 @@
     await asyncio.sleep(2.0 * LEFT_SLACK_S)
 
 
-# Guards against: a process that stood still sent a request on before it read the DELETE that had come meanwhile.
+# Guards against: a process that had been stopped sent a request before it read the DELETE received meanwhile.
 @pytest.mark.parametrize("stopped_s", [0.15, 0.25, 0.6])
 def test_delete_received_while_the_process_was_stopped_is_read_before_anything_is_sent(tmp_path, stopped_s):
     async def play():
--- a/tests/test_duplicate_responses.py
+++ b/tests/test_duplicate_responses.py
@@ -1,8 +1,8 @@
-"""A second copy of an engine's response that comes while the next call is in flight on the same connection.
+"""Duplicates of an engine's response that arrive while the next call is in flight on the same connection.
 
-Clients were given the rows of another client's query: no response names its query, and a copy that came a few
-milliseconds late was read as the response to the next call (`SecondAnswers` in test_endings_attempts.py). The counter
-`engine_surplus_responses` tells of copies. These tests show what telling copies from honest equal responses costs.
+Clients got the rows of another client's query: responses do not name their query, and a copy that was a few ms late was
+read as the response to the next call (`CopiesOfResponses` in test_endings_attempts.py). Copies are counted by
+`engine_surplus_responses`. These tests also check the cost of distinguishing copies from genuine equal responses.
 """
 
 import asyncio
@@ -69,7 +69,7 @@
         assert backoff.allows_wait(200, now_s)
         backoff.record_genuine(200, now_s)
         assert not backoff.allows_wait(200, now_s + pause_s - 0.01)
-        assert backoff.allows_wait(503, now_s)  # each status by itself
+        assert backoff.allows_wait(503, now_s)  # each status is independent
         now_s += pause_s
         pause_s = min(MAX_PAUSE_S, 2.0 * pause_s)
     backoff.record_genuine(200, now_s)
@@ -112,7 +112,7 @@
         self.assertEqual((self.count("engine_surplus_responses"), len(engine.of("POST"))), (1, 2))
 
     async def test_copies_of_two_earlier_responses_are_both_detected(self):
-        """The soak found it (seed 0): the second copy was taken for the response that shows the first to be a copy."""
+        """The second copy was taken for the genuine response that follows a first copy (found by a soak, seed 0)."""
         await self.start(idle=True)
         (engine,) = self.peers
         second = FIRST.replace(b"a\t1\tx", b"c\t3\tz")
@@ -121,7 +121,7 @@
             if len(engine.of("POST")) < 3:
                 return page("a\t1\tx\n" if len(engine.of("POST")) == 1 else "c\t3\tz\n")
             request.transport.write(FIRST)
-            await asyncio.sleep(0.01)  # read by itself
+            await asyncio.sleep(0.01)  # received separately
             request.transport.write(second)
             await asyncio.sleep(0.05)
             return page("b\t2\ty\n")
@@ -132,7 +132,7 @@
         self.assertEqual((self.count("engine_surplus_responses"), len(engine.of("POST"))), (2, 3))
 
     async def test_copy_is_not_accepted_if_the_genuine_response_is_late(self):
-        """The news tell the query's own rows; the engine has sent a copy before, on the resting connection."""
+        """A poll returns the query's own rows; the engine has sent a copy before, on the idle connection."""
         await self.start(idle=True)
         (engine,) = self.peers
 
@@ -151,7 +151,7 @@
         self.assertEqual(len(engine.of("POST")), 3)
 
     async def errors_at_an_engine_that_sends_copies(self, **response):
-        """Statuses of two loads whose POSTs get equal errors, after the engine has sent a copy of something else."""
+        """Return statuses and POSTs of two loads that get equal errors, after the engine has sent another copy."""
         await self.start(idle=True)
         (engine,) = self.peers
 
@@ -169,8 +169,8 @@
         return statuses, len(engine.of("POST")) - 1
 
     async def test_equal_error_of_an_engine_that_sends_copies_is_accepted_without_polling(self):
-        """News are asked for by id, which another request may have: a client was given that one's rows (second site,
-        join+brink+mass, seed 293860874044, in two of three plays: "gave a bad client the answer 'served'")."""
+        """A poll by id could reach another request: a client got that one's rows (second site, join+brink+mass, seed
+        293860874044, in two of three runs: "gave a bad client the answer 'served'")."""
         self.assertEqual(await self.errors_at_an_engine_that_sends_copies(status=500), ([502, 502], 2))
 
     async def test_equal_shed_of_an_engine_that_sends_copies_proves_nothing(self):
@@ -179,14 +179,14 @@
         self.assertEqual((statuses, posts), ([503, 502], 2))
 
     async def test_doubtful_response_is_dropped_if_its_connection_breaks(self):
-        """It may have been the copy; the news tell what became of the query, which is sent once."""
+        """It may be the copy; the query is polled and not sent again."""
         await self.start(idle=True)
         (engine,) = self.peers
 
         async def respond(request):
             if len(engine.of("POST")) == 2:
                 request.transport.write(FIRST)
-                await asyncio.sleep(0.02)  # it is read before the connection breaks
+                await asyncio.sleep(0.02)  # received before the connection breaks
                 request.transport.abort()
                 raise ConnectionResetError
             return page("a\t1\tx\n")
@@ -202,7 +202,7 @@
         async def respond(request):
             if len(engine.of("POST")) == 2:
                 request.transport.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
-                await asyncio.sleep(0.02)  # it is read before the connection breaks
+                await asyncio.sleep(0.02)  # received before the connection breaks
                 request.transport.abort()
                 raise ConnectionResetError
             return web.Response(status=500)
@@ -234,11 +234,11 @@
         self.assertEqual([one[0], two[:2]], [502, (200, {"rows": [["b", "2", "y"]]})])
 
 
-class HonestEqualResponses(Crossing):
+class GenuineEqualResponses(Crossing):
     COUNT = 100
 
     async def connections_and_time(self):
-        """How many connections many equal responses take, and the seconds they take in all."""
+        """Return the number of connections and the seconds for COUNT equal responses."""
         (engine,) = self.peers
         transports = set()
         engine.script = lambda request, body: transports.add(request.transport)
@@ -252,7 +252,7 @@
         await self.start(idle=True)
         connections, took_s = await self.connections_and_time()
         self.assertEqual((connections, self.count("engine_surplus_responses")), (1, 0))
-        # A wait each 0.25, 0.5, 1 and 2 s at most, so that the most is reached within a few seconds of requests.
+        # Waits are at least 0.25, 0.5, 1, 2 s and so on apart, so that few of them cover all requests.
         self.assertLess(took_s, 6 * OWN_RESPONSE_DUE_S + 0.02 * self.COUNT)
 
     async def test_they_are_served_if_the_engine_accepts_no_more_connections(self):
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""Hostile clients, spoilt answers and long days over loopback sockets: one story for each thing seen there."""
+"""Hostile clients, malformed responses of engines and long runs, over loopback sockets."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
         return reader, writer
 
     async def said(self, data: bytes) -> bytes:
-        """All that a connection says on `data` until it is closed."""
+        """Send `data` on a new connection and return all input until it is closed."""
         reader, writer = await self.open()
         writer.write(data)
         async with asyncio.timeout(4.0):
@@ -87,7 +87,7 @@
         said = asyncio.create_task(reader.read())
         for _ in range(8):
             writer.write(b"x" * (1 << 20))
-            await writer.drain()  # raises if the connection was reset meanwhile
+            await writer.drain()  # raises if the connection was reset
         self.assertTrue((await said).startswith(b"HTTP/1.1 413 "))
 
     async def test_duplicate_request_id_is_rejected_and_the_first_request_is_served(self):
@@ -150,11 +150,11 @@
             self.assertIn(b'"SELECT %d"' % number, word)
 
 
-class SpoiltAnswers(Wire):
+class MalformedResponses(Wire):
     GOOD = b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 6\r\n\r\na\t1\tx\n"
 
     async def script(self, *answers):
-        """An engine whose first answers are these bytes as they stand; its connections stay open."""
+        """Start an engine whose first responses are these raw bytes; its connections stay open."""
         (engine,) = await self.start()
         left, transports = list(answers), []
 
@@ -236,11 +236,11 @@
         )
 
     async def lost(self, when: str, elder: bool) -> tuple[list[str], float]:
-        """A query unknown to its engine after a silence: its calls, and ms from the last ask to the next POST."""
+        """Let an engine forget a query after a timeout; return its calls, and ms from last poll to next POST."""
         (engine,) = await self.start()
         at, done = [], asyncio.Event()
 
-        async def other():  # a query beside it, whose connection is in use all the time
+        async def other():  # a second query that keeps its connection in use
             await asyncio.sleep(0.1)
             return page("b\t1\tx\n") if done.is_set() else web.Response(status=202)
 
@@ -270,7 +270,7 @@
         return [method for method, _ in at], asks[-1] - asks[-3]
 
     async def test_query_unknown_to_a_restarted_machine_is_retried_only_after_its_expiry(self):
-        """A zone that was lost returned: its processes said 204 to ids they never saw, and each got a second copy."""
+        """Processes of a zone that returned answered 204 to unknown ids, and queries ran twice."""
         for when, calls in (
             ("the POST is never answered", ["POST", "GET", "DELETE", "POST"]),
             ("the news are not", ["POST", "GET", "GET", "DELETE", "POST"]),
@@ -305,7 +305,7 @@
         engine.script = lambda request, body: transports.append(request.transport)
         self.assertEqual((await self.ask(LOAD, number=1))[0], 200)
         (line,) = self.program.driver.pools[0].idle
-        with unittest.mock.patch.object(line, "connection_lost", lambda error: None):  # not yet told
+        with unittest.mock.patch.object(line, "connection_lost", lambda error: None):  # not yet reported
             transports[0].abort()
             await self.until(lambda: line.poll.poll(0) or line.transport.is_closing())
             self.assertFalse(line.is_usable())
@@ -313,7 +313,7 @@
         self.assertEqual(len(engine.of("POST")), 2)
 
 
-class LongDays(Wire):
+class LongRunning(Wire):
     async def test_removed_engines_leave_no_state_and_successors_get_new_pools(self):
         (engine,) = await self.engines()
         bus = await Bus().start()
@@ -327,7 +327,7 @@
             self.assertEqual((await self.ask(number=1))[0], 200)
             before = self.program.driver.pools[0]
             self.assertEqual(len(before.idle), 1)
-            for n in range(1, 40):  # each takes the address of the one before
+            for n in range(1, 40):  # each has the address of the previous one
                 bus.say(
                     change(2 * n, host(f"s-{n - 1:08x}", engine.port, "left")),
                     change(2 * n + 1, host(f"s-{n:08x}", engine.port)),
@@ -345,7 +345,9 @@
             self.assertEqual((await self.ask(number=number, timeout=3900.0))[0], 200)
         paths = self.program.platform.registry
         self.assertEqual((self.program.core.ledger.entries, paths.open, paths.ids), ({}, {}, set()))
-        self.assertLess(len(self.program.core.dispatcher.timers), 5, "the module's reminders and no dead ones")
+        self.assertLess(
+            len(self.program.core.dispatcher.timers), 5, "only timers of the decision module, none of ended requests"
+        )
 
     async def test_disconnected_client_leaves_no_state(self):
         (engine,) = await self.start()
@@ -361,7 +363,7 @@
 
 
 class OtherDeployments(EdgeCase):
-    """What one site's engines say and another's do not."""
+    """Deployments whose engines send other headers."""
 
     async def test_load_reports_with_other_columns_or_without_headers_are_accepted(self):
         for how, columns, meter, report in (
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -1,6 +1,6 @@
-"""What is still owed when an attempt at an engine ends: its client leaves, its time runs out, its connection breaks.
+"""Ends of attempts at engines: the client leaves, the deadline passes, or the connection breaks.
 
-Each story holds a peer at a named point, so that the two things cross there.
+Each test holds a peer at a certain point, so that two events coincide there.
 """
 
 import asyncio
@@ -25,14 +25,14 @@
 
 
 def reset(transport):
-    """End a connection by a reset, whatever was read of it."""
+    """Reset a connection, whatever was read of it."""
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
 
 
 class Crossing(Wire):
     async def start(self, count=1, idle=False, **kw):
-        """Engines, to each of which an idle connection stands if asked for, and a hook on each request taken."""
+        """Start engines, with `idle` connections to each, and call `mark` for each accepted request."""
         engines = await super().start(count, **kw)
         self.core, self.driver = self.program.core, self.program.driver
         self.core.settings = replace(self.core.settings, connect_timeout_ms=5000.0)
@@ -54,10 +54,10 @@
         await super().until(true, within_s)
 
     def mark(self, ask):
-        """What else a request is given as it is taken."""
+        """Change a request as it is accepted; tests override this."""
 
     def late(self):
-        """Connections to engines come up once the first event is set; the second tells that one is awaited."""
+        """Hold new connections to engines until the first event is set; the second is set once one is awaited."""
         go, awaited, loop = asyncio.Event(), asyncio.Event(), asyncio.get_running_loop()
         create, ports = loop.create_connection, [engine.port for engine in self.peers]
 
@@ -81,14 +81,14 @@
         return [call for engine in self.peers for call in engine.of("POST")]
 
     async def quiet(self):
-        """Nothing is out any more, and a later request is served: what was to come before has come."""
+        """Wait until no request is open and a later one is served, so that all earlier events have been handled."""
         await self.until(lambda: not self.core.ledger.entries)
         self.asks.clear()
         self.mark = lambda ask: None
         self.assertEqual((await self.ask(number=99))[0], 200)
 
 
-class TimeTold(Crossing):
+class RemainingTime(Crossing):
     async def told(self, number):
         self.assertEqual((await self.ask(number=number, timeout=2000.0))[0], 200)
         return float(self.peers[0].headers[-1]["X-Max-Ms"])
@@ -98,7 +98,7 @@
         go, awaited = self.late()
         asked = asyncio.create_task(self.told(1))
         await awaited.wait()
-        await asyncio.sleep(0.3)  # the time that passes is the story
+        await asyncio.sleep(0.3)  # the test is about the time that passes here
         (ask,) = self.asks
         left_ms = ask.received_ms + ask.timeout_ms - clock()
         go.set()
@@ -115,7 +115,7 @@
 
         self.core.may_start = fence
         told = await self.told(1)
-        self.assertEqual((len(left), self.driver.tasks), (1, set()), "it took the way without a task")
+        self.assertEqual((len(left), self.driver.tasks), (1, set()), "the attempt had no task")
         self.assertLessEqual(told, left[0])
 
     async def test_time_limit_never_exceeds_the_clients_remaining_time(self):
@@ -166,7 +166,7 @@
                 _, writer = await self.client()
                 await self.until(lambda: self.asks and not self.core.ledger.entries)
                 self.nothing_sent()
-                writer.close()  # only now the front sees what the look saw
+                writer.close()  # only now the front detects the disconnect
                 await self.until(lambda: not self.program.platform.registry.ids)
                 self.assertEqual((len(looks), self.count("ended_moot")), (1, 1))
                 await self.quiet()
@@ -210,7 +210,7 @@
 
         def leaves(attempt, *args):
             ended(attempt, *args)
-            self.core.client_disconnected(attempt.request)  # behind the end, in the same turn of the core's
+            self.core.client_disconnected(attempt.request)  # after the end, in the same turn of the core
 
         self.core.attempt_ended = leaves
         await self.client()
@@ -238,7 +238,7 @@
 
 
 class Slow(asyncio.Protocol):
-    """An engine's side of a connection on which only the first bytes of a call are read until it is told to go on."""
+    """An engine's side of a connection that reads only the first bytes of a call until reading is resumed."""
 
     def __init__(self):
         self.came, self.ended = b"", asyncio.Event()
@@ -254,11 +254,11 @@
         self.ended.set()
 
 
-class HalfWritten(Crossing):
-    """A POST of which the system has not taken all bytes: the engine never had it whole."""
+class PartlyWrittenPosts(Crossing):
+    """A POST that is partly in the write buffer: the engine never received it completely."""
 
     async def out(self, cls=LOAD):
-        """A client whose POST is half written to a slow engine; a good one stands beside it."""
+        """Send a request whose POST is partly written to a slow engine; a second engine is healthy."""
         engines = await self.start(2)
         self.slow = Slow()
         server = await asyncio.get_running_loop().create_server(lambda: self.slow, "127.0.0.1", 0)
@@ -331,13 +331,13 @@
         )
         reset(there)
         await self.until(lambda: line.poll.poll(0))
-        line.poll = SimpleNamespace(poll=lambda ms: [])  # it came right behind the look
+        line.poll = SimpleNamespace(poll=lambda ms: [])  # the reset arrived right after the check
         self.assertEqual((await self.ask(LOAD))[0], 200)
         self.assertEqual((len(self.posts()), len(engines[0].of("GET"))), (1, 0))
 
 
 class Resets(Crossing):
-    """A reset under a request that has begun: it may have run, so that its news are asked for and it is sent once."""
+    """Resets after a request was sent: it may have run, so it is polled and not sent again."""
 
     async def test_reset_at_any_byte_of_any_page_is_recovered_without_resending(self):
         pages = [GOOD % (2, b""), GOOD % (2, b"X-Page: 1\r\n")]
@@ -365,9 +365,9 @@
                         self.assertEqual(len(engine.of("POST")), 1)
 
 
-class SecondAnswers(Crossing):
+class CopiesOfResponses(Crossing):
     async def test_copy_received_during_another_call_is_not_taken_for_its_response(self):
-        """No answer names its query, and a copy may come when the next call is out on the same connection."""
+        """Responses do not name their query; a copy may arrive during the next call on the same connection."""
         for answer in (FIRST, b"HTTP/1.1 503 X\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n"):
             (engine,) = await self.start(idle=True)
 
@@ -377,13 +377,13 @@
 
             def script(request, body, answer=answer, engine=engine, own=own):
                 if request.method == "POST" and len(engine.of("POST")) == 2:
-                    request.transport.write(answer)  # the copy, before the engine has looked at this call
+                    request.transport.write(answer)  # the copy, before the engine handles this call
                     return own()
                 if request.method == "POST" and len(engine.of("POST")) == 3:
                     return page("d\t4\tw\n")
                 if request.method == "POST":
                     return page("a\t1\tx\n") if answer is FIRST else web.Response(status=503, headers={"X-Shed": "1"})
-                return own()  # the next call is under way when the news come
+                return own()  # the next call is in flight when the poll is answered
 
             engine.script = script
             self.core.controller.settings = replace(self.core.controller.settings, max_attempts=1)
@@ -392,7 +392,7 @@
             self.assertEqual(len(engine.of("POST")), 3)
 
     async def test_repeated_error_is_accepted_without_polling(self):
-        """News are asked for by id, which another request may have: that one's rows would be taken for its own."""
+        """A poll by id could return the rows of another request with that id."""
         (engine,) = await self.start(idle=True)
         engine.script = lambda request, body: (
             web.Response(status=500) if request.method == "POST" else page("b\t2\ty\n")
@@ -402,7 +402,7 @@
         self.assertEqual(engine.of("GET"), [])
 
 
-class EndlessAnswers(Crossing):
+class EndlessResponses(Crossing):
     async def test_endless_responses_end_before_the_deadline_and_close_connections(self):
         for name, head, drip in (
             ("body", b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 60000\r\n\r\n", b"x"),
@@ -486,7 +486,7 @@
 
 class RepeatWindow(Crossing):
     async def repeated(self, window_ms, pause_s):
-        """Statuses and sends of a keyed request whose first engine fails it; the second's connection is late."""
+        """Return status and number of POSTs of a keyed request that fails at one engine and waits for another."""
         keyed = {
             "name": LOOKUP,
             "effect": "by_key",
@@ -511,7 +511,7 @@
         await self.until(lambda: held)
         go, awaited = held
         await awaited.wait()
-        await asyncio.sleep(pause_s)  # the time that passes is the story
+        await asyncio.sleep(pause_s)  # the test is about the time that passes here
         go.set()
         return (await asked)[0], len(self.posts())
 
@@ -525,7 +525,7 @@
         sent = [headers for engine in engines for headers in engine.headers]
         keys = {(one["X-Queue"], one.get("X-Nonce")) for one in sent}
         self.assertEqual(keys, {(LOOKUP, "booking:7/a"), (LOAD, None)})
-        self.assertGreater(len(sent), 2, "a repeat is one more attempt")
+        self.assertGreater(len(sent), 2, "a retry is another attempt")
         for spoilt in ("a b", "k" * 300):
             self.assertEqual((await self.ask(number=3, **{"Idempotency-Key": spoilt}))[0], 400)
         self.assertEqual(sum(len(engine.headers) for engine in engines), len(sent))
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -1,4 +1,4 @@
-"""What is owed when the event bus ends, moves or falls silent: its word counts as told all the same."""
+"""The event bus ends, moves or falls silent: its events still count as delivered after a fixed time."""
 
 import asyncio
 import json
@@ -17,12 +17,12 @@
 from frostspindle.net import discovery as watching
 from frostspindle.reserved_descriptor import ReservedDescriptor
 
-TOLD_S = 7.0  # the protocol's: what the bus has to tell counts as told so much later, whether it arrived or not
+DELIVERY_S = 7.0  # by the protocol, events count as delivered after this time
 DRAINING = 2
 
 
 class Bussed(EdgeCase):
-    """A coordinator with one engine, and a bus that it has joined."""
+    """A coordinator with one engine, connected to a bus."""
 
     async def joined(self) -> Bus:
         (self.engine,) = await self.engines()
@@ -46,11 +46,11 @@
     async def test_drain_is_applied_in_time_after_two_silent_reconnects(self):
         bus = await self.joined()
         began = time.monotonic()
-        bus.say(1)  # the last word before all watches fall silent; the drain is told right after
-        await bus.joined(4)  # the second and the third say nothing either
+        bus.say(1)  # the last line before the connections fall silent; the drain follows
+        await bus.joined(4)  # the second and third are silent too
         bus.say(self.drain(2))
         await self.until(lambda: self.program.core.engines[1].entry.health == DRAINING)
-        self.assertLess(time.monotonic() - began, TOLD_S)
+        self.assertLess(time.monotonic() - began, DELIVERY_S)
         self.assertEqual(bus.froms, ["from 1"] * 4)
         self.assertEqual((await self.ask(timeout=400.0))[0], 503)
         self.assertEqual(self.engine.of("POST"), [])
@@ -59,7 +59,7 @@
         self.mocked(SILENCE_TIMEOUT_S=0.1, MAX_SILENCE_TIMEOUT_S=2.0)
         bus = await self.joined()
 
-        async def late(number: int) -> None:  # speaks only when twice the first patience is over
+        async def late(number: int) -> None:  # sends only after twice the first timeout
             await bus.joined(number)
             asyncio.get_running_loop().call_later(0.2, bus.writers[number - 1].write, b"1\n")
 
@@ -71,7 +71,7 @@
         self.mocked(SILENCE_TIMEOUT_S=0.5)
         bus = await self.joined()
         for _ in range(2):
-            bus.say(1)  # lies unread in the system while nothing here runs for longer than the bus may be silent
+            bus.say(1)  # stays unread while this process pauses for longer than the silence timeout
             time.sleep(0.8)
             await asyncio.sleep(0.1)
         self.assertEqual((len(bus.froms), self.count("bus_reconnects")), (1, 0))
@@ -99,14 +99,14 @@
             line = json.dumps(change(number, host("s-00000001", self.engine.port))).encode()
             bus.writers[-1].write(line[:cut])
             joined = len(bus.froms)
-            if number % 2:  # half a line, then the end; or an end that is a reset
+            if number % 2:  # a partial line, then a close or a reset
                 bus.writers[-1].close()
             else:
                 await asyncio.sleep(0.02)
                 bus.writers[-1].transport.abort()
             await bus.joined(joined + 1)
             self.assertEqual((bus.froms[-1], self.program.bus.last), (f"from {number - 1}", number - 1))
-            for _ in range(2):  # told twice: taken once
+            for _ in range(2):  # sent twice, applied once
                 bus.say(change(number, host("s-00000001", self.engine.port)))
             await self.until(lambda n=number: self.program.bus.last == n)
         await asyncio.sleep(0.05)
@@ -143,7 +143,7 @@
         bus.writers[-1].write(json.dumps(self.drain(2)).encode()[:-1])
         await asyncio.sleep(0.05)
         new = await self.moved()
-        bus.writers[-1].write(b"}\n")  # the old bus is no word any more
+        bus.writers[-1].write(b"}\n")  # the old bus is ignored
         await asyncio.sleep(0.05)
         self.assertEqual((new.froms, self.program.bus.last), (["from 1"], 1))
         new.say(self.drain(2))
@@ -151,7 +151,7 @@
 
     async def test_move_during_a_hanging_connect_is_applied_at_once(self):
         self.mocked(CONNECT_TIMEOUT_S=60.0)
-        hanging = socket.socket()  # a line of none that is full: further SYNs are dropped
+        hanging = socket.socket()  # its backlog is full: further SYNs are dropped
         hanging.bind(("127.0.0.1", 0))
         hanging.listen(0)
         filled = [socket.socket() for _ in range(3)]
@@ -199,7 +199,7 @@
 
 
 class Full(FleetCase):
-    """Idle clients hold all descriptors of a real process while discovery is down."""
+    """Idle clients use all descriptors of a real process while the bus is down."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -224,7 +224,7 @@
         await self.bus.joined()
         self.client = await asyncio.open_connection("127.0.0.1", self.port)
         for number in (1, 2):
-            self.assertEqual((await self.ask(number))[0], b"200")  # one connection to each engine stands
+            self.assertEqual((await self.ask(number))[0], b"200")  # one connection to each engine is open
 
     async def ask(self, number):
         reader, writer = self.client
@@ -241,10 +241,10 @@
         return os.listdir(f"/proc/{self.running.process.pid}/fd")
 
     async def fill(self):
-        """The bus goes, and silent clients take every descriptor, each free one at once: others wait in the line."""
+        """Stop the bus and let silent clients take every descriptor; further ones wait in the backlog."""
         self.bus.server.close()
         self.bus.writers[0].transport.abort()
-        await self.running.event("discovery_disconnected", 2)  # it was looked for and not found
+        await self.running.event("discovery_disconnected", 2)  # a reconnect has failed
         most = max(map(int, self.open())) + 12
         resource.prlimit(self.running.process.pid, resource.RLIMIT_NOFILE, (most, most))
 
@@ -269,8 +269,8 @@
         return server.sockets[0].getsockname()[1]
 
     async def obeys(self):
-        """The drain that the bus tells on its return is known within the time of the protocol; who asks is served."""
-        async with asyncio.timeout(TOLD_S):
+        """Check that a drain sent by the returning bus is applied in time, and that requests are served."""
+        async with asyncio.timeout(DELIVERY_S):
             await self.bus.joined(2)
         self.bus.say(change(2, {**self.hosts[0], "health": "leaving"}))
         await self.running.until(
@@ -299,7 +299,7 @@
 
 @pytest.fixture
 def bound():
-    """The bound on this process's descriptors, to be lowered by a test."""
+    """Return a function that lowers this process's descriptor limit for the test."""
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
     yield lambda most: resource.setrlimit(resource.RLIMIT_NOFILE, (most, before[1]))
     resource.setrlimit(resource.RLIMIT_NOFILE, before)
@@ -315,7 +315,7 @@
             pass
         assert spare.free() and not spare.free()
         with socket.socket():
-            spare.take()  # none is to be had now
+            spare.take()  # none is available
             assert not spare.free()
         spare.take()
         assert spare.free()
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -1,4 +1,4 @@
-"""What is still owed when a client's connection ends: one crossing after the other, forced on loopback sockets."""
+"""Ends of client connections that coincide with other events, forced on loopback sockets."""
 
 import asyncio
 import errno
@@ -19,15 +19,15 @@
 
 
 class Crossing:
-    """A transport under which something happens at the very moment in which the connection is shut or closed."""
+    """A transport that calls a function at the moment when the connection is shut down or closed."""
 
-    def __init__(self, transport, what):
-        self.transport, self.what = transport, what
+    def __init__(self, transport, action):
+        self.transport, self.action = transport, action
 
     def __getattr__(self, name):
         if name in ("close", "write_eof", "abort"):
-            what, self.what = self.what, lambda: None
-            what()
+            action, self.action = self.action, lambda: None
+            action()
         return getattr(self.transport, name)
 
 
@@ -37,7 +37,7 @@
         return self.program.platform
 
     async def open(self):
-        """A connection that the front has taken; its side there is `self.client`."""
+        """Open a connection and wait until the front has it as `self.client`."""
         before = set(self.front.clients)
         reader, writer = await super().open()
         await self.until(lambda: set(self.front.clients) - before)
@@ -45,14 +45,14 @@
         return reader, writer
 
     async def held(self):
-        """A coordinator whose engine holds all work until `self.go`."""
+        """Start a coordinator whose engine holds all queries until `self.go` is set."""
         (engine,) = await self.start()
         self.go = asyncio.Event()
         engine.script = at_work(self.go)
         return engine
 
     async def answers(self, reader, count=0):
-        """So many answers, or all until the connection ends: status, head and body of each."""
+        """Return status, head and body of `count` responses, or of all until the connection ends."""
         out = []
         async with asyncio.timeout(5.0):
             while not count or len(out) < count:
@@ -66,19 +66,19 @@
         return out
 
     async def read(self, writer, data):
-        """Send this; the front has read it."""
+        """Send data and wait until the front has read it."""
         before = self.client.last_received_at
         writer.write(data)
         await self.until(lambda: self.client.last_received_at > before)
 
     def submitted(self):
-        """The requests that go on to the core, which does not hear of them."""
+        """Return the list of requests that would be submitted to the core, which does not get them."""
         asks = []
         self.program.core.submit = lambda ask: asks.append(ask) or True
         return asks
 
 
-class LastAnswers(Endings):
+class LastResponses(Endings):
     async def test_call_after_the_last_response_of_a_drain_is_answered(self):
         for where in ("taken", "with it", "half read", "unread"):
             with self.subTest(where):
@@ -138,7 +138,9 @@
             1,
         ):
             reader, writer = await self.open()
-            writer.write(post(number) + (b"" if status == 431 else spoilt))  # a head counts from its next bytes on
+            writer.write(
+                post(number) + (b"" if status == 431 else spoilt)
+            )  # the limit of a head applies from its next bytes
             await engine.seen("POST", number)
             writer.write(spoilt if status == 431 else b"")
             await self.until(lambda number=number: self.count("bad_calls") == number)
@@ -157,7 +159,7 @@
                 self.assertEqual((await self.answers(reader, 1))[0][0], 200)
                 self.client.transport = Crossing(self.client.transport, lambda to=writer: to.write(post(2)))
                 ended = self.client.end() if end == "end" else asyncio.create_task(self.front.close())
-                self.assertEqual(await self.answers(reader), [], "an end, and no reset")
+                self.assertEqual(await self.answers(reader), [], "closed without a reset")
                 if ended is not None:
                     await ended
         self.assertEqual(len(engine.of("POST")), 2)
@@ -178,14 +180,14 @@
         ((status, head, body),) = await self.answers(reader)
         self.assertEqual((status, b"Retry-After-Ms: " in head, body, engine.calls), (503, True, BUSY, []))
 
-    # Guards against: a process that stood still until its end closed over calls that had come meanwhile.
+    # Guards against: a process that was stopped until its shutdown reset connections with unread calls.
     async def test_unread_calls_at_shutdown_without_remaining_time_get_a_rejection(self):
         (engine,) = await self.start()
         connections = [await self.open() for _ in range(3)]
         self.front.finish()
         plain = [writer.get_extra_info("socket") for _, writer in connections]
         for number, connected in enumerate(plain, 1):
-            os.write(connected.fileno(), post(number))  # it is in the socket before the loop runs again
+            os.write(connected.fileno(), post(number))  # in the socket before the event loop runs again
         await self.front.close(asyncio.get_running_loop().time() - 1.0)
         for reader, _ in connections:
             ((status, _, body),) = await self.answers(reader)
@@ -266,7 +268,7 @@
 
 class Places(Endings):
     async def crowd(self, *ages):
-        """Connections that say nothing since so long, and no place for another one."""
+        """Open connections that have been silent for `ages` seconds, up to the connection limit."""
         await self.start()
         self.front.max_clients = len(ages)
         self.silent = []
@@ -324,7 +326,7 @@
             reader, writer = await self.open()
             await self.read(writer, (post(2) + post(3))[:cut])
             answers = await self.answers(reader, 1) if cut >= len(post(2)) else []
-            if cut != len(post(2)):  # the connection ends with an answer behind which nothing is read
+            if cut != len(post(2)):  # the connection ends after a response with no further input
                 writer.write((post(2) + post(3))[cut:])
             answers += await self.answers(reader)
             self.assertEqual(
@@ -343,7 +345,7 @@
         writer.write(post(1))
         await engine.seen("POST")
         _, second = await self.open()
-        third = asyncio.create_task(self.said(post(3)))  # waits in the system
+        third = asyncio.create_task(self.said(post(3)))  # waits in the backlog
         await asyncio.sleep(0.1)
         self.assertEqual(self.front.open_connections, 2)
         self.client.state_since -= 1.0
@@ -370,7 +372,7 @@
 
 class Presence(Endings):
     async def plain(self):
-        """A connection whose ends are the system's at once, not after the loop's next turn."""
+        """Open a plain socket, whose close takes effect at once and not in the next turn of the event loop."""
         before, plain = set(self.front.clients), socket.create_connection(("127.0.0.1", self.front.port))
         self.addCleanup(plain.close)
         await self.until(lambda: set(self.front.clients) - before)
@@ -425,7 +427,7 @@
         self.assertEqual((await self.call("DELETE", json.loads(body)["next"]))[0], 204)
         self.assertEqual((ask.is_client_connected(), left), (False, [ask]))
 
-    # Guards against: a DELETE waited for 0.1 s and more behind an accept that failed once, and its request was sent on.
+    # Guards against: a DELETE waited for over 0.1 s after an accept had failed once, and its request was sent.
     async def test_delete_is_accepted_soon_after_a_failed_accept(self):
         await self.start()
         asks, left = self.submitted(), []
@@ -539,7 +541,7 @@
 
 
 class Arrival(Endings):
-    """A client's time counts from its last byte, also where the loop was at work when it came."""
+    """A request's time starts with its last byte, even if the event loop was busy when it arrived."""
 
     async def test_receive_time_precedes_work_that_blocked_the_event_loop(self):
         await self.start()
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -1,4 +1,4 @@
-"""What a client's headers may say: key, tenant and retry mark, their bounds, and their way to the module."""
+"""Request headers of clients: key, tenant and retry mark, their limits, and their use by the decision module."""
 
 import asyncio
 
@@ -73,12 +73,18 @@
     assert tenants.numbers == {"east": 1, "west": 2, "blue": 3}
     assert [tenants.number(team, b"west"), tenants.number(RequestAttributes("http", database="w"), b"east")] == [3, 2]
     assert [tenants.number(RequestAttributes("http"), b"west"), tenants.number(RequestAttributes("http"))] == [2, 1]
-    for name in (b"blue", b"", b"West", b"x" * 4000, b"\xff"):  # a name of the operator's is not the client's to claim
+    for name in (
+        b"blue",
+        b"",
+        b"West",
+        b"x" * 4000,
+        b"\xff",
+    ):  # clients must not use tenant names of the operator's file
         with pytest.raises(UnknownTenantError):
             tenants.number(RequestAttributes("http"), name)
     assert (
         Tenants((), [], ("blue",)).number(RequestAttributes("http"), b"who") == 0
-    )  # settings without tenants ask for no name
+    )  # without tenants in the settings any name is accepted
 
 
 class Fields(EdgeCase):
@@ -105,7 +111,7 @@
         self.assertEqual(self.program.core.controller.settings.tenant_quotas_per_s, (0.0, 30.0, 4.0))
         self.assertEqual(self.count("client_retries"), 1)
         engine.script = lambda request, body: page("a\t1\tx\n", X_Cost_Ms="soon", X_Needed_Mb="-1")
-        self.assertEqual((await self.ask("lookup", 2, **{"X-Object": "k1"}))[0], 200)  # the answer is good all the same
+        self.assertEqual((await self.ask("lookup", 2, **{"X-Object": "k1"}))[0], 200)  # the response is still used
         self.assertEqual((self.asked[1].tenant, self.asked[1].key, self.ends[1][6:8]), (0, 0, (0.0, 0.0)))
         self.assertEqual(self.count("engine_bad_needs"), 1)
 
@@ -142,7 +148,7 @@
                 + given
                 + f"Content-Length: {len(SQL)}\r\n\r\n{SQL}".encode()
             )
-            head, _, body = (await reader.read()).partition(b"\r\n\r\n")  # a word, and the connection ends
+            head, _, body = (await reader.read()).partition(b"\r\n\r\n")  # a rejection, then the connection is closed
             self.assertEqual((head.split(b" ")[1], name.encode() in body), (b"400", True), values)
             self.assertLess(len(body), 100)
             writer.close()
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -1,16 +1,16 @@
-"""An attempt without a task while its POST is out on an idle connection: spoilt answers again, and its own stories."""
+"""Attempts without a task, while their POST is in flight on an idle connection."""
 
 import asyncio
 import unittest.mock
 
 from aiohttp import web
 from peers import LOAD, at_work, page
-from test_edge import SpoiltAnswers, Wire, post
+from test_edge import MalformedResponses, Wire, post
 
 
 class Idle(Wire):
     async def start(self, *args, **kw):
-        """Engines to each of which an idle connection stands."""
+        """Start engines, each with an idle connection from the coordinator."""
         engines = await super().start(*args, **kw)
         self.assertEqual((await self.ask(LOAD, number=99))[0], 200)
         for engine in engines:
@@ -20,13 +20,13 @@
         return engines
 
 
-class SpoiltAnswersOnAnIdleConnection(Idle, SpoiltAnswers):
-    """A POST on an idle connection has no task: whatever comes of it must mean the same."""
+class MalformedResponsesOnAnIdleConnection(Idle, MalformedResponses):
+    """Without a task malformed responses have the same effects as in a task."""
 
 
 class First(Idle):
     async def out(self, script):
-        """A request whose POST is out on the idle connection: its client, the engine, the attempt."""
+        """Send a request on the idle connection; return the engine, the connection, the attempt and the client."""
         (engine,) = await self.start()
         line, engine.script = self.driver.pools[0].idle[0], script
         reader, writer = await self.open()
@@ -45,7 +45,7 @@
         go.set()
         await self.gone(attempt)
         self.assertEqual((self.count("served"), self.driver.pools[0].idle), (2, [line]))
-        self.assertIsNone(attempt.task, "nothing is left to the collector")
+        self.assertIsNone(attempt.task, "no reference cycle is left")
 
     async def test_disconnected_client_frees_the_engine_and_the_connection_waits_for_the_response(self):
         go = asyncio.Event()
@@ -60,7 +60,7 @@
         self.assertEqual(len(engine.of("POST")), 2)
 
     async def test_attempt_cancelled_as_its_task_starts_is_cancelled_at_the_engine(self):
-        """The task never runs then, and the engine works on."""
+        """The task never runs, while the engine is still running the query."""
         first = [web.Response(status=202)]
         engine, _, attempt, _ = await self.out(lambda request, body: first.pop() if first else None)
         goes_on = self.driver._on_continued
@@ -100,7 +100,7 @@
         self.assertIsNot(transports[0], transports[1])
 
     async def test_connection_timer_is_moved_to_an_earlier_deadline(self):
-        """One is left from an earlier call, for later."""
+        """The timer of an earlier call is set for a later time."""
         await self.start()
         line = self.driver.pools[0].take()
         self.assertGreater(line.timer.when(), line.loop.time() + 0.1)
@@ -122,4 +122,4 @@
         )
 
 
-del SpoiltAnswers, Wire  # else they would be run here once more
+del MalformedResponses, Wire  # else they would be collected here too
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The operators' call `metrics`: the figures of `show-stat`, read back by the library's own parser."""
+"""The operators' call `metrics`: the figures of `show-stat`, parsed by prometheus_client."""
 
 import json
 import subprocess
@@ -33,7 +33,7 @@
 
 
 def read(text):
-    """Each sample's name, labels and value."""
+    """Return each sample's value by its name and labels."""
     return {
         (sample.name.removeprefix("frostspindle_"), *sample.labels.values()): sample.value
         for family in text_string_to_metric_families(text)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""Operators' staff call: one story for each call and for each way in which it can go wrong."""
+"""Operators' calls, with their failures."""
 
 import asyncio
 import json
@@ -51,7 +51,7 @@
 
     async def test_calls_are_answered_while_the_core_task_is_stopped(self):
         await self.start()
-        self.program.tasks[0].cancel()  # the core's: whatever comes now stays in its inbox
+        self.program.tasks[0].cancel()  # the core's task: its events stay queued
         self.assertEqual(await self.operate("ready"), ["ACK"])
         self.assertEqual((await self.operate("show-stat"))[1:], ["--"])
 
@@ -84,7 +84,7 @@
             },
         )
         self.program.report()
-        self.assertEqual(self.log[-1]["figures"], figures)  # SIGUSR1 tells the same
+        self.assertEqual(self.log[-1]["figures"], figures)  # SIGUSR1 reports the same
         go.set()
         self.assertEqual((await waiting)[0], 200)
         self.assertEqual((await self.figures())["inflight"], 0)
@@ -188,21 +188,21 @@
         await self.until(lambda: len(self.program.core.names) == 2)
         self.assertEqual(await self.operate("disable-server s-00000000"), ["ACK"])
         self.assertEqual(await self.operate("disable-server s-00000000"), ["ACK"])
-        bus.say(change(2, host("s-00000000", first.port)))  # the list knows nothing of it
+        bus.say(change(2, host("s-00000000", first.port)))  # the list does not contain the ban
         await self.until(lambda: self.program.bus.last == 2)
         for number in range(8):
             self.assertEqual((await self.ask(number=number))[0], 200)
         self.assertEqual((len(first.calls), len(second.of("POST"))), (0, 8))
         self.assertEqual(((await self.figures())["hosts_listed"], (await self.figures())["hosts_down"]), (2, 1))
         self.program.core.controller.engines[0].ejected = True
-        self.assertEqual((await self.figures())["hosts_down"], 1)  # each once
+        self.assertEqual((await self.figures())["hosts_down"], 1)  # an engine with several reasons counts once
         bus.say(change(3, host("s-00000001", second.port, "leaving")))
         await self.until(lambda: self.program.bus.last == 3)
         before = self.program.driver.pools[0]
         self.assertEqual(await self.operate("enable-server s-00000000"), ["ACK"])
         self.assertEqual((await self.ask(number=9))[0], 200)
         self.assertEqual(len(first.of("POST")), 1)
-        self.assertIsNot(self.program.driver.pools[0], before)  # no connection of before the restart is used
+        self.assertIsNot(self.program.driver.pools[0], before)  # no connection from before the restart is used
         believed = self.program.core.controller.engines[0]
         self.assertEqual((believed.ejected, believed.in_slow_start(clock())), (False, True))
 
@@ -213,7 +213,7 @@
         await self.coordinator([host("s-00000000", engine.port)], bus=bus.port)
         await bus.joined()
         core = self.program.core
-        for offset, told in ((2, False), (3, True)):  # the list may or may not have told of the restart
+        for offset, told in ((2, False), (3, True)):  # the list may or may not announce the restart
             await self.operate("disable-server s-00000000")
             await self.until(lambda: core.engines[0].entry.health == 2)
             began = clock()
@@ -224,7 +224,7 @@
             await self.operate("enable-server s-00000000")
             await self.until(lambda: core.engines[0].entry.health == 1)
             since = core.engines[0].entry.since_ms
-            # Told: the time that the list tells, on the clock of this process. Else: that of the end of the ban.
+            # Announced: the start time in the list, on the local clock. Otherwise the end of the ban.
             self.assertTrue(abs(since - began) < 2.0 if told else since > began + 19.0, (began, since))
 
     async def test_ban_applies_to_waiting_attempts_and_to_a_returning_engine(self):
@@ -239,7 +239,7 @@
         attempt = Attempt(ask, 0, 0, clock(), 900.0, "lookup", 0.0, 1)
         self.assertTrue(core.may_send(attempt))
         core.ban(frozenset({"s-00000000"}))
-        self.assertFalse(core.may_send(attempt))  # at once, before the core's task has had its turn
+        self.assertFalse(core.may_send(attempt))  # at once, before the core's task runs
         await self.operate("disable-server s-00000000")
         bus.say(change(2, host("s-00000000", engine.port, "left")), change(3, host("s-00000000", engine.port)))
         await self.until(lambda: self.program.bus.last == 3)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Whose connection ends, and when: the decisions of net/http/places.py, without sockets."""
+"""Decisions of net/http/connection_limits.py on closing connections, without sockets."""
 
 import math
 
@@ -64,7 +64,7 @@
         assert step is not ConnectionStep.KEEP or waited <= 4.6
     if drained < 0.0:
         assert step not in (ConnectionStep.REJECT_IN_DRAIN, ConnectionStep.CLOSE_IN_DRAIN), (
-            "only a drain sends clients away"
+            "connections are closed for a drain only while draining"
         )
 
 
@@ -72,7 +72,7 @@
     order = [(CLOSING, 0.0), (NEW, 0.2), (IDLE, 1.1), (RECEIVING, 0.6), (IDLE, 0.5), (NEW, 0.05), (RECEIVING, 0.3)]
     ranks = [reclaim_score(state, waited) for state, waited in order]
     assert ranks == sorted(ranks, reverse=True) and ranks[-1] > 0.0 == reclaim_score(BUSY, 100.0)
-    assert reclaim_score(IDLE, 8.0) > reclaim_score(IDLE, 2.0), "of two the one that waited longer"
+    assert reclaim_score(IDLE, 8.0) > reclaim_score(IDLE, 2.0), "the one idle for longer comes first"
     assert (
         max_connections(1000, True) == 1000 * SHARED_CLIENT_DESCRIPTOR_SHARE < max_connections(1000, False)
         and max_connections(1, True) == 16
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's side over loopback sockets: one story for each thing that goes wrong there."""
+"""The HTTP front and HTTP engines over loopback sockets, in normal operation and with faults."""
 
 import asyncio
 import json
@@ -41,7 +41,7 @@
             paths[-1] = (paths[-1][0], body)
             rows += body["rows"]
         self.assertEqual(rows, [r.split("\t") for r in "".join(pages)[:-1].split("\n")])
-        self.assertTrue(paths, "a long result comes in more than one answer")
+        self.assertTrue(paths, "a long result needs several responses")
         for path, earlier in paths:
             self.assertEqual((await self.call("GET", path))[1], earlier)
         self.assertEqual(engine.of("POST"), [("POST", "/v1/store", SQL)])
@@ -75,10 +75,10 @@
         self.assertEqual((await self.ask(LOAD, number=1))[0], 200)
         self.assertEqual((await self.ask(LOAD, number=2))[0], 502)
         self.assertEqual((len(engine.of("POST")), len(engine.of("GET"))), (2, 3))
-        self.assertGreater(len(transports), 1, "the kills met the used connection first, then new ones")
+        self.assertGreater(len(transports), 1, "the resets hit the reused connection first, then new ones")
 
     def moved(self, engine) -> bool:
-        """True once another engine has had a POST."""
+        """Return whether another engine has had a POST."""
         return any(other.of("POST") for other in self.peers if other is not engine)
 
     async def test_lost_page_is_an_error_and_not_a_truncated_result(self):
@@ -97,7 +97,7 @@
         self.assertEqual(self.count("refused"), 1)
 
     async def test_attempt_at_a_silent_engine_is_cancelled_before_the_next_attempt(self):
-        # No promise decides: on a busy machine it would be past before the engine is found silent.
+        # Latency objectives must not decide: on a busy machine they would pass before the silence is detected.
         engines = await self.start(
             2, categories=[cls | {"promise": 60000.0, "hardLimit": 60000.0} for cls in settings()["categories"]]
         )
@@ -106,7 +106,7 @@
         def script(engine, request):
             if engine.of("POST") and (len(order) == 0 or order[0] is engine):
                 order.append(engine if not order else request.method)
-                return asyncio.Event().wait()  # the first engine to get work never answers again
+                return asyncio.Event().wait()  # the first engine to get work never responds
             order.append("again" if request.method == "POST" else "")
             return None
 
@@ -135,7 +135,7 @@
         self.assertEqual([m for m in order if m != "GET"], ["POST", "DELETE", "POST"])
 
     async def test_query_at_a_draining_engine_is_cancelled_on_its_existing_connection(self):
-        """Refused was taken for gone: on a day of 40 coordinators the request ran at two engines."""
+        """A refused connection was taken for a dead process: with 40 coordinators a request ran at two engines."""
         engines, order = await self.start(2), []
 
         async def script(engine, request):
@@ -150,7 +150,7 @@
         asked = asyncio.create_task(self.ask())
         await self.until(lambda: ("GET", order[0][1]) in order if order else False)
         first = order[0][1]
-        first.server.close()  # the open connections stay
+        first.server.close()  # open connections are kept
         (record,) = self.program.core.ledger.entries.values()
         self.program.driver.cancel_attempt(record.attempts[0])
         self.assertEqual((await asked)[0], 200)
@@ -238,7 +238,7 @@
             with self.subTest(status=status, method=method, path=path):
                 self.assertEqual((await self.call(method, path, body, **headers))[0], status)
         self.assertEqual(engine.calls, [])
-        self.assertEqual((await self.ask())[0], 200, "and the next good call is served")
+        self.assertEqual((await self.ask())[0], 200, "the next valid call is served")
 
     async def test_exception_in_the_decision_module_fails_one_request(self):
         await self.start()
@@ -266,7 +266,7 @@
             return handle(now, event)
 
         self.program.core.controller.handle = once
-        self.assertEqual((await self.ask(timeout=400.0))[0], 503, "the module itself refused in time")
+        self.assertEqual((await self.ask(timeout=400.0))[0], 503, "rejected by the decision module in time")
         self.assertEqual((self.count("faults"), self.count("refused")), (1, 1))
 
     async def test_attempt_cancelled_before_its_first_step_is_reported(self):
@@ -279,7 +279,7 @@
             self.program.driver.start_attempt = start
 
         self.program.driver.start_attempt = at_once
-        self.assertEqual((await self.ask())[0], 200, "tried again after its end")
+        self.assertEqual((await self.ask())[0], 200, "retried after its end")
         self.assertEqual((self.count("ended_cancelled"), len(engine.of("POST"))), (1, 1))
 
     async def test_request_over_the_limit_of_open_requests_is_rejected(self):
@@ -295,7 +295,7 @@
         plain = type(peer).acquire
 
         async def slow(self_, *how):
-            # the drain comes while the connection is being made
+            # the drain arrives while the connection is being opened
             core.engines[0].entry = core.engines[0].entry._replace(health=2)
             return await plain(self_, *how)
 
@@ -315,11 +315,11 @@
         await self.operate("disable-server s-00000000")
         began = asyncio.get_running_loop().time()
         self.assertEqual((await self.ask(LOAD, number=3))[0], 200)
-        self.assertLess(asyncio.get_running_loop().time() - began, 0.2)  # the wait for a connection has 0.25 s
+        self.assertLess(asyncio.get_running_loop().time() - began, 0.2)  # the connect timeout is 0.25 s
         self.assertEqual((self.count("ended_connect_failed"), self.count("ended_full")), (0, 0))
 
 
-class BusStories(EdgeCase):
+class BusReconnects(EdgeCase):
     async def test_bus_reconnects_continue_at_the_last_offset_and_repeats_are_dropped(self):
         first, second = await self.engines(2)
         bus = await Bus().start()
@@ -356,7 +356,7 @@
         old.say(change(2, host("s-00000002", engine.port)))
         await self.until(lambda: self.program.bus.last == 2)
         self.config_file.write_text(json.dumps({**self.document, "bus": f"127.0.0.1:{new.port}"}))
-        self.program.reload()  # the old bus stays open and silent
+        self.program.reload()  # the old bus stays open without sending
         await new.joined()
         new.say(change(3, host("s-00000001", engine.port, "leaving")))
         await self.until(lambda: self.program.core.engines[1].entry.health == 2)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Hard restarts: a SIGTERM under many connections, and a list that replaces most engines at their old addresses."""
+"""Restarts under load: SIGTERM with many connections, and replacement of most engines at their addresses."""
 
 import asyncio
 import functools
@@ -17,8 +17,13 @@
 
 from frostspindle.lab.engines import Engine
 
-HELD, IDLE, HALF, POLLED = 60, 60, 40, 40  # connections: a call out, nothing out, half a call, a held GET
-WORD_S = 3.0  # the protocol's: a word or a close is owed so soon after a call's first byte
+HELD, IDLE, HALF, POLLED = (
+    60,
+    60,
+    40,
+    40,
+)  # connections with an open call, without, with a partial call, with a held GET
+REJECTION_S = 3.0  # by the protocol, a response or a close follows within this time after a call's first byte
 
 
 def call(number: int, cls: str = LOOKUP, timeout: int = 50000) -> bytes:
@@ -29,14 +34,14 @@
 
 
 class Raw:
-    """One client's connection, by hand."""
+    """A raw client connection."""
 
     async def open(self, port: int) -> "Raw":
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         return self
 
     async def answer(self) -> tuple[int, dict] | None:
-        """The next answer; None: the connection ended in good order without one. A reset raises."""
+        """Return the next response, or None if the connection was closed without one. A reset raises."""
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
         except asyncio.IncompleteReadError as error:
@@ -65,8 +70,8 @@
             engine.script = slow
         hosts = [host(f"s-{n:08x}", e.port) for n, e in enumerate(engines)]
         terms = settings()
-        # Nothing but the order of the end decides here: no deadline, and no judgement on engines, which share a
-        # process with two hundred clients and are slow where the machine is.
+        # Disable deadlines and outlier detection: the engines share a process with two hundred clients and are slow on
+        # a busy machine.
         for category in terms["categories"]:
             category["promise"] = category["hardLimit"] = 60000.0
         terms["domain"]["notePeriod"] = 0.0
@@ -89,14 +94,14 @@
         polled = await some(POLLED)
         for number, line in enumerate(polled):
             line.writer.write(call(number, LOAD if number % 2 else LOOKUP))
-        for line in polled:  # each was held a second, and has a path
+        for line in polled:  # each was held for a second and gets a path
             status, body = await line.answer()
             self.assertEqual((status, list(body)), (200, ["next"]))
             line.writer.write(f"GET {body['next']} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
         idle = await some(IDLE)
         for line in idle:
             line.writer.write(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
-        for line in idle:  # each has had an answer before
+        for line in idle:  # each has had a response
             self.assertEqual(await line.answer(), (200, "ok"))
         held, half = await some(HELD), await some(HALF)
         for number, line in enumerate(held):
@@ -104,13 +109,13 @@
         for engine in engines:
             await engine.seen("POST", 1)
         began, lag = time.time(), Lag()
-        for number, line in enumerate(half):  # within the head, and within the statement
+        for number, line in enumerate(half):  # cut within the head or the statement
             line.writer.write(call(200 + number)[: 60 if number % 2 else -9])
         old.process.send_signal(signal.SIGTERM)
         await old.event("shutdown_started")
-        for number, line in enumerate(half[: HALF // 2]):  # the other halves of these come in time
+        for number, line in enumerate(half[: HALF // 2]):  # the rest of these arrives in time
             line.writer.write(call(200 + number)[60 if number % 2 else -9 :])
-        late = await some(20)  # it goes on accepting for a while
+        late = await some(20)  # connections are still accepted
         for number, line in enumerate(late):
             line.writer.write(call(300 + number))
 
@@ -129,7 +134,7 @@
                 asyncio.gather(*map(final, [*held, *polled, *half[: HALF // 2], *late])),
             )
             taken = reports = 0
-            while taken < count:  # the end of what is at work comes once all are taken
+            while taken < count:  # the engines respond once all requests are accepted
                 old.process.send_signal(signal.SIGUSR1)
                 reports += 1
                 said = (await old.event("counters_reported", reports))["counters"]
@@ -137,10 +142,10 @@
                 await asyncio.sleep(0.1)
             release.set()
             self.assertEqual(Counter(await whole), {(200, "rows"): count})
-            # Half a call is none, but who wrote it is told so, within the bound.
+            # Partial calls are rejected within the time limit.
             answers, times = zip(*await rest, strict=True)
             self.assertEqual(Counter(answers), {(408, "failure"): HALF // 2})
-            self.assertLess(max(times), WORD_S + 0.3)
+            self.assertLess(max(times), REJECTION_S + 0.3)
             self.assertEqual(await asyncio.gather(*map(final, idle)), [None] * IDLE)
             self.assertEqual(await old.exit(), 0)
         posts = [headers for engine in engines for headers in engine.headers]
@@ -160,7 +165,7 @@
         self.assertEqual(await idle.answer(), (200, "ok"))
         half.writer.write(call(1, timeout=3000)[:-9])
         await self.until(lambda: self.program.platform.is_receiving_request)
-        waiting = await Raw().open(port)  # in the system's line: nobody has accepted it yet
+        waiting = await Raw().open(port)  # in the backlog, not yet accepted
         self.addCleanup(waiting.writer.close)
         self.program.platform.finish()
         with self.assertRaises(ConnectionRefusedError):
@@ -173,7 +178,7 @@
 
 
 class Stopping(EdgeCase):
-    """SIGTERM without a successor: `Program.stop` in the test's own loop."""
+    """SIGTERM without a successor: `Program.stop` in the event loop of the test."""
 
     async def stop(self) -> asyncio.Task:
         stopping = asyncio.create_task(self.program.stop())
@@ -189,7 +194,7 @@
     @unittest.mock.patch("frostspindle.shutdown_plan.ACCEPT_S", 0.0)
     async def test_shutdown_waits_for_a_partly_fetched_result(self):
         (engine,) = await self.start()
-        engine.script = lambda request, body: page(f"a\t1\t{20_000 * 'x'}\n" * 3)  # more than one answer holds
+        engine.script = lambda request, body: page(f"a\t1\t{20_000 * 'x'}\n" * 3)  # more than fits into one response
         status, body, _ = await self.ask()
         self.assertEqual((status, len(body["rows"]), "next" in body), (200, 2, True))
         stopping = await self.stop()
@@ -218,7 +223,7 @@
 
 
 class Replaced(EdgeCase):
-    """Ten engines, of which six are replaced within 2 s under load; the protocol's hard day takes 7 s for it."""
+    """Ten engines, of which six are replaced within 2 s under load; the protocol's hardest case takes 7 s for it."""
 
     WORK, GRACE_S, OPEN = 400.0, 0.25, 40
 
@@ -229,19 +234,20 @@
         return engine
 
     def left_alone(self, offset: int, engines: list[Engine]) -> bool:
-        """The coordinator knows that they leave, and nothing is out there: 0.35 s are less on a busy machine."""
+        """Return whether the coordinator knows that the engines leave and they have no open attempts.
+
+        Waiting 0.35 s is not enough on a busy machine.
+        """
         out = {a.engine for r in self.program.core.ledger.entries.values() for a in r.attempts if not a.is_finished}
         return self.program.bus.last == offset and not out & {int(engine.name[2:], 16) for engine in engines}
 
-    @unittest.mock.patch(
-        "frostspindle.net.discovery.SILENCE_TIMEOUT_S", 60.0
-    )  # no word is lost over a new connection to the bus
+    @unittest.mock.patch("frostspindle.net.discovery.SILENCE_TIMEOUT_S", 60.0)  # avoid reconnects to the bus
     async def test_six_of_ten_engines_are_replaced_at_their_addresses_under_load(self):
         bus = await Bus().start()
         self.addCleanup(bus.server.close)
         olds = [await self.engine(f"s-{n:08x}") for n in range(10)]
-        # Engines, clients and coordinator are one process: on a busy machine no promise can be kept, and none is
-        # expected (what is past one is refused). What the machine took is subtracted from each answer's time instead.
+        # Engines, clients and coordinator share a process: on a busy machine latency objectives cannot be met, so they
+        # are raised (requests past one are rejected). Event loop lag is subtracted from the response times instead.
         classes = [cls | {"promise": 60000.0, "hardLimit": 60000.0} for cls in settings()["categories"]]
         limits = settings()["limits"] | {"mostTries": 20, "dialTimeout": 2000.0}
         await self.coordinator([host(e.name, e.port) for e in olds], bus.port, categories=classes, limits=limits)
@@ -261,14 +267,14 @@
         offset, told, news = 1, {}, []
 
         async def load() -> None:
-            for turn in itertools.count():  # as many as the machine takes with OPEN of them out: every engine gets some
+            for turn in itertools.count():  # keep OPEN requests in flight: every engine gets some
                 for _ in range(self.OPEN - sum(not task.done() for task in tasks)):
                     tasks.add(asyncio.create_task(one(next(numbers))))
                 if turn % 5 == 0:
-                    bus.say(offset)  # a word that it lives, also where a turn takes a tenth of a second and more
+                    bus.say(offset)  # a heartbeat, even if a turn takes over 0.1 s
                 await asyncio.sleep(0.02)
 
-        decided: defaultdict[int, list[float]] = defaultdict(list)  # by engine: when the decision module sent
+        decided: defaultdict[int, list[float]] = defaultdict(list)  # by engine: send times of the decision module
         start_attempt = self.program.driver.start_attempt
 
         def record(attempt: Any) -> None:
@@ -285,28 +291,28 @@
             bus.say(change(offset, *(host(e.name, e.port, "leaving") for e in pair)))
             for engine in pair:
                 told[engine] = time.time()
-                engine.server.close()  # it refuses new connections and serves the old ones, which stay up for ever
+                engine.server.close()  # new connections are refused, existing ones still served
             await asyncio.sleep(0.35)
             await self.until(functools.partial(self.left_alone, offset, pair))
             for engine, name in zip(pair, (pair[0].name, f"s-{offset + 99:08x}"), strict=True):
                 born = time.time() * 1000.0
                 news.append((await self.engine(name, engine.port), born))
-                offset += 1  # not before: the bus must tell no number whose word is still to come
-                new = host(name, engine.port, born=born)  # one restarts under its name, one goes and another comes
+                offset += 1  # not before: a heartbeat must not name an offset whose event was not sent
+                new = host(name, engine.port, born=born)  # one restarts under its name, one is replaced
                 bus.say(change(offset, *([host(engine.name, engine.port, "left")] if name != engine.name else []), new))
         await asyncio.sleep(1.2)
         loading.cancel()
         await asyncio.gather(*tasks)
         self.assertEqual(set(statuses), {(200, True)}, statuses)
-        self.assertLess(max(times), 2.0)  # nobody waits behind a connection to a process that is gone: 2.1 s
+        self.assertLess(max(times), 2.0)  # a wait for a connection to an ended process would take 2.1 s
         for engine, at in told.items():
             self.assertEqual(
                 [round(t - at, 3) for t, _, _ in engine.sent if t - at - lag.lost(at, t) > self.GRACE_S], []
             )
-        await self.until(lambda: not any(engine.lines for engine in told))  # none is kept to a process that is gone
-        # What a cold engine bears in a second, by the settings, is a bound on what the module decides to send. Requests
-        # that wait for a new connection arrive later and nearer to the next window's, for which the operators' rule
-        # has its slack: N + 3 * root of N + 3 of N requests under 30.
+        await self.until(lambda: not any(engine.lines for engine in told))  # no connection to an ended process is kept
+        # The settings limit the work that the decision module sends to a cold engine in a second. Requests that wait for
+        # a new connection arrive later and closer to those of the next window, for which the operators' rule allows
+        # N + 3 * sqrt(N) + 3 instead of N requests, for N under 30.
         work_per_s = 4.0 * 0.3 * 0.85 * 8 * 1000.0
         for engine, born in news:
             arrived = [at for at, _, _ in engine.sent]
@@ -316,7 +322,7 @@
             for at in (*sent, *arrived):
                 grown = 0.3 + 0.7 * ((at + 1.0 - born / 1000.0) / 15.0) ** 2
                 requests = work_per_s * grown / 0.3 / self.WORK
-                # The module uses three quarters of it, and no window of its own may hold more.
+                # The decision module uses three quarters of it in every window.
                 self.assertLessEqual(sum(at <= other < at + 1.0 for other in sent), 0.75 * requests)
                 bearable = requests + 3.0 * math.sqrt(requests) + 3.0
                 self.assertLessEqual(sum(at <= other < at + 1.0 for other in arrived), bearable)
--- a/tests/test_snmp.py
+++ b/tests/test_snmp.py
@@ -1,4 +1,4 @@
-"""The SNMP agent over loopback, asked by pysnmp's own manager."""
+"""The SNMP agent over loopback, queried by the manager of pysnmp."""
 
 import json
 import re
@@ -71,16 +71,16 @@
         self.assertEqual(walked, sorted(walked, key=lambda oid: [int(n) for n in oid[1:].split(".")]))
         _, _, bulk = await self.ask(bulk_cmd, ".0", numbers=(0, 50))
         self.assertEqual([oid for oid, value in bulk if value != rfc1905.endOfMibView], walked)
-        self.assertIsNotNone((await self.ask(get_cmd, ".1.1.1.0", community="guess"))[0], "no answer at all")
+        self.assertIsNotNone((await self.ask(get_cmd, ".1.1.1.0", community="guess"))[0], "no response")
         _, status, _ = await self.ask(get_cmd, ".1.1.1.0", version=0)
-        self.assertNotEqual(status, 0, "SNMPv1 gets nothing")
+        self.assertNotEqual(status, 0, "SNMPv1 is rejected")
         _, status, _ = await self.ask(set_cmd, ".1.1.1.0", value=(OctetString("x"),))
         self.assertEqual(status, 17)  # notWritable
         self.assertEqual(self.count("snmp_sets_refused"), 1)
         self.check_mib(walked)
 
     def check_mib(self, walked):
-        """Each column and scalar that the agent serves stands in the MIB, and the other way round."""
+        """Check that the agent serves exactly the columns and scalars of the MIB."""
         text, numbers = MIB.read_text(), {}
         places = re.findall(r"^([a-z]\w+) (?:(?!^\w).)*?::= \{ (\w+) (\d+) \}", text, re.M | re.S)
         for name, parent, number in places:
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -1,4 +1,4 @@
-"""TDS over loopback sockets, against stand-ins: one story for each thing that goes wrong there."""
+"""The TDS front and driver over loopback sockets, against scripted engines, in normal operation and with faults."""
 
 import asyncio
 import random
@@ -134,7 +134,7 @@
         for connections in self.program.tds_driver._idle.values():
             while connections:
                 connections.pop().close()
-        result = await client.query("INSERT")  # no connection: nothing ran, so it is harmless to refuse
+        result = await client.query("INSERT")  # no connection: nothing ran, so a rejection is safe
         self.assertEqual(self.faults(result), [front.REFUSED])
         self.assertRegex(result.errors[0].text, r"Retry the request after [0-9.]+ seconds")
         self.assertEqual((self.count("failed"), self.count("refused")), (1, 1))
@@ -152,10 +152,10 @@
         self.assertTrue(answer.status & codec.DONE_ATTN)
         await engine.until(lambda: engine.attentions == 2)
         engine.script = lambda statement: ROWS
-        self.assertEqual((await client.query("INSERT")).tokens, ROWS, "the session lives on")
+        self.assertEqual((await client.query("INSERT")).tokens, ROWS, "the session continues")
         self.assertEqual((self.count("left"), self.count("failed"), self.count("served")), (1, 1, 1))
 
-    # Guards against: a batch was sent on though the end of its session, or its Attention, lay unread in the socket.
+    # Guards against: a batch was sent although the end of its session, or an Attention, was unread in the socket.
     async def test_disconnect_and_attention_are_detected_while_unread(self):
         for how in ("close", "reset", "attention"):
             with self.subTest(how):
@@ -175,7 +175,7 @@
                     linger = b"\1\0\0\0\0\0\0\0" if how == "reset" else b"\0\0\0\0\0\0\0\0"
                     plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                     client.writer.transport.abort()
-                    await asyncio.sleep(0)  # it is closed in the loop's next turn
+                    await asyncio.sleep(0)  # the socket is closed in the next turn of the event loop
                 self.assertFalse(submitted[0].is_client_connected())
                 session.writer.transport.resume_reading()
 
@@ -203,7 +203,7 @@
         first.script = lambda statement: ROWS
         for _ in range(12):
             self.assertEqual((await client.query("SELECT 2")).tokens, ROWS)
-        self.assertLessEqual(len(second.statements), 5, "one statement may have met the shutdown, none after it")
+        self.assertLessEqual(len(second.statements), 5, "one statement may meet the shutdown, none after it")
         states = {s.name: s.entry for s in self.program.core.engines.values()}
         self.assertEqual(states["t1"].health, Health.DRAINING)
         second.refuse_login, second.script = b"", lambda statement: ROWS
@@ -211,7 +211,7 @@
             while states["t1"].health != Health.READY:
                 await asyncio.sleep(0.02)
                 states = {s.name: s.entry for s in self.program.core.engines.values()}
-        self.assertGreater(states["t1"].since_ms, 0.0, "it comes back as a cold engine")
+        self.assertGreater(states["t1"].since_ms, 0.0, "it returns as a cold engine")
 
     async def test_each_request_is_counted_once_under_random_failures(self):
         chance = random.Random(20261201)
@@ -224,19 +224,19 @@
             database = "loads" if number % 3 == 0 else "calls"
             client = await self.client(database)
             result = await client.query(f"-- {number}")
-            client.writer.close()  # sixty open ones would be more than the front has places for
+            client.writer.close()  # sixty open sessions would exceed the limit
             answers[number] = self.faults(result) or "rows"
 
         for start in range(0, 60, 10):
             await asyncio.gather(*(one(number) for number in range(start, start + 10)))
         sent = [s for engine in engines for s in engine.statements]
         for number in range(0, 60, 3):
-            self.assertLessEqual(sent.count(f"-- {number}"), 1, "a load is sent once at most")
+            self.assertLessEqual(sent.count(f"-- {number}"), 1, "a load is sent at most once")
         served = sum(answer == "rows" for answer in answers.values())
         refused = sum(answer == [front.REFUSED] for answer in answers.values())
         failed = sum(answer == [front.FAILED] for answer in answers.values())
         self.assertEqual(served + refused + failed, 60)
-        self.assertGreater(min(served, failed), 0, "the kills reached some requests, and not all")
+        self.assertGreater(min(served, failed), 0, "some requests failed, but not all")
         self.assertEqual(
             [self.count(w) for w in ("taken", "served", "refused", "failed", "left", "faults")],
             [60, served, refused, failed, 0, 0],
@@ -300,7 +300,7 @@
         engine.script = lambda statement: "hang"
         for number in range(3):
             (await self.client("loads")).ask(f"SELECT {number}")
-        await engine.until(lambda: len(engine.statements) == 3)  # none is answered
+        await engine.until(lambda: len(engine.statements) == 3)  # none has been answered
         self.assertEqual(
             ({job.key for job in self.program.core.controller.requests.values()}, self.program.order.queue.entry_count),
             ({0}, 0),
@@ -308,7 +308,7 @@
 
     async def test_http_requests_are_not_sent_to_tds_engines(self):
         await self.start()
-        self.assertEqual((await self.ask(LOAD, timeout=400.0))[0], 503, "no HTTP engine is there")
+        self.assertEqual((await self.ask(LOAD, timeout=400.0))[0], 503, "there is no HTTP engine")
         self.assertEqual(self.peers[0].statements, [])
 
 
