--- a/frostspindle/net/http/connection_limits.py
+++ b/frostspindle/net/http/connection_limits.py
@@ -1,7 +1,7 @@
 """Decides which client connections are closed, and when: time-outs, scarce descriptors and draining.
 
-No I/O and no clock: times are given in seconds, and platform.py carries out what is decided. A connection with a call
-in progress is never closed here, and silent clients never keep descriptors from those that send requests.
+No I/O and no clock: times are given in seconds, and platform.py applies the decisions. A connection with a call in
+progress is not closed for another one, and silent clients do not keep descriptors from those that send requests.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from enum import Enum
 
 REQUEST_TIMEOUT_S = 2.4  # from connecting, or from a later request's first byte, until a request is complete
-IDLE_TIMEOUT_S = 4.6  # usual clients close after 4 s idle; this is for those that do not
-LINGER_TIMEOUT_S = 1.0  # after a rejection, what the client still sends is read and dropped for so long
+IDLE_TIMEOUT_S = 4.6  # usual clients close after 4 s; this is for those that do not
+LINGER_TIMEOUT_S = 1.0  # how long input is read and discarded after the connection was shut down
 UNREAD_RESPONSE_TIMEOUT_S = 5.0  # how long a client may leave its responses unread
 # While draining: new connections are still served for DRAIN_NEW_CONNECTION_S, idle ones are closed from
 # DRAIN_IDLE_CLOSE_S on, and no request is accepted after DRAIN_LAST_REQUEST_S.
@@ -22,7 +22,7 @@
 RECLAIM_FOR_CONNECTION = 1.5  # least reclaim score at which a connection is closed for a new one
 RECLAIM_FOR_REQUEST = 1.0  # the same for a request, which also displaces connections that are just made
 CLIENT_DESCRIPTOR_SHARE = 0.42  # of all descriptors
-SHARED_CLIENT_DESCRIPTOR_SHARE = 0.34  # while two processes share them; usual clients need a third at most
+SHARED_CLIENT_DESCRIPTOR_SHARE = 0.34  # while two processes share them; usual clients need at most a third
 
 # States of a client connection.
 NEW, RECEIVING, IDLE, BUSY, CLOSING = range(5)
@@ -56,7 +56,10 @@
 
 
 def reclaim_score(state: int, elapsed_s: float) -> float:
-    """Return how well a connection can be closed for another after `elapsed_s` in its state; 0: it must stay."""
+    """Return a score by which connections are closed for others, best first; 0 if it must be kept.
+
+    `elapsed_s`: time in its state.
+    """
     if state == BUSY:
         return 0.0
     scores = {
@@ -69,15 +72,15 @@
 
 
 def next_step(state: int, elapsed_s: float, unread_s: float, draining_s: float, poll_expected: bool) -> ConnectionStep:
-    """Return what is to be done with a connection by its times, in s.
+    """Return the step for a connection by its times, in s.
 
-    `elapsed_s`: time in this state; `unread_s`: how long its responses lie unread, `draining_s`: time since a drain
+    `elapsed_s`: time in this state; `unread_s`: how long its responses have been unread, `draining_s`: time since a drain
     began, both below 0 for not at all; `poll_expected`: its client was given a response path and has not polled it yet.
     """
     if unread_s > UNREAD_RESPONSE_TIMEOUT_S:
         return ConnectionStep.ABORT
     if state == CLOSING:
-        # It lingers from when its last response has left; where that lies unread, as long as a silent connection.
+        # The linger time starts when the last response was written; while that is unread, the idle timeout applies.
         linger_s = LINGER_TIMEOUT_S if unread_s < 0.0 else IDLE_TIMEOUT_S
         return ConnectionStep.ABORT if elapsed_s > linger_s else ConnectionStep.KEEP
     if state == RECEIVING:
--- a/frostspindle/net/http/duplicate_responses.py
+++ b/frostspindle/net/http/duplicate_responses.py
@@ -53,7 +53,7 @@
         self._recent.append((now_s, _fingerprint(reply)))
 
     def may_be_copy(self, reply: EngineReply, now_s: float) -> bool:
-        """Return whether an equal response came on this connection within COPY_WINDOW_S."""
+        """Return whether an equal response was received on this connection within COPY_WINDOW_S."""
         if reply.status in (PENDING_STATUS, NO_CONTENT) or not self._recent:
             return False
         fingerprint = _fingerprint(reply)
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -103,7 +103,7 @@
             self.stream.paused(False)
 
     def _time_out(self) -> None:
-        self._answer(b"NAK no call came\n")
+        self._answer(b"NAK no call received before the timeout\n")
 
     def _answer(self, answer: bytes) -> None:
         self.timer.cancel()
@@ -183,7 +183,7 @@
         name, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
         try:
             if len(self.streams) >= MAX_STREAMS:
-                raise OperatorError(f"{MAX_STREAMS} callers stay already")
+                raise OperatorError(f"{MAX_STREAMS} streams are already open")
             caller.stream = handler(rest.strip(), caller)
         except OperatorError as refusal:
             return self._refuse(refusal)
@@ -231,7 +231,7 @@
     def _log_exception(self, name: str, error: Exception) -> bytes:
         self.telemetry.count("faults")
         self.telemetry.log("exception_caught", error=repr(error), of=f"operator call {name}")
-        return b"NAK a fault, see the log\n"
+        return b"NAK internal error, see the log\n"
 
 
 def _call_name(line: bytes) -> str:
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -273,7 +273,7 @@
     # One call.
 
     def call(self, call: PendingCall, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes) -> None:
-        """Answer a whole call or submit its request to the core.
+        """Answer a complete call or submit its request to the core.
 
         Raise CallRejectedError for a 4xx, which ends the connection. A POST gets a 503 if the connection is over the
         limit, the drain no longer accepts requests, or the core is full; GET waits for a page or the result; DELETE
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -309,7 +309,7 @@
             self.assertEqual(
                 [round(t - at, 3) for t, _, _ in engine.sent if t - at - lag.lost(at, t) > self.GRACE_S], []
             )
-        await self.until(lambda: not any(engine.lines for engine in told))  # no connection to an ended process is kept
+        await self.until(lambda: not any(engine.lines for engine in told))  # none to an ended process is kept
         # The settings limit the work that the decision module sends to a cold engine in a second. Requests that wait for
         # a new connection arrive later and closer to those of the next window, for which the operators' rule allows
         # N + 3 * sqrt(N) + 3 instead of N requests, for N under 30.
