--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -85,7 +85,7 @@
         self.state_since = self.loop_time()
         self.has_called = self.is_closing = self.ignores_input = self.is_receiving = self.is_head_complete = False
         self.is_parsing = self.expects_continue = False  # expects_continue: the client waits for a 100
-        self.has_pipelined = False  # it has sent a call before the response to an earlier one
+        self.has_pipelined = False  # a call was sent before the response to an earlier one
         self.is_over_limit = False  # of connections: its request needs another one to be closed
         # The earliest possible arrival of unread bytes, and of the last bytes that were read.
         self.unread_since_ms = self.received_ms = unread_since_ms
@@ -165,9 +165,9 @@
             self.state_since = self.loop_time()  # its last response was written only now
         self._resume_reading()
 
-    def _pause_reading(self, unseen_ms: float) -> None:
+    def _pause_reading(self, unread_since_ms: float) -> None:
         if self.transport.is_reading():
-            self.unread_since_ms = unseen_ms
+            self.unread_since_ms = unread_since_ms
             self.transport.pause_reading()
 
     def _resume_reading(self) -> None:
@@ -346,9 +346,8 @@
             self._stop_parsing(431, "too many headers, or too long ones")
         name = name.lower()
         if name in self.fields and name in _SINGLE_HEADERS:
-            self._stop_parsing(
-                400, f"{name.decode().title()}: given twice"
-            )  # a name of _SINGLE_HEADERS, not client input
+            # The name is one of _SINGLE_HEADERS, not client input.
+            self._stop_parsing(400, f"{name.decode().title()}: given twice")
         self.fields[name] = value
 
     def on_headers_complete(self) -> None:
--- a/frostspindle/net/http/connection_limits.py
+++ b/frostspindle/net/http/connection_limits.py
@@ -74,8 +74,8 @@
 def next_step(state: int, elapsed_s: float, unread_s: float, draining_s: float, poll_expected: bool) -> ConnectionStep:
     """Return the step for a connection by its times, in s.
 
-    `elapsed_s`: time in this state; `unread_s`: how long its responses have been unread, `draining_s`: time since a drain
-    began, both below 0 for not at all; `poll_expected`: its client was given a response path and has not polled it yet.
+    `elapsed_s`: time in this state; `unread_s`: how long its responses have been unread; `draining_s`: time since a
+    drain began; both are negative for not at all; `poll_expected`: its client was given a response path and has not polled it yet.
     """
     if unread_s > UNREAD_RESPONSE_TIMEOUT_S:
         return ConnectionStep.ABORT
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -125,7 +125,7 @@
         self.handlers = handlers
         self.telemetry = telemetry
         self.stream_handlers: dict[str, StreamHandler] = {}
-        # Description of a call's arguments: each "a", "an" or "one" stands for one, "two ..." for two.
+        # Description of a call's arguments: each "a", "an" or "one" stands for one argument, "two ..." for two.
         self.arguments: dict[str, str] = {}
         self.unlogged_calls = {"ready"}  # too frequent for the log
         self.long_calls: set[str] = set()  # calls that may be as long as those that open a stream
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -310,9 +310,9 @@
                 [round(t - at, 3) for t, _, _ in engine.sent if t - at - lag.lost(at, t) > self.GRACE_S], []
             )
         await self.until(lambda: not any(engine.lines for engine in told))  # none to an ended process is kept
-        # The settings limit the work that the decision module sends to a cold engine in a second. Requests that wait for
-        # a new connection arrive later and closer to those of the next window, for which the operators' rule allows
-        # N + 3 * sqrt(N) + 3 instead of N requests, for N under 30.
+        # The settings limit the work that the decision module sends to a cold engine in a second. Requests that wait
+        # for a new connection arrive later and closer to those of the next window, for which the operators' rule
+        # allows N + 3 * sqrt(N) + 3 instead of N requests, for N under 30.
         work_per_s = 4.0 * 0.3 * 0.85 * 8 * 1000.0
         for engine, born in news:
             arrived = [at for at, _, _ in engine.sent]
