--- a/frostspindle/net/http/connection_limits.py
+++ b/frostspindle/net/http/connection_limits.py
@@ -75,7 +75,8 @@
     """Return the step for a connection by its times, in s.
 
     `elapsed_s`: time in this state; `unread_s`: how long its responses have been unread; `draining_s`: time since a
-    drain began; both are negative for not at all; `poll_expected`: its client was given a response path and has not polled it yet.
+    drain began; both are negative for not at all; `poll_expected`: its client got a response path and has not polled it
+    yet.
     """
     if unread_s > UNREAD_RESPONSE_TIMEOUT_S:
         return ConnectionStep.ABORT
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -89,14 +89,14 @@
 
 
 class RemainingTime(Crossing):
-    async def told(self, number):
+    async def sent_time_limit(self, number):
         self.assertEqual((await self.ask(number=number, timeout=2000.0))[0], 200)
         return float(self.peers[0].headers[-1]["X-Max-Ms"])
 
     async def test_remaining_time_is_sent_after_waiting_for_a_connection(self):
         await self.start()
         go, awaited = self.late()
-        asked = asyncio.create_task(self.told(1))
+        asked = asyncio.create_task(self.sent_time_limit(1))
         await awaited.wait()
         await asyncio.sleep(0.3)  # the test is about the time that passes here
         (ask,) = self.asks
@@ -114,7 +114,7 @@
             return True
 
         self.core.may_start = fence
-        told = await self.told(1)
+        told = await self.sent_time_limit(1)
         self.assertEqual((len(left), self.driver.tasks), (1, set()), "the attempt had no task")
         self.assertLessEqual(told, left[0])
 
@@ -128,7 +128,7 @@
                 start(attempt)
 
             with unittest.mock.patch.object(self.driver, "start_attempt", longer):
-                self.assertLessEqual(await self.told(1), 2000.0)
+                self.assertLessEqual(await self.sent_time_limit(1), 2000.0)
 
     async def test_request_past_its_deadline_is_not_sent_and_counts_against_no_engine(self):
         for idle in (False, True):
@@ -149,7 +149,7 @@
 
 
 class ClientsThatLeave(Crossing):
-    def nothing_sent(self, left=1):
+    def check_nothing_sent(self, left=1):
         self.assertEqual((self.posts(), self.count("left"), self.count("ended_connect_failed")), ([], left, 0))
         self.assertEqual(
             [engine.failure_rate for engine in self.core.controller.engines.values()], [0.0] * len(self.peers)
@@ -165,7 +165,7 @@
                 await self.start(2, idle)
                 _, writer = await self.client()
                 await self.until(lambda: self.asks and not self.core.ledger.entries)
-                self.nothing_sent()
+                self.check_nothing_sent()
                 writer.close()  # only now the front detects the disconnect
                 await self.until(lambda: not self.program.platform.registry.ids)
                 self.assertEqual((len(looks), self.count("ended_moot")), (1, 1))
@@ -183,7 +183,7 @@
                 await self.until(lambda: self.count("left"))
                 go.set()
                 await self.until(lambda: not self.core.ledger.entries)
-                self.nothing_sent()
+                self.check_nothing_sent()
 
     async def test_departure_still_queued_at_the_core_prevents_sending(self):
         await self.start()
@@ -200,7 +200,7 @@
         await self.until(lambda: record.attempts[0].is_finished or self.posts())
         for event in behind:
             guard(*event)
-        self.nothing_sent()
+        self.check_nothing_sent()
 
     async def test_request_is_not_retried_if_its_client_leaves_between_attempts(self):
         await self.start(2, idle=True)
@@ -237,7 +237,7 @@
         self.assertEqual([method for method, *_ in engine.calls], ["POST", "GET", "DELETE"])
 
 
-class Slow(asyncio.Protocol):
+class SlowReader(asyncio.Protocol):
     """An engine's side of a connection that reads only the first bytes of a call until reading is resumed."""
 
     def __init__(self):
@@ -257,10 +257,10 @@
 class PartlyWrittenPosts(Crossing):
     """A POST that is partly in the write buffer: the engine never received it completely."""
 
-    async def out(self, cls=LOAD):
+    async def send_partly(self, cls=LOAD):
         """Send a request whose POST is partly written to a slow engine; a second engine is healthy."""
         engines = await self.start(2)
-        self.slow = Slow()
+        self.slow = SlowReader()
         server = await asyncio.get_running_loop().create_server(lambda: self.slow, "127.0.0.1", 0)
         self.addCleanup(server.close)
         sock = server.sockets[0]
@@ -278,28 +278,28 @@
         self.core.controller.engines[0].slowdown = 1.0
         return engines, line, reader, writer
 
-    async def never_whole(self):
+    async def check_never_complete(self):
         self.slow.transport.resume_reading()
         await self.slow.ended.wait()
         self.assertLess(len(self.slow.came), 60_000)
 
     async def test_rest_of_a_post_is_not_written_after_its_client_left(self):
-        _, _, _, writer = await self.out()
+        _, _, _, writer = await self.send_partly()
         writer.close()
         await self.until(lambda: self.count("ended_cancelled"))
-        await self.never_whole()
+        await self.check_never_complete()
 
     async def test_rest_of_a_post_is_not_written_after_the_engine_closed_its_side(self):
-        engines, _, reader, _ = await self.out()
+        engines, _, reader, _ = await self.send_partly()
         self.slow.transport.write_eof()
         self.assertEqual((await reader.readexactly(12))[9:], b"200")
         self.assertEqual([len(engine.of("POST")) for engine in engines], [0, 1])
-        await self.never_whole()
+        await self.check_never_complete()
 
     async def test_partly_written_load_is_sent_to_another_engine_after_reset_or_timeout(self):
         for how in ("reset", "silence"):
             with self.subTest(how):
-                engines, _, reader, _ = await self.out()
+                engines, _, reader, _ = await self.send_partly()
                 if how == "reset":
                     reset(self.slow.transport)
                 self.assertEqual((await reader.readexactly(12))[9:], b"200")
@@ -307,11 +307,11 @@
                 self.assertEqual(len(self.posts()), 1)
 
     async def test_response_before_the_post_is_complete_is_ignored(self):
-        engines, _, reader, _ = await self.out()
+        engines, _, reader, _ = await self.send_partly()
         self.slow.transport.write(FIRST)
         self.assertEqual((await reader.readexactly(12))[9:], b"200")
         self.assertEqual([len(engine.of("POST")) for engine in engines], [0, 1])
-        await self.never_whole()
+        await self.check_never_complete()
 
     async def test_post_on_a_connection_reset_before_it_never_ran(self):
         engines = await self.start(2, idle=True)
@@ -320,7 +320,7 @@
             engine.script = lambda request, body, accepted=accepted: accepted.append(request.transport)
         line = self.driver.pools[0].idle[0]
         self.core.controller.engines[0].slowdown = 0.1
-        server = await asyncio.get_running_loop().create_server(Slow, "127.0.0.1", 0)
+        server = await asyncio.get_running_loop().create_server(SlowReader, "127.0.0.1", 0)
         self.addCleanup(server.close)
         line.transport.pause_reading()
         sock = line.transport.get_extra_info("socket")
@@ -485,7 +485,7 @@
 
 
 class RepeatWindow(Crossing):
-    async def repeated(self, window_ms, pause_s):
+    async def run_retry(self, window_ms, pause_s):
         """Return status and number of POSTs of a keyed request that fails at one engine and waits for another."""
         keyed = {
             "name": LOOKUP,
@@ -531,7 +531,7 @@
         self.assertEqual(sum(len(engine.headers) for engine in engines), len(sent))
 
     async def test_retry_is_not_sent_after_the_idempotency_window(self):
-        self.assertEqual(await self.repeated(400.0, 0.5), (503, 1))
+        self.assertEqual(await self.run_retry(400.0, 0.5), (503, 1))
 
     async def test_retry_is_sent_within_the_idempotency_window(self):
-        self.assertEqual(await self.repeated(60_000.0, 0.5), (200, 2))
+        self.assertEqual(await self.run_retry(60_000.0, 0.5), (200, 2))
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -21,7 +21,7 @@
 DRAINING = 2
 
 
-class Bussed(EdgeCase):
+class BusTestCase(EdgeCase):
     """A coordinator with one engine, connected to a bus."""
 
     async def joined(self) -> Bus:
@@ -35,14 +35,14 @@
     def drain(self, number: int) -> dict:
         return change(number, host("s-00000001", self.engine.port, "leaving"))
 
-    def mocked(self, **figures: float) -> None:
+    def patch_constants(self, **figures: float) -> None:
         for name, figure in figures.items():
             patch = unittest.mock.patch.object(watching, name, figure)
             patch.start()
             self.addCleanup(patch.stop)
 
 
-class Silence(Bussed):
+class Silence(BusTestCase):
     async def test_drain_is_applied_in_time_after_two_silent_reconnects(self):
         bus = await self.joined()
         began = time.monotonic()
@@ -56,7 +56,7 @@
         self.assertEqual(self.engine.of("POST"), [])
 
     async def test_bus_that_is_slow_on_each_connection_is_received_eventually(self):
-        self.mocked(SILENCE_TIMEOUT_S=0.1, MAX_SILENCE_TIMEOUT_S=2.0)
+        self.patch_constants(SILENCE_TIMEOUT_S=0.1, MAX_SILENCE_TIMEOUT_S=2.0)
         bus = await self.joined()
 
         async def late(number: int) -> None:  # sends only after twice the first timeout
@@ -68,7 +68,7 @@
         await self.until(lambda: self.program.bus.has_received_valid)
 
     async def test_pause_of_this_process_does_not_count_as_silence_of_the_bus(self):
-        self.mocked(SILENCE_TIMEOUT_S=0.5)
+        self.patch_constants(SILENCE_TIMEOUT_S=0.5)
         bus = await self.joined()
         for _ in range(2):
             bus.say(1)  # stays unread while this process pauses for longer than the silence timeout
@@ -77,7 +77,7 @@
         self.assertEqual((len(bus.froms), self.count("bus_reconnects")), (1, 0))
 
     async def test_incomplete_line_does_not_reset_the_silence_timeout(self):
-        self.mocked(SILENCE_TIMEOUT_S=0.3)
+        self.patch_constants(SILENCE_TIMEOUT_S=0.3)
         bus = await self.joined()
 
         async def drip() -> None:
@@ -92,7 +92,7 @@
         await self.until(lambda: self.program.core.engines[1].entry.health == DRAINING)
 
 
-class Lines(Bussed):
+class Lines(BusTestCase):
     async def test_truncated_event_is_requested_again_and_applied_once(self):
         bus = await self.joined()
         for number, cut in enumerate((1, 2, 60, -3, -1, None), 2):
@@ -129,8 +129,8 @@
         self.assertEqual((len(bus.froms), self.count("bus_reconnects")), (1, 0))
 
 
-class Moves(Bussed):
-    async def moved(self) -> Bus:
+class Moves(BusTestCase):
+    async def move_bus(self) -> Bus:
         new = await Bus().start()
         self.addCleanup(new.server.close)
         self.config_file.write_text(json.dumps({**self.document, "bus": f"127.0.0.1:{new.port}"}))
@@ -142,7 +142,7 @@
         bus = await self.joined()
         bus.writers[-1].write(json.dumps(self.drain(2)).encode()[:-1])
         await asyncio.sleep(0.05)
-        new = await self.moved()
+        new = await self.move_bus()
         bus.writers[-1].write(b"}\n")  # the old bus is ignored
         await asyncio.sleep(0.05)
         self.assertEqual((new.froms, self.program.bus.last), (["from 1"], 1))
@@ -150,7 +150,7 @@
         await self.until(lambda: self.program.core.engines[1].entry.health == DRAINING)
 
     async def test_move_during_a_hanging_connect_is_applied_at_once(self):
-        self.mocked(CONNECT_TIMEOUT_S=60.0)
+        self.patch_constants(CONNECT_TIMEOUT_S=60.0)
         hanging = socket.socket()  # its backlog is full: further SYNs are dropped
         hanging.bind(("127.0.0.1", 0))
         hanging.listen(0)
@@ -165,7 +165,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual(self.count("bus_reconnects"), 0)
         async with asyncio.timeout(20.0):
-            new = await self.moved()
+            new = await self.move_bus()
         self.assertEqual(new.froms, ["from 1"])
 
     async def test_invalid_configuration_files_are_logged_and_ignored(self):
@@ -195,10 +195,10 @@
         bus.say(self.drain(2))
         await self.until(lambda: self.program.core.engines[1].entry.health == DRAINING)
         self.config_file.write_text(whole)
-        self.assertEqual((await self.moved()).froms, ["from 2"])
+        self.assertEqual((await self.move_bus()).froms, ["from 2"])
 
 
-class Full(FleetCase):
+class NoFreeDescriptors(FleetCase):
     """Idle clients use all descriptors of a real process while the bus is down."""
 
     async def asyncSetUp(self):
@@ -240,7 +240,7 @@
     def open(self):
         return os.listdir(f"/proc/{self.running.process.pid}/fd")
 
-    async def fill(self):
+    async def exhaust_descriptors(self):
         """Stop the bus and let silent clients take every descriptor; further ones wait in the backlog."""
         self.bus.server.close()
         self.bus.writers[0].transport.abort()
@@ -263,12 +263,12 @@
         await self.until(lambda: len(self.open()) == most)
         await self.running.event("accept_failed")
 
-    async def back(self, port=0):
+    async def restart_bus(self, port=0):
         server = await asyncio.start_server(self.bus._serve, "127.0.0.1", port)
         self.addCleanup(server.close)
         return server.sockets[0].getsockname()[1]
 
-    async def obeys(self):
+    async def check_drain_is_applied(self):
         """Check that a drain sent by the returning bus is applied in time, and that requests are served."""
         async with asyncio.timeout(DELIVERY_S):
             await self.bus.joined(2)
@@ -284,17 +284,17 @@
         self.assertEqual(len(self.engines[0].of("POST")), sent)
 
     async def test_returning_bus_is_joined_without_free_descriptors(self):
-        await self.fill()
-        await self.back(self.bus.port)
-        await self.obeys()
+        await self.exhaust_descriptors()
+        await self.restart_bus(self.bus.port)
+        await self.check_drain_is_applied()
 
     async def test_new_configuration_is_applied_without_free_descriptors(self):
-        await self.fill()
-        port = await self.back()
+        await self.exhaust_descriptors()
+        port = await self.restart_bus()
         self.running.config.write_text(json.dumps({**self.config, "bus": f"127.0.0.1:{port}"}))
         self.running.process.send_signal(signal.SIGHUP)
         self.assertNotIn("error", await self.running.event("config_reloaded"))
-        await self.obeys()
+        await self.check_drain_is_applied()
 
 
 @pytest.fixture
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -31,7 +31,7 @@
         return getattr(self.transport, name)
 
 
-class Endings(Wire):
+class ClientTestCase(Wire):
     @property
     def front(self):
         return self.program.platform
@@ -44,7 +44,7 @@
         (self.client,) = set(self.front.clients) - before
         return reader, writer
 
-    async def held(self):
+    async def start_holding_engine(self):
         """Start a coordinator whose engine holds all queries until `self.go` is set."""
         (engine,) = await self.start()
         self.go = asyncio.Event()
@@ -65,24 +65,24 @@
                 out.append((int(head[9:12]), head, await reader.readexactly(length)))
         return out
 
-    async def read(self, writer, data):
+    async def send_and_wait(self, writer, data):
         """Send data and wait until the front has read it."""
         before = self.client.last_received_at
         writer.write(data)
         await self.until(lambda: self.client.last_received_at > before)
 
-    def submitted(self):
+    def capture_requests(self):
         """Return the list of requests that would be submitted to the core, which does not get them."""
         asks = []
         self.program.core.submit = lambda ask: asks.append(ask) or True
         return asks
 
 
-class LastResponses(Endings):
+class LastResponses(ClientTestCase):
     async def test_call_after_the_last_response_of_a_drain_is_answered(self):
         for where in ("taken", "with it", "half read", "unread"):
             with self.subTest(where):
-                engine = await self.held()
+                engine = await self.start_holding_engine()
                 reader, writer = await self.open()
                 writer.write(post(1))
                 await engine.seen("POST")
@@ -126,7 +126,7 @@
         self.assertEqual((len(engine.of("POST")), self.count("taken"), self.count("bad_calls")), (2, 2, 0))
 
     async def test_earlier_responses_precede_a_rejection(self):
-        engine = await self.held()
+        engine = await self.start_holding_engine()
         for number, (status, spoilt) in enumerate(
             (
                 (400, b"\x16\x03\x01"),
@@ -235,7 +235,7 @@
         self.assertNotEqual(option, 0)
 
     async def test_100_continue_follows_the_responses_to_earlier_calls(self):
-        engine = await self.held()
+        engine = await self.start_holding_engine()
         reader, writer = await self.open()
         head, _, body = post(2, extra="Expect: 100-continue\r\n").partition(b"\r\n\r\n")
         writer.write(post(1) + head + b"\r\n\r\n")
@@ -250,7 +250,7 @@
         reader, writer = await self.open()
         pair = post(1) + post(2)
         for cut in range(1, len(pair), 11):
-            await self.read(writer, pair[:cut])
+            await self.send_and_wait(writer, pair[:cut])
             writer.write(pair[cut:])
             self.assertEqual([one[0] for one in await self.answers(reader, 2)], [200, 200], cut)
 
@@ -266,8 +266,8 @@
             self.assertEqual((await self.answers(reader, 1))[0][0], status)
 
 
-class Places(Endings):
-    async def crowd(self, *ages):
+class ConnectionLimits(ClientTestCase):
+    async def fill_connections(self, *ages):
         """Open connections that have been silent for `ages` seconds, up to the connection limit."""
         await self.start()
         self.front.max_clients = len(ages)
@@ -277,7 +277,7 @@
             self.client.state_since -= age
         return self.silent
 
-    async def newcomer(self, number, status):
+    async def call_from_new_connection(self, number, status):
         reader, writer = await self.open()
         writer.write(post(number))
         ((said, head, _),) = await self.answers(reader, 1)
@@ -285,46 +285,46 @@
         return head
 
     async def test_connection_with_an_unread_call_is_not_reclaimed(self):
-        (reader, writer, client), other = await self.crowd(2.0, 1.0)
+        (reader, writer, client), other = await self.fill_connections(2.0, 1.0)
         client.transport.pause_reading()
         writer.write(post(1))
-        await self.newcomer(2, 200)
+        await self.call_from_new_connection(2, 200)
         client.transport.resume_reading()
         self.assertEqual((await self.answers(reader, 1))[0][0], 200)
         self.assertEqual(await self.answers(other[0]), [])
 
     async def test_connection_with_a_partial_request_is_reclaimed_last_with_a_rejection(self):
-        (reader, writer, client), other = await self.crowd(0.0, 0.5)
+        (reader, writer, client), other = await self.fill_connections(0.0, 0.5)
         writer.write(post(1)[:50])
         await self.until(lambda: client.is_receiving)
         client.state_since -= 0.6
-        await self.newcomer(2, 200)
+        await self.call_from_new_connection(2, 200)
         self.assertEqual(await self.answers(other[0]), [])
         self.assertTrue(client.is_receiving)
         self.front.max_clients = 1
         for one in self.front.clients - {client}:
             one.transport.abort()
         await self.until(lambda: self.front.clients == {client})
-        await self.newcomer(3, 200)
+        await self.call_from_new_connection(3, 200)
         ((status, head, body),) = await self.answers(reader)
         self.assertEqual((status, b"Retry-After-Ms: " in head, body), (503, True, BUSY))
 
     async def test_new_connection_is_kept_until_another_one_sends_a_request(self):
-        ((first, _, client),) = await self.crowd(0.0)
+        ((first, _, client),) = await self.fill_connections(0.0)
         await self.open()
         self.assertFalse(client.transport.is_closing())
-        await self.newcomer(1, 200)
+        await self.call_from_new_connection(1, 200)
         self.assertEqual(await self.answers(first), [])
 
     async def test_calls_of_a_new_connection_are_rejected_while_all_others_are_busy(self):
-        engine = await self.held()
+        engine = await self.start_holding_engine()
         self.front.max_clients = 1
         busy, writer = await self.open()
         writer.write(post(1))
         await engine.seen("POST")
         for cut in (1, 100, len(post(2)) - 1, len(post(2)), len(post(2)) + 9):
             reader, writer = await self.open()
-            await self.read(writer, (post(2) + post(3))[:cut])
+            await self.send_and_wait(writer, (post(2) + post(3))[:cut])
             answers = await self.answers(reader, 1) if cut >= len(post(2)) else []
             if cut != len(post(2)):  # the connection ends after a response with no further input
                 writer.write((post(2) + post(3))[cut:])
@@ -339,7 +339,7 @@
         self.assertEqual(len(engine.of("POST")), 1)
 
     async def test_connections_over_limit_and_reserve_are_accepted_later(self):
-        engine = await self.held()
+        engine = await self.start_holding_engine()
         self.front.max_clients, self.front.reserved_connections = 1, 1
         busy, writer = await self.open()
         writer.write(post(1))
@@ -356,10 +356,10 @@
     async def test_rejections_of_the_front_have_a_retry_after_header(self):
         await self.start()
         self.program.core.max_open_requests = 0
-        refused = [await self.newcomer(1, 503)]
+        refused = [await self.call_from_new_connection(1, 503)]
         self.program.core.max_open_requests = 100
         self.front._drained_at = asyncio.get_running_loop().time() - connection_limits.DRAIN_LAST_REQUEST_S - 1.0
-        refused.append(await self.newcomer(2, 503))
+        refused.append(await self.call_from_new_connection(2, 503))
         reader, writer = await self.open()
         writer.write(post(3)[:50])
         await self.until(lambda: self.client.is_receiving)
@@ -370,8 +370,8 @@
             self.assertIn(b"Retry-After-Ms: ", head)
 
 
-class Presence(Endings):
-    async def plain(self):
+class Presence(ClientTestCase):
+    async def open_plain_socket(self):
         """Open a plain socket, whose close takes effect at once and not in the next turn of the event loop."""
         before, plain = set(self.front.clients), socket.create_connection(("127.0.0.1", self.front.port))
         self.addCleanup(plain.close)
@@ -389,12 +389,12 @@
 
     async def test_disconnect_is_detected_before_it_is_read_and_reported_once(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
         for how in ("reset", "shut", "behind bytes"):
             with self.subTest(how):
                 asks.clear(), left.clear()
-                plain = await self.plain()
+                plain = await self.open_plain_socket()
                 plain.sendall(post(1) + post(2))
                 await self.until(lambda: len(asks) == 2)
                 self.assertTrue(asks[0].is_client_connected() and asks[1].is_client_connected())
@@ -409,7 +409,7 @@
 
     async def test_client_with_a_path_is_suspended_without_connection_until_its_next_call(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
         with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
@@ -430,7 +430,7 @@
     # Guards against: a DELETE waited for over 0.1 s after an accept had failed once, and its request was sent.
     async def test_delete_is_accepted_soon_after_a_failed_accept(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
         with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
@@ -454,7 +454,7 @@
 
     async def test_client_that_does_not_poll_its_path_has_left(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
         with (
             unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05),
@@ -470,9 +470,9 @@
 
     async def test_client_that_disconnects_before_it_gets_a_path_has_left(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
-        plain = await self.plain()
+        plain = await self.open_plain_socket()
         plain.sendall(post(1))
         await self.until(lambda: asks)
         self.go_away(plain, "shut")
@@ -483,7 +483,7 @@
     async def test_calls_of_a_disconnected_client_are_not_forwarded(self):
         (engine,) = await self.start()
         for how in ("reset", "shut"):
-            plain = await self.plain()
+            plain = await self.open_plain_socket()
             self.client.transport.pause_reading()
             plain.sendall(post(1) * 3)
             self.go_away(plain, how)
@@ -492,8 +492,8 @@
         self.assertEqual((self.count("taken"), engine.calls), (0, []))
 
     async def test_disconnect_is_detected_while_reading_is_paused(self):
-        engine = await self.held()
-        plain = await self.plain()
+        engine = await self.start_holding_engine()
+        plain = await self.open_plain_socket()
         plain.sendall(b"".join(post(n) for n in range(16)))
         await engine.seen("POST")
         await self.until(lambda: not self.client.transport.is_reading())
@@ -502,8 +502,8 @@
         self.assertEqual(self.count("left"), 16)
 
     async def test_reset_during_a_held_call_frees_the_engine(self):
-        engine = await self.held()
-        plain = await self.plain()
+        engine = await self.start_holding_engine()
+        plain = await self.open_plain_socket()
         plain.sendall(post(1))
         await engine.seen("POST")
         self.go_away(plain, "reset")
@@ -511,7 +511,7 @@
         self.assertEqual(self.count("left"), 1)
 
     async def test_delete_beside_a_held_call_is_counted_once(self):
-        engine = await self.held()
+        engine = await self.start_holding_engine()
         with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
@@ -524,7 +524,7 @@
         self.assertEqual((self.count("left"), self.program.core.open), (1, 0))
 
     async def test_get_lost_with_its_connection_is_answered_when_repeated(self):
-        engine = await self.held()
+        engine = await self.start_holding_engine()
         with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
@@ -540,12 +540,12 @@
         self.assertEqual(len(engine.of("POST")), 1)
 
 
-class Arrival(Endings):
+class ReceiveTime(ClientTestCase):
     """A request's time starts with its last byte, even if the event loop was busy when it arrived."""
 
     async def test_receive_time_precedes_work_that_blocked_the_event_loop(self):
         await self.start()
-        asks = self.submitted()
+        asks = self.capture_requests()
         for how in ("known", "new", "rest of it", "quiet"):
             with self.subTest(how):
                 asks.clear()
@@ -571,7 +571,7 @@
 
     async def test_receive_time_precedes_the_wait_for_earlier_calls(self):
         await self.start()
-        asks = self.submitted()
+        asks = self.capture_requests()
         with unittest.mock.patch("frostspindle.net.http.clients.MAX_PIPELINED_CALLS", 1):
             _, writer = await self.open()
             writer.write(post(1))
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -87,7 +87,7 @@
     )  # without tenants in the settings any name is accepted
 
 
-class Fields(EdgeCase):
+class FieldsOverHttp(EdgeCase):
     async def begin(self, operator="", **changes):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -8,7 +8,7 @@
 from test_edge import MalformedResponses, Wire, post
 
 
-class Idle(Wire):
+class IdleConnectionTestCase(Wire):
     async def start(self, *args, **kw):
         """Start engines, each with an idle connection from the coordinator."""
         engines = await super().start(*args, **kw)
@@ -20,12 +20,12 @@
         return engines
 
 
-class MalformedResponsesOnAnIdleConnection(Idle, MalformedResponses):
+class MalformedResponsesOnAnIdleConnection(IdleConnectionTestCase, MalformedResponses):
     """Without a task malformed responses have the same effects as in a task."""
 
 
-class First(Idle):
-    async def out(self, script):
+class DirectAttempts(IdleConnectionTestCase):
+    async def send_post(self, script):
         """Send a request on the idle connection; return the engine, the connection, the attempt and the client."""
         (engine,) = await self.start()
         line, engine.script = self.driver.pools[0].idle[0], script
@@ -35,24 +35,24 @@
         (record,) = self.program.core.ledger.entries.values()
         return engine, line, record.attempts[0], writer
 
-    async def gone(self, attempt):
+    async def wait_until_finished(self, attempt):
         await self.until(lambda: attempt.is_finished and not self.program.core.ledger.entries)
 
     async def test_direct_attempt_has_no_task_and_ends_with_its_response(self):
         go = asyncio.Event()
-        _, line, attempt, _ = await self.out(at_work(go))
+        _, line, attempt, _ = await self.send_post(at_work(go))
         self.assertEqual((self.driver.tasks, line.waiter), (set(), attempt.task))
         go.set()
-        await self.gone(attempt)
+        await self.wait_until_finished(attempt)
         self.assertEqual((self.count("served"), self.driver.pools[0].idle), (2, [line]))
         self.assertIsNone(attempt.task, "no reference cycle is left")
 
     async def test_disconnected_client_frees_the_engine_and_the_connection_waits_for_the_response(self):
         go = asyncio.Event()
-        engine, line, attempt, writer = await self.out(at_work(go))
+        engine, line, attempt, writer = await self.send_post(at_work(go))
         writer.close()
         await engine.seen("DELETE")
-        await self.gone(attempt)
+        await self.wait_until_finished(attempt)
         self.assertEqual(self.count("ended_cancelled"), 1)
         go.set()
         await self.until(lambda: line in self.driver.pools[0].idle)
@@ -62,7 +62,7 @@
     async def test_attempt_cancelled_as_its_task_starts_is_cancelled_at_the_engine(self):
         """The task never runs, while the engine is still running the query."""
         first = [web.Response(status=202)]
-        engine, _, attempt, _ = await self.out(lambda request, body: first.pop() if first else None)
+        engine, _, attempt, _ = await self.send_post(lambda request, body: first.pop() if first else None)
         goes_on = self.driver._on_continued
 
         def stopped(first, came):
@@ -83,7 +83,7 @@
 
     async def test_attempt_with_little_remaining_time_runs_in_a_task(self):
         with unittest.mock.patch("frostspindle.net.engines.HttpEngines.left_s", staticmethod(lambda attempt: 0.4)):
-            _, _, attempt, _ = await self.out(at_work(asyncio.Event()))
+            _, _, attempt, _ = await self.send_post(at_work(asyncio.Event()))
             self.assertIsInstance(attempt.task, asyncio.Task)
 
     async def test_response_that_is_no_valid_page_closes_its_connection(self):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -62,7 +62,7 @@
     }
 
 
-class Called(EdgeCase):
+class MetricsCall(EdgeCase):
     async def test_metrics_match_show_stat(self):
         await self.start(operator="metrics = true")
         self.assertEqual((await self.ask())[0], 200)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -19,12 +19,12 @@
 PING = b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n"
 
 
-class Operated(EdgeCase):
+class OperatorTestCase(EdgeCase):
     async def figures(self):
         return json.loads((await self.operate("show-stat"))[0])
 
 
-class Calls(Operated):
+class Calls(OperatorTestCase):
     async def test_calls_may_be_split_and_invalid_ones_get_a_nak(self):
         await self.start()
         self.assertEqual(await self.operate("ready"), ["ACK"])
@@ -56,7 +56,7 @@
         self.assertEqual((await self.operate("show-stat"))[1:], ["--"])
 
 
-class Figures(Operated):
+class Figures(OperatorTestCase):
     async def test_show_stat_counts_answered_sent_and_open_requests(self):
         (engine,) = await self.start()
         go = asyncio.Event()
@@ -90,7 +90,7 @@
         self.assertEqual((await self.figures())["inflight"], 0)
 
 
-class Draining(Operated):
+class Draining(OperatorTestCase):
     async def connect(self):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.program.platform.port)
         self.addCleanup(writer.close)
@@ -177,7 +177,7 @@
             again.writer.close()
 
 
-class Bans(Operated):
+class Bans(OperatorTestCase):
     async def test_banned_engine_gets_no_requests_until_it_is_enabled(self):
         first, second = await self.engines(2)
         bus = await Bus().start()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -380,7 +380,7 @@
         self.assertEqual((bus.froms, self.count("bus_lines_skipped")), (["from 1"] * 3, 2))
 
 
-class Process(unittest.TestCase):
+class ProgramProcess(unittest.TestCase):
     def start(self, document, **environ):
         path = self.scratch / "c.json"
         path.write_text(document if isinstance(document, str) else json.dumps(document))
@@ -458,7 +458,7 @@
                 self.assertIn(key, said)
 
 
-class Reading(unittest.TestCase):
+class Parsing(unittest.TestCase):
     def test_table_group_is_found_outside_strings_comments_and_staging(self):
         for statement, group in (
             ("SELECT day FROM sales_17.orders WHERE tag = 'x_9.y'", 17),
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -51,7 +51,7 @@
         return int(head.split()[1]), json.loads(await self.reader.readexactly(int(fields[b"content-length"])))
 
 
-class Ending(FleetCase):
+class ManyConnections(FleetCase):
     async def test_sigterm_with_200_connections_answers_each_request_once(self):
         engines = [await HttpEngine().start() for _ in range(4)]
         release = asyncio.Event()
@@ -154,7 +154,7 @@
         self.assertEqual((len(loads), set(loads.values())), ((HELD + POLLED) // 2, {1}))
 
 
-class LastMoment(EdgeCase):
+class RequestsAtTheLastMoment(EdgeCase):
     async def test_requests_at_the_last_moment_get_a_rejection(self):
         (engine,) = await self.start()
         port = self.program.platform.port
@@ -177,7 +177,7 @@
         self.assertEqual((engine.calls, self.program.core.open), ([], 0))
 
 
-class Stopping(EdgeCase):
+class StoppingProgram(EdgeCase):
     """SIGTERM without a successor: `Program.stop` in the event loop of the test."""
 
     async def stop(self) -> asyncio.Task:
@@ -222,7 +222,7 @@
         await stopping
 
 
-class Replaced(EdgeCase):
+class ReplacedEngines(EdgeCase):
     """Ten engines, of which six are replaced within 2 s under load; the protocol's hardest case takes 7 s for it."""
 
     WORK, GRACE_S, OPEN = 400.0, 0.25, 40
@@ -233,7 +233,7 @@
         self.addCleanup(engine.server.close)
         return engine
 
-    def left_alone(self, offset: int, engines: list[Engine]) -> bool:
+    def has_no_attempts(self, offset: int, engines: list[Engine]) -> bool:
         """Return whether the coordinator knows that the engines leave and they have no open attempts.
 
         Waiting 0.35 s is not enough on a busy machine.
@@ -293,7 +293,7 @@
                 told[engine] = time.time()
                 engine.server.close()  # new connections are refused, existing ones still served
             await asyncio.sleep(0.35)
-            await self.until(functools.partial(self.left_alone, offset, pair))
+            await self.until(functools.partial(self.has_no_attempts, offset, pair))
             for engine, name in zip(pair, (pair[0].name, f"s-{offset + 99:08x}"), strict=True):
                 born = time.time() * 1000.0
                 news.append((await self.engine(name, engine.port), born))
--- a/tests/test_snmp.py
+++ b/tests/test_snmp.py
@@ -24,7 +24,7 @@
 MIB = Path(__file__).parent.parent / "mibs/FROSTSPINDLE-MIB.txt"
 
 
-class Agent(EdgeCase):
+class AgentOverLoopback(EdgeCase):
     async def ask(self, command, *oids, community="watch", numbers=(), **kw):
         if not hasattr(self, "manager"):
             self.manager = SnmpEngine()
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -15,7 +15,7 @@
 ROWS = codec.text_result(("name",), [("a",), ("b",)])
 
 
-class Tds(EdgeCase):
+class TdsSessions(EdgeCase):
     async def start(self, count: int = 1, more: str = "", **kw):
         self.peers = [await TdsEngine().start() for _ in range(count)]
         for peer in self.peers:
