--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -309,13 +309,13 @@
     """Reads bytes in order; raises ProtocolError past the end."""
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.position = data, 0
 
     def skip(self, count: int) -> int:
-        start = self.at
+        start = self.position
         if count < 0 or start + count > len(self.data):
             raise ProtocolError("token exceeds its message")
-        self.at += count
+        self.position += count
         return start
 
     def number(self, form: str) -> int:
@@ -385,8 +385,8 @@
     reader, result, kept = _Reader(data), Result(), bytearray()
     columns: list[tuple[str, int]] = []
     last = False
-    while reader.at < len(data):
-        start, token = reader.at, reader.number("B")
+    while reader.position < len(data):
+        start, token = reader.position, reader.number("B")
         last = False
         keep = True
         if token == COLMETADATA:
@@ -430,7 +430,7 @@
         else:
             raise ProtocolError(f"unknown token type {token:#04x}")
         if keep:
-            kept += data[start : reader.at]
+            kept += data[start : reader.position]
     if not last:
         raise ProtocolError("response without a final DONE")
     result.tokens = bytes(kept)
