--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -125,10 +125,10 @@
             self._apply(event)
         self.last = max(self.last, self.config.known_offset)
 
-    def move(self, at: Address | None) -> None:
+    def move(self, bus_address: Address | None) -> None:
         """Change the address of the bus and reconnect at once, continuing after the last offset."""
-        if at != self.bus_address:
-            self.bus_address = at
+        if bus_address != self.bus_address:
+            self.bus_address = bus_address
             self._moved.set()
 
     def restore(self, event: BusEvent) -> None:
@@ -146,9 +146,9 @@
                 backoff_s = MIN_BACKOFF_S if self.last != last_before else min(MAX_BACKOFF_S, backoff_s * 2)
             await self._wait_for_move(backoff_s)
 
-    async def _follow_until_moved(self, at: Address) -> None:
+    async def _follow_until_moved(self, bus_address: Address) -> None:
         async with asyncio.TaskGroup() as group:
-            following = group.create_task(self._follow_once(at))
+            following = group.create_task(self._follow_once(bus_address))
             moved = group.create_task(self._moved.wait())
             await asyncio.wait((following, moved), return_when=asyncio.FIRST_COMPLETED)
             following.cancel()
@@ -167,15 +167,15 @@
             async with asyncio.timeout(timeout_s):
                 await self._moved.wait()
 
-    async def _follow_once(self, at: Address) -> None:
+    async def _follow_once(self, bus_address: Address) -> None:
         try:
-            await self._follow(at)
+            await self._follow(bus_address)
         except Exception as error:  # noqa: BLE001 - reconnect whatever the bus sends
             self.telemetry.count("bus_reconnects")
             self.telemetry.log("discovery_disconnected", error=repr(error), last=self.last)
 
-    async def _follow(self, at: Address) -> None:
-        watch = await self._connect(at)
+    async def _follow(self, bus_address: Address) -> None:
+        watch = await self._connect(bus_address)
         silent = False
         try:
             watch.transport.write(b"from %d\n" % self.last)
@@ -197,13 +197,13 @@
                 grown_s = self._first_line_timeout_s * SILENCE_TIMEOUT_GROWTH
                 self._first_line_timeout_s = min(MAX_SILENCE_TIMEOUT_S, grown_s)
 
-    async def _connect(self, at: Address) -> WatchConnection:
+    async def _connect(self, bus_address: Address) -> WatchConnection:
         loop = asyncio.get_running_loop()
-        sock = self._open_socket(socket.AF_INET6 if ":" in at[0] else socket.AF_INET)
+        sock = self._open_socket(socket.AF_INET6 if ":" in bus_address[0] else socket.AF_INET)
         try:
             sock.setblocking(False)
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await loop.sock_connect(sock, at)
+                await loop.sock_connect(sock, bus_address)
                 _, watch = await loop.create_connection(
                     lambda: WatchConnection(sock, self.reserve, self._on_line, loop.time), sock=sock
                 )
@@ -271,15 +271,15 @@
                 self._reject(host, health=host.health)
                 continue
             try:
-                at = address(host.dial, host.host) if host.dial else ("", 0)
+                engine_address = address(host.dial, host.host) if host.dial else ("", 0)
             except Exception as error:  # noqa: BLE001 - an invalid host must not hide the others
                 self._reject(host, error=str(error))
                 continue
-            if not at[1]:
+            if not engine_address[1]:
                 known = self.core.engines.get(number)
-                at = known.address if known else at
-            entry = self._entry(number, host, has_address=bool(at[1]))
-            yield EngineState(entry, host.host, at, self.driver, started_unix_ms=host.born_ms)
+                engine_address = known.address if known else engine_address
+            entry = self._entry(number, host, has_address=bool(engine_address[1]))
+            yield EngineState(entry, host.host, engine_address, self.driver, started_unix_ms=host.born_ms)
 
     def _entry(self, number: int, host: Host, has_address: bool) -> EngineEntry:
         return EngineEntry(
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -120,8 +120,8 @@
     `handlers` answer at once; `stream_handlers` get the rest of the call's line and keep the connection.
     """
 
-    def __init__(self, at: Address | str, handlers: dict[str, Callable[..., Any]], telemetry: Telemetry) -> None:
-        self.address = at
+    def __init__(self, address: Address | str, handlers: dict[str, Callable[..., Any]], telemetry: Telemetry) -> None:
+        self.address = address
         self.handlers = handlers
         self.telemetry = telemetry
         self.stream_handlers: dict[str, StreamHandler] = {}
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -46,9 +46,9 @@
         self._stray_read: asyncio.Task[bytes] | None = None
 
     @classmethod
-    async def open(cls, at: tuple[str, int], tds: TdsSection, database: str, max_bytes: int) -> _Connection:
+    async def open(cls, engine_address: tuple[str, int], tds: TdsSection, database: str, max_bytes: int) -> _Connection:
         try:
-            reader, writer = await asyncio.open_connection(*at, limit=64 * 1024)
+            reader, writer = await asyncio.open_connection(*engine_address, limit=64 * 1024)
         except OSError as error:
             raise SessionUnavailableError(repr(error)) from None
         connection = cls(reader, writer, max_bytes)
