--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -225,7 +225,7 @@
 
     async def health_check(self, engine: int) -> None:
         """Request `/stats` within 0.3 s and report the outcome and load by Core.health_check_completed."""
-        began, pool, wired = clock(), self.pools.get(engine), [False]
+        began_ms, pool, wired = clock(), self.pools.get(engine), [False]
         outcome, report = AttemptOutcome.CONNECT_FAILED, ()
         if pool is not None:
             try:
@@ -235,4 +235,4 @@
             except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError) as error:
                 if wired[0]:
                     outcome = AttemptOutcome.TIMEOUT if isinstance(error, TimeoutError) else AttemptOutcome.RESET
-        self.core.health_check_completed(engine, outcome, clock() - began, report)
+        self.core.health_check_completed(engine, outcome, clock() - began_ms, report)
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -210,7 +210,7 @@
         """
         broken, fresh = 0, False
         while True:
-            wired, began, is_open = [False], clock(), True
+            wired, began_ms, is_open = [False], clock(), True
             try:
                 reply = await pool.call(
                     "GET",
@@ -240,7 +240,7 @@
                     return None
             finally:
                 if wired[0]:  # without a connection it was no poll that keeps the query alive
-                    progress.record_poll(began, clock(), is_open)
+                    progress.record_poll(began_ms, clock(), is_open)
             fresh = progress.is_doubtful = True
             await asyncio.sleep(0.0 if wired[0] else 0.2)
 
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -244,11 +244,11 @@
         """Return whether a call is open or may be unread, on a connection that was not shut down."""
         return not self.is_closing and (bool(self.pending_calls) or self.has_unread())
 
-    def is_quiescent(self, since: float) -> bool:
-        """Return whether it was shut down before `since` (loop time), all responses sent, and no input after."""
+    def is_quiescent(self, before: float) -> bool:
+        """Return whether it was shut down before `before` (loop time), all responses sent, and no input after."""
         return (
             self.is_closing
-            and max(self.last_received_at, self.state_since) < since
+            and max(self.last_received_at, self.state_since) < before
             and self.write_paused_at == math.inf
             and not self.has_unread()
         )
@@ -287,18 +287,18 @@
         """
         if self.is_parsing or self.is_closing or self.transport.is_closing():
             return
-        out, is_last = [], False
+        responses, is_last = [], False
         while self.pending_calls and self.pending_calls[0].data is not None:
             call = self.pending_calls.popleft()
             self.expects_poll = call.has_next
             is_last = not self.pending_calls and self._is_last_response(call)
-            out.append(call.encode(is_last))
+            responses.append(call.encode(is_last))
         if self.expects_continue and not self.pending_calls:
             self.expects_continue = False
-            out.append(_CONTINUE)
-        if not out:
+            responses.append(_CONTINUE)
+        if not responses:
             return
-        self.transport.write(b"".join(out))
+        self.transport.write(b"".join(responses))
         if is_last:
             self.leave()
         elif not self.pending_calls:
--- a/frostspindle/net/snmp.py
+++ b/frostspindle/net/snmp.py
@@ -46,7 +46,7 @@
         now = time.monotonic() * 1000.0
         if self._order and now - self._taken_ms < SNAPSHOT_MAX_AGE_MS:
             return self._values
-        telemetry, counts, out = self.telemetry, self.telemetry.counts, {}
+        telemetry, counts, values = self.telemetry, self.telemetry.counts, {}
         figures = self.core.figures()
         up = int(telemetry.up_s() * 100) & 0xFFFFFFFF
         for number, value in enumerate(
@@ -62,21 +62,21 @@
             ),
             1,
         ):
-            out[(*SCALARS, number, 0)] = value
+            values[(*SCALARS, number, 0)] = value
         for index, (front, cls) in enumerate(self.core.classes, 1):
             row = (FRONTS[front], index)
-            out[(*CLASSES, 3, *row)] = rfc1902.OctetString(cls.encode())
+            values[(*CLASSES, 3, *row)] = rfc1902.OctetString(cls.encode())
             for column, name in enumerate(CLASS_COUNTS, 4):
-                out[(*CLASSES, column, *row)] = rfc1902.Counter64(counts[name, front, cls])
+                values[(*CLASSES, column, *row)] = rfc1902.Counter64(counts[name, front, cls])
         for number, state in self.core.engines.items():
             row = (number + 1,) if number < 0xFFFFFFFF else (number,)
-            out[(*ENGINES, 2, *row)] = rfc1902.OctetString(state.name.encode()[:255])
-            out[(*ENGINES, 3, *row)] = rfc1902.OctetString(f"{state.address[0]}:{state.address[1]}".encode())
-            out[(*ENGINES, 4, *row)] = rfc1902.Integer32(HEALTH[state.entry.health])
+            values[(*ENGINES, 2, *row)] = rfc1902.OctetString(state.name.encode()[:255])
+            values[(*ENGINES, 3, *row)] = rfc1902.OctetString(f"{state.address[0]}:{state.address[1]}".encode())
+            values[(*ENGINES, 4, *row)] = rfc1902.Integer32(HEALTH[state.entry.health])
         for front, count in self.sessions().items():
-            out[(*SESSIONS, 2, FRONTS[front])] = rfc1902.Gauge32(count)
-        self._taken_ms, self._values, self._order = now, out, sorted(out)
-        return out
+            values[(*SESSIONS, 2, FRONTS[front])] = rfc1902.Gauge32(count)
+        self._taken_ms, self._values, self._order = now, values, sorted(values)
+        return values
 
     def _check_access(self, name: Oid, context: dict[str, Any]) -> None:
         context["acFun"]("read", (rfc1902.ObjectName(name), None), **{**context, "idx": 0})
@@ -84,29 +84,29 @@
     def read_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Answer a GET: look up each object by its complete name."""
         values = self._snapshot()
-        out = []
+        found = []
         for name, _ in varBinds:
             oid = tuple(name)
             self._check_access(ROOT, context)
             if oid in values:
-                out.append((name, values[oid]))
+                found.append((name, values[oid]))
             else:
                 known = any(o[: len(oid) - 1] == oid[:-1] for o in self._order) if len(oid) > len(ROOT) else False
-                out.append((name, rfc1905.noSuchInstance if known else rfc1905.noSuchObject))
-        return out
+                found.append((name, rfc1905.noSuchInstance if known else rfc1905.noSuchObject))
+        return found
 
     def read_next_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Answer a GETNEXT or GETBULK: the object that follows each name in order."""
         values = self._snapshot()
-        out = []
+        found = []
         for name, _ in varBinds:
             self._check_access(ROOT, context)
             index = bisect.bisect_right(self._order, tuple(name))
             if index < len(self._order):
-                out.append((rfc1902.ObjectName(self._order[index]), values[self._order[index]]))
+                found.append((rfc1902.ObjectName(self._order[index]), values[self._order[index]]))
             else:
-                out.append((name, rfc1905.endOfMibView))
-        return out
+                found.append((name, rfc1905.endOfMibView))
+        return found
 
     def write_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Reject every SET by NotWritableError."""
--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -382,7 +382,7 @@
 
 def read_result(data: bytes) -> Result:
     """Parse a complete response; raise ProtocolError if truncated, with unknown tokens or without a final DONE."""
-    reader, result, kept = _Reader(data), Result(), bytearray()
+    reader, result, kept_tokens = _Reader(data), Result(), bytearray()
     columns: list[tuple[str, int]] = []
     last = False
     while reader.position < len(data):
@@ -430,10 +430,10 @@
         else:
             raise ProtocolError(f"unknown token type {token:#04x}")
         if keep:
-            kept += data[start : reader.position]
+            kept_tokens += data[start : reader.position]
     if not last:
         raise ProtocolError("response without a final DONE")
-    result.tokens = bytes(kept)
+    result.tokens = bytes(kept_tokens)
     return result
 
 
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -161,8 +161,8 @@
             number = self._engine_id(engine.name)
             named.add(number)
             state = self._state(engine, number)
-            known = self.states.get(number)
-            if known is None or (known.entry, known.address) != (state.entry, state.address):
+            known_state = self.states.get(number)
+            if known_state is None or (known_state.entry, known_state.address) != (state.entry, state.address):
                 changed.append(state)
         changed += [
             self._with_health(s, Health.GONE)
@@ -172,15 +172,17 @@
         self._publish(changed, list_kind)
 
     def _state(self, engine: TdsEngine, number: int) -> EngineState:
-        known = self.states.get(number)
-        since = known.entry.since_ms if known else 0.0
-        if known is not None and known.entry.health == Health.GONE and STATES[engine.state] == Health.READY:
-            since = clock()  # it returns with a cold cache
-        entry = EngineEntry(number, 0, self.kinds[engine.cores, engine.memory_mb], 0, STATES[engine.state], 1.0, since)
+        known_state = self.states.get(number)
+        since_ms = known_state.entry.since_ms if known_state else 0.0
+        if known_state is not None and known_state.entry.health == Health.GONE and STATES[engine.state] == Health.READY:
+            since_ms = clock()  # it returns with a cold cache
+        entry = EngineEntry(
+            number, 0, self.kinds[engine.cores, engine.memory_mb], 0, STATES[engine.state], 1.0, since_ms
+        )
         return EngineState(entry, engine.name, address(engine.dial, engine.name), self)
 
-    def _with_health(self, state: EngineState, health: int, since: float | None = None) -> EngineState:
-        entry = state.entry._replace(health=health, since_ms=state.entry.since_ms if since is None else since)
+    def _with_health(self, state: EngineState, health: int, since_ms: float | None = None) -> EngineState:
+        entry = state.entry._replace(health=health, since_ms=state.entry.since_ms if since_ms is None else since_ms)
         return EngineState(entry, state.name, state.address, self)
 
     def _publish(self, states: list[EngineState], list_kind: int = EndpointListKind.DELTA) -> None:
@@ -364,7 +366,7 @@
 
     async def health_check(self, engine: int) -> None:
         """Log in to the engine within the connect timeout and report the outcome by Core.health_check_completed."""
-        began, state = clock(), self.states[engine]
+        began_ms, state = clock(), self.states[engine]
         outcome = AttemptOutcome.OK
         try:
             async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
@@ -375,4 +377,4 @@
                 self._mark_draining(engine)
         except TimeoutError:
             outcome = AttemptOutcome.TIMEOUT
-        self.core.health_check_completed(engine, outcome, clock() - began)
+        self.core.health_check_completed(engine, outcome, clock() - began_ms)
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -54,12 +54,12 @@
 
     async def message(self) -> codec.Message | None:
         """Return the next message, or None at the end of the stream."""
-        begun: float | None = None
+        began_s: float | None = None
         while not self.messages:
-            if self.splitter.is_partial and begun is None:
-                begun = asyncio.get_running_loop().time()
+            if self.splitter.is_partial and began_s is None:
+                began_s = asyncio.get_running_loop().time()
             try:
-                async with asyncio.timeout_at(begun + MESSAGE_TIMEOUT_S if begun is not None else None) as limit:
+                async with asyncio.timeout_at(began_s + MESSAGE_TIMEOUT_S if began_s is not None else None) as limit:
                     data = await self.reader.read(READ_BYTES)
             except TimeoutError:
                 if limit.expired():
