--- a/tests/peers.py
+++ b/tests/peers.py
@@ -98,7 +98,7 @@
 
     def lost(self, since: float, until: float = math.inf) -> float:
         """Return the lag in s between two times of `time.time()`."""
-        return sum(late for at, late in self._late if since <= at and at - late <= until)
+        return sum(late for noted_at, late in self._late if since <= noted_at and noted_at - late <= until)
 
 
 class HttpEngine:
@@ -387,5 +387,5 @@
             while not true():
                 await asyncio.sleep(0.005)
 
-    def count(self, what: str) -> int:
-        return sum(n for (name, _, _), n in self.program.telemetry.counts.items() if name == what)
+    def count(self, counter: str) -> int:
+        return sum(n for (name, _, _), n in self.program.telemetry.counts.items() if name == counter)
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -188,8 +188,8 @@
     reader, other = await site.open()
     other.write(f"DELETE {path} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
     assert b"204" in await reader.readline()
-    for one in (writer, other):
-        one.close()
+    for entry in (writer, other):
+        entry.close()
 
 
 DEPARTURES = [
@@ -299,7 +299,7 @@
             async with asyncio.timeout(8.0):
                 status, body = await follow(other_reader, other, body["next"])
             assert (status, site.sent()) == (200, [FIRST, STAYS])
-            for one in (writer, other, leaving):
-                one.close()
+            for entry in (writer, other, leaving):
+                entry.close()
 
     asyncio.run(play())
--- a/tests/test_duplicate_responses.py
+++ b/tests/test_duplicate_responses.py
@@ -229,9 +229,9 @@
             return own()
 
         engine.script = lambda request, body: respond(request, body) if request.method == "POST" else None
-        one = await self.ask(LOAD, number=1, **{"X-Object": "k"})
-        two = await self.ask(LOAD, number=2, **{"X-Object": "k"})
-        self.assertEqual([one[0], two[:2]], [502, (200, {"rows": [["b", "2", "y"]]})])
+        first = await self.ask(LOAD, number=1, **{"X-Object": "k"})
+        second = await self.ask(LOAD, number=2, **{"X-Object": "k"})
+        self.assertEqual([first[0], second[:2]], [502, (200, {"rows": [["b", "2", "y"]]})])
 
 
 class GenuineEqualResponses(Crossing):
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -182,7 +182,7 @@
             self.assertEqual(self.count("engine_bad_replies"), 0)
 
     async def test_malformed_response_is_polled_again_on_another_connection(self):
-        for name, spoilt in (
+        for name, malformed in (
             ("noise", b"\x00\x01\x02\x03"),
             ("bad head", b"HTTP/1.1 2x0 OK\r\n\r\n"),
             ("a head without end", b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 500),
@@ -195,7 +195,7 @@
             ("another protocol", b"HTTP/1.1 101 X\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"),
         ):
             with self.subTest(name):
-                engine, transports = await self.script(spoilt)
+                engine, transports = await self.script(malformed)
                 self.assertEqual((await self.ask(LOAD))[:2], (200, {"rows": [["a", "1", "x"]]}))
                 self.assertEqual(([c[0] for c in engine.calls], self.count("engine_bad_replies")), (["POST", "GET"], 1))
                 self.assertIsNot(transports[0], transports[1])
@@ -366,11 +366,11 @@
     """Deployments whose engines send other headers."""
 
     async def test_load_reports_with_other_columns_or_without_headers_are_accepted(self):
-        for how, columns, meter, report in (
+        for mode, columns, meter, report in (
             ("piggyback", ["inflight", "x1", "util"], "util:0.61;x1:0.3;inflight:7", (7.0, 0.3, 0.61)),
             ("pull", ["inflight", "x1"], "", ()),
         ):
-            (engine,) = await self.start(report={"how": how, "columns": columns}, rules={}, deductions={})
+            (engine,) = await self.start(report={"how": mode, "columns": columns}, rules={}, deductions={})
             engine.script = lambda request, body, meter=meter: web.Response(
                 text="a\t1\tx\n", headers={"X-Pages": "1", **({"X-Meter": meter} if meter else {})}
             )
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -297,10 +297,10 @@
         await self.check_never_complete()
 
     async def test_partly_written_load_is_sent_to_another_engine_after_reset_or_timeout(self):
-        for how in ("reset", "silence"):
-            with self.subTest(how):
+        for kind in ("reset", "silence"):
+            with self.subTest(kind):
                 engines, _, reader, _ = await self.send_partly()
-                if how == "reset":
+                if kind == "reset":
                     reset(self.slow.transport)
                 self.assertEqual((await reader.readexactly(12))[9:], b"200")
                 self.assertEqual([engine.calls[0][0] for engine in engines if engine.calls], ["POST"])
@@ -324,12 +324,12 @@
         self.addCleanup(server.close)
         line.transport.pause_reading()
         sock = line.transport.get_extra_info("socket")
-        there = next(
-            one
-            for one in asyncio.get_running_loop()._transports.values()
-            if one.get_extra_info("peername") == sock.getsockname()
+        engine_transport = next(
+            entry
+            for entry in asyncio.get_running_loop()._transports.values()
+            if entry.get_extra_info("peername") == sock.getsockname()
         )
-        reset(there)
+        reset(engine_transport)
         await self.until(lambda: line.poll.poll(0))
         line.poll = SimpleNamespace(poll=lambda ms: [])  # the reset arrived right after the check
         self.assertEqual((await self.ask(LOAD))[0], 200)
@@ -344,21 +344,21 @@
         for idle in (False, True):
             (engine,) = await self.start(idle=idle)
             number = 0
-            for at, whole in enumerate(pages):
+            for page_number, whole in enumerate(pages):
                 for cut in (0, 1, 12, 30, len(whole) - 7, len(whole) - 1):
                     number += 1
                     left = [cut]
 
-                    def script(request, body, at=at, left=left):
-                        here = int(request.path[-1]) if request.method == "GET" else 0
-                        if here != at or not left:
-                            return page("a\t1\tx\n", 2, **({"X_Page": str(here)} if here else {}))
-                        request.transport.write(pages[here][: left.pop()])
+                    def script(request, body, page_number=page_number, left=left):
+                        number_of_page = int(request.path[-1]) if request.method == "GET" else 0
+                        if number_of_page != page_number or not left:
+                            return page("a\t1\tx\n", 2, **({"X_Page": str(number_of_page)} if number_of_page else {}))
+                        request.transport.write(pages[number_of_page][: left.pop()])
                         reset(request.transport)
                         return asyncio.Event().wait()
 
                     engine.script, engine.calls[:] = script, []
-                    with self.subTest(idle=idle, page=at, cut=cut):
+                    with self.subTest(idle=idle, page=page_number, cut=cut):
                         self.assertEqual(
                             (await self.ask(LOAD, number=number))[:2], (200, {"rows": [["a", "1", "x"]] * 2})
                         )
@@ -523,11 +523,11 @@
         self.assertEqual((await self.ask(**{"Idempotency-Key": "booking:7/a"}))[0], 503)
         self.assertEqual((await self.ask(LOAD, number=2, **{"Idempotency-Key": "booking:7/a"}))[0], 503)
         sent = [headers for engine in engines for headers in engine.headers]
-        keys = {(one["X-Queue"], one.get("X-Nonce")) for one in sent}
+        keys = {(entry["X-Queue"], entry.get("X-Nonce")) for entry in sent}
         self.assertEqual(keys, {(LOOKUP, "booking:7/a"), (LOAD, None)})
         self.assertGreater(len(sent), 2, "a retry is another attempt")
-        for spoilt in ("a b", "k" * 300):
-            self.assertEqual((await self.ask(number=3, **{"Idempotency-Key": spoilt}))[0], 400)
+        for malformed in ("a b", "k" * 300):
+            self.assertEqual((await self.ask(number=3, **{"Idempotency-Key": malformed}))[0], 400)
         self.assertEqual(sum(len(engine.headers) for engine in engines), len(sent))
 
     async def test_retry_is_not_sent_after_the_idempotency_window(self):
--- a/tests/test_endings_bus.py
+++ b/tests/test_endings_bus.py
@@ -155,11 +155,11 @@
         hanging.bind(("127.0.0.1", 0))
         hanging.listen(0)
         filled = [socket.socket() for _ in range(3)]
-        for one in (hanging, *filled):
-            self.addCleanup(one.close)
-        for one in filled:
-            one.setblocking(False)
-            one.connect_ex(hanging.getsockname())
+        for entry in (hanging, *filled):
+            self.addCleanup(entry.close)
+        for entry in filled:
+            entry.setblocking(False)
+            entry.connect_ex(hanging.getsockname())
         (self.engine,) = await self.engines()
         await self.coordinator([host("s-00000001", self.engine.port)], bus=hanging.getsockname()[1])
         await asyncio.sleep(0.1)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -106,15 +106,15 @@
                 if where == "half read":
                     writer.write(post(2)[50:])
                 answers = first + await self.answers(reader)
-                self.assertEqual([one[0] for one in answers], [502 if where == "unread" else 200, 503, 200])
-                self.assertEqual([b"Connection: close" in one[1] for one in answers], [False, False, True])
+                self.assertEqual([entry[0] for entry in answers], [502 if where == "unread" else 200, 503, 200])
+                self.assertEqual([b"Connection: close" in entry[1] for entry in answers], [False, False, True])
 
     async def test_calls_parsed_after_an_immediate_response_are_answered(self):
         await self.start()
         self.front.drain()
         reader, writer = await self.open()
         writer.write(PING + post(1) + PING)
-        self.assertEqual([one[0] for one in await self.answers(reader)], [503, 200, 503])
+        self.assertEqual([entry[0] for entry in await self.answers(reader)], [503, 200, 503])
 
     async def test_calls_after_the_last_call_of_a_connection_are_ignored(self):
         (engine,) = await self.start()
@@ -127,7 +127,7 @@
 
     async def test_earlier_responses_precede_a_rejection(self):
         engine = await self.start_holding_engine()
-        for number, (status, spoilt) in enumerate(
+        for number, (status, malformed) in enumerate(
             (
                 (400, b"\x16\x03\x01"),
                 (413, post(9).replace(b"Length: ", b"Length: 99999")),
@@ -139,14 +139,14 @@
         ):
             reader, writer = await self.open()
             writer.write(
-                post(number) + (b"" if status == 431 else spoilt)
+                post(number) + (b"" if status == 431 else malformed)
             )  # the limit of a head applies from its next bytes
             await engine.seen("POST", number)
-            writer.write(spoilt if status == 431 else b"")
+            writer.write(malformed if status == 431 else b"")
             await self.until(lambda number=number: self.count("bad_calls") == number)
             self.go.set()
             answers = await self.answers(reader)
-            self.assertEqual([one[0] for one in answers], [200, status])
+            self.assertEqual([entry[0] for entry in answers], [200, status])
             self.go.clear()
         self.assertEqual(len(engine.of("POST")), 5)
 
@@ -241,7 +241,7 @@
         writer.write(post(1) + head + b"\r\n\r\n")
         await engine.seen("POST")
         self.go.set()
-        self.assertEqual([one[0] for one in await self.answers(reader, 2)], [200, 100])
+        self.assertEqual([entry[0] for entry in await self.answers(reader, 2)], [200, 100])
         writer.write(body)
         self.assertEqual((await self.answers(reader, 1))[0][0], 200)
 
@@ -252,7 +252,7 @@
         for cut in range(1, len(pair), 11):
             await self.send_and_wait(writer, pair[:cut])
             writer.write(pair[cut:])
-            self.assertEqual([one[0] for one in await self.answers(reader, 2)], [200, 200], cut)
+            self.assertEqual([entry[0] for entry in await self.answers(reader, 2)], [200, 200], cut)
 
     async def test_slow_request_is_answered_if_its_end_is_unread_and_times_out_otherwise(self):
         await self.start()
@@ -302,8 +302,8 @@
         self.assertEqual(await self.answers(other[0]), [])
         self.assertTrue(client.is_receiving)
         self.front.max_clients = 1
-        for one in self.front.clients - {client}:
-            one.transport.abort()
+        for entry in self.front.clients - {client}:
+            entry.transport.abort()
         await self.until(lambda: self.front.clients == {client})
         await self.call_from_new_connection(3, 200)
         ((status, head, body),) = await self.answers(reader)
@@ -330,7 +330,7 @@
                 writer.write((post(2) + post(3))[cut:])
             answers += await self.answers(reader)
             self.assertEqual(
-                [(one[0], b"Retry-After-Ms: " in one[1], one[2]) for one in answers],
+                [(entry[0], b"Retry-After-Ms: " in entry[1], entry[2]) for entry in answers],
                 [(503, True, BUSY)] * (1 if cut == len(post(2)) else 2),
                 cut,
             )
@@ -380,8 +380,8 @@
         return plain
 
     @staticmethod
-    def go_away(plain, how):
-        if how == "reset":
+    def go_away(plain, kind):
+        if kind == "reset":
             plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             plain.close()
         else:
@@ -391,17 +391,17 @@
         await self.start()
         asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
-        for how in ("reset", "shut", "behind bytes"):
-            with self.subTest(how):
+        for kind in ("reset", "shut", "behind bytes"):
+            with self.subTest(kind):
                 asks.clear(), left.clear()
                 plain = await self.open_plain_socket()
                 plain.sendall(post(1) + post(2))
                 await self.until(lambda: len(asks) == 2)
                 self.assertTrue(asks[0].is_client_connected() and asks[1].is_client_connected())
-                if how == "behind bytes":
+                if kind == "behind bytes":
                     self.client.transport.pause_reading()
                     plain.sendall(PING * 9)
-                self.go_away(plain, how)
+                self.go_away(plain, kind)
                 self.assertFalse(asks[1].is_client_connected() or asks[0].is_client_connected())
                 self.assertEqual(left, asks)
                 await self.until(lambda: not self.front.clients)
@@ -482,11 +482,11 @@
 
     async def test_calls_of_a_disconnected_client_are_not_forwarded(self):
         (engine,) = await self.start()
-        for how in ("reset", "shut"):
+        for kind in ("reset", "shut"):
             plain = await self.open_plain_socket()
             self.client.transport.pause_reading()
             plain.sendall(post(1) * 3)
-            self.go_away(plain, how)
+            self.go_away(plain, kind)
             self.client.transport.resume_reading()
             await self.until(lambda: not self.front.clients)
         self.assertEqual((self.count("taken"), engine.calls), (0, []))
@@ -546,26 +546,26 @@
     async def test_receive_time_precedes_work_that_blocked_the_event_loop(self):
         await self.start()
         asks = self.capture_requests()
-        for how in ("known", "new", "rest of it", "quiet"):
-            with self.subTest(how):
+        for kind in ("known", "new", "rest of it", "quiet"):
+            with self.subTest(kind):
                 asks.clear()
-                reader, writer = await (super().open() if how == "new" else self.open())
-                if how == "rest of it":
+                reader, writer = await (super().open() if kind == "new" else self.open())
+                if kind == "rest of it":
                     writer.write(post(1)[:50])
                     await self.until(lambda: self.client.is_receiving)
                 await asyncio.sleep(0.3)
-                if how == "new":
+                if kind == "new":
                     writer.close()
                     plain = socket.create_connection(("127.0.0.1", self.front.port))
                     self.addCleanup(plain.close)
                     plain.sendall(post(1))
                 else:
-                    writer.write(post(1)[50:] if how == "rest of it" else post(1))
+                    writer.write(post(1)[50:] if kind == "rest of it" else post(1))
                 came = time.time() * 1000.0
-                if how != "quiet":
+                if kind != "quiet":
                     time.sleep(0.3)
                 await self.until(lambda: asks)
-                self.assertLess(asks[0].received_ms, came + (100.0 if how == "quiet" else 30.0))
+                self.assertLess(asks[0].received_ms, came + (100.0 if kind == "quiet" else 30.0))
                 self.assertGreater(asks[0].received_ms, came - 150.0)
                 asks[0].on_response(Response(ResponseStatus.FAILED))
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -185,7 +185,7 @@
         class Peer:
             wired = False
 
-            async def call(self, method, path, wired, **how):
+            async def call(self, method, path, wired, **arguments):
                 wired[0] = self.wired
                 raise TimeoutError
 
@@ -294,10 +294,10 @@
         peer = next(iter(self.program.driver.pools.values()))
         plain = type(peer).acquire
 
-        async def slow(self_, *how):
+        async def slow(self_, *arguments):
             # the drain arrives while the connection is being opened
             core.engines[0].entry = core.engines[0].entry._replace(health=2)
-            return await plain(self_, *how)
+            return await plain(self_, *arguments)
 
         with unittest.mock.patch.object(type(peer), "acquire", slow):
             status, body, _ = await self.ask(LOAD, timeout=500.0)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -254,7 +254,7 @@
         await bus.joined()
         statuses, numbers, tasks, lag, times = Counter(), itertools.count(1), set(), Lag(), []
 
-        async def one(number: int) -> None:
+        async def run_request(number: int) -> None:
             began = time.time()
             status, body, _ = await self.ask(
                 LOAD if number % 4 == 0 else LOOKUP, number, 50000.0, **{"X-Cost-Ms": str(self.WORK), "X-Memory": "1"}
@@ -269,7 +269,7 @@
         async def load() -> None:
             for turn in itertools.count():  # keep OPEN requests in flight: every engine gets some
                 for _ in range(self.OPEN - sum(not task.done() for task in tasks)):
-                    tasks.add(asyncio.create_task(one(next(numbers))))
+                    tasks.add(asyncio.create_task(run_request(next(numbers))))
                 if turn % 5 == 0:
                     bus.say(offset)  # a heartbeat, even if a turn takes over 0.1 s
                 await asyncio.sleep(0.02)
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -157,8 +157,8 @@
 
     # Guards against: a batch was sent although the end of its session, or an Attention, was unread in the socket.
     async def test_disconnect_and_attention_are_detected_while_unread(self):
-        for how in ("close", "reset", "attention"):
-            with self.subTest(how):
+        for kind in ("close", "reset", "attention"):
+            with self.subTest(kind):
                 (engine,) = await self.start()
                 submitted = []
                 self.program.core.submit = lambda ask, to=submitted: to.append(ask) or True
@@ -169,10 +169,10 @@
                 (session,) = self.program.tds.sessions.values()
                 session.writer.transport.pause_reading()
                 plain = client.writer.get_extra_info("socket")
-                if how == "attention":
+                if kind == "attention":
                     client.writer.write(codec.packets(codec.ATTENTION, b""))
                 else:
-                    linger = b"\1\0\0\0\0\0\0\0" if how == "reset" else b"\0\0\0\0\0\0\0\0"
+                    linger = b"\1\0\0\0\0\0\0\0" if kind == "reset" else b"\0\0\0\0\0\0\0\0"
                     plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                     client.writer.transport.abort()
                     await asyncio.sleep(0)  # the socket is closed in the next turn of the event loop
@@ -220,7 +220,7 @@
             engine.script = lambda statement: chance.choices(("kill", "cut", ROWS), (1, 1, 3))[0]
         answers = {}
 
-        async def one(number: int) -> None:
+        async def run_request(number: int) -> None:
             database = "loads" if number % 3 == 0 else "calls"
             client = await self.client(database)
             result = await client.query(f"-- {number}")
@@ -228,7 +228,7 @@
             answers[number] = self.faults(result) or "rows"
 
         for start in range(0, 60, 10):
-            await asyncio.gather(*(one(number) for number in range(start, start + 10)))
+            await asyncio.gather(*(run_request(number) for number in range(start, start + 10)))
         sent = [s for engine in engines for s in engine.statements]
         for number in range(0, 60, 3):
             self.assertLessEqual(sent.count(f"-- {number}"), 1, "a load is sent at most once")
