--- a/example/toy.py
+++ b/example/toy.py
@@ -96,13 +96,13 @@
 
 async def tds(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Serve one TDS session: log in anybody without encryption, and answer each batch with itself as one row."""
-    splitter = codec.Splitter(1 << 20)
+    splitter = codec.PacketReassembler(1 << 20)
     while data := await reader.read(4096):
         for message in splitter.feed(data):
             if message.kind == codec.PRELOGIN:
                 out = codec.prelogin({codec.O_ENCRYPTION: bytes((codec.ENCRYPT_NOT_SUP,))})
             elif message.kind == codec.LOGIN7:
-                out = codec.login_ack("toy", codec.PACKET)
+                out = codec.login_ack("toy", codec.DEFAULT_PACKET_BYTES)
             elif message.kind == codec.ATTENTION:
                 out = codec.done(codec.DONE_ATTN)
             else:
--- a/frostspindle/cores/mesh.py
+++ b/frostspindle/cores/mesh.py
@@ -100,13 +100,13 @@
     After the reply to the call, the client counts as absent until its next call.
     """
 
-    line: tuple[()] = ()
+    pending_calls: tuple[()] = ()
 
     def __init__(self) -> None:
         self.requests: dict[OpenRequest, None] = {}
         self.is_waiting = True
 
-    def present(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether the call still waits for its reply."""
         return self.is_waiting
 
@@ -135,7 +135,7 @@
     def abandon(self) -> None:
         """End the call without a reply, as its client or the calling worker has disconnected."""
         self.data = b""
-        self.front.gone(self)
+        self.front.call_abandoned(self)
         self._finish()
 
     def _finish(self) -> None:
--- a/frostspindle/cores/request_relay.py
+++ b/frostspindle/cores/request_relay.py
@@ -63,7 +63,7 @@
     def accepts(self) -> bool:
         """Return whether to accept a new connection now, by the connection counts of the serving workers."""
         now = monotonic_ms()
-        own_connections = self._front.held
+        own_connections = self._front.open_connections
         # Published at once, not with the next tick, as the others compare counts while a burst is accepted.
         self._region.write_cell(HeadCell.CLIENT_CONNECTIONS, own_connections)
         regions = [snapshot.region for snapshot in self._snapshots.values()]
@@ -102,7 +102,7 @@
         if request_id:
             self._region.remove_request(request_id)
 
-    def passes(self, call: PendingCall, method: bytes, path: str, url: bytes) -> bool:
+    def relay_call(self, call: PendingCall, method: bytes, path: str, url: bytes) -> bool:
         """Relay a call on a path unknown here if another worker owns it; return whether the call is answered.
 
         Only GET and DELETE are relayed. If the owner has died, reply 204 to a DELETE, and 502 to a GET because the
--- a/frostspindle/net/metrics.py
+++ b/frostspindle/net/metrics.py
@@ -1,8 +1,7 @@
-"""The figures of `show-stat` in Prometheus' text form, for the operators' call `metrics`.
+"""The figures of `show-stat` in Prometheus text format, for the operators' call `metrics`.
 
-Owns the families' names and which figure is which. It must never count by itself: it is handed the one source's figures
-at each call. It must never be imported where `metrics` is off: the library costs memory that only its users pay. No
-I/O, no clock.
+Defines the metric families and maps the figures to them; it counts nothing itself. Import it only if `metrics` is
+enabled, as the library needs memory. No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -13,15 +12,15 @@
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.metrics_core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-BEFORE = "frostspindle_"
-# A family for each figure: its key in `show-stat`, whether it only grows, its name, and what it counts.
-WHOLE = (
+PREFIX = "frostspindle_"
+# For each family: its key in `show-stat`, whether it is a counter, its name, and its help text.
+PROCESS_METRICS = (
     ("backend_calls", True, "backend_calls", "Attempts that were written whole to engines."),
     ("inflight", False, "inflight", "Requests taken and not yet ended."),
     ("hosts_listed", False, "hosts_listed", "Engines in the list."),
     ("hosts_down", False, "hosts_down", "Listed engines that get no work now."),
 )
-OF_WORKER = (
+WORKER_METRICS = (
     ("restarts", True, "worker_restarts", "Times that the worker was started again."),
     ("taken", True, "worker_taken", "Requests that the worker took."),
     ("inflight", False, "worker_inflight", "Requests of the worker that have not yet ended."),
@@ -31,30 +30,32 @@
 
 
 class _Figures:
-    """A collector of one call's figures."""
+    """A collector for the figures of one call."""
 
     def __init__(self, figures: Mapping[str, Any]) -> None:
         self.figures = figures
 
     def collect(self) -> Iterator[Metric]:
         calls = CounterMetricFamily(
-            BEFORE + "calls", "Requests by class and end, of all fronts.", labels=("class", "end")
+            PREFIX + "calls", "Requests by class and end, of all fronts.", labels=("class", "end")
         )
         for name, row in self.figures["calls"].items():
             for end, count in row.items():
                 calls.add_metric((name, end), count)
         yield calls
-        for key, grows, name, text in WHOLE:
-            yield (CounterMetricFamily if grows else GaugeMetricFamily)(BEFORE + name, text, value=self.figures[key])
-        for key, grows, name, text in OF_WORKER if "workers" in self.figures else ():
-            family = (CounterMetricFamily if grows else GaugeMetricFamily)(BEFORE + name, text, labels=("worker",))
+        for key, is_counter, name, text in PROCESS_METRICS:
+            yield (CounterMetricFamily if is_counter else GaugeMetricFamily)(
+                PREFIX + name, text, value=self.figures[key]
+            )
+        for key, is_counter, name, text in WORKER_METRICS if "workers" in self.figures else ():
+            family = (CounterMetricFamily if is_counter else GaugeMetricFamily)(PREFIX + name, text, labels=("worker",))
             for row in self.figures["workers"]:
                 family.add_metric((str(row["worker"]),), row[key])
             yield family
 
 
 def text(figures: Mapping[str, Any]) -> bytes:
-    """Return the Prometheus text exposition 0.0.4, ended by a comment `# EOF`; `figures` as `show-stat` has them."""
+    """Return `figures`, as in `show-stat`, in the Prometheus text format 0.0.4, with a final comment `# EOF`."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Figures(figures))  # type: ignore[arg-type]
     return generate_latest(registry) + b"# EOF\n"
--- a/frostspindle/net/snmp.py
+++ b/frostspindle/net/snmp.py
@@ -1,8 +1,8 @@
 """The SNMP agent: the program's counters, engines and sessions, read-only, by SNMPv2c.
 
-Owns one UDP socket and the objects of mibs/FROSTSPINDLE-MIB.txt, which it fills from the same counters and figures
-that SIGUSR1 prints and operators are told. It must never change anything (every set is refused), never answer a
-wrong community, and never be imported unless the operator's file sets it up.
+Serves the objects of mibs/FROSTSPINDLE-MIB.txt on one UDP socket, from the same counters and figures as SIGUSR1 and the
+operators' port. Every SET is rejected, and requests with a wrong community are not answered. Import it only if the
+operator's file enables it.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 SCALARS, CLASSES, ENGINES, SESSIONS = (*ROOT, 1, 1), (*ROOT, 1, 2, 1), (*ROOT, 1, 3, 1), (*ROOT, 1, 4, 1)
 FRONTS = {"http": 1, "tds": 2}
 CLASS_COUNTS = ("taken", "full", "sent", "served", "refused", "failed", "left")
-HEALTH = {0: 3, 1: 1, 2: 2}  # the module's numbers to the MIB's: ready, draining, gone
-OLD_MS = 200.0  # a walk reads many objects of one picture; it is drawn anew after this
+HEALTH = {0: 3, 1: 1, 2: 2}  # decision module's value: MIB value; ready, draining, gone
+SNAPSHOT_MAX_AGE_MS = 200.0  # one snapshot serves the many reads of a walk
 Oid = tuple[int, ...]
 
 
 class Objects(AbstractMibInstrumController):
-    """All objects, as one ordered snapshot that is drawn again after OLD_MS."""
+    """All objects, as an ordered snapshot that is renewed after SNAPSHOT_MAX_AGE_MS."""
 
     def __init__(self, core: Core, telemetry: Telemetry, sessions: Callable[[], dict[str, int]]) -> None:
         self.core, self.telemetry, self.sessions = core, telemetry, sessions
-        self._at, self._values, self._order = 0.0, dict[Oid, Any](), list[Oid]()
+        self._taken_ms, self._values, self._order = 0.0, dict[Oid, Any](), list[Oid]()
 
-    def _picture(self) -> dict[Oid, Any]:
+    def _snapshot(self) -> dict[Oid, Any]:
         now = time.monotonic() * 1000.0
-        if self._order and now - self._at < OLD_MS:
+        if self._order and now - self._taken_ms < SNAPSHOT_MAX_AGE_MS:
             return self._values
-        telemetry, counts, out = self.telemetry, self.telemetry.counts, {}
+        telemetry, counts, values = self.telemetry, self.telemetry.counts, {}
         figures = self.core.figures()
         up = int(telemetry.up_s() * 100) & 0xFFFFFFFF
         for number, value in enumerate(
@@ -62,54 +62,54 @@
             ),
             1,
         ):
-            out[(*SCALARS, number, 0)] = value
+            values[(*SCALARS, number, 0)] = value
         for index, (front, cls) in enumerate(self.core.classes, 1):
             row = (FRONTS[front], index)
-            out[(*CLASSES, 3, *row)] = rfc1902.OctetString(cls.encode())
-            for column, what in enumerate(CLASS_COUNTS, 4):
-                out[(*CLASSES, column, *row)] = rfc1902.Counter64(counts[what, front, cls])
+            values[(*CLASSES, 3, *row)] = rfc1902.OctetString(cls.encode())
+            for column, name in enumerate(CLASS_COUNTS, 4):
+                values[(*CLASSES, column, *row)] = rfc1902.Counter64(counts[name, front, cls])
         for number, state in self.core.engines.items():
             row = (number + 1,) if number < 0xFFFFFFFF else (number,)
-            out[(*ENGINES, 2, *row)] = rfc1902.OctetString(state.name.encode()[:255])
-            out[(*ENGINES, 3, *row)] = rfc1902.OctetString(f"{state.address[0]}:{state.address[1]}".encode())
-            out[(*ENGINES, 4, *row)] = rfc1902.Integer32(HEALTH[state.entry.health])
+            values[(*ENGINES, 2, *row)] = rfc1902.OctetString(state.name.encode()[:255])
+            values[(*ENGINES, 3, *row)] = rfc1902.OctetString(f"{state.address[0]}:{state.address[1]}".encode())
+            values[(*ENGINES, 4, *row)] = rfc1902.Integer32(HEALTH[state.entry.health])
         for front, count in self.sessions().items():
-            out[(*SESSIONS, 2, FRONTS[front])] = rfc1902.Gauge32(count)
-        self._at, self._values, self._order = now, out, sorted(out)
-        return out
+            values[(*SESSIONS, 2, FRONTS[front])] = rfc1902.Gauge32(count)
+        self._taken_ms, self._values, self._order = now, values, sorted(values)
+        return values
 
-    def _allowed(self, name: Oid, context: dict[str, Any]) -> None:
+    def _check_access(self, name: Oid, context: dict[str, Any]) -> None:
         context["acFun"]("read", (rfc1902.ObjectName(name), None), **{**context, "idx": 0})
 
     def read_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
-        """Answer a GET: each object by its whole name."""
-        values = self._picture()
-        out = []
+        """Answer a GET: look up each object by its complete name."""
+        values = self._snapshot()
+        found = []
         for name, _ in varBinds:
             oid = tuple(name)
-            self._allowed(ROOT, context)
+            self._check_access(ROOT, context)
             if oid in values:
-                out.append((name, values[oid]))
+                found.append((name, values[oid]))
             else:
                 known = any(o[: len(oid) - 1] == oid[:-1] for o in self._order) if len(oid) > len(ROOT) else False
-                out.append((name, rfc1905.noSuchInstance if known else rfc1905.noSuchObject))
-        return out
+                found.append((name, rfc1905.noSuchInstance if known else rfc1905.noSuchObject))
+        return found
 
     def read_next_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Answer a GETNEXT or GETBULK: the object that follows each name in order."""
-        values = self._picture()
-        out = []
+        values = self._snapshot()
+        found = []
         for name, _ in varBinds:
-            self._allowed(ROOT, context)
-            at = bisect.bisect_right(self._order, tuple(name))
-            if at < len(self._order):
-                out.append((rfc1902.ObjectName(self._order[at]), values[self._order[at]]))
+            self._check_access(ROOT, context)
+            index = bisect.bisect_right(self._order, tuple(name))
+            if index < len(self._order):
+                found.append((rfc1902.ObjectName(self._order[index]), values[self._order[index]]))
             else:
-                out.append((name, rfc1905.endOfMibView))
-        return out
+                found.append((name, rfc1905.endOfMibView))
+        return found
 
     def write_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
-        """Refuse a SET, whatever it names, by NotWritableError."""
+        """Reject every SET by NotWritableError."""
         self.telemetry.count("snmp_sets_refused")
         raise error.NotWritableError(idx=0)
 
@@ -126,9 +126,9 @@
         self._engine: Any = None
 
     async def start(self, shared: bool = False) -> None:
-        """Listen; OSError if that can't be had.
+        """Listen; raise OSError if the address is not available.
 
-        `shared`: during an upgrade the other process may still hold the address.
+        `shared`: the other process of an upgrade may still be bound to the address.
         """
         logging.getLogger("pysnmp").addHandler(logging.NullHandler())
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -140,7 +140,7 @@
         self._engine = SnmpEngine()
         snmp_config.add_transport(self._engine, udp.DOMAIN_NAME, udp.UdpTransport().open_server_mode(sock=sock))
         snmp_config.add_v1_system(self._engine, "reader", self.snmp.community)
-        # 2: SNMPv2c alone; the community has a view for reading and none for writing.
+        # 2: SNMPv2c only; the community has a read view and no write view.
         snmp_config.add_vacm_user(self._engine, 2, "reader", "noAuthNoPriv", readSubTree=ROOT)
         scope = context.SnmpContext(self._engine)
         scope.unregister_context_name(b"")
--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -1,8 +1,7 @@
-"""The codec of TDS 7.4: packets, PRELOGIN, LOGIN7, batches and the tokens of a result.
+"""A codec for TDS 7.4 (MS-TDS): packets, PRELOGIN, LOGIN7, SQL batches and the tokens of a result.
 
-Owns the byte layouts of MS-TDS and the bounds on what is read. It must never open a socket, never wait, never
-take a length on trust, and never change the bytes of a row: a result is walked to see that it is whole and is
-then passed on as it came. Whatever breaks the layout raises ProtocolError.
+Lengths are checked before use, and input that violates the layout or exceeds a limit raises ProtocolError. Results are
+parsed to check that they are complete; their rows are passed on unchanged. No I/O.
 """
 
 from __future__ import annotations
@@ -14,14 +13,14 @@
 BATCH, RPC, RESULT, ATTENTION, BULK, MANAGER, LOGIN7, SSPI, PRELOGIN = 1, 3, 4, 6, 7, 14, 16, 17, 18
 EOM, IGNORE, RESET_CONNECTION = 0x01, 0x02, 0x08
 HEADER = struct.Struct(">BBHHBB")
-PACKET, LEAST_PACKET, MOST_PACKET = 4096, 512, 32767
+DEFAULT_PACKET_BYTES, MIN_PACKET_BYTES, MAX_PACKET_BYTES = 4096, 512, 32767
 VERSION = 0x74000004
 
 # Tokens.
 COLMETADATA, ERROR, INFO, LOGINACK, ROW, NBCROW, ENVCHANGE = 0x81, 0xAA, 0xAB, 0xAD, 0xD1, 0xD2, 0xE3
 ORDER, RETURNSTATUS, FEATUREEXTACK, DONE, DONEPROC, DONEINPROC = 0xA9, 0x79, 0xAE, 0xFD, 0xFE, 0xFF
 TABNAME, COLINFO, SESSIONSTATE = 0xA4, 0xA5, 0xE4
-# What DONE says.
+# Status bits of DONE.
 DONE_MORE, DONE_ERROR, DONE_COUNT, DONE_ATTN = 0x01, 0x02, 0x10, 0x20
 ENCRYPT_NOT_SUP, ENCRYPT_OFF = 2, 0
 O_VERSION, O_ENCRYPTION, O_INSTANCE, O_THREAD, O_MARS, O_END = 0, 1, 2, 3, 4, 0xFF
@@ -40,60 +39,60 @@
     0x29: 1,
     0x2A: 1,
     0x2B: 1,
-}  # bytes of type information before the values' one-byte lengths
+}  # bytes of type information; values have one-byte lengths
 _SHORT_LEN = {0xA5: 0, 0xAD: 0, 0xA7: 5, 0xAF: 5, 0xE7: 5, 0xEF: 5}  # bytes of collation
 _LONG_LEN = {0x23: 5, 0x63: 5, 0x22: 0}
 _VARIANT, _XML, NVARCHAR = 0x62, 0xF1, 0xE7
-_COLLATION = bytes((0x09, 0x04, 0xD0, 0x00, 0x34))  # US English, case and accent as Windows sorts them
+_COLLATION = bytes((0x09, 0x04, 0xD0, 0x00, 0x34))  # US English, Windows collation
 
 
 class ProtocolError(Exception):
-    """The peer's bytes break the layout of MS-TDS, or exceed a bound."""
+    """The peer's bytes violate MS-TDS or exceed a limit."""
 
 
 class MessageTooLongError(ProtocolError):
-    """A message exceeds its bound."""
+    """A message exceeds its maximum length."""
 
 
 @dataclass(slots=True)
 class Message:
-    """One whole message: its packet type, the status bits of its last packet, and its body without packet headers."""
+    """One complete message: packet type, status bits of the last packet, and body without packet headers."""
 
     kind: int
     status: int
     body: bytes
 
 
-class Splitter:
-    """Reassembles messages from packets, however the stream was cut or joined."""
+class PacketReassembler:
+    """Reassembles messages from packets, independent of the boundaries of reads."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # bytes of one message
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes  # of one message
         self._data, self._body = bytearray(), bytearray()
         self._kind = -1
 
     @property
-    def partial(self) -> bool:
-        """Whether a message has begun and is not whole."""
+    def is_partial(self) -> bool:
+        """Whether a message is partly received."""
         return bool(self._data or self._body)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Add bytes from the stream and yield the messages that are whole now.
+        """Add bytes from the stream and yield the messages that are now complete.
 
-        A generator: nothing is taken in before it is iterated. Raises ProtocolError for a packet of an impossible
-        length or type, or of another type than its message, and TooLong once a message passes `most` bytes.
+        A generator: it must be iterated for the bytes to be added. Raise ProtocolError for a packet with an invalid
+        length or type, or a type other than its message's, and MessageTooLongError for a message over `max_bytes`.
         """
         self._data += data
         while len(self._data) >= HEADER.size:
             kind, status, length, _, _, _ = HEADER.unpack_from(self._data)
-            if length < HEADER.size or length > MOST_PACKET:
-                raise ProtocolError(f"a packet of {length} bytes")
+            if length < HEADER.size or length > MAX_PACKET_BYTES:
+                raise ProtocolError(f"invalid packet length {length}")
             if kind not in (BATCH, RPC, RESULT, ATTENTION, BULK, MANAGER, LOGIN7, SSPI, PRELOGIN):
-                raise ProtocolError(f"a packet of unknown type {kind}")
+                raise ProtocolError(f"unknown packet type {kind}")
             if self._kind not in (-1, kind):
-                raise ProtocolError(f"a packet of type {kind} inside a message of type {self._kind}")
-            if len(self._body) + length - HEADER.size > self.most:
-                raise MessageTooLongError(f"a message of more than {self.most} bytes")
+                raise ProtocolError(f"packet of type {kind} in a message of type {self._kind}")
+            if len(self._body) + length - HEADER.size > self.max_bytes:
+                raise MessageTooLongError(f"message longer than {self.max_bytes} bytes")
             if len(self._data) < length:
                 return
             self._kind = kind
@@ -106,10 +105,10 @@
                 yield message
 
 
-def packets(kind: int, body: bytes, size: int = PACKET, status: int = 0) -> bytes:
-    """Return a message as packets of at most `size` bytes; `status` bits go on the first."""
-    room, out = size - HEADER.size, bytearray()
-    chunks = [body[at : at + room] for at in range(0, len(body), room)] or [b""]
+def packets(kind: int, body: bytes, size: int = DEFAULT_PACKET_BYTES, status: int = 0) -> bytes:
+    """Return a message as packets of at most `size` bytes; the first has the `status` bits."""
+    chunk_bytes, out = size - HEADER.size, bytearray()
+    chunks = [body[start : start + chunk_bytes] for start in range(0, len(body), chunk_bytes)] or [b""]
     for number, chunk in enumerate(chunks):
         bits = (status if number == 0 else 0) | (EOM if number == len(chunks) - 1 else 0)
         out += HEADER.pack(kind, bits, HEADER.size + len(chunk), 0, (number + 1) & 0xFF, 0) + chunk
@@ -120,26 +119,26 @@
 
 
 def read_prelogin(body: bytes) -> dict[int, bytes]:
-    """Return the options of a PRELOGIN by their tokens; ProtocolError if it is cut or has no terminator."""
+    """Return the options of a PRELOGIN by token; raise ProtocolError if truncated or without terminator."""
     options: dict[int, bytes] = {}
-    at = 0
+    position = 0
     while True:
-        if at >= len(body):
-            raise ProtocolError("a PRELOGIN without an end")
-        option = body[at]
+        if position >= len(body):
+            raise ProtocolError("PRELOGIN without terminator")
+        option = body[position]
         if option == O_END:
             return options
-        if at + 5 > len(body):
-            raise ProtocolError("a PRELOGIN option is cut")
-        offset, length = struct.unpack_from(">HH", body, at + 1)
+        if position + 5 > len(body):
+            raise ProtocolError("truncated PRELOGIN option")
+        offset, length = struct.unpack_from(">HH", body, position + 1)
         if offset + length > len(body):
-            raise ProtocolError("a PRELOGIN option runs past its message")
+            raise ProtocolError("PRELOGIN option exceeds its message")
         options[option] = body[offset : offset + length]
-        at += 5
+        position += 5
 
 
 def prelogin(options: dict[int, bytes]) -> bytes:
-    """Return the body of a PRELOGIN with these options, in their order."""
+    """Return the body of a PRELOGIN with the options in their order."""
     head, data = bytearray(), bytearray()
     start = 5 * len(options) + 1
     for option, value in options.items():
@@ -150,37 +149,43 @@
 
 @dataclass(slots=True, frozen=True)
 class Login:
-    """What is used of a LOGIN7: names, the client's packet size in bytes (clamped), and its TDS version."""
+    """Fields of a LOGIN7: names, the client's packet size in bytes (clamped), and its TDS version."""
 
     user: str = ""
     application: str = ""
     database: str = ""
-    packet: int = PACKET
+    packet: int = DEFAULT_PACKET_BYTES
     version: int = VERSION
 
 
 def read_login(body: bytes) -> Login:
-    """Read a LOGIN7 and clamp its packet size to the bounds (0 means the default).
+    """Parse a LOGIN7 and clamp its packet size to the limits (0 means the default).
 
-    Raises ProtocolError if it is cut, a name is longer than 128 characters or not UTF-16, or the version is below 7.2.
+    Raise ProtocolError if it is truncated, a name exceeds 128 characters or is not UTF-16, or the version is below 7.2.
     """
     if len(body) < 94 or struct.unpack_from("<I", body)[0] > len(body):
-        raise ProtocolError("a LOGIN7 is cut")
+        raise ProtocolError("truncated LOGIN7")
     version, packet = struct.unpack_from("<II", body, 4)
 
-    def text(at: int) -> str:
-        offset, count = struct.unpack_from("<HH", body, at)
+    def text(position: int) -> str:
+        offset, count = struct.unpack_from("<HH", body, position)
         if count > 128 or offset + 2 * count > len(body):
-            raise ProtocolError("a LOGIN7 field runs past its message")
-        return _utf16(body[offset : offset + 2 * count])
+            raise ProtocolError("LOGIN7 field exceeds its message")
+        return _decode_utf16(body[offset : offset + 2 * count])
 
     if version >> 24 < 0x72:
         raise ProtocolError(f"TDS version {version:08x} is older than 7.2")
-    return Login(text(40), text(48), text(68), max(LEAST_PACKET, min(MOST_PACKET, packet or PACKET)), version)
+    return Login(
+        text(40),
+        text(48),
+        text(68),
+        max(MIN_PACKET_BYTES, min(MAX_PACKET_BYTES, packet or DEFAULT_PACKET_BYTES)),
+        version,
+    )
 
 
-def login(user: str, password: str, application: str, database: str, packet: int = PACKET) -> bytes:
-    """Return the body of a LOGIN7; the password is obfuscated as MS-TDS asks, not encrypted."""
+def login(user: str, password: str, application: str, database: str, packet: int = DEFAULT_PACKET_BYTES) -> bytes:
+    """Return the body of a LOGIN7; the password is obfuscated as MS-TDS requires, not encrypted."""
     secret = bytes((((b << 4) | (b >> 4)) & 0xFF) ^ 0xA5 for b in password.encode("utf-16-le"))
     fields = [
         b"",
@@ -203,24 +208,24 @@
     return struct.pack("<I", 4 + len(body)) + body
 
 
-def _utf16(data: bytes) -> str:
+def _decode_utf16(data: bytes) -> str:
     try:
         return data.decode("utf-16-le")
     except UnicodeDecodeError:
-        raise ProtocolError("text that is not UTF-16") from None
+        raise ProtocolError("text is not UTF-16") from None
 
 
 # Batches.
 
 
 def read_batch(body: bytes) -> str:
-    """Return the statement of a SQL batch, without its ALL_HEADERS; ProtocolError if it is cut or not UTF-16."""
+    """Return the statement of a SQL batch without its ALL_HEADERS; raise ProtocolError if invalid."""
     if len(body) < 4:
-        raise ProtocolError("a batch without its headers")
+        raise ProtocolError("batch without ALL_HEADERS")
     skip = struct.unpack_from("<I", body)[0]
     if not 4 <= skip <= len(body) or (len(body) - skip) % 2:
-        raise ProtocolError("a batch's headers run past it")
-    return _utf16(body[skip:])
+        raise ProtocolError("ALL_HEADERS exceed the batch")
+    return _decode_utf16(body[skip:])
 
 
 def batch(statement: str) -> bytes:
@@ -228,10 +233,10 @@
     return struct.pack("<IIHQI", 22, 18, 2, 0, 1) + statement.encode("utf-16-le")
 
 
-# Tokens that are written here.
+# Encoding of tokens.
 
 
-def _short(text: str) -> bytes:
+def _b_varchar(text: str) -> bytes:
     return bytes((len(text),)) + text.encode("utf-16-le")
 
 
@@ -241,34 +246,34 @@
     body = (
         struct.pack("<iBBH", number, 1, severity, len(text))
         + text.encode("utf-16-le")
-        + _short(server)
-        + _short("")
+        + _b_varchar(server)
+        + _b_varchar("")
         + struct.pack("<I", 1)
     )
     return struct.pack("<BH", ERROR, len(body)) + body
 
 
 def done(status: int = 0, rows: int = 0) -> bytes:
-    """Return a DONE token; clients read `rows` only if `status` has DONE_COUNT."""
+    """Return a DONE token; clients use `rows` only if `status` includes DONE_COUNT."""
     return struct.pack("<BHHQ", DONE, status, 0, rows)
 
 
 def login_ack(database: str, packet: int) -> bytes:
-    """Return the tokens that accept a log-in: LOGINACK, ENVCHANGE for database and packet size, and the last DONE."""
+    """Return the tokens that accept a login: LOGINACK, ENVCHANGE for database and packet size, and a final DONE."""
     name = "frostspindle"
-    ack = b"\x01" + struct.pack(">I", VERSION) + _short(name) + bytes((1, 0, 0, 0))
+    ack = b"\x01" + struct.pack(">I", VERSION) + _b_varchar(name) + bytes((1, 0, 0, 0))
     out = struct.pack("<BH", LOGINACK, len(ack)) + ack
-    for kind, new, old in ((1, database, ""), (4, str(packet), str(PACKET))):
-        change = bytes((kind,)) + _short(new) + _short(old)
+    for kind, new, old in ((1, database, ""), (4, str(packet), str(DEFAULT_PACKET_BYTES))):
+        change = bytes((kind,)) + _b_varchar(new) + _b_varchar(old)
         out += struct.pack("<BH", ENVCHANGE, len(change)) + change
     return out + done()
 
 
 def text_result(columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> bytes:
-    """Return a result of text columns; used by stand-ins and examples."""
+    """Return a result of text columns; for test engines and examples."""
     out = bytearray(struct.pack("<BH", COLMETADATA, len(columns)))
     for column in columns:
-        out += struct.pack("<IHBH", 0, 9, NVARCHAR, 8000) + _COLLATION + _short(column)
+        out += struct.pack("<IHBH", 0, 9, NVARCHAR, 8000) + _COLLATION + _b_varchar(column)
     for row in rows:
         out.append(ROW)
         for value in row:
@@ -277,7 +282,7 @@
     return bytes(out) + done(DONE_COUNT, len(rows))
 
 
-# Walking a result.
+# Parsing of results.
 
 
 @dataclass(slots=True)
@@ -291,26 +296,26 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a whole response holds. `tokens` leaves out those about the engine's session only."""
+    """A complete response. `tokens` excludes those that concern only the engine's session."""
 
     tokens: bytes = b""
-    faults: list[ErrorToken] = field(default_factory=list)
+    errors: list[ErrorToken] = field(default_factory=list)
     status: int = 0  # of the last DONE
     rows: int = 0
-    accepted: bool = False  # a LOGINACK came
+    accepted: bool = False  # it contains a LOGINACK
 
 
 class _Reader:
-    """Bytes taken in order; past the end is a ProtocolError."""
+    """Reads bytes in order; raises ProtocolError past the end."""
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.position = data, 0
 
     def skip(self, count: int) -> int:
-        start = self.at
+        start = self.position
         if count < 0 or start + count > len(self.data):
-            raise ProtocolError("a token runs past its message")
-        self.at += count
+            raise ProtocolError("token exceeds its message")
+        self.position += count
         return start
 
     def number(self, form: str) -> int:
@@ -322,119 +327,119 @@
         return self.data[start : start + count]
 
 
-def _column(r: _Reader) -> tuple[str, int]:
-    """One column's type information: how its values are measured."""
-    r.skip(6)
-    kind = r.number("B")
+def _read_column(reader: _Reader) -> tuple[str, int]:
+    """Read a column's type information; return the length encoding of its values and a size."""
+    reader.skip(6)
+    kind = reader.number("B")
     if kind in _FIXED:
-        how = ("fixed", _FIXED[kind])
+        encoding = ("fixed", _FIXED[kind])
     elif kind in _BYTE_LEN:
-        r.skip(_BYTE_LEN[kind])
-        how = ("byte", 0)
+        reader.skip(_BYTE_LEN[kind])
+        encoding = ("byte", 0)
     elif kind in _SHORT_LEN:
-        most = r.number("H")
-        r.skip(_SHORT_LEN[kind])
-        how = ("plp", 0) if most == 0xFFFF else ("short", 0)
+        max_bytes = reader.number("H")
+        reader.skip(_SHORT_LEN[kind])
+        encoding = ("plp", 0) if max_bytes == 0xFFFF else ("short", 0)
     elif kind in _LONG_LEN:
-        r.skip(4 + _LONG_LEN[kind])
-        for _ in range(r.number("B")):
-            r.skip(2 * r.number("H"))
-        how = ("text", 0)
+        reader.skip(4 + _LONG_LEN[kind])
+        for _ in range(reader.number("B")):
+            reader.skip(2 * reader.number("H"))
+        encoding = ("text", 0)
     elif kind == _VARIANT:
-        r.skip(4)
-        how = ("long", 0)
+        reader.skip(4)
+        encoding = ("long", 0)
     elif kind == _XML:
-        if r.number("B"):
-            r.skip(2 * r.number("B"))
-            r.skip(2 * r.number("B"))
-            r.skip(2 * r.number("H"))
-        how = ("plp", 0)
+        if reader.number("B"):
+            reader.skip(2 * reader.number("B"))
+            reader.skip(2 * reader.number("B"))
+            reader.skip(2 * reader.number("H"))
+        encoding = ("plp", 0)
     else:
-        raise ProtocolError(f"a column of type {kind:#04x}")
-    r.skip(2 * r.number("B"))
-    return how
+        raise ProtocolError(f"unknown column type {kind:#04x}")
+    reader.skip(2 * reader.number("B"))
+    return encoding
 
 
-def _value(r: _Reader, how: tuple[str, int]) -> None:
-    form, size = how
+def _skip_value(reader: _Reader, encoding: tuple[str, int]) -> None:
+    form, size = encoding
     if form == "fixed":
-        r.skip(size)
+        reader.skip(size)
     elif form == "byte":
-        r.skip(r.number("B"))
+        reader.skip(reader.number("B"))
     elif form == "short":
-        size = r.number("H")
-        r.skip(0 if size == 0xFFFF else size)
+        size = reader.number("H")
+        reader.skip(0 if size == 0xFFFF else size)
     elif form == "long":
-        r.skip(r.number("I"))
+        reader.skip(reader.number("I"))
     elif form == "text":
-        if pointer := r.number("B"):
-            r.skip(pointer + 8)
-            r.skip(r.number("I"))
-    elif r.number("Q") != 0xFFFFFFFFFFFFFFFF:
-        while size := r.number("I"):
-            r.skip(size)
+        if pointer := reader.number("B"):
+            reader.skip(pointer + 8)
+            reader.skip(reader.number("I"))
+    elif reader.number("Q") != 0xFFFFFFFFFFFFFFFF:
+        while size := reader.number("I"):
+            reader.skip(size)
 
 
 def read_result(data: bytes) -> Result:
-    """Check and read a whole response of an engine; ProtocolError if it is cut, unknown or lacks its last DONE."""
-    r, result, kept = _Reader(data), Result(), bytearray()
+    """Parse a complete response; raise ProtocolError if truncated, with unknown tokens or without a final DONE."""
+    reader, result, kept_tokens = _Reader(data), Result(), bytearray()
     columns: list[tuple[str, int]] = []
     last = False
-    while r.at < len(data):
-        start, token = r.at, r.number("B")
+    while reader.position < len(data):
+        start, token = reader.position, reader.number("B")
         last = False
         keep = True
         if token == COLMETADATA:
-            count = r.number("H")
-            columns = [] if count == 0xFFFF else [_column(r) for _ in range(count)]
+            count = reader.number("H")
+            columns = [] if count == 0xFFFF else [_read_column(reader) for _ in range(count)]
         elif token == ROW:
             if not columns:
-                raise ProtocolError("a row without columns")
-            for how in columns:
-                _value(r, how)
+                raise ProtocolError("row without column metadata")
+            for encoding in columns:
+                _skip_value(reader, encoding)
             result.rows += 1
         elif token == NBCROW:
             if not columns:
-                raise ProtocolError("a row without columns")
-            nulls = r.chunk((len(columns) + 7) // 8)
-            for number, how in enumerate(columns):
+                raise ProtocolError("row without column metadata")
+            nulls = reader.chunk((len(columns) + 7) // 8)
+            for number, encoding in enumerate(columns):
                 if not nulls[number // 8] >> (number % 8) & 1:
-                    _value(r, how)
+                    _skip_value(reader, encoding)
             result.rows += 1
         elif token in (DONE, DONEPROC, DONEINPROC):
-            result.status = r.number("H")
-            r.skip(10)
+            result.status = reader.number("H")
+            reader.skip(10)
             last = not result.status & DONE_MORE and token != DONEINPROC
         elif token == ERROR:
-            result.faults.append(_fault(r.chunk(r.number("H"))))
+            result.errors.append(_read_error(reader.chunk(reader.number("H"))))
         elif token in (INFO, ORDER, TABNAME, COLINFO):
-            r.skip(r.number("H"))
+            reader.skip(reader.number("H"))
         elif token == RETURNSTATUS:
-            r.skip(4)
+            reader.skip(4)
         elif token in (LOGINACK, ENVCHANGE):
-            r.skip(r.number("H"))
+            reader.skip(reader.number("H"))
             result.accepted |= token == LOGINACK
             keep = False
         elif token == SESSIONSTATE:
-            r.skip(r.number("I"))
+            reader.skip(reader.number("I"))
             keep = False
         elif token == FEATUREEXTACK:
-            while r.number("B") != 0xFF:
-                r.skip(r.number("I"))
+            while reader.number("B") != 0xFF:
+                reader.skip(reader.number("I"))
             keep = False
         else:
-            raise ProtocolError(f"a token of unknown type {token:#04x}")
+            raise ProtocolError(f"unknown token type {token:#04x}")
         if keep:
-            kept += data[start : r.at]
+            kept_tokens += data[start : reader.position]
     if not last:
-        raise ProtocolError("an answer without its last DONE")
-    result.tokens = bytes(kept)
+        raise ProtocolError("response without a final DONE")
+    result.tokens = bytes(kept_tokens)
     return result
 
 
-def _fault(body: bytes) -> ErrorToken:
-    r = _Reader(body)
-    number = r.number("i")
-    r.skip(1)
-    severity = r.number("B")
-    return ErrorToken(number, severity, _utf16(r.chunk(2 * r.number("H"))))
+def _read_error(body: bytes) -> ErrorToken:
+    reader = _Reader(body)
+    number = reader.number("i")
+    reader.skip(1)
+    severity = reader.number("B")
+    return ErrorToken(number, severity, _decode_utf16(reader.chunk(2 * reader.number("H"))))
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -1,9 +1,8 @@
-"""The driver of TDS engines: one attempt from its batch to its last DONE.
+"""The driver of TDS engines: runs attempts from the SQL batch to the final DONE.
 
-Owns the connections to those engines, the operator's list of them, and the Attention that frees an engine's
-work. It must never write a batch to an engine that has begun to drain, never write one twice, never report a
-good end without the whole answer in hand, and never hand on an answer that it could not walk. An engine that
-says it shuts down is told to the core as draining until it takes log-ins again.
+Manages the sessions to the engines of the operator's file and cancels batches by Attention. A batch is written at most
+once, and not to an engine that has begun to drain. Success is reported only with a complete response that was parsed
+without errors. An engine that reports its shutdown counts as draining until it accepts logins again.
 """
 
 from __future__ import annotations
@@ -21,12 +20,12 @@
 from frostspindle.policy import AttemptOutcome, EndpointListKind, EngineEntry, Health
 from frostspindle.telemetry import Telemetry
 
-SHUTTING_DOWN = {6005, 6006, 17142, 17147, 18401}  # the numbers of a server that stops or pauses
-SOFT = 16  # up to this severity an error is the statement's own, and is its answer
-DEADLOCK, TOO_LONG = 1205, 50003
-ATTENTION_S = 1.0  # an engine that does not confirm an Attention by then loses the connection
-IDLE_S, POOL = 30.0, 16  # idle connections of one engine
-AGAIN_S = 0.5  # how often an engine that shut down is tried
+SHUTTING_DOWN = {6005, 6006, 17142, 17147, 18401}  # error numbers of a server that stops or pauses
+MAX_STATEMENT_SEVERITY = 16  # errors up to this severity are caused by the statement and returned to the client
+DEADLOCK, RESULT_TOO_LONG = 1205, 50003
+ATTENTION_TIMEOUT_S = 1.0  # then the connection is closed
+IDLE_TIMEOUT_S, MAX_IDLE_SESSIONS = 30.0, 16  # of one engine and database
+RECONNECT_INTERVAL_S = 0.5  # login attempts at an engine that shut down
 
 
 class SessionUnavailableError(Exception):
@@ -40,19 +39,19 @@
 class _Connection:
     """One logged-in session at an engine."""
 
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, most: int) -> None:
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, max_bytes: int) -> None:
         self.reader, self.writer = reader, writer
         self.used, self.idle_at = False, 0.0
-        self.splitter = codec.Splitter(most)
-        self._stray: asyncio.Task[bytes] | None = None
+        self.splitter = codec.PacketReassembler(max_bytes)
+        self._stray_read: asyncio.Task[bytes] | None = None
 
     @classmethod
-    async def open(cls, at: tuple[str, int], tds: TdsSection, database: str, most: int) -> _Connection:
+    async def open(cls, engine_address: tuple[str, int], tds: TdsSection, database: str, max_bytes: int) -> _Connection:
         try:
-            reader, writer = await asyncio.open_connection(*at, limit=64 * 1024)
+            reader, writer = await asyncio.open_connection(*engine_address, limit=64 * 1024)
         except OSError as error:
             raise SessionUnavailableError(repr(error)) from None
-        connection = cls(reader, writer, most)
+        connection = cls(reader, writer, max_bytes)
         try:
             await connection._log_in(tds, database)
         except BaseException:
@@ -76,66 +75,66 @@
                     ),
                 )
             )
-            options = codec.read_prelogin(await self.answer())
+            options = codec.read_prelogin(await self.read_message())
             if options.get(codec.O_ENCRYPTION, b"\x02")[0] not in (codec.ENCRYPT_NOT_SUP, codec.ENCRYPT_OFF):
-                raise SessionUnavailableError("the engine asks for encryption, which is not spoken here")
+                raise SessionUnavailableError("the engine requires encryption, which is not supported")
             self.writer.write(
                 codec.packets(codec.LOGIN7, codec.login(tds.engine_user, tds.engine_password, "frostspindle", database))
             )
-            result = codec.read_result(await self.answer())
+            result = codec.read_result(await self.read_message())
         except (OSError, EOFError, codec.ProtocolError) as error:
-            raise SessionUnavailableError(f"no log-in: {error!r}") from None
-        if not result.accepted or result.faults:
+            raise SessionUnavailableError(f"login failed: {error!r}") from None
+        if not result.accepted or result.errors:
             raise SessionUnavailableError(
-                "log-in refused: " + "; ".join(f.text for f in result.faults), [f.number for f in result.faults]
+                "login rejected: " + "; ".join(f.text for f in result.errors), [f.number for f in result.errors]
             )
 
-    async def answer(self) -> bytes:
-        """The next whole message, however it is cut."""
+    async def read_message(self) -> bytes:
+        """Read the next complete message."""
         while True:
             data = await self.reader.read(64 * 1024)
             if not data:
                 raise EOFError("the engine ended its connection")
             for message in self.splitter.feed(data):
                 if message.kind != codec.RESULT:
-                    raise codec.ProtocolError(f"a message of type {message.kind} from an engine")
+                    raise codec.ProtocolError(f"unexpected message type {message.kind} from an engine")
                 return message.body
 
     def request(self, statement: str) -> None:
-        """Write the batch; a session that was used before starts afresh."""
+        """Write the batch; a session that was used before is reset."""
         status = codec.RESET_CONNECTION if self.used else 0
         self.used = True
         self.writer.write(codec.packets(codec.BATCH, codec.batch(statement), status=status))
 
     async def attention(self) -> bool:
-        """Stop what runs here; True once the engine has confirmed it."""
+        """Cancel the running batch; return whether the engine confirmed it."""
         try:
-            async with asyncio.timeout(ATTENTION_S):
+            async with asyncio.timeout(ATTENTION_TIMEOUT_S):
                 self.writer.write(codec.packets(codec.ATTENTION, b""))
                 while True:
-                    result = codec.read_result(await self.answer())
+                    result = codec.read_result(await self.read_message())
                     if result.status & codec.DONE_ATTN:
                         return True
         except (OSError, EOFError, TimeoutError, codec.ProtocolError):
             return False
 
-    def park(self) -> None:
-        """Left idle: whatever the engine writes now, or its end of the stream, makes this session stale."""
+    def set_idle(self) -> None:
+        """Mark the session idle; any input or the end of the stream makes it stale."""
         self.idle_at = clock()
-        self._stray = asyncio.ensure_future(self.reader.read(1))
+        self._stray_read = asyncio.ensure_future(self.reader.read(1))
 
-    async def unpark(self) -> bool:
-        """Take it up again; False: stale. A word left over must not be read as the next batch's answer."""
-        assert self._stray is not None
-        stray, self._stray = self._stray, None
-        fresh = not stray.done() and clock() - self.idle_at < IDLE_S * 1000.0
+    async def reuse(self) -> bool:
+        """Reuse the idle session; return False if stale, as stray input must not be read as the next response."""
+        assert self._stray_read is not None
+        stray, self._stray_read = self._stray_read, None
+        fresh = not stray.done() and clock() - self.idle_at < IDLE_TIMEOUT_S * 1000.0
         stray.cancel()
         await asyncio.wait((stray,))
         return fresh and stray.cancelled()
 
     def close(self) -> None:
-        if self._stray is not None:
-            self._stray.cancel()
+        if self._stray_read is not None:
+            self._stray_read.cancel()
         self.writer.transport.abort()
 
 
@@ -150,47 +149,49 @@
         self.states: dict[int, EngineState] = {}
         self._names: dict[str, int] = {}
         self._idle: dict[tuple[int, str], deque[_Connection]] = {}
-        self._watched: set[int] = set()
+        self._watched_engines: set[int] = set()
         self._version = 0
 
-    # The operator's list.
+    # The operator's engine list.
 
-    def configure(self, engines: Iterable[TdsEngine], how: int = EndpointListKind.DELTA) -> None:
-        """Apply the operator's list, at the start and again on SIGHUP; engines no longer in it are gone."""
+    def configure(self, engines: Iterable[TdsEngine], list_kind: int = EndpointListKind.DELTA) -> None:
+        """Apply the operator's list, at the start and on SIGHUP; engines no longer listed are removed."""
         changed, named = [], set()
         for engine in engines:
-            number = self._number(engine.name)
+            number = self._engine_id(engine.name)
             named.add(number)
             state = self._state(engine, number)
-            known = self.states.get(number)
-            if known is None or (known.entry, known.address) != (state.entry, state.address):
+            known_state = self.states.get(number)
+            if known_state is None or (known_state.entry, known_state.address) != (state.entry, state.address):
                 changed.append(state)
         changed += [
-            self._with(s, Health.GONE)
+            self._with_health(s, Health.GONE)
             for n, s in self.states.items()
             if n not in named and s.entry.health != Health.GONE
         ]
-        self._tell(changed, how)
+        self._publish(changed, list_kind)
 
     def _state(self, engine: TdsEngine, number: int) -> EngineState:
-        known = self.states.get(number)
-        since = known.entry.since_ms if known else 0.0
-        if known is not None and known.entry.health == Health.GONE and STATES[engine.state] == Health.READY:
-            since = clock()  # it comes back, and comes back cold
-        entry = EngineEntry(number, 0, self.kinds[engine.cores, engine.memory_mb], 0, STATES[engine.state], 1.0, since)
+        known_state = self.states.get(number)
+        since_ms = known_state.entry.since_ms if known_state else 0.0
+        if known_state is not None and known_state.entry.health == Health.GONE and STATES[engine.state] == Health.READY:
+            since_ms = clock()  # it returns with a cold cache
+        entry = EngineEntry(
+            number, 0, self.kinds[engine.cores, engine.memory_mb], 0, STATES[engine.state], 1.0, since_ms
+        )
         return EngineState(entry, engine.name, address(engine.dial, engine.name), self)
 
-    def _with(self, state: EngineState, health: int, since: float | None = None) -> EngineState:
-        entry = state.entry._replace(health=health, since_ms=state.entry.since_ms if since is None else since)
+    def _with_health(self, state: EngineState, health: int, since_ms: float | None = None) -> EngineState:
+        entry = state.entry._replace(health=health, since_ms=state.entry.since_ms if since_ms is None else since_ms)
         return EngineState(entry, state.name, state.address, self)
 
-    def _tell(self, states: list[EngineState], how: int = EndpointListKind.DELTA) -> None:
+    def _publish(self, states: list[EngineState], list_kind: int = EndpointListKind.DELTA) -> None:
         if states:
             self._version += 1
             self.states.update({state.entry.engine: state for state in states})
-            self.core.update_endpoints(self, states, how, self._version)
+            self.core.update_endpoints(self, states, list_kind, self._version)
 
-    def _number(self, name: str) -> int:
+    def _engine_id(self, name: str) -> int:
         if name not in self._names:
             number = zlib.crc32(b"tds " + name.encode())
             while number in self._names.values() or number in self.core.engines:
@@ -198,21 +199,21 @@
             self._names[name] = number
         return self._names[name]
 
-    def _drains(self, number: int) -> None:
-        """The engine itself says that it stops: no new work, until it takes log-ins again."""
+    def _mark_draining(self, number: int) -> None:
+        """Mark an engine that reports its shutdown as draining, until it accepts logins again."""
         state = self.states[number]
         if state.entry.health == Health.READY:
             self.telemetry.count("shutdowns_heard", "tds")
-            self._tell([self._with(state, Health.DRAINING)])
-        if number not in self._watched:
-            self._watched.add(number)
+            self._publish([self._with_health(state, Health.DRAINING)])
+        if number not in self._watched_engines:
+            self._watched_engines.add(number)
             self.spawn(self._watch(number))
 
     async def _watch(self, number: int) -> None:
-        """Wait for an engine that shut down to take log-ins again; it then counts as just started."""
+        """Wait until an engine that shut down accepts logins again; it then counts as just started."""
         try:
             while self.states[number].entry.health == Health.DRAINING:
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RECONNECT_INTERVAL_S)
                 state = self.states[number]
                 try:
                     async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
@@ -221,36 +222,36 @@
                     continue
                 connection.close()
                 if self.states[number].entry.health == Health.DRAINING:
-                    self._tell([self._with(self.states[number], Health.READY, clock())])
+                    self._publish([self._with_health(self.states[number], Health.READY, clock())])
         finally:
-            self._watched.discard(number)
+            self._watched_engines.discard(number)
 
     # The core's interface.
 
     def update_engine(self, engine: EngineState) -> None:
-        """Close the idle sessions of an engine that is gone; nothing else of the list needs work here."""
+        """Close the idle sessions of a removed engine; other changes need no action."""
         if engine.entry.health == Health.GONE:
             for key in [key for key in self._idle if key[0] == engine.entry.engine]:
                 for connection in self._idle.pop(key):
                     connection.close()
 
     def update_priority(self, attempt: Attempt) -> None:
-        """Do nothing: TDS has no way to change a priority."""
+        """Do nothing: TDS cannot change a priority."""
 
     async def close(self) -> None:
         """Cancel all attempts, wait for their ends, and close the idle sessions."""
         await super().close()
-        for line in self._idle.values():
-            for connection in line:
+        for idle in self._idle.values():
+            for connection in idle:
                 connection.close()
 
     # One attempt.
 
     async def attempt(self, attempt: Attempt) -> None:
-        """Run an attempt to its end and report that once, by Core.attempt_ended.
+        """Run an attempt to its end and report it once by Core.attempt_ended.
 
-        Errors up to severity SOFT are the statement's own and go to the client; a result beyond `max_result_bytes` is
-        answered with an ERROR token. After a timeout or a cancel the engine is freed by Attention first.
+        Errors up to MAX_STATEMENT_SEVERITY are returned to the client; a result over `max_result_bytes` is replaced by
+        an ERROR token. After a timeout or cancellation the batch is first cancelled by Attention.
         """
         connection: _Connection | None = None
         outcome, tokens = AttemptOutcome.CONNECT_FAILED, None
@@ -258,21 +259,21 @@
             async with asyncio.timeout(self.left_s(attempt)):
                 connection = await self._connect(attempt)
                 await self.core.catch_up()
-                # A wait for a connection may have been long: the engine may have begun to drain meanwhile.
+                # The engine may have begun to drain during the wait for a connection.
                 if connection is not None and not self.core.may_send(attempt):
                     outcome = attempt.unsent_outcome
                 elif connection is not None:
                     outcome = AttemptOutcome.RESET
                     connection.request(attempt.request.statement)
                     self.core.count_written(attempt)
-                    outcome, tokens = self._read(attempt, await connection.answer())
-                    self._put_back(attempt, connection)
+                    outcome, tokens = self._interpret(attempt, await connection.read_message())
+                    self._return_to_pool(attempt, connection)
                     connection = None
         except (OSError, EOFError) as error:
             self.telemetry.log("tds_engine_failed", engine=self.states[attempt.engine].name, error=repr(error))
         except MessageTooLongError:
             outcome = AttemptOutcome.OK
-            tokens = codec.error(TOO_LONG, f"The result passes {self.tds.max_result_bytes} bytes") + codec.done(
+            tokens = codec.error(RESULT_TOO_LONG, f"The result passes {self.tds.max_result_bytes} bytes") + codec.done(
                 codec.DONE_ERROR
             )
             self.telemetry.count("results_too_long", "tds")
@@ -284,12 +285,12 @@
             outcome = AttemptOutcome.TIMEOUT if connection is not None else outcome
         except asyncio.CancelledError:
             outcome = AttemptOutcome.CANCELLED
-        except Exception as error:  # noqa: BLE001 - one attempt's fault is its own
+        except Exception as error:  # noqa: BLE001 - a fault must not affect other attempts
             outcome = AttemptOutcome.ERROR if connection is not None else outcome
             self.telemetry.count("faults")
             self.telemetry.log("exception_caught", error=repr(error), of="tds attempt")
         if connection is not None and connection.used and outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED):
-            # A task of its own: a further cancel must not cut short what frees the engine.
+            # A separate task: another cancel must not interrupt it before the engine is free.
             self.spawn(self._free(attempt, connection, outcome))
             return
         if connection is not None:
@@ -297,13 +298,13 @@
         self.core.attempt_ended(attempt, outcome, (), tokens)
 
     async def _connect(self, attempt: Attempt) -> _Connection | None:
-        """An idle session of the engine for this database, or a new one; None: none could be had."""
+        """Return an idle session for the engine and database, or a new one; None if neither is available."""
         key = (attempt.engine, attempt.request.database)
-        while line := self._idle.get(key):
-            connection = line.pop()
-            if not line:
-                del self._idle[key]  # clients name the databases: what is empty is not kept
-            if await connection.unpark():
+        while idle := self._idle.get(key):
+            connection = idle.pop()
+            if not idle:
+                del self._idle[key]  # clients choose database names: keep no empty entries
+            if await connection.reuse():
                 return connection
             connection.close()
         state = self.states[attempt.engine]
@@ -315,44 +316,47 @@
         except (SessionUnavailableError, TimeoutError) as error:
             self.telemetry.log("connect_failed", engine=state.name, error=str(error))
             if isinstance(error, SessionUnavailableError) and error.numbers & SHUTTING_DOWN:
-                self._drains(attempt.engine)
+                self._mark_draining(attempt.engine)
             return None
 
-    def _read(self, attempt: Attempt, body: bytes) -> tuple[int, bytes | None]:
-        """What a whole answer says of the attempt."""
+    def _interpret(self, attempt: Attempt, body: bytes) -> tuple[int, bytes | None]:
+        """Return the outcome of a complete response, and its tokens for the client."""
         result = codec.read_result(body)
-        numbers = {fault.number for fault in result.faults}
+        numbers = {fault.number for fault in result.errors}
         if numbers & SHUTTING_DOWN:
-            self._drains(attempt.engine)
+            self._mark_draining(attempt.engine)
             return AttemptOutcome.ERROR, None
-        hard = [f for f in result.faults if f.severity > SOFT or f.number == DEADLOCK]
-        if hard:
+        engine_errors = [f for f in result.errors if f.severity > MAX_STATEMENT_SEVERITY or f.number == DEADLOCK]
+        if engine_errors:
             self.telemetry.log(
-                "tds_engine_failed", engine=self.states[attempt.engine].name, error=hard[0].text, number=hard[0].number
+                "tds_engine_failed",
+                engine=self.states[attempt.engine].name,
+                error=engine_errors[0].text,
+                number=engine_errors[0].number,
             )
             return AttemptOutcome.ERROR, None
-        if result.faults:  # the statement's own: repeating it elsewhere would only fail again
+        if result.errors:  # caused by the statement: it would fail on other engines too
             self.telemetry.count("statement_errors", "tds")
         return AttemptOutcome.OK, result.tokens
 
-    def _put_back(self, attempt: Attempt, connection: _Connection) -> None:
-        line = self._idle.setdefault((attempt.engine, attempt.request.database), deque())
-        connection.park()
-        line.append(connection)
-        before = clock() - IDLE_S * 1000.0
+    def _return_to_pool(self, attempt: Attempt, connection: _Connection) -> None:
+        idle = self._idle.setdefault((attempt.engine, attempt.request.database), deque())
+        connection.set_idle()
+        idle.append(connection)
+        before = clock() - IDLE_TIMEOUT_S * 1000.0
         for key, others in list(self._idle.items()):
-            while others and (others[0].idle_at < before or len(others) > POOL):
+            while others and (others[0].idle_at < before or len(others) > MAX_IDLE_SESSIONS):
                 others.popleft().close()
             if not others:
                 del self._idle[key]
-        if sum(map(len, self._idle.values())) > 8 * POOL:
+        if sum(map(len, self._idle.values())) > 8 * MAX_IDLE_SESSIONS:
             key = min(self._idle, key=lambda key: self._idle[key][0].idle_at)
             self._idle[key].popleft().close()
             if not self._idle[key]:
                 del self._idle[key]
 
     async def _free(self, attempt: Attempt, connection: _Connection, outcome: int) -> None:
-        """End the engine's work by Attention; a session that does not confirm it is closed, which ends it too."""
+        """Cancel the batch by Attention and close the session, which also ends an unconfirmed batch."""
         try:
             if await connection.attention():
                 self.telemetry.count("attentions_confirmed", "tds")
@@ -361,8 +365,8 @@
             self.core.attempt_ended(attempt, outcome)
 
     async def health_check(self, engine: int) -> None:
-        """Log in to the engine within the connect timeout and report it by Core.health_check_completed."""
-        began, state = clock(), self.states[engine]
+        """Log in to the engine within the connect timeout and report the outcome by Core.health_check_completed."""
+        began_ms, state = clock(), self.states[engine]
         outcome = AttemptOutcome.OK
         try:
             async with asyncio.timeout(self.core.settings.connect_timeout_ms / 1000.0):
@@ -370,7 +374,7 @@
         except SessionUnavailableError as error:
             outcome = AttemptOutcome.CONNECT_FAILED
             if error.numbers & SHUTTING_DOWN:
-                self._drains(engine)
+                self._mark_draining(engine)
         except TimeoutError:
             outcome = AttemptOutcome.TIMEOUT
-        self.core.health_check_completed(engine, outcome, clock() - began)
+        self.core.health_check_completed(engine, outcome, clock() - began_ms)
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -1,12 +1,11 @@
-"""The TDS front: sessions of clients that speak TDS 7.4.
+"""The TDS front: client sessions that speak TDS 7.4.
 
-Owns the listening socket, each session's log-in, its one batch at a time, and the tokens of its answers. It
-must never decide by itself what becomes of a request (no retries, no routing: the core asks the module),
-never give a batch more than one final answer, and never let one session's bytes harm another. Encryption is
-not spoken, and PRELOGIN says so.
+Handles the listening socket, logins, one batch at a time for each session, and the tokens of responses. Retries and
+routing are decided by the core. Each batch gets exactly one final response. Encryption is not supported, which the
+PRELOGIN response states.
 
-The numbers of its ERROR tokens: REFUSED is the documented transient number of a busy service, with the wait in
-its text; FAILED says that the batch may have run; the others say what is not taken here.
+Numbers of the ERROR tokens: REFUSED is the documented transient error of a busy service, with the delay in its text;
+FAILED means that the batch may have run; the others name unsupported or invalid input.
 """
 
 from __future__ import annotations
@@ -25,16 +24,16 @@
 FRONT = "tds"
 REFUSED, FAILED = 40501, 50001
 UNSUPPORTED, LOGIN_FAILED, TOO_MANY, BAD_STREAM = 50010, 18456, 17809, 4002
-CHUNK = 16 * 1024
-WHOLE_S = 2.4  # from a message's first byte until it is whole, as for HTTP clients
-EASE_S, TAKE_S = 0.3, 1.8  # in a drain: how long a session may be idle, and until when new ones are taken
-ACCEPT, BACKLOG = 8, 128  # sessions accepted in one turn, and those that the system keeps waiting
-ADVISED_MS = 100.0  # named in a refusal for which the module has no advice
-_NOT_TAKEN = {
-    codec.RPC: "RPC requests are not taken here; send a SQL batch",
-    codec.BULK: "Bulk load is not taken here",
-    codec.MANAGER: "Transactions across batches are not taken here; use autocommit",
-    codec.SSPI: "Integrated log-in is not taken here",
+READ_BYTES = 16 * 1024
+MESSAGE_TIMEOUT_S = 2.4  # from a message's first byte until it is complete, as for HTTP clients
+DRAIN_IDLE_S, DRAIN_ACCEPT_S = 0.3, 1.8  # while draining: idle time of sessions, and how long new ones are accepted
+ACCEPTS_PER_TURN, BACKLOG = 8, 128  # BACKLOG: connections queued by the system
+DEFAULT_RETRY_AFTER_MS = 100.0  # in a rejection for which the core has no delay
+_UNSUPPORTED_MESSAGES = {
+    codec.RPC: "RPC requests are not supported; send a SQL batch",
+    codec.BULK: "Bulk load is not supported",
+    codec.MANAGER: "Transactions across batches are not supported; use autocommit",
+    codec.SSPI: "Integrated authentication is not supported",
 }
 
 
@@ -43,48 +42,48 @@
 
     def __init__(self, front: TdsFront, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.front, self.reader, self.writer = front, reader, writer
-        self.splitter = codec.Splitter(front.tds.max_batch_bytes)
+        self.splitter = codec.PacketReassembler(front.tds.max_batch_bytes)
         self.messages: list[codec.Message] = []
-        self.packet = codec.PACKET
+        self.packet = codec.DEFAULT_PACKET_BYTES
         self.profile: TdsLogin | None = None
         self.database = ""
         self.login: codec.Login | None = None
-        self.since = asyncio.get_running_loop().time()  # when it began to wait for its client
-        self.busy = False  # a batch runs
-        self.watch = SocketWatch(writer.transport)
+        self.waiting_since_s = asyncio.get_running_loop().time()  # loop time since which it waits for its client
+        self.busy = False  # a batch is running
+        self.socket_watch = SocketWatch(writer.transport)
 
     async def message(self) -> codec.Message | None:
-        """The next message, or None at the end of the stream."""
-        begun: float | None = None
+        """Return the next message, or None at the end of the stream."""
+        began_s: float | None = None
         while not self.messages:
-            if self.splitter.partial and begun is None:
-                begun = asyncio.get_running_loop().time()
+            if self.splitter.is_partial and began_s is None:
+                began_s = asyncio.get_running_loop().time()
             try:
-                async with asyncio.timeout_at(begun + WHOLE_S if begun is not None else None) as limit:
-                    data = await self.reader.read(CHUNK)
+                async with asyncio.timeout_at(began_s + MESSAGE_TIMEOUT_S if began_s is not None else None) as limit:
+                    data = await self.reader.read(READ_BYTES)
             except TimeoutError:
                 if limit.expired():
-                    raise codec.ProtocolError("a message did not come in time") from None
+                    raise codec.ProtocolError("a message was not complete in time") from None
                 raise
             if not data:
                 return None
             self.messages += self.splitter.feed(data)
             if len(self.messages) > 16:
-                raise codec.ProtocolError("too many messages ahead of their answers")
+                raise codec.ProtocolError("too many pipelined messages")
         return self.messages.pop(0)
 
     def waits_for_answer(self) -> bool:
-        """Return whether the client still waits for the answer to its batch.
+        """Return whether the client still waits for the response to its batch.
 
-        It has hung up or sent an Attention otherwise, which may lie unread; nothing else may come behind a batch.
+        Otherwise it has hung up or sent an Attention, which may be unread; nothing else may follow a batch.
         """
-        if self.writer.is_closing() or self.watch.has_hung_up():
+        if self.writer.is_closing() or self.socket_watch.has_hung_up():
             return False
-        return not (self.messages or self.splitter.partial or self.watch.has_unread())
+        return not (self.messages or self.splitter.is_partial or self.socket_watch.has_unread())
 
     async def send(self, tokens: bytes) -> None:
         self.writer.write(codec.packets(codec.RESULT, tokens, self.packet))
-        async with asyncio.timeout(30.0):  # a client that does not read gives up its session
+        async with asyncio.timeout(30.0):  # the session of a client that does not read is closed
             await self.writer.drain()
 
     async def fail(self, number: int, text: str, severity: int = 16) -> None:
@@ -111,15 +110,15 @@
             if message.kind == codec.ATTENTION:
                 await self.send(codec.done(codec.DONE_ATTN))
             elif message.status & codec.IGNORE:
-                await self.send(codec.done())  # the client took its message back before it was whole
+                await self.send(codec.done())  # the client cancelled the message while sending it
             elif message.kind == codec.BATCH:
                 if not await self._batch(codec.read_batch(message.body)):
                     return
-            elif message.kind in _NOT_TAKEN:
+            elif message.kind in _UNSUPPORTED_MESSAGES:
                 front.telemetry.count("not_taken", FRONT)
-                await self.fail(UNSUPPORTED, _NOT_TAKEN[message.kind])
+                await self.fail(UNSUPPORTED, _UNSUPPORTED_MESSAGES[message.kind])
             else:
-                raise codec.ProtocolError(f"a message of type {message.kind} after the log-in")
+                raise codec.ProtocolError(f"unexpected message type {message.kind} after the login")
 
     async def _log_in(self) -> bool:
         message = await self.message()
@@ -141,7 +140,7 @@
         if message is None:
             return False
         if message.kind != codec.LOGIN7:
-            raise codec.ProtocolError(f"a message of type {message.kind} in place of a log-in")
+            raise codec.ProtocolError(f"message type {message.kind} instead of a login")
         login = codec.read_login(message.body)
         self.profile = self.front.profile(login)
         if self.profile is None:
@@ -157,16 +156,16 @@
         self.front.telemetry.count("logins", FRONT, self.profile.cls)
         tokens = codec.login_ack(login.database, login.packet)
         await self.send(tokens)
-        self.packet = login.packet  # from the next message on
+        self.packet = login.packet  # applies from the next message on
         return True
 
     async def _batch(self, statement: str) -> bool:
-        """One batch to its one final answer; False: the client has gone."""
+        """Run one batch and send its final response; return False if the client has disconnected."""
         self.busy = True
         try:
             return await self._run_batch(statement)
         finally:
-            self.busy, self.since = False, asyncio.get_running_loop().time()
+            self.busy, self.waiting_since_s = False, asyncio.get_running_loop().time()
 
     async def _run_batch(self, statement: str) -> bool:
         front, profile = self.front, self.profile
@@ -176,19 +175,19 @@
             return True
         answered: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
-        def settle(answer: Response) -> None:
+        def on_response(answer: Response) -> None:
             if not answered.done():
                 answered.set_result(answer)
 
-        front.tickets += 1
+        front.last_ticket += 1
         request = ClientRequest(
             FRONT,
             front.classes[profile.cls],
-            f"{front.seed ^ front.tickets:016x}",
+            f"{front.seed ^ front.last_ticket:016x}",
             statement,
             clock(),
             profile.deadline_ms,
-            settle,
+            on_response,
             profile.cost_ms,
             profile.memory_mb,
             front.group(statement),
@@ -199,24 +198,26 @@
             peer = self.writer.get_extra_info("peername") or ("",)
             request.tenant = front.tenant(self.login, peer[0], statement)
         if not front.core.submit(request):
-            await self.fail(REFUSED, _busy(ADVISED_MS))
+            await self.fail(REFUSED, _busy(DEFAULT_RETRY_AFTER_MS))
             return True
-        word = asyncio.ensure_future(self.message())  # an Attention, or the end of the stream
+        next_message = asyncio.ensure_future(self.message())  # an Attention, or the end of the stream
         try:
-            await asyncio.wait((answered, word), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((answered, next_message), return_when=asyncio.FIRST_COMPLETED)
             if not answered.done():
                 front.core.client_disconnected(request)
-                message = word.result()
+                message = next_message.result()
                 if message is None:
                     return False
                 if message.kind != codec.ATTENTION:
-                    raise codec.ProtocolError("a message before the answer to the one ahead; MARS is not spoken")
+                    raise codec.ProtocolError(
+                        "a message before the response to the previous one; MARS is not supported"
+                    )
                 await self.send(codec.done(codec.DONE_ATTN))
                 return True
-            # The word that was being waited for belongs to what comes after this answer.
+            # The next message, if there is one, is handled after this response.
             await self._answer(answered.result())
-            if word.done():
-                message = word.result()
+            if next_message.done():
+                message = next_message.result()
                 if message is None:
                     return False
                 self.messages.insert(0, message)
@@ -226,9 +227,9 @@
                 front.core.client_disconnected(request)
             raise
         finally:
-            if not word.done():
-                word.cancel()
-                await asyncio.wait((word,))
+            if not next_message.done():
+                next_message.cancel()
+                await asyncio.wait((next_message,))
 
     async def _answer(self, answer: Response) -> None:
         if answer.status == ResponseStatus.SERVED:
@@ -236,7 +237,7 @@
         elif answer.reason:
             await self.fail(FAILED, answer.reason)
         elif answer.status == ResponseStatus.REJECTED:
-            await self.fail(REFUSED, _busy(answer.retry_after_ms or ADVISED_MS))
+            await self.fail(REFUSED, _busy(answer.retry_after_ms or DEFAULT_RETRY_AFTER_MS))
         else:
             await self.fail(FAILED, "The request failed. It may have run; do not repeat what must not run twice.")
 
@@ -249,7 +250,7 @@
 
 
 class TdsFront:
-    """The TDS front: its listening socket and all its sessions."""
+    """The TDS front: its listening socket and sessions."""
 
     def __init__(
         self,
@@ -262,61 +263,61 @@
         group: Callable[[str], int],
     ) -> None:
         self.tds, self.listen, self.classes, self.core, self.telemetry = tds, listen, classes, core, telemetry
-        self.tenant: Callable[[codec.Login, str, str], int] | None = None  # of a log-in, address and statement
-        self.group, self.seed, self.tickets = group, seed & 0xFFFFFFFFFFFFFFFF, 0
+        self.tenant: Callable[[codec.Login, str, str], int] | None = None  # by login, address and statement
+        self.group, self.seed, self.last_ticket = group, seed & 0xFFFFFFFFFFFFFFFF, 0
         self.sessions: dict[asyncio.Task[None], _Session] = {}
         self._server: asyncio.Server | None = None
-        self._easing: asyncio.TimerHandle | None = None
+        self._drain_timer: asyncio.TimerHandle | None = None
         self._drained_at = 0.0
 
     def profile(self, login: codec.Login) -> TdsLogin | None:
-        """Return the first log-in entry of the operator's file that fits application and database, or None."""
-        return _first(self.tds.login, login)
+        """Return the first login entry of the operator's file that matches application and database, or None."""
+        return _matching_login(self.tds.login, login)
 
-    async def start(self, shared: bool = False, held: int | None = None) -> None:
-        """Listen on the configured address or the socket `held`; OSError if that can't be had.
+    async def start(self, shared: bool = False, inherited_fd: int | None = None) -> None:
+        """Listen on the configured address or the socket `inherited_fd`; raise OSError if it is not available.
 
-        `shared`: during an upgrade the other process may still hold the address.
+        `shared`: the other process of an upgrade may still be bound to the address.
         """
-        if held is not None:
+        if inherited_fd is not None:
             self._server = await asyncio.start_server(
-                self._serve, sock=socket.socket(fileno=held), limit=CHUNK, backlog=ACCEPT
+                self._serve, sock=socket.socket(fileno=inherited_fd), limit=READ_BYTES, backlog=ACCEPTS_PER_TURN
             )
         else:
             self._server = await asyncio.start_server(
-                self._serve, *self.listen, limit=CHUNK, backlog=ACCEPT, reuse_port=shared or None
+                self._serve, *self.listen, limit=READ_BYTES, backlog=ACCEPTS_PER_TURN, reuse_port=shared or None
             )
-        for listening in self._server.sockets:  # so many may be accepted at a stretch; others wait in the system
+        for listening in self._server.sockets:  # asyncio accepts ACCEPTS_PER_TURN at once; the others are queued
             listening._sock.listen(BACKLOG)
 
     @property
     def port(self) -> int:
-        """TCP port that is listened on, once started."""
+        """TCP port of the listening socket, once started."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     def drain(self) -> None:
-        """Begin a drain: sessions end between two batches, and after TAKE_S no new ones are taken."""
-        if self._easing is None:
+        """Begin a drain: close sessions between batches, and reject new ones after DRAIN_ACCEPT_S."""
+        if self._drain_timer is None:
             self._drained_at = asyncio.get_running_loop().time()
-            self._ease()
+            self._close_idle_sessions()
 
     def resume(self) -> None:
-        """End a drain: idle sessions are kept again and new ones are taken."""
-        if self._easing is not None:
-            self._easing.cancel()
-            self._easing = None
+        """End a drain: keep idle sessions and accept new ones again."""
+        if self._drain_timer is not None:
+            self._drain_timer.cancel()
+            self._drain_timer = None
 
-    def _ease(self) -> None:
+    def _close_idle_sessions(self) -> None:
         loop = asyncio.get_running_loop()
-        self._easing = loop.call_later(EASE_S, self._ease)
+        self._drain_timer = loop.call_later(DRAIN_IDLE_S, self._close_idle_sessions)
         for task, session in list(self.sessions.items()):
-            if not session.busy and loop.time() - session.since > EASE_S:
+            if not session.busy and loop.time() - session.waiting_since_s > DRAIN_IDLE_S:
                 self.sessions.pop(task).writer.close()
                 task.cancel()
 
     def leave(self) -> None:
-        """Stop accepting; open sessions go on."""
+        """Stop accepting; open sessions continue."""
         if self._server is not None:
             self._server.close()
 
@@ -334,27 +335,27 @@
         session = _Session(self, reader, writer)
         self.sessions[task] = session
         try:
-            if self._easing is not None and session.since - self._drained_at > TAKE_S:
+            if self._drain_timer is not None and session.waiting_since_s - self._drained_at > DRAIN_ACCEPT_S:
                 await session.fail(TOO_MANY, "The service takes no new sessions now", 20)
                 return
             if len(self.sessions) > self.tds.max_sessions and not self._make_room(session):
                 self.telemetry.count("sessions_refused", FRONT)
                 await session.fail(TOO_MANY, "All sessions are in use; connect again later", 20)
                 return
-            await self._guarded(session.run)
+            await self._run_guarded(session.run)
         except asyncio.CancelledError:
-            pass  # the program ends
+            pass  # at shutdown
         finally:
             self.sessions.pop(task, None)
             writer.close()
 
     def _make_room(self, newest: _Session) -> bool:
-        """Close the session that needs its place least: not logged in, else idle for longest; never a busy one."""
+        """Close a session without a login, else the one idle for longest; never a busy one."""
         now = asyncio.get_running_loop().time()
         idle = [
-            (s.profile is None, now - s.since, task)
+            (s.profile is None, now - s.waiting_since_s, task)
             for task, s in self.sessions.items()
-            if not s.busy and s is not newest and now - s.since > (0.1 if s.profile is None else 1.0)
+            if not s.busy and s is not newest and now - s.waiting_since_s > (0.1 if s.profile is None else 1.0)
         ]
         if not idle:
             return False
@@ -364,8 +365,8 @@
         task.cancel()
         return True
 
-    async def _guarded(self, run: Callable[[], Awaitable[None]]) -> None:
-        """A session's fault ends that session, with an ERROR where one can still be written."""
+    async def _run_guarded(self, run: Callable[[], Awaitable[None]]) -> None:
+        """Run a session; a fault ends it, with an ERROR token if one can still be written."""
         session: _Session = run.__self__  # type: ignore[attr-defined]
         try:
             await run()
@@ -376,12 +377,12 @@
                 await session.fail(BAD_STREAM, f"The incoming TDS stream is incorrect: {error}", 20)
         except (OSError, TimeoutError):
             self.telemetry.count("broken_sessions", FRONT)
-        except Exception as error:  # noqa: BLE001 - one session's fault is its own
+        except Exception as error:  # noqa: BLE001 - a fault must not affect other sessions
             self.telemetry.count("faults")
             self.telemetry.log("exception_caught", error=repr(error), of="tds session")
 
 
-def _first(logins: Iterable[TdsLogin], login: codec.Login) -> TdsLogin | None:
+def _matching_login(logins: Iterable[TdsLogin], login: codec.Login) -> TdsLogin | None:
     for entry in logins:
         if entry.application in ("", login.application) and entry.database in ("", login.database):
             return entry
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -38,7 +38,7 @@
             if request.site not in catalogue.sites_of(request.group):
                 raise CallRejectedError(400, "X-Site: not a site of these tables")
 
-    program.platform.marks = read_headers
+    program.platform.annotate_request = read_headers
     if program.operator_server:
         program.operator_server.handlers["show-scatter"] = scatter.figures
     return scatter
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -1,6 +1,6 @@
-"""What is still owed when an attempt at an engine ends: its client leaves, its time runs out, its connection breaks.
+"""Ends of attempts at engines: the client leaves, the deadline passes, or the connection breaks.
 
-Each story holds a peer at a named point, so that the two things cross there.
+Each test holds a peer at a certain point, so that two events coincide there.
 """
 
 import asyncio
@@ -25,14 +25,14 @@
 
 
 def reset(transport):
-    """End a connection by a reset, whatever was read of it."""
+    """Reset a connection, whatever was read of it."""
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
 
 
 class Crossing(Wire):
     async def start(self, count=1, idle=False, **kw):
-        """Engines, to each of which an idle connection stands if asked for, and a hook on each request taken."""
+        """Start engines, with `idle` connections to each, and call `mark` for each accepted request."""
         engines = await super().start(count, **kw)
         self.core, self.driver = self.program.core, self.program.driver
         self.core.settings = replace(self.core.settings, connect_timeout_ms=5000.0)
@@ -54,10 +54,10 @@
         await super().until(true, within_s)
 
     def mark(self, ask):
-        """What else a request is given as it is taken."""
+        """Change a request as it is accepted; tests override this."""
 
     def late(self):
-        """Connections to engines come up once the first event is set; the second tells that one is awaited."""
+        """Hold new connections to engines until the first event is set; the second is set once one is awaited."""
         go, awaited, loop = asyncio.Event(), asyncio.Event(), asyncio.get_running_loop()
         create, ports = loop.create_connection, [engine.port for engine in self.peers]
 
@@ -81,30 +81,30 @@
         return [call for engine in self.peers for call in engine.of("POST")]
 
     async def quiet(self):
-        """Nothing is out any more, and a later request is served: what was to come before has come."""
+        """Wait until no request is open and a later one is served, so that all earlier events have been handled."""
         await self.until(lambda: not self.core.ledger.entries)
         self.asks.clear()
         self.mark = lambda ask: None
         self.assertEqual((await self.ask(number=99))[0], 200)
 
 
-class TimeTold(Crossing):
-    async def told(self, number):
+class RemainingTime(Crossing):
+    async def sent_time_limit(self, number):
         self.assertEqual((await self.ask(number=number, timeout=2000.0))[0], 200)
         return float(self.peers[0].headers[-1]["X-Max-Ms"])
 
-    async def test_an_engine_is_told_what_is_left_when_a_late_connection_has_come_up(self):
+    async def test_remaining_time_is_sent_after_waiting_for_a_connection(self):
         await self.start()
         go, awaited = self.late()
-        asked = asyncio.create_task(self.told(1))
+        asked = asyncio.create_task(self.sent_time_limit(1))
         await awaited.wait()
-        await asyncio.sleep(0.3)  # the time that passes is the story
+        await asyncio.sleep(0.3)  # the test is about the time that passes here
         (ask,) = self.asks
         left_ms = ask.received_ms + ask.timeout_ms - clock()
         go.set()
         self.assertLessEqual(await asked, left_ms)
 
-    async def test_an_engine_is_told_what_is_left_on_an_idle_connection(self):
+    async def test_remaining_time_is_sent_on_an_idle_connection(self):
         await self.start(idle=True)
         left = []
 
@@ -114,11 +114,11 @@
             return True
 
         self.core.may_start = fence
-        told = await self.told(1)
-        self.assertEqual((len(left), self.driver.tasks), (1, set()), "it took the way without a task")
+        told = await self.sent_time_limit(1)
+        self.assertEqual((len(left), self.driver.tasks), (1, set()), "the attempt had no task")
         self.assertLessEqual(told, left[0])
 
-    async def test_it_is_never_told_more_than_its_client_has_left(self):
+    async def test_time_limit_never_exceeds_the_clients_remaining_time(self):
         for idle in (False, True):
             await self.start(idle=idle)
             start = self.driver.start_attempt
@@ -128,9 +128,9 @@
                 start(attempt)
 
             with unittest.mock.patch.object(self.driver, "start_attempt", longer):
-                self.assertLessEqual(await self.told(1), 2000.0)
+                self.assertLessEqual(await self.sent_time_limit(1), 2000.0)
 
-    async def test_what_has_no_time_left_is_not_sent_and_speaks_against_no_engine(self):
+    async def test_request_past_its_deadline_is_not_sent_and_counts_against_no_engine(self):
         for idle in (False, True):
             await self.start(idle=idle)
             start = self.driver.start_attempt
@@ -149,13 +149,13 @@
 
 
 class ClientsThatLeave(Crossing):
-    def nothing_sent(self, left=1):
+    def check_nothing_sent(self, left=1):
         self.assertEqual((self.posts(), self.count("left"), self.count("ended_connect_failed")), ([], left, 0))
         self.assertEqual(
             [engine.failure_rate for engine in self.core.controller.engines.values()], [0.0] * len(self.peers)
         )
 
-    async def test_where_the_last_look_finds_no_client_nothing_is_written_and_it_has_left_once(self):
+    async def test_nothing_is_written_if_the_final_check_finds_no_client(self):
         for idle in (False, True):
             with self.subTest(idle=idle):
                 looks = []
@@ -165,14 +165,14 @@
                 await self.start(2, idle)
                 _, writer = await self.client()
                 await self.until(lambda: self.asks and not self.core.ledger.entries)
-                self.nothing_sent()
-                writer.close()  # only now the front sees what the look saw
-                await self.until(lambda: not self.program.platform.paths.ids)
+                self.check_nothing_sent()
+                writer.close()  # only now the front detects the disconnect
+                await self.until(lambda: not self.program.platform.registry.ids)
                 self.assertEqual((len(looks), self.count("ended_moot")), (1, 1))
                 await self.quiet()
                 self.assertEqual(self.count("left"), 1)
 
-    async def test_one_that_leaves_while_a_connection_is_awaited_is_not_sent_when_it_comes_up(self):
+    async def test_request_is_not_sent_if_its_client_leaves_while_a_connection_opens(self):
         for cancel in (True, False):
             with self.subTest(cancel=cancel):
                 await self.start(limits={"cancel": cancel, "mostTries": 5, "dialTimeout": 250.0, "connIdle": 4000.0})
@@ -183,9 +183,9 @@
                 await self.until(lambda: self.count("left"))
                 go.set()
                 await self.until(lambda: not self.core.ledger.entries)
-                self.nothing_sent()
+                self.check_nothing_sent()
 
-    async def test_a_leave_that_is_still_in_line_at_the_core_counts_already(self):
+    async def test_departure_still_queued_at_the_core_prevents_sending(self):
         await self.start()
         (go, awaited), guard, behind = self.late(), self.core.event_handlers.handle, []
         self.core.event_handlers.handle = lambda now, event: (
@@ -200,9 +200,9 @@
         await self.until(lambda: record.attempts[0].is_finished or self.posts())
         for event in behind:
             guard(*event)
-        self.nothing_sent()
+        self.check_nothing_sent()
 
-    async def test_one_that_leaves_between_two_attempts_is_not_sent_again(self):
+    async def test_request_is_not_retried_if_its_client_leaves_between_attempts(self):
         await self.start(2, idle=True)
         for engine in self.peers:
             engine.script = lambda request, body: web.Response(status=503, headers={"X-Shed": "1"})
@@ -210,14 +210,14 @@
 
         def leaves(attempt, *args):
             ended(attempt, *args)
-            self.core.client_disconnected(attempt.request)  # behind the end, in the same turn of the core's
+            self.core.client_disconnected(attempt.request)  # after the end, in the same turn of the core
 
         self.core.attempt_ended = leaves
         await self.client()
         await self.until(lambda: self.asks and not self.core.ledger.entries)
         self.assertEqual((len(self.posts()), self.count("left")), (1, 1))
 
-    async def test_one_that_leaves_while_a_page_is_fetched_frees_the_engine_and_nothing_is_sent_again(self):
+    async def test_client_that_leaves_while_a_page_is_fetched_frees_the_engine(self):
         (engine,) = await self.start()
         go = asyncio.Event()
 
@@ -237,8 +237,8 @@
         self.assertEqual([method for method, *_ in engine.calls], ["POST", "GET", "DELETE"])
 
 
-class Slow(asyncio.Protocol):
-    """An engine's side of a connection on which only the first bytes of a call are read until it is told to go on."""
+class SlowReader(asyncio.Protocol):
+    """An engine's side of a connection that reads only the first bytes of a call until reading is resumed."""
 
     def __init__(self):
         self.came, self.ended = b"", asyncio.Event()
@@ -254,13 +254,13 @@
         self.ended.set()
 
 
-class HalfWritten(Crossing):
-    """A POST of which the system has not taken all bytes: the engine never had it whole."""
+class PartlyWrittenPosts(Crossing):
+    """A POST that is partly in the write buffer: the engine never received it completely."""
 
-    async def out(self, cls=LOAD):
-        """A client whose POST is half written to a slow engine; a good one stands beside it."""
+    async def send_partly(self, cls=LOAD):
+        """Send a request whose POST is partly written to a slow engine; a second engine is healthy."""
         engines = await self.start(2)
-        self.slow = Slow()
+        self.slow = SlowReader()
         server = await asyncio.get_running_loop().create_server(lambda: self.slow, "127.0.0.1", 0)
         self.addCleanup(server.close)
         sock = server.sockets[0]
@@ -278,96 +278,96 @@
         self.core.controller.engines[0].slowdown = 1.0
         return engines, line, reader, writer
 
-    async def never_whole(self):
+    async def check_never_complete(self):
         self.slow.transport.resume_reading()
         await self.slow.ended.wait()
         self.assertLess(len(self.slow.came), 60_000)
 
-    async def test_the_rest_is_not_written_for_a_client_that_has_left(self):
-        _, _, _, writer = await self.out()
+    async def test_rest_of_a_post_is_not_written_after_its_client_left(self):
+        _, _, _, writer = await self.send_partly()
         writer.close()
         await self.until(lambda: self.count("ended_cancelled"))
-        await self.never_whole()
+        await self.check_never_complete()
 
-    async def test_the_rest_is_not_written_to_an_engine_that_ends_its_side_and_a_load_goes_elsewhere(self):
-        engines, _, reader, _ = await self.out()
+    async def test_rest_of_a_post_is_not_written_after_the_engine_closed_its_side(self):
+        engines, _, reader, _ = await self.send_partly()
         self.slow.transport.write_eof()
         self.assertEqual((await reader.readexactly(12))[9:], b"200")
         self.assertEqual([len(engine.of("POST")) for engine in engines], [0, 1])
-        await self.never_whole()
+        await self.check_never_complete()
 
-    async def test_a_load_goes_elsewhere_after_a_reset_and_once_the_rest_is_overdue(self):
-        for how in ("reset", "silence"):
-            with self.subTest(how):
-                engines, _, reader, _ = await self.out()
-                if how == "reset":
+    async def test_partly_written_load_is_sent_to_another_engine_after_reset_or_timeout(self):
+        for kind in ("reset", "silence"):
+            with self.subTest(kind):
+                engines, _, reader, _ = await self.send_partly()
+                if kind == "reset":
                     reset(self.slow.transport)
                 self.assertEqual((await reader.readexactly(12))[9:], b"200")
                 self.assertEqual([engine.calls[0][0] for engine in engines if engine.calls], ["POST"])
                 self.assertEqual(len(self.posts()), 1)
 
-    async def test_an_answer_before_the_call_is_whole_is_none(self):
-        engines, _, reader, _ = await self.out()
+    async def test_response_before_the_post_is_complete_is_ignored(self):
+        engines, _, reader, _ = await self.send_partly()
         self.slow.transport.write(FIRST)
         self.assertEqual((await reader.readexactly(12))[9:], b"200")
         self.assertEqual([len(engine.of("POST")) for engine in engines], [0, 1])
-        await self.never_whole()
+        await self.check_never_complete()
 
-    async def test_a_call_on_a_connection_that_was_reset_before_it_never_ran(self):
+    async def test_post_on_a_connection_reset_before_it_never_ran(self):
         engines = await self.start(2, idle=True)
         for engine in engines:
             accepted = []
             engine.script = lambda request, body, accepted=accepted: accepted.append(request.transport)
         line = self.driver.pools[0].idle[0]
         self.core.controller.engines[0].slowdown = 0.1
-        server = await asyncio.get_running_loop().create_server(Slow, "127.0.0.1", 0)
+        server = await asyncio.get_running_loop().create_server(SlowReader, "127.0.0.1", 0)
         self.addCleanup(server.close)
         line.transport.pause_reading()
         sock = line.transport.get_extra_info("socket")
-        there = next(
-            one
-            for one in asyncio.get_running_loop()._transports.values()
-            if one.get_extra_info("peername") == sock.getsockname()
+        engine_transport = next(
+            entry
+            for entry in asyncio.get_running_loop()._transports.values()
+            if entry.get_extra_info("peername") == sock.getsockname()
         )
-        reset(there)
+        reset(engine_transport)
         await self.until(lambda: line.poll.poll(0))
-        line.poll = SimpleNamespace(poll=lambda ms: [])  # it came right behind the look
+        line.poll = SimpleNamespace(poll=lambda ms: [])  # the reset arrived right after the check
         self.assertEqual((await self.ask(LOAD))[0], 200)
         self.assertEqual((len(self.posts()), len(engines[0].of("GET"))), (1, 0))
 
 
 class Resets(Crossing):
-    """A reset under a request that has begun: it may have run, so that its news are asked for and it is sent once."""
+    """Resets after a request was sent: it may have run, so it is polled and not sent again."""
 
-    async def test_at_any_byte_of_an_answer_and_on_any_page(self):
+    async def test_reset_at_any_byte_of_any_page_is_recovered_without_resending(self):
         pages = [GOOD % (2, b""), GOOD % (2, b"X-Page: 1\r\n")]
         for idle in (False, True):
             (engine,) = await self.start(idle=idle)
             number = 0
-            for at, whole in enumerate(pages):
+            for page_number, whole in enumerate(pages):
                 for cut in (0, 1, 12, 30, len(whole) - 7, len(whole) - 1):
                     number += 1
                     left = [cut]
 
-                    def script(request, body, at=at, left=left):
-                        here = int(request.path[-1]) if request.method == "GET" else 0
-                        if here != at or not left:
-                            return page("a\t1\tx\n", 2, **({"X_Page": str(here)} if here else {}))
-                        request.transport.write(pages[here][: left.pop()])
+                    def script(request, body, page_number=page_number, left=left):
+                        number_of_page = int(request.path[-1]) if request.method == "GET" else 0
+                        if number_of_page != page_number or not left:
+                            return page("a\t1\tx\n", 2, **({"X_Page": str(number_of_page)} if number_of_page else {}))
+                        request.transport.write(pages[number_of_page][: left.pop()])
                         reset(request.transport)
                         return asyncio.Event().wait()
 
                     engine.script, engine.calls[:] = script, []
-                    with self.subTest(idle=idle, page=at, cut=cut):
+                    with self.subTest(idle=idle, page=page_number, cut=cut):
                         self.assertEqual(
                             (await self.ask(LOAD, number=number))[:2], (200, {"rows": [["a", "1", "x"]] * 2})
                         )
                         self.assertEqual(len(engine.of("POST")), 1)
 
 
-class SecondAnswers(Crossing):
-    async def test_a_copy_that_comes_when_the_connection_carries_another_call_is_not_taken_for_its_answer(self):
-        """No answer names its query, and a copy may come when the next call is out on the same connection."""
+class CopiesOfResponses(Crossing):
+    async def test_copy_received_during_another_call_is_not_taken_for_its_response(self):
+        """Responses do not name their query; a copy may arrive during the next call on the same connection."""
         for answer in (FIRST, b"HTTP/1.1 503 X\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n"):
             (engine,) = await self.start(idle=True)
 
@@ -377,13 +377,13 @@
 
             def script(request, body, answer=answer, engine=engine, own=own):
                 if request.method == "POST" and len(engine.of("POST")) == 2:
-                    request.transport.write(answer)  # the copy, before the engine has looked at this call
+                    request.transport.write(answer)  # the copy, before the engine handles this call
                     return own()
                 if request.method == "POST" and len(engine.of("POST")) == 3:
                     return page("d\t4\tw\n")
                 if request.method == "POST":
                     return page("a\t1\tx\n") if answer is FIRST else web.Response(status=503, headers={"X-Shed": "1"})
-                return own()  # the next call is under way when the news come
+                return own()  # the next call is in flight when the poll is answered
 
             engine.script = script
             self.core.controller.settings = replace(self.core.controller.settings, max_attempts=1)
@@ -391,8 +391,8 @@
             self.assertEqual(statuses[1:], [(200, {"rows": [[*row]]}) for row in ("b2y", "d4w")])
             self.assertEqual(len(engine.of("POST")), 3)
 
-    async def test_an_error_that_is_told_twice_is_one_and_no_news_are_asked_for(self):
-        """News are asked for by id, which another request may have: that one's rows would be taken for its own."""
+    async def test_repeated_error_is_accepted_without_polling(self):
+        """A poll by id could return the rows of another request with that id."""
         (engine,) = await self.start(idle=True)
         engine.script = lambda request, body: (
             web.Response(status=500) if request.method == "POST" else page("b\t2\ty\n")
@@ -402,8 +402,8 @@
         self.assertEqual(engine.of("GET"), [])
 
 
-class EndlessAnswers(Crossing):
-    async def test_answers_without_end_end_in_time_with_one_answer_and_closed_connections(self):
+class EndlessResponses(Crossing):
+    async def test_endless_responses_end_before_the_deadline_and_close_connections(self):
         for name, head, drip in (
             ("body", b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 60000\r\n\r\n", b"x"),
             ("chunks", b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\nx\r\n"),
@@ -439,7 +439,7 @@
 
 
 class EnginesThatEnd(Crossing):
-    async def test_a_drain_that_is_told_while_a_connection_or_a_place_is_awaited_stops_the_send(self):
+    async def test_attempt_waiting_for_a_connection_is_not_sent_to_a_draining_engine(self):
         for where in ("connection", "place"):
             with self.subTest(where):
                 await self.start()
@@ -460,11 +460,11 @@
                 go.set()
                 if where == "place":
                     may_open.stop()
-                    peer._next()
+                    peer._wake_waiter()
                 await self.until(lambda: self.count("ended_connect_failed"))
                 self.assertEqual(self.posts(), [])
 
-    async def test_a_want_of_descriptors_is_held_against_no_engine_and_makes_room(self):
+    async def test_lack_of_descriptors_counts_against_no_engine_and_closes_an_idle_connection(self):
         await self.start(2)
         other = self.driver.pools[1]
         other.release(await other._open())
@@ -477,7 +477,7 @@
         with fails:
             writer.write(post(1))
             await self.until(lambda: self.count("ended_full"))
-            self.assertEqual([line.good for line in other.lines], [])
+            self.assertEqual([line.is_reusable for line in other.established], [])
         self.assertEqual([engine.failure_rate for engine in self.core.controller.engines.values()], [0.0, 0.0])
 
 
@@ -485,8 +485,8 @@
 
 
 class RepeatWindow(Crossing):
-    async def repeated(self, window_ms, pause_s):
-        """Statuses and sends of a keyed request whose first engine fails it; the second's connection is late."""
+    async def run_retry(self, window_ms, pause_s):
+        """Return status and number of POSTs of a keyed request that fails at one engine and waits for another."""
         keyed = {
             "name": LOOKUP,
             "effect": "by_key",
@@ -511,11 +511,11 @@
         await self.until(lambda: held)
         go, awaited = held
         await awaited.wait()
-        await asyncio.sleep(pause_s)  # the time that passes is the story
+        await asyncio.sleep(pause_s)  # the test is about the time that passes here
         go.set()
         return (await asked)[0], len(self.posts())
 
-    async def test_its_idempotency_key_goes_on_unchanged_with_each_attempt_and_a_spoilt_one_nowhere(self):
+    async def test_idempotency_key_is_sent_with_each_attempt_and_invalid_ones_are_rejected(self):
         keyed = {"name": LOOKUP, "effect": "by_key", "window": 60_000.0, "promise": 1000.0, "hardLimit": 4000.0}
         engines = await self.start(2, categories=[keyed, {**keyed, "name": LOAD, "effect": "repeatable"}])
         for engine in engines:
@@ -523,15 +523,15 @@
         self.assertEqual((await self.ask(**{"Idempotency-Key": "booking:7/a"}))[0], 503)
         self.assertEqual((await self.ask(LOAD, number=2, **{"Idempotency-Key": "booking:7/a"}))[0], 503)
         sent = [headers for engine in engines for headers in engine.headers]
-        keys = {(one["X-Queue"], one.get("X-Nonce")) for one in sent}
+        keys = {(entry["X-Queue"], entry.get("X-Nonce")) for entry in sent}
         self.assertEqual(keys, {(LOOKUP, "booking:7/a"), (LOAD, None)})
-        self.assertGreater(len(sent), 2, "a repeat is one more attempt")
-        for spoilt in ("a b", "k" * 300):
-            self.assertEqual((await self.ask(number=3, **{"Idempotency-Key": spoilt}))[0], 400)
+        self.assertGreater(len(sent), 2, "a retry is another attempt")
+        for malformed in ("a b", "k" * 300):
+            self.assertEqual((await self.ask(number=3, **{"Idempotency-Key": malformed}))[0], 400)
         self.assertEqual(sum(len(engine.headers) for engine in engines), len(sent))
 
-    async def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(self):
-        self.assertEqual(await self.repeated(400.0, 0.5), (503, 1))
+    async def test_retry_is_not_sent_after_the_idempotency_window(self):
+        self.assertEqual(await self.run_retry(400.0, 0.5), (503, 1))
 
-    async def test_a_repeat_whose_connection_comes_up_within_its_window_is_sent(self):
-        self.assertEqual(await self.repeated(60_000.0, 0.5), (200, 2))
+    async def test_retry_is_sent_within_the_idempotency_window(self):
+        self.assertEqual(await self.run_retry(60_000.0, 0.5), (200, 2))
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -1,4 +1,4 @@
-"""What is still owed when a client's connection ends: one crossing after the other, forced on loopback sockets."""
+"""Ends of client connections that coincide with other events, forced on loopback sockets."""
 
 import asyncio
 import errno
@@ -19,40 +19,40 @@
 
 
 class Crossing:
-    """A transport under which something happens at the very moment in which the connection is shut or closed."""
+    """A transport that calls a function at the moment when the connection is shut down or closed."""
 
-    def __init__(self, transport, what):
-        self.transport, self.what = transport, what
+    def __init__(self, transport, action):
+        self.transport, self.action = transport, action
 
     def __getattr__(self, name):
         if name in ("close", "write_eof", "abort"):
-            what, self.what = self.what, lambda: None
-            what()
+            action, self.action = self.action, lambda: None
+            action()
         return getattr(self.transport, name)
 
 
-class Endings(Wire):
+class ClientTestCase(Wire):
     @property
     def front(self):
         return self.program.platform
 
     async def open(self):
-        """A connection that the front has taken; its side there is `self.client`."""
+        """Open a connection and wait until the front has it as `self.client`."""
         before = set(self.front.clients)
         reader, writer = await super().open()
         await self.until(lambda: set(self.front.clients) - before)
         (self.client,) = set(self.front.clients) - before
         return reader, writer
 
-    async def held(self):
-        """A coordinator whose engine holds all work until `self.go`."""
+    async def start_holding_engine(self):
+        """Start a coordinator whose engine holds all queries until `self.go` is set."""
         (engine,) = await self.start()
         self.go = asyncio.Event()
         engine.script = at_work(self.go)
         return engine
 
     async def answers(self, reader, count=0):
-        """So many answers, or all until the connection ends: status, head and body of each."""
+        """Return status, head and body of `count` responses, or of all until the connection ends."""
         out = []
         async with asyncio.timeout(5.0):
             while not count or len(out) < count:
@@ -65,56 +65,58 @@
                 out.append((int(head[9:12]), head, await reader.readexactly(length)))
         return out
 
-    async def read(self, writer, data):
-        """Send this; the front has read it."""
-        before = self.client.heard
+    async def send_and_wait(self, writer, data):
+        """Send data and wait until the front has read it."""
+        before = self.client.last_received_at
         writer.write(data)
-        await self.until(lambda: self.client.heard > before)
+        await self.until(lambda: self.client.last_received_at > before)
 
-    def submitted(self):
-        """The requests that go on to the core, which does not hear of them."""
+    def capture_requests(self):
+        """Return the list of requests that would be submitted to the core, which does not get them."""
         asks = []
         self.program.core.submit = lambda ask: asks.append(ask) or True
         return asks
 
 
-class LastAnswers(Endings):
-    async def test_a_call_behind_the_last_answer_of_a_drain_is_answered_wherever_it_is(self):
+class LastResponses(ClientTestCase):
+    async def test_call_after_the_last_response_of_a_drain_is_answered(self):
         for where in ("taken", "with it", "half read", "unread"):
             with self.subTest(where):
-                engine = await self.held()
+                engine = await self.start_holding_engine()
                 reader, writer = await self.open()
                 writer.write(post(1))
                 await engine.seen("POST")
                 self.front.drain()
                 writer.write(PING + (post(2) if where == "with it" else b""))
-                await self.until(lambda: len(self.client.line) > 1 and self.client.line[1].data is not None)
+                await self.until(
+                    lambda: len(self.client.pending_calls) > 1 and self.client.pending_calls[1].data is not None
+                )
                 if where == "taken":
                     writer.write(post(2))
                 if where in ("taken", "with it"):
                     await engine.seen("POST", 2)
                 elif where == "half read":
                     writer.write(post(2)[:50])
-                    await self.until(lambda: self.client.partial)
+                    await self.until(lambda: self.client.is_receiving)
                 else:
                     writer.write(post(2))
-                    self.client.line[0].opened.on_response(Response(ResponseStatus.FAILED))
+                    self.client.pending_calls[0].opened.on_response(Response(ResponseStatus.FAILED))
                 self.go.set()
                 first = await self.answers(reader, 2)
                 if where == "half read":
                     writer.write(post(2)[50:])
                 answers = first + await self.answers(reader)
-                self.assertEqual([one[0] for one in answers], [502 if where == "unread" else 200, 503, 200])
-                self.assertEqual([b"Connection: close" in one[1] for one in answers], [False, False, True])
+                self.assertEqual([entry[0] for entry in answers], [502 if where == "unread" else 200, 503, 200])
+                self.assertEqual([b"Connection: close" in entry[1] for entry in answers], [False, False, True])
 
-    async def test_what_is_parsed_behind_an_answer_given_at_once_is_answered_too(self):
+    async def test_calls_parsed_after_an_immediate_response_are_answered(self):
         await self.start()
         self.front.drain()
         reader, writer = await self.open()
         writer.write(PING + post(1) + PING)
-        self.assertEqual([one[0] for one in await self.answers(reader)], [503, 200, 503])
+        self.assertEqual([entry[0] for entry in await self.answers(reader)], [503, 200, 503])
 
-    async def test_nothing_behind_a_call_that_was_to_be_the_last_is_sent_on(self):
+    async def test_calls_after_the_last_call_of_a_connection_are_ignored(self):
         (engine,) = await self.start()
         for last in (post(1, extra="Connection: close\r\n"), post(1).replace(b"HTTP/1.1", b"HTTP/1.0")):
             reader, writer = await self.open()
@@ -123,9 +125,9 @@
             self.assertEqual((status, b"Connection: close" in head), (200, True))
         self.assertEqual((len(engine.of("POST")), self.count("taken"), self.count("bad_calls")), (2, 2, 0))
 
-    async def test_earlier_answers_leave_before_the_word_on_what_cannot_be_read(self):
-        engine = await self.held()
-        for number, (status, spoilt) in enumerate(
+    async def test_earlier_responses_precede_a_rejection(self):
+        engine = await self.start_holding_engine()
+        for number, (status, malformed) in enumerate(
             (
                 (400, b"\x16\x03\x01"),
                 (413, post(9).replace(b"Length: ", b"Length: 99999")),
@@ -136,17 +138,19 @@
             1,
         ):
             reader, writer = await self.open()
-            writer.write(post(number) + (b"" if status == 431 else spoilt))  # a head counts from its next bytes on
+            writer.write(
+                post(number) + (b"" if status == 431 else malformed)
+            )  # the limit of a head applies from its next bytes
             await engine.seen("POST", number)
-            writer.write(spoilt if status == 431 else b"")
+            writer.write(malformed if status == 431 else b"")
             await self.until(lambda number=number: self.count("bad_calls") == number)
             self.go.set()
             answers = await self.answers(reader)
-            self.assertEqual([one[0] for one in answers], [200, status])
+            self.assertEqual([entry[0] for entry in answers], [200, status])
             self.go.clear()
         self.assertEqual(len(engine.of("POST")), 5)
 
-    async def test_bytes_that_come_as_a_resting_connection_is_ended_reset_nothing_and_are_not_sent_on(self):
+    async def test_bytes_received_while_an_idle_connection_is_closed_cause_no_reset(self):
         (engine,) = await self.start()
         for end in ("end", "close"):
             with self.subTest(end):
@@ -155,19 +159,19 @@
                 self.assertEqual((await self.answers(reader, 1))[0][0], 200)
                 self.client.transport = Crossing(self.client.transport, lambda to=writer: to.write(post(2)))
                 ended = self.client.end() if end == "end" else asyncio.create_task(self.front.close())
-                self.assertEqual(await self.answers(reader), [], "an end, and no reset")
+                self.assertEqual(await self.answers(reader), [], "closed without a reset")
                 if ended is not None:
                     await ended
         self.assertEqual(len(engine.of("POST")), 2)
 
-    async def test_a_resting_connection_with_a_call_unread_is_not_ended(self):
+    async def test_idle_connection_with_an_unread_call_is_not_closed(self):
         await self.start()
         reader, writer = await self.open()
         writer.write(post(1))
         self.client.end()
         self.assertEqual((await self.answers(reader, 1))[0][0], 200)
 
-    async def test_a_call_that_lies_unread_as_the_program_ends_is_refused_and_not_cut_off(self):
+    async def test_unread_call_at_shutdown_gets_a_rejection(self):
         (engine,) = await self.start()
         reader, writer = await self.open()
         self.front.finish()
@@ -176,21 +180,21 @@
         ((status, head, body),) = await self.answers(reader)
         self.assertEqual((status, b"Retry-After-Ms: " in head, body, engine.calls), (503, True, BUSY, []))
 
-    # Guards against: a process that stood still until its end closed over calls that had come meanwhile.
-    async def test_calls_that_lie_unread_when_no_time_is_left_are_refused_and_not_cut_off(self):
+    # Guards against: a process that was stopped until its shutdown reset connections with unread calls.
+    async def test_unread_calls_at_shutdown_without_remaining_time_get_a_rejection(self):
         (engine,) = await self.start()
         connections = [await self.open() for _ in range(3)]
         self.front.finish()
         plain = [writer.get_extra_info("socket") for _, writer in connections]
         for number, connected in enumerate(plain, 1):
-            os.write(connected.fileno(), post(number))  # it is in the socket before the loop runs again
+            os.write(connected.fileno(), post(number))  # in the socket before the event loop runs again
         await self.front.close(asyncio.get_running_loop().time() - 1.0)
         for reader, _ in connections:
             ((status, _, body),) = await self.answers(reader)
             self.assertEqual((status, body), (503, BUSY))
         self.assertEqual(engine.calls, [])
 
-    async def test_the_end_waits_for_clients_that_still_send_and_not_for_others(self):
+    async def test_close_waits_for_clients_that_still_send(self):
         await self.start()
         reader, writer = await self.open()
         closing, loop = asyncio.create_task(self.front.close()), asyncio.get_running_loop()
@@ -202,7 +206,7 @@
         self.assertLess(loop.time() - began, 0.6)
         await self.until(lambda: not self.front.clients)
 
-    async def test_a_last_answer_that_does_not_fit_into_the_system_is_read_whole_late(self):
+    async def test_last_response_larger_than_the_socket_buffer_is_delivered_completely(self):
         (engine,) = await self.start()
         rows = [["x" * 1000, str(n), "y"] for n in range(45)]
         engine.script = lambda request, body: page("".join("\t".join(row) + "\n" for row in rows))
@@ -215,118 +219,118 @@
             (client,) = self.front.clients
             client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             plain.sendall(post(1))
-            await self.until(lambda: client.leaving)
+            await self.until(lambda: client.is_closing)
             self.assertGreater(client.transport.get_write_buffer_size(), 0)
-            client.since -= connection_limits.LINGER_TIMEOUT_S + 0.1
+            client.state_since -= connection_limits.LINGER_TIMEOUT_S + 0.1
             self.front._sweep()
             reader, writer = await asyncio.open_connection(sock=plain)
             ((status, _, body),) = await self.answers(reader)
             self.assertEqual((status, json.loads(body)["rows"]), (200, rows))
             writer.close()
 
-    async def test_answers_leave_at_once_however_small_they_are(self):
+    async def test_small_responses_are_sent_at_once(self):
         await self.start()
         await self.open()
         option = self.client.transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.assertNotEqual(option, 0)
 
-    async def test_a_client_told_to_go_on_hears_it_behind_the_answers_to_its_earlier_calls(self):
-        engine = await self.held()
+    async def test_100_continue_follows_the_responses_to_earlier_calls(self):
+        engine = await self.start_holding_engine()
         reader, writer = await self.open()
         head, _, body = post(2, extra="Expect: 100-continue\r\n").partition(b"\r\n\r\n")
         writer.write(post(1) + head + b"\r\n\r\n")
         await engine.seen("POST")
         self.go.set()
-        self.assertEqual([one[0] for one in await self.answers(reader, 2)], [200, 100])
+        self.assertEqual([entry[0] for entry in await self.answers(reader, 2)], [200, 100])
         writer.write(body)
         self.assertEqual((await self.answers(reader, 1))[0][0], 200)
 
-    async def test_a_request_in_two_pieces_is_taken_once_wherever_it_is_cut(self):
+    async def test_request_split_at_any_byte_is_accepted_once(self):
         await self.start()
         reader, writer = await self.open()
         pair = post(1) + post(2)
         for cut in range(1, len(pair), 11):
-            await self.read(writer, pair[:cut])
+            await self.send_and_wait(writer, pair[:cut])
             writer.write(pair[cut:])
-            self.assertEqual([one[0] for one in await self.answers(reader, 2)], [200, 200], cut)
+            self.assertEqual([entry[0] for entry in await self.answers(reader, 2)], [200, 200], cut)
 
-    async def test_a_slow_request_whose_end_lies_unread_is_answered_and_another_is_told_so(self):
+    async def test_slow_request_is_answered_if_its_end_is_unread_and_times_out_otherwise(self):
         await self.start()
         for rest, status in ((post(1)[50:], 200), (b"", 408)):
             reader, writer = await self.open()
             writer.write(post(1)[:50])
-            await self.until(lambda: self.client.partial)
+            await self.until(lambda: self.client.is_receiving)
             writer.write(rest)
-            self.client.since -= connection_limits.REQUEST_TIMEOUT_S + 0.1
+            self.client.state_since -= connection_limits.REQUEST_TIMEOUT_S + 0.1
             self.front._sweep()
             self.assertEqual((await self.answers(reader, 1))[0][0], status)
 
 
-class Places(Endings):
-    async def crowd(self, *ages):
-        """Connections that say nothing since so long, and no place for another one."""
+class ConnectionLimits(ClientTestCase):
+    async def fill_connections(self, *ages):
+        """Open connections that have been silent for `ages` seconds, up to the connection limit."""
         await self.start()
-        self.front.most_clients = len(ages)
+        self.front.max_clients = len(ages)
         self.silent = []
         for age in ages:
             self.silent.append((*await self.open(), self.client))
-            self.client.since -= age
+            self.client.state_since -= age
         return self.silent
 
-    async def newcomer(self, number, status):
+    async def call_from_new_connection(self, number, status):
         reader, writer = await self.open()
         writer.write(post(number))
         ((said, head, _),) = await self.answers(reader, 1)
         self.assertEqual(said, status)
         return head
 
-    async def test_a_connection_with_a_call_unread_keeps_its_place(self):
-        (reader, writer, client), other = await self.crowd(2.0, 1.0)
+    async def test_connection_with_an_unread_call_is_not_reclaimed(self):
+        (reader, writer, client), other = await self.fill_connections(2.0, 1.0)
         client.transport.pause_reading()
         writer.write(post(1))
-        await self.newcomer(2, 200)
+        await self.call_from_new_connection(2, 200)
         client.transport.resume_reading()
         self.assertEqual((await self.answers(reader, 1))[0][0], 200)
         self.assertEqual(await self.answers(other[0]), [])
 
-    async def test_half_a_request_gives_way_last_and_with_a_word(self):
-        (reader, writer, client), other = await self.crowd(0.0, 0.5)
+    async def test_connection_with_a_partial_request_is_reclaimed_last_with_a_rejection(self):
+        (reader, writer, client), other = await self.fill_connections(0.0, 0.5)
         writer.write(post(1)[:50])
-        await self.until(lambda: client.partial)
-        client.since -= 0.6
-        await self.newcomer(2, 200)
+        await self.until(lambda: client.is_receiving)
+        client.state_since -= 0.6
+        await self.call_from_new_connection(2, 200)
         self.assertEqual(await self.answers(other[0]), [])
-        self.assertTrue(client.partial)
-        self.front.most_clients = 1
-        for one in self.front.clients - {client}:
-            one.transport.abort()
+        self.assertTrue(client.is_receiving)
+        self.front.max_clients = 1
+        for entry in self.front.clients - {client}:
+            entry.transport.abort()
         await self.until(lambda: self.front.clients == {client})
-        await self.newcomer(3, 200)
+        await self.call_from_new_connection(3, 200)
         ((status, head, body),) = await self.answers(reader)
         self.assertEqual((status, b"Retry-After-Ms: " in head, body), (503, True, BUSY))
 
-    async def test_who_has_just_come_keeps_its_place_until_another_asks(self):
-        ((first, _, client),) = await self.crowd(0.0)
+    async def test_new_connection_is_kept_until_another_one_sends_a_request(self):
+        ((first, _, client),) = await self.fill_connections(0.0)
         await self.open()
         self.assertFalse(client.transport.is_closing())
-        await self.newcomer(1, 200)
+        await self.call_from_new_connection(1, 200)
         self.assertEqual(await self.answers(first), [])
 
-    async def test_where_all_are_at_work_each_call_of_a_newcomer_is_refused_once_whatever_its_pieces(self):
-        engine = await self.held()
-        self.front.most_clients = 1
+    async def test_calls_of_a_new_connection_are_rejected_while_all_others_are_busy(self):
+        engine = await self.start_holding_engine()
+        self.front.max_clients = 1
         busy, writer = await self.open()
         writer.write(post(1))
         await engine.seen("POST")
         for cut in (1, 100, len(post(2)) - 1, len(post(2)), len(post(2)) + 9):
             reader, writer = await self.open()
-            await self.read(writer, (post(2) + post(3))[:cut])
+            await self.send_and_wait(writer, (post(2) + post(3))[:cut])
             answers = await self.answers(reader, 1) if cut >= len(post(2)) else []
-            if cut != len(post(2)):  # the connection ends with an answer behind which nothing is read
+            if cut != len(post(2)):  # the connection ends after a response with no further input
                 writer.write((post(2) + post(3))[cut:])
             answers += await self.answers(reader)
             self.assertEqual(
-                [(one[0], b"Retry-After-Ms: " in one[1], one[2]) for one in answers],
+                [(entry[0], b"Retry-After-Ms: " in entry[1], entry[2]) for entry in answers],
                 [(503, True, BUSY)] * (1 if cut == len(post(2)) else 2),
                 cut,
             )
@@ -334,41 +338,41 @@
         self.assertEqual((await self.answers(busy, 1))[0][0], 200)
         self.assertEqual(len(engine.of("POST")), 1)
 
-    async def test_no_more_are_accepted_than_the_bound_and_its_reserve_and_the_others_are_later(self):
-        engine = await self.held()
-        self.front.most_clients, self.front.reserve = 1, 1
+    async def test_connections_over_limit_and_reserve_are_accepted_later(self):
+        engine = await self.start_holding_engine()
+        self.front.max_clients, self.front.reserved_connections = 1, 1
         busy, writer = await self.open()
         writer.write(post(1))
         await engine.seen("POST")
         _, second = await self.open()
-        third = asyncio.create_task(self.said(post(3)))  # waits in the system
+        third = asyncio.create_task(self.said(post(3)))  # waits in the backlog
         await asyncio.sleep(0.1)
-        self.assertEqual(self.front.held, 2)
-        self.client.since -= 1.0
+        self.assertEqual(self.front.open_connections, 2)
+        self.client.state_since -= 1.0
         self.assertTrue((await third).startswith(b"HTTP/1.1 503"))
         self.go.set()
         self.assertEqual((await self.answers(busy, 1))[0][0], 200)
 
-    async def test_each_refusal_of_the_fronts_own_says_how_long_to_stay_away(self):
+    async def test_rejections_of_the_front_have_a_retry_after_header(self):
         await self.start()
         self.program.core.max_open_requests = 0
-        refused = [await self.newcomer(1, 503)]
+        refused = [await self.call_from_new_connection(1, 503)]
         self.program.core.max_open_requests = 100
         self.front._drained_at = asyncio.get_running_loop().time() - connection_limits.DRAIN_LAST_REQUEST_S - 1.0
-        refused.append(await self.newcomer(2, 503))
+        refused.append(await self.call_from_new_connection(2, 503))
         reader, writer = await self.open()
         writer.write(post(3)[:50])
-        await self.until(lambda: self.client.partial)
-        self.client.since -= connection_limits.DRAIN_NEW_CONNECTION_S + 0.1
+        await self.until(lambda: self.client.is_receiving)
+        self.client.state_since -= connection_limits.DRAIN_NEW_CONNECTION_S + 0.1
         self.front._sweep()
         refused.append((await self.answers(reader))[0][1])
         for head in refused:
             self.assertIn(b"Retry-After-Ms: ", head)
 
 
-class Presence(Endings):
-    async def plain(self):
-        """A connection whose ends are the system's at once, not after the loop's next turn."""
+class Presence(ClientTestCase):
+    async def open_plain_socket(self):
+        """Open a plain socket, whose close takes effect at once and not in the next turn of the event loop."""
         before, plain = set(self.front.clients), socket.create_connection(("127.0.0.1", self.front.port))
         self.addCleanup(plain.close)
         await self.until(lambda: set(self.front.clients) - before)
@@ -376,38 +380,38 @@
         return plain
 
     @staticmethod
-    def go_away(plain, how):
-        if how == "reset":
+    def go_away(plain, kind):
+        if kind == "reset":
             plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             plain.close()
         else:
             plain.shutdown(socket.SHUT_WR)
 
-    async def test_a_client_that_has_gone_is_not_present_before_its_end_is_read_and_leaves_once(self):
+    async def test_disconnect_is_detected_before_it_is_read_and_reported_once(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
-        for how in ("reset", "shut", "behind bytes"):
-            with self.subTest(how):
+        for kind in ("reset", "shut", "behind bytes"):
+            with self.subTest(kind):
                 asks.clear(), left.clear()
-                plain = await self.plain()
+                plain = await self.open_plain_socket()
                 plain.sendall(post(1) + post(2))
                 await self.until(lambda: len(asks) == 2)
                 self.assertTrue(asks[0].is_client_connected() and asks[1].is_client_connected())
-                if how == "behind bytes":
+                if kind == "behind bytes":
                     self.client.transport.pause_reading()
                     plain.sendall(PING * 9)
-                self.go_away(plain, how)
+                self.go_away(plain, kind)
                 self.assertFalse(asks[1].is_client_connected() or asks[0].is_client_connected())
                 self.assertEqual(left, asks)
                 await self.until(lambda: not self.front.clients)
-                self.assertEqual((left, self.front.paths.ids), (asks, set()))
+                self.assertEqual((left, self.front.registry.ids), (asks, set()))
 
-    async def test_a_client_with_a_path_is_away_without_its_connection_until_it_calls_or_deletes(self):
+    async def test_client_with_a_path_is_suspended_without_connection_until_its_next_call(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
-        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             ((_, _, body),) = await self.answers(reader, 1)
@@ -423,12 +427,12 @@
         self.assertEqual((await self.call("DELETE", json.loads(body)["next"]))[0], 204)
         self.assertEqual((ask.is_client_connected(), left), (False, [ask]))
 
-    # Guards against: a DELETE waited for 0.1 s and more behind an accept that failed once, and its request was sent on.
-    async def test_a_delete_is_taken_soon_after_an_accept_has_failed(self):
+    # Guards against: a DELETE waited for over 0.1 s after an accept had failed once, and its request was sent.
+    async def test_delete_is_accepted_soon_after_a_failed_accept(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
-        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
+        with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             ((_, _, body),) = await self.answers(reader, 1)
@@ -448,12 +452,12 @@
         self.assertLess(clock() - began, 0.1 + lag.lost(began_unix))
         self.assertEqual(self.count("accepts_failed"), 2)
 
-    async def test_a_client_that_does_not_call_its_path_again_has_left(self):
+    async def test_client_that_does_not_poll_its_path_has_left(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
         with (
-            unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05),
+            unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05),
             unittest.mock.patch("frostspindle.net.http.request_registry.RETURN_TIMEOUT_S", 0.05),
         ):
             reader, writer = await self.open()
@@ -461,35 +465,35 @@
             ((_, _, body),) = await self.answers(reader, 1)
             writer.transport.abort()
             await self.until(lambda: left)
-        self.assertEqual((left, self.front.paths.open, self.front.paths.ids), (asks, {}, set()))
+        self.assertEqual((left, self.front.registry.open, self.front.registry.ids), (asks, {}, set()))
         self.assertEqual((await self.call("GET", json.loads(body)["next"]))[0], 404)
 
-    async def test_a_client_that_went_before_it_was_given_a_path_has_left(self):
+    async def test_client_that_disconnects_before_it_gets_a_path_has_left(self):
         await self.start()
-        asks, left = self.submitted(), []
+        asks, left = self.capture_requests(), []
         self.program.core.client_disconnected = left.append
-        plain = await self.plain()
+        plain = await self.open_plain_socket()
         plain.sendall(post(1))
         await self.until(lambda: asks)
         self.go_away(plain, "shut")
-        (slot,) = self.client.line
-        self.front.paths._held(slot)
-        self.assertEqual((left, self.front.paths.open), (asks, {}))
+        (slot,) = self.client.pending_calls
+        self.front.registry._on_hold_expired(slot)
+        self.assertEqual((left, self.front.registry.open), (asks, {}))
 
-    async def test_what_a_client_sent_and_left_is_not_sent_on(self):
+    async def test_calls_of_a_disconnected_client_are_not_forwarded(self):
         (engine,) = await self.start()
-        for how in ("reset", "shut"):
-            plain = await self.plain()
+        for kind in ("reset", "shut"):
+            plain = await self.open_plain_socket()
             self.client.transport.pause_reading()
             plain.sendall(post(1) * 3)
-            self.go_away(plain, how)
+            self.go_away(plain, kind)
             self.client.transport.resume_reading()
             await self.until(lambda: not self.front.clients)
         self.assertEqual((self.count("taken"), engine.calls), (0, []))
 
-    async def test_a_client_that_is_not_read_and_goes_is_noticed(self):
-        engine = await self.held()
-        plain = await self.plain()
+    async def test_disconnect_is_detected_while_reading_is_paused(self):
+        engine = await self.start_holding_engine()
+        plain = await self.open_plain_socket()
         plain.sendall(b"".join(post(n) for n in range(16)))
         await engine.seen("POST")
         await self.until(lambda: not self.client.transport.is_reading())
@@ -497,36 +501,36 @@
         await self.until(lambda: not self.program.core.open, 2.0)
         self.assertEqual(self.count("left"), 16)
 
-    async def test_a_reset_while_a_call_is_held_frees_the_engines_work(self):
-        engine = await self.held()
-        plain = await self.plain()
+    async def test_reset_during_a_held_call_frees_the_engine(self):
+        engine = await self.start_holding_engine()
+        plain = await self.open_plain_socket()
         plain.sendall(post(1))
         await engine.seen("POST")
         self.go_away(plain, "reset")
         await engine.seen("DELETE")
         self.assertEqual(self.count("left"), 1)
 
-    async def test_a_delete_beside_a_held_call_or_an_answer_under_way_leaves_once(self):
-        engine = await self.held()
-        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
+    async def test_delete_beside_a_held_call_is_counted_once(self):
+        engine = await self.start_holding_engine()
+        with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             path = json.loads((await self.answers(reader, 1))[0][2])["next"]
         writer.write(f"GET {path} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
-        await self.until(lambda: self.client.line)
+        await self.until(lambda: self.client.pending_calls)
         self.assertEqual([(await self.call("DELETE", path))[0] for _ in range(2)], [204, 404])
         self.assertEqual((await self.answers(reader, 1))[0][0], 502)
         await engine.seen("DELETE")
         self.assertEqual((self.count("left"), self.program.core.open), (1, 0))
 
-    async def test_a_get_that_a_broken_connection_took_along_is_answered_when_it_comes_again(self):
-        engine = await self.held()
-        with unittest.mock.patch("frostspindle.net.http.request_registry.HOLD_S", 0.05):
+    async def test_get_lost_with_its_connection_is_answered_when_repeated(self):
+        engine = await self.start_holding_engine()
+        with unittest.mock.patch("frostspindle.net.http.request_registry.POLL_HOLD_S", 0.05):
             reader, writer = await self.open()
             writer.write(post(1))
             path = json.loads((await self.answers(reader, 1))[0][2])["next"]
         writer.write(f"GET {path} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
-        await self.until(lambda: self.client.line)
+        await self.until(lambda: self.client.pending_calls)
         writer.transport.abort()
         await self.until(lambda: not self.front.clients)
         self.go.set()
@@ -536,39 +540,39 @@
         self.assertEqual(len(engine.of("POST")), 1)
 
 
-class Arrival(Endings):
-    """A client's time counts from its last byte, also where the loop was at work when it came."""
+class ReceiveTime(ClientTestCase):
+    """A request's time starts with its last byte, even if the event loop was busy when it arrived."""
 
-    async def test_a_request_counts_from_before_the_work_that_kept_the_loop_from_reading_it(self):
+    async def test_receive_time_precedes_work_that_blocked_the_event_loop(self):
         await self.start()
-        asks = self.submitted()
-        for how in ("known", "new", "rest of it", "quiet"):
-            with self.subTest(how):
+        asks = self.capture_requests()
+        for kind in ("known", "new", "rest of it", "quiet"):
+            with self.subTest(kind):
                 asks.clear()
-                reader, writer = await (super().open() if how == "new" else self.open())
-                if how == "rest of it":
+                reader, writer = await (super().open() if kind == "new" else self.open())
+                if kind == "rest of it":
                     writer.write(post(1)[:50])
-                    await self.until(lambda: self.client.partial)
+                    await self.until(lambda: self.client.is_receiving)
                 await asyncio.sleep(0.3)
-                if how == "new":
+                if kind == "new":
                     writer.close()
                     plain = socket.create_connection(("127.0.0.1", self.front.port))
                     self.addCleanup(plain.close)
                     plain.sendall(post(1))
                 else:
-                    writer.write(post(1)[50:] if how == "rest of it" else post(1))
+                    writer.write(post(1)[50:] if kind == "rest of it" else post(1))
                 came = time.time() * 1000.0
-                if how != "quiet":
+                if kind != "quiet":
                     time.sleep(0.3)
                 await self.until(lambda: asks)
-                self.assertLess(asks[0].received_ms, came + (100.0 if how == "quiet" else 30.0))
+                self.assertLess(asks[0].received_ms, came + (100.0 if kind == "quiet" else 30.0))
                 self.assertGreater(asks[0].received_ms, came - 150.0)
                 asks[0].on_response(Response(ResponseStatus.FAILED))
 
-    async def test_a_request_that_waited_for_earlier_ones_of_its_connection_counts_from_before_that(self):
+    async def test_receive_time_precedes_the_wait_for_earlier_calls(self):
         await self.start()
-        asks = self.submitted()
-        with unittest.mock.patch("frostspindle.net.http.clients.AHEAD", 1):
+        asks = self.capture_requests()
+        with unittest.mock.patch("frostspindle.net.http.clients.MAX_PIPELINED_CALLS", 1):
             _, writer = await self.open()
             writer.write(post(1))
             await self.until(lambda: asks)
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -1,4 +1,4 @@
-"""What a client's headers may say: key, tenant and retry mark, their bounds, and their way to the module."""
+"""Request headers of clients: key, tenant and retry mark, their limits, and their use by the decision module."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
 from frostspindle.config.tenants import join_tenants
 from frostspindle.ledger.tenant_rules import RequestAttributes, Rule
 from frostspindle.ledger.tenants import Tenants, UnknownTenantError
-from frostspindle.net.fields import TEXT, CallRejectedError, key_number, read
+from frostspindle.net.fields import MAX_TEXT_BYTES, CallRejectedError, key_number, read_request
 
 GOOD = {b"x-request-id": b"00000000000000ab", b"x-timeout-ms": b"1500"}
 
 
 def said(in_order=True, **fields):
-    return read(
+    return read_request(
         GOOD | {b"x-" + name.encode().replace(b"_", b"-"): value for name, value in fields.items()},
         2,
         10_000.0,
@@ -31,7 +31,7 @@
     "fields, word",
     [
         ({"object": b""}, "X-Object"),
-        ({"object": b"k" * (TEXT + 1)}, "X-Object"),
+        ({"object": b"k" * (MAX_TEXT_BYTES + 1)}, "X-Object"),
         ({"object": b"a b"}, "X-Object"),
         ({"object": b"\xff\xfe"}, "X-Object"),
         ({"object": b"a\x00"}, "X-Object"),
@@ -47,25 +47,25 @@
         ({"request_id": b"AB"}, "X-Request-Id"),
     ],
 )
-def test_a_field_that_can_t_be_used_is_named_and_not_repeated(fields, word):
+def test_invalid_field_is_named_and_its_value_not_repeated(fields, word):
     with pytest.raises(CallRejectedError, match=word) as refusal:
         said(**fields)
     assert refusal.value.status == 400 and len(refusal.value.text) < 80
 
 
-def test_fields_are_read_and_a_key_counts_only_where_the_class_keeps_order():
+def test_fields_are_parsed_and_the_key_is_used_only_by_ordered_classes():
     request = said(object=b"7f3a9c21e0b4d655", tenant=b"acme", retry=b"1", cost_ms=b"820.0", memory=b"96")
     assert request == ("00000000000000ab", 1500.0, 820.0, 96.0, key_number(2, b"7f3a9c21e0b4d655"), b"acme", True, "")
     assert said(False, object=b"\x00" * 900).key == 0 and said().key == 0 and not said(retry=b"0").retry
 
 
 @given(strategies.binary(min_size=1, max_size=64), strategies.integers(0, 5))
-def test_a_key_s_number_is_the_same_everywhere_and_another_in_another_class(key, cls):
+def test_key_number_is_deterministic_and_differs_between_classes(key, cls):
     number = key_number(cls, key)
     assert 0 < number < 1 << 63 and number == key_number(cls, key) != key_number(cls + 1, key)
 
 
-def test_the_operator_s_rule_goes_before_the_client_s_word_and_an_unknown_name_is_a_mistake():
+def test_tenant_rules_take_precedence_over_the_header_and_unknown_names_are_rejected():
     tenants = Tenants(
         ("east", "west"), [Rule("blue", header="X-Team=blue"), Rule("west", database="w")], ("blue", "west"), "east"
     )
@@ -73,15 +73,21 @@
     assert tenants.numbers == {"east": 1, "west": 2, "blue": 3}
     assert [tenants.number(team, b"west"), tenants.number(RequestAttributes("http", database="w"), b"east")] == [3, 2]
     assert [tenants.number(RequestAttributes("http"), b"west"), tenants.number(RequestAttributes("http"))] == [2, 1]
-    for name in (b"blue", b"", b"West", b"x" * 4000, b"\xff"):  # a name of the operator's is not the client's to claim
+    for name in (
+        b"blue",
+        b"",
+        b"West",
+        b"x" * 4000,
+        b"\xff",
+    ):  # clients must not use tenant names of the operator's file
         with pytest.raises(UnknownTenantError):
             tenants.number(RequestAttributes("http"), name)
     assert (
         Tenants((), [], ("blue",)).number(RequestAttributes("http"), b"who") == 0
-    )  # settings without tenants ask for no name
+    )  # without tenants in the settings any name is accepted
 
 
-class Fields(EdgeCase):
+class FieldsOverHttp(EdgeCase):
     async def begin(self, operator="", **changes):
         classes = settings()["categories"]
         classes[1] = classes[1] | {"inOrder": True}
@@ -95,7 +101,7 @@
             )
         return engines
 
-    async def test_key_tenant_and_what_a_query_needed_reach_the_module(self):
+    async def test_key_tenant_and_measured_cost_reach_the_decision_module(self):
         parties = [{"name": "east", "allowancePerS": 30.0}, {"name": "west", "allowancePerS": 10.0}]
         (engine,) = await self.begin('[[tenant]]\nname = "west"\nshare_per_s = 4.0\n', parties=parties)
         engine.script = lambda request, body: page("a\t1\tx\n", X_Cost_Ms="812.5", X_Needed_Mb="96")
@@ -105,11 +111,11 @@
         self.assertEqual(self.program.core.controller.settings.tenant_quotas_per_s, (0.0, 30.0, 4.0))
         self.assertEqual(self.count("client_retries"), 1)
         engine.script = lambda request, body: page("a\t1\tx\n", X_Cost_Ms="soon", X_Needed_Mb="-1")
-        self.assertEqual((await self.ask("lookup", 2, **{"X-Object": "k1"}))[0], 200)  # the answer is good all the same
+        self.assertEqual((await self.ask("lookup", 2, **{"X-Object": "k1"}))[0], 200)  # the response is still used
         self.assertEqual((self.asked[1].tenant, self.asked[1].key, self.ends[1][6:8]), (0, 0, (0.0, 0.0)))
         self.assertEqual(self.count("engine_bad_needs"), 1)
 
-    async def test_bad_fields_end_at_the_edge_with_a_word_and_a_count(self):
+    async def test_invalid_fields_are_rejected_with_a_reason_and_counted(self):
         await self.begin(parties=[{"name": "east", "allowancePerS": 30.0}])
         cases = [
             ("X-Object", "k" * 4000),
@@ -142,7 +148,7 @@
                 + given
                 + f"Content-Length: {len(SQL)}\r\n\r\n{SQL}".encode()
             )
-            head, _, body = (await reader.read()).partition(b"\r\n\r\n")  # a word, and the connection ends
+            head, _, body = (await reader.read()).partition(b"\r\n\r\n")  # a rejection, then the connection is closed
             self.assertEqual((head.split(b" ")[1], name.encode() in body), (b"400", True), values)
             self.assertLess(len(body), 100)
             writer.close()
@@ -152,7 +158,7 @@
 @pytest.mark.parametrize(
     "parties, word", [([{"name": "a"}, {"name": "a"}], "twice"), ("east", "parties"), ([1], "parties")]
 )
-def test_tenants_of_the_settings_that_can_t_be_used_are_named(parties, word):
+def test_invalid_tenants_in_the_settings_are_reported(parties, word):
     with pytest.raises(ConfigError, match=word):
         rule = TenantRule(front="tds")
         join_tenants(entry_names({"parties": parties}, "parties"), [Tenant("b", rule=[rule])], "default")
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -23,7 +23,7 @@
         self.calls.append(call)
         self.changed.set()
 
-    def gone(self, call):
+    def call_abandoned(self, call):
         self.abandoned_calls.append(call)
         self.changed.set()
 
@@ -53,15 +53,15 @@
         first, second = (asyncio.create_task(meshes[0].call(1, b"GET", b"/call/x/1")) for _ in range(2))
         owner = fronts[1]
         await owner.until(lambda: len(owner.calls) == 2)
-        assert all(call.client.present() for call in owner.calls)
+        assert all(call.client.is_connected() for call in owner.calls)
         first.cancel()
         await owner.until(lambda: owner.abandoned_calls)
         assert owner.abandoned_calls == owner.calls[:1]
-        assert [call.client.present() for call in owner.calls] == [False, True]
+        assert [call.client.is_connected() for call in owner.calls] == [False, True]
         assert owner.ended_connections == [owner.calls[0].client]
         owner.calls[1].reply(200, {"next": "/call/x/1"})
         assert (await second).status == 200
-        assert not owner.calls[1].client.present()  # absent until its next call
+        assert not owner.calls[1].client.is_connected()  # absent until its next call
         for mesh in meshes:
             mesh.close()
 
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -289,12 +289,12 @@
         )
         wiring.attach(program)
         request = ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=17)
-        platform.marks(request, {b"x-partial": b"yes", b"x-site": b"b"})
+        platform.annotate_request(request, {b"x-partial": b"yes", b"x-site": b"b"})
         self.assertEqual((request.partial, request.site), (True, "b"))
         for fields in ({b"x-partial": b"maybe"}, {b"x-site": b"cellar"}, {b"x-site": b"\xff"}):
             with self.assertRaises(CallRejectedError):
-                platform.marks(request, fields)
-        platform.marks(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=18), {b"x-partial": b"maybe"})
+                platform.annotate_request(request, fields)
+        platform.annotate_request(ClientRequest("http", 0, "", "", 0.0, 1.0, print, group=18), {b"x-partial": b"maybe"})
 
 
 def test_lab_scatter_prints_the_same_object_for_the_same_seed():
