--- a/frostspindle/fleet/membership.py
+++ b/frostspindle/fleet/membership.py
@@ -337,9 +337,9 @@
 
     def _confirm_suspicion(self, known: Member, claim: MemberState) -> None:
         """Record an independent suspicion, which shortens the timeout and is gossiped again (Lifeguard)."""
-        suspecter = claim.suspected_by
-        if suspecter and suspecter not in known.confirmers and len(known.confirmers) <= MAX_CONFIRMATIONS:
-            known.confirmers |= {suspecter}
+        suspected_by = claim.suspected_by
+        if suspected_by and suspected_by not in known.confirmers and len(known.confirmers) <= MAX_CONFIRMATIONS:
+            known.confirmers |= {suspected_by}
             self._suspicion.invalidate()
             self._updates.put(claim)
 
