--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -200,7 +200,7 @@
             if self.request_bytes > (MAX_REQUEST_BYTES if self.is_head_complete else MAX_HEAD_BYTES):
                 raise CallRejectedError(413 if self.is_head_complete else 431, "the request is too long")
         except HttpParserUpgrade:
-            self.reject(CallRejectedError(400, "protocol upgrades are not supported"))
+            self.reject(CallRejectedError(400, "no other protocol is spoken here"))
         except CallRejectedError as rejection:
             self.reject(rejection)
         except HttpParserError as error:  # httptools wraps a CallRejectedError of a callback
@@ -354,7 +354,7 @@
         """Check the head: 415 for an encoded body, 413 for a length over MAX_BODY_BYTES, `Expect: 100-continue`."""
         self.is_head_complete = True
         if b"content-encoding" in self.fields and self.fields[b"content-encoding"] != b"identity":
-            self._stop_parsing(415, "Content-Encoding: not supported")
+            self._stop_parsing(415, "Content-Encoding: not taken here")
         length = self.fields.get(b"content-length", b"0")
         if len(length) > 6 or int(length) > MAX_BODY_BYTES:  # the parser accepts only digits
             self._stop_parsing(413, "the statement is too long")
--- a/frostspindle/net/platform.py
+++ b/frostspindle/net/platform.py
@@ -256,7 +256,7 @@
                 ):
                     continue  # the rest of the request may be unread
                 self.telemetry.count("slow_clients", FRONT)
-                client.reject(CallRejectedError(408, "the request was not complete in time"))
+                client.reject(CallRejectedError(408, "the request did not come in time"))
             elif step is ConnectionStep.REJECT_IN_DRAIN:
                 client.reject(CallRejectedError(503, "Busy"))
             else:
--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -86,13 +86,13 @@
         while len(self._data) >= HEADER.size:
             kind, status, length, _, _, _ = HEADER.unpack_from(self._data)
             if length < HEADER.size or length > MAX_PACKET_BYTES:
-                raise ProtocolError(f"invalid packet length {length}")
+                raise ProtocolError(f"a packet of {length} bytes")
             if kind not in (BATCH, RPC, RESULT, ATTENTION, BULK, MANAGER, LOGIN7, SSPI, PRELOGIN):
-                raise ProtocolError(f"unknown packet type {kind}")
+                raise ProtocolError(f"a packet of unknown type {kind}")
             if self._kind not in (-1, kind):
-                raise ProtocolError(f"packet of type {kind} in a message of type {self._kind}")
+                raise ProtocolError(f"a packet of type {kind} inside a message of type {self._kind}")
             if len(self._body) + length - HEADER.size > self.max_bytes:
-                raise MessageTooLongError(f"message longer than {self.max_bytes} bytes")
+                raise MessageTooLongError(f"a message of more than {self.max_bytes} bytes")
             if len(self._data) < length:
                 return
             self._kind = kind
@@ -124,15 +124,15 @@
     position = 0
     while True:
         if position >= len(body):
-            raise ProtocolError("PRELOGIN without terminator")
+            raise ProtocolError("a PRELOGIN without an end")
         option = body[position]
         if option == O_END:
             return options
         if position + 5 > len(body):
-            raise ProtocolError("truncated PRELOGIN option")
+            raise ProtocolError("a PRELOGIN option is cut")
         offset, length = struct.unpack_from(">HH", body, position + 1)
         if offset + length > len(body):
-            raise ProtocolError("PRELOGIN option exceeds its message")
+            raise ProtocolError("a PRELOGIN option runs past its message")
         options[option] = body[offset : offset + length]
         position += 5
 
@@ -164,13 +164,13 @@
     Raise ProtocolError if it is truncated, a name exceeds 128 characters or is not UTF-16, or the version is below 7.2.
     """
     if len(body) < 94 or struct.unpack_from("<I", body)[0] > len(body):
-        raise ProtocolError("truncated LOGIN7")
+        raise ProtocolError("a LOGIN7 is cut")
     version, packet = struct.unpack_from("<II", body, 4)
 
     def text(position: int) -> str:
         offset, count = struct.unpack_from("<HH", body, position)
         if count > 128 or offset + 2 * count > len(body):
-            raise ProtocolError("LOGIN7 field exceeds its message")
+            raise ProtocolError("a LOGIN7 field runs past its message")
         return _decode_utf16(body[offset : offset + 2 * count])
 
     if version >> 24 < 0x72:
@@ -212,7 +212,7 @@
     try:
         return data.decode("utf-16-le")
     except UnicodeDecodeError:
-        raise ProtocolError("text is not UTF-16") from None
+        raise ProtocolError("text that is not UTF-16") from None
 
 
 # Batches.
@@ -221,10 +221,10 @@
 def read_batch(body: bytes) -> str:
     """Return the statement of a SQL batch without its ALL_HEADERS; raise ProtocolError if invalid."""
     if len(body) < 4:
-        raise ProtocolError("batch without ALL_HEADERS")
+        raise ProtocolError("a batch without its headers")
     skip = struct.unpack_from("<I", body)[0]
     if not 4 <= skip <= len(body) or (len(body) - skip) % 2:
-        raise ProtocolError("ALL_HEADERS exceed the batch")
+        raise ProtocolError("a batch's headers run past it")
     return _decode_utf16(body[skip:])
 
 
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -30,10 +30,10 @@
 ACCEPTS_PER_TURN, BACKLOG = 8, 128  # BACKLOG: connections queued by the system
 DEFAULT_RETRY_AFTER_MS = 100.0  # in a rejection for which the core has no delay
 _UNSUPPORTED_MESSAGES = {
-    codec.RPC: "RPC requests are not supported; send a SQL batch",
-    codec.BULK: "Bulk load is not supported",
-    codec.MANAGER: "Transactions across batches are not supported; use autocommit",
-    codec.SSPI: "Integrated authentication is not supported",
+    codec.RPC: "RPC requests are not taken here; send a SQL batch",
+    codec.BULK: "Bulk load is not taken here",
+    codec.MANAGER: "Transactions across batches are not taken here; use autocommit",
+    codec.SSPI: "Integrated log-in is not taken here",
 }
 
 
@@ -63,13 +63,13 @@
                     data = await self.reader.read(READ_BYTES)
             except TimeoutError:
                 if limit.expired():
-                    raise codec.ProtocolError("a message was not complete in time") from None
+                    raise codec.ProtocolError("a message did not come in time") from None
                 raise
             if not data:
                 return None
             self.messages += self.splitter.feed(data)
             if len(self.messages) > 16:
-                raise codec.ProtocolError("too many pipelined messages")
+                raise codec.ProtocolError("too many messages ahead of their answers")
         return self.messages.pop(0)
 
     def waits_for_answer(self) -> bool:
@@ -118,7 +118,7 @@
                 front.telemetry.count("not_taken", FRONT)
                 await self.fail(UNSUPPORTED, _UNSUPPORTED_MESSAGES[message.kind])
             else:
-                raise codec.ProtocolError(f"unexpected message type {message.kind} after the login")
+                raise codec.ProtocolError(f"a message of type {message.kind} after the log-in")
 
     async def _log_in(self) -> bool:
         message = await self.message()
@@ -140,7 +140,7 @@
         if message is None:
             return False
         if message.kind != codec.LOGIN7:
-            raise codec.ProtocolError(f"message type {message.kind} instead of a login")
+            raise codec.ProtocolError(f"a message of type {message.kind} in place of a log-in")
         login = codec.read_login(message.body)
         self.profile = self.front.profile(login)
         if self.profile is None:
@@ -209,9 +209,7 @@
                 if message is None:
                     return False
                 if message.kind != codec.ATTENTION:
-                    raise codec.ProtocolError(
-                        "a message before the response to the previous one; MARS is not supported"
-                    )
+                    raise codec.ProtocolError("a message before the answer to the one ahead; MARS is not spoken")
                 await self.send(codec.done(codec.DONE_ATTN))
                 return True
             # The next message, if there is one, is handled after this response.
--- a/frostspindle/predicates/language.py
+++ b/frostspindle/predicates/language.py
@@ -215,11 +215,11 @@
 
 def _syntax_error(text: str, error: lark.UnexpectedInput) -> FilterError:
     if isinstance(error, lark.UnexpectedCharacters):
-        reason = "an unclosed quote" if error.char in "'\"" else f"{error.char!r} is not allowed here"
+        reason = "a quote that is not closed" if error.char in "'\"" else f"{error.char!r} can't stand here"
         names = error.allowed or set()
     else:
         token = error.token
-        reason = "the filter ends too early" if token.type == "$END" else f"{str(token)!r:.40} is not allowed here"
+        reason = "the filter ends too early" if token.type == "$END" else f"{str(token)!r:.40} can't stand here"
         names = error.accepts or error.expected
     offset = error.pos_in_stream
     is_at_end = offset is None or getattr(getattr(error, "token", None), "type", "") == "$END"
--- a/frostspindle/scatter/plan.py
+++ b/frostspindle/scatter/plan.py
@@ -143,7 +143,7 @@
         if len(sql) > MAX_LENGTH:
             raise _NotScatterableError(f"longer than {MAX_LENGTH} characters")
         if "\0" in sql:
-            raise _NotScatterableError("a NUL character")
+            raise _NotScatterableError("a character that is none")
         read = self._readers[group].read(sql)
         if not read.understood:
             raise _NotScatterableError("not a plain SELECT")
@@ -167,7 +167,7 @@
     def _table(self, group: int, table: exp.Expression) -> exp.Table:
         table_group = self.catalogue.groups[group]
         if type(table) is not exp.Table or not isinstance(table.this, exp.Identifier):
-            raise _NotScatterableError("not a single table")
+            raise _NotScatterableError("not of one table")
         if table.catalog or table.db.lower() != table_group.schema or table.name.lower() not in table_group.tables:
             raise _NotScatterableError("a table that is not spread")
         alias = table.args.get("alias")
@@ -194,7 +194,7 @@
     def _insert(self, group: int, sql: str) -> InsertedRows:
         table_group = self.catalogue.groups[group]
         if len(sql) > MAX_LENGTH or max_open_parentheses(sql) > MAX_OPEN_PARENTHESES or "/*" in sql or "--" in sql:
-            raise _NotScatterableError("too long or with comments")
+            raise _NotScatterableError("too long")
         trees = [tree for tree in sqlglot.parse(sql, read=self.dialect) if type(tree) is not exp.Semicolon]
         tree = trees[0]
         clauses = {name for name, value in tree.args.items() if value}
@@ -202,13 +202,13 @@
             raise _NotScatterableError("not an INSERT")
         target, values = tree.this, tree.expression
         if type(target) is not exp.Schema or type(values) is not exp.Values:
-            raise _NotScatterableError("without columns or values")
+            raise _NotScatterableError("no columns or no values")
         self._table(group, target.this)
         names = [column.name.lower() for column in target.expressions]
         columns = self.catalogue.columns[group]
         rows = [list(row.expressions) for row in values.expressions]
         if len(set(names)) != len(names) or any(len(row) != len(names) for row in rows):
-            raise _NotScatterableError("values that don't match the columns")
+            raise _NotScatterableError("values that don't fit")
         cells: Cells = {}
         for name in (column.name for column in table_group.column if column.type != FLOAT):
             index = names.index(name) if name in names else -1  # -1: its default, which is not known here
@@ -309,7 +309,7 @@
         expression = clause.expression if type(clause) in (exp.Limit, exp.Offset) else None
         others = {key for key, value in clause.args.items() if value} - {"expression"}
         if type(expression) is not exp.Literal or expression.is_string or not expression.name.isdecimal() or others:
-            raise _NotScatterableError(f"a {name} that is not a plain number")
+            raise _NotScatterableError(f"a {name} that is no plain number")
         number = int(expression.name)
         if number > MAX_LIMIT:
             raise _NotScatterableError(f"a {name} above {MAX_LIMIT}")
@@ -318,14 +318,14 @@
     def _check_row_wise(self, node: exp.Expression) -> None:
         for part in node.walk():
             if isinstance(part, exp.AggFunc):
-                raise _NotScatterableError("an aggregate within an expression")
+                raise _NotScatterableError("a total within an expression")
             if not isinstance(part, _ROW_WISE):
-                raise _NotScatterableError(f"{type(part).__name__.upper()} may depend on more than the row")
+                raise _NotScatterableError(f"{type(part).__name__.upper()} is not known to hang on the row alone")
 
     def _column(self, node: exp.Expression, usage: str) -> Column:
         """Return the catalogue's column of a plain column expression; `usage` names the clause in errors."""
         if type(node) is not exp.Column or type(node.this) is not exp.Identifier or node.args.get("db"):
-            raise _NotScatterableError(f"{usage} of something other than a plain column")
+            raise _NotScatterableError(f"{usage} of what is no plain column")
         if node.table and node.table.lower() != self.alias:
             raise _NotScatterableError(f"{usage} of another table")
         column = self.columns.get(node.name.lower())
@@ -339,7 +339,7 @@
         if column.type == FLOAT:
             raise _NotScatterableError(f"{usage} of a float")
         if column.type == TEXT and not self.planner.binary:
-            raise _NotScatterableError(f"{usage} of a text, which the engines may compare differently")
+            raise _NotScatterableError(f"{usage} of a text, which the engines may compare in their own way")
         return column
 
     # Rows without aggregates.
@@ -365,7 +365,7 @@
             index, column = self._find_order_column(expression.this, [] if star else selected, star)
             if index < 0:
                 if distinct:
-                    raise _NotScatterableError("ORDER BY of a column that DISTINCT does not select")
+                    raise _NotScatterableError("ORDER BY of a column that DISTINCT does not show")
                 hidden.append(expression.this.copy())
                 index = len(hidden)  # becomes a position from the end once all are known
                 order.append((expression, column, None, index))
@@ -402,7 +402,7 @@
         if type(sort_expression) is exp.Literal and not sort_expression.is_string:
             index = int(sort_expression.name) - 1 if sort_expression.name.isdecimal() else -1
             if star or not 0 <= index < len(selected):
-                raise _NotScatterableError("ORDER BY an invalid column position")
+                raise _NotScatterableError("ORDER BY a place that can't be told")
             return index, self._comparable_column(selected[index].unalias(), "ORDER BY")
         if type(sort_expression) is exp.Column and not sort_expression.table:
             matches = [
@@ -411,11 +411,11 @@
                 if expression.alias_or_name.lower() == sort_expression.name.lower()
             ]
             if len(matches) > 1 and len({selected[index].unalias().sql() for index in matches}) > 1:
-                raise _NotScatterableError("ORDER BY an ambiguous name")
+                raise _NotScatterableError("ORDER BY a name that stands there twice")
             if matches:
                 return matches[0], self._comparable_column(selected[matches[0]].unalias(), "ORDER BY")
         if star and any(expression.alias for expression in self.tree.expressions):
-            raise _NotScatterableError("ORDER BY with * and aliases")
+            raise _NotScatterableError("ORDER BY beside * and other names")
         return -1, self._comparable_column(sort_expression, "ORDER BY")
 
     # Groups and aggregates.
@@ -437,7 +437,7 @@
                         and expression.alias.lower() == column.name
                         and expression.unalias().name.lower() != column.name
                     ):
-                        raise _NotScatterableError("GROUP BY a name that is also the alias of another column")
+                        raise _NotScatterableError("GROUP BY a name that stands for something else too")
                 if column.name not in keys:
                     keys[column.name] = Cell(KEY, len(group_columns), column.type)
                     group_columns.append(node.copy())
@@ -465,15 +465,15 @@
         self, node: exp.Expression, keys: dict[str, Cell], first_index: int, aggregates: list[exp.Expression]
     ) -> Cell:
         if type(node) is exp.Column:
-            column = self._column(node, "a column next to aggregates")
+            column = self._column(node, "a column beside totals")
             if column.name not in keys:
                 raise _NotScatterableError("a column that GROUP BY does not name")
             return keys[column.name]
         aggregate = _AGGREGATES.get(type(node))
         if aggregate is None:
-            raise _NotScatterableError("an expression of aggregates or groups")
+            raise _NotScatterableError("an expression of totals or groups")
         if {name for name, argument in node.args.items() if argument} - {"this", "big_int"}:
-            raise _NotScatterableError("an aggregate of several values")
+            raise _NotScatterableError("a total of several values")
         if aggregate == COUNT:
             if not isinstance(node.this, exp.Star):
                 self._column(node.this, "COUNT")
@@ -520,7 +520,7 @@
             if len({cells[position] for position in matches}) == 1:
                 index = matches[0]
         if not 0 <= index < len(selected):
-            raise _NotScatterableError("ORDER BY an expression that is not selected")
+            raise _NotScatterableError("ORDER BY what the answer does not show")
         return Order(index, cells[index].type, bool(sort_key.args.get("desc")), bool(sort_key.args.get("nulls_first")))
 
 
--- a/frostspindle/scatter/wiring.py
+++ b/frostspindle/scatter/wiring.py
@@ -31,7 +31,7 @@
             return
         if (partial := fields.get(b"x-partial")) is not None:
             if partial not in (b"yes", b"no"):
-                raise CallRejectedError(400, "X-Partial: must be yes or no")
+                raise CallRejectedError(400, "X-Partial: neither yes nor no")
             request.partial = partial == b"yes"
         if (site := fields.get(b"x-site")) is not None:
             request.site = site.decode("latin-1")
