--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -301,7 +301,7 @@
         else:
             slot.reply(200, url)
 
-    def gone(self, slot: Any) -> None: ...
+    def call_abandoned(self, slot: Any) -> None: ...
 
 
 class Mesh(Transport):
