--- a/bench/choices.py
+++ b/bench/choices.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any
 
-from common import tell
+from common import write_result
 
 from frostspindle import policy
 from frostspindle.policy import AttemptOutcome, EndpointListKind, Idempotency
@@ -102,7 +102,7 @@
         name = type(record).__name__
         return CURRENT_NAMES.get(name, name) if self.former else name
 
-    def rebuilt(self, record: Any) -> Any:
+    def convert(self, record: Any) -> Any:
         """Return a record of any version as one of this version."""
         name = type(record).__name__
         return self.record_class(CURRENT_NAMES.get(name, name))(*record)
@@ -213,68 +213,68 @@
 
 def controller(version: PolicyVersion, site: str, seed: int, target: int) -> Any:
     """Return a controller of that version for the site; at `shed` it may have 90% of `target` requests open."""
-    out = version.package.Controller(settings(version, site), seed)
+    result = version.package.Controller(settings(version, site), seed)
     if site == "shed":
-        setattr(out, "most_open" if hasattr(out, "most_open") else "max_open_requests", int(0.9 * target))
-    return out
+        setattr(result, "most_open" if hasattr(result, "most_open") else "max_open_requests", int(0.9 * target))
+    return result
 
 
-class World:
+class Simulation:
     """Clients, engines and timers around one controller, in simulated time (ms); records the events it was given."""
 
     def __init__(self, version: PolicyVersion, site: str, engines: int, target: int, seed: int, calm: bool) -> None:
         self.version = version
         self.controller = controller(version, site, seed, target)
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.site = site
-        self.count = engines
+        self.engine_count = engines
         self.target = target  # requests open at a time
         self.calm = calm
 
         self.now = 1_000_000.0
-        self.clock = list[Any]()  # a heap of scheduled calls
-        self.serial = 0
-        self.met = list[tuple[float, Any]]()  # all events
+        self.scheduled = list[Any]()  # a heap of scheduled calls
+        self.sequence = 0
+        self.events = list[tuple[float, Any]]()  # all events
 
         self.open = dict[int, Any]()  # requests by number
         self.running = dict[tuple[int, int], int]()  # engines by request and attempt
         self.attempt_counts = dict[int, int]()
-        self.entries = {
+        self.endpoints = {
             n: version.record_class("EngineEntry")(n, n % 3, n % 2, n % 7, 1, 1.0, 0.0) for n in range(1, engines + 1)
         }
         self.hung = set[int]()
         self.idle = dict[int, list[float]]()  # by engine: when each idle connection was last used
 
         # What became of it.
-        self.began = dict[int, float]()
-        self.answered = 0
-        self.took = 0.0  # ms until good responses, in all
-        self.sends = 0
-        self.far = 0  # sends to another zone
-        self.opened = 0  # sends that opened a connection
-        self.at(0.0, "list", EndpointListKind.FULL, tuple(self.entries.values()))
-
-    def at(self, after: float, *what: Any) -> None:
+        self.arrived_at_ms = dict[int, float]()
+        self.answered_requests = 0
+        self.total_response_ms = 0.0  # ms until good responses, in all
+        self.attempts_started = 0
+        self.cross_zone_attempts = 0  # sends to another zone
+        self.connections_opened = 0  # sends that opened a connection
+        self.schedule(0.0, "list", EndpointListKind.FULL, tuple(self.endpoints.values()))
+
+    def schedule(self, delay_ms: float, *call: Any) -> None:
         """Schedule a call of the method `do_` + the first of `what`, with the rest as arguments, in `after` ms."""
-        self.serial += 1
-        heapq.heappush(self.clock, (self.now + after, self.serial, what))
+        self.sequence += 1
+        heapq.heappush(self.scheduled, (self.now + delay_ms, self.sequence, call))
 
     def feed(self, name: str, *fields: Any) -> None:
         """Record an event of that class, give it to the controller and carry out its actions."""
         event = self.version.record_class(name)(*fields)
-        self.met.append((self.now, event))
+        self.events.append((self.now, event))
         for action in self.controller.handle(self.now, event):
             name = self.version.record_name(action)
             if name == "StartAttempt":
-                self.sent(action)
+                self.start_attempt(action)
             elif name == "CancelAttempt" and (action.request, action.attempt) in self.running:
-                self.at(1.0, "end", action.request, action.attempt, AttemptOutcome.CANCELLED)
+                self.schedule(1.0, "end", action.request, action.attempt, AttemptOutcome.CANCELLED)
             elif name in ("RejectRequest", "FailRequest"):
                 self.open.pop(action.request, None)
             elif name == "SetTimer":
-                self.at(max(0.0, action.due_at_ms - self.now), "due", action.token)
+                self.schedule(max(0.0, action.due_at_ms - self.now), "due", action.token)
 
-    def sent(self, action: Any) -> None:
+    def start_attempt(self, action: Any) -> None:
         """Start an attempt: draw its outcome and time (ms), and schedule its end and, for a long one, a progress note.
 
         An attempt at a hung engine ends by its timeout. Unless calm, 1.6% fail, in one of five ways.
@@ -283,38 +283,38 @@
         number = self.attempt_counts.get(action.request, 0)
         self.attempt_counts[action.request] = number + 1
         self.running[(action.request, number)] = action.engine
-        idle = [at for at in self.idle.get(action.engine, ()) if self.now - at < 15_000.0]
-        self.sends += 1
-        self.opened += not idle
+        idle = [used_at_ms for used_at_ms in self.idle.get(action.engine, ()) if self.now - used_at_ms < 15_000.0]
+        self.attempts_started += 1
+        self.connections_opened += not idle
         self.idle[action.engine] = idle[:-1]
-        self.far += action.engine in self.entries and self.entries[action.engine].zone != 0
-        outcome = self.drawn_outcome()
-        took = (request.cost_ms or 150.0) / 2 * self.draw.uniform(0.8, 2.0)
+        self.cross_zone_attempts += action.engine in self.endpoints and self.endpoints[action.engine].zone != 0
+        outcome = self.draw_outcome()
+        duration_ms = (request.cost_ms or 150.0) / 2 * self.rng.uniform(0.8, 2.0)
         if action.engine in self.hung:
             outcome = AttemptOutcome.TIMEOUT
-            took = action.timeout_ms or 30_000.0
+            duration_ms = action.timeout_ms or 30_000.0
         elif outcome != AttemptOutcome.OK:
-            took = 5.0
-        elif took > 500.0:
-            self.at(took / 2, "note", action.request, number, 0.5)
-        self.at(min(took, action.timeout_ms or took), "end", action.request, number, outcome)
+            duration_ms = 5.0
+        elif duration_ms > 500.0:
+            self.schedule(duration_ms / 2, "note", action.request, number, 0.5)
+        self.schedule(min(duration_ms, action.timeout_ms or duration_ms), "end", action.request, number, outcome)
 
-    def drawn_outcome(self) -> AttemptOutcome:
+    def draw_outcome(self) -> AttemptOutcome:
         """Draw the outcome of an attempt at an engine that does not hang."""
-        luck = self.draw.random()
-        for part, outcome in () if self.calm else FAILURES:
-            if luck < part:
+        sample = self.rng.random()
+        for limit, outcome in () if self.calm else FAILURES:
+            if sample < limit:
                 return outcome
         return AttemptOutcome.OK
 
     def step(self) -> None:
         """Advance to the next scheduled call and make it."""
-        self.now, _, what = heapq.heappop(self.clock)
-        getattr(self, f"do_{what[0]}")(*what[1:])
+        self.now, _, call = heapq.heappop(self.scheduled)
+        getattr(self, f"do_{call[0]}")(*call[1:])
 
-    def do_list(self, how: int, entries: tuple[Any, ...]) -> None:
+    def do_list(self, kind: int, entries: tuple[Any, ...]) -> None:
         """Give the controller an engine list of that kind."""
-        self.feed("EndpointListUpdated", how, 1, entries)
+        self.feed("EndpointListUpdated", kind, 1, entries)
 
     def do_due(self, token: int) -> None:
         """Give the controller the expiry of a timer of its own."""
@@ -332,15 +332,18 @@
         """
         if (engine := self.running.pop((request, number), None)) is None:
             return
-        good = outcome == AttemptOutcome.OK
+        succeeded = outcome == AttemptOutcome.OK
         self.idle.setdefault(engine, []).append(self.now)
-        known = self.open.pop(request, None) if good else self.open.get(request)
-        if known is not None and good:
-            self.answered, self.took = self.answered + 1, self.took + self.now - self.began[request]
-        cost = (known.cost_ms or 150.0) * self.draw.uniform(0.7, 1.4) if known and good else 0.0
-        report = (self.draw.uniform(0.0, 20.0), self.draw.uniform(0.0, 0.6)) if good else ()
-        last = known is None or good
-        self.feed("AttemptEnded", request, number, engine, outcome, cost / 2 or 5.0, last, cost, 0.3 * cost, report)
+        request_record = self.open.pop(request, None) if succeeded else self.open.get(request)
+        if request_record is not None and succeeded:
+            self.answered_requests, self.total_response_ms = (
+                self.answered_requests + 1,
+                self.total_response_ms + self.now - self.arrived_at_ms[request],
+            )
+        cost = (request_record.cost_ms or 150.0) * self.rng.uniform(0.7, 1.4) if request_record and succeeded else 0.0
+        report = (self.rng.uniform(0.0, 20.0), self.rng.uniform(0.0, 0.6)) if succeeded else ()
+        is_final = request_record is None or succeeded
+        self.feed("AttemptEnded", request, number, engine, outcome, cost / 2 or 5.0, is_final, cost, 0.3 * cost, report)
 
     def arrive(self, number: int) -> None:
         """Draw a request of that number and give it to the controller.
@@ -348,34 +351,34 @@
         Costs are Pareto distributed, up to a minute; one request in ten has no estimate of it. At `stuck` four of five
         are ordered loads of one group.
         """
-        luck = self.draw.random()
-        cls = 0 if luck < 0.7 else 1 if luck < 0.85 else 2 if luck < 0.93 else 3
-        cost = min(60_000.0, (60.0, 400.0, 300.0, 200.0)[cls] * self.draw.paretovariate(1.2))
-        key = self.draw.randrange(1, 50 + self.target // 8) if cls == 2 else 0
-        group = self.draw.randrange(-1, 40)
-        if self.site == "stuck" and luck < 0.8:
+        sample = self.rng.random()
+        cls = 0 if sample < 0.7 else 1 if sample < 0.85 else 2 if sample < 0.93 else 3
+        cost = min(60_000.0, (60.0, 400.0, 300.0, 200.0)[cls] * self.rng.paretovariate(1.2))
+        key = self.rng.randrange(1, 50 + self.target // 8) if cls == 2 else 0
+        group = self.rng.randrange(-1, 40)
+        if self.site == "stuck" and sample < 0.8:
             cls, key, group = 2, number, 5
-        left = (5000.0, 20_000.0, 25_000.0, 25_000.0)[cls] * (20.0 if self.target >= 10_000 else 1.0)
-        estimate = cost if luck * 1000 % 1 < 0.9 else 0.0
-        fields = (number, cls, 0, key, left, estimate, cost * 0.3, float(group))
-        self.open[number], self.began[number] = self.version.record_class("RequestArrived")(*fields), self.now
+        remaining_ms = (5000.0, 20_000.0, 25_000.0, 25_000.0)[cls] * (20.0 if self.target >= 10_000 else 1.0)
+        estimate = cost if sample * 1000 % 1 < 0.9 else 0.0
+        fields = (number, cls, 0, key, remaining_ms, estimate, cost * 0.3, float(group))
+        self.open[number], self.arrived_at_ms[number] = self.version.record_class("RequestArrived")(*fields), self.now
         self.feed("RequestArrived", *fields)
 
-    def trouble(self) -> None:
+    def inject_disturbance(self) -> None:
         """Draw one event: a list change or restart, an engine's hang or recovery, a client that leaves, or none."""
-        luck = self.draw.random()
-        engine = self.draw.choice(list(self.entries))
-        old = self.entries[engine]
-        if luck < 0.2:
-            self.entries[engine] = old._replace(health=self.draw.choice((0, 1, 2)), since_ms=self.now)
-            self.feed("EndpointListUpdated", EndpointListKind.DELTA, 1, (self.entries[engine],))
-        elif luck < 0.6:
-            back = [e._replace(health=1) for e in self.entries.values() if e.health != 1]
-            self.entries.update((e.engine, e) for e in back)
-            self.feed("EndpointListUpdated", EndpointListKind.DELTA, 1, tuple(back))
-        elif luck < 0.65 and len(self.hung) < self.count // 4:
+        sample = self.rng.random()
+        engine = self.rng.choice(list(self.endpoints))
+        entry = self.endpoints[engine]
+        if sample < 0.2:
+            self.endpoints[engine] = entry._replace(health=self.rng.choice((0, 1, 2)), since_ms=self.now)
+            self.feed("EndpointListUpdated", EndpointListKind.DELTA, 1, (self.endpoints[engine],))
+        elif sample < 0.6:
+            restored = [e._replace(health=1) for e in self.endpoints.values() if e.health != 1]
+            self.endpoints.update((e.engine, e) for e in restored)
+            self.feed("EndpointListUpdated", EndpointListKind.DELTA, 1, tuple(restored))
+        elif sample < 0.65 and len(self.hung) < self.engine_count // 4:
             self.hung.add(engine)
-        elif luck < 0.75 and self.hung:
+        elif sample < 0.75 and self.hung:
             self.hung.pop()
         elif self.open:
             request = next(iter(self.open))
@@ -385,23 +388,23 @@
     def outcome(self) -> dict[str, float]:
         """Return counts, the mean time to a good response (ms), and parts of sends to other zones or unconnected."""
         return {
-            "answered": self.answered,
-            "mean_ms": round(self.took / max(1, self.answered), 1),
-            "sends": self.sends,
-            "far": round(self.far / max(1, self.sends), 3),
-            "opened": round(self.opened / max(1, self.sends), 3),
+            "answered": self.answered_requests,
+            "mean_ms": round(self.total_response_ms / max(1, self.answered_requests), 1),
+            "sends": self.attempts_started,
+            "far": round(self.cross_zone_attempts / max(1, self.attempts_started), 3),
+            "opened": round(self.connections_opened / max(1, self.attempts_started), 3),
         }
 
     def replace(self) -> None:
         """Replace all engines by cold ones with new ids; running attempts end with a reset 1 ms later."""
-        first = max(self.entries) + 1
-        self.entries = {
+        first = max(self.endpoints) + 1
+        self.endpoints = {
             first + n: entry._replace(engine=first + n, since_ms=self.now)
-            for n, entry in enumerate(self.entries.values())
+            for n, entry in enumerate(self.endpoints.values())
         }
-        self.feed("EndpointListUpdated", EndpointListKind.FULL, 1, tuple(self.entries.values()))
+        self.feed("EndpointListUpdated", EndpointListKind.FULL, 1, tuple(self.endpoints.values()))
         for request, number in self.running:
-            self.at(1.0, "end", request, number, AttemptOutcome.RESET)
+            self.schedule(1.0, "end", request, number, AttemptOutcome.RESET)
 
     def play(self, requests: int) -> list[tuple[float, Any]]:
         """Run that many requests, with `target` open at a time, after as many to get there; return all events."""
@@ -414,13 +417,13 @@
                 if "replaced" in self.site and number % 1000 == 0:
                     self.replace()
                 if not self.calm and number % 200 == 0:
-                    self.trouble()
+                    self.inject_disturbance()
             else:
                 self.step()
-        return self.met
+        return self.events
 
 
-def told(version: PolicyVersion, action: Any) -> tuple[Any, ...]:
+def comparable(version: PolicyVersion, action: Any) -> tuple[Any, ...]:
     """Return an action as a tuple to compare: the current name of its class, and its fields to the last digit."""
     return (version.record_name(action), *action)
 
@@ -440,38 +443,57 @@
     the new module's profile goes to stderr.
     """
     sides = {
-        name: (controller(packages[name], site, seed, target), [(now, packages[name].rebuilt(e)) for now, e in met])
+        name: (
+            controller(packages[name], site, seed, target),
+            [(now, packages[name].convert(event)) for now, event in met],
+        )
         for name, met in worlds.items()
     }
-    spent, counts, actions, width = dict.fromkeys(sides, 0), dict.fromkeys(sides, 0), dict[str, list[Any]](), 200
-    same, differs, profiler = 0, None, cProfile.Profile()
-    filled = {
-        name: next(i for i, (_, e) in enumerate(met) if type(e).__name__ in ARRIVALS and e.request >= target)
+    spent_ns, request_counts, actions, slice_length = (
+        dict.fromkeys(sides, 0),
+        dict.fromkeys(sides, 0),
+        dict[str, list[Any]](),
+        200,
+    )
+    equal_actions, first_difference, profiler = 0, None, cProfile.Profile()
+    first_measured = {
+        name: next(
+            index
+            for index, (_, event) in enumerate(met)
+            if type(event).__name__ in ARRIVALS and event.request >= target
+        )
         for name, met in worlds.items()
     }
     gc.collect()
     gc.disable()  # what the world keeps is of no interest
-    for at in range(0, max(map(len, worlds.values())), width):
-        for name in list(sides) if at // width % 2 else list(sides)[::-1]:
+    for start in range(0, max(map(len, worlds.values())), slice_length):
+        for name in list(sides) if start // slice_length % 2 else list(sides)[::-1]:
             module, events = sides[name]
-            slice_, handle = events[at : at + width], module.handle
-            if profile and name == "new_policy" and at >= filled[name]:
+            slice_, handle = events[start : start + slice_length], module.handle
+            if profile and name == "new_policy" and start >= first_measured[name]:
                 profiler.enable()
-            began = time.thread_time_ns()
+            started_ns = time.thread_time_ns()
             actions[name] = [handle(now, event) for now, event in slice_]
-            took = time.thread_time_ns() - began
+            elapsed_ns = time.thread_time_ns() - started_ns
             profiler.disable()
-            if at >= filled[name]:
-                spent[name] += took
-                counts[name] += sum(type(e).__name__ in ARRIVALS for _, e in slice_)
-        both = [[told(packages[name], a) for acts in actions[name] for a in acts] for name in sides]
-        if differs is None and both[0] != both[1]:
-            differs = at
-        same += len(both[0]) * (differs is None)
+            if start >= first_measured[name]:
+                spent_ns[name] += elapsed_ns
+                request_counts[name] += sum(type(event).__name__ in ARRIVALS for _, event in slice_)
+        compared = [
+            [comparable(packages[name], action) for slice_actions in actions[name] for action in slice_actions]
+            for name in sides
+        ]
+        if first_difference is None and compared[0] != compared[1]:
+            first_difference = start
+        equal_actions += len(compared[0]) * (first_difference is None)
     gc.enable()
     if profile:
         pstats.Stats(profiler, stream=sys.stderr).sort_stats("tottime").print_stats(22)
-    return {name: value / 1000.0 / max(1, counts[name]) for name, value in spent.items()}, same, differs
+    return (
+        {name: value / 1000.0 / max(1, request_counts[name]) for name, value in spent_ns.items()},
+        equal_actions,
+        first_difference,
+    )
 
 
 def compare(
@@ -486,31 +508,31 @@
 ) -> dict[str, Any]:
     """Replay the base module's run to both; if their choices differ, time the new module in a run of its own."""
     base, new = packages
-    world = World(packages[base], site, engines, target, seed, calm)
-    met = world.play(requests)
-    us, same, differs = replay({base: met, new: met}, packages, site, seed, target, profile)
-    out = {
+    world = Simulation(packages[base], site, engines, target, seed, calm)
+    events = world.play(requests)
+    cpu_us, equal_actions, first_difference = replay({base: events, new: events}, packages, site, seed, target, profile)
+    result = {
         "site": site,
         "engines": engines,
         "open": target,
         "calm": calm,
         "seed": seed,
-        "events": len(met),
-        "actions_equal": same,
-        "differs_at_event": differs,
+        "events": len(events),
+        "actions_equal": equal_actions,
+        "differs_at_event": first_difference,
     }
-    if differs is not None:
-        own = World(packages[new], site, engines, target, seed, calm)
-        us, *_ = replay({base: met, new: own.play(requests)}, packages, site, seed, target, False)
-        out |= {
+    if first_difference is not None:
+        new_world = Simulation(packages[new], site, engines, target, seed, calm)
+        cpu_us, *_ = replay({base: events, new: new_world.play(requests)}, packages, site, seed, target, False)
+        result |= {
             f"{key}_{name[:4].strip('_')}": value
-            for name, side in ((base, world), (new, own))
+            for name, side in ((base, world), (new, new_world))
             for key, value in side.outcome().items()
         }
-    return out | {
-        "us_a_request_base": round(us[base], 1),
-        "us_a_request_new": round(us[new], 1),
-        "new_over_base": round(us[new] / us[base], 3),
+    return result | {
+        "us_a_request_base": round(cpu_us[base], 1),
+        "us_a_request_new": round(cpu_us[new], 1),
+        "new_over_base": round(cpu_us[new] / cpu_us[base], 3),
     }
 
 
@@ -537,7 +559,7 @@
                     print(rows[-1], file=sys.stderr, flush=True)
     differing = sum(row["differs_at_event"] is not None for row in rows)
     verdict = "same" if not differing else f"{differing} of {len(rows)} runs differ"
-    tell({"base": args.base, "choices": verdict, "rows": rows}, args.json)
+    write_result({"base": args.base, "choices": verdict, "rows": rows}, args.json)
 
 
 if __name__ == "__main__":
--- a/bench/cold_rights.py
+++ b/bench/cold_rights.py
@@ -17,56 +17,59 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from bench.common import tell  # noqa: E402
+from bench.common import write_result  # noqa: E402
 from frostspindle.lab.cold import ColdEmulator  # noqa: E402
 from frostspindle.lab.faults.script import drawn, parse  # noqa: E402
 
 
-def mixed(seed: int) -> dict[str, Any]:
+def run_mixed_faults(seed: int) -> dict[str, Any]:
     """Run one emulation with faults of all kinds, drawn from the seed, and return its figures."""
-    draw = random.Random(seed)
-    count, at, parts = drawn(draw, (3.0, 15.0, 15.0), (2.0, 25.0), (5, 3.0), (4, 8.0))
-    if draw.random() < 0.3:  # a power loss
-        parts += [
-            f"{at + n * 0.1:.2f} kill {n}; {at + 1.5 + draw.uniform(0.0, 3.0):.2f} start {n}" for n in range(count)
+    rng = random.Random(seed)
+    count, loss_at_s, faults = drawn(rng, (3.0, 15.0, 15.0), (2.0, 25.0), (5, 3.0), (4, 8.0))
+    if rng.random() < 0.3:  # a power loss
+        faults += [
+            f"{loss_at_s + node * 0.1:.2f} kill {node}; {loss_at_s + 1.5 + rng.uniform(0.0, 3.0):.2f} start {node}"
+            for node in range(count)
         ]
     emulator = ColdEmulator(
         count,
         seed,
-        parse("; ".join(parts), count),
+        parse("; ".join(faults), count),
         35.0,
-        draw.choice((1, 2)),
-        draw.choice((0.6, 1.5, 3.0)),
-        draw.choice((1.0, 10.0)),
-        draw.choice((6.0, 15.0)),
-        draw.choice((200.0, 2_000.0)),
-        draw.choice(((20.0, 200.0), (5.0, 60.0), (200.0, 2_000.0))),
-        homes=draw.choice((0, 3)),
+        rng.choice((1, 2)),
+        rng.choice((0.6, 1.5, 3.0)),
+        rng.choice((1.0, 10.0)),
+        rng.choice((6.0, 15.0)),
+        rng.choice((200.0, 2_000.0)),
+        rng.choice(((20.0, 200.0), (5.0, 60.0), (200.0, 2_000.0))),
+        homes=rng.choice((0, 3)),
     )
     emulator.run()
     return emulator.figures()
 
 
-def use(count: int, load: float, plain: bool, low: float, high: float) -> dict[str, Any]:
+def measure_use(count: int, load: float, plain: bool, min_query_ms: float, max_query_ms: float) -> dict[str, Any]:
     """Return how much of the budget is used without faults, as the median of three seeds.
 
     The first coordinator wants ten times what each other wants; `load` is what all want, as a part of the budget. `low`
     and `high` are the least and greatest time of a query (ms).
     """
-    uses, firsts = [], []
+    used, used_by_first = [], []
     for seed in (1, 2, 3):
-        emulator = ColdEmulator(count, seed, parse("", count), 60.0, load=load, plain=plain, sizes=(low, high))
+        emulator = ColdEmulator(
+            count, seed, parse("", count), 60.0, load=load, plain=plain, sizes=(min_query_ms, max_query_ms)
+        )
         emulator.run()
         figures = emulator.figures()
-        uses.append(figures["use"])
-        firsts.append(figures["first"])
+        used.append(figures["use"])
+        used_by_first.append(figures["first"])
     return {
         "nodes": count,
         "load": load,
         "plain": plain,
-        "query_ms": [low, high],
-        "use": median(uses),
-        "first": median(firsts),
+        "query_ms": [min_query_ms, max_query_ms],
+        "use": median(used),
+        "first": median(used_by_first),
     }
 
 
@@ -81,14 +84,14 @@
     sizes = [int(size) for size in args.sizes.split(",") if size]
     with ProcessPoolExecutor(args.jobs) as pool:
         rows = [
-            pool.submit(use, size, load, plain, *query)
+            pool.submit(measure_use, size, load, plain, *query)
             for size in sizes
             for load in (0.8, 1.5)
             for query in ((20.0, 200.0), (400.0, 1_200.0))
             for plain in (False, True)
         ]
-        runs = list(pool.map(mixed, range(args.runs), chunksize=4))
-        out = {
+        runs = list(pool.map(run_mixed_faults, range(args.runs), chunksize=4))
+        result = {
             "runs": len(runs),
             "paid": sum(run["paid"] for run in runs),
             "cold_overruns": sum(run["cold_overruns"] for run in runs),
@@ -98,7 +101,7 @@
             "over_at_one_process": sum(run["at_one_process"] > run["units"] for run in runs),
             "use": [row.result() for row in rows],
         }
-    tell(out, args.out)
+    write_result(result, args.out)
 
 
 if __name__ == "__main__":
--- a/bench/common.py
+++ b/bench/common.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 
-def tell(result: dict[str, Any], file: str | None) -> None:
+def write_result(result: dict[str, Any], file: str | None) -> None:
     """Print the result as one JSON object and write it to `file` too, where one is named."""
     text = json.dumps(result, indent=1)
     print(text)
--- a/bench/compiled.py
+++ b/bench/compiled.py
@@ -79,23 +79,23 @@
 
 def run(folder: Path) -> tuple[str, str]:
     """Run a short seeded emulation with the copy in `folder`; return its output and the file of its node module."""
-    told = subprocess.run(
+    output = subprocess.run(
         [sys.executable, "-P", "-c", RUN],
         env=os.environ | {"PYTHONPATH": str(folder)},
         check=True,
         stdout=subprocess.PIPE,
         text=True,
     ).stdout.splitlines()
-    return told[0], told[1]
+    return output[0], output[1]
 
 
-def build(to: Path) -> None:
+def build(target: Path) -> None:
     """Build a compiled copy; it is moved to its place only once it has given the same output as the sources.
 
     Exit with a message if nothing was compiled or the output differs.
     """
-    to.parent.mkdir(exist_ok=True)
-    with tempfile.TemporaryDirectory(dir=to.parent) as name:
+    target.parent.mkdir(exist_ok=True)
+    with tempfile.TemporaryDirectory(dir=target.parent) as name:
         folder = Path(name) / "copy"
         for package in PACKAGES:
             shutil.copytree(ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__"))
@@ -109,7 +109,7 @@
             sys.exit(f"nothing was compiled: {file}")
         if plain != compiled:
             sys.exit("the compiled copy does not do as the sources do, and is not used")
-        folder.rename(to)
+        folder.rename(target)
 
 
 def main() -> None:
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -26,7 +26,7 @@
 RESIDENT = "print(int(open('/proc/self/statm').read().split()[1]) * 4096 / 2**20)"
 
 
-class Nowhere(io.RawIOBase):
+class NullSink(io.RawIOBase):
     """A sink that discards what it is given."""
 
     def write(self, data: Any) -> int:
@@ -34,7 +34,7 @@
         return len(data)
 
 
-def by_hand(sink: Nowhere) -> Any:
+def orjson_logger(sink: NullSink) -> Any:
     """Return a log function that makes a JSON line with orjson alone."""
 
     def log(event: str, **fields: Any) -> None:
@@ -45,7 +45,7 @@
     return log
 
 
-def usual(sink: Nowhere) -> Any:
+def structlog_logger(sink: NullSink) -> Any:
     """Return the log function of the processor chain that structlog's page on performance recommends."""
     logger = structlog.wrap_logger(
         structlog.BytesLogger(sink),
@@ -64,10 +64,10 @@
 
 def cost_us(log: Any) -> float:
     """Return the mean processor microseconds of a line, over LINES of them."""
-    began = time.process_time()
+    started = time.process_time()
     for number in range(LINES):
         log("worker_relay_failed", owner=number, error="the owner ended its connection")
-    return (time.process_time() - began) / LINES * 1e6
+    return (time.process_time() - started) / LINES * 1e6
 
 
 def resident_mb(code: str) -> float:
@@ -79,24 +79,36 @@
     """Take turns between the ways of logging, then between the sets of imports; print one JSON object."""
     rounds = int((sys.argv[1:] or ["9"])[0])
     telemetry.MAX_LINES_PER_S = 1 << 60
-    sink = Nowhere()
-    ways = {"hand": by_hand(sink), "events": telemetry.Telemetry("n", sink).log, "usual": usual(sink)}
-    lines = [{name: cost_us(log) for name, log in ways.items()} for _ in range(rounds)]
+    sink = NullSink()
+    loggers = {
+        "hand": orjson_logger(sink),
+        "events": telemetry.Telemetry("n", sink).log,
+        "usual": structlog_logger(sink),
+    }
+    line_costs = [{name: cost_us(with_structlog) for name, with_structlog in loggers.items()} for _ in range(rounds)]
     # events.py itself loads structlog: a stand-in takes its place in the process that goes without.
-    without = (
+    stub_structlog = (
         "import sys, types\nfake = types.ModuleType('structlog'); fake.BoundLoggerBase = object\n"
         "fake.typing = types.ModuleType('structlog.typing'); fake.typing.EventDict = dict\n"
         "sys.modules.update({'structlog': fake, 'structlog.typing': fake.typing})\n"
     )
     memory = []
     for _ in range(rounds):
-        none, log = resident_mb(without + SERVING), resident_mb(SERVING)
-        memory.append((none, log - none, resident_mb(SERVING + "import prometheus_client") - log))
+        without_mb, with_structlog = resident_mb(stub_structlog + SERVING), resident_mb(SERVING)
+        memory.append(
+            (
+                without_mb,
+                with_structlog - without_mb,
+                resident_mb(SERVING + "import prometheus_client") - with_structlog,
+            )
+        )
     print(
         json.dumps(
             {
-                "us_a_line": {name: round(median(row[name] for row in lines), 2) for name in ways},
-                "times_hand": {name: round(median(row[name] / row["hand"] for row in lines), 2) for name in ways},
+                "us_a_line": {name: round(median(row[name] for row in line_costs), 2) for name in loggers},
+                "times_hand": {
+                    name: round(median(row[name] / row["hand"] for row in line_costs), 2) for name in loggers
+                },
                 "mb": dict(
                     zip(
                         ("without", "structlog", "prometheus_client"),
--- a/bench/off_cost.py
+++ b/bench/off_cost.py
@@ -16,7 +16,7 @@
 from frostspindle.lab.bench import SQL, coordinator, cpu_s, engines, rss_mb
 from frostspindle.lab.engines import document, host
 
-CONNECTIONS, WARM = 16, 400
+CONNECTIONS, WARM_UP_REQUESTS = 16, 400
 HEAD = (
     b"POST /call/lookup HTTP/1.1\r\nHost: b\r\nX-Request-Id: %016x\r\nX-Timeout-Ms: 7000\r\nX-Cost-Ms: 20\r\n"
     b"X-Memory: 16\r\nContent-Length: %d\r\n\r\n%b"
@@ -28,11 +28,11 @@
 
     Raise RuntimeError for any status but 200.
     """
-    numbers = iter(range(first, first + count))
+    request_numbers = iter(range(first, first + count))
 
-    async def one() -> None:
+    async def run_connection() -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        for number in numbers:
+        for number in request_numbers:
             writer.write(HEAD % (number, len(SQL), SQL))
             head = await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(int(head.partition(b"Content-Length: ")[2].partition(b"\r")[0]))
@@ -40,7 +40,7 @@
                 raise RuntimeError(head.decode())
         writer.close()
 
-    await asyncio.gather(*(one() for _ in range(CONNECTIONS)))
+    await asyncio.gather(*(run_connection() for _ in range(CONNECTIONS)))
 
 
 def run(ports: dict[str, int], source: str | None, count: int) -> dict[str, float]:
@@ -50,9 +50,9 @@
     """
     config = document([host(name, port) for name, port in ports.items()])
     with coordinator(config, 1, source) as (port, (_, pid)):
-        asyncio.run(load(port, 1, WARM))
+        asyncio.run(load(port, 1, WARM_UP_REQUESTS))
         before = cpu_s([pid])
-        asyncio.run(load(port, 1 + WARM, count))
+        asyncio.run(load(port, 1 + WARM_UP_REQUESTS, count))
         return {"cpu_ms": 1000.0 * (cpu_s([pid]) - before) / count, "rss_mb": rss_mb([pid])}
 
 
@@ -61,9 +61,11 @@
     earlier, rounds, count = sys.argv[1], *map(int, (sys.argv[2:] + ["5", "4000"][len(sys.argv) - 2 :])[:2])
     with engines([f"s-{n:08x}" for n in range(1, 5)], 0.0, 2) as (ports, _):
         pairs = []
-        for turn in range(rounds):
-            runs = {source: run(ports, source, count) for source in ([earlier, None], [None, earlier])[turn % 2]}
-            pairs.append((runs[earlier], runs[None]))
+        for round_number in range(rounds):
+            figures = {
+                source: run(ports, source, count) for source in ([earlier, None], [None, earlier])[round_number % 2]
+            }
+            pairs.append((figures[earlier], figures[None]))
     for key in ("cpu_ms", "rss_mb"):
         ratios = sorted(now[key] / before[key] for before, now in pairs)
         print(
--- a/bench/order.py
+++ b/bench/order.py
@@ -27,54 +27,54 @@
     return time.monotonic() * 1000.0
 
 
-def process(folder: Path) -> tuple[SharedCellFolder, KeyQueue]:
+def open_process(folder: Path) -> tuple[SharedCellFolder, KeyQueue]:
     """Create the shared file of a process in the folder; return its view of all files there, and its turns."""
-    sheets = SharedCellFolder(folder, clock, 2100.0)
-    return sheets, KeyQueue(sheets.own_file.owner, sheets.own_file, sheets.positions)
+    cells = SharedCellFolder(folder, clock, 2100.0)
+    return cells, KeyQueue(cells.own_file.owner, cells.own_file, cells.positions)
 
 
-def timed(folder: Path, others: int, requests: int, draw: random.Random) -> tuple[float, float]:
+def measure(folder: Path, others: int, requests: int, rng: random.Random) -> tuple[float, float]:
     """Return the median microseconds of entering and leaving, with `others` other processes of 256 places each.
 
     Raise AssertionError if a request has to wait, as no other process should have its key.
     """
-    mine, turns = process(folder)
-    there = [process(folder) for _ in range(others)]
-    for _, other in there:
+    own_cells, own_queue = open_process(folder)
+    other_processes = [open_process(folder) for _ in range(others)]
+    for _, queue in other_processes:
         for number in range(256):
-            other.enter(number, draw.getrandbits(62) | 1, number + 2)
+            queue.enter(number, rng.getrandbits(62) | 1, number + 2)
     enter, leave = [], []
     for number in range(requests):
-        key = draw.getrandbits(62) | 1
-        at = time.perf_counter()
-        assert turns.enter(number, key, number + 1000) is True
-        mid = time.perf_counter()
-        turns.leave(number)
-        enter.append(mid - at)
-        leave.append(time.perf_counter() - mid)
-    for sheets, _ in ((mine, turns), *there):
-        sheets.close(True)
+        key = rng.getrandbits(62) | 1
+        started = time.perf_counter()
+        assert own_queue.enter(number, key, number + 1000) is True
+        entered = time.perf_counter()
+        own_queue.leave(number)
+        enter.append(entered - started)
+        leave.append(time.perf_counter() - entered)
+    for cells, _ in ((own_cells, own_queue), *other_processes):
+        cells.close(True)
     return median(enter) * 1e6, median(leave) * 1e6
 
 
 def main() -> None:
     """Measure each number of other processes in turn, ROUNDS times, and print the medians."""
     requests = int((sys.argv[1:] or ["2000"])[0])
-    draw, runs = random.Random(1), {others: [] for others in OTHERS}
+    rng, runs = random.Random(1), {others: [] for others in OTHERS}
     for _ in range(ROUNDS):
         for others in OTHERS:
             with tempfile.TemporaryDirectory() as folder:
-                runs[others].append(timed(Path(folder), others, requests, draw))
+                runs[others].append(measure(Path(folder), others, requests, rng))
     print(
         json.dumps(
             {
                 "requests": requests,
                 "us": {
                     str(others): {
-                        "enter": round(median(run[0] for run in of), 1),
-                        "over": round(median(run[1] for run in of), 1),
+                        "enter": round(median(run[0] for run in rows), 1),
+                        "over": round(median(run[1] for run in rows), 1),
                     }
-                    for others, of in runs.items()
+                    for others, rows in runs.items()
                 },
             }
         )
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -44,9 +44,9 @@
     }
 
 
-def seeded(what: tuple[int, bool]) -> dict[str, Any]:
+def run_seed(job: tuple[int, bool]) -> dict[str, Any]:
     """Run one emulation, of `what` as its seed and whether stale tokens are fenced; return its figures."""
-    seed, fenced = what
+    seed, fenced = job
     lease_ms = (1_000, 3_000)[seed % 2]
     lab = play(
         5,
@@ -61,120 +61,127 @@
     return {"seed": seed, **measure(lab)}
 
 
-def taken_over(what: tuple[int, int]) -> float:
+def measure_takeover(job: tuple[int, int]) -> float:
     """Kill a holder at a random time within its lease; return the true ms until another's first accepted action.
 
     Raise AssertionError if the history has a fault.
     """
-    seed, lease_ms = what
+    seed, lease_ms = job
     lab = Lab(5, seed, "", tasks=1, lease_ms=lease_ms, late=0.0)
     lab.run(3.0 + random.Random(seed).uniform(0.0, lease_ms / 1_000.0))
     holder = lab.sink.lines[-1]["holder"]
-    died = lab.now
+    killed_at_ms = lab.now
     lab.replicas.kill(int(holder[1:]))
-    lab.run((died + 2.0 * lease_ms) / 1_000.0 + 3.0)
+    lab.run((killed_at_ms + 2.0 * lease_ms) / 1_000.0 + 3.0)
     assert lab.checked().good
-    return next(line["at"] for line in lab.sink.lines if line["at"] > died + 25.0 and line["holder"] != holder) - died
+    return (
+        next(line["at"] for line in lab.sink.lines if line["at"] > killed_at_ms + 25.0 and line["holder"] != holder)
+        - killed_at_ms
+    )
 
 
-def renewals(tasks: int) -> dict[str, Any]:
+def measure_renewals(tasks: int) -> dict[str, Any]:
     """Return what renewing the leases of that many tasks costs five coordinators, over 30 s after the first 20."""
     lab = Lab(5, 1, "", tasks=tasks, late=0.0)
-    lab.act = lambda who, task, token: None  # type: ignore[method-assign]
-    began = time.perf_counter()
-    heard = [0] * 5
-    put = lab.replicas.network.at
+    lab.act = lambda coordinator, task, token: None  # type: ignore[method-assign]
+    started = time.perf_counter()
+    received_bytes = [0] * 5
+    schedule = lab.replicas.network.at
 
-    def at(when: float, node: int, what: Any) -> None:
-        heard[node] += len(getattr(what, "data", b""))
-        put(when, node, what)
+    def count_received(due_at_ms: float, node: int, event: Any) -> None:
+        received_bytes[node] += len(getattr(event, "data", b""))
+        schedule(due_at_ms, node, event)
 
-    lab.replicas.network.at = at  # type: ignore[method-assign]
+    lab.replicas.network.at = count_received  # type: ignore[method-assign]
     lab.run(20.0)
-    heard[:] = [0] * 5
-    held: dict[str, int] = {}
+    received_bytes[:] = [0] * 5
+    held_by_coordinator: dict[str, int] = {}
     for row in lab.coordinators[0].table.rows.values():
-        held[row.holder] = held.get(row.holder, 0) + 1
+        held_by_coordinator[row.holder] = held_by_coordinator.get(row.holder, 0) + 1
     commands, sent = lab.commands, lab.bytes
-    renewed = sum(who.holder.counts["renewals"] for who in lab.coordinators.values())
+    renewed = sum(coordinator.holder.counts["renewals"] for coordinator in lab.coordinators.values())
     lab.run(50.0)
-    more = sum(who.holder.counts["renewals"] for who in lab.coordinators.values()) - renewed
+    renewed_since = sum(coordinator.holder.counts["renewals"] for coordinator in lab.coordinators.values()) - renewed
     return {
-        "held": held,
+        "held": held_by_coordinator,
         "entries_a_second": round((lab.commands - commands) / 30.0, 2),
-        "renewals_a_second": round(more / 30.0, 1),
+        "renewals_a_second": round(renewed_since / 30.0, 1),
         "command_bytes_a_second": round((lab.bytes - sent) / 30.0),
-        "bytes_in_a_second_a_voter": [round(count / 30.0) for count in heard[:3]],
+        "bytes_in_a_second_a_voter": [round(count / 30.0) for count in received_bytes[:3]],
         "state_bytes": len(lab.coordinators[0].table.state()),
-        "cpu_s_a_simulated_s_all_five": round((time.perf_counter() - began) / 50.0, 3),
+        "cpu_s_a_simulated_s_all_five": round((time.perf_counter() - started) / 50.0, 3),
     }
 
 
-def evened(seed: int) -> dict[str, Any]:
+def measure_evenness(seed: int) -> dict[str, Any]:
     """Return how 1,000 tasks are spread over five coordinators at several times, and how many moved until then."""
     lab = Lab(5, seed, "60 kill 4; 70 start 4", tasks=1_000, late=0.0)
-    lab.act = lambda who, task, token: None  # type: ignore[method-assign]
-    out: dict[str, Any] = {}
-    for at in (4.0, 20.0, 55.0, 68.0, 80.0, 100.0, 140.0, 160.0):
-        lab.run(at)
-        held = dict.fromkeys((f"c{n}" for n in range(5)), 0)
+    lab.act = lambda coordinator, task, token: None  # type: ignore[method-assign]
+    result: dict[str, Any] = {}
+    for at_s in (4.0, 20.0, 55.0, 68.0, 80.0, 100.0, 140.0, 160.0):
+        lab.run(at_s)
+        held_by_coordinator = dict.fromkeys((f"c{number}" for number in range(5)), 0)
         for row in lab.coordinators[0].table.rows.values():
-            held[row.holder] += 1
-        moved = sum(who.holder.counts["given"] for who in lab.coordinators.values())
-        out[f"{at:g} s"] = {"held": [*held.values()], "moved by those that live": moved}
-    return out
+            held_by_coordinator[row.holder] += 1
+        tasks_moved = sum(coordinator.holder.counts["given"] for coordinator in lab.coordinators.values())
+        result[f"{at_s:g} s"] = {"held": [*held_by_coordinator.values()], "moved by those that live": tasks_moved}
+    return result
 
 
-async def sockets(runs: int, lease_ms: int, faults: bool, first: int = 0) -> dict[str, Any]:
+async def run_processes(runs: int, lease_ms: int, faults: bool, first: int = 0) -> dict[str, Any]:
     """Run processes of the program and kill the holder, or with `faults` stop it, cut it off or kill it, in turn.
 
     One that is stopped continues after twice its lease, one killed is started again. Return the times until another's
     first accepted action (ms), the counts of accepted and refused actions, and faults in the histories.
     """
-    took: list[float] = []
-    bad: list[str] = []
-    accepted = refused = stale = 0
+    takeover_ms: list[float] = []
+    violations: list[str] = []
+    accepted = refused = stale_accepted = 0
     for seed in range(first, first + runs):
         fleet = Owned(lease_ms=lease_ms, voters=(3, 5)[seed % 2], seed=seed)
         try:
             await fleet.start()
-            kind = ("stop", "cut", "kill")[seed % 3] if faults else "kill"
+            fault = ("stop", "cut", "kill")[seed % 3] if faults else "kill"
             await asyncio.sleep(random.Random(seed).uniform(0.0, 0.5))
             holder = fleet.process((await fleet.acts())["holder"])
-            mark, died = len(fleet.sink.lines), clock()
-            if kind == "stop":
+            lines_before, failed_at_ms = len(fleet.sink.lines), clock()
+            if fault == "stop":
                 holder.send_signal(signal.SIGSTOP)
-            elif kind == "cut":
+            elif fault == "cut":
                 fleet.streams.cut = {holder.number}
             else:
                 await fleet.kill(holder)
-            other = await fleet.acts(mark, holder.name)
-            took.append(other["at"] - died)
-            if kind == "stop":
-                await asyncio.sleep(max(0.0, 2.0 * lease_ms - took[-1]) / 1_000.0)
+            next_action = await fleet.acts(lines_before, holder.name)
+            takeover_ms.append(next_action["at"] - failed_at_ms)
+            if fault == "stop":
+                await asyncio.sleep(max(0.0, 2.0 * lease_ms - takeover_ms[-1]) / 1_000.0)
                 holder.send_signal(signal.SIGCONT)
-            elif kind == "cut":
+            elif fault == "cut":
                 fleet.streams.cut = set()
             elif faults:
                 await holder.start()
             if faults:
                 await asyncio.sleep(0.5)
-            found = fleet.checked()
-            bad += found.faults
-            accepted, refused, stale = accepted + found.accepted, refused + found.refused, stale + found.stale_accepted
+            history = fleet.checked()
+            violations += history.faults
+            accepted, refused, stale_accepted = (
+                accepted + history.accepted,
+                refused + history.refused,
+                stale_accepted + history.stale_accepted,
+            )
         finally:
             await fleet.close()
     return {
         "lease_ms": lease_ms,
-        "took_ms": quantiles(took),
+        "took_ms": quantiles(takeover_ms),
         "accepted": accepted,
         "refused": refused,
-        "stale_accepted": stale,
-        "faults": bad[:5],
+        "stale_accepted": stale_accepted,
+        "faults": violations[:5],
     }
 
 
-WANTS = """
+ADD_TASKS_PROGRAM = """
 import runpy
 from frostspindle.ownership import wiring
 start = wiring.OwnershipComponent.start
@@ -194,27 +201,30 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def processor(tasks: int, over_s: float = 20.0) -> dict[str, Any]:
+async def measure_processor(tasks: int, duration_s: float = 20.0) -> dict[str, Any]:
     """Return the part of a core that each of five processes uses, three of them voters, once all tasks are held."""
     fleet = Owned(lease_ms=3_000, tasks=())
     for process in fleet.processes:
-        process.started_as = ["-c", WANTS.format(tasks=tasks)]
+        process.started_as = ["-c", ADD_TASKS_PROGRAM.format(tasks=tasks)]
     try:
         await fleet.start(stands=bool(tasks))
-        shown: list[dict[str, Any]] = [{}]
+        figures: list[dict[str, Any]] = [{}]
         async with asyncio.timeout(60.0):
-            while sum((shown[0].get("holders") or {}).values()) < tasks:
+            while sum((figures[0].get("holders") or {}).values()) < tasks:
                 await asyncio.sleep(0.5)
-                shown = [await process.figures("show-owners") for process in fleet.processes[:1]]
+                figures = [await process.figures("show-owners") for process in fleet.processes[:1]]
         await asyncio.sleep(15.0 if tasks else 2.0)
         pids = [process.child.pid for process in fleet.processes if process.child is not None]
-        before, began = [used_s(pid) for pid in pids], time.monotonic()
-        await asyncio.sleep(over_s)
-        took = time.monotonic() - began
-        parts = [round((used_s(pid) - was) / took, 4) for pid, was in zip(pids, before, strict=True)]
-        shown = [await process.figures("show-owners") for process in fleet.processes[:1]]
-        leader = shown[0]["leader"]
-        return {"tasks": tasks, "of_a_core": parts, "voters": 3, "leader": leader, "held": shown[0]["holders"]}
+        used_at_start, started = [used_s(pid) for pid in pids], time.monotonic()
+        await asyncio.sleep(duration_s)
+        elapsed_s = time.monotonic() - started
+        core_shares = [
+            round((used_s(pid) - used_before) / elapsed_s, 4)
+            for pid, used_before in zip(pids, used_at_start, strict=True)
+        ]
+        figures = [await process.figures("show-owners") for process in fleet.processes[:1]]
+        leader = figures[0]["leader"]
+        return {"tasks": tasks, "of_a_core": core_shares, "voters": 3, "leader": leader, "held": figures[0]["holders"]}
     finally:
         await fleet.close()
 
@@ -226,39 +236,44 @@
         parser.add_argument(f"--{name}", type=int, default=default)
     parser.add_argument("--processor", type=int, default=1)
     parser.add_argument("--out")
-    said = parser.parse_args()
-    out: dict[str, Any] = {}
-    with ProcessPoolExecutor(said.jobs) as pool:
+    args = parser.parse_args()
+    result: dict[str, Any] = {}
+    with ProcessPoolExecutor(args.jobs) as pool:
         for fenced in (True, False):
-            runs = said.runs if fenced else said.runs // 5
-            told = list(pool.map(seeded, [(seed, fenced) for seed in range(said.first, said.first + runs)]))
-            out["runs" if fenced else "runs without the fence"] = {
-                "of": len(told),
-                "bad": [one for one in told if not one["good"]][: 3 if fenced else 0],
-                "runs_with_a_fault": sum(not one["good"] for one in told),
-                **{key: sum(one[key] for one in told) for key in ("stale_accepted", "accepted", "refused", "grants")},
+            runs = args.runs if fenced else args.runs // 5
+            results = list(pool.map(run_seed, [(seed, fenced) for seed in range(args.first, args.first + runs)]))
+            result["runs" if fenced else "runs without the fence"] = {
+                "of": len(results),
+                "bad": [run for run in results if not run["good"]][: 3 if fenced else 0],
+                "runs_with_a_fault": sum(not run["good"] for run in results),
+                **{
+                    key: sum(run[key] for run in results) for key in ("stale_accepted", "accepted", "refused", "grants")
+                },
             }
-            print(json.dumps(out), file=sys.stderr, flush=True)
-        out["takeover, emulated"] = {
-            lease: quantiles(list(pool.map(taken_over, [(seed, lease) for seed in range(said.kills)])))
-            for lease in (1_000, 3_000, 10_000)
+            print(json.dumps(result), file=sys.stderr, flush=True)
+        result["takeover, emulated"] = {
+            lease_ms: quantiles(list(pool.map(measure_takeover, [(seed, lease_ms) for seed in range(args.kills)])))
+            for lease_ms in (1_000, 3_000, 10_000)
         }
-        out["evenness"] = list(pool.map(evened, range(3)))
-        out["renewals"] = dict(zip(("1", "10", "100", "1000"), pool.map(renewals, (1, 10, 100, 1_000)), strict=True))
-    print(json.dumps(out), file=sys.stderr, flush=True)
-    if said.processor:
-        out["processor"] = [asyncio.run(processor(tasks)) for tasks in (0, 100, 1_000, 0, 100, 1_000)]
-        print(json.dumps(out), file=sys.stderr, flush=True)
-    if said.sockets:
-        out["sockets, mixed faults"] = asyncio.run(sockets(said.sockets, 1_000, True))
-        print(json.dumps(out), file=sys.stderr, flush=True)
-        out["takeover, sockets"] = [
-            asyncio.run(sockets(kills, lease, False)) for kills, lease in ((10, 1_000), (6, 3_000), (3, 10_000))
+        result["evenness"] = list(pool.map(measure_evenness, range(3)))
+        result["renewals"] = dict(
+            zip(("1", "10", "100", "1000"), pool.map(measure_renewals, (1, 10, 100, 1_000)), strict=True)
+        )
+    print(json.dumps(result), file=sys.stderr, flush=True)
+    if args.processor:
+        result["processor"] = [asyncio.run(measure_processor(tasks)) for tasks in (0, 100, 1_000, 0, 100, 1_000)]
+        print(json.dumps(result), file=sys.stderr, flush=True)
+    if args.sockets:
+        result["sockets, mixed faults"] = asyncio.run(run_processes(args.sockets, 1_000, True))
+        print(json.dumps(result), file=sys.stderr, flush=True)
+        result["takeover, sockets"] = [
+            asyncio.run(run_processes(kills, lease_ms, False))
+            for kills, lease_ms in ((10, 1_000), (6, 3_000), (3, 10_000))
         ]
-    print(json.dumps(out, indent=1))
-    if said.out:
-        with open(said.out, "w", encoding="utf-8") as file:
-            json.dump(out, file, indent=1)
+    print(json.dumps(result, indent=1))
+    if args.out:
+        with open(args.out, "w", encoding="utf-8") as file:
+            json.dump(result, file, indent=1)
 
 
 if __name__ == "__main__":
--- a/bench/power.py
+++ b/bench/power.py
@@ -21,7 +21,7 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from bench.common import tell  # noqa: E402
+from bench.common import write_result  # noqa: E402
 from frostspindle.lab import power  # noqa: E402
 from frostspindle.lab.faults.script import parse  # noqa: E402
 
@@ -38,28 +38,28 @@
 )
 
 
-def mixed(seed: int) -> dict[str, Any]:
+def run_mixed_faults(seed: int) -> dict[str, Any]:
     """Run one return from a power loss under faults of all kinds, drawn from the seed; return its figures."""
-    draw = random.Random(seed)
-    nodes = draw.choice((5, 7, 9))
-    some = draw.sample(range(nodes), nodes)
-    half = draw.randrange(1, nodes)
-    parts = [
-        f"0- loss {draw.choice((0, 0.05, 0.3))}",
-        f"0- dup {draw.choice((0, 0.1, 0.5))}",
-        f"0- reorder {draw.choice((0, 0.2))}",
-        f"0- delay {draw.choice(('0-1', '1-20', '20-100'))}",
+    rng = random.Random(seed)
+    nodes = rng.choice((5, 7, 9))
+    shuffled = rng.sample(range(nodes), nodes)
+    split = rng.randrange(1, nodes)
+    faults = [
+        f"0- loss {rng.choice((0, 0.05, 0.3))}",
+        f"0- dup {rng.choice((0, 0.1, 0.5))}",
+        f"0- reorder {rng.choice((0, 0.2))}",
+        f"0- delay {rng.choice(('0-1', '1-20', '20-100'))}",
     ]
-    if draw.random() < 0.5:
-        at = draw.uniform(9.0, 20.0)
-        parts.append(
-            f"{at:.2f}-{at + draw.uniform(2.0, 15.0):.2f} cut {','.join(map(str, some[:half]))}|"
-            f"{','.join(map(str, some[half:]))}"
+    if rng.random() < 0.5:
+        cut_at_s = rng.uniform(9.0, 20.0)
+        faults.append(
+            f"{cut_at_s:.2f}-{cut_at_s + rng.uniform(2.0, 15.0):.2f} cut {','.join(map(str, shuffled[:split]))}|"
+            f"{','.join(map(str, shuffled[split:]))}"
         )
-    return power.compare(nodes, seed, parse("; ".join(parts), nodes), naive=False)[0]
+    return power.compare(nodes, seed, parse("; ".join(faults), nodes), naive=False)[0]
 
 
-def sized(arguments: tuple[int, int, float, bool]) -> dict[str, Any]:
+def run_all_lose_power(arguments: tuple[int, int, float, bool]) -> dict[str, Any]:
     """Run one size and seed in which all lose power, with recovery and with the start without it; return both figures.
 
     The arguments: nodes, seed, the multiple of its current capacity that a cold engine may be sent, and whether to run
@@ -69,8 +69,8 @@
     power.TIP = tip
     row = power.compare(nodes, seed, mixed=False)[0]
     if plain:
-        other = power.compare(nodes, seed, mixed=False, naive=False, cold=False)[0]
-        row |= {f"plain_{name}": value for name, value in other.items()}
+        plain_row = power.compare(nodes, seed, mixed=False, naive=False, cold=False)[0]
+        row |= {f"plain_{name}": value for name, value in plain_row.items()}
     return row
 
 
@@ -79,15 +79,15 @@
 
     A run that never recovered counts as the whole 45 s.
     """
-    out: dict[str, Any] = {}
+    result: dict[str, Any] = {}
     for name in FIELDS:
         values = [row[prefix + name] for row in rows if prefix + name in row]
         if not values:
             continue
         if name.endswith("_s"):  # one that never came back counts as the whole run
             values = [45.0 if value is None else value for value in values]
-        out[name] = sum(values) if name in ZEROS else median(values)
-    return out
+        result[name] = sum(values) if name in ZEROS else median(values)
+    return result
 
 
 def main() -> None:
@@ -100,22 +100,22 @@
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--plain", action="store_true")
     parser.add_argument("--out")
-    given = parser.parse_args()
+    args = parser.parse_args()
     result: dict[str, Any] = {"sizes": []}
-    with ProcessPoolExecutor(given.jobs) as pool:
+    with ProcessPoolExecutor(args.jobs) as pool:
         runs = []
-        for run in pool.map(mixed, range(given.first, given.first + given.runs)):
+        for run in pool.map(run_mixed_faults, range(args.first, args.first + args.runs)):
             runs.append(run)
             if any(run[name] for name in ZEROS) or len(runs) % 20 == 0:  # a run that is cut short tells something too
                 print(len(runs), run["seed"], {name: run[name] for name in ZEROS}, file=sys.stderr, flush=True)
         result["zeros"] = {name: sum(run[name] > 0 for run in runs) for name in ZEROS}
         result["runs"], result["requests"] = len(runs), sum(run["requests"] for run in runs)
         result["seeds"] = {name: [run["seed"] for run in runs if run[name]][:20] for name in ZEROS}
-        for part in filter(None, given.sizes.split(",")):
-            nodes, seeds = map(int, part.split(":"))
-            for tip in map(float, given.tip.split(",")):
-                drawn = range(given.first, given.first + seeds)
-                rows = list(pool.map(sized, [(nodes, seed, tip, given.plain) for seed in drawn]))
+        for size in filter(None, args.sizes.split(",")):
+            nodes, seeds = map(int, size.split(":"))
+            for tip in map(float, args.tip.split(",")):
+                seed_range = range(args.first, args.first + seeds)
+                rows = list(pool.map(run_all_lose_power, [(nodes, seed, tip, args.plain) for seed in seed_range]))
                 result["sizes"].append(
                     {
                         "nodes": nodes,
@@ -123,10 +123,10 @@
                         "tip": tip,
                         "recovery": summary(rows, ""),
                         "naive": summary(rows, "naive_"),
-                        **({"plain": summary(rows, "plain_")} if given.plain else {}),
+                        **({"plain": summary(rows, "plain_")} if args.plain else {}),
                     }
                 )
-    tell(result, given.out)
+    write_result(result, args.out)
 
 
 if __name__ == "__main__":
--- a/bench/power_sockets.py
+++ b/bench/power_sockets.py
@@ -20,36 +20,41 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from bench.common import tell  # noqa: E402
+from bench.common import write_result  # noqa: E402
 from frostspindle.lab.faults.power import PowerLoss  # noqa: E402
 
 FAULTS = ("overspend", "cold_overruns", "loads_doubled", "untrue", "stuck", "faults")
 
 
-async def one(seed: int) -> dict[str, Any]:
+async def run_seed(seed: int) -> dict[str, Any]:
     """Run one power loss of five processes, with faults by the seed, and return its figures.
 
     A run that exceeds its time counts as `stuck`. Odd seeds have a cut and 5% message loss.
     """
-    some = random.Random(seed).sample(range(5), 5)
-    cut, firm = seed % 2 == 1, seed % 4 == 3
+    shuffled = random.Random(seed).sample(range(5), 5)
+    cut, minority_cut = seed % 2 == 1, seed % 4 == 3
     halves = (
-        f"{some[0]},{some[1]}|{some[2]},{some[3]},{some[4]}"
-        if firm
-        else (f"{some[3]},{some[4]}|{some[0]},{some[1]},{some[2]}")
+        f"{shuffled[0]},{shuffled[1]}|{shuffled[2]},{shuffled[3]},{shuffled[4]}"
+        if minority_cut
+        else (f"{shuffled[3]},{shuffled[4]}|{shuffled[0]},{shuffled[1]},{shuffled[2]}")
     )
     power = PowerLoss(
-        f"0.001- cut {halves}; 0- loss 0.05" if cut else "", (some[0], some[1]), () if firm else (some[2],), seed
+        f"0.001- cut {halves}; 0- loss 0.05" if cut else "",
+        (shuffled[0], shuffled[1]),
+        () if minority_cut else (shuffled[2],),
+        seed,
     )
-    after: list[int | None] = []
+    load_statuses: list[int | None] = []
     try:
         try:
             await power.run()
-            late = False
-            while 200 not in after and len(after) < 5:
-                after.append(await power.client.load(power.fleet.processes[some[4]].http, 50 + len(after)))
+            timed_out = False
+            while 200 not in load_statuses and len(load_statuses) < 5:
+                load_statuses.append(
+                    await power.client.load(power.fleet.processes[shuffled[4]].http, 50 + len(load_statuses))
+                )
         except TimeoutError:
-            late = True
+            timed_out = True
     finally:
         codes = await power.fleet.close()
     figures = power.figures()
@@ -57,9 +62,9 @@
         "seed": seed,
         "cut": cut,
         **figures,
-        "stuck": figures["stuck"] + late,
-        "loads_after": 200 in after,
-        "loads_due": firm,
+        "stuck": figures["stuck"] + timed_out,
+        "loads_after": 200 in load_statuses,
+        "loads_due": minority_cut,
         "ended": codes == [0] * 5,
     }
 
@@ -72,9 +77,9 @@
     args = parser.parse_args()
     runs = []
     for seed in range(args.runs):
-        runs.append(asyncio.run(one(seed)))
+        runs.append(asyncio.run(run_seed(seed)))
         print(json.dumps(runs[-1]), file=sys.stderr, flush=True)
-    out = {
+    result = {
         "runs": len(runs),
         **{key: sum(bool(run[key]) for run in runs) for key in FAULTS},
         "loads_after": sum(run["loads_after"] for run in runs),
@@ -86,11 +91,11 @@
         "recovered_s": {
             name: median(run["recovered_s"] for run in runs if run["cut"] is cut)
             for name, cut in (("whole", False), ("cut", True))
-            if any(r["cut"] is cut for r in runs)
+            if any(run["cut"] is cut for run in runs)
         },
         "cold_use_most": max(run["cold_use"] for run in runs),
     }
-    tell(out, args.out)
+    write_result(result, args.out)
 
 
 if __name__ == "__main__":
--- a/bench/predicates.py
+++ b/bench/predicates.py
@@ -34,110 +34,116 @@
 )
 
 
-def filters(count: int, draw: random.Random) -> list[Predicate]:
+def draw_filters(count: int, rng: random.Random) -> list[Predicate]:
     """Draw filters as operators and tenants have them: ten to a tenant, and one in a hundred, up to five, broad."""
-    out = []
+    predicates = []
     for _ in range(count):
-        tenant, engine = draw.randrange(max(1, count // 10)), draw.randrange(500)
-        cost, day = draw.randrange(1_000_000), draw.randrange(3_650)
-        word, kind = draw.choice(CLASSES), draw.random()
+        tenant, engine = rng.randrange(max(1, count // 10)), rng.randrange(500)
+        cost, day = rng.randrange(1_000_000), rng.randrange(3_650)
+        cls, kind = rng.choice(CLASSES), rng.random()
         if kind < 0.40:
-            said = f"tenant = 't{tenant}' AND class = '{word}' AND cost > {cost}"
+            text = f"tenant = 't{tenant}' AND class = '{cls}' AND cost > {cost}"
         elif kind < 0.55:
-            said = f"tenant = 't{tenant}' AND status IN ('failed', 'refused')"
+            text = f"tenant = 't{tenant}' AND status IN ('failed', 'refused')"
         elif kind < 0.65:
-            said = f"engine = {engine} AND cost BETWEEN {cost} AND {cost + 20_000}"
+            text = f"engine = {engine} AND cost BETWEEN {cost} AND {cost + 20_000}"
         elif kind < 0.80:
-            said = f"class = '{word}' AND cost BETWEEN {cost} AND {cost + 200}"
+            text = f"class = '{cls}' AND cost BETWEEN {cost} AND {cost + 200}"
         elif kind < 0.90:
-            said = f"agent STARTS WITH '+49{draw.randrange(10**6):06}'"
+            text = f"agent STARTS WITH '+49{rng.randrange(10**6):06}'"
         elif kind < 0.95:
-            at = START + timedelta(days=day)
-            said = f"at >= TIME '{at.isoformat()}' AND at < TIME '{(at + timedelta(hours=1)).isoformat()}'"
+            started_at = START + timedelta(days=day)
+            text = (
+                f"at >= TIME '{started_at.isoformat()}' AND at < TIME '{(started_at + timedelta(hours=1)).isoformat()}'"
+            )
         else:
-            said = f"tenant = 't{tenant}' AND (class <> '{word}' OR engine IN ({engine}, {engine + 1}, {engine + 2}))"
-        out.append(parse(said))
-    for at, said in enumerate(BROAD[: count // 100]):
-        out[at] = parse(said)
-    return out
+            text = f"tenant = 't{tenant}' AND (class <> '{cls}' OR engine IN ({engine}, {engine + 1}, {engine + 2}))"
+        predicates.append(parse(text))
+    for index, text in enumerate(BROAD[: count // 100]):
+        predicates[index] = parse(text)
+    return predicates
 
 
-def event(count: int, draw: random.Random) -> dict:
+def draw_event(count: int, rng: random.Random) -> dict:
     """Draw an event to match, for a set of `count` filters, which decides how many tenants there are."""
     return {
-        "tenant": f"t{draw.randrange(max(1, count // 10))}",
-        "class": draw.choice(CLASSES),
-        "engine": draw.randrange(500),
-        "cost": draw.randrange(1_000_000),
-        "agent": f"+49{draw.randrange(10**9):09}",
-        "status": draw.choice(("served", "served", "failed", "refused")),
-        "at": START + timedelta(minutes=draw.randrange(3_650 * 1_440)),
+        "tenant": f"t{rng.randrange(max(1, count // 10))}",
+        "class": rng.choice(CLASSES),
+        "engine": rng.randrange(500),
+        "cost": rng.randrange(1_000_000),
+        "agent": f"+49{rng.randrange(10**9):09}",
+        "status": rng.choice(("served", "served", "failed", "refused")),
+        "at": START + timedelta(minutes=rng.randrange(3_650 * 1_440)),
     }
 
 
-def timed(call: Callable[[int], object], least_s: float) -> float:
+def timed(call: Callable[[int], object], min_s: float) -> float:
     """Return the mean microseconds of a call, repeated for at least `least_s`; it is given its number."""
-    count, began = 0, time.perf_counter()
-    while (now := time.perf_counter()) - began < least_s or not count:
+    count, started = 0, time.perf_counter()
+    while (now := time.perf_counter()) - started < min_s or not count:
         call(count)
         count += 1
-    return (now - began) / count * 1e6
+    return (now - started) / count * 1e6
 
 
-def interleaved(calls: dict[str, Callable[[int], object]], turns: int, least_s: float) -> dict[str, float]:
+def measure_in_turn(calls: dict[str, Callable[[int], object]], turns: int, min_s: float) -> dict[str, float]:
     """Time the calls in turn, `turns` times over; return each one's median microseconds a call."""
-    seen: dict[str, list[float]] = {name: [] for name in calls}
+    times_by_name: dict[str, list[float]] = {name: [] for name in calls}
     for _ in range(turns):
         for name, call in calls.items():
-            seen[name].append(timed(call, least_s))
-    return {name: round(statistics.median(times), 3) for name, times in seen.items()}
+            times_by_name[name].append(timed(call, min_s))
+    return {name: round(statistics.median(times), 3) for name, times in times_by_name.items()}
 
 
-def by_index(turns: int, least_s: float) -> dict:
+def measure_index(turns: int, min_s: float) -> dict:
     """Compare the index of filters with a scan, for 1, 1,000 and 100,000 filters.
 
     Raise AssertionError if they find different filters.
     """
-    sizes, calls, out = (1, 1_000, 100_000), {}, {}
+    sizes, calls, result = (1, 1_000, 100_000), {}, {}
     for count in sizes:
-        draw = random.Random(count)
-        made, asked, index = filters(count, draw), [event(count, draw) for _ in range(500)], FilterIndex()
+        rng = random.Random(count)
+        predicates, events, index = (
+            draw_filters(count, rng),
+            [draw_event(count, rng) for _ in range(500)],
+            FilterIndex(),
+        )
         tracemalloc.start()
-        for key, one in enumerate(made):
-            index.add(key, one)
-        size = tracemalloc.get_traced_memory()[0]
+        for key, predicate in enumerate(predicates):
+            index.add(key, predicate)
+        size_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        began = time.perf_counter()
+        started = time.perf_counter()
         for key in range(count):
             index.remove(key)
         removed = time.perf_counter()
-        for key, one in enumerate(made):
-            index.add(key, one)
+        for key, predicate in enumerate(predicates):
+            index.add(key, predicate)
         added = time.perf_counter()
-        for row in asked[:20]:
-            assert sorted(index.find(row)) == [key for key, one in enumerate(made) if match(one, row)]
+        for row in events[:20]:
+            assert sorted(index.find(row)) == [key for key, predicate in enumerate(predicates) if match(predicate, row)]
         index.tried = 0
-        found = sum(len(index.find(row)) for row in asked)
-        out[str(count)] = {
+        found = sum(len(index.find(row)) for row in events)
+        result[str(count)] = {
             "found": found / 500,
             "tried": index.tried / 500,
-            "bytes_a_filter": round(size / count),
+            "bytes_a_filter": round(size_bytes / count),
             "add_us": round((added - removed) / count * 1e6, 2),
-            "remove_us": round((removed - began) / count * 1e6, 2),
+            "remove_us": round((removed - started) / count * 1e6, 2),
         }
-        calls[f"index {count}"] = lambda n, index=index, asked=asked: index.find(asked[n % 500])
-        calls[f"scan {count}"] = lambda n, made=made, asked=asked: [
-            key for key, one in enumerate(made) if match(one, asked[n % 500])
+        calls[f"index {count}"] = lambda number, index=index, events=events: index.find(events[number % 500])
+        calls[f"scan {count}"] = lambda number, predicates=predicates, events=events: [
+            key for key, predicate in enumerate(predicates) if match(predicate, events[number % 500])
         ]
-    times = interleaved(calls, turns, least_s)
+    times = measure_in_turn(calls, turns, min_s)
     for count in sizes:
         index, scan = times[f"index {count}"], times[f"scan {count}"]
-        out[str(count)] |= {"index_us": index, "scan_us": scan, "scan_over_index": round(scan / index, 2)}
-    out["index_100000_over_1000"] = round(times["index 100000"] / times["index 1000"], 2)
-    return out
+        result[str(count)] |= {"index_us": index, "scan_us": scan, "scan_over_index": round(scan / index, 2)}
+    result["index_100000_over_1000"] = round(times["index 100000"] / times["index 1000"], 2)
+    return result
 
 
-def statement(n: int) -> str:
+def make_statement(n: int) -> str:
     """Return a SQL statement with four conditions, different for each number."""
     return (
         f"SELECT agent, max(note) FROM calls_17.notes n WHERE n.status IN ('failed', 'refused') AND "
@@ -146,30 +152,32 @@
     )
 
 
-def reading(turns: int, least_s: float) -> dict:
+def measure_statements(turns: int, min_s: float) -> dict:
     """Return the times to parse statements, new and cached, and the longest ones; and to import the parser (ms)."""
-    known, fresh = Reader(), Reader(cached=0)
-    texts = [statement(n) for n in range(500)]
+    cached, uncached = Reader(), Reader(cached=0)
+    texts = [make_statement(number) for number in range(500)]
     for text in texts:
-        assert known.read(text).understood
-    out = interleaved(
+        assert cached.read(text).understood
+    times_us = measure_in_turn(
         {
-            "known": lambda n: known.read(texts[n % 500]),
-            "read": lambda n: fresh.read(texts[n % 500]),
-            "known_and_table": lambda n: known.read(texts[n % 500]).predicate("calls_17.notes"),
-            "filter_parsed": lambda n: parse(f"tenant = 't{n}' AND cost > {n} AND NOT class IN ('a', 'b')"),
+            "known": lambda number: cached.read(texts[number % 500]),
+            "read": lambda number: uncached.read(texts[number % 500]),
+            "known_and_table": lambda number: cached.read(texts[number % 500]).predicate("calls_17.notes"),
+            "filter_parsed": lambda number: parse(
+                f"tenant = 't{number}' AND cost > {number} AND NOT class IN ('a', 'b')"
+            ),
         },
         turns,
-        least_s,
+        min_s,
     )
-    worst = {
-        name: timed(lambda n, text=text: fresh.read(text), 0.0)
+    worst_us = {
+        name: timed(lambda number, text=text: uncached.read(text), 0.0)
         for name, text in (
             ("4096 characters of a.b.", "SELECT 1 FROM t WHERE " + "a.b." * 1_018),
-            ("300 conditions", "SELECT 1 FROM t WHERE " + " AND ".join(f"n = {n}" for n in range(300))),
+            ("300 conditions", "SELECT 1 FROM t WHERE " + " AND ".join(f"n = {number}" for number in range(300))),
         )
     }
-    loads = {}
+    import_ms = {}
     for name in ("", ".summaries", ".language", ".index", ".statements"):
         code = (
             "import time; t = time.perf_counter(); "
@@ -179,77 +187,77 @@
             float(subprocess.run([sys.executable, "-c", code], capture_output=True, check=True).stdout)
             for _ in range(3)
         ]
-        loads["predicates" + name] = round(min(runs) * 1e3, 1)
+        import_ms["predicates" + name] = round(min(runs) * 1e3, 1)
     return {
-        "us": out,
-        "read_over_known": round(out["read"] / out["known"], 1),
-        "worst_us": {name: round(us) for name, us in worst.items()},
-        "import_ms": loads,
+        "us": times_us,
+        "read_over_known": round(times_us["read"] / times_us["known"], 1),
+        "worst_us": {name: round(duration_us) for name, duration_us in worst_us.items()},
+        "import_ms": import_ms,
     }
 
 
-def part(values: int, bits: int, draw: random.Random) -> Summary:
+def draw_summary(values: int, bits: int, rng: random.Random) -> Summary:
     """Return a summary of that many drawn rows of four columns, with a sketch of `bits` bits for each."""
-    out = Summary(["agent", "cost", "status", "at"], bits)
+    summary = Summary(["agent", "cost", "status", "at"], bits)
     for _ in range(values):
-        out.widen(
+        summary.widen(
             {
-                "agent": f"+49{draw.randrange(10**9):09}",
-                "cost": draw.randrange(1_000_000),
-                "status": draw.choice(("served", "failed")),
-                "at": START + timedelta(minutes=draw.randrange(40_000)),
+                "agent": f"+49{rng.randrange(10**9):09}",
+                "cost": rng.randrange(1_000_000),
+                "status": rng.choice(("served", "failed")),
+                "at": START + timedelta(minutes=rng.randrange(40_000)),
             }
         )
-    return out
+    return summary
 
 
-def judging(turns: int, least_s: float) -> dict:
+def measure_summaries(turns: int, min_s: float) -> dict:
     """Return the times of operations on predicates and summaries, and the rate of false matches by a summary's size."""
-    draw = random.Random(5)
-    summary = part(1_000, 4_096, draw)
-    empty = part(0, 4_096, draw)
-    rows = [event(10, draw) for _ in range(100)]
-    read = Reader(times=["at"])
-    asked = [read.read(statement(n * 977)).predicate("notes") for n in range(100)]
+    rng = random.Random(5)
+    summary = draw_summary(1_000, 4_096, rng)
+    empty = draw_summary(0, 4_096, rng)
+    rows = [draw_event(10, rng) for _ in range(100)]
+    reader = Reader(times=["at"])
+    predicates = [reader.read(make_statement(number * 977)).predicate("notes") for number in range(100)]
     narrow, wide = parse("tenant = 't1' AND cost BETWEEN 5 AND 9"), parse("cost > 4 OR tenant STARTS WITH 'x'")
-    wire = summary.encode()
-    out = interleaved(
+    encoded = summary.encode()
+    times_us = measure_in_turn(
         {
-            "may_match_of_5_conditions": lambda n: may_match(asked[n % 100], summary),
-            "covers": lambda n: covers(wide, narrow),
-            "match_of_3_conditions": lambda n: match(narrow, rows[n % 100]),
-            "widen_4_columns": lambda n: empty.widen(rows[n % 100]),
-            "encode": lambda n: summary.encode(),
-            "decode": lambda n: Summary.decode(wire),
+            "may_match_of_5_conditions": lambda number: may_match(predicates[number % 100], summary),
+            "covers": lambda number: covers(wide, narrow),
+            "match_of_3_conditions": lambda number: match(narrow, rows[number % 100]),
+            "widen_4_columns": lambda number: empty.widen(rows[number % 100]),
+            "encode": lambda number: summary.encode(),
+            "decode": lambda number: Summary.decode(encoded),
         },
         turns,
-        least_s,
+        min_s,
     )
-    rates = []
+    false_matches = []
     for values in (100, 1_000, 10_000):
         for bits in (0, 1_024, 4_096, 16_384, 65_536):
-            draw = random.Random(values)
-            one = part(values, bits, draw)
-            absent = [parse(f"agent = '+49{draw.randrange(10**9):09}x'") for _ in range(2_000)]
-            rates.append(
+            rng = random.Random(values)
+            sketched = draw_summary(values, bits, rng)
+            absent = [parse(f"agent = '+49{rng.randrange(10**9):09}x'") for _ in range(2_000)]
+            false_matches.append(
                 {
                     "values": values,
                     "bits": bits,
-                    "bytes_4_columns": len(one.encode()),
-                    "false_yes": sum(may_match(ask, one) for ask in absent) / 2_000,
+                    "bytes_4_columns": len(sketched.encode()),
+                    "false_yes": sum(may_match(predicate, sketched) for predicate in absent) / 2_000,
                 }
             )
-    return {"us": out, "false_yes_of_equality": rates}
+    return {"us": times_us, "false_yes_of_equality": false_matches}
 
 
 def main() -> None:
     """Run all measurements and print one JSON object."""
-    turns, least_s = (1, 0.02) if "--quick" in sys.argv else (5, 0.3)
+    turns, min_s = (1, 0.02) if "--quick" in sys.argv else (5, 0.3)
     json.dump(
         {
-            "filters": by_index(turns, least_s),
-            "statements": reading(turns, least_s),
-            "summaries": judging(turns, least_s),
+            "filters": measure_index(turns, min_s),
+            "statements": measure_statements(turns, min_s),
+            "summaries": measure_summaries(turns, min_s),
         },
         sys.stdout,
         indent=1,
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -35,7 +35,7 @@
 from typing import Any
 from unittest import mock
 
-from common import tell
+from common import write_result
 
 from frostspindle import policy
 from frostspindle.core import Attempt, ClientRequest, Core, EngineState
@@ -45,20 +45,20 @@
 from frostspindle.telemetry import Telemetry
 
 ENGINES, OPEN = (4, 32, 96, 300, 1000), (100, 1000, 10_000)
-CELL_S = 1.5  # of processor time at most, for one cell
+MAX_CELL_CPU_S = 1.5  # of processor time at most, for one cell
 REPORT = (0.3, 2.0, 0.2)
 
 
 # Without sockets.
 
 
-class Silent:
+class ManualDriver:
     """A driver whose attempts end when the benchmark ends them."""
 
     has_shared_versions = False
 
     def __init__(self) -> None:
-        self.out: list[Attempt] = []
+        self.running: list[Attempt] = []
 
     def update_engine(self, engine: EngineState) -> None:
         """Ignore a newly listed engine."""
@@ -71,7 +71,7 @@
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Keep the attempt for the benchmark to end."""
-        self.out.append(attempt)
+        self.running.append(attempt)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Ignore a cancellation."""
@@ -96,29 +96,32 @@
     )
 
 
-async def cell(count: int, open_: int) -> dict[str, Any]:
+async def measure_cell(engine_count: int, open_count: int) -> dict[str, Any]:
     """Load a core that has `open_` requests open with `count` engines.
 
     Return CPU microseconds a request: of the core without the decision module, of that module, of it by event; and the
     number of timers.
     """
-    draw, driver = random.Random(7), Silent()
-    core = Core(settings(), [("bench", "lookup")], 1, Telemetry(sink=io.BytesIO()), open_ + 64)
-    spent: collections.Counter[str] = collections.Counter()
-    handle, numbers, answers = core.controller.handle, itertools.count(1), itertools.count()
+    rng, driver = random.Random(7), ManualDriver()
+    core = Core(settings(), [("bench", "lookup")], 1, Telemetry(sink=io.BytesIO()), open_count + 64)
+    cpu_by_event_s: collections.Counter[str] = collections.Counter()
+    original_handle, request_numbers, answer_numbers = core.controller.handle, itertools.count(1), itertools.count()
 
     def timed(now: float, event: Any) -> Any:
-        began = time.thread_time()
+        started = time.thread_time()
         try:
-            return handle(now, event)
+            return original_handle(now, event)
         finally:
-            spent[type(event).__name__] += time.thread_time() - began
+            cpu_by_event_s[type(event).__name__] += time.thread_time() - started
 
     core.controller.handle = timed
     task = asyncio.create_task(core.run())
     core.update_endpoints(
         driver,
-        [EngineState(policy.EngineEntry(n, 0, 0, 0, 1, 1.0, 0.0), f"s-{n}", ("", 0), driver) for n in range(count)],
+        [
+            EngineState(policy.EngineEntry(n, 0, 0, 0, 1, 1.0, 0.0), f"s-{n}", ("", 0), driver)
+            for n in range(engine_count)
+        ],
         policy.EndpointListKind.FULL,
         1,
     )
@@ -128,14 +131,14 @@
             ClientRequest(
                 "bench",
                 0,
-                f"{next(numbers):016x}",
+                f"{next(request_numbers):016x}",
                 "SELECT 1",
                 time.time() * 1000.0,
                 60_000.0,
-                lambda answer: next(answers) and None,
-                20.0 * draw.uniform(0.5, 2.0),
+                lambda answer: next(answer_numbers) and None,
+                20.0 * rng.uniform(0.5, 2.0),
                 16.0,
-                draw.randrange(50),
+                rng.randrange(50),
             )
         )
 
@@ -146,46 +149,46 @@
             await asyncio.sleep(0)
 
     def end_one() -> None:
-        place = draw.randrange(len(driver.out))
-        driver.out[place], driver.out[-1] = driver.out[-1], driver.out[place]
-        core.attempt_ended(driver.out.pop(), AttemptOutcome.OK, REPORT)
+        index = rng.randrange(len(driver.running))
+        driver.running[index], driver.running[-1] = driver.running[-1], driver.running[index]
+        core.attempt_ended(driver.running.pop(), AttemptOutcome.OK, REPORT)
 
-    for _ in range(open_):
+    for _ in range(open_count):
         request()
     await settle()
     for _ in range(64):
         end_one()
         request()
     await settle()
-    spent.clear()
-    done, began = 0, time.thread_time()
-    while (took := time.thread_time() - began) < CELL_S and done < 20_000:
+    cpu_by_event_s.clear()
+    completed, started = 0, time.thread_time()
+    while (cpu_s := time.thread_time() - started) < MAX_CELL_CPU_S and completed < 20_000:
         for _ in range(8):
-            if driver.out:
+            if driver.running:
                 end_one()
                 request()
-                done += 1
+                completed += 1
         await settle()
     result = {
-        "engines": count,
-        "open": open_,
-        "out": len(driver.out),
-        "requests": done,
-        "core_us": 1e6 * (took - sum(spent.values())) / done,
-        "module_us": 1e6 * sum(spent.values()) / done,
-        "request_us": 1e6 * spent["RequestArrived"] / done,
-        "ended_us": 1e6 * spent["AttemptEnded"] / done,
-        "due_us": 1e6 * spent["TimerFired"] / done,
+        "engines": engine_count,
+        "open": open_count,
+        "out": len(driver.running),
+        "requests": completed,
+        "core_us": 1e6 * (cpu_s - sum(cpu_by_event_s.values())) / completed,
+        "module_us": 1e6 * sum(cpu_by_event_s.values()) / completed,
+        "request_us": 1e6 * cpu_by_event_s["RequestArrived"] / completed,
+        "ended_us": 1e6 * cpu_by_event_s["AttemptEnded"] / completed,
+        "due_us": 1e6 * cpu_by_event_s["TimerFired"] / completed,
         "timers": core.sizes()["timers"],
     }
     task.cancel()
     return result
 
 
-async def held_mb(open_: int) -> float:
+async def measure_open_requests_mb(open_count: int) -> float:
     """Return the memory (MB) that so many open requests take in core and module."""
-    driver = Silent()
-    core = Core(settings(), [("bench", "lookup")], 1, Telemetry(sink=io.BytesIO()), open_ + 64)
+    driver = ManualDriver()
+    core = Core(settings(), [("bench", "lookup")], 1, Telemetry(sink=io.BytesIO()), open_count + 64)
     task = asyncio.create_task(core.run())
     core.update_endpoints(
         driver,
@@ -195,8 +198,8 @@
     )
     await asyncio.sleep(0.01)
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    for number in range(open_):
+    memory_before = tracemalloc.get_traced_memory()[0]
+    for number in range(open_count):
         core.submit(
             ClientRequest(
                 "bench",
@@ -213,41 +216,41 @@
         )
     while core.dispatcher.inbox:
         await asyncio.sleep(0)
-    used = tracemalloc.get_traced_memory()[0] - before
+    used_bytes = tracemalloc.get_traced_memory()[0] - memory_before
     tracemalloc.stop()
     task.cancel()
-    return used / 2**20
+    return used_bytes / 2**20
 
 
-def cells() -> dict[str, Any]:
+def measure_cells() -> dict[str, Any]:
     """Measure each number of engines with each number of open requests; print a row of each to stderr."""
     rows = []
-    for count in ENGINES:
-        for open_ in OPEN:
-            rows.append(asyncio.run(cell(count, open_)))
-            print({k: round(v, 1) for k, v in rows[-1].items()}, file=sys.stderr, flush=True)
-    return {"kind": "cells", "cells": rows, "mb_of_10000_open": asyncio.run(held_mb(10_000))}
+    for engine_count in ENGINES:
+        for open_count in OPEN:
+            rows.append(asyncio.run(measure_cell(engine_count, open_count)))
+            print({key: round(value, 1) for key, value in rows[-1].items()}, file=sys.stderr, flush=True)
+    return {"kind": "cells", "cells": rows, "mb_of_10000_open": asyncio.run(measure_open_requests_mb(10_000))}
 
 
 # Timers.
 
 
-class Heap:
+class HeapTimers:
     """A plain heap; a cancelled timer stays until its time."""
 
     def __init__(self) -> None:
         self.heap: list[Any] = []
-        self.order = 0
+        self.sequence = 0
 
-    def start(self, due: float, what: Any) -> Any:
+    def start(self, due_at_ms: float, payload: Any) -> Any:
         """Add a timer due at a time (ms); return nothing, as it can't be cancelled."""
-        self.order += 1
-        heapq.heappush(self.heap, (due, self.order, what))
+        self.sequence += 1
+        heapq.heappush(self.heap, (due_at_ms, self.sequence, payload))
 
     def cancel(self, timer: Any) -> None:
         """Do nothing: the timer stays until its time."""
 
-    def turn(self, now: float) -> int:
+    def fire_due(self, now: float) -> int:
         """Fire all timers due at `now`, cancelled ones too, and return how many there were."""
         fired = 0
         while self.heap and self.heap[0][0] <= now:
@@ -260,7 +263,7 @@
         return len(self.heap)
 
 
-class Loop:
+class AsyncioTimers:
     """asyncio's timers, call_at and cancel: cancelled ones are removed together once they are half of all."""
 
     def __init__(self) -> None:
@@ -268,18 +271,18 @@
         self.loop.time = lambda: self.now
         self.loop._clock_resolution = 0.0
 
-    def _fire(self, what: Any) -> None:
+    def _fire(self, payload: Any) -> None:
         self.fired += 1
 
-    def start(self, due: float, what: Any) -> Any:
+    def start(self, due_at_ms: float, payload: Any) -> Any:
         """Add a timer due at a time (ms) and return its handle."""
-        return self.loop.call_at(due, self._fire, what)
+        return self.loop.call_at(due_at_ms, self._fire, payload)
 
     def cancel(self, timer: Any) -> None:
         """Mark the timer as cancelled."""
         timer.cancel()
 
-    def turn(self, now: float) -> int:
+    def fire_due(self, now: float) -> int:
         """Run the event loop once at time `now` and return how many timers fired."""
         self.now, self.fired = now, 0
         self.loop.call_soon(int)
@@ -291,18 +294,18 @@
         return len(self.loop._scheduled)
 
 
-class Sorted:
+class SortedTimers:
     """Timers in a SortedList of sortedcontainers."""
 
     def __init__(self) -> None:
         from sortedcontainers import SortedList
 
-        self.list, self.order = SortedList(), 0
+        self.list, self.sequence = SortedList(), 0
 
-    def start(self, due: float, what: Any) -> Any:
+    def start(self, due_at_ms: float, payload: Any) -> Any:
         """Add a timer due at a time (ms) and return its row."""
-        self.order += 1
-        timer = (due, self.order, what)
+        self.sequence += 1
+        timer = (due_at_ms, self.sequence, payload)
         self.list.add(timer)
         return timer
 
@@ -310,7 +313,7 @@
         """Remove the timer; raise ValueError if it has fired."""
         self.list.remove(timer)
 
-    def turn(self, now: float) -> int:
+    def fire_due(self, now: float) -> int:
         """Fire and remove all timers due at `now`; return how many there were."""
         fired = 0
         while self.list and self.list[0][0] <= now:
@@ -323,7 +326,7 @@
         return len(self.list)
 
 
-class Wheels:
+class WheelTimers:
     """The project's timer wheel."""
 
     def __init__(self) -> None:
@@ -332,7 +335,7 @@
         self.wheel = TimerWheel(0.0)
         self.start, self.cancel, self.size = self.wheel.start, self.wheel.cancel, self.wheel.__len__
 
-    def turn(self, now: float) -> int:
+    def fire_due(self, now: float) -> int:
         """Fire and remove all timers due at `now`; return how many there were."""
         fired = 0
         while self.wheel.pop(now) is not None:
@@ -340,10 +343,15 @@
         return fired
 
 
-KINDS: dict[str, Callable[[], Any]] = {"heap": Heap, "asyncio": Loop, "sorted": Sorted, "wheel": Wheels}
+KINDS: dict[str, Callable[[], Any]] = {
+    "heap": HeapTimers,
+    "asyncio": AsyncioTimers,
+    "sorted": SortedTimers,
+    "wheel": WheelTimers,
+}
 
 
-def answered(kind: str, rate: int, seconds: float, deadline_ms: float) -> dict[str, Any]:
+def measure_answered(kind: str, rate: int, seconds: float, deadline_ms: float) -> dict[str, Any]:
     """Run requests at `rate` a second, each answered 50 ms later, with a turn of the loop every millisecond.
 
     Deadlines are drawn from a fifth of `deadline_ms` up to it. Run twice, for time and for memory, which is slow to
@@ -351,51 +359,51 @@
     """
     result: dict[str, Any] = {"kind": kind, "rate": rate}
     for traced in (False, True):
-        draw, timers, out, most = random.Random(3), KINDS[kind](), collections.deque[Any](), 0
-        dues = [draw.uniform(deadline_ms / 5.0, deadline_ms) for _ in range(4096)]
+        rng, timers, pending, max_held = random.Random(3), KINDS[kind](), collections.deque[Any](), 0
+        deadlines = [rng.uniform(deadline_ms / 5.0, deadline_ms) for _ in range(4096)]
         if traced:
             tracemalloc.start()
-        began, number = time.thread_time(), 0
+        started, number = time.thread_time(), 0
         for now in range(int(seconds * 1000)):
             for _ in range(rate // 1000):
                 number += 1
-                out.append(timers.start(now + dues[number & 4095], now))
+                pending.append(timers.start(now + deadlines[number & 4095], now))
             if now >= 50:
                 for _ in range(rate // 1000):
-                    timers.cancel(out.popleft())
-            timers.turn(float(now))
-            most = max(most, timers.size())
+                    timers.cancel(pending.popleft())
+            timers.fire_due(float(now))
+            max_held = max(max_held, timers.size())
         if not traced:
-            result |= {"us_a_request": 1e6 * (time.thread_time() - began) / number, "most": most}
+            result |= {"us_a_request": 1e6 * (time.thread_time() - started) / number, "most": max_held}
         else:
             result["mb"] = tracemalloc.get_traced_memory()[0] / 2**20
             tracemalloc.stop()
     return result
 
 
-def at_once(kind: str, count: int, ahead_ms: float) -> dict[str, Any]:
+def measure_simultaneous(kind: str, count: int, ahead_ms: float) -> dict[str, Any]:
     """Return the CPU microseconds to start, and to fire, each of `count` timers that are due at the same time."""
     timers = KINDS[kind]()
-    began = time.thread_time()
+    started = time.thread_time()
     for number in range(count):
         timers.start(ahead_ms, number)
-    started = time.thread_time()
+    start_end = time.thread_time()
     fired = 0
     while fired < count:
-        fired += timers.turn(ahead_ms + 1.0)
+        fired += timers.fire_due(ahead_ms + 1.0)
     return {
         "kind": kind,
         "count": count,
         "ahead_ms": ahead_ms,
-        "start_us": 1e6 * (started - began) / count,
-        "fire_us": 1e6 * (time.thread_time() - started) / count,
+        "start_us": 1e6 * (start_end - started) / count,
+        "fire_us": 1e6 * (time.thread_time() - start_end) / count,
     }
 
 
-def timer_costs(rounds: int = 3) -> dict[str, Any]:
+def measure_timers(rounds: int = 3) -> dict[str, Any]:
     """Measure the kinds of timers in turn, `rounds` times over, and return the medians."""
 
-    def middle(runs: list[dict[str, Any]]) -> dict[str, Any]:
+    def medians(runs: list[dict[str, Any]]) -> dict[str, Any]:
         return {
             key: median(run[key] for run in runs) if isinstance(value, float) else value
             for key, value in runs[0].items()
@@ -403,14 +411,16 @@
 
     rows = []
     for measure, cases in (
-        (answered, [(rate, 30.0, 25_000.0) for rate in (1000, 5000)]),
-        (at_once, [(100_000, 100.0), (100_000, 25_000.0)]),
+        (measure_answered, [(rate, 30.0, 25_000.0) for rate in (1000, 5000)]),
+        (measure_simultaneous, [(100_000, 100.0), (100_000, 25_000.0)]),
     ):
         for case in cases:
-            turns = [[measure(kind, *case) for kind in KINDS] for _ in range(rounds)]
-            rows += [middle([turn[place] for turn in turns]) for place in range(len(KINDS))]
+            rounds_run = [[measure(kind, *case) for kind in KINDS] for _ in range(rounds)]
+            rows += [medians([round_run[index] for round_run in rounds_run]) for index in range(len(KINDS))]
     for row in rows:
-        print({k: round(v, 2) if isinstance(v, float) else v for k, v in row.items()}, file=sys.stderr)
+        print(
+            {key: round(value, 2) if isinstance(value, float) else value for key, value in row.items()}, file=sys.stderr
+        )
     return {"kind": "timers", "rows": rows}
 
 
@@ -435,7 +445,7 @@
     atexit.register(lambda: open(path, "w").write(json.dumps(list(seen.items()))))
 """
 # The innermost frame that one of these knows says what the time went to: a part of the file's name, and functions.
-KNOWN: tuple[tuple[str, str, tuple[str, ...]], ...] = (
+FRAME_KINDS: tuple[tuple[str, str, tuple[str, ...]], ...] = (
     ("module", "frostspindle/policy/", ()),
     ("timers", "frostspindle/timers.py", ()),
     ("timers", "asyncio/timeouts.py", ()),
@@ -468,10 +478,10 @@
 )
 
 
-def sort(stack: list[list[str]]) -> str:
+def classify_stack(stack: list[list[str]]) -> str:
     """Return the part of the program that a sampled stack belongs to: KNOWN's first match, from the inside out."""
     for file, function in stack:
-        for kind, part, functions in KNOWN:
+        for kind, part, functions in FRAME_KINDS:
             if part in file and (not functions or function in functions):
                 return kind
     return "other"
@@ -490,24 +500,24 @@
     """
 
     def __init__(self, load: Load, first: float) -> None:
-        self.load, self.due, self.buffer = load, first, b""
+        self.load, self.scheduled_at, self.buffer = load, first, b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Schedule the first request."""
         self.transport: Any = transport
-        asyncio.get_running_loop().call_at(self.due, self.request)
+        asyncio.get_running_loop().call_at(self.scheduled_at, self.request)
 
     def request(self) -> None:
         """Send the next request, unless the load is complete."""
         if not self.load.done.done():
-            self.load.asked += 1
-            self.transport.write(HEAD % (self.load.first + self.load.asked, len(SQL), SQL))
+            self.load.sent += 1
+            self.transport.write(HEAD % (self.load.first + self.load.sent, len(SQL), SQL))
 
     def data_received(self, data: bytes) -> None:
         """Follow an answer that has a next part; record a final one and send or schedule the next request."""
         self.buffer += data
-        head, mark, body = self.buffer.partition(b"\r\n\r\n")
-        if not mark or len(body) < int(head.partition(b"Content-Length: ")[2].partition(b"\r")[0]):
+        head, separator, body = self.buffer.partition(b"\r\n\r\n")
+        if not separator or len(body) < int(head.partition(b"Content-Length: ")[2].partition(b"\r")[0]):
             return
         self.buffer = b""
         loop = asyncio.get_running_loop()
@@ -515,55 +525,58 @@
             self.transport.write(b"GET %b HTTP/1.1\r\nHost: b\r\n\r\n" % json.loads(body)["next"].encode())
             return
         now = loop.time()
-        self.load.answered(now - self.due, head[9:12])
+        self.load.record(now - self.scheduled_at, head[9:12])
         if not self.load.period:
-            self.due = now
+            self.scheduled_at = now
             self.request()
         else:
-            self.due += self.load.period
-            loop.call_at(self.due, self.request)
+            self.scheduled_at += self.load.period
+            loop.call_at(self.scheduled_at, self.request)
 
 
 class Load:
     """`count` requests over `connections` connections: a closed loop, or scheduled at `rate` a second."""
 
     def __init__(self, first: int, count: int, connections: int, rate: float) -> None:
-        self.first, self.count, self.asked = first, count, 0
+        self.first, self.count, self.sent = first, count, 0
         self.period = connections / rate if rate else 0.0
-        self.took: list[float] = []
+        self.response_times_s: list[float] = []
         self.statuses: collections.Counter[bytes] = collections.Counter()
         self.connections = connections
 
-    def answered(self, seconds: float, status: bytes) -> None:
+    def record(self, seconds: float, status: bytes) -> None:
         """Record the time (s) and status of a request; the load is complete at `count` of them."""
-        self.took.append(seconds)
+        self.response_times_s.append(seconds)
         self.statuses[status] += 1
-        if len(self.took) >= self.count and not self.done.done():
+        if len(self.response_times_s) >= self.count and not self.done.done():
             self.done.set_result(None)
 
     async def run(self, port: int) -> float:
         """Run the load against a port and return its seconds; raise TimeoutError if it takes over 60 s."""
         loop = asyncio.get_running_loop()
         self.done = loop.create_future()
-        began = loop.time() + 0.2
-        starts = [began + n * self.period / self.connections for n in range(self.connections)]
+        started = loop.time() + 0.2
+        starts = [started + index * self.period / self.connections for index in range(self.connections)]
         transports = [
-            (await loop.create_connection(functools.partial(Client, self, at), "127.0.0.1", port))[0] for at in starts
+            (await loop.create_connection(functools.partial(Client, self, start_at), "127.0.0.1", port))[0]
+            for start_at in starts
         ]
         await asyncio.wait_for(self.done, 60.0)
-        took = loop.time() - began
+        elapsed_s = loop.time() - started
         for transport in transports:
             transport.close()
-        return took
+        return elapsed_s
 
 
-def client(pipe: Any, port: int, first: int, warm: int, count: int, connections: int, rate: float) -> None:
+def client_process(
+    pipe: Any, port: int, first: int, warm_up_count: int, count: int, connections: int, rate: float
+) -> None:
     """Run a load in a process of its own: warm up, report that to the pipe, wait, measure and send the figures.
 
     Any error is sent as text, as the receiver would wait for ever otherwise.
     """
     try:
-        asyncio.run(Load(first, warm, connections, 0.0).run(port))
+        asyncio.run(Load(first, warm_up_count, connections, 0.0).run(port))
         pipe.send(None)
         pipe.recv()
         load = Load(first + (1 << 30), count, connections, rate)
@@ -571,13 +584,13 @@
     except Exception as error:  # noqa: BLE001 - or who waits for the result would wait for ever
         pipe.send(repr(error))
         return
-    took = sorted(load.took)
+    response_times_s = sorted(load.response_times_s)
     pipe.send(
         {
-            "rps": len(took) / seconds,
-            "p50_ms": 1000.0 * took[len(took) // 2],
-            "p99_ms": 1000.0 * took[int(0.99 * len(took))],
-            "ok": load.statuses[b"200"] / len(took),
+            "rps": len(response_times_s) / seconds,
+            "p50_ms": 1000.0 * response_times_s[len(response_times_s) // 2],
+            "p99_ms": 1000.0 * response_times_s[int(0.99 * len(response_times_s))],
+            "ok": load.statuses[b"200"] / len(response_times_s),
         }
     )
 
@@ -590,24 +603,26 @@
     Return requests a second, latencies (ms), the part answered with 200, and its processor time a request (ms). Raise
     RuntimeError if the client fails. With `samples` its sampler is started for the measured part.
     """
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        listen = f"127.0.0.1:{free.getsockname()[1]}"
+    with socket.create_server(("127.0.0.1", 0)) as probe:
+        listen = f"127.0.0.1:{probe.getsockname()[1]}"
     config = document([host(name, port) for name, port in ports.items()], listen=listen)
     with coordinator(config, 1, source) as (port, (_, pid)):
-        here, there = SPAWN.Pipe()
+        parent_pipe, child_pipe = SPAWN.Pipe()
         process = SPAWN.Process(
-            target=client, daemon=True, args=(there, port, random.getrandbits(50) << 8, 1000, count, connections, rate)
+            target=client_process,
+            daemon=True,
+            args=(child_pipe, port, random.getrandbits(50) << 8, 1000, count, connections, rate),
         )
         process.start()
-        if failed := here.recv():
-            raise RuntimeError(failed)
+        if error := parent_pipe.recv():
+            raise RuntimeError(error)
         if samples:
             os.kill(pid, signal.SIGUSR2)
-        before = cpu_s([pid])
-        here.send(None)
-        if isinstance(result := here.recv(), str):
+        cpu_before = cpu_s([pid])
+        parent_pipe.send(None)
+        if isinstance(result := parent_pipe.recv(), str):
             raise RuntimeError(result)
-        result["cpu_ms"] = 1000.0 * (cpu_s([pid]) - before) / count
+        result["cpu_ms"] = 1000.0 * (cpu_s([pid]) - cpu_before) / count
         process.join()
     return result
 
@@ -626,7 +641,7 @@
             yield samples
 
 
-def profile(source: str | None = None) -> dict[str, Any]:
+def profile_coordinators(source: str | None = None) -> dict[str, Any]:
     """Sample coordinators at each number of engines with 64 connections, then of connections with 32 slow engines."""
     rows = []
     for count, connections, delay_s in [(n, 64, 0.0) for n in ENGINES] + [(32, 100, 0.1), (32, 1000, 0.1)]:
@@ -643,11 +658,14 @@
                 rows.append({"engines": count, "connections": connections, "error": repr(error)})
                 print(rows[-1], file=sys.stderr, flush=True)
                 continue
-            spent: collections.Counter[str] = collections.Counter()
-            for stack, times in json.loads(Path(samples).read_text()):
-                spent[sort(stack)] += times
-            row["share"] = {kind: round(times / spent.total(), 3) for kind, times in spent.most_common()}
-            row["samples"] = spent.total()
+            samples_by_kind: collections.Counter[str] = collections.Counter()
+            for stack, sample_count in json.loads(Path(samples).read_text()):
+                samples_by_kind[classify_stack(stack)] += sample_count
+            row["share"] = {
+                kind: round(sample_count / samples_by_kind.total(), 3)
+                for kind, sample_count in samples_by_kind.most_common()
+            }
+            row["samples"] = samples_by_kind.total()
             rows.append(row)
             print(row, file=sys.stderr, flush=True)
     return {"kind": "profile", "rows": rows}
@@ -658,18 +676,18 @@
     rows = []
     for count in sizes:
         with engines([f"s-{n:08x}" for n in range(1, count + 1)], 0.0, 2) as (ports, _):
-            full, paced = [], []
-            for turn in range(rounds):
-                order = [base, None][:: 1 if turn % 2 else -1]
-                full.append({source: run(ports, source, 6000) for source in order})
-            rate = 0.8 * median(pair[base]["rps"] for pair in full)
-            for turn in range(rounds):
-                order = [base, None][:: 1 if turn % 2 else -1]
+            closed_loop, paced = [], []
+            for round_number in range(rounds):
+                order = [base, None][:: 1 if round_number % 2 else -1]
+                closed_loop.append({source: run(ports, source, 6000) for source in order})
+            rate = 0.8 * median(pair[base]["rps"] for pair in closed_loop)
+            for round_number in range(rounds):
+                order = [base, None][:: 1 if round_number % 2 else -1]
                 paced.append({source: run(ports, source, int(6 * rate), rate=rate) for source in order})
         row: dict[str, Any] = {"engines": count, "rate": rate}
         for key, pairs, name in (
-            ("cpu_ms", full, "cpu_ms"),
-            ("rps", full, "rps"),
+            ("cpu_ms", closed_loop, "cpu_ms"),
+            ("rps", closed_loop, "rps"),
             ("p99_ms", paced, "p99_at_80"),
             ("cpu_ms", paced, "cpu_at_80"),
         ):
@@ -681,7 +699,7 @@
                 "now": median(pair[None][key] for pair in pairs),
                 "base": median(pair[base][key] for pair in pairs),
             }
-        row["ok"] = min(one["ok"] for pair in full + paced for one in pair.values())
+        row["ok"] = min(result["ok"] for pair in closed_loop + paced for result in pair.values())
         rows.append(row)
         print(json.dumps(row), file=sys.stderr, flush=True)
     return {"kind": "compare", "rows": rows}
@@ -689,12 +707,16 @@
 
 def main() -> None:
     """Run the measurement named by the first argument and print one JSON object."""
-    what, rest = sys.argv[1], sys.argv[2:]
-    if what == "compare":
-        tell(compare(rest[0], int(rest[1]) if rest[1:] else 3), None)
+    measurement, arguments = sys.argv[1], sys.argv[2:]
+    if measurement == "compare":
+        write_result(compare(arguments[0], int(arguments[1]) if arguments[1:] else 3), None)
     else:
-        does: dict[str, Callable[..., dict[str, Any]]] = {"cells": cells, "timers": timer_costs, "profile": profile}
-        tell(does[what](*rest[1:]), rest[0] if rest else None)
+        measurements: dict[str, Callable[..., dict[str, Any]]] = {
+            "cells": measure_cells,
+            "timers": measure_timers,
+            "profile": profile_coordinators,
+        }
+        write_result(measurements[measurement](*arguments[1:]), arguments[0] if arguments else None)
 
 
 if __name__ == "__main__":
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -36,7 +36,7 @@
 
 sys.path[:0] = [os.path.join(os.path.dirname(__file__), ".."), os.path.join(os.path.dirname(__file__), "..", "tests")]
 
-from frostspindle.lab import settings as playing  # noqa: E402
+from frostspindle.lab import settings as emulation  # noqa: E402
 from frostspindle.lab.faults.script import parse  # noqa: E402
 from frostspindle.settings.active_rules import RulesMode  # noqa: E402
 from frostspindle.settings.agreement_settings import AgreementSettings  # noqa: E402
@@ -46,13 +46,13 @@
 from frostspindle.settings.versions import EMPTY_VERSION, diff_rules  # noqa: E402
 
 
-def spread(values: list[float]) -> dict[str, float]:
+def percentiles(values: list[float]) -> dict[str, float]:
     """Return the median, p90, p99 and most of the values; empty if there are none."""
     ranked = sorted(values)
     return (
         {
-            name: round(ranked[min(len(ranked) - 1, int(part * len(ranked)))], 3)
-            for name, part in (("median", 0.5), ("p90", 0.9), ("p99", 0.99), ("most", 1.0))
+            name: round(ranked[min(len(ranked) - 1, int(fraction * len(ranked)))], 3)
+            for name, fraction in (("median", 0.5), ("p90", 0.9), ("p99", 0.99), ("most", 1.0))
         }
         if ranked
         else {}
@@ -71,30 +71,30 @@
 @click.option("--refuse", is_flag=True)
 def contradictions(runs: int, nodes: str, seconds: float, refuse: bool) -> None:
     """Measure the longest contradiction over seeded runs under drawn faults."""
-    counts, rows = [int(n) for n in nodes.split(",")], []
+    node_counts, rows = [int(n) for n in nodes.split(",")], []
     for seed in range(runs):
-        world = playing.play(
-            counts[seed % len(counts)],
+        world = emulation.play(
+            node_counts[seed % len(node_counts)],
             seed,
             "drawn",
             seconds,
             terms=AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else "meet"),
         )
-        rows.append(playing.measure(world))
+        rows.append(emulation.measure(world))
     click.echo(
         json.dumps(
             {
                 "runs": runs,
                 "lease_ms": 2_000,
-                "longest_contradiction_ms": spread([r["contradiction_ms"] for r in rows]),
+                "longest_contradiction_ms": percentiles([r["contradiction_ms"] for r in rows]),
                 "runs_with_any": sum(r["contradiction_ms"] > 0 for r in rows),
-                "blind_ms": spread([r["blind_ms"] for r in rows]),
+                "blind_ms": percentiles([r["blind_ms"] for r in rows]),
                 "runs_blind_past_a_lease": sum(r["blind_ms"] > 2_000 for r in rows),
                 "versions": sum(r["versions"] for r in rows),
                 "contradicting": sum(r["contradicting_versions"] for r in rows),
                 "leaders": sum(r["leaders"] for r in rows),
                 "stale_tokens": sum(r["stale_tokens"] for r in rows),
-                "on_meet_share": spread([r["on_meet_share"] for r in rows]),
+                "on_meet_share": percentiles([r["on_meet_share"] for r in rows]),
                 "not_one_at_the_end": sum(len(r["lives_at_the_end"]) > 1 for r in rows),
             }
         )
@@ -106,16 +106,16 @@
 @click.option("--seconds", default=12.0)
 def applied(nodes: str, seconds: float) -> None:
     """Measure the time from a push until all coordinators act on it, without faults; a message takes 0.5 ms."""
-    out = {}
+    result = {}
     for count in (int(n) for n in nodes.split(",")):
-        began = time.perf_counter()
-        world = playing.Emulator(count, 1, parse("", count), seconds, voters=3 if count < 5 else 5).run()
-        figures = playing.measure(world)
-        out[count] = {
+        started = time.perf_counter()
+        world = emulation.Emulator(count, 1, parse("", count), seconds, voters=3 if count < 5 else 5).run()
+        figures = emulation.measure(world)
+        result[count] = {
             key: figures[key]
             for key in ("applied", "applied_ms_median", "applied_ms_most", "entries", "messages", "contradiction_ms")
-        } | {"took_s": round(time.perf_counter() - began, 1)}
-    click.echo(json.dumps(out))
+        } | {"took_s": round(time.perf_counter() - started, 1)}
+    click.echo(json.dumps(result))
 
 
 @cli.command()
@@ -127,43 +127,43 @@
         f"engine/http/e{n}": Engine(f"e{n}", f"10.0.{n // 250}.{n % 250}:80", zone=f"z{n % 4}") for n in range(engines)
     }
     rules["scope/http"] = ListScope()
-    out: dict[str, Any] = {"engines": engines}
+    result: dict[str, Any] = {"engines": engines}
 
-    def timed(name: str, work: Any, times: int = 1) -> Any:
-        began = time.perf_counter()
-        for _ in range(times):
-            result = work()
-        out[name + "_ms"] = round((time.perf_counter() - began) * 1e3 / times, 4)
-        return result
+    def measure(name: str, work: Any, repetitions: int = 1) -> Any:
+        started = time.perf_counter()
+        for _ in range(repetitions):
+            value = work()
+        result[name + "_ms"] = round((time.perf_counter() - started) * 1e3 / repetitions, 4)
+        return value
 
-    first = timed("first_version", lambda: EMPTY_VERSION.child(1, rules))
-    timed("pack_whole", lambda: pack_changes(rules), 5)
+    first = measure("first_version", lambda: EMPTY_VERSION.child(1, rules))
+    measure("pack_whole", lambda: pack_changes(rules), 5)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = [first]
+    chain = [first]
     for n in range(count):
-        kept.append(kept[-1].child(n + 2, {f"ban/e{n}": Ban(f"e{n}")}))
-    out["persistent_kb_a_version"] = round((tracemalloc.get_traced_memory()[0] - before) / count / 1024, 2)
+        chain.append(chain[-1].child(n + 2, {f"ban/e{n}": Ban(f"e{n}")}))
+    result["persistent_kb_a_version"] = round((tracemalloc.get_traced_memory()[0] - before) / count / 1024, 2)
     before = tracemalloc.get_traced_memory()[0]
     copies = [dict(first.rules)]
     for n in range(20):
         copies.append({**copies[-1], f"ban/e{n}": Ban(f"e{n}")})
-    out["copied_kb_a_version"] = round((tracemalloc.get_traced_memory()[0] - before) / 21 / 1024, 1)
+    result["copied_kb_a_version"] = round((tracemalloc.get_traced_memory()[0] - before) / 21 / 1024, 1)
     tracemalloc.stop()
-    timed("persistent_next", lambda: first.child(2, {"ban/e1": Ban("e1")}), 500)
-    plain = copies[0]
+    measure("persistent_next", lambda: first.child(2, {"ban/e1": Ban("e1")}), 500)
+    first_rules = copies[0]
 
-    def copied() -> dict[str, Any]:
-        made = dict(plain)
-        made["ban/e1"] = Ban("e1")
-        return made
+    def copy_and_change() -> dict[str, Any]:
+        copy = dict(first_rules)
+        copy["ban/e1"] = Ban("e1")
+        return copy
 
-    timed("copied_next", copied, 100)
-    two = first.child(2, {"ban/e1": Ban("e1"), "engine/http/e5": None})
-    timed("diff_by_walk", lambda: diff_rules(first.rules, two.rules), 20)
-    timed("meet_whole", lambda: intersect(first.rules, two.rules), 10)
-    timed("meet_of_neighbours", lambda: intersect_with_child(first.rules, two.rules, two.changes), 500)
-    click.echo(json.dumps(out))
+    measure("copied_next", copy_and_change, 100)
+    second = first.child(2, {"ban/e1": Ban("e1"), "engine/http/e5": None})
+    measure("diff_by_walk", lambda: diff_rules(first.rules, second.rules), 20)
+    measure("meet_whole", lambda: intersect(first.rules, second.rules), 10)
+    measure("meet_of_neighbours", lambda: intersect_with_child(first.rules, second.rules, second.changes), 500)
+    click.echo(json.dumps(result))
 
 
 @cli.command()
@@ -174,34 +174,37 @@
 
     rng = random.Random(11)
 
-    def hits(count: int, rate: float) -> int:
+    def count_failures(count: int, rate: float) -> int:
         return sum(rng.random() < rate for _ in range(count))
 
     def window(rate: float, burst: bool, size: tuple[int, int]) -> list[int]:
         count = rng.randrange(*size)
-        fails = hits(count, rate * (6.0 if burst and rng.random() < 0.15 else 1.0))
-        return row(count, fails, fails // 2, hits(count, 0.01))
+        failures = count_failures(count, rate * (6.0 if burst and rng.random() < 0.15 else 1.0))
+        return row(count, failures, failures // 2, count_failures(count, 0.01))
 
-    called: Counter[str] = Counter()
+    harmful: Counter[str] = Counter()
     for trial in range(runs):
         rate, size = rng.choice((0.002, 0.02, 0.1)), rng.choice(((20, 60), (60, 300), (300, 600)))
         verdict = judge_windows(
             [window(rate, trial % 2 == 1, size) for _ in range(30)],
             [window(rate, trial % 2 == 1, size) for _ in range(14)],
         )[0]
-        called["bursts" if trial % 2 else "plain"] += verdict != "calm"
+        harmful["bursts" if trial % 2 else "plain"] += verdict != "calm"
     found = {}
-    for more in (0.02, 0.03, 0.05, 0.1, 0.3):
+    for extra in (0.02, 0.03, 0.05, 0.1, 0.3):
         verdicts = [
             judge_windows(
                 [window(0.01, False, (60, 300)) for _ in range(30)],
-                [window(0.01 + more, False, (60, 300)) for _ in range(14)],
+                [window(0.01 + extra, False, (60, 300)) for _ in range(14)],
             )
             for _ in range(60)
         ]
-        ends = [at for verdict, at in verdicts if verdict != "calm"]
-        found[f"failed +{more:.0%}"] = {"found": round(len(ends) / 60, 2), "windows": spread([float(e) for e in ends])}
-    click.echo(json.dumps({"runs": runs, "called_harmful": dict(called), "found": found}))
+        detected_at = [windows_needed for verdict, windows_needed in verdicts if verdict != "calm"]
+        found[f"failed +{extra:.0%}"] = {
+            "found": round(len(detected_at) / 60, 2),
+            "windows": percentiles([float(number) for number in detected_at]),
+        }
+    click.echo(json.dumps({"runs": runs, "called_harmful": dict(harmful), "found": found}))
 
 
 @cli.command()
@@ -221,44 +224,44 @@
         (3, 1, 1, 0, 1, "c1"),
     ):
         world, steps, key = model(*case)
-        began = time.perf_counter()
-        found = search(world, steps, SettingsCluster.fault, limit, key=key)
+        started = time.perf_counter()
+        search_result = search(world, steps, SettingsCluster.fault, limit, key=key)
         click.echo(
             json.dumps(
                 {
                     "coordinators, ticks, crashes, grants, holds, unfit": case,
-                    "states": found.states,
-                    "whole": found.exhausted,
-                    "depth": found.depth,
-                    "fault": found.fault,
-                    "took_s": round(time.perf_counter() - began, 1),
+                    "states": search_result.states,
+                    "whole": search_result.exhausted,
+                    "depth": search_result.depth,
+                    "fault": search_result.fault,
+                    "took_s": round(time.perf_counter() - started, 1),
                 }
             )
         )
 
 
-class _Line(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     """One of the clients' connections; it has one request at a time."""
 
-    def __init__(self, load: _Paced) -> None:
+    def __init__(self, open_loop: _OpenLoop) -> None:
         from httptools import HttpResponseParser
 
-        self.load, self.parser, self.body, self.due = load, HttpResponseParser(self), b"", 0.0
+        self.open_loop, self.parser, self.body, self.due_at_s = open_loop, HttpResponseParser(self), b"", 0.0
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.load.idle.append(self)
+        self.open_loop.idle.append(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self in self.load.idle:
-            self.load.idle.remove(self)
+        if self in self.open_loop.idle:
+            self.open_loop.idle.remove(self)
 
-    def ask(self, due: float) -> None:
-        self.due = due
-        self.load.numbers += 1
+    def send_request(self, due_at_s: float) -> None:
+        self.due_at_s = due_at_s
+        self.open_loop.last_number += 1
         self.transport.write(
             b"POST /call/lookup HTTP/1.1\r\nHost: b\r\nX-Request-Id: %016x\r\nX-Timeout-Ms: 7000\r\n"
-            b"X-Cost-Ms: 20\r\nX-Memory: 16\r\nContent-Length: 8\r\n\r\nSELECT 1" % self.load.numbers
+            b"X-Cost-Ms: 20\r\nX-Memory: 16\r\nContent-Length: 8\r\n\r\nSELECT 1" % self.open_loop.last_number
         )
 
     def data_received(self, data: bytes) -> None:
@@ -274,80 +277,86 @@
         if b'"next"' in self.body:
             self.transport.write(b"GET %b HTTP/1.1\r\nHost: b\r\n\r\n" % json.loads(self.body)["next"].encode())
         else:
-            self.load.done(self)
+            self.open_loop.done(self)
 
 
-class _Paced:
+class _OpenLoop:
     """An open loop: requests are due at a fixed rate, whatever became of those before, and a request's time counts from
     when it was due, so that waiting for a connection or a late client is in it."""
 
-    def __init__(self, rate: float, lines: int) -> None:
-        self.rate, self.lines = rate, lines
-        self.idle: deque[_Line] = deque()
-        self.waiting: deque[float] = deque()
-        self.numbers = int(time.time()) << 24
-        self.rows: list[tuple[float, float, int]] = []
-
-    def done(self, line: _Line) -> None:
-        self.rows.append((line.due, time.time() - line.due, line.parser.get_status_code()))
-        if self.waiting:
-            line.ask(self.waiting.popleft())
+    def __init__(self, rate: float, connections: int) -> None:
+        self.rate, self.connection_count = rate, connections
+        self.idle: deque[_Connection] = deque()
+        self.overdue: deque[float] = deque()
+        self.last_number = int(time.time()) << 24
+        self.results: list[tuple[float, float, int]] = []
+
+    def done(self, connection: _Connection) -> None:
+        self.results.append(
+            (connection.due_at_s, time.time() - connection.due_at_s, connection.parser.get_status_code())
+        )
+        if self.overdue:
+            connection.send_request(self.overdue.popleft())
         else:
-            self.idle.append(line)
+            self.idle.append(connection)
 
-    async def run(self, port: int, at: float, seconds: float) -> int:
-        await asyncio.sleep(max(0.0, at - 0.5 - time.time()))  # a connection on which nothing comes is ended soon
-        for _ in range(self.lines):
-            await asyncio.get_running_loop().create_connection(lambda: _Line(self), "127.0.0.1", port)
+    async def run(self, port: int, start_at: float, seconds: float) -> int:
+        await asyncio.sleep(max(0.0, start_at - 0.5 - time.time()))  # a connection on which nothing comes is ended soon
+        for _ in range(self.connection_count):
+            await asyncio.get_running_loop().create_connection(lambda: _Connection(self), "127.0.0.1", port)
         total = int(seconds * self.rate)
         for number in range(total):
-            due = at + number / self.rate
-            if (left := due - time.time()) > 0.0:
-                await asyncio.sleep(left)
+            due_at_s = start_at + number / self.rate
+            if (delay_s := due_at_s - time.time()) > 0.0:
+                await asyncio.sleep(delay_s)
             if self.idle:
-                self.idle.popleft().ask(due)
+                self.idle.popleft().send_request(due_at_s)
             else:
-                self.waiting.append(due)
-        until = time.time() + 10.0
-        while len(self.rows) < total and time.time() < until:
+                self.overdue.append(due_at_s)
+        give_up_at = time.time() + 10.0
+        while len(self.results) < total and time.time() < give_up_at:
             await asyncio.sleep(0.01)
         return total
 
 
-def _exactly(work: Any) -> Any:
+def _run_precisely(work: Any) -> Any:
     """Run with timers that are not rounded up to milliseconds, and no collector of garbage in between."""
     gc.disable()
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selectors.SelectSelector())) as runner:
         return runner.run(work)
 
 
-def paced_process(pipe: Any, port: int, rate: float, at: float, seconds: float) -> None:
+def paced_process(pipe: Any, port: int, rate: float, start_at: float, seconds: float) -> None:
     """Send requests at `rate` a second from Unix time `at` on; put their count and a row per answer into the pipe."""
-    load = _Paced(rate, 64)
-    pipe.send((_exactly(load.run(port, at, seconds)), load.rows))
+    open_loop = _OpenLoop(rate, 64)
+    pipe.send((_run_precisely(open_loop.run(port, start_at, seconds)), open_loop.results))
 
 
-def pushing_process(pipe: Any, desk: str, pushes: list[float], entries: int, listed: dict[str, int]) -> None:
+def pushing_process(
+    pipe: Any, operator_socket: str, pushes: list[float], entries: int, engine_ports: dict[str, int]
+) -> None:
     """Push versions at these times (Unix seconds); send counts by kind and outcome to the pipe.
 
     Half are valid, a quarter each broken and truncated; the outcome of each is asked for once. Each version has
     `entries` entries besides what changes. `listed`: engines and their ports; with any, all versions are valid.
     """
-    pipe.send(_exactly(_pushing(desk, pushes, entries, listed)))
+    pipe.send(_run_precisely(_pushing(operator_socket, pushes, entries, engine_ports)))
 
 
-async def _pushing(desk: str, pushes: list[float], entries: int, listed: dict[str, int]) -> dict[str, int]:
-    rng, told = random.Random(2), Counter[str]()
+async def _pushing(
+    operator_socket: str, pushes: list[float], entries: int, engine_ports: dict[str, int]
+) -> dict[str, int]:
+    rng, outcomes = random.Random(2), Counter[str]()
     base: dict[str, Any] = {f"ban/b{n}": Ban(f"b{n}") for n in range(entries)}
-    if listed:
+    if engine_ports:
         base |= {
             f"engine/http/{name}": Engine(name, f"127.0.0.1:{port}", state="active" if port != 9 else "leaving")
-            for name, port in listed.items()
+            for name, port in engine_ports.items()
         } | {"scope/http": ListScope()}
 
-    async def call(text: str) -> str:
-        reader, writer = await asyncio.open_unix_connection(desk)
-        writer.write(text.encode() + b"\n")
+    async def call(command: str) -> str:
+        reader, writer = await asyncio.open_unix_connection(operator_socket)
+        writer.write(command.encode() + b"\n")
         answer = await reader.read()
         writer.close()
         return answer.decode()
@@ -361,26 +370,28 @@
         if number % 4 == 0:
             rules["class/lookup"] = Class("lookup", 1_500.0 + number % 3)
         data, kind = pack_changes(rules), rng.choice(("valid", "valid", "broken", "cut short"))
-        kind = "valid" if listed else kind
+        kind = "valid" if engine_ports else kind
         data = data[:-2] + b"xx" if kind == "broken" else data[:-5] if kind == "cut short" else data
-        told["pushes"] += 1
+        outcomes["pushes"] += 1
         pieces = split_into_pieces(data, 32_768)
-        for at, piece in enumerate(pieces):
-            answer = await call(f"settings-push p{number} {at}/{len(pieces)} {base64.b64encode(piece).decode()}")
+        for part_number, piece in enumerate(pieces):
+            answer = await call(
+                f"settings-push p{number} {part_number}/{len(pieces)} {base64.b64encode(piece).decode()}"
+            )
             if answer.startswith("NAK"):
-                told[f"{kind}, not taken"] += 1
+                outcomes[f"{kind}, not taken"] += 1
                 return
         await asyncio.sleep(1.0)
         answer = await call(f"settings-outcome p{number}")
         state = "not known any more" if answer.startswith("NAK") else json.loads(answer.splitlines()[0])["state"]
-        told[f"{kind}, {'live' if state == 'proven' else state}"] += 1
+        outcomes[f"{kind}, {'live' if state == 'proven' else state}"] += 1
 
     tasks = []
-    for number, at in enumerate(pushes):
-        await asyncio.sleep(max(0.0, at - time.time()))
+    for number, part_number in enumerate(pushes):
+        await asyncio.sleep(max(0.0, part_number - time.time()))
         tasks.append(asyncio.create_task(push(number)))
     await asyncio.gather(*tasks)
-    return dict(told)
+    return dict(outcomes)
 
 
 def processor_s(pid: int) -> float:
@@ -415,87 +426,99 @@
     from frostspindle.lab.engines import document, host
     from frostspindle.operator_client import call_operator
 
-    rng, settle = random.Random(seed), 0.5  # the end of what the window before left is not measured
-    pushed = [side for _ in range(windows // 2) for side in rng.sample((False, True), 2)]
+    rng, settle_s = random.Random(seed), 0.5  # the end of what the window before left is not measured
+    has_pushes = [with_pushes for _ in range(windows // 2) for with_pushes in rng.sample((False, True), 2)]
     with (
-        engines([f"s-{n}" for n in range(4)], delay_ms / 1e3, 2) as (ports, _),
+        engines([f"s-{number}" for number in range(4)], delay_ms / 1e3, 2) as (ports, _),
         coordinator(document([host(name, port) for name, port in ports.items()]), 1, operator=OPERATOR) as (
             port,
-            (desk, pid),
+            (operator_socket, pid),
         ),
     ):
         start = time.time() + 3.0
-        begins = [start + 1.0 + n * seconds for n in range(windows)]
-        plan = [
-            begin + k * 60.0 / pushes
-            for begin, side in zip(begins, pushed, strict=True)
-            if side
-            for k in range(int(seconds * pushes / 60.0))
+        window_starts = [start + 1.0 + number * seconds for number in range(windows)]
+        push_times = [
+            window_start + push * 60.0 / pushes
+            for window_start, with_pushes in zip(window_starts, has_pushes, strict=True)
+            if with_pushes
+            for push in range(int(seconds * pushes / 60.0))
         ]
         pipes = []
         for target, args in (
             (paced_process, (port, rate, start, 1.0 + windows * seconds)),
-            (pushing_process, (desk, plan, entries, {})),
+            (pushing_process, (operator_socket, push_times, entries, {})),
         ):
-            here, there = SPAWN.Pipe()
-            SPAWN.Process(target=target, args=(there, *args), daemon=True).start()
-            pipes.append(here)
-        cpu, lasts, load = [], [], []
-        for begin in begins:
-            time.sleep(max(0.0, begin + settle - time.time()))
-            before, last = processor_s(pid), json.loads(call_operator(desk, "show-settings").splitlines()[0])["last"]
-            time.sleep(max(0.0, begin + seconds - time.time()))
-            cpu.append(processor_s(pid) - before)
-            lasts.append(json.loads(call_operator(desk, "show-settings").splitlines()[0])["last"] - last)
-            load.append(os.getloadavg()[0])
-        total, rows = pipes[0].recv()
+            parent_pipe, child_pipe = SPAWN.Pipe()
+            SPAWN.Process(target=target, args=(child_pipe, *args), daemon=True).start()
+            pipes.append(parent_pipe)
+        cpu_by_window_s, versions_published, load_averages = [], [], []
+        for window_start in window_starts:
+            time.sleep(max(0.0, window_start + settle_s - time.time()))
+            cpu_before, last_before = (
+                processor_s(pid),
+                json.loads(call_operator(operator_socket, "show-settings").splitlines()[0])["last"],
+            )
+            time.sleep(max(0.0, window_start + seconds - time.time()))
+            cpu_by_window_s.append(processor_s(pid) - cpu_before)
+            versions_published.append(
+                json.loads(call_operator(operator_socket, "show-settings").splitlines()[0])["last"] - last_before
+            )
+            load_averages.append(os.getloadavg()[0])
+        total, answers = pipes[0].recv()
         outcomes = pipes[1].recv()
-    cells: list[list[float]] = [[] for _ in begins]
-    for due, took, _ in rows:
-        place, into = divmod(due - begins[0], seconds)
-        if 0 <= place < windows and into >= settle:
-            cells[int(place)].append(took * 1e3)
-    for cell in cells:
-        cell.sort()
+    latencies_ms: list[list[float]] = [[] for _ in window_starts]
+    for due_at_s, latency_s, _ in answers:
+        window, offset_s = divmod(due_at_s - window_starts[0], seconds)
+        if 0 <= window < windows and offset_s >= settle_s:
+            latencies_ms[int(window)].append(latency_s * 1e3)
+    for window_latencies in latencies_ms:
+        window_latencies.sort()
     pairs = []  # with and without pushes
-    for n in range(0, windows, 2):
-        pairs.append((n, n + 1) if pushed[n] else (n + 1, n))
+    for number in range(0, windows, 2):
+        pairs.append((number, number + 1) if has_pushes[number] else (number + 1, number))
 
-    def part(of: float) -> Any:
-        def told(places: list[int]) -> float:
-            ranked = sorted(x for place in places for x in cells[place])
-            return ranked[min(len(ranked) - 1, int(of * len(ranked)))]
+    def quantile_of(fraction: float) -> Any:
+        def quantile(chosen: list[int]) -> float:
+            ranked = sorted(value for window in chosen for value in latencies_ms[window])
+            return ranked[min(len(ranked) - 1, int(fraction * len(ranked)))]
 
-        return told
+        return quantile
 
-    def cpu_ms(places: list[int]) -> float:
-        return 1e3 * sum(cpu[p] for p in places) / sum(len(cells[p]) for p in places)
+    def cpu_ms(chosen: list[int]) -> float:
+        return (
+            1e3
+            * sum(cpu_by_window_s[window] for window in chosen)
+            / sum(len(latencies_ms[window]) for window in chosen)
+        )
 
-    out = {}
-    for name, figure in (("p50_ms", part(0.5)), ("p99_ms", part(0.99)), ("cpu_ms_a_request", cpu_ms)):
-        drawn = []
+    result = {}
+    for name, statistic in (("p50_ms", quantile_of(0.5)), ("p99_ms", quantile_of(0.99)), ("cpu_ms_a_request", cpu_ms)):
+        ratios_of_resamples = []
         for _ in range(400):
-            some = [rng.choice(pairs) for _ in pairs]
-            drawn.append(figure([w for w, _ in some]) / figure([o for _, o in some]))
-        drawn.sort()
-        low, high = drawn[10], drawn[389]
+            resampled = [rng.choice(pairs) for _ in pairs]
+            ratios_of_resamples.append(
+                statistic([pushed_window for pushed_window, _ in resampled])
+                / statistic([quiet_window for _, quiet_window in resampled])
+            )
+        ratios_of_resamples.sort()
+        low, high = ratios_of_resamples[10], ratios_of_resamples[389]
         # A burst of other work spoils one window: the median over pairs hardly sees it.
-        ratios = sorted(figure([w]) / figure([o]) for w, o in pairs)
+        ratios = sorted(statistic([pushed_window]) / statistic([quiet_window]) for pushed_window, quiet_window in pairs)
         medians = sorted(median(rng.choices(ratios, k=len(ratios))) for _ in range(2_000))
-        calm = [o for _, o in pairs]
-        rng.shuffle(calm)
-        out[name] = {
-            "with": round(figure([w for w, _ in pairs]), 3),
-            "without": round(figure(calm), 3),
-            "ratio": round(figure([w for w, _ in pairs]) / figure(calm), 4),
+        quiet_windows = [quiet_window for _, quiet_window in pairs]
+        rng.shuffle(quiet_windows)
+        result[name] = {
+            "with": round(statistic([pushed_window for pushed_window, _ in pairs]), 3),
+            "without": round(statistic(quiet_windows), 3),
+            "ratio": round(statistic([pushed_window for pushed_window, _ in pairs]) / statistic(quiet_windows), 4),
             "interval_95": [round(low, 4), round(high, 4)],
-            "median_of_pairs": [round(x, 4) for x in (median(ratios), medians[50], medians[1949])],
+            "median_of_pairs": [round(value, 4) for value in (median(ratios), medians[50], medians[1949])],
             # windows without against windows without: what the machine alone makes of it
-            "null": round(figure(calm[::2]) / figure(calm[1::2]), 4),
+            "null": round(statistic(quiet_windows[::2]) / statistic(quiet_windows[1::2]), 4),
             # so many would make the interval of the median 2% to either side
             "windows_for_2%": max(2, math.ceil(windows * ((medians[1949] - medians[50]) / 2.0 / 0.02) ** 2)),
         }
-    measured_s = (seconds - settle) * windows / 2
+    measured_s = (seconds - settle_s) * windows / 2
     click.echo(
         json.dumps(
             {
@@ -503,26 +526,32 @@
                 "seconds": seconds,
                 "requests_a_second": rate,
                 "requests": total,
-                "answers": len(rows),
-                "statuses": dict(Counter(status for _, _, status in rows)),
-                **out,
-                "pushes_a_minute": round(len(plan) / (seconds * windows / 2) * 60.0),
+                "answers": len(answers),
+                "statuses": dict(Counter(status for _, _, status in answers)),
+                **result,
+                "pushes_a_minute": round(len(push_times) / (seconds * windows / 2) * 60.0),
                 "outcomes": outcomes,
                 "versions_a_minute": round(
-                    sum(n for n, side in zip(lasts, pushed, strict=True) if side) / measured_s * 60.0
+                    sum(
+                        versions
+                        for versions, with_pushes in zip(versions_published, has_pushes, strict=True)
+                        if with_pushes
+                    )
+                    / measured_s
+                    * 60.0
                 ),
                 "core_share": {
-                    name: round(sum(cpu[p[side]] for p in pairs) / measured_s, 3)
-                    for side, name in enumerate(("with", "without"))
+                    name: round(sum(cpu_by_window_s[pair[with_pushes]] for pair in pairs) / measured_s, 3)
+                    for with_pushes, name in enumerate(("with", "without"))
                 },
-                "load_average": [round(min(load), 1), round(max(load), 1)],
+                "load_average": [round(min(load_averages), 1), round(max(load_averages), 1)],
             }
         )
     )
 
 
 # Runs the program with each turn of a callback in the event loop timed; a signal has the table written and begun anew.
-HELD = """
+LOOP_TIMER = """
 import asyncio.events, json, os, signal, sys, time
 table, run = {}, asyncio.events.Handle._run
 def timed(handle):
@@ -557,16 +586,16 @@
     from frostspindle.lab.bench import SPAWN, coordinator, engines
     from frostspindle.lab.engines import document, host
 
-    def started(target: Any, *args: Any) -> Any:
-        here, there = SPAWN.Pipe()
-        SPAWN.Process(target=target, args=(there, *args), daemon=True).start()
-        return here
+    def spawn(target: Any, *args: Any) -> Any:
+        parent_pipe, child_pipe = SPAWN.Pipe()
+        SPAWN.Process(target=target, args=(child_pipe, *args), daemon=True).start()
+        return parent_pipe
 
     with tempfile.TemporaryDirectory() as folder, engines(["s-0"], 0.02) as (ports, _):
         path = Path(folder, "table")
         with coordinator(
-            document([host("s-0", ports["s-0"])]), 1, operator=OPERATOR, program=("-c", HELD, str(path))
-        ) as (port, (desk, pid)):
+            document([host("s-0", ports["s-0"])]), 1, operator=OPERATOR, program=("-c", LOOP_TIMER, str(path))
+        ) as (port, (operator_socket, pid)):
 
             def table() -> dict[str, list[float]]:
                 os.kill(pid, signal.SIGRTMIN + 1)
@@ -576,45 +605,45 @@
                 path.unlink()
                 return dict(rows)
 
-            at = time.time() + 2.0
-            load = started(paced_process, port, rate, at, 2.0 * seconds + 4.0)
-            pushing = started(
+            start_at = time.time() + 2.0
+            load_pipe = spawn(paced_process, port, rate, start_at, 2.0 * seconds + 4.0)
+            push_pipe = spawn(
                 pushing_process,
-                desk,
-                [at + seconds + 3.0]
+                operator_socket,
+                [start_at + seconds + 3.0]
                 if first
-                else [at + seconds + 3.0 + k * 60.0 / pushes for k in range(int(seconds * pushes / 60.0))],
+                else [start_at + seconds + 3.0 + k * 60.0 / pushes for k in range(int(seconds * pushes / 60.0))],
                 entries,
                 {"s-0": ports["s-0"], **{f"n{n}": 9 for n in range(first - 1)}} if first else {},
             )
-            time.sleep(at + 2.0 - time.time())
+            time.sleep(start_at + 2.0 - time.time())
             table()
             time.sleep(seconds)
-            calm, before = table(), processor_s(pid)
-            told = pushing.recv()
-            cpu, busy = processor_s(pid) - before, table()
-            load.recv()
-    count, times = told["pushes"], (seconds + 2.0) / seconds
+            quiet, cpu_before = table(), processor_s(pid)
+            outcomes = push_pipe.recv()
+            cpu_used_s, with_pushes = processor_s(pid) - cpu_before, table()
+            load_pipe.recv()
+    count, quiet_ratio = outcomes["pushes"], (seconds + 2.0) / seconds
     rows = {
         name: (
-            1e3 * (row[1] - calm.get(name, [0, 0.0])[1] * times) / count,
-            (row[0] - calm.get(name, [0])[0] * times) / count,
+            1e3 * (row[1] - quiet.get(name, [0, 0.0])[1] * quiet_ratio) / count,
+            (row[0] - quiet.get(name, [0])[0] * quiet_ratio) / count,
             1e3 * row[2],
             1e3 * row[3],
         )
-        for name, row in busy.items()
+        for name, row in with_pushes.items()
     }
     click.echo(
         json.dumps(
             {
-                "pushes": told,
+                "pushes": outcomes,
                 "loop_ms_a_push": round(sum(row[0] for row in rows.values()), 3),
-                "cpu_s": round(cpu, 2),
-                "loop_ms_a_second_without": round(1e3 * sum(row[1] for row in calm.values()) / seconds, 2),
+                "cpu_s": round(cpu_used_s, 2),
+                "loop_ms_a_second_without": round(1e3 * sum(row[1] for row in quiet.values()) / seconds, 2),
                 "longest_ms": {
                     name: round(row[2], 2) for name, row in sorted(rows.items(), key=lambda x: -x[1][2])[:8]
                 },
-                "longest_ms_without": round(1e3 * max(row[2] for row in calm.values()), 2),
+                "longest_ms_without": round(1e3 * max(row[2] for row in quiet.values()), 2),
                 "ms_a_push": {
                     name: [round(row[0], 4), round(row[1], 2)]
                     for name, row in sorted(rows.items(), key=lambda item: -item[1][0])[:14]
@@ -642,42 +671,42 @@
     pushes: list[tuple[int, float, float]] = []
     try:
         await world.publisher()
-        for quiet in range(3):  # push to applied before any fault
-            began = boot_ms()
-            code, _ = await world.processes[quiet].command(
-                "push", world.file(f'[[ban]]\nengine = "q{quiet}"\n'), "--wait", "20"
+        for push_number in range(3):  # push to applied before any fault
+            started = boot_ms()
+            code, _ = await world.processes[push_number].command(
+                "push", world.file(f'[[ban]]\nengine = "q{push_number}"\n'), "--wait", "20"
             )
             if code == 0:
                 for process in world.processes:
-                    await process.plain(quiet + 1)
-                line = max(p.acts()["mono_ms"] for p in world.processes)
-                pushed = min(
-                    x["mono_ms"]
-                    for p in world.processes
-                    for x in p.events("settings_history_recorded", what="published", version=quiet + 1)
+                    await process.plain(push_number + 1)
+                last_applied_ms = max(process.acts()["mono_ms"] for process in world.processes)
+                published_ms = min(
+                    event["mono_ms"]
+                    for process in world.processes
+                    for event in process.events("settings_history_recorded", what="published", version=push_number + 1)
                 )
-                pushes.append((quiet + 1, line - began, line - pushed))
-        until, number = time.monotonic() + seconds, 0
+                pushes.append((push_number + 1, last_applied_ms - started, last_applied_ms - published_ms))
+        end_at, step = time.monotonic() + seconds, 0
         stopped: list[Any] = []
-        while time.monotonic() < until:
-            number += 1
+        while time.monotonic() < end_at:
+            step += 1
             target = rng.choice(world.processes)
-            what = rng.choice(("cut", "cut", "stop", "stop", "heal", "push", "push", "push"))
-            if what == "cut":
+            action = rng.choice(("cut", "cut", "stop", "stop", "heal", "push", "push", "push"))
+            if action == "cut":
                 world.streams.cut = set(rng.sample(range(nodes), rng.randrange(1, nodes // 2)))
-            elif what == "stop" and len(stopped) < nodes // 3:
+            elif action == "stop" and len(stopped) < nodes // 3:
                 target.send_signal(signal.SIGSTOP)
                 stopped.append(target)
-            elif what == "heal":
+            elif action == "heal":
                 world.streams.cut = set()
                 for process in stopped:
                     process.send_signal(signal.SIGCONT)
                 stopped = []
-            elif what == "push":
+            elif action == "push":
                 name = f"e{rng.randrange(4)}"
                 await asyncio.wait_for(
-                    rng.choice([p for p in world.processes if p not in stopped]).command(
-                        "push", world.file(f'[[ban]]\nengine = "{name}"\nwhy = "{number}"\n'), "--wait", "2"
+                    rng.choice([process for process in world.processes if process not in stopped]).command(
+                        "push", world.file(f'[[ban]]\nengine = "{name}"\nwhy = "{step}"\n'), "--wait", "2"
                     ),
                     30.0,
                 )
@@ -686,24 +715,28 @@
         for process in world.processes:
             process.send_signal(signal.SIGCONT)
         await asyncio.sleep(2.0)
-        found = world.found()
-        versions = {x["version"] for p in world.processes for x in p.events("settings_history_recorded", what="live")}
-        meets = sum(
-            x["mode"] == "meet" and x["why"] == "alone"
-            for p in world.processes
-            for x in p.events("settings_rules_activated")
+        history = world.found()
+        versions = {
+            event["version"]
+            for process in world.processes
+            for event in process.events("settings_history_recorded", what="live")
+        }
+        leases_lost = sum(
+            event["mode"] == "meet" and event["why"] == "alone"
+            for process in world.processes
+            for event in process.events("settings_rules_activated")
         )
         return {
             "seed": seed,
             "nodes": nodes,
             "lease_ms": 1_000,
-            "contradiction_ms": round(found.longest_ms, 3),
-            "whole_ms": round(found.total_ms, 3),
+            "contradiction_ms": round(history.longest_ms, 3),
+            "whole_ms": round(history.total_ms, 3),
             "live_versions": len(versions),
-            "leases_lost": meets,
-            "command_to_applied_ms": [round(x[1], 1) for x in pushes],
-            "published_to_applied_ms": [round(x[2], 1) for x in pushes],
-            "faults": sum(len(p.events("exception_caught")) for p in world.processes),
+            "leases_lost": leases_lost,
+            "command_to_applied_ms": [round(event[1], 1) for event in pushes],
+            "published_to_applied_ms": [round(event[2], 1) for event in pushes],
+            "faults": sum(len(process.events("exception_caught")) for process in world.processes),
         }
     finally:
         await world.close()
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -28,59 +28,59 @@
 from frostspindle.policy import AttemptOutcome, Controller, EndpointListKind, EngineEntry, ProgressKind, WorkerLoad
 from frostspindle.policy.settings_parser import flatten, read_settings
 
-WORKERS, ENGINES, CORES, STEP, LENGTH = 4, 6, 8, 5.0, 20_000.0
-PARTS = (0.55, 0.15, 0.15, 0.15)
-HANGS = (0, 7_000.0, 12_000.0)  # which engine, from, to
-WAYS = ("blind", "divided", "load", "suspect", "both", "all", "one")
+WORKERS, ENGINES, CORES, STEP_MS, DURATION_MS = 4, 6, 8, 5.0, 20_000.0
+WORKER_SHARES = (0.55, 0.15, 0.15, 0.15)
+HANG = (0, 7_000.0, 12_000.0)  # which engine, from, to
+STRATEGIES = ("blind", "divided", "load", "suspect", "both", "all", "one")
 
 
-class World:
+class Simulation:
     """One seeded run of a way: modules, clients and model engines in simulated time (ms), in steps of STEP."""
 
-    def __init__(self, way: str, seed: int, load: float) -> None:
-        self.way, self.draw, self.load = way, random.Random(seed), load
+    def __init__(self, strategy: str, seed: int, load: float) -> None:
+        self.strategy, self.rng, self.load = strategy, random.Random(seed), load
         base = read_settings(flatten(document([])["settings"]))
-        self.count = 1 if way == "one" else WORKERS
-        divided = WORKERS if way not in ("blind", "one") else 1
+        self.worker_count = 1 if strategy == "one" else WORKERS
+        divided = WORKERS if strategy not in ("blind", "one") else 1
         self.modules = [
             Controller(
                 dataclasses.replace(base, coordinators=divided, number=n if divided > 1 else 0, workers=divided),
                 seed * 10 + n,
             )
-            for n in range(self.count)
+            for n in range(self.worker_count)
         ]
-        self.base, self.timers, self.order = base, list[tuple[float, int, int, Any]](), 0
+        self.base, self.timers, self.sequence = base, list[tuple[float, int, int, Any]](), 0
         # By worker and request: work left, attempt, when it was sent.
         self.running: list[dict[tuple[int, int], list[float]]] = [{} for _ in range(ENGINES)]
-        self.asks: dict[int, tuple[int, float, float]] = {}  # worker, arrived, work
-        self.tries: dict[int, int] = {}
-        self.took: list[float] = []
-        self.asked = self.in_aim = self.lost = self.to_hung = self.most = 0
+        self.requests: dict[int, tuple[int, float, float]] = {}  # worker, arrived, work
+        self.attempt_numbers: dict[int, int] = {}
+        self.response_times_ms: list[float] = []
+        self.arrived = self.within_objective = self.failed = self.attempts_to_hung = self.max_running = 0
         self.now = 1_000_000.0
 
-    def tell(self, worker: int, event: policy.Event) -> None:
+    def deliver(self, worker: int, event: policy.Event) -> None:
         """Give an event to a worker's module and carry out its actions."""
         for action in self.modules[worker].handle(self.now, event):
-            self.do(worker, action)
+            self.execute(worker, action)
 
-    def at(self, due: float, worker: int, what: Any) -> None:
+    def schedule(self, due_at_ms: float, worker: int, event: Any) -> None:
         """Schedule an event for a worker's module at a time (ms)."""
-        self.order += 1
-        heapq.heappush(self.timers, (due, self.order, worker, what))
+        self.sequence += 1
+        heapq.heappush(self.timers, (due_at_ms, self.sequence, worker, event))
 
-    def do(self, worker: int, action: policy.Action) -> None:
+    def execute(self, worker: int, action: policy.Action) -> None:
         """Carry out an action: send, cancel, final answer without a result, timer or health check; ignore others."""
         if isinstance(action, policy.StartAttempt):
-            attempt = self.tries.get(action.request, -1) + 1
-            self.tries[action.request] = attempt
-            work = self.asks[action.request][2]
-            self.running[action.engine][worker, action.request] = [work, attempt, self.now]
-            self.most = max(self.most, len(self.running[action.engine]))
-            self.to_hung += action.engine == HANGS[0] and self.hung()
+            attempt = self.attempt_numbers.get(action.request, -1) + 1
+            self.attempt_numbers[action.request] = attempt
+            work_ms = self.requests[action.request][2]
+            self.running[action.engine][worker, action.request] = [work_ms, attempt, self.now]
+            self.max_running = max(self.max_running, len(self.running[action.engine]))
+            self.attempts_to_hung += action.engine == HANG[0] and self.is_hung()
         elif isinstance(action, policy.CancelAttempt):
             for engine in range(ENGINES):
                 if (query := self.running[engine].pop((worker, action.request), None)) is not None:
-                    self.at(
+                    self.schedule(
                         self.now,
                         worker,
                         policy.AttemptEnded(
@@ -96,49 +96,49 @@
                         ),
                     )
         elif isinstance(action, (policy.RejectRequest, policy.FailRequest)):
-            self.lost += 1
+            self.failed += 1
         elif isinstance(action, policy.SetTimer):
-            self.at(action.due_at_ms, worker, policy.TimerFired(action.token))
+            self.schedule(action.due_at_ms, worker, policy.TimerFired(action.token))
         elif isinstance(action, policy.RunHealthCheck):
-            silent = action.engine == HANGS[0] and self.hung()
-            self.at(
-                self.now + (500.0 if silent else 1.0),
+            is_hung = action.engine == HANG[0] and self.is_hung()
+            self.schedule(
+                self.now + (500.0 if is_hung else 1.0),
                 worker,
                 policy.HealthCheckCompleted(
-                    action.engine, AttemptOutcome.TIMEOUT if silent else AttemptOutcome.OK, 1.0, ()
+                    action.engine, AttemptOutcome.TIMEOUT if is_hung else AttemptOutcome.OK, 1.0, ()
                 ),
             )
 
-    def hung(self) -> bool:
+    def is_hung(self) -> bool:
         """Tell whether the engine HANGS[0] hangs now."""
-        return HANGS[1] <= self.now - self.start < HANGS[2]
+        return HANG[1] <= self.now - self.start_ms < HANG[2]
 
     def arrive(self) -> None:
         """Draw the requests of one step, by the load as a part of all cores, and give each to a worker's module."""
-        rate = self.load * ENGINES * CORES / 260.0  # queries a millisecond at that mean work
-        for _ in range(sum(self.draw.random() < rate * STEP / 8 for _ in range(8))):
-            request = self.asked = self.asked + 1
-            worker = 0 if self.way == "one" else self.draw.choices(range(WORKERS), PARTS)[0]
-            work = min(4000.0, self.draw.lognormvariate(math.log(160.0), 1.0))
-            self.asks[request] = (worker, self.now, work)
-            hint = work * self.draw.lognormvariate(0.0, 0.3)
-            self.tell(worker, policy.RequestArrived(request, 0, 0, 0, 7500.0, hint, 64.0, 0.0))
+        requests_per_ms = self.load * ENGINES * CORES / 260.0  # queries a millisecond at that mean work
+        for _ in range(sum(self.rng.random() < requests_per_ms * STEP_MS / 8 for _ in range(8))):
+            request = self.arrived = self.arrived + 1
+            worker = 0 if self.strategy == "one" else self.rng.choices(range(WORKERS), WORKER_SHARES)[0]
+            work_ms = min(4000.0, self.rng.lognormvariate(math.log(160.0), 1.0))
+            self.requests[request] = (worker, self.now, work_ms)
+            cost_estimate_ms = work_ms * self.rng.lognormvariate(0.0, 0.3)
+            self.deliver(worker, policy.RequestArrived(request, 0, 0, 0, 7500.0, cost_estimate_ms, 64.0, 0.0))
 
     def serve(self) -> None:
         """Run all attempts for one step; end those that are done, and note progress of others about every 500 ms."""
         for engine, running in enumerate(self.running):
-            if not running or (engine == HANGS[0] and self.hung()):
+            if not running or (engine == HANG[0] and self.is_hung()):
                 continue
-            pace = STEP * min(1.0, CORES / len(running))
+            progress_ms = STEP_MS * min(1.0, CORES / len(running))
             for (worker, request), query in list(running.items()):
-                query[0] -= pace
+                query[0] -= progress_ms
                 if query[0] <= 0:
                     del running[worker, request]
-                    _, arrived, _ = self.asks[request]
-                    self.took.append(self.now - arrived)
-                    self.in_aim += self.now - arrived <= 1500.0
-                    busy = min(1.0, len(running) / CORES)
-                    self.tell(
+                    _, arrived, _ = self.requests[request]
+                    self.response_times_ms.append(self.now - arrived)
+                    self.within_objective += self.now - arrived <= 1500.0
+                    load = min(1.0, len(running) / CORES)
+                    self.deliver(
                         worker,
                         policy.AttemptEnded(
                             request,
@@ -149,70 +149,73 @@
                             True,
                             0.0,
                             0.0,
-                            (busy, 0.0, busy / 4),
+                            (load, 0.0, load / 4),
                         ),
                     )
-                elif int(self.now - query[2]) % 500 < STEP:
-                    done = 1.0 - query[0] / self.asks[request][2]
-                    self.tell(
+                elif int(self.now - query[2]) % 500 < STEP_MS:
+                    progress = 1.0 - query[0] / self.requests[request][2]
+                    self.deliver(
                         worker,
-                        policy.ProgressReported(request, int(query[1]), engine, ProgressKind.PROGRESS, max(0.01, done)),
+                        policy.ProgressReported(
+                            request, int(query[1]), engine, ProgressKind.PROGRESS, max(0.01, progress)
+                        ),
                     )
 
     def share(self) -> None:
         """Give each module the state of the others as far as this way shares it, in the form that link.py gives it."""
-        if self.way in ("blind", "divided", "one"):
+        if self.strategy in ("blind", "divided", "one"):
             return
-        for me in range(self.count):
-            words = []
+        for worker in range(self.worker_count):
+            loads = []
             for engine in range(ENGINES):
-                others = [m.engines[engine] for n, m in enumerate(self.modules) if n != me]
-                newest = max(others, key=lambda e: e.load_report_at_ms)
-                report = self.way == "all" and math.isfinite(newest.load_report_at_ms)
-                words.append(
+                others = [module.engines[engine] for n, module in enumerate(self.modules) if n != worker]
+                newest = max(others, key=lambda entry: entry.load_report_at_ms)
+                has_report = self.strategy == "all" and math.isfinite(newest.load_report_at_ms)
+                loads.append(
                     WorkerLoad(
                         engine,
-                        sum(e.threads for e in others) if self.way != "suspect" else 0,
-                        sum(e.granted_mb for e in others),
-                        self.way != "load" and any(e.ejected and not e.ejected_by_peer for e in others),
+                        sum(entry.threads for entry in others) if self.strategy != "suspect" else 0,
+                        sum(entry.granted_mb for entry in others),
+                        self.strategy != "load"
+                        and any(entry.ejected and not entry.ejected_by_peer for entry in others),
                         0.25,
-                        (0.5, 0.0, newest.other_memory_ratio) if report else (),
-                        self.now - newest.load_report_at_ms if report else 0.0,
+                        (0.5, 0.0, newest.other_memory_ratio) if has_report else (),
+                        self.now - newest.load_report_at_ms if has_report else 0.0,
                     )
                 )
-            self.tell(me, policy.WorkerLoadReported(tuple(words)))
+            self.deliver(worker, policy.WorkerLoadReported(tuple(loads)))
 
     def run(self) -> dict[str, float]:
         """Run for LENGTH ms and return the parts answered within 1.5 s and given up, and the response times (ms).
 
         Also how many attempts went to the hung engine meanwhile, and the most that ran at one engine.
         """
-        self.start = self.now
-        for worker in range(self.count):
-            self.tell(
+        self.start_ms = self.now
+        for worker in range(self.worker_count):
+            self.deliver(
                 worker,
                 policy.EndpointListUpdated(
                     EndpointListKind.CACHED, 1, tuple(EngineEntry(n, 0, 0, 0, 1, 1.0, 0.0) for n in range(ENGINES))
                 ),
             )
         step = 0
-        while self.now - self.start < LENGTH:
-            self.now, step = self.now + STEP, step + 1
+        while self.now - self.start_ms < DURATION_MS:
+            self.now, step = self.now + STEP_MS, step + 1
             while self.timers and self.timers[0][0] <= self.now:
                 _, _, worker, event = heapq.heappop(self.timers)
-                self.tell(worker, event)
+                self.deliver(worker, event)
             self.arrive()
             self.serve()
             if step % 4 == 0:
                 self.share()
-        took = sorted(self.took)
+        response_times_ms = sorted(self.response_times_ms)
         return {
-            "in aim": self.in_aim / self.asked,
-            "p50": took[len(took) // 2],
-            "p99": took[int(0.99 * len(took))],
-            "given up": self.lost / self.asked,
-            "to the hung": self.to_hung,
-            "most at one": self.most,
+            "in aim": self.within_objective / self.arrived,
+            "p50": response_times_ms[len(response_times_ms) // 2],
+            "p99": response_times_ms[int(0.99 * len(response_times_ms))],
+            "given up": self.failed / self.arrived,
+            "to the hung": self.attempts_to_hung,
+            "most at one": self.max_running,
         }
 
 
@@ -220,11 +223,11 @@
     """Run all ways over the seeds and print a table of the means."""
     seeds, load = int((sys.argv[1:] or ["6"])[0]), float((sys.argv[2:] or ["0.75"])[0])
     print(f"{'way':<10}{'in aim':>8}{'p50 ms':>8}{'p99 ms':>8}{'given up':>10}{'to the hung':>13}{'most at one':>13}")
-    for way in WAYS:
-        rows = [World(way, seed, load).run() for seed in range(seeds)]
-        row = {key: mean(r[key] for r in rows) for key in rows[0]}
+    for strategy in STRATEGIES:
+        rows = [Simulation(strategy, seed, load).run() for seed in range(seeds)]
+        row = {key: mean(run[key] for run in rows) for key in rows[0]}
         print(
-            f"{way:<10}{row['in aim']:>8.3f}{row['p50']:>8.0f}{row['p99']:>8.0f}{row['given up']:>10.3f}"
+            f"{strategy:<10}{row['in aim']:>8.3f}{row['p50']:>8.0f}{row['p99']:>8.0f}{row['given up']:>10.3f}"
             f"{row['to the hung']:>13.1f}{row['most at one']:>13.1f}"
         )
 
--- a/bench/spike_cores.py
+++ b/bench/spike_cores.py
@@ -26,53 +26,55 @@
 from frostspindle.operator_client import call_operator
 
 
-def apart(count: int, clients: int, connections: int, ports: dict[str, int], seconds: float) -> dict[str, float]:
+def run_apart(count: int, clients: int, connections: int, ports: dict[str, int], seconds: float) -> dict[str, float]:
     """Load `count` independent coordinators for `seconds` after a warm-up, clients divided among them.
 
     Return the requests a second of all together, and the processor time of a request (ms).
     """
     with ExitStack() as stack:
         config = document([host(name, port) for name, port in ports.items()])
-        each = [stack.enter_context(coordinator(config, 1)) for _ in range(count)]
-        at = time.time() + 0.7
+        coordinators = [stack.enter_context(coordinator(config, 1)) for _ in range(count)]
+        start_at = time.time() + 0.7
         processes = []
         for number in range(max(clients, count)):
-            here, there = SPAWN.Pipe()
+            parent_pipe, child_pipe = SPAWN.Pipe()
             process = SPAWN.Process(
                 target=client_process,
                 daemon=True,
                 args=(
-                    there,
-                    each[number % count][0],
+                    child_pipe,
+                    coordinators[number % count][0],
                     connections // max(clients, count),
                     number << 40,
                     20,
                     0.0,
-                    at,
+                    start_at,
                     seconds,
                 ),
             )
             process.start()
-            processes.append((here, process))
+            processes.append((parent_pipe, process))
 
         def served() -> int:
             return sum(
-                json.loads(call_operator(desk, "show-stat").splitlines()[0])["calls"]["lookup"]["success"]
-                for _, (desk, _) in each
+                json.loads(call_operator(operator_socket, "show-stat").splitlines()[0])["calls"]["lookup"]["success"]
+                for _, (operator_socket, _) in coordinators
             )
 
-        time.sleep(max(0.0, at + WARM_S - time.time()))
-        pids = [pid for _, (_, pid) in each]
-        cpu, before, start = cpu_s(pids), served(), time.time()
-        time.sleep(max(0.0, at + WARM_S + seconds - time.time()))
-        cpu, after, took = cpu_s(pids) - cpu, served(), time.time() - start
-        for here, process in processes:
-            here.recv()
+        time.sleep(max(0.0, start_at + WARM_S - time.time()))
+        pids = [pid for _, (_, pid) in coordinators]
+        cpu, before, measured_from = cpu_s(pids), served(), time.time()
+        time.sleep(max(0.0, start_at + WARM_S + seconds - time.time()))
+        cpu, after, elapsed_s = cpu_s(pids) - cpu, served(), time.time() - measured_from
+        for parent_pipe, process in processes:
+            parent_pipe.recv()
             process.join()
-    return {"rps": (after - before) / took, "cpu_ms": 1000.0 * cpu / (after - before)}
+    return {"rps": (after - before) / elapsed_s, "cpu_ms": 1000.0 * cpu / (after - before)}
 
 
-def acceptor(listening: socket.socket | None, port: int, counts: object, me: int, polite: bool, until: float) -> None:
+def run_acceptor(
+    listening: socket.socket | None, port: int, counts: object, index: int, defers: bool, until: float
+) -> None:
     """Accept connections until the time `until`, keeping the count in `counts[me]`.
 
     Without a passed socket, listen on the port with SO_REUSEPORT. A polite one sleeps for 3 ms before each attempt
@@ -84,44 +86,45 @@
         listening.bind(("127.0.0.1", port))
         listening.listen(512)
     listening.settimeout(0.02)
-    held = []
+    accepted = []
     while time.time() < until:
-        if polite and counts[me] > min(counts) + 2:
+        if defers and counts[index] > min(counts) + 2:
             time.sleep(0.003)
         try:
-            held.append(listening.accept()[0])
-            counts[me] = len(held)
+            accepted.append(listening.accept()[0])
+            counts[index] = len(accepted)
         except TimeoutError:
             pass
 
 
-def accepting(count: int, way: str, connections: int = 400) -> list[int]:
+def measure_accepting(count: int, method: str, connections: int = 400) -> list[int]:
     """Return how many of the connections each of `count` processes accepted, ascending, by that way to share."""
     context = multiprocessing.get_context("fork")
     counts = context.Array("i", count, lock=False)
-    first = socket.socket()
-    first.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    first.bind(("127.0.0.1", 0))
-    if way != "reuseport":
-        first.listen(512)
-    port, until = first.getsockname()[1], time.time() + 2.0
+    listener = socket.socket()
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    listener.bind(("127.0.0.1", 0))
+    if method != "reuseport":
+        listener.listen(512)
+    port, until = listener.getsockname()[1], time.time() + 2.0
     processes = [
         context.Process(
-            target=acceptor, args=(first if way != "reuseport" else None, port, counts, n, way == "polite", until)
+            target=run_acceptor,
+            args=(listener if method != "reuseport" else None, port, counts, index, method == "polite", until),
         )
-        for n in range(count)
+        for index in range(count)
     ]
     for process in processes:
         process.start()
     time.sleep(0.5)
-    lines = [socket.create_connection(("127.0.0.1", port)) for _ in range(connections)]
+    clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(connections)]
     for process in processes:
         process.join()
-    out = sorted(counts)
-    for line in lines:
-        line.close()
-    first.close()
-    return out
+    accepted = sorted(counts)
+    for client in clients:
+        client.close()
+    listener.close()
+    return accepted
 
 
 def main() -> None:
@@ -131,7 +134,7 @@
         rows = {"alone": [], "apart": [], "workers": []}
         for _ in range(rounds):
             rows["alone"].append(one(1, 4, 64, ports, seconds))
-            rows["apart"].append(apart(count, 4, 64, ports, seconds))
+            rows["apart"].append(run_apart(count, 4, 64, ports, seconds))
             rows["workers"].append(one(count, 4, 64, ports, seconds))
     for name, runs in rows.items():
         ratio = median(run["cpu_ms"] / base["cpu_ms"] for run, base in zip(runs, rows["alone"], strict=True))
@@ -139,9 +142,9 @@
             f"{name:<8} {median(run['rps'] for run in runs):>7.0f} rps  {median(run['cpu_ms'] for run in runs):.3f} "
             f"ms CPU a request, {ratio:.2f} of one process's"
         )
-    for way in ("passed", "polite", "reuseport"):
-        spread = [accepting(count, way) for _ in range(3)]
-        print(f"accept {way:<10} most and least of {count}, three times: {[(row[-1], row[0]) for row in spread]}")
+    for method in ("passed", "polite", "reuseport"):
+        accepted = [measure_accepting(count, method) for _ in range(3)]
+        print(f"accept {method:<10} most and least of {count}, three times: {[(row[-1], row[0]) for row in accepted]}")
     print(f"{os.cpu_count()} cores")
 
 
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -23,7 +23,7 @@
 
 TENANTS = '[[tenant]]\nname = "blue"\n[[tenant.rule]]\nheader = "X-Team=blue"\n'
 BUDGET = '[[fleet.budget]]\nname = "blue"\nunits = 100\ntenant = "blue"\n'
-TRIES = 4
+MAX_START_ATTEMPTS = 4
 FAULTS = {
     "scatter": ("false_skips", "invented", "loads_doubled", "faults", "stuck", "not_begun"),
     "subscriptions": (
@@ -40,7 +40,7 @@
 }
 
 
-async def one(part: str, seed: int, seconds: float) -> dict[str, Any]:
+async def run_seed(part: str, seed: int, seconds: float) -> dict[str, Any]:
     """Run `scatter` or `subscriptions` on five processes, under faults drawn from the seed; return its figures.
 
     A run that exceeds its time counts as `stuck`, or as `not_begun` if its processes were not ready for the faults.
@@ -65,16 +65,16 @@
 
 def main() -> None:
     """Run all seeds, each again up to TRIES times while it has not begun; print each run, then the sums."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("part", choices=FAULTS)
-    options.add_argument("--runs", type=int, default=30)
-    options.add_argument("--first", type=int, default=0)
-    options.add_argument("--seconds", type=float, default=10.0)
-    given = options.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("part", choices=FAULTS)
+    parser.add_argument("--runs", type=int, default=30)
+    parser.add_argument("--first", type=int, default=0)
+    parser.add_argument("--seconds", type=float, default=10.0)
+    args = parser.parse_args()
     runs = []
-    for seed in range(given.first, given.first + given.runs):
-        for _ in range(TRIES):
-            run = asyncio.run(one(given.part, seed, given.seconds))
+    for seed in range(args.first, args.first + args.runs):
+        for _ in range(MAX_START_ATTEMPTS):
+            run = asyncio.run(run_seed(args.part, seed, args.seconds))
             print(json.dumps(run), flush=True)
             if "not_begun" not in run:
                 break
@@ -87,7 +87,7 @@
         json.dumps(
             {
                 "runs": len(runs),
-                "bad": {key: sum(bool(run.get(key)) for run in runs) for key in FAULTS[given.part]},
+                "bad": {key: sum(bool(run.get(key)) for run in runs) for key in FAULTS[args.part]},
                 "not_ended": sum(not run["ended"] for run in runs),
                 "sums": sums,
                 "medians": {
--- a/bench/store.py
+++ b/bench/store.py
@@ -36,8 +36,8 @@
     import lmdb
 except ImportError:
     lmdb = None
-MAP = 256 << 20
-VALUE = 40
+MAP_SIZE_BYTES = 256 << 20
+VALUE_BYTES = 40
 
 
 class Sqlite:
@@ -78,7 +78,7 @@
     file = "data.mdb"
 
     def __init__(self, folder: Path) -> None:
-        self.db = lmdb.open(str(folder), map_size=MAP)
+        self.db = lmdb.open(str(folder), map_size=MAP_SIZE_BYTES)
 
     def apply(self, changes: dict[bytes, bytes]) -> None:
         """Write the entries in one transaction; on return they are synced to disk."""
@@ -106,10 +106,10 @@
     "disk": lambda folder: open_store(folder, "c1", SqliteEngine),
     "marker": lambda folder: open_store(folder, "c1", MarkerEngine),
 }
-MARKERS = 1_000  # a sync each
+MARKER_ENTRIES = 1_000  # a sync each
 
 
-def resident() -> int:
+def resident_kb() -> int:
     """Return the KB of resident memory of this process, mapped files included."""
     lines = Path("/proc/self/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS"))
@@ -122,101 +122,103 @@
 
 def latencies(folder: Path, commits: int) -> dict[str, Any]:
     """Return the milliseconds (p50, p99) of a durable commit of 1 and of 10 entries; the stores take turns."""
-    opened = {name: make(folder / f"l-{name}") for name, make in {**CANDIDATES, **STORES}.items()}
-    rng, out = random.Random(1), {}
-    for many in (1, 10):
-        times: dict[str, list[float]] = {name: [] for name in opened}
+    opened = {name: open_named(folder / f"l-{name}") for name, open_named in {**CANDIDATES, **STORES}.items()}
+    rng, result = random.Random(1), {}
+    for batch_size in (1, 10):
+        samples_ms: dict[str, list[float]] = {name: [] for name in opened}
         for _ in range(commits):
-            changes = {key(rng.randrange(2_000)): rng.randbytes(VALUE) for _ in range(many)}
+            changes = {key(rng.randrange(2_000)): rng.randbytes(VALUE_BYTES) for _ in range(batch_size)}
             for name in rng.sample(list(opened), len(opened)):
-                began = time.perf_counter()
+                started = time.perf_counter()
                 opened[name].apply(changes)
-                times[name].append((time.perf_counter() - began) * 1e3)
-        for name, all_of in times.items():
-            all_of.sort()
-            out.setdefault(name, {})[f"commit_{many}_ms"] = {
-                "p50": round(all_of[len(all_of) // 2], 2),
-                "p99": round(all_of[len(all_of) * 99 // 100], 2),
+                samples_ms[name].append((time.perf_counter() - started) * 1e3)
+        for name, samples in samples_ms.items():
+            samples.sort()
+            result.setdefault(name, {})[f"commit_{batch_size}_ms"] = {
+                "p50": round(samples[len(samples) // 2], 2),
+                "p99": round(samples[len(samples) * 99 // 100], 2),
             }
     for store in opened.values():
         store.close()
-    return out
+    return result
 
 
-def large(name: str, folder: Path, entries: int) -> dict[str, Any]:
+def run_large(name: str, folder: Path, entries: int) -> dict[str, Any]:
     """Fill a store in a child process that is killed before closing it, then open and scan it; return the figures.
 
     Run this in a process of its own, as its memory is measured. Raise AssertionError if entries are missing.
     """
-    make = {**CANDIDATES, **STORES}[name]
+    open_named = {**CANDIDATES, **STORES}[name]
     child = os.fork()
     if not child:
-        store = make(folder)
+        store = open_named(folder)
         step = MarkerEngine.limits.batch if name == "marker" else 4_000
         for start in range(0, entries, step):
-            store.apply({key(number): b"v" * VALUE for number in range(start, min(entries, start + step))})
+            store.apply({key(number): b"v" * VALUE_BYTES for number in range(start, min(entries, start + step))})
         os.kill(os.getpid(), signal.SIGKILL)
     os.waitpid(child, 0)
-    before, began = resident(), time.perf_counter()
-    store = make(folder)
+    memory_before_kb, started = resident_kb(), time.perf_counter()
+    store = open_named(folder)
     opened = time.perf_counter()
-    memory = resident() - before
-    first = time.perf_counter()
+    memory_open_kb = resident_kb() - memory_before_kb
+    scan_started = time.perf_counter()
     rows = store.scan()
     scanned = time.perf_counter()
-    held, found = resident() - before, len(rows)
+    memory_with_scan_kb, found = resident_kb() - memory_before_kb, len(rows)
     store.close()
     size = sum(path.stat().st_size for path in folder.rglob("*") if path.is_file())
     assert found == entries
     return {
         "entries": entries,
-        "open_after_kill_ms": round((opened - began) * 1e3, 1),
-        "scan_ms": round((scanned - first) * 1e3, 1),
-        "entries_a_second": round(found / (scanned - first)),
+        "open_after_kill_ms": round((opened - started) * 1e3, 1),
+        "scan_ms": round((scanned - scan_started) * 1e3, 1),
+        "entries_a_second": round(found / (scanned - scan_started)),
         "file_bytes": size,
-        "memory_open_kb": memory,
-        "memory_with_the_scan_kb": held,
+        "memory_open_kb": memory_open_kb,
+        "memory_with_the_scan_kb": memory_with_scan_kb,
     }
 
 
-def spoilt(name: str, folder: Path, cases: int) -> dict[str, Any]:
+def run_damaged(name: str, folder: Path, cases: int) -> dict[str, Any]:
     """Damage a database of 5,000 entries in many ways and return how often each outcome occurred.
 
     One case in four is truncated, the others have up to eight bytes changed; each is read in a process of its own.
     """
     store = CANDIDATES[name](folder)
     for start in range(0, 5_000, 100):
-        store.apply({key(number): b"v" * VALUE for number in range(start, start + 100)})
+        store.apply({key(number): b"v" * VALUE_BYTES for number in range(start, start + 100)})
     store.close()
     data = (folder / store.file).read_bytes()
 
-    def one(case: int) -> str:
-        rng, at = random.Random(case), folder.with_name(f"{folder.name}-{case}")
-        at.mkdir()
-        left = bytearray(data)
+    def read_copy(case: int) -> str:
+        rng, copy_folder = random.Random(case), folder.with_name(f"{folder.name}-{case}")
+        copy_folder.mkdir()
+        content = bytearray(data)
         if case % 4 == 0:
-            del left[rng.randrange(len(left)) :]
+            del content[rng.randrange(len(content)) :]
         else:
-            place = rng.randrange(len(left) // 4096) * 4096 + rng.randrange(64 if case % 2 else 4096)
-            for byte in range(place, min(len(left), place + 8)):
-                left[byte] = rng.randrange(256)
-        (at / store.file).write_bytes(left)
-        code = subprocess.run([sys.executable, __file__, "--read", name, str(at)], capture_output=True).returncode
-        shutil.rmtree(at)
+            offset = rng.randrange(len(content) // 4096) * 4096 + rng.randrange(64 if case % 2 else 4096)
+            for byte in range(offset, min(len(content), offset + 8)):
+                content[byte] = rng.randrange(256)
+        (copy_folder / store.file).write_bytes(content)
+        code = subprocess.run(
+            [sys.executable, __file__, "--read", name, str(copy_folder)], capture_output=True
+        ).returncode
+        shutil.rmtree(copy_folder)
         return {0: "unnoticed", 3: "error", 4: "unnoticed, and wrong"}.get(code, f"ended by signal {-code}")
 
     with ThreadPoolExecutor(4) as threads:
-        return dict(sorted(Counter(threads.map(one, range(cases))).items()))
+        return dict(sorted(Counter(threads.map(read_copy, range(cases))).items()))
 
 
 def read(name: str, folder: Path) -> int:
     """Scan, get and write; return 0 if all is as it was written, 3 after an error, 4 if anything differs."""
     try:
         store = CANDIDATES[name](folder)
-        good = store.scan() == [(key(number), b"v" * VALUE) for number in range(5_000)]
-        good = good and all(store.get(key(number)) == b"v" * VALUE for number in range(0, 5_000, 7))
+        intact = store.scan() == [(key(number), b"v" * VALUE_BYTES) for number in range(5_000)]
+        intact = intact and all(store.get(key(number)) == b"v" * VALUE_BYTES for number in range(0, 5_000, 7))
         store.apply({key(1): b"new"})
-        return 0 if good else 4
+        return 0 if intact else 4
     except Exception:  # noqa: BLE001 - any error will do
         return 3
 
@@ -235,11 +237,11 @@
     if args.read:
         return read(args.read[0], Path(args.read[1]))
     if args.large:
-        print(json.dumps(large(args.large[0], Path(args.large[1]), int(args.large[2]))))
+        print(json.dumps(run_large(args.large[0], Path(args.large[1]), int(args.large[2]))))
         return 0
     folder = Path(tempfile.mkdtemp(dir=args.folder))
     try:
-        out: dict[str, Any] = {
+        result: dict[str, Any] = {
             "sqlite": sqlite3.sqlite_version,
             "lmdb": lmdb and ".".join(map(str, lmdb.version())),
             "commits": latencies(folder, args.commits),
@@ -247,19 +249,19 @@
             "spoilt": {},
         }
         for name in (*CANDIDATES, *STORES):
-            entries = min(args.entries, MARKERS) if name == "marker" else args.entries
-            done = subprocess.run(
+            entries = min(args.entries, MARKER_ENTRIES) if name == "marker" else args.entries
+            child = subprocess.run(
                 [sys.executable, __file__, "--large", name, str(folder / f"g-{name}"), str(entries)],
                 capture_output=True,
                 text=True,
                 check=True,
             )
-            out["large"][name] = json.loads(done.stdout)
+            result["large"][name] = json.loads(child.stdout)
         for name in CANDIDATES:
-            out["spoilt"][name] = spoilt(name, folder / f"s-{name}", args.spoilt)
+            result["spoilt"][name] = run_damaged(name, folder / f"s-{name}", args.spoilt)
     finally:
         shutil.rmtree(folder)
-    text = json.dumps(out, indent=1)
+    text = json.dumps(result, indent=1)
     if args.out:
         Path(args.out).write_text(text + "\n")
     print(text)
--- a/bench/structures.py
+++ b/bench/structures.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from common import tell
+from common import write_result
 from sortedcontainers import SortedList
 
 from frostspindle.policy.deadlines import ExpiryIndex
@@ -25,145 +25,151 @@
 from frostspindle.policy.statistics import SortedWindow
 
 
-def timed(ways: dict[str, Callable[[], None]], calls: int, rounds: int = 5) -> dict[str, float]:
+def timed(variants: dict[str, Callable[[], None]], calls: int, rounds: int = 5) -> dict[str, float]:
     """Return the CPU microseconds of a call by each way: best of the rounds, in which the ways take turns."""
-    best = dict.fromkeys(ways, math.inf)
+    best_us = dict.fromkeys(variants, math.inf)
     for _ in range(rounds):
-        for name, way in ways.items():
-            began = time.thread_time_ns()
-            way()
-            best[name] = min(best[name], (time.thread_time_ns() - began) / 1000.0 / calls)
-    return {name: round(value, 2) for name, value in best.items()}
+        for name, variant in variants.items():
+            started_ns = time.thread_time_ns()
+            variant()
+            best_us[name] = min(best_us[name], (time.thread_time_ns() - started_ns) / 1000.0 / calls)
+    return {name: round(value, 2) for name, value in best_us.items()}
 
 
-def queue(size: int) -> dict[str, float]:
+def measure_queue(size: int) -> dict[str, float]:
     """Time one addition, the removal of the head and of one in the middle, and another addition, with `size` held."""
-    draw = random.Random(size)
-    rows = [(0, draw.paretovariate(1.2), n, None) for n in range(size)]
-    more = [(0, draw.paretovariate(1.2), size + n, None) for n in range(400)]
-    plain, library, ours = sorted(rows), SortedList(rows), WaitingQueue()
+    rng = random.Random(size)
+    rows = [(0, rng.paretovariate(1.2), n, None) for n in range(size)]
+    more = [(0, rng.paretovariate(1.2), size + n, None) for n in range(400)]
+    sorted_list, library_list, waiting_queue = sorted(rows), SortedList(rows), WaitingQueue()
     for row in rows:
-        ours.add(row, -1, row[1])
+        waiting_queue.add(row, -1, row[1])
 
-    def by_list() -> None:
+    def use_sorted_list() -> None:
         for row in more:
-            insort(plain, row)
-            del plain[bisect_left(plain, row[:3])]
-            insort(plain, plain.pop(0))
+            insort(sorted_list, row)
+            del sorted_list[bisect_left(sorted_list, row[:3])]
+            insort(sorted_list, sorted_list.pop(0))
 
-    def by_library() -> None:
+    def use_library() -> None:
         for row in more:
-            library.add(row)
-            library.remove(row)
-            library.add(library.pop(0))
+            library_list.add(row)
+            library_list.remove(row)
+            library_list.add(library_list.pop(0))
 
-    def by_ours() -> None:
+    def use_waiting_queue() -> None:
         for row in more:
-            ours.add(row, -1, row[1])
-            ours.drop(row[:3], -1, row[1])
-            head = ours.heads[0][0]
-            ours.drop(head[:3], -1, head[1])
-            ours.add(head, -1, head[1])
+            waiting_queue.add(row, -1, row[1])
+            waiting_queue.drop(row[:3], -1, row[1])
+            head = waiting_queue.heads[0][0]
+            waiting_queue.drop(head[:3], -1, head[1])
+            waiting_queue.add(head, -1, head[1])
 
-    def by_heap_of_all() -> None:
+    def sort_all() -> None:
         for row in more[:8]:  # no removal from within: order anew
             sorted([*rows, row])
 
-    out = timed({"sorted list": by_list, "SortedList": by_library, "WaitingQueue": by_ours}, len(more))
-    return out | {"order anew": timed({"": by_heap_of_all}, 8)[""]}
+    times_us = timed(
+        {"sorted list": use_sorted_list, "SortedList": use_library, "WaitingQueue": use_waiting_queue}, len(more)
+    )
+    return times_us | {"order anew": timed({"": sort_all}, 8)[""]}
 
 
-def stuck(size: int) -> dict[str, float]:
+def measure_stuck_head(size: int) -> dict[str, float]:
     """Time a walk past `size` rows of a lane that has no place to go, to the one row behind them."""
-    rows, ours = [(0, float(n), n, 5) for n in range(size)], WaitingQueue()
+    rows, waiting_queue = [(0, float(n), n, 5) for n in range(size)], WaitingQueue()
     rows.append((0, 1e9, size, -1))
     for row in rows:
-        ours.add(row, row[3], 1.0)
+        waiting_queue.add(row, row[3], 1.0)
 
-    def by_list() -> None:
+    def scan_list() -> None:
         for _ in range(20):
             next(row for row in rows if row[3] != 5)
 
-    def by_ours() -> None:
+    def walk_waiting_queue() -> None:
         for _ in range(20):
-            next(ours.walk({5}))
+            next(waiting_queue.walk({5}))
 
-    return timed({"sorted list": by_list, "WaitingQueue": by_ours}, 20)
+    return timed({"sorted list": scan_list, "WaitingQueue": walk_waiting_queue}, 20)
 
 
-def times_out(size: int) -> dict[str, float]:
+def measure_expiry(size: int) -> dict[str, float]:
     """Time an examination of `size` items for lapsed ones, every 100 ms, as paces change and few items lapse."""
-    draw = random.Random(size)
-    items = {n: (n % 4, draw.uniform(10, 300), draw.uniform(2000, 20_000)) for n in range(size)}
-    lapses, state = ExpiryIndex(4), {"scan": 0.0, "ours": 0.0}
-    for n, item in items.items():
-        lapses.add(n, *item)
-    drift = [[1.0 + 0.2 * draw.random() for _ in range(4)] for _ in range(64)]
-
-    def by_scan() -> None:
-        for paces in drift[:16]:
-            state["scan"] += 100.0
-            for n in [n for n, (kind, work, limit) in items.items() if state["scan"] + work * paces[kind] > limit]:
-                del items[n]
-
-    def by_ours() -> None:
-        for paces in drift[:16]:
-            state["ours"] += 100.0
-            lapses.pop_due(state["ours"], paces)
-
-    return timed({"scan": by_scan, "ExpiryIndex": by_ours}, 16, rounds=3)
-
-
-def quantiles() -> dict[str, Any]:
+    rng = random.Random(size)
+    items = {number: (number % 4, rng.uniform(10, 300), rng.uniform(2000, 20_000)) for number in range(size)}
+    expiry_index, now_ms = ExpiryIndex(4), {"scan": 0.0, "ours": 0.0}
+    for number, item in items.items():
+        expiry_index.add(number, *item)
+    pace_factors = [[1.0 + 0.2 * rng.random() for _ in range(4)] for _ in range(64)]
+
+    def scan_items() -> None:
+        for paces in pace_factors[:16]:
+            now_ms["scan"] += 100.0
+            for number in [
+                number for number, (kind, work, limit) in items.items() if now_ms["scan"] + work * paces[kind] > limit
+            ]:
+                del items[number]
+
+    def pop_due_items() -> None:
+        for paces in pace_factors[:16]:
+            now_ms["ours"] += 100.0
+            expiry_index.pop_due(now_ms["ours"], paces)
+
+    return timed({"scan": scan_items, "ExpiryIndex": pop_due_items}, 16, rounds=3)
+
+
+def measure_quantiles() -> dict[str, Any]:
     """Time adding a value and reading two quantiles at every 25th, of the last 400; and a bucket sketch's error."""
-    draw = random.Random(7)
-    values = [draw.paretovariate(1.2) * 60.0 for _ in range(4000)]
-
-    def by_sort() -> None:
-        last: deque[float] = deque(maxlen=400)
-        for n, value in enumerate(values):
-            last.append(value)
-            if n % 25 == 0:
-                ranked = sorted(last)
+    rng = random.Random(7)
+    values = [rng.paretovariate(1.2) * 60.0 for _ in range(4000)]
+
+    def sort_recent() -> None:
+        recent: deque[float] = deque(maxlen=400)
+        for count, value in enumerate(values):
+            recent.append(value)
+            if count % 25 == 0:
+                ranked = sorted(recent)
                 ranked[len(ranked) // 2], ranked[int(0.9925 * (len(ranked) - 1))]
 
-    def by_window() -> None:
+    def use_window() -> None:
         window = SortedWindow(400)
         for value in values:
             window.add(value)
 
-    def by_library() -> None:
-        last, ranked = deque[float](), SortedList()
+    def use_library() -> None:
+        recent, ranked = deque[float](), SortedList()
         for value in values:
-            if len(last) == 400:
-                ranked.remove(last.popleft())
-            last.append(value)
+            if len(recent) == 400:
+                ranked.remove(recent.popleft())
+            recent.append(value)
             ranked.add(value)
 
-    off = []
-
-    def by_sketch(checked: bool = False) -> None:
-        last, buckets, exact = deque[int](), Counter[int](), SortedWindow(400)
-        for n, value in enumerate(values):
-            if len(last) == 400:
-                buckets[last.popleft()] -= 1
-            last.append(at := int(math.log(value) / math.log(1.02)))
-            buckets[at] += 1
-            if n % 25 == 0:
-                left = len(last) // 2
-                for at in sorted(buckets):
-                    left -= buckets[at]
-                    if left < 0:
+    errors = []
+
+    def use_sketch(check_error: bool = False) -> None:
+        recent, buckets, exact = deque[int](), Counter[int](), SortedWindow(400)
+        for count, value in enumerate(values):
+            if len(recent) == 400:
+                buckets[recent.popleft()] -= 1
+            recent.append(bucket := int(math.log(value) / math.log(1.02)))
+            buckets[bucket] += 1
+            if count % 25 == 0:
+                remaining = len(recent) // 2
+                for bucket in sorted(buckets):
+                    remaining -= buckets[bucket]
+                    if remaining < 0:
                         break
-                if checked:
-                    off.append(abs(1.02 ** (at + 0.5) / exact.ranked[len(exact.ranked) // 2] - 1.0) if n else 0.0)
-            exact.add(value) if checked else None
+                if check_error:
+                    errors.append(
+                        abs(1.02 ** (bucket + 0.5) / exact.ranked[len(exact.ranked) // 2] - 1.0) if count else 0.0
+                    )
+            exact.add(value) if check_error else None
 
-    by_sketch(True)
+    use_sketch(True)
     return timed(
-        {"sorted each 25th": by_sort, "SortedWindow": by_window, "SortedList": by_library, "buckets": by_sketch},
+        {"sorted each 25th": sort_recent, "SortedWindow": use_window, "SortedList": use_library, "buckets": use_sketch},
         len(values),
-    ) | {"median of buckets off by at most": round(max(off[2:]), 3)}
+    ) | {"median of buckets off by at most": round(max(errors[2:]), 3)}
 
 
 def main() -> None:
@@ -171,13 +177,13 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--json")
     sizes = (100, 1_000, 10_000)
-    tell(
+    write_result(
         {
             "us a call": {
-                "held queue": {n: queue(n) for n in sizes},
-                "stuck head": {n: stuck(n) for n in sizes},
-                "times out": {n: times_out(n) for n in sizes},
-                "quantiles": quantiles(),
+                "held queue": {n: measure_queue(n) for n in sizes},
+                "stuck head": {n: measure_stuck_head(n) for n in sizes},
+                "times out": {n: measure_expiry(n) for n in sizes},
+                "quantiles": measure_quantiles(),
             }
         },
         parser.parse_args().json,
