--- a/example/toy.py
+++ b/example/toy.py
@@ -68,7 +68,7 @@
 
     A subscriber that already has offset 1 or later gets the offsets only.
     """
-    after = int((await reader.readline()).split()[1])
+    last_known_offset = int((await reader.readline()).split()[1])
     hosts = [
         {
             "host": name,
@@ -83,7 +83,7 @@
         for name, port in ENGINES.items()
     ]
     try:
-        if after < 1:
+        if last_known_offset < 1:
             event = {"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": hosts}}
             writer.write(json.dumps(event).encode() + b"\n")
         while True:
@@ -100,15 +100,15 @@
     while data := await reader.read(4096):
         for message in splitter.feed(data):
             if message.kind == codec.PRELOGIN:
-                out = codec.prelogin({codec.O_ENCRYPTION: bytes((codec.ENCRYPT_NOT_SUP,))})
+                response = codec.prelogin({codec.O_ENCRYPTION: bytes((codec.ENCRYPT_NOT_SUP,))})
             elif message.kind == codec.LOGIN7:
-                out = codec.login_ack("toy", codec.PACKET)
+                response = codec.login_ack("toy", codec.PACKET)
             elif message.kind == codec.ATTENTION:
-                out = codec.done(codec.DONE_ATTN)
+                response = codec.done(codec.DONE_ATTN)
             else:
                 await asyncio.sleep(SLOW_S)
-                out = codec.text_result(("engine", "statement"), [("toy-tds", codec.read_batch(message.body))])
-            writer.write(codec.packets(codec.RESULT, out))
+                response = codec.text_result(("engine", "statement"), [("toy-tds", codec.read_batch(message.body))])
+            writer.write(codec.packets(codec.RESULT, response))
     writer.close()
 
 
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
+FILE, MAX_TESTS = "KNOWN-RED.txt", 3
 RUN_PREFIX = "frostspindle "
 
 
@@ -31,8 +31,8 @@
             raise pytest.UsageError(f"{FILE}:{number}: not one new `test id | cause | issue`: {line!r}")
         listed[parts[0]] = f"{parts[1]} ({parts[2]})"
     tests = [name for name in listed if not name.startswith(RUN_PREFIX)]
-    if len(tests) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(tests)} tests, {MOST} at most")
+    if len(tests) > MAX_TESTS:
+        raise pytest.UsageError(f"{FILE}: {len(tests)} tests, {MAX_TESTS} at most")
     return listed
 
 
@@ -46,20 +46,20 @@
         self.listed = {name: cause for name, cause in entries.items() if name not in self.runs}
         self.failed: set[str] = set()  # tests that failed in their body, as listed
 
-    def wrong(self) -> list[str]:
+    def unexpected(self) -> list[str]:
         """Return the listed tests of this run that did not run and fail as listed."""
-        return [test for test in self.listed if self._asked(test) and test not in self.failed]
+        return [test for test in self.listed if self._is_selected(test) and test not in self.failed]
 
-    def _asked(self, test: str) -> bool:
+    def _is_selected(self, test: str) -> bool:
         option = self.config.option
         if option.keyword or option.markexpr or option.deselect or getattr(option, "lf", False):
             return False  # such a run has left tests out on purpose
         root, start = self.config.rootpath, self.config.invocation_params.dir
-        for chosen in self.config.args:
-            path, _, name = chosen.partition("::")
-            full = (start / path).resolve()
-            within = (root / test.partition("::")[0]).resolve()
-            if full == within or (not name and full in within.parents):
+        for argument in self.config.args:
+            path, _, name = argument.partition("::")
+            selected_path = (start / path).resolve()
+            test_path = (root / test.partition("::")[0]).resolve()
+            if selected_path == test_path or (not name and selected_path in test_path.parents):
                 if not name or f"::{name}" in f"::{test.partition('::')[2]}":
                     return True
         return False
@@ -81,7 +81,7 @@
 
         Workers of pytest-xdist are left out, as each runs a part of the tests only.
         """
-        if not hasattr(self.config, "workerinput") and exitstatus == pytest.ExitCode.OK and self.wrong():
+        if not hasattr(self.config, "workerinput") and exitstatus == pytest.ExitCode.OK and self.unexpected():
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
@@ -91,7 +91,7 @@
                 terminalreporter.write_line(f"KNOWN RED: {test}: {cause}")
         for command, cause in self.runs.items():
             terminalreporter.write_line(f"KNOWN RED RUN: {command}: {cause}")
-        for test in self.wrong():
+        for test in self.unexpected():
             terminalreporter.write_line(f"{FILE}: {test} did not run and fail as listed", red=True)
 
 
--- a/scripts/rename_symbols.py
+++ b/scripts/rename_symbols.py
@@ -113,13 +113,13 @@
 
 def find_exports(path: Path) -> dict[str, str]:
     """Return what a module imports by name, as its own dotted names to those of the origin."""
-    here = module_name(path)
+    module = module_name(path)
     found = {}
     for match in re.finditer(r"^from ([\w.]+) import (\([^)]*\)|.*)$", path.read_text(), re.MULTILINE):
         for item in match[2].strip("()").replace("\n", " ").split(","):
             words = item.split("#")[0].split()
             if words:
-                found[f"{here}.{words[-1]}"] = f"{match[1]}.{words[0]}"
+                found[f"{module}.{words[-1]}"] = f"{match[1]}.{words[0]}"
     return found
 
 
@@ -268,20 +268,20 @@
         # A name that an import gave another local name keeps it.
         return (
             updated_node.with_changes(value=new)
-            if new and self._is_own_name(dotted, original_node.value)
+            if new and self._keeps_last_component(dotted, original_node.value)
             else updated_node
         )
 
-    def _is_own_name(self, dotted: str, local: str) -> bool:
-        return dotted.rpartition(".")[2] == local
+    def _keeps_last_component(self, dotted: str, local_name: str) -> bool:
+        return dotted.rpartition(".")[2] == local_name
 
 
 def rename_in(plan: Plan, path: Path) -> list[str]:
     """Rewrite one file; return warnings."""
     text = path.read_text()
-    olds = [old.rpartition(".")[2] for old in (*plan.symbols, *plan.modules)]
-    olds += [rule.old for rule in plan.members if rule.covers(path)]
-    if not any(re.search(rf"\b{re.escape(old)}\b", text) for old in set(olds)):
+    old_names = [old.rpartition(".")[2] for old in (*plan.symbols, *plan.modules)]
+    old_names += [rule.old for rule in plan.members if rule.covers(path)]
+    if not any(re.search(rf"\b{re.escape(old)}\b", text) for old in set(old_names)):
         return []
     renamer = Renamer(plan, path)
     renamer.marked = set()
@@ -289,8 +289,8 @@
     if changed == text:
         return []
     path.write_text(changed)
-    news = {*plan.symbols.values(), *renamer.members.values()}
-    return [f"{path}: {new} was there before" for new in sorted(news) if re.search(rf"\b{new}\b", text)]
+    new_names = {*plan.symbols.values(), *renamer.members.values()}
+    return [f"{path}: {new} was there before" for new in sorted(new_names) if re.search(rf"\b{new}\b", text)]
 
 
 def move_files(plan: Plan) -> None:
