--- a/bench/choices.py
+++ b/bench/choices.py
@@ -34,7 +34,7 @@
 SITES = ("plain", "many", "priced", "stuck", "shed", "replaced", "replaced-many")
 
 
-FORMER_PACKAGE = "pinstage"  # the module's place and names before it became frostspindle/policy
+FORMER_PACKAGE = "pinstage"  # the package and class names of the module before it became frostspindle/policy
 PACKAGE = "frostspindle/policy"
 FORMER_NAMES = {
     "StartAttempt": "Send",
@@ -60,7 +60,7 @@
 }
 CURRENT_NAMES = {former: current for current, former in FORMER_NAMES.items()}
 ARRIVALS = ("Request", "RequestArrived")
-FAILURES = (  # by the part of attempts that end so or as one before
+FAILURES = (  # cumulative probability and outcome
     (0.004, AttemptOutcome.ERROR),
     (0.006, AttemptOutcome.RESET),
     (0.012, AttemptOutcome.OVERLOADED),
@@ -70,10 +70,10 @@
 
 
 class PolicyVersion:
-    """One version of the decision module, imported as a package of a name of its own.
+    """One version of the decision module, imported under a separate package name.
 
-    Records of both versions have the same fields in the same order: they are built by position, and looked up by the
-    current name of their class.
+    Records of both versions have the same fields in the same order, so they are built by position. Their classes are
+    looked up by the current name.
     """
 
     def __init__(self, ref: str, name: str) -> None:
@@ -103,7 +103,7 @@
         return CURRENT_NAMES.get(name, name) if self.former else name
 
     def convert(self, record: Any) -> Any:
-        """Return a record of any version as one of this version."""
+        """Convert a record of any version to this version."""
         name = type(record).__name__
         return self.record_class(CURRENT_NAMES.get(name, name))(*record)
 
@@ -115,19 +115,19 @@
 
 
 def read_working_tree() -> tuple[dict[str, str], str]:
-    """Return the texts of the working tree's decision module by file name, and its package's folder."""
+    """Return the sources of the decision module in the working tree by file name, and the package folder."""
     return {path.name: path.read_text() for path in (ROOT / PACKAGE).glob("*.py")}, PACKAGE
 
 
 def read_revision(ref: str) -> tuple[dict[str, str], str]:
-    """Return the texts of the decision module at a git reference by file name, and its package's folder there."""
+    """Return the sources of the decision module at a git reference by file name, and the package folder there."""
     package = PACKAGE if git("ls-tree", ref, f"{PACKAGE}/") else FORMER_PACKAGE
     names = git("ls-tree", "--name-only", f"{ref}:{package}").split()
     return {name: git("show", f"{ref}:{package}/{name}") for name in names if name.endswith(".py")}, package
 
 
 def git(*arguments: str) -> str:
-    """Return the output of a git command; raise subprocess.CalledProcessError where it fails."""
+    """Return the output of a git command; raise subprocess.CalledProcessError if it fails."""
     return subprocess.run(["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True).stdout
 
 
@@ -170,12 +170,12 @@
 
 
 def settings(version: PolicyVersion, site: str) -> Any:
-    """Return the settings of a site; an unknown name gives those of `plain`.
+    """Return the settings of a scenario; an unknown name gives those of `plain`.
 
-    Names with `many` are for one of 40 coordinators, each with a small part of the load; `priced` has prices for new
-    connections and other zones. The others differ in the load alone: `stuck` has many ordered loads of one group,
-    `shed` more open requests than are allowed at each arrival, `replaced` all engines replaced by cold ones with new
-    ids at every thousandth request.
+    Names with `many` configure one of 40 coordinators, each with a small part of the load; `priced` sets penalties
+    for new connections and other zones. The others differ only in the load: `stuck` has many ordered loads of one
+    group, `shed` exceeds the limit of open requests at each arrival, `replaced` replaces all engines by cold ones with
+    new ids at every thousandth request.
     """
     few = "many" not in site
     return version.settings(
@@ -212,7 +212,7 @@
 
 
 def controller(version: PolicyVersion, site: str, seed: int, target: int) -> Any:
-    """Return a controller of that version for the site; at `shed` it may have 90% of `target` requests open."""
+    """Return a controller of that version for the scenario; `shed` limits it to 90% of `target` open requests."""
     result = version.package.Controller(settings(version, site), seed)
     if site == "shed":
         setattr(result, "most_open" if hasattr(result, "most_open") else "max_open_requests", int(0.9 * target))
@@ -220,7 +220,7 @@
 
 
 class Simulation:
-    """Clients, engines and timers around one controller, in simulated time (ms); records the events it was given."""
+    """Clients, engines and timers around one controller, in simulated time (ms); records the events it receives."""
 
     def __init__(self, version: PolicyVersion, site: str, engines: int, target: int, seed: int, calm: bool) -> None:
         self.version = version
@@ -228,13 +228,13 @@
         self.rng = random.Random(seed)
         self.site = site
         self.engine_count = engines
-        self.target = target  # requests open at a time
+        self.target = target  # concurrently open requests
         self.calm = calm
 
         self.now = 1_000_000.0
-        self.scheduled = list[Any]()  # a heap of scheduled calls
+        self.scheduled = list[Any]()  # heap of due time, sequence number and call
         self.sequence = 0
-        self.events = list[tuple[float, Any]]()  # all events
+        self.events = list[tuple[float, Any]]()  # all events given to the controller, with their times
 
         self.open = dict[int, Any]()  # requests by number
         self.running = dict[tuple[int, int], int]()  # engines by request and attempt
@@ -245,22 +245,22 @@
         self.hung = set[int]()
         self.idle = dict[int, list[float]]()  # by engine: when each idle connection was last used
 
-        # What became of it.
+        # Results.
         self.arrived_at_ms = dict[int, float]()
         self.answered_requests = 0
-        self.total_response_ms = 0.0  # ms until good responses, in all
+        self.total_response_ms = 0.0  # sum over successful responses
         self.attempts_started = 0
-        self.cross_zone_attempts = 0  # sends to another zone
-        self.connections_opened = 0  # sends that opened a connection
+        self.cross_zone_attempts = 0  # attempts at engines of another zone
+        self.connections_opened = 0  # attempts that needed a new connection
         self.schedule(0.0, "list", EndpointListKind.FULL, tuple(self.endpoints.values()))
 
     def schedule(self, delay_ms: float, *call: Any) -> None:
-        """Schedule a call of the method `do_` + the first of `what`, with the rest as arguments, in `after` ms."""
+        """Schedule a call in `delay_ms`: the first item names the method after `do_`, the others are its arguments."""
         self.sequence += 1
         heapq.heappush(self.scheduled, (self.now + delay_ms, self.sequence, call))
 
     def feed(self, name: str, *fields: Any) -> None:
-        """Record an event of that class, give it to the controller and carry out its actions."""
+        """Record an event of that class, pass it to the controller and execute the resulting actions."""
         event = self.version.record_class(name)(*fields)
         self.events.append((self.now, event))
         for action in self.controller.handle(self.now, event):
@@ -275,9 +275,10 @@
                 self.schedule(max(0.0, action.due_at_ms - self.now), "due", action.token)
 
     def start_attempt(self, action: Any) -> None:
-        """Start an attempt: draw its outcome and time (ms), and schedule its end and, for a long one, a progress note.
+        """Start an attempt: draw its outcome and duration, and schedule its end.
 
-        An attempt at a hung engine ends by its timeout. Unless calm, 1.6% fail, in one of five ways.
+        An attempt of over 500 ms also reports progress halfway. An attempt at a hung engine ends by its timeout. Unless
+        `calm` is set, 1.6% of the others fail, in one of five ways.
         """
         request = self.open[action.request]
         number = self.attempt_counts.get(action.request, 0)
@@ -300,7 +301,7 @@
         self.schedule(min(duration_ms, action.timeout_ms or duration_ms), "end", action.request, number, outcome)
 
     def draw_outcome(self) -> AttemptOutcome:
-        """Draw the outcome of an attempt at an engine that does not hang."""
+        """Draw the outcome of an attempt at a responsive engine."""
         sample = self.rng.random()
         for limit, outcome in () if self.calm else FAILURES:
             if sample < limit:
@@ -308,27 +309,27 @@
         return AttemptOutcome.OK
 
     def step(self) -> None:
-        """Advance to the next scheduled call and make it."""
+        """Advance the time to the next scheduled call and execute it."""
         self.now, _, call = heapq.heappop(self.scheduled)
         getattr(self, f"do_{call[0]}")(*call[1:])
 
     def do_list(self, kind: int, entries: tuple[Any, ...]) -> None:
-        """Give the controller an engine list of that kind."""
+        """Pass an endpoint list of that kind to the controller."""
         self.feed("EndpointListUpdated", kind, 1, entries)
 
     def do_due(self, token: int) -> None:
-        """Give the controller the expiry of a timer of its own."""
+        """Report the expiry of a timer to the controller that set it."""
         self.feed("TimerFired", token)
 
     def do_note(self, request: int, number: int, value: float) -> None:
-        """Give the controller a progress note on an attempt, if it is still running."""
+        """Report progress of an attempt to the controller, if the attempt is still running."""
         if (engine := self.running.get((request, number))) is not None:
             self.feed("ProgressReported", request, number, engine, 1, value)
 
     def do_end(self, request: int, number: int, outcome: int) -> None:
-        """End an attempt, if it is still running, and tell the controller.
+        """End an attempt, if it is still running, and notify the controller.
 
-        A good response ends the request too and comes with its true cost, memory and a load report.
+        A successful response also ends the request and carries its true cost, its memory and a load report.
         """
         if (engine := self.running.pop((request, number), None)) is None:
             return
@@ -346,10 +347,10 @@
         self.feed("AttemptEnded", request, number, engine, outcome, cost / 2 or 5.0, is_final, cost, 0.3 * cost, report)
 
     def arrive(self, number: int) -> None:
-        """Draw a request of that number and give it to the controller.
+        """Draw a request with that number and pass it to the controller.
 
-        Costs are Pareto distributed, up to a minute; one request in ten has no estimate of it. At `stuck` four of five
-        are ordered loads of one group.
+        Costs are Pareto distributed, up to a minute; one request in ten has no cost estimate. In `stuck`, four of five
+        requests are ordered loads of one group.
         """
         sample = self.rng.random()
         cls = 0 if sample < 0.7 else 1 if sample < 0.85 else 2 if sample < 0.93 else 3
@@ -365,7 +366,7 @@
         self.feed("RequestArrived", *fields)
 
     def inject_disturbance(self) -> None:
-        """Draw one event: a list change or restart, an engine's hang or recovery, a client that leaves, or none."""
+        """Draw a list change or restart, the hang or recovery of an engine, the disconnection of a client, or none."""
         sample = self.rng.random()
         engine = self.rng.choice(list(self.endpoints))
         entry = self.endpoints[engine]
@@ -386,7 +387,7 @@
             self.feed("ClientDisconnected", request)
 
     def outcome(self) -> dict[str, float]:
-        """Return counts, the mean time to a good response (ms), and parts of sends to other zones or unconnected."""
+        """Return counts, the mean response time (ms), and the shares of cross-zone attempts and new connections."""
         return {
             "answered": self.answered_requests,
             "mean_ms": round(self.total_response_ms / max(1, self.answered_requests), 1),
@@ -407,7 +408,7 @@
             self.schedule(1.0, "end", request, number, AttemptOutcome.RESET)
 
     def play(self, requests: int) -> list[tuple[float, Any]]:
-        """Run that many requests, with `target` open at a time, after as many to get there; return all events."""
+        """Run that many requests with `target` open, after a warm-up of `target` requests; return all events."""
         number = 0
         while number < requests + self.target:
             if len(self.open) < self.target:
@@ -424,7 +425,7 @@
 
 
 def comparable(version: PolicyVersion, action: Any) -> tuple[Any, ...]:
-    """Return an action as a tuple to compare: the current name of its class, and its fields to the last digit."""
+    """Return an action as a comparable tuple: the current name of its class, and its exact field values."""
     return (version.record_name(action), *action)
 
 
@@ -436,11 +437,11 @@
     target: int,
     profile: bool,
 ) -> tuple[dict[str, float], int, int | None]:
-    """Replay each module's events to it, in slices that take turns.
+    """Replay each module's events to it, alternating between the modules slice by slice.
 
-    Return CPU microseconds a request of each module once the target number is open, the count of equal actions before
-    the first difference, and the index at which the first slice that differs begins, None if none does. With `profile`
-    the new module's profile goes to stderr.
+    Return the CPU microseconds per request of each module once the target number is open, the count of equal actions
+    before the first difference, and the index where the first differing slice begins, or None. With `profile`, print the
+    profile of the new module to stderr.
     """
     sides = {
         name: (
@@ -465,7 +466,7 @@
         for name, met in worlds.items()
     }
     gc.collect()
-    gc.disable()  # what the world keeps is of no interest
+    gc.disable()  # collections of the simulation's objects would distort the timings
     for start in range(0, max(map(len, worlds.values())), slice_length):
         for name in list(sides) if start // slice_length % 2 else list(sides)[::-1]:
             module, events = sides[name]
@@ -506,7 +507,7 @@
     calm: bool,
     profile: bool,
 ) -> dict[str, Any]:
-    """Replay the base module's run to both; if their choices differ, time the new module in a run of its own."""
+    """Replay the base module's run to both; if their actions differ, time the new module in a separate run."""
     base, new = packages
     world = Simulation(packages[base], site, engines, target, seed, calm)
     events = world.play(requests)
@@ -537,7 +538,7 @@
 
 
 def main() -> None:
-    """Compare both modules at each site, number of open requests and of engines, and seed; print one JSON object."""
+    """Compare both modules for each scenario, number of open requests, engines and seed; print one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--base", default="main", help="git reference to compare with")
     parser.add_argument("--engines", default="4,8,32,96,300,1000")
--- a/bench/cold_ramp.py
+++ b/bench/cold_ramp.py
@@ -1,17 +1,18 @@
-"""Ways in which processes share a cold engine's budget without communication: simulated ramps, many seeds.
-
-An engine starts and warms up; each process hears of it late by a time of its own, gets Poisson arrivals at a rate of
-its own, and asks the real decision module (`_cold_allowed`), or one of the other ways put in place of its `_cold_left`,
-whether a held request may go there. Work is lognormal and known by an estimate only. At every send the true work of the
-last window is compared with N + 2 x root of N + 2 (N < 30: N + 3 x root of N + 3), in requests of mean work.
-
-Ways: shares   an equal part each
-      draws    a random turn, independently of the others
-      turns    the module's: turns of a few and of one in alternate windows, by rank and time; shares where one
-               holds a query
-      carried  an equal part each, and what was not used in earlier windows up to two small queries
-      places   as turns, but a hash of engine, window and rank decides whose they are
-      paced    as turns, but each send books its part of the timeline, all of it within the turn
+"""Compares strategies that divide a cold engine's slow-start budget among processes without communication.
+
+Simulates seeded ramps. An engine starts and warms up; each process discovers it after an individual delay, has Poisson
+arrivals at an individual rate, and checks with the decision module (`SlowStart.allows`) whether a queued request may be
+sent there. Other strategies replace its `SlowStart.remaining_ms`. Work is lognormal; the module knows only an estimate.
+At every send, the true work of the last window is compared with N + 2 x root of N + 2 (N < 30: N + 3 x root of N + 3),
+in requests of mean work.
+
+Strategies: shares   equal shares
+            draws    random turns, drawn independently by each process
+            turns    the module's: turns of a few processes and of one in alternate windows, by rank and time; equal
+                     shares if a share holds a query
+            carried  equal shares; unused budget is carried over, up to two small queries
+            places   as turns, but in an order given by a hash of engine, window and rank
+            paced    as turns, but each send reserves a time slot within the turn
 
     PYTHONPATH=. python bench/cold_ramp.py [--seeds N] [--counts 1,3,30,200] [--ways turns,...] [--restarts PART]
         [--mean MS] [--no-hints] [--engines N] [--json FILE]
@@ -42,23 +43,25 @@
     1.0,
     0.3,
     0.8,
-)  # standard deviations of logs: work, estimates, rates of processes
+)  # standard deviations of logarithms
 SMALL_SHARE, SMALL_MEAN_RATIO = (
     0.8,
     0.4,
-)  # so many are of the small class; its mean work, in parts of all requests' mean
+)  # share of small requests; their mean work relative to that of all
 DEMAND_RATIO, MIN_RATE_PER_PROCESS_PER_S = (
     1.5,
     0.5,
-)  # all arrivals: so many times what a warm engine may be sent; at least, of a process
-WARM_BUDGET_MS = 0.85 * ENGINE_CORES * WINDOW_MS * OVERLOAD_RATIO  # as the module takes it, warm
+)  # total arrival rate in budgets of a warm engine; lower bound
+WARM_BUDGET_MS = (
+    0.85 * ENGINE_CORES * WINDOW_MS * OVERLOAD_RATIO
+)  # of a warm engine for one window, as computed by the module
 STRATEGIES = ("shares", "draws", "turns", "carried", "places", "paced")
 
 
 def settings(count: int, number: int, mean: float) -> policy.Settings:
-    """Return the settings of dispatcher `number` of `count`, with a small and a large class of requests.
+    """Return the settings of process `number` of `count`, with a small and a large class of requests.
 
-    Their mean works are such that all requests' mean is `mean` ms, with SMALL_PART of them small.
+    The mean work of all requests is `mean` ms; SMALL_SHARE of them are small.
     """
     small = SMALL_MEAN_RATIO * mean
     large = (mean - SMALL_SHARE * small) / (1.0 - SMALL_SHARE)
@@ -84,9 +87,9 @@
 
 
 def allowance(age: float, mean: float) -> tuple[float, float]:
-    """Return the base N of a window at an engine `age` ms after its start, and N with what the rule adds for chance.
+    """Return the base N of a window at an engine `age` ms after its start, and N plus the statistical tolerance.
 
-    Both are in requests of mean work, by the most cautious ramp, as the decision module takes it.
+    Both are in requests of mean work, for the most cautious ramp, as in the decision module.
     """
     capacity = START_CAPACITY + (1.0 - START_CAPACITY) * min(1.0, age / WARM_MS) ** 2
     base = OVERLOAD_RATIO * ENGINE_CORES * capacity * WINDOW_MS / mean
@@ -95,12 +98,12 @@
 
 
 class Process:
-    """One dispatcher: the real module for a cold engine's budget, and a queue of held requests, smallest first."""
+    """One process: the decision module that enforces slow start, and a queue of waiting requests, smallest first."""
 
     def __init__(self, strategy: str, count: int, number: int, mean: float, now: float) -> None:
         self.strategy, self.seed = strategy, 0
         self.controller = Controller(settings(count, number, mean), number)
-        self.controller.handle(now, policy.EndpointListUpdated(EndpointListKind.FULL, 1, ()))  # its start
+        self.controller.handle(now, policy.EndpointListUpdated(EndpointListKind.FULL, 1, ()))  # starts the controller
         self.queue = list[tuple[float, int, SimpleNamespace]]()
         if strategy != "turns":
             remaining_ms = functools.partial(getattr(self, f"_{strategy}"))
@@ -108,11 +111,11 @@
         self.tokens, self.tokens_at_ms, self.free_at_ms = dict[int, float](), dict[int, float](), dict[int, float]()
 
     def update_endpoint(self, now: float, entry: EngineEntry) -> None:
-        """Tell the controller of a change of the engine list."""
+        """Report a change of the endpoint list to the controller."""
         self.controller.handle(now, policy.EndpointListUpdated(EndpointListKind.DELTA, 1, (entry,)))
 
     def release_requests(self, now: float, number: int) -> list[SimpleNamespace]:
-        """Remove and return the held requests that may go to the engine now; drop those whose client has left."""
+        """Remove and return the queued requests that may be sent to the engine now; drop expired ones."""
         engine = self.controller.engines.get(number)
         if engine is None or not engine.in_slow_start(now):
             return []
@@ -133,7 +136,7 @@
                 break
         return released
 
-    # The other ways: what is left for one more request, as `SlowStart.remaining_ms`.
+    # The other strategies: replacements of `SlowStart.remaining_ms`.
 
     def _budget_ms(self, engine: object, now: float) -> float:
         controller = self.controller
@@ -184,7 +187,7 @@
         )
 
     def _paced(self, engine: object, now: float) -> float:
-        """A send takes its part of its turn's time; windows hold the booked time of one window, and one request."""
+        """Each send reserves time in proportion to its work; a window's reservations may exceed it by one request."""
         controller, engine_id = self.controller, engine.id  # type: ignore[attr-defined]
         count, slot = controller.settings.coordinators, int(now / WINDOW_MS) + engine_id
         budget_ms = PACED_SAFETY * self._budget_ms(engine, now)
@@ -211,21 +214,21 @@
 
 @dataclass
 class Ramp:
-    """What came to one engine: times and true work in requests of mean work."""
+    """Sends to one engine: their times, and the cumulative true work in requests of mean work."""
 
     sent_at_ms: list[float] = field(default_factory=list)
     work: list[float] = field(default_factory=list)
     cumulative_work: list[float] = field(default_factory=lambda: [0.0])
 
     def add(self, now: float, work: float) -> float:
-        """The work of the window that ends now."""
+        """Record a send and return the work of the window that ends now."""
         self.sent_at_ms.append(now)
         self.cumulative_work.append(self.cumulative_work[-1] + work)
         return self.cumulative_work[-1] - self.cumulative_work[bisect_left(self.sent_at_ms, now - WINDOW_MS)]
 
 
 class Fleet:
-    """The processes of one way and count; a ramp follows the other on one timeline, so that modules are kept."""
+    """The processes of one strategy; ramps run one after another on one timeline, so that modules are reused."""
 
     def __init__(
         self, strategy: str, count: int, mean: float, hints: bool, restarts: float, engines: int, min_rate_per_s: float
@@ -242,7 +245,7 @@
         return Process(self.strategy, self.count, number, self.mean, now)
 
     def ramp(self, seed: int) -> tuple[float, float]:
-        """Return the worst excess over the allowance, as a part of it, and the part of N that was used."""
+        """Run one ramp; return the worst excess over the allowance, relative to it, and the used share of N."""
         rng, start_ms, engine_ids = (
             random.Random(seed),
             self.now,
@@ -257,7 +260,7 @@
             process.controller.last_event_at_ms = start_ms
         for engine_id in engine_ids:
             started_at_ms[engine_id] = start_ms + rng.random() * WINDOW_MS * (self.engine_count > 1)
-            for index in range(self.count):  # most hear of it soon, some as late as they may
+            for index in range(self.count):  # 80% within a tenth of the maximum delay
                 delay_ms = MAX_DISCOVERY_DELAY_MS * (rng.random() if rng.random() < 0.2 else 0.1 * rng.random())
                 heapq.heappush(events, (started_at_ms[engine_id] + delay_ms, -1, index, engine_id))
         if self.restarts:
@@ -276,7 +279,7 @@
         ):
             events.append((arrives_at_ms, order, processes[order], 0))
             order += 1
-        return events  # in order, which is a heap
+        return events  # sorted by time, hence a valid heap
 
     def _run(
         self,
@@ -341,10 +344,10 @@
 
 
 def measure(strategy: str, count: int, seeds: int, args: argparse.Namespace) -> dict[str, float | int | str]:
-    """Run a number of seeded ramps of one way to share.
+    """Run a number of seeded ramps of one strategy.
 
-    Return the part of runs in which a window's work exceeded the allowance, the most work in a window as a multiple of
-    its allowance, and the mean part of N that was used.
+    Return the share of runs in which a window's work exceeded its allowance, the most work in a window as a multiple of
+    its allowance, and the mean used share of N.
     """
     fleet = Fleet(strategy, count, args.mean, not args.no_hints, args.restarts, args.engines, args.each)
     runs = [fleet.ramp(seed) for seed in range(1, seeds + 1)]
@@ -359,7 +362,7 @@
 
 
 def main() -> None:
-    """Measure each way at each count of processes and print one JSON object."""
+    """Measure each strategy with each count of processes and print one JSON object."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=1_000)
     parser.add_argument("--counts", default="1,3,30,200")
--- a/bench/cold_rights.py
+++ b/bench/cold_rights.py
@@ -26,7 +26,7 @@
     """Run one emulation with faults of all kinds, drawn from the seed, and return its figures."""
     rng = random.Random(seed)
     count, loss_at_s, faults = drawn(rng, (3.0, 15.0, 15.0), (2.0, 25.0), (5, 3.0), (4, 8.0))
-    if rng.random() < 0.3:  # a power loss
+    if rng.random() < 0.3:  # power loss: all nodes are killed and restarted
         faults += [
             f"{loss_at_s + node * 0.1:.2f} kill {node}; {loss_at_s + 1.5 + rng.uniform(0.0, 3.0):.2f} start {node}"
             for node in range(count)
@@ -49,10 +49,10 @@
 
 
 def measure_use(count: int, load: float, plain: bool, min_query_ms: float, max_query_ms: float) -> dict[str, Any]:
-    """Return how much of the budget is used without faults, as the median of three seeds.
+    """Return the used share of the budget without faults, as the median of three seeds.
 
-    The first coordinator wants ten times what each other wants; `load` is what all want, as a part of the budget. `low`
-    and `high` are the least and greatest time of a query (ms).
+    The first coordinator demands ten times as much as each other; `load` is the total demand relative to the budget.
+    Query times range from `min_query_ms` to `max_query_ms`.
     """
     used, used_by_first = [], []
     for seed in (1, 2, 3):
@@ -74,7 +74,7 @@
 
 
 def main() -> None:
-    """Run the seeded faults and the uses on several processes; print one JSON object."""
+    """Run the seeded faults and the measurements of use in several processes; print one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=500)
     parser.add_argument("--jobs", type=int, default=4)
--- a/bench/common.py
+++ b/bench/common.py
@@ -1,7 +1,4 @@
-"""Output shared by the benchmarks: prints a result.
-
-Owns nothing else. It must never measure.
-"""
+"""Output of results, shared by the benchmarks."""
 
 from __future__ import annotations
 
@@ -10,7 +7,7 @@
 
 
 def write_result(result: dict[str, Any], file: str | None) -> None:
-    """Print the result as one JSON object and write it to `file` too, where one is named."""
+    """Print the result as one JSON object; also write it to `file` if one is given."""
     text = json.dumps(result, indent=1)
     print(text)
     if file:
--- a/bench/compiled.py
+++ b/bench/compiled.py
@@ -1,12 +1,12 @@
-"""Runs a command of this project with the parts that the fleet's emulator spends its time in compiled to machine code.
+"""Runs a command of this project with the hot modules of the fleet's emulator compiled to machine code.
 
     pip install -r requirements-compile.txt                                     (and a C compiler)
     python bench/compiled.py bench/fleet_state.py --watch 1000:halves
     python bench/compiled.py -m frostspindle lab fleet --nodes 300 --faults '0- loss 0.3'
 
-Owns the compiled copy of the project: build/compiled-DIGEST, one for each state of the sources, made once by mypyc.
-The sources are those that serve, and these are never compiled for it: a coordinator spends its time elsewhere. It must
-never use a copy whose short run under faults differs from the one that is not compiled in any byte or spend.
+The compiled copy is built by mypyc in build/compiled-DIGEST, once for each state of the sources. A copy is used only
+if a short run under faults gives the same spends and the same number of bytes as the sources. Coordinators in service
+run the sources, not a compiled copy, as they spend their time in other modules.
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 PACKAGES = ("frostspindle", "bench", "deploy")
-# Without `lab/fleet.py`, as a compiled class can't have subclasses that are not, and `wire.py`, which msgspec reads.
+# Left out: `lab/fleet.py`, as interpreted classes can't subclass compiled ones, and `wire.py`, whose classes msgspec
+# inspects.
 MODULES = tuple(
     f"frostspindle/{name}.py"
     for name in (
@@ -69,7 +70,7 @@
 
 
 def digest() -> str:
-    """Return a hash of all that a compiled copy depends on: the sources, this module's settings, the interpreter."""
+    """Return a hash of the inputs of a compiled copy: sources, build settings of this module, interpreter version."""
     state = hashlib.sha256(repr((sys.version, MODULES, SETUP)).encode())
     for package in PACKAGES:
         for path in sorted((ROOT / package).rglob("*.py")):
@@ -78,7 +79,7 @@
 
 
 def run(folder: Path) -> tuple[str, str]:
-    """Run a short seeded emulation with the copy in `folder`; return its output and the file of its node module."""
+    """Run a short seeded emulation with the copy in `folder`; return its output and the path of its node module."""
     output = subprocess.run(
         [sys.executable, "-P", "-c", RUN],
         env=os.environ | {"PYTHONPATH": str(folder)},
@@ -90,9 +91,9 @@
 
 
 def build(target: Path) -> None:
-    """Build a compiled copy; it is moved to its place only once it has given the same output as the sources.
+    """Build a compiled copy and move it to `target` if its output equals that of the sources.
 
-    Exit with a message if nothing was compiled or the output differs.
+    Exit with a message if mypyc compiled nothing or the output differs.
     """
     target.parent.mkdir(exist_ok=True)
     with tempfile.TemporaryDirectory(dir=target.parent) as name:
@@ -106,14 +107,14 @@
         shutil.rmtree(folder / "build")
         (plain, _), (compiled, file) = run(ROOT), run(folder)
         if not file.endswith(".so"):
-            sys.exit(f"nothing was compiled: {file}")
+            sys.exit(f"mypyc compiled nothing: the node module is {file}")
         if plain != compiled:
-            sys.exit("the compiled copy does not do as the sources do, and is not used")
+            sys.exit("the output of the compiled copy differs from that of the sources; the copy was discarded")
         folder.rename(target)
 
 
 def main() -> None:
-    """Build the compiled copy if these sources have none, then replace this process by the command with that copy."""
+    """Build the compiled copy if it does not exist, then replace this process by the command run with it."""
     if len(sys.argv) < 2:
         sys.exit(__doc__)
     folder = ROOT / "build" / f"compiled-{digest()}"
--- a/bench/fleet_state.py
+++ b/bench/fleet_state.py
@@ -4,9 +4,9 @@
         [--processes 9] [--out FILE]
     python bench/fleet_state.py --watch 1000:halves [--limit 900]      (or 3000:calm)
 
-Prints one JSON object. Runs are seeded; those on sockets depend on the machine. `--watch` plays one fleet that has
-joined before for as long as the limit of CPU seconds lets it, prints a line for each 5 s of simulated time to stderr,
-and tells bytes by kind of message.
+Prints one JSON object. Runs are seeded; those on sockets depend on the machine. `--watch` runs one fleet of already
+joined nodes within a limit of CPU seconds, prints a line for each 5 s of simulated time to stderr, and reports bytes by
+kind of message.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 
 def measure_partition(count: int, seed: int = 1) -> dict[str, Any]:
-    """Cut half of a fleet off for 30 s; return the time until all have equal sums, and the bytes of the whole run."""
+    """Partition a fleet into halves for 30 s; return the time until all sums agree, and the bytes of the run."""
     partition = f"0-{count // 2 - 1}|{count // 2}-{count - 1}" if count > 3 else "0|1-2"
     started = time.perf_counter()
     emulator = Emulator(
@@ -78,7 +78,7 @@
 
 
 def measure_calm(count: int) -> dict[str, Any]:
-    """Return each node's bytes a second without faults, after joining; from 1,000 nodes on they have joined before."""
+    """Return each node's bytes per second without faults, after joining; 1,000 nodes or more start as joined."""
     emulator = Emulator(
         count, 1, parse("", count), 70.0, 20 * count, demand=lambda n: 0.2, homes=min(count, 64), joined=count >= 1_000
     )
@@ -91,7 +91,7 @@
 
 
 def measure_kill(count: int) -> dict[str, Any]:
-    """Kill one of a large fleet that has joined before; return emulation speed, bytes a node and detection times."""
+    """Kill a node of a large, already joined fleet; return emulation speed, bytes per node and detection times."""
     started = time.process_time()
     emulator = Emulator(
         count, 1, parse(f"5 kill {count - 1}", count), 60.0, 20 * count, demand=lambda n: 0.2, homes=64, joined=True
@@ -107,17 +107,17 @@
 
 
 class _LimitError(Exception):
-    """The run has used up its CPU time."""
+    """The run has exceeded its CPU time limit."""
 
 
 class Watched(Emulator):
-    """An emulator that counts bytes by kind of message, from one datagram in SAMPLE."""
+    """An emulator that counts bytes by kind of message, sampling one datagram in SAMPLE."""
 
     SAMPLE = 16
 
     def __init__(self, *args: Any, **kw: Any) -> None:
         super().__init__(*args, **kw)
-        self.bytes_by_kind: Counter[str] = Counter()  # bytes by kind of message, and of what goes with them
+        self.bytes_by_kind: Counter[str] = Counter()  # by kind of message or of piggybacked data
 
     def _send(self, number: int, datagrams: list[Any]) -> None:
         super()._send(number, datagrams)
@@ -134,11 +134,11 @@
 
 
 def watch(count: int, shape: str, limit_s: float) -> dict[str, Any]:
-    """Run one fleet that has joined before, for 240 s of simulated time at most.
+    """Run one fleet of already joined nodes, for at most 240 s of simulated time.
 
-    Shape `halves`: cut in halves from 20 s to 50 s of simulated time, with demand until the cut is healed; else without
-    faults, with demand for 20 s. It ends early once `limit_s` CPU seconds are used, or 60 s after all agree. Print a
-    line for each 5 s to stderr.
+    Shape `halves` partitions it into halves from 20 s to 50 s of simulated time, with demand until the partition heals;
+    any other shape has no faults, and demand for 20 s. The run ends early once `limit_s` CPU seconds are used, or 60 s
+    after all nodes agree. Print a line for each 5 s to stderr.
     """
     cut_script = f"20-50 cut 0-{count // 2 - 1}|{count // 2}-{count - 1}" if shape == "halves" else ""
     started = time.process_time()
@@ -205,7 +205,7 @@
 
 
 def measure_utilisation(count: int, units_per_node: int, demand_ratio: float) -> dict[str, Any]:
-    """Return the part of its budget that a fleet without faults uses; the first node wants ten times another's part."""
+    """Return the share of its budget that a fleet uses without faults; the first node demands ten times as much."""
     units = count * units_per_node
     emulator = Emulator(
         count,
@@ -227,7 +227,7 @@
 
 
 def measure_partition_sides(units_per_node: int) -> dict[str, Any]:
-    """Cut two nodes off from three; return the part that each side uses of what its members hold."""
+    """Partition five nodes into two and three; return the share that each side uses of the units that it holds."""
     units = 5 * units_per_node
     emulator = Emulator(5, 1, parse("20-60 cut 0-1|2-4", 5), 60.0, units, demand=lambda node: units_per_node * 2.0)
     emulator.run()
@@ -240,7 +240,7 @@
 
 
 def measure_detection(seed: int) -> dict[str, Any]:
-    """Kill a node under 30% loss; return the times to detect it (s), and false suspicions of live nodes."""
+    """Kill a node under 30% message loss; return the detection times (s), and false suspicions of live nodes."""
     emulator = Emulator(9, seed, parse("0- loss 0.3; 30 kill 8", 9), 90.0, 180, demand=lambda n: 1.0)
     emulator.run()
     figures = measure(emulator)
@@ -253,7 +253,7 @@
 
 
 async def run_processes(count: int) -> dict[str, Any]:
-    """Run processes of the program under a cut, a kill and message loss; return overspending and time to agree (s)."""
+    """Run processes of the program under a cut, a kill and message loss; return overspending and agreement time."""
     from frostspindle.lab.faults.runner import Fleet, demand, overspent
 
     fleet = Fleet(
@@ -307,7 +307,7 @@
 
 
 def main() -> None:
-    """Run all measurements, or with --watch one fleet alone, and print one JSON object."""
+    """Run all measurements, or one fleet with --watch; print one JSON object."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--runs", type=int, default=500)
     parser.add_argument("--sizes", default="3,30,300", help="of fleets that are cut in halves")
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -1,9 +1,9 @@
-"""What a line of the log costs, by hand, as events.py makes it and by structlog's usual chain, in turn; and memory.
+"""Measures the cost of a log line: made with orjson alone, by telemetry.py, and by structlog's usual processor chain.
 
     python bench/log_cost.py [ROUNDS]
 
-Prints one JSON object: processor microseconds a line (medians), ratios within a round, and MB that a serving process
-holds more with each library loaded.
+Prints one JSON object: CPU microseconds per line (medians), ratios within a round, and the additional resident MB of a
+coordinator with each library loaded.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 
 class NullSink(io.RawIOBase):
-    """A sink that discards what it is given."""
+    """A sink that discards all data."""
 
     def write(self, data: Any) -> int:
-        """Discard the data and return its length, as if all of it were written."""
+        """Discard the data and return its length."""
         return len(data)
 
 
 def orjson_logger(sink: NullSink) -> Any:
-    """Return a log function that makes a JSON line with orjson alone."""
+    """Return a log function that writes a JSON line with orjson alone."""
 
     def log(event: str, **fields: Any) -> None:
         line = {"ts": round(time.time(), 3), "node": "n", "event": event, **fields}
@@ -46,7 +46,7 @@
 
 
 def structlog_logger(sink: NullSink) -> Any:
-    """Return the log function of the processor chain that structlog's page on performance recommends."""
+    """Return the log function of the processor chain that structlog's performance guide recommends."""
     logger = structlog.wrap_logger(
         structlog.BytesLogger(sink),
         wrapper_class=structlog.make_filtering_bound_logger(20),
@@ -63,7 +63,7 @@
 
 
 def cost_us(log: Any) -> float:
-    """Return the mean processor microseconds of a line, over LINES of them."""
+    """Return the mean CPU microseconds per line, over LINES lines."""
     started = time.process_time()
     for number in range(LINES):
         log("worker_relay_failed", owner=number, error="the owner ended its connection")
@@ -71,12 +71,12 @@
 
 
 def resident_mb(code: str) -> float:
-    """Return the resident memory (MB, for 4 KiB pages) of a new interpreter after it has run the code."""
+    """Return the resident memory (MB, assuming 4 KiB pages) of a new interpreter after running the code."""
     return float(subprocess.run([sys.executable, "-c", f"{code}\n{RESIDENT}"], check=True, capture_output=True).stdout)
 
 
 def main() -> None:
-    """Take turns between the ways of logging, then between the sets of imports; print one JSON object."""
+    """Measure the loggers alternately, then the sets of imports; print one JSON object."""
     rounds = int((sys.argv[1:] or ["9"])[0])
     telemetry.MAX_LINES_PER_S = 1 << 60
     sink = NullSink()
@@ -86,7 +86,7 @@
         "usual": structlog_logger(sink),
     }
     line_costs = [{name: cost_us(with_structlog) for name, with_structlog in loggers.items()} for _ in range(rounds)]
-    # events.py itself loads structlog: a stand-in takes its place in the process that goes without.
+    # telemetry.py imports structlog: the baseline process gets a stub of it.
     stub_structlog = (
         "import sys, types\nfake = types.ModuleType('structlog'); fake.BoundLoggerBase = object\n"
         "fake.typing = types.ModuleType('structlog.typing'); fake.typing.EventDict = dict\n"
--- a/bench/off_cost.py
+++ b/bench/off_cost.py
@@ -1,10 +1,10 @@
-"""What a new part costs while it is off: one process of an earlier checkout against one of this one, in turn.
+"""Measures the cost of a disabled feature: alternates processes of an earlier checkout and of this one.
 
     python bench/off_cost.py EARLIER_CHECKOUT [ROUNDS] [REQUESTS]
 
-The checkout is another working copy of this repository; both run on this interpreter's libraries. A run is so many
-requests, however long they take: what is measured is the coordinator's processor time a request and its memory, which a
-busy machine tells as well as an idle one.
+The checkout is another working copy of this repository; both run with this interpreter's libraries. A run is a fixed
+number of requests. It measures the coordinator's CPU time per request and its memory, which depend little on the load
+of the machine.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 
 async def load(port: int, first: int, count: int) -> None:
-    """Send `count` requests over CONNECTIONS connections, each of which sends its next once it is answered.
+    """Send `count` requests over CONNECTIONS connections; each sends its next one after a response.
 
-    Raise RuntimeError for any status but 200.
+    Raise RuntimeError for any status other than 200.
     """
     request_numbers = iter(range(first, first + count))
 
@@ -44,9 +44,9 @@
 
 
 def run(ports: dict[str, int], source: str | None, count: int) -> dict[str, float]:
-    """Load a coordinator of the checkout `source`, None for this one, with `count` requests after WARM others.
+    """Load a coordinator of the checkout `source`, None for this one, with `count` requests after a warm-up.
 
-    Return its processor time a request (ms) and its resident memory at the end (MB).
+    Return its CPU time per request (ms) and its resident memory at the end (MB).
     """
     config = document([host(name, port) for name, port in ports.items()])
     with coordinator(config, 1, source) as (port, (_, pid)):
@@ -57,7 +57,7 @@
 
 
 def main() -> None:
-    """Run both checkouts in turn, in alternating order; print the ratios of processor time and of memory."""
+    """Run both checkouts in alternating order; print the ratios of CPU time and of memory."""
     earlier, rounds, count = sys.argv[1], *map(int, (sys.argv[2:] + ["5", "4000"][len(sys.argv) - 2 :])[:2])
     with engines([f"s-{n:08x}" for n in range(1, 5)], 0.0, 2) as (ports, _):
         pairs = []
--- a/bench/order.py
+++ b/bench/order.py
@@ -1,9 +1,9 @@
-"""The cost of keeping requests of one key in order among processes, by how many other processes there are.
+"""Measures the cost of ordering requests of one key across processes, by the number of other processes.
 
     python bench/order.py [REQUESTS]
 
-Prints one JSON object: for 0, 1, 3 and 8 other processes with 256 places each, the median microseconds of entering and
-of leaving with a key that no other process has. All take turns within one run.
+Prints one JSON object: for 0, 1, 3 and 8 other processes with 256 queued requests each, the median microseconds to
+enter and to leave the queue with a key that no other process holds. The cases alternate within one run.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 
 def open_process(folder: Path) -> tuple[SharedCellFolder, KeyQueue]:
-    """Create the shared file of a process in the folder; return its view of all files there, and its turns."""
+    """Create the shared file of a process; return its view of all files in the folder, and its key queue."""
     cells = SharedCellFolder(folder, clock, 2100.0)
     return cells, KeyQueue(cells.own_file.owner, cells.own_file, cells.positions)
 
 
 def measure(folder: Path, others: int, requests: int, rng: random.Random) -> tuple[float, float]:
-    """Return the median microseconds of entering and leaving, with `others` other processes of 256 places each.
+    """Return the median microseconds to enter and to leave, with `others` other processes of 256 requests each.
 
-    Raise AssertionError if a request has to wait, as no other process should have its key.
+    Raise AssertionError if a request has to wait, as no other process should hold its key.
     """
     own_cells, own_queue = open_process(folder)
     other_processes = [open_process(folder) for _ in range(others)]
@@ -58,7 +58,7 @@
 
 
 def main() -> None:
-    """Measure each number of other processes in turn, ROUNDS times, and print the medians."""
+    """Measure each number of other processes alternately, ROUNDS times, and print the medians."""
     requests = int((sys.argv[1:] or ["2000"])[0])
     rng, runs = random.Random(1), {others: [] for others in OTHERS}
     for _ in range(ROUNDS):
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -1,13 +1,13 @@
-"""Measures owners: seeded runs in simulated time, processes over sockets, take-over times, and what renewals cost.
+"""Measures task ownership: seeded runs in simulated time, processes on sockets, take-over times, cost of renewals.
 
     nice python bench/ownership.py [--runs 500] [--jobs 3] [--first 0] [--kills 200] [--sockets 30]
                                    [--processor 1] [--out FILE]
 
-Prints one JSON object. `runs`: under drawn faults, stale actions accepted and histories with any fault, with the fence
-and without. `takeover`: from a holder's kill -9 to the first accepted action of another, by lease, in simulated time
-(`emulated`) and with processes of the program (`sockets`). `renewals`: what holding so many tasks costs the log.
-`processor`: what so many leases cost a process of the program, in parts of a core, by /proc, at the default lease.
-`evenness`: who holds how many of 1,000 tasks after a start of all, and after one was killed and came back.
+Prints one JSON object. `runs`: accepted stale actions and histories with faults, under drawn faults, with the fence and
+without. `takeover`: time from a holder's kill -9 to the first accepted action of another, by lease, in simulated time
+(`emulated`) and with processes of the program (`sockets`). `renewals`: load of the log by the number of held tasks.
+`processor`: CPU use of a process by the number of leases, in shares of a core, from /proc, at the default lease.
+`evenness`: distribution of 1,000 tasks after a start of all coordinators, and after one was killed and restarted.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
-    """Return the median, p99, least, most and count of values in ms, rounded; the count alone if there are none."""
+    """Return the median, p99, minimum, maximum and count of values in ms, rounded; only the count if it is 0."""
     values = sorted(values)
     if not values:
         return {"of": 0}
@@ -45,7 +45,7 @@
 
 
 def run_seed(job: tuple[int, bool]) -> dict[str, Any]:
-    """Run one emulation, of `what` as its seed and whether stale tokens are fenced; return its figures."""
+    """Run one emulation, given as its seed and whether stale tokens are fenced; return its figures."""
     seed, fenced = job
     lease_ms = (1_000, 3_000)[seed % 2]
     lab = play(
@@ -62,7 +62,7 @@
 
 
 def measure_takeover(job: tuple[int, int]) -> float:
-    """Kill a holder at a random time within its lease; return the true ms until another's first accepted action.
+    """Kill a holder at a random time within its lease; return the ms until the first accepted action of another.
 
     Raise AssertionError if the history has a fault.
     """
@@ -81,7 +81,7 @@
 
 
 def measure_renewals(tasks: int) -> dict[str, Any]:
-    """Return what renewing the leases of that many tasks costs five coordinators, over 30 s after the first 20."""
+    """Return the cost of renewing that many leases for five coordinators, from 20 s to 50 s of simulated time."""
     lab = Lab(5, 1, "", tasks=tasks, late=0.0)
     lab.act = lambda coordinator, task, token: None  # type: ignore[method-assign]
     started = time.perf_counter()
@@ -114,7 +114,7 @@
 
 
 def measure_evenness(seed: int) -> dict[str, Any]:
-    """Return how 1,000 tasks are spread over five coordinators at several times, and how many moved until then."""
+    """Return the distribution of 1,000 tasks over five coordinators at several times, and the moves until then."""
     lab = Lab(5, seed, "60 kill 4; 70 start 4", tasks=1_000, late=0.0)
     lab.act = lambda coordinator, task, token: None  # type: ignore[method-assign]
     result: dict[str, Any] = {}
@@ -129,10 +129,10 @@
 
 
 async def run_processes(runs: int, lease_ms: int, faults: bool, first: int = 0) -> dict[str, Any]:
-    """Run processes of the program and kill the holder, or with `faults` stop it, cut it off or kill it, in turn.
+    """Run processes of the program and kill the holder; with `faults`, alternately stop, isolate or kill it.
 
-    One that is stopped continues after twice its lease, one killed is started again. Return the times until another's
-    first accepted action (ms), the counts of accepted and refused actions, and faults in the histories.
+    A stopped holder continues after twice its lease; a killed one is restarted. Return the times until the first
+    accepted action of another (ms), the counts of accepted and refused actions, and faults in the histories.
     """
     takeover_ms: list[float] = []
     violations: list[str] = []
@@ -191,18 +191,18 @@
     start(part)
 wiring.OwnershipComponent.start = begin
 runpy.run_module("frostspindle", run_name="__main__")
-"""  # more tasks than a file may name: the program as it is, that wants these besides
+"""  # the unchanged program, with candidacies for more tasks than the settings file can list
 
 
 def used_s(pid: int) -> float:
-    """Return the processor seconds, user and system, that a process has used so far."""
+    """Return the CPU seconds, user and system, that a process has used so far."""
     with open(f"/proc/{pid}/stat", encoding="utf-8") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 async def measure_processor(tasks: int, duration_s: float = 20.0) -> dict[str, Any]:
-    """Return the part of a core that each of five processes uses, three of them voters, once all tasks are held."""
+    """Return the share of a core that each of five processes, three of them voters, uses once all tasks are held."""
     fleet = Owned(lease_ms=3_000, tasks=())
     for process in fleet.processes:
         process.started_as = ["-c", ADD_TASKS_PROGRAM.format(tasks=tasks)]
@@ -230,7 +230,7 @@
 
 
 def main() -> None:
-    """Run all measurements, print each result to stderr as it comes, and one JSON object at the end."""
+    """Run all measurements; print intermediate results to stderr, and one JSON object at the end."""
     parser = argparse.ArgumentParser()
     for name, default in (("runs", 500), ("jobs", 3), ("first", 0), ("kills", 200), ("sockets", 30)):
         parser.add_argument(f"--{name}", type=int, default=default)
--- a/bench/power.py
+++ b/bench/power.py
@@ -39,7 +39,7 @@
 
 
 def run_mixed_faults(seed: int) -> dict[str, Any]:
-    """Run one return from a power loss under faults of all kinds, drawn from the seed; return its figures."""
+    """Run one recovery from a power loss under faults of all kinds, drawn from the seed; return its figures."""
     rng = random.Random(seed)
     nodes = rng.choice((5, 7, 9))
     shuffled = rng.sample(range(nodes), nodes)
@@ -60,10 +60,10 @@
 
 
 def run_all_lose_power(arguments: tuple[int, int, float, bool]) -> dict[str, Any]:
-    """Run one size and seed in which all lose power, with recovery and with the start without it; return both figures.
+    """Run one size and seed in which all nodes lose power, with recovery and with a plain start; return both figures.
 
-    The arguments: nodes, seed, the multiple of its current capacity that a cold engine may be sent, and whether to run
-    plain shares of cold budgets too.
+    The arguments are the nodes, the seed, the load limit of a cold engine as a multiple of its current capacity, and
+    whether to also run with plain shares of cold budgets.
     """
     nodes, seed, tip, plain = arguments
     power.TIP = tip
@@ -75,23 +75,23 @@
 
 
 def summary(rows: list[dict[str, Any]], prefix: str) -> dict[str, Any]:
-    """Return the median of each figure with that prefix; sums for those that must be zero.
+    """Return the median of each figure with that prefix, or the sum if it must be zero.
 
-    A run that never recovered counts as the whole 45 s.
+    A run that never recovered counts as 45 s, its full length.
     """
     result: dict[str, Any] = {}
     for name in FIELDS:
         values = [row[prefix + name] for row in rows if prefix + name in row]
         if not values:
             continue
-        if name.endswith("_s"):  # one that never came back counts as the whole run
+        if name.endswith("_s"):  # None: never recovered
             values = [45.0 if value is None else value for value in values]
         result[name] = sum(values) if name in ZEROS else median(values)
     return result
 
 
 def main() -> None:
-    """Run the seeded faults, then each size and limit; print one JSON object."""
+    """Run the seeded faults, then each size and load limit; print one JSON object."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--runs", type=int, default=500)
     parser.add_argument("--first", type=int, default=1, help="the first seed, of the zeros and of each size")
@@ -106,7 +106,9 @@
         runs = []
         for run in pool.map(run_mixed_faults, range(args.first, args.first + args.runs)):
             runs.append(run)
-            if any(run[name] for name in ZEROS) or len(runs) % 20 == 0:  # a run that is cut short tells something too
+            if (
+                any(run[name] for name in ZEROS) or len(runs) % 20 == 0
+            ):  # so that an aborted benchmark has printed results
                 print(len(runs), run["seed"], {name: run[name] for name in ZEROS}, file=sys.stderr, flush=True)
         result["zeros"] = {name: sum(run[name] > 0 for run in runs) for name in ZEROS}
         result["runs"], result["requests"] = len(runs), sum(run["requests"] for run in runs)
--- a/bench/power_sockets.py
+++ b/bench/power_sockets.py
@@ -27,9 +27,9 @@
 
 
 async def run_seed(seed: int) -> dict[str, Any]:
-    """Run one power loss of five processes, with faults by the seed, and return its figures.
+    """Run one power loss of five processes, with faults drawn from the seed; return its figures.
 
-    A run that exceeds its time counts as `stuck`. Odd seeds have a cut and 5% message loss.
+    A run that times out counts as `stuck`. Odd seeds have a cut and 5% message loss.
     """
     shuffled = random.Random(seed).sample(range(5), 5)
     cut, minority_cut = seed % 2 == 1, seed % 4 == 3
@@ -70,7 +70,7 @@
 
 
 def main() -> None:
-    """Run all seeds one after another, print each to stderr, and one JSON object with the sums."""
+    """Run all seeds one after another; print each run to stderr, then one JSON object with the sums."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=30)
     parser.add_argument("--out", default="")
--- a/bench/predicates.py
+++ b/bench/predicates.py
@@ -1,8 +1,8 @@
-"""The cost of predicates: an index of filters against a scan, statements parsed and cached, may_match and covers.
+"""Measures predicates: an index of filters against a scan, parsed and cached statements, may_match and covers.
 
     PYTHONPATH=. python bench/predicates.py [--quick] > predicates.json
 
-Seeded. All ways that are compared take turns within one run; times are medians of the turns, in microseconds a call.
+Seeded. Compared variants alternate within one run; times are medians of the turns, in microseconds per call.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def draw_filters(count: int, rng: random.Random) -> list[Predicate]:
-    """Draw filters as operators and tenants have them: ten to a tenant, and one in a hundred, up to five, broad."""
+    """Draw typical filters of operators and tenants: ten per tenant; one in a hundred, at most five, is broad."""
     predicates = []
     for _ in range(count):
         tenant, engine = rng.randrange(max(1, count // 10)), rng.randrange(500)
@@ -65,7 +65,7 @@
 
 
 def draw_event(count: int, rng: random.Random) -> dict:
-    """Draw an event to match, for a set of `count` filters, which decides how many tenants there are."""
+    """Draw an event to match; `count`, the number of filters, determines the number of tenants."""
     return {
         "tenant": f"t{rng.randrange(max(1, count // 10))}",
         "class": rng.choice(CLASSES),
@@ -78,7 +78,7 @@
 
 
 def timed(call: Callable[[int], object], min_s: float) -> float:
-    """Return the mean microseconds of a call, repeated for at least `least_s`; it is given its number."""
+    """Return the mean microseconds per call, repeated for at least `min_s`; each call gets its number."""
     count, started = 0, time.perf_counter()
     while (now := time.perf_counter()) - started < min_s or not count:
         call(count)
@@ -87,7 +87,7 @@
 
 
 def measure_in_turn(calls: dict[str, Callable[[int], object]], turns: int, min_s: float) -> dict[str, float]:
-    """Time the calls in turn, `turns` times over; return each one's median microseconds a call."""
+    """Time the calls alternately, `turns` times; return the median microseconds of each."""
     times_by_name: dict[str, list[float]] = {name: [] for name in calls}
     for _ in range(turns):
         for name, call in calls.items():
@@ -153,7 +153,7 @@
 
 
 def measure_statements(turns: int, min_s: float) -> dict:
-    """Return the times to parse statements, new and cached, and the longest ones; and to import the parser (ms)."""
+    """Return the times to parse new, cached and worst-case statements, and to import the parser (ms)."""
     cached, uncached = Reader(), Reader(cached=0)
     texts = [make_statement(number) for number in range(500)]
     for text in texts:
@@ -197,7 +197,7 @@
 
 
 def draw_summary(values: int, bits: int, rng: random.Random) -> Summary:
-    """Return a summary of that many drawn rows of four columns, with a sketch of `bits` bits for each."""
+    """Return a summary of drawn rows of four columns, with a sketch of `bits` bits for each column."""
     summary = Summary(["agent", "cost", "status", "at"], bits)
     for _ in range(values):
         summary.widen(
@@ -212,7 +212,7 @@
 
 
 def measure_summaries(turns: int, min_s: float) -> dict:
-    """Return the times of operations on predicates and summaries, and the rate of false matches by a summary's size."""
+    """Return the times of operations on predicates and summaries, and the rate of false matches by summary size."""
     rng = random.Random(5)
     summary = draw_summary(1_000, 4_096, rng)
     empty = draw_summary(0, 4_096, rng)
--- a/bench/replica.py
+++ b/bench/replica.py
@@ -1,10 +1,10 @@
-"""Measures the replicated log: seeded runs in simulated time, processes over sockets, and the library's own journal.
+"""Measures the replicated log: seeded runs in simulated time, processes on sockets, and the library's journal.
 
     python bench/replica.py [--runs 200] [--jobs 4] [--first 0] [--kills 10] [--out FILE]
 
-Prints one JSON object. `runs`: under drawn faults, how many went wrong in any way. `sockets`: one process with five
-members (so that CPU and turns are upper bounds). `processes`: from a leader's kill -9, SIGSTOP or cut to the first
-answered proposal elsewhere. `library`: what pysyncobj's own journal syncs and notices.
+Prints one JSON object. `runs`: violations under drawn faults. `sockets`: one process with five members, so CPU times
+and turns are upper bounds. `processes`: time from a leader's kill -9, SIGSTOP or isolation to the first answered proposal
+at another member. `library`: syncs of pysyncobj's journal, and the corruption that it detects.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def run_seed(seed: int) -> dict[str, Any]:
-    """Run the log under drawn faults in simulated time; return what went wrong, outcomes of proposals and counters."""
+    """Run the log under drawn faults in simulated time; return violations, outcomes of proposals and counters."""
     nodes, voters = ((5, 3), (5, 5), (3, 3))[seed % 3]
     run = Run(seed, nodes=nodes, voters=voters)
     outcomes = Counter(type(answers[0]).__name__ for answers in run.answers.values() if answers)
@@ -50,7 +50,7 @@
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
-    """Return the median, p99, most and count of values; raise IndexError if there are none."""
+    """Return the median, p99, maximum and count of values; raise IndexError if there are none."""
     values = sorted(values)
     return {
         "p50": round(values[len(values) // 2], 2),
@@ -61,7 +61,7 @@
 
 
 def cpu_used_s() -> float:
-    """Return the processor seconds, user and system, that this process has used so far."""
+    """Return the CPU seconds, user and system, that this process has used so far."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
@@ -118,9 +118,9 @@
 
 
 async def measure_failover(kills: int) -> dict[str, Any]:
-    """Kill, stop or cut off the leader of five processes, `kills` times each.
+    """Kill, stop or isolate the leader of five processes, `kills` times each.
 
-    Return the times (ms) until another answers a proposal and, for a cut, until the old leader steps down.
+    Return the times (ms) until another member answers a proposal and, if isolated, until the old leader steps down.
     """
     result: dict[str, Any] = {}
     for fault in ("kill", "stop", "cut"):
@@ -154,7 +154,7 @@
 
 
 def measure_library() -> dict[str, Any]:
-    """Return the syncs of pysyncobj's journal for 1,000 entries and 100 votes, and how many flipped bits it notices."""
+    """Return the syncs of pysyncobj's journal for 1,000 entries and 100 votes, and the flipped bits that it detects."""
     from pysyncobj.journal import FileJournal
 
     with tempfile.TemporaryDirectory() as folder:
@@ -183,7 +183,7 @@
                 reopened = FileJournal(path)
                 different += [entry[0] for entry in reopened] != [b"\0" + b"x" * 100] * 1_000
                 reopened._destroy()
-            except Exception:  # noqa: BLE001 - whatever it raises, it has noticed
+            except Exception:  # noqa: BLE001 - any exception counts as detection
                 noticed += 1
     return {
         "syncs": syncs,
@@ -195,7 +195,7 @@
 
 
 def main() -> None:
-    """Run the measurements asked for and print one JSON object."""
+    """Run the selected measurements and print one JSON object."""
     parser = argparse.ArgumentParser()
     for name, value in (("runs", 200), ("jobs", 4), ("first", 0), ("kills", 10)):
         parser.add_argument(f"--{name}", type=int, default=value)
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,14 +1,14 @@
-"""Where a request's time goes as engines and open requests grow, and the cost of timers.
+"""Measures how the cost of requests grows with engines and open requests, and the cost of timers.
 
-    python bench/scale.py cells [FILE]               core and module without sockets, by engines and open requests
+    python bench/scale.py cells [FILE]               core and policy without sockets, by engines and open requests
     python bench/scale.py timers [FILE]              the wheel, a heap, asyncio's heap and a sorted list, side by side
     python bench/scale.py profile [FILE [CHECKOUT]]  a coordinator under load on sockets, sampled by its processor time
     python bench/scale.py compare BASE [ROUNDS]      this checkout and another in turn: CPU a request, p99 at 80% load
 
-`cells` drives a `Core` with engines that answer when the bench says so; the module's part is timed inside. With
-PYTHONPATH set to another checkout it measures that one. `profile` needs no change in the program: the coordinator is
-started with a sampler on the interpreter's path that records the stack at each millisecond of its own processor time.
-Times are of this thread's processor, and so depend little on what else the machine does.
+`cells` drives a `Core` with simulated engines; calls of the decision module are timed separately. With PYTHONPATH set
+to another checkout it measures that one. `profile` needs no change of the program: a sitecustomize module in the
+coordinator samples the stack at each millisecond of its CPU time. Times are CPU times of this thread, and so depend
+little on other load of the machine.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 from frostspindle.telemetry import Telemetry
 
 ENGINES, OPEN = (4, 32, 96, 300, 1000), (100, 1000, 10_000)
-MAX_CELL_CPU_S = 1.5  # of processor time at most, for one cell
+MAX_CELL_CPU_S = 1.5  # ends the measurement of a cell
 REPORT = (0.3, 2.0, 0.2)
 
 
@@ -67,10 +67,10 @@
         """Ignore a change of an attempt's priority."""
 
     def start_health_check(self, engine: int) -> None:
-        """Ignore a health check, which never gets a result."""
+        """Ignore a health check; it never gets a result."""
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Keep the attempt for the benchmark to end."""
+        """Store the attempt until the benchmark ends it."""
         self.running.append(attempt)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
@@ -97,10 +97,10 @@
 
 
 async def measure_cell(engine_count: int, open_count: int) -> dict[str, Any]:
-    """Load a core that has `open_` requests open with `count` engines.
+    """Load a core that has `open_count` open requests and `engine_count` engines.
 
-    Return CPU microseconds a request: of the core without the decision module, of that module, of it by event; and the
-    number of timers.
+    Return CPU microseconds per request of the core without the decision module, of the module, and of the module by
+    event; and the number of timers.
     """
     rng, driver = random.Random(7), ManualDriver()
     core = Core(settings(), [("bench", "lookup")], 1, Telemetry(sink=io.BytesIO()), open_count + 64)
@@ -186,7 +186,7 @@
 
 
 async def measure_open_requests_mb(open_count: int) -> float:
-    """Return the memory (MB) that so many open requests take in core and module."""
+    """Return the memory (MB) that open requests use in the core and the decision module."""
     driver = ManualDriver()
     core = Core(settings(), [("bench", "lookup")], 1, Telemetry(sink=io.BytesIO()), open_count + 64)
     task = asyncio.create_task(core.run())
@@ -223,7 +223,7 @@
 
 
 def measure_cells() -> dict[str, Any]:
-    """Measure each number of engines with each number of open requests; print a row of each to stderr."""
+    """Measure each number of engines with each number of open requests; print each row to stderr."""
     rows = []
     for engine_count in ENGINES:
         for open_count in OPEN:
@@ -236,22 +236,22 @@
 
 
 class HeapTimers:
-    """A plain heap; a cancelled timer stays until its time."""
+    """A plain heap; cancelled timers remain until they are due."""
 
     def __init__(self) -> None:
         self.heap: list[Any] = []
         self.sequence = 0
 
     def start(self, due_at_ms: float, payload: Any) -> Any:
-        """Add a timer due at a time (ms); return nothing, as it can't be cancelled."""
+        """Add a timer; return None, as it can't be cancelled."""
         self.sequence += 1
         heapq.heappush(self.heap, (due_at_ms, self.sequence, payload))
 
     def cancel(self, timer: Any) -> None:
-        """Do nothing: the timer stays until its time."""
+        """Do nothing; the timer remains until it is due."""
 
     def fire_due(self, now: float) -> int:
-        """Fire all timers due at `now`, cancelled ones too, and return how many there were."""
+        """Fire all timers due at `now`, including cancelled ones; return their number."""
         fired = 0
         while self.heap and self.heap[0][0] <= now:
             heapq.heappop(self.heap)
@@ -259,12 +259,12 @@
         return fired
 
     def size(self) -> int:
-        """Return the number of timers held, cancelled ones included."""
+        """Return the number of timers, including cancelled ones."""
         return len(self.heap)
 
 
 class AsyncioTimers:
-    """asyncio's timers, call_at and cancel: cancelled ones are removed together once they are half of all."""
+    """Timers of asyncio; cancelled ones are removed in bulk once they are half of all."""
 
     def __init__(self) -> None:
         self.loop, self.fired, self.now = asyncio.new_event_loop(), 0, 0.0
@@ -275,7 +275,7 @@
         self.fired += 1
 
     def start(self, due_at_ms: float, payload: Any) -> Any:
-        """Add a timer due at a time (ms) and return its handle."""
+        """Add a timer and return its handle."""
         return self.loop.call_at(due_at_ms, self._fire, payload)
 
     def cancel(self, timer: Any) -> None:
@@ -290,7 +290,7 @@
         return self.fired
 
     def size(self) -> int:
-        """Return the number of timers held, cancelled ones included until they are removed."""
+        """Return the number of timers, including cancelled ones until they are removed."""
         return len(self.loop._scheduled)
 
 
@@ -303,7 +303,7 @@
         self.list, self.sequence = SortedList(), 0
 
     def start(self, due_at_ms: float, payload: Any) -> Any:
-        """Add a timer due at a time (ms) and return its row."""
+        """Add a timer and return its row."""
         self.sequence += 1
         timer = (due_at_ms, self.sequence, payload)
         self.list.add(timer)
@@ -322,7 +322,7 @@
         return fired
 
     def size(self) -> int:
-        """Return the number of timers that are pending."""
+        """Return the number of pending timers."""
         return len(self.list)
 
 
@@ -352,10 +352,10 @@
 
 
 def measure_answered(kind: str, rate: int, seconds: float, deadline_ms: float) -> dict[str, Any]:
-    """Run requests at `rate` a second, each answered 50 ms later, with a turn of the loop every millisecond.
+    """Run requests at `rate` per second, each answered after 50 ms, firing due timers every millisecond.
 
-    Deadlines are drawn from a fifth of `deadline_ms` up to it. Run twice, for time and for memory, which is slow to
-    trace. Return CPU microseconds a request, the most timers held, and MB at the end.
+    Deadlines are drawn from a fifth of `deadline_ms` up to it. Time and memory are measured in separate runs, as
+    tracing memory is slow. Return CPU microseconds per request, the maximum number of timers, and MB at the end.
     """
     result: dict[str, Any] = {"kind": kind, "rate": rate}
     for traced in (False, True):
@@ -382,7 +382,7 @@
 
 
 def measure_simultaneous(kind: str, count: int, ahead_ms: float) -> dict[str, Any]:
-    """Return the CPU microseconds to start, and to fire, each of `count` timers that are due at the same time."""
+    """Return the CPU microseconds to start and to fire each of `count` timers that are due at the same time."""
     timers = KINDS[kind]()
     started = time.thread_time()
     for number in range(count):
@@ -401,7 +401,7 @@
 
 
 def measure_timers(rounds: int = 3) -> dict[str, Any]:
-    """Measure the kinds of timers in turn, `rounds` times over, and return the medians."""
+    """Measure the kinds of timers alternately, `rounds` times, and return the medians."""
 
     def medians(runs: list[dict[str, Any]]) -> dict[str, Any]:
         return {
@@ -444,7 +444,7 @@
     signal.signal(signal.SIGUSR2, begin)
     atexit.register(lambda: open(path, "w").write(json.dumps(list(seen.items()))))
 """
-# The innermost frame that one of these knows says what the time went to: a part of the file's name, and functions.
+# Kind, part of a file name, and functions (all if empty). The innermost frame that matches determines the kind.
 FRAME_KINDS: tuple[tuple[str, str, tuple[str, ...]], ...] = (
     ("module", "frostspindle/policy/", ()),
     ("timers", "frostspindle/timers.py", ()),
@@ -479,7 +479,7 @@
 
 
 def classify_stack(stack: list[list[str]]) -> str:
-    """Return the part of the program that a sampled stack belongs to: KNOWN's first match, from the inside out."""
+    """Return the kind of work of a sampled stack: the first match in FRAME_KINDS, from the innermost frame out."""
     for file, function in stack:
         for kind, part, functions in FRAME_KINDS:
             if part in file and (not functions or function in functions):
@@ -494,9 +494,9 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection that sends requests at scheduled times, or after each answer where the load has no rate.
+    """One connection that sends requests at scheduled times, or after each response if the load has no rate.
 
-    A request's time counts from when it was scheduled, also if it was sent late.
+    Response times count from the scheduled time, even if the request was sent late.
     """
 
     def __init__(self, load: Load, first: float) -> None:
@@ -508,13 +508,13 @@
         asyncio.get_running_loop().call_at(self.scheduled_at, self.request)
 
     def request(self) -> None:
-        """Send the next request, unless the load is complete."""
+        """Send the next request unless the load is complete."""
         if not self.load.done.done():
             self.load.sent += 1
             self.transport.write(HEAD % (self.load.first + self.load.sent, len(SQL), SQL))
 
     def data_received(self, data: bytes) -> None:
-        """Follow an answer that has a next part; record a final one and send or schedule the next request."""
+        """Follow a `next` link; record a final response and send or schedule the next request."""
         self.buffer += data
         head, separator, body = self.buffer.partition(b"\r\n\r\n")
         if not separator or len(body) < int(head.partition(b"Content-Length: ")[2].partition(b"\r")[0]):
@@ -545,14 +545,14 @@
         self.connections = connections
 
     def record(self, seconds: float, status: bytes) -> None:
-        """Record the time (s) and status of a request; the load is complete at `count` of them."""
+        """Record the response time (s) and status of a request; the load is complete after `count` requests."""
         self.response_times_s.append(seconds)
         self.statuses[status] += 1
         if len(self.response_times_s) >= self.count and not self.done.done():
             self.done.set_result(None)
 
     async def run(self, port: int) -> float:
-        """Run the load against a port and return its seconds; raise TimeoutError if it takes over 60 s."""
+        """Run the load against a port and return its duration (s); raise TimeoutError if it takes over 60 s."""
         loop = asyncio.get_running_loop()
         self.done = loop.create_future()
         started = loop.time() + 0.2
@@ -571,9 +571,9 @@
 def client_process(
     pipe: Any, port: int, first: int, warm_up_count: int, count: int, connections: int, rate: float
 ) -> None:
-    """Run a load in a process of its own: warm up, report that to the pipe, wait, measure and send the figures.
+    """Entry point of the client process: warm up, notify the parent, wait for its signal, measure, send the figures.
 
-    Any error is sent as text, as the receiver would wait for ever otherwise.
+    Errors are sent as text; otherwise the parent would wait forever.
     """
     try:
         asyncio.run(Load(first, warm_up_count, connections, 0.0).run(port))
@@ -581,7 +581,7 @@
         pipe.recv()
         load = Load(first + (1 << 30), count, connections, rate)
         seconds = asyncio.run(load.run(port))
-    except Exception as error:  # noqa: BLE001 - or who waits for the result would wait for ever
+    except Exception as error:  # noqa: BLE001 - otherwise the parent would wait forever
         pipe.send(repr(error))
         return
     response_times_s = sorted(load.response_times_s)
@@ -598,10 +598,10 @@
 def run(
     ports: dict[str, int], source: str | None, count: int, connections: int = 64, rate: float = 0.0, samples: str = ""
 ) -> dict[str, float]:
-    """Run one coordinator of the checkout `source`, None for this one, under a load from a process of its own.
+    """Run one coordinator of the checkout `source`, None for this one, under a load from a separate process.
 
-    Return requests a second, latencies (ms), the part answered with 200, and its processor time a request (ms). Raise
-    RuntimeError if the client fails. With `samples` its sampler is started for the measured part.
+    Return requests per second, latencies (ms), the share of responses with status 200, and the CPU time per request
+    (ms). Raise RuntimeError if the client fails. With `samples`, the sampler runs during the measurement.
     """
     with socket.create_server(("127.0.0.1", 0)) as probe:
         listen = f"127.0.0.1:{probe.getsockname()[1]}"
@@ -629,9 +629,9 @@
 
 @contextmanager
 def sampler() -> Iterator[str]:
-    """Set the environment so that an interpreter started within samples its stacks; yield the file that they go to.
+    """Set the environment so that interpreters started within it sample their stacks; yield the path of the samples.
 
-    The file is written when that process ends, if it ends in good order.
+    The file is written at the regular exit of that process.
     """
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "sitecustomize.py").write_text(SAMPLER)
@@ -642,7 +642,7 @@
 
 
 def profile_coordinators(source: str | None = None) -> dict[str, Any]:
-    """Sample coordinators at each number of engines with 64 connections, then of connections with 32 slow engines."""
+    """Sample coordinators with each number of engines and 64 connections, then with 32 slow engines."""
     rows = []
     for count, connections, delay_s in [(n, 64, 0.0) for n in ENGINES] + [(32, 100, 0.1), (32, 1000, 0.1)]:
         names = [f"s-{n:08x}" for n in range(1, count + 1)]
@@ -654,7 +654,7 @@
                     "delay_s": delay_s,
                     **run(ports, source, 8000 if delay_s else 20_000, connections, samples=samples),
                 }
-            except Exception as error:  # noqa: BLE001 - how far it reaches is a result
+            except Exception as error:  # noqa: BLE001 - a size that fails is a result
                 rows.append({"engines": count, "connections": connections, "error": repr(error)})
                 print(rows[-1], file=sys.stderr, flush=True)
                 continue
@@ -672,7 +672,7 @@
 
 
 def compare(base: str, rounds: int, sizes: tuple[int, ...] = (4, 32, 96)) -> dict[str, Any]:
-    """Run this checkout and `base` in turn, closed loop, then at 80% of the base's rate; return ratios to the base."""
+    """Alternate this checkout and `base`, closed loop, then at 80% of the base's rate; return ratios to the base."""
     rows = []
     for count in sizes:
         with engines([f"s-{n:08x}" for n in range(1, count + 1)], 0.0, 2) as (ports, _):
--- a/bench/scatter.py
+++ b/bench/scatter.py
@@ -1,8 +1,8 @@
-"""Figures of scattered queries: queries that missed a row, sites left out, the cost of a cut and of a decision.
+"""Measures scattered queries: queries that missed a row, pruned sites, the effect of a cut, the cost of decisions.
 
     python bench/scatter.py [--runs 500] [--nodes 5] [--cores 4]
 
-Seeded; runs are of the emulator (`lab scatter`), spread over processes. Costs are CPU time, best of five rounds.
+Seeded; the runs use the emulator (`lab scatter`) in several processes. Costs are CPU times, best of five rounds.
 """
 
 from __future__ import annotations
@@ -49,9 +49,9 @@
 
 
 def while_cut(nodes: int, seed: int) -> dict[str, Any]:
-    """Cut the first two nodes off from the others for 10 s; homes are c0 to c2.
+    """Partition the first two nodes from the others for 10 s; homes are c0 to c2.
 
-    Return the part of the sites that could be left out which were, before, during and after the cut, and counts.
+    Return the share of prunable sites that were pruned before, during and after the cut, and counts.
     """
     emulator: Emulator = play(nodes, seed, f"10-20 cut 0-1|2-{nodes - 1}", 30.0)
     result: dict[str, Any] = {}
@@ -62,7 +62,7 @@
 
 
 def best_us(call: Callable[[], Any], times: int) -> float:
-    """Return the CPU microseconds of a call: mean of `times` calls, best of five rounds."""
+    """Return the CPU microseconds per call: the mean of `times` calls, best of five rounds."""
     rounds = []
     for _ in range(5):
         started = time.process_time()
@@ -73,7 +73,7 @@
 
 
 def costs() -> dict[str, float]:
-    """Return the CPU microseconds of each decision that scattering takes."""
+    """Return the CPU microseconds of each decision of a scattered query."""
     parsed = read(RAW)
     catalogue = Catalogue(
         parsed,
@@ -111,7 +111,7 @@
 
 
 def main() -> None:
-    """Run drawn faults, then runs without faults, cuts and costs; print a JSON object of each."""
+    """Measure runs with drawn faults, runs without faults, cuts and costs; print a JSON object for each."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--runs", type=int, default=500)
     parser.add_argument("--nodes", type=int, default=5)
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -47,7 +47,7 @@
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
-    """Return the median, p90, p99 and most of the values; empty if there are none."""
+    """Return the median, p90, p99 and maximum of the values, or an empty dict for no values."""
     ranked = sorted(values)
     return (
         {
@@ -241,7 +241,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One of the clients' connections; it has one request at a time."""
+    """A client connection with at most one request at a time."""
 
     def __init__(self, open_loop: _OpenLoop) -> None:
         from httptools import HttpResponseParser
@@ -281,8 +281,10 @@
 
 
 class _OpenLoop:
-    """An open loop: requests are due at a fixed rate, whatever became of those before, and a request's time counts from
-    when it was due, so that waiting for a connection or a late client is in it."""
+    """An open-loop load: requests are due at a fixed rate, independent of earlier responses.
+
+    Response times count from the due time, so they include waiting for a connection and delays of the client.
+    """
 
     def __init__(self, rate: float, connections: int) -> None:
         self.rate, self.connection_count = rate, connections
@@ -301,7 +303,7 @@
             self.idle.append(connection)
 
     async def run(self, port: int, start_at: float, seconds: float) -> int:
-        await asyncio.sleep(max(0.0, start_at - 0.5 - time.time()))  # a connection on which nothing comes is ended soon
+        await asyncio.sleep(max(0.0, start_at - 0.5 - time.time()))  # the server soon closes idle connections
         for _ in range(self.connection_count):
             await asyncio.get_running_loop().create_connection(lambda: _Connection(self), "127.0.0.1", port)
         total = int(seconds * self.rate)
@@ -320,14 +322,14 @@
 
 
 def _run_precisely(work: Any) -> Any:
-    """Run with timers that are not rounded up to milliseconds, and no collector of garbage in between."""
+    """Run a coroutine with timers that are not rounded up to milliseconds, and without garbage collection."""
     gc.disable()
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selectors.SelectSelector())) as runner:
         return runner.run(work)
 
 
 def paced_process(pipe: Any, port: int, rate: float, start_at: float, seconds: float) -> None:
-    """Send requests at `rate` a second from Unix time `at` on; put their count and a row per answer into the pipe."""
+    """Send requests at `rate` per second from Unix time `start_at`; send their count and a row per response."""
     open_loop = _OpenLoop(rate, 64)
     pipe.send((_run_precisely(open_loop.run(port, start_at, seconds)), open_loop.results))
 
@@ -337,8 +339,8 @@
 ) -> None:
     """Push versions at these times (Unix seconds); send counts by kind and outcome to the pipe.
 
-    Half are valid, a quarter each broken and truncated; the outcome of each is asked for once. Each version has
-    `entries` entries besides what changes. `listed`: engines and their ports; with any, all versions are valid.
+    Half of the versions are valid, a quarter each broken and truncated; each outcome is queried once. Each version has
+    `entries` entries besides those that change. If `engine_ports` lists engines, all versions are valid.
     """
     pipe.send(_run_precisely(_pushing(operator_socket, pushes, entries, engine_ports)))
 
@@ -366,7 +368,7 @@
             **base,
             f"ban/x{number % 7}": Ban(f"x{number % 7}", str(number)),
             f"drain/y{number % 5}": Ban(f"y{number % 5}"),
-        }  # a push has the whole file
+        }  # a push contains all entries
         if number % 4 == 0:
             rules["class/lookup"] = Class("lookup", 1_500.0 + number % 3)
         data, kind = pack_changes(rules), rng.choice(("valid", "valid", "broken", "cut short"))
@@ -395,7 +397,7 @@
 
 
 def processor_s(pid: int) -> float:
-    """Return the processor seconds that all threads of a process have used, from the scheduler's nanoseconds."""
+    """Return the CPU seconds used by all threads of a process, from the nanoseconds of the scheduler."""
     return (
         sum(
             int(Path(f"/proc/{pid}/task/{task}/schedstat").read_text().split()[0])
@@ -426,7 +428,7 @@
     from frostspindle.lab.engines import document, host
     from frostspindle.operator_client import call_operator
 
-    rng, settle_s = random.Random(seed), 0.5  # the end of what the window before left is not measured
+    rng, settle_s = random.Random(seed), 0.5  # excludes requests and pushes left over from the previous window
     has_pushes = [with_pushes for _ in range(windows // 2) for with_pushes in rng.sample((False, True), 2)]
     with (
         engines([f"s-{number}" for number in range(4)], delay_ms / 1e3, 2) as (ports, _),
@@ -473,7 +475,7 @@
             latencies_ms[int(window)].append(latency_s * 1e3)
     for window_latencies in latencies_ms:
         window_latencies.sort()
-    pairs = []  # with and without pushes
+    pairs = []  # window with pushes, window without
     for number in range(0, windows, 2):
         pairs.append((number, number + 1) if has_pushes[number] else (number + 1, number))
 
@@ -502,7 +504,7 @@
             )
         ratios_of_resamples.sort()
         low, high = ratios_of_resamples[10], ratios_of_resamples[389]
-        # A burst of other work spoils one window: the median over pairs hardly sees it.
+        # The median over pairs is robust against bursts of other work, which distort single windows.
         ratios = sorted(statistic([pushed_window]) / statistic([quiet_window]) for pushed_window, quiet_window in pairs)
         medians = sorted(median(rng.choices(ratios, k=len(ratios))) for _ in range(2_000))
         quiet_windows = [quiet_window for _, quiet_window in pairs]
@@ -513,9 +515,9 @@
             "ratio": round(statistic([pushed_window for pushed_window, _ in pairs]) / statistic(quiet_windows), 4),
             "interval_95": [round(low, 4), round(high, 4)],
             "median_of_pairs": [round(value, 4) for value in (median(ratios), medians[50], medians[1949])],
-            # windows without against windows without: what the machine alone makes of it
+            # windows without pushes against each other: the noise of the machine
             "null": round(statistic(quiet_windows[::2]) / statistic(quiet_windows[1::2]), 4),
-            # so many would make the interval of the median 2% to either side
+            # the number of windows that narrows the interval of the median to +-2%
             "windows_for_2%": max(2, math.ceil(windows * ((medians[1949] - medians[50]) / 2.0 / 0.02) ** 2)),
         }
     measured_s = (seconds - settle_s) * windows / 2
@@ -550,7 +552,7 @@
     )
 
 
-# Runs the program with each turn of a callback in the event loop timed; a signal has the table written and begun anew.
+# Runs the program with every event-loop callback timed; a signal makes it write the table and start a new one.
 LOOP_TIMER = """
 import asyncio.events, json, os, signal, sys, time
 table, run = {}, asyncio.events.Handle._run
@@ -671,7 +673,7 @@
     pushes: list[tuple[int, float, float]] = []
     try:
         await world.publisher()
-        for push_number in range(3):  # push to applied before any fault
+        for push_number in range(3):  # measure push to applied before injecting faults
             started = boot_ms()
             code, _ = await world.processes[push_number].command(
                 "push", world.file(f'[[ban]]\nengine = "q{push_number}"\n'), "--wait", "20"
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -1,14 +1,15 @@
-"""How much workers gain from sharing knowledge: decision modules against model engines, in simulated time.
+"""Measures what workers gain from sharing state: decision modules against model engines, in simulated time.
 
-Four modules stand for four workers that get uneven parts of the load. Engines share 8 cores evenly among what runs;
-one of six hangs for five seconds. The ways differ in what the modules hear of each other every 20 ms:
-  blind      nothing; each uses every engine as if it were alone
+Four modules represent four workers with uneven shares of the load. Each engine divides its 8 cores evenly among its
+running queries; one of six engines hangs for five seconds. The strategies differ in what the modules exchange every
+20 ms:
+  blind      nothing; each uses every engine as if it were the only worker
   divided    nothing; each has a fourth of every engine, as four coordinators would
-  load       divided, and the others' running attempts influence the choice of engine
-  suspect    divided, and suspicion is shared
-  both       divided, load and suspicion
-  all        and the newest load reports (all that the workers' shared board has)
-  one        a single module that decides for all
+  load       divided; running attempts of other workers influence the choice of engine
+  suspect    divided; suspicions are shared
+  both       divided; running attempts and suspicions are shared
+  all        as both, and the newest load reports are shared, as on the workers' shared board
+  one        a single module decides for all workers
 
     PYTHONPATH=. python bench/sharing.py [SEEDS] [LOAD]
 """
@@ -30,12 +31,12 @@
 
 WORKERS, ENGINES, CORES, STEP_MS, DURATION_MS = 4, 6, 8, 5.0, 20_000.0
 WORKER_SHARES = (0.55, 0.15, 0.15, 0.15)
-HANG = (0, 7_000.0, 12_000.0)  # which engine, from, to
+HANG = (0, 7_000.0, 12_000.0)  # engine, begin and end (ms)
 STRATEGIES = ("blind", "divided", "load", "suspect", "both", "all", "one")
 
 
 class Simulation:
-    """One seeded run of a way: modules, clients and model engines in simulated time (ms), in steps of STEP."""
+    """One seeded run of a strategy: modules, clients and model engines in simulated time, in steps of STEP_MS."""
 
     def __init__(self, strategy: str, seed: int, load: float) -> None:
         self.strategy, self.rng, self.load = strategy, random.Random(seed), load
@@ -50,7 +51,7 @@
             for n in range(self.worker_count)
         ]
         self.base, self.timers, self.sequence = base, list[tuple[float, int, int, Any]](), 0
-        # By worker and request: work left, attempt, when it was sent.
+        # For each engine, by worker and request: remaining work (ms), attempt number, start time.
         self.running: list[dict[tuple[int, int], list[float]]] = [{} for _ in range(ENGINES)]
         self.requests: dict[int, tuple[int, float, float]] = {}  # worker, arrived, work
         self.attempt_numbers: dict[int, int] = {}
@@ -59,17 +60,17 @@
         self.now = 1_000_000.0
 
     def deliver(self, worker: int, event: policy.Event) -> None:
-        """Give an event to a worker's module and carry out its actions."""
+        """Pass an event to a worker's module and execute the resulting actions."""
         for action in self.modules[worker].handle(self.now, event):
             self.execute(worker, action)
 
     def schedule(self, due_at_ms: float, worker: int, event: Any) -> None:
-        """Schedule an event for a worker's module at a time (ms)."""
+        """Schedule an event for a worker's module."""
         self.sequence += 1
         heapq.heappush(self.timers, (due_at_ms, self.sequence, worker, event))
 
     def execute(self, worker: int, action: policy.Action) -> None:
-        """Carry out an action: send, cancel, final answer without a result, timer or health check; ignore others."""
+        """Execute an action: start or cancel an attempt, fail a request, set a timer, check health; ignore others."""
         if isinstance(action, policy.StartAttempt):
             attempt = self.attempt_numbers.get(action.request, -1) + 1
             self.attempt_numbers[action.request] = attempt
@@ -110,12 +111,12 @@
             )
 
     def is_hung(self) -> bool:
-        """Tell whether the engine HANGS[0] hangs now."""
+        """Return whether the engine HANG[0] hangs now."""
         return HANG[1] <= self.now - self.start_ms < HANG[2]
 
     def arrive(self) -> None:
-        """Draw the requests of one step, by the load as a part of all cores, and give each to a worker's module."""
-        requests_per_ms = self.load * ENGINES * CORES / 260.0  # queries a millisecond at that mean work
+        """Draw the requests of one step, for the load as a share of all cores; pass each to a worker's module."""
+        requests_per_ms = self.load * ENGINES * CORES / 260.0  # 260 ms is the mean work of a query
         for _ in range(sum(self.rng.random() < requests_per_ms * STEP_MS / 8 for _ in range(8))):
             request = self.arrived = self.arrived + 1
             worker = 0 if self.strategy == "one" else self.rng.choices(range(WORKERS), WORKER_SHARES)[0]
@@ -125,7 +126,7 @@
             self.deliver(worker, policy.RequestArrived(request, 0, 0, 0, 7500.0, cost_estimate_ms, 64.0, 0.0))
 
     def serve(self) -> None:
-        """Run all attempts for one step; end those that are done, and note progress of others about every 500 ms."""
+        """Run all attempts for one step; end the completed ones, report progress of others about every 500 ms."""
         for engine, running in enumerate(self.running):
             if not running or (engine == HANG[0] and self.is_hung()):
                 continue
@@ -162,7 +163,7 @@
                     )
 
     def share(self) -> None:
-        """Give each module the state of the others as far as this way shares it, in the form that link.py gives it."""
+        """Report to each module the state of the others that the strategy shares, as the worker link does."""
         if self.strategy in ("blind", "divided", "one"):
             return
         for worker in range(self.worker_count):
@@ -186,9 +187,10 @@
             self.deliver(worker, policy.WorkerLoadReported(tuple(loads)))
 
     def run(self) -> dict[str, float]:
-        """Run for LENGTH ms and return the parts answered within 1.5 s and given up, and the response times (ms).
+        """Run for DURATION_MS; return the shares answered within 1.5 s and failed, and the response times (ms).
 
-        Also how many attempts went to the hung engine meanwhile, and the most that ran at one engine.
+        Also return the number of attempts sent to the engine while it hung, and the most concurrent attempts at one
+        engine.
         """
         self.start_ms = self.now
         for worker in range(self.worker_count):
@@ -220,7 +222,7 @@
 
 
 def main() -> None:
-    """Run all ways over the seeds and print a table of the means."""
+    """Run all strategies over the seeds and print a table of the means."""
     seeds, load = int((sys.argv[1:] or ["6"])[0]), float((sys.argv[2:] or ["0.75"])[0])
     print(f"{'way':<10}{'in aim':>8}{'p50 ms':>8}{'p99 ms':>8}{'given up':>10}{'to the hung':>13}{'most at one':>13}")
     for strategy in STRATEGIES:
--- a/bench/spike_cores.py
+++ b/bench/spike_cores.py
@@ -1,11 +1,11 @@
-"""The cost of sharing: N workers against N coordinators that share nothing, and ways to share a listening socket.
+"""Measures the cost of sharing: N workers against N independent coordinators, and methods to share a listening socket.
 
-Measured for docs/design/cores.md, in turn within one run:
+The figures are used in docs/design/cores.md. The setups alternate within one run:
   alone     one process
-  apart     N single processes, each on an address of its own, clients divided among them
+  apart     N single processes on separate addresses, clients divided among them
   workers   N workers of one supervisor
-Accepting is measured by itself: 400 connections at once to N acceptors on one passed socket, on one passed socket where
-an acceptor with more connections waits for the others, and on SO_REUSEPORT.
+Accepting is measured separately: 400 simultaneous connections to N acceptors on one passed socket, on one passed socket
+where an acceptor with more connections than the others delays, and on SO_REUSEPORT.
 
     python bench/spike_cores.py [N] [SECONDS] [ROUNDS]
 """
@@ -29,7 +29,7 @@
 def run_apart(count: int, clients: int, connections: int, ports: dict[str, int], seconds: float) -> dict[str, float]:
     """Load `count` independent coordinators for `seconds` after a warm-up, clients divided among them.
 
-    Return the requests a second of all together, and the processor time of a request (ms).
+    Return their total requests per second, and the CPU time per request (ms).
     """
     with ExitStack() as stack:
         config = document([host(name, port) for name, port in ports.items()])
@@ -75,10 +75,10 @@
 def run_acceptor(
     listening: socket.socket | None, port: int, counts: object, index: int, defers: bool, until: float
 ) -> None:
-    """Accept connections until the time `until`, keeping the count in `counts[me]`.
+    """Accept connections until the time `until`, keeping the count in `counts[index]`.
 
-    Without a passed socket, listen on the port with SO_REUSEPORT. A polite one sleeps for 3 ms before each attempt
-    while it has over two connections more than the least loaded.
+    Without a passed socket, listen on the port with SO_REUSEPORT. With `defers`, sleep for 3 ms before each
+    attempt while over two connections ahead of the least loaded acceptor.
     """
     if listening is None:
         listening = socket.socket()
@@ -98,7 +98,7 @@
 
 
 def measure_accepting(count: int, method: str, connections: int = 400) -> list[int]:
-    """Return how many of the connections each of `count` processes accepted, ascending, by that way to share."""
+    """Return the connections accepted by each of `count` processes, ascending, with that sharing method."""
     context = multiprocessing.get_context("fork")
     counts = context.Array("i", count, lock=False)
     listener = socket.socket()
@@ -128,7 +128,7 @@
 
 
 def main() -> None:
-    """Run the loads in turn and print medians, then each way of accepting three times."""
+    """Run the loads alternately and print medians, then run each method of accepting three times."""
     count, seconds, rounds = (int(text) for text in (sys.argv[1:] + ["4", "3", "3"][len(sys.argv) - 1 :]))
     with engines([f"s-{n:08x}" for n in range(1, 5)], 0.0, 2) as (ports, _):
         rows = {"alone": [], "apart": [], "workers": []}
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -43,7 +43,7 @@
 async def run_seed(part: str, seed: int, seconds: float) -> dict[str, Any]:
     """Run `scatter` or `subscriptions` on five processes, under faults drawn from the seed; return its figures.
 
-    A run that exceeds its time counts as `stuck`, or as `not_begun` if its processes were not ready for the faults.
+    A run that times out counts as `stuck`, or as `not_begun` if its processes did not become ready for the faults.
     """
     script = drawn(seed, seconds - 1.0)
     run = Scattered(script, seed) if part == "scatter" else Subscribed(script, seed, PROBES + BUDGET, TENANTS)
@@ -64,7 +64,7 @@
 
 
 def main() -> None:
-    """Run all seeds, each again up to TRIES times while it has not begun; print each run, then the sums."""
+    """Run all seeds, each up to MAX_START_ATTEMPTS times until it starts; print each run, then the sums."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("part", choices=FAULTS)
     parser.add_argument("--runs", type=int, default=30)
--- a/bench/store.py
+++ b/bench/store.py
@@ -1,11 +1,11 @@
-"""Compares the storage engines that a disk store could use, and measures the project's own stores.
+"""Compares storage engines for a disk store, and measures the project's own stores.
 
     python bench/store.py [--commits 400] [--entries 100000] [--spoilt 200] [--folder DIR] [--out FILE]
 
-Prints one JSON object. `sqlite` and `lmdb` are the engines by themselves (LMDB where `lmdb` is installed; 3.0.0 gave
-the figures in docs/design/store.md), `disk` and `marker` the project's own stores with all their checks. All take turns
-commit by commit, so that their latencies compare; the figures depend on the disk. Damaged files are read in processes
-of their own.
+Prints one JSON object. `sqlite` and `lmdb` are the bare engines (LMDB only if `lmdb` is installed; the figures in
+docs/design/store.md are from 3.0.0), `disk` and `marker` the project's stores with all their checks. Commits alternate
+between the stores, so that their latencies are comparable; the figures depend on the disk. Damaged files are read in
+separate processes.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class Sqlite:
-    """SQLite alone, write-ahead logged and synced at each commit, without the project's checksums and witness file."""
+    """Plain SQLite, write-ahead logged and synced at each commit, without the project's checksums and witness file."""
 
     file = "db"
 
@@ -73,7 +73,7 @@
 
 
 class Lmdb:
-    """LMDB alone, synced at each commit, with at most MAP bytes."""
+    """Plain LMDB, synced at each commit, with at most MAP_SIZE_BYTES bytes."""
 
     file = "data.mdb"
 
@@ -106,22 +106,22 @@
     "disk": lambda folder: open_store(folder, "c1", SqliteEngine),
     "marker": lambda folder: open_store(folder, "c1", MarkerEngine),
 }
-MARKER_ENTRIES = 1_000  # a sync each
+MARKER_ENTRIES = 1_000  # each costs a sync
 
 
 def resident_kb() -> int:
-    """Return the KB of resident memory of this process, mapped files included."""
+    """Return the resident memory of this process in KB, including mapped files."""
     lines = Path("/proc/self/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS"))
 
 
 def key(number: int) -> bytes:
-    """Return the key of an entry; keys sort as their numbers do, up to eight digits."""
+    """Return the key of an entry; keys sort by number, up to eight digits."""
     return b"entry/%08d" % number
 
 
 def latencies(folder: Path, commits: int) -> dict[str, Any]:
-    """Return the milliseconds (p50, p99) of a durable commit of 1 and of 10 entries; the stores take turns."""
+    """Return the milliseconds (p50, p99) of a durable commit of 1 and of 10 entries, alternating between stores."""
     opened = {name: open_named(folder / f"l-{name}") for name, open_named in {**CANDIDATES, **STORES}.items()}
     rng, result = random.Random(1), {}
     for batch_size in (1, 10):
@@ -146,7 +146,8 @@
 def run_large(name: str, folder: Path, entries: int) -> dict[str, Any]:
     """Fill a store in a child process that is killed before closing it, then open and scan it; return the figures.
 
-    Run this in a process of its own, as its memory is measured. Raise AssertionError if entries are missing.
+    Run this in a separate process, as it measures the memory of its process. Raise AssertionError if entries are
+    missing.
     """
     open_named = {**CANDIDATES, **STORES}[name]
     child = os.fork()
@@ -180,9 +181,9 @@
 
 
 def run_damaged(name: str, folder: Path, cases: int) -> dict[str, Any]:
-    """Damage a database of 5,000 entries in many ways and return how often each outcome occurred.
+    """Damage copies of a database of 5,000 entries and return how often each outcome occurred.
 
-    One case in four is truncated, the others have up to eight bytes changed; each is read in a process of its own.
+    One case in four is truncated, the others have up to eight bytes changed; each is read in a separate process.
     """
     store = CANDIDATES[name](folder)
     for start in range(0, 5_000, 100):
@@ -212,19 +213,19 @@
 
 
 def read(name: str, folder: Path) -> int:
-    """Scan, get and write; return 0 if all is as it was written, 3 after an error, 4 if anything differs."""
+    """Scan, get and write; return 0 if all values are as written, 3 after an error, 4 if any differs."""
     try:
         store = CANDIDATES[name](folder)
         intact = store.scan() == [(key(number), b"v" * VALUE_BYTES) for number in range(5_000)]
         intact = intact and all(store.get(key(number)) == b"v" * VALUE_BYTES for number in range(0, 5_000, 7))
         store.apply({key(1): b"new"})
         return 0 if intact else 4
-    except Exception:  # noqa: BLE001 - any error will do
+    except Exception:  # noqa: BLE001 - any error counts as detection
         return 3
 
 
 def main() -> int:
-    """Run all measurements and print one JSON object; with --read or --large run one step for the parent process."""
+    """Run all measurements and print one JSON object; with --read or --large, run one step for the parent process."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--commits", type=int, default=400)
     parser.add_argument("--entries", type=int, default=100_000)
--- a/bench/structures.py
+++ b/bench/structures.py
@@ -26,7 +26,7 @@
 
 
 def timed(variants: dict[str, Callable[[], None]], calls: int, rounds: int = 5) -> dict[str, float]:
-    """Return the CPU microseconds of a call by each way: best of the rounds, in which the ways take turns."""
+    """Return the CPU microseconds per call of each variant: best of the rounds, which alternate between them."""
     best_us = dict.fromkeys(variants, math.inf)
     for _ in range(rounds):
         for name, variant in variants.items():
@@ -37,7 +37,7 @@
 
 
 def measure_queue(size: int) -> dict[str, float]:
-    """Time one addition, the removal of the head and of one in the middle, and another addition, with `size` held."""
+    """Time an addition, removals of the head and from the middle, and another addition, with `size` queued rows."""
     rng = random.Random(size)
     rows = [(0, rng.paretovariate(1.2), n, None) for n in range(size)]
     more = [(0, rng.paretovariate(1.2), size + n, None) for n in range(400)]
@@ -66,7 +66,7 @@
             waiting_queue.add(head, -1, head[1])
 
     def sort_all() -> None:
-        for row in more[:8]:  # no removal from within: order anew
+        for row in more[:8]:  # a heap has no removal from the middle: sort again
             sorted([*rows, row])
 
     times_us = timed(
@@ -76,7 +76,7 @@
 
 
 def measure_stuck_head(size: int) -> dict[str, float]:
-    """Time a walk past `size` rows of a lane that has no place to go, to the one row behind them."""
+    """Time a walk past `size` rows of a blocked lane to the one row behind them."""
     rows, waiting_queue = [(0, float(n), n, 5) for n in range(size)], WaitingQueue()
     rows.append((0, 1e9, size, -1))
     for row in rows:
@@ -94,7 +94,7 @@
 
 
 def measure_expiry(size: int) -> dict[str, float]:
-    """Time an examination of `size` items for lapsed ones, every 100 ms, as paces change and few items lapse."""
+    """Time the search for expired ones among `size` items, every 100 ms, as paces change and few items expire."""
     rng = random.Random(size)
     items = {number: (number % 4, rng.uniform(10, 300), rng.uniform(2000, 20_000)) for number in range(size)}
     expiry_index, now_ms = ExpiryIndex(4), {"scan": 0.0, "ours": 0.0}
@@ -119,7 +119,7 @@
 
 
 def measure_quantiles() -> dict[str, Any]:
-    """Time adding a value and reading two quantiles at every 25th, of the last 400; and a bucket sketch's error."""
+    """Time adding values and reading two quantiles of the last 400 at every 25th; measure a bucket sketch's error."""
     rng = random.Random(7)
     values = [rng.paretovariate(1.2) * 60.0 for _ in range(4000)]
 
--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -1,11 +1,11 @@
-"""What subscriptions cost: events to many filters through the real path against the plain scan, and CPU a request.
+"""Measures the cost of subscriptions: delivery to many filters against a plain scan, and CPU time per request.
 
     PYTHONPATH=. python bench/subscriptions.py [--quick] [--needless] > subscriptions.json
 
-Seeded; all ways that are compared take turns within one run. `path_us`: from the event that is made to the lines that
-its subscribers are to be written, at one coordinator, for each event. `scan_us`: to try each filter on it, no more.
-`--needless` alone: of the events that a coordinator with so many distinct filters would be sent, the part that none of
-them matches; `common`: by what all filters of a kind have in common, as where there are more than can be joined.
+Seeded; compared variants alternate within one run. `path_us`: per event, from its creation to the lines to write to its
+subscribers, at one coordinator. `scan_us`: only to evaluate each filter on it. `--needless` runs alone: the share of
+the events sent to a coordinator with that many distinct filters that match none of them; `common`: if only the
+conditions common to all filters of a kind are sent, as for more filters than can be combined.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def draw_filters(count: int, rng: random.Random) -> list[str]:
-    """Draw filters as operators and tenants have them: ten to a tenant, and one in a hundred, up to three, broad."""
+    """Draw typical filters of operators and tenants: ten per tenant; one in a hundred, at most three, is broad."""
     filters = []
     for _ in range(count):
         tenant, engine, ms = rng.randrange(max(1, count // 10)), rng.randrange(500), rng.randrange(1_000_000)
@@ -61,7 +61,7 @@
 
 
 def event(count: int, rng: random.Random) -> schema.Event:
-    """Draw the event of an answer, for a set of `count` filters, which decides how many tenants there are."""
+    """Draw the event of a response; `count`, the number of filters, determines the number of tenants."""
     return schema.make(
         schema.ANSWER,
         1.7e12,
@@ -76,7 +76,7 @@
 
 
 def matching(count: int, turns: int) -> dict[str, Any]:
-    """Return the CPU microseconds of an event with `count` subscriptions at one coordinator; medians of the turns."""
+    """Return the CPU microseconds per event with `count` subscriptions at one coordinator; medians of the turns."""
     rng = random.Random(count)
     texts = draw_filters(count, rng)
     hub = SubscriptionHub("c1", 1, 0.0, most=count, fanout=Fanout(100_000, 10_000_000))
@@ -127,9 +127,9 @@
 
 
 def needless(shape: str, count: int, events: int) -> dict[str, Any]:
-    """Return the part of events that would be sent to a coordinator without need, with that many filters of one shape.
+    """Return the share of events sent to a coordinator that match none of its filters, for filters of one shape.
 
-    Shape `mixed` draws them as `wanted` does. Raise AssertionError if an event that a filter matches would not be sent.
+    Shape `mixed` uses `draw_filters`. Raise AssertionError if an event that a filter matches would not be sent.
     """
     rng = random.Random(f"{shape} {count}")
     texts: dict[str, None] = dict.fromkeys(draw_filters(count, rng)) if shape == "mixed" else {}
@@ -181,7 +181,7 @@
 
 
 async def load(port: int, count: int) -> None:
-    """Send that many requests over eight connections, one after another on each."""
+    """Send that many requests over eight connections, sequentially on each."""
 
     async def run_connection(number: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -199,9 +199,9 @@
 
 
 async def requests(operator: str | None, subscribers: int, count: int, ports: dict[str, int]) -> float:
-    """Return the CPU milliseconds of a request at a coordinator with that operator file and that many subscribers.
+    """Return the CPU milliseconds per request of a coordinator with that operator file and number of subscribers.
 
-    Raise TimeoutError if it is not ready in time, AssertionError if a subscription is rejected or a request fails.
+    Raise TimeoutError if it does not start within 60 s, AssertionError if a subscription or request fails.
     """
     with tempfile.TemporaryDirectory() as folder:
         operator_socket, toml, log = str(Path(folder, "desk")), Path(folder, "operator.toml"), Path(folder, "log")
@@ -230,7 +230,9 @@
                     "listen"
                 ].rpartition(":")[2]
             )
-            subscribe_slots = asyncio.Semaphore(8)  # the port takes sixteen callers that have yet to say what they want
+            subscribe_slots = asyncio.Semaphore(
+                8
+            )  # the socket accepts at most 16 callers that have not sent a command yet
 
             async def subscribe(text: str) -> Any:
                 async with subscribe_slots, asyncio.timeout(120.0):
@@ -259,7 +261,7 @@
 
 
 def main() -> None:
-    """Run all measurements, or with --needless that one alone, and print JSON."""
+    """Run all measurements, or only that of --needless, and print JSON."""
     quick = "--quick" in sys.argv
     if "--needless" in sys.argv:
         for shape in ("mixed", *SHAPES):
--- a/bench/tenants.py
+++ b/bench/tenants.py
@@ -1,4 +1,4 @@
-"""The index of tenant rules against a scan of all rules, and the cost of building it.
+"""Compares the index of tenant rules with a scan of all rules, and measures the cost of building it.
 
 PYTHONPATH=. python bench/tenants.py
 """
@@ -16,7 +16,7 @@
 
 
 def draw_rules(count: int, rng: random.Random) -> list[Rule]:
-    """Draw tenant rules by header, database, schema, network, and database with application, a fifth of each."""
+    """Draw tenant rules by header, database, schema, network, and database with application, in equal numbers."""
     rules = []
     for number in range(count):
         kind = number % 5
@@ -36,7 +36,7 @@
 
 
 def draw_attributes(count: int, rng: random.Random) -> RequestAttributes:
-    """Draw a connection with the header, network, application, database and schema of one of `count` rules."""
+    """Draw the attributes of a connection from the header, network, application, database and schema of one rule."""
     number = rng.randrange(count)
     return RequestAttributes(
         "http",
@@ -52,7 +52,7 @@
 def timed(
     find: Callable[[RequestAttributes], object], connections: list[RequestAttributes], min_s: float = 0.3
 ) -> float:
-    """Return the mean microseconds of a look-up, repeated over the list for at least `least_s`."""
+    """Return the mean microseconds of a look-up, repeated over the list for at least `min_s`."""
     count, started = 0, time.perf_counter()
     while time.perf_counter() - started < min_s:
         find(connections[count % len(connections)])
--- a/example/toy.py
+++ b/example/toy.py
@@ -1,6 +1,6 @@
-"""Stand-ins for all that the coordinator talks to: two HTTP engines, one TDS engine and the event bus.
+"""Stand-ins for the peers of a coordinator: two HTTP engines, one TDS engine and the event bus.
 
-Every query runs for SLOW_S seconds and answers with the statement itself. End it with Ctrl-C.
+Every query runs for SLOW_S seconds and returns the statement itself. Stop it with Ctrl-C.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 
 
 class Engine:
-    """An HTTP engine; a call about a query is answered when the query ends, or after 250 ms with a fixed progress."""
+    """An HTTP engine; a poll is answered when the query ends, or after 250 ms with a constant progress."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.running: dict[str, asyncio.Task[str]] = {}
 
     async def run(self, statement: str) -> str:
-        """Sleep for SLOW_S seconds, then return one row: this engine's name, the count of words and the statement."""
+        """Sleep for SLOW_S seconds, then return one row: engine name, length of the statement and the statement."""
         await asyncio.sleep(SLOW_S)
         words = " ".join(statement.split())
         return f"{self.name}\t{len(words)}\t{words}\n"
@@ -32,8 +32,8 @@
     async def handle(self, request: web.BaseRequest) -> web.Response:
         """Answer one call: health check, load report, new query (POST), poll of a query, cancellation (DELETE).
 
-        A new query or a poll waits for at most 250 ms and answers 202 while the query runs; an unknown ticket gets 500.
-        A PUT is accepted and changes nothing.
+        A new query or a poll waits for up to 250 ms, then gets 202 if the query still runs; an unknown ticket gets 500.
+        A PUT is accepted without effect.
         """
         parts = request.path.strip("/").split("/")
         if parts[0] in ("healthz", "stats"):
@@ -58,15 +58,15 @@
         return web.Response(text=query.result(), headers={"X-Pages": "1", "X-Meter": self.meter()})
 
     def meter(self) -> str:
-        """Return the load report for the X-Meter header, by the count of running queries: 8 of them are full load."""
+        """Return the load report for the X-Meter header; 8 running queries are full load."""
         busy = sum(not query.done() for query in self.running.values())
         return f"load_share:{min(1.0, busy / 8):.2f};depth:0;x0:{min(1.0, busy / 32):.2f}"
 
 
 async def bus(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Serve the event bus to one connection: an event with the whole engine list, then its offset every second.
+    """Serve the event bus on one connection: an event with the complete engine list, then its offset every second.
 
-    A subscriber that already has offset 1 or later gets the offsets only.
+    A subscriber at offset 1 or later gets only the offsets.
     """
     last_known_offset = int((await reader.readline()).split()[1])
     hosts = [
@@ -95,7 +95,7 @@
 
 
 async def tds(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Serve one TDS session: log in anybody without encryption, and answer each batch with itself as one row."""
+    """Serve one TDS session: accept any login, without encryption, and answer each batch with its text as one row."""
     splitter = codec.Splitter(1 << 20)
     while data := await reader.read(4096):
         for message in splitter.feed(data):
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Sets up and runs the demo: toy engines, event bus and a coordinator of two workers. Ctrl-C ends all.
+# Sets up and runs the demo: toy engines, event bus and a coordinator of two workers. Ctrl-C stops all of them.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 venv=${VENV:-.venv}
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -1,11 +1,11 @@
 """Pytest plugin that lets exactly the tests listed in KNOWN-RED.txt fail, and prints them with their cause.
 
 Each line reads `test id | cause | issue`. A listed test that passes, does not exist or did not run fails the run,
-and so does a malformed list. A run over selected files asks only for listed tests of these, and one with a selection
-by name or mark asks for none.
+and so does a malformed list. A run over selected files expects only the listed tests of these files, and a selection by
+name or mark expects none.
 
 A line that begins with a command of the program, `frostspindle lab soak --seed N | what was seen | issue`, names a run
-that has broken a rule and is not mended. It is printed and lets no test fail.
+that violates a rule and is not fixed yet. It is printed, and allows no test to fail.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
         entries = read(config.rootpath / FILE)
         self.runs = {name: cause for name, cause in entries.items() if name.startswith(RUN_PREFIX)}
         self.listed = {name: cause for name, cause in entries.items() if name not in self.runs}
-        self.failed: set[str] = set()  # tests that failed in their body, as listed
+        self.failed: set[str] = set()  # listed tests that failed in their body
 
     def unexpected(self) -> list[str]:
         """Return the listed tests of this run that did not run and fail as listed."""
@@ -53,7 +53,7 @@
     def _is_selected(self, test: str) -> bool:
         option = self.config.option
         if option.keyword or option.markexpr or option.deselect or getattr(option, "lf", False):
-            return False  # such a run has left tests out on purpose
+            return False  # such a run excludes tests on purpose
         root, start = self.config.rootpath, self.config.invocation_params.dir
         for argument in self.config.args:
             path, _, name = argument.partition("::")
@@ -79,13 +79,13 @@
     def pytest_sessionfinish(self, session: pytest.Session, exitstatus: int) -> None:
         """Fail an otherwise passing run in which a listed test did not run and fail as listed.
 
-        Workers of pytest-xdist are left out, as each runs a part of the tests only.
+        Workers of pytest-xdist are skipped, as each runs only some of the tests.
         """
         if not hasattr(self.config, "workerinput") and exitstatus == pytest.ExitCode.OK and self.unexpected():
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print each listed test that failed with its cause, and each that did not as an error."""
+        """Print each listed test that failed with its cause, and report each other listed test as an error."""
         for test, cause in self.listed.items():
             if test in self.failed:
                 terminalreporter.write_line(f"KNOWN RED: {test}: {cause}")
--- a/scripts/rename_symbols.py
+++ b/scripts/rename_symbols.py
@@ -10,8 +10,8 @@
 
 `alias` rewrites imports like `module` but moves no file. `symbol` follows imports and re-exports, `member` renames
 attributes, keyword arguments, fields and methods of that name, `name` also variables and parameters. Files are moved
-with `git mv`. Places where the new name existed before are printed as warnings. Text in strings, comments and documents
-is left to the caller.
+with `git mv`. A warning is printed for each file where the new name existed before. Strings, comments and documents are
+not changed.
 """
 
 from __future__ import annotations
@@ -50,10 +50,10 @@
     """All rules of one run, keyed by the old dotted name."""
 
     modules: dict[str, str] = field(default_factory=dict)
-    moves: dict[str, str] = field(default_factory=dict)  # those of the modules whose files move
+    moves: dict[str, str] = field(default_factory=dict)  # the subset of modules whose files move
     symbols: dict[str, str] = field(default_factory=dict)
     members: list[MemberRule] = field(default_factory=list)
-    exports: dict[str, str] = field(default_factory=dict)  # re-exported dotted name: where it is imported from
+    exports: dict[str, str] = field(default_factory=dict)  # re-exported dotted name: its origin
 
     def renamed_module(self, name: str) -> str:
         """Return the new name of a module, or of one below a renamed package."""
@@ -74,7 +74,7 @@
 
 
 def read_plan(text: str) -> Plan:
-    """Parse a plan; ValueError names the line that can't be read."""
+    """Parse a plan; raise ValueError with the first invalid line."""
     plan = Plan()
     for line in text.splitlines():
         words = line.split("#")[0].split()
@@ -112,7 +112,7 @@
 
 
 def find_exports(path: Path) -> dict[str, str]:
-    """Return what a module imports by name, as its own dotted names to those of the origin."""
+    """Map the names that a module imports, as dotted names of the module, to those of their origin."""
     module = module_name(path)
     found = {}
     for match in re.finditer(r"^from ([\w.]+) import (\([^)]*\)|.*)$", path.read_text(), re.MULTILINE):
@@ -124,7 +124,7 @@
 
 
 class Renamer(cst.CSTTransformer):
-    """Applies a plan to one module and notes names that collide."""
+    """Applies a plan to one module."""
 
     METADATA_DEPENDENCIES = (QualifiedNameProvider,)
 
@@ -135,7 +135,7 @@
         rules = [rule for rule in plan.members if rule.covers(path)]
         self.members = {rule.old: rule.new for rule in rules}
         self.variables = {rule.old: rule.new for rule in rules if rule.variables}
-        self.handled: set[int] = set()  # identifiers whose place was decided by the node around them
+        self.handled: set[int] = set()  # identifiers decided by their enclosing node
         self.class_depth: list[bool] = []
 
     def dotted(self, node: cst.CSTNode) -> str | None:
@@ -148,34 +148,34 @@
         return None
 
     def visit_ClassDef(self, node: cst.ClassDef) -> None:
-        """Note that definitions from here on are members."""
+        """Track that the following definitions are members."""
         self.class_depth.append(True)
 
     def leave_ClassDef(self, original_node: cst.ClassDef, updated_node: cst.ClassDef) -> cst.ClassDef:
-        """End the class."""
+        """Track the end of the class."""
         self.class_depth.pop()
         return updated_node
 
     def visit_FunctionDef(self, node: cst.FunctionDef) -> None:
-        """Rename methods by the rules for members; note that definitions from here on are local."""
+        """Mark a method for the rules of members; track that the following definitions are local."""
         if self.class_depth and self.class_depth[-1] and node.name.value in self.members:
             self.handled.add(id(node.name))
         self.class_depth.append(False)
 
     def leave_FunctionDef(self, original_node: cst.FunctionDef, updated_node: cst.FunctionDef) -> cst.FunctionDef:
-        """Give a method its new name."""
+        """Rename a marked method."""
         self.class_depth.pop()
         if id(original_node.name) in self.handled:
             return updated_node.with_changes(name=cst.Name(self.members[original_node.name.value]))
         return updated_node
 
     def visit_AnnAssign(self, node: cst.AnnAssign) -> None:
-        """Rename a field of a class by the rules for members."""
+        """Mark an annotated field of a class for the rules of members."""
         if self.class_depth and self.class_depth[-1] and isinstance(node.target, cst.Name):
             self.variables_or_members(node.target)
 
     def visit_AssignTarget(self, node: cst.AssignTarget) -> None:
-        """Rename a class attribute by the rules for members."""
+        """Mark a class attribute for the rules of members."""
         if self.class_depth and self.class_depth[-1] and isinstance(node.target, cst.Name):
             self.variables_or_members(node.target)
 
@@ -188,7 +188,7 @@
     marked: set[int] = set()
 
     def visit_Attribute(self, node: cst.Attribute) -> None:
-        """Keep the last identifier from being taken for a variable."""
+        """Exclude the attribute name from the rules of variables."""
         self.handled.add(id(node.attr))
 
     def leave_Attribute(self, original_node: cst.Attribute, updated_node: cst.Attribute) -> cst.BaseExpression:
@@ -207,7 +207,7 @@
         return updated_node.with_changes(attr=cst.Name(new)) if new else updated_node
 
     def visit_Arg(self, node: cst.Arg) -> None:
-        """Keep a keyword from being taken for a variable."""
+        """Exclude a keyword from the rules of variables."""
         if node.keyword is not None:
             self.handled.add(id(node.keyword))
 
@@ -218,7 +218,7 @@
         return updated_node
 
     def visit_Import(self, node: cst.Import) -> bool:
-        """Leave the identifiers inside to `leave_Import`."""
+        """Skip the identifiers inside, which `leave_Import` renames."""
         return False
 
     def leave_Import(self, original_node: cst.Import, updated_node: cst.Import) -> cst.Import:
@@ -230,7 +230,7 @@
         return updated_node.with_changes(names=names)
 
     def visit_ImportFrom(self, node: cst.ImportFrom) -> bool:
-        """Leave the identifiers inside to `leave_ImportFrom`."""
+        """Skip the identifiers inside, which `leave_ImportFrom` renames."""
         return False
 
     def leave_ImportFrom(self, original_node: cst.ImportFrom, updated_node: cst.ImportFrom) -> cst.ImportFrom:
@@ -265,7 +265,7 @@
         if dotted in self.plan.modules and original_node.value == dotted.rpartition(".")[2]:
             return updated_node.with_changes(value=self.plan.modules[dotted].rpartition(".")[2])
         new = self.plan.renamed_symbol(dotted)
-        # A name that an import gave another local name keeps it.
+        # An alias given by an import stays.
         return (
             updated_node.with_changes(value=new)
             if new and self._keeps_last_component(dotted, original_node.value)
@@ -300,7 +300,7 @@
         if not source.is_dir():
             source, target = source.with_suffix(".py"), target.with_suffix(".py")
         if not source.exists():
-            continue  # moved by an earlier run
+            continue  # already moved by an earlier run
         target.parent.mkdir(parents=True, exist_ok=True)
         subprocess.run(["git", "mv", str(source), str(target)], check=True)
 
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Sets up, lints and tests. Needs no other folder. Only tests listed in KNOWN-RED.txt, if it exists, may fail.
+# Installs the requirements, lints and runs the tests. Needs no other folder. Only tests listed in KNOWN-RED.txt, if it exists, may fail.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 venv=${VENV:-.venv}
@@ -8,5 +8,5 @@
 "$venv/bin/pip" -q --disable-pip-version-check install --no-deps -r requirements-nodeps.txt
 "$venv/bin/ruff" check .
 "$venv/bin/ruff" format --check .
-# Files are spread over a few processes: most tests wait for sockets and timers, and all together took over five minutes.
+# Test files run in a few processes, as most tests wait for sockets and timers; a sequential run took over five minutes.
 exec "$venv/bin/python" -m pytest -q -p scripts.known_red -n 4 --dist loadfile "$@"
--- a/tests/refusing/sitecustomize.py
+++ b/tests/refusing/sitecustomize.py
@@ -1,4 +1,4 @@
-"""A host that refuses to start processes, as a system-call filter does: each way of Python's answers ENOSYS."""
+"""Emulates a host whose system-call filter forbids new processes: every call that starts one fails with ENOSYS."""
 
 import _posixsubprocess
 import errno
