--- a/bench/choices.py
+++ b/bench/choices.py
@@ -177,12 +177,12 @@
     group, `shed` exceeds the limit of open requests at each arrival, `replaced` replaces all engines by cold ones with
     new ids at every thousandth request.
     """
-    few = "many" not in site
+    is_small_fleet = "many" not in site
     return version.settings(
         "Settings",
         classes=tuple(version.settings("ClassSettings", **values) for values in CLASSES),
-        coordinators=1 if few else 40,
-        number=0 if few else 7,
+        coordinators=1 if is_small_fleet else 40,
+        number=0 if is_small_fleet else 7,
         kind_cores=(8.0, 8.0),
         kind_memory_mb=(16384.0, 16384.0),
         max_grant_ratio=0.4,
@@ -190,7 +190,7 @@
         priorities=True,
         reports_cost=True,
         progress_interval_ms=400.0,
-        memory_shortage_mode="wait" if few else "page",
+        memory_shortage_mode="wait" if is_small_fleet else "page",
         load_report_columns=("concurrent", "x0"),
         load_reports_in_responses=True,
         may_cancel=True,
@@ -440,8 +440,8 @@
     """Replay each module's events to it, alternating between the modules slice by slice.
 
     Return the CPU microseconds per request of each module once the target number is open, the count of equal actions
-    before the first difference, and the index where the first differing slice begins, or None. With `profile`, print the
-    profile of the new module to stderr.
+    before the first difference, and the index where the first differing slice begins, or None. With `profile`, print
+    the profile of the new module to stderr.
     """
     sides = {
         name: (
@@ -538,7 +538,7 @@
 
 
 def main() -> None:
-    """Compare both modules for each scenario, number of open requests, engines and seed; print one JSON object."""
+    """Compare both modules for each scenario, number of requests, engines and seed; print one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--base", default="main", help="git reference to compare with")
     parser.add_argument("--engines", default="4,8,32,96,300,1000")
--- a/bench/predicates.py
+++ b/bench/predicates.py
@@ -2,7 +2,7 @@
 
     PYTHONPATH=. python bench/predicates.py [--quick] > predicates.json
 
-Seeded. Compared variants alternate within one run; times are medians of the turns, in microseconds per call.
+Seeded. Compared variants alternate within one run; times are medians of the rounds, in microseconds per call.
 """
 
 from __future__ import annotations
@@ -86,16 +86,16 @@
     return (now - started) / count * 1e6
 
 
-def measure_in_turn(calls: dict[str, Callable[[int], object]], turns: int, min_s: float) -> dict[str, float]:
-    """Time the calls alternately, `turns` times; return the median microseconds of each."""
+def measure_in_turn(calls: dict[str, Callable[[int], object]], rounds: int, min_s: float) -> dict[str, float]:
+    """Time the calls alternately, `rounds` times; return the median microseconds of each."""
     times_by_name: dict[str, list[float]] = {name: [] for name in calls}
-    for _ in range(turns):
+    for _ in range(rounds):
         for name, call in calls.items():
             times_by_name[name].append(timed(call, min_s))
     return {name: round(statistics.median(times), 3) for name, times in times_by_name.items()}
 
 
-def measure_index(turns: int, min_s: float) -> dict:
+def measure_index(rounds: int, min_s: float) -> dict:
     """Compare the index of filters with a scan, for 1, 1,000 and 100,000 filters.
 
     Raise AssertionError if they find different filters.
@@ -135,7 +135,7 @@
         calls[f"scan {count}"] = lambda number, predicates=predicates, events=events: [
             key for key, predicate in enumerate(predicates) if match(predicate, events[number % 500])
         ]
-    times = measure_in_turn(calls, turns, min_s)
+    times = measure_in_turn(calls, rounds, min_s)
     for count in sizes:
         index, scan = times[f"index {count}"], times[f"scan {count}"]
         result[str(count)] |= {"index_us": index, "scan_us": scan, "scan_over_index": round(scan / index, 2)}
@@ -152,7 +152,7 @@
     )
 
 
-def measure_statements(turns: int, min_s: float) -> dict:
+def measure_statements(rounds: int, min_s: float) -> dict:
     """Return the times to parse new, cached and worst-case statements, and to import the parser (ms)."""
     cached, uncached = Reader(), Reader(cached=0)
     texts = [make_statement(number) for number in range(500)]
@@ -167,7 +167,7 @@
                 f"tenant = 't{number}' AND cost > {number} AND NOT class IN ('a', 'b')"
             ),
         },
-        turns,
+        rounds,
         min_s,
     )
     worst_us = {
@@ -211,7 +211,7 @@
     return summary
 
 
-def measure_summaries(turns: int, min_s: float) -> dict:
+def measure_summaries(rounds: int, min_s: float) -> dict:
     """Return the times of operations on predicates and summaries, and the rate of false matches by summary size."""
     rng = random.Random(5)
     summary = draw_summary(1_000, 4_096, rng)
@@ -230,7 +230,7 @@
             "encode": lambda number: summary.encode(),
             "decode": lambda number: Summary.decode(encoded),
         },
-        turns,
+        rounds,
         min_s,
     )
     false_matches = []
@@ -252,12 +252,12 @@
 
 def main() -> None:
     """Run all measurements and print one JSON object."""
-    turns, min_s = (1, 0.02) if "--quick" in sys.argv else (5, 0.3)
+    rounds, min_s = (1, 0.02) if "--quick" in sys.argv else (5, 0.3)
     json.dump(
         {
-            "filters": measure_index(turns, min_s),
-            "statements": measure_statements(turns, min_s),
-            "summaries": measure_summaries(turns, min_s),
+            "filters": measure_index(rounds, min_s),
+            "statements": measure_statements(rounds, min_s),
+            "summaries": measure_summaries(rounds, min_s),
         },
         sys.stdout,
         indent=1,
--- a/bench/replica.py
+++ b/bench/replica.py
@@ -3,8 +3,8 @@
     python bench/replica.py [--runs 200] [--jobs 4] [--first 0] [--kills 10] [--out FILE]
 
 Prints one JSON object. `runs`: violations under drawn faults. `sockets`: one process with five members, so CPU times
-and turns are upper bounds. `processes`: time from a leader's kill -9, SIGSTOP or isolation to the first answered proposal
-at another member. `library`: syncs of pysyncobj's journal, and the corruption that it detects.
+and turns are upper bounds. `processes`: time from a leader's kill -9, SIGSTOP or isolation to the first proposal that
+another member answers. `library`: syncs of pysyncobj's journal, and the corruption that it detects.
 """
 
 from __future__ import annotations
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -3,7 +3,7 @@
     python bench/scale.py cells [FILE]               core and policy without sockets, by engines and open requests
     python bench/scale.py timers [FILE]              the wheel, a heap, asyncio's heap and a sorted list, side by side
     python bench/scale.py profile [FILE [CHECKOUT]]  a coordinator under load on sockets, sampled by its processor time
-    python bench/scale.py compare BASE [ROUNDS]      this checkout and another in turn: CPU a request, p99 at 80% load
+    python bench/scale.py compare BASE [ROUNDS]      this checkout and another in turn: CPU per request, p99 at 80% load
 
 `cells` drives a `Core` with simulated engines; calls of the decision module are timed separately. With PYTHONPATH set
 to another checkout it measures that one. `profile` needs no change of the program: a sitecustomize module in the
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -1,15 +1,15 @@
-"""Measures agreed settings: contradictions over seeded runs, push to applied, versions as persistent maps or copies.
+"""Measures replicated settings: contradictions in seeded runs, push to applied, versions as persistent maps or copies.
 
     python bench/settings.py contradictions [--runs 500] [--nodes 5,7,9] [--refuse]
     python bench/settings.py applied [--nodes 3,30,300]
     python bench/settings.py versions [--engines 10000]
     python bench/settings.py guard [--runs 2000]
     python bench/settings.py pace [--windows 40] [--rate 300]          windows with and without 1,200 pushes a minute
-    python bench/settings.py held [--first 10000]                      what a push costs the event loop
-    python bench/settings.py sockets [--runs 30] [--nodes 9]           processes of the program, cuts and stops
+    python bench/settings.py held [--first 10000]                      CPU time of a push in the event loop
+    python bench/settings.py sockets [--runs 30] [--nodes 9]           processes of the program under cuts and stops
     python bench/settings.py explore [--limit 100000]
 
-Each prints one JSON object. Emulator runs are by seed; those with processes depend on the machine.
+Each prints one JSON object. Emulator runs depend only on the seed; runs with processes depend on the machine.
 """
 
 from __future__ import annotations
@@ -86,16 +86,16 @@
             {
                 "runs": runs,
                 "lease_ms": 2_000,
-                "longest_contradiction_ms": percentiles([r["contradiction_ms"] for r in rows]),
-                "runs_with_any": sum(r["contradiction_ms"] > 0 for r in rows),
-                "blind_ms": percentiles([r["blind_ms"] for r in rows]),
-                "runs_blind_past_a_lease": sum(r["blind_ms"] > 2_000 for r in rows),
-                "versions": sum(r["versions"] for r in rows),
-                "contradicting": sum(r["contradicting_versions"] for r in rows),
-                "leaders": sum(r["leaders"] for r in rows),
-                "stale_tokens": sum(r["stale_tokens"] for r in rows),
-                "on_meet_share": percentiles([r["on_meet_share"] for r in rows]),
-                "not_one_at_the_end": sum(len(r["lives_at_the_end"]) > 1 for r in rows),
+                "longest_contradiction_ms": percentiles([figures["contradiction_ms"] for figures in rows]),
+                "runs_with_any": sum(figures["contradiction_ms"] > 0 for figures in rows),
+                "blind_ms": percentiles([figures["blind_ms"] for figures in rows]),
+                "runs_blind_past_a_lease": sum(figures["blind_ms"] > 2_000 for figures in rows),
+                "versions": sum(figures["versions"] for figures in rows),
+                "contradicting": sum(figures["contradicting_versions"] for figures in rows),
+                "leaders": sum(figures["leaders"] for figures in rows),
+                "stale_tokens": sum(figures["stale_tokens"] for figures in rows),
+                "on_meet_share": percentiles([figures["on_meet_share"] for figures in rows]),
+                "not_one_at_the_end": sum(len(figures["lives_at_the_end"]) > 1 for figures in rows),
             }
         )
     )
@@ -614,9 +614,11 @@
                 operator_socket,
                 [start_at + seconds + 3.0]
                 if first
-                else [start_at + seconds + 3.0 + k * 60.0 / pushes for k in range(int(seconds * pushes / 60.0))],
+                else [
+                    start_at + seconds + 3.0 + number * 60.0 / pushes for number in range(int(seconds * pushes / 60.0))
+                ],
                 entries,
-                {"s-0": ports["s-0"], **{f"n{n}": 9 for n in range(first - 1)}} if first else {},
+                {"s-0": ports["s-0"], **{f"n{number}": 9 for number in range(first - 1)}} if first else {},
             )
             time.sleep(start_at + 2.0 - time.time())
             table()
--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -75,8 +75,8 @@
     )
 
 
-def matching(count: int, turns: int) -> dict[str, Any]:
-    """Return the CPU microseconds per event with `count` subscriptions at one coordinator; medians of the turns."""
+def matching(count: int, rounds: int) -> dict[str, Any]:
+    """Return the CPU microseconds per event with `count` subscriptions at one coordinator; medians of the rounds."""
     rng = random.Random(count)
     texts = draw_filters(count, rng)
     hub = SubscriptionHub("c1", 1, 0.0, most=count, fanout=Fanout(100_000, 10_000_000))
@@ -90,7 +90,7 @@
     subscribe_s = time.process_time() - started
     predicates = [parse(text) for text in texts]
     path_us, scan_us, delivered = [], [], 0
-    for _ in range(turns):
+    for _ in range(rounds):
         events = [event(count, rng) for _ in range(500 if count <= 1_000 else 200)]
         started = time.process_time()
         for made_event in events:
