--- a/bench/cold_ramp.py
+++ b/bench/cold_ramp.py
@@ -39,22 +39,13 @@
 
 WARM_MS, WINDOW_MS, OVERLOAD_RATIO, START_CAPACITY, ENGINE_CORES = 6_000.0, 1_000.0, 4.0, 0.3, 8.0
 MAX_DISCOVERY_DELAY_MS, CLIENT_TIMEOUT_MS, DOWN_MS = 7_000.0, 400.0, 300.0
-WORK_SIGMA, ESTIMATE_SIGMA, RATE_SIGMA = (
-    1.0,
-    0.3,
-    0.8,
-)  # standard deviations of logarithms
-SMALL_SHARE, SMALL_MEAN_RATIO = (
-    0.8,
-    0.4,
-)  # share of small requests; their mean work relative to that of all
-DEMAND_RATIO, MIN_RATE_PER_PROCESS_PER_S = (
-    1.5,
-    0.5,
-)  # total arrival rate in budgets of a warm engine; lower bound
-WARM_BUDGET_MS = (
-    0.85 * ENGINE_CORES * WINDOW_MS * OVERLOAD_RATIO
-)  # of a warm engine for one window, as computed by the module
+# Standard deviations of the logarithms of work, of estimates and of the processes' arrival rates.
+WORK_SIGMA, ESTIMATE_SIGMA, RATE_SIGMA = 1.0, 0.3, 0.8
+SMALL_SHARE, SMALL_MEAN_RATIO = 0.8, 0.4  # share of small requests; their mean work relative to that of all
+# Total arrival rate as a multiple of a warm engine's budget, and its lower bound for each process.
+DEMAND_RATIO, MIN_RATE_PER_PROCESS_PER_S = 1.5, 0.5
+# Budget of a warm engine for one window, as the decision module computes it.
+WARM_BUDGET_MS = 0.85 * ENGINE_CORES * WINDOW_MS * OVERLOAD_RATIO
 STRATEGIES = ("shares", "draws", "turns", "carried", "places", "paced")
 
 
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -389,8 +389,8 @@
         outcomes[f"{kind}, {'live' if state == 'proven' else state}"] += 1
 
     tasks = []
-    for number, part_number in enumerate(pushes):
-        await asyncio.sleep(max(0.0, part_number - time.time()))
+    for number, push_at in enumerate(pushes):
+        await asyncio.sleep(max(0.0, push_at - time.time()))
         tasks.append(asyncio.create_task(push(number)))
     await asyncio.gather(*tasks)
     return dict(outcomes)
