--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -230,9 +230,8 @@
                     "listen"
                 ].rpartition(":")[2]
             )
-            subscribe_slots = asyncio.Semaphore(
-                8
-            )  # the socket accepts at most 16 callers that have not sent a command yet
+            # The socket accepts at most 16 callers that have not sent a command yet.
+            subscribe_slots = asyncio.Semaphore(8)
 
             async def subscribe(text: str) -> Any:
                 async with subscribe_slots, asyncio.timeout(120.0):
