--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -31,7 +31,7 @@
 from frostspindle.subscriptions import schema
 from frostspindle.subscriptions.fanout import Fanout
 from frostspindle.subscriptions.hub import SubscriptionHub
-from frostspindle.subscriptions.interest import CombinedInterest, understood
+from frostspindle.subscriptions.interest import CombinedInterest, parse_summary
 
 CLASSES, OUTCOMES = ("lookup", "bulk", "report", "live", "batch"), ("served", "served", "refused", "failed")
 BROAD = ("ms > 990000", "class = 'live' AND ms < 5000", "kind = 'answer' AND outcome = 'failed' AND class = 'report'")
@@ -95,11 +95,11 @@
         began = time.process_time()
         for one in events:
             hub.make(one)
-        while hub.subscribers.live["c1"].pos != hub.maker.head:
+        while hub.subscribers.live["c1"].position != hub.publisher.head:
             now += 5.0
             hub.tick(now)
         while hub.subscribers.fanout.total:
-            told += sum(len(items) for _, items in hub.subscribers.fanout.turn(set(), 512))
+            told += sum(len(items) for _, items in hub.subscribers.fanout.next_batches(set(), 512))
         path.append((time.process_time() - began) * 1e6 / len(events))
         few = events[: max(1, 100_000 // count)][:200]
         began = time.process_time()
@@ -112,9 +112,9 @@
         "filters": count,
         "path_us": round(statistics.median(path), 1),
         "scan_us": round(statistics.median(scan), 1),
-        "told_an_event": round(told / hub.maker.head, 2),
+        "told_an_event": round(told / hub.publisher.head, 2),
         "join_us": round(joined * 1e6 / count, 1),
-        "asked_for": len(hub.subscribers.parts),
+        "asked_for": len(hub.subscribers.filters),
     }
 
 
@@ -150,10 +150,10 @@
         one.add(at, held)
         grown.add(at, held)
         began = time.process_time()
-        grown.parts()
+        grown.filters()
         took.append(time.process_time() - began)
     began = time.process_time()
-    parts = one.parts(narrow=True)
+    parts = one.filters(narrow=True)
     whole = time.process_time() - began
     index = FilterIndex()
     for at, held in enumerate(filters):
@@ -168,8 +168,8 @@
         "cover_ms": round(whole * 1e3, 1),
         "one_more_ms": [round(held * 1e3, 1) for held in (statistics.median(took), max(took))],
     }
-    for name, words in (("anew", parts), ("grown", grown.parts()), ("common", one._exact() or one._common())):
-        summary = understood(words)
+    for name, words in (("anew", parts), ("grown", grown.filters()), ("common", one._exact() or one._common())):
+        summary = parse_summary(words)
         sent = [summary.truth(row) is True for row in rows]
         assert all(said or not due for said, due in zip(sent, right, strict=True))
         out[name] = {"sent": sum(sent) / events, "needless": round(1.0 - sum(right) / max(1, sum(sent)), 3)}
--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -193,7 +193,7 @@
     def _count(self, place: Place) -> None:
         if place.hub is not None:
             self.counted += place.hub.counted
-            self.counted["fell_behind"] += place.hub.subscribers.fanout.behind
+            self.counted["fell_behind"] += place.hub.subscribers.fanout.overflows
             self.needless += place.hub.subscribers.needless
             self.taken += place.hub.subscribers.taken
 
@@ -240,7 +240,7 @@
             return
         place.heard[who] = self.now, epoch
         if data:
-            place.hub.hear(self.now, who, epoch, wire.decode(data))
+            place.hub.on_message(self.now, who, epoch, wire.decode(data))
 
     def _live(self, number: int, place: Place, hub: SubscriptionHub) -> None:
         if self.now < self.seconds * 1_000.0 and self.random.random() < self.rate * STEP_MS / 1_000.0:
@@ -305,13 +305,13 @@
     def _read(self, client: Client, hub: SubscriptionHub) -> None:
         subs = hub.subscribers
         if not client.acked:
-            if not subs.all[client.sub].acknowledged:
+            if not subs.subscriptions[client.sub].acknowledged:
                 return
             client.acked, client.cursor_at = True, -1e9  # a cursor comes with it
             if client.first_ack is None:
                 client.first_ack = self.now
-        others = set(subs.all) - {client.sub}
-        for _, items in subs.fanout.turn(others, 64):
+        others = set(subs.subscriptions) - {client.sub}
+        for _, items in subs.fanout.next_batches(others, 64):
             client.fresh += items
         if self.now - client.cursor_at >= CURSOR_MS:
             client.cursor_at = self.now
@@ -321,10 +321,10 @@
                     told = msgspec.json.decode(item.line)
                     client.events.append((told["of"][0], told["of"][1], told["of"][2]))
                 elif item.last is None:
-                    client.open[item.maker] = item.first
+                    client.open[item.publisher] = item.first
                 else:
-                    client.open.pop(item.maker, None)
-                    client.closed.append((item.maker, item.first, item.last))
+                    client.open.pop(item.publisher, None)
+                    client.closed.append((item.publisher, item.first, item.last))
             client.fresh.clear()
 
 
--- a/frostspindle/subscriptions/cover.py
+++ b/frostspindle/subscriptions/cover.py
@@ -24,13 +24,13 @@
 from frostspindle.predicates.values import Value
 from frostspindle.subscriptions import schema
 
-MOST_VALUES = 64  # of a column in one box
-FEW_VALUES = 2  # a box with more of them may get a range or a prefix in their place
-FINE = 192  # boxes whose neighbours are weighed; of more, runs are joined unweighed
-NEAR = 20  # boxes that are all tried with each other; before, only neighbours in their order are
-JOINED = " AND "
-COVERED = -1.0  # worth of joining a box with one that lies within it
-ANSWERS = 0.9  # of the events, as a guess
+MAX_VALUES = 64  # of a column in one box
+MAX_UNWIDENED_VALUES = 2  # a box with more of them may get a range or a prefix in their place
+MAX_MERGE_CANDIDATES = 192  # boxes whose neighbours are weighed; of more, runs are joined unweighed
+MAX_PAIRWISE_BOXES = 20  # boxes that are all tried with each other; before, only neighbours in their order are
+AND_SEPARATOR = " AND "
+COVERED_COST = -1.0  # worth of joining a box with one that lies within it
+ANSWER_SHARE = 0.9  # of the events, as a guess
 
 
 class Values(NamedTuple):
@@ -56,7 +56,7 @@
 Box = frozenset[tuple[str, Side]]
 
 
-def _side(atom: Any) -> Side | None:
+def _side_of(atom: Any) -> Side | None:
     kind = type(atom)
     if kind is In and not atom.negated and atom.values:
         return Values(atom.values)
@@ -69,7 +69,7 @@
     return Range(None, atom.value) if atom.op in ("<", "<=") else Range(atom.value, None)
 
 
-def _both(one: Side, other: Side) -> Side:
+def _intersection(one: Side, other: Side) -> Side:
     """Something that holds where both do: the narrower of them, as a rule."""
     if type(one) is Values and type(other) is Values:
         return Values(one.values & other.values or one.values)
@@ -85,15 +85,15 @@
     """Return the box of a conjunction: by column what it asks for; conditions that no box can express are left out."""
     out: dict[str, Side] = {}
     for atom in term:
-        if (side := _side(atom)) is not None:
+        if (side := _side_of(atom)) is not None:
             name = atom.column  # type: ignore[union-attr]
-            out[name] = _both(out[name], side) if name in out else side
+            out[name] = _intersection(out[name], side) if name in out else side
     return frozenset(
-        (name, side) for name, side in out.items() if not (type(side) is Values and len(side.values) > MOST_VALUES)
+        (name, side) for name, side in out.items() if not (type(side) is Values and len(side.values) > MAX_VALUES)
     )
 
 
-def _wider(side: Values) -> Side | None:
+def _widened(side: Values) -> Side | None:
     """In place of values a prefix of texts, or a range; None: anything."""
     if all(type(value) is str for value in side.values):
         found = commonprefix(list(side.values))
@@ -101,12 +101,12 @@
     return Range(min(side.values), max(side.values))
 
 
-def _either(one: Side, other: Side) -> Side | None:
+def _union(one: Side, other: Side) -> Side | None:
     """What holds wherever one of them does; None: nothing that a box can say."""
     if type(one) is Values and type(other) is Values:
         held = Values(one.values | other.values)
-        return held if len(held.values) <= MOST_VALUES else _wider(held)
-    one, other = (_wider(side) if type(side) is Values else side for side in (one, other))  # type: ignore[assignment]
+        return held if len(held.values) <= MAX_VALUES else _widened(held)
+    one, other = (_widened(side) if type(side) is Values else side for side in (one, other))  # type: ignore[assignment]
     if type(one) is Prefix and type(other) is Prefix:
         found = commonprefix([one.prefix, other.prefix])
         return Prefix(found) if found else None
@@ -120,7 +120,7 @@
 def join(one: Box, other: Box) -> Box:
     """Return the smallest box that holds both."""
     right = dict(other)
-    sides = ((name, _either(side, right[name])) for name, side in one if name in right)
+    sides = ((name, _union(side, right[name])) for name, side in one if name in right)
     return frozenset((name, side) for name, side in sides if side is not None)
 
 
@@ -128,8 +128,8 @@
     """Return variants of the box, each with one longer list of values widened to a range or prefix, or left out."""
     out = []
     for name, side in held:
-        if type(side) is Values and len(side.values) > FEW_VALUES:
-            wide = _wider(side)
+        if type(side) is Values and len(side.values) > MAX_UNWIDENED_VALUES:
+            wide = _widened(side)
             out.append(held - {(name, side)} | ({(name, wide)} if wide is not None else set()))
     return out
 
@@ -156,7 +156,7 @@
     return None if type(value) is str or value is None else float(value)  # type: ignore[arg-type]
 
 
-class _Guess:
+class _Selectivity:
     """What share of events a box lets through, by what the filters name."""
 
     def __init__(self, boxes: Iterable[Box]) -> None:
@@ -177,7 +177,8 @@
     def _part(self, name: str, side: Side) -> float:
         if name == "kind" and type(side) is Values:
             return sum(
-                ANSWERS if kind == "answer" else (1.0 - ANSWERS) / (len(schema.NAMES) - 1) for kind in side.values
+                ANSWER_SHARE if kind == "answer" else (1.0 - ANSWER_SHARE) / (len(schema.NAMES) - 1)
+                for kind in side.values
             )
         if type(side) is Prefix:
             held = self.texts.get(name, [])
@@ -201,15 +202,15 @@
 
     def size(self, held: Box) -> int:
         """Bytes of the filter."""
-        out = -len(JOINED) if held else len("TRUE")
+        out = -len(AND_SEPARATOR) if held else len("TRUE")
         for one in held:
             if (side := self._sizes.get(one)) is None:
-                side = self._sizes[one] = len(text(_atom(*one)).encode()) + len(JOINED)
+                side = self._sizes[one] = len(text(_atom(*one)).encode()) + len(AND_SEPARATOR)
             out += side
         return out
 
 
-def _order(held: Box, guess: _Guess) -> Any:
+def _sort_key(held: Box, guess: _Selectivity) -> Any:
     """Alike beside alike: by the columns, and by these in order, those with few values first."""
     named = dict(held)
     names = sorted(named, key=lambda name: (name != "kind", len(guess.texts.get(name, ())) or 10**9, name))
@@ -222,11 +223,11 @@
     return names, keys
 
 
-def _near(boxes: list[Box], guess: _Guess, most: int) -> list[Box]:
+def _merge_neighbours(boxes: list[Box], guess: _Selectivity, most: int) -> list[Box]:
     """Neighbours joined, cheapest first, until there are so few; of very many, those of the same columns in runs."""
-    ordered = sorted((_order(one, guess), place, one) for place, one in enumerate(boxes))
+    ordered = sorted((_sort_key(one, guess), place, one) for place, one in enumerate(boxes))
     runs: list[Box] = []
-    each = -(-len(boxes) // FINE)
+    each = -(-len(boxes) // MAX_MERGE_CANDIDATES)
     for _, alike in groupby(ordered, key=lambda one: one[0][0]):
         same = [one for *_, one in alike]
         runs += [reduce(join, same[place : place + each]) for place in range(0, len(same), each)]
@@ -257,21 +258,21 @@
     return list(held.values())
 
 
-def reduced(boxes: Iterable[Box], most: int, room: int) -> list[Box]:
+def reduce_boxes(boxes: Iterable[Box], most: int, room: int) -> list[Box]:
     """Reduce the boxes to `most` at most, whose filters have `room` bytes together at most.
 
     What widens least for the bytes that it saves is joined first. Each of the given boxes lies within one of the
     result.
     """
     distinct = list(dict.fromkeys(boxes))
-    guess = _Guess(distinct)
-    held = _near(distinct, guess, NEAR) if len(distinct) > NEAR else distinct
+    guess = _Selectivity(distinct)
+    held = _merge_neighbours(distinct, guess, MAX_PAIRWISE_BOXES) if len(distinct) > MAX_PAIRWISE_BOXES else distinct
     ways: dict[tuple[Box, ...], tuple[float, Box]] = {}
 
     def weigh(*of: Box) -> None:
         for joined in [join(*of)] if len(of) == 2 else coarser(of[0]):
             if joined in of:
-                ways[of] = COVERED, joined
+                ways[of] = COVERED_COST, joined
             elif (saved := sum(map(guess.size, of)) - guess.size(joined)) > 0:
                 worth = (guess.share(joined) - sum(map(guess.share, of))) / saved
                 if of not in ways or worth < ways[of][0]:
@@ -281,7 +282,7 @@
         weigh(one)
     for pair in combinations(held, 2):
         weigh(*pair)
-    while len(held) > most or sum(map(guess.size, held)) > room or any(way[0] == COVERED for way in ways.values()):
+    while len(held) > most or sum(map(guess.size, held)) > room or any(way[0] == COVERED_COST for way in ways.values()):
         if not ways:
             return [frozenset()]
         of = min(ways, key=lambda key: ways[key][0])
--- a/frostspindle/subscriptions/fanout.py
+++ b/frostspindle/subscriptions/fanout.py
@@ -12,10 +12,10 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from frostspindle.subscriptions.cursor import Pos
+from frostspindle.subscriptions.cursor import Position
 
-MOST_OF_ONE, MOST_OF_ALL = 1_024, 65_536  # items
-AT_ONCE = 64  # of one subscriber in a turn
+MAX_BACKLOG_ITEMS, MAX_TOTAL_ITEMS = 1_024, 65_536  # items
+MAX_BATCH_ITEMS = 64  # of one subscriber in a turn
 
 
 class BacklogItem(NamedTuple):
@@ -24,14 +24,14 @@
     `last` None: the end is not known yet. A gap whose `last` is before its `first` says that nothing was lost.
     """
 
-    maker: str
-    first: Pos
-    last: Pos | None
+    publisher: str
+    first: Position
+    last: Position | None
     line: bytes = b""
     kind: str = ""
 
 
-def merged(items: Iterable[BacklogItem]) -> list[BacklogItem]:
+def merge_into_gaps(items: Iterable[BacklogItem]) -> list[BacklogItem]:
     """Return, in place of all that waits for a subscriber, one gap for each maker, and one without an end where one is
     open.
 
@@ -41,22 +41,22 @@
     still: dict[str, BacklogItem] = {}
     for item in items:
         if item.last is None:
-            still[item.maker] = item
+            still[item.publisher] = item
             continue
-        still.pop(item.maker, None)
-        before = closed.get(item.maker, item)
+        still.pop(item.publisher, None)
+        before = closed.get(item.publisher, item)
         assert before.last is not None
-        closed[item.maker] = BacklogItem(item.maker, min(before.first, item.first), max(before.last, item.last))
+        closed[item.publisher] = BacklogItem(item.publisher, min(before.first, item.first), max(before.last, item.last))
     return [*closed.values(), *still.values()]
 
 
 class Fanout:
     """All subscribers' backlogs, bounded each and together."""
 
-    def __init__(self, most_of_one: int = MOST_OF_ONE, most_of_all: int = MOST_OF_ALL) -> None:
-        self.most_of_one, self.most_of_all = most_of_one, most_of_all
+    def __init__(self, max_backlog: int = MAX_BACKLOG_ITEMS, max_total: int = MAX_TOTAL_ITEMS) -> None:
+        self.max_backlog, self.max_total = max_backlog, max_total
         self.backlogs: dict[int, deque[BacklogItem]] = {}
-        self.total = self.behind = 0  # items that wait; how often somebody fell behind
+        self.total = self.overflows = 0  # items that wait; how often somebody fell behind
         self._waiting: dict[int, None] = {}  # those who have something to be told
 
     def join(self, who: int) -> None:
@@ -78,40 +78,40 @@
         backlog.append(item)
         self.total += 1
         self._waiting[who] = None
-        if len(backlog) > self.most_of_one:
-            self._cut(who)
-        elif self.total > self.most_of_all:
-            self._cut(max(self._waiting, key=lambda one: len(self.backlogs[one])))
+        if len(backlog) > self.max_backlog:
+            self._collapse(who)
+        elif self.total > self.max_total:
+            self._collapse(max(self._waiting, key=lambda one: len(self.backlogs[one])))
 
-    def _cut(self, who: int) -> None:
+    def _collapse(self, who: int) -> None:
         backlog = self.backlogs[who]
-        kept = merged(backlog)
+        kept = merge_into_gaps(backlog)
         self.total += len(kept) - len(backlog)
         self.backlogs[who] = deque(kept)
-        self.behind += 1
+        self.overflows += 1
 
-    def turn(self, busy: set[int], most: int) -> Iterator[tuple[int, list[BacklogItem]]]:
+    def next_batches(self, busy: set[int], most: int) -> Iterator[tuple[int, list[BacklogItem]]]:
         """Yield whom to send which items, `most` in all, AT_ONCE each: the smallest backlog first, nobody `busy`."""
         ready = [(len(self.backlogs[who]), who) for who in self._waiting if who not in busy]
         for size, who in heapq.nsmallest(most, ready):
             backlog = self.backlogs.get(who)
             if most <= 0 or backlog is None:
                 break
-            items = [backlog.popleft() for _ in range(min(size, AT_ONCE, most))]
+            items = [backlog.popleft() for _ in range(min(size, MAX_BATCH_ITEMS, most))]
             most -= len(items)
             self.total -= len(items)
             if not backlog:
                 del self._waiting[who]
             yield who, items
 
-    def more(self, busy: set[int]) -> bool:
+    def has_more(self, busy: set[int]) -> bool:
         """Return whether items wait for a subscriber that is not busy."""
         return any(who not in busy for who in self._waiting)
 
-    def pending(self, who: int) -> dict[str, Pos]:
+    def pending(self, who: int) -> dict[str, Position]:
         """Return, by maker, the position right before the first item that waits for a subscriber."""
-        out: dict[str, Pos] = {}
+        out: dict[str, Position] = {}
         for item in self.backlogs[who]:
-            if item.maker not in out:
-                out[item.maker] = item.first[0], max(0, item.first[1] - 1)
+            if item.publisher not in out:
+                out[item.publisher] = item.first[0], max(0, item.first[1] - 1)
         return out
--- a/frostspindle/subscriptions/interest.py
+++ b/frostspindle/subscriptions/interest.py
@@ -16,16 +16,16 @@
 from frostspindle.predicates.normal import Term, normal
 from frostspindle.predicates.values import Value
 from frostspindle.subscriptions import cover, schema
-from frostspindle.subscriptions.wire import MOST_PARTS, PARTS_BYTES
+from frostspindle.subscriptions.wire import MAX_FILTERS, MAX_FILTERS_BYTES
 
-FEW = 16  # filters that are compared with each other
-MOST_BOXES = 1_024  # that are brought down to few
-GROWN = 1.5  # times as many as it was made of: a cover is made anew
-MOST_VALUES = 24  # of a column that stand in one part
-ALL = -1  # in place of a kind: a filter that may match any
+MAX_COMPARED_FILTERS = 16  # filters that are compared with each other
+MAX_BOXES = 1_024  # that are brought down to few
+REBUILD_GROWTH = 1.5  # times as many as it was made of: a cover is made anew
+MAX_VALUES_PER_COLUMN = 24  # of a column that stand in one part
+ANY_KIND = -1  # in place of a kind: a filter that may match any
 
 
-def _equal(term: Term) -> dict[str, frozenset[Value]]:
+def _equality_values(term: Term) -> dict[str, frozenset[Value]]:
     """By column, the values that a row must have one of for this term."""
     out: dict[str, frozenset[Value]] = {}
     for atom in term:
@@ -39,16 +39,16 @@
     return out
 
 
-def _shape(terms: tuple[Term, ...] | None) -> list[tuple[int, dict[str, frozenset[Value]]]]:
+def _values_by_kind(terms: tuple[Term, ...] | None) -> list[tuple[int, dict[str, frozenset[Value]]]]:
     """For each conjunction, by kind of event: the values that it asks for."""
     if terms is None:
-        return [(ALL, {})]
+        return [(ANY_KIND, {})]
     out = []
     for term in terms:
-        equal = _equal(term)
+        equal = _equality_values(term)
         kinds = equal.pop("kind", None)
-        few = {column: values for column, values in equal.items() if 0 < len(values) <= MOST_VALUES}
-        for kind in [ALL] if kinds is None else [n for n, name in enumerate(schema.NAMES) if name in kinds]:
+        few = {column: values for column, values in equal.items() if 0 < len(values) <= MAX_VALUES_PER_COLUMN}
+        for kind in [ANY_KIND] if kinds is None else [n for n, name in enumerate(schema.NAMES) if name in kinds]:
             out.append((kind, few))
     return out
 
@@ -58,26 +58,26 @@
 
     def __init__(self) -> None:
         self.terms = 0
-        self.named: Counter[str] = Counter()  # conjunctions that ask for values of this column
+        self.equalities: Counter[str] = Counter()  # conjunctions that ask for values of this column
         self.values: defaultdict[str, Counter[Value]] = defaultdict(Counter)
 
     def add(self, equal: dict[str, frozenset[Value]], by: int) -> None:
         self.terms += by
         for column, values in equal.items():
-            self.named[column] += by
+            self.equalities[column] += by
             counter = self.values[column]
             for value in values:
                 counter[value] += by
                 if not counter[value]:
                     del counter[value]
 
-    def part(self, kind: int, room: int) -> str:
+    def summary(self, kind: int, room: int) -> str:
         """All of them: by the column that all name with the fewest values, else everything of the kind."""
-        if kind == ALL:
+        if kind == ANY_KIND:
             return "TRUE"
         one = compare("kind", "=", schema.NAMES[kind])
-        for count, column in sorted((len(self.values[c]), c) for c, n in self.named.items() if n == self.terms):
-            if 0 < count <= MOST_VALUES:
+        for count, column in sorted((len(self.values[c]), c) for c, n in self.equalities.items() if n == self.terms):
+            if 0 < count <= MAX_VALUES_PER_COLUMN:
                 found = text(all_of(one, one_of(column, sorted(self.values[column]))))  # type: ignore[type-var]
                 if len(found.encode()) <= room:
                     return found
@@ -93,9 +93,9 @@
         self._bytes = 0  # of distinct texts
         self._kinds: defaultdict[int, _Kind] = defaultdict(_Kind)
         self._boxes: Counter[cover.Box] = Counter()
-        self._new: list[cover.Box] = []  # that the cover was not made of
+        self._added: list[cover.Box] = []  # that the cover was not made of
         self._cover: list[cover.Box] | None = None  # as last told; wider than needed where it grew, or filters went
-        self._anew = 0  # of so many boxes it was made anew
+        self._rebuilt_from = 0  # of so many boxes it was made anew
 
     def __len__(self) -> int:
         return len(self._filters)
@@ -104,13 +104,13 @@
         """Add a filter, in place of the one with this key if there is one."""
         self.remove(key)
         terms, words = normal(predicate), text(predicate)
-        shape, boxes = _shape(terms), [cover.box(term) for term in (((),) if terms is None else terms)]
+        shape, boxes = _values_by_kind(terms), [cover.box(term) for term in (((),) if terms is None else terms)]
         self._filters[key] = words, shape, boxes
         self._boxes.update(boxes)
         if self._cover is not None:
-            self._new += boxes
-            if len(self._new) > MOST_BOXES:
-                self._cover, self._new = None, []
+            self._added += boxes
+            if len(self._added) > MAX_BOXES:
+                self._cover, self._added = None, []
         self._texts[words] += 1
         if self._texts[words] == 1:
             self._bytes += len(words.encode())
@@ -133,44 +133,44 @@
         for kind, equal in shape:
             self._kinds[kind].add(equal, -1)
 
-    def parts(self, narrow: bool = False) -> tuple[str, ...]:
+    def filters(self, narrow: bool = False) -> tuple[str, ...]:
         """Return texts of filters, one of which matches whatever a subscriber's does.
 
         At most MOST_PARTS, of PARTS_BYTES together. If not all filters fit, the last summary is widened by what was
         added; `narrow`: it is made anew from the present filters.
         """
-        before, new, self._cover, self._new = self._cover, self._new, None, []
+        before, new, self._cover, self._added = self._cover, self._added, None, []
         if (words := self._exact()) is not None:
             return words
-        if len(self._boxes) > MOST_BOXES:
+        if len(self._boxes) > MAX_BOXES:
             return self._common()
-        if narrow or before is None or len(self._boxes) > GROWN * self._anew:
-            before, new, self._anew = list(self._boxes), [], len(self._boxes)
-        self._cover = cover.reduced([*before, *new], MOST_PARTS, PARTS_BYTES)
+        if narrow or before is None or len(self._boxes) > REBUILD_GROWTH * self._rebuilt_from:
+            before, new, self._rebuilt_from = list(self._boxes), [], len(self._boxes)
+        self._cover = cover.reduce_boxes([*before, *new], MAX_FILTERS, MAX_FILTERS_BYTES)
         return tuple(sorted(text(cover.predicate(one)) for one in self._cover))
 
     def _exact(self) -> tuple[str, ...] | None:
         """All of them, if they fit."""
-        if len(self._texts) <= FEW:
+        if len(self._texts) <= MAX_COMPARED_FILTERS:
             words = sorted(self._texts)
             known = {word: parse(word) for word in words}
             for word in words:  # what another one covers goes
                 if any(covers(known[other], known[word]) for other in known if other != word):
                     del known[word]
-            if sum(len(word.encode()) for word in known) <= PARTS_BYTES:
+            if sum(len(word.encode()) for word in known) <= MAX_FILTERS_BYTES:
                 return tuple(known)
-        elif len(self._texts) <= MOST_PARTS and self._bytes <= PARTS_BYTES:
+        elif len(self._texts) <= MAX_FILTERS and self._bytes <= MAX_FILTERS_BYTES:
             return tuple(sorted(self._texts))
         return None
 
     def _common(self) -> tuple[str, ...]:
         """By kind of event, what all have in common."""
         kinds = {kind: held for kind, held in self._kinds.items() if held.terms}
-        if ALL in kinds:
+        if ANY_KIND in kinds:
             return ("TRUE",)
-        return tuple(held.part(kind, PARTS_BYTES // len(kinds)) for kind, held in sorted(kinds.items()))
+        return tuple(held.summary(kind, MAX_FILTERS_BYTES // len(kinds)) for kind, held in sorted(kinds.items()))
 
 
-def understood(parts: tuple[str, ...]) -> Predicate:
+def parse_summary(filters: tuple[str, ...]) -> Predicate:
     """Return the predicate of a summary; FilterError if a part can't be parsed."""
-    return any_of(*[parse(part) for part in parts])
+    return any_of(*[parse(part) for part in filters])
--- a/frostspindle/subscriptions/schema.py
+++ b/frostspindle/subscriptions/schema.py
@@ -13,7 +13,10 @@
 from frostspindle.predicates.algebra import And, Const, IsNull, Not, Or, Predicate, nodes
 from frostspindle.predicates.values import KIND_NAMES, NULL, NUMBER, TEXT, TIME, FilterError, Value
 
-TEXT_MOST, BYTES_MOST = 64, 96  # characters of a text, and bytes of one beyond ASCII: each event fits one message
+MAX_TEXT_CHARS, MAX_TEXT_BYTES = (
+    64,
+    96,
+)  # characters of a text, and bytes of one beyond ASCII: each event fits one message
 ANSWER, ENGINE, LOAD, MEMBER, RECOVERY = range(5)
 NAMES = ("answer", "engine", "load", "member", "recovery")
 COMMON = {"kind": TEXT, "maker": TEXT, "at": TIME}
@@ -44,8 +47,8 @@
         return None
     if kind == NUMBER:
         return max(-(2**53), min(2**53, int(value)))
-    text = str(value)[:TEXT_MOST]
-    return text if text.isascii() else _SURROGATE.sub("?", text).encode()[:BYTES_MOST].decode(errors="ignore")
+    text = str(value)[:MAX_TEXT_CHARS]
+    return text if text.isascii() else _SURROGATE.sub("?", text).encode()[:MAX_TEXT_BYTES].decode(errors="ignore")
 
 
 def make(kind: int, at_ms: float, *values: Any) -> Event:
@@ -63,10 +66,10 @@
     )
 
 
-def row(maker: str, event: Event) -> dict[str, Value]:
+def row(publisher: str, event: Event) -> dict[str, Value]:
     """Return the event as predicates take it: values by column, with kind, maker and a UTC time."""
     out: dict[str, Value] = dict(zip(COLUMNS[event.kind], event.values, strict=True))
-    out["kind"], out["maker"] = NAMES[event.kind], maker
+    out["kind"], out["maker"] = NAMES[event.kind], publisher
     out["at"] = _EPOCH + timedelta(milliseconds=event.at_ms)
     return out
 
@@ -80,7 +83,7 @@
         and all(
             value is None
             or type(value) is (int if kind == NUMBER else str)
-            and (kind == NUMBER or len(value) <= TEXT_MOST and not _SURROGATE.search(value))  # type: ignore[arg-type]
+            and (kind == NUMBER or len(value) <= MAX_TEXT_CHARS and not _SURROGATE.search(value))  # type: ignore[arg-type]
             for value, kind in zip(event.values, columns.values(), strict=True)
         )
     )
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -29,11 +29,14 @@
     from frostspindle.fleet.node import FleetNode
 
 CHANNEL = 3  # of the fleet's parcels
-SOON_S = 0.005  # events are matched so long after the first of them
-LINES = 256  # written in one turn
-CURSOR_MS, IDLE_CURSOR_MS = 100.0, 5_000.0  # a cursor follows what was written; without news, so often
-LOOK_MS = 250.0  # so often the members and the module's judgements are looked at
-NAMES = {Health.READY: "ready", Health.DRAINING: "draining", Health.GONE: "gone"}
+BATCH_DELAY_S = 0.005  # events are matched so long after the first of them
+LINES_PER_TICK = 256  # written in one turn
+CURSOR_INTERVAL_MS, IDLE_CURSOR_INTERVAL_MS = (
+    100.0,
+    5_000.0,
+)  # a cursor follows what was written; without news, so often
+STATE_POLL_MS = 250.0  # so often the members and the module's judgements are looked at
+HEALTH_NAMES = {Health.READY: "ready", Health.DRAINING: "draining", Health.GONE: "gone"}
 _json = msgspec.json.Encoder().encode
 
 
@@ -48,13 +51,13 @@
     def __init__(self, service: SubscriptionService, number: int, caller: Any) -> None:
         self.service, self.number, self.caller = service, number, caller
         self.cursor_at = 0.0
-        self.owed = float("inf")  # when the next cursor is due
+        self.next_cursor_at = float("inf")  # when the next cursor is due
 
     def paused(self, on: bool) -> None:
         """Take in that the caller has stopped reading, or reads again; nothing is written to it meanwhile."""
         (self.service.busy.add if on else self.service.busy.discard)(self.number)
         if not on:
-            self.service.soon()
+            self.service.schedule_tick()
 
     def gone(self) -> None:
         """End the subscription, as its caller's connection has ended."""
@@ -85,9 +88,9 @@
         self.busy: set[int] = set()  # subscribers that do not read, or were not acknowledged
         self._cursors: list[tuple[float, int]] = []
         self._timer: asyncio.TimerHandle | None = None
-        self._at = float("inf")  # when the timer is due, in seconds of the loop
-        self._look_at = 0.0
-        self._sick: set[str] = set()
+        self._tick_at = float("inf")  # when the timer is due, in seconds of the loop
+        self._poll_at = 0.0
+        self._ejected: set[str] = set()
         self._closed = False
 
     # Its life.
@@ -108,7 +111,7 @@
         name = self.node.name if self.node is not None else self.name
         self.hub = SubscriptionHub(name, epoch, now, self.remember, self.most, Fanout(self.backlog))
         self.telemetry.log("subscriptions_started", name=name, epoch=epoch)
-        self.soon()
+        self.schedule_tick()
 
     def close(self) -> None:
         """Write what has been matched, log the figures and stop the timer; later events are not sent."""
@@ -126,7 +129,7 @@
         if self.hub is not None:
             now = clock()
             tenant = self.tenants[request.tenant] if request.tenant < len(self.tenants) else ""
-            self._make(
+            self._publish(
                 schema.ANSWER,
                 now,
                 self.core.classes[request.cls][1],
@@ -140,23 +143,25 @@
 
     def on_engine_changed(self, name: str, change: str, state: int | None = None) -> None:
         """Make an event of an engine's change; `state`: its health on the list, None: not told."""
-        self._make(schema.ENGINE, clock(), name, change, None if state is None else NAMES.get(state, str(state)))
+        self._publish(
+            schema.ENGINE, clock(), name, change, None if state is None else HEALTH_NAMES.get(state, str(state))
+        )
 
     def loaded(self, site: str, group: int, columns: Iterable[str]) -> None:
         """Make an event for each column that a load, answered as served, has written."""
         for column in columns:
-            self._make(schema.LOAD, clock(), site, group, column)
+            self._publish(schema.LOAD, clock(), site, group, column)
 
     def stage(self, stage: str, state: str) -> None:
         """Make an event of a recovery stage that begins or ends."""
-        self._make(schema.RECOVERY, clock(), stage, state)
+        self._publish(schema.RECOVERY, clock(), stage, state)
 
     def on_member_changed(self, now: float, name: str, state: str) -> None:
         """Make an event of a member's new state, and look at the members in the next tick."""
-        self._make(schema.MEMBER, clock(), name, state)
-        self._look_at = 0.0
+        self._publish(schema.MEMBER, clock(), name, state)
+        self._poll_at = 0.0
 
-    def _make(self, kind: int, at_ms: float, *values: Any) -> None:
+    def _publish(self, kind: int, at_ms: float, *values: Any) -> None:
         """All that whoever saw the event pays for it; a fault costs the event and is counted, never the request."""
         if self.hub is None:
             return
@@ -165,8 +170,8 @@
         except Exception as error:  # noqa: BLE001 - as said
             self.telemetry.count("subscriptions_faults")
             self.telemetry.log("exception_caught", error=repr(error), of="event")
-        if self.hub.maker.streams:
-            self.soon()
+        if self.hub.publisher.streams:
+            self.schedule_tick()
 
     def on_message(self, now: float, name: str, epoch: int, data: bytes) -> None:
         """Take in a member's datagram; one that can't be decoded is counted and dropped."""
@@ -177,8 +182,8 @@
         except wire.InvalidPacketError:
             self.telemetry.count("subscriptions_undecodable")
             return
-        self.hub.hear(now, name, epoch, message)
-        self.soon()
+        self.hub.on_message(now, name, epoch, message)
+        self.schedule_tick()
 
     # What operators call.
 
@@ -199,7 +204,7 @@
             raise OperatorError(str(error)) from None
         self.callers[number] = subscriber = Subscriber(self, number, caller)
         self.busy.add(number)
-        self.soon()
+        self.schedule_tick()
         return subscriber
 
     def unsubscribe(self, number: str) -> None:
@@ -213,52 +218,52 @@
         if self.callers.pop(number, None) is not None and self.hub is not None:
             self.busy.discard(number)
             self.hub.subscribers.unsubscribe(monotonic(), number)
-            self.soon()
+            self.schedule_tick()
 
     def figures(self) -> dict[str, Any]:
         """Return the subscriptions' figures, for operators."""
         if self.hub is None:
             return {"state": "waits for the fleet's port"}
-        subs, maker = self.hub.subscribers, self.hub.maker
+        subs, publisher = self.hub.subscribers, self.hub.publisher
         return {
-            "subscriptions": len(subs.all),
-            "made": maker.head,
-            "remembered": maker.head - maker.base,
-            "streams_out": len(maker.streams),
+            "subscriptions": len(subs.subscriptions),
+            "made": publisher.head,
+            "remembered": publisher.head - publisher.base,
+            "streams_out": len(publisher.streams),
             "streams_in": len(subs.live),
             "replays": len(subs.replays),
             "backlog": subs.fanout.total,
-            "fell_behind": subs.fanout.behind,
+            "fell_behind": subs.fanout.overflows,
             "forwarded": subs.taken,
             "forwarded_needlessly": subs.needless,
-            "wanted": list(subs.parts),
-            "silent": sorted(name for name, inflow in subs.live.items() if inflow.silent)[:64],
+            "wanted": list(subs.filters),
+            "silent": sorted(name for name, inbound in subs.live.items() if inbound.silent)[:64],
             "counted": dict(sorted(self.hub.counted.items())),
         }
 
     # Time.
 
-    def soon(self) -> None:
+    def schedule_tick(self) -> None:
         """Plan a tick within SOON_S seconds, unless an earlier one is planned."""
-        self._plan(SOON_S)
+        self._schedule(BATCH_DELAY_S)
 
-    def _plan(self, wait_s: float) -> None:
+    def _schedule(self, wait_s: float) -> None:
         if self._closed:
             return
         loop = asyncio.get_running_loop()
         at = loop.time() + wait_s
-        if at < self._at:
+        if at < self._tick_at:
             if self._timer is not None:
                 self._timer.cancel()
-            self._at, self._timer = at, loop.call_at(at, self._tick)
+            self._tick_at, self._timer = at, loop.call_at(at, self._tick)
 
     def _tick(self) -> None:
-        hub, self._at, now = self.hub, float("inf"), monotonic()
+        hub, self._tick_at, now = self.hub, float("inf"), monotonic()
         if hub is None or self._closed:
             return
         try:
-            if now >= self._look_at:
-                self._look(now, hub)
+            if now >= self._poll_at:
+                self._poll_state(now, hub)
             for name, message in hub.tick(now):
                 if self.post is not None:
                     self.post(name, CHANNEL, wire.encode(message))
@@ -266,13 +271,13 @@
         except Exception as error:  # noqa: BLE001 - subscribers are not worth the coordinator
             self.telemetry.count("subscriptions_faults")
             self.telemetry.log("exception_caught", error=repr(error), of="subscriptions")
-        due = min(hub.due(), self._look_at, self._cursors[0][0] if self._cursors else float("inf"))
-        more = hub.more or hub.subscribers.fanout.more(self.busy)
-        self._plan(0.0 if more else max(0.001, (due - monotonic()) / 1000.0))
+        due = min(hub.next_tick_at(), self._poll_at, self._cursors[0][0] if self._cursors else float("inf"))
+        more = hub.has_more or hub.subscribers.fanout.has_more(self.busy)
+        self._schedule(0.0 if more else max(0.001, (due - monotonic()) / 1000.0))
 
-    def _look(self, now: float, hub: SubscriptionHub) -> None:
+    def _poll_state(self, now: float, hub: SubscriptionHub) -> None:
         """Who is alive, and which engines the module holds for sick."""
-        self._look_at = now + LOOK_MS
+        self._poll_at = now + STATE_POLL_MS
         if self.node is not None:
             hub.members(now, {name: member.claim.epoch for name, member in self.node.membership.alive.items()})
         else:
@@ -283,9 +288,9 @@
             for number, state in core.engines.items()
             if (believed := core.controller.engines.get(number)) is not None and believed.ejected
         }
-        for name in sorted(sick ^ self._sick):
+        for name in sorted(sick ^ self._ejected):
             self.on_engine_changed(name, "sick" if name in sick else "well")
-        self._sick = sick
+        self._ejected = sick
 
     def _write(self, now: float, hub: SubscriptionHub) -> None:
         subs = hub.subscribers
@@ -293,24 +298,24 @@
             if (one := self.callers.get(number)) is not None:
                 one.caller.write(_json({"ack": {"id": number, "cursor": subs.cursor(number)}}) + b"\n")
                 self.busy.discard(number)
-                self._owe(one, now + IDLE_CURSOR_MS)
+                self._schedule_cursor(one, now + IDLE_CURSOR_INTERVAL_MS)
         subs.acknowledged.clear()
-        for number, items in subs.fanout.turn(self.busy, LINES):
+        for number, items in subs.fanout.next_batches(self.busy, LINES_PER_TICK):
             one = self.callers[number]
             one.caller.write(b"".join([item.line or gap_line(item) for item in items]))
-            self._owe(one, max(now, one.cursor_at + CURSOR_MS))
+            self._schedule_cursor(one, max(now, one.cursor_at + CURSOR_INTERVAL_MS))
         while self._cursors and self._cursors[0][0] <= now:
             at, number = heapq.heappop(self._cursors)
             one = self.callers.get(number)  # type: ignore[assignment]
-            if one is None or at != one.owed:
+            if one is None or at != one.next_cursor_at:
                 continue
-            one.owed = float("inf")
+            one.next_cursor_at = float("inf")
             if number not in self.busy:
                 one.caller.write(_json({"cursor": subs.cursor(number)}) + b"\n")
                 one.cursor_at = now
-            self._owe(one, now + IDLE_CURSOR_MS)
+            self._schedule_cursor(one, now + IDLE_CURSOR_INTERVAL_MS)
 
-    def _owe(self, one: Subscriber, at: float) -> None:
-        if at < one.owed:
-            one.owed = at
+    def _schedule_cursor(self, one: Subscriber, at: float) -> None:
+        if at < one.next_cursor_at:
+            one.next_cursor_at = at
             heapq.heappush(self._cursors, (at, one.number))
--- a/frostspindle/subscriptions/stream.py
+++ b/frostspindle/subscriptions/stream.py
@@ -22,7 +22,7 @@
 from frostspindle.predicates.language import parse
 from frostspindle.predicates.values import FilterError
 from frostspindle.subscriptions import schema, wire
-from frostspindle.subscriptions.interest import understood
+from frostspindle.subscriptions.interest import parse_summary
 from frostspindle.subscriptions.schema import Event
 from frostspindle.subscriptions.wire import (
     HEAD,
@@ -34,67 +34,67 @@
     UnknownStream,
 )
 
-RING = 16_384  # events that a maker remembers
-MOST_STREAMS, MOST_OF_ONE = 2_048, 65  # of a maker; of one receiver: the live one, and replays
-SLICE = 64  # events that one call matches
-SENDS = 32  # messages that one call makes
-WINDOW_LEAST, WINDOW_MOST = 4, 64  # messages that may be on their way
-RESEND_MS, RESEND_MOST_MS = 250.0, 2_000.0
-BEAT_MS, BEAT_A_MEMBER_MS = 500.0, 10.0  # a stream without news tells so; in a large fleet, less often
+MAX_REMEMBERED_EVENTS = 16_384  # events that a maker remembers
+MAX_STREAMS, MAX_STREAMS_PER_RECEIVER = 2_048, 65  # of a maker; of one receiver: the live one, and replays
+EVENTS_PER_TICK = 64  # events that one call matches
+MESSAGES_PER_TICK = 32  # messages that one call makes
+MIN_WINDOW, MAX_WINDOW = 4, 64  # messages that may be on their way
+RESEND_MS, MAX_RESEND_MS = 250.0, 2_000.0
+HEARTBEAT_MS, HEARTBEAT_PER_MEMBER_MS = 500.0, 10.0  # a stream without news tells so; in a large fleet, less often
 IDLE_MS = 30_000.0  # a stream that nobody acknowledges ends; the receiver would want it again
-ACK_MS, ACK_EVERY, HOLE_MS = 100.0, 16, 20.0
-HELD = 32  # messages that a receiver keeps while an earlier one is missing
-STUCK_MS = 3_000.0  # what is missing for longer is asked for anew
-ASK_MS, ASK_MOST_MS = 200.0, 2_000.0
-SILENT_BEATS = 4
+ACK_MS, ACK_EVERY, GAP_ACK_MS = 100.0, 16, 20.0
+MAX_BUFFERED_MESSAGES = 32  # messages that a receiver keeps while an earlier one is missing
+STALL_TIMEOUT_MS = 3_000.0  # what is missing for longer is asked for anew
+REQUEST_RETRY_MS, MAX_REQUEST_RETRY_MS = 200.0, 2_000.0
+SILENT_AFTER_HEARTBEATS = 4
 
 
-def beat(members: int) -> float:
+def heartbeat_interval_ms(members: int) -> float:
     """Return the interval of heartbeats on a stream without news, in ms; it grows with the fleet, to bound the load."""
-    return max(BEAT_MS, BEAT_A_MEMBER_MS * members)
+    return max(HEARTBEAT_MS, HEARTBEAT_PER_MEMBER_MS * members)
 
 
 @dataclass(slots=True)
 class OutboundStream:
     """The maker's end of one receiver's stream."""
 
-    who: str
-    of: int  # the receiver's process
+    receiver: str
+    receiver_epoch: int  # the receiver's process
     sid: int
     version: int
-    wanted: Predicate
-    begin: int  # where it began at the head, for a receiver that knew no position; HEAD: it named one
+    predicate: Predicate
+    start_position: int  # where it began at the head, for a receiver that knew no position; HEAD: it named one
     acked: int
     sent: int
-    scan: int  # up to here it is known what is wanted
-    heard: float
-    found: list[int] = field(default_factory=list)  # of what is not acknowledged, the numbers wanted
-    flight: deque[int] = field(default_factory=deque)  # where each message on its way ends
-    window: int = WINDOW_LEAST
-    wait: float = RESEND_MS
-    progress: float = 0.0
-    beat_at: float = 0.0
+    matched_through: int  # up to here it is known what is wanted
+    heard_at: float
+    matches: list[int] = field(default_factory=list)  # of what is not acknowledged, the numbers wanted
+    in_flight: deque[int] = field(default_factory=deque)  # where each message on its way ends
+    window: int = MIN_WINDOW
+    resend_after_ms: float = RESEND_MS
+    progress_at: float = 0.0
+    heartbeat_at: float = 0.0
 
 
 class EventPublisher:
     """The events of this process, numbered from 1, and the streams to all receivers that want some of them."""
 
-    def __init__(self, name: str, epoch: int, most: int = RING, slice_: int = SLICE) -> None:
+    def __init__(self, name: str, epoch: int, most: int = MAX_REMEMBERED_EVENTS, slice_: int = EVENTS_PER_TICK) -> None:
         self.name, self.epoch, self.most, self.slice = name, epoch, most, slice_
         self.head = self.base = self.matched = 0  # numbers: the last made, the last forgotten, the last looked at
         self.streams: dict[tuple[str, int], OutboundStream] = {}
-        self.out: list[tuple[str, Message]] = []
+        self.outbox: list[tuple[str, Message]] = []
         self.counted: Counter[str] = Counter()
         self.members = 1
-        self._ring: list[Event | None] = [None] * most
+        self._events: list[Event | None] = [None] * most
         self._index = FilterIndex()
-        self._eager = False  # more may be sent than before
-        self._synced: dict[tuple[str, int], OutboundStream] = {}  # those that the index finds for
+        self._send_now = False  # more may be sent than before
+        self._caught_up: dict[tuple[str, int], OutboundStream] = {}  # those that the index finds for
 
     def append(self, event: Event) -> int:
         """Keep an event, in place of the oldest if memory is full, and return its number; constant time."""
         self.head += 1
-        self._ring[self.head % self.most] = event
+        self._events[self.head % self.most] = event
         if self.head - self.base > self.most:
             self.base = self.head - self.most
         return self.head
@@ -102,47 +102,47 @@
     def event(self, number: int) -> Event:
         """Return an event by its number, which must still be remembered."""
         assert self.base < number <= self.head
-        return self._ring[number % self.most]  # type: ignore[return-value]
+        return self._events[number % self.most]  # type: ignore[return-value]
 
     # What comes.
 
-    def hear(self, now: float, who: str, epoch: int, message: Message) -> None:
+    def on_message(self, now: float, who: str, epoch: int, message: Message) -> None:
         """Take in a receiver's Want, Ack or Stop; `epoch` is that of its process."""
         if isinstance(message, StreamRequest):
-            self._want(now, who, epoch, message)
+            self._open(now, who, epoch, message)
             return
         stream = self.streams.get((who, message.sid))
-        if stream is None or stream.of != epoch or stream.version != message.version:
+        if stream is None or stream.receiver_epoch != epoch or stream.version != message.version:
             if isinstance(message, EventAck) and (
-                stream is None or (stream.of, stream.version) < (epoch, message.version)
+                stream is None or (stream.receiver_epoch, stream.version) < (epoch, message.version)
             ):
-                self.out.append((who, UnknownStream(message.sid, message.version)))
+                self.outbox.append((who, UnknownStream(message.sid, message.version)))
         elif isinstance(message, StreamStop):
             self._drop(stream)
         elif isinstance(message, EventAck):
-            stream.heard = now
-            self._ack(now, stream, message.upto)
+            stream.heard_at = now
+            self._ack(now, stream, message.through)
 
-    def _want(self, now: float, who: str, epoch: int, want: StreamRequest) -> None:
+    def _open(self, now: float, who: str, epoch: int, want: StreamRequest) -> None:
         stream = self.streams.get((who, want.sid))
-        if stream is not None and (epoch, want.version) <= (stream.of, stream.version):
-            if (epoch, want.version) == (stream.of, stream.version):
-                stream.heard = stream.beat_at = now  # it has not heard our answer
-                self._eager = True
+        if stream is not None and (epoch, want.version) <= (stream.receiver_epoch, stream.version):
+            if (epoch, want.version) == (stream.receiver_epoch, stream.version):
+                stream.heard_at = stream.heartbeat_at = now  # it has not heard our answer
+                self._send_now = True
             return
         if want.after != HEAD and want.epoch != self.epoch:
-            self.out.append(
+            self.outbox.append(
                 (who, UnknownStream(want.sid, want.version))
             )  # of an earlier process: ours is told with this
             return
         try:
-            wanted = understood(want.parts)
+            wanted = parse_summary(want.filters)
         except FilterError:
             self.counted["subscriptions_not_understood"] += 1
             return
         if stream is not None:
             self._drop(stream)
-        if len(self.streams) >= MOST_STREAMS or sum(key[0] == who for key in self.streams) >= MOST_OF_ONE:
+        if len(self.streams) >= MAX_STREAMS or sum(key[0] == who for key in self.streams) >= MAX_STREAMS_PER_RECEIVER:
             self.counted["subscriptions_streams_refused"] += 1
             return
         after = self.head if want.after == HEAD else min(want.after, self.head)
@@ -157,135 +157,137 @@
             after,
             after,
             now,
-            progress=now,
-            beat_at=now,
+            progress_at=now,
+            heartbeat_at=now,
         )
-        self.streams[who, want.sid], self._eager = stream, True
-        for number, part in enumerate(want.parts):
+        self.streams[who, want.sid], self._send_now = stream, True
+        for number, part in enumerate(want.filters):
             self._index.add((who, want.sid, number), parse(part))
 
     def _drop(self, stream: OutboundStream) -> None:
-        key = stream.who, stream.sid
+        key = stream.receiver, stream.sid
         del self.streams[key]
-        self._synced.pop(key, None)
-        for number in range(wire.MOST_PARTS):
+        self._caught_up.pop(key, None)
+        for number in range(wire.MAX_FILTERS):
             self._index.remove((*key, number))
 
-    def gone(self, who: str, epoch: int | None) -> None:
+    def forget_receiver(self, who: str, epoch: int | None) -> None:
         """Drop the receiver's streams of any process but that with `epoch`; None: all of them."""
-        for stream in [s for (name, _), s in self.streams.items() if name == who and s.of != epoch]:
+        for stream in [s for (name, _), s in self.streams.items() if name == who and s.receiver_epoch != epoch]:
             self._drop(stream)
 
-    def _ack(self, now: float, stream: OutboundStream, upto: int) -> None:
-        if not stream.acked < upto <= stream.scan:
+    def _ack(self, now: float, stream: OutboundStream, through: int) -> None:
+        if not stream.acked < through <= stream.matched_through:
             return
-        stream.acked = upto
-        stream.sent = max(stream.sent, upto)
-        stream.wait, stream.progress, self._eager = RESEND_MS, now, True
-        del stream.found[: bisect_right(stream.found, upto)]
-        while stream.flight and stream.flight[0] <= upto:
-            stream.flight.popleft()
-            stream.window = min(WINDOW_MOST, stream.window + 1)
+        stream.acked = through
+        stream.sent = max(stream.sent, through)
+        stream.resend_after_ms, stream.progress_at, self._send_now = RESEND_MS, now, True
+        del stream.matches[: bisect_right(stream.matches, through)]
+        while stream.in_flight and stream.in_flight[0] <= through:
+            stream.in_flight.popleft()
+            stream.window = min(MAX_WINDOW, stream.window + 1)
 
     # What goes.
 
     def tick(self, now: float) -> bool:
         """Match and send what is due, one slice of events at most; return whether there is more to do at once."""
-        self._eager = False
+        self._send_now = False
         left = self._match(self.slice) if self.streams else 1
-        sends = SENDS
+        sends = MESSAGES_PER_TICK
         for stream in list(self.streams.values()):
-            if now - stream.heard >= IDLE_MS:
+            if now - stream.heard_at >= IDLE_MS:
                 self._drop(stream)
                 continue
-            if stream.sent > stream.acked and now - stream.progress >= stream.wait:  # lost, or the word of it
-                stream.sent, stream.progress = stream.acked, now
-                stream.flight.clear()
-                stream.wait = min(RESEND_MOST_MS, stream.wait * 2.0)
-                stream.window = max(WINDOW_LEAST, stream.window // 2)
+            if (
+                stream.sent > stream.acked and now - stream.progress_at >= stream.resend_after_ms
+            ):  # lost, or the word of it
+                stream.sent, stream.progress_at = stream.acked, now
+                stream.in_flight.clear()
+                stream.resend_after_ms = min(MAX_RESEND_MS, stream.resend_after_ms * 2.0)
+                stream.window = max(MIN_WINDOW, stream.window // 2)
                 self.counted["subscriptions_resent"] += 1
-            while sends and len(stream.flight) < stream.window and self._send(now, stream):
+            while sends and len(stream.in_flight) < stream.window and self._send(now, stream):
                 sends -= 1
         return bool(self.streams) and (left <= 0 or not sends or self.matched < self.head)
 
     def _match(self, left: int) -> int:
         """Find out which events who wants, a slice of them; what is left of the slice."""
-        if not self._synced:
+        if not self._caught_up:
             self.matched = self.head  # all catch up by themselves
         self.matched = max(self.matched, self.base)
         while left > 0 and self.matched < self.head:
             self.matched += 1
             left -= 1
             for who, sid, _ in self._index.find(schema.row(self.name, self.event(self.matched))):
-                stream = self._synced.get((who, sid))
-                if stream is not None and (not stream.found or stream.found[-1] < self.matched):
-                    stream.found.append(self.matched)
+                stream = self._caught_up.get((who, sid))
+                if stream is not None and (not stream.matches or stream.matches[-1] < self.matched):
+                    stream.matches.append(self.matched)
         for key, stream in list(self.streams.items()):
-            if key in self._synced:
-                stream.scan = self.matched
+            if key in self._caught_up:
+                stream.matched_through = self.matched
                 continue
-            stream.scan = max(stream.scan, self.base)
-            while left > 0 and stream.scan < self.matched:
-                stream.scan += 1
+            stream.matched_through = max(stream.matched_through, self.base)
+            while left > 0 and stream.matched_through < self.matched:
+                stream.matched_through += 1
                 left -= 1
-                if stream.wanted.truth(schema.row(self.name, self.event(stream.scan))) is True:
-                    stream.found.append(stream.scan)
-            if stream.scan >= self.matched:
-                self._synced[key] = stream
+                if stream.predicate.truth(schema.row(self.name, self.event(stream.matched_through))) is True:
+                    stream.matches.append(stream.matched_through)
+            if stream.matched_through >= self.matched:
+                self._caught_up[key] = stream
         return left
 
     def _send(self, now: float, stream: OutboundStream) -> bool:
         """One message, if there is something to say."""
         after, lost, events, size = stream.sent, False, [], 0
-        place = bisect_right(stream.found, after)
+        place = bisect_right(stream.matches, after)
         if after < self.base:
-            upto, lost = self.base, True
-            stream.scan = max(stream.scan, upto)
+            through, lost = self.base, True
+            stream.matched_through = max(stream.matched_through, through)
         else:
-            upto = stream.scan
-            for number in stream.found[place : place + 128]:
-                told, more = wire.told(number, self.event(number))
-                if size + more > wire.EVENTS_BYTES:
-                    upto = number - 1
+            through = stream.matched_through
+            for number in stream.matches[place : place + 128]:
+                told, more = wire.published_event(number, self.event(number))
+                if size + more > wire.MAX_EVENTS_BYTES:
+                    through = number - 1
                     break
                 size += more
                 events.append(told)
             else:
-                if len(stream.found) > place + 128:
-                    upto = events[-1].number
-        if not lost and not events and now < stream.beat_at:
+                if len(stream.matches) > place + 128:
+                    through = events[-1].number
+        if not lost and not events and now < stream.heartbeat_at:
             return False
-        stream.beat_at = now + beat(self.members)
+        stream.heartbeat_at = now + heartbeat_interval_ms(self.members)
         if stream.sent == stream.acked:
-            stream.progress = now
-        stream.sent = upto
-        if upto > after:
-            stream.flight.append(upto)
-        self.out.append(
+            stream.progress_at = now
+        stream.sent = through
+        if through > after:
+            stream.in_flight.append(through)
+        self.outbox.append(
             (
-                stream.who,
+                stream.receiver,
                 EventBatch(
-                    stream.of,
+                    stream.receiver_epoch,
                     stream.sid,
                     stream.version,
-                    after == stream.begin,
+                    after == stream.start_position,
                     after,
-                    upto,
-                    int(beat(self.members)),
+                    through,
+                    int(heartbeat_interval_ms(self.members)),
                     lost,
                     tuple(events),
                 ),
             )
         )
-        return upto > after
+        return through > after
 
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         """Return when `tick` must be called next, in ms, if nothing arrives before."""
-        at = -float("inf") if self._eager else float("inf")
+        at = -float("inf") if self._send_now else float("inf")
         for stream in self.streams.values():
-            at = min(at, stream.beat_at, stream.heard + IDLE_MS)
+            at = min(at, stream.heartbeat_at, stream.heard_at + IDLE_MS)
             if stream.sent > stream.acked:
-                at = min(at, stream.progress + stream.wait)
+                at = min(at, stream.progress_at + stream.resend_after_ms)
         return at
 
 
@@ -293,74 +295,78 @@
 class InboundStream:
     """The receiver's end of one stream. `pos`: all up to this number was taken; None: its start is not known yet."""
 
-    maker: str
+    publisher: str
     epoch: int  # of the maker's process
     sid: int
-    of: int  # our own process
+    receiver_epoch: int  # our own process
     version: int  # of what is wanted; only data of this version is taken
-    parts: tuple[str, ...]
-    pos: int | None
-    heard: float
-    period: float = BEAT_MS  # of the maker's beats, as it last said
+    filters: tuple[str, ...]
+    position: int | None
+    heard_at: float
+    heartbeat_ms: float = HEARTBEAT_MS  # of the maker's beats, as it last said
     confirmed: bool = False  # data of this version has come
     silent: bool = False
-    ask_at: float = 0.0
-    ask_wait: float = ASK_MS
+    request_at: float = 0.0
+    request_retry_ms: float = REQUEST_RETRY_MS
     ack_at: float = float("inf")
     unacked: int = 0
-    hole_since: float | None = None
-    held: dict[int, EventBatch] = field(default_factory=dict)
+    missing_since: float | None = None
+    buffered: dict[int, EventBatch] = field(default_factory=dict)
 
-    def change(self, now: float, version: int, parts: tuple[str, ...]) -> None:
+    def restart(self, now: float, version: int, filters: tuple[str, ...]) -> None:
         """Want other filters from this position on, or the same ones anew, under a new version."""
-        self.version, self.parts, self.confirmed = version, parts, False
-        self.ask_at, self.ask_wait, self.hole_since = now, ASK_MS, None
-        self.held.clear()
+        self.version, self.filters, self.confirmed = version, filters, False
+        self.request_at, self.request_retry_ms, self.missing_since = now, REQUEST_RETRY_MS, None
+        self.buffered.clear()
 
-    def admit(self, now: float, data: EventBatch) -> bool:
+    def accept(self, now: float, data: EventBatch) -> bool:
         """Return whether a message belongs to the version that is wanted now, and take in its period.
 
         The first one admitted tells where the stream starts.
         """
-        if (data.of, data.version) != (self.of, self.version) or self.pos is None and not data.start:
+        if (
+            (data.receiver_epoch, data.version) != (self.receiver_epoch, self.version)
+            or self.position is None
+            and not data.start
+        ):
             return False
-        if self.pos is None:
-            self.pos = data.after
-        self.confirmed, self.heard, self.period = True, now, float(data.period)
+        if self.position is None:
+            self.position = data.after
+        self.confirmed, self.heard_at, self.heartbeat_ms = True, now, float(data.heartbeat_ms)
         return True
 
-    def take(self, now: float, data: EventBatch) -> Iterator[tuple[int, int, Event | None]]:
+    def receive(self, now: float, data: EventBatch) -> Iterator[tuple[int, int, Event | None]]:
         """Yield what is new in an admitted message: events as (number, number, event), lost ranges as (from, to, None).
 
         One that comes too early is held until those before it have come, up to HELD of them.
         """
-        assert self.pos is not None
+        assert self.position is not None
         self.unacked += 1
-        if data.after > self.pos:
-            if len(self.held) < HELD:
-                self.held[data.after] = data
-            if self.hole_since is None:
-                self.hole_since = now
-            self.ack_at = min(self.ack_at, now + HOLE_MS)
+        if data.after > self.position:
+            if len(self.buffered) < MAX_BUFFERED_MESSAGES:
+                self.buffered[data.after] = data
+            if self.missing_since is None:
+                self.missing_since = now
+            self.ack_at = min(self.ack_at, now + GAP_ACK_MS)
             return
-        yield from self._take(data)
-        while self.held:
-            following = next((d for d in self.held.values() if d.after <= self.pos), None)
+        yield from self._receive(data)
+        while self.buffered:
+            following = next((d for d in self.buffered.values() if d.after <= self.position), None)
             if following is None:
                 break
-            del self.held[following.after]
-            yield from self._take(following)
-        self.hole_since = now if self.held else None
+            del self.buffered[following.after]
+            yield from self._receive(following)
+        self.missing_since = now if self.buffered else None
         self.ack_at = min(self.ack_at, now + (ACK_MS if self.unacked < ACK_EVERY else 0.0))
 
-    def _take(self, data: EventBatch) -> Iterator[tuple[int, int, Event | None]]:
-        assert self.pos is not None
-        before = self.pos
-        if data.upto <= before:
+    def _receive(self, data: EventBatch) -> Iterator[tuple[int, int, Event | None]]:
+        assert self.position is not None
+        before = self.position
+        if data.through <= before:
             return
-        self.pos = data.upto
+        self.position = data.through
         if data.lost:
-            yield before + 1, data.upto, None
+            yield before + 1, data.through, None
         for told in data.events:
             if told.number > before:
                 yield told.number, told.number, told.event
@@ -368,29 +374,34 @@
     def tick(self, now: float) -> Message | None:
         """Return the Want or Ack that is due at `now`, in ms; None: nothing is."""
         if not self.confirmed:
-            if now < self.ask_at:
+            if now < self.request_at:
                 return None
-            self.ask_at, self.ask_wait = now + self.ask_wait, min(ASK_MOST_MS, self.ask_wait * 2.0)
+            self.request_at, self.request_retry_ms = (
+                now + self.request_retry_ms,
+                min(MAX_REQUEST_RETRY_MS, self.request_retry_ms * 2.0),
+            )
             return StreamRequest(
                 self.sid,
                 self.version,
-                self.epoch if self.pos is not None else 0,
-                HEAD if self.pos is None else self.pos,
-                self.parts,
+                self.epoch if self.position is not None else 0,
+                HEAD if self.position is None else self.position,
+                self.filters,
             )
-        if now >= min(self.ack_at, self.ask_at):
+        if now >= min(self.ack_at, self.request_at):
             self.ack_at, self.unacked = float("inf"), 0
-            self.ask_at = now + 2.0 * self.period  # at least: the maker keeps the stream, or says that it has none
-            return EventAck(self.sid, self.version, self.pos or 0)
+            self.request_at = (
+                now + 2.0 * self.heartbeat_ms
+            )  # at least: the maker keeps the stream, or says that it has none
+            return EventAck(self.sid, self.version, self.position or 0)
         return None
 
-    def stuck(self, now: float) -> bool:
+    def stalled(self, now: float) -> bool:
         """Return whether something has been missing for STUCK_MS, so that the stream must be wanted anew."""
-        return self.hole_since is not None and now - self.hole_since >= STUCK_MS
+        return self.missing_since is not None and now - self.missing_since >= STALL_TIMEOUT_MS
 
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         """Return when `tick` must be called next, or when the maker counts as silent or the stream as stuck, in ms."""
-        at = min(self.ack_at, self.ask_at)
-        if self.hole_since is not None:
-            at = min(at, self.hole_since + STUCK_MS)
-        return at if self.silent else min(at, self.heard + SILENT_BEATS * self.period)
+        at = min(self.ack_at, self.request_at)
+        if self.missing_since is not None:
+            at = min(at, self.missing_since + STALL_TIMEOUT_MS)
+        return at if self.silent else min(at, self.heard_at + SILENT_AFTER_HEARTBEATS * self.heartbeat_ms)
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -130,16 +130,16 @@
 
 SUBSCRIPTIONS = {
     "interest": subscriptions.StreamRequest(
-        sid=111, version=2, epoch=112, after=113, parts=("kind = 'load'", "ms > 5")
+        sid=111, version=2, epoch=112, after=113, filters=("kind = 'load'", "ms > 5")
     ),
     "events": subscriptions.EventBatch(
-        of=114,
+        receiver_epoch=114,
         sid=115,
         version=3,
         start=True,
         after=116,
-        upto=120,
-        period=750,
+        through=120,
+        heartbeat_ms=750,
         lost=False,
         events=(
             subscriptions.PublishedEvent(number=117, kind=1, at_ms=1_700_000_000_123, values=("e7", "ban", "sick")),
@@ -147,9 +147,17 @@
         ),
     ),
     "events lost": subscriptions.EventBatch(
-        of=114, sid=115, version=3, start=False, after=120, upto=130, period=750, lost=True, events=()
+        receiver_epoch=114,
+        sid=115,
+        version=3,
+        start=False,
+        after=120,
+        through=130,
+        heartbeat_ms=750,
+        lost=True,
+        events=(),
     ),
-    "events acknowledged": subscriptions.EventAck(sid=121, version=4, upto=122),
+    "events acknowledged": subscriptions.EventAck(sid=121, version=4, through=122),
     "stream ended": subscriptions.StreamStop(sid=123, version=5),
     "stream unknown": subscriptions.UnknownStream(sid=124, version=6),
 }
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -56,10 +56,10 @@
     made = schema.make(schema.ANSWER, -5.0, "x" * 99, "é" * 99, 2**70, None, "\ud800", "http", 3.7)
     assert made.at_ms == 0 and made.values == ("x" * 64, "é" * 48, 2**53, None, "?", "http", 3)
     for kind, columns in enumerate(schema.COLUMNS):  # the largest of each kind fits a message
-        _, size = wire.told(
+        _, size = wire.published_event(
             2**53, schema.make(kind, 1e18, *["\U0001f600" * 64 if k != 1 else 2**60 for k in columns.values()])
         )
-        assert size <= wire.EVENTS_BYTES
+        assert size <= wire.MAX_EVENTS_BYTES
     with pytest.raises(ValueError):
         schema.make(schema.MEMBER, 0.0, "only one")
     for text in ("statement = 'x'", "ms = 'x'", "at > 5", "NOT (kind IN (1, 2))"):
@@ -98,7 +98,7 @@
 def test_a_summary_covers_all_that_it_is_of_and_is_bounded(texts, draw, most):
     held, left = interest.CombinedInterest(), {}
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(interest, "MOST_BOXES", most)
+        patch.setattr(interest, "MAX_BOXES", most)
         for number, text in enumerate(texts):
             held.add(number, parse(text))
             left[number] = text
@@ -107,14 +107,14 @@
                 held.remove(gone)
                 del left[gone]
             if draw.random() < 0.2:
-                held.parts(narrow=draw.random() < 0.3)
-            assert len(held._new) <= most
-        parts = held.parts()
-    assert len(parts) <= wire.MOST_PARTS and sum(len(part.encode()) for part in parts) <= wire.PARTS_BYTES
-    wanted = interest.understood(parts)
+                held.filters(narrow=draw.random() < 0.3)
+            assert len(held._added) <= most
+        filters = held.filters()
+    assert len(filters) <= wire.MAX_FILTERS and sum(len(part.encode()) for part in filters) <= wire.MAX_FILTERS_BYTES
+    wanted = interest.parse_summary(filters)
     for row in rows(draw):
         assert match(wanted, row) or not any(match(parse(text), row) for text in left.values())
-    assert bool(parts) == bool(left)
+    assert bool(filters) == bool(left)
 
 
 @seed(2)
@@ -130,9 +130,9 @@
     terms = [term for text in texts for term in normal(parse(text))]
     boxes = [cover.box(term) for term in terms]
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(cover, "FINE", fine)
-        patch.setattr(cover, "NEAR", min(fine, 20))
-        few = [cover.predicate(one) for one in cover.reduced(boxes, most, room)]
+        patch.setattr(cover, "MAX_MERGE_CANDIDATES", fine)
+        patch.setattr(cover, "MAX_PAIRWISE_BOXES", min(fine, 20))
+        few = [cover.predicate(one) for one in cover.reduce_boxes(boxes, most, room)]
     assert 0 < len(few) <= most and sum(len(language.text(one).encode()) for one in few) <= room
     assert all(parse(language.text(one)) == one for one in few)
     for row in rows(draw):
@@ -146,50 +146,50 @@
     for number in range(500):
         held.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {500 + number % 70}"))
     held.add("far", parse("kind = 'engine' AND engine STARTS WITH 'e1'"))
-    wanted = interest.understood(held.parts())
+    wanted = interest.parse_summary(held.filters())
     for tenant, ms, matched in (("t3", 600, True), ("t7", 600, False), ("t3", 499, False)):
         assert match(wanted, {"kind": "answer", "tenant": tenant, "ms": ms}) is matched
     assert [match(wanted, {"kind": "engine", "engine": name}) for name in ("e12", "e2")] == [True, False]
     for number in range(500):
         if number % 7 == 3:
             held.remove(number)
-    wide = interest.understood(held.parts())  # as filters went it may stay as it was, until it is made anew
+    wide = interest.parse_summary(held.filters())  # as filters went it may stay as it was, until it is made anew
     assert match(wide, {"kind": "answer", "tenant": "t3", "ms": 600})
-    assert not match(interest.understood(held.parts(narrow=True)), {"kind": "answer", "tenant": "t3", "ms": 600})
+    assert not match(interest.parse_summary(held.filters(narrow=True)), {"kind": "answer", "tenant": "t3", "ms": 600})
     low, high, more = (cover.box(normal(parse(said))[0]) for said in ("ms < 5", "ms >= 40", "ms < 9"))
     assert cover.join(low, high) == frozenset() and cover.join(low, more) == cover.box(normal(parse("ms <= 9"))[0])
-    monkeypatch.setattr(interest, "MOST_BOXES", 40)
+    monkeypatch.setattr(interest, "MAX_BOXES", 40)
     held = interest.CombinedInterest()
     for number in range(100):  # what came since the last summary is bounded, whatever comes and goes
         held.add(number % 30, parse(f"kind = 'answer' AND tenant = 'a rather long name {number}'"))
-        assert len(held._new) <= 40 and (number != 30 or held.parts())
+        assert len(held._added) <= 40 and (number != 30 or held.filters())
     held = interest.CombinedInterest()
     for number in range(500):
         held.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {number}"))
-    assert held.parts() == ("kind = 'answer' AND tenant IN ('t0', 't1', 't2', 't3', 't4', 't5', 't6')",)
+    assert held.filters() == ("kind = 'answer' AND tenant IN ('t0', 't1', 't2', 't3', 't4', 't5', 't6')",)
     held.add(500, parse("kind = 'answer' AND ms > 0"))
-    assert held.parts() == ("kind = 'answer'",)
+    assert held.filters() == ("kind = 'answer'",)
     held.add(501, parse("ms > 0 OR outcome IS NULL"))
-    assert held.parts() == ("TRUE",)
+    assert held.filters() == ("TRUE",)
 
 
 @pytest.mark.parametrize("most", (1_024, 0))  # joined; by what all have in common
 def test_a_summary_keeps_its_bytes_and_a_filter_without_a_normal_form_is_all_of_it(most, monkeypatch):
-    monkeypatch.setattr(interest, "MOST_BOXES", most)
+    monkeypatch.setattr(interest, "MAX_BOXES", most)
     long = "t" * 40
     for count, each in ((3, 10), (20, 1), (1, 23), (2, 60)):
         held = interest.CombinedInterest()
         for n in range(count):
             names = ", ".join(f"'{long}{n}-{m}'" for m in range(each))
             held.add(n, parse(f"kind = 'answer' AND tenant IN ({names})"))
-        parts = held.parts()
-        assert sum(map(len, parts)) <= wire.PARTS_BYTES and match(
-            interest.understood(parts), {"kind": "answer", "tenant": f"{long}{count - 1}-{each - 1}"}
+        filters = held.filters()
+        assert sum(map(len, filters)) <= wire.MAX_FILTERS_BYTES and match(
+            interest.parse_summary(filters), {"kind": "answer", "tenant": f"{long}{count - 1}-{each - 1}"}
         )
     large = " AND ".join(f"(tenant = 't{n}' OR ms > {n})" for n in range(7)) + f" AND class <> '{long}'"
     assert normal(parse(large)) is None
     held.add("none", parse(large))
-    assert held.parts() == ("TRUE",)
+    assert held.filters() == ("TRUE",)
 
 
 def test_a_cursor_is_taken_whole_or_not_at_all():
@@ -209,12 +209,12 @@
     ):
         with pytest.raises(cursor.InvalidCursorError):
             cursor.decode(bad)
-    assert cursor.encode("TRUE", {f"c{n}": (1, 1) for n in range(cursor.MOST_MAKERS + 1)}) is None
-    assert cursor.encode("x" * (cursor.MOST_FILTER + 1), {}) is None
+    assert cursor.encode("TRUE", {f"c{n}": (1, 1) for n in range(cursor.MAX_PUBLISHERS + 1)}) is None
+    assert cursor.encode("x" * (cursor.MAX_FILTER_CHARS + 1), {}) is None
 
 
 def test_what_is_no_message_is_refused_at_the_edge():
-    told = wire.told(5, schema.make(schema.MEMBER, 1.0, "c1", "alive"))[0]
+    told = wire.published_event(5, schema.make(schema.MEMBER, 1.0, "c1", "alive"))[0]
     good = wire.EventBatch(1, 0, 1, False, 4, 6, 500, False, (told,))
     assert wire.decode(wire.encode(good)) == good
     replace = msgspec.structs.replace
@@ -222,7 +222,7 @@
         replace(good, after=7),
         replace(good, lost=True),
         replace(good, after=5),
-        replace(good, upto=4),
+        replace(good, through=4),
         replace(good, events=(told, told)),
         replace(good, events=(replace(told, values=("c1",)),)),
         replace(good, events=(replace(told, values=("c1", 5)),)),
@@ -242,141 +242,149 @@
 
 
 def test_the_smallest_backlog_goes_first_and_one_too_large_becomes_gaps():
-    fan = Fanout(most_of_one=8, most_of_all=20)
+    fan = Fanout(max_backlog=8, max_total=20)
     for who in (1, 2, 3):
         fan.join(who)
 
-    def give(who: int, numbers, maker="m"):
+    def give(who: int, numbers, publisher="m"):
         for n in numbers:
-            fan.offer(who, BacklogItem(maker, (1, n), (1, n), b"%d" % n))
+            fan.offer(who, BacklogItem(publisher, (1, n), (1, n), b"%d" % n))
 
     give(1, range(1, 8))
     give(2, range(1, 3))
     give(3, range(1, 6))
-    assert [(who, len(items)) for who, items in fan.turn({3}, 100)] == [(2, 2), (1, 7)]
-    assert fan.more(set()) and not fan.more({3})
+    assert [(who, len(items)) for who, items in fan.next_batches({3}, 100)] == [(2, 2), (1, 7)]
+    assert fan.has_more(set()) and not fan.has_more({3})
     fan.offer(3, BacklogItem("n", (1, 9), None))  # silent from 9 on
     give(3, range(6, 9))
     assert fan.pending(3) == {"m": (1, 0), "n": (1, 8)}
-    assert [items for _, items in fan.turn(set(), 100)] == [
+    assert [items for _, items in fan.next_batches(set(), 100)] == [
         [BacklogItem("m", (1, 1), (1, 8)), BacklogItem("n", (1, 9), None)]
     ]
     fan.offer(3, BacklogItem("n", (1, 9), None))
     fan.offer(3, BacklogItem("n", (1, 9), (1, 8)))  # and heard again
     give(3, range(9, 17))
-    assert [items for _, items in fan.turn(set(), 100)] == [
+    assert [items for _, items in fan.next_batches(set(), 100)] == [
         [BacklogItem("n", (1, 9), (1, 8)), BacklogItem("m", (1, 9), (1, 15)), BacklogItem("m", (1, 16), (1, 16), b"16")]
     ]
     for who in (1, 2, 3):
         give(who, range(20, 27))  # 21 in all: one of the largest is cut
-    assert fan.total == sum(map(len, fan.backlogs.values())) <= 20 and fan.behind == 3
+    assert fan.total == sum(map(len, fan.backlogs.values())) <= 20 and fan.overflows == 3
 
 
 # Streams.
 
 
-def pumped(maker: EventPublisher, now: float) -> list[wire.Message]:
-    maker.tick(now)
-    out, maker.out[:] = [message for _, message in maker.out], []
+def pumped(publisher: EventPublisher, now: float) -> list[wire.Message]:
+    publisher.tick(now)
+    out, publisher.outbox[:] = [message for _, message in publisher.outbox], []
     return out
 
 
 def test_a_maker_forgets_the_oldest_says_so_and_takes_a_receiver_up_anywhere():
-    maker = EventPublisher("m", 7, most=10)
+    publisher = EventPublisher("m", 7, most=10)
     for _ in range(25):
-        maker.append(schema.make(schema.MEMBER, 1.0, "x", "alive"))
-    maker.hear(0.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))
-    lost, rest = pumped(maker, 0.0)
-    assert (lost.lost, lost.after, lost.upto) == (True, 3, 15)
-    assert [told.number for told in rest.events] == list(range(16, 26)) and (rest.after, rest.upto) == (15, 25)
-    maker.hear(1.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))  # doubled: nothing begins anew, it is answered
-    assert [(d.after, d.upto) for d in pumped(maker, 1.0)] == [(25, 25)]
-    maker.hear(2.0, "r", 1, wire.StreamRequest(0, 2, 6, 3, ("TRUE",)))  # a position of an earlier process
-    assert maker.out.pop() == ("r", wire.UnknownStream(0, 2))
-    maker.hear(3.0, "r", 1, wire.EventAck(5, 9, 3))  # a stream that it does not have
-    assert maker.out.pop() == ("r", wire.UnknownStream(5, 9))
-    maker.hear(3.0, "r", 1, wire.EventAck(0, 1, 99))  # more than was ever sent
-    assert maker.streams["r", 0].acked == 3
+        publisher.append(schema.make(schema.MEMBER, 1.0, "x", "alive"))
+    publisher.on_message(0.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))
+    lost, rest = pumped(publisher, 0.0)
+    assert (lost.lost, lost.after, lost.through) == (True, 3, 15)
+    assert [told.number for told in rest.events] == list(range(16, 26)) and (rest.after, rest.through) == (15, 25)
+    publisher.on_message(
+        1.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",))
+    )  # doubled: nothing begins anew, it is answered
+    assert [(d.after, d.through) for d in pumped(publisher, 1.0)] == [(25, 25)]
+    publisher.on_message(2.0, "r", 1, wire.StreamRequest(0, 2, 6, 3, ("TRUE",)))  # a position of an earlier process
+    assert publisher.outbox.pop() == ("r", wire.UnknownStream(0, 2))
+    publisher.on_message(3.0, "r", 1, wire.EventAck(5, 9, 3))  # a stream that it does not have
+    assert publisher.outbox.pop() == ("r", wire.UnknownStream(5, 9))
+    publisher.on_message(3.0, "r", 1, wire.EventAck(0, 1, 99))  # more than was ever sent
+    assert publisher.streams["r", 0].acked == 3
     for sid in range(1, 200):
-        maker.hear(4.0, "r", 1, wire.StreamRequest(sid, 1, 7, 3, ("TRUE",)))
-    assert len(maker.streams) == stream.MOST_OF_ONE
-    maker.hear(4.0, "s", 1, wire.StreamRequest(0, 1, 7, 3, ("nonsense ((",)))
-    assert ("s", 0) not in maker.streams
-    maker.tick(stream.IDLE_MS + 5.0)
-    assert not maker.streams
+        publisher.on_message(4.0, "r", 1, wire.StreamRequest(sid, 1, 7, 3, ("TRUE",)))
+    assert len(publisher.streams) == stream.MAX_STREAMS_PER_RECEIVER
+    publisher.on_message(4.0, "s", 1, wire.StreamRequest(0, 1, 7, 3, ("nonsense ((",)))
+    assert ("s", 0) not in publisher.streams
+    publisher.tick(stream.IDLE_MS + 5.0)
+    assert not publisher.streams
 
 
 def test_a_maker_matches_in_slices_and_finds_by_index_what_a_scan_finds():
     draw = random.Random(3)
-    maker = EventPublisher("m", 7, slice_=10)
+    publisher = EventPublisher("m", 7, slice_=10)
     for number, text in enumerate(FILTERS):
-        maker.hear(0.0, f"r{number}", 1, wire.StreamRequest(0, 1, 0, wire.HEAD, (text,)))
-    pumped(maker, 0.0)
+        publisher.on_message(0.0, f"r{number}", 1, wire.StreamRequest(0, 1, 0, wire.HEAD, (text,)))
+    pumped(publisher, 0.0)
     events = [event(draw) for _ in range(95)]
     for one in events:
-        maker.append(one)
-    assert maker.tick(0.1) and maker.matched == 10
-    while maker.tick(0.2):
+        publisher.append(one)
+    assert publisher.tick(0.1) and publisher.matched == 10
+    while publisher.tick(0.2):
         pass
     for number, text in enumerate(FILTERS):
         wanted = [n for n, one in enumerate(events, 1) if match(parse(text), schema.row("m", one))]
-        told = [t.number for who, d in maker.out if who == f"r{number}" for t in d.events]
-        assert told == wanted[: len(told)] and (len(told) == len(wanted) or maker.streams[f"r{number}", 0].flight)
+        told = [t.number for who, d in publisher.outbox if who == f"r{number}" for t in d.events]
+        assert told == wanted[: len(told)] and (
+            len(told) == len(wanted) or publisher.streams[f"r{number}", 0].in_flight
+        )
 
 
 def test_a_maker_sends_whole_messages_again_until_they_are_acknowledged():
-    maker = EventPublisher("m", 7, slice_=10)
+    publisher = EventPublisher("m", 7, slice_=10)
     for n in range(60):
-        maker.append(schema.make(schema.ANSWER, 1.0, *["x" * 64, "y" * 64, n, "z" * 64, "e" * 64, "http", n]))
+        publisher.append(schema.make(schema.ANSWER, 1.0, *["x" * 64, "y" * 64, n, "z" * 64, "e" * 64, "http", n]))
     got, now = [], 0.0
     for who in "rs":  # the second wants old ones when the first has caught up
-        maker.hear(now, who, 1, wire.StreamRequest(0, 1, 7, 0, ("ms >= 7",)))
+        publisher.on_message(now, who, 1, wire.StreamRequest(0, 1, 7, 0, ("ms >= 7",)))
         at, again = 0, 0
         while at < 60:
             now += 1.0
             sent = []
-            while maker.tick(now):
+            while publisher.tick(now):
                 pass
-            sent, maker.out[:] = [m for w, m in maker.out if w == who], []
+            sent, publisher.outbox[:] = [m for w, m in publisher.outbox if w == who], []
             for message in sent:
                 assert message.after == at and len(wire.encode(message)) <= wire.MAX_MESSAGE_BYTES
                 got += [told.number for told in message.events]
-                at = message.upto
+                at = message.through
             if not again:  # none of them came: after a while they go again
-                assert len(sent) == stream.WINDOW_LEAST
-                assert pumped(maker, now + stream.RESEND_MS - 9.0) == []
+                assert len(sent) == stream.MIN_WINDOW
+                assert pumped(publisher, now + stream.RESEND_MS - 9.0) == []
                 now += stream.RESEND_MS
-                assert [m.after for m in pumped(maker, now) if isinstance(m, wire.EventBatch) and m.of == 1][0] == 0
+                assert [
+                    m.after for m in pumped(publisher, now) if isinstance(m, wire.EventBatch) and m.receiver_epoch == 1
+                ][0] == 0
                 again = 1
-            maker.hear(now, who, 1, wire.EventAck(0, 1, at))
+            publisher.on_message(now, who, 1, wire.EventAck(0, 1, at))
     assert got == list(range(8, 61)) * 2
 
 
-def data(after, upto, *numbers, version=1, of=1, start=False, lost=False):
-    told = tuple(wire.told(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
-    return wire.EventBatch(of, 0, version, start, after, upto, 500, lost, told)
+def data(after, through, *numbers, version=1, receiver_epoch=1, start=False, lost=False):
+    told = tuple(wire.published_event(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
+    return wire.EventBatch(receiver_epoch, 0, version, start, after, through, 500, lost, told)
 
 
 def test_a_receiver_takes_what_follows_and_nothing_else():
     def heard(*messages):
         out = []
         for message in messages:
-            if inflow.admit(5.0, message):
-                out += [(first, last) if one is None else first for first, last, one in inflow.take(5.0, message)]
+            if inbound.accept(5.0, message):
+                out += [(first, last) if one is None else first for first, last, one in inbound.receive(5.0, message)]
         return out
 
-    inflow = stream.InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
-    assert heard(data(9, 9)) == [] and inflow.pos is None and not inflow.confirmed  # not where it begins
-    assert heard(data(4, 6, 5, start=True, of=2), data(4, 6, 5, start=True, version=0)) == []
-    assert heard(data(4, 6, 5, start=True)) == [5] and inflow.pos == 6
+    inbound = stream.InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
+    assert heard(data(9, 9)) == [] and inbound.position is None and not inbound.confirmed  # not where it begins
+    assert heard(data(4, 6, 5, start=True, receiver_epoch=2), data(4, 6, 5, start=True, version=0)) == []
+    assert heard(data(4, 6, 5, start=True)) == [5] and inbound.position == 6
     assert heard(data(4, 6, 5, start=True), data(5, 9, 6, 8)) == [8]  # doubled; cut otherwise the second time
-    assert heard(data(11, 14, 12), data(14, 15, 15)) == [] and inflow.pos == 9  # one is missing
-    assert heard(data(9, 11, 10)) == [10, 12, 15] and inflow.hole_since is None
+    assert heard(data(11, 14, 12), data(14, 15, 15)) == [] and inbound.position == 9  # one is missing
+    assert heard(data(9, 11, 10)) == [10, 12, 15] and inbound.missing_since is None
     assert heard(data(13, 20, lost=True)) == [(16, 20)]
-    assert heard(*(data(n, n + 1) for n in range(30, 99))) == [] and len(inflow.held) == stream.HELD
-    assert inflow.stuck(5.0 + stream.STUCK_MS) and not inflow.stuck(5.0)
-    inflow.change(6.0, 2, ("TRUE",))
-    assert heard(data(20, 21, 21)) == [] and inflow.tick(6.0) == wire.StreamRequest(0, 2, 7, 20, ("TRUE",))
+    assert (
+        heard(*(data(n, n + 1) for n in range(30, 99))) == [] and len(inbound.buffered) == stream.MAX_BUFFERED_MESSAGES
+    )
+    assert inbound.stalled(5.0 + stream.STALL_TIMEOUT_MS) and not inbound.stalled(5.0)
+    inbound.restart(6.0, 2, ("TRUE",))
+    assert heard(data(20, 21, 21)) == [] and inbound.tick(6.0) == wire.StreamRequest(0, 2, 7, 20, ("TRUE",))
     assert heard(data(20, 21, 21, version=2)) == [21]
 
 
@@ -394,36 +402,36 @@
         self.now += ms
         self.subs.members(self.now, self.alive)
         self.subs.tick(self.now)
-        out, self.subs.out[:] = list(self.subs.out), []
+        out, self.subs.outbox[:] = list(self.subs.outbox), []
         return out
 
-    def wants(self, maker, ms=60.0):
-        return [m for who, m in self.go(ms) if who == maker and isinstance(m, wire.StreamRequest)][-1]
+    def wants(self, publisher, ms=60.0):
+        return [m for who, m in self.go(ms) if who == publisher and isinstance(m, wire.StreamRequest)][-1]
 
-    def say(self, maker, want, after, upto, *numbers, start=False, lost=False, epoch=None):
-        told = tuple(wire.told(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
-        self.subs.hear(
+    def say(self, publisher, want, after, through, *numbers, start=False, lost=False, epoch=None):
+        told = tuple(wire.published_event(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
+        self.subs.on_message(
             self.now,
-            maker,
-            epoch or self.alive[maker],
-            wire.EventBatch(1, want.sid, want.version, start, after, upto, 500, lost, told),
+            publisher,
+            epoch or self.alive[publisher],
+            wire.EventBatch(1, want.sid, want.version, start, after, through, 500, lost, told),
         )
 
     def told(self, number):
         """What waits for a subscriber: numbers of events, gaps as (maker, from, to)."""
-        out = [i.first[1] if i.line else (i.maker, i.first, i.last) for i in self.subs.fanout.backlogs[number]]
+        out = [i.first[1] if i.line else (i.publisher, i.first, i.last) for i in self.subs.fanout.backlogs[number]]
         self.subs.fanout.backlogs[number].clear()
         return out
 
     def acked(self, number):
-        return self.subs.all[number].acknowledged
+        return self.subs.subscriptions[number].acknowledged
 
 
 def test_a_subscription_is_acknowledged_once_all_who_live_have_confirmed_and_silence_is_told():
     pair = Pair(expected=("c", "d"), a=5, b=6)
     one = pair.subs.subscribe(0.0, "kind = 'member'")
-    wants = {maker: pair.wants(maker) for maker in ("a",)}
-    assert wants["a"].after == wire.HEAD and wants["a"].parts == ("kind = 'member'",)
+    wants = {publisher: pair.wants(publisher) for publisher in ("a",)}
+    assert wants["a"].after == wire.HEAD and wants["a"].filters == ("kind = 'member'",)
     pair.say("a", wants["a"], 10, 10, start=True)
     pair.go()
     assert not pair.acked(one)  # b has not
@@ -464,14 +472,14 @@
     pair.go()
     other = pair.subs.subscribe(pair.now, "kind = 'member'")
     second = pair.wants("a")
-    assert (second.after, second.version > first.version, second.parts) == (12, True, ("kind = 'member'",))
+    assert (second.after, second.version > first.version, second.filters) == (12, True, ("kind = 'member'",))
     pair.say("a", first, 12, 20)  # by the narrower one nothing was wanted of these
     pair.go()
-    assert not pair.acked(other) and pair.subs.live["a"].pos == 12
+    assert not pair.acked(other) and pair.subs.live["a"].position == 12
     pair.say("a", second, 12, 20, 13, 20)
     pair.go()
     assert pair.acked(one) and pair.acked(other) and (pair.told(one), pair.told(other)) == ([], [13, 20])
-    pair.subs.hear(pair.now, "a", 5, wire.UnknownStream(0, second.version))  # the maker has forgotten the stream
+    pair.subs.on_message(pair.now, "a", 5, wire.UnknownStream(0, second.version))  # the maker has forgotten the stream
     assert pair.wants("a").after == 20
 
 
@@ -479,8 +487,8 @@
     pair = Pair(a=5, b=6, c=7)
     one = pair.subs.subscribe(0.0, "TRUE")
     wants = {who: m for who, m in pair.go() if isinstance(m, wire.StreamRequest)}
-    for maker in "abc":
-        pair.say(maker, wants[maker], 10, 20, start=True)
+    for publisher in "abc":
+        pair.say(publisher, wants[publisher], 10, 20, start=True)
     pair.go()
     at = {"a": (5, 14), "b": (6, 23), "c": (4, 99), "z": (3, 8)}
     two = pair.subs.resume(pair.now, cursor.encode("kind = 'member'", at))
@@ -488,15 +496,15 @@
     assert {who: (m.epoch, m.after) for who, m in replay.items()} == {"a": (5, 14), "c": (7, 0)}
     assert pair.acked(two) and pair.told(two) == [("c", (4, 100), (7, 0)), ("z", (3, 9), None)]
     assert cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 14), "b": (6, 23), "c": (7, 0), "z": (3, 8)}
-    for maker in "abc":
-        pair.say(maker, wants[maker], 20, 24, 22, 24)
+    for publisher in "abc":
+        pair.say(publisher, wants[publisher], 20, 24, 22, 24)
     assert pair.told(two) == [24] and pair.told(one) == [22, 24] * 3  # b's; a's and c's come by the replay
     pair.say("a", replay["a"], 14, 16, lost=True)
     pair.say("a", replay["a"], 16, 22, 18, 22)
-    assert pair.subs.all[two].replays.keys() == {"a", "c"}
+    assert pair.subs.subscriptions[two].replays.keys() == {"a", "c"}
     assert pair.told(two) == [("a", (5, 15), (5, 16)), 18, 22]
     pair.say("a", replay["a"], 22, 26, 24, 25)  # past the live stream: it ends, and that goes on
-    assert pair.subs.all[two].replays.keys() == {"c"}
+    assert pair.subs.subscriptions[two].replays.keys() == {"c"}
     pair.say("a", wants["a"], 24, 28, 25, 27)
     assert pair.told(two) == [24, 25, 27]
     for _ in range(25):
@@ -695,7 +703,7 @@
         for _ in range(turns):
             for n, count in enumerate(makes):
                 self.make(n % 3, count)
-            self.turn(fates, ms)
+            self.deliver(fates, ms)
             self.read(0, keep)
             self.read(1)
 
@@ -706,7 +714,7 @@
                 self.judge.made[hub.name, hub.epoch].append((self.now, one))
                 hub.make(one)
 
-    def turn(self, fates, ms):
+    def deliver(self, fates, ms):
         """Time passes, all are due, and messages have their fates."""
         self.now += ms
         for n, hub in enumerate(self.hubs):
@@ -721,7 +729,7 @@
                 self.net.append((source, target, what))
             elif fate != "lost" and not {source, target} & self.cut and (hub := self.hubs[target]) is not None:
                 for _ in range(1 + (fate == "twice")):
-                    hub.hear(self.now, what[0], what[1], wire.decode(wire.encode(what[2])))
+                    hub.on_message(self.now, what[0], what[1], wire.decode(wire.encode(what[2])))
         del self.net[:-200]
 
     @invariant()
@@ -747,7 +755,7 @@
         for step in range(120):
             if step % 10 == 0:
                 self.believe()
-            self.turn(["come"], 100.0)
+            self.deliver(["come"], 100.0)
             self.read(0)
             self.read(1)
         found = self.found()
--- a/tests/test_subscriptions_model.py
+++ b/tests/test_subscriptions_model.py
@@ -29,9 +29,9 @@
 
 class Model:
     def __init__(self):
-        self.maker = EventPublisher("m", 7, most=1)
-        self.maker._index = All()
-        self.inflow = InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
+        self.publisher = EventPublisher("m", 7, most=1)
+        self.publisher._index = All()
+        self.inbound = InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
         self.net = ()  # ("m", 0, message) to the maker, ("r", its epoch, message) to the receiver
         self.told, self.gaps, self.begin = (), (), None
         self.left = {"make": 3, "crash": 1, "forget": 1, "widen": 1}
@@ -41,40 +41,43 @@
         out = Model.__new__(Model)
         out.__dict__.update(self.__dict__)
         out.left, out.made = dict(self.left), dict(self.made)
-        out.inflow = dataclasses.replace(self.inflow, held=dict(self.inflow.held), unacked=0)
-        maker = out.maker = EventPublisher.__new__(EventPublisher)
-        maker.__dict__.update(self.maker.__dict__)
-        maker.out, maker._ring, maker.counted = [], list(self.maker._ring), Counter()
-        maker.streams = {
+        out.inbound = dataclasses.replace(self.inbound, buffered=dict(self.inbound.buffered), unacked=0)
+        publisher = out.publisher = EventPublisher.__new__(EventPublisher)
+        publisher.__dict__.update(self.publisher.__dict__)
+        publisher.outbox, publisher._events, publisher.counted = [], list(self.publisher._events), Counter()
+        publisher.streams = {
             key: dataclasses.replace(
                 s,
-                found=list(s.found),
-                flight=deque(s.flight),
+                matches=list(s.matches),
+                in_flight=deque(s.in_flight),
                 window=4,
-                heard=0.0,
-                progress=LONG,
-                beat_at=LONG,
-                wait=1.0,
+                heard_at=0.0,
+                progress_at=LONG,
+                heartbeat_at=LONG,
+                resend_after_ms=1.0,
             )
-            for key, s in self.maker.streams.items()
+            for key, s in self.publisher.streams.items()
         }
-        maker._synced = {key: maker.streams[key] for key in self.maker._synced}
+        publisher._caught_up = {key: publisher.streams[key] for key in self.publisher._caught_up}
         return out
 
     def key(self):
-        m, i = self.maker, self.inflow
+        m, i = self.publisher, self.inbound
         return (
             m.epoch,
             m.head,
             m.matched,
-            len(m._synced),
-            *((s.version, s.begin, s.acked, s.sent, s.scan, *s.found, -1, *s.flight) for s in m.streams.values()),
+            len(m._caught_up),
+            *(
+                (s.version, s.start_position, s.acked, s.sent, s.matched_through, *s.matches, -1, *s.in_flight)
+                for s in m.streams.values()
+            ),
             i.epoch,
             i.version,
-            i.pos,
+            i.position,
             i.confirmed,
-            i.hole_since,
-            tuple(sorted(i.held)),
+            i.missing_since,
+            tuple(sorted(i.buffered)),
             tuple(sorted(map(repr, self.net))),
             self.told,
             self.gaps,
@@ -86,30 +89,30 @@
         self.net = (*self.net, *messages)[:2]  # beyond: lost
 
     def tick_maker(self):
-        self.maker.tick(0.0)
-        self.send(*(("r", self.maker.epoch, m) for _, m in self.maker.out))
+        self.publisher.tick(0.0)
+        self.send(*(("r", self.publisher.epoch, m) for _, m in self.publisher.outbox))
 
     def tick_receiver(self):
-        self.inflow.ask_at = LONG
-        self.send(("m", 0, self.inflow.tick(0.0)))
+        self.inbound.request_at = LONG
+        self.send(("m", 0, self.inbound.tick(0.0)))
 
     def come(self, to, epoch, message):
-        i = self.inflow
+        i = self.inbound
         if to == "m":
-            self.maker.hear(0.0, "r", 1, message)
-            self.send(*(("r", self.maker.epoch, m) for _, m in self.maker.out))
+            self.publisher.on_message(0.0, "r", 1, message)
+            self.send(*(("r", self.publisher.epoch, m) for _, m in self.publisher.outbox))
         elif epoch > i.epoch:  # as Subscribers does it: what the earlier process still had is a gap
-            if i.pos is not None:
-                self.gaps += (((i.epoch, i.pos + 1), (epoch, 0)),)
-            i.epoch, i.pos = epoch, None if i.pos is None else 0
-            i.change(0.0, i.version + 1, i.parts)
+            if i.position is not None:
+                self.gaps += (((i.epoch, i.position + 1), (epoch, 0)),)
+            i.epoch, i.position = epoch, None if i.position is None else 0
+            i.restart(0.0, i.version + 1, i.filters)
         elif epoch == i.epoch and isinstance(message, wire.UnknownStream):
             if message.version == i.version:
-                i.change(0.0, i.version + 1, i.parts)
-        elif epoch == i.epoch and i.admit(0.0, message):
+                i.restart(0.0, i.version + 1, i.filters)
+        elif epoch == i.epoch and i.accept(0.0, message):
             if self.begin is None:
-                self.begin = (i.epoch, i.pos)
-            for first, last, event in i.take(0.0, message):
+                self.begin = (i.epoch, i.position)
+            for first, last, event in i.receive(0.0, message):
                 if event is None:
                     self.gaps += (((epoch, first), (epoch, last)),)
                 else:
@@ -126,33 +129,33 @@
 
         def make(o):
             o.left["make"] -= 1
-            o.made[o.maker.epoch] = o.maker.append(EVENT)
+            o.made[o.publisher.epoch] = o.publisher.append(EVENT)
 
         yield after("make", make)
     if s.left["crash"]:
 
         def crash(o):
             o.left["crash"] = 0
-            o.maker = EventPublisher("m", 8, most=1)
-            o.maker._index = All()
+            o.publisher = EventPublisher("m", 8, most=1)
+            o.publisher._index = All()
 
         yield after("crash", crash)
-    if s.left["forget"] and s.maker.streams:
+    if s.left["forget"] and s.publisher.streams:
 
         def forget(o):
             o.left["forget"] = 0
-            o.maker.gone("r", None)
+            o.publisher.forget_receiver("r", None)
 
         yield after("forget", forget)
     if s.left["widen"]:
 
         def widen(o):
             o.left["widen"] = 0
-            o.inflow.change(0.0, o.inflow.version + 1, o.inflow.parts)
+            o.inbound.restart(0.0, o.inbound.version + 1, o.inbound.filters)
 
         yield after("widen", widen)
-    if s.inflow.stuck(1e9):
-        yield after("stuck", lambda o: o.inflow.change(0.0, o.inflow.version + 1, o.inflow.parts))
+    if s.inbound.stalled(1e9):
+        yield after("stuck", lambda o: o.inbound.restart(0.0, o.inbound.version + 1, o.inbound.filters))
     yield after("tick maker", Model.tick_maker)
     yield after("tick receiver", Model.tick_receiver)
     for n, message in enumerate(s.net):
@@ -172,12 +175,12 @@
 def wrong(s):
     if list(s.told) != sorted(set(s.told)):
         return f"repeated or out of order: {s.told}"
-    if s.inflow.pos is not None and s.begin is not None:
+    if s.inbound.position is not None and s.begin is not None:
         for epoch, made in s.made.items():
             for number in range(1, made + 1):
                 at = (epoch, number)
                 if (
-                    s.begin < at <= (s.inflow.epoch, s.inflow.pos)
+                    s.begin < at <= (s.inbound.epoch, s.inbound.position)
                     and at not in s.told
                     and not any(first <= at <= last for first, last in s.gaps)
                 ):
@@ -186,7 +189,7 @@
 
 
 def settled(s):
-    return s.inflow.confirmed and (s.inflow.epoch, s.inflow.pos) == (s.maker.epoch, s.maker.head)
+    return s.inbound.confirmed and (s.inbound.epoch, s.inbound.position) == (s.publisher.epoch, s.publisher.head)
 
 
 @pytest.mark.parametrize(
@@ -202,9 +205,9 @@
 
 def test_a_hole_that_is_taken_for_none_is_found(monkeypatch):
     def careless(self, now, data):
-        yield from self._take(data)
+        yield from self._receive(data)
 
-    monkeypatch.setattr(stream.InboundStream, "take", careless)
+    monkeypatch.setattr(stream.InboundStream, "receive", careless)
     start = Model()
     start.left = {"make": 2, "crash": 0, "forget": 0, "widen": 0}
     assert "lost unsaid" in str(explore(start, steps, wrong, 60_000, key=Model.key).fault)
--- a/tests/test_subscriptions_program.py
+++ b/tests/test_subscriptions_program.py
@@ -84,11 +84,11 @@
         service = self.program.subscriptions
         number = min(service.callers)
         service.callers[number].paused(True)  # as the transport says once WAITS bytes lie there
-        first = service.hub.maker.head + 1
+        first = service.hub.publisher.head + 1
         for n in range(100):
             service.loaded("site", n, ["agent"])
             if n % 10 == 9:
-                await self.until(lambda n=n: service.hub.subscribers.live["t0"].pos == first + n)
+                await self.until(lambda n=n: service.hub.subscribers.live["t0"].position == first + n)
         got = [await quick.until("event") for _ in range(100)]
         self.assertEqual([event["group"] for event in got], list(range(100)))
         self.assertLessEqual(len(service.hub.subscribers.fanout.backlogs[number]), 17)
