--- a/frostspindle/subscriptions/fanout.py
+++ b/frostspindle/subscriptions/fanout.py
@@ -1,8 +1,8 @@
-"""What waits for each subscriber to be written, and whose turn it is.
+"""The subscribers' backlogs of lines to be written, and the order in which they are written.
 
-Owns the backlogs, their bounds, and the order: the smallest backlog goes first, so that one who falls behind holds up
-nobody. Must never drop anything unsaid: a backlog that passes its bound becomes one gap for each maker, with its
-bounds, and the subscriber goes on from there.
+The smallest backlog is written first, so that a subscriber that falls behind delays no other. Items are never dropped
+without a report: a backlog that exceeds its bound is replaced by one gap for each publisher, with first and last
+position, and the subscriber continues from there.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from frostspindle.subscriptions.cursor import Position
 
 MAX_BACKLOG_ITEMS, MAX_TOTAL_ITEMS = 1_024, 65_536  # items
-MAX_BATCH_ITEMS = 64  # of one subscriber in a turn
+MAX_BATCH_ITEMS = 64  # of one subscriber at a time
 
 
 class BacklogItem(NamedTuple):
     """An event's line, or without one a gap from `first` to `last`, both included.
 
-    `last` None: the end is not known yet. A gap whose `last` is before its `first` says that nothing was lost.
+    `last` None: the gap is open-ended. A gap whose `last` is before its `first` states that no event was lost.
     """
 
     publisher: str
@@ -32,47 +32,46 @@
 
 
 def merge_into_gaps(items: Iterable[BacklogItem]) -> list[BacklogItem]:
-    """Return, in place of all that waits for a subscriber, one gap for each maker, and one without an end where one is
-    open.
+    """Return the gaps that replace a backlog: one for each publisher, and an open-ended one where there is one.
 
-    They stay two, as the cursor may stand between both.
+    The two are not merged, as the cursor may lie between them.
     """
     closed: dict[str, BacklogItem] = {}
-    still: dict[str, BacklogItem] = {}
+    unended: dict[str, BacklogItem] = {}
     for item in items:
         if item.last is None:
-            still[item.publisher] = item
+            unended[item.publisher] = item
             continue
-        still.pop(item.publisher, None)
+        unended.pop(item.publisher, None)
         before = closed.get(item.publisher, item)
         assert before.last is not None
         closed[item.publisher] = BacklogItem(item.publisher, min(before.first, item.first), max(before.last, item.last))
-    return [*closed.values(), *still.values()]
+    return [*closed.values(), *unended.values()]
 
 
 class Fanout:
-    """All subscribers' backlogs, bounded each and together."""
+    """The backlogs of all subscribers, each of them and their total bounded."""
 
     def __init__(self, max_backlog: int = MAX_BACKLOG_ITEMS, max_total: int = MAX_TOTAL_ITEMS) -> None:
         self.max_backlog, self.max_total = max_backlog, max_total
         self.backlogs: dict[int, deque[BacklogItem]] = {}
-        self.total = self.overflows = 0  # items that wait; how often somebody fell behind
-        self._waiting: dict[int, None] = {}  # those who have something to be told
+        self.total = self.overflows = 0  # queued items; how often a backlog was replaced by gaps
+        self._waiting: dict[int, None] = {}  # subscribers with queued items, in insertion order
 
     def join(self, who: int) -> None:
-        """Give a subscriber an empty backlog; it must have one before `offer`."""
+        """Create a subscriber's backlog; required before `offer`."""
         self.backlogs[who] = deque()
 
     def leave(self, who: int) -> None:
-        """Drop a subscriber and its backlog; nothing happens if it has none."""
+        """Remove a subscriber and its backlog, if there is one."""
         self.total -= len(self.backlogs.pop(who, ()))
         self._waiting.pop(who, None)
 
     def offer(self, who: int, item: BacklogItem) -> None:
         """Append an item to a subscriber's backlog.
 
-        If that passes `most_of_one` items, its backlog is replaced by gaps; if all pass `most_of_all`, the longest one
-        is.
+        If the backlog exceeds `max_backlog` items, it is replaced by gaps; if all together exceed `max_total`, the
+        longest one is.
         """
         backlog = self.backlogs[who]
         backlog.append(item)
@@ -81,17 +80,19 @@
         if len(backlog) > self.max_backlog:
             self._collapse(who)
         elif self.total > self.max_total:
-            self._collapse(max(self._waiting, key=lambda one: len(self.backlogs[one])))
+            self._collapse(max(self._waiting, key=lambda waiting: len(self.backlogs[waiting])))
 
     def _collapse(self, who: int) -> None:
         backlog = self.backlogs[who]
-        kept = merge_into_gaps(backlog)
-        self.total += len(kept) - len(backlog)
-        self.backlogs[who] = deque(kept)
+        gaps = merge_into_gaps(backlog)
+        self.total += len(gaps) - len(backlog)
+        self.backlogs[who] = deque(gaps)
         self.overflows += 1
 
     def next_batches(self, busy: set[int], most: int) -> Iterator[tuple[int, list[BacklogItem]]]:
-        """Yield whom to send which items, `most` in all, AT_ONCE each: the smallest backlog first, nobody `busy`."""
+        """Yield subscribers and items to write, `most` items in all and MAX_BATCH_ITEMS each.
+
+        The smallest backlog comes first; `busy` subscribers are skipped."""
         ready = [(len(self.backlogs[who]), who) for who in self._waiting if who not in busy]
         for size, who in heapq.nsmallest(most, ready):
             backlog = self.backlogs.get(who)
@@ -105,11 +106,11 @@
             yield who, items
 
     def has_more(self, busy: set[int]) -> bool:
-        """Return whether items wait for a subscriber that is not busy."""
+        """Return whether a subscriber that is not busy has queued items."""
         return any(who not in busy for who in self._waiting)
 
     def pending(self, who: int) -> dict[str, Position]:
-        """Return, by maker, the position right before the first item that waits for a subscriber."""
+        """Return, by publisher, the position before a subscriber's first queued item."""
         out: dict[str, Position] = {}
         for item in self.backlogs[who]:
             if item.publisher not in out:
--- a/frostspindle/subscriptions/hub.py
+++ b/frostspindle/subscriptions/hub.py
@@ -1,7 +1,7 @@
-"""One coordinator's part in subscriptions: its own events and its subscribers, tied together without I/O.
+"""One coordinator's publisher and subscribers, connected without I/O.
 
-Owns which side gets which message, and that messages of this process to itself take the same path as those between two
-processes. It must never open a socket or read a clock.
+Routes each message to its side. Messages of this process to itself take the same path as those between two processes.
+Opens no socket and reads no clock.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from frostspindle.subscriptions.subscribers import MAX_SUBSCRIPTIONS, SubscriberTable
 from frostspindle.subscriptions.wire import EventBatch, Message, UnknownStream
 
-LOCAL_MESSAGES_PER_TICK = 512  # messages to itself in one call
+LOCAL_MESSAGES_PER_TICK = 512  # messages to itself handled in one call
 
 
 class SubscriptionHub:
-    """One process's subscribers and events, under the name and epoch that the fleet knows it by; times in ms."""
+    """One process's subscribers and publisher, under its name and epoch in the fleet; times in ms."""
 
     def __init__(
         self,
@@ -34,15 +34,15 @@
         self.subscribers = SubscriberTable(name, epoch, now, most, fanout)
         self._local_messages: deque[Message] = deque()
         self._alive: dict[str, int] = {}
-        self.has_more = False  # there is more to do at once
+        self.has_more = False  # more work is left: call `tick` again at once
         self.members(now, {})
 
     def make(self, event: Event) -> int:
-        """Append an event that has happened here and return its number."""
+        """Publish an event of this process and return its number."""
         return self.publisher.append(event)
 
     def members(self, now: float, others: dict[str, int]) -> None:
-        """Take in which other members are alive, by name with the epoch of each one's process."""
+        """Update the other members that are alive, by name with the epoch of each one's process."""
         alive = others | {self.name: self.epoch}
         if alive != self._alive:
             for name, epoch in self._alive.items():
@@ -53,29 +53,29 @@
         self.subscribers.members(now, alive)
 
     def on_message(self, now: float, who: str, epoch: int, message: Message) -> None:
-        """Hand a message to the side that it is for: Data and Stale to the subscribers, all others to the maker."""
+        """Route a message: EventBatch and UnknownStream to the subscribers, all others to the publisher."""
         if isinstance(message, (EventBatch, UnknownStream)):
             self.subscribers.on_message(now, who, epoch, message)
         else:
             self.publisher.on_message(now, who, epoch, message)
 
     def tick(self, now: float) -> list[tuple[str, Message]]:
-        """Do whatever is due at `now` and return the messages to other members, by name; `more`: call again at once."""
+        """Do what is due at `now` and return the messages to other members, by name; sets `has_more`."""
         out: list[tuple[str, Message]] = []
         self.subscribers.tick(now)
         self.has_more = self.publisher.tick(now)
-        turns = LOCAL_MESSAGES_PER_TICK
+        budget = LOCAL_MESSAGES_PER_TICK
         while True:
-            for part in (self.subscribers, self.publisher):
-                for name, message in part.outbox:
+            for side in (self.subscribers, self.publisher):
+                for name, message in side.outbox:
                     if name == self.name:
                         self._local_messages.append(message)
                     else:
                         out.append((name, message))
-                part.outbox.clear()
-            if not self._local_messages or not turns:
+                side.outbox.clear()
+            if not self._local_messages or not budget:
                 break
-            turns -= 1
+            budget -= 1
             self.on_message(now, self.name, self.epoch, self._local_messages.popleft())
             if not self._local_messages:
                 self.subscribers.tick(now)
@@ -85,10 +85,10 @@
         return out
 
     def next_tick_at(self) -> float:
-        """Return when `tick` must be called next, in ms, if nothing arrives before."""
+        """Return when `tick` must be called next, in ms, if no message arrives before."""
         return min(self.subscribers.next_tick_at(), self.publisher.next_tick_at())
 
     @property
     def counted(self) -> Counter[str]:
-        """Counters of the maker and the subscribers together; those at zero are left out."""
+        """Counters of the publisher and the subscribers together; those at zero are left out."""
         return self.publisher.counted + self.subscribers.counted
--- a/frostspindle/subscriptions/interest.py
+++ b/frostspindle/subscriptions/interest.py
@@ -1,9 +1,9 @@
-"""What the subscribers of one coordinator want together: a summary that covers each of their filters.
+"""The combined interest of one coordinator's subscribers: a summary that covers each of their filters.
 
-Owns how a set of filters becomes a few, in bounded bytes. Must never leave out what one of them would match: where the
-filters are too many, those that are most alike become one (`cover`); where there are more than MOST_BOXES different
-ones it goes over to what all filters of a kind of events have in common, and from that to all of that kind. Adding and
-removing a filter cost the same however many there are.
+Reduces a set of filters to a few in bounded bytes. The summary matches whatever one of the filters matches. Where there
+are too many filters, the most similar ones are joined (`cover`); with more than MAX_BOXES distinct boxes, the summary
+is what all filters of a kind of events have in common, and in the last resort all events of that kind. Adding and
+removing a filter takes the same time however many there are.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from frostspindle.subscriptions import cover, schema
 from frostspindle.subscriptions.wire import MAX_FILTERS, MAX_FILTERS_BYTES
 
-MAX_COMPARED_FILTERS = 16  # filters that are compared with each other
-MAX_BOXES = 1_024  # that are brought down to few
-REBUILD_GROWTH = 1.5  # times as many as it was made of: a cover is made anew
-MAX_VALUES_PER_COLUMN = 24  # of a column that stand in one part
-ANY_KIND = -1  # in place of a kind: a filter that may match any
+MAX_COMPARED_FILTERS = 16  # compared pairwise for containment
+MAX_BOXES = 1_024  # that are reduced by joining
+REBUILD_GROWTH = 1.5  # the cover is rebuilt at so many times the boxes it was built from
+MAX_VALUES_PER_COLUMN = 24  # of a column, in one filter of the summary
+ANY_KIND = -1  # in place of a kind: the filter may match any
 
 
 def _equality_values(term: Term) -> dict[str, frozenset[Value]]:
-    """By column, the values that a row must have one of for this term."""
+    """Return, by column, the values of which a row must have one to match this term."""
     out: dict[str, frozenset[Value]] = {}
     for atom in term:
         if type(atom) is In and not atom.negated:
@@ -40,7 +40,7 @@
 
 
 def _values_by_kind(terms: tuple[Term, ...] | None) -> list[tuple[int, dict[str, frozenset[Value]]]]:
-    """For each conjunction, by kind of event: the values that it asks for."""
+    """Return, for each conjunction and kind of event, the values that it requires."""
     if terms is None:
         return [(ANY_KIND, {})]
     out = []
@@ -54,11 +54,11 @@
 
 
 class _Kind:
-    """All conjunctions of one kind of events."""
+    """Counts over all conjunctions of one kind of events."""
 
     def __init__(self) -> None:
         self.terms = 0
-        self.equalities: Counter[str] = Counter()  # conjunctions that ask for values of this column
+        self.equalities: Counter[str] = Counter()  # by column, how many conjunctions require values of it
         self.values: defaultdict[str, Counter[Value]] = defaultdict(Counter)
 
     def add(self, equal: dict[str, frozenset[Value]], by: int) -> None:
@@ -72,7 +72,7 @@
                     del counter[value]
 
     def summary(self, kind: int, room: int) -> str:
-        """All of them: by the column that all name with the fewest values, else everything of the kind."""
+        """Return a filter covering all: by the column with the fewest values that all require, else the whole kind."""
         if kind == ANY_KIND:
             return "TRUE"
         one = compare("kind", "=", schema.NAMES[kind])
@@ -93,15 +93,15 @@
         self._bytes = 0  # of distinct texts
         self._kinds: defaultdict[int, _Kind] = defaultdict(_Kind)
         self._boxes: Counter[cover.Box] = Counter()
-        self._added: list[cover.Box] = []  # that the cover was not made of
-        self._cover: list[cover.Box] | None = None  # as last told; wider than needed where it grew, or filters went
-        self._rebuilt_from = 0  # of so many boxes it was made anew
+        self._added: list[cover.Box] = []  # added since the cover was built
+        self._cover: list[cover.Box] | None = None  # last result; wider than needed after additions or removals
+        self._rebuilt_from = 0  # number of boxes at the last rebuild
 
     def __len__(self) -> int:
         return len(self._filters)
 
     def add(self, key: object, predicate: Predicate) -> None:
-        """Add a filter, in place of the one with this key if there is one."""
+        """Add a filter, replacing the one with this key if there is one."""
         self.remove(key)
         terms, words = normal(predicate), text(predicate)
         shape, boxes = _values_by_kind(terms), [cover.box(term) for term in (((),) if terms is None else terms)]
@@ -118,7 +118,7 @@
             self._kinds[kind].add(equal, 1)
 
     def remove(self, key: object) -> None:
-        """Remove the filter with this key, if there is one; the summary may stay wider until `parts` with `narrow`."""
+        """Remove the filter with this key, if any; the summary may stay wider until `filters` with `narrow`."""
         if (held := self._filters.pop(key, None)) is None:
             return
         words, shape, boxes = held
@@ -134,10 +134,10 @@
             self._kinds[kind].add(equal, -1)
 
     def filters(self, narrow: bool = False) -> tuple[str, ...]:
-        """Return texts of filters, one of which matches whatever a subscriber's does.
+        """Return the texts of the summary's filters; whatever a subscriber's filter matches, one of them matches.
 
-        At most MOST_PARTS, of PARTS_BYTES together. If not all filters fit, the last summary is widened by what was
-        added; `narrow`: it is made anew from the present filters.
+        At most MAX_FILTERS, of MAX_FILTERS_BYTES together. If not all filters fit, the last summary is widened by the
+        added ones; with `narrow` it is rebuilt from the present filters.
         """
         before, new, self._cover, self._added = self._cover, self._added, None, []
         if (words := self._exact()) is not None:
@@ -150,11 +150,11 @@
         return tuple(sorted(text(cover.predicate(one)) for one in self._cover))
 
     def _exact(self) -> tuple[str, ...] | None:
-        """All of them, if they fit."""
+        """Return all filters, if they fit."""
         if len(self._texts) <= MAX_COMPARED_FILTERS:
             words = sorted(self._texts)
             known = {word: parse(word) for word in words}
-            for word in words:  # what another one covers goes
+            for word in words:  # drop a filter that another one covers
                 if any(covers(known[other], known[word]) for other in known if other != word):
                     del known[word]
             if sum(len(word.encode()) for word in known) <= MAX_FILTERS_BYTES:
@@ -164,7 +164,7 @@
         return None
 
     def _common(self) -> tuple[str, ...]:
-        """By kind of event, what all have in common."""
+        """Return, by kind of event, what all filters have in common."""
         kinds = {kind: held for kind, held in self._kinds.items() if held.terms}
         if ANY_KIND in kinds:
             return ("TRUE",)
@@ -172,5 +172,5 @@
 
 
 def parse_summary(filters: tuple[str, ...]) -> Predicate:
-    """Return the predicate of a summary; FilterError if a part can't be parsed."""
+    """Return the predicate of a summary; FilterError if a filter can't be parsed."""
     return any_of(*[parse(part) for part in filters])
--- a/frostspindle/subscriptions/stream.py
+++ b/frostspindle/subscriptions/stream.py
@@ -1,13 +1,13 @@
-"""A maker's and a receiver's end of the streams of events between two coordinators.
+"""The sending and the receiving end of the event streams between two coordinators.
 
-Owns the numbers, the maker's bounded memory of its events, acknowledgements, what is sent again, and what is said of
-events that fell out of that memory. A maker numbers all its events; a message says which of a range of numbers are
-wanted, and is taken only where it follows what was taken before. So nothing is left out unsaid and nothing comes twice,
-whatever is lost, late or doubled; and a position in the maker's numbers means the same at every coordinator. It must
-never do I/O, read a clock, or do more in one call than its slice.
+A publisher numbers all its events and remembers a bounded number of them. A batch states which numbers of a range match
+the receiver's filters, and is accepted only if it continues what was received before. So under loss, delay and
+duplication no event is lost without a report or delivered twice, and a position means the same at every coordinator.
+Events that were evicted before they were sent are reported as lost. The module does no I/O, reads no clock, and bounds
+the work of one call.
 
-All that a stream needs to go on is known to the receiver: a maker may forget one at any time, says so (Stale), and is
-then told by Want where to go on.
+The receiver holds all the state that is needed to continue a stream: a publisher may drop a stream at any time, answers
+UnknownStream, and the receiver's next StreamRequest states where to continue.
 """
 
 from __future__ import annotations
@@ -34,42 +34,42 @@
     UnknownStream,
 )
 
-MAX_REMEMBERED_EVENTS = 16_384  # events that a maker remembers
-MAX_STREAMS, MAX_STREAMS_PER_RECEIVER = 2_048, 65  # of a maker; of one receiver: the live one, and replays
-EVENTS_PER_TICK = 64  # events that one call matches
-MESSAGES_PER_TICK = 32  # messages that one call makes
-MIN_WINDOW, MAX_WINDOW = 4, 64  # messages that may be on their way
+MAX_REMEMBERED_EVENTS = 16_384  # by a publisher
+MAX_STREAMS, MAX_STREAMS_PER_RECEIVER = 2_048, 65  # per publisher; per receiver: the live stream and replays
+EVENTS_PER_TICK = 64  # events matched by one call
+MESSAGES_PER_TICK = 32  # messages made by one call
+MIN_WINDOW, MAX_WINDOW = 4, 64  # unacknowledged messages of a stream
 RESEND_MS, MAX_RESEND_MS = 250.0, 2_000.0
-HEARTBEAT_MS, HEARTBEAT_PER_MEMBER_MS = 500.0, 10.0  # a stream without news tells so; in a large fleet, less often
-IDLE_MS = 30_000.0  # a stream that nobody acknowledges ends; the receiver would want it again
+HEARTBEAT_MS, HEARTBEAT_PER_MEMBER_MS = 500.0, 10.0  # of an idle stream; the interval grows with the fleet
+IDLE_MS = 30_000.0  # an unacknowledged stream is dropped; a live receiver requests it again
 ACK_MS, ACK_EVERY, GAP_ACK_MS = 100.0, 16, 20.0
-MAX_BUFFERED_MESSAGES = 32  # messages that a receiver keeps while an earlier one is missing
-STALL_TIMEOUT_MS = 3_000.0  # what is missing for longer is asked for anew
+MAX_BUFFERED_MESSAGES = 32  # out-of-order messages that a receiver keeps
+STALL_TIMEOUT_MS = 3_000.0  # a receiver requests the stream again if a message is missing for longer
 REQUEST_RETRY_MS, MAX_REQUEST_RETRY_MS = 200.0, 2_000.0
 SILENT_AFTER_HEARTBEATS = 4
 
 
 def heartbeat_interval_ms(members: int) -> float:
-    """Return the interval of heartbeats on a stream without news, in ms; it grows with the fleet, to bound the load."""
+    """Return the heartbeat interval of an idle stream, in ms; it grows with the fleet to bound the load."""
     return max(HEARTBEAT_MS, HEARTBEAT_PER_MEMBER_MS * members)
 
 
 @dataclass(slots=True)
 class OutboundStream:
-    """The maker's end of one receiver's stream."""
+    """The publisher's state of the stream to one receiver."""
 
     receiver: str
-    receiver_epoch: int  # the receiver's process
+    receiver_epoch: int  # epoch of the receiver's process
     sid: int
     version: int
     predicate: Predicate
-    start_position: int  # where it began at the head, for a receiver that knew no position; HEAD: it named one
+    start_position: int  # the head at the start if the receiver named no position, else HEAD
     acked: int
     sent: int
-    matched_through: int  # up to here it is known what is wanted
+    matched_through: int  # events up to here were matched against the predicate
     heard_at: float
-    matches: list[int] = field(default_factory=list)  # of what is not acknowledged, the numbers wanted
-    in_flight: deque[int] = field(default_factory=deque)  # where each message on its way ends
+    matches: list[int] = field(default_factory=list)  # unacknowledged numbers that match
+    in_flight: deque[int] = field(default_factory=deque)  # last number of each unacknowledged message
     window: int = MIN_WINDOW
     resend_after_ms: float = RESEND_MS
     progress_at: float = 0.0
@@ -77,22 +77,22 @@
 
 
 class EventPublisher:
-    """The events of this process, numbered from 1, and the streams to all receivers that want some of them."""
+    """The events of this process, numbered from 1, and the streams to all receivers."""
 
     def __init__(self, name: str, epoch: int, most: int = MAX_REMEMBERED_EVENTS, slice_: int = EVENTS_PER_TICK) -> None:
         self.name, self.epoch, self.most, self.slice = name, epoch, most, slice_
-        self.head = self.base = self.matched = 0  # numbers: the last made, the last forgotten, the last looked at
+        self.head = self.base = self.matched = 0  # numbers: last appended, last evicted, last matched
         self.streams: dict[tuple[str, int], OutboundStream] = {}
         self.outbox: list[tuple[str, Message]] = []
         self.counted: Counter[str] = Counter()
         self.members = 1
         self._events: list[Event | None] = [None] * most
         self._index = FilterIndex()
-        self._send_now = False  # more may be sent than before
-        self._caught_up: dict[tuple[str, int], OutboundStream] = {}  # those that the index finds for
+        self._send_now = False  # acknowledgements or requests may have made sending possible
+        self._caught_up: dict[tuple[str, int], OutboundStream] = {}  # streams that are matched by the index
 
     def append(self, event: Event) -> int:
-        """Keep an event, in place of the oldest if memory is full, and return its number; constant time."""
+        """Store an event, evicting the oldest if the buffer is full, and return its number; O(1)."""
         self.head += 1
         self._events[self.head % self.most] = event
         if self.head - self.base > self.most:
@@ -100,14 +100,14 @@
         return self.head
 
     def event(self, number: int) -> Event:
-        """Return an event by its number, which must still be remembered."""
+        """Return an event by its number, which must not have been evicted."""
         assert self.base < number <= self.head
         return self._events[number % self.most]  # type: ignore[return-value]
 
-    # What comes.
+    # Incoming messages.
 
     def on_message(self, now: float, who: str, epoch: int, message: Message) -> None:
-        """Take in a receiver's Want, Ack or Stop; `epoch` is that of its process."""
+        """Handle a receiver's StreamRequest, EventAck or StreamStop; `epoch` is that of its process."""
         if isinstance(message, StreamRequest):
             self._open(now, who, epoch, message)
             return
@@ -127,13 +127,13 @@
         stream = self.streams.get((who, want.sid))
         if stream is not None and (epoch, want.version) <= (stream.receiver_epoch, stream.version):
             if (epoch, want.version) == (stream.receiver_epoch, stream.version):
-                stream.heard_at = stream.heartbeat_at = now  # it has not heard our answer
+                stream.heard_at = stream.heartbeat_at = now  # it has not received our answer
                 self._send_now = True
             return
         if want.after != HEAD and want.epoch != self.epoch:
             self.outbox.append(
                 (who, UnknownStream(want.sid, want.version))
-            )  # of an earlier process: ours is told with this
+            )  # the position is of an earlier process; this answer tells the receiver about the new one
             return
         try:
             wanted = parse_summary(want.filters)
@@ -161,8 +161,8 @@
             heartbeat_at=now,
         )
         self.streams[who, want.sid], self._send_now = stream, True
-        for number, part in enumerate(want.filters):
-            self._index.add((who, want.sid, number), parse(part))
+        for number, text in enumerate(want.filters):
+            self._index.add((who, want.sid, number), parse(text))
 
     def _drop(self, stream: OutboundStream) -> None:
         key = stream.receiver, stream.sid
@@ -172,7 +172,7 @@
             self._index.remove((*key, number))
 
     def forget_receiver(self, who: str, epoch: int | None) -> None:
-        """Drop the receiver's streams of any process but that with `epoch`; None: all of them."""
+        """Drop the receiver's streams except those of the process with `epoch`; None: all of them."""
         for stream in [s for (name, _), s in self.streams.items() if name == who and s.receiver_epoch != epoch]:
             self._drop(stream)
 
@@ -187,10 +187,10 @@
             stream.in_flight.popleft()
             stream.window = min(MAX_WINDOW, stream.window + 1)
 
-    # What goes.
+    # Outgoing messages.
 
     def tick(self, now: float) -> bool:
-        """Match and send what is due, one slice of events at most; return whether there is more to do at once."""
+        """Match a bounded number of events and send what is due; return whether more work is left."""
         self._send_now = False
         left = self._match(self.slice) if self.streams else 1
         sends = MESSAGES_PER_TICK
@@ -211,9 +211,9 @@
         return bool(self.streams) and (left <= 0 or not sends or self.matched < self.head)
 
     def _match(self, left: int) -> int:
-        """Find out which events who wants, a slice of them; what is left of the slice."""
+        """Match up to `left` events against the streams' predicates; return the unused part of `left`."""
         if not self._caught_up:
-            self.matched = self.head  # all catch up by themselves
+            self.matched = self.head  # each stream is matched from its own position
         self.matched = max(self.matched, self.base)
         while left > 0 and self.matched < self.head:
             self.matched += 1
@@ -237,23 +237,23 @@
         return left
 
     def _send(self, now: float, stream: OutboundStream) -> bool:
-        """One message, if there is something to say."""
+        """Send a message if there are numbers to report or a heartbeat is due; return whether numbers were reported."""
         after, lost, events, size = stream.sent, False, [], 0
-        place = bisect_right(stream.matches, after)
+        first = bisect_right(stream.matches, after)
         if after < self.base:
             through, lost = self.base, True
             stream.matched_through = max(stream.matched_through, through)
         else:
             through = stream.matched_through
-            for number in stream.matches[place : place + 128]:
-                told, more = wire.published_event(number, self.event(number))
-                if size + more > wire.MAX_EVENTS_BYTES:
+            for number in stream.matches[first : first + 128]:
+                published, event_bytes = wire.published_event(number, self.event(number))
+                if size + event_bytes > wire.MAX_EVENTS_BYTES:
                     through = number - 1
                     break
-                size += more
-                events.append(told)
+                size += event_bytes
+                events.append(published)
             else:
-                if len(stream.matches) > place + 128:
+                if len(stream.matches) > first + 128:
                     through = events[-1].number
         if not lost and not events and now < stream.heartbeat_at:
             return False
@@ -282,7 +282,7 @@
         return through > after
 
     def next_tick_at(self) -> float:
-        """Return when `tick` must be called next, in ms, if nothing arrives before."""
+        """Return when `tick` must be called next, in ms, if no message arrives before."""
         at = -float("inf") if self._send_now else float("inf")
         for stream in self.streams.values():
             at = min(at, stream.heartbeat_at, stream.heard_at + IDLE_MS)
@@ -293,18 +293,18 @@
 
 @dataclass(slots=True)
 class InboundStream:
-    """The receiver's end of one stream. `pos`: all up to this number was taken; None: its start is not known yet."""
+    """The receiver's state of one stream. `position`: last number received in order; None: start not known yet."""
 
     publisher: str
-    epoch: int  # of the maker's process
+    epoch: int  # of the publisher's process
     sid: int
-    receiver_epoch: int  # our own process
-    version: int  # of what is wanted; only data of this version is taken
+    receiver_epoch: int  # epoch of this process
+    version: int  # of the request; only batches of this version are accepted
     filters: tuple[str, ...]
     position: int | None
     heard_at: float
-    heartbeat_ms: float = HEARTBEAT_MS  # of the maker's beats, as it last said
-    confirmed: bool = False  # data of this version has come
+    heartbeat_ms: float = HEARTBEAT_MS  # the publisher's heartbeat interval, as last advertised
+    confirmed: bool = False  # a batch of this version was received
     silent: bool = False
     request_at: float = 0.0
     request_retry_ms: float = REQUEST_RETRY_MS
@@ -314,15 +314,15 @@
     buffered: dict[int, EventBatch] = field(default_factory=dict)
 
     def restart(self, now: float, version: int, filters: tuple[str, ...]) -> None:
-        """Want other filters from this position on, or the same ones anew, under a new version."""
+        """Request these filters from the current position on, under a new version."""
         self.version, self.filters, self.confirmed = version, filters, False
         self.request_at, self.request_retry_ms, self.missing_since = now, REQUEST_RETRY_MS, None
         self.buffered.clear()
 
     def accept(self, now: float, data: EventBatch) -> bool:
-        """Return whether a message belongs to the version that is wanted now, and take in its period.
+        """Return whether a batch belongs to the current version, and record its heartbeat interval.
 
-        The first one admitted tells where the stream starts.
+        The first accepted batch sets the position where the stream starts.
         """
         if (
             (data.receiver_epoch, data.version) != (self.receiver_epoch, self.version)
@@ -336,9 +336,9 @@
         return True
 
     def receive(self, now: float, data: EventBatch) -> Iterator[tuple[int, int, Event | None]]:
-        """Yield what is new in an admitted message: events as (number, number, event), lost ranges as (from, to, None).
+        """Yield what is new in an accepted batch: events as (number, number, event), lost ranges as (from, to, None).
 
-        One that comes too early is held until those before it have come, up to HELD of them.
+        Up to MAX_BUFFERED_MESSAGES that arrive out of order are buffered until the earlier ones have arrived.
         """
         assert self.position is not None
         self.unacked += 1
@@ -367,12 +367,12 @@
         self.position = data.through
         if data.lost:
             yield before + 1, data.through, None
-        for told in data.events:
-            if told.number > before:
-                yield told.number, told.number, told.event
+        for published in data.events:
+            if published.number > before:
+                yield published.number, published.number, published.event
 
     def tick(self, now: float) -> Message | None:
-        """Return the Want or Ack that is due at `now`, in ms; None: nothing is."""
+        """Return the StreamRequest or EventAck that is due at `now`, in ms; None if neither is."""
         if not self.confirmed:
             if now < self.request_at:
                 return None
@@ -391,16 +391,16 @@
             self.ack_at, self.unacked = float("inf"), 0
             self.request_at = (
                 now + 2.0 * self.heartbeat_ms
-            )  # at least: the maker keeps the stream, or says that it has none
+            )  # keeps the publisher's stream alive, or shows that it is unknown
             return EventAck(self.sid, self.version, self.position or 0)
         return None
 
     def stalled(self, now: float) -> bool:
-        """Return whether something has been missing for STUCK_MS, so that the stream must be wanted anew."""
+        """Return whether a batch has been missing for STALL_TIMEOUT_MS, so that the stream must be requested again."""
         return self.missing_since is not None and now - self.missing_since >= STALL_TIMEOUT_MS
 
     def next_tick_at(self) -> float:
-        """Return when `tick` must be called next, or when the maker counts as silent or the stream as stuck, in ms."""
+        """Return when `tick` must be called, or the publisher counts as silent or the stream as stalled, in ms."""
         at = min(self.ack_at, self.request_at)
         if self.missing_since is not None:
             at = min(at, self.missing_since + STALL_TIMEOUT_MS)
--- a/frostspindle/subscriptions/subscribers.py
+++ b/frostspindle/subscriptions/subscribers.py
@@ -1,12 +1,11 @@
-"""The subscribers of this coordinator: who is sent what, from when on, and what is reported to be missing.
+"""The subscriptions of this coordinator: which events each one is sent, its gaps, its cursor and its replays.
 
-Owns each subscription from its call to its end, which streams it takes part in, when it is acknowledged, its gaps and
-its cursor. It must never acknowledge one before each member known to be alive has confirmed that it sends what the
-subscription wants, or the member's silence stands as a gap; never send an event twice or out of its maker's order; and
-never let a range of a maker's numbers go by that was neither taken nor reported as a gap. No I/O, no clock.
+A subscription is acknowledged only after each member known to be alive has confirmed the subscription's filter, or its
+silence was reported as a gap. An event is never sent twice or out of its publisher's order, and each range of a
+publisher's numbers is either received or reported as a gap. No I/O and no clock.
 
-A subscriber's position at a maker is that of the live stream; behind that, that of a replay of its own, which ends as
-soon as it has caught up; before both, that of the cursor it came with.
+A subscription's position at a publisher is that of the live stream; while it is behind that, the position of its own
+replay, which ends once it has caught up; before either has started, the position in the cursor it was resumed from.
 """
 
 from __future__ import annotations
@@ -31,20 +30,20 @@
 from frostspindle.subscriptions.stream import InboundStream
 from frostspindle.subscriptions.wire import EventAck, EventBatch, Message, StreamStop, UnknownStream
 
-MAX_SUBSCRIPTIONS = 1_000  # subscriptions
-CONFIRM_TIMEOUT_MS = 3_000.0  # who has not confirmed after this is told as a gap
-BATCHING_MS = 50.0  # changes of what is wanted are told together
-NARROW_DELAY_MS = 5_000.0  # what nobody wants any more is still asked for so long
-REPLAY_STALL_MS = 10_000.0  # a replay that stands still for so long is told as a gap
+MAX_SUBSCRIPTIONS = 1_000
+CONFIRM_TIMEOUT_MS = 3_000.0  # a publisher that has not confirmed by then is reported as a gap
+BATCHING_MS = 50.0  # new subscriptions are requested from publishers together
+NARROW_DELAY_MS = 5_000.0  # filters are narrowed only so long after a subscription ended
+REPLAY_STALL_MS = 10_000.0  # a replay without progress for so long is reported as a gap
 MAX_PUBLISHERS = 1_024
-PAUSE_DETECTION_MS = 1_000.0  # so long without a tick: we were stopped, not the others
-MAX_TICK_INTERVAL_MS = 250.0  # a tick comes so often while there are subscriptions
+PAUSE_DETECTION_MS = 1_000.0  # after so long without a tick, this process was paused, not the others
+MAX_TICK_INTERVAL_MS = 250.0  # while there are subscriptions
 _json = msgspec.json.Encoder().encode
 
 
 @dataclass(slots=True)
 class Subscription:
-    """One subscriber's filter, and its position at each maker."""
+    """One subscriber's filter, and its position at each publisher."""
 
     number: int
     text: str
@@ -52,19 +51,19 @@
     deadline: float
     resume_from: (
         dict[str, Position] | None
-    )  # by the cursor, at makers whose stream it has not joined yet; None: from now on
-    active: bool = False  # what it wants is asked for
-    unconfirmed: set[str] = field(default_factory=set)  # makers that have not confirmed
+    )  # by the cursor, at publishers whose stream it has not joined yet; None: from now on
+    active: bool = False  # its filter is part of what publishers are asked for
+    unconfirmed: set[str] = field(default_factory=set)  # publishers that have not confirmed
     acknowledged: bool = False
     sent_through: dict[str, Position] = field(
         default_factory=dict
     )  # already told up to here, where the live stream is behind
-    replays: dict[str, int] = field(default_factory=dict)  # by maker, the stream of its own
-    open_gaps: dict[str, Position] = field(default_factory=dict)  # gaps without an end, by maker: where they begin
+    replays: dict[str, int] = field(default_factory=dict)  # stream id by publisher
+    open_gaps: dict[str, Position] = field(default_factory=dict)  # first position of open-ended gaps
 
 
 def event_line(publisher: str, epoch: int, number: int, event: Event) -> bytes:
-    """Return an event as a line of JSON, as its subscribers read it, with its maker, epoch and number."""
+    """Return the line of JSON that subscribers read for an event, with its publisher, epoch and number."""
     at = datetime.fromtimestamp(event.at_ms / 1000.0, UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
     return (
         _json(
@@ -83,12 +82,12 @@
 
 
 def gap_line(item: BacklogItem) -> bytes:
-    """Return a gap as a line of JSON: maker, first and last position, both included; `to` null: no end yet."""
+    """Return a gap as a line of JSON: publisher, first and last position, inclusive; `to` null: open-ended."""
     return _json({"gap": {"maker": item.publisher, "from": item.first, "to": item.last}}) + b"\n"
 
 
 class SubscriberTable:
-    """All subscriptions of this process, and the streams that they need; times in ms."""
+    """All subscriptions of this process, and the inbound streams for them; times in ms."""
 
     def __init__(
         self, name: str, epoch: int, now: float, most: int = MAX_SUBSCRIPTIONS, fanout: Fanout | None = None
@@ -98,35 +97,35 @@
         self.subscriptions: dict[int, Subscription] = {}
         self.live: dict[str, InboundStream] = {}
         self.replays: dict[tuple[str, int], tuple[InboundStream, Subscription]] = {}
-        self.expected: frozenset[str] = frozenset()  # members that there are, known to be alive or not
-        self.acknowledged: list[int] = []  # to be told so, in this order; the caller empties it
+        self.expected: frozenset[str] = frozenset()  # all configured members, alive or not
+        self.acknowledged: list[int] = []  # newly acknowledged, in order; emptied by the caller
         self.outbox: list[tuple[str, Message]] = []
         self.counted: Counter[str] = Counter()
-        self.needless = self.taken = 0  # events that came from others, and those of them that nobody here wanted
-        self.filters: tuple[str, ...] = ()  # what makers are asked for
-        self._wanted: Predicate = FALSE  # the same
+        self.needless = self.taken = 0  # events received from others, and those without a match here
+        self.filters: tuple[str, ...] = ()  # filters that publishers are asked for
+        self._wanted: Predicate = FALSE  # the predicate of `filters`
         self._alive: dict[str, int] = {}
         self._interest = CombinedInterest()
         self._index = FilterIndex(most=max(most, 1))
         self._numbers = self._versions = 0
-        self._inactive: dict[int, Subscription] = {}  # not entered yet
+        self._inactive: dict[int, Subscription] = {}  # accepted, but not active yet
         self._unacknowledged: dict[int, Subscription] = {}
         self._activate_at = self._narrow_at = float("inf")
         self._ticked = now
 
-    # What subscribers call.
+    # Calls of subscribers.
 
     def subscribe(self, now: float, text: str) -> int:
         """Start a subscription and return its number; nothing is sent to it until it is acknowledged.
 
-        FilterError if the filter can't be taken or there are too many subscriptions.
+        FilterError if the filter is invalid or there are too many subscriptions.
         """
         return self._add(now, text, None)
 
     def resume(self, now: float, text: str) -> int:
-        """Start a subscription that goes on from a cursor; BadCursor or FilterError if it can't be taken."""
-        held = cursor.decode(text)
-        return self._add(now, held.filter, dict(held.at))
+        """Start a subscription that continues from a cursor; InvalidCursorError or FilterError if it is invalid."""
+        decoded = cursor.decode(text)
+        return self._add(now, decoded.filter, dict(decoded.at))
 
     def _add(self, now: float, text: str, resume_from: dict[str, Position] | None) -> int:
         if len(self.subscriptions) >= self.most:
@@ -137,7 +136,7 @@
         self._numbers += 1
         sub = Subscription(self._numbers, text, predicate, now + CONFIRM_TIMEOUT_MS, resume_from)
         self._index.add(sub.number, predicate)
-        self._index.remove(sub.number)  # whether it can be taken at all; it stands there from `_enter` on
+        self._index.remove(sub.number)  # raises if the index can't hold it; `_activate` adds it
         self.subscriptions[sub.number] = self._inactive[sub.number] = self._unacknowledged[sub.number] = sub
         self.fanout.join(sub.number)
         self._activate_at = min(self._activate_at, now + (BATCHING_MS if self.filters else 0.0))
@@ -159,21 +158,21 @@
         return True
 
     def cursor(self, number: int) -> str | None:
-        """Return the cursor by which the subscription could go on now; None where it would exceed its bounds."""
+        """Return the cursor from which the subscription can be resumed; None if it would exceed its bounds."""
         sub = self.subscriptions[number]
         at = dict(sub.resume_from or ())
         for publisher in self.live:
             if (position := self.position(sub, publisher)) is not None:
                 at[publisher] = position
         at.update(self.fanout.pending(number))
-        for publisher, (epoch, first) in sub.open_gaps.items():  # what it has been told of without an end is told anew
+        for publisher, (epoch, first) in sub.open_gaps.items():  # an open-ended gap is reported again
             at[publisher] = min(at.get(publisher, (epoch, first - 1)), (epoch, first - 1))
         return cursor.encode(sub.text, at)
 
-    # Where a subscription stands.
+    # Positions.
 
     def position(self, sub: Subscription, publisher: str) -> Position | None:
-        """Return up to where all of a maker's events were sent, or reported as missing; None: it is not known."""
+        """Return the last position up to which a publisher's events were sent or reported as gaps; None: not known."""
         if (sid := sub.replays.get(publisher)) is not None:
             inbound = self.replays[publisher, sid][0]
             return inbound.epoch, inbound.position or 0
@@ -187,7 +186,7 @@
     # Members.
 
     def members(self, now: float, alive: dict[str, int]) -> None:
-        """Take in which members are alive, this one included, with the epoch of each one's process."""
+        """Update the members that are alive, this one included, with the epoch of each one's process."""
         self._alive = alive
         if not self.filters:
             return
@@ -206,8 +205,8 @@
         return self._versions
 
     def _add_publisher(self, now: float, name: str, epoch: int) -> None:
-        """A maker whose stream was not wanted before. If somebody subscribed before it was known, its events since its
-        start are meant."""
+        """Request a new publisher's stream: from its process start if a subscription was acknowledged before, else from
+        now on."""
         if len(self.live) >= MAX_PUBLISHERS:
             dead = next((n for n in self.live if n not in self._alive), None)
             if dead is None:
@@ -225,7 +224,7 @@
                     sub.resume_from.setdefault(name, (0, 0))
 
     def _publisher_restarted(self, now: float, inbound: InboundStream, epoch: int) -> None:
-        """Another process of a maker: what the earlier one still had is told as lost; all of the new one is meant."""
+        """Handle a publisher's restart: report the old process's remaining events as lost, request all new ones."""
         publisher, before = inbound.publisher, inbound.epoch
         known = {sub.number: self.position(sub, publisher) for sub in self.subscriptions.values()}
         begun = inbound.position is not None
@@ -236,7 +235,7 @@
             if publisher in sub.replays:
                 self._end_replay(sub, publisher)
             if position is None or position[0] >= epoch:
-                continue  # nothing is known of it, or by its cursor more than we knew
+                continue  # position unknown, or its cursor is already of the new process
             sub.sent_through.pop(publisher, None)
             self._report_gap(sub, publisher, self._after(position), (epoch, 0))
             if sub.resume_from is not None:
@@ -245,10 +244,10 @@
                     sub.resume_from[publisher] = (epoch, 0)
         self.counted["subscriptions_makers_renewed"] += before != epoch
 
-    # What comes.
+    # Incoming messages.
 
     def on_message(self, now: float, who: str, epoch: int, message: EventBatch | UnknownStream) -> None:
-        """Take in a maker's message; `epoch` is that of its process."""
+        """Handle a publisher's message; `epoch` is that of its process."""
         if message.sid:
             self._on_replay_message(now, who, epoch, message)
             return
@@ -285,17 +284,17 @@
         if publisher != self.name:
             self.taken += 1
             self.needless += not found
-        words = b""
+        encoded = b""
         for key in found:
             sub = self.subscriptions[key]  # type: ignore[index]
             if publisher in sub.replays or sub.resume_from is not None and publisher in sub.resume_from:
-                continue  # a stream of its own brings it, in order
+                continue  # its replay delivers the event in order
             if publisher in sub.sent_through:
                 if at <= sub.sent_through[publisher]:
                     continue
                 del sub.sent_through[publisher]
-            words = words or event_line(publisher, inbound.epoch, number, event)
-            self.fanout.offer(sub.number, BacklogItem(publisher, at, at, words))
+            encoded = encoded or event_line(publisher, inbound.epoch, number, event)
+            self.fanout.offer(sub.number, BacklogItem(publisher, at, at, encoded))
 
     def _on_lost(self, inbound: InboundStream, first: int, last: int) -> None:
         self.counted["subscriptions_lost_ranges"] += 1
@@ -318,7 +317,7 @@
     # Gaps.
 
     def _report_gap(self, sub: Subscription, publisher: str, first: Position, last: Position | None) -> None:
-        """Tell one; an open one of this maker ends with it."""
+        """Queue a gap, which replaces an open-ended one of this publisher; `last` None: open-ended."""
         if publisher in sub.open_gaps:
             first = min(first, sub.open_gaps.pop(publisher))
         if last is None:
@@ -327,7 +326,7 @@
         self.fanout.offer(sub.number, BacklogItem(publisher, first, last))
 
     def _mark_silent(self, inbound: InboundStream) -> None:
-        """Nothing is heard of a maker: nobody knows what it has seen since."""
+        """Report an open-ended gap, as a silent publisher's events since its last message are unknown."""
         inbound.silent = True
         for sub in self.subscriptions.values():
             if sub.acknowledged and inbound.publisher not in sub.open_gaps:
@@ -336,8 +335,9 @@
                 )
 
     def _close_gaps(self, inbound: InboundStream) -> None:
-        """A maker is heard again, or for the first time: gaps without an end have one; what was missed follows, or is
-        told as lost."""
+        """End the open-ended gaps of a publisher that is heard again or for the first time.
+
+        The stream then delivers the missed events or reports them as lost."""
         publisher = inbound.publisher
         for sub in self.subscriptions.values():
             if (
@@ -349,10 +349,10 @@
                 assert at is not None
                 self._report_gap(sub, publisher, self._after(at), at)
 
-    # The life of a subscription.
+    # Activation, replays and acknowledgement.
 
     def _activate(self, now: float) -> None:
-        """Ask for what the waiting ones want, all at once."""
+        """Request the filters of all inactive subscriptions together."""
         self._activate_at = float("inf")
         new, self._inactive = list(self._inactive.values()), {}
         for sub in new:
@@ -368,13 +368,13 @@
                 if publisher in self._alive and not (inbound.confirmed and not inbound.silent)
             }
             for publisher, inbound in self.live.items():
-                if sub.resume_from is not None:  # what the cursor's coordinator did not know of is meant from its start
+                if sub.resume_from is not None:  # the cursor's coordinator did not know this publisher: from its start
                     sub.resume_from.setdefault(publisher, (0, 0))
                 if inbound.confirmed:
                     self._join_stream(sub, inbound, now)
 
     def _request_filters(self, now: float, filters: tuple[str, ...]) -> None:
-        """From where each stream stands, want something else."""
+        """Request other filters from the current position of each stream on."""
         if filters == self.filters:
             return
         self.filters, self._wanted = filters, parse_summary(filters)
@@ -389,20 +389,20 @@
         self.members(now, self._alive)
 
     def _on_confirmed(self, now: float, inbound: InboundStream) -> None:
-        """A maker sends what all who have entered want."""
+        """Handle a publisher's confirmation of the filters of all active subscriptions."""
         for sub in self.subscriptions.values():
             if sub.active:
                 sub.unconfirmed.discard(inbound.publisher)
                 self._join_stream(sub, inbound, now)
 
     def _join_stream(self, sub: Subscription, inbound: InboundStream, now: float) -> None:
-        """Join a maker's stream from where the cursor stands, by a replay if that is behind."""
+        """Join a publisher's stream at the cursor's position, with a replay if that is behind the live stream."""
         publisher = inbound.publisher
         resume_from = sub.resume_from.get(publisher) if sub.resume_from is not None else None
         if resume_from is None or sub.resume_from is None or inbound.position is None:
             return
         if resume_from[0] > inbound.epoch:
-            return  # the cursor knows a later process than we do; it will be heard of
+            return  # the cursor is of a later process, which is not known here yet
         sub.resume_from.pop(publisher, None)
         if resume_from[0] < inbound.epoch:
             self._report_gap(sub, publisher, self._after(resume_from), (inbound.epoch, 0))
@@ -423,9 +423,9 @@
 
     @staticmethod
     def _summary_of(sub: Subscription) -> tuple[str, ...]:
-        one = CombinedInterest()
-        one.add(0, sub.predicate)
-        return one.filters()
+        interest = CombinedInterest()
+        interest.add(0, sub.predicate)
+        return interest.filters()
 
     def _on_replay_message(self, now: float, who: str, epoch: int, message: EventBatch | UnknownStream) -> None:
         replay, sub = self.replays.get((who, message.sid), (None, None))
@@ -437,8 +437,8 @@
             if message.version == replay.version:
                 replay.restart(now, self._version(), replay.filters)
             return
-        if who in sub.open_gaps:  # the cursor stays before a gap without an end, so that what is told now came twice
-            replay.heard_at = now  # the maker sends it again, once the live stream has closed the gap
+        if who in sub.open_gaps:  # the cursor stays before an open-ended gap: events sent now would be repeated
+            replay.heard_at = now  # the publisher resends this after the live stream has closed the gap
             return
         for first, last, event in replay.receive(now, message) if replay.accept(now, message) else ():
             if event is None:
@@ -453,28 +453,28 @@
         self._catch_up(now, who, sub)
 
     def _catch_up(self, now: float, publisher: str, sub: Subscription | None = None) -> None:
-        """A replay that has come to where the live stream stands ends, and the subscription goes on with that."""
+        """End replays that have reached the live stream's position; the live stream continues from there."""
         inbound = self.live.get(publisher)
         if inbound is None or inbound.position is None or not inbound.confirmed:
             return
-        for one in [sub] if sub is not None else [s for (m, _), (_, s) in self.replays.items() if m == publisher]:
-            replay = self.replays[publisher, one.replays[publisher]][0]
+        for caught_up in [sub] if sub is not None else [s for (m, _), (_, s) in self.replays.items() if m == publisher]:
+            replay = self.replays[publisher, caught_up.replays[publisher]][0]
             if replay.epoch == inbound.epoch and (replay.position or 0) >= inbound.position:
-                one.sent_through[publisher] = replay.epoch, replay.position or 0
-                self._end_replay(one, publisher)
+                caught_up.sent_through[publisher] = replay.epoch, replay.position or 0
+                self._end_replay(caught_up, publisher)
 
     def _end_replay(self, sub: Subscription, publisher: str) -> None:
         replay, _ = self.replays.pop((publisher, sub.replays.pop(publisher)))
         self.outbox.append((publisher, StreamStop(replay.sid, replay.version)))
 
     def _acknowledge(self, now: float, sub: Subscription) -> None:
-        """From here on the subscriber is told all, or what is missing."""
+        """Acknowledge a subscription: from here on each event is sent or reported as missing."""
         del self._unacknowledged[sub.number]
         sub.acknowledged = True
         self.acknowledged.append(sub.number)
-        mute = sub.unconfirmed | {publisher for publisher, inbound in self.live.items() if inbound.silent}
-        mute |= {publisher for publisher in (*(sub.resume_from or ()), *self.expected) if publisher not in self.live}
-        for publisher in sorted(mute):
+        silent = sub.unconfirmed | {publisher for publisher, inbound in self.live.items() if inbound.silent}
+        silent |= {publisher for publisher in (*(sub.resume_from or ()), *self.expected) if publisher not in self.live}
+        for publisher in sorted(silent):
             if publisher not in sub.open_gaps:
                 self._report_gap(sub, publisher, self._after(self.position(sub, publisher) or (0, 0)), None)
         sub.unconfirmed.clear()
@@ -482,7 +482,7 @@
     # Time.
 
     def tick(self, now: float) -> None:
-        """Do whatever is due at `now`, in ms; messages are left in `out`, acknowledgements in `acknowledged`."""
+        """Do what is due at `now`, in ms; messages go to `outbox`, acknowledgements to `acknowledged`."""
         if now - self._ticked > PAUSE_DETECTION_MS:
             for inbound in self._inbound_streams():
                 inbound.heard_at += now - self._ticked
@@ -508,7 +508,7 @@
                 and not inbound.silent
                 and inbound.confirmed
             ):
-                at = inbound.epoch, inbound.position or 0  # the maker has no room for it
+                at = inbound.epoch, inbound.position or 0  # the publisher has no room for the replay
                 self._report_gap(sub, publisher, (replay.epoch, (replay.position or 0) + 1), at)
                 self._end_replay(sub, publisher)
                 continue
@@ -527,7 +527,7 @@
             self.outbox.append((publisher, message))
 
     def next_tick_at(self) -> float:
-        """Return when `tick` must be called next, in ms: within SLEEPY_MS while there are subscriptions or streams."""
+        """Return when `tick` must be called next, in ms: within MAX_TICK_INTERVAL_MS while there are subscriptions."""
         if not self.subscriptions and not self.live:
             return min(self._activate_at, self._narrow_at)
         at = min(self._activate_at, self._narrow_at, self._ticked + MAX_TICK_INTERVAL_MS)
