--- a/frostspindle/subscriptions/__init__.py
+++ b/frostspindle/subscriptions/__init__.py
@@ -1,6 +1,6 @@
-"""Subscriptions: operators' programs are sent events as they happen, wherever in the fleet they arise.
+"""Subscriptions: operators' programs receive events as they happen anywhere in the fleet.
 
-`schema`, `interest`, `stream`, `cursor`, `fanout`, `subscribers` and `hub` have no I/O and no clock; `wire` has the
-form of the messages, `service` the timers, `wiring` what ties it to the program. Nothing is loaded unless
-`[subscriptions]` stands in the operator's file.
+`schema`, `interest`, `stream`, `cursor`, `fanout`, `subscribers` and `hub` do no I/O and read no clock; `wire` defines
+the messages, `service` runs the timers, and `wiring` connects all of it to the program. Nothing here is imported unless
+the operator's file has `[subscriptions]`.
 """
--- a/frostspindle/subscriptions/cover.py
+++ b/frostspindle/subscriptions/cover.py
@@ -1,9 +1,9 @@
-"""A few broad filters in place of many: each conjunction as a box, and boxes joined where that widens least.
+"""Reduces many filters to a few broad ones: conjunctions become boxes, which are joined where that widens least.
 
-Owns what a box keeps of a conjunction (by column the values, the range or the prefix that it asks for; whatever else it
-asks for is left out), what two have in common, and how many are brought down to few in bounded bytes. It must never
-make a box that a row of one of its conjunctions is outside of: each step only leaves out or widens. What share of the
-events a box lets through is guessed from the filters alone, so that a wrong guess costs bytes on the wire, no event.
+A box keeps, by column, the values, the range or the prefix that a conjunction requires; its other conditions are left
+out. Each step only drops or widens conditions, so a row that matches a conjunction is always within its box.
+The share of events that a box lets through is estimated from the filters alone; a wrong estimate costs bytes on the
+wire but loses no event.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from frostspindle.subscriptions import schema
 
 MAX_VALUES = 64  # of a column in one box
-MAX_UNWIDENED_VALUES = 2  # a box with more of them may get a range or a prefix in their place
-MAX_MERGE_CANDIDATES = 192  # boxes whose neighbours are weighed; of more, runs are joined unweighed
-MAX_PAIRWISE_BOXES = 20  # boxes that are all tried with each other; before, only neighbours in their order are
+MAX_UNWIDENED_VALUES = 2  # more may be replaced by a range or a prefix
+MAX_MERGE_CANDIDATES = 192  # more boxes are first joined in runs, without estimates
+MAX_PAIRWISE_BOXES = 20  # compared pairwise; with more, only neighbours in sort order are
 AND_SEPARATOR = " AND "
-COVERED_COST = -1.0  # worth of joining a box with one that lies within it
-ANSWER_SHARE = 0.9  # of the events, as a guess
+COVERED_COST = -1.0  # cost of joining a box with one that lies within it
+ANSWER_SHARE = 0.9  # estimated share of the events
 
 
 class Values(NamedTuple):
@@ -40,14 +40,14 @@
 
 
 class Range(NamedTuple):
-    """The column lies within, bounds included; None: no bound on that side."""
+    """The column lies within these bounds, inclusive; None: unbounded on that side."""
 
     low: Any
     high: Any
 
 
 class Prefix(NamedTuple):
-    """The column is a text that begins with this."""
+    """The column is a text with this prefix."""
 
     prefix: str
 
@@ -70,7 +70,7 @@
 
 
 def _intersection(one: Side, other: Side) -> Side:
-    """Something that holds where both do: the narrower of them, as a rule."""
+    """Return a condition that holds wherever both do; if their intersection is no side, the narrower of them."""
     if type(one) is Values and type(other) is Values:
         return Values(one.values & other.values or one.values)
     if type(one) is Range and type(other) is Range:
@@ -82,7 +82,7 @@
 
 
 def box(term: Term) -> Box:
-    """Return the box of a conjunction: by column what it asks for; conditions that no box can express are left out."""
+    """Return the box of a conjunction; conditions that no box can express are left out."""
     out: dict[str, Side] = {}
     for atom in term:
         if (side := _side_of(atom)) is not None:
@@ -94,7 +94,7 @@
 
 
 def _widened(side: Values) -> Side | None:
-    """In place of values a prefix of texts, or a range; None: anything."""
+    """Return a prefix (of texts) or a range that contains the values; None: no condition."""
     if all(type(value) is str for value in side.values):
         found = commonprefix(list(side.values))
         return Prefix(found) if found else None
@@ -102,10 +102,10 @@
 
 
 def _union(one: Side, other: Side) -> Side | None:
-    """What holds wherever one of them does; None: nothing that a box can say."""
+    """Return a condition that holds wherever one of them does; None if no box can express one."""
     if type(one) is Values and type(other) is Values:
-        held = Values(one.values | other.values)
-        return held if len(held.values) <= MAX_VALUES else _widened(held)
+        united = Values(one.values | other.values)
+        return united if len(united.values) <= MAX_VALUES else _widened(united)
     one, other = (_widened(side) if type(side) is Values else side for side in (one, other))  # type: ignore[assignment]
     if type(one) is Prefix and type(other) is Prefix:
         found = commonprefix([one.prefix, other.prefix])
@@ -118,25 +118,30 @@
 
 
 def join(one: Box, other: Box) -> Box:
-    """Return the smallest box that holds both."""
+    """Return the smallest box that contains both."""
     right = dict(other)
     sides = ((name, _union(side, right[name])) for name, side in one if name in right)
     return frozenset((name, side) for name, side in sides if side is not None)
 
 
-def coarser(held: Box) -> list[Box]:
-    """Return variants of the box, each with one longer list of values widened to a range or prefix, or left out."""
+def coarser(box_: Box) -> list[Box]:
+    """Return variants of the box, each with one list of values widened to a range or prefix, or left out."""
     out = []
-    for name, side in held:
+    for name, side in box_:
         if type(side) is Values and len(side.values) > MAX_UNWIDENED_VALUES:
             wide = _widened(side)
-            out.append(held - {(name, side)} | ({(name, wide)} if wide is not None else set()))
+            out.append(box_ - {(name, side)} | ({(name, wide)} if wide is not None else set()))
     return out
 
 
-def predicate(held: Box) -> Predicate:
+def predicate(box_: Box) -> Predicate:
     """Return the box as a filter."""
-    return all_of(*[_atom(name, side) for name, side in sorted(held, key=lambda one: (one[0] != "kind", one[0]))])
+    return all_of(
+        *[
+            _atom(name, side)
+            for name, side in sorted(box_, key=lambda condition: (condition[0] != "kind", condition[0]))
+        ]
+    )
 
 
 def _atom(name: str, side: Side) -> Predicate:
@@ -157,20 +162,20 @@
 
 
 class _Selectivity:
-    """What share of events a box lets through, by what the filters name."""
+    """Estimates the share of events that a box lets through, from the values in the filters."""
 
     def __init__(self, boxes: Iterable[Box]) -> None:
         texts: dict[str, set[str]] = {}
         numbers: dict[str, set[float]] = {}
-        for held in boxes:
-            for name, side in held:
+        for box_ in boxes:
+            for name, side in box_:
                 for value in side.values if type(side) is Values else side:  # type: ignore[union-attr]
                     if type(value) is str:
                         texts.setdefault(name, set()).add(value)
                     elif value is not None:
                         numbers.setdefault(name, set()).add(_number(value) or 0.0)
-        self.texts = {name: sorted(held) for name, held in texts.items()}
-        self.spans = {name: (min(held), max(held), len(held)) for name, held in numbers.items()}
+        self.texts = {name: sorted(found) for name, found in texts.items()}
+        self.spans = {name: (min(found), max(found), len(found)) for name, found in numbers.items()}
         self._shares: dict[tuple[str, Side], float] = {}
         self._sizes: dict[tuple[str, Side], int] = {}
 
@@ -181,9 +186,9 @@
                 for kind in side.values
             )
         if type(side) is Prefix:
-            held = self.texts.get(name, [])
-            begin = bisect_left(held, side.prefix)
-            return max(1, bisect_left(held, side.prefix + "\U0010ffff") - begin) / max(1, len(held))
+            known = self.texts.get(name, [])
+            begin = bisect_left(known, side.prefix)
+            return max(1, bisect_left(known, side.prefix + "\U0010ffff") - begin) / max(1, len(known))
         low, high, many = self.spans.get(name, (0.0, 0.0, len(self.texts.get(name, ()))))
         if type(side) is Values:
             return min(1.0, len(side.values) / (many + 1))
@@ -192,28 +197,28 @@
         begin, end = (_number(bound) for bound in side)
         return max(0.01, ((high if end is None else end) - (low if begin is None else begin)) / (high - low))
 
-    def share(self, held: Box) -> float:
+    def share(self, box_: Box) -> float:
         out = 1.0
-        for one in held:
+        for one in box_:
             if (side := self._shares.get(one)) is None:
                 side = self._shares[one] = min(1.0, self._part(*one))
             out *= side
         return out
 
-    def size(self, held: Box) -> int:
-        """Bytes of the filter."""
-        out = -len(AND_SEPARATOR) if held else len("TRUE")
-        for one in held:
+    def size(self, box_: Box) -> int:
+        """Return the bytes of the box's filter."""
+        out = -len(AND_SEPARATOR) if box_ else len("TRUE")
+        for one in box_:
             if (side := self._sizes.get(one)) is None:
                 side = self._sizes[one] = len(text(_atom(*one)).encode()) + len(AND_SEPARATOR)
             out += side
         return out
 
 
-def _sort_key(held: Box, guess: _Selectivity) -> Any:
-    """Alike beside alike: by the columns, and by these in order, those with few values first."""
-    named = dict(held)
-    names = sorted(named, key=lambda name: (name != "kind", len(guess.texts.get(name, ())) or 10**9, name))
+def _sort_key(box_: Box, selectivity: _Selectivity) -> Any:
+    """Return a key that sorts similar boxes together: by columns, those with few values first, then by their values."""
+    named = dict(box_)
+    names = sorted(named, key=lambda name: (name != "kind", len(selectivity.texts.get(name, ())) or 10**9, name))
     keys = []
     for name in names:
         side = named[name]
@@ -223,74 +228,79 @@
     return names, keys
 
 
-def _merge_neighbours(boxes: list[Box], guess: _Selectivity, most: int) -> list[Box]:
-    """Neighbours joined, cheapest first, until there are so few; of very many, those of the same columns in runs."""
-    ordered = sorted((_sort_key(one, guess), place, one) for place, one in enumerate(boxes))
+def _merge_neighbours(boxes: list[Box], selectivity: _Selectivity, most: int) -> list[Box]:
+    """Join neighbours, cheapest first, until `most` are left; with very many, first join runs with the same columns."""
+    ordered = sorted((_sort_key(one, selectivity), index, one) for index, one in enumerate(boxes))
     runs: list[Box] = []
     each = -(-len(boxes) // MAX_MERGE_CANDIDATES)
     for _, alike in groupby(ordered, key=lambda one: one[0][0]):
         same = [one for *_, one in alike]
-        runs += [reduce(join, same[place : place + each]) for place in range(0, len(same), each)]
-    held: dict[int, Box] = dict(enumerate(runs))
-    after = {place: place + 1 for place in held}
-    before = {place: place - 1 for place in held}
-    number, queue = len(held) + 1, []  # one past the last is no box
+        runs += [reduce(join, same[index : index + each]) for index in range(0, len(same), each)]
+    remaining: dict[int, Box] = dict(enumerate(runs))
+    after = {index: index + 1 for index in remaining}
+    before = {index: index - 1 for index in remaining}
+    number, queue = len(remaining) + 1, []  # the number one past the last run is no box
 
     def offer(one: int, other: int) -> None:
-        if one in held and other in held:
-            joined = join(held[one], held[other])
-            share = guess.share(joined) - guess.share(held[one]) - guess.share(held[other])
+        if one in remaining and other in remaining:
+            joined = join(remaining[one], remaining[other])
+            share = selectivity.share(joined) - selectivity.share(remaining[one]) - selectivity.share(remaining[other])
             heapq.heappush(queue, (share, one, other, joined))
 
-    for place in range(len(runs)):
-        offer(place, place + 1)
-    while len(held) > most and queue:
+    for index in range(len(runs)):
+        offer(index, index + 1)
+    while len(remaining) > most and queue:
         _, one, other, joined = heapq.heappop(queue)
-        if one not in held or other not in held:
+        if one not in remaining or other not in remaining:
             continue
-        del held[one], held[other]
+        del remaining[one], remaining[other]
         left, right = before[one], after[other]
-        held[number], before[number], after[number] = joined, left, right
+        remaining[number], before[number], after[number] = joined, left, right
         after[left], before[right] = number, number
         offer(left, number)
         offer(number, right)
         number += 1
-    return list(held.values())
+    return list(remaining.values())
 
 
 def reduce_boxes(boxes: Iterable[Box], most: int, room: int) -> list[Box]:
-    """Reduce the boxes to `most` at most, whose filters have `room` bytes together at most.
+    """Reduce the boxes to at most `most`, whose filters together have at most `room` bytes.
 
-    What widens least for the bytes that it saves is joined first. Each of the given boxes lies within one of the
-    result.
+    Joins first what widens least for the bytes saved. Each of the given boxes lies within one of the result.
     """
     distinct = list(dict.fromkeys(boxes))
-    guess = _Selectivity(distinct)
-    held = _merge_neighbours(distinct, guess, MAX_PAIRWISE_BOXES) if len(distinct) > MAX_PAIRWISE_BOXES else distinct
-    ways: dict[tuple[Box, ...], tuple[float, Box]] = {}
-
-    def weigh(*of: Box) -> None:
-        for joined in [join(*of)] if len(of) == 2 else coarser(of[0]):
-            if joined in of:
-                ways[of] = COVERED_COST, joined
-            elif (saved := sum(map(guess.size, of)) - guess.size(joined)) > 0:
-                worth = (guess.share(joined) - sum(map(guess.share, of))) / saved
-                if of not in ways or worth < ways[of][0]:
-                    ways[of] = worth, joined
-
-    for one in held:
+    selectivity = _Selectivity(distinct)
+    remaining = (
+        _merge_neighbours(distinct, selectivity, MAX_PAIRWISE_BOXES) if len(distinct) > MAX_PAIRWISE_BOXES else distinct
+    )
+    candidates: dict[tuple[Box, ...], tuple[float, Box]] = {}
+
+    def weigh(*members: Box) -> None:
+        for joined in [join(*members)] if len(members) == 2 else coarser(members[0]):
+            if joined in members:
+                candidates[members] = COVERED_COST, joined
+            elif (saved := sum(map(selectivity.size, members)) - selectivity.size(joined)) > 0:
+                worth = (selectivity.share(joined) - sum(map(selectivity.share, members))) / saved
+                if members not in candidates or worth < candidates[members][0]:
+                    candidates[members] = worth, joined
+
+    for one in remaining:
         weigh(one)
-    for pair in combinations(held, 2):
+    for pair in combinations(remaining, 2):
         weigh(*pair)
-    while len(held) > most or sum(map(guess.size, held)) > room or any(way[0] == COVERED_COST for way in ways.values()):
-        if not ways:
+    while (
+        len(remaining) > most
+        or sum(map(selectivity.size, remaining)) > room
+        or any(candidate[0] == COVERED_COST for candidate in candidates.values())
+    ):
+        if not candidates:
             return [frozenset()]
-        of = min(ways, key=lambda key: ways[key][0])
-        joined = ways[of][1]
-        ways = {key: way for key, way in ways.items() if not set(key) & {*of, joined}}
-        held = [one for one in held if one not in of and one != joined]
+        members = min(candidates, key=lambda key: candidates[key][0])
+        joined = candidates[members][1]
+        candidates = {key: candidate for key, candidate in candidates.items() if not set(key) & {*members, joined}}
+        remaining = [one for one in remaining if one not in members and one != joined]
         weigh(joined)
-        for other in held:
+        for other in remaining:
             weigh(other, joined)
-        held.append(joined)
-    return held
+        remaining.append(joined)
+    return remaining
--- a/frostspindle/subscriptions/cursor.py
+++ b/frostspindle/subscriptions/cursor.py
@@ -1,7 +1,7 @@
-"""The cursor: up to which position of each maker a subscriber was sent all, so that it can go on at any coordinator.
+"""The cursor: up to which position of each publisher a subscriber was sent everything, to resume anywhere.
 
-Owns the form of the text. Must never be longer than MOST_TEXT characters, and never be taken if it is damaged, of
-another form, or out of its bounds. It is no secret and no proof: whoever changes one harms only what it is sent itself.
+Encodes and decodes its text, of at most MAX_CURSOR_CHARS characters. A text that is damaged, of another form or out of
+bounds is rejected. The cursor is neither secret nor authenticated: a forged one only changes what its holder is sent.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 import msgspec
 from msgspec import Meta, Struct
 
-MAX_FILTER_CHARS = 2_048  # characters of a subscription's filter
+MAX_FILTER_CHARS = 2_048  # of a subscription's filter
 MAX_PUBLISHERS = 512
 MAX_CURSOR_CHARS = 49_152
 _CHECK = 6  # bytes
 NonNegativeInt = Annotated[int, Meta(ge=0, le=2**53)]
-Position = tuple[int, int]  # the maker's process, its number; in the order in which they came
+Position = tuple[int, int]  # epoch of the publisher's process and event number; ordered by time
 
 
 class Cursor(Struct, array_like=True, frozen=True):
-    """The filter, and by maker the last position up to which everything was sent, or reported as missing."""
+    """The filter, and by publisher the position up to which everything was sent or reported as missing."""
 
     form: Annotated[int, Meta(ge=1, le=1)]
     filter: Annotated[str, Meta(max_length=MAX_FILTER_CHARS)]
@@ -37,7 +37,7 @@
 
 
 class InvalidCursorError(ValueError):
-    """The text is no cursor: too long, damaged, or of another form."""
+    """The text is not a cursor: too long, damaged, or of another form."""
 
 
 def _check(data: bytes) -> bytes:
@@ -45,7 +45,7 @@
 
 
 def encode(filter_: str, at: dict[str, Position]) -> str | None:
-    """Return the cursor's text; None where makers, filter or text would exceed their bounds."""
+    """Return the cursor's text; None if publishers, filter or text would exceed their bounds."""
     if len(at) > MAX_PUBLISHERS or len(filter_) > MAX_FILTER_CHARS:
         return None
     data = msgspec.msgpack.encode(Cursor(1, filter_, at))
@@ -54,7 +54,7 @@
 
 
 def decode(text: str) -> Cursor:
-    """Return the cursor of a text; BadCursor for whatever `encode` did not make."""
+    """Return the cursor of a text; InvalidCursorError if `encode` did not produce it."""
     try:
         if len(text) > MAX_CURSOR_CHARS:
             raise ValueError("too long")
--- a/frostspindle/subscriptions/schema.py
+++ b/frostspindle/subscriptions/schema.py
@@ -1,7 +1,7 @@
-"""The kinds of events, their columns and types, and which filters can be meant for them.
+"""The kinds of events, their columns and types, and the check of filters against them.
 
-Owns what an event may say. Must never take a column that is not named here: statements, rows and secrets have no place
-in an event. Texts are cut to TEXT_MOST characters when the event is made, so that maker and subscriber compare alike.
+An event has only the columns named here, so statements, rows and secrets can't get into it. Texts are truncated to
+MAX_TEXT_CHARS when the event is made, so that publisher and subscriber compare the same values.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 MAX_TEXT_CHARS, MAX_TEXT_BYTES = (
     64,
     96,
-)  # characters of a text, and bytes of one beyond ASCII: each event fits one message
+)  # bytes: of non-ASCII texts; each event fits one message
 ANSWER, ENGINE, LOAD, MEMBER, RECOVERY = range(5)
 NAMES = ("answer", "engine", "load", "member", "recovery")
 COMMON = {"kind": TEXT, "maker": TEXT, "at": TIME}
-# Columns by kind, in the order in which an event holds their values.
+# Columns by kind, in the order of an event's values.
 COLUMNS: tuple[dict[str, int], ...] = (
     {"class": TEXT, "tenant": TEXT, "group": NUMBER, "outcome": TEXT, "engine": TEXT, "front": TEXT, "ms": NUMBER},
     {"engine": TEXT, "change": TEXT, "state": TEXT},  # change: list, ban, unban, stop, sick, well
-    {"site": TEXT, "group": NUMBER, "column": TEXT},  # one event for each column that a load wrote
+    {"site": TEXT, "group": NUMBER, "column": TEXT},  # one event for each column written by a load
     {"member": TEXT, "state": TEXT},
     {"stage": TEXT, "state": TEXT},
 )
@@ -35,7 +35,7 @@
 
 
 class Event(NamedTuple):
-    """One event as its maker holds it; `at_ms` is Unix time, `values` stand in the order of the kind's columns."""
+    """One event; `at_ms` is Unix time, `values` are in the order of the kind's columns."""
 
     kind: int
     at_ms: int
@@ -52,9 +52,9 @@
 
 
 def make(kind: int, at_ms: float, *values: Any) -> Event:
-    """Make an event that can be matched and sent; texts are cut and numbers limited to their bounds.
+    """Return an event with texts truncated and numbers clamped to their bounds.
 
-    ValueError if the number of values is not that of the kind's columns.
+    ValueError if the number of values differs from the kind's columns.
     """
     columns = COLUMNS[kind]
     if len(values) != len(columns):
@@ -67,7 +67,7 @@
 
 
 def row(publisher: str, event: Event) -> dict[str, Value]:
-    """Return the event as predicates take it: values by column, with kind, maker and a UTC time."""
+    """Return the event as a row for predicates: values by column, with kind, publisher and UTC time."""
     out: dict[str, Value] = dict(zip(COLUMNS[event.kind], event.values, strict=True))
     out["kind"], out["maker"] = NAMES[event.kind], publisher
     out["at"] = _EPOCH + timedelta(milliseconds=event.at_ms)
@@ -92,7 +92,7 @@
 def check(predicate: Predicate) -> Predicate:
     """Return the filter unchanged.
 
-    FilterError if it asks for a column that no event has, or compares one with a value of another type.
+    FilterError if it has a column that no event has, or compares a column with a value of another type.
     """
     for node, _ in nodes(predicate):
         if isinstance(node, (And, Or, Not, Const)):
--- a/frostspindle/subscriptions/stream.py
+++ b/frostspindle/subscriptions/stream.py
@@ -200,7 +200,7 @@
                 continue
             if (
                 stream.sent > stream.acked and now - stream.progress_at >= stream.resend_after_ms
-            ):  # lost, or the word of it
+            ):  # the message or its acknowledgement was lost
                 stream.sent, stream.progress_at = stream.acked, now
                 stream.in_flight.clear()
                 stream.resend_after_ms = min(MAX_RESEND_MS, stream.resend_after_ms * 2.0)
--- a/frostspindle/subscriptions/subscribers.py
+++ b/frostspindle/subscriptions/subscribers.py
@@ -49,15 +49,13 @@
     text: str
     predicate: Predicate
     deadline: float
-    resume_from: (
-        dict[str, Position] | None
-    )  # by the cursor, at publishers whose stream it has not joined yet; None: from now on
+    resume_from: dict[str, Position] | None  # the cursor's positions, at publishers not joined yet; None: from now on
     active: bool = False  # its filter is part of what publishers are asked for
     unconfirmed: set[str] = field(default_factory=set)  # publishers that have not confirmed
     acknowledged: bool = False
     sent_through: dict[str, Position] = field(
         default_factory=dict
-    )  # already told up to here, where the live stream is behind
+    )  # where the subscription is ahead of the live stream
     replays: dict[str, int] = field(default_factory=dict)  # stream id by publisher
     open_gaps: dict[str, Position] = field(default_factory=dict)  # first position of open-ended gaps
 
@@ -457,11 +455,11 @@
         inbound = self.live.get(publisher)
         if inbound is None or inbound.position is None or not inbound.confirmed:
             return
-        for caught_up in [sub] if sub is not None else [s for (m, _), (_, s) in self.replays.items() if m == publisher]:
-            replay = self.replays[publisher, caught_up.replays[publisher]][0]
+        for candidate in [sub] if sub is not None else [s for (m, _), (_, s) in self.replays.items() if m == publisher]:
+            replay = self.replays[publisher, candidate.replays[publisher]][0]
             if replay.epoch == inbound.epoch and (replay.position or 0) >= inbound.position:
-                caught_up.sent_through[publisher] = replay.epoch, replay.position or 0
-                self._end_replay(caught_up, publisher)
+                candidate.sent_through[publisher] = replay.epoch, replay.position or 0
+                self._end_replay(candidate, publisher)
 
     def _end_replay(self, sub: Subscription, publisher: str) -> None:
         replay, _ = self.replays.pop((publisher, sub.replays.pop(publisher)))
--- a/frostspindle/subscriptions/wire.py
+++ b/frostspindle/subscriptions/wire.py
@@ -1,7 +1,6 @@
-"""The messages of subscriptions between coordinators: msgspec structs in msgpack, each within one parcel of the fleet.
+"""The messages of subscriptions between coordinators: msgspec structs in msgpack, each within one message of the fleet.
 
-Owns the form of every message and the bounds on its parts. It must never hold state, and whatever can't be decoded or
-has a value out of its range is an error here, before anything is made of it.
+Defines each message and the bounds of its fields. Decoding rejects whatever is malformed or out of range. No state.
 """
 
 from __future__ import annotations
@@ -14,9 +13,9 @@
 from frostspindle.fleet.wire import InvalidPacketError, decoder, encode
 from frostspindle.subscriptions.schema import MAX_TEXT_CHARS, NAMES, Event, fits
 
-MAX_FILTERS, MAX_FILTERS_BYTES = 24, 800  # of what a coordinator's subscribers want, its texts together
-MAX_EVENTS_BYTES = 860  # of the events of one message
-HEAD = -1  # as a position: from what is the last now
+MAX_FILTERS, MAX_FILTERS_BYTES = 24, 800  # filters of a request, and bytes of their texts together
+MAX_EVENTS_BYTES = 860  # of the events in one message
+HEAD = -1  # as a position: the publisher's latest number
 
 NonNegativeInt = Annotated[int, Meta(ge=0, le=2**53)]
 Text = Annotated[str, Meta(max_length=MAX_TEXT_CHARS)]
@@ -24,7 +23,7 @@
 
 
 class PublishedEvent(Struct, array_like=True, frozen=True):
-    """An event in a message, with the number that its maker gave it."""
+    """An event in a message, with its publisher's number for it."""
 
     number: NonNegativeInt
     kind: Annotated[int, Meta(ge=0, lt=len(NAMES))]
@@ -38,9 +37,9 @@
 
 
 class StreamRequest(Struct, array_like=True, frozen=True, tag=0):
-    """Ask a maker to send, as stream `sid`, whatever one of these filters matches, after `after` (HEAD: from now on).
+    """Asks a publisher for stream `sid`: all events after `after` (HEAD: from now on) that match one of the filters.
 
-    Replaces what an earlier version of the stream wanted. `epoch` is the maker's process that `after` is of; 0: any.
+    Replaces an earlier version of the stream. `epoch` is of the publisher's process that `after` refers to; 0: any.
     """
 
     sid: NonNegativeInt
@@ -51,21 +50,21 @@
 
 
 class EventBatch(Struct, array_like=True, frozen=True, tag=1):
-    """The wanted events of the maker's numbers over `after` up to `upto`; `lost`: it is not known which there were."""
+    """The matching events with numbers over `after` and up to `through`; `lost`: those events were evicted."""
 
-    receiver_epoch: NonNegativeInt  # the receiver's process that it is for
+    receiver_epoch: NonNegativeInt  # epoch of the receiving process
     sid: NonNegativeInt
     version: NonNegativeInt
     start: bool  # the stream begins at `after`
     after: NonNegativeInt
     through: NonNegativeInt
-    heartbeat_ms: Annotated[int, Meta(ge=1, le=10_000_000)] = 500  # ms until the next, without news
+    heartbeat_ms: Annotated[int, Meta(ge=1, le=10_000_000)] = 500  # until the next message on an idle stream
     lost: bool = False
     events: Annotated[tuple[PublishedEvent, ...], Meta(max_length=128)] = ()
 
 
 class EventAck(Struct, array_like=True, frozen=True, tag=2):
-    """Acknowledges all numbers up to `upto`."""
+    """Acknowledges all numbers up to `through`."""
 
     sid: NonNegativeInt
     version: NonNegativeInt
@@ -80,7 +79,7 @@
 
 
 class UnknownStream(Struct, array_like=True, frozen=True, tag=4):
-    """Says that this process has no such stream: it must be wanted anew."""
+    """States that this process has no such stream: it must be requested again."""
 
     sid: NonNegativeInt
     version: NonNegativeInt
@@ -94,7 +93,7 @@
     """Decode a message; InvalidPacketError for whatever is too long, malformed or out of range."""
     message = _read(data)
     if isinstance(message, EventBatch):
-        numbers = [told.number for told in message.events]
+        numbers = [event.number for event in message.events]
         if (
             message.after > message.through
             or message.lost
@@ -102,15 +101,15 @@
             or numbers != sorted(set(numbers))
             or numbers
             and not message.after < numbers[0] <= numbers[-1] <= message.through
-            or not all(fits(told.event) for told in message.events)
+            or not all(fits(event.event) for event in message.events)
         ):
-            raise InvalidPacketError("a range that is none")
-    elif isinstance(message, StreamRequest) and sum(len(part.encode()) for part in message.filters) > MAX_FILTERS_BYTES:
-        raise InvalidPacketError("too much is wanted")
+            raise InvalidPacketError("invalid range of event numbers")
+    elif isinstance(message, StreamRequest) and sum(len(text.encode()) for text in message.filters) > MAX_FILTERS_BYTES:
+        raise InvalidPacketError("the filters are too long")
     return message
 
 
 def published_event(number: int, event: Event) -> tuple[PublishedEvent, int]:
-    """Return an event in the form of a message, with its bytes; texts are cut alike everywhere, see schema.make."""
+    """Return an event as sent in a message, and its encoded size; texts were truncated by schema.make."""
     out = PublishedEvent(number, *event)
     return out, len(encode(out))
--- a/frostspindle/subscriptions/wiring.py
+++ b/frostspindle/subscriptions/wiring.py
@@ -1,6 +1,6 @@
-"""Ties subscriptions to a program that has them in its operator's file; imported only then.
+"""Connects subscriptions to a program that has them in its operator's file; imported only then.
 
-Owns which part of the program reports what to which other. It must never change what any of them does by itself.
+Registers the service with the parts of the program that report events to it.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 def attach(program: ProgramContext) -> SubscriptionService:
-    """Make the service and register it with the core, the operators' port and the fleet, if there is one."""
-    terms = program.config.operator.subscriptions
-    assert terms is not None and program.operator_server is not None
-    parse("TRUE")  # builds the parser, which takes tens of milliseconds, before anybody is served
+    """Create the service and register it with the core, the operators' port and the fleet, if there is one."""
+    settings = program.config.operator.subscriptions
+    assert settings is not None and program.operator_server is not None
+    parse("TRUE")  # builds the parser, which takes tens of milliseconds, before requests are served
     service = SubscriptionService(
         program.config.name,
         program.core,
         program.telemetry,
         program.config.tenants.names,
-        terms.most,
-        terms.remember,
-        terms.backlog,
+        settings.most,
+        settings.remember,
+        settings.backlog,
         program.fleet.post if program.fleet else None,
     )
     program.core.observer = service
