--- a/frostspindle/store/base.py
+++ b/frostspindle/store/base.py
@@ -1,9 +1,8 @@
-"""What all stores have in common: interface, limits, errors, and the checksums by which corrupt state is detected.
+"""The common parts of all stores: interface, limits, errors, and the checksums that detect corrupt state.
 
-No I/O. A batch is applied whole or not at all, also over a power loss. `apply` of a durable store returns when the
-batch is durable; `sync` also records it with the witness (see `witness`), whose failure is only logged. One caller at a
-time: a store may be handed from thread to thread, but two calls must not overlap, and a durable `apply` blocks its
-thread.
+No I/O. A batch is atomic, also over a power loss. `apply` of a durable store returns when the batch is durable; `sync`
+also records it in the witness (see `witness`), whose failure is only logged. A store may be passed between threads, but
+calls must not overlap, and a durable `apply` blocks its thread.
 """
 
 from __future__ import annotations
@@ -13,31 +12,31 @@
 from hashlib import blake2b
 from typing import Protocol
 
-SUM = 16  # bytes of a checksum, which detects corruption but no forgery
-Changes = Mapping[bytes, bytes | None]  # by key the new value, or None: the entry is removed
+SUM = 16  # bytes of a checksum; detects corruption, not forgery
+Changes = Mapping[bytes, bytes | None]  # new value by key; None removes the entry
 
 
 class StoreError(Exception):
-    """Base of all store errors; the message names the fault and the store."""
+    """Base of all store errors."""
 
 
 class InvalidBatchError(StoreError):
-    """A key, a value or the batch itself is out of its bounds; nothing was changed."""
+    """A key, a value or the batch exceeds a limit; the state is unchanged."""
 
 
 class StoreFullError(StoreError):
-    """The batch has no room, by a bound or on the disk; the old state stays and smaller batches may follow."""
+    """The batch exceeds a limit or the disk is full; the state is unchanged, and smaller batches may succeed."""
 
 
 class StoreBrokenError(StoreError):
-    """The store can't be used any more.
+    """The store is unusable.
 
-    A batch that was being applied is there whole or not at all; the next opening tells which.
+    A batch that was being applied took effect completely or not at all; the next opening shows which.
     """
 
 
 class CorruptDataError(StoreError):
-    """Data that was read fails its checksum, its form or a bound: it is not what was written."""
+    """Data that was read fails its checksum, format or bounds check."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,13 +58,13 @@
 
     @property
     def generation(self) -> int:
-        """Number of whole batches applied since the store was made."""
+        """Number of batches applied since the store was created."""
 
     def get(self, key: bytes) -> bytes | None:
         """Return the entry's value, None if there is none."""
 
     def scan(self, prefix: bytes = b"") -> list[tuple[bytes, bytes]]:
-        """Return all entries whose keys begin with `prefix`, in byte order, as they stand at this generation."""
+        """Return all entries whose keys begin with `prefix`, in byte order, at the current generation."""
 
     def apply(self, changes: Changes) -> int:
         """Apply a batch and return its generation; durable on return if the store is.
@@ -74,9 +73,9 @@
         """
 
     def sync(self) -> None:
-        """Return once all that was applied is durable and the witness was told; its failure is only logged.
+        """Return once all applied batches are durable and recorded in the witness; a witness failure is only logged.
 
-        Nothing to do without durability.
+        Does nothing in a volatile store.
         """
 
     def close(self) -> None:
@@ -97,14 +96,14 @@
 
 
 def unseal(data: bytes) -> bytes:
-    """Return the data that `seal` was given; CorruptDataError if the checksum does not hold."""
+    """Return the data that `seal` was given; CorruptDataError if the checksum does not match."""
     if len(data) < SUM or blake2b(data[SUM:], digest_size=SUM).digest() != data[:SUM]:
-        raise CorruptDataError("a checksum does not hold")
+        raise CorruptDataError("checksum mismatch")
     return data[SUM:]
 
 
 def successor(prefix: bytes) -> bytes | None:
-    """Return the first key after all that begin with `prefix`; None if no key comes after them."""
+    """Return the first key after all keys with this prefix; None if there is none."""
     stem = prefix.rstrip(b"\xff")
     if not stem:
         return None
@@ -113,9 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreDigest:
-    """Number of entries, their bytes and their digest: the sum of the entries' checksums, so that a mixture of two
-    states has another one.
-    """
+    """Number and bytes of the entries, and the sum of their checksums, which differs for a mixture of two states."""
 
     entries: int = 0
     size: int = 0
@@ -137,10 +134,10 @@
         )
 
     def after(self, changes: Changes, old_value: Callable[[bytes], bytes | None], limits: StoreLimits) -> StoreDigest:
-        """Return the digest after a batch, given how to look up the old values.
+        """Return the digest after a batch, given a function that looks up old values.
 
-        InvalidBatchError if a limit of keys, values or the batch is passed, StoreFullError if the result has no room. A
-        batch that grows neither the number of entries nor their bytes never finds the store full.
+        InvalidBatchError if a key, a value or the batch exceeds its limit, StoreFullError if the result exceeds the
+        store's. A batch that increases neither the number of entries nor their bytes never raises StoreFullError.
         """
         if len(changes) > limits.batch:
             raise InvalidBatchError(f"{len(changes)} entries in a batch, at most {limits.batch}")
@@ -152,7 +149,7 @@
                 result = result.remove(key, old)
             if value is not None:
                 result = result.add(key, value)
-        # What shrinks is always let through: else a store over a limit that was lowered could never be emptied.
+        # Shrinking batches are always accepted: otherwise a store over a lowered limit could never be emptied.
         if result.entries > max(limits.entries, self.entries):
             raise StoreFullError(f"{result.entries} entries, at most {limits.entries}")
         if result.size > max(limits.total, self.size):
--- a/frostspindle/store/durable_store.py
+++ b/frostspindle/store/durable_store.py
@@ -1,4 +1,4 @@
-"""An opened durable store: batches through its engine, the witness after each of them, the lock until it is closed."""
+"""An open durable store: applies batches through its engine, writes the witness after each, and holds the lock."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DurableStore:
-    """See base.Store. Made by `opening.open_store` only."""
+    """A durable base.Store; created only by `opening.open_store`."""
 
     durable = True
 
@@ -37,13 +37,13 @@
         self._witness: WitnessFile = witness
         self._lock: FolderLock = lock
         self._log: Callable[..., None] = log
-        self._fault: str = ""  # why the store can't be used any more
+        self._fault: str = ""  # why the store is unusable
         self._closed: bool = False
-        self._witness_failed: bool = False  # at the last write, which was logged
+        self._witness_failed: bool = False  # at the last write; logged once
 
     @property
     def generation(self) -> int:
-        """Number of batches applied since the store was made."""
+        """Number of batches applied since the store was created."""
         return self._meta.generation
 
     @property
@@ -53,13 +53,13 @@
 
     @property
     def known(self) -> KnownStore:
-        """Owner, id, incarnation and generation, for others to remember and to give back at the next opening."""
+        """Owner, id, incarnation and generation, which peers remember and return at the next opening."""
         return KnownStore(self.head.owner, self.head.id, self.head.incarnation, self._meta.generation)
 
     def get(self, key: bytes) -> bytes | None:
         """Return an entry's value, None if there is none.
 
-        StoreBrokenError after `close`, after an earlier fault, or if the read fails; the store stays broken then.
+        StoreBrokenError after `close`, after an earlier fault, or if the read fails, which breaks the store.
         """
         return self._read(self._usable_engine().get, key)
 
@@ -68,11 +68,11 @@
         return self._read(self._usable_engine().scan, prefix)
 
     def apply(self, changes: Changes) -> int:
-        """Apply a batch, return its generation once the batch is durable and the witness written, though not synced.
+        """Apply a batch; return its generation once the batch is durable and the witness is written, but not synced.
 
-        InvalidBatchError or StoreFullError: nothing was changed, and the store stays usable. StoreBrokenError: the
-        batch is there whole or not at all, and only the next opening tells which. A witness that can't be written is
-        logged once and fails nothing.
+        InvalidBatchError or StoreFullError: the state is unchanged and the store stays usable. StoreBrokenError: the
+        batch took effect completely or not at all, and only the next opening shows which. A failed write of the witness
+        is logged once and raises nothing.
         """
         engine = self._usable_engine()
         contents = self._meta.contents.after(changes, self.get, self.limits)
@@ -81,8 +81,8 @@
             engine.commit(changes, meta)
         except StoreFullError:
             raise
-        except BaseException as error:  # whatever broke in: only the next opening knows how far it came
-            self._fault = f"batch {meta.generation} is there or not: {error!r}"
+        except BaseException as error:  # also interrupts: only the next opening shows whether it took effect
+            self._fault = f"the outcome of batch {meta.generation} is unknown: {error!r}"
             self._log("store_broken", error=repr(error))
             if not isinstance(error, Exception):
                 raise
@@ -102,7 +102,7 @@
     def close(self) -> None:
         """Write the witness unless the store is broken, close the engine and release the lock.
 
-        Closing twice is no error.
+        Closing twice is allowed.
         """
         if self._closed:
             return
@@ -122,12 +122,12 @@
         try:
             return read(key)
         except (CorruptDataError, OSError) as error:
-            self._fault = f"spoilt while open: {error}"
+            self._fault = f"corrupt while open: {error}"
             self._log("store_broken", error=str(error))
             raise StoreBrokenError(self._fault) from error
 
     def _write_witness(self, sync: bool) -> None:
-        """A failure changes nothing of the batch's durability: a witness that lags only recognises less."""
+        """Write the witness; a failure leaves the batch durable, as an outdated witness only detects less."""
         try:
             self._witness.write(self.known, sync)
             self._witness_failed = False
--- a/frostspindle/store/engine.py
+++ b/frostspindle/store/engine.py
@@ -1,4 +1,4 @@
-"""The interface of what keeps a durable store's entries."""
+"""The interface of the storage engines of durable stores."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class StoreEngine(Protocol):
-    """Keeps the entries of one opened store.
+    """Stores the entries of one open store.
 
-    Opening one raises OSError, StoreFullError or CorruptDataError; after that `meta` is of a whole, checked state. The
-    class's `limits` are the most that it can keep, and bound what is read; those of an opening may be lower.
+    The constructor raises OSError, StoreFullError or CorruptDataError; after it, `meta` is that of a complete, checked
+    state. The class's `limits` are its capacity and bound what is read; the limits of an opening may be lower.
     """
 
     kind: str
@@ -35,8 +35,8 @@
     def commit(self, changes: Changes, meta: MetaRecord) -> None:
         """Write a batch with its meta record.
 
-        StoreFullError: nothing was changed. Any other error: the batch is there whole or not at all.
+        StoreFullError: the state is unchanged. Any other error: the batch took effect completely or not at all.
         """
 
     def close(self) -> None:
-        """Release files and memory; the state on the disk stays."""
+        """Release files and memory; the state on the disk is kept."""
--- a/frostspindle/store/lock.py
+++ b/frostspindle/store/lock.py
@@ -1,6 +1,6 @@
-"""The lock of a store's folder: held by the process that has the store open, released by the system when it ends.
+"""The lock of a store's folder: held by the process that has the store open, released by the kernel when it exits.
 
-What a fork without exec inherits holds the lock too: open a store after forking.
+A child forked without exec inherits the lock: open a store after forking.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 class FolderLock:
     """The lock of one folder, held from its creation to `close`.
 
-    The creation raises StoreLockedError if somebody has the lock, and OSError if its file can't be opened.
+    The constructor raises StoreLockedError if the lock is held, and OSError if its file can't be opened.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -32,12 +32,12 @@
         except BlockingIOError:
             holder = os.pread(self._handle, PID_BYTES, 0).decode("ascii", "replace").strip("\0\n ")
             os.close(self._handle)
-            raise StoreLockedError(f"{folder}: open already, by process {holder or 'unknown'}") from None
+            raise StoreLockedError(f"{folder}: already open in process {holder or 'unknown'}") from None
         try:
             os.pwrite(self._handle, str(os.getpid()).ljust(PID_BYTES).encode(), 0)
         except OSError:
-            pass  # only for the message to those who are refused
+            pass  # the number is only for the error message of later openers
 
     def close(self) -> None:
-        """Release the lock; once."""
+        """Release the lock; must be called once."""
         os.close(self._handle)
--- a/frostspindle/store/marker_engine.py
+++ b/frostspindle/store/marker_engine.py
@@ -1,7 +1,7 @@
-"""The marker engine: a file an entry, its name the quoted key, and a journal that makes a batch of files atomic.
+"""The marker engine: one file per entry, named by the quoted key, and a journal that makes a batch of files atomic.
 
-For few entries that change seldom and that staff may want to list with `ls`: each batch costs about four syncs and one
-more a file. A folder with files missing, left over or of another batch is refused as corrupt.
+For few entries that change seldom and that staff may want to list with `ls`: a batch costs about four syncs, and one
+more per file. A folder with files that are missing, left over or of another batch is rejected as corrupt.
 """
 
 from __future__ import annotations
@@ -30,12 +30,14 @@
     """The engine of one opened folder; opening raises OSError or CorruptDataError."""
 
     kind = "marker"
-    limits = StoreLimits(key=80, value=4_096, entries=4_096, total=1 << 20, batch=256)  # a name has 255 bytes
+    limits = StoreLimits(
+        key=80, value=4_096, entries=4_096, total=1 << 20, batch=256
+    )  # file names have up to 255 bytes
 
     def __init__(self, folder: Path, limits: StoreLimits) -> None:
         self._folder: Path = folder
         self._table: SortedTable = SortedTable()
-        # What is read is bounded by the class's limits, not by lowered ones.
+        # Reads are bounded by the class's limits, not by lowered ones.
         self.meta: MetaRecord = self._recover()
         self._read_entries()
 
@@ -49,7 +51,7 @@
         return self._folder / (ENTRY_PREFIX + quote_from_bytes(key, safe=""))
 
     def _recover(self) -> MetaRecord:
-        """The meta record, once a batch that was whole when its process ended has been brought to its end."""
+        """Complete a batch that was recorded before its process ended, and return the meta record."""
         meta = self._read_meta()
         max_bytes = 4_096 + self.limits.batch * (self.limits.key + 16)
         try:
@@ -59,8 +61,8 @@
             return meta
         batch_meta, moves = records.decode_batch(data)
         if batch_meta.id != meta.id or batch_meta.generation - meta.generation not in (0, 1):
-            raise CorruptDataError("a batch of another state")
-        self._carry_out(moves, batch_meta)
+            raise CorruptDataError("the recorded batch belongs to another state")
+        self._apply_recorded(moves, batch_meta)
         meta = self._read_meta()
         self._remove_unfinished()
         return meta
@@ -72,7 +74,7 @@
             raise CorruptDataError("no state record") from None
 
     def _remove_unfinished(self) -> None:
-        """Remove what is left of a batch that was not recorded."""
+        """Remove the files of a batch that was not recorded."""
         with os.scandir(self._folder) as found:
             unfinished = [
                 item.path
@@ -87,18 +89,20 @@
         with os.scandir(self._folder) as found:
             for count, item in enumerate(found):
                 if count > self.limits.entries + OTHER_FILES:
-                    raise CorruptDataError("more files than entries can be")
+                    raise CorruptDataError("more files than the entry limit allows")
                 if item.name in (STATE, HEAD):
                     continue
                 key = unquote_to_bytes(item.name.removeprefix(ENTRY_PREFIX))
                 if self._path(key).name != item.name or not item.is_file(follow_symlinks=False):
-                    raise CorruptDataError(f"{item.name:.80} is no entry")
+                    raise CorruptDataError(f"{item.name:.80} is not an entry file")
                 value = records.read_bounded(Path(item.path), self.limits.value)
                 contents = contents.add(key, value)
                 self._table.change({key: value})
         if contents != self.meta.contents:
             generation = self.meta.generation
-            raise CorruptDataError(f"{contents.entries} entries that are no state of generation {generation}")
+            raise CorruptDataError(
+                f"{contents.entries} entries that do not match the checksum of generation {generation}"
+            )
 
     def get(self, key: bytes) -> bytes | None:
         """Return an entry's value from memory, None if there is none."""
@@ -108,17 +112,17 @@
         """Return all entries whose keys begin with `prefix`, in byte order, from memory."""
         return self._table.scan(prefix)
 
-    def _staged_path(self, meta: MetaRecord, part: int | str) -> Path:
-        """Path by the generation, so that a batch brought to its end twice never takes what a later one staged."""
-        return self._folder / f"{STAGED_PREFIX}{meta.generation}-{part}"
+    def _staged_path(self, meta: MetaRecord, name: int | str) -> Path:
+        """Return a path that contains the generation, so that replaying a batch never takes files of a later one."""
+        return self._folder / f"{STAGED_PREFIX}{meta.generation}-{name}"
 
     def commit(self, changes: Changes, meta: MetaRecord) -> None:
         """Write a batch.
 
-        StoreFullError: nothing was changed. OSError: the outcome is unknown, and the engine must be closed.
+        StoreFullError: the state is unchanged. OSError: the outcome is unknown, and the engine must be closed.
 
-        All that needs room is written before the batch record is put in place; after that there are only renames and
-        removals.
+        All that needs space is written before the batch record is renamed into place; after that there are only
+        renames and removals.
         """
         moves: dict[bytes, int | None] = {}
         try:
@@ -129,17 +133,17 @@
             records.write_synced(self._staged_path(meta, STATE), records.encode_meta(meta))
             records.write_synced(self._folder / NEW_BATCH, records.encode_batch(meta, moves))
         except OSError as error:
-            if error.errno not in records.NO_ROOM:
+            if error.errno not in records.NO_SPACE:
                 raise
             self._remove_unfinished()
-            raise StoreFullError(f"no room for the batch: {error}") from error
+            raise StoreFullError(f"no space for the batch: {error}") from error
         os.replace(self._folder / NEW_BATCH, self._folder / BATCH)
-        records.sync_folder(self._folder)  # from here on the batch is applied, if need be by the next opening
-        self._carry_out(moves, meta)
+        records.sync_folder(self._folder)  # from here on the batch is committed; the next opening replays it if need be
+        self._apply_recorded(moves, meta)
         self._table.change(changes)
 
-    def _carry_out(self, moves: dict[bytes, int | None], meta: MetaRecord) -> None:
-        """Apply a recorded batch to the files; doing it again changes nothing."""
+    def _apply_recorded(self, moves: dict[bytes, int | None], meta: MetaRecord) -> None:
+        """Apply a recorded batch to the files; idempotent."""
         for key, number in moves.items():
             if number is None:
                 self._path(key).unlink(missing_ok=True)
@@ -154,7 +158,7 @@
         try:
             os.replace(staged, target)
         except FileNotFoundError:
-            pass  # moved already: a missing file shows in the checksum over all entries
+            pass  # moved already; a file that is really missing fails the checksum over all entries
 
     def close(self) -> None:
         """Drop the entries in memory; no file is held open between calls."""
--- a/frostspindle/store/memory.py
+++ b/frostspindle/store/memory.py
@@ -1,4 +1,4 @@
-"""The store that is not durable, and the sorted table in memory that the marker engine uses too."""
+"""The volatile store, and the sorted table in memory that the marker engine also uses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SortedTable:
-    """Entries by key; the key order is sorted again on the first scan after keys came or went."""
+    """Entries by key; keys are sorted on the first scan after one was added or removed."""
 
     def __init__(self) -> None:
         self.entries: dict[bytes, bytes] = {}
@@ -28,7 +28,7 @@
         return [(key, self.entries[key]) for key in self._order[first:last]]
 
     def change(self, changes: Changes) -> None:
-        """Apply a batch without checks: None removes a key, and removing a missing key is no error."""
+        """Apply a batch without checks; None removes a key, which may be missing."""
         for key, value in changes.items():
             if value is None:
                 if self.entries.pop(key, None) is not None:
@@ -40,7 +40,7 @@
 
 
 class MemoryStore:
-    """A store that is not durable; see base.Store."""
+    """A volatile base.Store."""
 
     durable = False
 
@@ -67,7 +67,7 @@
     def apply(self, changes: Changes) -> int:
         """Check and apply a batch, return the new generation.
 
-        InvalidBatchError or StoreFullError (nothing was changed), StoreBrokenError after `close`.
+        InvalidBatchError or StoreFullError (state unchanged), StoreBrokenError after `close`.
         """
         table = self._open_table()
         self._contents = self._contents.after(changes, table.get, self.limits)
@@ -76,10 +76,10 @@
         return self.generation
 
     def sync(self) -> None:
-        """Do nothing, as nothing is durable here; StoreBrokenError after `close`."""
+        """Do nothing; StoreBrokenError after `close`."""
         self._open_table()
 
     def close(self) -> None:
-        """Drop all entries; closing twice is no error."""
+        """Drop all entries; closing twice is allowed."""
         self._closed = True
         self._table = SortedTable()
--- a/frostspindle/store/opening.py
+++ b/frostspindle/store/opening.py
@@ -1,14 +1,14 @@
-"""Opening of a durable store: take its lock, gather the facts, act on the decision, and log it in one line.
+"""Opening of a durable store: takes its lock, gathers the facts, acts on the decision, and logs the outcome.
 
 The folder of one owner's store:
 
     FOLDER/lock         see `lock`
     FOLDER/witness      see `witness`, unless it is kept elsewhere
-    FOLDER/store/       the head, and the engine's files
-    FOLDER/new/         an empty store that is not yet in its place
-    FOLDER/aside-N-CONDITION/   what was set aside, the last MAX_SET_ASIDE of them
+    FOLDER/store/       the head record, and the engine's files
+    FOLDER/new/         an empty store before it is renamed into place
+    FOLDER/aside-N-CONDITION/   stores that were set aside, the last MAX_SET_ASIDE of them
 
-A store is served only if the decision is to use it, and what is refused is left as it was found.
+A store is used only if the decision is to use it; a refused one is left unchanged.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 class StoreRefusedError(StoreError):
-    """What was found can't be used and was left as it is; `decision` has the reason."""
+    """The store that was found can't be used and was left unchanged; `decision` has the reason."""
 
     def __init__(self, folder: Path, decision: OpeningDecision) -> None:
         super().__init__(f"{folder}: {decision.condition}: {decision.reason}")
@@ -71,13 +71,13 @@
     copy_approved: bool = False,
     log: Callable[..., None] = lambda event, **fields: None,
 ) -> DurableStore:
-    """Open the owner's store in this folder; it is made if need be. Blocks on the disk.
+    """Open the owner's store in this folder, creating it if need be. Blocks on the disk.
 
-    `witness`: a file elsewhere, best on another disk, in place of the folder's own. `known_by_peers`: what others hold
-    of this owner's last store. `copy_approved`: the operator's assurance that a copy is the latest. `log(event,
+    `witness`: a file elsewhere, best on another disk, in place of the folder's own. `known_by_peers`: the last state
+    that peers know. `copy_approved`: the operator's assurance that a copy is the latest state. `log(event,
     **fields)` is called with the outcome, and later with faults of the open store.
 
-    StoreLockedError: another opener has it. StoreRefusedError: it can't be used, nothing was touched. ValueError: the
+    StoreLockedError: it is open already. StoreRefusedError: it can't be used, and was left unchanged. ValueError: the
     owner's name or the limits are out of bounds.
     """
     limits = limits or engine.limits
@@ -107,14 +107,14 @@
 
 def _check_arguments(owner: str, engine: type[StoreEngine], limits: StoreLimits) -> None:
     if not 0 < len(owner.encode()) <= MAX_OWNER_BYTES:
-        raise ValueError(f"an owner's name of 1 to {MAX_OWNER_BYTES} bytes")
+        raise ValueError(f"an owner's name must have 1 to {MAX_OWNER_BYTES} bytes")
     if any(getattr(limits, name) > getattr(engine.limits, name) for name in StoreLimits.__slots__):
-        raise ValueError(f"{limits} passes what {engine.kind} can keep, {engine.limits}")
+        raise ValueError(f"{limits} exceeds the limits of engine {engine.kind}, {engine.limits}")
 
 
 @dataclass(slots=True)
 class _Opening:
-    """One opening of a store: what was found, and what has to be released if it fails."""
+    """One opening of a store: the facts, and what has to be released on failure."""
 
     folder: Path
     engine: type[StoreEngine]
@@ -123,17 +123,17 @@
     facts: OpeningFacts
     lock: FolderLock | None = None
     opened: StoreEngine | None = None
-    head: HeadRecord | None = None  # of the store that will be served
+    head: HeadRecord | None = None  # of the store that will be used
     aside: str = ""  # the name under which the found store was set aside
-    dropped: tuple[str, ...] = ()  # older ones that were removed for it
+    dropped: tuple[str, ...] = ()  # older ones that were removed
 
     @property
     def store_path(self) -> Path:
-        """Where the store is."""
+        """The folder with the head record and the engine's files."""
         return self.folder / STORE
 
     def gather_facts(self) -> None:
-        """Take the lock and find out what is there; StoreLockedError if another opener has the lock."""
+        """Take the lock and inspect the store; StoreLockedError if the lock is held."""
         try:
             self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
             self.lock = FolderLock(self.folder)
@@ -141,7 +141,7 @@
             self._note_unwritable(error)
             return
         if not os.access(self.folder, os.W_OK | os.X_OK):
-            self.facts = replace(self.facts, unwritable="no right to write there")
+            self.facts = replace(self.facts, unwritable="no write permission")
         try:
             self.facts = replace(self.facts, witness=self.witness.read())
         except OSError as error:
@@ -149,13 +149,13 @@
         self._inspect_store()
 
     def _note_unwritable(self, error: Exception) -> None:
-        if isinstance(error, StoreFullError) or getattr(error, "errno", None) in records.NO_ROOM:
+        if isinstance(error, StoreFullError) or getattr(error, "errno", None) in records.NO_SPACE:
             self.facts = replace(self.facts, has_room=False, unwritable="")
         else:
             self.facts = replace(self.facts, has_room=True, unwritable=str(error))
 
     def _inspect_store(self) -> None:
-        """Note what is in the store's place, and open its engine if that is worth it."""
+        """Record what is at the store's path, and open its engine if the head record allows it."""
         if not os.path.lexists(self.store_path):
             return
         self.facts = replace(self.facts, found=True)
@@ -172,7 +172,7 @@
         except StoreFullError:
             self.facts = replace(self.facts, has_room=False)
         except OSError as error:
-            if error.errno in records.NO_ROOM:
+            if error.errno in records.NO_SPACE:
                 self.facts = replace(self.facts, has_room=False)
             elif error.errno == errno.EROFS:
                 self.facts = replace(self.facts, unwritable=str(error))
@@ -180,18 +180,18 @@
                 self.facts = replace(self.facts, unreadable=str(error))
 
     def _check_access(self) -> None:
-        """Check the right to write now, as it would show only at the first batch."""
+        """Check write permissions now, as they would otherwise fail only at the first batch."""
         path = self.store_path
         if path.is_symlink() or not path.is_dir():
-            raise CorruptDataError("no folder of its own")
+            raise CorruptDataError("not a folder")
         for entry in (path, *islice(path.iterdir(), MAX_FILES_CHECKED)):
             if not os.access(entry, os.W_OK):
-                raise OSError(errno.EROFS, "no right to write", str(entry))
+                raise OSError(errno.EROFS, "no write permission", str(entry))
 
     def act(self) -> OpeningDecision:
-        """Decide on what was found, and put an empty store in its place if that is the decision.
+        """Decide by the facts, and put an empty store in place if that is the decision.
 
-        Without room or right for an empty store the decision becomes REFUSE.
+        If the empty store can't be written, the decision becomes REFUSE.
         """
         decision = decide_opening(self.facts)
         self.head = self.facts.head
@@ -211,10 +211,10 @@
         return decision
 
     def _create_store(self) -> HeadRecord:
-        """Make an empty store, whole and durable, beside its later place."""
+        """Create an empty store, complete and durable, beside its final path."""
         new = self.folder / NEW
         if os.path.lexists(new):
-            shutil.rmtree(new)  # of an opener that was killed
+            shutil.rmtree(new)  # left over from an opener that was killed
         new.mkdir(mode=0o700)
         handle = os.open(new / HEAD, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         inode = os.fstat(handle).st_ino
@@ -233,7 +233,7 @@
         return head
 
     def _set_aside(self, condition: StoreCondition) -> None:
-        """Rename the found store, and remove the oldest that were set aside before."""
+        """Rename the found store, and remove the oldest of those set aside before."""
         names = sorted(name for name in os.listdir(self.folder) if SET_ASIDE_NAME.fullmatch(name))
         number = 1 + max((int(name[6:12]) for name in names), default=0)
         self.aside = f"aside-{number % 1_000_000:06d}-{condition}"
@@ -247,7 +247,7 @@
                 path.unlink()
 
     def finish(self, decision: OpeningDecision, log: Callable[..., None]) -> DurableStore:
-        """Return the opened store; a copy that was vouched for gets a head of its own."""
+        """Return the opened store; an approved copy gets a head record with its own inode."""
         assert self.head is not None and self.opened is not None and self.lock is not None
         if decision.action is OpeningAction.USE and self.head.inode != self.facts.inode:
             self.head = replace(self.head, inode=self.facts.inode)
@@ -255,7 +255,7 @@
         return DurableStore(self.opened, self.head, self.limits, self.witness, self.lock, decision, log)
 
     def log_fields(self, decision: OpeningDecision) -> dict[str, object]:
-        """Return what is logged of every outcome."""
+        """Return the log fields of every outcome."""
         return {
             "folder": str(self.folder),
             "verdict": decision.condition,
@@ -264,7 +264,7 @@
         }
 
     def opened_fields(self, store: DurableStore) -> dict[str, object]:
-        """Return what is logged of an opened store besides."""
+        """Return the further log fields of an opened store."""
         fields: dict[str, object] = {
             "kind": self.engine.kind,
             "generation": store.generation,
@@ -284,7 +284,7 @@
             self.opened = None
 
     def abandon(self) -> None:
-        """Release all that was opened, after a failure."""
+        """Release everything after a failure."""
         self._close_engine()
         self.witness.close()
         if self.lock is not None:
--- a/frostspindle/store/records.py
+++ b/frostspindle/store/records.py
@@ -1,7 +1,7 @@
-"""The sealed records of a durable store, and how a small file is written and read whole.
+"""The checksummed records of a durable store, and reading and writing of small files.
 
-Encodes heads, metas, known states and the marker engine's batches. A record whose checksum, form or range does not hold
-is never returned: CorruptDataError.
+Encodes head and meta records, known states and the marker engine's batches. A record with a wrong checksum, format or
+range raises CorruptDataError.
 """
 
 from __future__ import annotations
@@ -20,16 +20,20 @@
 Record = TypeVar("Record")
 
 ID_BYTES = 16
-NO_ROOM = {errno.ENOSPC, errno.EDQUOT, errno.EFBIG}
+NO_SPACE = {errno.ENOSPC, errno.EDQUOT, errno.EFBIG}
 _Id = Annotated[bytes, Range(min_length=ID_BYTES, max_length=ID_BYTES)]
-_Whole = Annotated[int, Range(ge=0, le=2**53)]
+_NonNegativeInt = Annotated[int, Range(ge=0, le=2**53)]
 _Name = Annotated[str, Range(max_length=64)]
-_HEAD = msgspec.msgpack.Decoder(tuple[_Whole, _Name, _Name, _Id, _Whole, int])
+_HEAD = msgspec.msgpack.Decoder(tuple[_NonNegativeInt, _Name, _Name, _Id, _NonNegativeInt, int])
 _META = msgspec.msgpack.Decoder(
-    tuple[_Id, _Whole, _Whole, _Whole, Annotated[bytes, Range(min_length=SUM, max_length=SUM)]]
+    tuple[
+        _Id, _NonNegativeInt, _NonNegativeInt, _NonNegativeInt, Annotated[bytes, Range(min_length=SUM, max_length=SUM)]
+    ]
 )
-_KNOWN = msgspec.msgpack.Decoder(tuple[_Name, _Id, _Whole, _Whole])
-_BATCH = msgspec.msgpack.Decoder(tuple[bytes, dict[bytes, int | None]])  # by key the staged file, None: none
+_KNOWN = msgspec.msgpack.Decoder(tuple[_Name, _Id, _NonNegativeInt, _NonNegativeInt])
+_BATCH = msgspec.msgpack.Decoder(
+    tuple[bytes, dict[bytes, int | None]]
+)  # number of the staged file by key; None: removed
 _encode = msgspec.msgpack.encode
 
 
@@ -37,7 +41,7 @@
     try:
         return decoder.decode(unseal(data))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise CorruptDataError(f"a record of another form: {error}") from None
+        raise CorruptDataError(f"malformed record: {error}") from None
 
 
 def encode_head(head: HeadRecord) -> bytes:
@@ -46,7 +50,7 @@
 
 
 def decode_head(data: bytes) -> HeadRecord:
-    """Decode a head record; CorruptDataError if its checksum, form or a range does not hold."""
+    """Decode a head record; CorruptDataError if its checksum, format or a range is wrong."""
     return HeadRecord(*_decode(_HEAD, data))
 
 
@@ -58,23 +62,23 @@
 
 
 def decode_meta(data: bytes) -> MetaRecord:
-    """Decode a meta record; CorruptDataError if its checksum, form or a range does not hold."""
+    """Decode a meta record; CorruptDataError if its checksum, format or a range is wrong."""
     store_id, generation, entries, size, digest = _decode(_META, data)
     return MetaRecord(store_id, generation, StoreDigest(entries, size, int.from_bytes(digest, "big")))
 
 
 def encode_known(known: KnownStore) -> bytes:
-    """Encode and seal a known state, as the witness has it."""
+    """Encode and seal a known state, as stored in the witness."""
     return seal(_encode((known.owner, known.id, known.incarnation, known.generation)))
 
 
 def decode_known(data: bytes) -> KnownStore:
-    """Decode a known state; CorruptDataError if its checksum, form or a range does not hold."""
+    """Decode a known state; CorruptDataError if its checksum, format or a range is wrong."""
     return KnownStore(*_decode(_KNOWN, data))
 
 
 def encode_batch(meta: MetaRecord, moves: dict[bytes, int | None]) -> bytes:
-    """Encode and seal a marker store's batch: the meta record after it, and by key the staged file's number (None:
+    """Encode and seal a marker store's batch: the meta record after it, and the staged file's number by key (None:
     remove).
     """
     return seal(_encode((encode_meta(meta), moves)))
@@ -83,7 +87,7 @@
 def decode_batch(data: bytes) -> tuple[MetaRecord, dict[bytes, int | None]]:
     """Decode a marker store's batch.
 
-    CorruptDataError if its checksum, form or a range, or that of its meta record, does not hold.
+    CorruptDataError if its checksum, format or a range, or that of its meta record, is wrong.
     """
     meta, moves = _decode(_BATCH, data)
     return decode_meta(meta), moves
@@ -99,7 +103,7 @@
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Write a file with mode 0600 and sync it; OSError if it can't be written whole.
+    """Write a file with mode 0600 and sync it; OSError if it can't be written completely.
 
     Its name becomes durable with `sync_folder`.
     """
@@ -115,7 +119,7 @@
 def read_bounded(path: Path, max_bytes: int) -> bytes:
     """Return a file's bytes.
 
-    CorruptDataError if there are more than `max_bytes`, so that a bad file can't fill the memory.
+    CorruptDataError if there are more than `max_bytes`, so that a corrupt file can't exhaust the memory.
     """
     with open(path, "rb") as file:
         data = file.read(max_bytes + 1)
--- a/frostspindle/store/sqlite_engine.py
+++ b/frostspindle/store/sqlite_engine.py
@@ -1,8 +1,8 @@
-"""The SQLite engine: one file with its write-ahead log, every entry checked at the opening.
+"""The SQLite engine: one file with its write-ahead log; every entry is checked at the opening.
 
-SQLite by itself keeps whole batches over a crash (the log's frames have checksums); it has none on the pages of the
-file, so each entry has its own sum, and the sum of all sums is in the meta record, which each batch renews. SQLite
-never creates a missing file at an opening, and runs no code that a file brings along.
+SQLite itself keeps batches atomic over a crash (the log's frames have checksums) but has no checksums on the pages of
+the file, so each entry has its own checksum, and their sum is in the meta record, which each batch rewrites. An opening
+never lets SQLite create a missing file or run code contained in the file.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 FILE = "db"
 PAGE = 4096  # bytes
-LOG_PAGES = 1_000  # the log is written back to the file at this length
-SPARE_FACTOR = 3  # pages are at least a third full, and a batch's old pages are free only after it
+LOG_PAGES = 1_000  # length at which the log is checkpointed
+SPARE_FACTOR = 3  # pages are at least a third full, and a batch frees its old pages only after it
 SCHEMA = (
     "CREATE TABLE entry(key BLOB PRIMARY KEY, value BLOB NOT NULL, sum BLOB NOT NULL) WITHOUT ROWID",
     "CREATE TABLE meta(one INTEGER PRIMARY KEY, record BLOB NOT NULL)",
 )
-# Errors of the system, not of the file's bytes, by SQLite's primary code.
+# Primary codes of errors of the system, not of the file's contents.
 SYSTEM_ERRORS = {
     sqlite3.SQLITE_PERM,
     sqlite3.SQLITE_BUSY,
@@ -45,7 +45,7 @@
 
 
 def max_pages(limits: StoreLimits) -> int:
-    """Return how many pages the file may have: thrice the entries with checksums and cells, and the fixed pages."""
+    """Return the page limit of the file: SPARE_FACTOR times the entries with checksums and cells, and fixed pages."""
     return 64 + SPARE_FACTOR * (limits.total + limits.entries * (SUM + 32)) // PAGE
 
 
@@ -73,9 +73,9 @@
     def __init__(self, folder: Path, limits: StoreLimits) -> None:
         path = folder / FILE
         if not path.is_file() or path.is_symlink():
-            raise CorruptDataError("no database there")
+            raise CorruptDataError("no database file")
         if path.stat().st_size > 2 * max_pages(self.limits) * PAGE:
-            raise CorruptDataError("the database is longer than can be")
+            raise CorruptDataError("the database exceeds its maximum size")
         try:
             self._db = self._connect(folder, "rw")
         except sqlite3.Error as error:
@@ -100,7 +100,7 @@
         )
         try:
             db.setlimit(sqlite3.SQLITE_LIMIT_LENGTH, 1 << 20)
-            # Exclusive: the log's index is in memory, no shared file is mapped that could be cut short under us.
+            # Exclusive: the log's index is kept in memory, as a mapped shared file could be truncated while in use.
             for pragma in (
                 "trusted_schema=OFF",
                 "cell_size_check=ON",
@@ -120,7 +120,7 @@
 
     @classmethod
     def create(cls, folder: Path, store_id: bytes) -> None:
-        """Create an empty database with this store id, whole and durable on return.
+        """Create an empty database with this store id, complete and durable on return.
 
         Raises StoreFullError, OSError or CorruptDataError.
         """
@@ -139,16 +139,16 @@
             raise translate_error(error) from error
 
     def _check(self) -> MetaRecord:
-        """Read every entry once; nothing is served before."""
+        """Check the schema and every entry, and return the meta record."""
         schema = {sql for (sql,) in self._db.execute("SELECT sql FROM sqlite_schema")}
         if schema != set(SCHEMA):
-            raise CorruptDataError("other tables than a store's")
+            raise CorruptDataError("unexpected database schema")
         integrity = self._db.execute("PRAGMA integrity_check(1)").fetchone()[0]
         if integrity != "ok":
             raise CorruptDataError(str(integrity)[:120])
         rows = self._db.execute("SELECT one, record FROM meta").fetchall()
         if len(rows) != 1 or rows[0][0] != 1 or not isinstance(rows[0][1], bytes):
-            raise CorruptDataError("no one meta record")
+            raise CorruptDataError("not exactly one meta record")
         meta = records.decode_meta(rows[0][1])
         entries = 0
         size = 0
@@ -158,16 +158,16 @@
             size += len(key) + len(value)
             digest += checksum
         if StoreDigest(entries, size, digest % (1 << 8 * SUM)) != meta.contents:
-            raise CorruptDataError(f"{entries} entries that are no state of generation {meta.generation}")
+            raise CorruptDataError(f"{entries} entries that do not match the checksum of generation {meta.generation}")
         return meta
 
     def _rows(self, query: str, values: tuple[bytes, ...]) -> Iterator[tuple[bytes, bytes, int]]:
         for key, value, stored_sum in self._db.execute(query, values):
             if not (isinstance(key, bytes) and isinstance(value, bytes) and isinstance(stored_sum, bytes)):
-                raise CorruptDataError("an entry of another type")
+                raise CorruptDataError("an entry has an unexpected type")
             checksum = entry_sum(key, value)
             if checksum.to_bytes(SUM, "big") != stored_sum:
-                raise CorruptDataError(f"the sum of {key!r:.80} does not hold")
+                raise CorruptDataError(f"checksum mismatch of {key!r:.80}")
             yield key, value, checksum
 
     def _read(self, query: str, values: tuple[bytes, ...]) -> list[tuple[bytes, bytes]]:
@@ -179,7 +179,7 @@
     def get(self, key: bytes) -> bytes | None:
         """Return an entry's value, None if there is none.
 
-        CorruptDataError if its checksum does not hold, OSError if it can't be read.
+        CorruptDataError if its checksum does not match, OSError if it can't be read.
         """
         rows = self._read("SELECT key, value, sum FROM entry WHERE key = ?", (key,))
         return rows[0][1] if rows else None
@@ -195,7 +195,7 @@
     def commit(self, changes: Changes, meta: MetaRecord) -> None:
         """Write a batch and its meta record in one transaction.
 
-        StoreFullError: nothing was changed. Any other error: the outcome is unknown, and the engine must be closed.
+        StoreFullError: the state is unchanged. Any other error: the outcome is unknown, and the engine must be closed.
         """
         deletes = [(key,) for key, value in changes.items() if value is None]
         puts = [
@@ -217,14 +217,14 @@
 
     def _roll_back(self, cause: sqlite3.Error) -> None:
         try:
-            if self._db.in_transaction:  # SQLite may have rolled back by itself
+            if self._db.in_transaction:  # SQLite may have rolled back already
                 self._db.execute("ROLLBACK")
         except sqlite3.Error as error:
-            raise StoreBrokenError(f"no room, and no way back: {error}") from cause
+            raise StoreBrokenError(f"the disk is full and the rollback failed: {error}") from cause
 
     def close(self) -> None:
         """Close the database; an error is ignored, as the next opening reads the write-ahead log."""
         try:
             self._db.close()
         except sqlite3.Error:
-            pass  # the log could not be written back: the next opening reads it
+            pass  # the log could not be checkpointed: the next opening reads it
--- a/frostspindle/store/witness.py
+++ b/frostspindle/store/witness.py
@@ -1,4 +1,4 @@
-"""The witness: a file that records which state of a store was served last, so that an older one is recognised."""
+"""The witness: a file that records the last served state of a store, so that an older one is detected."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from frostspindle.store.opening_decision import KnownStore
 
 SLOT_BYTES = 256
-LENGTH_BYTES = 2  # of the length in front of a slot's record
+LENGTH_BYTES = 2  # of the length before a slot's record
 
 
 class WitnessFile:
-    """Two slots that are written in turn. A torn slot leaves the earlier one readable."""
+    """Two slots that are written alternately, so that a torn write leaves the earlier state readable."""
 
     def __init__(self, path: Path) -> None:
         self.path: Path = path
@@ -23,7 +23,7 @@
         self._next_slot: int = 0
 
     def read(self) -> KnownStore | None:
-        """Return the latest recorded state, None if there is no whole one; OSError if the file can't be read."""
+        """Return the latest recorded state, None if no slot is intact; OSError if the file can't be read."""
         try:
             data = records.read_bounded(self.path, 2 * SLOT_BYTES)
         except (FileNotFoundError, CorruptDataError):
@@ -41,10 +41,10 @@
         return latest
 
     def write(self, known: KnownStore, sync: bool = False) -> None:
-        """Write the state to the slot that is not the latest, so that a torn write leaves the other one whole.
+        """Write the state to the older slot, so that a torn write leaves the latest one intact.
 
-        `sync` has it durable on return. OSError if it can't be written, ENOSPC for a short write; the slot stays the
-        next.
+        With `sync` it is durable on return. OSError if it can't be written, ENOSPC for a short write; the next write
+        then uses the same slot.
         """
         if self._handle is None:
             self._handle = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -56,7 +56,7 @@
             os.fsync(self._handle)
 
     def close(self) -> None:
-        """Close the file if it was opened; closing twice is no error."""
+        """Close the file if it was opened; closing twice is allowed."""
         if self._handle is not None:
             os.close(self._handle)
             self._handle = None
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""What is made of what lies in a store's place, and what only one of the stores has: SQLite's own ends."""
+"""Decisions on opening a durable store, and the faults specific to the SQLite and marker engines."""
 
 import errno
 import shutil
@@ -41,7 +41,7 @@
         ({"witness": replace(at, generation=39)}, "good use"),
         ({"witness": replace(at, generation=41)}, "older aside"),
         ({"known_by_peers": replace(at, incarnation=2, generation=99)}, "good use"),
-        ({"witness": replace(at, id=B, generation=1)}, "older aside"),  # two stores of one life
+        ({"witness": replace(at, id=B, generation=1)}, "older aside"),  # two stores of one incarnation
         ({"witness": replace(at, owner="c2", generation=99)}, "good use"),
         ({"witness": replace(at, owner="c2"), "witness_apart": True}, "foreign refuse"),
         ({"inode": 78}, "older aside"),
@@ -69,21 +69,21 @@
 
 
 def test_empty_store_has_a_later_incarnation_than_all_known_of_its_owner():
-    told = KnownStore("c1", B, 7, 1)
+    known = KnownStore("c1", B, 7, 1)
     assert [
         next_incarnation(facts)
         for facts in (
             OpeningFacts("c1", "sqlite"),
             GOOD,
-            replace(GOOD, known_by_peers=told),
-            replace(GOOD, witness=replace(told, owner="c2")),
+            replace(GOOD, known_by_peers=known),
+            replace(GOOD, witness=replace(known, owner="c2")),
         )
     ] == [1, 4, 8, 4]
     assert not worth_opening(replace(GOOD, head=replace(HEAD, owner="c2")))
 
 
 class StoreFolder:
-    """A folder for one store, the stores that were opened there, and what their openings have logged."""
+    """A folder for one store, with the stores opened there and their log events."""
 
     def __init__(self, folder):
         self.path = folder / "s"
@@ -118,11 +118,11 @@
 
 
 def test_full_database_keeps_the_old_state_and_stays_usable(store_folder):
-    was, sqlite_engine.max_pages = sqlite_engine.max_pages, lambda limits: 12
+    original, sqlite_engine.max_pages = sqlite_engine.max_pages, lambda limits: 12
     try:
         store = store_folder.open()
     finally:
-        sqlite_engine.max_pages = was
+        sqlite_engine.max_pages = original
     with pytest.raises(StoreFullError):
         for number in range(20):
             store.apply({b"%d" % number: b"x" * 4_000, b"last": b"%d" % number})
@@ -191,7 +191,7 @@
     path = store_folder.path / "store" / sqlite_engine.FILE
     data = bytearray(path.read_bytes())
     root = data[page * sqlite_engine.PAGE : (page + 1) * sqlite_engine.PAGE]
-    assert root[0] == 2  # an inner page; the places of its cells stand from byte 12 on
+    assert root[0] == 2  # an interior page; its cell pointers start at byte 12
     one, two = (page * sqlite_engine.PAGE + int.from_bytes(root[at : at + 2], "big") for at in (12, 14))
     data[one : one + 4], data[two : two + 4] = data[two : two + 4], data[one : one + 4]
     path.write_bytes(data)
@@ -201,8 +201,8 @@
 def test_database_longer_than_its_bound_is_not_read(store_folder):
     store_folder.open().close()
     with open(store_folder.path / "store" / sqlite_engine.FILE, "r+b") as file:
-        file.truncate(1 << 30)  # nothing of it is on the disk
-    assert store_folder.open().decision.reason == "the database is longer than can be"
+        file.truncate(1 << 30)  # sparse: occupies no disk space
+    assert store_folder.open().decision.reason == "the database exceeds its maximum size"
 
 
 def test_commits_are_synced_and_an_open_database_is_exclusive(store_folder):
@@ -224,7 +224,7 @@
         (at / "entry-a").rename(store_folder.path / "elsewhere")
         (at / "entry-a").symlink_to(store_folder.path / "elsewhere")
 
-    def batch(at):
+    def stale_batch(at):
         (at / "batch").write_bytes(old)
 
     def flood(at):
@@ -234,11 +234,11 @@
     class Few(MarkerEngine):
         limits = replace(MarkerEngine.limits, entries=4)
 
-    for change, why in (
-        (renamed, "entry-%61 is no entry"),
-        (linked, "entry-a is no entry"),
-        (batch, "a batch of another state"),
-        (flood, "more files than entries can be"),
+    for change, reason in (
+        (renamed, "entry-%61 is not an entry file"),
+        (linked, "entry-a is not an entry file"),
+        (stale_batch, "the recorded batch belongs to another state"),
+        (flood, "more files than the entry limit allows"),
     ):
         store = store_folder.open(Few)
         for value in (b"1", b"2", b"3"):
@@ -248,7 +248,7 @@
         store.close()
         change(store_folder.path / "store")
         store = store_folder.open(Few)
-        assert (store.decision.condition, store.decision.reason) == ("corrupt", why)
+        assert (store.decision.condition, store.decision.reason) == ("corrupt", reason)
         store.close()
 
 
@@ -273,7 +273,7 @@
         place.rename(elsewhere)
         place.symlink_to(elsewhere) if link else place.touch()
         store = store_folder.open(MarkerEngine)
-        assert store.decision.reason == "no whole head: no folder of its own"
+        assert store.decision.reason == "no valid head record: not a folder"
         assert {path.name for path in elsewhere.iterdir()} == {"head", "state"}
 
 
@@ -309,9 +309,9 @@
     store.apply({b"a": b"1"})
     done = records.encode_batch(store._meta, {b"a": 0})
     with mock.patch("os.replace", side_effect=OSError(errno.EIO, "no")), pytest.raises(StoreBrokenError):
-        store.apply({b"a": b"2"})  # staged, and no more
+        store.apply({b"a": b"2"})  # staged, but not recorded
     store.close()
-    (store_folder.path / "store" / "batch").write_bytes(done)  # its removal was not durable when the power went
+    (store_folder.path / "store" / "batch").write_bytes(done)  # its removal was not durable at the power loss
     assert store_folder.open(MarkerEngine).scan() == [(b"a", b"1")]
 
 
@@ -322,13 +322,13 @@
     old = {path.name: path.read_bytes() for path in (store_folder.path / "store").iterdir()}
     (store_folder.path / "store" / "head").write_bytes(b"")
     store = store_folder.open(MarkerEngine)
-    store._witness.write = lambda known, sync=False: None  # as one that is killed now
+    store._witness.write = lambda known, sync=False: None  # as after a kill
     store.close()
     for path in (store_folder.path / "store").iterdir():
         path.unlink()
     for name, content in old.items():
         (store_folder.path / "store" / name).write_bytes(content)
-    assert store_folder.open(MarkerEngine, copy_approved=True).decision.reason == "the witness knows of a later state"
+    assert store_folder.open(MarkerEngine, copy_approved=True).decision.reason == "the witness recorded a later state"
 
 
 def test_torn_witness_slot_leaves_the_earlier_one(store_folder):
@@ -345,7 +345,7 @@
     for name, content in old.items():
         if name != "head":
             (store_folder.path / "store" / name).write_bytes(content)
-    assert store_folder.open(MarkerEngine).decision.reason == "the witness knows of a later state"
+    assert store_folder.open(MarkerEngine).decision.reason == "the witness recorded a later state"
 
 
 def test_store_over_lowered_limits_is_good_and_can_be_emptied(store_folder):
