--- a/frostspindle/store/sqlite_engine.py
+++ b/frostspindle/store/sqlite_engine.py
@@ -167,7 +167,7 @@
                 raise CorruptDataError("an entry has an unexpected type")
             checksum = entry_sum(key, value)
             if checksum.to_bytes(SUM, "big") != stored_sum:
-                raise CorruptDataError(f"checksum mismatch of {key!r:.80}")
+                raise CorruptDataError(f"the checksum of {key!r:.80} does not match")
             yield key, value, checksum
 
     def _read(self, query: str, values: tuple[bytes, ...]) -> list[tuple[bytes, bytes]]:
--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -1,4 +1,4 @@
-"""The stores that the contract is put to: a new one is one more line in STORES."""
+"""The stores that the contract tests run against; add a new one to STORES."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from frostspindle.store.sqlite_engine import SqliteEngine
 
 SMALL = StoreLimits(key=6, value=40, entries=12, total=200, batch=8)
-# Syncs are not what is tested here, and cost nothing in memory; any folder will do.
-WHERE = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
+# These tests don't depend on syncs, which are free in memory; any folder works.
+BASE_FOLDER = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
 
 
 @dataclass(frozen=True)
@@ -41,8 +41,8 @@
 
 @contextmanager
 def folder() -> Iterator[Path]:
-    """A folder that other users can reach too."""
-    path = tempfile.mkdtemp(dir=WHERE)
+    """Yield a folder that other users can access."""
+    path = tempfile.mkdtemp(dir=BASE_FOLDER)
     os.chmod(path, 0o755)
     try:
         yield Path(path, "s")
@@ -51,12 +51,12 @@
 
 
 def files(at: Path) -> dict[str, bytes]:
-    """All files under a folder."""
+    """Return the contents of all files under a folder."""
     return {str(path.relative_to(at)): path.read_bytes() for path in sorted(at.rglob("*")) if path.is_file()}
 
 
-def lay(at: Path, content: dict[str, bytes]) -> None:
-    """Exactly these files there: other inodes, as any copy has."""
+def replace_files(at: Path, content: dict[str, bytes]) -> None:
+    """Replace the folder's contents by exactly these files, with new inodes as in any copy."""
     shutil.rmtree(at, ignore_errors=True)
     for name, data in content.items():
         (at / name).parent.mkdir(parents=True, exist_ok=True)
@@ -64,7 +64,7 @@
 
 
 class Child:
-    """A process that runs a call; what the call tells comes over a pipe."""
+    """A process that runs a call and sends what it reports over a pipe."""
 
     def __init__(
         self, call: Callable[[Callable[[Any], None]], Any], user: int | None = None, file_bytes: int | None = None
@@ -80,15 +80,15 @@
                 if file_bytes is not None:
                     resource.setrlimit(resource.RLIMIT_FSIZE, (file_bytes, file_bytes))
                 out = os.fdopen(writer, "wb", buffering=0)
-                call(lambda word: out.write(pickle.dumps(word)))
-            except BaseException as error:  # noqa: BLE001 - told, and never back into the tests' own process
+                call(lambda report: out.write(pickle.dumps(report)))
+            except BaseException as error:  # noqa: BLE001 - reported; must not continue in the parent's code
                 out.write(pickle.dumps(repr(error)))
             finally:
                 os._exit(0)
         os.close(writer)
         self.pipe = os.fdopen(reader, "rb")
 
-    def words(self) -> Iterator[Any]:
+    def reports(self) -> Iterator[Any]:
         while True:
             try:
                 yield pickle.load(self.pipe)
@@ -96,9 +96,9 @@
                 return
 
     def all(self) -> list[Any]:
-        words = list(self.words())
+        reports = list(self.reports())
         self.wait()
-        return words
+        return reports
 
     def wait(self) -> None:
         os.waitpid(self.pid, 0)
--- a/tests/contracts/test_store_contract.py
+++ b/tests/contracts/test_store_contract.py
@@ -1,5 +1,5 @@
-"""What every store promises, put to each of them: whole batches against a plain dict, torn and spoilt files, kill -9,
-no room, no right to write, a second opener, copies."""
+"""The contract of every store: atomic batches compared with a dict, torn and corrupt files, kill -9, full disks,
+missing permissions, a second opener, copies."""
 
 import errno
 import os
@@ -11,7 +11,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
-from stores import DURABLE, SMALL, STORES, Child, files, folder, lay
+from stores import DURABLE, SMALL, STORES, Child, files, folder, replace_files
 
 from frostspindle.store import records
 from frostspindle.store.base import InvalidBatchError, StoreBrokenError, StoreFullError, StoreLimits
@@ -19,8 +19,8 @@
 from frostspindle.store.opening import MAX_SET_ASIDE, StoreRefusedError
 from frostspindle.store.opening_decision import KnownStore, StoreCondition
 
-NOBODY = 65_534
-ROOMY = StoreLimits(key=20, value=4_096, entries=100, total=1 << 20, batch=64)
+UNPRIVILEGED_USER = 65_534
+LARGE = StoreLimits(key=20, value=4_096, entries=100, total=1 << 20, batch=64)
 keys = st.binary(min_size=1, max_size=SMALL.key) | st.sampled_from([b"a", b"ab", b"a\xff", b"\xff", b"\xff\xff", b"/."])
 batches = st.dictionaries(
     keys, st.none() | st.binary(max_size=SMALL.value) | st.just(b"v" * SMALL.value), max_size=SMALL.batch
@@ -29,8 +29,8 @@
 each_durable = pytest.mark.parametrize("kind", DURABLE, ids=lambda kind: kind.name)
 
 
-class Against(RuleBasedStateMachine):
-    """A store and a dict."""
+class StoreModel(RuleBasedStateMachine):
+    """Compares a store with a dict."""
 
     def __init__(self, kind) -> None:
         super().__init__()
@@ -99,16 +99,16 @@
 
 
 @each
-def test_it_is_a_dict_that_changes_by_whole_batches(kind):
+def test_store_behaves_as_a_dict_changed_by_atomic_batches(kind):
     run_state_machine_as_test(
-        lambda: Against(kind),
+        lambda: StoreModel(kind),
         settings=settings(max_examples=40, stateful_step_count=25, deadline=None, derandomize=True, database=None),
     )
 
 
 def filled(kind, path: Path, count: int, **more):
-    """A store after so many batches, and the state of each generation."""
-    store, rng, states = kind.open(path, ROOMY, **more), random.Random(5), [[]]
+    """Return a store after so many batches, and the state of each generation."""
+    store, rng, states = kind.open(path, LARGE, **more), random.Random(5), [[]]
     for turn in range(count):
         store.apply(
             {
@@ -122,25 +122,27 @@
 
 
 def outcome(kind, path: Path, states, **more):
-    """Open what lies there: a whole state, or an empty store and the old one aside. The verdict is returned."""
-    told = []
-    store = kind.open(path, ROOMY, copy_approved=True, log=lambda event, **fields: told.append((event, fields)), **more)
+    """Open a complete state, or an empty store with the old one set aside; return condition and generation."""
+    logged = []
+    store = kind.open(
+        path, LARGE, copy_approved=True, log=lambda event, **fields: logged.append((event, fields)), **more
+    )
     try:
         verdict = store.decision.condition
-        assert [event for event, _ in told] == ["store"]
+        assert [event for event, _ in logged] == ["store"]
         if verdict is StoreCondition.GOOD:
             assert store.scan() == states[store.generation]
         else:
             assert verdict in (StoreCondition.CORRUPT, StoreCondition.OLDER), verdict
             assert (store.scan(), store.generation) == ([], 0)
-            assert (path / told[0][1]["aside"]).exists()
+            assert (path / logged[0][1]["aside"]).exists()
         return verdict, store.generation
     finally:
         store.close()
 
 
 @each_durable
-def test_no_torn_or_spoilt_file_is_ever_served_from_but_as_a_whole_batch(kind):
+def test_torn_or_corrupt_files_are_used_only_as_a_complete_state(kind):
     rng, verdicts = random.Random(6), set()
     with folder() as path:
         store, states = filled(kind, path, 9)
@@ -151,10 +153,10 @@
             cases += [data[: len(data) * part // 12] for part in range(12)]
             for part in range(16):
                 at = min(len(data) - 1, len(data) * part // 16 + rng.randrange(1 + len(data) // 16))
-                spoilt = bytearray(data)
+                corrupted = bytearray(data)
                 for place in range(at, min(len(data), at + rng.choice((1, 1, 8)))):
-                    spoilt[place] ^= rng.randrange(1, 256)
-                cases.append(bytes(spoilt))
+                    corrupted[place] ^= rng.randrange(1, 256)
+                cases.append(bytes(corrupted))
             for case in cases:
                 left = {other: case if other == name else content[other] for other in content}
                 if case is None:
@@ -162,12 +164,12 @@
                 for witnessed in (True, False):
                     if not witnessed:
                         left.pop("witness", None)
-                    lay(path, left)
+                    replace_files(path, left)
                     verdict, generation = outcome(kind, path, states)
                     verdicts.add((witnessed, verdict))
                     if (
                         witnessed and verdict is StoreCondition.GOOD
-                    ):  # what is missing at the end shows by the witness only
+                    ):  # a missing last batch is detected only by the witness
                         assert generation == 9
                     if not name.startswith("store/"):
                         assert verdict is StoreCondition.GOOD
@@ -175,8 +177,8 @@
 
 
 @each_durable
-def test_at_every_step_of_a_batch_the_files_are_the_state_before_or_after_it(kind, monkeypatch):
-    """Steps that Python sees; an engine in C shows none, and is cut short by the system in the tests below."""
+def test_files_at_every_step_of_a_batch_are_the_state_before_or_after_it(kind, monkeypatch):
+    """Covers system calls made in Python; engines in C are interrupted by the tests below."""
     with folder() as path:
         store, states = filled(kind, path, 5)
         points = []
@@ -193,25 +195,25 @@
         states.append(store.scan())
         store.close()
         if not points:
-            pytest.skip("no step of it is seen here")
+            pytest.skip("the engine makes no system calls in Python")
         seen = set()
         for before, now in zip([points[0], *points], points, strict=False):
-            lay(path / "store", now)
+            replace_files(path / "store", now)
             (path / "witness").unlink(missing_ok=True)
             verdict, generation = outcome(kind, path, states)
             assert (verdict, generation in (5, 6)) == (StoreCondition.GOOD, True)
             seen.add(generation)
-            for name in {name for name in now if now[name] != before.get(name)}:  # what this step was writing
+            for name in {name for name in now if now[name] != before.get(name)}:  # the file that this step was writing
                 for part in range(4):
-                    lay(path / "store", {**now, name: now[name][: len(now[name]) * part // 4]})
+                    replace_files(path / "store", {**now, name: now[name][: len(now[name]) * part // 4]})
                     (path / "witness").unlink(missing_ok=True)
                     outcome(kind, path, states)
         assert seen <= {5, 6} and 5 in seen
 
 
 @each_durable
-def test_where_a_step_finds_no_room_the_old_state_stays_and_the_store_goes_on(kind, monkeypatch):
-    """Again the steps that Python sees, each in turn refused what takes room."""
+def test_full_disk_at_any_step_keeps_the_old_state_and_the_store_usable(kind, monkeypatch):
+    """Covers system calls made in Python: each one that needs space fails in turn."""
     calls = limit = 0
 
     def step(real, name):
@@ -227,21 +229,21 @@
     with folder() as path:
         store, states = filled(kind, path, 5)
         left = files(path).keys()
-        for limit in range(1, 100):  # noqa: B007 - read by the steps
+        for limit in range(1, 100):  # noqa: B007 - read by the patched calls
             calls = 0
             for name in ("open", "write"):
                 monkeypatch.setattr(os, name, step(getattr(os, name), name))
             changes = {b"k1": b"new" * 50, b"k2": None, b"k3": b"%d" % limit, b"other": b""}
             try:
                 store.apply(changes)
-                break  # past its last step
+                break  # past the last step
             except StoreFullError:
                 assert (store.generation, store.scan()) == (5, states[5])
                 assert files(path).keys() == left
             finally:
                 monkeypatch.undo()
         if not calls:
-            pytest.skip("no step of it is seen here")
+            pytest.skip("the engine makes no system calls in Python")
         assert limit > 3
         states.append(store.scan())
         store.close()
@@ -249,28 +251,28 @@
 
 
 @each_durable
-def test_after_kill_9_every_acknowledged_batch_is_there_and_never_half_of_one(kind):
+def test_kill_9_loses_no_acknowledged_batch_and_leaves_no_partial_one(kind):
     rng = random.Random(7)
 
-    def write(tell):
-        store = kind.open(path, ROOMY)
+    def write(report):
+        store = kind.open(path, LARGE)
         for turn in range(store.generation + 1, 100_000):
             store.apply({b"%d" % place: b"%d" % turn * 40 for place in range(8)} | {b"t%d" % (turn % 60): b"t"})
-            tell(turn)
+            report(turn)
 
     with folder() as path:
         acknowledged = 0
         for _ in range(25):
             child = Child(write)
-            words = child.words()
+            reports = child.reports()
             for _ in range(rng.randrange(1, 12)):
-                acknowledged = next(words)
+                acknowledged = next(reports)
             for _ in range(rng.randrange(40_000)):
                 pass
             os.kill(child.pid, signal.SIGKILL)
-            acknowledged = max([acknowledged, *words])
+            acknowledged = max([acknowledged, *reports])
             child.wait()
-            store = kind.open(path, ROOMY)  # the lock went with its process
+            store = kind.open(path, LARGE)  # the lock was released with its process
             assert store.decision.condition is StoreCondition.GOOD, store.decision
             assert acknowledged <= store.generation <= acknowledged + 1
             assert {store.get(b"%d" % place) for place in range(8)} == {b"%d" % store.generation * 40}
@@ -282,21 +284,21 @@
 
 
 @each_durable
-def test_where_files_can_grow_no_further_the_old_state_stays(kind):
-    """The system cuts writes short at any byte, as a full disk does."""
+def test_file_size_limit_keeps_the_old_state(kind):
+    """The system truncates writes at any byte, as a full disk does."""
 
-    def write(tell):
-        store = kind.open(path, ROOMY)
+    def write(report):
+        store = kind.open(path, LARGE)
         for turn in range(40):
             try:
                 store.apply(batch_of(turn))
             except StoreFullError:
-                tell(("full", store.generation, store.scan()))
+                report(("full", store.generation, store.scan()))
                 return
             except StoreBrokenError:
                 with pytest.raises(StoreBrokenError):
                     store.get(b"0")
-                tell(("broken", store.generation, None))
+                report(("broken", store.generation, None))
                 return
 
     states, outcomes = [{}], set()
@@ -304,15 +306,15 @@
         states.append({**states[-1], **batch_of(turn)})
     with folder() as path:
         for limit in sorted({int(300 * 1.22**n) for n in range(36)}):
-            lay(path, {})
-            kind.open(path, ROOMY).close()
-            words = Child(write, file_bytes=limit).all()
-            if not words:
-                continue  # all of it had room
-            name, generation, entries = words[0]
+            replace_files(path, {})
+            kind.open(path, LARGE).close()
+            reports = Child(write, file_bytes=limit).all()
+            if not reports:
+                continue  # everything fit
+            name, generation, entries = reports[0]
             outcomes.add(name)
             assert entries is None or dict(entries) == states[generation]
-            store = kind.open(path, ROOMY)
+            store = kind.open(path, LARGE)
             assert store.decision.condition is StoreCondition.GOOD, store.decision
             assert 0 <= store.generation - generation <= (name == "broken")
             assert dict(store.scan()) == states[store.generation]
@@ -323,12 +325,12 @@
 
 
 @each_durable
-def test_who_may_not_write_is_refused_and_nothing_is_touched(kind):
-    def look(tell):
+def test_opener_without_write_permission_is_refused_and_changes_nothing(kind):
+    def look(report):
         try:
-            kind.open(path, ROOMY)
+            kind.open(path, LARGE)
         except StoreRefusedError as refused:
-            tell(refused.decision.condition)
+            report(refused.decision.condition)
 
     with folder() as path:
         filled(kind, path, 3)[0].close()
@@ -344,8 +346,8 @@
             (path / "store").chmod(inner)
             for name in before:
                 (path / name).chmod(lock if name == "lock" else mode)
-            assert Child(look, user=NOBODY).all() == [StoreCondition.READ_ONLY], (outer, inner, lock, mode)
-            before["lock"] = files(path)["lock"]  # who holds it writes its number there
+            assert Child(look, user=UNPRIVILEGED_USER).all() == [StoreCondition.READ_ONLY], (outer, inner, lock, mode)
+            before["lock"] = files(path)["lock"]  # the holder writes its process number there
             assert files(path) == before
         for at in (path, path / "store"):
             at.chmod(0o777)
@@ -354,36 +356,36 @@
         for name in before:
             if name.startswith("store/"):
                 (path / name).chmod(0o222)
-                assert Child(look, user=NOBODY).all() == [StoreCondition.UNREADABLE], name
+                assert Child(look, user=UNPRIVILEGED_USER).all() == [StoreCondition.UNREADABLE], name
                 (path / name).chmod(0o666)
 
 
 @each_durable
-def test_a_second_opener_is_refused_in_this_process_and_in_others(kind):
-    def look(tell):
+def test_second_opener_is_refused_in_this_process_and_in_others(kind):
+    def look(report):
         try:
-            kind.open(path, ROOMY)
+            kind.open(path, LARGE)
         except StoreLockedError as error:
-            tell(str(error))
+            report(str(error))
 
     with folder() as path:
-        store = kind.open(path, ROOMY)
+        store = kind.open(path, LARGE)
         store.apply({b"k": b"v"})
         with pytest.raises(StoreLockedError, match=f"process {os.getpid()}"):
-            kind.open(path, ROOMY)
-        (word,) = Child(look).all()
-        assert f"process {os.getpid()}" in word
+            kind.open(path, LARGE)
+        (message,) = Child(look).all()
+        assert f"process {os.getpid()}" in message
         assert store.apply({b"k": b"w"}) == 2
         store.close()
-        kind.open(path, ROOMY).close()
+        kind.open(path, LARGE).close()
 
 
 @each_durable
-def test_copies_and_others_stores_are_set_aside_and_only_a_few_are_kept(kind):
+def test_copies_and_foreign_stores_are_set_aside_and_only_a_few_kept(kind):
     with folder() as path:
         apart = path.with_name("apart")
         store, states = filled(kind, path, 3, witness=apart)
-        week = files(path)
+        earlier = files(path)
         for turn in range(3):
             store.apply({b"k": b"%d" % turn})
             states.append(store.scan())
@@ -393,8 +395,8 @@
         inside = records_of(known)
 
         def found(content, **more):
-            lay(path, content)
-            store = kind.open(path, ROOMY, **more)
+            replace_files(path, content)
+            store = kind.open(path, LARGE, **more)
             try:
                 good = store.decision.condition is StoreCondition.GOOD
                 assert store.scan() == (states[store.generation] if good else [])
@@ -405,50 +407,50 @@
         later = KnownStore("c1", b"i" * 16, known.incarnation + 1, 0)
         assert [found(now), found(now, copy_approved=True)] == ["older", "good"]
         assert (
-            found(week, copy_approved=True, witness=None) == "good"
-        )  # nothing here can know better: see docs/design/store.md
-        assert found({**week, "witness": inside}, copy_approved=True) == "older"
-        assert found(week, copy_approved=True, known_by_peers=known) == "older"
+            found(earlier, copy_approved=True, witness=None) == "good"
+        )  # there is no evidence against it: see docs/design/store.md
+        assert found({**earlier, "witness": inside}, copy_approved=True) == "older"
+        assert found(earlier, copy_approved=True, known_by_peers=known) == "older"
         assert found(now, copy_approved=True, known_by_peers=known) == "good"
         assert found(now, copy_approved=True, known_by_peers=later) == "older"
         assert (
             found(now, copy_approved=True, known_by_peers=KnownStore("c2", b"i" * 16, 9, 9)) == "good"
-        )  # of somebody else's
+        )  # of another owner
         assert found(now, copy_approved=True, owner="c2") == "foreign"
         witnessed = apart.read_bytes()
         assert found(now, witness=apart) == "good"  # the witness elsewhere shows that the copy is the latest
-        assert found(week, witness=apart) == "older"
-        apart.write_bytes(witnessed[:40])  # torn: not a word of it is believed
+        assert found(earlier, witness=apart) == "older"
+        apart.write_bytes(witnessed[:40])  # torn: it is ignored
         assert found(now, witness=apart) == "older"
         for turn in range(5):
-            kind.open(path, ROOMY, owner=f"o{turn}").close()
+            kind.open(path, LARGE, owner=f"o{turn}").close()
         asides = [name for name in os.listdir(path) if name.startswith("aside-")]
         assert (len(asides), max(asides)[-7:]) == (MAX_SET_ASIDE, "foreign")
 
 
 def records_of(known: KnownStore) -> bytes:
-    """A witness's file with this in its first slot."""
+    """Return a witness file with this state in its first slot."""
     data = records.encode_known(known)
     return len(data).to_bytes(2, "big") + data
 
 
 @each_durable
-def test_without_room_for_an_empty_store_what_lies_there_stays_as_it_is(kind):
-    def look(tell):
+def test_without_space_for_an_empty_store_the_found_one_is_unchanged(kind):
+    def look(report):
         try:
-            kind.open(path, ROOMY, owner="c2")
+            kind.open(path, LARGE, owner="c2")
         except StoreRefusedError as refused:
-            tell(refused.decision.condition)
+            report(refused.decision.condition)
 
     with folder() as path:
         filled(kind, path, 3)[0].close()
         for content in ({}, files(path)):
-            lay(path, content)
+            replace_files(path, content)
             (verdict,) = Child(look, file_bytes=30).all()
-            assert verdict in (StoreCondition.FULL, StoreCondition.READ_ONLY)  # as the engine tells it
+            assert verdict in (StoreCondition.FULL, StoreCondition.READ_ONLY)  # depends on the engine's error
             assert {name: data for name, data in files(path).items() if name.startswith("store/")} == {
                 name: data for name, data in content.items() if name.startswith("store/")
             }
-        store = kind.open(path, ROOMY, owner="c2")
+        store = kind.open(path, LARGE, owner="c2")
         assert store.decision.condition is StoreCondition.FOREIGN
         store.close()
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -1,4 +1,4 @@
-"""The cores of subscriptions: summaries, cursors, backlogs, and the streams under whatever a network may do."""
+"""The parts of subscriptions without I/O: summaries, cursors, backlogs, and streams over a faulty network."""
 
 import random
 from collections import deque
@@ -49,10 +49,10 @@
     )
 
 
-# What may be said, and wanted.
+# Events, filters, summaries and messages.
 
 
-def test_an_event_holds_its_columns_cut_and_nothing_else():
+def test_event_has_only_its_columns_truncated_to_their_bounds():
     made = schema.make(schema.ANSWER, -5.0, "x" * 99, "é" * 99, 2**70, None, "\ud800", "http", 3.7)
     assert made.at_ms == 0 and made.values == ("x" * 64, "é" * 48, 2**53, None, "?", "http", 3)
     for kind, columns in enumerate(schema.COLUMNS):  # the largest of each kind fits a message
@@ -95,7 +95,7 @@
 @seed(1)
 @settings(max_examples=30, deadline=None)
 @given(LISTS, st.randoms(use_true_random=False), st.sampled_from((3, 30, 1_024)))
-def test_a_summary_covers_all_that_it_is_of_and_is_bounded(texts, draw, most):
+def test_summary_covers_all_its_filters_and_is_bounded(texts, draw, most):
     held, left = interest.CombinedInterest(), {}
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(interest, "MAX_BOXES", most)
@@ -103,9 +103,9 @@
             held.add(number, parse(text))
             left[number] = text
             if draw.random() < 0.3:
-                gone = draw.choice(sorted(left))
-                held.remove(gone)
-                del left[gone]
+                removed = draw.choice(sorted(left))
+                held.remove(removed)
+                del left[removed]
             if draw.random() < 0.2:
                 held.filters(narrow=draw.random() < 0.3)
             assert len(held._added) <= most
@@ -126,7 +126,7 @@
     st.randoms(use_true_random=False),
     st.sampled_from((2, 12, 192)),
 )
-def test_boxes_are_joined_into_few_that_hold_them_all(texts, most, room, draw, fine):
+def test_boxes_are_reduced_to_few_that_contain_them_all(texts, most, room, draw, fine):
     terms = [term for text in texts for term in normal(parse(text))]
     boxes = [cover.box(term) for term in terms]
     with pytest.MonkeyPatch.context() as patch:
@@ -141,7 +141,7 @@
                 assert match(cover.predicate(one), row) and any(match(wide, row) for wide in few)
 
 
-def test_a_summary_of_too_many_joins_the_most_alike_and_of_far_too_many_names_what_they_have_in_common(monkeypatch):
+def test_summary_of_many_filters_joins_similar_ones_and_of_too_many_keeps_what_they_have_in_common(monkeypatch):
     held = interest.CombinedInterest()
     for number in range(500):
         held.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {500 + number % 70}"))
@@ -153,14 +153,14 @@
     for number in range(500):
         if number % 7 == 3:
             held.remove(number)
-    wide = interest.parse_summary(held.filters())  # as filters went it may stay as it was, until it is made anew
+    wide = interest.parse_summary(held.filters())  # after removals it may stay wide until it is rebuilt
     assert match(wide, {"kind": "answer", "tenant": "t3", "ms": 600})
     assert not match(interest.parse_summary(held.filters(narrow=True)), {"kind": "answer", "tenant": "t3", "ms": 600})
     low, high, more = (cover.box(normal(parse(said))[0]) for said in ("ms < 5", "ms >= 40", "ms < 9"))
     assert cover.join(low, high) == frozenset() and cover.join(low, more) == cover.box(normal(parse("ms <= 9"))[0])
     monkeypatch.setattr(interest, "MAX_BOXES", 40)
     held = interest.CombinedInterest()
-    for number in range(100):  # what came since the last summary is bounded, whatever comes and goes
+    for number in range(100):  # the boxes added since the last summary are bounded
         held.add(number % 30, parse(f"kind = 'answer' AND tenant = 'a rather long name {number}'"))
         assert len(held._added) <= 40 and (number != 30 or held.filters())
     held = interest.CombinedInterest()
@@ -173,8 +173,8 @@
     assert held.filters() == ("TRUE",)
 
 
-@pytest.mark.parametrize("most", (1_024, 0))  # joined; by what all have in common
-def test_a_summary_keeps_its_bytes_and_a_filter_without_a_normal_form_is_all_of_it(most, monkeypatch):
+@pytest.mark.parametrize("most", (1_024, 0))  # reduced by joining; by what all have in common
+def test_summary_keeps_its_size_and_a_filter_without_a_normal_form_widens_it_to_all(most, monkeypatch):
     monkeypatch.setattr(interest, "MAX_BOXES", most)
     long = "t" * 40
     for count, each in ((3, 10), (20, 1), (1, 23), (2, 60)):
@@ -192,14 +192,14 @@
     assert held.filters() == ("TRUE",)
 
 
-def test_a_cursor_is_taken_whole_or_not_at_all():
+def test_cursor_round_trips_and_damaged_ones_are_rejected():
     at = {"c1": (17, 4), "c2": (18, 0)}
     text = cursor.encode("ms > 5", at)
     assert (cursor.decode(text).filter, cursor.decode(text).at) == ("ms > 5", at)
     raw = msgspec.msgpack.encode(cursor.Cursor(1, "TRUE", {"": (1, 2)}))
     other = cursor.base64.urlsafe_b64decode(text + "=" * (-len(text) % 4)).replace(b"ms > 5", b"ms > 4")
     for bad in (
-        cursor.base64.urlsafe_b64encode(other).decode(),  # well formed, and not what was given
+        cursor.base64.urlsafe_b64encode(other).decode(),  # well formed, but altered
         "",
         "é",
         text[:-1],
@@ -213,9 +213,9 @@
     assert cursor.encode("x" * (cursor.MAX_FILTER_CHARS + 1), {}) is None
 
 
-def test_what_is_no_message_is_refused_at_the_edge():
-    told = wire.published_event(5, schema.make(schema.MEMBER, 1.0, "c1", "alive"))[0]
-    good = wire.EventBatch(1, 0, 1, False, 4, 6, 500, False, (told,))
+def test_malformed_messages_are_rejected_by_the_decoder():
+    published = wire.published_event(5, schema.make(schema.MEMBER, 1.0, "c1", "alive"))[0]
+    good = wire.EventBatch(1, 0, 1, False, 4, 6, 500, False, (published,))
     assert wire.decode(wire.encode(good)) == good
     replace = msgspec.structs.replace
     for bad in (
@@ -223,10 +223,10 @@
         replace(good, lost=True),
         replace(good, after=5),
         replace(good, through=4),
-        replace(good, events=(told, told)),
-        replace(good, events=(replace(told, values=("c1",)),)),
-        replace(good, events=(replace(told, values=("c1", 5)),)),
-        replace(good, events=(replace(told, kind=9),)),
+        replace(good, events=(published, published)),
+        replace(good, events=(replace(published, values=("c1",)),)),
+        replace(good, events=(replace(published, values=("c1", 5)),)),
+        replace(good, events=(replace(published, kind=9),)),
         wire.StreamRequest(0, 1, 0, -2, ()),
         wire.StreamRequest(0, 1, 0, 0, ("x" * 300,) * 3),
         wire.EventAck(-1, 0, 0),
@@ -241,63 +241,64 @@
 # Backlogs.
 
 
-def test_the_smallest_backlog_goes_first_and_one_too_large_becomes_gaps():
+def test_smallest_backlog_is_written_first_and_a_full_one_becomes_gaps():
     fan = Fanout(max_backlog=8, max_total=20)
     for who in (1, 2, 3):
         fan.join(who)
 
-    def give(who: int, numbers, publisher="m"):
+    def enqueue(who: int, numbers, publisher="m"):
         for n in numbers:
             fan.offer(who, BacklogItem(publisher, (1, n), (1, n), b"%d" % n))
 
-    give(1, range(1, 8))
-    give(2, range(1, 3))
-    give(3, range(1, 6))
+    enqueue(1, range(1, 8))
+    enqueue(2, range(1, 3))
+    enqueue(3, range(1, 6))
     assert [(who, len(items)) for who, items in fan.next_batches({3}, 100)] == [(2, 2), (1, 7)]
     assert fan.has_more(set()) and not fan.has_more({3})
-    fan.offer(3, BacklogItem("n", (1, 9), None))  # silent from 9 on
-    give(3, range(6, 9))
+    fan.offer(3, BacklogItem("n", (1, 9), None))  # an open-ended gap from 9 on
+    enqueue(3, range(6, 9))
     assert fan.pending(3) == {"m": (1, 0), "n": (1, 8)}
     assert [items for _, items in fan.next_batches(set(), 100)] == [
         [BacklogItem("m", (1, 1), (1, 8)), BacklogItem("n", (1, 9), None)]
     ]
     fan.offer(3, BacklogItem("n", (1, 9), None))
-    fan.offer(3, BacklogItem("n", (1, 9), (1, 8)))  # and heard again
-    give(3, range(9, 17))
+    fan.offer(3, BacklogItem("n", (1, 9), (1, 8)))  # closed: the publisher is heard again
+    enqueue(3, range(9, 17))
     assert [items for _, items in fan.next_batches(set(), 100)] == [
         [BacklogItem("n", (1, 9), (1, 8)), BacklogItem("m", (1, 9), (1, 15)), BacklogItem("m", (1, 16), (1, 16), b"16")]
     ]
     for who in (1, 2, 3):
-        give(who, range(20, 27))  # 21 in all: one of the largest is cut
+        enqueue(who, range(20, 27))  # 21 in all: one of the largest becomes gaps
     assert fan.total == sum(map(len, fan.backlogs.values())) <= 20 and fan.overflows == 3
 
 
 # Streams.
 
 
-def pumped(publisher: EventPublisher, now: float) -> list[wire.Message]:
+def sent_by(publisher: EventPublisher, now: float) -> list[wire.Message]:
     publisher.tick(now)
     out, publisher.outbox[:] = [message for _, message in publisher.outbox], []
     return out
 
 
-def test_a_maker_forgets_the_oldest_says_so_and_takes_a_receiver_up_anywhere():
+def test_publisher_evicts_the_oldest_reports_them_lost_and_resumes_at_any_position():
     publisher = EventPublisher("m", 7, most=10)
     for _ in range(25):
         publisher.append(schema.make(schema.MEMBER, 1.0, "x", "alive"))
     publisher.on_message(0.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))
-    lost, rest = pumped(publisher, 0.0)
+    lost, rest = sent_by(publisher, 0.0)
     assert (lost.lost, lost.after, lost.through) == (True, 3, 15)
-    assert [told.number for told in rest.events] == list(range(16, 26)) and (rest.after, rest.through) == (15, 25)
-    publisher.on_message(
-        1.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",))
-    )  # doubled: nothing begins anew, it is answered
-    assert [(d.after, d.through) for d in pumped(publisher, 1.0)] == [(25, 25)]
+    assert [published.number for published in rest.events] == list(range(16, 26)) and (rest.after, rest.through) == (
+        15,
+        25,
+    )
+    publisher.on_message(1.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))  # duplicate: answered, not restarted
+    assert [(d.after, d.through) for d in sent_by(publisher, 1.0)] == [(25, 25)]
     publisher.on_message(2.0, "r", 1, wire.StreamRequest(0, 2, 6, 3, ("TRUE",)))  # a position of an earlier process
     assert publisher.outbox.pop() == ("r", wire.UnknownStream(0, 2))
-    publisher.on_message(3.0, "r", 1, wire.EventAck(5, 9, 3))  # a stream that it does not have
+    publisher.on_message(3.0, "r", 1, wire.EventAck(5, 9, 3))  # an unknown stream
     assert publisher.outbox.pop() == ("r", wire.UnknownStream(5, 9))
-    publisher.on_message(3.0, "r", 1, wire.EventAck(0, 1, 99))  # more than was ever sent
+    publisher.on_message(3.0, "r", 1, wire.EventAck(0, 1, 99))  # more than was sent
     assert publisher.streams["r", 0].acked == 3
     for sid in range(1, 200):
         publisher.on_message(4.0, "r", 1, wire.StreamRequest(sid, 1, 7, 3, ("TRUE",)))
@@ -308,12 +309,12 @@
     assert not publisher.streams
 
 
-def test_a_maker_matches_in_slices_and_finds_by_index_what_a_scan_finds():
+def test_publisher_matches_bounded_slices_and_the_index_agrees_with_a_scan():
     draw = random.Random(3)
     publisher = EventPublisher("m", 7, slice_=10)
     for number, text in enumerate(FILTERS):
         publisher.on_message(0.0, f"r{number}", 1, wire.StreamRequest(0, 1, 0, wire.HEAD, (text,)))
-    pumped(publisher, 0.0)
+    sent_by(publisher, 0.0)
     events = [event(draw) for _ in range(95)]
     for one in events:
         publisher.append(one)
@@ -322,18 +323,18 @@
         pass
     for number, text in enumerate(FILTERS):
         wanted = [n for n, one in enumerate(events, 1) if match(parse(text), schema.row("m", one))]
-        told = [t.number for who, d in publisher.outbox if who == f"r{number}" for t in d.events]
-        assert told == wanted[: len(told)] and (
-            len(told) == len(wanted) or publisher.streams[f"r{number}", 0].in_flight
+        published = [t.number for who, d in publisher.outbox if who == f"r{number}" for t in d.events]
+        assert published == wanted[: len(published)] and (
+            len(published) == len(wanted) or publisher.streams[f"r{number}", 0].in_flight
         )
 
 
-def test_a_maker_sends_whole_messages_again_until_they_are_acknowledged():
+def test_publisher_resends_messages_until_they_are_acknowledged():
     publisher = EventPublisher("m", 7, slice_=10)
     for n in range(60):
         publisher.append(schema.make(schema.ANSWER, 1.0, *["x" * 64, "y" * 64, n, "z" * 64, "e" * 64, "http", n]))
     got, now = [], 0.0
-    for who in "rs":  # the second wants old ones when the first has caught up
+    for who in "rs":  # the second requests old events after the first has caught up
         publisher.on_message(now, who, 1, wire.StreamRequest(0, 1, 7, 0, ("ms >= 7",)))
         at, again = 0, 0
         while at < 60:
@@ -344,14 +345,14 @@
             sent, publisher.outbox[:] = [m for w, m in publisher.outbox if w == who], []
             for message in sent:
                 assert message.after == at and len(wire.encode(message)) <= wire.MAX_MESSAGE_BYTES
-                got += [told.number for told in message.events]
+                got += [published.number for published in message.events]
                 at = message.through
-            if not again:  # none of them came: after a while they go again
+            if not again:  # all lost: resent after the timeout
                 assert len(sent) == stream.MIN_WINDOW
-                assert pumped(publisher, now + stream.RESEND_MS - 9.0) == []
+                assert sent_by(publisher, now + stream.RESEND_MS - 9.0) == []
                 now += stream.RESEND_MS
                 assert [
-                    m.after for m in pumped(publisher, now) if isinstance(m, wire.EventBatch) and m.receiver_epoch == 1
+                    m.after for m in sent_by(publisher, now) if isinstance(m, wire.EventBatch) and m.receiver_epoch == 1
                 ][0] == 0
                 again = 1
             publisher.on_message(now, who, 1, wire.EventAck(0, 1, at))
@@ -359,12 +360,12 @@
 
 
 def data(after, through, *numbers, version=1, receiver_epoch=1, start=False, lost=False):
-    told = tuple(wire.published_event(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
-    return wire.EventBatch(receiver_epoch, 0, version, start, after, through, 500, lost, told)
+    published = tuple(wire.published_event(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
+    return wire.EventBatch(receiver_epoch, 0, version, start, after, through, 500, lost, published)
 
 
-def test_a_receiver_takes_what_follows_and_nothing_else():
-    def heard(*messages):
+def test_receiver_accepts_only_what_continues_its_position():
+    def received(*messages):
         out = []
         for message in messages:
             if inbound.accept(5.0, message):
@@ -372,24 +373,25 @@
         return out
 
     inbound = stream.InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
-    assert heard(data(9, 9)) == [] and inbound.position is None and not inbound.confirmed  # not where it begins
-    assert heard(data(4, 6, 5, start=True, receiver_epoch=2), data(4, 6, 5, start=True, version=0)) == []
-    assert heard(data(4, 6, 5, start=True)) == [5] and inbound.position == 6
-    assert heard(data(4, 6, 5, start=True), data(5, 9, 6, 8)) == [8]  # doubled; cut otherwise the second time
-    assert heard(data(11, 14, 12), data(14, 15, 15)) == [] and inbound.position == 9  # one is missing
-    assert heard(data(9, 11, 10)) == [10, 12, 15] and inbound.missing_since is None
-    assert heard(data(13, 20, lost=True)) == [(16, 20)]
+    assert received(data(9, 9)) == [] and inbound.position is None and not inbound.confirmed  # not the stream's start
+    assert received(data(4, 6, 5, start=True, receiver_epoch=2), data(4, 6, 5, start=True, version=0)) == []
+    assert received(data(4, 6, 5, start=True)) == [5] and inbound.position == 6
+    assert received(data(4, 6, 5, start=True), data(5, 9, 6, 8)) == [8]  # duplicate; then split differently
+    assert received(data(11, 14, 12), data(14, 15, 15)) == [] and inbound.position == 9  # a batch is missing
+    assert received(data(9, 11, 10)) == [10, 12, 15] and inbound.missing_since is None
+    assert received(data(13, 20, lost=True)) == [(16, 20)]
     assert (
-        heard(*(data(n, n + 1) for n in range(30, 99))) == [] and len(inbound.buffered) == stream.MAX_BUFFERED_MESSAGES
+        received(*(data(n, n + 1) for n in range(30, 99))) == []
+        and len(inbound.buffered) == stream.MAX_BUFFERED_MESSAGES
     )
     assert inbound.stalled(5.0 + stream.STALL_TIMEOUT_MS) and not inbound.stalled(5.0)
     inbound.restart(6.0, 2, ("TRUE",))
-    assert heard(data(20, 21, 21)) == [] and inbound.tick(6.0) == wire.StreamRequest(0, 2, 7, 20, ("TRUE",))
-    assert heard(data(20, 21, 21, version=2)) == [21]
+    assert received(data(20, 21, 21)) == [] and inbound.tick(6.0) == wire.StreamRequest(0, 2, 7, 20, ("TRUE",))
+    assert received(data(20, 21, 21, version=2)) == [21]
 
 
 class Pair:
-    """A hub with subscribers, and makers that the test plays by hand."""
+    """A hub with subscribers, and publishers whose messages the test writes."""
 
     def __init__(self, expected=(), **alive):
         self.now, self.alive = 0.0, alive
@@ -397,28 +399,30 @@
         self.subs.expected = frozenset(expected)
         self.subs.members(0.0, alive)
 
-    def go(self, ms=60.0):
-        """Time passes; what was sent, by whom it is for."""
+    def advance(self, ms=60.0):
+        """Let time pass; return the messages sent, with their receivers."""
         self.now += ms
         self.subs.members(self.now, self.alive)
         self.subs.tick(self.now)
         out, self.subs.outbox[:] = list(self.subs.outbox), []
         return out
 
-    def wants(self, publisher, ms=60.0):
-        return [m for who, m in self.go(ms) if who == publisher and isinstance(m, wire.StreamRequest)][-1]
+    def last_request(self, publisher, ms=60.0):
+        return [m for who, m in self.advance(ms) if who == publisher and isinstance(m, wire.StreamRequest)][-1]
 
-    def say(self, publisher, want, after, through, *numbers, start=False, lost=False, epoch=None):
-        told = tuple(wire.published_event(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers)
+    def deliver(self, publisher, want, after, through, *numbers, start=False, lost=False, epoch=None):
+        published = tuple(
+            wire.published_event(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers
+        )
         self.subs.on_message(
             self.now,
             publisher,
             epoch or self.alive[publisher],
-            wire.EventBatch(1, want.sid, want.version, start, after, through, 500, lost, told),
+            wire.EventBatch(1, want.sid, want.version, start, after, through, 500, lost, published),
         )
 
-    def told(self, number):
-        """What waits for a subscriber: numbers of events, gaps as (maker, from, to)."""
+    def drain(self, number):
+        """Drain a subscriber's backlog: numbers of events, gaps as (publisher, from, to)."""
         out = [i.first[1] if i.line else (i.publisher, i.first, i.last) for i in self.subs.fanout.backlogs[number]]
         self.subs.fanout.backlogs[number].clear()
         return out
@@ -427,198 +431,200 @@
         return self.subs.subscriptions[number].acknowledged
 
 
-def test_a_subscription_is_acknowledged_once_all_who_live_have_confirmed_and_silence_is_told():
+def test_subscription_is_acknowledged_after_all_live_members_confirmed_and_silence_is_a_gap():
     pair = Pair(expected=("c", "d"), a=5, b=6)
     one = pair.subs.subscribe(0.0, "kind = 'member'")
-    wants = {publisher: pair.wants(publisher) for publisher in ("a",)}
+    wants = {publisher: pair.last_request(publisher) for publisher in ("a",)}
     assert wants["a"].after == wire.HEAD and wants["a"].filters == ("kind = 'member'",)
-    pair.say("a", wants["a"], 10, 10, start=True)
-    pair.go()
-    assert not pair.acked(one)  # b has not
-    pair.go(3_000.0)
-    assert pair.acked(one) and pair.told(one) == [("b", (0, 1), None), ("c", (0, 1), None), ("d", (0, 1), None)]
-    want = pair.wants("b", 2_000.0)
-    pair.say("b", want, 40, 40, start=True)  # heard at last: the gap ends where its stream begins
-    assert [gap for gap in pair.told(one) if gap[0] == "b"] == [("b", (0, 1), (6, 40))]
-    pair.say("b", want, 40, 42, 41, 42)
-    pair.say("b", want, 42, 50, lost=True)  # it had no room for more
-    assert pair.told(one) == [41, 42, ("b", (6, 43), (6, 50))]
-    pair.alive["c"] = 9  # seen for the first time: all since its start is meant
-    want = pair.wants("c")
+    pair.deliver("a", wants["a"], 10, 10, start=True)
+    pair.advance()
+    assert not pair.acked(one)  # b has not confirmed
+    pair.advance(3_000.0)
+    assert pair.acked(one) and pair.drain(one) == [("b", (0, 1), None), ("c", (0, 1), None), ("d", (0, 1), None)]
+    want = pair.last_request("b", 2_000.0)
+    pair.deliver("b", want, 40, 40, start=True)  # heard for the first time: the gap ends where its stream starts
+    assert [gap for gap in pair.drain(one) if gap[0] == "b"] == [("b", (0, 1), (6, 40))]
+    pair.deliver("b", want, 40, 42, 41, 42)
+    pair.deliver("b", want, 42, 50, lost=True)  # the publisher evicted these
+    assert pair.drain(one) == [41, 42, ("b", (6, 43), (6, 50))]
+    pair.alive["c"] = 9  # new member: all events since its start are requested
+    want = pair.last_request("c")
     assert (want.epoch, want.after) == (9, 0)
-    assert cursor.decode(pair.subs.cursor(one)).at["c"] == (0, 0)  # never past a gap without an end
-    pair.say("c", want, 0, 3, 2)
-    assert pair.told(one) == [("c", (0, 1), (9, 0)), 2]
+    assert cursor.decode(pair.subs.cursor(one)).at["c"] == (0, 0)  # never past an open-ended gap
+    pair.deliver("c", want, 0, 3, 2)
+    assert pair.drain(one) == [("c", (0, 1), (9, 0)), 2]
     for _ in range(5):
-        pair.go(500.0)
-    assert ("c", (9, 4), None) in pair.told(one)  # silent
-    pair.say("c", want, 3, 5, 5)
-    assert pair.told(one) == [("c", (9, 4), (9, 3)), 5]  # nothing was lost
-    pair.alive["c"] = 11  # another process
-    want = pair.wants("c")
-    assert pair.told(one)[-1:] == [("c", (9, 6), (11, 0))] and (want.epoch, want.after) == (11, 0)
-    pair.say("c", want, 0, 2, 1, epoch=9)
-    assert pair.told(one) == []  # of the earlier process
+        pair.advance(500.0)
+    assert ("c", (9, 4), None) in pair.drain(one)  # silent
+    pair.deliver("c", want, 3, 5, 5)
+    assert pair.drain(one) == [("c", (9, 4), (9, 3)), 5]  # no event was lost
+    pair.alive["c"] = 11  # restarted
+    want = pair.last_request("c")
+    assert pair.drain(one)[-1:] == [("c", (9, 6), (11, 0))] and (want.epoch, want.after) == (11, 0)
+    pair.deliver("c", want, 0, 2, 1, epoch=9)
+    assert pair.drain(one) == []  # of the earlier process
     del pair.alive["c"]
-    pair.go()
-    assert pair.told(one) == [("c", (11, 1), None)]
+    pair.advance()
+    assert pair.drain(one) == [("c", (11, 1), None)]
 
 
-def test_a_wider_interest_is_wanted_from_where_the_stream_stands_and_what_is_under_way_is_not_taken():
+def test_wider_filters_are_requested_from_the_position_and_batches_of_the_old_request_are_ignored():
     pair = Pair(a=5)
     one = pair.subs.subscribe(0.0, "kind = 'member' AND member = 'x1'")
-    first = pair.wants("a")
-    pair.say("a", first, 10, 12, start=True)
-    pair.go()
+    first = pair.last_request("a")
+    pair.deliver("a", first, 10, 12, start=True)
+    pair.advance()
     other = pair.subs.subscribe(pair.now, "kind = 'member'")
-    second = pair.wants("a")
+    second = pair.last_request("a")
     assert (second.after, second.version > first.version, second.filters) == (12, True, ("kind = 'member'",))
-    pair.say("a", first, 12, 20)  # by the narrower one nothing was wanted of these
-    pair.go()
+    pair.deliver("a", first, 12, 20)  # none of these matched the narrower filters
+    pair.advance()
     assert not pair.acked(other) and pair.subs.live["a"].position == 12
-    pair.say("a", second, 12, 20, 13, 20)
-    pair.go()
-    assert pair.acked(one) and pair.acked(other) and (pair.told(one), pair.told(other)) == ([], [13, 20])
-    pair.subs.on_message(pair.now, "a", 5, wire.UnknownStream(0, second.version))  # the maker has forgotten the stream
-    assert pair.wants("a").after == 20
+    pair.deliver("a", second, 12, 20, 13, 20)
+    pair.advance()
+    assert pair.acked(one) and pair.acked(other) and (pair.drain(one), pair.drain(other)) == ([], [13, 20])
+    pair.subs.on_message(pair.now, "a", 5, wire.UnknownStream(0, second.version))  # the stream was dropped
+    assert pair.last_request("a").after == 20
 
 
-def test_a_resumed_one_replays_what_it_lacks_and_skips_what_it_knows():
+def test_resumed_subscription_replays_what_it_missed_and_skips_what_it_was_sent():
     pair = Pair(a=5, b=6, c=7)
     one = pair.subs.subscribe(0.0, "TRUE")
-    wants = {who: m for who, m in pair.go() if isinstance(m, wire.StreamRequest)}
+    wants = {who: m for who, m in pair.advance() if isinstance(m, wire.StreamRequest)}
     for publisher in "abc":
-        pair.say(publisher, wants[publisher], 10, 20, start=True)
-    pair.go()
+        pair.deliver(publisher, wants[publisher], 10, 20, start=True)
+    pair.advance()
     at = {"a": (5, 14), "b": (6, 23), "c": (4, 99), "z": (3, 8)}
     two = pair.subs.resume(pair.now, cursor.encode("kind = 'member'", at))
-    replay = {who: m for who, m in pair.go() if isinstance(m, wire.StreamRequest)}
+    replay = {who: m for who, m in pair.advance() if isinstance(m, wire.StreamRequest)}
     assert {who: (m.epoch, m.after) for who, m in replay.items()} == {"a": (5, 14), "c": (7, 0)}
-    assert pair.acked(two) and pair.told(two) == [("c", (4, 100), (7, 0)), ("z", (3, 9), None)]
+    assert pair.acked(two) and pair.drain(two) == [("c", (4, 100), (7, 0)), ("z", (3, 9), None)]
     assert cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 14), "b": (6, 23), "c": (7, 0), "z": (3, 8)}
     for publisher in "abc":
-        pair.say(publisher, wants[publisher], 20, 24, 22, 24)
-    assert pair.told(two) == [24] and pair.told(one) == [22, 24] * 3  # b's; a's and c's come by the replay
-    pair.say("a", replay["a"], 14, 16, lost=True)
-    pair.say("a", replay["a"], 16, 22, 18, 22)
+        pair.deliver(publisher, wants[publisher], 20, 24, 22, 24)
+    assert pair.drain(two) == [24] and pair.drain(one) == [22, 24] * 3  # b's; a's and c's come from their replays
+    pair.deliver("a", replay["a"], 14, 16, lost=True)
+    pair.deliver("a", replay["a"], 16, 22, 18, 22)
     assert pair.subs.subscriptions[two].replays.keys() == {"a", "c"}
-    assert pair.told(two) == [("a", (5, 15), (5, 16)), 18, 22]
-    pair.say("a", replay["a"], 22, 26, 24, 25)  # past the live stream: it ends, and that goes on
+    assert pair.drain(two) == [("a", (5, 15), (5, 16)), 18, 22]
+    pair.deliver("a", replay["a"], 22, 26, 24, 25)  # past the live stream: the replay ends, the live stream continues
     assert pair.subs.subscriptions[two].replays.keys() == {"c"}
-    pair.say("a", wants["a"], 24, 28, 25, 27)
-    assert pair.told(two) == [24, 25, 27]
+    pair.deliver("a", wants["a"], 24, 28, 25, 27)
+    assert pair.drain(two) == [24, 25, 27]
     for _ in range(25):
-        pair.go(500.0)
-        pair.say("c", wants["c"], 24, 25)
-    assert ("c", (7, 1), (7, 25)) in pair.told(two)  # the maker never answered for the replay
+        pair.advance(500.0)
+        pair.deliver("c", wants["c"], 24, 25)
+    assert ("c", (7, 1), (7, 25)) in pair.drain(two)  # the publisher never answered the replay's request
     pair.subs.fanout.offer(two, BacklogItem("a", (5, 29), (5, 29), b"x"))
     assert cursor.decode(pair.subs.cursor(two)).at["a"] == (5, 28)
 
 
-def test_one_that_comes_back_unknown_to_a_maker_is_given_all_that_it_has():
+def test_resume_without_a_position_at_a_publisher_replays_from_its_start():
     pair = Pair(a=5)
     pair.subs.subscribe(0.0, "TRUE")
-    want = pair.wants("a")
-    pair.say("a", want, 10, 20, start=True)
-    pair.go()
+    want = pair.last_request("a")
+    pair.deliver("a", want, 10, 20, start=True)
+    pair.advance()
     two = pair.subs.resume(pair.now, cursor.encode("TRUE", {}))
-    replay = pair.wants("a")
+    replay = pair.last_request("a")
     assert (replay.epoch, replay.after) == (5, 0)
-    assert pair.told(two) == [("a", (0, 1), (5, 0))]  # whatever earlier processes of it have made
+    assert pair.drain(two) == [("a", (0, 1), (5, 0))]  # events of its earlier processes
     pair.alive["b"] = 6
-    pair.go()
+    pair.advance()
     assert cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 0), "b": (6, 0)}
 
 
-def test_a_cursor_is_behind_what_waits_and_ahead_of_an_earlier_process_and_who_is_silent_is_told_at_once():
+def test_cursor_is_before_queued_items_and_after_an_earlier_process_and_silence_is_reported_at_once():
     pair = Pair(a=5)
     one = pair.subs.subscribe(0.0, "TRUE")
-    want = pair.wants("a")
-    pair.say("a", want, 10, 10, start=True)
-    pair.go()
-    pair.say("a", want, 10, 20, 13, 15)
-    assert cursor.decode(pair.subs.cursor(one)).at == {"a": (5, 12)}  # 13 and 15 wait
+    want = pair.last_request("a")
+    pair.deliver("a", want, 10, 10, start=True)
+    pair.advance()
+    pair.deliver("a", want, 10, 20, 13, 15)
+    assert cursor.decode(pair.subs.cursor(one)).at == {"a": (5, 12)}  # 13 and 15 are queued
     later = pair.subs.resume(pair.now, cursor.encode("TRUE", {"a": (7, 3)}))
-    pair.go()
-    pair.say("a", want, 20, 24, 22)  # of a process that is older than what it was told of
-    assert pair.told(later) == [] and cursor.decode(pair.subs.cursor(later)).at == {"a": (7, 3)}
-    assert pair.told(one) == [13, 15, 22]
+    pair.advance()
+    pair.deliver("a", want, 20, 24, 22)  # of a process older than the cursor's
+    assert pair.drain(later) == [] and cursor.decode(pair.subs.cursor(later)).at == {"a": (7, 3)}
+    assert pair.drain(one) == [13, 15, 22]
     pair.alive.clear()
-    pair.go()
+    pair.advance()
     new = pair.subs.subscribe(pair.now, "kind = 'member'")
-    pair.go()
-    assert pair.acked(new) and pair.told(new) == [("a", (5, 25), None)]
+    pair.advance()
+    assert pair.acked(new) and pair.drain(new) == [("a", (5, 25), None)]
 
 
-def test_a_maker_met_before_the_acknowledgement_is_replayed_from_its_start_for_a_cursor_without_it():
+def test_publisher_joining_before_the_acknowledgement_is_replayed_from_its_start_for_a_cursor_without_it():
     pair = Pair(a=5)
     pair.subs.resume(0.0, cursor.encode("TRUE", {"a": (5, 10)}))
-    first = pair.wants("a")
+    first = pair.last_request("a")
     pair.alive["b"] = 6
-    met = pair.wants("b")
+    met = pair.last_request("b")
     assert met.after == wire.HEAD
-    pair.say("b", met, 10, 10, start=True)
-    assert [(m.after, m.epoch) for who, m in pair.go() if who == "b" and isinstance(m, wire.StreamRequest)] == [(0, 6)]
-    pair.say("a", first, 10, 10, start=True)
+    pair.deliver("b", met, 10, 10, start=True)
+    assert [(m.after, m.epoch) for to, m in pair.advance() if to == "b" and isinstance(m, wire.StreamRequest)] == [
+        (0, 6)
+    ]
+    pair.deliver("a", first, 10, 10, start=True)
 
 
-def test_a_replay_goes_on_until_the_live_stream_sends_what_is_wanted_now():
+def test_replay_continues_until_the_live_stream_confirms_the_current_filters():
     pair = Pair(a=5)
     pair.subs.subscribe(0.0, "kind = 'member'")
-    want = pair.wants("a")
-    pair.say("a", want, 10, 20, start=True)
+    want = pair.last_request("a")
+    pair.deliver("a", want, 10, 20, start=True)
     two = pair.subs.resume(pair.now, cursor.encode("kind = 'member'", {"a": (5, 14)}))
-    replay = pair.wants("a")
+    replay = pair.last_request("a")
     pair.subs.subscribe(pair.now, "TRUE")
-    wider = pair.wants("a")
+    wider = pair.last_request("a")
     assert wider.sid == want.sid and wider.version > want.version
-    pair.say("a", replay, 14, 22, 15, 21)
-    pair.say("a", replay, 22, 26, 25)  # the live stream has yet to confirm: nothing is held up by that
-    assert pair.told(two) == [15, 21, 25]
-    pair.say("a", wider, 20, 24, 21, 23)
-    pair.say("a", wider, 24, 28, 25, 27)
-    assert pair.told(two) == [27] and not pair.subs.replays
+    pair.deliver("a", replay, 14, 22, 15, 21)
+    pair.deliver("a", replay, 22, 26, 25)  # the live stream has not confirmed yet; the replay is not delayed
+    assert pair.drain(two) == [15, 21, 25]
+    pair.deliver("a", wider, 20, 24, 21, 23)
+    pair.deliver("a", wider, 24, 28, 25, 27)
+    assert pair.drain(two) == [27] and not pair.subs.replays
 
 
-def test_a_replay_tells_nothing_while_a_gap_without_an_end_stands():
+def test_replay_delivers_nothing_during_an_open_ended_gap():
     pair = Pair(a=5)
     pair.subs.subscribe(0.0, "TRUE")
-    want = pair.wants("a")
-    pair.say("a", want, 10, 20, start=True)
+    want = pair.last_request("a")
+    pair.deliver("a", want, 10, 20, start=True)
     two = pair.subs.resume(pair.now, cursor.encode("TRUE", {"a": (5, 14)}))
-    replay = pair.wants("a")
-    pair.alive.clear()  # called dead, and heard by the replay before the live stream is
-    pair.go()
+    replay = pair.last_request("a")
+    pair.alive.clear()  # declared dead; then the replay receives before the live stream does
+    pair.advance()
     pair.alive["a"] = 5
-    pair.say("a", replay, 14, 18, 15, 17)
-    assert pair.told(two) == [("a", (5, 15), None)] and cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 14)}
-    for _ in range(22):  # longer than a replay may stand still
-        pair.go(500.0)
-        pair.say("a", replay, 14, 18, 15, 17)
-    pair.say("a", want, 20, 21)
-    pair.go()
-    pair.say("a", replay, 14, 22, 15, 17)
-    assert pair.told(two) == [("a", (5, 15), (5, 14)), 15, 17] and not pair.subs.replays
-
-
-def test_who_was_stopped_itself_calls_nobody_silent():
+    pair.deliver("a", replay, 14, 18, 15, 17)
+    assert pair.drain(two) == [("a", (5, 15), None)] and cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 14)}
+    for _ in range(22):  # longer than the stall timeout of replays
+        pair.advance(500.0)
+        pair.deliver("a", replay, 14, 18, 15, 17)
+    pair.deliver("a", want, 20, 21)
+    pair.advance()
+    pair.deliver("a", replay, 14, 22, 15, 17)
+    assert pair.drain(two) == [("a", (5, 15), (5, 14)), 15, 17] and not pair.subs.replays
+
+
+def test_process_that_was_paused_itself_reports_no_silence():
     pair = Pair(a=5)
     one = pair.subs.subscribe(0.0, "TRUE")
-    pair.say("a", pair.wants("a"), 0, 0, start=True)
-    pair.go()
-    pair.told(one)
-    pair.go(60_000.0)
-    assert pair.told(one) == [] and not pair.subs.live["a"].silent
+    pair.deliver("a", pair.last_request("a"), 0, 0, start=True)
+    pair.advance()
+    pair.drain(one)
+    pair.advance(60_000.0)
+    assert pair.drain(one) == [] and not pair.subs.live["a"].silent
 
 
 class Fleet(RuleBasedStateMachine):
-    """Three hubs, subscribers of two filters that move, and a network that loses, doubles, reorders and cuts."""
+    """Three hubs, two moving subscribers, and a network that loses, duplicates, delays and partitions."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.now, self.lives, self.sent = 0.0, 0, 0
+        self.now, self.starts, self.sent = 0.0, 0, 0
         self.draw = random.Random(5)
-        self.net: list[tuple[int, int, tuple[str, int, wire.Message]]] = []  # from, to, what
+        self.net: list[tuple[int, int, tuple[str, int, wire.Message]]] = []  # from, to, message
         self.cut: set[int] = set()
         self.asleep: set[int] = set()
         self.hubs: list[SubscriptionHub | None] = [None] * 3
@@ -630,10 +636,10 @@
 
     def start(self, n):
         if self.hubs[n] is None:
-            self.lives += 1
-            self.hubs[n] = SubscriptionHub(f"h{n}", 100 + self.lives, self.now, ring=24, fanout=Fanout(6, 40))
+            self.starts += 1
+            self.hubs[n] = SubscriptionHub(f"h{n}", 100 + self.starts, self.now, ring=24, fanout=Fanout(6, 40))
             self.hubs[n].subscribers.expected = frozenset(f"h{m}" for m in range(3) if m != n)
-            self.judge.made[f"h{n}", 100 + self.lives] = []
+            self.judge.made[f"h{n}", 100 + self.starts] = []
             self.believe()
 
     @rule(n=st.integers(0, 2))
@@ -695,11 +701,11 @@
         keep=st.booleans(),
         turns=st.integers(1, 8),
     )
-    def go_on(self, fates, ms, makes, keep, turns):
-        """Subscribers that have no coordinator find one, events are made, time passes, and what came is read."""
+    def run_steps(self, fates, ms, makes, keep, turns):
+        """Reconnect subscribers, publish events, let time pass, and read what was written."""
         for client in self.judge.clients:
             if client.hub is None:
-                self.move(client.number, (client.number + self.lives) % 3)
+                self.move(client.number, (client.number + self.starts) % 3)
         for _ in range(turns):
             for n, count in enumerate(makes):
                 self.make(n % 3, count)
@@ -715,26 +721,26 @@
                 hub.make(one)
 
     def deliver(self, fates, ms):
-        """Time passes, all are due, and messages have their fates."""
+        """Let time pass, tick all hubs, and deliver messages by their fates."""
         self.now += ms
         for n, hub in enumerate(self.hubs):
             if hub is not None and n not in self.asleep:
                 self.net += [(n, int(to[1]), (hub.name, hub.epoch, message)) for to, message in hub.tick(self.now)]
         coming, self.net = deque(self.net), []
         for _ in range(len(coming)):
-            source, target, what = coming.popleft()
+            source, target, envelope = coming.popleft()
             self.sent += 1
             fate = fates[self.sent % len(fates)]
             if fate == "late" or target in self.asleep:
-                self.net.append((source, target, what))
+                self.net.append((source, target, envelope))
             elif fate != "lost" and not {source, target} & self.cut and (hub := self.hubs[target]) is not None:
                 for _ in range(1 + (fate == "twice")):
-                    hub.on_message(self.now, what[0], what[1], wire.decode(wire.encode(what[2])))
+                    hub.on_message(self.now, envelope[0], envelope[1], wire.decode(wire.encode(envelope[2])))
         del self.net[:-200]
 
     @invariant()
-    def nothing_is_repeated_foreign_or_out_of_order(self):
-        if self.lives and any(client.events for client in self.judge.clients):
+    def no_event_is_repeated_foreign_or_out_of_order(self):
+        if self.starts and any(client.events for client in self.judge.clients):
             found = self.found()
             assert not (found["repeated"] or found["foreign"] or found["disordered"]), found
 
@@ -745,7 +751,7 @@
         return lab.measure(self.judge)
 
     def teardown(self):
-        """All heals: what is not told as a gap then is there, and no gap stays open."""
+        """Heal the network: every event is then delivered or within a closed gap."""
         self.cut, self.asleep = set(), set()
         for n in range(3):
             self.start(n)
@@ -760,10 +766,10 @@
             self.read(1)
         found = self.found()
         assert not (found["lost_silently"] or found["gaps_open"] or found["never_acknowledged"]), found
-        self.nothing_is_repeated_foreign_or_out_of_order()
+        self.no_event_is_repeated_foreign_or_out_of_order()
 
 
-def test_nothing_is_lost_unsaid_whatever_the_network_does():
+def test_no_event_is_lost_without_a_gap_under_network_faults():
     run_state_machine_as_test(
         seed(11)(Fleet),
         settings=settings(
@@ -777,7 +783,7 @@
 
 
 @pytest.mark.parametrize("number,nodes,ring", [(3, 3, 200), (12, 5, 2_000), (24, 7, 200)])
-def test_the_lab_finds_nothing_lost_unsaid_repeated_or_foreign(number, nodes, ring):
+def test_simulation_finds_no_unreported_loss_repetition_or_foreign_event(number, nodes, ring):
     run = lab.play(nodes, number, None, 8.0, ring=ring, rate=10.0, move_s=2.0)
     found = lab.measure(run)
     assert not any(found[key] for key in ("lost_silently", "repeated", "foreign", "disordered", "never_acknowledged"))
--- a/tests/test_subscriptions_model.py
+++ b/tests/test_subscriptions_model.py
@@ -1,5 +1,5 @@
-"""Every order of steps of one stream: its maker may crash and forget, its receiver wants it anew, messages come late,
-come twice or get lost."""
+"""Explores all interleavings of one stream: the publisher may crash or drop the stream, the receiver may request it
+again, and messages may be delayed, duplicated or lost."""
 
 import dataclasses
 from collections import Counter, deque
@@ -11,11 +11,11 @@
 from frostspindle.subscriptions.stream import EventPublisher, InboundStream
 
 EVENT = schema.make(schema.MEMBER, 1.0, "x", "alive")
-LONG = -1e9  # ago: whatever waits is due
+PAST = -1e9  # in the past: every timer is due
 
 
-class All:
-    """In place of the index: each stream wants all."""
+class MatchAll:
+    """Replaces the index: each stream matches all events."""
 
     def find(self, row):
         return [("r", 0, 0)]
@@ -30,10 +30,10 @@
 class Model:
     def __init__(self):
         self.publisher = EventPublisher("m", 7, most=1)
-        self.publisher._index = All()
+        self.publisher._index = MatchAll()
         self.inbound = InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
-        self.net = ()  # ("m", 0, message) to the maker, ("r", its epoch, message) to the receiver
-        self.told, self.gaps, self.begin = (), (), None
+        self.net = ()  # ("m", 0, message) to the publisher, ("r", its epoch, message) to the receiver
+        self.received, self.gaps, self.begin = (), (), None
         self.left = {"make": 3, "crash": 1, "forget": 1, "widen": 1}
         self.made = {7: 0, 8: 0}
 
@@ -52,8 +52,8 @@
                 in_flight=deque(s.in_flight),
                 window=4,
                 heard_at=0.0,
-                progress_at=LONG,
-                heartbeat_at=LONG,
+                progress_at=PAST,
+                heartbeat_at=PAST,
                 resend_after_ms=1.0,
             )
             for key, s in self.publisher.streams.items()
@@ -79,29 +79,29 @@
             i.missing_since,
             tuple(sorted(i.buffered)),
             tuple(sorted(map(repr, self.net))),
-            self.told,
+            self.received,
             self.gaps,
             self.begin,
             tuple(self.left.values()),
         )
 
     def send(self, *messages):
-        self.net = (*self.net, *messages)[:2]  # beyond: lost
+        self.net = (*self.net, *messages)[:2]  # further messages are lost
 
     def tick_maker(self):
         self.publisher.tick(0.0)
         self.send(*(("r", self.publisher.epoch, m) for _, m in self.publisher.outbox))
 
     def tick_receiver(self):
-        self.inbound.request_at = LONG
+        self.inbound.request_at = PAST
         self.send(("m", 0, self.inbound.tick(0.0)))
 
-    def come(self, to, epoch, message):
+    def deliver(self, to, epoch, message):
         i = self.inbound
         if to == "m":
             self.publisher.on_message(0.0, "r", 1, message)
             self.send(*(("r", self.publisher.epoch, m) for _, m in self.publisher.outbox))
-        elif epoch > i.epoch:  # as Subscribers does it: what the earlier process still had is a gap
+        elif epoch > i.epoch:  # as SubscriberTable does: the earlier process's remaining events are a gap
             if i.position is not None:
                 self.gaps += (((i.epoch, i.position + 1), (epoch, 0)),)
             i.epoch, i.position = epoch, None if i.position is None else 0
@@ -116,7 +116,7 @@
                 if event is None:
                     self.gaps += (((epoch, first), (epoch, last)),)
                 else:
-                    self.told += ((epoch, first),)
+                    self.received += ((epoch, first),)
 
 
 def steps(s):
@@ -137,7 +137,7 @@
         def crash(o):
             o.left["crash"] = 0
             o.publisher = EventPublisher("m", 8, most=1)
-            o.publisher._index = All()
+            o.publisher._index = MatchAll()
 
         yield after("crash", crash)
     if s.left["forget"] and s.publisher.streams:
@@ -162,29 +162,29 @@
 
         def come(o, n=n, message=message):
             o.net = o.net[:n] + o.net[n + 1 :]
-            o.come(*message)
+            o.deliver(*message)
 
         def lose(o, n=n):
             o.net = o.net[:n] + o.net[n + 1 :]
 
         yield after("come", come)
         yield after("lose", lose)
-        yield after("again", lambda o, message=message: o.come(*message))
+        yield after("again", lambda o, message=message: o.deliver(*message))
 
 
-def wrong(s):
-    if list(s.told) != sorted(set(s.told)):
-        return f"repeated or out of order: {s.told}"
+def violation(s):
+    if list(s.received) != sorted(set(s.received)):
+        return f"repeated or out of order: {s.received}"
     if s.inbound.position is not None and s.begin is not None:
         for epoch, made in s.made.items():
             for number in range(1, made + 1):
                 at = (epoch, number)
                 if (
                     s.begin < at <= (s.inbound.epoch, s.inbound.position)
-                    and at not in s.told
+                    and at not in s.received
                     and not any(first <= at <= last for first, last in s.gaps)
                 ):
-                    return f"{at} lost unsaid"
+                    return f"{at} lost without a gap"
     return None
 
 
@@ -195,19 +195,19 @@
 @pytest.mark.parametrize(
     "left", [{"make": 1, "crash": 0, "forget": 1, "widen": 0}, {"make": 1, "crash": 1, "forget": 0, "widen": 0}]
 )
-def test_no_order_of_steps_loses_unsaid_repeats_or_gets_stuck(left):
+def test_no_interleaving_loses_silently_repeats_or_stalls(left):
     start = Model()
     start.left = left
-    found = explore(start, steps, wrong, 60_000, key=Model.key, goal=settled)
+    found = explore(start, steps, violation, 60_000, key=Model.key, goal=settled)
     assert found.holds, str(found)[:4_000]
-    assert all(found.labels[word] for word in ("come", "lose", "again", *(w for w, n in left.items() if n)))
+    assert all(found.labels[label] for label in ("come", "lose", "again", *(name for name, n in left.items() if n)))
 
 
-def test_a_hole_that_is_taken_for_none_is_found(monkeypatch):
-    def careless(self, now, data):
+def test_exploration_finds_a_receiver_that_ignores_missing_batches(monkeypatch):
+    def receive_unordered(self, now, data):
         yield from self._receive(data)
 
-    monkeypatch.setattr(stream.InboundStream, "receive", careless)
+    monkeypatch.setattr(stream.InboundStream, "receive", receive_unordered)
     start = Model()
     start.left = {"make": 2, "crash": 0, "forget": 0, "widen": 0}
-    assert "lost unsaid" in str(explore(start, steps, wrong, 60_000, key=Model.key).fault)
+    assert "lost without a gap" in str(explore(start, steps, violation, 60_000, key=Model.key).fault)
--- a/tests/test_subscriptions_processes.py
+++ b/tests/test_subscriptions_processes.py
@@ -1,4 +1,4 @@
-"""Five processes with the fault relay between them, and subscribers that stay or move, checked against the logs."""
+"""Five processes behind a fault-injecting relay, with fixed and moving subscribers, checked against the logs."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class ProcessesCase(unittest.IsolatedAsyncioTestCase):
-    async def test_a_subscriber_that_moves_through_kills_a_stop_and_cuts_misses_nothing_unsaid(self):
+    async def test_moving_subscriber_misses_no_event_without_a_gap_through_kills_a_stop_and_partitions(self):
         run = Subscribed(SCRIPT, 7, FLEET.format(units=UNITS), TENANTS)
         self.codes = None
 
@@ -33,15 +33,15 @@
         (killed,) = [line["epoch"] for line in run.fleet.processes[4].events("subscriptions_started", life=1)]
         self.assertTrue(any(first <= [killed, 10**9] <= last for maker, first, last in mover.gaps if maker == "c4"))
         self.codes = await run.close()
-        # What each process counted by itself is what was told of it, where nothing is missing.
+        # Each process's own counters agree with the events received of it, except for those in gaps.
         for process in run.fleet.processes[:4]:
             (end,) = process.events("counters_reported")
             answers = sum(row["count"] for row in end["counters"] if row["what"] == "served")
-            heard = sum(
+            received = sum(
                 event["kind"] == "answer" and event["outcome"] == "served"
                 for maker, _, _, event in mover.events
                 if maker == process.name
             )
             lost = sum(last[1] - first[1] + 1 for maker, first, last in mover.gaps if maker == process.name)
-            self.assertLessEqual(heard, answers)
-            self.assertGreaterEqual(heard + max(0, lost), answers)
+            self.assertLessEqual(received, answers)
+            self.assertGreaterEqual(received + max(0, lost), answers)
--- a/tests/test_subscriptions_program.py
+++ b/tests/test_subscriptions_program.py
@@ -1,4 +1,4 @@
-"""Subscriptions at a running coordinator: what a caller of the port reads, and that they are free while off."""
+"""Subscriptions in a running coordinator: what a subscriber reads, and that they cost nothing while disabled."""
 
 import json
 import subprocess
@@ -23,7 +23,7 @@
         self.addCleanup(one.writer.close)
         return one
 
-    async def test_a_subscriber_reads_what_matches_and_goes_on_from_its_cursor(self):
+    async def test_subscriber_reads_matching_events_and_resumes_from_its_cursor(self):
         await self.start(operator=ON)
         one = await self.subscriber("subscribe kind = 'answer' AND class = 'load'")
         other = await self.subscriber("subscribe change IN ('ban', 'unban')")
@@ -51,9 +51,9 @@
         figures = json.loads((await self.operate("show-subscriptions"))[0])
         self.assertEqual((figures["subscriptions"], figures["replays"]), (2, 0))
 
-    async def test_what_can_not_be_subscribed_to_is_a_no_that_says_why(self):
+    async def test_invalid_subscriptions_are_rejected_with_a_reason(self):
         await self.start(operator=ON + "most = 2\n")
-        for call, why in (
+        for call, reason in (
             ("subscribe", "column 1"),
             ("subscribe cost = 5", "no event has a column 'cost'"),
             ("subscribe ms = 'x'", "ms is a number, not a text"),
@@ -66,24 +66,24 @@
             ("unsubscribe", "takes one number"),
             ("subscribing", "no such call"),
         ):
-            self.assertIn(why, (await (await self.subscriber(call)).line())["nak"], call[:60])
-        kept = [await self.subscriber("subscribe TRUE") for _ in range(2)]
-        for one in kept:
+            self.assertIn(reason, (await (await self.subscriber(call)).line())["nak"], call[:60])
+        subscribers = [await self.subscriber("subscribe TRUE") for _ in range(2)]
+        for one in subscribers:
             await one.until("ack")
         self.assertIn("2 subscriptions already", (await (await self.subscriber("subscribe TRUE")).line())["nak"])
-        self.assertFalse(self.program.operator_server.callers)  # who stays takes no place of those who call
-        kept[0].writer.close()
+        self.assertFalse(self.program.operator_server.callers)  # an open subscription takes no slot of single calls
+        subscribers[0].writer.close()
         await self.until(lambda: len(self.program.operator_server.streams) == 1)
         await (await self.subscriber("subscribe TRUE")).until("ack")
 
-    async def test_one_who_does_not_read_is_told_a_gap_and_holds_up_nobody(self):
+    async def test_subscriber_that_does_not_read_gets_a_gap_and_delays_no_other(self):
         await self.start(operator=ON + "backlog = 16\n")
         slow, quick = await self.subscriber("subscribe TRUE"), await self.subscriber("subscribe TRUE")
         await slow.until("ack")
         await quick.until("ack")
         service = self.program.subscriptions
         number = min(service.callers)
-        service.callers[number].paused(True)  # as the transport says once WAITS bytes lie there
+        service.callers[number].paused(True)  # as the transport does above its write buffer's limit
         first = service.hub.publisher.head + 1
         for n in range(100):
             service.loaded("site", n, ["agent"])
@@ -93,18 +93,18 @@
         self.assertEqual([event["group"] for event in got], list(range(100)))
         self.assertLessEqual(len(service.hub.subscribers.fanout.backlogs[number]), 17)
         service.callers[number].paused(False)
-        told = []
-        while len(told) < 100:
+        reported = []
+        while len(reported) < 100:
             line = await slow.line()
             if "gap" in line:
-                told += range(line["gap"]["from"][1], line["gap"]["to"][1] + 1)
+                reported += range(line["gap"]["from"][1], line["gap"]["to"][1] + 1)
             elif "event" in line:
-                told.append(line["of"][2])
-        self.assertEqual(told, list(range(first, first + 100)))
+                reported.append(line["of"][2])
+        self.assertEqual(reported, list(range(first, first + 100)))
 
 
 class OthersCase(ProgramCase):
-    async def test_stages_of_recovery_and_loads_on_spread_tables_are_events(self):
+    async def test_recovery_stages_and_loads_on_scattered_tables_are_events(self):
         await self.coordinator(
             operator=f"""
 {ON}
@@ -134,7 +134,7 @@
 
 
 class OffCase(unittest.TestCase):
-    def test_a_process_without_subscriptions_loads_nothing_of_them(self):
+    def test_process_without_subscriptions_does_not_import_them(self):
         loaded = subprocess.run(
             [sys.executable, "-c", "import sys, frostspindle.program; print(*sys.modules)"],
             capture_output=True,
@@ -150,7 +150,7 @@
             [],
         )
 
-    def test_they_need_one_process_and_a_place_to_call(self):
+    def test_subscriptions_need_one_worker_and_an_operator_port(self):
         for text, key in ((ON + "[cores]\nworkers = 2\n", "workers = 1"), (ON + "most = 0", "most")):
             with self.assertRaisesRegex(ConfigError, key):
                 test_fleet_program.ConfigCase.read(self, text)
