--- a/frostspindle/store/marker_engine.py
+++ b/frostspindle/store/marker_engine.py
@@ -30,9 +30,8 @@
     """The engine of one opened folder; opening raises OSError or CorruptDataError."""
 
     kind = "marker"
-    limits = StoreLimits(
-        key=80, value=4_096, entries=4_096, total=1 << 20, batch=256
-    )  # file names have up to 255 bytes
+    # File names have up to 255 bytes.
+    limits = StoreLimits(key=80, value=4_096, entries=4_096, total=1 << 20, batch=256)
 
     def __init__(self, folder: Path, limits: StoreLimits) -> None:
         self._folder: Path = folder
--- a/frostspindle/store/records.py
+++ b/frostspindle/store/records.py
@@ -31,9 +31,8 @@
     ]
 )
 _KNOWN = msgspec.msgpack.Decoder(tuple[_Name, _Id, _NonNegativeInt, _NonNegativeInt])
-_BATCH = msgspec.msgpack.Decoder(
-    tuple[bytes, dict[bytes, int | None]]
-)  # number of the staged file by key; None: removed
+# Number of the staged file by key; None: removed.
+_BATCH = msgspec.msgpack.Decoder(tuple[bytes, dict[bytes, int | None]])
 _encode = msgspec.msgpack.encode
 
 
--- a/frostspindle/subscriptions/fanout.py
+++ b/frostspindle/subscriptions/fanout.py
@@ -58,61 +58,61 @@
         self.total = self.overflows = 0  # queued items; how often a backlog was replaced by gaps
         self._waiting: dict[int, None] = {}  # subscribers with queued items, in insertion order
 
-    def join(self, who: int) -> None:
+    def join(self, subscriber: int) -> None:
         """Create a subscriber's backlog; required before `offer`."""
-        self.backlogs[who] = deque()
+        self.backlogs[subscriber] = deque()
 
-    def leave(self, who: int) -> None:
+    def leave(self, subscriber: int) -> None:
         """Remove a subscriber and its backlog, if there is one."""
-        self.total -= len(self.backlogs.pop(who, ()))
-        self._waiting.pop(who, None)
+        self.total -= len(self.backlogs.pop(subscriber, ()))
+        self._waiting.pop(subscriber, None)
 
-    def offer(self, who: int, item: BacklogItem) -> None:
+    def offer(self, subscriber: int, item: BacklogItem) -> None:
         """Append an item to a subscriber's backlog.
 
         If the backlog exceeds `max_backlog` items, it is replaced by gaps; if all together exceed `max_total`, the
         longest one is.
         """
-        backlog = self.backlogs[who]
+        backlog = self.backlogs[subscriber]
         backlog.append(item)
         self.total += 1
-        self._waiting[who] = None
+        self._waiting[subscriber] = None
         if len(backlog) > self.max_backlog:
-            self._collapse(who)
+            self._collapse(subscriber)
         elif self.total > self.max_total:
             self._collapse(max(self._waiting, key=lambda waiting: len(self.backlogs[waiting])))
 
-    def _collapse(self, who: int) -> None:
-        backlog = self.backlogs[who]
+    def _collapse(self, subscriber: int) -> None:
+        backlog = self.backlogs[subscriber]
         gaps = merge_into_gaps(backlog)
         self.total += len(gaps) - len(backlog)
-        self.backlogs[who] = deque(gaps)
+        self.backlogs[subscriber] = deque(gaps)
         self.overflows += 1
 
     def next_batches(self, busy: set[int], most: int) -> Iterator[tuple[int, list[BacklogItem]]]:
         """Yield subscribers and items to write, `most` items in all and MAX_BATCH_ITEMS each.
 
         The smallest backlog comes first; `busy` subscribers are skipped."""
-        ready = [(len(self.backlogs[who]), who) for who in self._waiting if who not in busy]
-        for size, who in heapq.nsmallest(most, ready):
-            backlog = self.backlogs.get(who)
+        ready = [(len(self.backlogs[subscriber]), subscriber) for subscriber in self._waiting if subscriber not in busy]
+        for size, subscriber in heapq.nsmallest(most, ready):
+            backlog = self.backlogs.get(subscriber)
             if most <= 0 or backlog is None:
                 break
             items = [backlog.popleft() for _ in range(min(size, MAX_BATCH_ITEMS, most))]
             most -= len(items)
             self.total -= len(items)
             if not backlog:
-                del self._waiting[who]
-            yield who, items
+                del self._waiting[subscriber]
+            yield subscriber, items
 
     def has_more(self, busy: set[int]) -> bool:
         """Return whether a subscriber that is not busy has queued items."""
-        return any(who not in busy for who in self._waiting)
+        return any(subscriber not in busy for subscriber in self._waiting)
 
-    def pending(self, who: int) -> dict[str, Position]:
+    def pending(self, subscriber: int) -> dict[str, Position]:
         """Return, by publisher, the position before a subscriber's first queued item."""
         out: dict[str, Position] = {}
-        for item in self.backlogs[who]:
+        for item in self.backlogs[subscriber]:
             if item.publisher not in out:
                 out[item.publisher] = item.first[0], max(0, item.first[1] - 1)
         return out
--- a/frostspindle/subscriptions/hub.py
+++ b/frostspindle/subscriptions/hub.py
@@ -52,12 +52,12 @@
             self.publisher.members = len(alive)
         self.subscribers.members(now, alive)
 
-    def on_message(self, now: float, who: str, epoch: int, message: Message) -> None:
+    def on_message(self, now: float, sender: str, epoch: int, message: Message) -> None:
         """Route a message: EventBatch and UnknownStream to the subscribers, all others to the publisher."""
         if isinstance(message, (EventBatch, UnknownStream)):
-            self.subscribers.on_message(now, who, epoch, message)
+            self.subscribers.on_message(now, sender, epoch, message)
         else:
-            self.publisher.on_message(now, who, epoch, message)
+            self.publisher.on_message(now, sender, epoch, message)
 
     def tick(self, now: float) -> list[tuple[str, Message]]:
         """Do what is due at `now` and return the messages to other members, by name; sets `has_more`."""
--- a/frostspindle/subscriptions/schema.py
+++ b/frostspindle/subscriptions/schema.py
@@ -13,10 +13,8 @@
 from frostspindle.predicates.algebra import And, Const, IsNull, Not, Or, Predicate, nodes
 from frostspindle.predicates.values import KIND_NAMES, NULL, NUMBER, TEXT, TIME, FilterError, Value
 
-MAX_TEXT_CHARS, MAX_TEXT_BYTES = (
-    64,
-    96,
-)  # bytes: of non-ASCII texts; each event fits one message
+# Bytes bound non-ASCII texts, so that each event fits one message.
+MAX_TEXT_CHARS, MAX_TEXT_BYTES = 64, 96
 ANSWER, ENGINE, LOAD, MEMBER, RECOVERY = range(5)
 NAMES = ("answer", "engine", "load", "member", "recovery")
 COMMON = {"kind": TEXT, "maker": TEXT, "at": TIME}
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -31,10 +31,8 @@
 CHANNEL = 3  # of the fleet's messages
 BATCH_DELAY_S = 0.005  # delay before new events are matched, to batch them
 LINES_PER_TICK = 256  # lines written by one tick
-CURSOR_INTERVAL_MS, IDLE_CURSOR_INTERVAL_MS = (
-    100.0,
-    5_000.0,
-)  # after lines were written; when idle
+# Interval of cursors after lines were written, and when idle.
+CURSOR_INTERVAL_MS, IDLE_CURSOR_INTERVAL_MS = 100.0, 5_000.0
 STATE_POLL_MS = 250.0  # interval of polling the members and the controller's ejections
 HEALTH_NAMES = {Health.READY: "ready", Health.DRAINING: "draining", Health.GONE: "gone"}
 _json = msgspec.json.Encoder().encode
--- a/frostspindle/subscriptions/stream.py
+++ b/frostspindle/subscriptions/stream.py
@@ -106,53 +106,55 @@
 
     # Incoming messages.
 
-    def on_message(self, now: float, who: str, epoch: int, message: Message) -> None:
+    def on_message(self, now: float, receiver: str, epoch: int, message: Message) -> None:
         """Handle a receiver's StreamRequest, EventAck or StreamStop; `epoch` is that of its process."""
         if isinstance(message, StreamRequest):
-            self._open(now, who, epoch, message)
+            self._open(now, receiver, epoch, message)
             return
-        stream = self.streams.get((who, message.sid))
+        stream = self.streams.get((receiver, message.sid))
         if stream is None or stream.receiver_epoch != epoch or stream.version != message.version:
             if isinstance(message, EventAck) and (
                 stream is None or (stream.receiver_epoch, stream.version) < (epoch, message.version)
             ):
-                self.outbox.append((who, UnknownStream(message.sid, message.version)))
+                self.outbox.append((receiver, UnknownStream(message.sid, message.version)))
         elif isinstance(message, StreamStop):
             self._drop(stream)
         elif isinstance(message, EventAck):
             stream.heard_at = now
             self._ack(now, stream, message.through)
 
-    def _open(self, now: float, who: str, epoch: int, want: StreamRequest) -> None:
-        stream = self.streams.get((who, want.sid))
-        if stream is not None and (epoch, want.version) <= (stream.receiver_epoch, stream.version):
-            if (epoch, want.version) == (stream.receiver_epoch, stream.version):
+    def _open(self, now: float, receiver: str, epoch: int, request: StreamRequest) -> None:
+        stream = self.streams.get((receiver, request.sid))
+        if stream is not None and (epoch, request.version) <= (stream.receiver_epoch, stream.version):
+            if (epoch, request.version) == (stream.receiver_epoch, stream.version):
                 stream.heard_at = stream.heartbeat_at = now  # it has not received our answer
                 self._send_now = True
             return
-        if want.after != HEAD and want.epoch != self.epoch:
-            self.outbox.append(
-                (who, UnknownStream(want.sid, want.version))
-            )  # the position is of an earlier process; this answer tells the receiver about the new one
+        if request.after != HEAD and request.epoch != self.epoch:
+            # The position is of an earlier process; this answer tells the receiver about the new one.
+            self.outbox.append((receiver, UnknownStream(request.sid, request.version)))
             return
         try:
-            wanted = parse_summary(want.filters)
+            predicate = parse_summary(request.filters)
         except FilterError:
             self.counted["subscriptions_not_understood"] += 1
             return
         if stream is not None:
             self._drop(stream)
-        if len(self.streams) >= MAX_STREAMS or sum(key[0] == who for key in self.streams) >= MAX_STREAMS_PER_RECEIVER:
+        if (
+            len(self.streams) >= MAX_STREAMS
+            or sum(key[0] == receiver for key in self.streams) >= MAX_STREAMS_PER_RECEIVER
+        ):
             self.counted["subscriptions_streams_refused"] += 1
             return
-        after = self.head if want.after == HEAD else min(want.after, self.head)
+        after = self.head if request.after == HEAD else min(request.after, self.head)
         stream = OutboundStream(
-            who,
+            receiver,
             epoch,
-            want.sid,
-            want.version,
-            wanted,
-            after if want.after == HEAD else HEAD,
+            request.sid,
+            request.version,
+            predicate,
+            after if request.after == HEAD else HEAD,
             after,
             after,
             after,
@@ -160,9 +162,9 @@
             progress_at=now,
             heartbeat_at=now,
         )
-        self.streams[who, want.sid], self._send_now = stream, True
-        for number, text in enumerate(want.filters):
-            self._index.add((who, want.sid, number), parse(text))
+        self.streams[receiver, request.sid], self._send_now = stream, True
+        for number, text in enumerate(request.filters):
+            self._index.add((receiver, request.sid, number), parse(text))
 
     def _drop(self, stream: OutboundStream) -> None:
         key = stream.receiver, stream.sid
@@ -171,9 +173,9 @@
         for number in range(wire.MAX_FILTERS):
             self._index.remove((*key, number))
 
-    def forget_receiver(self, who: str, epoch: int | None) -> None:
+    def forget_receiver(self, receiver: str, epoch: int | None) -> None:
         """Drop the receiver's streams except those of the process with `epoch`; None: all of them."""
-        for stream in [s for (name, _), s in self.streams.items() if name == who and s.receiver_epoch != epoch]:
+        for stream in [s for (name, _), s in self.streams.items() if name == receiver and s.receiver_epoch != epoch]:
             self._drop(stream)
 
     def _ack(self, now: float, stream: OutboundStream, through: int) -> None:
@@ -193,22 +195,21 @@
         """Match a bounded number of events and send what is due; return whether more work is left."""
         self._send_now = False
         left = self._match(self.slice) if self.streams else 1
-        sends = MESSAGES_PER_TICK
+        messages_left = MESSAGES_PER_TICK
         for stream in list(self.streams.values()):
             if now - stream.heard_at >= IDLE_MS:
                 self._drop(stream)
                 continue
-            if (
-                stream.sent > stream.acked and now - stream.progress_at >= stream.resend_after_ms
-            ):  # the message or its acknowledgement was lost
+            # The message or its acknowledgement was lost.
+            if stream.sent > stream.acked and now - stream.progress_at >= stream.resend_after_ms:
                 stream.sent, stream.progress_at = stream.acked, now
                 stream.in_flight.clear()
                 stream.resend_after_ms = min(MAX_RESEND_MS, stream.resend_after_ms * 2.0)
                 stream.window = max(MIN_WINDOW, stream.window // 2)
                 self.counted["subscriptions_resent"] += 1
-            while sends and len(stream.in_flight) < stream.window and self._send(now, stream):
-                sends -= 1
-        return bool(self.streams) and (left <= 0 or not sends or self.matched < self.head)
+            while messages_left and len(stream.in_flight) < stream.window and self._send(now, stream):
+                messages_left -= 1
+        return bool(self.streams) and (left <= 0 or not messages_left or self.matched < self.head)
 
     def _match(self, left: int) -> int:
         """Match up to `left` events against the streams' predicates; return the unused part of `left`."""
@@ -218,8 +219,8 @@
         while left > 0 and self.matched < self.head:
             self.matched += 1
             left -= 1
-            for who, sid, _ in self._index.find(schema.row(self.name, self.event(self.matched))):
-                stream = self._caught_up.get((who, sid))
+            for receiver, sid, _ in self._index.find(schema.row(self.name, self.event(self.matched))):
+                stream = self._caught_up.get((receiver, sid))
                 if stream is not None and (not stream.matches or stream.matches[-1] < self.matched):
                     stream.matches.append(self.matched)
         for key, stream in list(self.streams.items()):
@@ -389,9 +390,8 @@
             )
         if now >= min(self.ack_at, self.request_at):
             self.ack_at, self.unacked = float("inf"), 0
-            self.request_at = (
-                now + 2.0 * self.heartbeat_ms
-            )  # keeps the publisher's stream alive, or shows that it is unknown
+            # An acknowledgement keeps the publisher's stream alive, or shows that the publisher doesn't know it.
+            self.request_at = now + 2.0 * self.heartbeat_ms
             return EventAck(self.sid, self.version, self.position or 0)
         return None
 
--- a/frostspindle/subscriptions/subscribers.py
+++ b/frostspindle/subscriptions/subscribers.py
@@ -33,10 +33,10 @@
 MAX_SUBSCRIPTIONS = 1_000
 CONFIRM_TIMEOUT_MS = 3_000.0  # a publisher that has not confirmed by then is reported as a gap
 BATCHING_MS = 50.0  # new subscriptions are requested from publishers together
-NARROW_DELAY_MS = 5_000.0  # filters are narrowed only so long after a subscription ended
-REPLAY_STALL_MS = 10_000.0  # a replay without progress for so long is reported as a gap
+NARROW_DELAY_MS = 5_000.0  # delay of narrowing the filters after a subscription ended
+REPLAY_STALL_MS = 10_000.0  # a replay without progress for longer becomes a gap
 MAX_PUBLISHERS = 1_024
-PAUSE_DETECTION_MS = 1_000.0  # after so long without a tick, this process was paused, not the others
+PAUSE_DETECTION_MS = 1_000.0  # a longer time between ticks means that this process was paused, not the others
 MAX_TICK_INTERVAL_MS = 250.0  # while there are subscriptions
 _json = msgspec.json.Encoder().encode
 
@@ -53,9 +53,8 @@
     active: bool = False  # its filter is part of what publishers are asked for
     unconfirmed: set[str] = field(default_factory=set)  # publishers that have not confirmed
     acknowledged: bool = False
-    sent_through: dict[str, Position] = field(
-        default_factory=dict
-    )  # where the subscription is ahead of the live stream
+    # Positions up to which events were sent already, at publishers whose live stream is behind.
+    sent_through: dict[str, Position] = field(default_factory=dict)
     replays: dict[str, int] = field(default_factory=dict)  # stream id by publisher
     open_gaps: dict[str, Position] = field(default_factory=dict)  # first position of open-ended gaps
 
@@ -244,15 +243,15 @@
 
     # Incoming messages.
 
-    def on_message(self, now: float, who: str, epoch: int, message: EventBatch | UnknownStream) -> None:
+    def on_message(self, now: float, sender: str, epoch: int, message: EventBatch | UnknownStream) -> None:
         """Handle a publisher's message; `epoch` is that of its process."""
         if message.sid:
-            self._on_replay_message(now, who, epoch, message)
+            self._on_replay_message(now, sender, epoch, message)
             return
-        inbound = self.live.get(who)
+        inbound = self.live.get(sender)
         if inbound is None or epoch < inbound.epoch:
             if inbound is None and isinstance(message, EventBatch):
-                self.outbox.append((who, StreamStop(0, message.version)))
+                self.outbox.append((sender, StreamStop(0, message.version)))
             return
         if epoch > inbound.epoch:
             self._publisher_restarted(now, inbound, epoch)
@@ -274,7 +273,7 @@
                 self._on_lost(inbound, first, last)
             else:
                 self._on_event(inbound, first, event)
-        self._catch_up(now, who)
+        self._catch_up(now, sender)
 
     def _on_event(self, inbound: InboundStream, number: int, event: Event) -> None:
         publisher, at = inbound.publisher, (inbound.epoch, number)
@@ -425,30 +424,31 @@
         interest.add(0, sub.predicate)
         return interest.filters()
 
-    def _on_replay_message(self, now: float, who: str, epoch: int, message: EventBatch | UnknownStream) -> None:
-        replay, sub = self.replays.get((who, message.sid), (None, None))
+    def _on_replay_message(self, now: float, sender: str, epoch: int, message: EventBatch | UnknownStream) -> None:
+        replay, sub = self.replays.get((sender, message.sid), (None, None))
         if replay is None or sub is None or epoch != replay.epoch:
             if isinstance(message, EventBatch):
-                self.outbox.append((who, StreamStop(message.sid, message.version)))
+                self.outbox.append((sender, StreamStop(message.sid, message.version)))
             return
         if isinstance(message, UnknownStream):
             if message.version == replay.version:
                 replay.restart(now, self._version(), replay.filters)
             return
-        if who in sub.open_gaps:  # the cursor stays before an open-ended gap: events sent now would be repeated
+        if sender in sub.open_gaps:  # the cursor stays before an open-ended gap: events sent now would be repeated
             replay.heard_at = now  # the publisher resends this after the live stream has closed the gap
             return
         for first, last, event in replay.receive(now, message) if replay.accept(now, message) else ():
             if event is None:
-                self._report_gap(sub, who, (epoch, first), (epoch, last))
-            elif sub.predicate.truth(schema.row(who, event)) is True:
+                self._report_gap(sub, sender, (epoch, first), (epoch, last))
+            elif sub.predicate.truth(schema.row(sender, event)) is True:
                 self.fanout.offer(
-                    sub.number, BacklogItem(who, (epoch, first), (epoch, first), event_line(who, epoch, first, event))
+                    sub.number,
+                    BacklogItem(sender, (epoch, first), (epoch, first), event_line(sender, epoch, first, event)),
                 )
             else:
-                self.needless += who != self.name
-            self.taken += event is not None and who != self.name
-        self._catch_up(now, who, sub)
+                self.needless += sender != self.name
+            self.taken += event is not None and sender != self.name
+        self._catch_up(now, sender, sub)
 
     def _catch_up(self, now: float, publisher: str, sub: Subscription | None = None) -> None:
         """End replays that have reached the live stream's position; the live stream continues from there."""
