--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -31,7 +31,7 @@
 from frostspindle.subscriptions import schema
 from frostspindle.subscriptions.fanout import Fanout
 from frostspindle.subscriptions.hub import SubscriptionHub
-from frostspindle.subscriptions.interest import CombinedInterest, understood
+from frostspindle.subscriptions.interest import CombinedInterest, parse_summary
 
 CLASSES, OUTCOMES = ("lookup", "bulk", "report", "live", "batch"), ("served", "served", "refused", "failed")
 BROAD = ("ms > 990000", "class = 'live' AND ms < 5000", "kind = 'answer' AND outcome = 'failed' AND class = 'report'")
@@ -95,11 +95,11 @@
         started = time.process_time()
         for made_event in events:
             hub.make(made_event)
-        while hub.subscribers.live["c1"].pos != hub.maker.head:
+        while hub.subscribers.live["c1"].position != hub.publisher.head:
             now += 5.0
             hub.tick(now)
         while hub.subscribers.fanout.total:
-            delivered += sum(len(items) for _, items in hub.subscribers.fanout.turn(set(), 512))
+            delivered += sum(len(items) for _, items in hub.subscribers.fanout.next_batches(set(), 512))
         path_us.append((time.process_time() - started) * 1e6 / len(events))
         scanned = events[: max(1, 100_000 // count)][:200]
         started = time.process_time()
@@ -112,9 +112,9 @@
         "filters": count,
         "path_us": round(statistics.median(path_us), 1),
         "scan_us": round(statistics.median(scan_us), 1),
-        "told_an_event": round(delivered / hub.maker.head, 2),
+        "told_an_event": round(delivered / hub.publisher.head, 2),
         "join_us": round(subscribe_s * 1e6 / count, 1),
-        "asked_for": len(hub.subscribers.parts),
+        "asked_for": len(hub.subscribers.filters),
     }
 
 
@@ -150,10 +150,10 @@
         combined.add(number, predicate)
         incremental.add(number, predicate)
         started = time.process_time()
-        incremental.parts()
+        incremental.filters()
         update_s.append(time.process_time() - started)
     started = time.process_time()
-    parts = combined.parts(narrow=True)
+    parts = combined.filters(narrow=True)
     combine_s = time.process_time() - started
     index = FilterIndex()
     for number, predicate in enumerate(filters):
@@ -170,10 +170,10 @@
     }
     for name, conditions in (
         ("anew", parts),
-        ("grown", incremental.parts()),
+        ("grown", incremental.filters()),
         ("common", combined._exact() or combined._common()),
     ):
-        summary = understood(conditions)
+        summary = parse_summary(conditions)
         sent = [summary.truth(row) is True for row in rows]
         assert all(is_sent or not is_matched for is_sent, is_matched in zip(sent, matched, strict=True))
         result[name] = {"sent": sum(sent) / events, "needless": round(1.0 - sum(matched) / max(1, sum(sent)), 3)}
--- a/tests/test_subscriptions_model.py
+++ b/tests/test_subscriptions_model.py
@@ -1,5 +1,5 @@
-"""Every order of steps of one stream: its maker may crash and forget, its receiver wants it anew, messages come late,
-come twice or get lost."""
+"""Explores all interleavings of one stream: the publisher may crash or drop the stream, the receiver may request it
+again, and messages may be delayed, duplicated or lost."""
 
 import dataclasses
 from collections import Counter, deque
@@ -11,11 +11,11 @@
 from frostspindle.subscriptions.stream import EventPublisher, InboundStream
 
 EVENT = schema.make(schema.MEMBER, 1.0, "x", "alive")
-LONG = -1e9  # ago: whatever waits is due
+PAST = -1e9  # in the past: every timer is due
 
 
-class All:
-    """In place of the index: each stream wants all."""
+class MatchAll:
+    """Replaces the index: each stream matches all events."""
 
     def find(self, row):
         return [("r", 0, 0)]
@@ -29,11 +29,11 @@
 
 class Model:
     def __init__(self):
-        self.maker = EventPublisher("m", 7, most=1)
-        self.maker._index = All()
-        self.inflow = InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
-        self.net = ()  # ("m", 0, message) to the maker, ("r", its epoch, message) to the receiver
-        self.told, self.gaps, self.begin = (), (), None
+        self.publisher = EventPublisher("m", 7, most=1)
+        self.publisher._index = MatchAll()
+        self.inbound = InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
+        self.net = ()  # ("m", 0, message) to the publisher, ("r", its epoch, message) to the receiver
+        self.received, self.gaps, self.begin = (), (), None
         self.left = {"make": 3, "crash": 1, "forget": 1, "widen": 1}
         self.made = {7: 0, 8: 0}
 
@@ -41,79 +41,82 @@
         out = Model.__new__(Model)
         out.__dict__.update(self.__dict__)
         out.left, out.made = dict(self.left), dict(self.made)
-        out.inflow = dataclasses.replace(self.inflow, held=dict(self.inflow.held), unacked=0)
-        maker = out.maker = EventPublisher.__new__(EventPublisher)
-        maker.__dict__.update(self.maker.__dict__)
-        maker.out, maker._ring, maker.counted = [], list(self.maker._ring), Counter()
-        maker.streams = {
+        out.inbound = dataclasses.replace(self.inbound, buffered=dict(self.inbound.buffered), unacked=0)
+        publisher = out.publisher = EventPublisher.__new__(EventPublisher)
+        publisher.__dict__.update(self.publisher.__dict__)
+        publisher.outbox, publisher._events, publisher.counted = [], list(self.publisher._events), Counter()
+        publisher.streams = {
             key: dataclasses.replace(
                 s,
-                found=list(s.found),
-                flight=deque(s.flight),
+                matches=list(s.matches),
+                in_flight=deque(s.in_flight),
                 window=4,
-                heard=0.0,
-                progress=LONG,
-                beat_at=LONG,
-                wait=1.0,
+                heard_at=0.0,
+                progress_at=PAST,
+                heartbeat_at=PAST,
+                resend_after_ms=1.0,
             )
-            for key, s in self.maker.streams.items()
+            for key, s in self.publisher.streams.items()
         }
-        maker._synced = {key: maker.streams[key] for key in self.maker._synced}
+        publisher._caught_up = {key: publisher.streams[key] for key in self.publisher._caught_up}
         return out
 
     def key(self):
-        m, i = self.maker, self.inflow
+        m, i = self.publisher, self.inbound
         return (
             m.epoch,
             m.head,
             m.matched,
-            len(m._synced),
-            *((s.version, s.begin, s.acked, s.sent, s.scan, *s.found, -1, *s.flight) for s in m.streams.values()),
+            len(m._caught_up),
+            *(
+                (s.version, s.start_position, s.acked, s.sent, s.matched_through, *s.matches, -1, *s.in_flight)
+                for s in m.streams.values()
+            ),
             i.epoch,
             i.version,
-            i.pos,
+            i.position,
             i.confirmed,
-            i.hole_since,
-            tuple(sorted(i.held)),
+            i.missing_since,
+            tuple(sorted(i.buffered)),
             tuple(sorted(map(repr, self.net))),
-            self.told,
+            self.received,
             self.gaps,
             self.begin,
             tuple(self.left.values()),
         )
 
     def send(self, *messages):
-        self.net = (*self.net, *messages)[:2]  # beyond: lost
+        self.net = (*self.net, *messages)[:2]  # further messages are lost
 
     def tick_maker(self):
-        self.maker.tick(0.0)
-        self.send(*(("r", self.maker.epoch, m) for _, m in self.maker.out))
+        self.publisher.tick(0.0)
+        self.send(*(("r", self.publisher.epoch, m) for _, m in self.publisher.outbox))
 
     def tick_receiver(self):
-        self.inflow.ask_at = LONG
-        self.send(("m", 0, self.inflow.tick(0.0)))
+        self.inbound.request_at = PAST
+        self.send(("m", 0, self.inbound.tick(0.0)))
 
-    def come(self, to, epoch, message):
-        i = self.inflow
+    def deliver(self, to, epoch, message):
+        i = self.inbound
         if to == "m":
-            self.maker.hear(0.0, "r", 1, message)
-            self.send(*(("r", self.maker.epoch, m) for _, m in self.maker.out))
-        elif epoch > i.epoch:  # as Subscribers does it: what the earlier process still had is a gap
-            if i.pos is not None:
-                self.gaps += (((i.epoch, i.pos + 1), (epoch, 0)),)
-            i.epoch, i.pos = epoch, None if i.pos is None else 0
-            i.change(0.0, i.version + 1, i.parts)
+            self.publisher.on_message(0.0, "r", 1, message)
+            self.send(*(("r", self.publisher.epoch, m) for _, m in self.publisher.outbox))
+        elif epoch > i.epoch:  # as SubscriberTable does: the earlier process's remaining events are a gap
+            if i.position is not None:
+                self.gaps += (((i.epoch, i.position + 1), (epoch, 0)),)
+            i.epoch, i.position = epoch, None if i.position is None else 0
+            i.restart(0.0, i.version + 1, i.filters)
         elif epoch == i.epoch and isinstance(message, wire.UnknownStream):
             if message.version == i.version:
-                i.change(0.0, i.version + 1, i.parts)
-        elif epoch == i.epoch and i.admit(0.0, message):
+                i.restart(0.0, i.version + 1, i.filters)
+        elif epoch == i.epoch and i.accept(0.0, message):
             if self.begin is None:
-                self.begin = (i.epoch, i.pos)
-            for first, last, event in i.take(0.0, message):
+                self.begin = (i.epoch, i.position)
+            for first, last, event in i.receive(0.0, message):
                 if event is None:
                     self.gaps += (((epoch, first), (epoch, last)),)
                 else:
-                    self.told += ((epoch, first),)
+                    self.received += ((epoch, first),)
 
 
 def steps(s):
@@ -126,85 +129,85 @@
 
         def make(o):
             o.left["make"] -= 1
-            o.made[o.maker.epoch] = o.maker.append(EVENT)
+            o.made[o.publisher.epoch] = o.publisher.append(EVENT)
 
         yield after("make", make)
     if s.left["crash"]:
 
         def crash(o):
             o.left["crash"] = 0
-            o.maker = EventPublisher("m", 8, most=1)
-            o.maker._index = All()
+            o.publisher = EventPublisher("m", 8, most=1)
+            o.publisher._index = MatchAll()
 
         yield after("crash", crash)
-    if s.left["forget"] and s.maker.streams:
+    if s.left["forget"] and s.publisher.streams:
 
         def forget(o):
             o.left["forget"] = 0
-            o.maker.gone("r", None)
+            o.publisher.forget_receiver("r", None)
 
         yield after("forget", forget)
     if s.left["widen"]:
 
         def widen(o):
             o.left["widen"] = 0
-            o.inflow.change(0.0, o.inflow.version + 1, o.inflow.parts)
+            o.inbound.restart(0.0, o.inbound.version + 1, o.inbound.filters)
 
         yield after("widen", widen)
-    if s.inflow.stuck(1e9):
-        yield after("stuck", lambda o: o.inflow.change(0.0, o.inflow.version + 1, o.inflow.parts))
+    if s.inbound.stalled(1e9):
+        yield after("stuck", lambda o: o.inbound.restart(0.0, o.inbound.version + 1, o.inbound.filters))
     yield after("tick maker", Model.tick_maker)
     yield after("tick receiver", Model.tick_receiver)
     for n, message in enumerate(s.net):
 
         def come(o, n=n, message=message):
             o.net = o.net[:n] + o.net[n + 1 :]
-            o.come(*message)
+            o.deliver(*message)
 
         def lose(o, n=n):
             o.net = o.net[:n] + o.net[n + 1 :]
 
         yield after("come", come)
         yield after("lose", lose)
-        yield after("again", lambda o, message=message: o.come(*message))
+        yield after("again", lambda o, message=message: o.deliver(*message))
 
 
-def wrong(s):
-    if list(s.told) != sorted(set(s.told)):
-        return f"repeated or out of order: {s.told}"
-    if s.inflow.pos is not None and s.begin is not None:
+def violation(s):
+    if list(s.received) != sorted(set(s.received)):
+        return f"repeated or out of order: {s.received}"
+    if s.inbound.position is not None and s.begin is not None:
         for epoch, made in s.made.items():
             for number in range(1, made + 1):
                 at = (epoch, number)
                 if (
-                    s.begin < at <= (s.inflow.epoch, s.inflow.pos)
-                    and at not in s.told
+                    s.begin < at <= (s.inbound.epoch, s.inbound.position)
+                    and at not in s.received
                     and not any(first <= at <= last for first, last in s.gaps)
                 ):
-                    return f"{at} lost unsaid"
+                    return f"{at} lost without a gap"
     return None
 
 
 def settled(s):
-    return s.inflow.confirmed and (s.inflow.epoch, s.inflow.pos) == (s.maker.epoch, s.maker.head)
+    return s.inbound.confirmed and (s.inbound.epoch, s.inbound.position) == (s.publisher.epoch, s.publisher.head)
 
 
 @pytest.mark.parametrize(
     "left", [{"make": 1, "crash": 0, "forget": 1, "widen": 0}, {"make": 1, "crash": 1, "forget": 0, "widen": 0}]
 )
-def test_no_order_of_steps_loses_unsaid_repeats_or_gets_stuck(left):
+def test_no_interleaving_loses_silently_repeats_or_stalls(left):
     start = Model()
     start.left = left
-    found = explore(start, steps, wrong, 60_000, key=Model.key, goal=settled)
+    found = explore(start, steps, violation, 60_000, key=Model.key, goal=settled)
     assert found.holds, str(found)[:4_000]
-    assert all(found.labels[word] for word in ("come", "lose", "again", *(w for w, n in left.items() if n)))
+    assert all(found.labels[label] for label in ("come", "lose", "again", *(name for name, n in left.items() if n)))
 
 
-def test_a_hole_that_is_taken_for_none_is_found(monkeypatch):
-    def careless(self, now, data):
-        yield from self._take(data)
+def test_exploration_finds_a_receiver_that_ignores_missing_batches(monkeypatch):
+    def receive_unordered(self, now, data):
+        yield from self._receive(data)
 
-    monkeypatch.setattr(stream.InboundStream, "take", careless)
+    monkeypatch.setattr(stream.InboundStream, "receive", receive_unordered)
     start = Model()
     start.left = {"make": 2, "crash": 0, "forget": 0, "widen": 0}
-    assert "lost unsaid" in str(explore(start, steps, wrong, 60_000, key=Model.key).fault)
+    assert "lost without a gap" in str(explore(start, steps, violation, 60_000, key=Model.key).fault)
