--- a/frostspindle/__main__.py
+++ b/frostspindle/__main__.py
@@ -16,7 +16,7 @@
         from frostspindle.cli import cli  # click is loaded only for those who type
 
         cli.main(prog_name="frostspindle")  # ends the process itself, with the code of the command
-    signals.hold()  # before all else is loaded: a fleet is told of a new configuration while some of it starts
+    signals.block()  # before all else is loaded: a fleet is told of a new configuration while some of it starts
     from frostspindle.serving import serve
 
     return serve()
--- a/frostspindle/cli.py
+++ b/frostspindle/cli.py
@@ -24,9 +24,9 @@
 from frostspindle import __version__
 from frostspindle import config as configuration
 from frostspindle.config import ConfigError
-from frostspindle.effective_config import effective
+from frostspindle.effective_config import effective_values
 from frostspindle.operator_client import EXIT_BAD_CALL, EXIT_UNREACHABLE, call_operator, send_query
-from frostspindle.operator_client import figures as figures_of
+from frostspindle.operator_client import fetch_figures as figures_of
 from frostspindle.operator_tables import fleet_lines, owner_lines, stat_lines
 
 # Exit codes of `call`, beside those of operator_client.
@@ -95,7 +95,7 @@
     except ConfigError as error:
         click.echo(f"frostspindle: {error}", err=True)
         sys.exit(EXIT_BAD_CALL)
-    values = effective(config)
+    values = effective_values(config)
     if as_json:
         click.echo(json.dumps(values, indent=2))
         return
--- a/frostspindle/config/__init__.py
+++ b/frostspindle/config/__init__.py
@@ -3,7 +3,7 @@
 from frostspindle.config.addresses import Address, address
 from frostspindle.config.agreed_settings import SettingsSection
 from frostspindle.config.cores import CoresSection
-from frostspindle.config.document import REPORTED, STATES, BusEvent, Host, Limits, Topology
+from frostspindle.config.document import HEALTH_CODES, POLICY_COLUMN_NAMES, BusEvent, Host, Limits, Topology
 from frostspindle.config.errors import ConfigError
 from frostspindle.config.fleet import FleetSection
 from frostspindle.config.operator_calls import SubscriptionsSection
@@ -16,8 +16,8 @@
 from frostspindle.config.tenants import Tenant, TenantRule
 
 __all__ = [
-    "REPORTED",
-    "STATES",
+    "POLICY_COLUMN_NAMES",
+    "HEALTH_CODES",
     "Address",
     "BusEvent",
     "Config",
--- a/frostspindle/config/document.py
+++ b/frostspindle/config/document.py
@@ -17,9 +17,9 @@
 from frostspindle.policy import Settings
 from frostspindle.policy.settings_parser import flatten, read_settings
 
-STATES = {"active": 1, "leaving": 2, "left": 0}
+HEALTH_CODES = {"active": 1, "leaving": 2, "left": 0}
 # Figures of a load report have one name on the wire and another in the module.
-REPORTED = {
+POLICY_COLUMN_NAMES = {
     "util": "load_share",
     "queue": "depth",
     "inflight": "concurrent",
@@ -112,7 +112,7 @@
     except ValueError as error:
         raise ConfigError(f"settings: {one_line(error)}") from None
     # Settings may have either name of a figure.
-    columns = tuple(REPORTED.get(name, name) for name in settings.load_report_columns)
+    columns = tuple(POLICY_COLUMN_NAMES.get(name, name) for name in settings.load_report_columns)
     return dataclasses.replace(settings, load_report_columns=columns)
 
 
--- a/frostspindle/config/tds.py
+++ b/frostspindle/config/tds.py
@@ -9,7 +9,7 @@
 from msgspec import Meta, Struct
 
 from frostspindle.config.addresses import address
-from frostspindle.config.document import STATES, Limits
+from frostspindle.config.document import HEALTH_CODES, Limits
 from frostspindle.config.errors import ConfigError
 from frostspindle.policy import Settings
 
@@ -17,8 +17,8 @@
 Count = Annotated[int, Meta(gt=0)]
 SOCKETS_PER_SESSION = 6  # of limits.sockets
 # A message is held up to three times: as it comes, whole, and as it goes out.
-COPIES_OF_MESSAGE = 3
-MAX_MEMORY_PART = 0.5  # of limits.memory_mb
+MESSAGE_COPIES = 3
+MAX_MEMORY_SHARE = 0.5  # of limits.memory_mb
 BYTES_PER_MB = 2**20
 
 
@@ -78,8 +78,8 @@
 def _check_limits(tds: TdsSection, limits: Limits) -> None:
     if tds.max_sessions > limits.sockets // SOCKETS_PER_SESSION:
         raise ConfigError(f"tds.max_sessions: more than a sixth of {limits.sockets} sockets")
-    held_bytes = COPIES_OF_MESSAGE * tds.max_sessions * (tds.max_batch_bytes + tds.max_result_bytes)
-    if held_bytes > limits.memory_mb * BYTES_PER_MB * MAX_MEMORY_PART:
+    held_bytes = MESSAGE_COPIES * tds.max_sessions * (tds.max_batch_bytes + tds.max_result_bytes)
+    if held_bytes > limits.memory_mb * BYTES_PER_MB * MAX_MEMORY_SHARE:
         raise ConfigError(
             "tds.max_result_bytes: with max_sessions and max_batch_bytes it may take more than "
             f"half of {limits.memory_mb:g} MB"
@@ -90,8 +90,8 @@
     names = set()
     for number, engine in enumerate(engines):
         address(engine.dial, f"tds.engine[{number}].dial")
-        if engine.state not in STATES:
-            raise ConfigError(f"tds.engine[{number}].state: not one of {', '.join(STATES)}")
+        if engine.state not in HEALTH_CODES:
+            raise ConfigError(f"tds.engine[{number}].state: not one of {', '.join(HEALTH_CODES)}")
         if engine.name in names:
             raise ConfigError(f"tds.engine[{number}].name: {engine.name!r} stands there twice")
         names.add(engine.name)
--- a/frostspindle/cores/supervisor.py
+++ b/frostspindle/cores/supervisor.py
@@ -237,7 +237,7 @@
         loop.add_signal_handler(signal_number, supervisor.stopping.set)
     loop.add_signal_handler(signal.SIGUSR1, supervisor.report)
     loop.add_signal_handler(signal.SIGHUP, supervisor.reload)
-    signals.release()
+    signals.unblock()
     try:
         await supervisor.start()
         await supervisor.stopping.wait()
--- a/frostspindle/cores/worker.py
+++ b/frostspindle/cores/worker.py
@@ -78,7 +78,7 @@
 
 def main() -> int:
     """Run a worker by the bootstrap in its environment; return its exit code, 2 for invalid input, 1 for OSError."""
-    signals.hold()
+    signals.block()
     try:
         bootstrap = msgspec.json.decode(os.environ[BOOTSTRAP_VARIABLE], type=WorkerBootstrap)
         steady_clock.set_offset_ms(float(os.environ.get(CLOCK_OFFSET_VARIABLE, steady_clock.offset_ms())))
--- a/frostspindle/descriptor_sharing.py
+++ b/frostspindle/descriptor_sharing.py
@@ -11,7 +11,7 @@
 from frostspindle.net.engines import HttpEngines
 from frostspindle.net.platform import HttpFront
 
-OPEN_REQUEST_PART = 0.29  # of all descriptors: past that, nobody finds a connection to an engine
+OPEN_REQUEST_SHARE = 0.29  # of all descriptors: past that, nobody finds a connection to an engine
 MIN_OPEN_REQUESTS = 16
 
 
@@ -44,7 +44,7 @@
         `open_elsewhere` is the number that the other process has open, None if it is not known; `is_stopping` says
         that this process is the one that ends.
         """
-        limit = int(self.sockets * OPEN_REQUEST_PART)
+        limit = int(self.sockets * OPEN_REQUEST_SHARE)
         if is_sharing:
             limit = open_request_limit(limit, open_elsewhere, is_stopping)
         if self.agreed_open_limit is not None:
--- a/frostspindle/effective_config.py
+++ b/frostspindle/effective_config.py
@@ -7,7 +7,7 @@
 from frostspindle.config import Config
 
 
-def effective(config: Config) -> dict[str, Any]:
+def effective_values(config: Config) -> dict[str, Any]:
     """Return the values that the program would use, by key."""
     values = _coordinator_values(config)
     values |= _worker_values(config)
--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from frostspindle.config import STATES, Address, BusEvent, Config, Host, address
+from frostspindle.config import HEALTH_CODES, Address, BusEvent, Config, Host, address
 from frostspindle.core import Core, Driver, EngineState, from_unix_ms
 from frostspindle.policy import EndpointListKind, EngineEntry, Health
 from frostspindle.reserved_descriptor import NO_DESCRIPTOR_ERRORS, ReservedDescriptor
@@ -267,7 +267,7 @@
     def _engine_states(self, hosts: Iterable[Host]) -> Iterable[EngineState]:
         for host in hosts:
             number = self._id_of(host.host)
-            if host.health not in STATES:
+            if host.health not in HEALTH_CODES:
                 self._reject(host, health=host.health)
                 continue
             try:
@@ -287,7 +287,7 @@
             zone=self._index(self.config.zones, host.site),
             kind=self._index(self.config.kinds, host.kind),
             cell=host.block,
-            health=STATES[host.health] if has_address else Health.GONE,
+            health=HEALTH_CODES[host.health] if has_address else Health.GONE,
             weight=host.share,
             since_ms=self._started_ms(number, host.born_ms),
         )
--- a/frostspindle/net/http/load_reports.py
+++ b/frostspindle/net/http/load_reports.py
@@ -8,7 +8,7 @@
 
 import math
 
-from frostspindle.config import REPORTED
+from frostspindle.config import POLICY_COLUMN_NAMES
 from frostspindle.core import UNKNOWN_COST, MeasuredCost
 from frostspindle.net.http.replies import EngineReply
 from frostspindle.policy import ProgressKind
@@ -36,7 +36,7 @@
             for part in text.split(";"):
                 name, _, value = part.partition(":")
                 number = float(value)
-                values[REPORTED.get(name.strip(), name.strip())] = number if math.isfinite(number) else 0.0
+                values[POLICY_COLUMN_NAMES.get(name.strip(), name.strip())] = number if math.isfinite(number) else 0.0
             return tuple(values[column] for column in self.columns)
         except (ValueError, KeyError):
             self._unreadable("engine_bad_reports", text)
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -13,7 +13,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from frostspindle.config import STATES, TdsEngine, TdsSection, address
+from frostspindle.config import HEALTH_CODES, TdsEngine, TdsSection, address
 from frostspindle.core import Attempt, Core, EngineState, clock
 from frostspindle.net import TaskDriver
 from frostspindle.net.tds import codec
@@ -175,9 +175,11 @@
     def _state(self, engine: TdsEngine, number: int) -> EngineState:
         known = self.states.get(number)
         since = known.entry.since_ms if known else 0.0
-        if known is not None and known.entry.health == Health.GONE and STATES[engine.state] == Health.READY:
+        if known is not None and known.entry.health == Health.GONE and HEALTH_CODES[engine.state] == Health.READY:
             since = clock()  # it comes back, and comes back cold
-        entry = EngineEntry(number, 0, self.kinds[engine.cores, engine.memory_mb], 0, STATES[engine.state], 1.0, since)
+        entry = EngineEntry(
+            number, 0, self.kinds[engine.cores, engine.memory_mb], 0, HEALTH_CODES[engine.state], 1.0, since
+        )
         return EngineState(entry, engine.name, address(engine.dial, engine.name), self)
 
     def _with(self, state: EngineState, health: int, since: float | None = None) -> EngineState:
--- a/frostspindle/operator_client.py
+++ b/frostspindle/operator_client.py
@@ -96,7 +96,7 @@
     return socket.AF_INET6 if ":" in place[0] else socket.AF_INET
 
 
-def figures(at: str, text: str, what: str = "") -> Any:
+def fetch_figures(at: str, text: str, what: str = "") -> Any:
     """Return the decoded response of one call to the operators' address `at`.
 
     Raises FiguresUnavailableError for a bad address, a refused call or no connection; `what` tells in the message what
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -123,7 +123,7 @@
         """Begin to follow the bans and the other processes of this coordinator."""
         self._limit_open_requests(False)
         if isinstance(self.shared, Shared):
-            self.shared.follow(lambda: self.core.open, self.update_open_limit)
+            self.shared.publish_open_requests(lambda: self.core.open, self.update_open_limit)
         on_bans_changed: BanListener = self.core.ban
         for component in self.components:
             on_bans_changed = component.wrap_ban_listener(on_bans_changed)
@@ -364,5 +364,5 @@
     await program.stop()
     if link is None:
         program.report()
-    signals.hold()  # the handlers go with the loop
+    signals.block()  # the handlers go with the loop
     return int(program.failed)
--- a/frostspindle/serving.py
+++ b/frostspindle/serving.py
@@ -22,7 +22,7 @@
 
 def serve(environ: Mapping[str, str] = os.environ) -> int:
     """Serve until a signal ends it; return 0 after a signal, 1 for a fault, 2 for a bad configuration."""
-    signals.hold()
+    signals.block()
     try:
         config = configuration.read(environ)
     except ConfigError as error:
--- a/frostspindle/settings/cli_commands.py
+++ b/frostspindle/settings/cli_commands.py
@@ -17,7 +17,7 @@
 
 import click
 
-from frostspindle.operator_client import EXIT_BAD_CALL, EXIT_UNREACHABLE, figures
+from frostspindle.operator_client import EXIT_BAD_CALL, EXIT_UNREACHABLE, fetch_figures
 from frostspindle.settings.document import json_schema, parse_document
 from frostspindle.settings.schema import InvalidSettingsError
 from frostspindle.settings.version_encoding import pack_changes, split_into_pieces
@@ -48,7 +48,7 @@
     deadline = time.monotonic() + wait_s
     outcome: dict[str, Any] = {"state": "drafted", "version": 0, "why": ""}
     while outcome["state"] in UNDECIDED_STATES and time.monotonic() < deadline:
-        outcome = figures(at, f"settings-outcome {name}")
+        outcome = fetch_figures(at, f"settings-outcome {name}")
         time.sleep(POLL_INTERVAL_S)
     if as_json:
         click.echo(json.dumps(outcome))
@@ -77,7 +77,7 @@
     name = secrets.token_hex(8)
     pieces = split_into_pieces(pack_changes(rules), PIECE_BYTES)
     for number, piece in enumerate(pieces):
-        figures(at, f"settings-push {name} {number}/{len(pieces)} {base64.b64encode(piece).decode()}")
+        fetch_figures(at, f"settings-push {name} {number}/{len(pieces)} {base64.b64encode(piece).decode()}")
     _follow_push(at, name, wait_s, as_json)
 
 
@@ -87,14 +87,14 @@
 def rollback(version: int | None, wait_s: float, at: str, as_json: bool) -> None:
     """Make the rules of an earlier version live again, under a new number; without one, of the version before."""
     name = secrets.token_hex(8)
-    figures(at, f"settings-rollback {name} {version or 0}")
+    fetch_figures(at, f"settings-rollback {name} {version or 0}")
     _follow_push(at, name, wait_s, as_json)
 
 
 @_command("status")
 def status(at: str, as_json: bool) -> None:
     """Who runs which version, who turned one down and why, who is on the meet."""
-    reply = figures(at, "show-settings")
+    reply = fetch_figures(at, "show-settings")
     if as_json:
         click.echo(json.dumps(reply, indent=2))
         return
@@ -115,7 +115,7 @@
 @_command("history")
 def history(at: str, as_json: bool) -> None:
     """The versions that are kept, and what happened to them."""
-    reply = figures(at, "settings-history")
+    reply = fetch_figures(at, "settings-history")
     if as_json:
         click.echo(json.dumps(reply, indent=2))
         return
@@ -132,7 +132,7 @@
 @click.argument("two", type=click.IntRange(0))
 def difference(one: int, two: int, at: str, as_json: bool) -> None:
     """What leads from one kept version to another."""
-    reply = figures(at, f"settings-diff {one} {two}")
+    reply = fetch_figures(at, f"settings-diff {one} {two}")
     if as_json:
         click.echo(json.dumps(reply, indent=2))
         return
--- a/frostspindle/settings/schema.py
+++ b/frostspindle/settings/schema.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from frostspindle.config import STATES, TenantRule
+from frostspindle.config import HEALTH_CODES, TenantRule
 
 MAX_ENTRIES = 20_000
 MAX_VERSION_BYTES = 2 << 20  # total size of the entries of a version
@@ -195,4 +195,4 @@
     return fields
 
 
-assert STATES.keys() == STATE_RANK.keys()
+assert HEALTH_CODES.keys() == STATE_RANK.keys()
--- a/frostspindle/shared.py
+++ b/frostspindle/shared.py
@@ -90,7 +90,9 @@
         self.telemetry.log("shared_folder_restored", folder=str(self.folder))
         self._read()
 
-    def follow(self, open_here: Callable[[], int], on_open_elsewhere_changed: Callable[[], None]) -> None:
+    def publish_open_requests(
+        self, open_here: Callable[[], int], on_open_elsewhere_changed: Callable[[], None]
+    ) -> None:
         """Tell the others how many requests are open here, and call the second function whenever theirs has changed."""
         self._open_here = open_here
         self._on_open_elsewhere_changed = on_open_elsewhere_changed
--- a/frostspindle/signals.py
+++ b/frostspindle/signals.py
@@ -13,17 +13,17 @@
     import asyncio
     from collections.abc import Callable
 
-OBEYED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
-def hold() -> None:
+def block() -> None:
     """Block the signals that the program handles; the system keeps those that come pending."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, OBEYED)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def release() -> None:
+def unblock() -> None:
     """Unblock them once the handlers are installed; pending ones are delivered now."""
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, OBEYED)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
 
 def handle(
@@ -40,4 +40,4 @@
     loop.add_signal_handler(signal.SIGINT, stop)
     loop.add_signal_handler(signal.SIGUSR1, report)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    release()
+    unblock()
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -58,7 +58,7 @@
     async def run():
         shared = Shared(environ={"TMPDIR": str(root)}, name=COORDINATOR, telemetry=Telemetry(sink=io.BytesIO()))
         shared.start(lambda banned: None, lambda crowded: None)
-        shared.follow(lambda: OPEN_REQUESTS, lambda: None)
+        shared.publish_open_requests(lambda: OPEN_REQUESTS, lambda: None)
         for engine in BANNED:
             shared.ban(name=engine, on=True)
         shutil.copytree(shared.folder, keep)
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -61,7 +61,7 @@
     async def run():
         shared = Shared(environ={"TMPDIR": str(root)}, name=stored.COORDINATOR, telemetry=Telemetry(sink=io.BytesIO()))
         shared.start(lambda banned: None, lambda crowded: None)
-        shared.follow(lambda: stored.OPEN_REQUESTS, lambda: None)
+        shared.publish_open_requests(lambda: stored.OPEN_REQUESTS, lambda: None)
         shared.ban(name="e9", on=True)  # which also reads and writes at once
         found = shared.banned, shared.is_sharing, shared.open_elsewhere
         own = [path.read_bytes() for path in shared.folder.glob("run-*") if path.name != stored.PRESENCE]
