--- a/frostspindle/cli.py
+++ b/frostspindle/cli.py
@@ -1,9 +1,10 @@
 """The command line.
 
-Owns the commands' names, options, exit codes and what a person reads. It must never serve by itself (serving.py
-does), never print a password or community, and is loaded only when there are arguments.
+Defines the commands with their options, output and exit codes; serving itself is in serving.py. No command may print
+a password or an SNMP community. The module is loaded only when the program has arguments.
 
-Exit codes of `call`: 0 served, 3 refused, 4 failed, 5 no coordinator there; elsewhere 2 is a bad configuration.
+Exit codes of `call`: 0 served, 3 refused, 4 failed, 5 coordinator unreachable; for other commands 2 is a bad
+configuration.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 from frostspindle.operator_client import fetch_figures as figures_of
 from frostspindle.operator_tables import fleet_lines, owner_lines, stat_lines
 
-# Exit codes of `call`, beside those of operator_client.
+# Exit codes of `call`; operator_client has the others.
 EXIT_SERVED = 0
 EXIT_REJECTED = 3
 EXIT_FAILED = 4
@@ -45,21 +46,21 @@
 ]
 
 
-def files(command: Any) -> Any:
+def file_options(command: Any) -> Any:
     """Add the options `--config`, `--operator` and `--workers` to a click command; used as a decorator."""
     for option in reversed(_FILE_OPTIONS):
         command = option(command)
     return command
 
 
-def environment(config_file: str | None, operator_file: str | None, workers: int | None) -> dict[str, str]:
-    """Return the process's environment with the given options laid over it."""
-    given = {
+def environment_with(config_file: str | None, operator_file: str | None, workers: int | None) -> dict[str, str]:
+    """Return the process's environment with the given options set in it."""
+    overrides = {
         "LB_CONFIG": config_file,
         "FROSTSPINDLE_OPERATOR": operator_file,
         "FROSTSPINDLE_WORKERS": None if workers is None else str(workers),
     }
-    return {**os.environ, **{key: value for key, value in given.items() if value is not None}}
+    return {**os.environ, **{key: value for key, value in overrides.items() if value is not None}}
 
 
 def _print_lines(lines: Iterable[str]) -> None:
@@ -77,21 +78,21 @@
 
 
 @cli.command()
-@files
+@file_options
 def serve(config_file: str | None, operator_file: str | None, workers: int | None) -> None:
     """Serve until SIGTERM or Ctrl-C."""
     from frostspindle import serving
 
-    sys.exit(serving.serve(environment(config_file, operator_file, workers)))
+    sys.exit(serving.serve(environment_with(config_file, operator_file, workers)))
 
 
 @cli.command()
-@files
+@file_options
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def check(config_file: str | None, operator_file: str | None, workers: int | None, as_json: bool) -> None:
     """Read both files and print the values in effect; exit 2 and one line naming the key if one is bad."""
     try:
-        config = configuration.read(environment(config_file, operator_file, workers))
+        config = configuration.read(environment_with(config_file, operator_file, workers))
     except ConfigError as error:
         click.echo(f"frostspindle: {error}", err=True)
         sys.exit(EXIT_BAD_CALL)
@@ -120,21 +121,21 @@
 
     Exit code: 0 served, 3 refused (trying again is harmless), 4 failed, 5 nobody there.
     """
-    began = time.monotonic()
+    started = time.monotonic()
     try:
-        how, rows, wait_ms = send_query(at, cls, sql, ticket or secrets.token_hex(8), timeout_ms, cost_ms, memory)
+        outcome, rows, wait_ms = send_query(at, cls, sql, ticket or secrets.token_hex(8), timeout_ms, cost_ms, memory)
     except (OSError, http.client.HTTPException) as error:
         click.echo(f"frostspindle: {at}: {error}", err=True)
         sys.exit(EXIT_UNREACHABLE)
-    took_ms = (time.monotonic() - began) * 1000.0
+    took_ms = (time.monotonic() - started) * 1000.0
     if as_json:
-        click.echo(json.dumps({"how": how, "rows": rows, "retry_after_ms": wait_ms, "ms": round(took_ms, 1)}))
+        click.echo(json.dumps({"how": outcome, "rows": rows, "retry_after_ms": wait_ms, "ms": round(took_ms, 1)}))
     else:
         for row in rows:
             click.echo("\t".join(row))
         note = f"; come back in {wait_ms:g} ms" if wait_ms else ""
-        click.echo(f"{how}: {len(rows)} rows in {took_ms:.0f} ms{note}", err=True)
-    sys.exit({"served": EXIT_SERVED, "refused": EXIT_REJECTED}.get(how, EXIT_FAILED))
+        click.echo(f"{outcome}: {len(rows)} rows in {took_ms:.0f} ms{note}", err=True)
+    sys.exit({"served": EXIT_SERVED, "refused": EXIT_REJECTED}.get(outcome, EXIT_FAILED))
 
 
 @cli.command()
@@ -144,20 +145,20 @@
 def stat(at: str | None, config_file: str | None, as_json: bool) -> None:
     """Ask a running coordinator for its figures."""
     try:
-        place = at or configuration.read(environment(config_file, None, None)).operator_address
-        if place is None:
+        operator_address = at or configuration.read(environment_with(config_file, None, None)).operator_address
+        if operator_address is None:
             raise ConfigError("operator: not set, and no --at")
-        if isinstance(place, str) and not place.startswith("/"):
-            place = configuration.address(place, "--at")
+        if isinstance(operator_address, str) and not operator_address.startswith("/"):
+            operator_address = configuration.address(operator_address, "--at")
     except ConfigError as error:
         click.echo(f"frostspindle: {error}", err=True)
         sys.exit(EXIT_BAD_CALL)
     try:
-        answer = call_operator(place, "show-stat")
+        response = call_operator(operator_address, "show-stat")
     except OSError as error:
-        click.echo(f"frostspindle: {place}: {error}", err=True)
+        click.echo(f"frostspindle: {operator_address}: {error}", err=True)
         sys.exit(EXIT_UNREACHABLE)
-    figures = json.loads(answer.splitlines()[0])
+    figures = json.loads(response.splitlines()[0])
     if as_json:
         click.echo(json.dumps(figures, indent=2))
         return
@@ -201,23 +202,23 @@
     """Load a coordinator of this machine and compare numbers of workers."""
     if importlib.util.find_spec("hdrh") is None:
         raise click.UsageError("bench needs the extra: pip install -e '.[bench]'")
-    from frostspindle.lab import bench as measuring
+    from frostspindle.lab import bench as lab_bench
 
     try:
-        numbers = [int(text) for text in workers.split(",")]
+        worker_counts = [int(text) for text in workers.split(",")]
     except ValueError:
-        raise click.BadParameter(f"not numbers: {workers!r}", param_hint="--workers") from None
+        raise click.BadParameter(f"not a list of integers: {workers!r}", param_hint="--workers") from None
     result = (
-        measuring.cold(numbers, clients, connections, seconds)
+        lab_bench.cold(worker_counts, clients, connections, seconds)
         if cold
-        else measuring.compare(numbers, clients, connections, engines, delay_ms / 1000.0, seconds, rounds)
+        else lab_bench.compare(worker_counts, clients, connections, engines, delay_ms / 1000.0, seconds, rounds)
     )
-    click.echo(measuring.table(result))
+    click.echo(lab_bench.table(result))
     if out:
         with open(out, "w", encoding="utf-8") as file:
             json.dump(result, file, indent=1)
     if plot:
-        measuring.draw(result, plot)
+        lab_bench.draw(result, plot)
 
 
 @cli.command()
@@ -258,14 +259,14 @@
 def release_owner(at: str, task: str, wait_s: float) -> None:
     """Take a task from its holder; another gets it, at the latest when the lease is over. Exit 3: not within the
     time."""
-    asked = figures_of(at, f"release-owner {task}", "not released")
-    until = time.monotonic() + wait_s
-    while time.monotonic() < until:
+    released = figures_of(at, f"release-owner {task}", "not released")
+    deadline = time.monotonic() + wait_s
+    while time.monotonic() < deadline:
         rows = {row["task"]: row for row in figures_of(at, "show-owners", "no owners there")["owners"]}
         row = rows.get(task)
-        if row is None or row["token"] != asked["token"] or row["forced"]:
-            now = "nobody" if row is None else f"{row['holder']} ({row['token']})"
-            click.echo(f"{task}: {asked['holder']} ({asked['token']}) is released; now {now}")
+        if row is None or row["token"] != released["token"] or row["forced"]:
+            current = "nobody" if row is None else f"{row['holder']} ({row['token']})"
+            click.echo(f"{task}: {released['holder']} ({released['token']}) is released; now {current}")
             return
         time.sleep(0.05)
     click.echo(f"frostspindle: {task}: not released within {wait_s:g} s", err=True)
@@ -273,7 +274,7 @@
 
 
 class _Settings(click.Group):
-    """The commands of agreed settings, which nothing but `settings` loads."""
+    """Loads the commands for agreed settings only when `settings` is used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         if importlib.util.find_spec("immutables") is None:
@@ -295,7 +296,7 @@
 
 
 class _Lab(click.Group):
-    """The lab's commands, which nothing but `lab` loads."""
+    """Loads the lab's commands only when `lab` is used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         from frostspindle.lab.commands import COMMANDS
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -1,7 +1,7 @@
-"""One process that serves: its parts, and the order in which they start and stop.
+"""Assembles one serving process, and starts and stops its parts in order.
 
-Owns that order. It decides nothing about requests, speaks no wire and reads no command line; which optional parts
-there are is stated in `components/registry.py`.
+Request decisions, network protocols and the command line are handled elsewhere. The optional parts are listed in
+`components/registry.py`.
 """
 
 from __future__ import annotations
@@ -29,40 +29,40 @@
 from frostspindle.shutdown_plan import make_shutdown_plan
 from frostspindle.telemetry import Telemetry
 
-DRAIN_POLL_INTERVAL_S = 0.02  # between looks at whether anything is still open
-RESPONSE_FLUSH_S = 0.1  # for the last responses to leave
+DRAIN_POLL_INTERVAL_S = 0.02  # between checks for open requests during shutdown
+RESPONSE_FLUSH_S = 0.1  # time for the last responses to be sent
 
 
 class WorkerLink(Protocol):
-    """What ties this process to other workers of one coordinator; it stands where a single process has `Shared`."""
+    """Connects a worker to the other workers of its coordinator; takes the place of `Shared` in a single process."""
 
-    is_sharing: bool  # another process of this coordinator runs too
-    open_elsewhere: int | None  # requests that the others have open; None: one tells not
+    is_sharing: bool  # another process of this coordinator is running
+    open_elsewhere: int | None  # requests open in the other processes; None if one of them does not report it
 
     @property
     def order(self) -> Path | None:
-        """Where processes keep the order of their keys; None: nowhere."""
+        """Folder in which processes share the order of keyed requests; None if there is none."""
 
     @property
     def ending(self) -> bool:
-        """Nobody else accepts any more."""
+        """Whether no other process accepts connections any more."""
 
     def bind(self, program: Any) -> None:
-        """Take the program whose part this is, before it starts."""
+        """Set the program that this link belongs to; called before the program starts."""
 
     def start(
         self, on_bans_changed: Callable[[frozenset[str]], None], on_sharing_changed: Callable[[bool], None]
     ) -> None:
-        """Call the first function with the bans, the second with whether another process runs: now and on changes."""
+        """Call both functions now and on each change: with the bans, and with whether another process is running."""
 
     def serving(self) -> None:
-        """Clients are served from now on."""
+        """Note that this process accepts clients from now on."""
 
     def leaving(self) -> None:
-        """Nothing more is accepted."""
+        """Note that this process is shutting down."""
 
     def close(self) -> None:
-        """The program has ended."""
+        """Release the resources of the link after the program has stopped."""
 
 
 class Program:
@@ -84,7 +84,7 @@
         self.failed = False
         self.tasks: list[asyncio.Task[Any]] = []
 
-        # The optional parts' services, set by their components; see `host.ProgramContext`.
+        # Services of the optional parts, set by their components; see `host.ProgramContext`.
         self.tds: Any = None
         self.tds_driver: Any = None
         self.fleet: Any = None
@@ -107,9 +107,9 @@
         self.reloader = Reloader(config, self.components, self.bus, self.telemetry)
 
     async def start(self) -> None:
-        """Start all parts; the HTTP front accepts last, once the core knows the engine list and the bans.
+        """Start all parts. The HTTP front accepts last, once the core knows the engine list and the bans.
 
-        Raises OSError, which names the setting for the operators', replica's and HTTP addresses, if one can't be had.
+        Raise OSError if an address can't be bound; for the operators', replica and HTTP addresses it names the setting.
         """
         await self.components.start(Phase.BEFORE_ENDPOINTS)
         self.bus.start()
@@ -120,7 +120,7 @@
         await self._accept()
 
     def _start_sharing(self) -> None:
-        """Begin to follow the bans and the other processes of this coordinator."""
+        """Start watching the bans and the other processes of this coordinator."""
         self._limit_open_requests(False)
         if isinstance(self.shared, Shared):
             self.shared.publish_open_requests(lambda: self.core.open, self.update_open_limit)
@@ -139,13 +139,13 @@
     def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         if not task.cancelled() and task.exception() is not None:
             self.telemetry.log("exception_caught", error=repr(task.exception()), of="task")
-            self.failed = True  # without its core or its engine list the program is of no use: a new start is
+            self.failed = True  # the program can't serve without its core or engine list and must be restarted
             self.stopping.set()
 
     async def _accept(self) -> None:
-        """Accept HTTP clients and say that the program is ready; OSError names LB_LISTEN."""
+        """Accept HTTP clients and log that the program is ready. Raise OSError, which names LB_LISTEN."""
         while self.core.has_pending_changes and not self.stopping.is_set():
-            await asyncio.sleep(0)  # who is accepted meets a core that knows engines and bans
+            await asyncio.sleep(0)  # the first request must find the engines and bans in the core
         try:
             self.platform.start()
         except OSError as error:
@@ -164,12 +164,12 @@
 
     @property
     def sockets(self) -> int:
-        """Number of descriptors that this process may use."""
+        """Number of file descriptors that this process may use."""
         return self.descriptors.sockets
 
     @property
     def agreed_open_limit(self) -> int | None:
-        """Limit on open requests by the agreed settings; None: none is agreed."""
+        """Limit on open requests from the agreed settings; None if they set none."""
         return self.descriptors.agreed_open_limit
 
     @agreed_open_limit.setter
@@ -177,7 +177,7 @@
         self.descriptors.agreed_open_limit = limit
 
     def on_sharing_changed(self, is_sharing: bool) -> None:
-        """Another process of this coordinator has come or gone: an upgrade."""
+        """Divide the limits again: during an upgrade another process of this coordinator started or ended."""
         self.descriptors.limit_connections(is_sharing)
         self._limit_open_requests(is_sharing)
         self.telemetry.log("descriptors_divided", crowded=is_sharing)
@@ -187,15 +187,15 @@
         self.descriptors.limit_open_requests(is_sharing, open_elsewhere, self.stopping.is_set())
 
     def update_open_limit(self) -> None:
-        """Apply the limit on open requests again: the agreed one, or what another process has open, has changed."""
+        """Recompute the limit on open requests; call after the agreed limit or the other process's requests changed."""
         self._limit_open_requests(self.shared.is_sharing)
 
     def resize(self, sockets: int) -> None:
-        """So many descriptors are this process's from now on; who is over its part makes room."""
+        """Set the number of descriptors of this process; connections over the new limits are closed once idle."""
         self.descriptors.resize(sockets, self.shared.is_sharing)
         self.update_open_limit()
 
-    # What operators call.
+    # Operators' calls.
 
     def operator_calls(self) -> dict[str, Callable[..., Any]]:
         """Return the operators' calls of the program and of the components created so far."""
@@ -212,19 +212,19 @@
         return calls
 
     def ready(self) -> None:
-        """Raise OperatorError unless the program serves and clients are not sent away; for readiness checks."""
+        """Raise OperatorError unless the program serves and does not drain; used for readiness checks."""
         if not self.serving:
             raise OperatorError("not yet" if not self.stopping.is_set() else "the program ends")
         if self.platform.draining:
             raise OperatorError("clients are being sent away")
 
     def disable(self, name: str) -> None:
-        """Ban an engine from new work; OperatorError if none of that name was ever listed or the ban can't be kept."""
+        """Ban an engine from new work. Raise OperatorError if it was never listed or the ban can't be stored."""
         self._check_listed(name)
         self._ban(name, True)
 
     def enable(self, name: str) -> None:
-        """End an engine's ban; OperatorError if none of that name was ever listed or the ban can't be removed."""
+        """Lift an engine's ban. Raise OperatorError if it was never listed or the ban can't be removed."""
         self._check_listed(name)
         for component in self.components:
             component.on_engine_enabled(name)
@@ -241,43 +241,43 @@
             raise OperatorError(f"the ban can't be kept: {error.strerror}") from None
 
     def drain(self) -> None:
-        """Begin a drain of the HTTP and TDS fronts: open requests are finished, clients sent away."""
+        """Start draining the HTTP and TDS fronts: open requests finish and clients are sent away."""
         self.platform.drain()
         for component in self.components:
             component.drain()
 
     def resume(self) -> None:
-        """End a drain of the HTTP and TDS fronts."""
+        """Stop draining the HTTP and TDS fronts."""
         self.platform.resume()
         for component in self.components:
             component.resume()
 
-    # What is logged.
+    # Logging.
 
     def sessions(self) -> dict[str, int]:
-        """Return the number of connections that clients hold now, by front."""
+        """Return the number of open client connections by front."""
         return {FRONT: self.platform.connections, "tds": self.components.client_connections("tds")}
 
     def report(self) -> None:
-        """SIGUSR1 and the end: log the counters, and what is believed of engines and requests."""
-        if self.link is not None:  # the supervisor logs the sums
+        """Log the counters and the state of engines and requests; called on SIGUSR1 and at exit."""
+        if self.link is not None:  # the supervisor logs the totals of all workers
             self.telemetry.log("worker_reported", clients=self.sessions(), **self.core.snapshot())
             return
         self.telemetry.report(clients=self.sessions(), figures=self.core.figures(), **self.core.snapshot())
 
     def reload(self) -> None:
-        """SIGHUP: read both files again; a file with a fault changes nothing, of the other neither."""
+        """Reload both files on SIGHUP; a fault in either leaves the whole configuration unchanged."""
         self.reloader.reload()
 
-    # The end.
+    # Shutdown.
 
     async def stop(self) -> None:
-        """Go on accepting for a while, finish what was taken, then let go of everything.
+        """Accept for a short time, finish the open requests, then release all resources.
 
-        On a socket that the platform holds a successor accepts already: clients are sent there, as in a drain.
+        Where a successor already accepts on the same socket, clients are sent away to it, as in a drain.
         """
         clock = asyncio.get_running_loop().time
-        began_s = clock()
+        started_s = clock()
         plan = make_shutdown_plan(self.config.settings, has_supervisor=self.link is not None)
         self.serving = False
         if self.link is not None:
@@ -292,15 +292,15 @@
         )
         for component in self.components:
             component.on_stopping()
-        await asyncio.sleep(began_s + plan.accept_until_s - clock())
-        while clock() < began_s + plan.answer_by_s and self._has_unfinished_work:
+        await asyncio.sleep(started_s + plan.accept_until_s - clock())
+        while clock() < started_s + plan.answer_by_s and self._has_unfinished_work:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         await self._finish_requests()
-        await self._close(began_s + plan.exit_by_s)
+        await self._close(started_s + plan.exit_by_s)
 
     @property
     def _has_successor(self) -> bool:
-        """Others accept at the same socket, or nobody does any more."""
+        """Whether another process accepts on the same socket: the platform's new process, or another worker."""
         return self.config.inherited is not None or (self.link is not None and not self.link.ending)
 
     def _hand_over(self) -> None:
@@ -312,18 +312,18 @@
 
     @property
     def _has_unfinished_work(self) -> bool:
-        """Something is open, answered but not yet fetched (a long result comes in several calls), or half read."""
+        """Whether a request is open or partly read, or a result is not yet fetched (long ones take several calls)."""
         return bool(self.core.open or self.platform.owing or self.platform.coming or self._has_unsent_responses)
 
     @property
     def _has_unsent_responses(self) -> bool:
-        """Responses wait here for clients that read slowly: they would end with the process."""
+        """Whether responses for slow clients are still buffered; they would be lost with the process."""
         return any(client.transport.get_write_buffer_size() for client in self.platform.clients)
 
     async def _finish_requests(self) -> None:
-        """Answer what is still open and give the responses time to leave."""
+        """Answer the requests that are still open, and give the responses time to be sent."""
         self.platform.finish()
-        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)  # the core takes what came before
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)  # the core handles the requests received so far
         for component in self.components:
             component.abandon_requests()
         self.core.fail_open_requests()
@@ -341,10 +341,10 @@
 
 
 def request_classes(config: Config) -> list[tuple[str, str]]:
-    """Return front and name of each request class, in the order in which the settings have them."""
+    """Return front and name of each request class, in the order of the settings."""
     classes = [(FRONT, name) for name in config.classes]
     classes += [("tds", name) for name in config.plan.classes]
-    if config.scatter is not None:  # by class and site
+    if config.scatter is not None:  # one for each class and site
         classes += [(SUBREQUEST_FRONT, config.classes[number]) for number, _ in config.scatter.classes]
     return classes
 
@@ -352,17 +352,17 @@
 async def run(config: Config, link: WorkerLink | None = None) -> int:
     """Run one process until SIGTERM or SIGINT; return 1 if the core or the bus reader failed, else 0.
 
-    Raises ConfigError for a fault in a file that a part reads for itself, OSError for an address that can't be had.
+    Raise ConfigError for a fault in a file that an optional part reads, OSError for an address that can't be bound.
     """
     program = Program(config, link)
     signals.handle(asyncio.get_running_loop(), program.stopping.set, program.report, program.reload)
     await program.start()
-    # What was built at the start stays: collections then need not walk it, which would hold up answers.
+    # Exclude the long-lived objects of the start from garbage collection, whose pauses would delay responses.
     gc.collect()
     gc.freeze()
     await program.stopping.wait()
     await program.stop()
     if link is None:
         program.report()
-    signals.block()  # the handlers go with the loop
+    signals.block()  # the handlers end with the event loop
     return int(program.failed)
--- a/frostspindle/telemetry.py
+++ b/frostspindle/telemetry.py
@@ -1,9 +1,9 @@
 """Log and counters of one process.
 
-The log is one JSON line an event on standard error. The counters tell what was taken in, sent and answered, by front
-and class; SIGUSR1, the exit and the SNMP agent all read these same counters. Nothing here raises into its caller or
-writes statements, rows or passwords. Lines are made by structlog; which of its processors, and what they cost:
-docs/design/plumbing.md.
+The log has one JSON line per event, on standard error. The counters record requests received, sent and answered, by
+front and class; SIGUSR1, the exit and the SNMP agent all report these same counters. Logging and counting raise no
+error into the caller, and statements, rows and passwords must not be logged. The lines are made by structlog;
+docs/design/plumbing.md lists the processors in use and their cost.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 import structlog
 from structlog.typing import EventDict
 
-MAX_LINES_PER_S = 200  # a fault that repeats must not cost the core its processor time
+MAX_LINES_PER_S = 200  # a repeating fault must not use up the core's CPU time
 
 
-# The counter's name, the front and the class name; the last two may be empty. A plain tuple, because one is made for
-# each count and a NamedTuple costs several times as much.
+# The counter's name, the front and the class name; the last two may be empty. A plain tuple, because one is created for
+# each count and creating a NamedTuple takes several times as long.
 CounterKey = tuple[str, str, str]
 
 LOG_FAILED: CounterKey = ("log_failed", "", "")
 
 
 class LogRateLimiter:
-    """A limit on the log lines of each second. It reads no clock."""
+    """Limits the number of log lines per second. It reads no clock: the caller passes the time."""
 
     def __init__(self, max_lines_per_s: int) -> None:
         self._max_lines_per_s = max_lines_per_s
-        self._second = 0  # the current one, in Unix time
-        self._lines = 0  # asked for in this second
-        self._dropped = 0  # of these
+        self._second = 0  # the current second, in Unix time
+        self._lines = 0  # requested in this second
+        self._dropped = 0  # of those requested in this second
 
     def take(self, now_s: float) -> tuple[bool, int]:
         """Return whether a line may be written at `now_s` (Unix), and how many were dropped in an earlier second.
 
-        Dropped lines are returned once.
+        Each dropped line is reported once.
         """
         dropped_before = 0
         if int(now_s) != self._second:
@@ -56,14 +56,14 @@
 
 
 class _JsonLogger(structlog.BoundLoggerBase):
-    """Adds what is bound to it, the node and the worker, to each line."""
+    """Adds the node and the worker, which are bound to the logger, to each line."""
 
     def write(self, event: str, timestamp_s: float, fields: dict[str, Any]) -> None:
         self._proxy_to_logger("msg", event, ts=timestamp_s, fields=fields)
 
 
 def _order_keys(_logger: Any, _method: str, event_dict: EventDict) -> EventDict:
-    """Put the keys into the order that readers of the log know: time, node, event, then the rest and the worker."""
+    """Order the keys of a line as documented: time, node, event, then the event's fields and the worker."""
     line = {"ts": event_dict["ts"], "node": event_dict["node"], "event": event_dict["event"], **event_dict["fields"]}
     if event_dict["worker"] is not None:
         line["worker"] = event_dict["worker"]
@@ -79,7 +79,7 @@
 
 
 class Telemetry:
-    """The log and the counters of one process, used by its event loop's thread only."""
+    """The log and the counters of one process; only the event loop's thread may use them."""
 
     def __init__(self, name: str = "", sink: BinaryIO | None = None, worker: int | None = None) -> None:
         self.name = name  # of this node
@@ -91,21 +91,21 @@
         self._rate_limiter = LogRateLimiter(MAX_LINES_PER_S)
 
     def up_s(self) -> float:
-        """Return how long this process has run, in s, whatever became of the wall clock."""
+        """Return how long this process has run, in s; steps of the wall clock have no effect on it."""
         return time.monotonic() - self._started_monotonic_s
 
     def count(self, counter: str, front: str = "", class_name: str = "", amount: int = 1) -> None:
-        """Add `amount` to a counter, by front and class where these are given."""
+        """Add `amount` to a counter, broken down by front and class where these are given."""
         key = (counter, front, class_name)
         self.counts[key] += amount
         if self.on_count_changed is not None:
             self.on_count_changed(key, self.counts[key])
 
     def log(self, event: str, **fields: Any) -> None:
-        """Write one JSON line, unless this second's MAX_LINES_PER_S are used up: then it is dropped and counted.
+        """Write one JSON line; drop and count it if MAX_LINES_PER_S were already written in this second.
 
-        The count of dropped lines follows in a later second as `lines_dropped`. Never raises for a sink or a value that
-        can't be written: that counts as `log_failed`.
+        The number of dropped lines is logged in a later second as `log_lines_dropped`. A broken sink or a value that
+        can't be encoded raises nothing and is counted as `log_failed`.
         """
         now_s = time.time()
         is_allowed, dropped = self._rate_limiter.take(now_s)
@@ -115,7 +115,7 @@
             self._write(now_s, event, fields)
 
     def report(self, **fields: Any) -> None:
-        """Write all counters as one event, with the given fields; not subject to the limit on lines."""
+        """Write all counters and the given fields as one event; the rate limit does not apply."""
         rows = [
             {"what": counter, "front": front, "class": class_name, "count": count}
             for (counter, front, class_name), count in sorted(self.counts.items())
@@ -126,5 +126,5 @@
     def _write(self, now_s: float, event: str, fields: dict[str, Any]) -> None:
         try:
             self._logger.write(event, round(now_s, 3), fields)
-        except (OSError, ValueError, TypeError):  # a sink that is gone, a text or a key that JSON can't have
+        except (OSError, ValueError, TypeError):  # a closed sink, or a text or key that JSON can't encode
             self.counts[LOG_FAILED] += 1
