--- a/frostspindle/__init__.py
+++ b/frostspindle/__init__.py
@@ -1,3 +1,3 @@
-"""frostspindle: the coordinator that runs the decision module on real sockets."""
+"""frostspindle: a coordinator between clients and query engines."""
 
 __version__ = "0.3.0"
--- a/frostspindle/__main__.py
+++ b/frostspindle/__main__.py
@@ -1,6 +1,6 @@
-"""The way in: without arguments the program serves as the environment says; else they are the command line's.
+"""Entry point: serves as the environment configures it or, with arguments, runs the command line.
 
-Owns nothing but that choice. It must never import the command line for those who only serve.
+The command line is not imported by a process that only serves.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 
 def main() -> int:
-    """Serve and return the exit code; with arguments run the command line, which ends the process itself."""
+    """Serve and return the exit code; with arguments run the command line, which exits the process itself."""
     if len(sys.argv) > 1:
-        from frostspindle.cli import cli  # click is loaded only for those who type
+        from frostspindle.cli import cli  # loads click, which serving does not need
 
-        cli.main(prog_name="frostspindle")  # ends the process itself, with the code of the command
-    signals.block()  # before all else is loaded: a fleet is told of a new configuration while some of it starts
+        cli.main(prog_name="frostspindle")  # exits the process with the code of the command
+    signals.block()  # before other imports: a SIGHUP to all processes may reach one that is still starting
     from frostspindle.serving import serve
 
     return serve()
--- a/frostspindle/clock_file.py
+++ b/frostspindle/clock_file.py
@@ -1,7 +1,7 @@
-"""Lets the processes of one coordinator, before and after an upgrade, use one offset of the steady clock.
+"""Makes the processes of one coordinator, before and after an upgrade, use the same offset of the steady clock.
 
-They order the requests of a key by the times at which these came. The first process writes its offset into the shared
-folder; the others take it over, unless the machine was started anew since, as the monotonic clock begins again with it.
+They order the requests of a key by arrival time. The first process writes its offset into the shared folder and the
+others adopt it, unless the machine has been rebooted since, which restarts the monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 FILE_NAME = "steady-clock"
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
-# An offset that differs by more is not that of a process of this coordinator, whatever the wall clock did.
+# An offset that differs by more is not from a process of this coordinator, even if the wall clock was changed.
 MAX_DIFFERENCE_MS = 24.0 * 3600.0 * 1000.0
 
 
 def share_offset(folder: Path | None) -> None:
-    """Take the offset of the shared folder over, or put the own one there; without a usable folder nothing changes."""
+    """Adopt the offset in the shared folder, or store this process's there; do nothing without a usable folder."""
     if folder is None:
         return
     try:
@@ -35,18 +35,18 @@
 
 
 def _read(path: Path, boot_id: str) -> float | None:
-    """Return the offset in a file; None if there is none of this start of the machine."""
+    """Return the offset in a file; None if it has none from the current boot of the machine."""
     try:
         written_boot_id, text, end = path.read_text().split(" ")
         offset = float(text)
-    except (FileNotFoundError, ValueError):  # none, or one that was written in part
+    except (FileNotFoundError, ValueError):  # no file, or a partly written one
         return None
     is_near = abs(offset - steady_clock.offset_ms()) <= MAX_DIFFERENCE_MS
     return offset if written_boot_id == boot_id and end == "end" and is_near else None
 
 
 def _write(folder: Path, boot_id: str) -> float | None:
-    """Put the own offset into the folder, in one step; return the one that is there then."""
+    """Store this process's offset in the folder atomically; return the one that is there afterwards."""
     path = folder / FILE_NAME
     temporary = folder / f"{FILE_NAME}.{os.getpid()}"
     try:
--- a/frostspindle/division.py
+++ b/frostspindle/division.py
@@ -1,6 +1,6 @@
-"""How a whole is divided among claimants: evenly, or max-min fairly by what each wants.
+"""Division of a total among claimants: evenly, or max-min fairly by demand.
 
-Workers and coordinators of a fleet share these rules. They do not know what is divided.
+Workers and the coordinators of a fleet use the same rules.
 """
 
 from __future__ import annotations
@@ -11,36 +11,37 @@
 Key = TypeVar("Key", bound=Hashable)
 
 
-def split_evenly(whole: int, count: int) -> list[int]:
-    """Divide `whole` into `count` whole numbers that differ by one at most."""
-    base, remainder = divmod(whole, max(1, count))
+def split_evenly(total: int, count: int) -> list[int]:
+    """Divide `total` into `count` integers that differ by at most one."""
+    base, remainder = divmod(total, max(1, count))
     return [base + (index < remainder) for index in range(count)]
 
 
-def max_min_fair_shares(wants: Mapping[Key, int], whole: int) -> dict[Key, int]:
-    """Divide `whole` max-min fairly: the smallest wants are met, the others share the rest evenly; ties by key."""
-    shares = dict.fromkeys(wants, 0)
-    remaining = whole
-    unserved = sorted(wants, key=lambda key: (wants[key], key))
-    while unserved:
-        key = unserved.pop(0)
-        shares[key] = min(wants[key], remaining // (len(unserved) + 1))
+def max_min_fair_shares(demands: Mapping[Key, int], total: int) -> dict[Key, int]:
+    """Divide `total` max-min fairly: the smallest demands are met, the others share the rest evenly; ties by key."""
+    shares = dict.fromkeys(demands, 0)
+    remaining = total
+    unmet = sorted(demands, key=lambda key: (demands[key], key))
+    while unmet:
+        key = unmet.pop(0)
+        shares[key] = min(demands[key], remaining // (len(unmet) + 1))
         remaining -= shares[key]
     return shares
 
 
-def max_min_fair_level(wants: Sequence[tuple[int, Key]], whole: int) -> tuple[int, int, int]:
-    """Return `max_min_fair_shares` for claimants sorted by want and key, without a share for each.
+def max_min_fair_level(demands: Sequence[tuple[int, Key]], total: int) -> tuple[int, int, int]:
+    """Return `max_min_fair_shares` for claimants sorted by demand and key, in compact form.
 
-    The three numbers are the index of the first claimant that gets less than it wants, the share of it and those after
-    it, and the index from which on each gets one more than that. Those before the first get what they want.
+    The three numbers are the index of the first claimant that gets less than its demand, the share of it and those
+    after it, and the index from which on each gets one more than that. Claimants before the first get their full
+    demand.
     """
-    remaining = whole
-    unserved = len(wants)
-    for want, _ in wants:
-        if want > remaining // unserved:
-            base, remainder = divmod(remaining, unserved)
-            return len(wants) - unserved, base, len(wants) - remainder
-        remaining -= want
-        unserved -= 1
-    return len(wants), 0, len(wants)
+    remaining = total
+    unmet = len(demands)
+    for demand, _ in demands:
+        if demand > remaining // unmet:
+            base, remainder = divmod(remaining, unmet)
+            return len(demands) - unmet, base, len(demands) - remainder
+        remaining -= demand
+        unmet -= 1
+    return len(demands), 0, len(demands)
--- a/frostspindle/effective_config.py
+++ b/frostspindle/effective_config.py
@@ -1,4 +1,4 @@
-"""The values that a configuration comes to, as `frostspindle check` prints them, without secrets."""
+"""The effective values of a configuration without secrets, as `frostspindle check` prints them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def effective_values(config: Config) -> dict[str, Any]:
-    """Return the values that the program would use, by key."""
+    """Return the values that the program would use, by setting."""
     values = _coordinator_values(config)
     values |= _worker_values(config)
     values["tenants"] = _tenants(config)
@@ -19,7 +19,7 @@
 
 
 def _coordinator_values(config: Config) -> dict[str, Any]:
-    listen = _place(config.listen) if config.inherited is None else f"descriptor {config.inherited}"
+    listen = _address_text(config.listen) if config.inherited is None else f"descriptor {config.inherited}"
     known_hosts = {host.host for event in config.known if event.topology for host in event.topology.hosts}
     classes = [
         f"{name} (in order)" if config.settings.classes[number].in_order else name
@@ -28,8 +28,8 @@
     return {
         "name": config.name,
         "listen": listen,
-        "operator": _place(config.operator_address),
-        "bus": _place(config.bus),
+        "operator": _address_text(config.operator_address),
+        "bus": _address_text(config.bus),
         "limits.memory_mb": config.limits.memory_mb,
         "limits.sockets": config.limits.sockets,
         "known.offset": config.known_offset,
@@ -38,10 +38,10 @@
     }
 
 
-def _place(at: Any) -> str:
-    if at is None:
+def _address_text(address: Any) -> str:
+    if address is None:
         return "off"
-    return at if isinstance(at, str) else f"{at[0]}:{at[1]}"
+    return address if isinstance(address, str) else f"{address[0]}:{address[1]}"
 
 
 def _worker_values(config: Config) -> dict[str, Any]:
@@ -60,9 +60,9 @@
 
 
 def _tenants(config: Config) -> str:
-    quotas = config.settings.tenant_quotas_per_s[1:]  # the first is the default's
-    named = zip(config.tenants.names, quotas, strict=True)
-    return ", ".join(f"{name} ({quota:g}/s)" if quota else name for name, quota in named) or "off"
+    quotas = config.settings.tenant_quotas_per_s[1:]  # without the default tenant, which is the first
+    named_quotas = zip(config.tenants.names, quotas, strict=True)
+    return ", ".join(f"{name} ({quota:g}/s)" if quota else name for name, quota in named_quotas) or "off"
 
 
 def _tds_values(config: Config) -> dict[str, Any]:
--- a/frostspindle/host.py
+++ b/frostspindle/host.py
@@ -1,7 +1,7 @@
-"""The running program as its optional parts see it: what they may read of it and register themselves with.
+"""The interface of the running program for its optional parts: what they may read and where they register.
 
-Owns the one interface between `program.py`, which puts all parts together, and the components that an operator's file
-turns on. It must never import what it describes from above: parts are told here what there is, and the program has it.
+It stands between `program.py`, which assembles all parts, and the components that an operator's file turns on. The
+module imports none of the layers above it, hence the attributes of type Any with their types in comments.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ProgramContext(Protocol):
-    """The running coordinator as optional parts see it; `attach(program)` of each is called before the start."""
+    """The running coordinator as seen by its optional parts; `attach(program)` of each is called before the start."""
 
     config: Config
     core: Core
@@ -24,17 +24,17 @@
     driver: Any  # net.engines.HttpEngines
     platform: Any  # net.platform.HttpFront
     bus: Any  # net.discovery.EndpointWatcher
-    shared: Any  # shared.Shared or the workers' link; set only after the parts are created
-    tasks: list[asyncio.Task[Any]]  # cancelled and awaited at the end of the program
-    sockets: int  # descriptors that this process may use
-    agreed_open_limit: int | None  # on open requests, by the agreed settings; None: none is agreed
+    shared: Any  # shared.Shared or program.WorkerLink; set only after the parts are created
+    tasks: list[asyncio.Task[Any]]  # cancelled and awaited when the program stops
+    sockets: int  # file descriptors that this process may use
+    agreed_open_limit: int | None  # on open requests, from the agreed settings; None if they set none
 
-    # Set by the components; None while a part is not configured. What stands on another part is created after it.
+    # Set by the components; None for a part that is not configured. A part is created after those it depends on.
     tds: Any  # net.tds.front.TdsFront
     tds_driver: Any  # net.tds.driver.TdsEngines
-    fleet: Any  # fleet.service.FleetService: its `parts` are heard over the fleet's datagrams
+    fleet: Any  # fleet.service.FleetService
     warming: Any  # fleet.slow_start_service.SlowStartCoordinator
-    operator_server: Any  # net.operator.OperatorServer: `does` names the calls
+    operator_server: Any  # net.operator.OperatorServer
     replica: Any  # replica.base.ReplicatedLog
     owners: Any  # ownership.wiring.OwnershipComponent
     recovery: Any  # recovery.service.RecoveryService
--- a/frostspindle/shared.py
+++ b/frostspindle/shared.py
@@ -1,8 +1,8 @@
-"""What the processes of one coordinator share over an upgrade: bans, presence and open requests, as files in $TMPDIR.
+"""State that the processes of one coordinator share during an upgrade: bans, presence and open requests.
 
-Owns the folder of this coordinator's name there. A ban is one marker file, so that two processes need no lock to
-change and read them. It must never judge what a ban means, never fail for what a killed process has left behind,
-and never keep anything that a start without the folder would miss.
+It is kept as files in a folder of this coordinator's name in $TMPDIR. Each ban is one marker file, so that processes
+can change and read bans without a lock. Files that a killed process left behind must cause no error, and a start
+without the folder must lose nothing that it depends on.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 
 from frostspindle.telemetry import Telemetry
 
-RETRY_INTERVAL_S = 0.5  # between attempts at a folder that could not be used at the start
-REREAD_INTERVAL_S = 0.1  # the other process's word must reach engines' gates within 250 ms
-BAN_PREFIX = "ban-"  # of the markers of bans
-RUN_PREFIX = "run-"  # of the markers of running processes
-OPEN_FIGURE_DIGITS = 8  # of the figure in a process's marker
+RETRY_INTERVAL_S = 0.5  # between attempts to use a folder that could not be used at the start
+REREAD_INTERVAL_S = 0.1  # bans set in another process must apply here within 250 ms
+BAN_PREFIX = "ban-"  # marker files of bans
+RUN_PREFIX = "run-"  # marker files of running processes
+OPEN_COUNT_DIGITS = 8  # width of the number in a process's marker file
 
 
 def shared_folder(environ: Mapping[str, str], name: str) -> Path | None:
     """Return the folder that the processes of a coordinator share; None where $TMPDIR is unset."""
-    at = environ.get("TMPDIR", "")
-    return Path(at, f"frostspindle-{quote(name, safe='')}") if at else None
+    parent = environ.get("TMPDIR", "")
+    return Path(parent, f"frostspindle-{quote(name, safe='')}") if parent else None
 
 
 class Shared:
-    """The shared folder, or, where $TMPDIR is unset or not writable, the memory of this one process."""
+    """The state in the shared folder, or in memory where $TMPDIR is unset or not writable."""
 
     def __init__(self, environ: Mapping[str, str], name: str, telemetry: Telemetry) -> None:
         self.telemetry = telemetry
         self.configured_folder = shared_folder(environ, name)
         self.folder = self.configured_folder
         self.banned: frozenset[str] = frozenset()
-        self.is_sharing = False  # another process of this coordinator runs too
-        # Requests that the others have open, at most REREAD_INTERVAL_S ago; None: one of them tells not.
+        self.is_sharing = False  # another process of this coordinator is running
+        # Requests open in the other processes, at most REREAD_INTERVAL_S ago; None if one of them does not report it.
         self.open_elsewhere: int | None = None
         self._open_here: Callable[[], int] | None = None
         self._on_open_elsewhere_changed: Callable[[], None] = lambda: None
@@ -49,17 +49,17 @@
 
     @property
     def order(self) -> Path | None:
-        """Folder where processes keep the order of their keys, once started; None: there is none."""
+        """Folder in which processes share the order of keyed requests, valid once started; None if there is none."""
         return self.folder
 
     def start(
         self, on_bans_changed: Callable[[frozenset[str]], None], on_sharing_changed: Callable[[bool], None]
     ) -> None:
         """Mark this process as running, and call both functions: with the bans, and with whether another process
-        runs.
+        is running.
 
         They are called again on each change, within REREAD_INTERVAL_S. Without a usable folder the bans are kept
-        in memory and no other process is seen.
+        in memory and other processes are not detected.
         """
         self._on_bans_changed = on_bans_changed
         self._on_sharing_changed = on_sharing_changed
@@ -68,19 +68,19 @@
                 self._attach(self.configured_folder)
             except OSError as error:
                 self.telemetry.log("shared_folder_failed", folder=str(self.folder), error=repr(error))
-                self.folder = None  # serving goes before what an upgrade needs
+                self.folder = None  # serving matters more than the state for an upgrade
         self._read()
 
     def _attach(self, folder: Path) -> None:
-        """Mark this process as running in the folder, with the bans that are known here; OSError if that fails."""
+        """Mark this process as running in the folder and write the known bans there. Raise OSError if that fails."""
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         for name in self.banned:
             (folder / (BAN_PREFIX + quote(name, safe=""))).touch()
-        self._lock = self._mark(folder / f"{RUN_PREFIX}{os.getpid()}-{id(self):x}")
+        self._lock = self._create_marker(folder / f"{RUN_PREFIX}{os.getpid()}-{id(self):x}")
         self.folder = folder
 
     def _retry(self) -> None:
-        """Use the folder if that is possible now, else try again later."""
+        """Use the folder if that is possible by now, else schedule another attempt."""
         assert self.configured_folder is not None
         try:
             self._attach(self.configured_folder)
@@ -93,22 +93,22 @@
     def publish_open_requests(
         self, open_here: Callable[[], int], on_open_elsewhere_changed: Callable[[], None]
     ) -> None:
-        """Tell the others how many requests are open here, and call the second function whenever theirs has changed."""
+        """Publish the number of requests open here; call the second function when that of the others changes."""
         self._open_here = open_here
         self._on_open_elsewhere_changed = on_open_elsewhere_changed
 
     @staticmethod
-    def _mark(path: Path) -> BinaryIO:
-        """A file under a lock that the system drops with its process, however that ends: only the lock is trusted."""
+    def _create_marker(path: Path) -> BinaryIO:
+        """Create and lock a marker file. Only the lock counts, as the system releases it however the process ends."""
         while True:
             marker = open(path, "wb")
-            fcntl.flock(marker, fcntl.LOCK_EX)  # the other process holds it for a moment at most, to look at it
+            fcntl.flock(marker, fcntl.LOCK_EX)  # another process holds it only for a moment, to check it
             if path.exists():
                 return marker
-            marker.close()  # and took it for a leftover before the lock was on it
+            marker.close()  # another process removed it as stale before it was locked
 
     def close(self) -> None:
-        """Stop reading the folder, release this process's marker and remove it."""
+        """Stop reading the folder, and release and remove the marker of this process."""
         if self._timer is not None:
             self._timer.cancel()
         if self._lock is not None:
@@ -116,9 +116,9 @@
             Path(self._lock.name).unlink(missing_ok=True)
 
     def ban(self, name: str, on: bool) -> None:
-        """Set or lift the ban of an engine, for all processes; OSError if its marker file can't be changed."""
+        """Set or lift the ban of an engine for all processes. Raise OSError if its marker file can't be changed."""
         if self.folder is None:
-            self._tell(self.banned | {name} if on else self.banned - {name})
+            self._set_banned(self.banned | {name} if on else self.banned - {name})
             return
         marker = self.folder / (BAN_PREFIX + quote(name, safe=""))
         if on:
@@ -138,38 +138,40 @@
         try:
             names = [path.name for path in self.folder.iterdir()]
         except OSError:
-            return  # whoever took the folder away, the bans known here still hold
-        self._tell(frozenset(unquote(name[len(BAN_PREFIX) :]) for name in names if name.startswith(BAN_PREFIX)))
+            return  # the folder was removed; the known bans stay in force
+        self._set_banned(frozenset(unquote(name[len(BAN_PREFIX) :]) for name in names if name.startswith(BAN_PREFIX)))
         if self._open_here is not None and self._lock is not None:
-            with contextlib.suppress(OSError):  # a full disk: the others go on with what they read last
-                os.pwrite(self._lock.fileno(), b"%*d" % (OPEN_FIGURE_DIGITS, self._open_here()), 0)
-        others = [marker for name in names if name.startswith(RUN_PREFIX) and self._runs(marker := self.folder / name)]
-        told = [self._told_open(marker) for marker in others]
-        before = self.open_elsewhere
-        self.open_elsewhere = None if None in told else sum(filter(None, told))
-        if bool(others) != self.is_sharing:
-            self.is_sharing = bool(others)
+            with contextlib.suppress(OSError):  # on a full disk the other processes keep using the number read last
+                os.pwrite(self._lock.fileno(), b"%*d" % (OPEN_COUNT_DIGITS, self._open_here()), 0)
+        other_markers = [
+            marker for name in names if name.startswith(RUN_PREFIX) and self._is_running(marker := self.folder / name)
+        ]
+        open_counts = [self._read_open_count(marker) for marker in other_markers]
+        previous = self.open_elsewhere
+        self.open_elsewhere = None if None in open_counts else sum(filter(None, open_counts))
+        if bool(other_markers) != self.is_sharing:
+            self.is_sharing = bool(other_markers)
             self._on_sharing_changed(self.is_sharing)
-        elif self.open_elsewhere != before and others:
+        elif self.open_elsewhere != previous and other_markers:
             self._on_open_elsewhere_changed()
 
     @staticmethod
-    def _told_open(marker: Path) -> int | None:
-        """What another process says that it has open; anything but a plain figure counts as not told."""
+    def _read_open_count(marker: Path) -> int | None:
+        """Return the number of open requests from a process's marker; None unless it holds a complete number."""
         try:
-            with open(marker, "rb") as held:
-                told = held.read(OPEN_FIGURE_DIGITS + 1)
+            with open(marker, "rb") as file:
+                content = file.read(OPEN_COUNT_DIGITS + 1)
         except OSError:
             return None
-        return int(told) if len(told) == OPEN_FIGURE_DIGITS and told.strip().isdigit() else None
+        return int(content) if len(content) == OPEN_COUNT_DIGITS and content.strip().isdigit() else None
 
-    def _runs(self, marker: Path) -> bool:
-        """Whether another process holds this marker; one that nobody holds was left behind."""
+    def _is_running(self, marker: Path) -> bool:
+        """Whether another process has this marker locked; an unlocked one is stale and removed."""
         if self._lock is not None and marker.name == Path(self._lock.name).name:
             return False
         try:
-            with open(marker, "rb") as held:
-                fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            with open(marker, "rb") as file:
+                fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 marker.unlink(missing_ok=True)
         except BlockingIOError:
             return True
@@ -177,7 +179,7 @@
             pass
         return False
 
-    def _tell(self, banned: frozenset[str]) -> None:
+    def _set_banned(self, banned: frozenset[str]) -> None:
         if banned != self.banned:
             self.banned = banned
             self._on_bans_changed(banned)
--- a/frostspindle/simulator_adapter.py
+++ b/frostspindle/simulator_adapter.py
@@ -1,7 +1,7 @@
 """Binary protocol adapter on stdin and stdout: decodes batches of events and encodes the controllers' actions.
 
-Each batch may hold events of several instances; each event goes to the controller of its instance. It takes no
-admission decisions: see frostspindle/policy for these.
+A batch may hold events of several instances; each event is passed to the controller of its instance. Admission
+decisions are taken in frostspindle/policy.
 
 Run as `python -m frostspindle.simulator_adapter`.
 """
@@ -21,7 +21,7 @@
 
 
 class WireError(Exception):
-    """The peer sent bytes that the protocol does not allow; it ends the process."""
+    """The peer violated the protocol; this ends the process."""
 
 
 HEADER = struct.Struct(">IId")
@@ -50,28 +50,28 @@
     return value if math.isfinite(value) else 0.0
 
 
-def _report(fields: bytes, at: int, count: int) -> tuple[float, ...]:
-    if at + 4 * count > len(fields):
+def _load_report(fields: bytes, offset: int, count: int) -> tuple[float, ...]:
+    if offset + 4 * count > len(fields):
         raise WireError("a load report runs past its record")
-    return tuple(_finite(v) for v in struct.unpack_from(f">{count}f", fields, at))
+    return tuple(_finite(value) for value in struct.unpack_from(f">{count}f", fields, offset))
 
 
-def _enum_value(kind: type, value: int, what: str) -> int:
+def _enum_value(enum_type: type, value: int, field_name: str) -> int:
     try:
-        return int(kind(value))
+        return int(enum_type(value))
     except ValueError:
-        raise WireError(f"unknown {what} {value}") from None
+        raise WireError(f"unknown {field_name} {value}") from None
 
 
 def read_request(fields: bytes) -> tuple[int, policy.Event]:
     """Decode a request record into its instance number and a RequestArrived event.
 
-    Without the cost hint bit the cost is 0 (unknown); values that are not finite become 0. Raise struct.error where the
+    Without the cost hint bit the cost is 0 (unknown); values that are not finite become 0. Raise struct.error if the
     record is too short.
     """
-    instance, request, cls, tenant, key, left, cost, memory, group, bits = REQUEST.unpack_from(fields)
+    instance, request, cls, tenant, key, left_ms, cost, memory, group, bits = REQUEST.unpack_from(fields)
     cost = _finite(cost) if bits & COST_HINT_BIT else 0.0
-    event = policy.RequestArrived(request, cls, tenant, key, _finite(left), cost, _finite(memory), _finite(group))
+    event = policy.RequestArrived(request, cls, tenant, key, _finite(left_ms), cost, _finite(memory), _finite(group))
     return instance, event
 
 
@@ -95,25 +95,25 @@
 def read_attempt_ended(fields: bytes) -> tuple[int, policy.Event]:
     """Decode the end of an attempt into its instance number and an AttemptEnded event.
 
-    The cost field holds milliseconds in units of COST_UNIT and, as the rest, memory in units of MEMORY_UNIT_MB. Raise
-    WireError for an unknown outcome or a load report that is longer than the record.
+    The cost field holds milliseconds in units of COST_UNIT and, as the remainder, memory in units of MEMORY_UNIT_MB.
+    Raise WireError for an unknown outcome or a load report that is longer than the record.
     """
-    instance, request, attempt, engine, outcome, elapsed, last, cost, count = ATTEMPT_ENDED.unpack_from(fields)
+    instance, request, attempt, engine, outcome, elapsed, is_last, cost, count = ATTEMPT_ENDED.unpack_from(fields)
     return instance, policy.AttemptEnded(
         request,
         attempt,
         engine,
         _enum_value(policy.AttemptOutcome, outcome, "verdict"),
         _finite(elapsed),
-        bool(last),
+        bool(is_last),
         float(cost // COST_UNIT),
         float(cost % COST_UNIT * MEMORY_UNIT_MB),
-        _report(fields, ATTEMPT_ENDED.size, count),
+        _load_report(fields, ATTEMPT_ENDED.size, count),
     )
 
 
 def read_client_disconnected(fields: bytes) -> tuple[int, policy.Event]:
-    """Decode a left record (the client has gone) into its instance number and a ClientDisconnected event."""
+    """Decode a left record (the client has disconnected) into its instance number and a ClientDisconnected event."""
     instance, request = CLIENT_DISCONNECTED.unpack_from(fields)
     return instance, policy.ClientDisconnected(request)
 
@@ -134,7 +134,7 @@
         engine,
         _enum_value(policy.AttemptOutcome, outcome, "verdict"),
         _finite(elapsed),
-        _report(fields, HEALTH_CHECK.size, count),
+        _load_report(fields, HEALTH_CHECK.size, count),
     )
 
 
@@ -210,7 +210,7 @@
 
 
 class AdapterHost:
-    """All instances of one process, each with a controller of its own and no state shared between them."""
+    """All instances of one process; each has its own controller, and they share no state."""
 
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}
@@ -229,23 +229,23 @@
         end = DIRECTORY.size + count * ENGINE_ENTRY.size
         if end > len(fields):
             raise WireError("an engine list runs past its record")
-        entries = tuple(policy.EngineEntry(*e) for e in ENGINE_ENTRY.iter_unpack(fields[DIRECTORY.size : end]))
+        entries = tuple(policy.EngineEntry(*item) for item in ENGINE_ENTRY.iter_unpack(fields[DIRECTORY.size : end]))
         for entry in entries:
             _enum_value(policy.Health, entry.health, "health")
         self.lists[number] = entries
 
     def _read_discovery(self, fields: bytes) -> tuple[int, policy.Event]:
-        instance, how, version, number = DISCOVERY.unpack_from(fields)
-        if _enum_value(policy.EndpointListKind, how, "kind of list") == policy.EndpointListKind.FAILED:
-            return instance, policy.EndpointListUpdated(how, version, ())
+        instance, kind, version, number = DISCOVERY.unpack_from(fields)
+        if _enum_value(policy.EndpointListKind, kind, "kind of list") == policy.EndpointListKind.FAILED:
+            return instance, policy.EndpointListUpdated(kind, version, ())
         if number not in self.lists:
             raise WireError(f"engine list {number} was never sent")
-        return instance, policy.EndpointListUpdated(how, version, self.lists[number])
+        return instance, policy.EndpointListUpdated(kind, version, self.lists[number])
 
-    def _start(self, instance: int, seed: int, setup: bytes) -> list[tuple[int, bytes]]:
-        if setup not in self.settings:
-            self.settings[setup] = parse_settings(setup.decode())
-        self.controllers[instance] = Controller(self.settings[setup], seed)
+    def _start(self, instance: int, seed: int, settings_text: bytes) -> list[tuple[int, bytes]]:
+        if settings_text not in self.settings:
+            self.settings[settings_text] = parse_settings(settings_text.decode())
+        self.controllers[instance] = Controller(self.settings[settings_text], seed)
         return []
 
     def record(self, now_ms: float, code: int, fields: bytes) -> list[tuple[int, bytes]]:
@@ -264,9 +264,9 @@
             self.controllers.pop(INSTANCE.unpack_from(fields)[0], None)
             return []
         if code == HELLO_CODE:
-            instance, seed, setup = self._read_hello(fields)
+            instance, seed, settings_text = self._read_hello(fields)
             self.failed.discard(instance)
-            return self._guarded(instance, partial(self._start, instance, seed, setup))
+            return self._guarded(instance, partial(self._start, instance, seed, settings_text))
         instance, event = self._read_event(code, fields)
         if instance in self.failed:
             return []
@@ -280,10 +280,10 @@
         raise WireError(f"unknown event code {code}")
 
     def _guarded(self, instance: int, step: Callable[[], list[tuple[int, bytes]]]) -> list[tuple[int, bytes]]:
-        """Take a step of an instance; any fault ends that instance alone."""
+        """Run a step of an instance; an exception ends only that instance."""
         try:
             return step()
-        except Exception as error:  # noqa: BLE001 - whatever it is, the other instances go on
+        except Exception as error:  # noqa: BLE001 - the other instances must continue
             self.failed.add(instance)
             return [(BAIL_OUT_CODE, _text(instance, f"{type(error).__name__}: {error}"))]
 
@@ -294,51 +294,50 @@
         return [WRITERS[type(action)](instance, action) for action in actions]
 
     def batch(self, count: int, now_ms: float, body: bytes) -> bytes:
-        """Handle one batch of `count` records, all of time `now_ms`, and return the whole reply frame.
+        """Handle one batch of `count` records, all of time `now_ms`, and return the complete reply frame.
 
-        Raise WireError for a malformed record, and unless the records fill `body` exactly.
+        Raise WireError for a malformed record, or if the records do not fill `body` exactly.
         """
-        out: list[bytes] = []
-        at = 0
+        output_records: list[bytes] = []
+        offset = 0
         for _ in range(count):
-            if at + RECORD.size > len(body):
+            if offset + RECORD.size > len(body):
                 raise WireError("the batch ends before its last record")
-            code, size = RECORD.unpack_from(body, at)
-            at += RECORD.size
-            if at + size > len(body):
+            code, size = RECORD.unpack_from(body, offset)
+            offset += RECORD.size
+            if offset + size > len(body):
                 raise WireError("a record runs past its batch")
             try:
-                replies = self.record(now_ms, code, body[at : at + size])
+                replies = self.record(now_ms, code, body[offset : offset + size])
             except struct.error as error:
                 raise WireError(f"a record of code {code} is too short: {error}") from None
             for reply_code, fields in replies:
-                out.append(RECORD.pack(reply_code, len(fields)) + fields)
-            at += size
-        if at != len(body):
+                output_records.append(RECORD.pack(reply_code, len(fields)) + fields)
+            offset += size
+        if offset != len(body):
             raise WireError("the batch is longer than its records")
-        body_out = b"".join(out)
-        return REPLY.pack(4 + len(body_out), len(out)) + body_out
+        output = b"".join(output_records)
+        return REPLY.pack(4 + len(output), len(output_records)) + output
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends, flushing after each.
 
-    Raise WireError for a malformed batch, where the input ends within one, or where a header has a negative length or a
-    time that is not finite.
+    Raise WireError for a malformed or incomplete batch, or for a header with a negative length or a non-finite time.
     """
     host = AdapterHost()
     while True:
-        head = source.read(HEADER.size)
-        if not head:
+        header = source.read(HEADER.size)
+        if not header:
             return
-        if len(head) < HEADER.size:
+        if len(header) < HEADER.size:
             raise WireError("the input ends inside a header")
-        size, count, now_ms = HEADER.unpack(head)
-        rest = size - (HEADER.size - 4)
-        if rest < 0 or not math.isfinite(now_ms):
-            raise WireError("a batch header makes no sense")
-        body = source.read(rest)
-        if len(body) < rest:
+        size, count, now_ms = HEADER.unpack(header)
+        remaining = size - (HEADER.size - 4)
+        if remaining < 0 or not math.isfinite(now_ms):
+            raise WireError("a batch header has a negative length or a time that is not finite")
+        body = source.read(remaining)
+        if len(body) < remaining:
             raise WireError("the input ends inside a batch")
         sink.write(host.batch(count, now_ms, body))
         sink.flush()
--- a/frostspindle/timers.py
+++ b/frostspindle/timers.py
@@ -1,9 +1,9 @@
 """A hierarchical timer wheel: starting and cancelling cost the same however many timers there are.
 
-It does no I/O and reads no clock: times are handed in as Unix milliseconds, and its tick is one of them. It must never
-give out a timer before its time by the clock that it is handed, nor keep one for more than a tick after it, and never
-do more than a bounded part of its work in one call, so that 100,000 timers of one instant hold up nothing else. A step
-of the clock forward makes more timers due; after one backward they are filed anew, each for its own time.
+It does no I/O and reads no clock: the caller passes Unix milliseconds, and a tick is one millisecond. By that clock no
+timer fires early, or more than a tick late. The work of each call is bounded, so that 100,000 timers due at the same
+instant do not block the event loop. A forward step of the clock makes more timers due; after a backward step all timers
+are filed again, each for its own time.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from typing import Any
 
 SLOT_BITS = 8
-LEVELS = 6  # their slots are of 1 ms, 256 ms, 65.5 s, 4.7 h, 50 days and 35 years
+LEVELS = 6  # with slots of 1 ms, 256 ms, 65.5 s, 4.7 h, 50 days and 35 years
 SLOTS_PER_LEVEL = 1 << SLOT_BITS
-MAX_TICK = (1 << SLOT_BITS * LEVELS) - 1  # what is due later is due then
-MAX_MOVES_PER_CALL = 256  # timers that one call moves to a finer level before others get their turn
-NO_SLOT = -1  # the slot of a timer that was given out or cancelled
+MAX_TICK = (1 << SLOT_BITS * LEVELS) - 1  # later timers are due at this tick
+MAX_MOVES_PER_CALL = 256  # limit on the timers that one call moves to a finer level
+NO_SLOT = -1  # slot of a timer that fired or was cancelled
 
 
 class Timer:
-    """One timer; `value` is its owner's, `tick` the time in Unix ms at which it is due."""
+    """One timer. `value` belongs to the caller; `tick` is the Unix ms at which it is due."""
 
     __slots__ = ("tick", "value", "slot")
 
@@ -32,31 +32,31 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether it was neither given out nor cancelled."""
+        """Whether it has neither fired nor been cancelled."""
         return self.slot != NO_SLOT
 
 
 class TimerWheel:
     """A hierarchical timer wheel: each level's slots are 256 times as long as those of the level below.
 
-    A timer lies at the level of the highest digit (base 256) in which its time differs from now. A slot is looked at
-    when its first tick has come; its timers then queue up, to be given out or moved to a finer slot. A bit mask for
-    each level shows which slots are in use, so that empty time costs nothing.
+    A timer is filed at the level of the highest digit (base 256) in which its time differs from now. At the first tick
+    of a slot its timers are queued, to be fired or moved to a finer slot. A bit mask for each level shows which slots
+    are in use, so that empty slots cost no time.
     """
 
     def __init__(self, now_ms: float) -> None:
-        self._now = int(now_ms)  # all that was due before this tick is given out or queued
+        self._now = int(now_ms)  # all timers due before this tick have fired or are queued
         self._slots: list[dict[Timer, None]] = [{} for _ in range(LEVELS * SLOTS_PER_LEVEL)]
         self._used_slots = [0] * LEVELS  # a bit mask for each level
-        self._queue: deque[Timer] = deque()  # of the slot that is being emptied, with cancelled ones
-        self._next_slot_begins: float = math.inf  # tick; no slot in use after the current one begins before
+        self._queue: deque[Timer] = deque()  # timers of the slot being emptied, including cancelled ones
+        self._next_slot_begins: float = math.inf  # tick; no slot in use after the current one begins earlier
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
     def start(self, due_ms: float, value: Any) -> Timer:
-        """Start and return a timer for `due_ms` (Unix ms); one in the past is due at once. ValueError for NaN."""
+        """Start and return a timer for `due_ms` (Unix ms); one in the past is due at once. Raise ValueError for NaN."""
         tick = math.ceil(due_ms) if due_ms < MAX_TICK or math.isnan(due_ms) else MAX_TICK
         timer = Timer(tick, value)
         self._count += 1
@@ -64,7 +64,7 @@
         return timer
 
     def cancel(self, timer: Timer) -> None:
-        """Remove a timer; no effect if it was given out or cancelled already."""
+        """Remove a timer; no effect if it already fired or was cancelled."""
         if timer.slot != NO_SLOT:
             self._count -= 1
             self._remove_from_slot(timer)
@@ -72,13 +72,13 @@
     def pop(self, now_ms: float) -> Timer | None:
         """Return one timer that is due.
 
-        None: there is none, or MAX_MOVES_PER_CALL timers were moved and `next_ms` tells when to go on.
+        Return None if there is none, or after moving MAX_MOVES_PER_CALL timers; `next_ms` returns when to call again.
         """
         limit = min(int(now_ms), MAX_TICK)
         if limit < self._now:
             self._set_back(limit)
         if limit < self._next_slot_begins and not self._queue:
-            return None  # as nearly always
+            return None  # the common case
         moves = 0
         while True:
             while self._queue:
@@ -102,17 +102,17 @@
             self._queue.extend(self._slots[slot])
 
     def next_ms(self) -> float | None:
-        """Return when to call `pop` again after it gave None (Unix ms); None: there is no timer.
+        """Return when to call `pop` again after it returned None (Unix ms); None if there is no timer.
 
-        It is never later than the next timer is due. For timers far away it is the time at which their slot begins;
-        that of a cancelled one may stay.
+        The time is never later than the next timer is due. For distant timers it is the time at which their slot
+        begins, which may be the slot of a cancelled timer.
         """
         if self._queue:
             return float(self._now)
         return float(self._next_slot_begins) if self._next_slot_begins < math.inf else None
 
     def _file(self, timer: Timer) -> None:
-        """Put a timer into the slot of its tick, and into the queue if it is due."""
+        """Put a timer into the slot of its tick, and also into the queue if it is due."""
         tick = timer.tick
         if tick <= self._now:
             tick = self._now
@@ -151,7 +151,7 @@
         return NO_SLOT, math.inf
 
     def _set_back(self, now: int) -> None:
-        """File all timers anew, each for its own time, because the clock was set back to tick `now`."""
+        """File all timers again, each for its own time, after the clock was set back to tick `now`."""
         timers = [timer for slot in self._slots for timer in slot]
         for slot in self._slots:
             slot.clear()
