--- a/frostspindle/memory_log.py
+++ b/frostspindle/memory_log.py
@@ -1,6 +1,6 @@
-"""The log line `memory`: what the process holds, once a minute, so that growth shows over a long day.
+"""Logs the memory use of the process once a minute, so that growth over a long run is visible in the log.
 
-Owns reading the process's own size. It costs requests nothing.
+It runs in a task of its own and adds no work to requests.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 async def log_memory(core: Core, front: HttpFront, telemetry: Telemetry) -> None:
-    """Every INTERVAL_S log resident MB, Python's blocks, and the sizes of what grows with load, until cancelled."""
+    """Log resident MB, Python's allocated blocks and the sizes of load-dependent structures until cancelled."""
     while True:
         await asyncio.sleep(INTERVAL_S)
         telemetry.log(
--- a/frostspindle/operator_client.py
+++ b/frostspindle/operator_client.py
@@ -1,7 +1,7 @@
-"""How a running coordinator is called: one request as a client makes it, one call as operators do.
+"""Client for a running coordinator: sends one query as a client, or one call as an operator.
 
-Owns these two calls for the command line, the demo and the benches, and how a command ends that got no figures. It
-must never decide what an answer means beyond its form, never wait without a bound, and is not part of what serves.
+Used by the command line, the demo and the benches; serving processes don't load it. It also defines the error with
+which a command exits if it gets no figures. Responses are only parsed, and each wait has a timeout.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from frostspindle.config import ConfigError
 
 # Exit codes of a command.
-EXIT_BAD_CALL = 2  # a call or an address that can't be used
+EXIT_BAD_CALL = 2  # an invalid call or address
 EXIT_UNREACHABLE = 5
-REJECTED_STATUSES = (429, 503)  # of a request that may be sent again
+REJECTED_STATUSES = (429, 503)  # of rejected requests, which may be sent again
 OPERATOR_TIMEOUT_S = 5.0
 
 
 class FiguresUnavailableError(click.ClickException):
-    """A command's end without figures: one line that says why, and its exit code."""
+    """Ends a command that got no figures, with a one-line reason and an exit code."""
 
     def __init__(self, message: str, code: int) -> None:
         super().__init__(message)
@@ -38,10 +38,10 @@
 def send_query(
     at: str, cls: str, sql: str, ticket: str, timeout_ms: float, cost_ms: float, memory: float
 ) -> tuple[str, list[list[str]], float]:
-    """Send one request as a client does; return how it ended, its rows, and the advised wait in ms.
+    """Send one request as a client; return its outcome, its rows, and the advised wait before a retry in ms.
 
-    Raises ConfigError for a bad address, and OSError or an HTTPException if the connection fails or is silent for
-    longer than `timeout_ms` and a second.
+    Raise ConfigError for a bad address, and OSError or HTTPException if the connection fails or is silent for longer
+    than `timeout_ms` plus a second.
     """
     address, port = configuration.address(at, "--at")
     connection = http.client.HTTPConnection(address, port, timeout=timeout_ms / 1000.0 + 1.0)
@@ -59,7 +59,7 @@
 
 
 def _read_pages(connection: http.client.HTTPConnection) -> tuple[str, list[list[str]], float]:
-    """Read the response to a request that was sent, and fetch its further pages."""
+    """Read the response to the request that was sent, and fetch its remaining pages."""
     rows: list[list[str]] = []
     while True:
         response = connection.getresponse()
@@ -76,7 +76,7 @@
 
 
 def call_operator(place: Any, text: str) -> str:
-    """Send one call to the operators' address and return the response; OSError, after 5 s of silence too.
+    """Send one call to the operators' address and return the response. Raise OSError, also after 5 s of silence.
 
     `place` is the path of a Unix socket, or IP address and port.
     """
@@ -84,10 +84,10 @@
         connection.settimeout(OPERATOR_TIMEOUT_S)
         connection.connect(place)
         connection.sendall(text.encode() + b"\n")
-        parts = []
-        while part := connection.recv(65536):
-            parts.append(part)
-    return b"".join(parts).decode()
+        chunks = []
+        while chunk := connection.recv(65536):
+            chunks.append(chunk)
+    return b"".join(chunks).decode()
 
 
 def _family(place: Any) -> socket.AddressFamily:
@@ -96,11 +96,11 @@
     return socket.AF_INET6 if ":" in place[0] else socket.AF_INET
 
 
-def fetch_figures(at: str, text: str, what: str = "") -> Any:
+def fetch_figures(at: str, text: str, refusal_text: str = "") -> Any:
     """Return the decoded response of one call to the operators' address `at`.
 
-    Raises FiguresUnavailableError for a bad address, a refused call or no connection; `what` tells in the message what
-    a refusal means.
+    Raise FiguresUnavailableError for a bad address, a refused call or no connection. `refusal_text` explains a refusal
+    in its message.
     """
     try:
         place = at if at.startswith("/") else configuration.address(at, "--at")
@@ -110,6 +110,6 @@
     except OSError as error:
         raise FiguresUnavailableError(f"{at}: {error}", EXIT_UNREACHABLE) from None
     if response.startswith("NAK"):
-        parts = (at, what, response.removeprefix("NAK").strip())
-        raise FiguresUnavailableError(": ".join(part for part in parts if part), EXIT_BAD_CALL)
+        message_parts = (at, refusal_text, response.removeprefix("NAK").strip())
+        raise FiguresUnavailableError(": ".join(part for part in message_parts if part), EXIT_BAD_CALL)
     return json.loads(response.splitlines()[0])
--- a/frostspindle/operator_tables.py
+++ b/frostspindle/operator_tables.py
@@ -1,4 +1,4 @@
-"""The figures of operators' calls as tables for a person to read."""
+"""Formats the figures of operators' calls as text tables."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def stat_lines(figures: dict[str, Any]) -> Iterator[str]:
-    """Yield the lines for `show-stat`: totals, outcomes by class and, if there are several, workers."""
+    """Yield the lines for `show-stat`: totals, outcomes by class and, for several workers, one line each."""
     for key, value in figures.items():
         if not isinstance(value, (dict, list)):
             yield f"{key:<14}{value:>10}"
@@ -27,10 +27,10 @@
 def fleet_lines(figures: dict[str, Any]) -> Iterator[str]:
     """Yield the lines for `show-fleet`: members, budgets, sums and verdicts on engines."""
     yield (
-        f"{figures['name']}: {figures['size']} coordinators, health {figures['health']} (0 is well), "
+        f"{figures['name']}: {figures['size']} coordinators, health {figures['health']} (0 is good), "
         f"{figures['false_suspicions']} false suspicions"
     )
-    yield f"\n{'member':<24}{'state':>10}{'word, s old':>14}"
+    yield f"\n{'member':<24}{'state':>10}{'heard, s ago':>14}"
     stale_ms = figures["stale_ms"]
     for name, state in figures["members"].items():
         age_s = stale_ms[name] / 1000.0 if name in stale_ms else float("nan")
@@ -41,22 +41,22 @@
     for key, value in figures["sums"].items():
         yield f"fleet {key:<24}{value:>12}"
     for row in figures["verdicts"]:
-        own = ", and we" if row["own"] else ""
-        counts = "; counts" if row["counts"] else ""
-        yield f"{row['engine']} {row['kind']}: {row['judges']} others{own}{counts}"
+        own_verdict = ", and we" if row["own"] else ""
+        counts_note = "; counts" if row["counts"] else ""
+        yield f"{row['engine']} {row['kind']}: {row['judges']} others{own_verdict}{counts_note}"
 
 
 def owner_lines(figures: dict[str, Any]) -> Iterator[str]:
     """Yield the lines for `show-owners`: who holds which task, and actions that were refused."""
-    state = f"stands for nothing: {figures['waits']}" if figures["waits"] else f"wants {figures['wants']} tasks"
+    state = f"does not compete for tasks: {figures['waits']}" if figures["waits"] else f"wants {figures['wants']} tasks"
     yield f"{figures['name']}: leader {figures['leader'] or 'unknown'}, index {figures['index']}, {state}"
     yield f"\n{'task':<24}{'holder':<20}{'token':>10}{'left, s':>10}{'renewed':>10}"
     for row in figures["owners"]:
-        here = " here" if row["here"] else ""
-        released = " released by an operator" if row["forced"] else ""
+        here_note = " here" if row["here"] else ""
+        released_note = " released by an operator" if row["forced"] else ""
         yield (
             f"{row['task']:<24}{row['holder']:<20}{row['token']:>10}{row['left_ms'] / 1000.0:>10.1f}"
-            f"{row['renewals']:>10}{here}{released}"
+            f"{row['renewals']:>10}{here_note}{released_note}"
         )
     for task in figures["free"]:
         yield f"{task:<24}{'nobody':<20}"
--- a/frostspindle/reload.py
+++ b/frostspindle/reload.py
@@ -1,6 +1,6 @@
-"""A reload on SIGHUP: the configuration and the operator's file are read again, and what may change is applied.
+"""Reload on SIGHUP: reads the configuration and the operator's file again, and applies what may change at run time.
 
-Owns which sections need a restart. A fault in either file changes nothing of both.
+RESTART_SECTIONS lists the sections that need a restart. After a fault in either file neither is applied.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Reloader:
-    """Reads the files again, also while clients hold all other descriptors."""
+    """Reads the files again, even while clients use all other descriptors."""
 
     def __init__(
         self, config: Config, components: Components, endpoint_watcher: EndpointWatcher, telemetry: Telemetry
@@ -39,34 +39,34 @@
         self._reserved_descriptor = ReservedDescriptor()
 
     def reload(self) -> None:
-        """Apply both files; a fault is logged and counted, and the program goes on as it was."""
+        """Apply both files; a fault is logged and counted, and the running configuration stays in effect."""
         try:
-            fresh = self._read()
+            new_config = self._read()
             for component in self._components:
-                component.on_reload(fresh)
-        except Exception as error:  # noqa: BLE001 - whatever the files hold, the program goes on as it was
+                component.on_reload(new_config)
+        except Exception as error:  # noqa: BLE001 - no content of the files may end the program
             self._telemetry.count("reloads_failed")
             self._telemetry.log(
                 "config_reload_failed", error=str(error) if isinstance(error, ConfigError) else repr(error)
             )
             return
-        self._endpoint_watcher.move(fresh.bus)
+        self._endpoint_watcher.move(new_config.bus)
         self._telemetry.count("reloads")
-        self._telemetry.log("config_reloaded", bus=fresh.bus)
+        self._telemetry.log("config_reloaded", bus=new_config.bus)
 
     def _read(self) -> Config:
-        """Read all files and check that nothing has changed that needs a restart."""
+        """Read all files and check that no section that needs a restart has changed."""
         with self._reserved_descriptor.lent():
-            fresh = configuration.read(self._config.environ)
-        check_restart_sections(self._config, fresh)
+            new_config = configuration.read(self._config.environ)
+        check_restart_sections(self._config, new_config)
         with self._reserved_descriptor.lent():
             for component in self._components:
-                component.prepare_reload(fresh)
-        return fresh
+                component.prepare_reload(new_config)
+        return new_config
 
 
-def check_restart_sections(config: Config, fresh: Config) -> None:
-    """Raise ConfigError, which names the section, if one has changed that needs a restart."""
+def check_restart_sections(config: Config, new_config: Config) -> None:
+    """Raise ConfigError, which names the section, if one that needs a restart has changed."""
     for section in RESTART_SECTIONS:
-        if getattr(fresh.operator, section) != getattr(config.operator, section):
+        if getattr(new_config.operator, section) != getattr(config.operator, section):
             raise ConfigError(f"{section}: needs a new start")
--- a/frostspindle/reserved_descriptor.py
+++ b/frostspindle/reserved_descriptor.py
@@ -1,7 +1,6 @@
-"""A descriptor kept back for what must be opened while clients hold all others: the event bus, a reload's files.
+"""A reserved descriptor for the event bus and a reload's files, which must open while clients use all others.
 
-Owns that one descriptor. It must never be free for longer than the turn in which it is used: whoever accepts
-connections would take it.
+It may be free only within one turn of the event loop, else the next accepted connection would take it.
 """
 
 from __future__ import annotations
@@ -15,28 +14,28 @@
 
 
 class ReservedDescriptor:
-    """One file descriptor held in reserve, open on the null device."""
+    """One file descriptor descriptor in reserve, open on the null device."""
 
     def __init__(self) -> None:
-        self._held: int | None = None
+        self._descriptor: int | None = None
         self.take()
 
     def take(self) -> None:
-        """Open the reserve again, unless it is held; no error if no descriptor is to be had."""
-        if self._held is None:
+        """Reserve a descriptor again unless one is reserved; no error if none is available."""
+        if self._descriptor is None:
             with contextlib.suppress(OSError):
-                self._held = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
+                self._descriptor = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
     def free(self) -> bool:
-        """Close the reserve; return False if there was none."""
-        held, self._held = self._held, None
-        if held is not None:
-            os.close(held)
-        return held is not None
+        """Close the reserved descriptor; return False if there was none."""
+        descriptor, self._descriptor = self._descriptor, None
+        if descriptor is not None:
+            os.close(descriptor)
+        return descriptor is not None
 
     @contextlib.contextmanager
     def lent(self) -> Iterator[None]:
-        """Free the reserve for the block, for one file at a time, opened and closed without a pause."""
+        """Free the descriptor within the block, for one file at a time; the block must not await."""
         self.free()
         try:
             yield
--- a/frostspindle/serving.py
+++ b/frostspindle/serving.py
@@ -1,8 +1,7 @@
-"""What a process that serves becomes: one coordinator process, or the supervisor of several.
+"""Starts serving, as a single coordinator process or as the supervisor of several workers.
 
-Owns that choice and the exit codes 1 and 2 of a start that fails. It must never import more than the choice needs, and
-never take a host's refusal for a fault: where no process may be started (workers), it serves as one process and says
-so in one line.
+A failed start exits with 1 or 2. Only the modules that are needed are imported. Where the host does not allow workers
+to be started, it logs one line and serves as a single process.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 def serve(environ: Mapping[str, str] = os.environ) -> int:
-    """Serve until a signal ends it; return 0 after a signal, 1 for a fault, 2 for a bad configuration."""
+    """Serve until a signal; return 0 after a signal, 1 after a failure, 2 for a bad configuration."""
     signals.block()
     try:
         config = configuration.read(environ)
@@ -29,27 +28,27 @@
         print(f"frostspindle: {error}", file=sys.stderr)
         return 2
     share_offset(shared_folder(config.environ, config.name))
-    several = config.operator.cores.workers > 1
-    if several:
+    has_workers = config.operator.cores.workers > 1
+    if has_workers:
         from frostspindle.cores.probe import worker_start_refusal
 
-        if why := worker_start_refusal():  # a host without processes still gets its coordinator, as one process
+        if refusal := worker_start_refusal():  # serve with a single process where none can be started
             from frostspindle.telemetry import Telemetry
 
-            Telemetry(config.name).log("worker_start_refused", workers=config.operator.cores.workers, reason=why)
-            several = False
-    if several:
+            Telemetry(config.name).log("worker_start_refused", workers=config.operator.cores.workers, reason=refusal)
+            has_workers = False
+    if has_workers:
         from frostspindle.cores.supervisor import run
     else:
         from frostspindle.program import run  # type: ignore[assignment]
 
     try:
         return asyncio.run(run(config))
-    except ConfigError as error:  # in a file that a part reads for itself
+    except ConfigError as error:  # in a file that an optional part reads
         print(f"frostspindle: {error}", file=sys.stderr)
         return 2
     except OSError as error:
         print(f"frostspindle: {error}", file=sys.stderr)
         return 1
-    finally:  # all is closed and told: the interpreter's end must not search what is left for circles, several times
+    finally:  # skips the garbage collections at interpreter exit, which would only delay it
         gc.freeze()
--- a/frostspindle/shutdown_plan.py
+++ b/frostspindle/shutdown_plan.py
@@ -1,4 +1,4 @@
-"""When the steps of a shutdown are due, by the earliest time at which the platform may kill the process.
+"""The times of the steps of a shutdown, from the earliest time at which the platform may kill the process.
 
 No I/O and no clock: times are seconds after SIGTERM.
 """
@@ -9,14 +9,14 @@
 
 from frostspindle.policy import Settings
 
-KILL_GRACE_S = 0.7  # the platform kills so long after the longest deadline
-MAX_COUNTED_DEADLINE_S = 3.0  # of which no more than this counts
-ACCEPT_S = 0.75  # connections still come for a while
-LAST_REQUEST_S = 0.62  # requests are owed their answers if they come earlier than this
-EXIT_RESERVE_S = 0.3  # before the kill, for the responses to leave, clients to fall silent and the process to end
-EXIT_MARGIN_S = 0.1  # of that, for the end of the interpreter and a busy machine
-MIN_FLUSH_S = 0.1  # between the last answers and the end, however soon the kill comes
-SUPERVISOR_RESERVE_S = 0.1  # for a supervisor to notice the end of its workers, and to end itself
+KILL_GRACE_S = 0.7  # the platform kills the process this long after the longest deadline
+MAX_COUNTED_DEADLINE_S = 3.0  # limit on the longest deadline that the platform waits for
+ACCEPT_S = 0.75  # how long new connections are still accepted
+LAST_REQUEST_S = 0.62  # requests that arrive earlier than this must be answered
+EXIT_RESERVE_S = 0.3  # before the kill, to send the responses, wait for clients and end the process
+EXIT_MARGIN_S = 0.1  # part of the reserve, for interpreter exit on a busy machine
+MIN_FLUSH_S = 0.1  # between the last responses and the exit, even if the kill comes sooner
+SUPERVISOR_RESERVE_S = 0.1  # for the supervisor to notice the end of its workers and exit
 
 
 def longest_deadline_s(settings: Settings) -> float:
@@ -31,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownPlan:
-    """The steps of one process's shutdown, in their order."""
+    """The steps of one process's shutdown, in order; s after SIGTERM."""
 
-    accept_until_s: float  # new connections are accepted
-    answer_by_s: float  # what is still open is answered
-    exit_by_s: float  # clients are no longer waited for
+    accept_until_s: float  # new connections are accepted until then
+    answer_by_s: float  # requests that are still open are answered then
+    exit_by_s: float  # connections that are still open are closed then
 
 
 def make_shutdown_plan(settings: Settings, has_supervisor: bool) -> ShutdownPlan:
-    """Return the plan of a process, which ends before the kill; a worker leaves time for its supervisor's end."""
+    """Return the plan of a process, which ends before the kill; a worker also leaves time for its supervisor."""
     end_s = earliest_kill_s(settings)
     if has_supervisor:
         end_s -= SUPERVISOR_RESERVE_S
--- a/frostspindle/signals.py
+++ b/frostspindle/signals.py
@@ -1,7 +1,7 @@
-"""Signals that the program acts on: blocked while a process starts and ends, handled in between.
+"""Signals that the program handles: blocked while a process starts and ends, handled in between.
 
-Owns the mask of these signals. Without it, one that comes before the handlers stand, or after they are gone, would do
-what the system does by default, and that is to kill the process.
+Without the mask, a signal before the handlers are installed or after they are removed would have its default effect,
+which kills the process.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import signal
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # this module is loaded before all others, so that no signal is missed: it loads as little as it can
+if TYPE_CHECKING:  # loaded first, so that no signal is missed, and so with few imports of its own
     import asyncio
     from collections.abc import Callable
 
@@ -17,12 +17,12 @@
 
 
 def block() -> None:
-    """Block the signals that the program handles; the system keeps those that come pending."""
+    """Block the signals that the program handles; signals that arrive stay pending."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock() -> None:
-    """Unblock them once the handlers are installed; pending ones are delivered now."""
+    """Unblock the signals once the handlers are installed; pending ones are delivered now."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -321,8 +321,8 @@
             ):
                 marker = Path(folder, "run-1")
                 marker.write_bytes(text)
-                self.assertEqual(Shared._told_open(marker), expected)
-            self.assertIsNone(Shared._told_open(Path(folder, "none")))
+                self.assertEqual(Shared._read_open_count(marker), expected)
+            self.assertIsNone(Shared._read_open_count(Path(folder, "none")))
 
 
 class SharedFolder(unittest.IsolatedAsyncioTestCase):
