--- a/frostspindle/components/__init__.py
+++ b/frostspindle/components/__init__.py
@@ -1,1 +1,1 @@
-"""The optional parts of a running coordinator behind one interface; `registry` states which there are."""
+"""The optional parts of a running coordinator, behind one interface; `registry` lists them."""
--- a/frostspindle/components/fleet.py
+++ b/frostspindle/components/fleet.py
@@ -1,4 +1,4 @@
-"""This coordinator's membership in a fleet, and the fleet's slow start of engines, as components."""
+"""Components for the membership in a fleet and for slow start budgets that the fleet shares."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
         program.fleet = self.service
 
     def operator_calls(self) -> dict[str, Callable[..., Any]]:
-        """Return the call that shows the fleet as this coordinator sees it."""
+        """Return the call that shows this coordinator's view of the fleet."""
         return {"show-fleet": self.service.figures}
 
     async def start(self) -> None:
-        """Open the socket and begin to gossip; OSError if the address can't be had."""
+        """Open the socket and start to gossip. Raise OSError if the address can't be bound."""
         await self.service.start()
 
     async def stop(self) -> None:
@@ -34,7 +34,7 @@
 
 
 class SlowStartComponent(Component):
-    """Budgets for engines that warm up, shared by all coordinators of the fleet."""
+    """Budgets for cold engines, shared by all coordinators of the fleet."""
 
     def __init__(self, program: ProgramContext) -> None:
         from frostspindle.fleet import slow_start_service
@@ -44,7 +44,7 @@
         program.warming = self.service
 
     def operator_calls(self) -> dict[str, Callable[..., Any]]:
-        """Return the call that shows the engines that warm up."""
+        """Return the call that shows the cold engines and their budgets."""
         return {"show-cold": self.service.figures}
 
     async def stop(self) -> None:
@@ -53,7 +53,7 @@
 
 
 def create_fleet_service(program: ProgramContext) -> FleetService:
-    """Create the service from the operator's file; ConfigError for an address of a bad form."""
+    """Create the service from the operator's file. Raise ConfigError for a malformed address."""
     config = program.config
     fleet = config.operator.fleet
     assert fleet is not None
--- a/frostspindle/components/http_requests.py
+++ b/frostspindle/components/http_requests.py
@@ -1,4 +1,4 @@
-"""What is added to HTTP requests where the configuration asks for it, tenants and the order of keys, as components."""
+"""Components for HTTP requests: their tenants, and the order of requests with the same key."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TenantsComponent(Component):
-    """The tenant of each HTTP request; the TDS front has its own rule."""
+    """Determines the tenant of each HTTP request; the TDS component does so for its requests."""
 
     def __init__(self, program: ProgramContext) -> None:
         super().__init__(program)
@@ -21,7 +21,7 @@
 
 
 class KeyOrderComponent(Component):
-    """The order of requests with the same key, over all processes that share a folder."""
+    """Keeps the order of requests with the same key across all processes that share a folder."""
 
     def __init__(self, program: ProgramContext) -> None:
         super().__init__(program)
@@ -29,12 +29,12 @@
         self._has_failed = False
 
     async def start(self) -> None:
-        """Open the shared folder; until that can be done the order is this process's own."""
+        """Open the shared folder; until that succeeds the order holds only within this process."""
         self._open()
 
     def _open(self) -> None:
-        """Join the order of all processes, with the requests that are open here; try again later if that fails."""
-        from frostspindle.order.service import KeyOrderService  # only where a class keeps order
+        """Join the shared order and enter the requests that are open here; retry later if that fails."""
+        from frostspindle.order.service import KeyOrderService  # imported only if a class is in order
 
         program = self.program
         folder = program.shared.order
@@ -43,7 +43,7 @@
         try:
             if folder is not None:
                 program.order = KeyOrderService(folder, program.core, program.telemetry)
-        except OSError as error:  # as with the bans: serving goes before what an upgrade needs
+        except OSError as error:  # as with bans, serving matters more than the state for an upgrade
             if not self._has_failed:
                 program.telemetry.log("key_order_disabled", folder=str(folder), error=repr(error))
             self._has_failed = True
@@ -55,7 +55,7 @@
             program.telemetry.log("key_order_restored", folder=str(folder))
 
     async def stop(self) -> None:
-        """Release this process's places in the order."""
+        """Release this process's positions in the order."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         if self.program.order:
--- a/frostspindle/components/operator_port.py
+++ b/frostspindle/components/operator_port.py
@@ -1,4 +1,4 @@
-"""The operators' port with its calls, and the metrics that it answers with, as components."""
+"""Components for the operators' port and for the metrics call on it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class OperatorPortComponent(Component):
-    """The server that answers operators' calls, those of the program and of its parts."""
+    """The server for operators' calls, both the program's and those of its parts."""
 
     def __init__(self, program: ProgramContext) -> None:
         super().__init__(program)
@@ -22,7 +22,7 @@
         program.operator_server = self.server
 
     async def start(self) -> None:
-        """Listen; OSError names LB_OPERATOR."""
+        """Listen. Raise OSError, which names LB_OPERATOR."""
         try:
             await self.server.start()
         except OSError as error:
@@ -34,10 +34,10 @@
 
 
 class MetricsComponent(Component):
-    """The call `metrics`, which gives the counters in Prometheus' text form."""
+    """The call `metrics`, which returns the counters in the Prometheus text format."""
 
     def operator_calls(self) -> dict[str, Callable[..., Any]]:
         """Return the call `metrics`; loads the Prometheus library."""
-        from frostspindle.net import metrics  # the library costs memory that only its users pay
+        from frostspindle.net import metrics  # loads prometheus_client, whose memory is used only if configured
 
         return {"metrics": lambda: metrics.text(self.program.core.figures())}
--- a/frostspindle/components/registry.py
+++ b/frostspindle/components/registry.py
@@ -1,8 +1,6 @@
-"""Which optional parts there are, when each is configured, and the orders in which they are created, started and
-stopped.
+"""Lists the optional parts, when each is configured, and the orders in which they are created, started and stopped.
 
-Owns these lists. A part's modules and libraries are imported by its factory alone, so that a program without the part
-does not pay for them.
+Only a part's factory imports its modules and libraries, so that a program without the part does not load them.
 """
 
 from __future__ import annotations
@@ -21,15 +19,15 @@
 
 
 class Phase(Enum):
-    """When components start and stop, relative to the parts that each program has."""
+    """When components start and stop, relative to the parts that every program has."""
 
     BEFORE_ENDPOINTS = auto()  # before the endpoint list and the shared folder are read
     WITH_ENGINES = auto()  # started before the core runs, stopped after the connections to engines are closed
-    WITH_CORE = auto()  # started once the core runs and before HTTP clients are accepted, stopped after these are gone
+    WITH_CORE = auto()  # started once the core runs and before HTTP clients are accepted, stopped after these left
 
 
-class Registration(Struct, frozen=True):  # a dataclass would cost each start a millisecond
-    """One optional part: its name, whether a configuration has it, and how to create it."""
+class Registration(Struct, frozen=True):  # a dataclass would add a millisecond to each start
+    """One optional part: its name, whether a configuration enables it, and its factory."""
 
     name: str
     is_configured: Callable[[Config], bool]
@@ -37,7 +35,7 @@
 
 
 def _tds(program: ProgramContext) -> Component:
-    from frostspindle.components.tds import TdsComponent  # a tenth of a start's imports, only where it is set up
+    from frostspindle.components.tds import TdsComponent  # a tenth of the import time of a start, so only if configured
 
     return TdsComponent(program)
 
@@ -132,7 +130,7 @@
     return any(request_class.in_order for request_class in config.settings.classes)
 
 
-# In the order of creation: a part finds those above it among the program's attributes.
+# In the order of creation: a part can use the parts before it through the program's attributes.
 REGISTRATIONS = (
     Registration("tds", lambda config: config.operator.tds is not None, _tds),
     Registration("tenants", lambda config: config.tenants.has_tenants, _tenants),
@@ -175,46 +173,46 @@
         "scatter",
         "subscriptions",
         "fleet",
-        "key_order",  # before attempts are cut short: other processes still wait for the places of these
+        "key_order",  # before attempts are cut off, as other processes still wait for their positions
     ),
     Phase.WITH_ENGINES: (),
 }
 
 
 class Components:
-    """The optional parts of one program that its configuration has, by name in the order of creation."""
+    """The configured optional parts of one program, by name in the order of creation."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, Component] = {}
 
     def create(self, program: ProgramContext) -> None:
-        """Create the configured parts; ConfigError, OSError or ValueError for a file that a part reads for itself."""
+        """Create the configured parts. Raise ConfigError, OSError or ValueError for a bad file that a part reads."""
         for registration in REGISTRATIONS:
             if registration.is_configured(program.config):
                 component = registration.create(program)
                 self._by_name[registration.name] = component
-                if program.operator_server is not None:  # it asked the parts created before it for their calls
+                if program.operator_server is not None:  # it already has the calls of the parts before it
                     program.operator_server.handlers |= component.operator_calls()
 
     def __iter__(self) -> Iterator[Component]:
         return iter(self._by_name.values())
 
     async def start(self, phase: Phase) -> None:
-        """Start the parts of a phase, one after the other; OSError of the first that fails."""
+        """Start the parts of a phase one after the other. Raise OSError from the first that fails."""
         for name in START_ORDER[phase]:
             if name in self._by_name:
                 await self._by_name[name].start()
 
     async def stop(self, phase: Phase) -> None:
-        """Stop the parts of a phase, one after the other."""
+        """Stop the parts of a phase one after the other."""
         for name in STOP_ORDER[phase]:
             if name in self._by_name:
                 await self._by_name[name].stop()
 
     def port(self, name: str) -> int | None:
-        """Return the port that a part listens on; None without the part."""
+        """Return the port that a part listens on; None if the part is not configured."""
         return self._by_name[name].port if name in self._by_name else None
 
     def client_connections(self, name: str) -> int:
-        """Return the number of a part's clients; 0 without the part."""
+        """Return the number of a part's client connections; 0 if the part is not configured."""
         return self._by_name[name].client_connections if name in self._by_name else 0
--- a/frostspindle/components/snmp.py
+++ b/frostspindle/components/snmp.py
@@ -1,4 +1,4 @@
-"""The SNMP agent as a component."""
+"""Component for the SNMP agent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SnmpComponent(Component):
-    """The agent; it and its library are loaded at the start of the program, not when this is created."""
+    """The SNMP agent; it and its library are loaded in `start`, not when the component is created."""
 
     agent: Agent | None = None
 
@@ -21,8 +21,8 @@
         return self.agent.port if self.agent else None
 
     async def start(self) -> None:
-        """Listen; OSError if the address can't be had."""
-        from frostspindle.net.snmp import Agent  # pysnmp costs memory that only its users pay
+        """Listen. Raise OSError if the address can't be bound."""
+        from frostspindle.net.snmp import Agent  # loads pysnmp, whose memory is used only if configured
 
         program = self.program
         snmp = program.config.operator.snmp
@@ -31,11 +31,11 @@
         await self.agent.start(program.config.inherited is not None)
 
     def hand_over(self) -> None:
-        """Release the port: a successor takes it."""
+        """Release the port for a successor."""
         if self.agent:
             self.agent.close()
 
     async def stop(self) -> None:
-        """Close the agent, also after a hand-over."""
+        """Close the agent, even after a handover."""
         if self.agent:
             self.agent.close()
--- a/frostspindle/components/statements.py
+++ b/frostspindle/components/statements.py
@@ -1,4 +1,4 @@
-"""What reads clients' statements, scattered tables and subscriptions, as components."""
+"""Components that parse clients' statements: scattered tables and subscriptions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ScatterComponent(Component):
-    """Requests for tables whose rows are spread over sites."""
+    """Requests for tables whose rows are distributed over sites."""
 
     def __init__(self, program: ProgramContext) -> None:
         from frostspindle.scatter.wiring import attach  # loads the SQL parser
@@ -17,7 +17,7 @@
         program.scatter = self.service
 
     def abandon_requests(self) -> None:
-        """Answer the scattered requests that are still gathered."""
+        """Answer the scattered requests whose results are still being gathered."""
         self.service.give_up()
 
     async def stop(self) -> None:
@@ -29,7 +29,7 @@
     """Events that operators' programs subscribe to; scatter and recovery report theirs to it."""
 
     def __init__(self, program: ProgramContext) -> None:
-        from frostspindle.subscriptions.wiring import attach  # lark and others are its users' only
+        from frostspindle.subscriptions.wiring import attach  # loads lark and others
 
         super().__init__(program)
         self.service = attach(program)
--- a/frostspindle/components/tds.py
+++ b/frostspindle/components/tds.py
@@ -1,4 +1,4 @@
-"""The TDS front and the driver of its engines as one component."""
+"""Component for the TDS front and the driver of its engines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TdsComponent(Component):
-    """TDS clients and engines; which logins and engines there are may change with a reload."""
+    """TDS clients and engines; a reload may change the logins and engines."""
 
     def __init__(self, program: ProgramContext) -> None:
         super().__init__(program)
@@ -32,8 +32,8 @@
             table_group,
         )
         if config.tenants.has_tenants:
-            self.front.tenant = lambda login, at, statement: config.tenants.number(
-                RequestAttributes("tds", at, {}, login.user, login.application, login.database, schema(statement))
+            self.front.tenant = lambda login, address, statement: config.tenants.number(
+                RequestAttributes("tds", address, {}, login.user, login.application, login.database, schema(statement))
             )
         program.tds_driver = self.driver
         program.tds = self.front
@@ -49,13 +49,13 @@
         return len(self.front.sessions)
 
     async def start(self) -> None:
-        """Tell the core the engines and listen; OSError if the address can't be had."""
+        """Pass the engines to the core and listen. Raise OSError if the address can't be bound."""
         config = self.program.config
         self.driver.configure(self.front.tds.engine, EndpointListKind.FULL)
         await self.front.start(config.inherited is not None, config.tds_listener)
 
     def drain(self) -> None:
-        """Finish open requests and send clients away."""
+        """Start a drain: finish open requests and send clients away."""
         self.front.drain()
 
     def resume(self) -> None:
@@ -63,7 +63,7 @@
         self.front.resume()
 
     def on_reload(self, config: Config) -> None:
-        """Take engines, their states and logins; what the decision module was told at the start needs a restart."""
+        """Apply engines, their states and logins; sizes and classes that the policy does not know need a restart."""
         tds = config.operator.tds
         plan = self.program.config.plan
         if tds is None:
@@ -79,7 +79,7 @@
         self.driver.configure(tds.engine)
 
     def hand_over(self) -> None:
-        """Stop listening; a successor accepts."""
+        """Stop listening, as a successor accepts."""
         self.front.leave()
 
     async def stop(self) -> None:
--- a/frostspindle/config/__init__.py
+++ b/frostspindle/config/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration: environment, JSON file and operator's file, read once into the values used."""
+"""The configuration: environment, JSON file and operator's file, read once into the effective values."""
 
 from frostspindle.config.addresses import Address, address
 from frostspindle.config.agreed_settings import SettingsSection
--- a/frostspindle/config/addresses.py
+++ b/frostspindle/config/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses and descriptors of sockets, as settings give them."""
+"""Parses socket addresses, inherited descriptors and paths in settings."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def address(text: str, key: str) -> Address:
-    """Parse HOST:PORT with a literal IP address, loopback or other; names are not resolved.
+    """Parse IP:PORT; host names are not resolved.
 
-    Raises ConfigError, which names `key`, for any other form.
+    Raise ConfigError, which names `key`, for any other form.
     """
     host, colon, port = text.rpartition(":")
     host = host.strip("[]")
@@ -30,7 +30,7 @@
 
 
 def inherited_socket(text: str) -> int | None:
-    """Return the number of an open socket that LB_INHERITED_FD gives; None if it is empty, else ConfigError."""
+    """Return the descriptor of the open socket in LB_INHERITED_FD; None if empty. Raise ConfigError for others."""
     if not text:
         return None
     try:
--- a/frostspindle/config/agreed_settings.py
+++ b/frostspindle/config/agreed_settings.py
@@ -1,4 +1,4 @@
-"""`[settings]` of the operator's file: settings in versions that all coordinators agree on."""
+"""The section `[settings]` of the operator's file: versioned settings that all coordinators agree on."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 class SettingsSection(Struct, forbid_unknown_fields=True):
-    """`[settings]`: settings and lists in versions that all coordinators agree on; see docs/settings.md. All but the
-    places and `alone` must be the same everywhere."""
+    """Versioned settings and lists that all coordinators agree on; see docs/settings.md. All but the paths and `alone`
+    must be the same on all coordinators."""
 
-    folder: str = ""  # of the versions that are kept; "": none is, and none acknowledged
-    file: str = ""  # of a coordinator without [replica]: its file is its next version, at the start and on SIGHUP
+    folder: str = ""  # where versions are stored; "": none is stored or acknowledged
+    file: str = ""  # without [replica]: the next version, read at the start and on SIGHUP
     lease_ms: Annotated[float, Meta(ge=300, le=60_000)] = 2_000.0
     drift: Annotated[float, Meta(ge=0, le=0.2)] = 0.01
-    trial_ms: Annotated[float, Meta(ge=1_000, le=600_000)] = 10_000.0  # a version may be rolled back for so long
-    alone: str = "meet"  # what to act on once nothing was heard for a lease; or "refuse"
-    guard: bool = True  # a version that harms is rolled back: its parts of requests leave what was usual by more than
+    trial_ms: Annotated[float, Meta(ge=1_000, le=600_000)] = 10_000.0  # how long a new version may be rolled back
+    alone: str = "meet"  # behaviour after a lease without contact to the others; or "refuse"
+    guard: bool = True  # roll back a version if a share of requests leaves its usual value by more than its band
     band_failed: Annotated[float, Meta(gt=0, le=1)] = 0.01
     band_refused: Annotated[float, Meta(gt=0, le=1)] = 0.05
     band_slow: Annotated[float, Meta(gt=0, le=1)] = 0.03
 
 
 def check_settings(settings: SettingsSection, name: str, workers: int, has_replica: bool) -> None:
-    """Raise ConfigError, which names the key; `name` is replica.me or, without [replica], the configuration's."""
+    """Raise ConfigError, which names the key at fault. `name` is replica.me or the configuration's name."""
     if importlib.util.find_spec("immutables") is None:
         raise ConfigError("settings: needs the extra: pip install 'frostspindle[settings]'")
     check_single_worker("settings", workers)
--- a/frostspindle/config/cores.py
+++ b/frostspindle/config/cores.py
@@ -1,4 +1,4 @@
-"""`[cores]` of the operator's file: how many processes serve, against what each of them needs."""
+"""The section `[cores]` of the operator's file: the number of workers, checked against what each needs."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from frostspindle.config.document import Limits
 from frostspindle.config.errors import ConfigError
 
-MIN_WORKER_SOCKETS = 128  # the least that one of several workers can serve with
-MIN_WORKER_MEMORY_MB = 40.0  # likewise
+MIN_WORKER_SOCKETS = 128  # minimum for each of several workers
+MIN_WORKER_MEMORY_MB = 40.0  # minimum for each of several workers
 MAX_WORKERS = 64
 
 
 class CoresSection(Struct, forbid_unknown_fields=True):
-    """How many processes serve, and when one of them is given up."""
+    """The number of workers, and when one counts as hung or crash-looping."""
 
     workers: Annotated[int, Meta(ge=1, le=MAX_WORKERS)] = 1
-    hang_ms: Annotated[float, Meta(ge=500)] = 3_000.0  # a worker that is silent for so long is killed
-    crashes: Annotated[int, Meta(ge=1)] = 10  # so many within `within_ms` end the program
+    hang_ms: Annotated[float, Meta(ge=500)] = 3_000.0  # a worker without a heartbeat for this long is killed
+    crashes: Annotated[int, Meta(ge=1)] = 10  # this many crashes within `within_ms` end the program
     within_ms: Annotated[float, Meta(gt=0)] = 60_000.0
 
 
 def apply_worker_count(cores: CoresSection, override: str, limits: Limits) -> None:
-    """Take the number of workers from FROSTSPINDLE_WORKERS if it is set, and check that the limits are enough.
+    """Take the number of workers from FROSTSPINDLE_WORKERS if it is set, and check it against the limits.
 
-    Raises ConfigError, which names the variable or the key that gave the number.
+    Raise ConfigError, which names the variable or the key that gave the number.
     """
     key = "cores.workers"
     if override:
@@ -44,10 +44,10 @@
 
 
 def apply_descriptor_limit(limits: Limits, workers: int) -> None:
-    """Lower limits.sockets to what the system lets all workers open: nothing opens past that."""
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if most != resource.RLIM_INFINITY:
-        limits.sockets = min(limits.sockets, most * workers)
+    """Lower limits.sockets to the number of descriptors that the system allows for all workers."""
+    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if limit != resource.RLIM_INFINITY:
+        limits.sockets = min(limits.sockets, limit * workers)
 
 
 def check_single_worker(section: str, workers: int) -> None:
--- a/frostspindle/config/document.py
+++ b/frostspindle/config/document.py
@@ -1,7 +1,6 @@
-"""The JSON file that LB_CONFIG names: its form, and the request classes and kinds that its settings name.
+"""The JSON file that LB_CONFIG names: its schema, that of the bus events, and the names in its settings.
 
-Owns the form of the file and of the events of the bus, which it holds the first of. It leaves the meaning of its
-settings to frostspindle.policy.settings_parser, the parser that the simulator's adapter uses too.
+The settings themselves are parsed by frostspindle.policy.settings_parser, as in the simulator's adapter.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 from frostspindle.policy.settings_parser import flatten, read_settings
 
 HEALTH_CODES = {"active": 1, "leaving": 2, "left": 0}
-# Figures of a load report have one name on the wire and another in the module.
+# Load report columns by their names on the wire; the values are their names in the policy module.
 POLICY_COLUMN_NAMES = {
     "util": "load_share",
     "queue": "depth",
@@ -30,7 +29,7 @@
 
 
 class Host(Struct):
-    """One engine as an event of the bus describes it."""
+    """One engine in an event of the bus."""
 
     host: str
     dial: str = ""
@@ -43,7 +42,7 @@
 
 
 class Topology(Struct):
-    """The engine list in an event of the bus: all engines if `whole`, else only those that are new or have changed."""
+    """The engine list in an event of the bus: all engines if `whole`, else only new or changed ones."""
 
     hosts: list[Host]
     seq: int = 0
@@ -51,28 +50,28 @@
 
 
 class BusEvent(Struct):
-    """One numbered event of the bus; one without a topology only advances the number."""
+    """One numbered event of the bus; without a topology it only advances the offset."""
 
     offset: int
     topology: Topology | None = None
 
 
 class KnownEngines(Struct):
-    """The events of the bus up to `offset`, as they were known when the file was written."""
+    """The events of the bus up to `offset`, as known when the file was written."""
 
     offset: int = 0
     batch: list[BusEvent] = []
 
 
 class Limits(Struct):
-    """The bounds on this coordinator's resources: memory in MB, and file descriptors for all its sockets."""
+    """Limits on this coordinator's resources: memory in MB, and file descriptors for all its sockets."""
 
     memory_mb: Annotated[float, Meta(gt=0)] = 192.0
     sockets: Annotated[int, Meta(ge=64)] = 1024
 
 
 class Document(Struct):
-    """The whole file; `settings` is read by the decision module's parser."""
+    """The complete file; `settings` is parsed by the policy module."""
 
     settings: dict[str, Any]
     name: str = ""
@@ -85,7 +84,7 @@
 
 
 def read_document(path: str) -> Document:
-    """Read the file; ConfigError if it can't be read or has another form."""
+    """Read the file. Raise ConfigError if it can't be read or is malformed."""
     if not path:
         raise ConfigError("LB_CONFIG: not set")
     try:
@@ -97,7 +96,7 @@
 
 
 def read_seed(text: str) -> int:
-    """Return the seed of all random choices; ConfigError if it is no hexadecimal number."""
+    """Return the seed of all random choices. Raise ConfigError if it is not a hexadecimal number."""
     try:
         return int(text, 16)
     except ValueError:
@@ -105,19 +104,19 @@
 
 
 def read_policy_settings(document: Document) -> Settings:
-    """Return the decision module's settings; ConfigError for what its parser refuses."""
+    """Return the policy module's settings. Raise ConfigError if its parser rejects them."""
     pairs = flatten(document.settings)
     try:
         settings = read_settings(pairs)
     except ValueError as error:
         raise ConfigError(f"settings: {one_line(error)}") from None
-    # Settings may have either name of a figure.
+    # Settings may use either name of a column.
     columns = tuple(POLICY_COLUMN_NAMES.get(name, name) for name in settings.load_report_columns)
     return dataclasses.replace(settings, load_report_columns=columns)
 
 
 def entry_names(settings: dict[str, Any], key: str) -> tuple[str, ...]:
-    """Return the names of a list's entries, a number for one without; ConfigError for any other form."""
+    """Return the names of a list's entries, or the index of one without a name. Raise ConfigError if malformed."""
     entries = settings.get(key) or []
     if not isinstance(entries, list) or not all(isinstance(entry, dict) for entry in entries):
         raise ConfigError(f"settings: {key}: not a list of objects")
@@ -125,7 +124,7 @@
 
 
 def name_list(settings: dict[str, Any], key: str) -> tuple[str, ...]:
-    """Return a list of names, or one that is written with commas; ConfigError for any other form."""
+    """Return the names of a list or of a text separated by commas. Raise ConfigError if malformed."""
     value = settings.get(key) or []
     if isinstance(value, list):
         return tuple(map(str, value))
--- a/frostspindle/config/errors.py
+++ b/frostspindle/config/errors.py
@@ -1,4 +1,4 @@
-"""The error of this package, and the one line that it consists of."""
+"""The exception of this package, and how its one-line text is made."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def one_line(error: Exception) -> str:
-    """Return an error's text with line breaks and runs of blanks turned into single blanks."""
+    """Return an error's text with each run of whitespace replaced by one blank."""
     return " ".join(str(error).split())
