--- a/frostspindle/config/operator_calls.py
+++ b/frostspindle/config/operator_calls.py
@@ -1,4 +1,4 @@
-"""What needs the operators' port: `[subscriptions]` and `metrics` of the operator's file."""
+"""The settings of the operator's file that need the operators' port: `[subscriptions]` and `metrics`."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 class SubscriptionsSection(Struct, forbid_unknown_fields=True):
     """Operators' programs may subscribe to events at this coordinator; see docs/subscriptions.md."""
 
-    most: Annotated[int, Meta(ge=1, le=10_000)] = 1_000  # subscriptions at once
-    remember: Annotated[int, Meta(ge=256, le=262_144)] = 16_384  # own events, for those that come back
-    backlog: Annotated[int, Meta(ge=16, le=16_384)] = 1_024  # events that wait for one subscriber
+    most: Annotated[int, Meta(ge=1, le=10_000)] = 1_000  # concurrent subscriptions
+    remember: Annotated[int, Meta(ge=256, le=262_144)] = 16_384  # own events kept for subscribers that reconnect
+    backlog: Annotated[int, Meta(ge=16, le=16_384)] = 1_024  # events queued for one subscriber
 
 
 def check_metrics(has_operator_port: bool) -> None:
-    """Raise ConfigError if the call `metrics` can't be answered."""
+    """Raise ConfigError if the call `metrics` can't be served."""
     if not has_operator_port:
         raise ConfigError("metrics: needs operator (LB_OPERATOR), the port that answers it")
     if importlib.util.find_spec("prometheus_client") is None:
--- a/frostspindle/config/operator_file.py
+++ b/frostspindle/config/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator's TOML file, which FROSTSPINDLE_OPERATOR names: the parts that are off unless set up.
+"""The operator's TOML file, which FROSTSPINDLE_OPERATOR names: parts that are disabled unless configured.
 
-Owns which sections there are; the form of each stands in the module of its name. The example is deploy/tds.toml.
+Lists the sections; the schema of each is in the module of its name. deploy/tds.toml is an example.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
     tds: TdsSection | None = None
     snmp: SnmpSection | None = None
     tenant: list[Tenant] = []
-    default_tenant: str = "default"  # of requests that no rule fits
+    default_tenant: str = "default"  # of requests that match no rule
     cores: CoresSection = msgspec.field(default_factory=CoresSection)
     fleet: FleetSection | None = None
-    metrics: bool = False  # the operators' port answers `metrics`, in Prometheus' text form
+    metrics: bool = False  # the operators' port serves `metrics` in the Prometheus text format
     recovery: RecoverySection | None = None
-    scatter: dict[str, Any] | None = None  # read by catalogue.py, which is loaded for it alone
+    scatter: dict[str, Any] | None = None  # parsed by catalogue.py, which is loaded only for it
     subscriptions: SubscriptionsSection | None = None
     replica: ReplicaSection | None = None
     ownership: OwnershipSection | None = None
     settings: SettingsSection | None = None
 
     def fleet_name(self, config_name: str) -> str:
-        """Return this coordinator's name in the fleet; without one, the configuration's."""
+        """Return this coordinator's name in the fleet, by default the configuration's."""
         return (self.fleet.name if self.fleet else "") or config_name
 
 
 def read_operator(path: str, classes: tuple[str, ...], limits: Limits) -> OperatorFile:
-    """Read the operator's file and check it against the platform's classes and limits; ConfigError names the key."""
+    """Read the operator's file and check it against the settings. Raise ConfigError, which names the key."""
     if not path:
         return OperatorFile()
     try:
@@ -75,7 +75,7 @@
 
 
 def check_sections(operator: OperatorFile, name: str, classes: tuple[str, ...]) -> None:
-    """Check the sections that depend on others or on the configuration's name; ConfigError names the key."""
+    """Check the sections that depend on others or on the name. Raise ConfigError, which names the key."""
     workers = operator.cores.workers
     if operator.recovery is not None:
         check_recovery(operator.recovery, operator.fleet_name(name), workers)
--- a/frostspindle/config/ownership.py
+++ b/frostspindle/config/ownership.py
@@ -1,4 +1,4 @@
-"""`[ownership]` of the operator's file: duties that one coordinator of the fleet has at a time."""
+"""The section `[ownership]` of the operator's file: tasks that one coordinator of the fleet owns at a time."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 
 class OwnedTask(Struct, forbid_unknown_fields=True):
-    """The export of the fleet's figures to a fenced sink, by one owner at a time."""
+    """An export of the fleet's figures to a fenced sink, by one owner at a time."""
 
     name: Annotated[str, Meta(pattern=r"^[!-~]{1,64}$")]
     at: str  # the sink's IP:PORT
     every_ms: Annotated[float, Meta(ge=10, le=86_400_000)] = 60_000.0
-    weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0  # a coordinator with a greater one is likelier to own it
+    weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0  # a greater weight makes ownership more likely
 
 
 class OwnedWarming(Struct, forbid_unknown_fields=True):
-    """Statements by which the owner of the task `warm` warms cold HTTP engines up; needs fleet.cold."""
+    """Statements with which the owner of the task `warm` warms up cold HTTP engines; needs fleet.cold."""
 
     statement: Annotated[list[Annotated[str, Meta(min_length=1, max_length=4096)]], Meta(min_length=1, max_length=64)]
     cls: str = msgspec.field(name="class")
-    cost_ms: Annotated[float, Meta(gt=0, le=60_000)] = 100.0  # of one, as rights are paid for it
+    cost_ms: Annotated[float, Meta(gt=0, le=60_000)] = 100.0  # of one statement, as charged to the engine's budget
     most_ms: Annotated[float, Meta(ge=50, le=60_000)] = 2_000.0
     every_ms: Annotated[float, Meta(ge=20, le=60_000)] = 250.0
     weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
 
 
 class OwnershipSection(Struct, forbid_unknown_fields=True):
-    """One owner at a time for work on behalf of the fleet, on the replicated log; the same everywhere but for the
-    tasks. docs/ownership.md"""
+    """Leases on the replicated log for work on behalf of the fleet; see docs/ownership.md. All but the tasks must be
+    the same on all coordinators."""
 
     lease_ms: Annotated[int, Meta(ge=300, le=600_000)] = 3_000
-    drift: Annotated[float, Meta(ge=0, le=0.2)] = 0.01  # no clock is faster or slower than real time by more
+    drift: Annotated[float, Meta(ge=0, le=0.2)] = 0.01  # maximum deviation of any clock's rate from real time
     task: Annotated[list[OwnedTask], Meta(max_length=64)] = []
     warm: OwnedWarming | None = None
 
@@ -47,7 +47,7 @@
 def check_ownership(
     ownership: OwnershipSection, classes: tuple[str, ...], fleet: FleetSection | None, has_replica: bool
 ) -> None:
-    """Raise ConfigError, which names the key, for what can't be used without another section or stands there twice."""
+    """Raise ConfigError, which names the key, for a missing other section, a bad address or a duplicate name."""
     if not has_replica:
         raise ConfigError("ownership: needs [replica]")
     names = [task.name for task in ownership.task]
@@ -55,7 +55,7 @@
         _check_warm_up(ownership.warm, classes, fleet, names)
     for number, task in enumerate(ownership.task):
         if task.name in names[:number]:
-            raise ConfigError(f"ownership.task[{number}].name: {task.name!r} stands there twice")
+            raise ConfigError(f"ownership.task[{number}].name: {task.name!r} is defined twice")
         address(task.at, f"ownership.task[{number}].at")
 
 
@@ -68,4 +68,4 @@
         raise ConfigError(f"ownership.warm.class: the settings have no class {warm_up.cls!r}")
     if WARM_UP_TASK in task_names:
         number = task_names.index(WARM_UP_TASK)
-        raise ConfigError(f"ownership.task[{number}].name: '{WARM_UP_TASK}' is that of ownership.warm")
+        raise ConfigError(f"ownership.task[{number}].name: '{WARM_UP_TASK}' is reserved for ownership.warm")
--- a/frostspindle/config/reader.py
+++ b/frostspindle/config/reader.py
@@ -1,7 +1,7 @@
-"""Reads the configuration: environment, JSON file and operator's file, once, into the values in effect.
+"""Reads the configuration from environment, JSON file and operator's file into the effective values.
 
-Owns the LB_* variables and the order of the checks: the first fault becomes one ConfigError that names its key. It
-never opens a socket and never keeps the raw document.
+Handles the LB_* variables and the order of the checks; the first fault raises a ConfigError that names its key. It
+opens no socket, and does not keep the raw document.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 from frostspindle.ledger.tenants import Tenants
 from frostspindle.policy import Settings
 
-DEFAULT_IDLE_MS = 15_000.0  # after which engines close idle connections, where the settings do not say
+DEFAULT_IDLE_MS = 15_000.0  # idle timeout of the engines, if the settings have none
 
 
-class Config(Struct, frozen=True):  # a dataclass would cost each start a millisecond
-    """The values in effect, read once from the environment, the JSON file and the operator's file."""
+class Config(Struct, frozen=True):  # a dataclass would add a millisecond to each start
+    """The effective values, read once from the environment, the JSON file and the operator's file."""
 
-    environ: Mapping[str, str]  # what they were read from, and are read from again
+    environ: Mapping[str, str]  # the environment that they were read from, also used for reloads
     name: str
     listen: Address
     seed: int
@@ -55,16 +55,16 @@
     operator: OperatorFile
     plan: TdsPlan
     tenants: Tenants
-    operator_address: Address | str | None = None  # where operators call; a str is the path of a Unix socket
-    inherited: int | None = None  # the descriptor of a listening socket that the platform holds
-    listener: int | None = None  # of one that the supervisor holds for all its workers
+    operator_address: Address | str | None = None  # the operators' port; a str is the path of a Unix socket
+    inherited: int | None = None  # descriptor of a listening socket passed by the platform
+    listener: int | None = None  # descriptor of the HTTP socket that the supervisor listens on for all workers
     tds_listener: int | None = None
-    worker: int | None = None  # which of several workers this process is
-    scatter: Any = None  # the catalogue of spread tables
+    worker: int | None = None  # index of this process among several workers
+    scatter: Any = None  # the catalogue of distributed tables
 
 
 def read(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the whole configuration, at the start and on SIGHUP; ConfigError names the key that can't be used."""
+    """Read the complete configuration, at the start and on SIGHUP. Raise ConfigError, which names the key."""
     document = read_document(environ.get("LB_CONFIG", ""))
     name = environ.get("LB_NAME") or document.name
     listen = environ.get("LB_LISTEN") or document.listen
@@ -106,7 +106,7 @@
 
 
 def _read_operator_file(environ: Mapping[str, str], document: Document, classes: tuple[str, ...]) -> OperatorFile:
-    """Read the operator's file; lower the limit on descriptors to what the system gives its workers."""
+    """Read the operator's file; lower the limit on descriptors to that of the system for all workers."""
     operator = read_operator(environ.get("FROSTSPINDLE_OPERATOR", ""), classes, document.limits)
     apply_worker_count(operator.cores, environ.get("FROSTSPINDLE_WORKERS", ""), document.limits)
     apply_descriptor_limit(document.limits, operator.cores.workers)
@@ -129,7 +129,7 @@
         settings, plan = with_tds(settings, classes, operator.tds)
     if operator.scatter is None:
         return settings, plan, None
-    from frostspindle.config.scatter import add_scatter  # loaded only where tables are spread
+    from frostspindle.config.scatter import add_scatter  # loaded only if configured
 
     zones = name_list(document.settings, "failureDomains")
     settings, catalogue = add_scatter(settings, classes, zones, operator.scatter, operator.fleet is not None)
@@ -137,7 +137,7 @@
 
 
 def _operator_address(text: str) -> Address | str | None:
-    """Parse where operators call: the path of a Unix socket or an address; None if it is not set."""
+    """Parse the operators' address, the path of a Unix socket or IP:PORT; None if it is not set."""
     if not text:
         return None
     return text if text.startswith("/") else address(text, "LB_OPERATOR")
--- a/frostspindle/config/recovery.py
+++ b/frostspindle/config/recovery.py
@@ -1,4 +1,4 @@
-"""`[recovery]` of the operator's file: what is kept over a loss of power."""
+"""The section `[recovery]` of the operator's file: the state that survives a power loss."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class RecoverySection(Struct, forbid_unknown_fields=True):
-    """What is kept over a loss of power, and how long each stage of coming back may take, in ms; docs/recovery.md."""
+    """The durable state and the timeout of each recovery stage in ms; see docs/recovery.md."""
 
-    folder: str = ""  # of the store; "": nothing is kept, and each start is one with a lost store
-    witness: str = ""  # a file that tells a store which was set back, best on another disk
-    first_start: bool = False  # the operator's word that an empty folder is none that was lost
+    folder: str = ""  # of the store; "": nothing is stored, and each start counts as one with a lost store
+    witness: str = ""  # a file to detect a store restored from a backup, best on another disk
+    first_start: bool = False  # the operator confirms that the folder is empty because this is the first start
     store_ms: Annotated[float, Meta(ge=100, le=60_000)] = 5_000.0
     address_ms: Annotated[float, Meta(ge=100, le=60_000)] = 10_000.0
     find_ms: Annotated[float, Meta(ge=100, le=60_000)] = 1_000.0
     agree_ms: Annotated[float, Meta(ge=100, le=60_000)] = 500.0
     rights_ms: Annotated[float, Meta(ge=0, le=600_000)] = 100.0
     service_ms: Annotated[float, Meta(ge=1_000, le=600_000)] = 60_000.0
-    ticket_ms: Annotated[float, Meta(ge=1_000, le=86_400_000)] = 600_000.0  # so long a load may be repeated by its id
-    claim_ms: Annotated[float, Meta(ge=50, le=10_000)] = 1_000.0  # a load's ticket is asked for so long
+    ticket_ms: Annotated[float, Meta(ge=1_000, le=86_400_000)] = 600_000.0  # how long a load may be retried by its id
+    claim_ms: Annotated[float, Meta(ge=50, le=10_000)] = 1_000.0  # timeout of a query for a load's ticket
 
 
 def check_recovery(recovery: RecoverySection, name: str, workers: int) -> None:
-    """Raise ConfigError, which names the key; `name` is the fleet's name of this coordinator or the configuration's."""
+    """Raise ConfigError, which names the key. `name` is this coordinator's in the fleet, or the configuration's."""
     check_single_worker("recovery", workers)
     if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
         raise ConfigError("recovery: needs a name of 1 to 64 bytes in LB_CONFIG or fleet.name")
--- a/frostspindle/config/replica.py
+++ b/frostspindle/config/replica.py
@@ -1,4 +1,4 @@
-"""`[replica]` of the operator's file: the replicated log and this coordinator's part in it."""
+"""The section `[replica]` of the operator's file: this coordinator's membership in the replicated log's group."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class ReplicaSection(Struct, forbid_unknown_fields=True):
-    """The replicated log and this coordinator's part in it; voters and times must be the same everywhere, but for the
-    addresses by which each reaches the others. docs/replica.md"""
+    """Membership in the replicated log's group; see docs/replica.md. Voters and times must be the same on all members,
+    except for the addresses under which each member reaches the others."""
 
     voters: Annotated[list[Annotated[str, Meta(max_length=128)]], Meta(min_length=1, max_length=7)]  # name=IP:PORT
     folder: str  # of the journal
-    secret: str  # the file that holds the secret which all members share
-    me: str = ""  # this one's name; else fleet.name or the configuration's. Who is no voter is a follower
-    listen: str = ""  # IP:PORT, where it is not this one's among the voters
-    first_start: bool = False  # the operator's word that an empty folder is none whose journal was lost
+    secret: str  # path of the file with the secret that all members share
+    me: str = ""  # this member's name; default: fleet.name or the configuration's. A member that is no voter follows
+    listen: str = ""  # IP:PORT, if not the one in `voters`
+    first_start: bool = False  # the operator confirms that the folder is empty because this is the first start
     heartbeat_ms: Annotated[float, Meta(ge=20, le=10_000)] = 100.0
-    election_ms: Annotated[float, Meta(ge=100, le=60_000)] = 500.0  # of a leader's silence; drawn up to twice that
-    most_open: Annotated[int, Meta(ge=1, le=4_096)] = 256  # proposals of this coordinator that wait at once
+    election_ms: Annotated[float, Meta(ge=100, le=60_000)] = 500.0  # leader timeout; randomized up to twice this
+    most_open: Annotated[int, Meta(ge=1, le=4_096)] = 256  # pending proposals of this coordinator
 
 
 def check_replica(replica: ReplicaSection, name: str, workers: int) -> None:
-    """Set the name of this member where the section has none; ConfigError, which names the key, for what can't be used.
+    """Set this member's name if the section has none. Raise ConfigError, which names the key, for an invalid value.
 
-    `name` is the fleet's name of this coordinator or the configuration's.
+    `name` is this coordinator's name in the fleet, or the configuration's.
     """
     if importlib.util.find_spec("pysyncobj") is None:
         raise ConfigError("replica: needs the extra: pip install 'frostspindle[replica]'")
@@ -47,7 +47,7 @@
     if replica.listen:
         address(replica.listen, "replica.listen")
     if replica.election_ms <= MIN_ELECTION_HEARTBEATS * replica.heartbeat_ms:
-        raise ConfigError("replica.election_ms: not above three heartbeats")
+        raise ConfigError("replica.election_ms: must be more than three times heartbeat_ms")
     check_absolute_path(replica.folder, "replica.folder")
     check_absolute_path(replica.secret, "replica.secret")
     _check_secret(replica.secret)
@@ -56,18 +56,18 @@
 def _check_voters(voters: list[str]) -> None:
     names: list[str] = []
     for number, text in enumerate(voters):
-        name, equals, at = text.partition("=")
+        name, equals, address_text = text.partition("=")
         key = f"replica.voters[{number}]"
         if not equals or not _is_plain_name(name):
             raise ConfigError(f"{key}: not NAME=IP:PORT, the name of 1 to 64 letters, digits, . _ -: {text!r}")
-        _, port = address(at, key)
+        _, port = address(address_text, key)
         if port == 0:
             raise ConfigError(f"{key}: no port: {text!r}")
         if name in names:
-            raise ConfigError(f"{key}: {name!r} stands there twice")
+            raise ConfigError(f"{key}: {name!r} is defined twice")
         names.append(name)
     if len(names) % 2 == 0:
-        raise ConfigError(f"replica.voters: {len(names)} of them; an odd number bears as many losses with one fewer")
+        raise ConfigError(f"replica.voters: {len(names)} voters; one fewer, an odd number, tolerates as many failures")
 
 
 def _check_secret(path: str) -> None:
@@ -77,7 +77,7 @@
     except OSError as error:
         raise ConfigError(f"replica.secret: {path}: {error.strerror}") from None
     if not MIN_SECRET_BYTES <= length <= MAX_SECRET_BYTES:
-        raise ConfigError("replica.secret: holds no 16 to 4096 bytes")
+        raise ConfigError("replica.secret: must hold 16 to 4096 bytes")
 
 
 def _is_plain_name(text: str) -> bool:
--- a/frostspindle/config/tds.py
+++ b/frostspindle/config/tds.py
@@ -1,4 +1,4 @@
-"""`[tds]` of the operator's file: its form, its checks, and the classes and kinds that it adds to the settings."""
+"""The section `[tds]` of the operator's file, and the classes and kinds that it adds to the settings."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 Positive = Annotated[float, Meta(gt=0)]
 Count = Annotated[int, Meta(gt=0)]
 SOCKETS_PER_SESSION = 6  # of limits.sockets
-# A message is held up to three times: as it comes, whole, and as it goes out.
+# A message is in memory up to three times: in the receive buffer, complete, and in the send buffer.
 MESSAGE_COPIES = 3
 MAX_MEMORY_SHARE = 0.5  # of limits.memory_mb
 BYTES_PER_MB = 2**20
@@ -33,7 +33,7 @@
 
 
 class TdsLogin(Struct, forbid_unknown_fields=True):
-    """The terms of a TDS log-in: application and database must match whole, an empty one matches any."""
+    """The class and limits of matching TDS logins. Application and database match exactly; an empty one matches any."""
 
     cls: Annotated[str, Meta(min_length=1)] = msgspec.field(name="class")
     application: str = ""
@@ -59,14 +59,14 @@
 
 
 class TdsPlan(Struct, frozen=True):
-    """What the module is told of TDS: its classes and kinds stand behind the platform's."""
+    """The numbers of the TDS classes and kinds in the policy module, after those of the platform's settings."""
 
     classes: dict[str, int]
     kinds: dict[tuple[float, float], int]
 
 
 def check_tds(tds: TdsSection, classes: tuple[str, ...], limits: Limits) -> None:
-    """Raise ConfigError, which names the key, for what does not fit the platform's classes and limits."""
+    """Raise ConfigError, which names the key, if the section conflicts with the platform's classes and limits."""
     address(tds.listen, "tds.listen")
     _check_limits(tds, limits)
     _check_engines(tds.engine)
@@ -78,8 +78,8 @@
 def _check_limits(tds: TdsSection, limits: Limits) -> None:
     if tds.max_sessions > limits.sockets // SOCKETS_PER_SESSION:
         raise ConfigError(f"tds.max_sessions: more than a sixth of {limits.sockets} sockets")
-    held_bytes = MESSAGE_COPIES * tds.max_sessions * (tds.max_batch_bytes + tds.max_result_bytes)
-    if held_bytes > limits.memory_mb * BYTES_PER_MB * MAX_MEMORY_SHARE:
+    buffered_bytes = MESSAGE_COPIES * tds.max_sessions * (tds.max_batch_bytes + tds.max_result_bytes)
+    if buffered_bytes > limits.memory_mb * BYTES_PER_MB * MAX_MEMORY_SHARE:
         raise ConfigError(
             "tds.max_result_bytes: with max_sessions and max_batch_bytes it may take more than "
             f"half of {limits.memory_mb:g} MB"
@@ -93,15 +93,15 @@
         if engine.state not in HEALTH_CODES:
             raise ConfigError(f"tds.engine[{number}].state: not one of {', '.join(HEALTH_CODES)}")
         if engine.name in names:
-            raise ConfigError(f"tds.engine[{number}].name: {engine.name!r} stands there twice")
+            raise ConfigError(f"tds.engine[{number}].name: {engine.name!r} is defined twice")
         names.add(engine.name)
 
 
 def with_tds(settings: Settings, names: tuple[str, ...], tds: TdsSection) -> tuple[Settings, TdsPlan]:
-    """Return the decision module's settings with the TDS classes and kinds added.
+    """Return the policy module's settings with the TDS classes and kinds added.
 
-    A request stays among engines that speak its client's protocol. The module's own placement rule sees to that: the
-    classes of each front are bound to the kinds of that front's engines.
+    A request is sent only to engines that speak its client's protocol. The policy's placement rule ensures that, as
+    the classes of each front are restricted to the kinds of that front's engines.
     """
     first = len(settings.kind_cores)
     kinds: dict[tuple[float, float], int] = {}
--- a/frostspindle/config/tenants.py
+++ b/frostspindle/config/tenants.py
@@ -1,4 +1,4 @@
-"""`[[tenant]]` of the operator's file, with the tenants of the settings: their form, checks and quotas."""
+"""The sections `[[tenant]]` of the operator's file, merged with the tenants of the settings."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TenantRule(Struct, forbid_unknown_fields=True, frozen=True):
-    """What must hold of a request of the tenant; see ledger/tenant_rules.py."""
+    """Conditions for a request to belong to the tenant; see ledger/tenant_rules.py."""
 
     front: str = ""
     header: str = ""
@@ -27,22 +27,22 @@
 
 
 class Tenant(Struct, forbid_unknown_fields=True):
-    """A team that shares the engines, and its share of them."""
+    """A team that shares the engines, and its quota."""
 
     name: Annotated[str, Meta(min_length=1, max_length=64)]
-    share_per_s: Annotated[float, Meta(ge=0)] = 0.0  # requests a second of all coordinators; 0: no bound
+    share_per_s: Annotated[float, Meta(ge=0)] = 0.0  # requests per second on all coordinators together; 0: unlimited
     rule: list[TenantRule] = []
 
 
 def check_tenants(tenants: list[Tenant], default_tenant: str) -> None:
-    """Raise ConfigError, which names the key, for a name that stands there twice or a rule that can't be used."""
+    """Raise ConfigError, which names the key, for a duplicate name or an invalid rule."""
     names = {default_tenant}
     for number, tenant in enumerate(tenants):
         if tenant.name in names:
-            raise ConfigError(f"tenant[{number}].name: {tenant.name!r} stands there twice")
+            raise ConfigError(f"tenant[{number}].name: {tenant.name!r} is defined twice")
         names.add(tenant.name)
-        for place, rule in enumerate(tenant.rule):
-            _check_rule(tenant.name, rule, f"tenant[{number}].rule[{place}]")
+        for index, rule in enumerate(tenant.rule):
+            _check_rule(tenant.name, rule, f"tenant[{number}].rule[{index}]")
 
 
 def _check_rule(tenant: str, rule: TenantRule, key: str) -> None:
@@ -55,19 +55,19 @@
 
 
 def join_tenants(settings_names: tuple[str, ...], tenants: list[Tenant], default_tenant: str) -> Tenants:
-    """Return the tenants of the settings and the operator's, who may add rules to one of the settings or a tenant of
-    their own; ConfigError if the settings have a name twice.
+    """Return the tenants of the settings and of the operator's file, which may add rules to one of the settings or
+    add new tenants. Raise ConfigError if the settings have a duplicate name.
     """
     if len(set(settings_names)) < len(settings_names):
-        raise ConfigError("settings: parties: a name stands there twice")
+        raise ConfigError("settings: parties: a name is defined twice")
     rules = [Rule(tenant.name, *msgspec.structs.astuple(rule)) for tenant in tenants for rule in tenant.rule]
     return Tenants(settings_names, rules, [tenant.name for tenant in tenants], default_tenant)
 
 
 def with_quotas(settings: Settings, tenants: Tenants, operator_tenants: list[Tenant]) -> Settings:
-    """Return the decision module's settings with the quotas of all tenants, in requests a second.
+    """Return the policy module's settings with the quotas of all tenants, in requests per second.
 
-    The module's tenant 0 is the default, without a bound; the operator's word on a quota goes before the settings'.
+    Tenant 0 of the policy is the default one, without a limit. A quota of the operator's file overrides the settings'.
     """
     if not tenants.has_tenants:
         return settings
