--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -170,9 +170,9 @@
                     if t["verdict"] in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
                         assert self.now >= t["ended"] + self.settings.key_order_pause_ms, "order: the key rests"
 
-    def answer(self, request: int, how: str) -> None:
+    def answer(self, request: int, outcome: str) -> None:
         assert self.now <= self.taken_at[request] + self.requests[request].left_ms + 20.0, "answered in time"
-        self.answers[request], self.answered_at[request] = how, self.now
+        self.answers[request], self.answered_at[request] = outcome, self.now
 
     def list(self, *entries: EngineEntry, how: int = EndpointListKind.DELTA) -> None:
         known = {} if how != EndpointListKind.DELTA else dict(getattr(self, "entries", {}))
