--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -86,12 +86,12 @@
         self.answered_at: dict[int, float] = {}
         self.stopped: dict[int, float] = {}
         self.suspended: set[int] = set()  # requests whose clients are away
-        self.terms: dict[int, policy.UpdatePriority] = {}
+        self.priority_updates: dict[int, policy.UpdatePriority] = {}
         self.cancels: list[tuple[int, int]] = []
         self.logs: list[str] = []
         self.timers: list[float] = []
         self.extras: list[float] = []
-        self.list(*(entry(i + 1) for i in range(engines)), how=EndpointListKind.CACHED)
+        self.list(*(entry(i + 1) for i in range(engines)), list_kind=EndpointListKind.CACHED)
 
     def feed(self, event: policy.Event) -> list[policy.Action]:
         actions = self.controller.handle(self.now, event)
@@ -118,7 +118,7 @@
             self.cancels.append((a.request, a.attempt))
         elif isinstance(a, policy.UpdatePriority):
             assert 0 <= a.priority <= 3 and a.memory_mb >= 0
-            self.terms[a.request] = a
+            self.priority_updates[a.request] = a
         elif isinstance(a, policy.SetTimer):
             self.timers.append(a.due_at_ms)
         elif isinstance(a, policy.WriteLog):
@@ -174,8 +174,8 @@
         assert self.now <= self.taken_at[request] + self.requests[request].left_ms + 20.0, "answered in time"
         self.answers[request], self.answered_at[request] = outcome, self.now
 
-    def list(self, *entries: EngineEntry, how: int = EndpointListKind.DELTA) -> None:
-        known = {} if how != EndpointListKind.DELTA else dict(getattr(self, "entries", {}))
+    def list(self, *entries: EngineEntry, list_kind: int = EndpointListKind.DELTA) -> None:
+        known = {} if list_kind != EndpointListKind.DELTA else dict(getattr(self, "entries", {}))
         known.update({e.engine: e for e in entries})
         for engine in set(getattr(self, "entries", {})) | set(known):
             if engine not in known or known[engine].health != 1:
@@ -183,7 +183,7 @@
             else:
                 self.stopped.pop(engine, None)
         self.entries = {**getattr(self, "entries", {}), **known}
-        self.feed(policy.EndpointListUpdated(how, 1, entries))
+        self.feed(policy.EndpointListUpdated(list_kind, 1, entries))
 
     def request(
         self,
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -48,7 +48,7 @@
 
     def sent_in_first_window(started_at_ms: float, engine_since_ms: float) -> int:
         k = ControllerHarness(settings(READ, coordinators=coordinators), engines=0, now=started_at_ms)
-        k.list(entry(1, since=engine_since_ms), how=EndpointListKind.FULL)
+        k.list(entry(1, since=engine_since_ms), list_kind=EndpointListKind.FULL)
         for i in range(40):
             k.request(i, 0, cost=200.0)
         before = len(k.sent)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,7 @@
             },
         )
         harnesses.append(ControllerHarness(harness_settings, engines=0, seed=1000 + number))
-        harnesses[-1].list(*(entry(i) for i in range(engines)), how=EndpointListKind.FULL)
+        harnesses[-1].list(*(entry(i) for i in range(engines)), list_kind=EndpointListKind.FULL)
     return harnesses
 
 
@@ -182,7 +182,7 @@
         harness = ControllerHarness(
             settings(READ, HEAVY, LOAD, coordinators=40, number=number), engines=0, now=101000.0
         )
-        harness.list(entry(7, since=96000.0), how=EndpointListKind.FULL)
+        harness.list(entry(7, since=96000.0), list_kind=EndpointListKind.FULL)
         for i in range(60):
             harness.request(i, 0, cost=100.0)
             harness.wait(5)
@@ -199,7 +199,7 @@
             harness = ControllerHarness(
                 settings(READ, HEAVY, LOAD, coordinators=40, number=number), engines=0, seed=number, now=101000.0
             )
-            harness.list(entry(7, since=96000.0), *(entry(i) for i in warm), how=EndpointListKind.FULL)
+            harness.list(entry(7, since=96000.0), *(entry(i) for i in warm), list_kind=EndpointListKind.FULL)
             harness.request(0, 0, cost=100.0)
             senders += [number for _, _, engine in harness.sent if engine == 7]
         return senders
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -82,7 +82,7 @@
     for i in range(30):
         k.request(i, i % 4, cost=100.0 * (1 + i % 7), key=i % 3)
     k.wait(500)
-    return k.sent + sorted(k.terms.items())
+    return k.sent + sorted(k.priority_updates.items())
 
 
 def test_same_seed_and_events_give_the_same_actions():
@@ -150,7 +150,7 @@
     k = ControllerHarness(
         settings(READ, replace(HEAVY, only_kinds=frozenset({1})), LOAD, keyed, **retry_budget), engines=0
     )
-    k.list(*(entry(i, kind=i % 2, zone=i % 2, cell=i // 2) for i in range(1, 5)), how=EndpointListKind.FULL)
+    k.list(*(entry(i, kind=i % 2, zone=i % 2, cell=i // 2) for i in range(1, 5)), list_kind=EndpointListKind.FULL)
     number = 0
     for step in steps:
         if step[0] == "request":
@@ -189,7 +189,7 @@
     k.request(1)
     k.request(2)
     k.suspend(1)
-    k.list(entry(1), entry(2), how=EndpointListKind.FULL)
+    k.list(entry(1), entry(2), list_kind=EndpointListKind.FULL)
     k.wait(500)
     assert [request for request, _, _ in k.sent] == [2]
     k.resume(1)
@@ -256,7 +256,7 @@
         harness = ControllerHarness(
             settings(retry_budget_window_ms=window_ms, retry_budget_ratio=0.1, retry_budget_min=2.0)
         )
-        harness.list(*(entry(n) for n in range(1, 5)), how=EndpointListKind.FULL)
+        harness.list(*(entry(n) for n in range(1, 5)), list_kind=EndpointListKind.FULL)
         for number in range(1, 2001):
             harness.request(number)
             harness.end(number)
--- a/tests/test_module_indexes.py
+++ b/tests/test_module_indexes.py
@@ -189,7 +189,9 @@
         ),
         engines=0,
     )
-    k.list(*(entry(n, zone=n % 3, since=k.now - 500.0 * (n % 2)) for n in range(1, 21)), how=EndpointListKind.FULL)
+    k.list(
+        *(entry(n, zone=n % 3, since=k.now - 500.0 * (n % 2)) for n in range(1, 21)), list_kind=EndpointListKind.FULL
+    )
     for number, step in enumerate(steps):
         if step[0] == "request":
             k.request(number, step[1], cost=step[2], key=step[3] if step[1] == 2 else 0, group=step[3] - 1)
@@ -234,7 +236,7 @@
 
 def harness_with_queue(count: int, requests: int, **changes: object) -> ControllerHarness:
     k = ControllerHarness(settings(READ, HEAVY, LOAD, **changes), engines=0)
-    k.list(*(entry(n) for n in range(1, count + 1)), how=EndpointListKind.FULL)
+    k.list(*(entry(n) for n in range(1, count + 1)), list_kind=EndpointListKind.FULL)
     k.wait(200)
     for i in range(requests):
         k.request(i, 1, cost=3000.0, left=600_000.0)
@@ -247,7 +249,7 @@
     queued = len(k.controller.waiting_queue)
     assert queued > 200, "the limits of all engines are reached"
     sent_before = len(k.sent)
-    k.list(*(entry(n, since=k.now) for n in range(2001, 3001)), how=EndpointListKind.FULL)
+    k.list(*(entry(n, since=k.now) for n in range(2001, 3001)), list_kind=EndpointListKind.FULL)
     k.wait(3000, step=50.0)
     check_indexes(k.controller)
     sends_by_engine = Counter(engine for _, _, engine in k.sent[sent_before:])
@@ -266,7 +268,7 @@
         entry(7),
         entry(8),
         *(entry(n, health=Health.DRAINING) for n in range(1, 301) if n not in (7, 8)),
-        how=EndpointListKind.FULL,
+        list_kind=EndpointListKind.FULL,
     )
     sent_before = len(k.sent)
     for _ in range(40):
@@ -305,7 +307,7 @@
 def test_slow_start_engines_with_budget_are_considered_among_many():
     s = settings(READ, HEAVY, LOAD, coordinators=40, number=3)
     k = ControllerHarness(s, engines=0, now=100_000.0)
-    k.list(*(entry(n, since=99_000.0) for n in range(1, 1001)), how=EndpointListKind.FULL)
+    k.list(*(entry(n, since=99_000.0) for n in range(1, 1001)), list_kind=EndpointListKind.FULL)
     k.wait(150)
     assert MAX_UNSAMPLED < 1000 and 0 < len(k.controller.state.slow_start_eligible) < 200
     for i in range(40):
@@ -316,7 +318,7 @@
 def test_recently_used_idle_connections_are_considered_among_many():
     s = settings(READ, coordinators=3, connection_idle_ms=15_000.0, handshake_penalty=0.08)
     k = ControllerHarness(s, engines=0)
-    k.list(*(entry(n) for n in range(1, 1001)), how=EndpointListKind.FULL)
+    k.list(*(entry(n) for n in range(1, 1001)), list_kind=EndpointListKind.FULL)
     rng = Random(3)
     used_engines = rng.sample(range(1, 1001), 400)
     for engine in used_engines[-24:] + used_engines:  # the last 24 are used both first and last
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -54,7 +54,7 @@
 
 def test_keyed_retry_stays_in_its_window_and_cell():
     k = ControllerHarness(settings(replace(KEYED, dedup_scope="cell")), engines=0)
-    k.list(entry(1, cell=1), entry(2, cell=2), entry(3, cell=1), how=EndpointListKind.FULL)
+    k.list(entry(1, cell=1), entry(2, cell=2), entry(3, cell=1), list_kind=EndpointListKind.FULL)
     k.request(1, 0, cost=300)
     first = k.sent[0][2]
     k.wait(50)
@@ -79,7 +79,7 @@
 
 def test_engine_missing_from_a_full_list_gets_no_new_requests():
     k = ControllerHarness(settings(), engines=2)
-    k.list(entry(2), how=EndpointListKind.FULL)
+    k.list(entry(2), list_kind=EndpointListKind.FULL)
     for i in range(6):
         k.request(i, 0)
         k.wait(400)
@@ -90,7 +90,7 @@
 def test_slow_start_budget_is_not_exceeded(coordinators):
     s = settings(coordinators=coordinators)
     k = ControllerHarness(s, engines=0, now=100000.0)
-    k.list(entry(1, since=99000.0), how=EndpointListKind.FULL)
+    k.list(entry(1, since=99000.0), list_kind=EndpointListKind.FULL)
     for i in range(200):
         k.request(i, i % 2, cost=300.0 if i % 2 == 0 else 4000.0)
         k.wait(10)
@@ -134,7 +134,9 @@
 def test_placement_rules_hold_when_the_only_match_is_full_or_draining():
     restricted = replace(READ, only_kinds=frozenset({1}), only_zones=frozenset({2}))
     k = ControllerHarness(settings(restricted), engines=0)
-    k.list(entry(1, kind=0, zone=2), entry(2, kind=1, zone=0), entry(3, kind=1, zone=2), how=EndpointListKind.FULL)
+    k.list(
+        entry(1, kind=0, zone=2), entry(2, kind=1, zone=0), entry(3, kind=1, zone=2), list_kind=EndpointListKind.FULL
+    )
     k.request(1, 0)
     k.wait(10)
     assert k.sent == [(1, 0, 3)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -81,7 +81,7 @@
             k.wait(20)
             k.end(i, cost=100.0, memory=100.0)
         k.request(9000, 0, cost=100.0, memory=100.0)
-        return k.terms[9000].memory_mb
+        return k.priority_updates[9000].memory_mb
 
     assert grant(0) > 1.5 * grant(200) > 150.0
 
@@ -114,7 +114,7 @@
     for number in range(200):
         s = fleet_settings(coordinators=200, number=number)
         k = ControllerHarness(s, engines=0, now=100000.0)
-        k.list(entry(7, since=99000.0), how=EndpointListKind.FULL)
+        k.list(entry(7, since=99000.0), list_kind=EndpointListKind.FULL)
         for i in range(12):
             k.request(i, 1 if i % 4 == 3 else 0, cost=4000.0 if i % 4 == 3 else 300.0)
             k.wait(250)
@@ -165,9 +165,9 @@
 
 def test_engine_with_future_start_time_or_unknown_kind_is_handled():
     k = ControllerHarness(fleet_settings(), engines=0)
-    k.list(entry(1, since=10**9, kind=9, zone=77, cell=4000), how=EndpointListKind.FULL)
+    k.list(entry(1, since=10**9, kind=9, zone=77, cell=4000), list_kind=EndpointListKind.FULL)
     k.request(1, 0, cost=100.0)
-    k.list(how=EndpointListKind.FULL)
+    k.list(list_kind=EndpointListKind.FULL)
     k.wait(6000)
     assert 1 in k.answers
 
@@ -204,7 +204,7 @@
     def connections_and_crossings(**penalties: float) -> tuple[int, int]:
         s = settings(READ, HEAVY, LOAD, coordinators=coordinators, connection_idle_ms=15000.0, zone=0, **penalties)
         k = ControllerHarness(s, engines=0)
-        k.list(*(entry(i, zone=i % 3) for i in range(30)), how=EndpointListKind.FULL)
+        k.list(*(entry(i, zone=i % 3) for i in range(30)), list_kind=EndpointListKind.FULL)
         new, idle = 0, dict.fromkeys(range(30), 0)
         for i in range(200):
             k.request(i, 0, cost=100.0)
@@ -247,7 +247,7 @@
     for number in range(40):
         s = settings(READ, HEAVY, LOAD, coordinators=40, number=number, slow_start_window_ms=window)
         k = ControllerHarness(s, engines=0, now=100000.0)
-        k.list(entry(7, since=99000.0), how=EndpointListKind.FULL)
+        k.list(entry(7, since=99000.0), list_kind=EndpointListKind.FULL)
         for i in range(4):
             k.request(i, 1, cost=2500.0, left=100000.0)
         while k.now < 99000.0 + s.slow_start_duration_ms - 100.0:
--- a/tests/test_sofia_module.py
+++ b/tests/test_sofia_module.py
@@ -62,7 +62,7 @@
     """With three of five engines in slow start, a coordinator's own engine took no load for 10 s: it rejected them."""
     for number in range(3):
         k = ControllerHarness(settings(READ, HEAVY, ORDERED, coordinators=3, number=number), engines=0, now=100000.0)
-        k.list(entry(1), entry(2), *(entry(i, since=99000.0) for i in (3, 4, 5)), how=EndpointListKind.FULL)
+        k.list(entry(1), entry(2), *(entry(i, since=99000.0) for i in (3, 4, 5)), list_kind=EndpointListKind.FULL)
         for group in range(3):
             k.request(group, 2, cost=9000.0, group=group)
         assert len(k.sent) == 3 and {engine for _, _, engine in k.sent} == {1, 2}
@@ -94,7 +94,7 @@
     k.warm_up()
     k.request(1, 1, cost=100000.0, group=1)
     k.request(2, 2, cost=100000.0, group=2)
-    assert k.terms[1].priority == 0 and k.terms[2].priority == 2
+    assert k.priority_updates[1].priority == 0 and k.priority_updates[2].priority == 2
 
 
 def test_unordered_loads_use_all_engines_and_keep_their_band():
@@ -103,13 +103,13 @@
     for request in range(4):
         k.request(request, 2, cost=100000.0, group=1)
     assert len({engine for request, _, engine in k.sent if request < 4}) > 2, "not only this coordinator's engines"
-    assert k.terms[0].priority == 0
+    assert k.priority_updates[0].priority == 0
 
 
 def test_zone_penalty_applies_while_there_is_capacity():
     """Without a handshake penalty the zone penalty was ignored: two of three sends crossed zones."""
     k = ControllerHarness(settings(READ, coordinators=3, zone=0, cross_zone_penalty=0.02), engines=0)
-    k.list(*(entry(i, zone=i % 3) for i in range(9)), how=EndpointListKind.FULL)
+    k.list(*(entry(i, zone=i % 3) for i in range(9)), list_kind=EndpointListKind.FULL)
     for number in range(30):
         k.request(number, 0, cost=1000.0)
     in_own_zone = [k.controller.engines[engine].entry.zone == 0 for _, _, engine in k.sent]
@@ -189,7 +189,7 @@
             ),
             engines=0,
         )
-        k.list(entry(1, zone=0), entry(2, zone=1), how=EndpointListKind.FULL)
+        k.list(entry(1, zone=0), entry(2, zone=1), list_kind=EndpointListKind.FULL)
         for number in range(6):
             k.request(number, cls, cost=1000.0, group=-1)
         return sum(engine == 2 for _, _, engine in k.sent)
