--- a/tests/compatibility/agreed.py
+++ b/tests/compatibility/agreed.py
@@ -1,4 +1,4 @@
-"""Numbers and texts that coordinators of two versions must compute alike, from fixed inputs."""
+"""Values that coordinators of two versions must compute identically, from fixed inputs."""
 
 from compatibility.messages import RULES
 
@@ -34,7 +34,7 @@
 
 
 def node():
-    """One coordinator of a fleet of three, with a budget."""
+    """Return a coordinator of a fleet of three, with a budget."""
     return FleetNode(
         name="c1",
         address=("10.0.0.1", 7101),
@@ -52,15 +52,15 @@
 
 
 def summary():
-    """A summary of three rows, with bounds, nulls and sketches."""
-    made = Summary(columns=["region", "price"], bits=256)
+    """Return a summary of three rows, with bounds, nulls and sketches."""
+    result = Summary(columns=["region", "price"], bits=256)
     for region, price in (("north", 7), ("south", None), ("west", 12)):
-        made.widen({"region": region, "price": price})
-    return made
+        result.widen({"region": region, "price": price})
+    return result
 
 
 def agreed():
-    """Return all values by name, as JSON has them."""
+    """Return all values by name, in their JSON form."""
     ticket = tickets.ticket_id("request-1")
     return {
         "budget definition": node().budgets.states["heavy"].digest,
--- a/tests/compatibility/machines.py
+++ b/tests/compatibility/machines.py
@@ -1,4 +1,4 @@
-"""State machines of the replicated log, brought to a state by commands: what a snapshot of each holds."""
+"""State machines of the replicated log, after fixed commands, for the comparison of their snapshots."""
 
 from compatibility.messages import RULES, WARMING_NOTE
 
@@ -35,15 +35,15 @@
 
 
 def settings():
-    """Three versions, the second of which was rolled back; a draft that waits and two coordinators."""
+    """Return three versions, the second of which was rolled back, a pending draft and two coordinators."""
     machine = state_machine.SettingsStateMachine()
-    answers = [machine.apply(index, log_commands.encode_command(command)) for index, command in enumerate(COMMANDS, 21)]
-    assert tuple(answers) == OK
+    results = [machine.apply(index, log_commands.encode_command(command)) for index, command in enumerate(COMMANDS, 21)]
+    assert tuple(results) == OK
     return machine
 
 
 def leases():
-    """Two tasks, one renewed and then forced, of two processes."""
+    """Return two leases of one process, one of them renewed and then force-released by another."""
     machine = lease_table.LeaseTable()
     for index, command in enumerate(
         (
@@ -64,7 +64,7 @@
 
 
 def warming():
-    """One engine's warming-up."""
+    """Return the warm-up progress of one engine."""
     machine = progress.WarmupProgress()
     assert machine.apply(41, progress.encode(WARMING_NOTE)) == b"1"
     return machine
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -1,6 +1,6 @@
 """One sample of each message between processes, of each command on the replicated log and of each stored record.
 
-Every table goes from a sample's name in `data/messages.json` to its value; no field has its default.
+Each table maps a sample's name in `data/messages.json` to its value; no field has its default value.
 """
 
 from functools import partial
@@ -28,7 +28,7 @@
 CLAIM = fleet.MemberState(
     name="c1", host="10.0.0.1", port=7101, state=fleet.ALIVE, epoch=171, incarnation=3, proof=ID, suspected_by="c2"
 )
-DOUBT = fleet.Suspicion(name="c3", state=fleet.SUSPECT, epoch=172, incarnation=4, suspected_by="c1")
+SUSPICION = fleet.Suspicion(name="c3", state=fleet.SUSPECT, epoch=172, incarnation=4, suspected_by="c1")
 ROW = fleet.CounterRow(
     origin="c1",
     epoch=171,
@@ -40,7 +40,7 @@
 )
 VERDICT = fleet.Verdict(engine="e7", kind=2, age_ms=250.0, evidence=[0.5, -3.0])
 
-# Bodies of the datagrams between coordinators; each travels in a Packet.
+# Bodies of the datagrams between coordinators; each is sent in a Packet.
 FLEET = {
     "ping": fleet.Ping(sequence=11),
     "acknowledgement": fleet.Ack(sequence=12),
@@ -69,7 +69,7 @@
     "application message": fleet.ApplicationMessage(channel=3, data=b"payload"),
 }
 FLEET_PACKETS = {
-    name: fleet.Packet(sender=CLAIM, recipient="c2", body=body, claims=[CLAIM], rows=[ROW], suspicions=[DOUBT])
+    name: fleet.Packet(sender=CLAIM, recipient="c2", body=body, claims=[CLAIM], rows=[ROW], suspicions=[SUSPICION])
     for name, body in FLEET.items()
 }
 
@@ -154,7 +154,7 @@
     "stream unknown": subscriptions.UnknownStream(sid=124, version=6),
 }
 
-# Commands on the log and the state machines' answers and rows.
+# Commands on the log and the state machines' results and rows.
 OWNERSHIP = {
     "lease command": lease_table.RenewLeases(
         holder="c1",
@@ -173,7 +173,7 @@
 )
 WARMING_NOTE = progress.RecordProgress(token=135, engine="e7", born_ms=1_700_000_000_000.0, position=12)
 
-# One entry of each kind; entries are stored by the names of their fields.
+# One entry of each kind; entries are stored with the names of their fields.
 RULES = {
     "scope/http": schema.ListScope(),
     "scope/tds": schema.ListScope(),
@@ -244,7 +244,7 @@
     "leave": log_commands.MemberLeaving(name="c1", process=153),
 }
 
-# The replication library's messages: dicts with its own keys, which are not ours to rename.
+# Messages of the replication library: dicts whose keys the library defines.
 ENTRIES = [
     (bytes([replica.NO_OP]), 5, 2),
     (replica.build_command(replica.ENTRY, replica.encode_body("settings", b"command", TOKEN)), 6, 2),
@@ -285,7 +285,7 @@
 MOVES = {b"kept": 0, b"removed": None}
 
 
-PASSPORT = WorkerBootstrap(
+BOOTSTRAP = WorkerBootstrap(
     slot=1,
     incarnation=2,
     slots=4,
@@ -303,22 +303,22 @@
 REPLY = (200, {"rows": [1, "a", None], "next": "/call/13"}, "Retry-After: 1\r\n", True)
 
 
-def batch_out(batch):
+def encode_batch(batch):
     meta, moves = batch
     return records.encode_batch(meta, moves)
 
 
-def snapshot_out(parts):
+def encode_snapshot(parts):
     before, last, voters, states = parts
     return replica.encode_snapshot(before, last, voters, states)
 
 
-def body_out(parts):
+def encode_body(parts):
     topic, command, token = parts
     return replica.encode_body(topic, command, token)
 
 
-# By the file's section: decoder, encoder, and the samples by name.
+# By section of the file: decoder, encoder, and the samples by name.
 FAMILIES = {
     "fleet": (fleet.decode, fleet.encode, FLEET_PACKETS),
     "recovery": (recovery.decode, recovery.encode, RECOVERY),
@@ -329,8 +329,8 @@
     "warming": (partial(decode, type=progress.RecordProgress), progress.encode, {"note": WARMING_NOTE}),
     "settings": (log_commands.decode_command, log_commands.encode_command, SETTINGS),
     "replica": (replica.decode_message, replica.encode_message, REPLICA),
-    "replica entry": (replica.decode_body, body_out, {"proposal": ("settings", b"command", TOKEN)}),
-    "replica snapshot": (replica.decode_snapshot, snapshot_out, {"snapshot": SNAPSHOT}),
+    "replica entry": (replica.decode_body, encode_body, {"proposal": ("settings", b"command", TOKEN)}),
+    "replica snapshot": (replica.decode_snapshot, encode_snapshot, {"snapshot": SNAPSHOT}),
     "recovery ban": (recovery.decode_ban, recovery.encode, {"ban": BAN}),
     "recovery store": (recovery.decode_store_state, recovery.encode, {"store": STORE}),
     "recovery engine": (recovery.decode_listed_engine, recovery.encode, {"engine": LISTED}),
@@ -339,8 +339,8 @@
     "store head": (records.decode_head, records.encode_head, {"head": HEAD}),
     "store state": (records.decode_meta, records.encode_meta, {"state": META}),
     "store witness": (records.decode_known, records.encode_known, {"witness": WITNESSED}),
-    "store batch": (records.decode_batch, batch_out, {"batch": (META, MOVES)}),
-    "worker start": (partial(json.decode, type=WorkerBootstrap), json.encode, {"worker": PASSPORT}),
+    "store batch": (records.decode_batch, encode_batch, {"batch": (META, MOVES)}),
+    "worker start": (partial(json.decode, type=WorkerBootstrap), json.encode, {"worker": BOOTSTRAP}),
     "subscription cursor": (
         lambda data: cursor.decode(data.decode()),
         lambda value: cursor.encode(value.filter, value.at).encode(),
--- a/tests/compatibility/stored.py
+++ b/tests/compatibility/stored.py
@@ -1,5 +1,5 @@
-"""How each sort of stored data is written, with fixed ids and times: by the program that made the fixtures, and by the
-tests that compare what the present code writes with them.
+"""Writes each kind of stored data with fixed ids and times, for `write_fixtures` and for the tests that compare the
+output of the present code with the fixtures.
 """
 
 import asyncio
@@ -32,8 +32,8 @@
 OPEN_REQUESTS = 250
 BANNED = ("e7", "north/e 8")
 PRESENCE = "run-4711-1f"
-SHEET = "turns-4711-1000000000000001"
-SHEET_OWNER = 0x1000000000000001
+CELL_FILE = "turns-4711-1000000000000001"
+CELL_FILE_OWNER = 0x1000000000000001
 ORDER = {0: (77, 1_700_000_000_123), 5: (78, 1_700_000_000_124), 4095: (77, 1_700_000_000_125)}  # cell: key, stamp
 EXPORT = b"team-a 17\n"
 KEPT_AT_MS = 1_700_000_003_000.0
@@ -52,32 +52,32 @@
 }
 
 
-def shared_folder(root, keep):
-    """Bans and presence of one process; the folder is copied to `keep` while the process is there."""
+def shared_folder(root, copy):
+    """Write bans and the presence of one process; copy the folder to `copy` while the process is running."""
 
     async def run():
         shared = Shared(environ={"TMPDIR": str(root)}, name=COORDINATOR, telemetry=Telemetry(sink=io.BytesIO()))
-        shared.start(lambda banned: None, lambda crowded: None)
+        shared.start(lambda banned: None, lambda is_sharing: None)
         shared.publish_open_requests(lambda: OPEN_REQUESTS, lambda: None)
         for engine in BANNED:
             shared.ban(name=engine, on=True)
-        shutil.copytree(shared.folder, keep)
+        shutil.copytree(shared.folder, copy)
         shared.close()
 
     asyncio.run(run())
 
 
-def order_sheet(folder):
-    """One process's places in the order of keys."""
-    with mock.patch("secrets.randbits", return_value=SHEET_OWNER), mock.patch("os.getpid", return_value=4711):
-        own = OwnCellFile(folder)
+def key_order_file(folder):
+    """Write one process's positions in the order of keyed requests."""
+    with mock.patch("secrets.randbits", return_value=CELL_FILE_OWNER), mock.patch("os.getpid", return_value=4711):
+        cell_file = OwnCellFile(folder)
     for cell, (key, stamp) in ORDER.items():
-        own.write_cell(cell=cell, key=key, stamp=stamp)
-    own.close(clean=False)
+        cell_file.write_cell(cell=cell, key=key, stamp=stamp)
+    cell_file.close(clean=False)
 
 
 def fill_store(store):
-    """All that a coordinator keeps in its durable store; each batch is one generation."""
+    """Write everything that a coordinator keeps in its durable store; each batch is one generation."""
     store.apply(RECOVERY_ENTRIES)
     TokenFence(store).check(task="export", token=9)
     ExportSink(store).begin(period="2026-07", token=9)
@@ -86,7 +86,7 @@
 
 
 def durable_store(folder, engine):
-    """A store of coordinator c1 with everything in it, closed in good order."""
+    """Write a complete store of coordinator c1 and close it cleanly."""
     with mock.patch("secrets.token_bytes", return_value=ID):
         store = open_store(folder=folder, owner="c1", engine=engine)
     fill_store(store)
@@ -94,7 +94,7 @@
 
 
 def replica_journal(folder):
-    """A journal with a snapshot, an appended entry, a cut end, a new term and vote, and the mark of lost votes."""
+    """Write a journal: snapshot, appended entry, truncation, new term and vote, and the mark of lost votes."""
     journal, file = RaftJournal(), JournalFile(folder)
     before, last, later = ENTRIES
     journal.compact(snapshot=replica.encode_snapshot(*SNAPSHOT), before=before, last=last)
@@ -158,12 +158,12 @@
 
 
 def board():
-    """Make the shared memory of two workers, with a value in each part; the caller closes it."""
+    """Create the shared memory of two workers, with a value in each part; the caller closes it."""
     with mock.patch("os.urandom", return_value=ID[:8]):
-        made = SharedMemoryBoard.create(Layout(slots=2, engines=2, counters=2, buckets=2))
-    made.publish(CONTROL)
-    made.set_lease_expiry(slot=1, time_ms=5_000.5)
-    region = WorkerRegion(board=made, slot=1)
+        created = SharedMemoryBoard.create(Layout(slots=2, engines=2, counters=2, buckets=2))
+    created.publish(CONTROL)
+    created.set_lease_expiry(slot=1, time_ms=5_000.5)
+    region = WorkerRegion(board=created, slot=1)
     for cell, value in HEAD_CELLS.items():
         region.write_cell(cell=cell, value=value)
     region.heartbeat_ms = 4_000.25
@@ -171,4 +171,4 @@
     region.write_row(ROW)
     for ticket in TICKETS:
         region.add_request(ticket)
-    return made
+    return created
--- a/tests/compatibility/test_messages.py
+++ b/tests/compatibility/test_messages.py
@@ -1,5 +1,6 @@
-"""Messages, log commands, records and agreed values of the version before the renaming: read to the same values, and
-written to the same bytes.
+"""Compatibility with the version before the renaming: messages, log commands, records and agreed values.
+
+Each must be decoded to the same value and encoded to the same bytes.
 """
 
 import asyncio
@@ -36,17 +37,17 @@
     for section, (decode, encode, samples) in FAMILIES.items()
     for name, value in samples.items()
 ]
-PARTS = {"settings entry", "settings changes", "mesh", "snapshot"}  # sections with tests of their own
+OTHER_SECTIONS = {"settings entry", "settings changes", "mesh", "snapshot"}  # sections with tests of their own
 
 
 @pytest.mark.parametrize(("decode", "encode", "value", "data"), SAMPLES)
-def test_message_is_read_to_its_value_and_written_to_its_bytes(decode, encode, value, data):
+def test_message_is_decoded_to_its_value_and_encoded_to_its_bytes(decode, encode, value, data):
     assert decode(data) == value
     assert encode(value) == data
 
 
-def test_every_fixture_is_read_and_every_message_type_has_one():
-    assert STORED.keys() == FAMILIES.keys() | PARTS
+def test_every_fixture_has_a_test_and_every_message_type_a_fixture():
+    assert STORED.keys() == FAMILIES.keys() | OTHER_SECTIONS
     for section, (_, _, samples) in FAMILIES.items():
         assert STORED[section].keys() == samples.keys(), section
     for union, samples in (
@@ -65,16 +66,16 @@
 
 
 @pytest.mark.parametrize("key", STORED["settings entry"])
-def test_settings_entry_is_read_to_its_value_and_written_to_its_bytes(key):
+def test_settings_entry_is_decoded_to_its_value_and_encoded_to_its_bytes(key):
     data = STORED["settings entry"][key]
     assert schema.decode_entry(key, data) == RULES[key]
     assert schema.encode_msgpack(RULES[key]) == data
 
 
-def test_settings_changes_are_read_to_their_values_and_written_to_the_same_text():
+def test_settings_changes_are_decoded_to_their_values_and_encoded_to_the_same_text():
     data = STORED["settings changes"]["packed"]
     assert unpack_changes(data) == CHANGES
-    # What is compressed must be alike; how it is compressed depends on the zlib that is installed.
+    # Only the uncompressed data must be identical; the compressed bytes depend on the installed zlib.
     assert zlib.decompress(unseal(pack_changes(CHANGES))) == zlib.decompress(unseal(data))
 
 
@@ -86,10 +87,10 @@
     assert asyncio.run(relayed(*CALL, reply)) == (call, REPLY)
 
 
-def test_settings_snapshot_is_restored_and_written_alike():
-    data, made, machine = STORED["snapshot"]["settings"], machines.settings(), state_machine.SettingsStateMachine()
-    machine.restore(made.applied_index, data)
-    assert zlib.decompress(machine.state()) == zlib.decompress(made.state()) == zlib.decompress(data)
+def test_settings_snapshot_is_restored_and_written_identically():
+    data, expected, machine = STORED["snapshot"]["settings"], machines.settings(), state_machine.SettingsStateMachine()
+    machine.restore(expected.applied_index, data)
+    assert zlib.decompress(machine.state()) == zlib.decompress(expected.state()) == zlib.decompress(data)
     assert (
         machine.highest_token,
         machine.last_version,
@@ -102,14 +103,14 @@
     assert dict(machine.version(3).rules) == dict(machine.version(1).rules) == RULES
     assert dict(machine.version(2).rules) == {**RULES, **machines.BANNED}
     assert (machine.members, machine.drafts, machine.rolled_back_digests, machine.events) == (
-        made.members,
-        made.drafts,
-        made.rolled_back_digests,
-        made.events,
+        expected.members,
+        expected.drafts,
+        expected.rolled_back_digests,
+        expected.events,
     )
 
 
-def test_lease_table_snapshot_is_restored_and_written_alike():
+def test_lease_table_snapshot_is_restored_and_written_identically():
     data, machine = STORED["snapshot"]["leases"], lease_table.LeaseTable()
     machine.restore(33, data)
     assert machine.state() == machines.leases().state() == data
@@ -125,7 +126,7 @@
     assert lease_table.decode_result(machine.apply(34, lease_table.encode(late))).reason == "doubled"
 
 
-def test_warming_snapshot_is_restored_and_written_alike():
+def test_warm_up_snapshot_is_restored_and_written_identically():
     data, machine = STORED["snapshot"]["warming"], progress.WarmupProgress()
     machine.restore(41, data)
     assert machine.state() == machines.warming().state() == data
@@ -134,7 +135,7 @@
 
 
 @pytest.mark.parametrize("name", AGREED)
-def test_value_that_coordinators_must_agree_on_is_computed_alike(name):
+def test_value_that_coordinators_must_agree_on_is_computed_identically(name):
     assert agreed()[name] == AGREED[name]
 
 
@@ -142,10 +143,10 @@
     assert agreed().keys() == AGREED.keys()
 
 
-def test_summary_is_read_to_the_same_bounds_and_sketches():
-    read, made = Summary.decode(bytes.fromhex(AGREED["summary"])), summary()
-    assert read.encode() == made.encode()
-    assert (read.rows, read.version) == (made.rows, made.version) == (3, 3)
+def test_summary_is_decoded_to_the_same_bounds_and_sketches():
+    read, expected = Summary.decode(bytes.fromhex(AGREED["summary"])), summary()
+    assert read.encode() == expected.encode()
+    assert (read.rows, read.version) == (expected.rows, expected.version) == (3, 3)
     region, price = read.view("region"), read.view("price")
     assert (region.lo, region.hi, region.values, region.nulls) == ("north", "west", 3, 0)
     assert (price.lo, price.hi, price.values, price.nulls) == (7, 12, 2, 1)
--- a/tests/compatibility/test_stored.py
+++ b/tests/compatibility/test_stored.py
@@ -1,4 +1,7 @@
-"""Folders and shared memory that the version before the renaming left: opened to the same values, and written alike."""
+"""Compatibility with the version before the renaming: stored folders and shared memory.
+
+Each must be read to the same values, and written identically.
+"""
 
 import asyncio
 import fcntl
@@ -47,7 +50,7 @@
 
 @pytest.fixture
 def copy(tmp_path):
-    """Return a function that copies a stored folder to where it may be changed."""
+    """Return a function that copies a stored folder to a place where it may be changed."""
     return lambda name: Path(shutil.copytree(DATA / name, tmp_path / name))
 
 
@@ -55,14 +58,14 @@
     return {path.relative_to(folder): path.read_bytes() for path in folder.rglob("*") if path.is_file()}
 
 
-def seen_in(root):
-    """Start a process on the shared folder; return it, what it saw of the other, and the bytes of its presence file."""
+def read_by_second_process(root):
+    """Start a process on the shared folder; return what it read of the other, and the bytes of its presence file."""
 
     async def run():
         shared = Shared(environ={"TMPDIR": str(root)}, name=stored.COORDINATOR, telemetry=Telemetry(sink=io.BytesIO()))
-        shared.start(lambda banned: None, lambda crowded: None)
+        shared.start(lambda banned: None, lambda is_sharing: None)
         shared.publish_open_requests(lambda: stored.OPEN_REQUESTS, lambda: None)
-        shared.ban(name="e9", on=True)  # which also reads and writes at once
+        shared.ban(name="e9", on=True)  # also reads and writes the folder at once
         found = shared.banned, shared.is_sharing, shared.open_elsewhere
         own = [path.read_bytes() for path in shared.folder.glob("run-*") if path.name != stored.PRESENCE]
         shared.close()
@@ -76,56 +79,57 @@
     [presence] = root.glob("*/" + stored.PRESENCE)
     with open(presence, "rb") as held:
         fcntl.flock(held, fcntl.LOCK_EX)
-        found, own = seen_in(root)
+        found, own = read_by_second_process(root)
     assert found == ({*stored.BANNED, "e9"}, True, stored.OPEN_REQUESTS)
     assert own == [presence.read_bytes()]
 
 
-def test_presence_of_an_ended_process_is_removed_and_its_bans_stay(copy):
+def test_presence_of_an_ended_process_is_removed_and_its_bans_are_kept(copy):
     root = copy("shared")
-    found, _ = seen_in(root)
+    found, _ = read_by_second_process(root)
     assert found == ({*stored.BANNED, "e9"}, False, 0)
     assert not list(root.glob("*/" + stored.PRESENCE))
 
 
-def test_bans_and_presence_are_written_alike(tmp_path):
+def test_bans_and_presence_are_written_identically(tmp_path):
     stored.shared_folder(tmp_path / "root", tmp_path / "kept")
     [folder] = (DATA / "shared").iterdir()
     assert [path.name for path in (tmp_path / "root").iterdir()] == [folder.name]
-    made, before = contents(tmp_path / "kept"), contents(folder)
-    assert sorted(made.values()) == sorted(before.values())
+    written, before = contents(tmp_path / "kept"), contents(folder)
+    assert sorted(written.values()) == sorted(before.values())
     bans = {path for path in before if path.name != stored.PRESENCE}
-    [presence] = made.keys() - bans
-    assert made.keys() & bans == bans
+    [presence] = written.keys() - bans
+    assert written.keys() & bans == bans
     assert presence.name.startswith(f"run-{os.getpid()}-")
 
 
-@pytest.mark.parametrize("lives", [True, False])
-def test_order_of_keys_is_read_as_long_as_its_owner_counts(copy, lives):
+@pytest.mark.parametrize("is_alive", [True, False])
+def test_key_order_is_read_while_its_owner_runs_and_for_the_retention_after(copy, is_alive):
     folder, now = copy("order"), [0.0]
-    with open(folder / stored.SHEET, "rb") as held:
-        if lives:
+    with open(folder / stored.CELL_FILE, "rb") as held:
+        if is_alive:
             fcntl.flock(held, fcntl.LOCK_EX)
         sheets = SharedCellFolder(folder=folder, clock=lambda: now[0], retention_ms=1_000.0)
-        wanted = {
-            key: [(stamp, stored.SHEET_OWNER) for at, stamp in stored.ORDER.values() if at == key] for key in (77, 78)
+        expected = {
+            key: [(stamp, stored.CELL_FILE_OWNER) for at, stamp in stored.ORDER.values() if at == key]
+            for key in (77, 78)
         }
-        assert {key: sheets.positions(key) for key in (77, 78)} == wanted
+        assert {key: sheets.positions(key) for key in (77, 78)} == expected
         assert all(type(place) is QueuePosition for place in sheets.positions(77))
         now[0] = 1_000.0
-        assert len(sheets.positions(78)) == lives
+        assert len(sheets.positions(78)) == is_alive
         assert (sheets.positions(79), sheets.unreadable_files) == ([], 0)
         sheets.close(clean=True)
-    assert (folder / stored.SHEET).exists() == lives
+    assert (folder / stored.CELL_FILE).exists() == is_alive
 
 
-def test_order_of_keys_is_written_alike(tmp_path):
-    stored.order_sheet(tmp_path)
+def test_key_order_is_written_identically(tmp_path):
+    stored.key_order_file(tmp_path)
     assert contents(tmp_path) == contents(DATA / "order")
 
 
 def check_contents(store):
-    """What each part of a coordinator reads from its store."""
+    """Check what each part of a coordinator reads from its store."""
     assert TokenFence(store).highest(task="export") == 9
     assert ExportSink(store).rows(period="2026-07") == stored.EXPORT
     assert ExportSink(store).take(period="2026-07", token=9, rows=stored.EXPORT) is False
@@ -151,15 +155,15 @@
     store = open_store(folder=folder, owner="c1", engine=engine, copy_approved=True)  # a copy has another inode
     assert (store.decision.condition, store.decision.action) == (StoreCondition.GOOD, OpeningAction.USE)
     assert store.known == KnownStore(owner="c1", id=ID, incarnation=1, generation=GENERATION)
-    made = MemoryStore()
-    stored.fill_store(made)
-    assert store.scan() == made.scan()
+    written = MemoryStore()
+    stored.fill_store(written)
+    assert store.scan() == written.scan()
     check_contents(store)
     store.close()
 
 
 @pytest.mark.parametrize(("name", "engine", "witnessed"), STORES)
-def test_copied_durable_store_is_judged_as_before(copy, tmp_path, name, engine, witnessed):
+def test_copied_durable_store_gets_the_same_condition(copy, tmp_path, name, engine, witnessed):
     folder = copy(name)
     witness = shutil.copy(folder / "witness", tmp_path / "witness-apart")
     store = open_store(folder=folder, owner="c1", engine=engine, witness=Path(witness))
@@ -172,19 +176,22 @@
     store.close()
 
 
-def test_marker_store_is_written_alike(tmp_path):
+def test_marker_store_is_written_identically(tmp_path):
     stored.durable_store(tmp_path, MarkerEngine)
-    made, before = contents(tmp_path), contents(DATA / "store-marker")
-    assert made.keys() == before.keys()
-    assert {path for path in made if made[path] != before[path]} <= {Path("lock"), Path("store/head")}  # pid, inode
-    assert len(made[Path("lock")]) == len(before[Path("lock")])
+    written, before = contents(tmp_path), contents(DATA / "store-marker")
+    assert written.keys() == before.keys()
+    assert {path for path in written if written[path] != before[path]} <= {
+        Path("lock"),
+        Path("store/head"),
+    }  # pid, inode
+    assert len(written[Path("lock")]) == len(before[Path("lock")])
 
 
 def test_sqlite_store_has_the_same_files(tmp_path):
     stored.durable_store(tmp_path, SqliteEngine)
-    made, before = contents(tmp_path), contents(DATA / "store-sqlite")
-    assert made.keys() == before.keys()
-    assert made[Path("witness")] == before[Path("witness")]
+    written, before = contents(tmp_path), contents(DATA / "store-sqlite")
+    assert written.keys() == before.keys()
+    assert written[Path("witness")] == before[Path("witness")]
 
 
 def test_replica_journal_is_replayed(copy):
@@ -199,7 +206,7 @@
     assert (before, last, voters, states) == SNAPSHOT
 
 
-def test_replica_journal_with_a_cut_end_is_torn(copy):
+def test_truncated_replica_journal_is_torn(copy):
     folder = copy("journal")
     path = folder / "journal"
     path.write_bytes(path.read_bytes()[:-1])
@@ -211,14 +218,14 @@
     assert (len(journal.entries), journal.term, journal.vote, journal.votes_lost) == (4, 3, "c2", False)
 
 
-def test_replica_journal_is_written_alike(tmp_path):
+def test_replica_journal_is_written_identically(tmp_path):
     stored.replica_journal(tmp_path)
     assert contents(tmp_path) == contents(DATA / "journal")
 
 
 @pytest.fixture
 def board_file(tmp_path):
-    """Return a descriptor of a file with the stored board's bytes; its reader closes it."""
+    """Return a descriptor of a file with the stored board's bytes; the test closes it."""
     path = tmp_path / "board"
     path.write_bytes(gzip.decompress((DATA / "board.gz").read_bytes()))
     return os.open(path, os.O_RDWR)
@@ -241,13 +248,13 @@
         board.close()
 
 
-def test_board_of_another_instance_is_refused(board_file):
+def test_board_of_another_instance_is_rejected(board_file):
     with pytest.raises(IncompatibleMemoryError, match="another instance"):
         SharedMemoryBoard.attach(fd=board_file, nonce=stored.NONCE + 1)
     os.close(board_file)
 
 
-def test_board_is_written_alike(board_file):
+def test_board_is_written_identically(board_file):
     board = stored.board()
     try:
         assert os.pread(board_file, board.layout.size + 1, 0) == bytes(board.bytes)
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -1,4 +1,4 @@
-"""Write the fixtures anew, as this version of the program writes them, with the root and `tests` on the path:
+"""Write the fixtures again, in the format of this version of the program, with the root and `tests` on the path:
 `python -m compatibility.write_fixtures`. No test runs it; the committed files are of the version before the renaming.
 """
 
@@ -23,7 +23,7 @@
 
 
 class Interrupted(MarkerEngine):
-    """A marker store whose process ends once a batch is recorded and before it is carried out."""
+    """A marker store whose process ends after recording a batch and before applying it."""
 
     def _carry(self, moves, goal):
         if goal.generation == 5:
@@ -54,7 +54,7 @@
 
 
 def main():
-    """Write everything, after removing what was there."""
+    """Write all fixtures after removing the old ones."""
     shutil.rmtree(DATA, ignore_errors=True)
     DATA.mkdir()
     write_json("messages.json", messages())
@@ -64,7 +64,7 @@
     for marker in (DATA / "shared").glob("*/run-*"):
         marker.rename(marker.with_name(stored.PRESENCE))
     (DATA / "order").mkdir()
-    stored.order_sheet(DATA / "order")
+    stored.key_order_file(DATA / "order")
     stored.durable_store(DATA / "store-sqlite", SqliteEngine)
     stored.durable_store(DATA / "store-marker", MarkerEngine)
     with contextlib.suppress(StoreBrokenError):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests: the event loop of each is the one that the program runs on, and cases have a folder."""
+"""Fixtures for all tests: an event loop without debug mode, and a scratch folder for unittest cases."""
 
 import asyncio
 from pathlib import Path
@@ -9,18 +9,18 @@
 
 @pytest.fixture(autouse=True)
 def plain_loop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The async test case's runner asks for asyncio's debug mode, which notes the stack of each call: two to three
-    times the work of a test under load, and other timing than the program's own."""
+    """Disable asyncio's debug mode, which unittest's async cases turn on. It records the stack of each call: a test
+    under load does two to three times the work, with other timing than the program's own."""
     runner = asyncio.Runner
 
-    def plain(debug: bool | None = None, **kw: Any) -> asyncio.Runner:
+    def without_debug(debug: bool | None = None, **kw: Any) -> asyncio.Runner:
         return runner(debug=False, **kw)
 
-    monkeypatch.setattr(asyncio, "Runner", plain)
+    monkeypatch.setattr(asyncio, "Runner", without_debug)
 
 
 @pytest.fixture(autouse=True)
 def folder_of_a_case(request: pytest.FixtureRequest, tmp_path: Path) -> None:
-    """A unittest case takes no fixtures as arguments: it finds its folder in `self.scratch`."""
+    """Set `self.scratch` to a temporary folder, as unittest cases can't take fixtures as arguments."""
     if request.instance is not None:
         request.instance.scratch = tmp_path
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A rule harness for tests: it plays a script against a controller and checks every action by the rules."""
+"""Test harness that feeds events to a controller and checks every action against the rules of admission."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 class ControllerHarness:
-    """Feeds events to a controller, keeps the open attempts and asserts the rules on what comes back."""
+    """Feeds events to a controller, tracks the open attempts and checks the returned actions."""
 
     def __init__(self, settings: Settings, engines: int = 4, seed: int = 1, now: float = 1000.0) -> None:
         self.settings = settings
@@ -85,7 +85,7 @@
         self.answers: dict[int, str] = {}
         self.answered_at: dict[int, float] = {}
         self.stopped: dict[int, float] = {}
-        self.suspended: set[int] = set()  # requests whose clients are away
+        self.suspended: set[int] = set()  # requests whose clients are disconnected for now
         self.priority_updates: dict[int, policy.UpdatePriority] = {}
         self.cancels: list[tuple[int, int]] = []
         self.logs: list[str] = []
@@ -103,7 +103,7 @@
         if isinstance(a, policy.StartAttempt):
             self.check_send(a)
         elif isinstance(a, (policy.RejectRequest, policy.FailRequest)):
-            assert a.request in self.requests and a.request not in self.answers, "one final answer"
+            assert a.request in self.requests and a.request not in self.answers, "a request gets one final answer"
             if isinstance(a, policy.RejectRequest):
                 cls = self.settings.classes[self.requests[a.request].cls]
                 ran = [t for t in self.attempts[a.request] if t["verdict"] not in NEVER_RAN]
@@ -111,10 +111,10 @@
                     cls.idempotency == Idempotency.IDEMPOTENT
                     or not ran
                     or (cls.idempotency == Idempotency.WITH_KEY and cls.dedup_scope == "all")
-                ), "a refusal must be true"
+                ), "a refused request must not have run"
             self.answer(a.request, type(a).__name__)
         elif isinstance(a, policy.CancelAttempt):
-            assert a.attempt < len(self.attempts[a.request]), "cancels an attempt never made"
+            assert a.attempt < len(self.attempts[a.request]), "a cancelled attempt must exist"
             self.cancels.append((a.request, a.attempt))
         elif isinstance(a, policy.UpdatePriority):
             assert 0 <= a.priority <= 3 and a.memory_mb >= 0
@@ -128,22 +128,24 @@
         request = self.requests[a.request]
         cls = self.settings.classes[request.cls]
         earlier = self.attempts[a.request]
-        assert a.request not in self.answers, "nothing goes out after the answer"
-        assert a.request not in self.suspended, "nothing goes out while the client is away"
-        alone = all(t["verdict"] is not None for t in earlier)
-        assert alone or self.settings.hedged_requests, "no two attempts at once"
+        assert a.request not in self.answers, "no attempt starts after the answer"
+        assert a.request not in self.suspended, "no attempt starts while the client is disconnected"
+        all_ended = all(t["verdict"] is not None for t in earlier)
+        assert all_ended or self.settings.hedged_requests, "no concurrent attempts without hedging"
         assert len(earlier) < self.settings.max_attempts
         ran = [t for t in earlier if t["verdict"] not in NEVER_RAN]
         if cls.idempotency == Idempotency.NON_IDEMPOTENT:
-            assert not ran, "an unsafe request is not repeated"
+            assert not ran, "a non-idempotent request is not retried"
         if cls.idempotency == Idempotency.WITH_KEY and ran:
-            assert self.now - min(t["at"] for t in ran) <= cls.idempotency_window_ms, "the keyed window"
+            assert self.now - min(t["at"] for t in ran) <= cls.idempotency_window_ms, "keyed retry after its window"
             if cls.dedup_scope != "all":
-                place = "zone" if cls.dedup_scope == "zone" else "cell"
-                mine = getattr(self.entries[a.engine], place)
-                assert all(getattr(self.entries[t["engine"]], place) == mine for t in ran), "the keyed group"
+                scope = "zone" if cls.dedup_scope == "zone" else "cell"
+                own_group = getattr(self.entries[a.engine], scope)
+                assert all(getattr(self.entries[t["engine"]], scope) == own_group for t in ran), (
+                    "keyed retry outside its scope"
+                )
         if a.engine in self.stopped:
-            assert self.now - self.stopped[a.engine] <= self.settings.drain_grace_ms, "drain grace"
+            assert self.now - self.stopped[a.engine] <= self.settings.drain_grace_ms, "attempt after drain grace"
         place = self.entries[a.engine]
         assert cls.only_kinds is None or place.kind in cls.only_kinds, "placement by kind"
         assert cls.only_zones is None or place.zone in cls.only_zones, "placement by zone"
@@ -151,9 +153,9 @@
             self.check_order(a.request, request.key)
         if earlier and self.settings.retry_budget_window_ms:
             self.extras.append(self.now)
-            since = self.now - self.settings.retry_budget_window_ms
-            taken = sum(at > since for at in self.taken_at.values())
-            count = sum(at >= since for at in self.extras)
+            window_start = self.now - self.settings.retry_budget_window_ms
+            taken = sum(at > window_start for at in self.taken_at.values())
+            count = sum(at >= window_start for at in self.extras)
             assert count <= self.settings.retry_budget_min + self.settings.retry_budget_ratio * taken, "retry budget"
         self.open[(a.request, len(earlier))] = a.engine
         self.sent.append((a.request, len(earlier), a.engine))
@@ -164,11 +166,13 @@
             if other == request:
                 return
             if r.key == key and self.settings.classes[r.cls].in_order:
-                assert other in self.answers, "order: an earlier one is unfinished"
+                assert other in self.answers, "order: an earlier request is not answered"
                 for t in self.attempts[other]:
-                    assert t["verdict"] is not None, "order: an earlier attempt is out"
+                    assert t["verdict"] is not None, "order: an earlier attempt is still open"
                     if t["verdict"] in (AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
-                        assert self.now >= t["ended"] + self.settings.key_order_pause_ms, "order: the key rests"
+                        assert self.now >= t["ended"] + self.settings.key_order_pause_ms, (
+                            "order: key pause has not passed"
+                        )
 
     def answer(self, request: int, outcome: str) -> None:
         assert self.now <= self.taken_at[request] + self.requests[request].left_ms + 20.0, "answered in time"
@@ -221,7 +225,7 @@
         self.feed(policy.AttemptEnded(request, number, engine, verdict, elapsed, last, cost, memory, ()))
 
     def wait(self, ms: float, step: float = 5.0) -> None:
-        """Let time pass; due timers fire and cancelled attempts end."""
+        """Advance the time; due timers fire and cancelled attempts end."""
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + step)
@@ -238,7 +242,7 @@
                 self.end(request, AttemptOutcome.CANCELLED)
 
     def warm_up(self, count: int = 60, start: int = 900000) -> None:
-        """Enough small and large estimates for the cutoffs."""
+        """Run enough requests with small and large estimates for the controller's cutoffs."""
         for i in range(count):
             self.request(start + i, 0, 100.0 if i % 2 else 2000.0)
             self.wait(20)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: the byte layouts of the page, bad input, instances that share nothing."""
+"""The simulator adapter: documented byte layouts, malformed input and isolation of instances."""
 
 import io
 import struct
@@ -36,8 +36,8 @@
     return struct.pack(">IId", 12 + len(body), len(records), now) + body
 
 
-def hello(who: int = 3, seed: int = 5, setup: str = SETUP) -> tuple[int, bytes]:
-    return 9, struct.pack(">IQI", who, seed, len(setup)) + setup.encode()
+def hello(instance: int = 3, seed: int = 5, setup: str = SETUP) -> tuple[int, bytes]:
+    return 9, struct.pack(">IQI", instance, seed, len(setup)) + setup.encode()
 
 
 def directory(*engines: int) -> tuple[int, bytes]:
@@ -45,49 +45,49 @@
     return 6, struct.pack(">BI", 0, len(engines)) + entries
 
 
-def discovery(who: int = 3) -> tuple[int, bytes]:
-    return 2, struct.pack(">IBQB", who, 2, 41, 0)
+def discovery(instance: int = 3) -> tuple[int, bytes]:
+    return 2, struct.pack(">IBQB", instance, 2, 41, 0)
 
 
-def request(who: int = 3, number: int = 9, left: float = 3000.0) -> tuple[int, bytes]:
-    return 1, struct.pack(">IQHHQddffB", who, number, 0, 0, 0, left, 200.0, 100.0, 4.0, 1)
+def request(instance: int = 3, number: int = 9, left: float = 3000.0) -> tuple[int, bytes]:
+    return 1, struct.pack(">IQHHQddffB", instance, number, 0, 0, 0, left, 200.0, 100.0, 4.0, 1)
 
 
 def play(data: bytes) -> list[list[tuple[int, bytes]]]:
     sink = io.BytesIO()
     simulator_adapter.serve(io.BytesIO(data), sink)
-    out, at, frames = sink.getvalue(), 0, []
-    while at < len(out):
-        size, count = struct.unpack_from(">II", out, at)
-        body, at, records, pos = out[at + 8 : at + 4 + size], at + 4 + size, [], 0
+    output, offset, frames = sink.getvalue(), 0, []
+    while offset < len(output):
+        size, count = struct.unpack_from(">II", output, offset)
+        body, offset, records, position = output[offset + 8 : offset + 4 + size], offset + 4 + size, [], 0
         for _ in range(count):
-            code, length = struct.unpack_from(">BI", body, pos)
-            records.append((code, body[pos + 5 : pos + 5 + length]))
-            pos += 5 + length
-        assert pos == len(body)
+            code, length = struct.unpack_from(">BI", body, position)
+            records.append((code, body[position + 5 : position + 5 + length]))
+            position += 5 + length
+        assert position == len(body)
         frames.append(records)
     return frames
 
 
-def test_the_pages_examples_are_read():
-    who, event = simulator_adapter.read_request(
+def test_documented_event_examples_are_decoded():
+    instance, event = simulator_adapter.read_request(
         bytes.fromhex(
             "00000003000f51375d3a91c40000000091f03b7c55d20a64406e000000000000402800000000000043c000004130000001"
         )
     )
-    assert who == 3
+    assert instance == 3
     assert event == policy.RequestArrived(0xF51375D3A91C4, 0, 0, 0x91F03B7C55D20A64, 240.0, 12.0, 384.0, 11.0)
-    who, event = simulator_adapter.read_attempt_ended(
+    instance, event = simulator_adapter.read_attempt_ended(
         bytes.fromhex("00000003000f51375d3a91c4000003124a0700004032800000000000010001106000")
     )
     assert event == policy.AttemptEnded(0xF51375D3A91C4, 0, 0x03124A07, AttemptOutcome.OK, 18.5, True, 17.0, 384.0, ())
-    who, event = simulator_adapter.read_progress(bytes.fromhex("00000003000f51375d3a91c4000003124a07013f000000"))
+    instance, event = simulator_adapter.read_progress(bytes.fromhex("00000003000f51375d3a91c4000003124a07013f000000"))
     assert event == policy.ProgressReported(0xF51375D3A91C4, 0, 0x03124A07, 1, 0.5)
-    who, event = simulator_adapter.read_health_check(bytes.fromhex("0000000303124a0700003ff666666666666600"))
+    instance, event = simulator_adapter.read_health_check(bytes.fromhex("0000000303124a0700003ff666666666666600"))
     assert event == policy.HealthCheckCompleted(0x03124A07, 0, 1.4, ())
 
 
-def test_the_pages_actions_are_written():
+def test_documented_action_examples_are_encoded():
     write = {
         policy.StartAttempt(0xF51375D3A91C4, 0x03124A07, 80.0): "00000003000f51375d3a91c4405400000000000003124a07",
         policy.CancelAttempt(0xF51375D3A91C4, 0): "00000003000f51375d3a91c40000",
@@ -103,13 +103,13 @@
         assert simulator_adapter.WRITERS[type(action)](3, action)[1].hex() == octets
 
 
-def test_a_request_goes_out_with_its_terms_and_an_empty_batch_gets_an_empty_reply():
+def test_request_is_sent_after_its_priority_and_empty_batch_gets_empty_reply():
     frames = play(frame(1000.0) + frame(1005.0, hello(), directory(77), discovery(), request()))
     assert frames[0] == []
     codes = [code for code, _ in frames[1]]
     assert codes.count(1) == 1 and codes.index(2) < codes.index(1)
-    who, number, _, engine = struct.unpack(">IQdI", dict(frames[1])[1])
-    assert (who, number, engine) == (3, 9, 77)
+    instance, number, _, engine = struct.unpack(">IQdI", dict(frames[1])[1])
+    assert (instance, number, engine) == (3, 9, 77)
 
 
 def test_trailing_fields_of_a_longer_record_are_skipped():
@@ -118,11 +118,11 @@
     assert 1 in [c for c, _ in frames[0]]
 
 
-def test_one_fault_ends_one_instance_only():
+def test_a_fault_ends_only_its_instance():
     bad = SETUP.replace("categories.0.promise=1500.0", "categories.0.promise=soon")
     frames = play(frame(1005.0, hello(1, setup=bad), hello(2), directory(77), discovery(2), request(2)))
-    bail = [f for code, f in frames[0] if code == 5]
-    assert len(bail) == 1 and b"categories.0.promise" in bail[0]
+    bail_outs = [f for code, f in frames[0] if code == 5]
+    assert len(bail_outs) == 1 and b"categories.0.promise" in bail_outs[0]
     assert 1 in [code for code, _ in frames[0]]
 
 
@@ -131,20 +131,20 @@
     assert 1 not in [code for code, _ in frames[0]]
 
 
-def test_interleaved_instances_act_as_when_alone():
-    def script(*who: int) -> bytes:
-        starts = [hello(w, seed=w) for w in who] + [discovery(w) for w in who]
+def test_interleaved_instances_act_as_if_alone():
+    def script(*instances: int) -> bytes:
+        starts = [hello(number, seed=number) for number in instances] + [discovery(number) for number in instances]
         data = frame(1000.0, directory(7, 8, 9), *starts)
         for i in range(40):
-            data += frame(1010.0 + 10 * i, *(request(w, 100 + i) for w in who))
+            data += frame(1010.0 + 10 * i, *(request(number, 100 + i) for number in instances))
         return data
 
-    def of(frames: list, who: int) -> list:
-        return [r for records in frames for r in records if r[1][:4] == struct.pack(">I", who)]
+    def records_of(frames: list, instance: int) -> list:
+        return [r for records in frames for r in records if r[1][:4] == struct.pack(">I", instance)]
 
     both = play(script(1, 2))
-    assert of(both, 1) == play(script(1))[0] + [r for f in play(script(1))[1:] for r in f]
-    assert of(both, 2) == of(play(script(2)), 2)
+    assert records_of(both, 1) == play(script(1))[0] + [r for f in play(script(1))[1:] for r in f]
+    assert records_of(both, 2) == records_of(play(script(2)), 2)
 
 
 @pytest.mark.parametrize(
@@ -160,12 +160,12 @@
         (frame(1.0, (6, struct.pack(">BI", 0, 5))), "runs past"),
     ],
 )
-def test_malformed_input_is_named(data, text):
+def test_malformed_input_raises_a_precise_error(data, text):
     with pytest.raises(simulator_adapter.WireError, match=text):
         simulator_adapter.serve(io.BytesIO(data), io.BytesIO())
 
 
-def test_the_process_reports_bad_input_and_ends_cleanly_at_the_end():
+def test_process_reports_bad_input_and_exits_cleanly_at_end_of_input():
     run = [sys.executable, "-m", "frostspindle.simulator_adapter"]
     bad = subprocess.run(run, input=b"\0\0", capture_output=True, timeout=60)
     assert bad.returncode != 0 and b"header" in bad.stderr and b"Traceback" not in bad.stderr
@@ -173,7 +173,7 @@
     assert good.returncode == 0 and good.stdout == struct.pack(">II", 4, 0)
 
 
-def test_settings_are_read_and_unknown_keys_skipped():
+def test_settings_are_parsed_and_unknown_keys_skipped():
     s = simulator_adapter.parse_settings(SETUP)
     assert s.coordinators == 2 and s.max_attempts == 3 and s.tenant_quotas_per_s == ()
     assert s.classes[0].idempotency == Idempotency.IDEMPOTENT and s.classes[0].threads == 1
@@ -191,6 +191,6 @@
         ("limits.mostTries=3", "limits.mostTries", "limits.mostTries"),
     ],
 )
-def test_bad_settings_are_named(old, new, name):
+def test_error_for_bad_settings_names_the_key(old, new, name):
     with pytest.raises(ValueError, match=name):
         simulator_adapter.parse_settings(SETUP.replace(old, new))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what each command prints and how it exits."""
+"""Output and exit codes of the commands of the command line."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def files(tmp_path, monkeypatch):
-    """Paths of a good configuration and of an operator's file that the test writes."""
+    """Return the paths of a valid configuration and operator's file; a test may overwrite them."""
     for name in (
         "LB_CONFIG",
         "LB_LISTEN",
@@ -37,11 +37,11 @@
     return config, operator
 
 
-def check(config, operator, *more):
-    return CliRunner().invoke(cli, ["check", "--config", str(config), "--operator", str(operator), *more])
+def check(config, operator, *options):
+    return CliRunner().invoke(cli, ["check", "--config", str(config), "--operator", str(operator), *options])
 
 
-def test_check_prints_what_is_in_effect_and_no_secret(files):
+def test_check_prints_effective_values_without_secrets(files):
     result = check(*files, "--json")
     values = json.loads(result.output)
     assert (result.exit_code, values["cores.workers"], values["each worker"]) == (0, 4, "256 descriptors, 48 MB")
@@ -65,14 +65,14 @@
         ("[cores\n", "FROSTSPINDLE_OPERATOR"),
     ],
 )
-def test_bad_values_get_one_line_that_names_the_key(files, text, key):
+def test_bad_value_prints_one_line_with_its_key(files, text, key):
     files[1].write_text(text)
     result = check(*files)
     assert result.exit_code == 2
     assert result.output.startswith("frostspindle: ") and result.output.count("\n") == 1 and key in result.output
 
 
-def test_a_bad_number_of_workers_on_the_command_line_names_its_key(files):
+def test_bad_number_of_workers_prints_its_key(files):
     result = check(*files, "--workers", "65")
     assert (result.exit_code, "FROSTSPINDLE_WORKERS" in result.output) == (2, True)
     started = subprocess.run(
@@ -89,18 +89,18 @@
     )
 
 
-def test_version_help_and_nobody_there():
+def test_version_help_and_exit_codes_without_a_coordinator():
     assert CliRunner().invoke(cli, ["--version"]).output == f"frostspindle, version {__version__}\n"
-    shown = CliRunner().invoke(cli, ["--help"]).output
-    assert all(name in shown for name in ("serve", "check", "demo", "call", "stat", "bench"))
+    help_text = CliRunner().invoke(cli, ["--help"]).output
+    assert all(name in help_text for name in ("serve", "check", "demo", "call", "stat", "bench"))
     assert CliRunner().invoke(cli, ["call", "lookup", SQL, "--at", "127.0.0.1:1"]).exit_code == 5
     assert CliRunner().invoke(cli, ["stat", "--at", "127.0.0.1:1"]).exit_code == 5
     assert CliRunner().invoke(cli, ["stat", "--at", "nowhere"]).exit_code == 2
 
 
-# What a process that serves without optional parts may load, beside the standard library: a start costs processor time,
-# and a fleet starts together. Who adds a name here pays for it at each start of everybody.
-SERVES = {
+# Modules that a serving process without optional parts may load besides the standard library. Imports cost CPU time at
+# each start, and all coordinators of a fleet may start together.
+ALLOWED_MODULES = {
     "frostspindle": "__main__ clock_file components config core descriptor_sharing handover ledger memory_log net "
     "order policy pools program reload reserved_descriptor serving shared shutdown_plan signals telemetry timers",
     "frostspindle.config": "addresses agreed_settings cores document errors fleet operator_calls operator_file "
@@ -113,16 +113,27 @@
     "frostspindle.net.http": "attempts calls clients connection_limits connection_pool "
     "duplicate_responses engine_connection "
     "listener load_reports replies request_registry statements",
-    "frostspindle.order": "key_queue service shared_cells",  # only where a class keeps order
+    "frostspindle.order": "key_queue service shared_cells",  # only if a class is in order
     "frostspindle.policy": "actions admission completion controller deadlines dispatch engine_registry engine_state "
     "estimates events indexes key_order outlier_detection policy_state queues request_state retries selection settings "
     "settings_parser shedding slow_start statistics waiting_requests",
 }
 LIBRARIES = {"httptools", "msgspec", "orjson", "structlog", "typing_extensions"}
-DEAR = {"ctypes", "email", "html", "http", "multiprocessing", "sqlite3", "tomllib", "unittest", "urllib.request", "xml"}
+EXPENSIVE_MODULES = {
+    "ctypes",
+    "email",
+    "html",
+    "http",
+    "multiprocessing",
+    "sqlite3",
+    "tomllib",
+    "unittest",
+    "urllib.request",
+    "xml",
+}
 
 
-def test_serving_imports_nothing_that_only_others_need(files):
+def test_serving_imports_only_the_modules_that_it_needs(files):
     code = (
         "import atexit, sys; before = set(sys.modules); "
         "atexit.register(lambda: print(*sorted(set(sys.modules) - before))); "
@@ -143,36 +154,38 @@
             loaded = set(child.communicate(timeout=60)[0].split())
         finally:
             child.kill()
-    may = {f"{package}.{name}" for package, names in SERVES.items() for name in names.split()} | SERVES.keys()
-    ours = {name for name in loaded if name.partition(".")[0] == "frostspindle"}
-    assert (child.returncode, ours - may) == (0, set()) and len(ours) > 30
-    tops = {name.partition(".")[0] for name in loaded} - sys.stdlib_module_names - {"frostspindle"}
-    assert {name for name in tops if not name.startswith(("_", "cython"))} == LIBRARIES
-    assert not loaded & DEAR
-
-
-def neighbours():
-    """The first of two free ports in a row, below those that the system gives to others."""
+    allowed = {
+        f"{package}.{name}" for package, names in ALLOWED_MODULES.items() for name in names.split()
+    } | ALLOWED_MODULES.keys()
+    own_modules = {name for name in loaded if name.partition(".")[0] == "frostspindle"}
+    assert (child.returncode, own_modules - allowed) == (0, set()) and len(own_modules) > 30
+    top_packages = {name.partition(".")[0] for name in loaded} - sys.stdlib_module_names - {"frostspindle"}
+    assert {name for name in top_packages if not name.startswith(("_", "cython"))} == LIBRARIES
+    assert not loaded & EXPENSIVE_MODULES
+
+
+def adjacent_free_ports():
+    """Return the first of two adjacent free ports, below the ephemeral range of the system."""
     for port in range(20000 + os.getpid() % 12000, 32700, 2):
         try:
-            for one in (port, port + 1):
-                socket.create_server(("127.0.0.1", one)).close()
+            for candidate in (port, port + 1):
+                socket.create_server(("127.0.0.1", candidate)).close()
             return port
         except OSError:
             pass
-    raise OSError("no two free ports in a row")
+    raise OSError("no two adjacent free ports")
 
 
-class Running(FleetCase):
-    async def invoke(self, *words):
+class RunningCoordinator(FleetCase):
+    async def invoke(self, *arguments):
         child = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "frostspindle", *words, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
+            sys.executable, "-m", "frostspindle", *arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
         )
         out, err = await asyncio.wait_for(child.communicate(), 60)
         return child.returncode, out.decode(), err.decode()
 
     async def test_call_and_stat_against_two_workers(self):
-        await self.start_engines(1, 1.3)  # long enough for a `next` to be followed
+        await self.start_engines(1, 1.3)  # long enough for a response with `next`
         await self.fleet(2)
         at = f"127.0.0.1:{self.coordinator.port}"
         code, out, err = await self.invoke("call", "lookup", SQL, "--at", at)
@@ -188,9 +201,9 @@
         self.assertRegex(out, r"hosts_down +1")
         self.assertRegex(out, r"\n1 +serving")
 
-    async def test_the_demo_answers_a_first_query_and_ends(self):
+    async def test_demo_answers_one_query_and_exits(self):
         with tempfile.TemporaryDirectory() as folder:
-            port = neighbours()
+            port = adjacent_free_ports()
             child = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -216,7 +229,7 @@
         ("subscriptions", ("lost_silently", "repeated", "foreign")),
     ],
 )
-def test_each_experiment_prints_one_object_and_names_a_bad_script(name, zeros):
+def test_experiment_prints_one_json_object_and_rejects_a_bad_fault_script(name, zeros):
     faults = "0- loss 0.1; 8 kill 1; 9 start 1"
     done = CliRunner().invoke(
         cli, ["lab", name, "--nodes", "3", "--seed", "4", "--seconds", "20", "--faults", faults, "--json"]
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The log: the form of its lines, and the limit on lines a second."""
+"""The log: the format of its lines, and the limit on lines per second."""
 
 import io
 import json
@@ -84,7 +84,7 @@
     assert max(allowed.values(), default=0) <= 3
     assert reported + limiter.take(now + 1.0)[1] == dropped
     assert set(allowed) == {second for second, lines in allowed.items() if lines}, (
-        "a second with a line to tell tells it"
+        "each second with log lines writes at least one"
     )
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail: what lets a run pass, and what fails it, over processes as in scripts/test.sh."""
+"""KNOWN-RED.txt: which outcomes of listed tests pass or fail a run, with several processes as in scripts/test.sh."""
 
 import re
 import subprocess
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -1,4 +1,4 @@
-"""The program under settings of other names, numbers and orders: nothing of one deployment may be built in."""
+"""Runs the program with other names, numbers and orders of settings, so that no deployment is hard-coded."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def cls(name: str, effect: str, hard: float, load: bool = False, threads: int = 1, **more: Any) -> dict[str, Any]:
-    """A class of the settings, with what `domain` says of it."""
+    """Return a request class of the settings, with its values of the section `domain`."""
     return {
         "name": name,
         "effect": effect,
@@ -80,10 +80,10 @@
 
 
 def platform_settings(site: dict[str, Any]) -> dict[str, Any]:
-    """The settings of a site as the platform states them."""
-    made, classes = settings(), site["classes"]
+    """Return the settings of a site in the platform's form."""
+    result, classes = settings(), site["classes"]
     kinds = site["kinds"].values()
-    made |= {
+    result |= {
         "kinds": list(site["kinds"]),
         "failureDomains": site["zones"],
         "locality": len(site["zones"]) - 1,
@@ -91,18 +91,18 @@
         "report": {"how": "piggyback", "columns": site["columns"]},
         "parties": site.get("tenants", []),
     }
-    made["domain"] |= {
+    result["domain"] |= {
         "classThreads": [c["threads"] for c in classes],
         "classLoad": [c["load"] for c in classes],
         "kindCores": [cores for cores, _ in kinds],
         "sizeMb": [size for _, size in kinds],
     }
-    made["limits"] |= {"mostTries": site["tries"], "maxRetryAfter": 300.0}
-    return made
+    result["limits"] |= {"mostTries": site["tries"], "maxRetryAfter": 300.0}
+    return result
 
 
 class Site:
-    """The checks of one site: two engines of each kind in each zone, a bus, and the program as a process."""
+    """Tests of one site: two engines of each kind in each zone, a bus, and the program as a process."""
 
     site: dict[str, Any]
 
@@ -134,10 +134,10 @@
         return page("a\t1\tx\n", X_Meter=self.site["meter"]) if request.method in ("POST", "GET") else None
 
     def first_dies(self, engine: HttpEngine, dead: list[HttpEngine], request: Any, body: str) -> Any:
-        """The first engine that is sent a query dies with it: its connections are reset, and new ones refused.
+        """The first engine that gets a query dies: its connections are reset, and new ones refused.
 
-        Only the refusal proves at once that the attempt is out no more; deadlines here are shorter than the 2 s after
-        which an engine lets go of a query that nobody asks for.
+        Only the refusal proves at once that the attempt has ended; deadlines here are shorter than the 2 s after which
+        an engine drops a query that is not polled.
         """
         if request.method == "POST" and not dead:
             dead.append(engine)
@@ -145,7 +145,7 @@
         return "kill" if engine in dead else self.good(request, body)
 
     async def ask(self, name: str, timeout: float, **headers: str) -> tuple[int, dict[str, Any], str]:
-        """The final answer, and the request's id."""
+        """Return status and body of the final response, and the request's id."""
         self.number += 1
         number = f"{self.number:016x}"
         tenant = {"X-Tenant": self.site["tenants"][-1]["name"]} if "tenants" in self.site else {}
@@ -167,7 +167,7 @@
             method, path, body, fields = "GET", answer["next"], None, {}
 
     def sent(self, number: str) -> list[tuple[HttpEngine, dict[str, str], str]]:
-        """The attempts of a request: engine, fields and statement."""
+        """Return the attempts of a request: engine, header fields and statement."""
         return [
             (engine, fields, call[2])
             for engine in self.engines
@@ -175,7 +175,7 @@
             if fields["X-Ticket"] == number
         ]
 
-    async def test_each_class_is_served_under_its_own_name_and_limit(self) -> None:
+    async def test_each_class_is_served_under_its_name_and_deadline(self) -> None:
         for wanted in self.site["classes"]:
             name, most = wanted["name"], wanted["hardLimit"] * 10.0
             for timeout in (wanted["hardLimit"], most):
@@ -194,7 +194,7 @@
         if "tenants" in self.site:
             self.assertEqual((await self.ask(self.site["classes"][0]["name"], 500.0, **{"X-Tenant": "east"}))[0], 400)
 
-    async def test_what_may_have_run_is_sent_again_only_where_the_class_allows_it(self) -> None:
+    async def test_query_that_may_have_run_is_retried_only_if_its_class_allows_it(self) -> None:
         for wanted in self.site["classes"]:
             dead: list[HttpEngine] = []
             for engine in self.engines:
@@ -210,7 +210,7 @@
             if wanted.get("dedupScope") == "zone":
                 self.assertEqual(attempts[0][0].zone, attempts[1][0].zone)
 
-    async def test_a_hanging_engine_does_not_cost_the_client_its_answer_in_time(self) -> None:
+    async def test_client_is_answered_in_time_while_engines_hang(self) -> None:
         lag, never = Lag(), asyncio.Event()
 
         async def hang(request: Any, body: str) -> None:
@@ -242,8 +242,8 @@
     site = SITES["six"]
 
 
-# What the operators' sites call their own. `lookup`, `report` and `load` are ordinary words, so only a literal that
-# is nothing else but such a name counts, and only the first: the other two are keys and commands of the pages.
+# Names of the operators' own sites. `lookup`, `report` and `load` are ordinary words: `lookup` counts only as a whole
+# literal, and the other two not at all, as they are documented keys and commands.
 NAMES = re.compile(
     r"\b(bole-main|sofia-head-office|query-fleet|tile-engines|(tile|storm|scan)-(lookup|report|load)|"
     r"floor-\d|hall-[abc]|std-\d+|franchise-(east|west|north|south)|^lookup$)\b"
@@ -251,7 +251,7 @@
 
 
 def literals(source: str) -> Iterator[str]:
-    """The string literals of a module but its docstrings."""
+    """Yield the string literals of a module without its docstrings."""
     tree = ast.parse(source)
     texts = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
     for node in ast.walk(tree):
@@ -269,12 +269,12 @@
         ('x = "lookups"\n', False),
     ],
 )
-def test_a_built_in_name_is_found(source, found):
+def test_hard_coded_name_is_found(source, found):
     assert any(NAMES.search(text) for text in literals(source)) is found
 
 
-def test_no_name_of_a_site_is_built_in():
-    # The lab has stand-ins and a site of its own; the coordinator never imports it.
+def test_no_name_of_a_site_is_hard_coded():
+    # The lab has its own site and emulators; the coordinator never imports it.
     files = [
         path
         for package in ("frostspindle",)
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The timer wheel against a plain table of due times, its hard cases, and how the core uses it."""
+"""The timer wheel compared with a table of due times, its edge cases, and its use by the core."""
 
 import asyncio
 import io
@@ -22,14 +22,14 @@
 
 
 def pop_all_due(wheel, now):
-    """All that is due, however many calls it takes; at most MAX_MOVES_PER_CALL moves between two of them."""
-    out = []
+    """Return all due timers, with as many calls as needed; each moves at most MAX_MOVES_PER_CALL timers."""
+    popped = []
     while True:
         timer = wheel.pop(now)
         if timer is not None:
-            out.append(timer)
+            popped.append(timer)
         elif (wheel.next_ms() or math.inf) > now:
-            return out
+            return popped
 
 
 SPANS = st.one_of(st.floats(-50.0, 300.0), st.floats(0.0, 70_000.0), st.floats(0.0, 5e8), st.floats(0.0, 1e13))
@@ -42,7 +42,7 @@
         super().__init__()
         self.now = 1.7e12 + 123.4
         self.wheel = TimerWheel(self.now)
-        self.timers = {}  # the oracle: by timer, when it is due
+        self.timers = {}  # reference model: due time by timer
 
     @rule(span=SPANS, count=st.integers(1, 3))
     def start(self, span, count):
@@ -54,7 +54,7 @@
         if self.timers:
             timer = data.draw(st.sampled_from(list(self.timers)))
             self.wheel.cancel(timer)
-            self.wheel.cancel(timer)  # a second one is none
+            self.wheel.cancel(timer)  # cancelling twice has no effect
             del self.timers[timer]
 
     @rule(span=SPANS.filter(lambda span: span > 0))
@@ -62,13 +62,13 @@
         self.now += span
 
     @rule()
-    def wait_as_told(self):
+    def wait_until_next(self):
         self.fire()
-        told, first = self.wheel.next_ms(), min(self.timers.values(), default=None)
+        next_ms, first = self.wheel.next_ms(), min(self.timers.values(), default=None)
         if first is not None:
-            assert told < first + 1.0, "nobody sleeps past a timer"
-        if told is not None:
-            self.now = max(self.now, told)
+            assert next_ms < first + 1.0, "no timer is due before the next call"
+        if next_ms is not None:
+            self.now = max(self.now, next_ms)
 
     @rule(span=st.floats(0.0, 1e6))
     def clock_is_set_back(self, span):
@@ -77,16 +77,16 @@
     @rule()
     def fire(self):
         due = {timer for timer, at in self.timers.items() if at <= math.floor(self.now)}
-        out = pop_all_due(self.wheel, self.now)
-        assert len(out) == len(set(out)) and set(out) == due
-        for timer in out:
+        popped = pop_all_due(self.wheel, self.now)
+        assert len(popped) == len(set(popped)) and set(popped) == due
+        for timer in popped:
             del self.timers[timer]
 
     @rule(most=st.integers(1, 3))
     def fire_some(self, most):
         for _ in range(most):
             if (timer := self.wheel.pop(self.now)) is not None:
-                assert self.timers.pop(timer) <= self.now, "never before its time"
+                assert self.timers.pop(timer) <= self.now, "no timer fires early"
 
     @invariant()
     def none_is_lost(self):
@@ -98,8 +98,8 @@
 
 
 def test_timers_fire_in_order_of_due_time_and_ties_in_order_of_start():
-    draw, wheel = random.Random(5), TimerWheel(0.0)
-    timers = [wheel.start(draw.randrange(3000), number) for number in range(5000)]
+    rng, wheel = random.Random(5), TimerWheel(0.0)
+    timers = [wheel.start(rng.randrange(3000), number) for number in range(5000)]
     assert [t.value for t in pop_all_due(wheel, 3000.0)] == [
         t.value for t in sorted(timers, key=lambda t: (t.tick, t.value))
     ]
@@ -111,7 +111,7 @@
     for number in range(100_000):
         wheel.start(1e12 + ahead, number)
     calls = 0
-    given = 0
+    fired = 0
     filed = 0
     most_filed = 0
     file = wheel._file
@@ -124,10 +124,10 @@
     wheel._file = counted
     while len(wheel):
         filed, calls = 0, calls + 1
-        given += wheel.pop(now) is not None
+        fired += wheel.pop(now) is not None
         most_filed = max(most_filed, filed)
-        assert wheel.next_ms() is None or wheel.next_ms() <= now, "who has more to give says so"
-    assert given == 100_000 and most_filed <= MAX_MOVES_PER_CALL
+        assert wheel.next_ms() is None or wheel.next_ms() <= now, "while timers are due, the next call is too"
+    assert fired == 100_000 and most_filed <= MAX_MOVES_PER_CALL
     assert calls <= 100_000 + LEVELS * 100_000 / MAX_MOVES_PER_CALL
 
 
@@ -143,7 +143,7 @@
     old = wheel.start(1e12 + 500.0, "old")
     due = wheel.start(1e12 + 10.0, "due")
     later = wheel.start(1e12 + 10.0, "later")
-    assert wheel.pop(1e12 + 10.0) is due  # the other one is in line already
+    assert wheel.pop(1e12 + 10.0) is due  # the other one is queued already
     back = 1e12 - 60_000.0
     new = wheel.start(back + 100.0, "new")
     assert pop_all_due(wheel, back) == [] and pop_all_due(wheel, back + 99.0) == []
@@ -192,7 +192,7 @@
         await self.run_until(lambda: len(self.core.ledger.entries) == 30)
         self.core.fail_open_requests()  # answers the others
         await self.run_until(lambda: len(self.responses) == 30)
-        self.assertLess(len(self.core.dispatcher.timers), 3, "what is left is the module's")
+        self.assertLess(len(self.core.dispatcher.timers), 3, "only timers of the policy remain")
 
     async def test_100_000_timers_due_at_once_do_not_keep_sockets_waiting(self):
         await self.run_until(lambda: not self.core.has_pending_changes)
@@ -201,7 +201,7 @@
         self.core.dispatcher.wake()
         most, before = 0, len(self.core.dispatcher.timers)
         while len(self.core.dispatcher.timers) > 10:
-            await asyncio.sleep(0)  # so often sockets are looked at
+            await asyncio.sleep(0)  # one turn of the event loop, which polls the sockets
             most, before = max(most, before - len(self.core.dispatcher.timers)), len(self.core.dispatcher.timers)
         self.assertLessEqual(most, MAX_EVENTS_PER_TURN)
 
@@ -214,7 +214,7 @@
             now -= 3_600_000.0
             late = self.submit(2_000.0)
             await self.run_until(lambda: late.number)
-            self.assertEqual(self.responses, [], "an hour ago nobody's time was up")
+            self.assertEqual(self.responses, [], "no deadline has passed at the earlier time")
             for _ in range(400):  # of 5 ms each
                 now += 5.0
                 self.core.dispatcher.wake()
@@ -222,7 +222,7 @@
             self.assertEqual(
                 [response.status for response in self.responses],
                 ["refused"],
-                "by the module, of the one after the step",
+                "only the request after the step is answered, by the policy",
             )
             now += 7_200_000.0
             self.core.dispatcher.wake()
