--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -279,7 +279,7 @@
 
         await limit_becomes(296)  # 29 percent of 1,024
         other, other_open = Shared({"TMPDIR": str(folder)}, "t0", Telemetry(sink=io.BytesIO())), [250]
-        other.follow(lambda: other_open[0], lambda: None)
+        other.publish_open_requests(lambda: other_open[0], lambda: None)
         other.start(lambda names: None, lambda crowded: None)
         await limit_becomes(59)  # the other process has most requests open; the new one gets at least a fifth
         other_open[0] = 20
