--- a/frostspindle/handover.py
+++ b/frostspindle/handover.py
@@ -1,8 +1,8 @@
 """The limit on open requests of each of the two processes of an upgrade.
 
-Both share one limit, because clients use the same connections for both. The draining process keeps its open requests:
-the other starts with none and needs its share only as requests arrive, whereas a request that the draining process
-rejects has already waited in its queue. No I/O and no clock.
+Both share one limit, because clients open no more connections than that to the two of them together. The draining
+process keeps its open requests: the other starts with none and needs its share only as requests arrive, whereas a
+request that the draining process rejects has already waited in its queue. No I/O and no clock.
 """
 
 from __future__ import annotations
--- a/frostspindle/memory_log.py
+++ b/frostspindle/memory_log.py
@@ -1,6 +1,6 @@
 """Logs the memory use of the process once a minute, so that growth over a long run is visible in the log.
 
-It runs in a task of its own and adds no work to requests.
+It runs in a separate task and adds no work to requests.
 """
 
 from __future__ import annotations
--- a/frostspindle/pools.py
+++ b/frostspindle/pools.py
@@ -54,7 +54,7 @@
 
 
 def choose_idle(idle: Sequence[ConnectionT], oldest: bool) -> ConnectionT:
-    """Return the connection used last, so that others reach the idle timeout, or the oldest, to prove the process."""
+    """Return the connection used last, so that others time out; or the oldest, which may prove the same process."""
     if oldest:
         return min(idle, key=lambda connection: connection.opened_ms)
     return idle[-1]
--- a/frostspindle/program.py
+++ b/frostspindle/program.py
@@ -34,7 +34,7 @@
 
 
 class WorkerLink(Protocol):
-    """Connects a worker to the other workers of its coordinator; takes the place of `Shared` in a single process."""
+    """Connects a worker to the other workers of its coordinator; a single process uses `Shared` instead."""
 
     is_sharing: bool  # another process of this coordinator is running
     open_elsewhere: int | None  # requests open in the other processes; None if one of them does not report it
--- a/frostspindle/serving.py
+++ b/frostspindle/serving.py
@@ -50,5 +50,5 @@
     except OSError as error:
         print(f"frostspindle: {error}", file=sys.stderr)
         return 1
-    finally:  # skips the garbage collections at interpreter exit, which would only delay it
+    finally:  # else interpreter exit runs several garbage collections over the remaining objects, which delay it
         gc.freeze()
--- a/frostspindle/shared.py
+++ b/frostspindle/shared.py
@@ -19,7 +19,7 @@
 from frostspindle.telemetry import Telemetry
 
 RETRY_INTERVAL_S = 0.5  # between attempts to use a folder that could not be used at the start
-REREAD_INTERVAL_S = 0.1  # bans set in another process must apply here within 250 ms
+REREAD_INTERVAL_S = 0.1  # a ban set in another process must reach this one's engines within 250 ms
 BAN_PREFIX = "ban-"  # marker files of bans
 RUN_PREFIX = "run-"  # marker files of running processes
 OPEN_COUNT_DIGITS = 8  # width of the number in a process's marker file
--- a/frostspindle/shutdown_plan.py
+++ b/frostspindle/shutdown_plan.py
@@ -35,7 +35,7 @@
 
     accept_until_s: float  # new connections are accepted until then
     answer_by_s: float  # requests that are still open are answered then
-    exit_by_s: float  # connections that are still open are closed then
+    exit_by_s: float  # the process stops waiting for clients then
 
 
 def make_shutdown_plan(settings: Settings, has_supervisor: bool) -> ShutdownPlan:
