--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -12,7 +12,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from frostspindle.config import STATES, TdsEngine, TdsSection, address
+from frostspindle.config import HEALTH_CODES, TdsEngine, TdsSection, address
 from frostspindle.core import Attempt, Core, EngineState, clock
 from frostspindle.net import TaskDriver
 from frostspindle.net.tds import codec
@@ -174,10 +174,14 @@
     def _state(self, engine: TdsEngine, number: int) -> EngineState:
         known_state = self.states.get(number)
         since_ms = known_state.entry.since_ms if known_state else 0.0
-        if known_state is not None and known_state.entry.health == Health.GONE and STATES[engine.state] == Health.READY:
+        if (
+            known_state is not None
+            and known_state.entry.health == Health.GONE
+            and HEALTH_CODES[engine.state] == Health.READY
+        ):
             since_ms = clock()  # it returns with a cold cache
         entry = EngineEntry(
-            number, 0, self.kinds[engine.cores, engine.memory_mb], 0, STATES[engine.state], 1.0, since_ms
+            number, 0, self.kinds[engine.cores, engine.memory_mb], 0, HEALTH_CODES[engine.state], 1.0, since_ms
         )
         return EngineState(entry, engine.name, address(engine.dial, engine.name), self)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -279,7 +279,7 @@
 
         await limit_becomes(296)  # 29 percent of 1,024
         other, other_open = Shared({"TMPDIR": str(folder)}, "t0", Telemetry(sink=io.BytesIO())), [250]
-        other.follow(lambda: other_open[0], lambda: None)
+        other.publish_open_requests(lambda: other_open[0], lambda: None)
         other.start(lambda names: None, lambda crowded: None)
         await limit_becomes(59)  # the other process has most requests open; the new one gets at least a fifth
         other_open[0] = 20
@@ -321,8 +321,8 @@
             ):
                 marker = Path(folder, "run-1")
                 marker.write_bytes(text)
-                self.assertEqual(Shared._told_open(marker), expected)
-            self.assertIsNone(Shared._told_open(Path(folder, "none")))
+                self.assertEqual(Shared._read_open_count(marker), expected)
+            self.assertIsNone(Shared._read_open_count(Path(folder, "none")))
 
 
 class SharedFolder(unittest.IsolatedAsyncioTestCase):
