--- a/bench/off_cost.py
+++ b/bench/off_cost.py
@@ -14,7 +14,7 @@
 from statistics import median
 
 from frostspindle.lab.bench import SQL, coordinator, cpu_s, engines, rss_mb
-from frostspindle.lab.engines import document, host
+from frostspindle.lab.engines import coordinator_config, host_entry
 
 CONNECTIONS, WARM = 16, 400
 HEAD = (
@@ -48,7 +48,7 @@
 
     Return its processor time a request (ms) and its resident memory at the end (MB).
     """
-    config = document([host(name, port) for name, port in ports.items()])
+    config = coordinator_config([host_entry(name, port) for name, port in ports.items()])
     with coordinator(config, 1, source) as (port, (_, pid)):
         asyncio.run(load(port, 1, WARM))
         before = cpu_s([pid])
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -40,7 +40,7 @@
 from frostspindle import policy
 from frostspindle.core import Attempt, ClientRequest, Core, EngineState
 from frostspindle.lab.bench import SPAWN, SQL, coordinator, cpu_s, engines
-from frostspindle.lab.engines import document, host
+from frostspindle.lab.engines import coordinator_config, host_entry
 from frostspindle.policy import AttemptOutcome
 from frostspindle.telemetry import Telemetry
 
@@ -592,7 +592,7 @@
     """
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
-    config = document([host(name, port) for name, port in ports.items()], listen=listen)
+    config = coordinator_config([host_entry(name, port) for name, port in ports.items()], listen=listen)
     with coordinator(config, 1, source) as (port, (_, pid)):
         here, there = SPAWN.Pipe()
         process = SPAWN.Process(
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -412,14 +412,16 @@
     bootstrapped over pairs of windows.
     """
     from frostspindle.lab.bench import SPAWN, coordinator, engines
-    from frostspindle.lab.engines import document, host
+    from frostspindle.lab.engines import coordinator_config, host_entry
     from frostspindle.operator_client import call_operator
 
     rng, settle = random.Random(seed), 0.5  # the end of what the window before left is not measured
     pushed = [side for _ in range(windows // 2) for side in rng.sample((False, True), 2)]
     with (
         engines([f"s-{n}" for n in range(4)], delay_ms / 1e3, 2) as (ports, _),
-        coordinator(document([host(name, port) for name, port in ports.items()]), 1, operator=OPERATOR) as (
+        coordinator(
+            coordinator_config([host_entry(name, port) for name, port in ports.items()]), 1, operator=OPERATOR
+        ) as (
             port,
             (desk, pid),
         ),
@@ -555,7 +557,7 @@
 def held(seconds: float, pushes: float, entries: int, rate: float, first: int) -> None:
     """Measure what a push costs the event loop, by callback: processor ms above the same time without pushes."""
     from frostspindle.lab.bench import SPAWN, coordinator, engines
-    from frostspindle.lab.engines import document, host
+    from frostspindle.lab.engines import coordinator_config, host_entry
 
     def started(target: Any, *args: Any) -> Any:
         here, there = SPAWN.Pipe()
@@ -565,7 +567,7 @@
     with tempfile.TemporaryDirectory() as folder, engines(["s-0"], 0.02) as (ports, _):
         path = Path(folder, "table")
         with coordinator(
-            document([host("s-0", ports["s-0"])]), 1, operator=OPERATOR, program=("-c", HELD, str(path))
+            coordinator_config([host_entry("s-0", ports["s-0"])]), 1, operator=OPERATOR, program=("-c", HELD, str(path))
         ) as (port, (desk, pid)):
 
             def table() -> dict[str, list[float]]:
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from frostspindle import policy
-from frostspindle.lab.engines import document
+from frostspindle.lab.engines import coordinator_config
 from frostspindle.policy import AttemptOutcome, Controller, EndpointListKind, EngineEntry, ProgressKind, WorkerLoad
 from frostspindle.policy.settings_parser import flatten, read_settings
 
@@ -39,7 +39,7 @@
 
     def __init__(self, way: str, seed: int, load: float) -> None:
         self.way, self.draw, self.load = way, random.Random(seed), load
-        base = read_settings(flatten(document([])["settings"]))
+        base = read_settings(flatten(coordinator_config([])["settings"]))
         self.count = 1 if way == "one" else WORKERS
         divided = WORKERS if way not in ("blind", "one") else 1
         self.modules = [
--- a/bench/spike_cores.py
+++ b/bench/spike_cores.py
@@ -22,7 +22,7 @@
 from statistics import median
 
 from frostspindle.lab.bench import SPAWN, WARM_S, client_process, coordinator, cpu_s, engines, one
-from frostspindle.lab.engines import document, host
+from frostspindle.lab.engines import coordinator_config, host_entry
 from frostspindle.operator_client import call_operator
 
 
@@ -32,7 +32,7 @@
     Return the requests a second of all together, and the processor time of a request (ms).
     """
     with ExitStack() as stack:
-        config = document([host(name, port) for name, port in ports.items()])
+        config = coordinator_config([host_entry(name, port) for name, port in ports.items()])
         each = [stack.enter_context(coordinator(config, 1)) for _ in range(count)]
         at = time.time() + 0.7
         processes = []
--- a/bench/subscriptions.py
+++ b/bench/subscriptions.py
@@ -25,7 +25,7 @@
 
 from frostspindle.cli import call_operator
 from frostspindle.lab.bench import cpu_s, engines
-from frostspindle.lab.engines import document, host
+from frostspindle.lab.engines import coordinator_config, host_entry
 from frostspindle.predicates.index import FilterIndex
 from frostspindle.predicates.language import parse
 from frostspindle.subscriptions import schema
@@ -201,7 +201,7 @@
     """
     with tempfile.TemporaryDirectory() as folder:
         desk, toml, log = str(Path(folder, "desk")), Path(folder, "operator.toml"), Path(folder, "log")
-        config = document([host(name, port) for name, port in ports.items()])
+        config = coordinator_config([host_entry(name, port) for name, port in ports.items()])
         Path(folder, "config.json").write_text(
             json.dumps({**config, "operator": desk, "limits": {"memory_mb": 512, "sockets": 4096}})
         )
--- a/frostspindle/lab/bench.py
+++ b/frostspindle/lab/bench.py
@@ -25,7 +25,7 @@
 
 from httptools import HttpResponseParser
 
-from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.lab.engines import Bus, Engine, coordinator_config, host_entry
 from frostspindle.operator_client import call_operator
 
 WARM_S = 1.0  # of each run, not measured
@@ -233,7 +233,7 @@
     second, latencies in ms, CPU ms a request, memory in MiB. The warm-up of WARM_S seconds is not counted."""
     from hdrh.histogram import HdrHistogram
 
-    config = document([host(name, port) for name, port in ports.items()])
+    config = coordinator_config([host_entry(name, port) for name, port in ports.items()])
     with coordinator(config, workers, source) as (port, (desk, pid)):
         began = json.loads(call_operator(desk, "show-stat").splitlines()[0])
         pids = [pid, *(row["pid"] for row in began.get("workers", []))]
@@ -367,8 +367,8 @@
     with engines(names, 0.05, 2, 8, True) as (ports, pipes):
         bus = await Bus().start()
         bus.delays = {workers - 1: 2.0} if workers > 1 else {}
-        bus.say(*(host(name, ports[name]) for name in names[:3]), whole=True)
-        config = document(bus.events[0]["topology"]["hosts"], bus.port)
+        bus.say(*(host_entry(name, ports[name]) for name in names[:3]), whole=True)
+        config = coordinator_config(bus.events[0]["topology"]["hosts"], bus.port)
         context = coordinator(config, workers)
         port, (desk, _) = await asyncio.to_thread(context.__enter__)
         try:
@@ -394,10 +394,10 @@
                 processes.append((here, process))
             await asyncio.sleep(at + 1.0 - time.time())
             born = time.time()
-            bus.say(host(names[3], ports[names[3]], born_ms=born * 1000.0))
+            bus.say(host_entry(names[3], ports[names[3]], born_ms=born * 1000.0))
             await asyncio.sleep(seconds / 2)
             drained = time.time()
-            bus.say(host(names[0], ports[names[0]], "leaving"))
+            bus.say(host_entry(names[0], ports[names[0]], "leaving"))
             await asyncio.sleep(seconds / 2 + 0.5)
             results = [await asyncio.to_thread(here.recv) for here, _ in processes]
             stat = json.loads((await asyncio.to_thread(call_operator, desk, "show-stat")).splitlines()[0])
--- a/frostspindle/lab/demo.py
+++ b/frostspindle/lab/demo.py
@@ -14,7 +14,7 @@
 import tempfile
 from pathlib import Path
 
-from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.lab.engines import Bus, Engine, coordinator_config, host_entry
 from frostspindle.operator_client import call_operator, send_query
 
 SQL = "SELECT agent, max(note) FROM calls_17.notes GROUP BY agent"
@@ -27,11 +27,11 @@
     the coordinator's exit code; TimeoutError if it is not ready within WAIT_S seconds."""
     engines = [await Engine(f"toy-{n}", 0.2).start() for n in (1, 2)]
     bus = await Bus().start()
-    bus.say(*(host(f"toy-0000000{n}", engine.port) for n, engine in enumerate(engines, 1)), whole=True)
+    bus.say(*(host_entry(f"toy-0000000{n}", engine.port) for n, engine in enumerate(engines, 1)), whole=True)
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder, "config.json")
         hosts = bus.events[0]["topology"]["hosts"]
-        config.write_text(json.dumps(document(hosts, bus.port, f"127.0.0.1:{port}", f"127.0.0.1:{port + 1}")))
+        config.write_text(json.dumps(coordinator_config(hosts, bus.port, f"127.0.0.1:{port}", f"127.0.0.1:{port + 1}")))
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
--- a/frostspindle/lab/engines.py
+++ b/frostspindle/lab/engines.py
@@ -235,7 +235,9 @@
             writer.close()
 
 
-def host(name: str, port: int, health: str = "active", born_ms: float = 0.0, site: str = "floor-1") -> dict[str, Any]:
+def host_entry(
+    name: str, port: int, health: str = "active", born_ms: float = 0.0, site: str = "floor-1"
+) -> dict[str, Any]:
     """Return an engine's entry in a topology event. `born_ms`: Unix ms of its start, 0 for none known."""
     return {
         "host": name,
@@ -249,7 +251,7 @@
     }
 
 
-def document(
+def coordinator_config(
     hosts: list[dict[str, Any]],
     bus: int = 0,
     listen: str = "127.0.0.1:0",
--- a/frostspindle/lab/faults/owners.py
+++ b/frostspindle/lab/faults/owners.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.lab.engines import Bus, Engine, coordinator_config, host_entry
 from frostspindle.lab.faults.relay import Relay
 from frostspindle.lab.faults.runner import Process, free_port
 from frostspindle.lab.faults.script import Script, parse
@@ -94,9 +94,11 @@
             await engine.start()
         await self.bus.start()
         self.relay.start()
-        self.bus.say(*(host(engine.name, engine.port) for engine in self.engines), whole=True)
+        self.bus.say(*(host_entry(engine.name, engine.port) for engine in self.engines), whole=True)
         config = json.dumps(
-            document(self.bus.events[0]["topology"]["hosts"], self.bus.port, balancers=len(self.processes), rules=RULES)
+            coordinator_config(
+                self.bus.events[0]["topology"]["hosts"], self.bus.port, balancers=len(self.processes), rules=RULES
+            )
         )
         for process in self.processes:
             process.folder.mkdir()
@@ -149,7 +151,7 @@
     def begins(self, number: int) -> None:
         """Publish on the bus that an engine has started again now."""
         engine = self.engines[number]
-        self.bus.say(host(engine.name, engine.port, born_ms=time.time() * 1_000.0))
+        self.bus.say(host_entry(engine.name, engine.port, born_ms=time.time() * 1_000.0))
 
     def accepted(self, task: str = "x") -> list[dict[str, Any]]:
         """Return the sink's lines of the actions of a task that it accepted, in their order."""
--- a/frostspindle/lab/faults/power.py
+++ b/frostspindle/lab/faults/power.py
@@ -14,7 +14,7 @@
 import time
 from typing import Any
 
-from frostspindle.lab.engines import Engine, EngineConnection, host
+from frostspindle.lab.engines import Engine, EngineConnection, host_entry
 from frostspindle.lab.faults.runner import Fleet, overspent
 from frostspindle.lab.faults.script import parse
 from frostspindle.policy.slow_start import SLOW_START_SAFETY
@@ -198,7 +198,7 @@
         for engine in fleet.engines:
             engine.dark, engine.delay_s = False, 0.05
         self.born_ms = time.time() * 1e3
-        fleet.bus.say(*(host(e.name, e.port, born_ms=self.born_ms) for e in fleet.engines), whole=True)
+        fleet.bus.say(*(host_entry(e.name, e.port, born_ms=self.born_ms) for e in fleet.engines), whole=True)
 
         # Everybody's clients are there at once, while coordinators start over two seconds.
         crowd = [
--- a/frostspindle/lab/faults/runner.py
+++ b/frostspindle/lab/faults/runner.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.lab.engines import Bus, Engine, coordinator_config, host_entry
 from frostspindle.lab.faults.relay import Relay
 from frostspindle.lab.faults.script import Script
 from frostspindle.operator_client import call_operator
@@ -185,7 +185,7 @@
         await self.bus.start()
         self.bus.say(
             *(
-                host(engine.name, engine.port, site=self.zones[n % len(self.zones)])
+                host_entry(engine.name, engine.port, site=self.zones[n % len(self.zones)])
                 for n, engine in enumerate(self.engines)
             ),
             whole=True,
@@ -194,7 +194,9 @@
         seeds = "".join(
             f'[[fleet.seed]]\nname = "c{n}"\naddress = "{self.relay.outside(n)}"\n' for n in range(self.homes)
         )
-        config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port, zones=self.zones, **self.settings)
+        config = coordinator_config(
+            self.bus.events[0]["topology"]["hosts"], self.bus.port, zones=self.zones, **self.settings
+        )
         for process in self.processes:
             process.folder.mkdir()
             process.http, process.desk = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
--- a/frostspindle/lab/faults/settled.py
+++ b/frostspindle/lab/faults/settled.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.lab.engines import Engine, document
+from frostspindle.lab.engines import Engine, coordinator_config
 from frostspindle.lab.faults.runner import Process, free_port
 from frostspindle.lab.faults.script import Script
 from frostspindle.lab.faults.streams import Streams
@@ -114,7 +114,7 @@
             await engine.start()
         secret = Path(self.folder.name, "secret")
         secret.write_text("a secret of the lab, and of nobody else")
-        config = document(
+        config = coordinator_config(
             [
                 {
                     "host": engine.name,
--- a/frostspindle/lab/network.py
+++ b/frostspindle/lab/network.py
@@ -14,7 +14,7 @@
         network.send(node, target, data); network.at(at + 100.0, node, "tick")  # meanwhile
 
 A place that is down hears nothing, and what comes to it is gone. To one that is stopped (`paused`) messages wait, up to
-WAITING as a socket would have it, and come after "cont" in their order. What was put there by `at` comes all the same:
+MAX_WAITING_MESSAGES as a socket would have it, and come after "cont" in their order. What was put there by `at` comes all the same:
 clients go on asking, and whose timer it is must look at `up` and `paused`.
 """
 
@@ -29,8 +29,8 @@
 from frostspindle.fleet.wire import MAX_PACKET_BYTES
 from frostspindle.lab.faults.script import Script, Weather
 
-WAITING = 200  # messages that a stopped place's socket holds
-UNDER_WAY = 2_000_000  # of all that is to come
+MAX_WAITING_MESSAGES = 200  # messages that a stopped place's socket holds
+MAX_SCHEDULED = 2_000_000  # of all that is to come
 
 
 class Network:
@@ -50,23 +50,23 @@
             self.at(act.at * 1_000.0, act.node, act.kind)
 
     def at(self, at: float, node: int, what: Any) -> None:
-        """Schedule `what`, anything but a tuple, for a place at a time in ms. OverflowError if UNDER_WAY things are
+        """Schedule `what`, anything but a tuple, for a place at a time in ms. OverflowError if MAX_SCHEDULED things are
         scheduled already."""
         queue = self._queue
-        if len(queue) >= UNDER_WAY:
+        if len(queue) >= MAX_SCHEDULED:
             raise OverflowError("too much is under way")
         self._order += 1
         heappush(queue, (at if at > self.now else self.now, self._order, node, what))
 
     def send(self, source: int, target: int, data: bytes) -> bool:
         """Send a message; return False, and count it, if it is longer than a datagram may be. True does not mean
-        that it arrives: the script may lose it, or UNDER_WAY things may be scheduled already (`counted`)."""
+        that it arrives: the script may lose it, or MAX_SCHEDULED things may be scheduled already (`counted`)."""
         if len(data) > MAX_PACKET_BYTES:
             self.counted["too_long"] += 1
             return False
         now, queue = self.now, self._queue
         for delay in self.weather.fate(now / 1_000.0, source, target):
-            if len(queue) >= UNDER_WAY:
+            if len(queue) >= MAX_SCHEDULED:
                 self.counted["crowded"] += 1
                 break
             self._order += 1
@@ -87,7 +87,7 @@
             self.events += 1
             if what.__class__ is tuple:
                 if paused[node]:
-                    if len(self.waiting[node]) < WAITING:
+                    if len(self.waiting[node]) < MAX_WAITING_MESSAGES:
                         self.waiting[node].append(what)
                     else:
                         self.counted["not_read"] += 1
--- a/frostspindle/lab/replica_runs.py
+++ b/frostspindle/lab/replica_runs.py
@@ -17,7 +17,7 @@
 from frostspindle.replica.proposals import Outcome
 
 
-class Sum:
+class DigestMachine:
     """A state machine whose state is a digest of all that it applied; it reports each entry to the run."""
 
     def __init__(self, run: Any) -> None:
@@ -51,7 +51,7 @@
         self.sums: dict[int, bytes] = {}
         self.bad: list[str] = []
         self.lost = 0  # journals
-        self.machines: dict[int, Sum] = {}
+        self.machines: dict[int, DigestMachine] = {}
         self.answers: dict[bytes, list[Outcome]] = {}
         rng = random.Random(seed * 7_919)
         self.script = self.draw(rng, seconds, nodes, voters)
@@ -105,7 +105,7 @@
 
     def attach(self, number: int, log: EmulatedLog) -> None:
         """Give a member that starts a new machine for the topic `t`."""
-        self.machines[number] = Sum(self)
+        self.machines[number] = DigestMachine(self)
         log.attach("t", self.machines[number])
 
     def propose(self, number: int) -> None:
--- a/frostspindle/lab/soak/processes.py
+++ b/frostspindle/lab/soak/processes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.lab.engines import document
+from frostspindle.lab.engines import coordinator_config
 from frostspindle.lab.faults.runner import Process, free_port
 from frostspindle.lab.soak.lag import LagWatch
 from frostspindle.lab.soak.plan import SOCKETS, SoakPlan, TimedSignal, Topology
@@ -116,7 +116,7 @@
 def write_files(folder: Path, plan: SoakPlan, events: list[dict[str, Any]], bus_port: int) -> None:
     """Write the files of a process that starts now, with all events of the event bus up to now."""
     folder.mkdir(exist_ok=True)
-    config = document([], bus_port, sockets=SOCKETS)
+    config = coordinator_config([], bus_port, sockets=SOCKETS)
     config["name"] = "soak"
     config["seed"] = f"{plan.seed:016x}"
     config["known"] = {"offset": len(events), "batch": events}
--- a/frostspindle/lab/soak/run.py
+++ b/frostspindle/lab/soak/run.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from frostspindle.lab.engines import Bus, host
+from frostspindle.lab.engines import Bus, host_entry
 from frostspindle.lab.soak.clients import Client, Door, IdleClient, KeyPacer
 from frostspindle.lab.soak.engines import FaultyEngine
 from frostspindle.lab.soak.judge import Records, Violation, judge
@@ -91,7 +91,7 @@
         for engine in self.engines:
             await engine.start()
         await self.bus.start()
-        self.bus.say(*(host(engine.name, engine.port) for engine in self.engines), whole=True)
+        self.bus.say(*(host_entry(engine.name, engine.port) for engine in self.engines), whole=True)
         if self.plan.topology is Topology.UPGRADE:
             self._listening = socket.create_server(("127.0.0.1", 0), backlog=LISTEN_BACKLOG)
 
@@ -164,18 +164,18 @@
         engine = self.engines[fault.engine]
         await asyncio.sleep(fault.at_s)
         if fault.kind is FaultKind.DRAIN:
-            self.bus.say(host(engine.name, engine.port, "leaving"))
+            self.bus.say(host_entry(engine.name, engine.port, "leaving"))
             drain = Drain(engine.name, time.time())
             self.drains.append(drain)
         engine.begin(fault.kind)
         await asyncio.sleep(fault.length_s)
         if fault.kind in ABSENCES:
-            self.bus.say(host(engine.name, engine.port, "left"))
+            self.bus.say(host_entry(engine.name, engine.port, "left"))
         await engine.finish(fault.kind)
         if fault.kind in ABSENCES:
             if fault.kind is FaultKind.DRAIN:
                 drain.gone_at = time.time()
-            self.bus.say(host(engine.name, engine.port, born_ms=round(self.clock.unix_ms())))
+            self.bus.say(host_entry(engine.name, engine.port, born_ms=round(self.clock.unix_ms())))
 
 
 async def play(seed: int) -> SoakResult:
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -250,7 +250,7 @@
 class Emulated(Transport):
     """The emulator's network."""
 
-    max_bytes, bound, faults = wire.MAX_PACKET_BYTES, network.WAITING, True
+    max_bytes, bound, faults = wire.MAX_PACKET_BYTES, network.MAX_WAITING_MESSAGES, True
 
     async def start(self) -> None:
         self.network = network.Network(COUNT, self.script, 5)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.lab.engines import Bus, Engine, coordinator_config, host_entry
 from frostspindle.operator_client import call_operator
 
 ROOT = Path(__file__).parent.parent
@@ -146,7 +146,7 @@
     async def start_engines(self, count: int = 2, delay_s: float = 0.0, **kw: Any) -> list[Engine]:
         self.engines = [await Engine(f"s-{n:08x}", delay_s, **kw).start() for n in range(1, count + 1)]
         self.bus = await Bus().start()
-        self.bus.say(*(host(e.name, e.port) for e in self.engines), whole=True)
+        self.bus.say(*(host_entry(e.name, e.port) for e in self.engines), whole=True)
         for server in (*self.engines, self.bus):
             self.addCleanup(server.server.close)
             if isinstance(server, Engine):
@@ -155,7 +155,9 @@
 
     async def fleet(self, workers: int = 2, cores: str = "", **kw: Any) -> Coordinator:
         self.operator_socket = kw.pop("desk", None) or str(Path(tempfile.mkdtemp(dir=self.scratch), "desk"))
-        config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port, operator=self.operator_socket)
+        config = coordinator_config(
+            self.bus.events[0]["topology"]["hosts"], self.bus.port, operator=self.operator_socket
+        )
         self.coordinator = await Coordinator(self, config, f"[cores]\nworkers = {workers}\n{cores}", **kw).ready()
         return self.coordinator
 
--- a/tests/test_arrival_clock.py
+++ b/tests/test_arrival_clock.py
@@ -9,7 +9,7 @@
 from test_client_departure import follow, post, running_site
 
 from frostspindle.core import ArrivalClock, clock
-from frostspindle.lab.engines import host
+from frostspindle.lab.engines import host_entry
 
 TICKET = "00000000000000e5"
 
@@ -49,7 +49,7 @@
 def test_engine_timeout_after_a_stop_does_not_exceed_the_clients_remaining_time(tmp_path, stopped_s):
     async def run():
         async with running_site(tmp_path) as site:
-            site.bus.say(host(site.engine.name, site.engine.port))
+            site.bus.say(host_entry(site.engine.name, site.engine.port))
             await site.process.until(lambda: site.process.events("engine_updated"))
             reader, writer = await site.open()
             writer.write(post("00000000000000f6"))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,7 +16,7 @@
 
 from frostspindle import __version__
 from frostspindle.cli import cli
-from frostspindle.lab.engines import document, host
+from frostspindle.lab.engines import coordinator_config, host_entry
 
 
 @pytest.fixture
@@ -32,7 +32,7 @@
     ):
         monkeypatch.delenv(name, raising=False)
     config, operator = tmp_path / "config.json", tmp_path / "operator.toml"
-    config.write_text(json.dumps(document([host("s-1", 7001)], sockets=1024, memory_mb=192)))
+    config.write_text(json.dumps(coordinator_config([host_entry("s-1", 7001)], sockets=1024, memory_mb=192)))
     operator.write_text('[snmp]\nlisten = "127.0.0.1:0"\ncommunity = "hidden-word"\n[cores]\nworkers = 4\n')
     return config, operator
 
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from frostspindle.lab.engines import Bus, Engine, document, host
+from frostspindle.lab.engines import Bus, Engine, coordinator_config, host_entry
 from frostspindle.lab.faults.runner import Process, free_port
 
 PATH_GIVEN_S = 3.0  # within which a held POST is answered with a path
@@ -33,7 +33,7 @@
     async def join_engine(self):
         """Let the engine join behind the time in which an attempt for a client that left may still begin."""
         await asyncio.sleep(2.0 * LEFT_SLACK_S)
-        self.bus.say(host(self.engine.name, self.engine.port))
+        self.bus.say(host_entry(self.engine.name, self.engine.port))
 
     def sent(self):
         return [ticket for _, ticket, _ in self.engine.sent]
@@ -51,7 +51,7 @@
     process = Process(0, folder)
     process.http = free_port(socket.SOCK_STREAM)
     process.desk = free_port(socket.SOCK_STREAM)
-    config = document([], bus.port, sockets=300)
+    config = coordinator_config([], bus.port, sockets=300)
     config["settings"]["categories"][1]["effect"] = "once"
     (folder / "config.json").write_text(json.dumps(config))
     (folder / "operator.toml").write_text(operator)
@@ -269,12 +269,12 @@
 
 async def idle_connection(site):
     """Leave the coordinator with an idle connection to its engine, which then takes nothing for a while."""
-    site.bus.say(host(site.engine.name, site.engine.port))
+    site.bus.say(host_entry(site.engine.name, site.engine.port))
     reader, writer = await site.open()
     writer.write(post(FIRST))
     assert (await follow(reader, writer))[0] == 200
     writer.close()
-    site.bus.say(host(site.engine.name, site.engine.port, "leaving"))
+    site.bus.say(host_entry(site.engine.name, site.engine.port, "leaving"))
     await asyncio.sleep(2.0 * LEFT_SLACK_S)
 
 
@@ -293,7 +293,7 @@
             site.process.send_signal(signal.SIGSTOP)
             _, leaving = await site.open()
             leaving.write(f"DELETE {path} HTTP/1.1\r\nHost: t\r\n\r\n".encode())
-            site.bus.say(host(site.engine.name, site.engine.port))
+            site.bus.say(host_entry(site.engine.name, site.engine.port))
             await asyncio.sleep(stopped_s)
             site.process.send_signal(signal.SIGCONT)
             async with asyncio.timeout(8.0):
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -23,7 +23,7 @@
 
 from frostspindle.cores import layout as memory_layout
 from frostspindle.cores.shared_memory import SharedMemoryBoard
-from frostspindle.lab.engines import document, host
+from frostspindle.lab.engines import coordinator_config, host_entry
 
 
 class SeveralWorkers(FleetCase):
@@ -131,7 +131,7 @@
         while not notified_at or time.time() < notified_at + 1.2:  # the first requests take longer on a busy machine
             if not notified_at and number > 40:
                 notified_at = time.time()
-                self.bus.say(host("s-00000001", self.engines[0].port, "leaving"))
+                self.bus.say(host_entry("s-00000001", self.engines[0].port, "leaving"))
             await asyncio.gather(*(self.in_thread(c.post, number + n + 1) for n, c in enumerate(clients)))
             number += len(clients)
         late_sends = [
@@ -295,7 +295,7 @@
         pending_request = asyncio.create_task(post_and_poll())
         await self.until(lambda: engine.posts == 1)
         engine.delay_s = 0.0  # for later requests
-        config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port, operator="")
+        config = coordinator_config(self.bus.events[0]["topology"]["hosts"], self.bus.port, operator="")
         new = await Coordinator(
             self, config, "[cores]\nworkers = 3\n", listening=listening_socket, folder=old.folder
         ).ready()
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -21,7 +21,7 @@
 from frostspindle.fleet import engine_verdicts, wire
 from frostspindle.fleet.node import FleetNode, FleetSettings
 from frostspindle.fleet.service import FleetService, monotonic
-from frostspindle.lab.engines import document
+from frostspindle.lab.engines import coordinator_config
 from frostspindle.policy import Controller
 from frostspindle.telemetry import Telemetry
 
@@ -32,7 +32,7 @@
     def read(self, text: str, balancers: int = 1, **environ: str) -> configuration.Config:
         with tempfile.TemporaryDirectory() as folder:
             config, operator = Path(folder, "config.json"), Path(folder, "operator.toml")
-            config.write_text(json.dumps(document([], balancers=balancers)))
+            config.write_text(json.dumps(coordinator_config([], balancers=balancers)))
             operator.write_text(text)
             return configuration.read(
                 {
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -28,7 +28,7 @@
 
 
 def test_what_is_under_way_is_bounded_and_time_never_goes_back(monkeypatch):
-    monkeypatch.setattr(network, "UNDER_WAY", 3)
+    monkeypatch.setattr(network, "MAX_SCHEDULED", 3)
     net = network.Network(2, parse("dup 1", 2), 1)
     assert net.send(0, 1, b"a") and net.send(0, 1, b"b") and net.counted["crowded"] == 1
     with pytest.raises(OverflowError):
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -25,7 +25,7 @@
 from test_upgrade import UpgradeCase
 
 from frostspindle import policy
-from frostspindle.lab.engines import document
+from frostspindle.lab.engines import coordinator_config
 from frostspindle.net.fields import key_number
 from frostspindle.order import shared_cells
 from frostspindle.order.key_queue import KeyQueue, QueuePosition
@@ -480,7 +480,7 @@
             return response
 
         engine.script = script
-        config = document([host("s-00000001", engine.port)])
+        config = coordinator_config([host("s-00000001", engine.port)])
         config["settings"]["categories"][2] |= {"inOrder": True, "promise": 60000.0, "hardLimit": 60000.0}
         self.coordinator = await Coordinator(self, config, "[cores]\nworkers = 3\n").ready()
 
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from frostspindle.cli import cli
-from frostspindle.lab.engines import host
+from frostspindle.lab.engines import host_entry
 from frostspindle.lab.faults.owners import Owned
 
 
@@ -169,7 +169,7 @@
         first.server.close()
         for line in list(first.lines):
             line.transport.abort()
-        fleet.bus.say(host(second.name, second.port, born_ms=time.time() * 1_000.0), whole=True)
+        fleet.bus.say(host_entry(second.name, second.port, born_ms=time.time() * 1_000.0), whole=True)
         assert_in_order(await wait_for_statements(second, 8, second_mark), 8)
         self.assertLess(len(first.said) - mark, 8)
         self.assertEqual((first.most, second.most), (1, 1), "one at a time")
--- a/tests/test_recovery_program.py
+++ b/tests/test_recovery_program.py
@@ -16,7 +16,7 @@
 from frostspindle import config as configuration
 from frostspindle.cli import cli
 from frostspindle.config import ConfigError
-from frostspindle.lab.engines import document
+from frostspindle.lab.engines import coordinator_config
 from frostspindle.policy import AttemptOutcome
 from frostspindle.recovery.admission import RecoveryAdmission, SlowStartCurve
 from frostspindle.recovery.agreement import AgreedState
@@ -52,7 +52,7 @@
 def read_config(text: str, **environ: str) -> configuration.Config:
     with tempfile.TemporaryDirectory() as folder:
         config, operator = Path(folder, "config.json"), Path(folder, "operator.toml")
-        config.write_text(json.dumps(document([])))
+        config.write_text(json.dumps(coordinator_config([])))
         operator.write_text(text)
         return configuration.read(
             {
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -6,7 +6,7 @@
 
 from fleet import Coordinator, FleetCase
 
-from frostspindle.lab.engines import document
+from frostspindle.lab.engines import coordinator_config
 
 REFUSING_MODULES = str(Path(__file__).parent / "refusing")
 
@@ -14,7 +14,7 @@
 class WorkerStartRefused(FleetCase):
     async def test_a_coordinator_runs_as_one_process_if_no_worker_can_start(self):
         await self.start_engines(2)
-        config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port)
+        config = coordinator_config(self.bus.events[0]["topology"]["hosts"], self.bus.port)
         fleet = Coordinator(self, config, "[cores]\nworkers = 3\n", PYTHONPATH=REFUSING_MODULES)
         ready = await fleet.event("coordinator_started")
         refused = [e for e in fleet.events if e["event"] == "worker_start_refused"]
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -25,7 +25,7 @@
 
 from frostspindle.lab.faults.runner import free_port
 from frostspindle.lab.replica import EmulatedReplicas
-from frostspindle.lab.replica_runs import Run, Sum
+from frostspindle.lab.replica_runs import DigestMachine, Run
 from frostspindle.replica import links, outbox, raft, snapshot_transfer, wire
 from frostspindle.replica.base import (
     MAX_COMMAND_BYTES,
@@ -390,7 +390,7 @@
         self.machines = {}
 
         def attach(number, log):
-            self.machines[number] = Sum(self.run)
+            self.machines[number] = DigestMachine(self.run)
             log.attach("t", self.machines[number])
 
         return EmulatedReplicas(nodes, voters, 3, attach=attach, **more)
@@ -520,14 +520,14 @@
                 3,
                 3,
                 5,
-                attach=lambda number, log: log.attach("t", Sum(mock.Mock(entries={}, sums={}, bad=[]))),
+                attach=lambda number, log: log.attach("t", DigestMachine(mock.Mock(entries={}, sums={}, bad=[]))),
                 keep=20,
             )
             lab.advance(3_000.0)
             leader = lab.leaders()[0]
             for number in range(3):
                 if (number == leader) == (lacking == "follower"):
-                    lab.nodes[number].member.registry.attach("u", Sum(mock.Mock(entries={}, sums={}, bad=[])))
+                    lab.nodes[number].member.registry.attach("u", DigestMachine(mock.Mock(entries={}, sums={}, bad=[])))
             proposer = next(number for number in range(3) if (number == leader) == (lacking == "follower"))
             outcomes = []
             lab.member(proposer).submit("u", b"x", 2.0, outcomes.append)
@@ -546,7 +546,7 @@
             log = ReplicaService(
                 "c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", sink), first_start=True
             )
-            log.attach("t", Sum(mock.Mock(entries={}, sums={}, bad=[])))
+            log.attach("t", DigestMachine(mock.Mock(entries={}, sums={}, bad=[])))
             await log.start()
             self.assertIsInstance(await log.propose("t", b"x" * MAX_COMMAND_BYTES, 5.0), AppliedEntry)
             with mock.patch("os.fdatasync", side_effect=OSError(5, "Input/output error")):
@@ -558,7 +558,7 @@
             self.assertIn(b"replica_stopped", sink.getvalue())
             # Durable entries are restored after a restart.
             restarted = ReplicaService("c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()))
-            machine = Sum(mock.Mock(entries={}, sums={}, bad=[]))
+            machine = DigestMachine(mock.Mock(entries={}, sums={}, bad=[]))
             restarted.attach("t", machine)
             await restarted.start()
             await restarted.barrier(5.0)
@@ -581,7 +581,7 @@
                     addresses[number],
                     True,
                 )
-                log.attach("t", Sum(run))
+                log.attach("t", DigestMachine(run))
                 await log.start()
                 self.addAsyncCleanup(log.close)
                 return log
@@ -609,7 +609,7 @@
             logs[3] = ReplicaService(
                 "c3", voters, Path(folder, "c3"), b"s" * 16, Telemetry("c3", BytesIO()), addresses[3]
             )
-            logs[3].attach("t", Sum(run))
+            logs[3].attach("t", DigestMachine(run))
             await logs[3].start()
             self.assertTrue(logs[3]._member.journal.votes_lost)  # although it is not among its configured voters
             await logs[3].close()
@@ -620,7 +620,7 @@
             log = ReplicaService(
                 "c0", ["c0=127.0.0.1:0"], Path(folder), b"s" * 16, Telemetry("c0", BytesIO()), first_start=True
             )
-            log.attach("t", Sum(mock.Mock(entries={}, sums={}, bad=[])))
+            log.attach("t", DigestMachine(mock.Mock(entries={}, sums={}, bad=[])))
             await log.start()
             await log.barrier(5.0)
             loop = asyncio.get_running_loop()
--- a/tests/test_replica_leader_loss.py
+++ b/tests/test_replica_leader_loss.py
@@ -17,7 +17,7 @@
 from pysyncobj import FAIL_REASON
 
 from frostspindle.lab.replica import EmulatedReplicas
-from frostspindle.lab.replica_runs import Sum
+from frostspindle.lab.replica_runs import DigestMachine
 from frostspindle.replica.base import AppliedEntry, LogUnavailableError, OutcomeUnknownError
 from frostspindle.replica.raft import RaftTimeouts
 from frostspindle.replica.service import ReplicaService
@@ -31,7 +31,9 @@
 def forward_to_killed_leader(topic, command):
     """Forward a follower's proposal to a leader, kill the leader, and return the replicas and the outcomes."""
     run = mock.Mock(entries={}, sums={}, bad=[])
-    replicas = EmulatedReplicas(4, 3, 3, attach=lambda number, log: log.attach("t", Sum(run)), times=RaftTimeouts())
+    replicas = EmulatedReplicas(
+        4, 3, 3, attach=lambda number, log: log.attach("t", DigestMachine(run)), times=RaftTimeouts()
+    )
     replicas.advance(ELECTED_MS)
     (leader,) = replicas.leaders()
     outcomes = []
@@ -59,7 +61,9 @@
 
 def test_voter_change_without_a_reachable_leader_is_rejected_at_once():
     run = mock.Mock(entries={}, sums={}, bad=[])
-    replicas = EmulatedReplicas(3, 3, 3, attach=lambda number, log: log.attach("t", Sum(run)), times=RaftTimeouts())
+    replicas = EmulatedReplicas(
+        3, 3, 3, attach=lambda number, log: log.attach("t", DigestMachine(run)), times=RaftTimeouts()
+    )
     replicas.advance(ELECTED_MS)
     (leader,) = replicas.leaders()
     other = (leader + 1) % 3
--- a/tests/test_replica_program.py
+++ b/tests/test_replica_program.py
@@ -11,7 +11,7 @@
 
 from frostspindle import config as configuration
 from frostspindle.config import ConfigError
-from frostspindle.lab.engines import document
+from frostspindle.lab.engines import coordinator_config
 from frostspindle.lab.faults.runner import free_port
 
 GOOD = (Path(__file__).parent.parent / "deploy" / "ownership.toml").read_text().partition("\n[ownership]")[0]
@@ -27,7 +27,7 @@
 
     def read(self, text, name="c1"):
         config, operator = self.folder / "config.json", self.folder / "operator.toml"
-        config.write_text(json.dumps(document([])))
+        config.write_text(json.dumps(coordinator_config([])))
         operator.write_text(text)
         return configuration.read(
             {
@@ -71,7 +71,7 @@
         from frostspindle.operator_client import call_operator
 
         await self.start_engines(1)
-        config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port)
+        config = coordinator_config(self.bus.events[0]["topology"]["hosts"], self.bus.port)
         ports = [free_port(socket.SOCK_STREAM) for _ in range(3)]
         key = Path(tempfile.mkdtemp(dir=self.scratch), "key")
         key.write_text("only known to the three of them")
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -87,7 +87,7 @@
         two = two.replace("zones = []", 'zones = ["floor-2"]').replace("# foreign_loads = true ", "# ")
         import frostspindle.lab.engines as engines
 
-        whole = engines.document
+        whole = engines.coordinator_config
         config = None
         with unittest.mock.patch(
             "test_fleet_program.document", lambda hosts, **kw: whole(hosts, **kw, zones=("floor-1", "floor-2"))
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -19,7 +19,7 @@
 from frostspindle.config import ConfigError
 from frostspindle.core import Attempt, ClientRequest
 from frostspindle.lab import settings as emulator
-from frostspindle.lab.engines import document, host
+from frostspindle.lab.engines import coordinator_config, host_entry
 from frostspindle.lab.faults.script import parse
 from frostspindle.net.operator import MAX_CALL_BYTES, MAX_STREAM_CALL_BYTES, OperatorError
 from frostspindle.program import Program
@@ -52,7 +52,7 @@
 def read(text: str, hosts=(), **environ: str) -> configuration.Config:
     with tempfile.TemporaryDirectory() as folder:
         config, operator = Path(folder, "config.json"), Path(folder, "operator.toml")
-        config.write_text(json.dumps(document(list(hosts))))
+        config.write_text(json.dumps(coordinator_config(list(hosts))))
         operator.write_text(text.replace("FOLDER", folder))
         return configuration.read(
             {"LB_CONFIG": str(config), "FROSTSPINDLE_OPERATOR": str(operator), "LB_LISTEN": "127.0.0.1:0", **environ}
@@ -84,7 +84,7 @@
     def test_invalid_settings_file_ends_the_start_naming_the_key(self):
         with tempfile.TemporaryDirectory() as folder:
             files = {name: Path(folder, name) for name in ("config.json", "operator.toml", "version.toml")}
-            files["config.json"].write_text(json.dumps(document([])))
+            files["config.json"].write_text(json.dumps(coordinator_config([])))
             files["operator.toml"].write_text(f'[settings]\nfile = "{files["version.toml"]}"\n')
             files["version.toml"].write_text('[[class]]\nname = "lookup"\neffect = "once"\n')
             completed = subprocess.run(
@@ -185,7 +185,7 @@
     """Rules applied to a program that has not been started."""
 
     async def asyncSetUp(self):
-        hosts = [host(f"toy-{n}", 9_000 + n) for n in range(3)]
+        hosts = [host_entry(f"toy-{n}", 9_000 + n) for n in range(3)]
         self.program = Program(read("[settings]\n" + TDS + TENANT, hosts, LB_OPERATOR="127.0.0.1:0"))
         self.addAsyncCleanup(self.close)
         self.core, self.applied = self.program.core, self.program.settings.applied
--- a/tests/test_steady_clock.py
+++ b/tests/test_steady_clock.py
@@ -13,7 +13,7 @@
 
 from frostspindle.clock_file import BOOT_ID_PATH, FILE_NAME, share_offset
 from frostspindle.core import steady_clock
-from frostspindle.lab.engines import host
+from frostspindle.lab.engines import host_entry
 from frostspindle.lab.faults.runner import Process
 from frostspindle.lab.soak.stepped_clock import SteppedClock
 
@@ -83,7 +83,7 @@
         async with running_site(tmp_path) as site:
             born_ms = time.time() * 1000.0 - 500.0
             for _ in range(2):
-                site.bus.say(host(site.engine.name, site.engine.port, born_ms=born_ms))
+                site.bus.say(host_entry(site.engine.name, site.engine.port, born_ms=born_ms))
             await site.process.until(lambda: len(site.process.events("engine_updated")) >= 2)
             starts = {line["since"] for line in site.process.events("engine_updated")}
             assert len(starts) == 1
@@ -107,7 +107,7 @@
             started_s = time.monotonic()
             clock.step(step_s)
             await asyncio.sleep(0.3)
-            site.bus.say(host(site.engine.name, site.engine.port, born_ms=round(clock.unix_ms())))
+            site.bus.say(host_entry(site.engine.name, site.engine.port, born_ms=round(clock.unix_ms())))
             async with asyncio.timeout(8.0):
                 status, body = await follow(reader, writer)
             assert (status, len(body["rows"])) == (200, 1)
