--- a/frostspindle/lab/engines.py
+++ b/frostspindle/lab/engines.py
@@ -126,11 +126,11 @@
             if self.keep:
                 self.sent.append((first, ticket, float(fields.get(b"x-max-ms", b"0"))))
             self._take(ticket, " ".join(body.decode().split()))
-            self._news(line, ticket)
+            self._respond(line, ticket)
         elif method == b"GET" and parts[0] in ("healthz", "stats"):
             line.say(200, head=self.meter())
         elif method == b"GET" and len(parts) == 4:
-            self._news(line, parts[2])
+            self._respond(line, parts[2])
         elif method in (b"PUT", b"DELETE"):
             if method == b"DELETE" and len(parts) > 2:
                 self.results.pop(parts[2], None)
@@ -163,13 +163,13 @@
         if ticket in self.results:
             self.results[ticket] = self.answer(statement)
             if line := self.waiting.pop(ticket, None):
-                self._news(line, ticket)
+                self._respond(line, ticket)
         while self.line and (not self.cores or self.running < self.cores):
             following, text = self.line.popleft()
             if following in self.results:
                 self._run(following, text)
 
-    def _news(self, line: EngineConnection, ticket: str) -> None:
+    def _respond(self, line: EngineConnection, ticket: str) -> None:
         if ticket not in self.results:
             line.say(500)
         elif (result := self.results[ticket]) is not None:
--- a/frostspindle/lab/rows.py
+++ b/frostspindle/lab/rows.py
@@ -83,4 +83,4 @@
         if ticket in self.results:
             self.results[ticket] = b""
             if line := self.waiting.pop(ticket, None):
-                self._news(line, ticket)
+                self._respond(line, ticket)
--- a/frostspindle/lab/soak/engines.py
+++ b/frostspindle/lab/soak/engines.py
@@ -78,9 +78,9 @@
         self._open_runs[ticket] = run
         self.delay_s = self.rng.choice(SLOW_DELAYS_S if self.slow else USUAL_DELAYS_S)
 
-    def _news(self, line: EngineConnection, ticket: str) -> None:
+    def _respond(self, line: EngineConnection, ticket: str) -> None:
         is_over = self.results.get(ticket) is not None
-        super()._news(line, ticket)
+        super()._respond(line, ticket)
         if is_over:
             self._end_run(ticket, time.time(), "answered")
 
