--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -1,13 +1,14 @@
-"""The emulator of power losses: engines that fail when overloaded while cold, clients that retry, stores that are lost.
+"""Emulator of power losses: engines that fail when overloaded while cold, clients that retry, stores that are lost.
 
-Owns simulated time, engines, clients, stores, the network's fate and what is measured of a run. Coordinators are the
-decision module and the recovery's own cores; with `naive` they start as they did before there was a recovery. The same
-arguments give the same run. It must never look into a coordinator to make a figure that clients and engines don't show.
+It simulates time, engines, clients, stores and the network, and measures the run. Coordinators are the decision module
+and the recovery's cores, which do no I/O; with `naive` they start without recovery. The same arguments give the same
+run. Figures use only what clients and engines can observe.
 
-The loss comes at LOSS_S: processes and engines end within a second. Engines are back 2 to 4 s later and cold, the
-bus 3 to 9 s later, coordinators over ten seconds, first after 3 s. Members of the fleet see each other a second late.
-With recovery cold engines' budgets are rights of the fleet, as `[fleet] cold` has them, paid at the first byte; the
-naive start goes by plain shares and by turns, as the module does without a fleet.
+Power is lost at LOSS_S: processes and engines end within a second. Engines are back 2 to 4 s later and cold, the bus
+3 to 9 s later; coordinators start spread over ten seconds, the first after 3 s. Members of the fleet see each other a
+second late. With recovery, the budgets of cold engines are rights of the fleet, as with `[fleet] cold`, and paid at the
+first byte. The naive start uses fixed shares and turns, as the decision module does
+without a fleet.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 from frostspindle.fleet.quota_escrow import QuotaAccount
 from frostspindle.lab.faults.script import Script, Weather
 from frostspindle.lab.fleet import excess
-from frostspindle.lab.warming import Warming
+from frostspindle.lab.warming import ColdBudgets
 from frostspindle.policy import AttemptOutcome, ClassSettings, EndpointListKind, EngineEntry, Health, Idempotency
 from frostspindle.policy.controller import Controller
 from frostspindle.policy.slow_start import SLOW_START_SAFETY
 from frostspindle.recovery import agreement, wire
 from frostspindle.recovery.admission import AdmissionDecision, RecoveryAdmission, RequestClass, SlowStartCurve
-from frostspindle.recovery.admission import ReadyEngine as Bearing
+from frostspindle.recovery.admission import ReadyEngine as AdmissionEngine
 from frostspindle.recovery.inputs import OpenedStore, RecoverySettings
 from frostspindle.recovery.node import RecoveryNode
 from frostspindle.recovery.outputs import ClaimResolved, MarkRestarted
@@ -39,25 +40,25 @@
 from frostspindle.recovery.state_kinds import CooldownSettings
 from frostspindle.recovery.tickets import ClaimOutcome
 
-EPOCH = 1.7e12  # Unix ms at the run's begin
+START_UNIX_MS = 1.7e12  # Unix time at the start of the run
 LOSS_S, BACK_S, OVER_S = 8.0, 3.0, 10.0
 CORES, WARM_MS, COLD, TIP, DOWN_MS = 8.0, 15_000.0, 0.3, 4.0, 4_000.0
-RETRY_MS = 3_000.0
-STEP_MS = 50.0  # engines go on in steps
-TURN_MS = 50.0  # so does the recovery's timer
-LOAD = 0.55  # of the engines' capacity that clients want
-BUS_MS = (3_000.0, 13_000.0)  # after the loss, the bus tells of engines again
+MAX_RETRY_MS = 3_000.0
+ENGINE_STEP_MS = 50.0
+RECOVERY_TICK_MS = 50.0
+LOAD = 0.55  # demand as a part of the engines' capacity
+BUS_BACK_MS = (3_000.0, 13_000.0)  # after the loss, when the bus is up again
 UNITS_EACH, WINDOW_MS, LEASE_MS, DRIFT = 3, 1_000.0, 2_000.0, 0.055
-SEEN_MS = 1_000.0
-SEEDS = 64
-NINE_TENTHS, OVER_MS, STAYS_MS = 0.9, 2_000.0, 4_000.0
+MEMBERSHIP_DELAY_MS = 1_000.0
+MAX_SEEDS = 64
+RECOVERED_RATIO, RECOVERED_WINDOW_MS, RECOVERED_SPAN_MS = 0.9, 2_000.0, 4_000.0
 # lookups, reports, loads: aim, deadline, worth, effect, threads, mean work, part of the requests
-KINDS = (
+CLASSES = (
     (1_500.0, 7_500.0, 1.0, Idempotency.IDEMPOTENT, 1, 400.0, 0.75),
     (4_000.0, 15_000.0, 4.0, Idempotency.IDEMPOTENT, 3, 2_400.0, 0.15),
     (5_000.0, 20_000.0, 3.0, Idempotency.NON_IDEMPOTENT, 2, 1_500.0, 0.10),
 )
-MEAN = sum(kind[5] * kind[6] for kind in KINDS)
+MEAN_WORK = sum(kind[5] * kind[6] for kind in CLASSES)
 
 
 def settings(nodes: int, number: int, cold: bool = False) -> policy.Settings:
@@ -68,7 +69,7 @@
             ClassSettings(
                 aim, deadline, worth, 2.0, 0.4, effect, threads=threads, is_load=effect == Idempotency.NON_IDEMPOTENT
             )
-            for aim, deadline, worth, effect, threads, _, _ in KINDS
+            for aim, deadline, worth, effect, threads, _, _ in CLASSES
         ),
         coordinators=nodes,
         number=number,
@@ -77,7 +78,7 @@
         priorities=True,
         may_cancel=True,
         retry_after=True,
-        max_retry_after_ms=RETRY_MS,
+        max_retry_after_ms=MAX_RETRY_MS,
         max_attempts=5,
         slow_start_capacity=COLD,
         slow_start_duration_ms=WARM_MS,
@@ -89,41 +90,41 @@
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One request's client, until it has its answer or its deadline is over. `cost`: core-ms; `ends`: simulated ms."""
+    """The client of one request. `cost`: core-ms; `ends`: the deadline in simulated ms."""
 
     id: int
     cls: int
     cost: float
-    ends: float
+    deadline: float
     blue: bool
     home: int
-    over: str = ""
+    outcome: str = ""
     calls: int = 0
     refusals: int = 0
-    asked: bool = False  # a coordinator has it, and owes an answer
-    early: bool = False  # it was answered before the loss
+    in_progress: bool = False  # a coordinator has the request and has not answered
+    served_early: bool = False  # it was served before the loss
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at an engine. `sent`: simulated ms; `left`: core-ms that are still to be done."""
+    """One attempt of a request at an engine. `sent`: simulated ms; `left`: remaining work in core-ms."""
 
     record: Record
     number: int
     engine: int
     sent: float
-    left: float  # work
-    paid: bool = True  # its first byte went out
+    left: float
+    paid: bool = True  # its first byte was sent
 
 
 @dataclass(slots=True, eq=False)
 class Record:
-    """A request at a coordinator. `life`: of the process that took it; `taken`: when, in simulated ms."""
+    """A request at a coordinator. `incarnation`: of the process; `taken`: arrival time in simulated ms."""
 
     number: int
     client: Client
-    at: Coordinator
-    life: int
+    coordinator: Coordinator
+    incarnation: int
     taken: float
     answered: bool = False
     attempts: list[Attempt] = field(default_factory=list)
@@ -137,101 +138,124 @@
     up: bool = True
     born: float = 0.0
     running: list[Attempt] = field(default_factory=list)
-    taken: list[tuple[float, float]] = field(default_factory=list)  # of the last second, while cold
+    taken: list[tuple[float, float]] = field(default_factory=list)  # while cold: time and work of the last second
 
     def part(self, now: float) -> float:
-        """Return the part of its full capacity that the engine has at `now`: 1 when warm, before that growing from
-        COLD with the square of its age."""
+        """Return the engine's capacity at `now` as a fraction of its full capacity.
+
+        It grows from COLD with the square of the engine's age, and is 1 once the engine is warm.
+        """
         age = now - self.born
         return 1.0 if self.born == 0.0 or age >= WARM_MS else COLD + (1.0 - COLD) * (age / WARM_MS) ** 2
 
 
 @dataclass(slots=True)
 class Disk:
-    """A coordinator's store, which outlives its processes."""
+    """A coordinator's store, which persists over restarts."""
 
     id: int
-    life: int = 1
+    incarnation: int = 1
     generation: int = 0
     entries: dict[bytes, bytes] = field(default_factory=dict)
-    fate: str = "kept"  # at the next start: kept, lost, week (an older copy that the store itself can't tell), dead
+    fate: str = "kept"  # at the next start: kept, lost, week (an older copy, undetected by the store), dead
     week: tuple[int, dict[bytes, bytes]] = (0, {})
 
 
 class Coordinator:
-    """One coordinator: its process while it lives, with the parts tied together as in the program, but no sockets."""
+    """One coordinator: its process while it runs, with the parts connected as in the program, but without sockets."""
 
     def __init__(self, world: World, number: int) -> None:
-        self.w, self.number, self.name = world, number, f"c{number:03d}"
+        self.world, self.number, self.name = world, number, f"c{number:03d}"
         self.disk = Disk(number)
-        self.life = 0
+        self.incarnation = 0
         self.up = False
-        self.numbers = 0
+        self.last_number = 0
         self.records: dict[int, Record] = {}
-        self.spoken: int = 0  # the bus's last number here
+        self.last_bus_event: int = 0  # number of the last bus event applied here
 
-    # Lives.
+    # Start and end of the process.
 
     def start(self, first: bool = False) -> None:
-        """Start the process, with recovery unless the run is naive; without effect if it is up. `first`: the start
-        of the run, which does not count as a return after a loss."""
+        """Start the process, with recovery unless the run is naive; without effect if it is up.
+
+        `first`: the start of the run, which does not count as a return after a loss.
+        """
         if self.up:
             return
-        w, now = self.w, self.w.now
+        world, now = self.world, self.world.now
         if not first:
-            w.returns.append(now)
-        self.life, self.up, self.records, self.spoken = self.life + 1, True, {}, 1
-        terms = settings(w.count, self.number, w.cold)
-        self.c = Controller(terms, w.seed * 1_000 + self.number)
-        self.warming: Warming | None = None
-        self.told: dict[int, float] = dict.fromkeys(range(len(w.engines)), 0.0)  # starts as the bus has told them
+            world.return_times.append(now)
+        self.incarnation, self.up, self.records, self.last_bus_event = self.incarnation + 1, True, {}, 1
+        module_settings = settings(world.count, self.number, world.cold)
+        self.controller = Controller(module_settings, world.seed * 1_000 + self.number)
+        self.cold_budgets: ColdBudgets | None = None
+        # Starts as announced by the bus.
+        self.announced_starts: dict[int, float] = dict.fromkeys(range(len(world.engines)), 0.0)
         self.rights = QuotaAccount(UNITS_EACH, WINDOW_MS, LEASE_MS, DRIFT, now)
         self.node: RecoveryNode | None = None
-        self.waits: dict[int, Record] = {}
+        self.waiting_records: dict[int, Record] = {}
         self.service_at = 0.0
-        self.opened_at = now if w.naive or first else 0.0
+        self.opened_at = now if world.naive or first else 0.0
         self.withheld: set[int] = set()
-        self.engines: dict[int, float] = dict.fromkeys(range(len(w.engines)), 0.0)  # number, start as it is believed
-        self.tell_list()
-        if w.cold:
-            self.warming = Warming(self.number, w.seeds, terms, w.secrets.randbytes(16), now, EPOCH + now, self.carried)
-            w.at(now, self.warm, self.life)
-            self.warming.cold.on_blocked = lambda: w.at(w.now, self.keep)
-        if not w.naive:
+        # By number: the start as known here.
+        self.engines: dict[int, float] = dict.fromkeys(range(len(world.engines)), 0.0)
+        self.update_controller_engines()
+        if world.cold:
+            self.cold_budgets = ColdBudgets(
+                self.number,
+                world.seeds,
+                module_settings,
+                world.secrets.randbytes(16),
+                now,
+                START_UNIX_MS + now,
+                self.send_fleet_datagram,
+            )
+            world.at(now, self.tick_cold_budgets, self.incarnation)
+            self.cold_budgets.cold.on_blocked = lambda: world.at(world.now, self.sync_idle_rights)
+        if not world.naive:
             self.begin_recovery(first)
-        if w.bus_up:
-            w.at(now + 50.0, self.on_bus, self.life)
+        if world.bus_up:
+            world.at(now + 50.0, self.on_bus, self.incarnation)
 
     def begin_recovery(self, first: bool) -> None:
-        """Create the intake and the recovery node, and schedule the opening of the store (by its drawn fate), the
-        binding of the fleet's port and the recovery's timer."""
-        w, now, disk = self.w, self.w.now, self.disk
+        """Create the admission and the recovery node, and schedule their inputs.
+
+        The inputs are the opened store (by its drawn fate), the bound port of the fleet and the timer of the recovery.
+        """
+        world, now, disk = self.world, self.world.now, self.disk
         classes = tuple(
-            RequestClass(k[2], k[3] != Idempotency.NON_IDEMPOTENT, 0.4, k[0], k[0] * k[4] / 2) for k in KINDS
+            RequestClass(
+                request_class[2],
+                request_class[3] != Idempotency.NON_IDEMPOTENT,
+                0.4,
+                request_class[0],
+                request_class[0] * request_class[4] / 2,
+            )
+            for request_class in CLASSES
         )
-        self.intake = RecoveryAdmission(
-            classes, SlowStartCurve(COLD, WARM_MS), 1.0 / w.count, 512, w.seed + self.number, RETRY_MS
+        self.admission = RecoveryAdmission(
+            classes, SlowStartCurve(COLD, WARM_MS), 1.0 / world.count, 512, world.seed + self.number, MAX_RETRY_MS
         )
         self.node = RecoveryNode(
             RecoverySettings(
                 self.name,
-                w.seeds,
+                world.seeds,
                 StageTimeouts(),
                 CooldownSettings(LEASE_MS * (1 + DRIFT) / (1 - DRIFT) + WINDOW_MS * (1 + DRIFT), 600_000.0),
                 first_start=first,
             ),
             now,
-            EPOCH + now,
-            w.seed * 77 + self.number * 13 + self.life,
+            START_UNIX_MS + now,
+            world.seed * 77 + self.number * 13 + self.incarnation,
         )
-        self.listed()
+        self.update_recovery_engines()
         fate, disk.fate = disk.fate, "kept"
         fresh = first
         if fate == "dead":
             opened = OpenedStore("unreadable", False, False)
         else:
             if fate == "lost":
-                disk.life, disk.generation, disk.entries, fresh = 1, 0, {}, True
+                disk.incarnation, disk.generation, disk.entries, fresh = 1, 0, {}, True
             elif fate == "week":
                 disk.generation, disk.entries = disk.week[0], dict(disk.week[1])
             opened = OpenedStore(
@@ -240,65 +264,72 @@
                 not fresh,
                 fresh,
                 wire.StoreState(
-                    disk.id.to_bytes(16, "big") if fate != "lost" else w.random.randbytes(16),
-                    disk.life,
+                    disk.id.to_bytes(16, "big") if fate != "lost" else world.random.randbytes(16),
+                    disk.incarnation,
                     disk.generation,
                 ),
                 tuple(sorted(disk.entries.items())),
             )
-        w.at(now + 30.0, self.on_store, self.life, opened)
-        w.at(now + 60.0, self.on_port, self.life)
-        w.at(now + 80.0, self.turn, self.life)
+        world.at(now + 30.0, self.on_store, self.incarnation, opened)
+        world.at(now + 60.0, self.on_port, self.incarnation)
+        world.at(now + 80.0, self.tick_recovery, self.incarnation)
 
     def kill(self) -> None:
-        """End the process: its attempts vanish from the engines, and clients without an answer see their connections
-        break. Without effect if it is down."""
+        """End the process; without effect if it is down.
+
+        Its attempts are removed from the engines, and the connections of clients without an answer break.
+        """
         if not self.up:
             return
         self.up = False
         for record in self.records.values():
             for attempt in record.attempts:
-                self.w.engines[attempt.engine].running = [
-                    a for a in self.w.engines[attempt.engine].running if a is not attempt
+                self.world.engines[attempt.engine].running = [
+                    a for a in self.world.engines[attempt.engine].running if a is not attempt
                 ]
             if not record.answered:
-                self.w.broken(record.client)
+                self.world.broken(record.client)
         self.records = {}
 
-    # Cold engines' rights, as in fleet/slow_start_service.py.
+    # Rights in the budgets of cold engines, as in fleet/slow_start_service.py.
+
+    def sync_idle_rights(self) -> None:
+        """Exchange between the recovery node and the budgets of cold engines whether any rights are lent or requested.
 
-    def keep(self) -> None:
-        """Pass between store and cold engines' rights whether any are lent or wanted, so that a next life may know."""
-        if self.up and self.warming is not None and self.node is not None:
-            self.node.on_rights_idle(self.warming.cold.idle)
-            self.warming.cold.set_store_state(
-                self.w.now, self.node.idle_mark.marked, self.node.idle_mark.cooldown_waived
+        The store keeps this for the next incarnation.
+        """
+        if self.up and self.cold_budgets is not None and self.node is not None:
+            self.node.on_rights_idle(self.cold_budgets.cold.idle)
+            self.cold_budgets.cold.set_store_state(
+                self.world.now, self.node.idle_mark.marked, self.node.idle_mark.cooldown_waived
             )
             self.drain()
 
-    def carried(self, target: int, data: bytes) -> None:
+    def send_fleet_datagram(self, target: int, data: bytes) -> None:
         """Send a datagram of the fleet node over the simulated network."""
-        self.w.post(self.number, target, data, True)
+        self.world.post(self.number, target, data, True)
 
-    def warm(self, life: int) -> None:
-        """Run the timer of cold engines' rights, tell the decision module its parts, and schedule the next turn.
-        Ignored if it was scheduled by an earlier life, as are all timers here."""
-        if life != self.life or not self.up or self.warming is None:
+    def tick_cold_budgets(self, incarnation: int) -> None:
+        """Run the timer of cold engines' budgets, pass changed shares to the decision module, schedule the next tick.
+
+        Ignored if it was scheduled by an earlier incarnation, as are all timers here.
+        """
+        if incarnation != self.incarnation or not self.up or self.cold_budgets is None:
             return
-        born = {number: at and EPOCH + at for number, at in self.told.items()}
-        words = self.warming.tick(self.w.now, EPOCH + self.w.now, self.c, born)
-        if words is not None:
-            self.tell(words)
-        self.w.at(self.warming.due(self.w.now), self.warm, life)
+        born = {number: start and START_UNIX_MS + start for number, start in self.announced_starts.items()}
+        load_report = self.cold_budgets.tick(self.world.now, START_UNIX_MS + self.world.now, self.controller, born)
+        if load_report is not None:
+            self.handle_event(load_report)
+        self.world.at(self.cold_budgets.due(self.world.now), self.tick_cold_budgets, incarnation)
 
-    # Recovery's ties, as in recovery/service.py.
+    # Inputs and effects of the recovery, as in recovery/service.py.
 
-    def listed(self) -> None:
-        """Tell the recovery node the list of engines as it stands here."""
+    def update_recovery_engines(self) -> None:
+        """Pass this coordinator's list of engines to the recovery node."""
         assert self.node is not None
         self.node.on_engine_list(
-            EPOCH + self.w.now,
-            self.spoken,
+            START_UNIX_MS + self.world.now,
+            self.last_bus_event,
             {
                 f"e{n}": wire.ListedEngine(
                     f"e{n}",
@@ -308,226 +339,267 @@
                     0,
                     1,
                     1.0,
-                    born and EPOCH + born,
-                    self.told.get(n, 0.0) and EPOCH + self.told[n],
+                    born and START_UNIX_MS + born,
+                    self.announced_starts.get(n, 0.0) and START_UNIX_MS + self.announced_starts[n],
                 )
                 for n, born in self.engines.items()
             },
         )
 
-    def on_store(self, life: int, opened: OpenedStore) -> None:
-        """Tell the recovery node how the store was found."""
-        if life == self.life and self.up and self.node:
-            self.node.on_store_opened(self.w.now, EPOCH + self.w.now, opened)
+    def on_store(self, incarnation: int, opened: OpenedStore) -> None:
+        """Report the opened store to the recovery node."""
+        if incarnation == self.incarnation and self.up and self.node:
+            self.node.on_store_opened(self.world.now, START_UNIX_MS + self.world.now, opened)
             self.drain()
 
-    def on_port(self, life: int) -> None:
-        """Tell the recovery node that the fleet's port is bound."""
-        if life == self.life and self.up and self.node:
-            self.node.on_port_bound(self.w.now, EPOCH + self.w.now, int(self.w.now) + 1)
+    def on_port(self, incarnation: int) -> None:
+        """Report to the recovery node that the fleet's port is bound."""
+        if incarnation == self.incarnation and self.up and self.node:
+            self.node.on_port_bound(self.world.now, START_UNIX_MS + self.world.now, int(self.world.now) + 1)
             self.drain()
 
-    def turn(self, life: int) -> None:
-        """Run the recovery's timer: report rested rights and the backlog, tick, and carry out what the intake
-        decides. It comes again after TURN_MS, or once recovery is over when the node is due (5 to 250 ms later)."""
-        node, now = self.node, self.w.now
-        if life != self.life or not self.up or node is None:
+    def tick_recovery(self, incarnation: int) -> None:
+        """Run the recovery's timer: report a finished cooldown and the backlog, tick, and execute admission decisions.
+
+        It runs again after RECOVERY_TICK_MS, or once recovery is finished when the node is due (5 to 250 ms later).
+        """
+        node, now = self.node, self.world.now
+        if incarnation != self.incarnation or not self.up or node is None:
             return
-        unix = EPOCH + now
+        unix = START_UNIX_MS + now
         if now - node.started_at >= node.settings.cooldowns.rights_ms:
             node.on_cooldown_over(now, unix)
         if not node.stages.finished:
-            self.intake.engines = tuple(
-                Bearing(e.cores, e.entry.since_ms) for e in self.c.engines.values() if e.ready and not e.ejected
+            self.admission.engines = tuple(
+                AdmissionEngine(e.cores, e.entry.since_ms)
+                for e in self.controller.engines.values()
+                if e.ready and not e.ejected
             )
             if node.stages.stage < Stage.SERVICE:
-                self.intake.expected_start = unix + max(0.0, node.stages.next_due() - now)
+                self.admission.expected_start = unix + max(0.0, node.stages.next_due() - now)
             elif not self.service_at:
-                self.service_at, self.intake.service_started = unix, True
+                self.service_at, self.admission.service_started = unix, True
             elif unix - self.service_at >= 1_000.0:
-                self.intake.admits_non_idempotent = True
-            node.on_backlog(now, unix, len(self.intake.waiting), self.intake.warm_ratio(unix))
+                self.admission.admits_non_idempotent = True
+            node.on_backlog(now, unix, len(self.admission.waiting), self.admission.warm_ratio(unix))
         node.tick(now, unix)
-        self.keep()
+        self.sync_idle_rights()
         self.drain()
         if not node.stages.finished:
-            self.carry(self.intake.poll(unix))
-        self.w.at(
-            now + (TURN_MS if not node.stages.finished else min(250.0, max(5.0, node.next_due() - now))),
-            self.turn,
-            life,
+            self.execute_decisions(self.admission.poll(unix))
+        self.world.at(
+            now + (RECOVERY_TICK_MS if not node.stages.finished else min(250.0, max(5.0, node.next_due() - now))),
+            self.tick_recovery,
+            incarnation,
         )
 
     def drain(self) -> None:
-        """Carry out the recovery node's messages and effects until none are left, then begin to write its next
-        batch, which takes 0.5 to 6 ms."""
+        """Execute the recovery node's messages and effects until none are left, then start to write its next batch.
+
+        The write takes 0.5 to 6 ms.
+        """
         node = self.node
         assert node is not None
         while node.outputs.pending:
             for name, data in node.outputs.take_messages():
-                self.w.post(self.number, int(name[1:]), data)
+                self.world.post(self.number, int(name[1:]), data)
             for effect in node.outputs.take_effects():
                 self.effect(effect)
         if (batch := node.next_batch()) is not None:
-            self.w.at(self.w.now + self.w.random.uniform(0.5, 6.0), self.on_disk, self.life, batch)
+            self.world.at(self.world.now + self.world.random.uniform(0.5, 6.0), self.on_disk, self.incarnation, batch)
+
+    def on_disk(self, incarnation: int, batch: dict[bytes, bytes | None]) -> None:
+        """Store a written batch and report it to the recovery node.
 
-    def on_disk(self, life: int, batch: dict[bytes, bytes | None]) -> None:
-        """Store a written batch and tell the recovery node; if the process was killed before, nothing of it is
-        stored."""
-        if life != self.life or not self.up or self.node is None:
-            return  # the loss came first: nothing of the batch is there
+        If the process was killed before, nothing of the batch is stored.
+        """
+        if incarnation != self.incarnation or not self.up or self.node is None:
+            return
         for key, value in batch.items():
             if value is None:
                 self.disk.entries.pop(key, None)
             else:
                 self.disk.entries[key] = value
         self.disk.generation += 1
-        self.node.on_batch_written(self.w.now, EPOCH + self.w.now, True)
-        self.keep()
+        self.node.on_batch_written(self.world.now, START_UNIX_MS + self.world.now, True)
+        self.sync_idle_rights()
         self.drain()
 
     def effect(self, effect: Any) -> None:
-        """Carry out one effect of the recovery node: a stage that began, engines' starts, an agreed list of engines,
-        or the outcome of a load's claim."""
-        now = EPOCH + self.w.now
+        """Execute one effect of the recovery node.
+
+        Effects are a stage transition, engines' starts, an agreed list of engines, and the outcome of a load's claim.
+        """
+        now = START_UNIX_MS + self.world.now
         if isinstance(effect, StageTransition):
             if effect.stage is Stage.OPEN:
-                self.opened_at = self.w.now
-                self.carry(self.intake.open_gate())
+                self.opened_at = self.world.now
+                self.execute_decisions(self.admission.open_gate())
         elif isinstance(effect, MarkRestarted):
-            self.engines.update({int(name[1:]): start - EPOCH for name, start in effect.starts.items()})
-            self.tell_list()
-            self.listed()
+            self.engines.update({int(name[1:]): start - START_UNIX_MS for name, start in effect.starts.items()})
+            self.update_controller_engines()
+            self.update_recovery_engines()
         elif isinstance(effect, agreement.AgreedState):
-            if effect.has_quorum and effect.last_event > self.spoken and effect.engines:
-                self.spoken = effect.last_event
+            if effect.has_quorum and effect.last_event > self.last_bus_event and effect.engines:
+                self.last_bus_event = effect.last_event
                 for engine in effect.engines:
-                    born = engine.started_ms - EPOCH if engine.started_ms else 0.0
+                    born = engine.started_ms - START_UNIX_MS if engine.started_ms else 0.0
                     number = int(engine.name[1:])
                     self.engines[number] = max(self.engines.get(number, 0.0), born)
             self.withheld = {int(name[1:]) for name in effect.withheld}
-            self.tell_list()
-            self.listed()
-        elif isinstance(effect, ClaimResolved) and effect.number in self.waits:
+            self.update_controller_engines()
+            self.update_recovery_engines()
+        elif isinstance(effect, ClaimResolved) and effect.number in self.waiting_records:
             if effect.outcome == ClaimOutcome.GRANTED:
-                self.intake.grant_ticket(effect.number)
-                self.carry(self.intake.poll(now))
+                self.admission.grant_ticket(effect.number)
+                self.execute_decisions(self.admission.poll(now))
             else:
                 if effect.outcome == ClaimOutcome.NO_QUORUM and self.node and not self.node.stages.finished:
-                    self.w.at(self.w.now + 250.0, self.claim, self.life, effect.number)
+                    self.world.at(self.world.now + 250.0, self.claim, self.incarnation, effect.number)
                     return
-                record = self.waits.pop(effect.number)
-                self.w.counted[f"claim_{effect.outcome.replace(' ', '_')}"] += 1
+                record = self.waiting_records.pop(effect.number)
+                self.world.counted[f"claim_{effect.outcome.replace(' ', '_')}"] += 1
                 self.answer(
                     record,
                     "failed" if effect.outcome == ClaimOutcome.MAY_HAVE_RUN else "refused",
-                    self.intake.retry_after_ms(
+                    self.admission.retry_after_ms(
                         now, now + (1_000.0 if effect.outcome == ClaimOutcome.NO_QUORUM else math.inf)
                     ),
                 )
 
-    def carry(self, outs: list[AdmissionDecision]) -> None:
-        """Admit or refuse waiting requests, as the intake has decided."""
-        for out in outs:
-            record = self.waits.pop(out.number, None)
+    def execute_decisions(self, decisions: list[AdmissionDecision]) -> None:
+        """Admit or refuse waiting requests as decided by the admission."""
+        for decision in decisions:
+            record = self.waiting_records.pop(decision.number, None)
             if record is not None and not record.answered:
-                if out.admitted:
+                if decision.admitted:
                     self.admit(record)
                 else:
-                    self.w.counted["refused_at_gate"] += 1
-                    self.answer(record, "refused", out.retry_ms)
+                    self.world.counted["refused_at_gate"] += 1
+                    self.answer(record, "refused", decision.retry_ms)
 
     # Requests.
 
     def take(self, client: Client) -> None:
-        """Take a request of a client: it is admitted at once, or waits at the intake during recovery. A load that
-        may run only once claims its ticket first, also after recovery."""
-        self.numbers += 1
-        record = self.records[self.numbers] = Record(self.numbers, client, self, self.life, self.w.now)
+        """Accept a client's request: admit it at once, or queue it at the admission during recovery.
+
+        A load that may run only once claims its ticket first, also after recovery.
+        """
+        self.last_number += 1
+        record = self.records[self.last_number] = Record(
+            self.last_number, client, self, self.incarnation, self.world.now
+        )
         if self.node is None:
             self.admit(record)
             return
-        once = KINDS[client.cls][3] == Idempotency.NON_IDEMPOTENT
-        if self.intake.open and not once:
+        non_idempotent = CLASSES[client.cls][3] == Idempotency.NON_IDEMPOTENT
+        if self.admission.open and not non_idempotent:
             self.admit(record)
             return
-        self.waits[record.number] = record
-        outs = self.intake.submit(
-            EPOCH + self.w.now, record.number, client.cls, 0, client.ends - self.w.now, client.cost, not once
+        self.waiting_records[record.number] = record
+        decisions = self.admission.submit(
+            START_UNIX_MS + self.world.now,
+            record.number,
+            client.cls,
+            0,
+            client.deadline - self.world.now,
+            client.cost,
+            not non_idempotent,
         )
-        self.carry(outs)
-        if once:
-            self.claim(self.life, record.number)
-
-    def claim(self, life: int, number: int) -> None:
-        """Claim a waiting load's ticket in the fleet; the outcome comes as an effect."""
-        if life == self.life and self.up and self.node and (record := self.waits.get(number)) is not None:
-            self.node.loads.claim(self.w.now, EPOCH + self.w.now, number, f"{record.client.id:x}")
+        self.execute_decisions(decisions)
+        if non_idempotent:
+            self.claim(self.incarnation, record.number)
+
+    def claim(self, incarnation: int, number: int) -> None:
+        """Claim a waiting load's ticket in the fleet; the outcome is an effect."""
+        if (
+            incarnation == self.incarnation
+            and self.up
+            and self.node
+            and (record := self.waiting_records.get(number)) is not None
+        ):
+            self.node.loads.claim(self.world.now, START_UNIX_MS + self.world.now, number, f"{record.client.id:x}")
             self.drain()
 
     def admit(self, record: Record) -> None:
-        """Pass a request to the decision module. One of the tenant `blue` spends a unit of the shared budget, and is
-        marked as over it if there is none."""
-        client, over = record.client, False
+        """Pass a request to the decision module.
+
+        A request of the tenant `blue` spends a unit of the shared budget and is marked as over quota if there is none.
+        """
+        client, over_quota = record.client, False
         if client.blue:
-            over = not self.rights.spend(self.w.now, 1)
-            if not over:
-                self.w.spends.append(self.w.now)
-        self.tell(
+            over_quota = not self.rights.spend(self.world.now, 1)
+            if not over_quota:
+                self.world.spends.append(self.world.now)
+        self.handle_event(
             policy.RequestArrived(
-                record.number, client.cls, 0, 0, client.ends - self.w.now, client.cost, 0.0, -1.0, over
+                record.number, client.cls, 0, 0, client.deadline - self.world.now, client.cost, 0.0, -1.0, over_quota
             )
         )
 
-    def tell_list(self) -> None:
-        """Give the decision module the full list of engines, with the withheld ones as draining."""
-        self.tell(
+    def update_controller_engines(self) -> None:
+        """Pass the full list of engines to the decision module, with the withheld ones as draining."""
+        self.handle_event(
             policy.EndpointListUpdated(
                 EndpointListKind.FULL,
-                self.spoken,
+                self.last_bus_event,
                 tuple(
                     EngineEntry(
-                        n, 0, 0, 0, Health.DRAINING if n in self.withheld else Health.READY, 1.0, born and EPOCH + born
+                        n,
+                        0,
+                        0,
+                        0,
+                        Health.DRAINING if n in self.withheld else Health.READY,
+                        1.0,
+                        born and START_UNIX_MS + born,
                     )
                     for n, born in sorted(self.engines.items())
                 ),
             )
         )
 
-    def on_bus(self, life: int) -> None:
-        """Take all engines' starts from the bus; withheld engines are usable from then on. Ignored while the bus is
-        down."""
-        if life != self.life or not self.up or not self.w.bus_up:
+    def on_bus(self, incarnation: int) -> None:
+        """Apply all engines' starts from the bus and make withheld engines usable. Ignored while the bus is down."""
+        if incarnation != self.incarnation or not self.up or not self.world.bus_up:
             return
-        self.spoken = self.w.bus_number
-        for engine in self.w.engines:
+        self.last_bus_event = self.world.bus_number
+        for engine in self.world.engines:
             self.engines[engine.number] = max(self.engines.get(engine.number, 0.0), engine.born)
-            self.told[engine.number] = engine.born
+            self.announced_starts[engine.number] = engine.born
         self.withheld = set()
-        self.tell_list()
+        self.update_controller_engines()
         if self.node is not None:
-            self.listed()
+            self.update_recovery_engines()
             self.drain()
 
-    def tell(self, event: Any) -> None:
-        """Pass an event to the decision module and carry out its actions: reminders, sends, answers, cancellations.
-        A send to a cold engine that can't be paid for ends at once as MOOT, before its first byte."""
-        for action in self.c.handle(EPOCH + self.w.now, event):
+    def handle_event(self, event: Any) -> None:
+        """Pass an event to the decision module and execute its actions: timers, attempts, answers, cancellations.
+
+        An attempt at a cold engine that can't be paid for ends at once as NOT_SENT, before its first byte.
+        """
+        for action in self.controller.handle(START_UNIX_MS + self.world.now, event):
             if isinstance(action, policy.SetTimer):
-                self.w.at(max(self.w.now, action.due_at_ms - EPOCH), self.due, self.life, action.token)
+                self.world.at(
+                    max(self.world.now, action.due_at_ms - START_UNIX_MS), self.on_timer, self.incarnation, action.token
+                )
             elif isinstance(action, policy.StartAttempt):
                 record = self.records[action.request]
-                attempt = Attempt(record, len(record.attempts), action.engine, self.w.now, record.client.cost)
+                attempt = Attempt(record, len(record.attempts), action.engine, self.world.now, record.client.cost)
                 record.attempts.append(attempt)
-                born = self.told[action.engine]
-                if self.warming is not None and not self.warming.pays(
-                    self.w.now, EPOCH + self.w.now, self.c, record.number, action.engine, born and EPOCH + born
+                born = self.announced_starts[action.engine]
+                if self.cold_budgets is not None and not self.cold_budgets.pays(
+                    self.world.now,
+                    START_UNIX_MS + self.world.now,
+                    self.controller,
+                    record.number,
+                    action.engine,
+                    born and START_UNIX_MS + born,
                 ):
                     attempt.paid = False
-                    self.w.counted["cold_unpaid"] += 1
-                    self.w.at(self.w.now, self.ended, self.life, attempt, AttemptOutcome.NOT_SENT)
+                    self.world.counted["cold_unpaid"] += 1
+                    self.world.at(self.world.now, self.ended, self.incarnation, attempt, AttemptOutcome.NOT_SENT)
                     continue
-                self.w.at(self.w.now + 1.0, self.w.arrive, self, self.life, attempt)
+                self.world.at(self.world.now + 1.0, self.world.arrive, self, self.incarnation, attempt)
             elif isinstance(action, policy.RejectRequest):
                 self.answer(self.records.get(action.request), "refused", action.retry_after_ms)
             elif isinstance(action, policy.FailRequest):
@@ -536,36 +608,40 @@
                 record = self.records.get(action.request)
                 if record is not None:
                     attempt = record.attempts[action.attempt]
-                    engine = self.w.engines[attempt.engine]
+                    engine = self.world.engines[attempt.engine]
                     if attempt in engine.running:
                         engine.running.remove(attempt)
-                        self.w.at(self.w.now + 1.0, self.ended, self.life, attempt, AttemptOutcome.CANCELLED)
+                        self.world.at(
+                            self.world.now + 1.0, self.ended, self.incarnation, attempt, AttemptOutcome.CANCELLED
+                        )
+
+    def on_timer(self, incarnation: int, token: int) -> None:
+        """Deliver a timer to the decision module."""
+        if incarnation == self.incarnation and self.up:
+            self.handle_event(policy.TimerFired(token))
 
-    def due(self, life: int, token: int) -> None:
-        """Deliver a reminder to the decision module."""
-        if life == self.life and self.up:
-            self.tell(policy.TimerFired(token))
+    def ended(self, incarnation: int, attempt: Attempt, outcome: int) -> None:
+        """Report the end of an attempt to the recovery node and the decision module; outcome OK answers the request.
 
-    def ended(self, life: int, attempt: Attempt, verdict: int) -> None:
-        """Tell the recovery node and the decision module that an attempt has ended; with the verdict OK the request
-        is answered first. Ignored if the attempt is of an earlier life."""
-        if life != self.life or not self.up:
+        Ignored if the attempt is of an earlier incarnation.
+        """
+        if incarnation != self.incarnation or not self.up:
             return
         record = attempt.record
-        if self.node is not None and attempt.paid and verdict in (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED):
+        if self.node is not None and attempt.paid and outcome in (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED):
             self.node.on_attempt_ended(
-                EPOCH + self.w.now, f"e{attempt.engine}", verdict == AttemptOutcome.CONNECT_FAILED
+                START_UNIX_MS + self.world.now, f"e{attempt.engine}", outcome == AttemptOutcome.CONNECT_FAILED
             )
             self.drain()
-        if verdict == AttemptOutcome.OK:
+        if outcome == AttemptOutcome.OK:
             self.answer(record, "served")
-        self.tell(
+        self.handle_event(
             policy.AttemptEnded(
                 record.number,
                 attempt.number,
                 attempt.engine,
-                verdict,
-                self.w.now - attempt.sent,
+                outcome,
+                self.world.now - attempt.sent,
                 record.answered,
                 0.0,
                 0.0,
@@ -573,21 +649,23 @@
             )
         )
 
-    def answer(self, record: Record | None, how: str, retry_ms: float = 0.0) -> None:
-        """Answer a request, `served`, `refused` or `failed`, unless it has been. `retry_ms`: the advised wait, 0 for
-        none."""
+    def answer(self, record: Record | None, outcome: str, retry_ms: float = 0.0) -> None:
+        """Answer a request as `served`, `refused` or `failed`, unless it is answered already.
+
+        `retry_ms`: the advised wait, 0 for none.
+        """
         if record is None or record.answered:
             return
         record.answered = True
         if self.node is not None:
-            self.waits.pop(record.number, None)
-            self.intake.remove(record.number)
-            ran = any(attempt.paid for attempt in record.attempts) and how != "refused"
-            self.node.loads.on_load_ended(self.w.now, EPOCH + self.w.now, record.number, ran)
+            self.waiting_records.pop(record.number, None)
+            self.admission.remove(record.number)
+            ran = any(attempt.paid for attempt in record.attempts) and outcome != "refused"
+            self.node.loads.on_load_ended(self.world.now, START_UNIX_MS + self.world.now, record.number, ran)
             self.drain()
         if len(self.records) > 4_096:
-            self.records = {n: r for n, r in self.records.items() if not r.answered or n > self.numbers - 1_024}
-        self.w.told(record.client, how, retry_ms)
+            self.records = {n: r for n, r in self.records.items() if not r.answered or n > self.last_number - 1_024}
+        self.world.on_answer(record.client, outcome, retry_ms)
 
 
 class World:
@@ -603,353 +681,382 @@
         mixed: bool = True,
         cold: bool | None = None,
     ) -> None:
-        """`naive`: coordinators start without recovery; `mixed`: runs are drawn in which some coordinators keep
-        power, stores are unreadable, or a second loss comes; `cold`: cold engines' budgets are rights of the fleet,
-        None: exactly where there is recovery."""
-        self.random, self.draw = random.Random(seed), random.Random(seed + 1)
+        """Set up a run.
+
+        `naive`: coordinators start without recovery; `mixed`: draw runs in which some coordinators keep power, stores
+        are unreadable, or a second loss occurs; `cold`: budgets of cold engines are rights of the fleet, None: only
+        with recovery.
+        """
+        self.random, self.scenario_random = random.Random(seed), random.Random(seed + 1)
         self.secrets = random.Random(seed + 3)
         self.cold = not naive if cold is None else cold
         self.count, self.seed, self.naive, self.seconds = nodes, seed, naive, seconds
         self.script = script = script or Script()
         self.weather = Weather(script, seed + 2)
-        self.now, self.order = 0.0, 0
+        self.now, self.sequence = 0.0, 0
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.engines = [Engine(n) for n in range(max(3, nodes // 6))]
-        self.seeds = tuple(f"c{n:03d}" for n in range(min(nodes, SEEDS)))
+        self.seeds = tuple(f"c{n:03d}" for n in range(min(nodes, MAX_SEEDS)))
         self.bus_up, self.bus_number = True, 1
         self.counted: Counter[str] = Counter()
         self.spends: list[float] = []
         self.served: list[float] = []  # times
-        self.began: Counter[int] = Counter()  # of loads, by ticket: so often an engine took them
+        self.load_starts: Counter[int] = Counter()  # by load's ticket: number of engines that started it
         self.clients: list[Client] = []
         self.overruns = 0
-        self.returns: list[float] = []  # of coordinators, after a loss
+        self.return_times: list[float] = []  # times at which coordinators started after a loss
         self.coordinators = [Coordinator(self, n) for n in range(nodes)]
-        self.rate = LOAD * len(self.engines) * CORES / MEAN  # requests in a ms
+        self.rate = LOAD * len(self.engines) * CORES / MEAN_WORK  # requests per ms
         self.events = 0
         for coordinator in self.coordinators:
             coordinator.start(first=True)
-        self.members()
+        self.update_membership()
         self.scenario(mixed)
         self.at(0.0, self.arrivals)
-        self.at(STEP_MS, self.step)
+        self.at(ENGINE_STEP_MS, self.step)
 
     def scenario(self, mixed: bool) -> None:
-        """Draw from the seed and schedule who loses power, the stores' fates and when all come back, and schedule
-        the script's kills and starts."""
-        draw, loss = self.draw, LOSS_S * 1_000.0
+        """Draw and schedule the loss of power, the fates of stores and all restarts, and schedule the script's acts."""
+        rng, loss = self.scenario_random, LOSS_S * 1_000.0
         lost = list(range(self.count))
-        if mixed and draw.random() < 0.3:  # some keep running
-            lost = draw.sample(lost, max(1, int(self.count * draw.uniform(0.4, 0.9))))
+        if mixed and rng.random() < 0.3:  # some coordinators keep running
+            lost = rng.sample(lost, max(1, int(self.count * rng.uniform(0.4, 0.9))))
         for number in lost:
-            self.at(loss + draw.uniform(0.0, 1_000.0), self.coordinators[number].kill)
-            self.at(loss + 1_000.0 * (BACK_S + draw.uniform(0.0, OVER_S)), self.coordinators[number].start)
-        self.back = loss + BACK_S * 1_000.0
-        for number in draw.sample(lost, min(len(lost), max(2, len(lost) // 10))):
+            self.at(loss + rng.uniform(0.0, 1_000.0), self.coordinators[number].kill)
+            self.at(loss + 1_000.0 * (BACK_S + rng.uniform(0.0, OVER_S)), self.coordinators[number].start)
+        self.restart_ms = loss + BACK_S * 1_000.0
+        for number in rng.sample(lost, min(len(lost), max(2, len(lost) // 10))):
             self.coordinators[number].disk.fate = "lost"
-        for number in draw.sample(lost, max(1, len(lost) // 10)):
+        for number in rng.sample(lost, max(1, len(lost) // 10)):
             if self.coordinators[number].disk.fate == "kept":
                 self.coordinators[number].disk.fate = "week"
-        if mixed and draw.random() < 0.2:
-            self.coordinators[draw.choice(lost)].disk.fate = "dead"
+        if mixed and rng.random() < 0.2:
+            self.coordinators[rng.choice(lost)].disk.fate = "dead"
         self.at(3_000.0, self.snapshot)
         for engine in self.engines:
-            self.at(loss + draw.uniform(0.0, 1_000.0), self.fall, engine, False, draw.uniform(2_000.0, 4_000.0))
-        self.at(loss, self.bus, False)
-        self.at(loss + draw.uniform(*BUS_MS), self.bus, True)
-        if mixed and draw.random() < 0.3:  # a loss during recovery
-            again = loss + 1_000.0 * (BACK_S + draw.uniform(2.0, 12.0))
-            for number in draw.sample(range(self.count), max(1, self.count // 2)):
-                self.at(again, self.coordinators[number].kill)
-                self.at(again + draw.uniform(500.0, 4_000.0), self.coordinators[number].start)
+            self.at(loss + rng.uniform(0.0, 1_000.0), self.fail_engine, engine, False, rng.uniform(2_000.0, 4_000.0))
+        self.at(loss, self.set_bus, False)
+        self.at(loss + rng.uniform(*BUS_BACK_MS), self.set_bus, True)
+        if mixed and rng.random() < 0.3:  # a second loss during recovery
+            second_loss = loss + 1_000.0 * (BACK_S + rng.uniform(2.0, 12.0))
+            for number in rng.sample(range(self.count), max(1, self.count // 2)):
+                self.at(second_loss, self.coordinators[number].kill)
+                self.at(second_loss + rng.uniform(500.0, 4_000.0), self.coordinators[number].start)
         for act in self.script.acts:
             if act.kind in ("kill", "start"):
                 self.at(act.at * 1_000.0, getattr(self.coordinators[act.node], act.kind))
         for edge in {r.begins for r in self.script.rules} | {r.ends for r in self.script.rules}:
             if edge < self.seconds:
-                self.at(edge * 1_000.0, self.changed)
+                self.at(edge * 1_000.0, self.schedule_membership_update)
 
     # Time.
 
-    def at(self, when: float, call: Callable[..., None], *words: Any) -> None:
-        """Schedule a call at a simulated time in ms; calls of one time run in the order in which they were
-        scheduled."""
-        self.order += 1
-        heapq.heappush(self.queue, (when, self.order, call, words))
+    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+        """Schedule a call at a simulated time in ms; calls at the same time run in the order of scheduling."""
+        self.sequence += 1
+        heapq.heappush(self.queue, (when, self.sequence, call, args))
 
     def run(self) -> World:
-        """Play the run until `seconds` of simulated time and return self."""
+        """Simulate the run until `seconds` of simulated time and return self."""
         until = self.seconds * 1_000.0
         while self.queue and self.queue[0][0] <= until:
-            at, _, call, words = heapq.heappop(self.queue)
+            at, _, call, args = heapq.heappop(self.queue)
             self.now = max(self.now, at)
             self.events += 1
-            call(*words)
+            call(*args)
             if call.__name__ in ("kill", "start"):
-                self.changed()
+                self.schedule_membership_update()
         self.now = until
         return self
 
-    # The network, and who sees whom.
+    # Network and membership.
 
     def post(self, source: int, target: int, data: bytes, fleet: bool = False) -> None:
-        """Send a datagram over the simulated network. `fleet`: it is for the fleet node, else for the recovery node."""
+        """Send a datagram over the simulated network, with `fleet` to the fleet node, else to the recovery node."""
         for delay in self.weather.fate(self.now / 1_000.0, source, target):
             self.at(self.now + delay + self.random.uniform(0.3, 3.0), self.deliver, source, target, data, fleet)
 
     def deliver(self, source: int, target: int, data: bytes, fleet: bool) -> None:
-        """Hand a datagram to the node that it is for; it is lost if that process is down or has no such node."""
-        there = self.coordinators[target]
-        if fleet and there.up and there.warming is not None:
-            there.warming.hear(self.now, source, data)
-        elif not fleet and there.up and there.node is not None:
-            there.node.on_message(self.now, EPOCH + self.now, self.coordinators[source].name, data)
-            there.drain()
-
-    def changed(self) -> None:
-        """Schedule an update of the membership SEEN_MS later, after a start, a kill or an edge of the script."""
-        self.at(self.now + SEEN_MS, self.members)
-
-    def members(self) -> None:
-        """Tell each recovery node which others are up and on its side of a cut, and its intake its share. Naive runs
-        have no membership."""
+        """Deliver a datagram to its node; it is lost if that process is down or has no such node."""
+        receiver = self.coordinators[target]
+        if fleet and receiver.up and receiver.cold_budgets is not None:
+            receiver.cold_budgets.hear(self.now, source, data)
+        elif not fleet and receiver.up and receiver.node is not None:
+            receiver.node.on_message(self.now, START_UNIX_MS + self.now, self.coordinators[source].name, data)
+            receiver.drain()
+
+    def schedule_membership_update(self) -> None:
+        """Schedule a membership update after a start, a kill, or the begin or end of a fault in the script."""
+        self.at(self.now + MEMBERSHIP_DELAY_MS, self.update_membership)
+
+    def update_membership(self) -> None:
+        """Update the members and the admission share of each recovery node. Naive runs have no membership.
+
+        The members of a node are the other processes that are up and on its side of a cut.
+        """
         if self.naive:
             return
         side: dict[int, int] = {}
         for rule in self.weather._holding(max(self.now / 1_000.0, 0.0)):
             if rule.kind == "cut":
-                side.update({n: place for place, group in enumerate(rule.groups) for n in group})
-        for one in self.coordinators:
-            if not one.up or one.node is None:
+                side.update({n: index for index, group in enumerate(rule.groups) for n in group})
+        for coordinator in self.coordinators:
+            if not coordinator.up or coordinator.node is None:
                 continue
-            seen = {
-                o.name
-                for o in self.coordinators
-                if o.up
-                and o is not one
-                and (o.number not in side or one.number not in side or side[o.number] == side[one.number])
+            visible = {
+                other.name
+                for other in self.coordinators
+                if other.up
+                and other is not coordinator
+                and (
+                    other.number not in side
+                    or coordinator.number not in side
+                    or side[other.number] == side[coordinator.number]
+                )
             }
-            for name in sorted(seen ^ one.node.alive):
-                one.node.on_member(self.now, EPOCH + self.now, name, name in seen)
-            one.intake.share = 1.0 / (1 + len(seen))
-            one.drain()
+            for name in sorted(visible ^ coordinator.node.alive):
+                coordinator.node.on_member(self.now, START_UNIX_MS + self.now, name, name in visible)
+            coordinator.admission.share = 1.0 / (1 + len(visible))
+            coordinator.drain()
 
     def snapshot(self) -> None:
-        """Copy each store, as the older copy that some find after the loss."""
-        for one in self.coordinators:
-            one.disk.week = one.disk.generation, dict(one.disk.entries)
+        """Copy each store, as the older copy that some coordinators find after the loss."""
+        for coordinator in self.coordinators:
+            coordinator.disk.week = coordinator.disk.generation, dict(coordinator.disk.entries)
 
-    def bus(self, up: bool) -> None:
-        """Take the bus down, or up again: then it tells each coordinator of the engines 10 to 200 ms later."""
+    def set_bus(self, up: bool) -> None:
+        """Take the bus down, or up again; once up it announces the engines to each coordinator 10 to 200 ms later."""
         self.bus_up = up
         if up:
             self.bus_number += 1
-            for one in self.coordinators:
-                self.at(self.now + self.random.uniform(10.0, 200.0), one.on_bus, one.life)
+            for coordinator in self.coordinators:
+                self.at(self.now + self.random.uniform(10.0, 200.0), coordinator.on_bus, coordinator.incarnation)
 
     # Engines.
 
-    def fall(self, engine: Engine, tipped: bool, down_ms: float) -> None:
-        """Take an engine down for `down_ms`: its attempts end as RESET. `tipped`: it fell from too much work while
-        cold, which counts as an overrun. Without effect if it is down."""
+    def fail_engine(self, engine: Engine, tipped: bool, down_ms: float) -> None:
+        """Take an engine down for `down_ms`, which ends its attempts as RESET; without effect if it is down.
+
+        `tipped`: it failed from overload while cold, which counts as an overrun.
+        """
         if not engine.up:
             return
         engine.up = False
         self.overruns += tipped
         running, engine.running, engine.taken = engine.running, [], []
         for attempt in running:
-            self.at(self.now + 1.0, attempt.record.at.ended, attempt.record.life, attempt, AttemptOutcome.RESET)
-        self.at(self.now + down_ms, self.rise, engine)
+            self.at(
+                self.now + 1.0,
+                attempt.record.coordinator.ended,
+                attempt.record.incarnation,
+                attempt,
+                AttemptOutcome.RESET,
+            )
+        self.at(self.now + down_ms, self.start_engine, engine)
 
-    def rise(self, engine: Engine) -> None:
-        """Start an engine again, cold; if the bus is up it tells each coordinator 10 to 200 ms later."""
+    def start_engine(self, engine: Engine) -> None:
+        """Start an engine again, cold; if the bus is up it announces this to each coordinator 10 to 200 ms later."""
         engine.up, engine.born = True, self.now
         if self.bus_up:
             self.bus_number += 1
-            for one in self.coordinators:
-                self.at(self.now + self.random.uniform(10.0, 200.0), one.on_bus, one.life)
+            for coordinator in self.coordinators:
+                self.at(self.now + self.random.uniform(10.0, 200.0), coordinator.on_bus, coordinator.incarnation)
 
-    def arrive(self, one: Coordinator, life: int, attempt: Attempt) -> None:
-        """Deliver an attempt's first byte to its engine: it starts to run, or ends as CONNECT_FAILED if the engine
-        is down. A cold engine that within 1 s was given more than TIP times its present capacity falls."""
-        if life != one.life or not one.up or attempt.record.answered:
+    def arrive(self, coordinator: Coordinator, incarnation: int, attempt: Attempt) -> None:
+        """Deliver an attempt's first byte to its engine, which runs it; CONNECT_FAILED if the engine is down.
+
+        A cold engine that within 1 s receives more work than TIP times its present capacity fails.
+        """
+        if incarnation != coordinator.incarnation or not coordinator.up or attempt.record.answered:
             return
         engine, client = self.engines[attempt.engine], attempt.record.client
         if not engine.up:
-            self.at(self.now + 5.0, one.ended, life, attempt, AttemptOutcome.CONNECT_FAILED)
+            self.at(self.now + 5.0, coordinator.ended, incarnation, attempt, AttemptOutcome.CONNECT_FAILED)
             return
-        if KINDS[client.cls][3] == Idempotency.NON_IDEMPOTENT:
-            self.began[client.id] += 1
+        if CLASSES[client.cls][3] == Idempotency.NON_IDEMPOTENT:
+            self.load_starts[client.id] += 1
         engine.running.append(attempt)
         if engine.born > 0.0 and self.now - engine.born < WARM_MS:
             engine.taken = [(at, work) for at, work in engine.taken if at > self.now - 1_000.0]
             engine.taken.append((self.now, attempt.left))
             if sum(work for _, work in engine.taken) > TIP * CORES * engine.part(self.now) * 1_000.0:
-                self.fall(engine, True, DOWN_MS)
+                self.fail_engine(engine, True, DOWN_MS)
 
     def step(self) -> None:
-        """Advance all engines by STEP_MS: the cores are divided evenly among the attempts, none of which can use
-        more than the threads of its class."""
+        """Advance all engines by ENGINE_STEP_MS.
+
+        The cores are divided evenly among the attempts; none can use more than the threads of its class.
+        """
         for engine in self.engines:
             if engine.running:
                 each = CORES * engine.part(self.now) / len(engine.running)
                 done = []
                 for attempt in engine.running:
-                    attempt.left -= STEP_MS * min(float(KINDS[attempt.record.client.cls][4]), each)
+                    attempt.left -= ENGINE_STEP_MS * min(float(CLASSES[attempt.record.client.cls][4]), each)
                     if attempt.left <= 0.0:
                         done.append(attempt)
                 if done:
                     engine.running = [attempt for attempt in engine.running if attempt.left > 0.0]
                     for attempt in done:
-                        attempt.record.at.ended(attempt.record.life, attempt, AttemptOutcome.OK)
-        self.at(self.now + STEP_MS, self.step)
+                        attempt.record.coordinator.ended(attempt.record.incarnation, attempt, AttemptOutcome.OK)
+        self.at(self.now + ENGINE_STEP_MS, self.step)
 
     # Clients.
 
     def arrivals(self) -> None:
-        """Create one client with a drawn class and cost, and schedule the next (exponential gaps at `rate`)."""
-        draw = self.draw
-        cls = draw.choices(range(len(KINDS)), [kind[6] for kind in KINDS])[0]
-        cost = KINDS[cls][5] * min(4.0, draw.lognormvariate(-0.125, 0.5))
+        """Create one client with a drawn class and cost, and schedule the next (Poisson arrivals at `rate`)."""
+        rng = self.scenario_random
+        cls = rng.choices(range(len(CLASSES)), [kind[6] for kind in CLASSES])[0]
+        cost = CLASSES[cls][5] * min(4.0, rng.lognormvariate(-0.125, 0.5))
         client = Client(
-            len(self.clients) + 1, cls, cost, self.now + KINDS[cls][1], draw.random() < 0.2, draw.randrange(self.count)
+            len(self.clients) + 1, cls, cost, self.now + CLASSES[cls][1], rng.random() < 0.2, rng.randrange(self.count)
         )
         self.clients.append(client)
         self.at(self.now, self.call, client)
         if self.now < self.seconds * 1_000.0 - 21_000.0 or self.now < 1e9:
-            self.at(self.now + draw.expovariate(self.rate), self.arrivals)
+            self.at(self.now + rng.expovariate(self.rate), self.arrivals)
 
     def call(self, client: Client) -> None:
-        """Send a client's request to its coordinator; if that is down to another one, 100 to 300 ms later. A client
-        gives up 50 ms before its deadline."""
-        if client.over:
+        """Send a client's request to its coordinator, or if that is down to another one 100 to 300 ms later.
+
+        A client gives up 50 ms before its deadline.
+        """
+        if client.outcome:
             return
-        if self.now >= client.ends - 50.0:
-            client.over = "gave up"
+        if self.now >= client.deadline - 50.0:
+            client.outcome = "gave up"
             return
         client.calls += 1
-        one = self.coordinators[client.home]
-        if not one.up:  # nobody listens: another one, soon
+        coordinator = self.coordinators[client.home]
+        if not coordinator.up:  # connection refused: try another coordinator soon
             client.home = self.random.randrange(self.count)
             self.at(self.now + self.random.uniform(100.0, 300.0), self.call, client)
         else:
-            client.asked = True
-            one.take(client)
+            client.in_progress = True
+            coordinator.take(client)
 
     def broken(self, client: Client) -> None:
-        """Break a client's connection: it asks again with the same id, at a drawn coordinator, 100 to 400 ms later."""
-        client.asked = False
+        """Break a client's connection; it retries with the same id, at a drawn coordinator, 100 to 400 ms later."""
+        client.in_progress = False
         client.home = self.random.randrange(self.count)
         self.at(self.now + self.random.uniform(100.0, 400.0), self.call, client)
 
-    def told(self, client: Client, how: str, retry_ms: float) -> None:
-        """Give a client its answer. After a refusal, or the failure of a repeatable request, it asks again once the
-        advised wait is over (100 to 300 ms if there is none); a load that failed does not come again."""
-        client.asked = False
-        if how == "served":
-            client.over, client.early = "served", self.now < LOSS_S * 1_000.0
+    def on_answer(self, client: Client, outcome: str, retry_ms: float) -> None:
+        """Deliver an answer to a client.
+
+        After a refusal, or the failure of an idempotent request, it retries after the advised wait (100 to 300 ms if
+        there is none). A failed load is not retried.
+        """
+        client.in_progress = False
+        if outcome == "served":
+            client.outcome, client.served_early = "served", self.now < LOSS_S * 1_000.0
             self.served.append(self.now)
-        elif how == "refused" or KINDS[client.cls][3] != Idempotency.NON_IDEMPOTENT:
-            client.refusals += how == "refused"
-            self.counted[how] += self.now >= LOSS_S * 1_000.0
-            if how == "refused" and retry_ms <= 0.0:
+        elif outcome == "refused" or CLASSES[client.cls][3] != Idempotency.NON_IDEMPOTENT:
+            client.refusals += outcome == "refused"
+            self.counted[outcome] += self.now >= LOSS_S * 1_000.0
+            if outcome == "refused" and retry_ms <= 0.0:
                 client.home = self.random.randrange(self.count)
             self.at(self.now + (retry_ms or self.random.uniform(100.0, 300.0)), self.call, client)
         else:
-            client.over = "failed"
+            client.outcome = "failed"
             self.counted["loads_failed"] += 1
 
 
 def oracle_s(world: World, shares: bool = False) -> float | None:
-    """Return the `recovered_s` of an ideal scheduler, which from the first return on knows the warm-up curve and all
-    requests, and takes the smallest first; None if no coordinator returns or it does not recover.
+    """Return the `recovered_s` of an ideal scheduler; None if no coordinator returns or it does not recover.
 
-    It has one pool of all engines, in which a request uses as many cores as its class may. `shares`: besides, no
-    more work starts in a second than the budgets of cold engines allow, of which only the parts of coordinators that
-    are back are in use.
+    The scheduler knows the warm-up curve and all requests from the first return of a coordinator on, and runs the
+    smallest requests first. It has one pool of all engines, in which a request uses up to the threads of its class.
+    `shares`: additionally, no more work starts in a second than the budgets of cold engines allow, of which only the
+    parts of coordinators that have returned are usable.
     """
     loss = LOSS_S * 1_000.0
-    served, live, at = [t for t in world.served if t < loss], list[tuple[float, Client]](), loss
-    come = iter(sorted(((c.ends - KINDS[c.cls][1], c) for c in world.clients), key=lambda pair: pair[0]))
-    begun, after = sorted(world.returns), next(come, None)
-    sparse = world.coordinators[0].c.fractional_share
-    while at < world.seconds * 1_000.0 and begun:
-        while after is not None and after[0] <= at:
-            if after[0] >= loss or not after[1].early:
-                live.append((after[1].cost, after[1]))
-            after = next(come, None)
-        live = sorted((pair for pair in live if pair[1].ends - 50.0 > at), key=lambda pair: pair[0])
-        bears = STEP_MS * sum(CORES * e.part(at) for e in world.engines if 0.0 < e.born <= at)
+    served, waiting, now = [t for t in world.served if t < loss], list[tuple[float, Client]](), loss
+    arrivals = iter(sorted(((c.deadline - CLASSES[c.cls][1], c) for c in world.clients), key=lambda pair: pair[0]))
+    starts, next_arrival = sorted(world.return_times), next(arrivals, None)
+    fractional = world.coordinators[0].controller.fractional_share
+    while now < world.seconds * 1_000.0 and starts:
+        while next_arrival is not None and next_arrival[0] <= now:
+            if next_arrival[0] >= loss or not next_arrival[1].served_early:
+                waiting.append((next_arrival[1].cost, next_arrival[1]))
+            next_arrival = next(arrivals, None)
+        waiting = sorted((pair for pair in waiting if pair[1].deadline - 50.0 > now), key=lambda pair: pair[0])
+        capacity = ENGINE_STEP_MS * sum(CORES * e.part(now) for e in world.engines if 0.0 < e.born <= now)
         if shares:
-            back = sum(start <= at for start in begun) / world.count
-            bears = (
-                min(bears, bears * back * 0.85 * SLOW_START_SAFETY[sparse] * TIP) if at < begun[0] + WARM_MS else bears
+            returned = sum(start <= now for start in starts) / world.count
+            capacity = (
+                min(capacity, capacity * returned * 0.85 * SLOW_START_SAFETY[fractional] * TIP)
+                if now < starts[0] + WARM_MS
+                else capacity
             )
-        left = []
-        for work, client in live if at >= begun[0] else ():
-            does = min(work, bears, STEP_MS * KINDS[client.cls][4])
-            bears -= does
-            if work > does:
-                left.append((work - does, client))
+        remaining = []
+        for work, client in waiting if now >= starts[0] else ():
+            done = min(work, capacity, ENGINE_STEP_MS * CLASSES[client.cls][4])
+            capacity -= done
+            if work > done:
+                remaining.append((work - done, client))
             else:
-                served.append(at + STEP_MS)
-        live, at = (left if at >= begun[0] else live), at + STEP_MS
-    return recovered_s(world, served) if begun else None
+                served.append(now + ENGINE_STEP_MS)
+        waiting, now = (remaining if now >= starts[0] else waiting), now + ENGINE_STEP_MS
+    return recovered_s(world, served) if starts else None
 
 
 def recovered_s(world: World, served: list[float] | None = None) -> float | None:
-    """Return the seconds from when coordinators may start again until nine tenths of the goodput before the loss are
-    reached, both in the first and in the last OVER_MS of a span of STAYS_MS; None if that never happens in the run.
-    `served`: times in ms, else the run's own."""
+    """Return the seconds from the earliest restart of coordinators until goodput has recovered, None if it does not.
+
+    Goodput has recovered when RECOVERED_RATIO of the goodput before the loss is reached in both the first and the last
+    RECOVERED_WINDOW_MS of a span of RECOVERED_SPAN_MS. `served`: times in ms, by default those of the run.
+    """
     times, loss = world.served if served is None else served, LOSS_S * 1_000.0
-    before = sum(2_000.0 <= at < loss for at in times) / (loss - 2_000.0)
-    at, last = world.back, world.seconds * 1_000.0 - STAYS_MS
-    while at <= last:
+    before = sum(2_000.0 <= start < loss for start in times) / (loss - 2_000.0)
+    start, last = world.restart_ms, world.seconds * 1_000.0 - RECOVERED_SPAN_MS
+    while start <= last:
         if all(
-            sum(begin <= t < begin + OVER_MS for t in times) / OVER_MS >= NINE_TENTHS * before
-            for begin in (at, at + STAYS_MS - OVER_MS)
+            sum(begin <= served_at < begin + RECOVERED_WINDOW_MS for served_at in times) / RECOVERED_WINDOW_MS
+            >= RECOVERED_RATIO * before
+            for begin in (start, start + RECOVERED_SPAN_MS - RECOVERED_WINDOW_MS)
         ):
-            return round((at - world.back) / 1_000.0, 2)
-        at += 250.0
+            return round((start - world.restart_ms) / 1_000.0, 2)
+        start += 250.0
     return None
 
 
 def measure(world: World) -> dict[str, Any]:
-    """Return the figures of a run; names that end in `_s` are in seconds."""
-    late = [c for c in world.clients if c.asked and not c.over and world.now > c.ends + 1_000.0]
-    shut = (
+    """Return the figures of a run. Names that end in `_s` are in seconds."""
+    unanswered = [c for c in world.clients if c.in_progress and not c.outcome and world.now > c.deadline + 1_000.0]
+    overdue = (
         0
         if world.naive
         else sum(
-            one.up
-            and one.node is not None
-            and not one.node.stages.finished
-            and world.now - one.node.started_at > one.node.settings.timeouts.total_ms
-            for one in world.coordinators
+            coordinator.up
+            and coordinator.node is not None
+            and not coordinator.node.stages.finished
+            and world.now - coordinator.node.started_at > coordinator.node.settings.timeouts.total_ms
+            for coordinator in world.coordinators
         )
     )
     over, most = excess(sorted(world.spends), UNITS_EACH * world.count, WINDOW_MS)
-    weak: Counter[str] = Counter()
-    for one in world.coordinators:
-        if one.up and one.node is not None:
-            weak.update(stage.name.lower() for stage in one.node.stages.timed_out)
+    timed_out_stages: Counter[str] = Counter()
+    for coordinator in world.coordinators:
+        if coordinator.up and coordinator.node is not None:
+            timed_out_stages.update(stage.name.lower() for stage in coordinator.node.stages.timed_out)
     return {
         "nodes": world.count,
         "seed": world.seed,
         "overspend": over,
         "most_in_a_window": most,
         "cold_overruns": world.overruns,
-        "loads_doubled": sum(n > 1 for n in world.began.values()),
+        "loads_doubled": sum(n > 1 for n in world.load_starts.values()),
         "recovered_s": recovered_s(world),
         "oracle_s": oracle_s(world),
         "oracle_shares_s": oracle_s(world, True),
         "refused": world.counted["refused"],
-        "stuck": len(late) + shut,
+        "stuck": len(unanswered) + overdue,
         "requests": len(world.clients),
         "served": len(world.served),
-        "gave_up": sum(c.over == "gave up" for c in world.clients),
+        "gave_up": sum(c.outcome == "gave up" for c in world.clients),
         "failed": world.counted["loads_failed"],
-        "weak": dict(sorted(weak.items())),
+        "weak": dict(sorted(timed_out_stages.items())),
         "counted": dict(sorted(world.counted.items())),
         "events": world.events,
     }
@@ -964,15 +1071,17 @@
     naive: bool = True,
     cold: bool = True,
 ) -> tuple[dict[str, Any], World, World | None]:
-    """Run a world with recovery and, if `naive`, one without on the same seed; return the figures (those of the
-    second with the prefix `naive_`) and both worlds."""
+    """Run with recovery and, if `naive`, also without on the same seed; return the figures and both worlds.
+
+    Figures of the second run have the prefix `naive_`.
+    """
     world = World(nodes, seed, script, False, seconds, mixed, cold).run()
     figures = measure(world)
     other = World(nodes, seed, script, True, seconds, mixed).run() if naive else None
     if other is not None:
-        plain = measure(other)
+        naive_figures = measure(other)
         figures |= {
-            f"naive_{key}": plain[key]
+            f"naive_{key}": naive_figures[key]
             for key in (
                 "recovered_s",
                 "refused",
--- a/frostspindle/lab/power_report.py
+++ b/frostspindle/lab/power_report.py
@@ -1,6 +1,6 @@
-"""What is plotted of one run of the emulator of power losses: goodput with and without recovery.
+"""Plot of one run of the emulator of power losses: goodput with and without recovery.
 
-Owns the plot; the page is `page`'s. It must never compute a figure that the run did not give. Needs the extra `plot`.
+The page is written by `page`. The plot shows only data of the run. Needs the extra `plot`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def write(figures: dict[str, Any], world: World, naive: World | None, folder: str) -> Path:
-    """Write `index.html` into the folder, a plot of requests served in each second, and return its path."""
+    """Write `index.html` with a plot of the requests served in each second into the folder, and return its path."""
 
     def draw(axes: Any) -> None:
         for label, run in (("with recovery", world), ("without", naive)):
@@ -24,7 +24,7 @@
                     counts[min(spans - 1, int(at / 1_000.0))] += 1
                 axes.step(range(spans), counts, where="post", label=label)
         axes.axvline(LOSS_S, color="red", linestyle=":", linewidth=0.8)
-        axes.axvline(world.back / 1_000.0, color="green", linestyle=":", linewidth=0.8)
+        axes.axvline(world.restart_ms / 1_000.0, color="green", linestyle=":", linewidth=0.8)
         axes.set(xlabel="seconds", ylabel="requests served in each second")
 
     return page.write(
