--- a/bench/settings.py
+++ b/bench/settings.py
@@ -78,7 +78,7 @@
             seed,
             "drawn",
             seconds,
-            terms=AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else "meet"),
+            settings=AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else "meet"),
         )
         rows.append(playing.measure(world))
     click.echo(
--- a/frostspindle/lab/commands.py
+++ b/frostspindle/lab/commands.py
@@ -149,7 +149,7 @@
     from frostspindle.lab import settings as playing
     from frostspindle.settings.member_decisions import AgreementSettings
 
-    world = playing.play(nodes, seed, faults, seconds, terms=AgreementSettings(lease_ms, 0.01, 2.0 * lease_ms))
+    world = playing.play(nodes, seed, faults, seconds, settings=AgreementSettings(lease_ms, 0.01, 2.0 * lease_ms))
     figures = playing.measure(world)
     return figures, lambda folder: playing.write(world, figures, folder)
 
--- a/tests/test_settings_program.py
+++ b/tests/test_settings_program.py
@@ -175,7 +175,7 @@
         for strict in (True, False):
             settings = AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if strict else RulesMode.INTERSECTION)
             blind_ms = [
-                emulator.measure(emulator.play(5, seed, "5-13 cut 4|0-3", 18.0, terms=settings))["blind_ms"]
+                emulator.measure(emulator.play(5, seed, "5-13 cut 4|0-3", 18.0, settings=settings))["blind_ms"]
                 for seed in range(2)
             ]
             self.assertEqual(max(blind_ms) > 2_000.0, not strict, blind_ms)
