--- a/bench/replica.py
+++ b/bench/replica.py
@@ -42,7 +42,7 @@
     nodes, voters = ((5, 3), (5, 5), (3, 3))[seed % 3]
     run = Run(seed, nodes=nodes, voters=voters)
     ends = Counter(type(told[0]).__name__ for told in run.answers.values() if told)
-    counted: Counter[str] = Counter({"journals lost": run.lost, "votes again": len(run.lab.told)})
+    counted: Counter[str] = Counter({"journals lost": run.lost, "votes again": len(run.lab.notices)})
     for node in run.lab.nodes:
         if node.member is not None:
             counted += node.member.counters
--- a/frostspindle/lab/replica.py
+++ b/frostspindle/lab/replica.py
@@ -1,17 +1,17 @@
-"""The replicated log in simulated time: the real members on the real library, over the lab's network.
+"""The replicated log in simulated time: the real members on the real library, over the lab's simulated network.
 
-Owns the clock and the randomness that the library sees while it runs here, streams between members (in order, whole,
-or broken: as TCP), and disks that take time and lose what was not synced when a member is killed. It must never mend
-what a member did. The same seed and the same calls give the same run.
+It replaces the library's clock and randomness, simulates streams between members (ordered and complete until they
+break, as TCP), and disks that take time to sync and lose unsynced writes when a member is killed. It never corrects a
+member's actions. The same seed and the same calls give the same run.
 
     lab = EmulatedReplicas(5, 3, seed=7, script="5-9 cut 0|1-2; 6 kill 1; 8 start 1",
                            attach=lambda number, log: log.attach("t", Machine()))
     lab.advance(3_000.0)                              # ms
     task = asyncio.create_task(lab.member(4).propose("t", b"x", within_s=2.0))
-    await lab.run(task)                               # lets time pass until it is done
+    await lab.run(task)                               # advances time until it is done
 
-`attach` is called at each start of a member, with a new log, as a process is new. Proposals without a running event
-loop: `member(i).submit(...)`. A machine's callbacks are called in `advance`.
+`attach` is called at each start of a member with a new log. `member(i).submit(...)` proposes without a running event
+loop. Callbacks of state machines are called in `advance`.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
 from frostspindle.replica.raft import RaftTimeouts
 
 TICK_MS = 50.0
-AGAIN_MS = 200.0  # a segment that was lost is sent again, and connections are tried, so often
-SILENT_MS = 2_000.0  # then a connection is given up
+RETRY_MS = 200.0  # interval of retransmissions of lost segments and of connection attempts
+STALLED_MS = 2_000.0  # a connection without progress for this time is closed
 
 
 @dataclass(slots=True)
@@ -57,9 +57,9 @@
 
 
 @dataclass(slots=True)
-class _Word:
-    what: str  # tick, synced, link, again, down
-    life: int = 0
+class _Event:
+    kind: str  # tick, synced, link, again, now
+    incarnation: int = 0
     other: int = 0
 
 
@@ -69,80 +69,92 @@
 
     conn: int
     segments: deque[bytes] = field(default_factory=deque)
-    last: float = 0.0
+    last_delivery: float = 0.0
     stuck_since: float | None = None
-    again: bool = False  # it is tried at a time to come
+    retry_scheduled: bool = False  # a retransmission is scheduled
 
 
 @dataclass(slots=True)
 class _Node:
-    life: int = 0
+    incarnation: int = 0
     member: LogMember | None = None
     log: Any = None
     records: list[Record] = field(default_factory=list)  # on its disk
     unsynced: PendingWrite | None = None
     syncing: bool = False
-    conns: dict[int, int] = field(default_factory=dict)  # by peer, as this end sees it
+    conns: dict[int, int] = field(default_factory=dict)  # by peer: the connection as seen at this end
     inbox: list[_Frame] = field(default_factory=list)
-    stash: list[Any] = field(default_factory=list)
+    deferred: list[Any] = field(default_factory=list)
     stopped_at: float = 0.0
-    again: bool = False
+    run_scheduled: bool = False
 
 
 class EmulatedLog:
-    """One member's log in simulated time; see replica.base.Log. It answers only while time is let pass
-    (`EmulatedReplicas`)."""
+    """One member's log in simulated time; see replica.base.Log.
+
+    It responds only while `EmulatedReplicas` advances time.
+    """
 
     def __init__(self, lab: EmulatedReplicas, number: int, member: LogMember) -> None:
         self._lab, self._number, self._member = lab, number, member
 
     @property
     def index(self) -> int:
-        """Index of the last entry that was applied here."""
+        """Index of the last entry that this member applied."""
         return self._member.registry.index
 
     @property
     def leader(self) -> str | None:
-        """Name of the leader as known here, None without one."""
+        """Name of the leader as known to this member, None without one."""
         return self._member.leader
 
     def attach(self, topic: str, machine: StateMachine) -> None:
-        """Have a topic's entries applied by a machine. RuntimeError once an entry was applied; ValueError for a bad
-        name, or a topic that has a machine."""
+        """Apply a topic's entries with a state machine.
+
+        Raise RuntimeError once an entry was applied, and ValueError for an invalid name or a topic that has a machine.
+        """
         if self._member.registry.index:
             raise RuntimeError("the log has started")
         self._member.registry.attach(topic, machine)
 
     def watch(self, topic: str, listener: EntryListener) -> None:
-        """Have `listener` called with each entry of a topic, in order, after it was applied."""
+        """Call `listener` with each entry of a topic, in order, after it was applied."""
         self._member.registry.watch(topic, listener)
 
-    def submit(self, topic: str, command: bytes, within_s: float, done: Callable[[Outcome], None]) -> None:
-        """Propose a command and hand the outcome (Applied, Unavailable or Uncertain) to `done`, in simulated time.
-        ValueError for a command that can't be appended; a topic of "" proposes a no-op."""
+    def submit(self, topic: str, command: bytes, within_s: float, on_outcome: Callable[[Outcome], None]) -> None:
+        """Propose a command and pass its outcome to `done` in simulated time.
+
+        The outcome is an AppliedEntry, a LogUnavailableError or an OutcomeUnknownError. An empty topic proposes a
+        no-op. Raise ValueError for a command that can't be appended.
+        """
         if topic:
             self._member.registry.check(topic, command)
         lab, node = self._lab, self._lab.nodes[self._number]
         if node.member is not self._member:
-            done(LogUnavailableError("the log has stopped"))
+            on_outcome(LogUnavailableError("the log has stopped"))
             return
-        self._member.propose(lab.clock(self._number), topic, command, within_s, done)
-        lab._soon(self._number)
+        self._member.propose(lab.clock(self._number), topic, command, within_s, on_outcome)
+        lab._schedule_run(self._number)
 
     async def propose(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
-        """Append a command and return once it is applied here; ValueError for one that can't be appended, else
-        Unavailable (never appended) or Uncertain (it may be) after `within_s` simulated seconds."""
+        """Append a command and return once this member applied it.
+
+        Raise ValueError for a command that can't be appended, LogUnavailableError if it was not appended, and
+        OutcomeUnknownError if it may be, after `within_s` simulated seconds.
+        """
         self._member.registry.check(topic, command)
-        return await self._ask(topic, command, within_s)
+        return await self._propose_and_wait(topic, command, within_s)
 
     async def barrier(self, within_s: float) -> int:
-        """Return, once all that was committed before the call is applied here, the index of a committed no-op;
-        Unavailable or Uncertain as `propose`."""
-        return (await self._ask("", b"", within_s)).index
+        """Commit a no-op and return its index once this member applied all entries committed before the call.
 
-    async def _ask(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
+        Raise the errors of `propose`.
+        """
+        return (await self._propose_and_wait("", b"", within_s)).index
+
+    async def _propose_and_wait(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self.submit(topic, command, within_s, lambda out: None if future.done() else future.set_result(out))
+        self.submit(topic, command, within_s, lambda outcome: None if future.done() else future.set_result(outcome))
         outcome = await future
         if isinstance(outcome, AppliedEntry):
             return outcome
@@ -150,7 +162,7 @@
 
 
 class EmulatedReplicas:
-    """So many members, the first `voters` of them voting, named c0, c1, ..."""
+    """Members named c0, c1, ..., of which the first `voters` vote."""
 
     def __init__(
         self,
@@ -173,19 +185,19 @@
         self.nodes = [_Node() for _ in range(nodes)]
         self.streams: dict[tuple[int, int], _Stream] = {}
         self._conn = 0
-        self.faults: list[str] = []  # members that had to stop
-        self.told: list[tuple[float, int, str]] = []  # promotions and the like
+        self.faults: list[str] = []  # errors that stopped a member
+        self.notices: list[tuple[float, int, str]] = []  # time, member, text; for example promotions
         for number in range(nodes):
             self._start(number, first=True)
         for low in range(nodes):
             for high in range(low + 1, nodes):
-                self.network.at(0.0, low, _Word("link", other=high))
+                self.network.at(0.0, low, _Event("link", other=high))
 
-    # Use.
+    # Interface.
 
     @property
     def now(self) -> float:
-        """True time, ms."""
+        """True time in ms."""
         return self.network.now
 
     def clock(self, number: int) -> float:
@@ -193,24 +205,26 @@
         return 1_000.0 + self.network.now * self.rates.get(number, 1.0) / 1_000.0
 
     def member(self, number: int) -> EmulatedLog:
-        """Return the log of a member's current life, or of the last one if it is down."""
+        """Return the log of a member's current incarnation, or of the last one if it is down."""
         log = self.nodes[number].log
         assert isinstance(log, EmulatedLog)
         return log
 
     def leaders(self) -> list[int]:
-        """Return the members that take themselves for the leader; after a cut there may be two for a while."""
+        """Return the members that consider themselves the leader; after a cut there may be two for a while."""
         return [n for n, node in enumerate(self.nodes) if node.member is not None and node.member.is_leader]
 
     def advance(self, ms: float) -> None:
-        """Let so many ms of simulated time pass."""
-        for _, number, what in self.network.deliver(self.network.now + ms):
-            self._comes(number, what)
+        """Advance simulated time by `ms` milliseconds."""
+        for _, number, event in self.network.deliver(self.network.now + ms):
+            self._deliver(number, event)
 
     async def run(self, *work: Awaitable[Any], most_ms: float = 120_000.0) -> list[Any]:
-        """Let time pass until all of this is done; return the results, with exceptions among them. TimeoutError
-        after `most_ms` of simulated time."""
-        tasks = [asyncio.ensure_future(one) for one in work]
+        """Advance time until all awaitables are done, and return their results or exceptions.
+
+        Raise TimeoutError after `most_ms` of simulated time.
+        """
+        tasks = [asyncio.ensure_future(awaitable) for awaitable in work]
         until = self.network.now + most_ms
         for _ in range(3):
             await asyncio.sleep(0)
@@ -223,12 +237,12 @@
         return list(await asyncio.gather(*tasks, return_exceptions=True))
 
     def kill(self, number: int) -> None:
-        """Kill a member, as by SIGKILL and a power loss: what was not synced to disk may be lost."""
+        """Kill a member, as by SIGKILL and a power loss: unsynced writes may be lost."""
         self.network.end(number)
         self._end(number)
 
     def start(self, number: int) -> None:
-        """Start a killed member again, with what is on its disk."""
+        """Start a killed member again with the records on its disk."""
         self.network.up[number] = True
         self._start(number, first=False)
 
@@ -237,7 +251,7 @@
         self.network.at(self.now, number, "stop")
 
     def cont(self, number: int) -> None:
-        """Continue a stopped member as by SIGCONT; messages that waited meanwhile are delivered then."""
+        """Continue a stopped member as by SIGCONT; messages that waited are delivered then."""
         self.network.at(self.now, number, "cont")
 
     def lose(self, number: int) -> None:
@@ -246,20 +260,22 @@
         self.nodes[number].records = []
 
     def change_voters(self, number: int, kind: str, voter: str, done: Callable[[int], None]) -> None:
-        """Propose at a member to add ("add") or remove ("rem") a voter; `done` gets the library's FAIL_REASON, 0 on
-        success."""
+        """Propose at a member to add ("add") or remove ("rem") a voter.
+
+        `done` is called with the library's FAIL_REASON, 0 on success.
+        """
         member = self.nodes[number].member
         assert member is not None
         member.change_voters(kind, voter, done)
-        self._soon(number)
+        self._schedule_run(number)
 
     # Members.
 
     def _start(self, number: int, first: bool) -> None:
         node = self.nodes[number]
-        node.life += 1
-        node.conns, node.inbox, node.stash, node.syncing, node.unsynced = {}, [], [], False, None
-        with self._as(number):
+        node.incarnation += 1
+        node.conns, node.inbox, node.deferred, node.syncing, node.unsynced = {}, [], [], False, None
+        with self._library_environment(number):
             member = LogMember(
                 f"c{number}",
                 self.voters,
@@ -272,77 +288,79 @@
             )
         node.member, node.log = member, EmulatedLog(self, number, member)
         self.attach(number, node.log)
-        self.network.at(self.now + self.random.uniform(0.0, TICK_MS), number, _Word("tick", node.life))
+        self.network.at(self.now + self.random.uniform(0.0, TICK_MS), number, _Event("tick", node.incarnation))
 
     def _end(self, number: int) -> None:
         node = self.nodes[number]
         if node.unsynced is not None and self.random.random() < 0.5:
-            self._keep(node, node.unsynced)  # the disk had it already
+            self._persist(node, node.unsynced)  # the write had reached the disk
         if node.member is not None:
             node.member.stop()
         node.member, node.unsynced = None, None
         for other in range(len(self.nodes)):
-            self._break(number, other)
+            self._disconnect(number, other)
 
     @contextmanager
-    def _as(self, number: int) -> Any:
-        """The library's clock and randomness are this member's meanwhile."""
-        was = library.monotonicTime, library.random
+    def _library_environment(self, number: int) -> Any:
+        """Replace the library's clock and randomness with those of a member."""
+        saved = library.monotonicTime, library.random
         library.monotonicTime, library.random = lambda: self.clock(number), self.random
         try:
             yield
         finally:
-            library.monotonicTime, library.random = was
+            library.monotonicTime, library.random = saved
 
-    def _soon(self, number: int) -> None:
+    def _schedule_run(self, number: int) -> None:
         node = self.nodes[number]
-        if not node.again:
-            node.again = True
-            self.network.at(self.now, number, _Word("now", node.life))
+        if not node.run_scheduled:
+            node.run_scheduled = True
+            self.network.at(self.now, number, _Event("now", node.incarnation))
 
-    def _comes(self, number: int, what: Any) -> None:
+    def _deliver(self, number: int, event: Any) -> None:
         node = self.nodes[number]
-        if isinstance(what, _Word) and what.what == "link":
-            self._connect(number, what.other)
+        if isinstance(event, _Event) and event.kind == "link":
+            self._connect(number, event.other)
             return
-        if isinstance(what, _Word) and what.what == "again":
-            stream = self.streams.get((number, what.other))
-            if stream is not None and stream.conn == what.life:
-                stream.again = False
-                self._push(number, what.other)
+        if isinstance(event, _Event) and event.kind == "again":
+            stream = self.streams.get((number, event.other))
+            if stream is not None and stream.conn == event.incarnation:
+                stream.retry_scheduled = False
+                self._push(number, event.other)
             return
-        if what == "kill":
+        if event == "kill":
             self._end(number)
-        elif what == "start":
+        elif event == "start":
             if node.member is None:
                 self._start(number, first=False)
-        elif what == "stop":
+        elif event == "stop":
             node.stopped_at = self.now
-        elif what == "cont":
-            stash, node.stash = node.stash, []
-            for one in stash:
-                self._comes(number, one)
+        elif event == "cont":
+            deferred, node.deferred = node.deferred, []
+            for item in deferred:
+                self._deliver(number, item)
         elif self.network.paused[number]:
-            node.stash.append(what)
+            node.deferred.append(event)
         elif node.member is not None:
-            self._event(number, node, node.member, what)
+            self._handle(number, node, node.member, event)
 
-    def _event(self, number: int, node: _Node, member: LogMember, what: Any) -> None:
-        if isinstance(what, _Frame):
-            if node.conns.get(what.source) != what.conn:
+    def _handle(self, number: int, node: _Node, member: LogMember, event: Any) -> None:
+        if isinstance(event, _Frame):
+            if node.conns.get(event.source) != event.conn:
                 return
-            node.inbox.append(what)
-        elif isinstance(what, _Link):
-            self._linked(number, node, member, what)
-        elif what.life != node.life:
+            node.inbox.append(event)
+        elif isinstance(event, _Link):
+            self._on_link(number, node, member, event)
+        elif event.incarnation != node.incarnation:
             return
-        elif what.what == "tick":
-            self.network.at(self.now + TICK_MS * self.random.uniform(0.9, 1.1), number, _Word("tick", node.life))
-        elif what.what == "now":
-            node.again = False
-        elif what.what == "synced":
+        elif event.kind == "tick":
+            self.network.at(
+                self.now + TICK_MS * self.random.uniform(0.9, 1.1), number, _Event("tick", node.incarnation)
+            )
+        elif event.kind == "now":
+            node.run_scheduled = False
+        elif event.kind == "synced":
             assert node.unsynced is not None
-            self._keep(node, node.unsynced)
+            self._persist(node, node.unsynced)
             node.unsynced, node.syncing = None, False
             self._finish(number, node, member)
         if not node.syncing and node.member is member:
@@ -350,7 +368,7 @@
 
     def _cycle(self, number: int, node: _Node, member: LogMember) -> None:
         try:
-            with self._as(number):
+            with self._library_environment(number):
                 inbox, node.inbox = node.inbox, []
                 for frame in inbox:
                     if node.conns.get(frame.source) == frame.conn:
@@ -361,61 +379,61 @@
                         assert source is None or peer in member.peers
                         member.receive(peer, wire.decode_message(frame.data))
                 member.tick(self.clock(number))
-        except Exception as error:  # noqa: BLE001 - as the service: the member stops, the run tells
-            self._fault(number, node, member, error)
+        except Exception as error:  # noqa: BLE001 - as in the service the member stops; `faults` reports it
+            self._stop_faulty(number, node, member, error)
             return
         node.unsynced = member.journal.take_pending_write()
         if node.unsynced is not None:
             node.syncing = True
-            self.network.at(self.now + self.random.uniform(*self.sync_ms), number, _Word("synced", node.life))
+            self.network.at(self.now + self.random.uniform(*self.sync_ms), number, _Event("synced", node.incarnation))
         else:
             self._finish(number, node, member)
 
-    def _fault(self, number: int, node: _Node, member: LogMember, error: Exception) -> None:
+    def _stop_faulty(self, number: int, node: _Node, member: LogMember, error: Exception) -> None:
         self.faults.append(f"c{number} at {self.now:.0f}: {error!r}")
         member.stop()
         node.member = None
         for other in range(len(self.nodes)):
-            self._break(number, other)
+            self._disconnect(number, other)
 
     def _finish(self, number: int, node: _Node, member: LogMember) -> None:
-        """What is durable now is sent, and what is committed applied."""
-        out, full = member.take_outbox()
-        for peer, message in out:
+        """Send the messages that waited for the write, and apply committed entries."""
+        messages, full_peers = member.take_outbox()
+        for peer, message in messages:
             other = int(peer.lstrip("~c"))
             stream = self.streams.get((number, other))
             if stream is not None and node.conns.get(other) == stream.conn:
                 stream.segments.append(wire.encode_message(message))
                 self._push(number, other)
-        for peer in full:
-            self._break(number, int(peer.lstrip("~c")))
-        with self._as(number):
+        for peer in full_peers:
+            self._disconnect(number, int(peer.lstrip("~c")))
+        with self._library_environment(number):
             try:
                 while member.apply_committed():
                     pass
                 member.compact()
             except Exception as error:  # noqa: BLE001
-                self._fault(number, node, member, error)
+                self._stop_faulty(number, node, member, error)
                 return
             if member.ready_to_vote:
                 for other in range(len(self.nodes)):
-                    self._break(number, other)
+                    self._disconnect(number, other)
                 for peer in list(member.peers):
                     member.disconnected(peer)
                 node.conns.clear()
                 member.promote()
-                self.told.append((self.now, number, "votes again"))
+                self.notices.append((self.now, number, "votes again"))
 
     @staticmethod
-    def _keep(node: _Node, writing: PendingWrite) -> None:
+    def _persist(node: _Node, writing: PendingWrite) -> None:
         node.records = list(writing.records) if writing.replaces_all else [*node.records, *writing.records]
 
     # Streams.
 
-    def _linked(self, number: int, node: _Node, member: LogMember, link: _Link) -> None:
+    def _on_link(self, number: int, node: _Node, member: LogMember, link: _Link) -> None:
         stream = self.streams.get((number, link.peer))
         peer = f"c{link.peer}" if link.voter else f"~c{link.peer}"
-        with self._as(number):
+        with self._library_environment(number):
             if link.up and stream is not None and stream.conn == link.conn:
                 node.conns[link.peer] = link.conn
                 member.connected(peer, link.voter)
@@ -424,36 +442,36 @@
                 member.disconnected(peer)
 
     def _connect(self, low: int, high: int) -> None:
-        """A pair tries to have a connection."""
-        self.network.at(self.now + AGAIN_MS * self.random.uniform(0.8, 1.2), low, _Word("link", other=high))
+        """Try to connect two members, and schedule the next attempt."""
+        self.network.at(self.now + RETRY_MS * self.random.uniform(0.8, 1.2), low, _Event("link", other=high))
         members = self.nodes[low].member, self.nodes[high].member
         for number in (low, high):
-            if self.network.paused[number] and self.now - self.nodes[number].stopped_at > SILENT_MS:
-                self._break(low, high)
+            if self.network.paused[number] and self.now - self.nodes[number].stopped_at > STALLED_MS:
+                self._disconnect(low, high)
         if (low, high) in self.streams:
             return
         if members[0] is None or members[1] is None or self.network.paused[low] or self.network.paused[high]:
             return
         if high in self.nodes[low].conns or low in self.nodes[high].conns:
-            return  # one end has not seen the old one's end yet
-        votes = [member.voter for member in members]
+            return  # one end has not noticed yet that the previous connection is closed
+        are_voters = [member.voter for member in members]
         if (
-            not any(votes)
-            or votes == [True, True]
+            not any(are_voters)
+            or are_voters == [True, True]
             and not (f"c{low}" in members[1].voters and f"c{high}" in members[0].voters)
         ):
             return
-        ways = [self.network.weather.fate(self.now / 1_000.0, *way) for way in ((low, high), (high, low))]
-        if not all(ways):
+        delays = [self.network.weather.fate(self.now / 1_000.0, *direction) for direction in ((low, high), (high, low))]
+        if not all(delays):
             return
         self._conn += 1
-        for number, peer, voter in ((low, high, votes[1]), (high, low, votes[0])):
+        for number, peer, voter in ((low, high, are_voters[1]), (high, low, are_voters[0])):
             self.streams[number, peer] = _Stream(self._conn)
             self.network.at(self.now, number, _Link(self._conn, True, peer, voter))
 
     def _push(self, source: int, target: int) -> None:
         stream = self.streams.get((source, target))
-        if stream is None or stream.again:
+        if stream is None or stream.retry_scheduled:
             return
         now = self.now
         while stream.segments:
@@ -461,26 +479,26 @@
             if not delays:
                 if stream.stuck_since is None:
                     stream.stuck_since = now
-                if now - stream.stuck_since > SILENT_MS:
-                    self._break(source, target)
+                if now - stream.stuck_since > STALLED_MS:
+                    self._disconnect(source, target)
                 else:
-                    stream.again = True
-                    self.network.at(now + AGAIN_MS, source, _Word("again", stream.conn, target))
+                    stream.retry_scheduled = True
+                    self.network.at(now + RETRY_MS, source, _Event("again", stream.conn, target))
                 return
             stream.stuck_since = None
-            stream.last = max(stream.last, now + delays[0])
-            self.network.at(stream.last, target, _Frame(stream.conn, source, stream.segments.popleft()))
+            stream.last_delivery = max(stream.last_delivery, now + delays[0])
+            self.network.at(stream.last_delivery, target, _Frame(stream.conn, source, stream.segments.popleft()))
 
-    def _break(self, one: int, other: int) -> None:
-        """Both ends see it, each at its own time."""
-        stream = self.streams.pop((one, other), None)
-        self.streams.pop((other, one), None)
+    def _disconnect(self, first: int, second: int) -> None:
+        """Close a connection; each end notices it at its own time."""
+        stream = self.streams.pop((first, second), None)
+        self.streams.pop((second, first), None)
         if stream is None:
             return
-        for number, peer in ((one, other), (other, one)):
+        for number, peer in ((first, second), (second, first)):
             member = self.nodes[number].member
             if member is not None:
                 voter = f"c{peer}" in member.peers
                 self.network.at(
-                    self.now + self.random.uniform(0.0, AGAIN_MS), number, _Link(stream.conn, False, peer, voter)
+                    self.now + self.random.uniform(0.0, RETRY_MS), number, _Link(stream.conn, False, peer, voter)
                 )
