--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -1,8 +1,8 @@
-"""Subscriptions under a script of faults: the hubs without I/O on a simulated network, and an oracle that knows all.
+"""Emulator of subscriptions under a script of faults: the hubs, which do no I/O, on a simulated network.
 
-Owns simulated time, the processes' lives, who believes whom to be alive, the subscribers that move between
-coordinators, and the judgement of what they were told. The same arguments give the same run. It must never look into a
-hub to judge it: a subscriber is judged by the lines that it read, against all events that were made.
+It simulates time, processes, membership and subscribers that move between coordinators, and checks what subscribers
+received against all published events. The check uses only the lines that a subscriber read, never a hub's state. The
+same arguments give the same run.
 """
 
 from __future__ import annotations
@@ -25,54 +25,54 @@
 from frostspindle.subscriptions.schema import Event
 
 STEP_MS = 10.0
-BEAT_MS, DEAD_MS = 500.0, 4_000.0  # of the stand-in for membership: who says that it lives, and when it is not believed
-QUIET_S = 14.0  # at the end all faults are over, nothing is made, and what is owed may come
-CURSOR_MS = 200.0  # a subscriber is given a cursor so often
-Pos = tuple[int, int]
+HEARTBEAT_MS, DEAD_MS = 500.0, 4_000.0  # simulated membership: heartbeat interval, and silence that means dead
+QUIET_S = 14.0  # at the end there are no faults and no new events, and pending messages are delivered
+CURSOR_MS = 200.0  # interval of a subscriber's cursors
+Position = tuple[int, int]
 
 
 def drawn(seed: int, nodes: int, seconds: float) -> str:
-    """Return a script of faults of all kinds, drawn from the seed; all are over after `seconds`."""
-    draw = random.Random(seed)
+    """Return a script with faults of all kinds, drawn from the seed; all end within `seconds`."""
+    rng = random.Random(seed)
     parts = [
-        f"0-{seconds} loss {draw.choice((0, 0.02, 0.1, 0.3))}",
-        f"0-{seconds} dup {draw.choice((0, 0.1))}",
-        f"0-{seconds} reorder {draw.choice((0, 0.1, 0.3))}",
-        f"0-{seconds} delay 0-{draw.choice((1, 20, 80))}",
+        f"0-{seconds} loss {rng.choice((0, 0.02, 0.1, 0.3))}",
+        f"0-{seconds} dup {rng.choice((0, 0.1))}",
+        f"0-{seconds} reorder {rng.choice((0, 0.1, 0.3))}",
+        f"0-{seconds} delay 0-{rng.choice((1, 20, 80))}",
     ]
-    for _ in range(draw.randint(0, 2)):
-        begin = draw.uniform(0, seconds * 0.8)
-        end = min(seconds, begin + draw.choice((1, 4, 8)))
-        one = draw.randrange(nodes)
-        rest = ",".join(str(n) for n in range(nodes) if n != one)
+    for _ in range(rng.randint(0, 2)):
+        begin = rng.uniform(0, seconds * 0.8)
+        end = min(seconds, begin + rng.choice((1, 4, 8)))
+        target = rng.randrange(nodes)
+        rest = ",".join(str(n) for n in range(nodes) if n != target)
         parts.append(
             f"{begin:.2f}-{end:.2f} "
-            + draw.choice((f"cut {one}|{rest}", f"oneway {one}>{rest}", f"oneway {rest}>{one}"))
+            + rng.choice((f"cut {target}|{rest}", f"oneway {target}>{rest}", f"oneway {rest}>{target}"))
         )
-    for _ in range(draw.randint(0, 3)):
-        one, begin = draw.randrange(nodes), draw.uniform(0, seconds * 0.8)
-        pair = draw.choice((("kill", "start"), ("stop", "cont")))
-        end = min(seconds, begin + draw.choice((0.5, 3, 7)))
-        parts.append(f"{begin:.2f} {pair[0]} {one}; {end:.2f} {pair[1]} {one}")
+    for _ in range(rng.randint(0, 3)):
+        target, begin = rng.randrange(nodes), rng.uniform(0, seconds * 0.8)
+        pair = rng.choice((("kill", "start"), ("stop", "cont")))
+        end = min(seconds, begin + rng.choice((0.5, 3, 7)))
+        parts.append(f"{begin:.2f} {pair[0]} {target}; {end:.2f} {pair[1]} {target}")
     return "; ".join(parts)
 
 
 @dataclass(slots=True)
-class Place:
-    """One coordinator: its hub while its process lives, and what membership knows here."""
+class Node:
+    """One coordinator: its hub while its process runs, and the membership as it knows it."""
 
     name: str
     hub: SubscriptionHub | None = None
-    lives: int = 0
+    starts: int = 0
     stopped: bool = False
     waiting: deque[Any] = field(default_factory=lambda: deque(maxlen=200))
-    heard: dict[str, tuple[float, int]] = field(default_factory=dict)  # who said when that it lives, with its epoch
-    beat_at: float = 0.0
+    last_heard: dict[str, tuple[float, int]] = field(default_factory=dict)  # by name: time, epoch
+    next_heartbeat: float = 0.0
 
 
 @dataclass(slots=True)
 class Client:
-    """A subscriber: all that it has read up to its last cursor, and what it read since."""
+    """A subscriber: everything that it read up to its last cursor, and what it read since."""
 
     number: int
     text: str
@@ -85,14 +85,14 @@
     acked: bool = False
     slow_until: float = 0.0
     events: list[tuple[str, int, int]] = field(default_factory=list)
-    closed: list[tuple[str, Pos, Pos]] = field(default_factory=list)
-    open: dict[str, Pos] = field(default_factory=dict)  # of this connection
-    fresh: list[BacklogItem] = field(default_factory=list)  # read since the last cursor
+    closed: list[tuple[str, Position, Position]] = field(default_factory=list)  # gaps: publisher, first, last
+    open: dict[str, Position] = field(default_factory=dict)  # open gaps of this connection
+    pending: list[BacklogItem] = field(default_factory=list)  # read since the last cursor
     moves: int = 0
 
 
 class Lab:
-    """One run. Time is in ms from 0; `rate`: events a second at each coordinator."""
+    """One run. Time is in ms from 0; `rate`: events per second at each coordinator."""
 
     def __init__(
         self,
@@ -112,53 +112,53 @@
         self.rate, self.ring = rate, ring
         self.backlog, self.move_s, self.slow = backlog, move_s, slow
         self.weather = Weather(script, seed + 1, 0.5)
-        self.places = [Place(f"c{n}") for n in range(nodes)]
-        self.numbers = {place.name: n for n, place in enumerate(self.places)}
+        self.members = [Node(f"c{number}") for number in range(nodes)]
+        self.numbers = {node.name: number for number, node in enumerate(self.members)}
         self.now = 0.0
         self.acts = deque(script.acts)
         self.queue: list[tuple[float, int, int, Any]] = []
         self.order = 0
-        self.made: dict[tuple[str, int], list[tuple[float, Event]]] = {}  # by maker's process, in order
-        self.clients = [Client(n, self._filter()) for n in range(subscribers)]
+        self.made: dict[tuple[str, int], list[tuple[float, Event]]] = {}  # by publisher's process, in order
+        self.clients = [Client(number, self._filter()) for number in range(subscribers)]
         self.messages = self.bytes = 0
         self.counted: Counter[str] = Counter()
         self.needless = self.taken = 0
-        for n in range(nodes):
-            self._start(n)
+        for number in range(nodes):
+            self._start(number)
 
     def _filter(self) -> str:
-        draw = self.random
-        return draw.choice(
+        rng = self.random
+        return rng.choice(
             (
                 "kind = 'answer'",
                 "TRUE",
-                f"kind = 'answer' AND tenant = 't{draw.randrange(6)}'",
-                f"tenant = 't{draw.randrange(6)}' AND class IN ('a', 'b')",
+                f"kind = 'answer' AND tenant = 't{rng.randrange(6)}'",
+                f"tenant = 't{rng.randrange(6)}' AND class IN ('a', 'b')",
                 "kind = 'engine' OR outcome <> 'served'",
-                f"kind = 'answer' AND ms BETWEEN {draw.randrange(50)} AND {50 + draw.randrange(50)}",
-                f"engine STARTS WITH 'e{draw.randrange(3)}' AND NOT tenant = 't1'",
+                f"kind = 'answer' AND ms BETWEEN {rng.randrange(50)} AND {50 + rng.randrange(50)}",
+                f"engine STARTS WITH 'e{rng.randrange(3)}' AND NOT tenant = 't1'",
                 "kind IN ('member', 'load')",
             )
         )
 
     def _event(self) -> Event:
-        draw = self.random
+        rng = self.random
         at = 1.7e12 + self.now
-        if draw.random() < 0.9:
+        if rng.random() < 0.9:
             return schema.make(
                 schema.ANSWER,
                 at,
-                draw.choice("abc"),
-                f"t{draw.randrange(6)}",
-                draw.randrange(4),
-                draw.choice(("served", "served", "refused", "failed")),
-                f"e{draw.randrange(9)}",
+                rng.choice("abc"),
+                f"t{rng.randrange(6)}",
+                rng.randrange(4),
+                rng.choice(("served", "served", "refused", "failed")),
+                f"e{rng.randrange(9)}",
                 "http",
-                draw.randrange(100),
+                rng.randrange(100),
             )
-        return draw.choice(
+        return rng.choice(
             (
-                schema.make(schema.ENGINE, at, f"e{draw.randrange(9)}", "ban", None),
+                schema.make(schema.ENGINE, at, f"e{rng.randrange(9)}", "ban", None),
                 schema.make(schema.MEMBER, at, "x", "alive"),
                 schema.make(schema.LOAD, at, "s", 1, "agent"),
             )
@@ -167,119 +167,123 @@
     # Processes.
 
     def _start(self, number: int) -> None:
-        place = self.places[number]
-        if place.hub is not None:
+        node = self.members[number]
+        if node.hub is not None:
             return
-        place.lives += 1
-        epoch = int(1e6 + self.now * 1_000) + place.lives
-        place.hub = SubscriptionHub(
-            place.name, epoch, self.now, self.ring, fanout=Fanout(self.backlog, self.backlog * 16)
+        node.starts += 1
+        epoch = int(1e6 + self.now * 1_000) + node.starts
+        node.hub = SubscriptionHub(
+            node.name, epoch, self.now, self.ring, fanout=Fanout(self.backlog, self.backlog * 16)
         )
-        place.hub.subscribers.expected = frozenset(p.name for p in self.places) - {place.name}
-        place.stopped, place.heard = False, {}
-        place.waiting.clear()
-        self.made[place.name, epoch] = []
+        node.hub.subscribers.expected = frozenset(peer.name for peer in self.members) - {node.name}
+        node.stopped, node.last_heard = False, {}
+        node.waiting.clear()
+        self.made[node.name, epoch] = []
 
-    def _act(self, kind: str, number: int) -> None:
-        place = self.places[number]
+    def _apply_act(self, kind: str, number: int) -> None:
+        node = self.members[number]
         if kind == "kill":
-            self._count(place)
-            place.hub = None
+            self._add_counters(node)
+            node.hub = None
         elif kind == "start":
             self._start(number)
         else:
-            place.stopped = kind == "stop"
+            node.stopped = kind == "stop"
 
-    def _count(self, place: Place) -> None:
-        if place.hub is not None:
-            self.counted += place.hub.counted
-            self.counted["fell_behind"] += place.hub.subscribers.fanout.behind
-            self.needless += place.hub.subscribers.needless
-            self.taken += place.hub.subscribers.taken
+    def _add_counters(self, node: Node) -> None:
+        if node.hub is not None:
+            self.counted += node.hub.counted
+            self.counted["fell_behind"] += node.hub.subscribers.fanout.behind
+            self.needless += node.hub.subscribers.needless
+            self.taken += node.hub.subscribers.taken
 
-    def _send(self, source: int, target: int, what: Any) -> None:
+    def _send(self, source: int, target: int, message: Any) -> None:
         for delay in self.weather.fate(self.now / 1_000.0, source, target):
             self.order += 1
-            heapq.heappush(self.queue, (self.now + delay, self.order, target, what))
+            heapq.heappush(self.queue, (self.now + delay, self.order, target, message))
 
     # Time.
 
     def run(self) -> None:
-        """Play the run, then QUIET_S seconds without new events so that what is owed may come, and add up the hubs'
-        figures."""
+        """Simulate the run and QUIET_S seconds without new events, and add up the counters of the hubs.
+
+        Pending messages are delivered in the quiet time.
+        """
         end = (self.seconds + QUIET_S) * 1_000.0
         while self.now < end:
             self._step()
             self.now += STEP_MS
-        for place in self.places:
-            self._count(place)
+        for node in self.members:
+            self._add_counters(node)
 
     def _step(self) -> None:
         while self.acts and self.acts[0].at * 1_000.0 <= self.now:
             act = self.acts.popleft()
-            self._act(act.kind, act.node)
+            self._apply_act(act.kind, act.node)
         while self.queue and self.queue[0][0] <= self.now:
-            _, _, target, what = heapq.heappop(self.queue)
-            place = self.places[target]
-            if place.stopped:
-                place.waiting.append(what)
-            elif place.hub is not None:
-                self._heard(place, what)
-        for number, place in enumerate(self.places):
-            if place.hub is not None and not place.stopped:
-                while place.waiting:
-                    self._heard(place, place.waiting.popleft())
-                self._live(number, place, place.hub)
+            _, _, target, message = heapq.heappop(self.queue)
+            node = self.members[target]
+            if node.stopped:
+                node.waiting.append(message)
+            elif node.hub is not None:
+                self._receive(node, message)
+        for number, node in enumerate(self.members):
+            if node.hub is not None and not node.stopped:
+                while node.waiting:
+                    self._receive(node, node.waiting.popleft())
+                self._run_node(number, node, node.hub)
         for client in self.clients:
-            self._follow(client)
+            self._step_client(client)
 
-    def _heard(self, place: Place, what: Any) -> None:
-        assert place.hub is not None
-        who, epoch, data = what
-        if epoch < place.heard.get(who, (0.0, 0))[1]:
+    def _receive(self, node: Node, message: Any) -> None:
+        assert node.hub is not None
+        sender, epoch, data = message
+        if epoch < node.last_heard.get(sender, (0.0, 0))[1]:
             return
-        place.heard[who] = self.now, epoch
+        node.last_heard[sender] = self.now, epoch
         if data:
-            place.hub.hear(self.now, who, epoch, wire.decode(data))
+            node.hub.hear(self.now, sender, epoch, wire.decode(data))
 
-    def _live(self, number: int, place: Place, hub: SubscriptionHub) -> None:
+    def _run_node(self, number: int, node: Node, hub: SubscriptionHub) -> None:
         if self.now < self.seconds * 1_000.0 and self.random.random() < self.rate * STEP_MS / 1_000.0:
             for _ in range(self.random.choice((1, 1, 1, 5))):
                 event = self._event()
-                self.made[place.name, hub.epoch].append((self.now, event))
-                assert hub.make(event) == len(self.made[place.name, hub.epoch])
-        if self.now >= place.beat_at:
-            place.beat_at = self.now + BEAT_MS
+                self.made[node.name, hub.epoch].append((self.now, event))
+                assert hub.make(event) == len(self.made[node.name, hub.epoch])
+        if self.now >= node.next_heartbeat:
+            node.next_heartbeat = self.now + HEARTBEAT_MS
             for other in range(self.nodes):
                 if other != number:
-                    self._send(number, other, (place.name, hub.epoch, b""))
-            hub.members(self.now, {who: epoch for who, (at, epoch) in place.heard.items() if self.now - at < DEAD_MS})
+                    self._send(number, other, (node.name, hub.epoch, b""))
+            hub.members(
+                self.now, {name: epoch for name, (at, epoch) in node.last_heard.items() if self.now - at < DEAD_MS}
+            )
         for name, message in hub.tick(self.now):
             data = wire.encode(message)
             assert len(data) <= wire.MAX_MESSAGE_BYTES, (len(data), message)
             self.messages += 1
             self.bytes += len(data)
-            self._send(number, self.numbers[name], (place.name, hub.epoch, data))
+            self._send(number, self.numbers[name], (node.name, hub.epoch, data))
 
     # Subscribers.
 
-    def _follow(self, client: Client) -> None:
+    def _step_client(self, client: Client) -> None:
         hub = client.hub
-        place = self.places[client.at] if client.at >= 0 else None
-        if hub is not None and (place is None or place.hub is not hub):
-            self._leave(client)  # its coordinator is dead
+        node = self.members[client.at] if client.at >= 0 else None
+        if hub is not None and (node is None or node.hub is not hub):
+            self._leave(client)  # its coordinator was killed
         elif (
             hub is not None
             and self.now < self.seconds * 1_000.0
             and self.random.random() < STEP_MS / (self.move_s * 1_000.0)
         ):
-            if place is not None and not place.stopped:
+            if node is not None and not node.stopped:
                 hub.subscribers.unsubscribe(self.now, client.sub)
             self._leave(client)
         if client.hub is None:
             self._join(client)
             return
-        if place is None or place.stopped or self.now < client.slow_until:
+        if node is None or node.stopped or self.now < client.slow_until:
             return
         if self.random.random() < self.slow * STEP_MS / 1_000.0:
             client.slow_until = self.now + self.random.uniform(500.0, 4_000.0)
@@ -287,88 +291,90 @@
 
     def _leave(self, client: Client) -> None:
         client.hub, client.at, client.acked = None, -1, False
-        client.fresh.clear()
+        client.pending.clear()
         client.open.clear()
         client.moves += 1
 
     def _join(self, client: Client) -> None:
         number = self.random.randrange(self.nodes)
-        place = self.places[number]
-        if place.hub is None or place.stopped:
+        node = self.members[number]
+        if node.hub is None or node.stopped:
             return
-        subs = place.hub.subscribers
+        subscribers = node.hub.subscribers
         client.sub = (
-            subs.subscribe(self.now, client.text) if client.cursor is None else subs.resume(self.now, client.cursor)
+            subscribers.subscribe(self.now, client.text)
+            if client.cursor is None
+            else subscribers.resume(self.now, client.cursor)
         )
-        client.hub, client.at = place.hub, number
+        client.hub, client.at = node.hub, number
 
     def _read(self, client: Client, hub: SubscriptionHub) -> None:
-        subs = hub.subscribers
+        subscribers = hub.subscribers
         if not client.acked:
-            if not subs.all[client.sub].acknowledged:
+            if not subscribers.all[client.sub].acknowledged:
                 return
-            client.acked, client.cursor_at = True, -1e9  # a cursor comes with it
+            client.acked, client.cursor_at = True, -1e9  # an acknowledgement carries a cursor
             if client.first_ack is None:
                 client.first_ack = self.now
-        others = set(subs.all) - {client.sub}
-        for _, items in subs.fanout.turn(others, 64):
-            client.fresh += items
+        others = set(subscribers.all) - {client.sub}
+        for _, items in subscribers.fanout.turn(others, 64):
+            client.pending += items
         if self.now - client.cursor_at >= CURSOR_MS:
             client.cursor_at = self.now
-            client.cursor = subs.cursor(client.sub)
-            for item in client.fresh:
+            client.cursor = subscribers.cursor(client.sub)
+            for item in client.pending:
                 if item.line:
-                    told = msgspec.json.decode(item.line)
-                    client.events.append((told["of"][0], told["of"][1], told["of"][2]))
+                    line_event = msgspec.json.decode(item.line)
+                    client.events.append((line_event["of"][0], line_event["of"][1], line_event["of"][2]))
                 elif item.last is None:
                     client.open[item.maker] = item.first
                 else:
                     client.open.pop(item.maker, None)
                     client.closed.append((item.maker, item.first, item.last))
-            client.fresh.clear()
+            client.pending.clear()
 
 
 def measure(lab: Lab) -> dict[str, Any]:
-    """Return what the subscribers were told, compared with all events that were made."""
-    out: Counter[str] = Counter()
+    """Return the figures of a run: what the subscribers received, compared with all published events."""
+    counts: Counter[str] = Counter()
     for client in lab.clients:
-        wanted = language.parse(client.text)
-        told = Counter(client.events)
-        out["repeated"] += sum(count - 1 for count in told.values())
-        last: dict[str, Pos] = {}
-        for maker, epoch, number in client.events:
-            out["disordered"] += (epoch, number) < last.get(maker, (0, 0))
-            last[maker] = epoch, number
-        spans: dict[str, list[tuple[Pos, Pos]]] = {}
-        for maker, first, end in client.closed:
+        predicate = language.parse(client.text)
+        received = Counter(client.events)
+        counts["repeated"] += sum(count - 1 for count in received.values())
+        last_positions: dict[str, Position] = {}
+        for publisher, epoch, number in client.events:
+            counts["disordered"] += (epoch, number) < last_positions.get(publisher, (0, 0))
+            last_positions[publisher] = epoch, number
+        gaps: dict[str, list[tuple[Position, Position]]] = {}
+        for publisher, first, end in client.closed:
             if first <= end:
-                spans.setdefault(maker, []).append((first, end))
-                out["gaps_told"] += 1
-        for maker, first in client.open.items():
-            spans.setdefault(maker, []).append((first, (2**53, 0)))
-            out["gaps_told"] += 1
-            out["gaps_open"] += 1
-        right = set()
-        for (maker, epoch), events in lab.made.items():
+                gaps.setdefault(publisher, []).append((first, end))
+                counts["gaps_told"] += 1
+        for publisher, first in client.open.items():
+            gaps.setdefault(publisher, []).append((first, (2**53, 0)))
+            counts["gaps_told"] += 1
+            counts["gaps_open"] += 1
+        expected = set()
+        for (publisher, epoch), events in lab.made.items():
             for number, (at, event) in enumerate(events, 1):
-                if not match(wanted, schema.row(maker, event)):
+                if not match(predicate, schema.row(publisher, event)):
                     continue
-                right.add((maker, epoch, number))
-                if client.first_ack is None or at <= client.first_ack or (maker, epoch, number) in told:
+                expected.add((publisher, epoch, number))
+                if client.first_ack is None or at <= client.first_ack or (publisher, epoch, number) in received:
                     continue
-                hidden = any(first <= (epoch, number) <= end for first, end in spans.get(maker, ()))
-                out["lost_told" if hidden else "lost_silently"] += 1
-        out["foreign"] += len(told.keys() - right)
-        out["told"] += len(client.events)
-        out["moves"] += client.moves
-        out["never_acknowledged"] += client.first_ack is None
+                in_reported_gap = any(first <= (epoch, number) <= end for first, end in gaps.get(publisher, ()))
+                counts["lost_told" if in_reported_gap else "lost_silently"] += 1
+        counts["foreign"] += len(received.keys() - expected)
+        counts["told"] += len(client.events)
+        counts["moves"] += client.moves
+        counts["never_acknowledged"] += client.first_ack is None
     return {
         "nodes": lab.nodes,
         "seed": lab.seed,
         "seconds": lab.seconds,
         "subscribers": len(lab.clients),
         **{
-            key: out[key]
+            key: counts[key]
             for key in (
                 "lost_silently",
                 "repeated",
@@ -391,27 +397,29 @@
     }
 
 
-def play(nodes: int, seed: int, faults: str | None, seconds: float = 20.0, **more: Any) -> Lab:
-    """Play one run and return it. `faults`: a script, None for one drawn from the seed; BadScript if it can't be
-    read."""
-    lab = Lab(nodes, seed, parse(drawn(seed, nodes, seconds) if faults is None else faults, nodes), seconds, **more)
+def play(nodes: int, seed: int, faults: str | None, seconds: float = 20.0, **options: Any) -> Lab:
+    """Run a lab to its end and return it.
+
+    `faults`: a script, None for one drawn from the seed; InvalidScriptError if it can't be parsed.
+    """
+    lab = Lab(nodes, seed, parse(drawn(seed, nodes, seconds) if faults is None else faults, nodes), seconds, **options)
     lab.run()
     return lab
 
 
 def write(lab: Lab, figures: dict[str, Any], folder: str) -> str:
-    """Write a page with a plot of events made and told and of the gaps, and return its path."""
+    """Write a page with a plot of published and received events and of the gaps, and return its path."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    place = Path(folder)
-    place.mkdir(parents=True, exist_ok=True)
-    made = sorted(at / 1e3 for events in lab.made.values() for at, _ in events)
+    target = Path(folder)
+    target.mkdir(parents=True, exist_ok=True)
+    published_at = sorted(at / 1e3 for events in lab.made.values() for at, _ in events)
     figure, (above, below) = pyplot.subplots(2, 1, figsize=(9, 6), sharex=True)
     bins = max(1, int(lab.seconds))
-    above.hist(made, bins=bins, histtype="step", label="made")
+    above.hist(published_at, bins=bins, histtype="step", label="made")
     above.hist(
         [
             lab.made[maker, epoch][number - 1][0] / 1e3
@@ -443,12 +451,12 @@
                 below.plot([times[0], times[-1]], [lab.numbers[maker] + client.number * 0.1] * 2, linewidth=2)
     below.set_ylabel("gaps told, by maker")
     below.set_xlabel("s")
-    figure.savefig(place / "subscriptions.svg")
+    figure.savefig(target / "subscriptions.svg")
     pyplot.close(figure)
     rows = "".join(f"<tr><td>{key}</td><td>{html.escape(str(value))}</td></tr>" for key, value in figures.items())
-    (place / "index.html").write_text(
+    (target / "index.html").write_text(
         "<!doctype html><title>Subscriptions</title><h1>Subscriptions under faults</h1>"
         f"<img src='subscriptions.svg'><table>{rows}</table>\n",
         encoding="utf-8",
     )
-    return str(place / "index.html")
+    return str(target / "index.html")
