--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -1,11 +1,11 @@
-"""Owners in simulated time: the real holders and tables on the emulated log, one fenced sink, and faults by a script.
+"""Emulator of lease owners: the real holders and tables on the emulated log, one fenced sink, and a script of faults.
 
-Owns the coordinators' clocks, what they do under their leases, how late they do it, and the lines of all of it. It must
-never judge by itself: `history.check` does, from the lines. The same arguments give the same run within one process,
-and among several under one PYTHONHASHSEED: the library walks over sets of names.
+It simulates the coordinators' clocks and the actions under their leases with their delays, and logs all of it.
+`history.check` checks the lines. The same arguments give the same run within one process, and in several processes
+with the same PYTHONHASHSEED, because the library iterates over sets of names.
 
-A coordinator looks at its lease, and its send leaves later: after nothing, or (`late`) after as long as a pause of a
-process may be. Actions are lost or late on the way as messages are, and the sink is a place of its own behind no cut.
+A coordinator checks its lease and sends the action later: within 20 ms or, for a share of the actions (`late`), after
+a delay as long as a process may be paused. The sink is never cut off.
 """
 
 from __future__ import annotations
@@ -23,87 +23,92 @@
 from frostspindle.ownership.lease_table import LeaseTable
 from frostspindle.replica.base import AppliedEntry, OutcomeUnknownError
 
-TOPIC, TURN_MS = "owners", 25.0
+TOPIC, STEP_MS = "owners", 25.0
 
 
 class Coordinator:
-    """One life of one coordinator: its lease holder and table on the emulated log."""
+    """One incarnation of one coordinator: its lease holder and table on the emulated log."""
 
     def __init__(self, lab: Lab, number: int, log: EmulatedLog) -> None:
         self.lab, self.number, self.log, self.name = lab, number, log, f"c{number}"
         self.table = LeaseTable()
-        self.looked = lab.now  # true time of the last look
-        lab.lives += 1
-        self.holder = LeaseHolder(self.name, lab.lives, lab.terms, self.table, lab.random.getrandbits(32), self.now)
+        self.last_check_at = lab.now  # true time of the last check of the leases
+        lab.incarnations += 1
+        self.holder = LeaseHolder(
+            self.name, lab.incarnations, lab.settings, self.table, lab.random.getrandbits(32), self.now
+        )
         for task in lab.tasks:
             self.holder.add_candidacy(task, 1.0)
         log.attach(TOPIC, self.table)
-        log.watch(TOPIC, lambda index, command, result: self.told(command, result))
+        log.watch(TOPIC, lambda index, command, result: self.on_entry_applied(command, result))
 
     @property
     def now(self) -> float:
-        """The coordinator's own clock, ms (`Lab.clock`)."""
+        """The coordinator's own clock in ms (`Lab.clock`)."""
         return self.lab.clock(self.number)
 
-    def told(self, command: bytes, result: bytes) -> None:
-        """Pass an applied entry to the holder, and log the leases that it gained or lost by that."""
+    def on_entry_applied(self, command: bytes, result: bytes) -> None:
+        """Pass an applied entry to the holder, and log the leases that it acquired or lost."""
         self.holder.on_applied(self.now, command, result)
-        self.tell()
-        self.looked = self.lab.now
-
-    def tell(self) -> None:
-        """Log the holder's changes as owner_took and owner_lost lines, in true ms. A lease that ran out is logged at
-        its end; one that was lost otherwise at the last look, as it was not acted under after that; one that was
-        released or passed on at the present time."""
-        turned, self.holder.changes = self.holder.changes, []
-        for turn in turned:  # by true time: a lease that ended by the own clock ended so long before now
-            before = (self.now - turn.at) / self.lab.replicas.rates.get(self.number, 1.0)
-            # What a step of the clock ended was last acted under at the look before it.
+        self.log_changes()
+        self.last_check_at = self.lab.now
+
+    def log_changes(self) -> None:
+        """Log the holder's changes as owner_took and owner_lost lines, in true ms.
+
+        An expired lease is logged at its end, a released or transferred one at the present time, and one lost otherwise
+        at the last check, because no action was sent under it after that.
+        """
+        changes, self.holder.changes = self.holder.changes, []
+        for change in changes:
+            # A lease that expired by the coordinator's own clock ended this long ago in true time.
+            before = (self.now - change.at) / self.lab.replicas.rates.get(self.number, 1.0)
+            # A lease that a clock step ended was last acted under at the check before the step.
             at = (
                 self.lab.now
-                if turn.held or turn.reason.startswith(("released", "passed"))
-                else self.looked
-                if turn.reason != "over"
+                if change.held or change.reason.startswith(("released", "passed"))
+                else self.last_check_at
+                if change.reason != "over"
                 else self.lab.now - before
             )
             self.lab.lines.append(
                 {
-                    "event": "owner_took" if turn.held else "owner_lost",
-                    "task": turn.task,
-                    "token": turn.token,
+                    "event": "owner_took" if change.held else "owner_lost",
+                    "task": change.task,
+                    "token": change.token,
                     "holder": self.name,
                     "at": round(at, 3),
                 }
             )
 
-    def turn(self) -> None:
-        """Take one step: propose the holder's next command, and act under each lease that is held at this moment."""
+    def step(self) -> None:
+        """Propose the holder's next command, and act under each lease that is held now."""
         command = self.holder.next_command(self.now, self.log.leader is not None)
-        self.tell()
+        self.log_changes()
         if command is not None:
             assert self.holder.pending is not None
             number, holder = self.holder.pending.number, self.holder
             self.lab.bytes += len(command)
             self.lab.commands += 1
 
-            def done(out: Any) -> None:
+            def on_outcome(result: Any) -> None:
                 outcome = CommandOutcome.NOT_APPENDED
-                if isinstance(out, AppliedEntry):
+                if isinstance(result, AppliedEntry):
                     outcome = CommandOutcome.APPLIED
-                elif isinstance(out, OutcomeUnknownError):
+                elif isinstance(result, OutcomeUnknownError):
                     outcome = CommandOutcome.UNKNOWN
                 holder.on_outcome(self.now, number, outcome)
 
-            self.log.submit(TOPIC, command, self.lab.terms.command_timeout_ms / 1_000.0, done)
-        for task, own in list(self.holder.leases.items()):
-            if own.announced and self.holder.holds(task, own.token, self.now):
-                self.lab.act(self, task, own.token)
-        self.tell()
-        self.looked = self.lab.now
+            self.log.submit(TOPIC, command, self.lab.settings.command_timeout_ms / 1_000.0, on_outcome)
+        for task, lease in list(self.holder.leases.items()):
+            if lease.announced and self.holder.holds(task, lease.token, self.now):
+                self.lab.act(self, task, lease.token)
+        self.log_changes()
+        self.last_check_at = self.lab.now
 
 
 class Lab:
-    """One run. Times: true ms."""
+    """One run. Times are in true ms."""
 
     def __init__(
         self,
@@ -118,20 +123,20 @@
         fenced: bool = True,
         make: Callable[..., Coordinator] = Coordinator,
     ) -> None:
-        """`late`: so many actions leave up to two leases after the look at the lease."""
+        """Set up a run. `late`: share of the actions that are sent up to two lease times after the check."""
         self.random = random.Random(f"ownership {seed}")
-        self.terms = LeaseSettings(lease_ms, drift)
+        self.settings = LeaseSettings(lease_ms, drift)
         self.tasks = [f"t{n}" for n in range(tasks)]
-        self.late, self.lives, self.bytes, self.commands = late, 0, 0, 0
+        self.late, self.incarnations, self.bytes, self.commands = late, 0, 0, 0
         self.lines: list[dict[str, Any]] = []
-        self.died: dict[str, list[float]] = {}
+        self.killed_at: dict[str, list[float]] = {}
         self.jumps: dict[int, float] = {}
         self.coordinators: dict[int, Coordinator] = {}
         self._first, self._fenced, self._make = True, fenced, make
         self.sent: list[tuple[float, int, dict[str, Any]]] = []
         voters = min(voters, nodes - (nodes + 1) % 2)
         self._began = 0.0
-        self.replicas: EmulatedReplicas = None  # type: ignore[assignment]  # its makers ask for the time already
+        self.replicas: EmulatedReplicas = None  # type: ignore[assignment]  # set below; `now` is read before that
         self.sink = Sink("sink", lambda: self.now, fenced=fenced)
         self.replicas = EmulatedReplicas(nodes, voters, seed, parse(script, nodes), self._attach)
         self.script = self.replicas.network.weather.script
@@ -139,7 +144,7 @@
 
     @property
     def now(self) -> float:
-        """True time in ms, 0 while the run is being set up."""
+        """True time in ms; 0 while the run is being set up."""
         return self.replicas.now if self.replicas is not None else 0.0
 
     def clock(self, number: int) -> float:
@@ -148,83 +153,96 @@
         return 1e6 + self.now * rate + self.jumps.get(number, 0.0)
 
     def _attach(self, number: int, log: EmulatedLog) -> None:
-        self._gone(number)
+        self._remove(number)
         self.coordinators[number] = self._make(self, number, log)
 
-    def _gone(self, number: int) -> None:
-        if (who := self.coordinators.pop(number, None)) is not None:  # one that was stopped did nothing since its look
-            self.died.setdefault(f"c{number}", []).append(who.looked)
+    def _remove(self, number: int) -> None:
+        if (coordinator := self.coordinators.pop(number, None)) is not None:
+            # A stopped process did nothing after its last check.
+            self.killed_at.setdefault(f"c{number}", []).append(coordinator.last_check_at)
+
+    def act(self, coordinator: Coordinator, task: str, token: int) -> None:
+        """Queue an action that a check of the lease has just allowed.
 
-    def act(self, who: Coordinator, task: str, token: int) -> None:
-        """Queue an action that a look at the lease has just allowed: it leaves within 20 ms or, for the share
-        `late`, up to two lease times later."""
-        wait = (
-            self.random.uniform(0.0, 2.0 * self.terms.lease_ms)
+        It is sent within 20 ms or, for the share `late`, up to two lease times later.
+        """
+        delay_ms = (
+            self.random.uniform(0.0, 2.0 * self.settings.lease_ms)
             if self.random.random() < self.late
             else (self.random.uniform(0.0, 20.0))
         )
         self.sent.append(
             (
-                self.now + wait,
-                who.number,
-                {"task": task, "token": token, "holder": who.name, "action": "late" if wait > 20.0 else "mark"},
+                self.now + delay_ms,
+                coordinator.number,
+                {
+                    "task": task,
+                    "token": token,
+                    "holder": coordinator.name,
+                    "action": "late" if delay_ms > 20.0 else "mark",
+                },
             )
         )
 
     def run(self, seconds: float) -> Lab:
-        """Play `seconds` of true time in turns of TURN_MS, hand actions to the sink once they are due, and return
-        self."""
+        """Simulate until `seconds` of true time in steps of STEP_MS, send due actions to the sink, and return self."""
         network = self.replicas.network
         while self.now < seconds * 1_000.0:
-            self.replicas.advance(TURN_MS)
+            self.replicas.advance(STEP_MS)
             for number in range(self.count):
                 if not network.up[number] and number in self.coordinators:
-                    self._gone(number)
-                elif (who := self.coordinators.get(number)) is not None and not network.paused[number]:
-                    who.turn()
-            due = sorted((one for one in self.sent if one[0] <= self.now), key=lambda one: one[0])
-            self.sent = [one for one in self.sent if one[0] > self.now]
-            for _, _, said in due:
-                self.sink.take(said)
+                    self._remove(number)
+                elif (coordinator := self.coordinators.get(number)) is not None and not network.paused[number]:
+                    coordinator.step()
+            due = sorted((action for action in self.sent if action[0] <= self.now), key=lambda action: action[0])
+            self.sent = [action for action in self.sent if action[0] > self.now]
+            for _, _, request in due:
+                self.sink.take(request)
         return self
 
     def checked(self, expect: int = 1) -> Checked:
-        """Judge the run's lines with `history.check`; `expect`: the least number of accepted actions."""
-        return check([*self.lines, *self.sink.lines], self.died, slack_ms=0.0, expect=expect)
+        """Check the run's lines with `history.check`. `expect`: minimum number of accepted actions."""
+        return check([*self.lines, *self.sink.lines], self.killed_at, slack_ms=0.0, expect=expect)
 
 
 def drawn(nodes: int, seed: int, seconds: float, lease_ms: float) -> str:
-    """Return a script of this package's hard cases, drawn from the seed: coordinators stopped or cut off for up to
-    2.5 leases, kills, clock rates, message loss."""
+    """Return a script drawn from the seed with the faults that are hard for leases.
+
+    Coordinators are stopped or cut off for up to 2.5 lease times or killed, clocks differ, and messages are lost.
+    """
     rng = random.Random(f"script {seed}")
-    parts, at, lease = [], 2.0, lease_ms / 1_000.0
+    parts, at, lease_s = [], 2.0, lease_ms / 1_000.0
     if rng.random() < 0.5:
         parts.append(f"loss {rng.uniform(0.0, 0.1):.3f}")
     if rng.random() < 0.5:
         parts += [f"clock {n} {rng.uniform(0.98, 1.02):.4f}" for n in range(nodes)]
-    while at < seconds - 3.0 * lease:
-        node, long = rng.randrange(nodes), rng.uniform(1.0, 2.5) * lease
+    while at < seconds - 3.0 * lease_s:
+        node, length_s = rng.randrange(nodes), rng.uniform(1.0, 2.5) * lease_s
         kind = rng.choice(("stop", "kill", "cut", "oneway", "most"))
         rest = ",".join(str(n) for n in range(nodes) if n != node)
         if kind == "stop":
-            parts.append(f"{at:.2f} stop {node}; {at + long:.2f} cont {node}")
+            parts.append(f"{at:.2f} stop {node}; {at + length_s:.2f} cont {node}")
         elif kind == "kill":
-            parts.append(f"{at:.2f} kill {node}; {at + rng.uniform(0.1, 1.5) * lease:.2f} start {node}")
+            parts.append(f"{at:.2f} kill {node}; {at + rng.uniform(0.1, 1.5) * lease_s:.2f} start {node}")
         elif kind == "cut":
-            parts.append(f"{at:.2f}-{at + long:.2f} cut {node}|{rest}")
+            parts.append(f"{at:.2f}-{at + length_s:.2f} cut {node}|{rest}")
         elif kind == "oneway":
-            parts.append(f"{at:.2f}-{at + long:.2f} oneway {node}>{rest}")
+            parts.append(f"{at:.2f}-{at + length_s:.2f} oneway {node}>{rest}")
         else:
-            parts.append(f"{at:.2f}-{at + long:.2f} cut 0|1|{','.join(str(n) for n in range(2, nodes))}")
-        at += rng.uniform(0.3, 1.2) * long
+            parts.append(f"{at:.2f}-{at + length_s:.2f} cut 0|1|{','.join(str(n) for n in range(2, nodes))}")
+        at += rng.uniform(0.3, 1.2) * length_s
     return "; ".join(parts)
 
 
-def play(nodes: int, seed: int, faults: str, seconds: float, **more: Any) -> Lab:
-    """Run a lab to its end and return it. `faults`: a script, or `drawn` for one from the seed; BadScript if it
-    can't be read."""
-    lease_ms = more.get("lease_ms", 3_000)
-    return Lab(nodes, seed, drawn(nodes, seed, seconds, lease_ms) if faults == "drawn" else faults, **more).run(seconds)
+def play(nodes: int, seed: int, faults: str, seconds: float, **options: Any) -> Lab:
+    """Run a lab to its end and return it.
+
+    `faults`: a script, or `drawn` for one from the seed; InvalidScriptError if it can't be parsed.
+    """
+    lease_ms = options.get("lease_ms", 3_000)
+    return Lab(nodes, seed, drawn(nodes, seed, seconds, lease_ms) if faults == "drawn" else faults, **options).run(
+        seconds
+    )
 
 
 def measure(lab: Lab) -> dict[str, Any]:
