--- a/frostspindle/lab/history.py
+++ b/frostspindle/lab/history.py
@@ -60,8 +60,8 @@
 ) -> dict[tuple[str, int], Grant]:
     """Return the grants by task and token, with the periods in which they were held.
 
-    `killed_at`: times at which the processes of a holder were killed, which ends its leases. A lease without an end ends at
-    infinity.
+    `killed_at`: times at which the processes of a holder were killed, which ends its leases. A lease without an end
+    ends at infinity.
     """
     grants: dict[tuple[str, int], Grant] = {}
     acquired_at: dict[tuple[str, int], float] = {}
--- a/frostspindle/lab/network.py
+++ b/frostspindle/lab/network.py
@@ -1,21 +1,19 @@
-"""A simulated network and its simulated time, for any parts without I/O: the fleet's emulator runs on it.
+"""Simulated network and time for components that do no I/O.
 
-Owns what is under way, in the order in which it comes, and which places hear: messages are lost, late, repeated, cut
-off as a script of faults says (`faults.script`), places are stopped, killed and started by it. The same seed and the
-same calls give the same run. It must never alter or invent a message, know what one means, or hold more than bounds
-allow.
+A script of faults (`faults.script`) delays, drops, duplicates and cuts off messages, and stops, kills and starts nodes.
+The same seed and the same calls give the same run. Messages are opaque and never altered, and queues are bounded.
 
     network = Network(count, parse("loss 0.1; 5-20 cut 0|1-2; 8 kill 1; 9 start 1", count), seed)
     for node in range(count): network.at(0.0, node, "tick")
-    for at, node, what in network.deliver(60_000.0):  # ms; everything until then, each as it comes
-        if isinstance(what, tuple): source, data = what  # a message to `node`
-        elif what == "kill": ...  # and "start", "stop", "cont", as the script has them
-        else: ...  # what was put there by `at`: a timer, a wish of a client
-        network.send(node, target, data); network.at(at + 100.0, node, "tick")  # meanwhile
-
-A place that is down hears nothing, and what comes to it is gone. To one that is stopped (`paused`) messages wait, up to
-MAX_WAITING_MESSAGES as a socket would have it, and come after "cont" in their order. What was put there by `at` comes all the same:
-clients go on asking, and whose timer it is must look at `up` and `paused`.
+    for at, node, event in network.deliver(60_000.0):  # ms; all events up to that time, in order
+        if isinstance(event, tuple): source, data = event  # a message to `node`
+        elif event == "kill": ...  # and "start", "stop", "cont", from the script
+        else: ...  # scheduled by `at`: a timer, a client's call
+        network.send(node, target, data); network.at(at + 100.0, node, "tick")  # allowed meanwhile
+
+Messages to a node that is down are lost. Messages to a stopped node (`paused`) wait, at most MAX_WAITING_MESSAGES as in
+a socket's buffer, and are delivered in order after "cont". Events scheduled by `at` are delivered in any case, because
+clients continue to call; the caller must check `up` and `paused` for timers of a node.
 """
 
 from __future__ import annotations
@@ -29,38 +27,43 @@
 from frostspindle.fleet.wire import MAX_PACKET_BYTES
 from frostspindle.lab.faults.script import Script, Weather
 
-MAX_WAITING_MESSAGES = 200  # messages that a stopped place's socket holds
-MAX_SCHEDULED = 2_000_000  # of all that is to come
+MAX_WAITING_MESSAGES = 200  # in the socket of a stopped node
+MAX_SCHEDULED = 2_000_000  # events and messages
 
 
 class Network:
-    """So many places, by number. True time is in ms from 0; clocks are the user's (`script.clocks`)."""
+    """A network of `count` numbered nodes. True time is in ms from 0; callers simulate clocks (`script.clocks`)."""
 
     def __init__(self, count: int, script: Script, seed: int, base_ms: float = 0.5, up: bool = True) -> None:
-        """`base_ms`: the least delay of each message; `up`: whether all places are up from the start."""
+        """Set up the network. `base_ms`: minimum delay of a message; `up`: whether all nodes are up from the start."""
         self.now = 0.0
-        self.events = 0  # that came, messages to nobody among them
-        self.weather = Weather(script, seed, base_ms)  # counts what was `lost` on the way
+        self.events = 0  # delivered or dropped, including messages to nodes that are down
+        self.weather = Weather(script, seed, base_ms)  # `lost` counts the messages that it drops
         self.up, self.paused = [up] * count, [False] * count
         self.waiting: list[list[tuple[int, bytes]]] = [[] for _ in range(count)]
-        self.counted: Counter[str] = Counter()  # too_long, not_read, crowded: messages that went no further
-        self._queue: list[tuple[float, int, int, Any]] = []  # when, order, place, what
-        self._order = 0
+        self.counted: Counter[str] = Counter()  # dropped messages by reason: too_long, not_read, crowded
+        self._queue: list[tuple[float, int, int, Any]] = []  # time, sequence number, node, event
+        self._sequence = 0
         for act in script.acts:
             self.at(act.at * 1_000.0, act.node, act.kind)
 
-    def at(self, at: float, node: int, what: Any) -> None:
-        """Schedule `what`, anything but a tuple, for a place at a time in ms. OverflowError if MAX_SCHEDULED things are
-        scheduled already."""
+    def at(self, time_ms: float, node: int, event: Any) -> None:
+        """Schedule `event`, anything but a tuple, for a node at a time in ms.
+
+        Raise OverflowError if MAX_SCHEDULED events are scheduled already.
+        """
         queue = self._queue
         if len(queue) >= MAX_SCHEDULED:
-            raise OverflowError("too much is under way")
-        self._order += 1
-        heappush(queue, (at if at > self.now else self.now, self._order, node, what))
+            raise OverflowError("too many events are scheduled")
+        self._sequence += 1
+        heappush(queue, (time_ms if time_ms > self.now else self.now, self._sequence, node, event))
 
     def send(self, source: int, target: int, data: bytes) -> bool:
-        """Send a message; return False, and count it, if it is longer than a datagram may be. True does not mean
-        that it arrives: the script may lose it, or MAX_SCHEDULED things may be scheduled already (`counted`)."""
+        """Send a message; return False, and count it, if it is too long for a datagram.
+
+        True does not mean that it arrives: the script may drop it, or MAX_SCHEDULED events are scheduled already, which
+        is counted.
+        """
         if len(data) > MAX_PACKET_BYTES:
             self.counted["too_long"] += 1
             return False
@@ -69,8 +72,8 @@
             if len(queue) >= MAX_SCHEDULED:
                 self.counted["crowded"] += 1
                 break
-            self._order += 1
-            heappush(queue, (now + delay, self._order, target, (source, data)))
+            self._sequence += 1
+            heappush(queue, (now + delay, self._sequence, target, (source, data)))
         return True
 
     def due(self) -> float:
@@ -78,39 +81,42 @@
         return self._queue[0][0] if self._queue else math.inf
 
     def deliver(self, until: float) -> Iterator[tuple[float, int, Any]]:
-        """All that comes up to a time, one after another, what is put on its way meanwhile too: time, place, and a
-        message as (source, bytes), an act of the script or what `at` was given. Ties come in the order put in."""
+        """Yield all events up to a time as (time, node, event), including those that are scheduled meanwhile.
+
+        An event is a message as (source, bytes), an act of the script, or the argument of `at`. Events at the same time
+        are in the order of scheduling.
+        """
         queue, up, paused, pop = self._queue, self.up, self.paused, heappop
         while queue and queue[0][0] <= until:
-            at, _, node, what = pop(queue)
-            self.now = at
+            time_ms, _, node, event = pop(queue)
+            self.now = time_ms
             self.events += 1
-            if what.__class__ is tuple:
+            if event.__class__ is tuple:
                 if paused[node]:
                     if len(self.waiting[node]) < MAX_WAITING_MESSAGES:
-                        self.waiting[node].append(what)
+                        self.waiting[node].append(event)
                     else:
                         self.counted["not_read"] += 1
                     continue
                 if not up[node]:
                     continue
-            elif what == "stop":
+            elif event == "stop":
                 paused[node] = up[node]
-            elif what == "kill":
+            elif event == "kill":
                 self.end(node)
-            elif what == "start":
+            elif event == "start":
                 up[node] = True
-            elif what == "cont":
+            elif event == "cont":
                 paused[node] = False
-            yield at, node, what
-            if what == "cont":  # its timers were put in first, then its socket is read
+            yield time_ms, node, event
+            if event == "cont":  # timers scheduled by the caller come first, then the socket is read
                 for message in self.waiting[node]:
-                    self._order += 1
-                    heappush(queue, (at, self._order, node, message))
+                    self._sequence += 1
+                    heappush(queue, (time_ms, self._sequence, node, message))
                 self.waiting[node] = []
         self.now = max(self.now, until)
 
     def end(self, node: int) -> None:
-        """Take a place down: it receives nothing from now on, and the messages that wait for it are dropped."""
+        """Take a node down: it receives nothing from now on, and the messages that wait for it are dropped."""
         self.up[node] = self.paused[node] = False
         self.waiting[node] = []
