--- a/frostspindle/lab/explore.py
+++ b/frostspindle/lab/explore.py
@@ -1,24 +1,23 @@
-"""An exhaustive explorer for cores without I/O: every order of their steps, up to a bound on states.
+"""Exhaustive explorer of the state space of cores that do no I/O, up to a bound on states.
 
-Owns the search: breadth first, each state once, so that the first fault found is at the end of a shortest way. It must
-never call a bounded search a whole one (`exhausted` says which it was, and `holds` is only true of whole ones), and
-never know what a state means.
+The search is breadth first and visits each state once, so that the first fault found ends a shortest path. `exhausted`
+tells whether the search was complete; `holds` is true only of a complete search. States are opaque.
 
     explore(start, steps, check, limit) -> Explored(states, exhausted, trace, ...)
 
-- `start`: a state. States are hashable values that `steps` never changes: tuples, frozen dataclasses, pyrsistent or
-  immutables maps. For a mutable core: copy it in `steps`, and give `key`, which makes a hashable value of all of it
-  that matters. `key` also serves symmetries: two states of one key are taken for one.
-- `steps(state)` yields `(label, next state)` for whatever can happen next: the core's own moves, messages that come,
-  come twice or get lost, ticks, crashes. What is not yielded never happens: a bound belongs there (so many crashes,
-  messages under way, ticks), and time has to be relative, or no search ends. One state must always yield the same.
-- `check(state)` returns None, or a message of what is wrong with this state; it is called once a state.
-- `limit`: distinct states at most, each 0.3 kB and its own size.
-- `goal(state)`, if given: from every state some way must lead to one where it is true, or the first state without such
-  a way is the fault (a fleet that is stuck). It is judged only if the search was exhausted; that there is a way is no
-  promise that it is taken.
+- `start`: the initial state. States are hashable values that `steps` never changes: tuples, frozen dataclasses,
+  pyrsistent or immutables maps. For a mutable core: copy it in `steps`, and pass `key`, which returns a hashable value
+  of all relevant state. `key` also expresses symmetries: states with equal keys count as one.
+- `steps(state)` yields `(label, next state)` for every possible next step: actions of the core, messages delivered,
+  duplicated or lost, ticks, crashes. It must bound the number of crashes, messages in flight and ticks, and use
+  relative time, or the search does not end. It must be deterministic.
+- `check(state)` returns None, or a message that describes the fault of the state; it is called once per state.
+- `limit`: maximum number of distinct states; each takes 0.3 kB in addition to its own size.
+- `goal(state)`, optional: from every state some path must lead to a state where it is true; otherwise the first state
+  without such a path is the fault (a fleet that is stuck). It is checked only if the search was exhausted. That a path
+  exists does not guarantee that it is taken.
 
-A test of a model asserts `holds`, and on `labels` that what it is about did happen:
+A test of a model asserts `holds`, and with `labels` that the relevant steps did occur:
 
     found = explore(start, steps, check, 200_000)
     assert found.holds, str(found)
@@ -37,28 +36,28 @@
 
 @dataclass(slots=True)
 class Explored(Generic[State]):
-    """The result of a search; `str` of it tells all, with the whole path to the fault."""
-
-    states: int  # distinct ones that were looked at
-    exhausted: bool  # every state that can be reached was, and every step of each taken
-    trace: list[tuple[str, State]] | None = None  # shortest way to the fault: labels and the states they led to
-    fault: str | None = None  # what `check` said at its end
-    depth: int = 0  # steps from the start to the farthest state looked at
-    unfollowed: int = 0  # states whose steps were not all taken
+    """The result of a search; `str()` gives a summary with the complete path to the fault."""
+
+    states: int  # number of distinct states visited
+    exhausted: bool  # all reachable states were visited, and all their steps were taken
+    trace: list[tuple[str, State]] | None = None  # shortest path to the fault: labels and resulting states
+    fault: str | None = None  # message of `check` for the last state of the trace
+    depth: int = 0  # steps from the start to the farthest visited state
+    unfollowed: int = 0  # states of which not all steps were taken
     labels: Counter[str] = field(default_factory=Counter)  # steps taken, by the first word of the label
 
     @property
     def holds(self) -> bool:
-        """Whether every reachable state was looked at and none is at fault."""
+        """Whether all reachable states were visited and none has a fault."""
         return self.exhausted and self.fault is None
 
     def __str__(self) -> str:
         if self.trace is not None:
-            way = "\n".join(f"  {n}. {label}\n     {state}" for n, (label, state) in enumerate(self.trace))
-            return f"fault after {len(self.trace) - 1} steps ({self.states} states looked at): {self.fault}\n{way}"
+            path = "\n".join(f"  {n}. {label}\n     {state}" for n, (label, state) in enumerate(self.trace))
+            return f"fault after {len(self.trace) - 1} steps ({self.states} states visited): {self.fault}\n{path}"
         if not self.exhausted:
             return (
-                f"NOT EXHAUSTED: no fault in the {self.states} states looked at, up to {self.depth} steps from the "
+                f"NOT EXHAUSTED: no fault in the {self.states} states visited, up to {self.depth} steps from the "
                 f"start; {self.unfollowed} of them were not followed"
             )
         return f"no fault in all {self.states} states, the farthest {self.depth} steps from the start"
@@ -73,73 +72,75 @@
     key: Callable[[State], Hashable] | None = None,
     goal: Callable[[State], bool] | None = None,
 ) -> Explored[State]:
-    """Search breadth first, as described in the module's docstring. ValueError for a limit below 1. An exception of
-    `steps` or `check` is passed on, with the path that led there as a note."""
+    """Search breadth first, as described in the module's docstring.
+
+    Raise ValueError for a limit below 1. An exception of `steps` or `check` is passed on with the path as a note.
+    """
     if limit < 1:
-        raise ValueError("a search needs room for its start")
-    name: Callable[[Any], Any] = key or (lambda state: state)
-    found: list[State] = [start]  # in the order met, which is that of depth
-    came: list[tuple[int, str]] = [(-1, "start")]
+        raise ValueError("the limit of states is below 1")
+    key_of: Callable[[Any], Any] = key or (lambda state: state)
+    found: list[State] = [start]  # in the order of discovery, which is that of depth
+    origins: list[tuple[int, str]] = [(-1, "start")]
     depths = [0]
-    places = {name(start): 0}
-    before: list[list[int]] = [[]]  # from which states each is reached, for `goal` alone
+    indices = {key_of(start): 0}
+    predecessors: list[list[int]] = [[]]  # by state, recorded only for `goal`
     labels: Counter[str] = Counter()
 
-    def way(place: int) -> list[tuple[str, State]]:
-        out = []
-        while place >= 0:
-            parent, label = came[place]
-            out.append((label, found[place]))
-            place = parent
-        return out[::-1]
+    def path_to(index: int) -> list[tuple[str, State]]:
+        path = []
+        while index >= 0:
+            parent, label = origins[index]
+            path.append((label, found[index]))
+            index = parent
+        return path[::-1]
 
-    def explored(followed: int, fault: str | None = None, at: int = 0) -> Explored[State]:
+    def explored(followed: int, fault: str | None = None, fault_index: int = 0) -> Explored[State]:
         return Explored(
             len(found),
             followed == len(found),
-            way(at) if fault is not None else None,
+            path_to(fault_index) if fault is not None else None,
             fault,
             depths[-1],
             len(found) - followed,
             labels,
         )
 
-    place = 0
+    index = 0
     try:
         if (fault := check(start)) is not None:
             return explored(0, fault)
-        while place < len(found):
-            for label, state in steps(found[place]):
+        while index < len(found):
+            for label, state in steps(found[index]):
                 labels[label.partition(" ")[0]] += 1
-                known = places.setdefault(name(state), len(found))
-                if known == len(found):
+                target = indices.setdefault(key_of(state), len(found))
+                if target == len(found):
                     if len(found) == limit:
-                        return explored(place)
+                        return explored(index)
                     found.append(state)
-                    came.append((place, label))
-                    depths.append(depths[place] + 1)
+                    origins.append((index, label))
+                    depths.append(depths[index] + 1)
                     if goal is not None:
-                        before.append([])
+                        predecessors.append([])
                     if (fault := check(state)) is not None:
-                        return explored(place, fault, known)
+                        return explored(index, fault, target)
                 if goal is not None:
-                    before[known].append(place)
-            place += 1
+                    predecessors[target].append(index)
+            index += 1
     except Exception as error:
-        error.add_note("after " + ", ".join(label for label, _ in way(place)))
+        error.add_note("after " + ", ".join(label for label, _ in path_to(index)))
         raise
     if goal is not None:
-        stuck = _without(before, [place for place, state in enumerate(found) if goal(state)])
+        stuck = _first_stuck(predecessors, [index for index, state in enumerate(found) if goal(state)])
         if stuck is not None:
-            return explored(len(found), "from here no way leads to the goal", stuck)
+            return explored(len(found), "no path leads from this state to the goal", stuck)
     return explored(len(found))
 
 
-def _without(before: list[list[int]], goals: list[int]) -> int | None:
-    """The first place from which no goal can be reached."""
-    reach = set(goals)
+def _first_stuck(predecessors: list[list[int]], goals: list[int]) -> int | None:
+    """Return the index of the first state from which no goal can be reached, None without one."""
+    reaching = set(goals)
     while goals:
-        fresh = {place for goal in goals for place in before[goal]} - reach
-        reach |= fresh
-        goals = list(fresh)
-    return next((place for place in range(len(before)) if place not in reach), None)
+        newly_reaching = {index for goal in goals for index in predecessors[goal]} - reaching
+        reaching |= newly_reaching
+        goals = list(newly_reaching)
+    return next((index for index in range(len(predecessors)) if index not in reaching), None)
