--- a/frostspindle/lab/engines.py
+++ b/frostspindle/lab/engines.py
@@ -1,8 +1,8 @@
-"""Stand-in engines and event bus, as raw protocols: cheap enough that the coordinator is what a load measures.
+"""Stand-in engines and event bus as raw protocols, cheap enough that a load test measures the coordinator.
 
-Owns the engines' side of the platform's HTTP and of the bus, on loopback only. An engine answers each query after
-its delay with one row that names the engine and the statement, counts what it is sent and when, and plays the
-load reports that it is told to. It must never be imported by the coordinator.
+They implement the engines' side of the platform's HTTP and the bus, on loopback only. An engine answers each query
+after its delay with one row that names the engine and the statement, records the requests that it receives, and sends
+load reports. The coordinator must not import this module.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class EngineConnection(asyncio.Protocol):
-    """One connection of the coordinator's; one call at a time."""
+    """One connection of the coordinator to an engine, with one request at a time."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
@@ -27,16 +27,16 @@
         self.first = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the engine."""
+        """Add this connection to the engine's open connections."""
         self.transport: asyncio.Transport = transport  # type: ignore[assignment]
         self.engine.lines.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove this connection from the engine's open connections."""
         self.engine.lines.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came, and note when a call's first byte came."""
+        """Parse received data, and record the time of a request's first byte."""
         self.first = self.first or time.time()
         try:
             self.parser.feed_data(data)
@@ -44,7 +44,7 @@
             self.transport.abort()
 
     def on_message_begin(self) -> None:
-        """Begin a call."""
+        """Begin a request."""
         self.url, self.body, self.fields = b"", b"", {}
 
     def on_url(self, url: bytes) -> None:
@@ -55,92 +55,104 @@
         """Collect a header by its lower-case name."""
         self.fields[name.lower()] = value
 
-    def on_body(self, part: bytes) -> None:
+    def on_body(self, chunk: bytes) -> None:
         """Collect a part of the body."""
-        self.body += part
+        self.body += chunk
 
     def on_message_complete(self) -> None:
-        """Hand a whole call to the engine."""
+        """Pass a complete request to the engine."""
         first, self.first = self.first, 0.0
         self.engine.call(self, self.parser.get_method(), self.url, self.fields, self.body, first)
 
     def say(self, status: int, body: bytes = b"", head: str = "") -> None:
-        """Write a response, unless the connection has ended."""
+        """Write a response, unless the connection is closed."""
         if not self.transport.is_closing():
             length = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
             self.transport.write(f"HTTP/1.1 {status} X\r\n{length}{head}\r\n".encode() + body)
 
 
 class Engine:
-    """A stand-in engine: each query is answered `delay_s` seconds after it begins, and at most `cores` run at once
-    while the others are queued (0: no limit). Without a delay a query is answered at once."""
+    """A stand-in engine that answers each query `delay_s` seconds after its start, or at once without a delay.
+
+    At most `cores` queries run at once while others are queued (0: no limit).
+    """
 
     connection_class = EngineConnection
 
     def __init__(self, name: str, delay_s: float = 0.0, cores: int = 0) -> None:
         self.name, self.delay_s, self.cores = name, delay_s, cores
-        self.lines: set[EngineConnection] = set()
+        self.lines: set[EngineConnection] = set()  # open connections
         self.results: dict[str, bytes | None] = {}  # by ticket; None while it runs
-        self.waiting: dict[str, EngineConnection] = {}
-        self.line: deque[tuple[str, str]] = deque()
-        self.sent: list[tuple[float, str, float]] = []  # of each POST: its first byte's time, ticket, estimate
-        self.keep = False  # whether `sent` is written
-        self.running = self.most = self.posts = 0
-        self.silent = False  # takes work and says nothing
+        self.waiting: dict[str, EngineConnection] = {}  # by ticket: the connection that waits for the result
+        self.line: deque[tuple[str, str]] = deque()  # queued queries: ticket, statement
+        self.sent: list[tuple[float, str, float]] = []  # per POST: time of its first byte, ticket, estimate
+        self.keep = False  # whether POSTs are recorded in `sent`
+        self.running = self.most = self.posts = 0  # running queries, their maximum, number of POSTs
+        self.silent = False  # ignore all requests
 
     async def start(self, port: int = 0) -> Engine:
-        """Listen on 127.0.0.1 and return self; with `port` 0 on a free port, which is in `port` then. OSError if the
-        port is taken."""
+        """Listen on 127.0.0.1 and return self; port 0 selects a free port, which is stored in `port`.
+
+        Raise OSError if the port is taken.
+        """
         self.server = await self.listen(port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def listen(self, port: int) -> asyncio.Server:
-        """Return a server for this engine's connections on 127.0.0.1; OSError if the port is taken."""
+        """Return a server for this engine's connections on 127.0.0.1. Raise OSError if the port is taken."""
         return await asyncio.get_running_loop().create_server(
             lambda: self.connection_class(self), "127.0.0.1", port, backlog=1024
         )
 
     def meter(self) -> str:
-        """Return the X-Meter header line with the load report. `load_share` is running queries over `cores` (over 8
-        without a limit), `depth` the number of queued ones, `x0` half the ratio; both ratios are capped at 1."""
+        """Return the X-Meter header line with the load report.
+
+        `load_share` is the number of running queries over `cores` (over 8 without a limit), `depth` the number of
+        queued queries, `x0` half of that ratio; both ratios are capped at 1.
+        """
         busy = self.running / max(1, self.cores or 8)
         return f"X-Meter: load_share:{min(1.0, busy):.2f};depth:{len(self.line)};x0:{min(1.0, busy / 2):.2f}\r\n"
 
     def call(
-        self, line: EngineConnection, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes, first: float
+        self,
+        connection: EngineConnection,
+        method: bytes,
+        url: bytes,
+        fields: dict[bytes, bytes],
+        body: bytes,
+        first: float,
     ) -> None:
-        """Answer one request of a connection; while `silent` requests are ignored.
+        """Answer one request of a connection; ignore it while `silent`.
 
-        POST starts the query of its X-Ticket, and a GET whose path has the ticket as the third of four parts asks
-        for it again: both are answered with the result, or with 202 if it is not there within 0.25 s. GET healthz or
-        stats is a health check. DELETE discards a result, PUT does nothing (204 both). Anything else, or an unknown
-        ticket, is a 500. `first`: Unix seconds of the request's first byte.
+        POST starts the query of its X-Ticket, and GET with the ticket as the third of four path segments polls it: both
+        are answered with the result, or with 202 if there is none within 0.25 s. GET healthz or stats is a health
+        check. DELETE discards a result, PUT does nothing; both are answered with 204. Other requests and unknown
+        tickets are answered with 500. `first`: Unix seconds of the request's first byte.
         """
         if self.silent:
             return
-        parts = url.decode("latin-1").strip("/").split("/")
+        segments = url.decode("latin-1").strip("/").split("/")
         if method == b"POST":
             ticket = fields.get(b"x-ticket", b"").decode()
             self.posts += 1
             if self.keep:
                 self.sent.append((first, ticket, float(fields.get(b"x-max-ms", b"0"))))
             self._take(ticket, " ".join(body.decode().split()))
-            self._respond(line, ticket)
-        elif method == b"GET" and parts[0] in ("healthz", "stats"):
-            line.say(200, head=self.meter())
-        elif method == b"GET" and len(parts) == 4:
-            self._respond(line, parts[2])
+            self._respond(connection, ticket)
+        elif method == b"GET" and segments[0] in ("healthz", "stats"):
+            connection.say(200, head=self.meter())
+        elif method == b"GET" and len(segments) == 4:
+            self._respond(connection, segments[2])
         elif method in (b"PUT", b"DELETE"):
-            if method == b"DELETE" and len(parts) > 2:
-                self.results.pop(parts[2], None)
-            line.say(204)
+            if method == b"DELETE" and len(segments) > 2:
+                self.results.pop(segments[2], None)
+            connection.say(204)
         else:
-            line.say(500)
+            connection.say(500)
 
     def answer(self, statement: str) -> bytes:
-        """Return the result's only page: the engine's name, the statement's length and the statement, separated by
-        tabs."""
+        """Return the result's only page: engine name, length of the statement and statement, separated by tabs."""
         return f"{self.name}\t{len(statement)}\t{statement}\n".encode()
 
     def _take(self, ticket: str, statement: str) -> None:
@@ -162,57 +174,61 @@
         self.running -= 1
         if ticket in self.results:
             self.results[ticket] = self.answer(statement)
-            if line := self.waiting.pop(ticket, None):
-                self._respond(line, ticket)
+            if connection := self.waiting.pop(ticket, None):
+                self._respond(connection, ticket)
         while self.line and (not self.cores or self.running < self.cores):
-            following, text = self.line.popleft()
-            if following in self.results:
-                self._run(following, text)
+            next_ticket, next_statement = self.line.popleft()
+            if next_ticket in self.results:
+                self._run(next_ticket, next_statement)
 
-    def _respond(self, line: EngineConnection, ticket: str) -> None:
+    def _respond(self, connection: EngineConnection, ticket: str) -> None:
         if ticket not in self.results:
-            line.say(500)
+            connection.say(500)
         elif (result := self.results[ticket]) is not None:
-            if len(self.results) > 4096:  # what was fetched long ago is let go of
-                for old in list(self.results)[:1024]:
-                    if self.results[old] is not None:
-                        del self.results[old]
-            line.say(200, result, f"X-Pages: 1\r\n{self.meter()}")
+            if len(self.results) > 4096:  # discard the oldest results
+                for ticket_to_drop in list(self.results)[:1024]:
+                    if self.results[ticket_to_drop] is not None:
+                        del self.results[ticket_to_drop]
+            connection.say(200, result, f"X-Pages: 1\r\n{self.meter()}")
         else:
-            self.waiting[ticket] = line
-            asyncio.get_running_loop().call_later(0.25, self._nothing, line, ticket)
+            self.waiting[ticket] = connection
+            asyncio.get_running_loop().call_later(0.25, self._on_poll_timeout, connection, ticket)
 
-    def _nothing(self, line: EngineConnection, ticket: str) -> None:
-        if self.waiting.get(ticket) is line:
+    def _on_poll_timeout(self, connection: EngineConnection, ticket: str) -> None:
+        if self.waiting.get(ticket) is connection:
             del self.waiting[ticket]
-            line.say(202, head=self.meter())
+            connection.say(202, head=self.meter())
 
 
 class Bus:
-    """A stand-in event bus: it keeps all events and sends each follower those after the offset that it names."""
+    """A stand-in event bus that keeps all events and sends each follower those after the follower's offset."""
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
-        self.followers: dict[asyncio.StreamWriter, float] = {}  # with the delay of its word, seconds
-        self.delays: dict[int, float] = {}  # by the order of joining
+        self.followers: dict[asyncio.StreamWriter, float] = {}  # delivery delay in seconds
+        self.delays: dict[int, float] = {}  # delivery delay by order of connection
 
     async def start(self, port: int = 0) -> Bus:
-        """Listen on 127.0.0.1 and return self; with `port` 0 on a free port, which is in `port` then. OSError if the
-        port is taken."""
+        """Listen on 127.0.0.1 and return self; port 0 selects a free port, which is stored in `port`.
+
+        Raise OSError if the port is taken.
+        """
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     def say(self, *hosts: dict[str, Any], whole: bool = False) -> dict[str, Any]:
-        """Publish a topology event with these hosts and return it. `whole`: they are the complete list of engines.
-        Each follower gets it after its own delay (`followers`, seconds)."""
-        number = len(self.events) + 1
-        self.events.append({"offset": number, "topology": {"seq": number, "whole": whole, "hosts": list(hosts)}})
+        """Publish a topology event with these hosts and return it.
+
+        `whole`: the hosts are the complete list of engines. Each follower gets the event after its own delay.
+        """
+        offset = len(self.events) + 1
+        self.events.append({"offset": offset, "topology": {"seq": offset, "whole": whole, "hosts": list(hosts)}})
         for writer, delay in self.followers.items():
-            asyncio.get_running_loop().call_later(delay, self._tell, writer, number - 1)
+            asyncio.get_running_loop().call_later(delay, self._deliver, writer, offset - 1)
         return self.events[-1]
 
-    def _tell(self, writer: asyncio.StreamWriter, after: int) -> None:
+    def _deliver(self, writer: asyncio.StreamWriter, after: int) -> None:
         if not writer.is_closing():
             for event in self.events[after : after + 1]:
                 writer.write(json.dumps(event).encode() + b"\n")
@@ -229,7 +245,7 @@
                 await writer.drain()
                 await asyncio.sleep(1.0)
         except (OSError, IndexError, ValueError, asyncio.CancelledError):
-            pass  # the follower has gone, or this end
+            pass  # the connection is closed at either end
         finally:
             self.followers.pop(writer, None)
             writer.close()
@@ -261,10 +277,13 @@
     zones: tuple[str, ...] = ("floor-1",),
     **settings: Any,
 ) -> dict[str, Any]:
-    """Return a coordinator's configuration for these engines, in the platform's form: three request classes (lookup,
-    report, load) as on the operators' sites. Further keyword arguments replace keys of `settings`."""
+    """Return a coordinator's configuration for these engines in the platform's format.
+
+    It has three request classes (lookup, report, load), as on the operators' sites. Further keyword arguments replace
+    keys of `settings`.
+    """
 
-    def cls(name: str, effect: str, promise: float, hard: float, worth: float) -> dict[str, Any]:
+    def request_class(name: str, effect: str, promise: float, hard: float, worth: float) -> dict[str, Any]:
         return {
             "name": name,
             "effect": effect,
@@ -291,9 +310,9 @@
             "kinds": ["std-8"],
             "failureDomains": list(zones),
             "categories": [
-                cls("lookup", "repeatable", 1500.0, 7500.0, 1.0),
-                cls("report", "repeatable", 3000.0, 25000.0, 4.0),
-                cls("load", "once", 4000.0, 20000.0, 3.0),
+                request_class("lookup", "repeatable", 1500.0, 7500.0, 1.0),
+                request_class("report", "repeatable", 3000.0, 25000.0, 4.0),
+                request_class("load", "once", 4000.0, 20000.0, 3.0),
             ],
             "domain": {
                 "classThreads": [1, 3, 2],
