--- a/frostspindle/lab/__init__.py
+++ b/frostspindle/lab/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in engines, event bus and clients that speak the raw protocols, to try and load the coordinator with.
+"""Stand-in engines, event bus and clients that use the raw protocols, and emulators, for tests and load tests.
 
-Owns nothing that serves: `demo`, `bench` and the tests start it, the coordinator never imports it.
+Only `demo`, `bench` and the tests use this package; the coordinator never imports it.
 """
--- a/frostspindle/lab/demo.py
+++ b/frostspindle/lab/demo.py
@@ -1,7 +1,6 @@
-"""The demo: engines, bus and coordinator of an embedded default in one command.
+"""Demo: stand-in engines, an event bus and a coordinator with a built-in configuration in one command.
 
-Owns the toys and the child process that serves. It must never listen anywhere but on loopback, and ends all that it
-started.
+All listeners are on loopback. The coordinator is a child process, which is ended on exit.
 """
 
 from __future__ import annotations
@@ -18,13 +17,15 @@
 from frostspindle.operator_client import call_operator, send_query
 
 SQL = "SELECT agent, max(note) FROM calls_17.notes GROUP BY agent"
-WAIT_S = 60.0  # a busy machine takes a while to start two interpreters
+READY_TIMEOUT_S = 60.0  # starting two interpreters takes long on a busy machine
 
 
 async def run(workers: int, port: int, once: bool) -> int:
-    """Run two engines, a bus and a coordinator on loopback, print the answer to one query, and wait for SIGINT,
-    SIGTERM or the coordinator's end (`once`: don't wait). Clients connect to `port`, operators to `port` + 1. Return
-    the coordinator's exit code; TimeoutError if it is not ready within WAIT_S seconds."""
+    """Run two engines, a bus and a coordinator, print the answer to one query, and return the coordinator's exit code.
+
+    Unless `once`, wait for SIGINT, SIGTERM or the coordinator's end after the query. Clients connect to `port`,
+    operators to `port` + 1. Raise TimeoutError if the coordinator is not ready within READY_TIMEOUT_S seconds.
+    """
     engines = [await Engine(f"toy-{n}", 0.2).start() for n in (1, 2)]
     bus = await Bus().start()
     bus.say(*(host_entry(f"toy-0000000{n}", engine.port) for n, engine in enumerate(engines, 1)), whole=True)
@@ -47,10 +48,10 @@
         ended = asyncio.Event()
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, ended.set)
-        gone = asyncio.create_task(child.wait())
-        gone.add_done_callback(lambda _: ended.set())
+        exited = asyncio.create_task(child.wait())
+        exited.add_done_callback(lambda _: ended.set())
         try:
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 while not ended.is_set():
                     try:
                         if (await asyncio.to_thread(call_operator, ("127.0.0.1", port + 1), "ready")).startswith("ACK"):
@@ -59,10 +60,10 @@
                         pass
                     await asyncio.sleep(0.05)
             if not ended.is_set():
-                how, rows, _ = await asyncio.to_thread(
+                outcome, rows, _ = await asyncio.to_thread(
                     send_query, f"127.0.0.1:{port}", "lookup", SQL, "00000000000000a1", 5000.0, 300.0, 96.0
                 )
-                print(f"\n{SQL}\n{how}: {rows}\n", flush=True)
+                print(f"\n{SQL}\n{outcome}: {rows}\n", flush=True)
                 print(
                     f"Clients are served at 127.0.0.1:{port} by {workers} workers. Try:\n"
                     f"  python -m frostspindle call lookup 'SELECT 1 FROM calls_17.notes' --at 127.0.0.1:{port}\n"
@@ -75,5 +76,5 @@
         finally:
             if child.returncode is None:
                 child.terminate()
-            code = await gone
+            code = await exited
     return code
--- a/frostspindle/lab/fleet_report.py
+++ b/frostspindle/lab/fleet_report.py
@@ -1,6 +1,6 @@
-"""What is plotted of one run of the fleet's emulator: spending against the budget over time, by group.
+"""Plot of one run of the fleet's emulator: spending against the budget over time, by group of coordinators.
 
-Owns the plot; the page is `page`'s. It must never compute a figure that the run did not give. Needs the extra `plot`.
+The page is written by `page`. The plot shows only data of the run. Needs the extra `plot`.
 """
 
 from __future__ import annotations
@@ -14,32 +14,36 @@
 
 
 def groups(emulator: Emulator) -> dict[str, list[int]]:
-    """Return the coordinators to plot together, by label: the sides of the script's first cut, else the one with the
-    greatest demand and the others."""
+    """Return the groups of coordinators to plot, by label.
+
+    These are the sides of the first cut, or without a cut the coordinator with the greatest demand and the others.
+    """
     for rule in emulator.script.rules:
         if rule.kind == "cut":
             return {f"side {n} ({len(side)} coordinators)": sorted(side) for n, side in enumerate(rule.groups, 1)}
-    most = max(range(emulator.count), key=lambda n: emulator.processes[n].demand)
-    return {emulator.processes[most].name: [most], "the others": [n for n in range(emulator.count) if n != most]}
+    busiest = max(range(emulator.count), key=lambda n: emulator.processes[n].demand)
+    return {
+        emulator.processes[busiest].name: [busiest],
+        "the others": [n for n in range(emulator.count) if n != busiest],
+    }
 
 
 def write(emulator: Emulator, figures: dict[str, Any], folder: str) -> Path:
-    """Write `index.html` into the folder, a plot of the units spent in each window against the budget, and return
-    its path."""
+    """Write `index.html` with a plot of the units spent per window against the budget, and return its path."""
 
     def draw(axes: Any) -> None:
         window = emulator.window_ms
-        spans = int(emulator.seconds * 1_000.0 / window)
-        base = [0] * spans
+        window_count = int(emulator.seconds * 1_000.0 / window)
+        base = [0] * window_count
         for label, members in groups(emulator).items():
-            inside = set(members)
-            by = Counter(int(at / window) for at, n in emulator.spends if n in inside)
-            values = [by.get(n, 0) for n in range(spans)]
-            tops = [low + value for low, value in zip(base, values, strict=True)]
+            group = set(members)
+            units_by_window = Counter(int(at / window) for at, n in emulator.spends if n in group)
+            values = [units_by_window.get(n, 0) for n in range(window_count)]
+            top = [bottom + value for bottom, value in zip(base, values, strict=True)]
             axes.fill_between(
-                [n * window / 1_000.0 for n in range(spans)], base, tops, step="post", alpha=0.7, label=label
+                [n * window / 1_000.0 for n in range(window_count)], base, top, step="post", alpha=0.7, label=label
             )
-            base = tops
+            base = top
         axes.axhline(emulator.units, color="black", linewidth=1.2, label="budget")
         for rule in emulator.script.rules:
             if rule.kind in ("cut", "oneway"):
--- a/frostspindle/lab/replica_runs.py
+++ b/frostspindle/lab/replica_runs.py
@@ -1,8 +1,8 @@
-"""Runs of the replicated log in simulated time under drawn faults, and a judge of what must hold of each.
+"""Runs of the replicated log in simulated time under random faults, with a check of the log's guarantees.
 
-Owns the faults' drawing, a machine whose state tells all that it was given, and the judgement: no entry differs between
-members or lives, none that was answered is lost, none that was refused is there, none is there twice, all come back. It
-must never look into a member: it goes by what machines applied and proposers were answered.
+The state of the machines is a digest of all applied entries. The check: no entry differs between members or restarts,
+no acknowledged entry is lost, no refused entry is in the log, no entry is duplicated, and all members recover. It uses
+only what machines applied and proposers were answered.
 """
 
 from __future__ import annotations
@@ -24,8 +24,10 @@
         self.run, self.sum, self.last = run, b"", 0
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Add the entry to the digest and return the command. If another member or life had a different entry or
-        digest at this index, that is added to the run's `bad`."""
+        """Add the entry to the digest and return the command.
+
+        A different entry or digest at this index, at another member or before a restart, is added to the run's `bad`.
+        """
         self.last, self.sum = index, hashlib.sha256(self.sum + b"%d:" % index + command).digest()
         if (
             self.run.entries.setdefault(index, command) != command
@@ -39,18 +41,18 @@
         return self.sum + b"%d" % self.last
 
     def restore(self, index: int, state: bytes) -> None:
-        """Take the digest and the last index from a snapshot; ValueError if it has no index."""
+        """Restore the digest and the last index from a snapshot. Raise ValueError if it has no index."""
         self.sum, self.last = state[:32], int(state[32:])
 
 
 class Run:
-    """A whole run of members in simulated time under drawn faults; `bad` lists what did not hold."""
+    """A run of members in simulated time under random faults; `bad` lists violated guarantees."""
 
     def __init__(self, seed: int, seconds: int = 14, nodes: int = 5, voters: int = 3, keep: int = 40) -> None:
-        self.entries: dict[int, bytes] = {}  # by index, as the first member that applied it has it
+        self.entries: dict[int, bytes] = {}  # by index: the command, as applied by the first member
         self.sums: dict[int, bytes] = {}
         self.bad: list[str] = []
-        self.lost = 0  # journals
+        self.lost = 0  # deleted journals
         self.machines: dict[int, DigestMachine] = {}
         self.answers: dict[bytes, list[Outcome]] = {}
         rng = random.Random(seed * 7_919)
@@ -65,36 +67,37 @@
             if self.lab.nodes[number].member is None:
                 self.lab.start(number)
         self.lab.advance(8_000.0)
-        self.judge(nodes)
+        self.check(nodes)
 
     def lose(self, rng: random.Random, voters: int) -> None:
-        """With probability 0.03 delete the journal of a voter that is down. Only if it is the only one down and all
-        others vote again: the loss of one vote is what the log must survive."""
+        """With probability 0.03 delete the journal of a voter that is down.
+
+        It must be the only voter that is down, and all others must vote: the log tolerates the loss of one vote.
+        """
         nodes = self.lab.nodes[:voters]
         down = [number for number, node in enumerate(nodes) if node.member is None]
-        back = all(node.member is None or node.member.voter for node in nodes)
-        if len(down) == 1 and back and nodes[down[0]].records and rng.random() < 0.03:
+        all_vote = all(node.member is None or node.member.voter for node in nodes)
+        if len(down) == 1 and all_vote and nodes[down[0]].records and rng.random() < 0.03:
             self.lab.lose(down[0])
             self.lost += 1
 
     @staticmethod
     def draw(rng: random.Random, seconds: int, nodes: int, voters: int) -> str:
-        """Return a script of faults drawn from `rng` (cuts, kills, stops, loss, delays), all within the run's
-        `seconds`."""
+        """Return a script of random faults (cuts, kills, stops, loss, delays) within the run's `seconds`."""
         parts: list[str] = []
         at = 2.0
         while at < seconds - 3:
-            until, one = at + rng.uniform(0.5, 3.0), rng.randrange(voters)
+            until, target = at + rng.uniform(0.5, 3.0), rng.randrange(voters)
             side = rng.sample(range(nodes), rng.randrange(1, nodes))
             rest = [number for number in range(nodes) if number not in side]
             parts.append(
                 rng.choice(
                     (
                         f"{at:.2f}-{until:.2f} cut {','.join(map(str, side))}|{','.join(map(str, rest))}",
-                        f"{at:.2f}-{until:.2f} oneway {one}>{(one + 1) % nodes}",
-                        f"{at:.2f} kill {one}; {until:.2f} start {one}",
-                        f"{at:.2f} kill {one}; {until:.2f} start {one}",
-                        f"{at:.2f} stop {one}; {until:.2f} cont {one}",
+                        f"{at:.2f}-{until:.2f} oneway {target}>{(target + 1) % nodes}",
+                        f"{at:.2f} kill {target}; {until:.2f} start {target}",
+                        f"{at:.2f} kill {target}; {until:.2f} start {target}",
+                        f"{at:.2f} stop {target}; {until:.2f} cont {target}",
                         f"{at:.2f}-{until:.2f} loss {rng.uniform(0.05, 0.4):.2f}",
                         f"{at:.2f}-{until:.2f} delay 0-{rng.choice((20, 100, 400))}",
                     )
@@ -104,37 +107,39 @@
         return "; ".join(parts)
 
     def attach(self, number: int, log: EmulatedLog) -> None:
-        """Give a member that starts a new machine for the topic `t`."""
+        """Attach a new machine for the topic `t` to a member that starts."""
         self.machines[number] = DigestMachine(self)
         log.attach("t", self.machines[number])
 
     def propose(self, number: int) -> None:
-        """Propose the next numbered command at a member, to be answered within 1.5 s; without effect if it is down
-        or stopped."""
+        """Propose the next numbered command at a member with a timeout of 1.5 s, unless it is down or stopped."""
         if self.lab.nodes[number].member is None or self.lab.network.paused[number]:
             return
-        told: list[Outcome] = []
-        self.answers[b"%d" % len(self.answers)] = told
-        self.lab.member(number).submit("t", b"%d" % (len(self.answers) - 1), 1.5, told.append)
-
-    def judge(self, nodes: int) -> None:
-        """Check the healed run and add faults to `bad`: all members answer a barrier and have one state, each
-        proposal has one answer, and no entry is lost, refused yet there, or there twice."""
-        last: list[Outcome] = []
+        outcomes: list[Outcome] = []
+        self.answers[b"%d" % len(self.answers)] = outcomes
+        self.lab.member(number).submit("t", b"%d" % (len(self.answers) - 1), 1.5, outcomes.append)
+
+    def check(self, nodes: int) -> None:
+        """Check the run after all faults and add violations to `bad`.
+
+        All members must answer a barrier and have the same state, and each proposal must have one answer. No entry may
+        be lost, refused but present, or duplicated.
+        """
+        barrier_outcomes: list[Outcome] = []
         for number in range(nodes):
             if not self.lab.faults:
-                self.lab.member(number).submit("", b"", 5.0, last.append)
+                self.lab.member(number).submit("", b"", 5.0, barrier_outcomes.append)
         self.lab.advance(6_000.0)
         self.bad += self.lab.faults
-        if [type(one) for one in last] != [AppliedEntry] * nodes:
-            self.bad.append(f"not all are back: {last}")
+        if [type(outcome) for outcome in barrier_outcomes] != [AppliedEntry] * nodes:
+            self.bad.append(f"not all members answered the barrier: {barrier_outcomes}")
         if len({machine.sum for machine in self.machines.values()}) > 1:
-            self.bad.append("the states differ")
-        times = collections.Counter(self.entries.values())
-        for command_, told in self.answers.items():
-            if len(told) != 1:
-                self.bad.append(f"{len(told)} answers to {command_!r}")
-            elif isinstance(told[0], AppliedEntry) and self.entries.get(told[0].index) != command_:
-                self.bad.append(f"{command_!r} was answered and is lost")
-            elif isinstance(told[0], LogUnavailableError) and times[command_] or times[command_] > 1:
-                self.bad.append(f"{command_!r} is there {times[command_]} times after {told[0]!r}")
+            self.bad.append("the states of the members differ")
+        occurrences = collections.Counter(self.entries.values())
+        for command, outcomes in self.answers.items():
+            if len(outcomes) != 1:
+                self.bad.append(f"{len(outcomes)} answers to {command!r}")
+            elif isinstance(outcomes[0], AppliedEntry) and self.entries.get(outcomes[0].index) != command:
+                self.bad.append(f"{command!r} was acknowledged and is lost")
+            elif isinstance(outcomes[0], LogUnavailableError) and occurrences[command] or occurrences[command] > 1:
+                self.bad.append(f"{command!r} is in the log {occurrences[command]} times after {outcomes[0]!r}")
