--- a/frostspindle/lab/fleet.py
+++ b/frostspindle/lab/fleet.py
@@ -33,7 +33,7 @@
     name: str
     rate: float
     offset: float
-    demand: float  # units a second
+    demand: float  # units per second
     node: FleetNode | None = None
     starts: int = 0
     due: float = 0.0  # true ms of its next tick; earlier entries in the queue are ignored
--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -7,8 +7,7 @@
 Power is lost at LOSS_S: processes and engines end within a second. Engines are back 2 to 4 s later and cold, the bus
 3 to 9 s later; coordinators start spread over ten seconds, the first after 3 s. Members of the fleet see each other a
 second late. With recovery, the budgets of cold engines are rights of the fleet, as with `[fleet] cold`, and paid at the
-first byte. The naive start uses fixed shares and turns, as the decision module does
-without a fleet.
+first byte. The naive start uses fixed shares and turns, as the decision module does without a fleet.
 """
 
 from __future__ import annotations
--- a/frostspindle/lab/replica.py
+++ b/frostspindle/lab/replica.py
@@ -154,7 +154,7 @@
 
     async def _propose_and_wait(self, topic: str, command: bytes, within_s: float) -> AppliedEntry:
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self.submit(topic, command, within_s, lambda outcome: None if future.done() else future.set_result(outcome))
+        self.submit(topic, command, within_s, lambda result: None if future.done() else future.set_result(result))
         outcome = await future
         if isinstance(outcome, AppliedEntry):
             return outcome
--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -256,7 +256,7 @@
                 if other != number:
                     self._send(number, other, (node.name, hub.epoch, b""))
             hub.members(
-                self.now, {name: epoch for name, (at, epoch) in node.last_heard.items() if self.now - at < DEAD_MS}
+                self.now, {peer: epoch for peer, (at, epoch) in node.last_heard.items() if self.now - at < DEAD_MS}
             )
         for name, message in hub.tick(self.now):
             data = wire.encode(message)
