--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -165,7 +165,7 @@
         30.0,
         60,
         demand=lambda n: 0.0,
-        terms={"probe_interval_ms": 200.0, "probe_timeout_ms": 190.0},
+        settings={"probe_interval_ms": 200.0, "probe_timeout_ms": 190.0},
     )
     emulator.run()
     assert emulator.events < 30 * 3 * 200
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -90,7 +90,8 @@
         whole = engines.coordinator_config
         config = None
         with unittest.mock.patch(
-            "test_fleet_program.document", lambda hosts, **kw: whole(hosts, **kw, zones=("floor-1", "floor-2"))
+            "test_fleet_program.coordinator_config",
+            lambda hosts, **kw: whole(hosts, **kw, zones=("floor-1", "floor-2")),
         ):
             config = self.read(two)
         self.core, self.events = Core(config), Telemetry(sink=BytesIO())
