--- a/bench/replica.py
+++ b/bench/replica.py
@@ -42,7 +42,7 @@
     nodes, voters = ((5, 3), (5, 5), (3, 3))[seed % 3]
     run = Run(seed, nodes=nodes, voters=voters)
     outcomes = Counter(type(answers[0]).__name__ for answers in run.answers.values() if answers)
-    counters: Counter[str] = Counter({"journals lost": run.lost, "votes again": len(run.lab.told)})
+    counters: Counter[str] = Counter({"journals lost": run.lost, "votes again": len(run.lab.notices)})
     for node in run.lab.nodes:
         if node.member is not None:
             counters += node.member.counters
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -78,7 +78,7 @@
             seed,
             "drawn",
             seconds,
-            terms=AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else "meet"),
+            settings=AgreementSettings(2_000.0, 0.01, 4_000.0, RulesMode.REJECT if refuse else "meet"),
         )
         rows.append(emulation.measure(world))
     click.echo(
@@ -425,14 +425,16 @@
     bootstrapped over pairs of windows.
     """
     from frostspindle.lab.bench import SPAWN, coordinator, engines
-    from frostspindle.lab.engines import document, host
+    from frostspindle.lab.engines import coordinator_config, host_entry
     from frostspindle.operator_client import call_operator
 
     rng, settle_s = random.Random(seed), 0.5  # excludes requests and pushes left over from the previous window
     has_pushes = [with_pushes for _ in range(windows // 2) for with_pushes in rng.sample((False, True), 2)]
     with (
         engines([f"s-{number}" for number in range(4)], delay_ms / 1e3, 2) as (ports, _),
-        coordinator(document([host(name, port) for name, port in ports.items()]), 1, operator=OPERATOR) as (
+        coordinator(
+            coordinator_config([host_entry(name, port) for name, port in ports.items()]), 1, operator=OPERATOR
+        ) as (
             port,
             (operator_socket, pid),
         ),
@@ -586,7 +588,7 @@
 def held(seconds: float, pushes: float, entries: int, rate: float, first: int) -> None:
     """Measure what a push costs the event loop, by callback: processor ms above the same time without pushes."""
     from frostspindle.lab.bench import SPAWN, coordinator, engines
-    from frostspindle.lab.engines import document, host
+    from frostspindle.lab.engines import coordinator_config, host_entry
 
     def spawn(target: Any, *args: Any) -> Any:
         parent_pipe, child_pipe = SPAWN.Pipe()
@@ -596,7 +598,10 @@
     with tempfile.TemporaryDirectory() as folder, engines(["s-0"], 0.02) as (ports, _):
         path = Path(folder, "table")
         with coordinator(
-            document([host("s-0", ports["s-0"])]), 1, operator=OPERATOR, program=("-c", LOOP_TIMER, str(path))
+            coordinator_config([host_entry("s-0", ports["s-0"])]),
+            1,
+            operator=OPERATOR,
+            program=("-c", LOOP_TIMER, str(path)),
         ) as (port, (operator_socket, pid)):
 
             def table() -> dict[str, list[float]]:
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -25,7 +25,7 @@
 from typing import Any
 
 from frostspindle import policy
-from frostspindle.lab.engines import document
+from frostspindle.lab.engines import coordinator_config
 from frostspindle.policy import AttemptOutcome, Controller, EndpointListKind, EngineEntry, ProgressKind, WorkerLoad
 from frostspindle.policy.settings_parser import flatten, read_settings
 
@@ -40,7 +40,7 @@
 
     def __init__(self, strategy: str, seed: int, load: float) -> None:
         self.strategy, self.rng, self.load = strategy, random.Random(seed), load
-        base = read_settings(flatten(document([])["settings"]))
+        base = read_settings(flatten(coordinator_config([])["settings"]))
         self.worker_count = 1 if strategy == "one" else WORKERS
         divided = WORKERS if strategy not in ("blind", "one") else 1
         self.modules = [
--- a/tests/test_scatter_program.py
+++ b/tests/test_scatter_program.py
@@ -89,10 +89,11 @@
         two_sites = two_sites.replace("zones = []", 'zones = ["floor-2"]').replace("# foreign_loads = true ", "# ")
         import frostspindle.lab.engines as engines
 
-        make_document = engines.document
+        make_document = engines.coordinator_config
         config = None
         with unittest.mock.patch(
-            "test_fleet_program.document", lambda hosts, **kw: make_document(hosts, **kw, zones=("floor-1", "floor-2"))
+            "test_fleet_program.coordinator_config",
+            lambda hosts, **kw: make_document(hosts, **kw, zones=("floor-1", "floor-2")),
         ):
             config = self.read(two_sites)
         self.core, self.events = Core(config), Telemetry(sink=BytesIO())
