--- a/bench/cold_rights.py
+++ b/bench/cold_rights.py
@@ -19,13 +19,13 @@
 
 from bench.common import tell  # noqa: E402
 from frostspindle.lab.cold import ColdEmulator  # noqa: E402
-from frostspindle.lab.faults.script import drawn, parse  # noqa: E402
+from frostspindle.lab.faults.script import draw_script, parse  # noqa: E402
 
 
 def mixed(seed: int) -> dict[str, Any]:
     """Run one emulation with faults of all kinds, drawn from the seed, and return its figures."""
     draw = random.Random(seed)
-    count, at, parts = drawn(draw, (3.0, 15.0, 15.0), (2.0, 25.0), (5, 3.0), (4, 8.0))
+    count, at, parts = draw_script(draw, (3.0, 15.0, 15.0), (2.0, 25.0), (5, 3.0), (4, 8.0))
     if draw.random() < 0.3:  # a power loss
         parts += [
             f"{at + n * 0.1:.2f} kill {n}; {at + 1.5 + draw.uniform(0.0, 3.0):.2f} start {n}" for n in range(count)
--- a/bench/fleet_state.py
+++ b/bench/fleet_state.py
@@ -30,14 +30,14 @@
 
 from bench.common import tell  # noqa: E402
 from frostspindle.fleet import wire  # noqa: E402
-from frostspindle.lab.faults.script import drawn, parse  # noqa: E402
+from frostspindle.lab.faults.script import draw_script, parse  # noqa: E402
 from frostspindle.lab.fleet import Emulator, measure, settle  # noqa: E402
 
 
 def mixed(seed: int) -> dict[str, Any]:
     """Run one emulation with faults of all kinds, drawn from the seed, and return its figures."""
     draw = random.Random(seed)
-    count, _, parts = drawn(draw, (8.0, 25.0, 25.0), (5.0, 40.0), (4, 8.0), (3, 20.0))
+    count, _, parts = draw_script(draw, (8.0, 25.0, 25.0), (5.0, 40.0), (4, 8.0), (3, 20.0))
     hot, over, units = draw.choice((1.0, 10.0)), draw.choice((0.6, 1.5, 3.0)), count * draw.choice((5, 20, 60))
     emulator = Emulator(
         count,
@@ -233,7 +233,7 @@
 
 async def sockets(count: int) -> dict[str, Any]:
     """Run processes of the program under a cut, a kill and message loss; return overspending and time to agree (s)."""
-    from frostspindle.lab.faults.runner import Fleet, demand, overspent
+    from frostspindle.lab.faults.runner import Fleet, compute_overspend, demand
 
     fleet = Fleet(
         count,
@@ -272,7 +272,7 @@
         ]
         return {
             "processes": count,
-            "overspend": overspent(spans, 20 * count, 1.0),
+            "overspend": compute_overspend(spans, 20 * count, 1.0),
             "spent": sum(units for _, _, units in spans),
             "agree_after_load_s": round(agreed, 2),
             "sum": figures[0]["sums"].get("spent:blue"),
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -25,7 +25,7 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from frostspindle.lab.faults.owners import Owned  # noqa: E402
+from frostspindle.lab.faults.owners import OwnershipFleet  # noqa: E402
 from frostspindle.lab.ownership import Lab, measure, play  # noqa: E402
 from frostspindle.ownership.service import clock  # noqa: E402
 
@@ -135,7 +135,7 @@
     bad: list[str] = []
     accepted = refused = stale = 0
     for seed in range(first, first + runs):
-        fleet = Owned(lease_ms=lease_ms, voters=(3, 5)[seed % 2], seed=seed)
+        fleet = OwnershipFleet(lease_ms=lease_ms, voters=(3, 5)[seed % 2], seed=seed)
         try:
             await fleet.start()
             kind = ("stop", "cut", "kill")[seed % 3] if faults else "kill"
@@ -196,7 +196,7 @@
 
 async def processor(tasks: int, over_s: float = 20.0) -> dict[str, Any]:
     """Return the part of a core that each of five processes uses, three of them voters, once all tasks are held."""
-    fleet = Owned(lease_ms=3_000, tasks=())
+    fleet = OwnershipFleet(lease_ms=3_000, tasks=())
     for process in fleet.processes:
         process.started_as = ["-c", WANTS.format(tasks=tasks)]
     try:
--- a/bench/replica.py
+++ b/bench/replica.py
@@ -29,7 +29,7 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from frostspindle.lab.faults.logs import Logs, Notes  # noqa: E402
+from frostspindle.lab.faults.logs import ReplicaMembers, TextStateMachine  # noqa: E402
 from frostspindle.lab.faults.runner import free_port  # noqa: E402
 from frostspindle.lab.faults.script import parse  # noqa: E402
 from frostspindle.lab.replica_runs import Run  # noqa: E402
@@ -77,7 +77,7 @@
             for n in range(5)
         ]
         for log in logs:
-            log.attach("t", Notes())
+            log.attach("t", TextStateMachine())
             await log.start()
         await asyncio.gather(*(log.barrier(20.0) for log in logs))
         leader = next(log for log in logs if log.leader == log.me)
@@ -125,7 +125,7 @@
         took: list[float] = []
         steps: list[float] = []
         for seed in range(kills):
-            logs = await Logs(5, 3, parse("", 5), seed).start()
+            logs = await ReplicaMembers(5, 3, parse("", 5), seed).start()
             leader = await logs.leader()
             other = next(m for m in logs.members[3:])
             await other.call("propose", "before")
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -635,10 +635,10 @@
 
 
 async def _sockets(seed: int, nodes: int, seconds: float) -> dict[str, Any]:
-    from frostspindle.lab.faults.settled import Agreeing, boot_ms
+    from frostspindle.lab.faults.settled import SettingsFleet, boot_ms
 
     rng = random.Random(seed)
-    world = await Agreeing(nodes, 3, parse("", nodes), seed, engines=1).start()
+    world = await SettingsFleet(nodes, 3, parse("", nodes), seed, engines=1).start()
     pushes: list[tuple[int, float, float]] = []
     try:
         await world.publisher()
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from frostspindle.lab.faults.spread import PROBES, Scattered, Subscribed, drawn  # noqa: E402
+from frostspindle.lab.faults.spread import PROBES, ScatterRun, SubscriptionRun, draw_script  # noqa: E402
 
 TENANTS = '[[tenant]]\nname = "blue"\n[[tenant.rule]]\nheader = "X-Team=blue"\n'
 BUDGET = '[[fleet.budget]]\nname = "blue"\nunits = 100\ntenant = "blue"\n'
@@ -45,15 +45,15 @@
 
     A run that exceeds its time counts as `stuck`, or as `not_begun` if its processes were not ready for the faults.
     """
-    script = drawn(seed, seconds - 1.0)
-    run = Scattered(script, seed) if part == "scatter" else Subscribed(script, seed, PROBES + BUDGET, TENANTS)
+    script = draw_script(seed, seconds - 1.0)
+    run = ScatterRun(script, seed) if part == "scatter" else SubscriptionRun(script, seed, PROBES + BUDGET, TENANTS)
     began, figures = time.monotonic(), {"stuck": 0}
     try:
         figures |= await run.run(seconds)
     except TimeoutError:
         figures["not_begun" if run.fleet.script_task is None else "stuck"] = 1
     finally:
-        codes = await (run.fleet if isinstance(run, Scattered) else run).close()
+        codes = await (run.fleet if isinstance(run, ScatterRun) else run).close()
     return {
         "seed": seed,
         **figures,
--- a/frostspindle/lab/faults/logs.py
+++ b/frostspindle/lab/faults/logs.py
@@ -25,7 +25,7 @@
 SECRET = "a secret of the lab, and of nobody else"
 
 
-class Notes:
+class TextStateMachine:
     """A state machine that keeps its entries as text, with a running digest of them."""
 
     def __init__(self) -> None:
@@ -100,7 +100,7 @@
         return self.folder / "log" / "journal"
 
 
-class Logs:
+class ReplicaMembers:
     """So many members, the first `voters` of them voting, named c0, c1, ..."""
 
     def __init__(self, count: int, voters: int, script: Script, seed: int, **more: Any) -> None:
@@ -108,7 +108,7 @@
         self.folder = tempfile.TemporaryDirectory()
         self.members = [Member(n, Path(self.folder.name, f"c{n}")) for n in range(count)]
 
-    async def start(self) -> Logs:
+    async def start(self) -> ReplicaMembers:
         """Start the relay and all members; return self once each member has logged a leader. TimeoutError if one has
         not within READY_S seconds."""
         await self.streams.start()
@@ -157,7 +157,7 @@
     from frostspindle.replica.service import ReplicaService
     from frostspindle.telemetry import Telemetry
 
-    notes = Notes()
+    notes = TextStateMachine()
     config["folder"] = Path(config["folder"])
     replica = ReplicaService(secret=SECRET.encode(), telemetry=Telemetry(config["me"]), **config)
     replica.attach("t", notes)
--- a/frostspindle/lab/faults/owners.py
+++ b/frostspindle/lab/faults/owners.py
@@ -45,7 +45,7 @@
 }
 
 
-class Warmed(Engine):
+class RecordingEngine(Engine):
     """A stand-in engine that records each statement that it was sent, with its time and fencing token."""
 
     def __init__(self, name: str, delay_s: float) -> None:
@@ -57,7 +57,7 @@
         super()._take(ticket, statement)
 
 
-class Owned:
+class OwnershipFleet:
     """So many coordinators, the first `voters` of them voting. Each wants the lease of every task, whose work is an
     export to the sink every `every_ms`. With `statements` they form a fleet too, and warm up the engines `e0` and
     `e1`."""
@@ -75,7 +75,9 @@
         statements: tuple[str, ...] = (),
     ) -> None:
         self.statements = statements
-        self.engines: list[Any] = [Warmed(f"e{n}", 0.03) for n in range(2)] if statements else [Engine("toy-0")]
+        self.engines: list[Any] = (
+            [RecordingEngine(f"e{n}", 0.03) for n in range(2)] if statements else [Engine("toy-0")]
+        )
         self.relay = Relay(count, script or parse("", count), seed)
         self.streams = Streams(count, script or parse("", count), seed)
         self.voters, self.lease_ms, self.tasks, self.every_ms = voters, lease_ms, tasks, every_ms
@@ -85,7 +87,7 @@
         self.processes = [Process(n, Path(self.folder.name, f"c{n}")) for n in range(count)]
         self.died: dict[str, list[float]] = {}
 
-    async def start(self, stands: bool = True) -> Owned:
+    async def start(self, stands: bool = True) -> OwnershipFleet:
         """Start the relays, sink, engines, bus and all processes; return self once each has logged `ready`, and with
         `stands` that it stands for its tasks. TimeoutError if one has not within 60 s."""
         await self.streams.start()
--- a/frostspindle/lab/faults/power.py
+++ b/frostspindle/lab/faults/power.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from frostspindle.lab.engines import Engine, EngineConnection, host
-from frostspindle.lab.faults.runner import Fleet, overspent
+from frostspindle.lab.faults.runner import Fleet, compute_overspend
 from frostspindle.lab.faults.script import parse
 from frostspindle.policy.slow_start import SLOW_START_SAFETY
 
@@ -43,7 +43,7 @@
 STAGES = ["address", "find", "agree", "rights", "engines", "service", "open"]
 
 
-class Rows(Engine):
+class SqliteEngine(Engine):
     """An engine that runs each statement on its own sqlite3 rows as soon as it takes it. A loss of power drops its
     results; its rows and the record of what it was sent stay."""
 
@@ -156,7 +156,9 @@
     def __init__(self, script: str, lost: tuple[int, ...], older: tuple[int, ...], seed: int, crowd: int = 14) -> None:
         self.lost, self.older, self.seed, self.crowd = lost, older, seed, crowd
         self.client = Client(seed)
-        self.fleet = Fleet(5, parse(script, 5), seed, FLEET, TENANTS + RECOVERY, engine=Rows, balancers=5, rules=RULES)
+        self.fleet = Fleet(
+            5, parse(script, 5), seed, FLEET, TENANTS + RECOVERY, engine=SqliteEngine, balancers=5, rules=RULES
+        )
         self.before: list[int | None] = []
         self.ran: set[int] = set()  # loads of which a row was there as the power went
         self.repeats: dict[int, list[int | None]] = {}
@@ -237,7 +239,7 @@
         """Return how often each load ran, by the rows of all engines."""
         counts: dict[int, int] = {}
         for engine in self.fleet.engines:
-            assert isinstance(engine, Rows)
+            assert isinstance(engine, SqliteEngine)
             for number, count in engine.rows.execute("SELECT id, COUNT(*) FROM loaded GROUP BY id"):
                 counts[number] = counts.get(number, 0) + count
         return counts
@@ -252,7 +254,7 @@
         ]
         worst = [over_budget(engine, self.born_ms) for engine in self.fleet.engines]
         return {
-            "overspend": overspent(spans, UNITS, 1.0),
+            "overspend": compute_overspend(spans, UNITS, 1.0),
             "cold_overruns": sum(part > 1.0 for part in worst),
             "loads_doubled": sum(count > 1 for count in counts.values()),
             "untrue": [
--- a/frostspindle/lab/faults/relay.py
+++ b/frostspindle/lab/faults/relay.py
@@ -11,7 +11,7 @@
 import asyncio
 import socket
 
-from frostspindle.lab.faults.script import Script, Weather
+from frostspindle.lab.faults.script import MessageFaults, Script
 
 MOST = 2_048  # of a datagram
 WAITING = 4_096  # late datagrams on their way
@@ -21,7 +21,7 @@
     """A relay of datagrams for so many processes. The script's time starts with `begin`; until then it stays at 0."""
 
     def __init__(self, count: int, script: Script, seed: int) -> None:
-        self.weather, self.count = Weather(script, seed), count
+        self.weather, self.count = MessageFaults(script, seed), count
         self.sockets: list[socket.socket] = []
         self.inside: list[tuple[str, int] | None] = [None] * count  # where each process itself listens
         self._numbers: dict[tuple[str, int], int] = {}
--- a/frostspindle/lab/faults/runner.py
+++ b/frostspindle/lab/faults/runner.py
@@ -294,7 +294,7 @@
     return statuses
 
 
-def overspent(spans: list[tuple[float, float, int]], units: int, window_s: float) -> int:
+def compute_overspend(spans: list[tuple[float, float, int]], units: int, window_s: float) -> int:
     """Return how many more than `units` were certainly spent within one window of `window_s` seconds. `spans`: begin
     and end of a span of time, in seconds, and the units spent within it.
 
--- a/frostspindle/lab/faults/script.py
+++ b/frostspindle/lab/faults/script.py
@@ -69,7 +69,7 @@
         )
 
 
-def nodes(text: str, count: int) -> frozenset[int]:
+def parse_nodes(text: str, count: int) -> frozenset[int]:
     """Return the numbers of nodes in a text as `0-2,7` or `*`; ValueError if it names none, or one that is not below
     `count`."""
     if text == "*":
@@ -95,24 +95,26 @@
                 begins, ends = float(first), float(last) if last else math.inf
             kind, *rest = words
             if kind in ACTS:
-                acts += [Act(begins, kind, node) for node in sorted(nodes(rest[0], count))]
+                acts += [Act(begins, kind, node) for node in sorted(parse_nodes(rest[0], count))]
             elif kind == "clock":
                 rate = float(rest[1])
                 if not 0.5 <= rate <= 2.0:
                     raise ValueError("a rate from 0.5 to 2")
-                clocks += [(node, rate) for node in sorted(nodes(rest[0], count))]
+                clocks += [(node, rate) for node in sorted(parse_nodes(rest[0], count))]
             elif kind in SHARES:
                 share = float(rest[0])
                 if not 0.0 <= share <= 1.0:
                     raise ValueError("a share from 0 to 1")
-                rules.append(Rule(begins, ends, kind, share, groups=(nodes(rest[1], count),) if len(rest) > 1 else ()))
+                rules.append(
+                    Rule(begins, ends, kind, share, groups=(parse_nodes(rest[1], count),) if len(rest) > 1 else ())
+                )
             elif kind == "delay":
                 low, high = map(float, rest[0].split("-"))
                 if not 0.0 <= low <= high <= 60_000.0:
                     raise ValueError("milliseconds, LOW-HIGH")
                 rules.append(Rule(begins, ends, kind, low=low, high=high))
             elif kind in ("cut", "oneway"):
-                groups = tuple(nodes(group, count) for group in rest[0].split("|" if kind == "cut" else ">"))
+                groups = tuple(parse_nodes(group, count) for group in rest[0].split("|" if kind == "cut" else ">"))
                 if len(groups) < 2 or kind == "oneway" and len(groups) != 2:
                     raise ValueError("groups")
                 rules.append(Rule(begins, ends, kind, groups=groups))
@@ -123,7 +125,7 @@
     return Script(tuple(rules), tuple(sorted(acts, key=lambda act: act.at)), tuple(clocks))
 
 
-def drawn(
+def draw_script(
     draw: random.Random,
     cut: tuple[float, float, float],
     acts: tuple[float, float],
@@ -158,7 +160,7 @@
     return count, at, parts
 
 
-class Weather:
+class MessageFaults:
     """Decides the fate of each message under a script: lost, delayed or repeated. `base_ms`: the least delay."""
 
     def __init__(self, script: Script, seed: int, base_ms: float = 0.0) -> None:
--- a/frostspindle/lab/faults/settled.py
+++ b/frostspindle/lab/faults/settled.py
@@ -35,7 +35,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
 
 
-class Settled(Process):
+class SettingsProcess(Process):
     """One coordinator that acts on agreed settings."""
 
     async def kill(self) -> None:
@@ -85,7 +85,7 @@
         )
 
 
-class Agreeing:
+class SettingsFleet:
     """So many coordinators, the first `voters` of them voting members of the replicated log. A single one has no
     replicated log."""
 
@@ -104,9 +104,9 @@
         self.streams = Streams(count, script, seed)
         self.engines = [Engine(f"toy-{n}", delay_s) for n in range(engines)]
         self.folder = tempfile.TemporaryDirectory()
-        self.processes = [Settled(n, Path(self.folder.name, f"c{n}")) for n in range(count)]
+        self.processes = [SettingsProcess(n, Path(self.folder.name, f"c{n}")) for n in range(count)]
 
-    async def start(self) -> Agreeing:
+    async def start(self) -> SettingsFleet:
         """Start the relay, engines and processes; return self once each process has logged `ready`. TimeoutError if
         one has not within READY_S seconds."""
         await self.streams.start()
@@ -156,7 +156,7 @@
         path.write_text(text)
         return str(path)
 
-    async def publisher(self, but: Settled | None = None, within_s: float = 30.0) -> Settled:
+    async def publisher(self, but: SettingsProcess | None = None, within_s: float = 30.0) -> SettingsProcess:
         """Return the coordinator that publishes, by its log, and is not `but`; TimeoutError after `within_s`
         seconds."""
         async with asyncio.timeout(within_s):
--- a/frostspindle/lab/faults/spread.py
+++ b/frostspindle/lab/faults/spread.py
@@ -51,7 +51,7 @@
 Number = tuple[str, int, int]  # of an event: its maker, the maker's process, the number
 
 
-def drawn(seed: int, seconds: float) -> str:
+def draw_script(seed: int, seconds: float) -> str:
     """Return a script of faults of all kinds, drawn from the seed. All but loss, repeats, reordering and delay of
     messages are over after `seconds`, and no process is both killed and stopped."""
     draw = random.Random(seed)
@@ -84,12 +84,12 @@
     return "; ".join(parts)
 
 
-def unexpected(fleet: Fleet) -> list[dict[str, Any]]:
+def unexpected_log_lines(fleet: Fleet) -> list[dict[str, Any]]:
     """Return the log lines that no run may have: faults, and text that is not JSON."""
     return [line for p in fleet.processes for line in p.lines if line["event"] in ("exception_caught", "text")]
 
 
-class Scattered:
+class ScatterRun:
     """Rows at three sites, five coordinators that scatter queries over them, and their clients."""
 
     def __init__(self, script: str, seed: int = 7) -> None:
@@ -216,7 +216,7 @@
             "pruned": round(sum(one["left_out"] for one in figures) / asked, 3),
             "load_wait_ms_p99": max(waits, default=None),
             **dict(sorted(self.outcomes.items())),
-            "faults": unexpected(fleet),
+            "faults": unexpected_log_lines(fleet),
         }
 
 
@@ -251,7 +251,7 @@
         return line[key]
 
 
-class Kept:
+class RecordingSubscriber:
     """A subscriber: what it was told up to its last cursor. Lines after the last cursor of a connection are dropped,
     as the operators' page has it."""
 
@@ -344,7 +344,7 @@
     return match(wanted, {**event, "at": datetime.fromisoformat(event["at"])})
 
 
-class Subscribed:
+class SubscriptionRun:
     """Five coordinators with demand, and subscribers that stay or move; the last of them wants everything."""
 
     TEXTS = (
@@ -355,12 +355,12 @@
 
     def __init__(self, script: str, seed: int, fleet: str, tenants: str) -> None:
         self.fleet = Fleet(COUNT, parse(script, COUNT), seed, fleet, tenants + "[subscriptions]\n")
-        self.kept = [Kept(text) for text in self.TEXTS]
+        self.kept = [RecordingSubscriber(text) for text in self.TEXTS]
         self.draw = random.Random(seed)
         self.over, self.calm = asyncio.Event(), False  # calm: who connects stays
         self.readers: list[asyncio.Task[None]] = []
 
-    async def move(self, one: Kept) -> None:
+    async def move(self, one: RecordingSubscriber) -> None:
         """Keep a subscriber connected to one coordinator after another, 0.8 to 2.5 s each, until `over`; once `calm`
         is set each connection lasts up to 120 s."""
         turn = self.draw.randrange(COUNT)
@@ -369,7 +369,7 @@
             await one.stay(self.fleet.processes[turn % COUNT], 120.0 if self.calm else seconds)
             await asyncio.sleep(0.1)  # a process that is not there says no at once, and the relay runs here
 
-    async def remain(self, one: Kept) -> None:
+    async def remain(self, one: RecordingSubscriber) -> None:
         """Keep a subscriber connected to one coordinator until `over`, connecting again when the connection ends."""
         process = self.draw.choice(self.fleet.processes)
         while not self.over.is_set():
@@ -430,10 +430,10 @@
             "made": sum(count for _, _, count in self.made),
             "forwarded": sum(one["forwarded"] for one in counted),
             "forwarded_needlessly": sum(one["forwarded_needlessly"] for one in counted),
-            "faults": unexpected(fleet),
+            "faults": unexpected_log_lines(fleet),
         }
 
-    def owed(self) -> list[tuple[Kept, list[Number], list[Number]]]:
+    def owed(self) -> list[tuple[RecordingSubscriber, list[Number], list[Number]]]:
         """Return each subscriber with the events that it lost silently and those still to come: of all that living
         processes have made, and of killed processes what any subscriber was told."""
         known = {(m, e, n): event for one in self.kept for m, e, n, event in one.events}
--- a/frostspindle/lab/faults/streams.py
+++ b/frostspindle/lab/faults/streams.py
@@ -10,7 +10,7 @@
 import asyncio
 from functools import partial
 
-from frostspindle.lab.faults.script import Script, Weather
+from frostspindle.lab.faults.script import MessageFaults, Script
 
 MOST = 256
 AGAIN_S = 0.05  # what was lost is tried again so often
@@ -22,7 +22,7 @@
     at 0."""
 
     def __init__(self, count: int, script: Script, seed: int) -> None:
-        self.weather, self.count = Weather(script, seed), count
+        self.weather, self.count = MessageFaults(script, seed), count
         self.inside: list[tuple[str, int] | None] = [None] * count
         self.crowded = 0
         self.cut: set[int] = set()  # by hand, besides the script: these are cut off from all others
--- a/frostspindle/lab/network.py
+++ b/frostspindle/lab/network.py
@@ -27,7 +27,7 @@
 from typing import Any
 
 from frostspindle.fleet.wire import MAX_PACKET_BYTES
-from frostspindle.lab.faults.script import Script, Weather
+from frostspindle.lab.faults.script import MessageFaults, Script
 
 WAITING = 200  # messages that a stopped place's socket holds
 UNDER_WAY = 2_000_000  # of all that is to come
@@ -40,7 +40,7 @@
         """`base_ms`: the least delay of each message; `up`: whether all places are up from the start."""
         self.now = 0.0
         self.events = 0  # that came, messages to nobody among them
-        self.weather = Weather(script, seed, base_ms)  # counts what was `lost` on the way
+        self.weather = MessageFaults(script, seed, base_ms)  # counts what was `lost` on the way
         self.up, self.paused = [up] * count, [False] * count
         self.waiting: list[list[tuple[int, bytes]]] = [[] for _ in range(count)]
         self.counted: Counter[str] = Counter()  # too_long, not_read, crowded: messages that went no further
--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -23,7 +23,7 @@
 
 from frostspindle import policy
 from frostspindle.fleet.quota_escrow import QuotaAccount
-from frostspindle.lab.faults.script import Script, Weather
+from frostspindle.lab.faults.script import MessageFaults, Script
 from frostspindle.lab.fleet import excess
 from frostspindle.lab.warming import Warming
 from frostspindle.policy import AttemptOutcome, ClassSettings, EndpointListKind, EngineEntry, Health, Idempotency
@@ -611,7 +611,7 @@
         self.cold = not naive if cold is None else cold
         self.count, self.seed, self.naive, self.seconds = nodes, seed, naive, seconds
         self.script = script = script or Script()
-        self.weather = Weather(script, seed + 2)
+        self.weather = MessageFaults(script, seed + 2)
         self.now, self.order = 0.0, 0
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.engines = [Engine(n) for n in range(max(3, nodes // 6))]
--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from frostspindle.lab.faults.script import Script, Weather, parse
+from frostspindle.lab.faults.script import MessageFaults, Script, parse
 from frostspindle.predicates import language, match
 from frostspindle.subscriptions import schema, wire
 from frostspindle.subscriptions.fanout import BacklogItem, Fanout
@@ -111,7 +111,7 @@
         self.nodes, self.seed, self.script, self.seconds = nodes, seed, script, seconds
         self.rate, self.ring = rate, ring
         self.backlog, self.move_s, self.slow = backlog, move_s, slow
-        self.weather = Weather(script, seed + 1, 0.5)
+        self.weather = MessageFaults(script, seed + 1, 0.5)
         self.places = [Place(f"c{n}") for n in range(nodes)]
         self.numbers = {place.name: n for n, place in enumerate(self.places)}
         self.now = 0.0
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -4,7 +4,7 @@
 
 from faults import UNITS, FaultsCase, spans
 
-from frostspindle.lab.faults.runner import demand, overspent
+from frostspindle.lab.faults.runner import compute_overspend, demand
 from frostspindle.operator_client import call_operator
 
 
@@ -31,7 +31,7 @@
         answers = await asyncio.gather(*load)
 
         # Never more than the budget in any second, according to the spending that each process logged.
-        self.assertEqual(overspent(spans(fleet), UNITS, 1.0), 0)
+        self.assertEqual(compute_overspend(spans(fleet), UNITS, 1.0), 0)
         self.assertGreater(sum(units for _, _, units in spans(fleet)), 5 * UNITS)
         # Both sides continued to spend during the partition, from the units that they held.
         started_at = min(line["ts"] for line in fleet.processes[0].events("fleet_budget_spent"))
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -8,7 +8,7 @@
 from hypothesis import settings as hypothesis_settings
 
 from frostspindle.fleet import wire
-from frostspindle.lab.faults.script import InvalidScriptError, Weather, parse
+from frostspindle.lab.faults.script import InvalidScriptError, MessageFaults, parse
 from frostspindle.lab.fleet import Emulator, excess, measure, settle
 
 
@@ -232,7 +232,7 @@
 def test_fault_script_is_parsed_and_an_error_names_the_invalid_part():
     script = parse("1-2 cut 0,1|2-4; 3 kill *; clock 2 1.05; 0- loss 0.5 1", 5)
     assert (script.healed_at, len(script.acts), script.clocks) == (2.0, 5, ((2, 1.05),))
-    weather = Weather(script, 1)
+    weather = MessageFaults(script, 1)
     assert weather.fate(1.5, 0, 3) == []
     assert weather.fate(1.5, 2, 3) == [0.0]
     for invalid in ("1 kill 9", "loss 2", "cut 0", "rain 1", "delay 9-1", "kill", "clock 0 9", "1-x loss 0.1"):
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -11,12 +11,12 @@
 
 from frostspindle.cli import cli
 from frostspindle.lab.engines import host
-from frostspindle.lab.faults.owners import Owned
+from frostspindle.lab.faults.owners import OwnershipFleet
 
 
 class OwnersCase(unittest.IsolatedAsyncioTestCase):
     async def start(self, voters):
-        fleet = Owned(voters=voters)
+        fleet = OwnershipFleet(voters=voters)
         self.addAsyncCleanup(fleet.close)
         return await fleet.start()
 
@@ -109,7 +109,7 @@
 
     async def test_warm_up_of_a_new_engine_continues_after_suspended_or_killed_holders_and_lost_engines(self):
         rng, statements = random.Random(7), tuple(f"SELECT {n}" for n in range(1, 9))
-        fleet = self.fleet = Owned(voters=5, tasks=(), every_ms=20, statements=statements)
+        fleet = self.fleet = OwnershipFleet(voters=5, tasks=(), every_ms=20, statements=statements)
         self.addAsyncCleanup(fleet.close)
         await fleet.start()
         first, second = fleet.engines
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -5,7 +5,7 @@
 import unittest
 from contextlib import suppress
 
-from frostspindle.lab.faults.logs import Logs
+from frostspindle.lab.faults.logs import ReplicaMembers
 from frostspindle.lab.faults.script import parse
 from frostspindle.replica.disk import MAGIC
 from frostspindle.replica.handshake import HELLO_MAGIC
@@ -13,7 +13,7 @@
 
 class ProcessesCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.logs = await Logs(5, 3, parse("", 5), 1).start()
+        self.logs = await ReplicaMembers(5, 3, parse("", 5), 1).start()
         self.addAsyncCleanup(self.logs.close)
         self.rounds, self.outcomes = 0, {}
 
--- a/tests/test_scatter_processes.py
+++ b/tests/test_scatter_processes.py
@@ -5,13 +5,13 @@
 import time
 import unittest
 
-from frostspindle.lab.faults.spread import AGENT, LEASE_S, SITES, Scattered, unexpected
+from frostspindle.lab.faults.spread import AGENT, LEASE_S, SITES, ScatterRun, unexpected_log_lines
 
 
 class ScatterCase(unittest.IsolatedAsyncioTestCase):
     async def test_no_answered_row_is_missed_by_who_was_killed_stopped_or_hears_badly(self):
         asyncio.get_running_loop().set_debug(False)  # the relay and engines of five processes run here
-        run = self.scattered = Scattered("0- loss 0.05; 0- dup 0.1; 0- reorder 0.1; 0- delay 0-5")
+        run = self.scattered = ScatterRun("0- loss 0.05; 0- dup 0.1; 0- reorder 0.1; 0- delay 0-5")
         fleet, self.codes = run.fleet, None
 
         async def end() -> None:
@@ -89,7 +89,7 @@
         self.assertGreater(len(run.answered), 10)
         self.codes = await fleet.close()
         self.assertEqual(self.codes, [0] * 5)
-        self.assertEqual(unexpected(fleet), [])
+        self.assertEqual(unexpected_log_lines(fleet), [])
 
 
 async def again(process) -> None:
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -12,7 +12,7 @@
 import unittest
 
 from frostspindle.lab.faults.script import parse
-from frostspindle.lab.faults.settled import Agreeing
+from frostspindle.lab.faults.settled import SettingsFleet
 from frostspindle.settings.schema import Ban, Class
 from frostspindle.settings.version_encoding import pack_changes
 
@@ -59,8 +59,8 @@
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
-    async def start_cluster(self, count: int, voters: int = 1, **options) -> Agreeing:
-        cluster = Agreeing(count, voters, parse("", count), 3, **options)
+    async def start_cluster(self, count: int, voters: int = 1, **options) -> SettingsFleet:
+        cluster = SettingsFleet(count, voters, parse("", count), 3, **options)
         self.codes = None
 
         async def close() -> None:
@@ -70,7 +70,7 @@
         self.addAsyncCleanup(close)
         return await cluster.start()
 
-    async def finish(self, cluster: Agreeing) -> None:
+    async def finish(self, cluster: SettingsFleet) -> None:
         self.codes = await cluster.close()
         self.assertEqual(self.codes, [0] * cluster.count)
         self.assertEqual(
@@ -198,7 +198,7 @@
 
 class StandaloneCase(Case):
     async def test_sighup_reloads_the_file_of_a_standalone_coordinator_and_rejects_an_invalid_one(self):
-        cluster = Agreeing(1, 1, parse("", 1), 3, more="")
+        cluster = SettingsFleet(1, 1, parse("", 1), 3, more="")
         cluster.terms += 'file = "FOLDER/version.toml"\n'
         process = cluster.processes[0]
         path = process.folder / "version.toml"
--- a/tests/test_subscriptions_processes.py
+++ b/tests/test_subscriptions_processes.py
@@ -4,7 +4,7 @@
 
 from faults import FLEET, TENANTS, UNITS
 
-from frostspindle.lab.faults.spread import Subscribed
+from frostspindle.lab.faults.spread import SubscriptionRun
 
 SCRIPT = (
     "0- loss 0.05; 0- dup 0.1; 0- reorder 0.1; 1.5-4 cut 0-1|2-4; 2 kill 4; 4 start 4; 5 stop 1; 7.5 cont 1; "
@@ -14,7 +14,7 @@
 
 class ProcessesCase(unittest.IsolatedAsyncioTestCase):
     async def test_a_subscriber_that_moves_through_kills_a_stop_and_cuts_misses_nothing_unsaid(self):
-        run = Subscribed(SCRIPT, 7, FLEET.format(units=UNITS), TENANTS)
+        run = SubscriptionRun(SCRIPT, 7, FLEET.format(units=UNITS), TENANTS)
         self.codes = None
 
         async def close() -> None:
