--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -140,7 +140,7 @@
             await fleet.start()
             kind = ("stop", "cut", "kill")[seed % 3] if faults else "kill"
             await asyncio.sleep(random.Random(seed).uniform(0.0, 0.5))
-            holder = fleet.process((await fleet.acts())["holder"])
+            holder = fleet.process((await fleet.next_action())["holder"])
             mark, died = len(fleet.sink.lines), clock()
             if kind == "stop":
                 holder.send_signal(signal.SIGSTOP)
@@ -148,7 +148,7 @@
                 fleet.streams.cut = {holder.number}
             else:
                 await fleet.kill(holder)
-            other = await fleet.acts(mark, holder.name)
+            other = await fleet.next_action(mark, holder.name)
             took.append(other["at"] - died)
             if kind == "stop":
                 await asyncio.sleep(max(0.0, 2.0 * lease_ms - took[-1]) / 1_000.0)
@@ -200,7 +200,7 @@
     for process in fleet.processes:
         process.started_as = ["-c", WANTS.format(tasks=tasks)]
     try:
-        await fleet.start(stands=bool(tasks))
+        await fleet.start(await_candidacy=bool(tasks))
         shown: list[dict[str, Any]] = [{}]
         async with asyncio.timeout(60.0):
             while sum((shown[0].get("holders") or {}).values()) < tasks:
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -649,8 +649,8 @@
             )
             if code == 0:
                 for process in world.processes:
-                    await process.plain(quiet + 1)
-                line = max(p.acts()["mono_ms"] for p in world.processes)
+                    await process.wait_for_version(quiet + 1)
+                line = max(p.current_rules()["mono_ms"] for p in world.processes)
                 pushed = min(
                     x["mono_ms"]
                     for p in world.processes
@@ -686,7 +686,7 @@
         for process in world.processes:
             process.send_signal(signal.SIGCONT)
         await asyncio.sleep(2.0)
-        found = world.found()
+        found = world.audit()
         versions = {x["version"] for p in world.processes for x in p.events("settings_history_recorded", what="live")}
         meets = sum(
             x["mode"] == "meet" and x["why"] == "alone"
--- a/frostspindle/lab/faults/logs.py
+++ b/frostspindle/lab/faults/logs.py
@@ -130,13 +130,13 @@
         await asyncio.gather(*(m.until(lambda m=m: m.events("replica_leader_changed")) for m in self.members))
         return self
 
-    async def leader(self, within_s: float = 30.0, but: int = -1) -> Member:
+    async def leader(self, within_s: float = 30.0, excluding: int = -1) -> Member:
         """Return the voter that leads, once one says so, but never number `but`; TimeoutError after `within_s`
         seconds."""
         async with asyncio.timeout(within_s):
             while True:
                 for member in self.members[: self.voters]:
-                    if member.child is not None and member.number != but:
+                    if member.child is not None and member.number != excluding:
                         figures = await member.call("figures")
                         if figures.get("leads"):
                             return member
--- a/frostspindle/lab/faults/owners.py
+++ b/frostspindle/lab/faults/owners.py
@@ -50,10 +50,10 @@
 
     def __init__(self, name: str, delay_s: float) -> None:
         super().__init__(name, delay_s)
-        self.said: list[tuple[float, int, str]] = []  # when, under which token, what
+        self.received_statements: list[tuple[float, int, str]] = []  # when, under which token, what
 
     def _take(self, ticket: str, statement: str) -> None:
-        self.said.append((clock(), int(ticket[:8], 16), statement))
+        self.received_statements.append((clock(), int(ticket[:8], 16), statement))
         super()._take(ticket, statement)
 
 
@@ -85,9 +85,9 @@
         self.server, self.bus = Server(self.sink), Bus()
         self.folder = tempfile.TemporaryDirectory()
         self.processes = [Process(n, Path(self.folder.name, f"c{n}")) for n in range(count)]
-        self.died: dict[str, list[float]] = {}
+        self.killed_at: dict[str, list[float]] = {}
 
-    async def start(self, stands: bool = True) -> OwnershipFleet:
+    async def start(self, await_candidacy: bool = True) -> OwnershipFleet:
         """Start the relays, sink, engines, bus and all processes; return self once each has logged `ready`, and with
         `stands` that it stands for its tasks. TimeoutError if one has not within 60 s."""
         await self.streams.start()
@@ -102,7 +102,7 @@
         )
         for process in self.processes:
             process.folder.mkdir()
-            process.http, process.desk = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
+            process.http, process.operator_port = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
             number, port = process.number, free_port(socket.SOCK_STREAM)
             self.streams.place(number, ("127.0.0.1", port))
             voters = [
@@ -126,7 +126,9 @@
         await asyncio.gather(
             *(
                 p.until(
-                    lambda p=p: p.events("coordinator_started") and (not stands or p.events("lease_candidacy_started")),
+                    lambda p=p: (
+                        p.events("coordinator_started") and (not await_candidacy or p.events("lease_candidacy_started"))
+                    ),
                     60.0,
                 )
                 for p in self.processes
@@ -148,7 +150,7 @@
             + WARM.format(inside=inside, outside=self.relay.outside(number), seeds=seeds)
         )
 
-    def begins(self, number: int) -> None:
+    def announce_restart(self, number: int) -> None:
         """Publish on the bus that an engine has started again now."""
         engine = self.engines[number]
         self.bus.say(host(engine.name, engine.port, born_ms=time.time() * 1_000.0))
@@ -157,13 +159,15 @@
         """Return the sink's lines of the actions of a task that it accepted, in their order."""
         return [line for line in self.sink.lines if line["accepted"] and line["task"] == task]
 
-    async def acts(self, after: int = 0, but: str = "", task: str = "x", within_s: float = 60.0) -> dict[str, Any]:
+    async def next_action(
+        self, after: int = 0, excluding: str = "", task: str = "x", within_s: float = 60.0
+    ) -> dict[str, Any]:
         """Return the first accepted action of a task after the sink's first `after` lines whose holder is not `but`;
         TimeoutError if there is none within `within_s` seconds."""
         async with asyncio.timeout(within_s):
             while True:
                 for line in self.sink.lines[after:]:
-                    if line["accepted"] and line["holder"] != but and line["task"] == task:
+                    if line["accepted"] and line["holder"] != excluding and line["task"] == task:
                         return line
                 await asyncio.sleep(0.005)
 
@@ -173,7 +177,7 @@
 
     async def kill(self, process: Process) -> None:
         """Kill a process with SIGKILL and note when (CLOCK_BOOTTIME, ms): for `checked` its leases end there."""
-        self.died.setdefault(process.name, []).append(clock())
+        self.killed_at.setdefault(process.name, []).append(clock())
         await process.end(9)
 
     def checked(self, expect: int = 1) -> Checked:
@@ -200,9 +204,9 @@
             }
             for engine in self.engines
             if self.statements
-            for seq, (at, token, text) in enumerate(engine.said)
+            for seq, (at, token, text) in enumerate(engine.received_statements)
         ]
-        return check([*lines, *engines, *self.sink.lines], self.died, expect=expect)
+        return check([*lines, *engines, *self.sink.lines], self.killed_at, expect=expect)
 
     async def close(self) -> list[int | None]:
         """End all processes with SIGTERM, close the sink, the relays and the engines, and delete the files; return
--- a/frostspindle/lab/faults/power.py
+++ b/frostspindle/lab/faults/power.py
@@ -159,7 +159,7 @@
         self.fleet = Fleet(
             5, parse(script, 5), seed, FLEET, TENANTS + RECOVERY, engine=SqliteEngine, balancers=5, rules=RULES
         )
-        self.before: list[int | None] = []
+        self.first_statuses: list[int | None] = []
         self.ran: set[int] = set()  # loads of which a row was there as the power went
         self.repeats: dict[int, list[int | None]] = {}
         self.turned_away: list[int] = []
@@ -174,7 +174,7 @@
         await fleet.until(lambda all_: all(f.get("size") == 5 for f in all_), WAIT_S)
         for n in self.older:
             shutil.copytree(fleet.processes[n].folder / "store", fleet.processes[n].folder / "week")
-        self.before = [await client.load(draw.choice(fleet.processes).http, n) for n in range(1, 9)]
+        self.first_statuses = [await client.load(draw.choice(fleet.processes).http, n) for n in range(1, 9)]
         for engine in fleet.engines:
             engine.delay_s = 0.6  # these are out as the power goes
         posts = sum(len(e.sent) for e in fleet.engines)
@@ -231,7 +231,7 @@
             )
         )
 
-    def moves(self, n: int) -> list[dict[str, Any]]:
+    def left_stages(self, n: int) -> list[dict[str, Any]]:
         """Return the log lines of the recovery stages that a coordinator left after the loss."""
         return self.fleet.processes[n].events("recovery_stage_changed", life=2)
 
@@ -278,6 +278,6 @@
             "recovered_s": round(self.recovered_s, 2),
             "loads": len(counts),
             "served": len(self.turned_away),
-            "weak": sorted({line["left"] for n in range(5) for line in self.moves(n) if line["weak"]}),
+            "weak": sorted({line["left"] for n in range(5) for line in self.left_stages(n) if line["weak"]}),
             "faults": [x for p in self.fleet.processes for x in p.lines if x["event"] in ("exception_caught", "text")],
         }
--- a/frostspindle/lab/faults/runner.py
+++ b/frostspindle/lab/faults/runner.py
@@ -50,7 +50,7 @@
         self.lines: list[dict[str, Any]] = []
         self.child: asyncio.subprocess.Process | None = None
         self.reader: asyncio.Task[None] | None = None
-        self.http = self.desk = 0
+        self.http = self.operator_port = 0
         self.lives = 0
         self.started_as = ["-m", "frostspindle"]  # of Python
         self.inherited_descriptors: tuple[int, ...] = ()
@@ -94,7 +94,7 @@
             "FROSTSPINDLE_OPERATOR": str(self.folder / "operator.toml"),
             "LB_NAME": self.name,
             "LB_LISTEN": f"127.0.0.1:{self.http}",
-            "LB_OPERATOR": f"127.0.0.1:{self.desk}",
+            "LB_OPERATOR": f"127.0.0.1:{self.operator_port}",
         }
 
     async def _read(self, child: asyncio.subprocess.Process) -> None:
@@ -117,7 +117,7 @@
 
     async def figures(self, call: str = "show-fleet") -> dict[str, Any]:
         """Return the operators' port's answer to `call`, a JSON object."""
-        answer = await asyncio.to_thread(call_operator, ("127.0.0.1", self.desk), call)
+        answer = await asyncio.to_thread(call_operator, ("127.0.0.1", self.operator_port), call)
         return dict(json.loads(answer.splitlines()[0]))
 
     def send_signal(self, number: int) -> None:
@@ -197,7 +197,7 @@
         config = document(self.bus.events[0]["topology"]["hosts"], self.bus.port, zones=self.zones, **self.settings)
         for process in self.processes:
             process.folder.mkdir()
-            process.http, process.desk = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
+            process.http, process.operator_port = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
             inside = ("127.0.0.1", free_port())
             self.relay.place(process.number, inside)
             (process.folder / "config.json").write_text(json.dumps(config))
--- a/frostspindle/lab/faults/settled.py
+++ b/frostspindle/lab/faults/settled.py
@@ -54,7 +54,7 @@
     @property
     def at(self) -> str:
         """Operators' address, host:port."""
-        return f"127.0.0.1:{self.desk}"
+        return f"127.0.0.1:{self.operator_port}"
 
     async def command(self, *words: str) -> tuple[int, str]:
         """Run `frostspindle settings ...` at this coordinator; return the exit code, and standard output and error
@@ -73,15 +73,16 @@
         out, _ = await child.communicate()
         return child.returncode or 0, out.decode()
 
-    def acts(self) -> dict[str, Any]:
+    def current_rules(self) -> dict[str, Any]:
         """Return the last log line of what the coordinator acts on, an empty dict before the first."""
         return next((line for line in reversed(self.lines) if line["event"] == "settings_rules_activated"), {})
 
-    async def plain(self, version: int, within_s: float = 30.0) -> None:
+    async def wait_for_version(self, version: int, within_s: float = 30.0) -> None:
         """Wait until the coordinator acts plainly on this version or a later one; TimeoutError after `within_s`
         seconds."""
         await self.until(
-            lambda: self.acts().get("mode") == "version" and self.acts()["versions"][0] >= version, within_s
+            lambda: self.current_rules().get("mode") == "version" and self.current_rules()["versions"][0] >= version,
+            within_s,
         )
 
 
@@ -131,7 +132,7 @@
         for process in self.processes:
             n = process.number
             process.folder.mkdir()
-            process.http, process.desk = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
+            process.http, process.operator_port = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
             (process.folder / "config.json").write_text(json.dumps(config))
             text = f'{self.more}\n[settings]\nfolder = "{process.folder}/kept"\n{self.terms}\n'.replace(
                 "FOLDER", str(process.folder)
@@ -156,18 +157,18 @@
         path.write_text(text)
         return str(path)
 
-    async def publisher(self, but: SettingsProcess | None = None, within_s: float = 30.0) -> SettingsProcess:
+    async def publisher(self, excluding: SettingsProcess | None = None, within_s: float = 30.0) -> SettingsProcess:
         """Return the coordinator that publishes, by its log, and is not `but`; TimeoutError after `within_s`
         seconds."""
         async with asyncio.timeout(within_s):
             while True:
                 for process in self.processes:
                     lines = process.events("settings_publisher_changed", life=process.lives)
-                    if process is not but and process.child is not None and lines and lines[-1]["token"]:
+                    if process is not excluding and process.child is not None and lines and lines[-1]["token"]:
                         return process
                 await asyncio.sleep(0.05)
 
-    def found(self) -> AuditResult:
+    def audit(self) -> AuditResult:
         """Return the longest time that two coordinators acted plainly on contradicting versions, by all logs."""
         lines = [line for process in self.processes for line in process.lines]
         return find_longest_contradiction(read_active_periods(lines, last=boot_ms()), read_contradictions(lines))
--- a/frostspindle/lab/faults/spread.py
+++ b/frostspindle/lab/faults/spread.py
@@ -284,7 +284,7 @@
         try:
             async with asyncio.timeout(6.0) as limit:  # to be acknowledged
                 one = await Reader.call(
-                    process.desk, f"resume {self.cursor}" if self.cursor else f"subscribe {self.text}"
+                    process.operator_port, f"resume {self.cursor}" if self.cursor else f"subscribe {self.text}"
                 )
                 while True:
                     line = await one.line()
--- a/frostspindle/lab/soak/processes.py
+++ b/frostspindle/lab/soak/processes.py
@@ -47,7 +47,7 @@
             self.http = listening.getsockname()[1]
         else:
             self.http = free_port(socket.SOCK_STREAM)
-        self.desk = free_port(socket.SOCK_STREAM)
+        self.operator_port = free_port(socket.SOCK_STREAM)
 
     def command_line(self) -> list[str]:
         """Return the command line, which holds the signals back that come before the program's first line."""
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -50,7 +50,7 @@
     bus.say(whole=True)
     process = Process(0, folder)
     process.http = free_port(socket.SOCK_STREAM)
-    process.desk = free_port(socket.SOCK_STREAM)
+    process.operator_port = free_port(socket.SOCK_STREAM)
     config = document([], bus.port, sockets=300)
     config["settings"]["categories"][1]["effect"] = "once"
     (folder / "config.json").write_text(json.dumps(config))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -9,7 +9,7 @@
 
 
 async def call_process(process, call: str) -> str:
-    return await asyncio.to_thread(call_operator, ("127.0.0.1", process.desk), call)
+    return await asyncio.to_thread(call_operator, ("127.0.0.1", process.operator_port), call)
 
 
 class ProcessesCase(FaultsCase):
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -186,8 +186,9 @@
         first = fleet.processes[0]
         predecessor = first.child, first.reader
         assert (await first.figures())["budgets"]["blue"]["own"] == 50
-        operator_port, client_port = first.desk, first.http
-        first.desk = first.http = 0  # its successor has other ports for clients and operators, but the same UDP port
+        operator_port, client_port = first.operator_port, first.http
+        # Its successor has other ports for clients and operators, but the same UDP port.
+        first.operator_port = first.http = 0
         await first.start()
         await first.until(lambda: first.events("fleet_bind_delayed"))
         assert len(first.events("fleet_joined")) == 1
@@ -195,7 +196,7 @@
         assert await predecessor[0].wait() == 0
         await predecessor[1]
         await first.until(lambda: len(first.events("fleet_joined")) == 2)
-        first.desk, first.http = operator_port, client_port
+        first.operator_port, first.http = operator_port, client_port
         await fleet.processes[1].until(
             lambda: len(fleet.processes[1].events("fleet_member", member="c0", state="alive")) >= 2
         )
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -22,39 +22,39 @@
 
     async def command(self, process, *words):
         def call():
-            return CliRunner().invoke(cli, ["owners", "--at", f"127.0.0.1:{process.desk}", *words])
+            return CliRunner().invoke(cli, ["owners", "--at", f"127.0.0.1:{process.operator_port}", *words])
 
         return await asyncio.to_thread(call)
 
     async def test_holder_suspended_partitioned_with_the_leader_killed_and_released(self):
         fleet = await self.start(5)
-        first = await fleet.acts()
+        first = await fleet.next_action()
         holder = fleet.process(first["holder"])
 
         # SIGSTOP for twice the lease, until another process holds it: actions under the old token are rejected.
         holder.send_signal(signal.SIGSTOP)
         mark = len(fleet.sink.lines)
-        second = await fleet.acts(mark, holder.name)
+        second = await fleet.next_action(mark, holder.name)
         await asyncio.sleep(2.0)
         holder.send_signal(signal.SIGCONT)
         await holder.until(lambda: holder.events("owner_lost"))
         self.assertGreater(second["token"], first["token"])
 
         # The holder and the leader of the log are partitioned from the others (the sink still receives from both).
-        holder = fleet.process((await fleet.acts(len(fleet.sink.lines)))["holder"])
+        holder = fleet.process((await fleet.next_action(len(fleet.sink.lines)))["holder"])
         async with asyncio.timeout(20.0):  # the resumed process may have caused an election
             while (leader := (await holder.figures("show-owners"))["leader"]) is None:
                 await asyncio.sleep(0.02)
         fleet.streams.cut = {holder.number, int(leader[1:])}
         mark = len(fleet.sink.lines)
-        third = await fleet.acts(mark, holder.name)
+        third = await fleet.next_action(mark, holder.name)
         self.assertEqual((await holder.figures("show-owners"))["waits"], "no known leader")
         fleet.streams.cut = set()
 
         # kill -9 after the sink accepted an action, before the holder received the response and logged the action.
         holder = fleet.process(third["holder"])
         fleet.server.silent = True
-        accepted = await fleet.acts(len(fleet.sink.lines))
+        accepted = await fleet.next_action(len(fleet.sink.lines))
         self.assertEqual(accepted["holder"], holder.name)
         await fleet.kill(holder)
         fleet.server.silent = False
@@ -63,14 +63,14 @@
             sum(line["token"] == accepted["token"] for line in fleet.accepted()) - 1,
         )
         mark = len(fleet.sink.lines)
-        fourth = await fleet.acts(mark, holder.name)
+        fourth = await fleet.next_action(mark, holder.name)
         await holder.start()
 
         # An operator releases the lease; SIGTERM releases it at once.
         command_result = await self.command(fleet.process(fourth["holder"]), "release", "x")
         self.assertEqual(command_result.exit_code, 0, command_result.output)
         self.assertIn("is released", command_result.output)
-        fifth = await fleet.acts(len(fleet.sink.lines), fourth["holder"])
+        fifth = await fleet.next_action(len(fleet.sink.lines), fourth["holder"])
         command_result = await self.command(fleet.process(fourth["holder"]), "--json")
         self.assertEqual(json.loads(command_result.output)["holders"], {fifth["holder"]: 1})
         self.assertIn(fifth["holder"], (await self.command(fleet.process(fourth["holder"]))).output)
@@ -78,7 +78,7 @@
         ending = fleet.process(fifth["holder"])
         self.assertEqual(await ending.end(), 0)
         self.assertTrue(ending.events("owner_released"))
-        await fleet.acts(len(fleet.sink.lines), ending.name)
+        await fleet.next_action(len(fleet.sink.lines), ending.name)
 
         result = fleet.checked(expect=20)
         self.assertTrue(result.good, result.faults)
@@ -86,7 +86,7 @@
 
     async def test_no_lease_is_held_without_a_majority_and_the_reason_is_shown(self):
         fleet = await self.start(3)
-        await fleet.acts()
+        await fleet.next_action()
         killed = fleet.processes[1:3]
         await asyncio.gather(*(fleet.kill(process) for process in killed))
         running = [fleet.processes[0], *fleet.processes[3:]]
@@ -102,7 +102,7 @@
         with journal.open("ab") as file:
             file.write(b"FSLJ\xff\x00\x00\x00half a frame")
         await killed[0].start()
-        await fleet.acts(mark)
+        await fleet.next_action(mark)
         self.assertEqual(killed[0].events("replica_journal_opened", life=2)[0]["found"], "torn")
         result = fleet.checked()
         self.assertTrue(result.good, result.faults)
@@ -116,9 +116,9 @@
 
         async def wait_for_statements(engine, count, after):
             async with asyncio.timeout(60.0):
-                while len({text for _, _, text in engine.said[after:]}) < count:
+                while len({text for _, _, text in engine.received_statements[after:]}) < count:
                     await asyncio.sleep(0.002)
-            return engine.said[after:]
+            return engine.received_statements[after:]
 
         def assert_in_order(received, min_count=0):
             """Check that statements arrived in order, with at most one repeated per change of the lease holder."""
@@ -131,14 +131,14 @@
             self.assertLessEqual(repeated, len({token for _, token, _ in received}) - 1)
 
         # Warm engines get no statements; a restarted engine is warmed up by one holder, one statement at a time.
-        self.assertEqual((first.said, second.said), ([], []))
-        fleet.begins(0)
+        self.assertEqual((first.received_statements, second.received_statements), ([], []))
+        fleet.announce_restart(0)
         received = await wait_for_statements(first, 8, 0)
         assert_in_order(received, 8)
         self.assertEqual(len({token for _, token, _ in received}), 1)
 
         # SIGSTOP of the holder for two leases during a warm-up: another continues; the first sends at most one more.
-        fleet.begins(0)
+        fleet.announce_restart(0)
         token = (await wait_for_statements(first, rng.randint(2, 4), 8))[-1][1]
         holder = self.process_with_token(token)
         holder.send_signal(signal.SIGSTOP)
@@ -146,32 +146,32 @@
         await asyncio.sleep(1.0)
         holder.send_signal(signal.SIGCONT)
         await holder.until(lambda: holder.events("owner_lost", task="warm", token=token))
-        received = first.said[8:]
+        received = first.received_statements[8:]
         assert_in_order(received, 8)
         later = [n for n, statement in enumerate(received) if statement[1] != token]
         self.assertLessEqual(sum(statement[1] == token for statement in received[later[0] :]), 1)
         self.assertGreater(min(received[n][1] for n in later), token)
 
         # kill -9 of the holder during the warm-up of another engine.
-        fleet.begins(1)
+        fleet.announce_restart(1)
         token = (await wait_for_statements(second, rng.randint(2, 4), 0))[-1][1]
         holder = self.process_with_token(token)
         await fleet.kill(holder)
         await wait_for_statements(second, 8, 0)
-        self.assertGreater(second.said[-1][1], token)
-        assert_in_order(second.said, 8)
+        self.assertGreater(second.received_statements[-1][1], token)
+        assert_in_order(second.received_statements, 8)
         await holder.start()
 
         # An engine that is lost during its warm-up gets no more statements and does not delay other engines.
-        mark, second_mark = len(first.said), len(second.said)
-        fleet.begins(0)
+        mark, second_mark = len(first.received_statements), len(second.received_statements)
+        fleet.announce_restart(0)
         await wait_for_statements(first, 2, mark)
         first.server.close()
         for line in list(first.lines):
             line.transport.abort()
         fleet.bus.say(host(second.name, second.port, born_ms=time.time() * 1_000.0), whole=True)
         assert_in_order(await wait_for_statements(second, 8, second_mark), 8)
-        self.assertLess(len(first.said) - mark, 8)
+        self.assertLess(len(first.received_statements) - mark, 8)
         self.assertEqual((first.most, second.most), (1, 1), "one at a time")
         self.assertFalse([line for process in fleet.processes for line in process.events("lease_job_failed")])
         checked = fleet.checked(expect=24)
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -34,10 +34,10 @@
             figures,
         )
         self.assertEqual((self.codes, figures["faults"]), ([0] * 5, []))
-        self.assertEqual((power.before, figures["served"]), ([200] * 8, 70))
+        self.assertEqual((power.first_statuses, figures["served"]), ([200] * 8, 70))
         self.assertGreater(figures["cold_use"], 0.1, "no cold engine was used, so the test shows nothing about them")
         for index in range(5):
-            self.assertEqual([line["stage"] for line in power.moves(index)], STAGES)
+            self.assertEqual([line["stage"] for line in power.left_stages(index)], STAGES)
 
     async def test_five_killed_two_lose_their_stores_and_one_has_an_outdated_store(self):
         power = await self.run_power_loss("", (0, 3), (1,), 11)
@@ -57,7 +57,7 @@
         power = await self.run_power_loss("0.001- cut 0-1|2-4; 0- loss 0.05", (2, 3), (4,), 12)
         processes = power.fleet.processes
         for index in (0, 1):
-            self.assertTrue(any(line["weak"] and line["left"] == "find" for line in power.moves(index)), index)
+            self.assertTrue(any(line["weak"] and line["left"] == "find" for line in power.left_stages(index)), index)
         self.assertFalse(
             [index for index in (0, 1) if processes[index].events("recovery_state_agreed", enough=True, life=2)]
         )
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -87,7 +87,7 @@
         late = asyncio.create_task(leader.call("propose", "late", 1.0))
         await asyncio.sleep(0)
         leader.send_signal(signal.SIGSTOP)
-        await logs.leader(but=leader.number)
+        await logs.leader(excluding=leader.number)
         await self.propose_until_applied(others, 8)
         leader.send_signal(signal.SIGCONT)
         self.outcomes["late"] = await late
--- a/tests/test_settings_processes.py
+++ b/tests/test_settings_processes.py
@@ -96,7 +96,7 @@
         async def wait_for_version(version, *excluded):
             for process in processes:
                 if process.number not in excluded:
-                    await process.plain(version)
+                    await process.wait_for_version(version)
 
         await cluster.publisher()
         await push(4, "toy-1")
@@ -124,7 +124,9 @@
         await push(4, "toy-1")
         await wait_for_version(5, cut_voter, 3)
         for number in (cut_voter, 3):
-            self.assertEqual((processes[number].acts()["mode"], processes[number].acts()["why"]), ("meet", "alone"))
+            self.assertEqual(
+                (processes[number].current_rules()["mode"], processes[number].current_rules()["why"]), ("meet", "alone")
+            )
             figures = await processes[number].figures("show-settings")
             self.assertEqual((figures["mode"], figures["versions"][-1], figures["left_ms"]), ("meet", 4, 0.0))
         cluster.streams.cut = set()
@@ -140,7 +142,7 @@
         await publisher.kill()
         self.assertEqual(publisher.events("settings_history_recorded", what="live", version=6), [])
         stopped.send_signal(signal.SIGCONT)
-        await cluster.publisher(but=publisher)
+        await cluster.publisher(excluding=publisher)
         await wait_for_version(6, publisher.number)
         await pushed
         await publisher.start()
@@ -152,7 +154,7 @@
         self.assertGreaterEqual(first["age_s"], 0.0)
         await publisher.until(lambda: publisher.events("settings_rules_activated", life=2, mode="version"))
 
-        audit = cluster.found()
+        audit = cluster.audit()
         self.assertLessEqual(audit.longest_ms, 1_000.0, audit)
         history = json.loads((await processes[4].command("history", "--json"))[1])
         self.assertEqual([row["version"] for row in history["versions"]], [1, 2, 3, 4, 5, 6])
@@ -188,10 +190,10 @@
         await publisher.until(lambda: publisher.events("settings_history_recorded", what="live", version=1))
         await publisher.kill()
         self.assertEqual(publisher.events("settings_history_recorded", what="rolled back"), [])
-        successor = await cluster.publisher(but=publisher)
+        successor = await cluster.publisher(excluding=publisher)
         rollbacks = await successor.until(lambda: successor.events("settings_history_recorded", what="rolled back"))
         self.assertRegex(rollbacks[0]["why"], "^(refused|failed|slow|stalled): ")
-        await successor.plain(2)
+        await successor.wait_for_version(2)
         await pushed
         self.assertEqual(await call(successor.http, 77), 200)
 
@@ -212,12 +214,12 @@
         self.codes = None
         await cluster.start()
         self.addAsyncCleanup(cluster.close)
-        await process.plain(1)
+        await process.wait_for_version(1)
         self.assertEqual(await call(process.http, 1), 200)
         self.assertEqual([engine.posts for engine in cluster.engines], [1, 0])
         path.write_text(bans("toy-0"))
         process.send_signal(signal.SIGHUP)
-        await process.plain(2)
+        await process.wait_for_version(2)
         self.assertEqual(await call(process.http, 2), 200)
         self.assertEqual([engine.posts for engine in cluster.engines], [1, 1])
         for text, message in (
@@ -282,7 +284,7 @@
         number, last_valid = 0, 0
         while number < 60:
             number += 1
-            kind, answer = await push_random(process.desk, number)
+            kind, answer = await push_random(process.operator_port, number)
             if not answer.startswith("NAK"):
                 last_valid = number if kind == "valid" else last_valid
                 while (outcome := await process.figures(f"settings-outcome p{number}"))["state"] in (
@@ -296,7 +298,7 @@
         self.assertEqual(({*statuses}, len(statuses)), ({200}, request_count))
         for _ in range(4):  # kill it at a random moment between check, application and storing
             pushes = asyncio.create_task(
-                asyncio.wait([asyncio.create_task(push_random(process.desk, number + n)) for n in range(1, 4)])
+                asyncio.wait([asyncio.create_task(push_random(process.operator_port, number + n)) for n in range(1, 4)])
             )
             await asyncio.sleep(rng.uniform(0.0, 0.12))
             await process.kill()
@@ -328,7 +330,7 @@
         await process.command("push", harmful)
         rollbacks = await process.until(lambda: process.events("settings_history_recorded", what="rolled back"))
         self.assertRegex(rollbacks[0]["why"], "^(refused|failed|slow|stalled): ")
-        await process.plain(2)
+        await process.wait_for_version(2)
         stop_clients.set()
         await asyncio.gather(*clients)
         code, output = await process.command("push", harmful)
