--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -198,7 +198,7 @@
     """Return the part of a core that each of five processes uses, three of them voters, once all tasks are held."""
     fleet = OwnershipFleet(lease_ms=3_000, tasks=())
     for process in fleet.processes:
-        process.started_as = ["-c", WANTS.format(tasks=tasks)]
+        process.python_arguments = ["-c", WANTS.format(tasks=tasks)]
     try:
         await fleet.start(await_candidacy=bool(tasks))
         shown: list[dict[str, Any]] = [{}]
--- a/frostspindle/lab/faults/runner.py
+++ b/frostspindle/lab/faults/runner.py
@@ -52,7 +52,7 @@
         self.reader: asyncio.Task[None] | None = None
         self.http = self.operator_port = 0
         self.lives = 0
-        self.started_as = ["-m", "frostspindle"]  # of Python
+        self.python_arguments = ["-m", "frostspindle"]  # of Python
         self.inherited_descriptors: tuple[int, ...] = ()
         self.changed = asyncio.Event()
 
@@ -84,7 +84,7 @@
 
     def command_line(self) -> list[str]:
         """Return the command line of the process."""
-        return [sys.executable, *self.started_as]
+        return [sys.executable, *self.python_arguments]
 
     def process_environment(self) -> dict[str, str]:
         """Return what the process finds in its environment beside that of this one."""
--- a/frostspindle/lab/faults/spread.py
+++ b/frostspindle/lab/faults/spread.py
@@ -140,7 +140,7 @@
         """Return the answer of a process's operators' port to `show-scatter`."""
         return await self.fleet.processes[process].figures("show-scatter")
 
-    async def leased(self, among: Iterable[int] = range(COUNT)) -> None:
+    async def wait_for_leases(self, among: Iterable[int] = range(COUNT)) -> None:
         """Query these processes until each holds the leases of all sites; TimeoutError after 40 s."""
         among = list(among)
         async with asyncio.timeout(40.0):
@@ -183,7 +183,7 @@
             if not must <= found <= len(has):
                 self.wrong.append((process, low, must, found, len(has)))
 
-    def doubled(self) -> int:
+    def count_duplicate_rows(self) -> int:
         """Return how many rows are there more than once: loads that ran twice."""
         held = [n for site in self.sites.values() for (n,) in site.rows("SELECT n FROM calls_17.notes")]
         return len(held) - len(set(held))
@@ -193,7 +193,7 @@
         TimeoutError if it does not heal."""
         fleet = self.fleet
         await fleet.start()
-        await self.leased()
+        await self.wait_for_leases()
         fleet.begin()
         until = time.monotonic() + seconds
         await asyncio.gather(*(self.client(process, until) for process in range(COUNT)))
@@ -202,7 +202,7 @@
             await fleet.script_task
         for process in fleet.processes:
             await process.until(lambda p=process: p.events("coordinator_started", life=p.lives), 60.0)
-        await self.leased()
+        await self.wait_for_leases()
         for process in range(COUNT):  # healed: all that was ever answered, by each
             await self.judged(process, 10_000, 20_000)
         figures = [await self.figures(process) for process in range(COUNT)]
@@ -211,7 +211,7 @@
         return {
             "false_skips": sum(found < must for _, _, must, found, _ in self.wrong),
             "invented": sum(found > may for _, _, _, found, may in self.wrong),
-            "loads_doubled": self.doubled(),
+            "loads_doubled": self.count_duplicate_rows(),
             "asked_without_lease": sum(one["without_lease"] for one in figures),
             "pruned": round(sum(one["left_out"] for one in figures) / asked, 3),
             "load_wait_ms_p99": max(waits, default=None),
@@ -262,7 +262,7 @@
         self.events: list[tuple[str, int, int, dict[str, Any]]] = []
         self.gaps: list[tuple[str, list[int], list[int]]] = []
         self.open: dict[str, list[int]] = {}
-        self.homes: list[int] = []
+        self.visited: list[int] = []
 
     def take(self, lines: list[dict[str, Any]]) -> None:
         """Record the events and gaps of these lines. A gap without an end is open until a line with its end comes."""
@@ -294,7 +294,7 @@
                     if "ack" in line:
                         self.cursor = line["ack"]["cursor"]
                         self.first = self.first or self.cursor
-                        self.homes.append(process.number)
+                        self.visited.append(process.number)
                         limit.reschedule(asyncio.get_running_loop().time() + seconds)
                     elif "cursor" in line:
                         self.cursor = line["cursor"]
@@ -355,7 +355,7 @@
 
     def __init__(self, script: str, seed: int, fleet: str, tenants: str) -> None:
         self.fleet = Fleet(COUNT, parse(script, COUNT), seed, fleet, tenants + "[subscriptions]\n")
-        self.kept = [RecordingSubscriber(text) for text in self.TEXTS]
+        self.subscribers = [RecordingSubscriber(text) for text in self.TEXTS]
         self.draw = random.Random(seed)
         self.over, self.calm = asyncio.Event(), False  # calm: who connects stays
         self.readers: list[asyncio.Task[None]] = []
@@ -383,10 +383,10 @@
         await fleet.start()
         await fleet.until(lambda all_: all(f.get("size") == COUNT for f in all_), 90.0)
         self.readers = [
-            asyncio.create_task(self.remain(self.kept[0])),
-            *(asyncio.create_task(self.move(one)) for one in self.kept[1:]),
+            asyncio.create_task(self.remain(self.subscribers[0])),
+            *(asyncio.create_task(self.move(one)) for one in self.subscribers[1:]),
         ]
-        await holds(lambda: all(one.homes for one in self.kept))
+        await holds(lambda: all(one.visited for one in self.subscribers))
         fleet.begin()
         ended = asyncio.Event()
         load = [asyncio.create_task(demand(p.http, 25.0, ended, first=p.number + 1)) for p in fleet.processes]
@@ -417,13 +417,13 @@
         figures = {  # of this moment: who moves on may be told of a gap for as long as it takes to be acknowledged
             "lost_silently": sum(len(lost) for _, lost, _ in self.owed()),
             "not_told_in_60_s": sum(len(late) for _, _, late in self.owed()),
-            "repeated": sum(sum(one.numbers().values()) - len(one.numbers()) for one in self.kept),
-            "foreign": sum(not matches(one.wanted, event) for one in self.kept for *_, event in one.events),
-            "disordered": sum(one.disordered() for one in self.kept),
-            "gaps_told": sum(len(one.gaps) + len(one.open) for one in self.kept),
-            "gaps_open": sum(len(one.open) for one in self.kept),
-            "told": sum(len(one.events) for one in self.kept),
-            "moves": sum(len(one.homes) for one in self.kept),
+            "repeated": sum(sum(one.numbers().values()) - len(one.numbers()) for one in self.subscribers),
+            "foreign": sum(not matches(one.wanted, event) for one in self.subscribers for *_, event in one.events),
+            "disordered": sum(one.disordered() for one in self.subscribers),
+            "gaps_told": sum(len(one.gaps) + len(one.open) for one in self.subscribers),
+            "gaps_open": sum(len(one.open) for one in self.subscribers),
+            "told": sum(len(one.events) for one in self.subscribers),
+            "moves": sum(len(one.visited) for one in self.subscribers),
         }
         counted = await asyncio.gather(*(p.figures("show-subscriptions") for p in fleet.processes))
         return figures | {
@@ -436,13 +436,13 @@
     def owed(self) -> list[tuple[RecordingSubscriber, list[Number], list[Number]]]:
         """Return each subscriber with the events that it lost silently and those still to come: of all that living
         processes have made, and of killed processes what any subscriber was told."""
-        known = {(m, e, n): event for one in self.kept for m, e, n, event in one.events}
-        for one in self.kept[:-1]:
+        known = {(m, e, n): event for one in self.subscribers for m, e, n, event in one.events}
+        for one in self.subscribers[:-1]:
             one.right.update((at, matches(one.wanted, known[at])) for at in known.keys() - one.right.keys())
         right = [(maker, epoch, number) for maker, epoch, count in self.made for number in range(1, count + 1)]
         return [
-            *((one, *one.owes(at for at, due in one.right.items() if due)) for one in self.kept[:-1]),
-            (self.kept[-1], *self.kept[-1].owes({*right, *known})),
+            *((one, *one.owes(at for at, due in one.right.items() if due)) for one in self.subscribers[:-1]),
+            (self.subscribers[-1], *self.subscribers[-1].owes({*right, *known})),
         ]
 
     async def close(self) -> list[int | None]:
--- a/frostspindle/lab/soak/processes.py
+++ b/frostspindle/lab/soak/processes.py
@@ -51,7 +51,7 @@
 
     def command_line(self) -> list[str]:
         """Return the command line, which holds the signals back that come before the program's first line."""
-        return ["/bin/sh", "-c", SIGNALS_HELD, sys.executable, *self.started_as]
+        return ["/bin/sh", "-c", SIGNALS_HELD, sys.executable, *self.python_arguments]
 
     def process_environment(self) -> dict[str, str]:
         """Return the environment; both processes of an upgrade have the same name."""
--- a/tests/test_scatter_processes.py
+++ b/tests/test_scatter_processes.py
@@ -21,7 +21,7 @@
         self.addAsyncCleanup(end)
         await fleet.start()
         fleet.begin()
-        await run.leased()
+        await run.wait_for_leases()
         before = (await run.figures(0))["left_out"]
         self.assertEqual(await run.count(0, "n = 1007"), 1)
         self.assertEqual(await run.count(0, "n BETWEEN 1500 AND 1510"), 0)
@@ -47,7 +47,7 @@
         await again(fleet.processes[killed])
 
         # A holder that is stopped past its lease: a load waits for that, and what wakes up trusts nothing old.
-        await run.leased([silent])
+        await run.wait_for_leases([silent])
         fleet.processes[silent].send_signal(signal.SIGSTOP)
         began = time.monotonic()
         self.assertEqual((await run.load(other, 778, "west"))[0], "served")
@@ -57,7 +57,7 @@
         self.assertEqual(await late, 1)
 
         # A home that is stopped past its lease: nobody leaves its site out any more, and no load is sent.
-        await run.leased([other])
+        await run.wait_for_leases([other])
         loads = len(west.loads)
         fleet.processes[home].send_signal(signal.SIGSTOP)
         self.assertEqual((await run.load(other, 779, "west", timeout_ms=2_500.0))[0], "refused")
@@ -72,7 +72,7 @@
         await fleet.processes[home].end(signal.SIGKILL)
         await again(fleet.processes[home])
         await fleet.processes[home].until(lambda: len(fleet.processes[home].events("scatter_summary_learned")) > 1)
-        await run.leased([other])
+        await run.wait_for_leases([other])
         self.assertEqual(await run.count(other, "n = 780"), 1)
 
         # Loads and queries at all, two stopped past their leases and continued meanwhile.
@@ -85,7 +85,7 @@
 
         until = time.monotonic() + 4.0
         await asyncio.gather(stops(), *(run.client(process, until) for process in range(5)))
-        self.assertEqual((run.wrong, run.doubled()), ([], 0))
+        self.assertEqual((run.wrong, run.count_duplicate_rows()), ([], 0))
         self.assertGreater(len(run.answered), 10)
         self.codes = await fleet.close()
         self.assertEqual(self.codes, [0] * 5)
--- a/tests/test_subscriptions_processes.py
+++ b/tests/test_subscriptions_processes.py
@@ -27,9 +27,9 @@
             {key: found[key] for key in ("lost_silently", "repeated", "foreign", "disordered", "gaps_open", "faults")},
             dict.fromkeys(("lost_silently", "repeated", "foreign", "disordered", "gaps_open"), 0) | {"faults": []},
         )
-        served, _, mover = run.kept
+        served, _, mover = run.subscribers
         self.assertGreater(len(served.events), 100)
-        self.assertGreater(len(set(mover.homes)), 1)
+        self.assertGreater(len(set(mover.visited)), 1)
         (killed,) = [line["epoch"] for line in run.fleet.processes[4].events("subscriptions_started", life=1)]
         self.assertTrue(any(first <= [killed, 10**9] <= last for maker, first, last in mover.gaps if maker == "c4"))
         self.codes = await run.close()
