--- a/frostspindle/lab/faults/__init__.py
+++ b/frostspindle/lab/faults/__init__.py
@@ -1,5 +1,5 @@
-"""Faults between processes: what happens when (`script`), a relay that does it to datagrams (`relay`), and a runner
-that starts processes, ends, stops and continues them (`runner`).
+"""Fault injection for tests, benchmarks and the emulator.
 
-Owns nothing that serves: tests, benches and the emulator use it, the coordinator never imports it.
+`script` parses fault scripts, `relay` and `streams` apply them to datagrams and TCP connections, and `runner` starts,
+kills, stops and continues coordinator processes. The coordinator itself never imports this package.
 """
--- a/frostspindle/lab/faults/relay.py
+++ b/frostspindle/lab/faults/relay.py
@@ -1,9 +1,9 @@
-"""A relay between processes: it plays a script's faults on the datagrams that they send to each other.
+"""A UDP relay between processes that applies a fault script to their datagrams.
 
-Owns a socket for each process, which is the address that the others know it by, and knows each by the address that it
-sends from. What comes to one socket is carried to that process from the sender's own socket, so that both see the
-addresses that they were told. It must never read or cut what it carries. What comes from an address that it does not
-know, is longer than MOST or would wait beside WAITING others is dropped and counted.
+The relay binds a socket for each process; its address is the one that the other processes send to. It identifies a
+sender by its source address and forwards each datagram from the sender's relay socket, so that both ends see the
+advertised addresses. Payloads are never inspected or changed. A datagram from an unknown address, one longer than MOST
+bytes, and one that would be delayed while WAITING others are pending are dropped and counted.
 """
 
 from __future__ import annotations
@@ -13,49 +13,51 @@
 
 from frostspindle.lab.faults.script import MessageFaults, Script
 
-MOST = 2_048  # of a datagram
-WAITING = 4_096  # late datagrams on their way
+MOST = 2_048  # bytes of a datagram
+WAITING = 4_096  # delayed datagrams that are pending
 
 
 class Relay:
-    """A relay of datagrams for so many processes. The script's time starts with `begin`; until then it stays at 0."""
+    """A relay of datagrams between `count` processes. The clock of the script stands at 0 until `begin`."""
 
     def __init__(self, count: int, script: Script, seed: int) -> None:
         self.weather, self.count = MessageFaults(script, seed), count
         self.sockets: list[socket.socket] = []
-        self.inside: list[tuple[str, int] | None] = [None] * count  # where each process itself listens
+        self.inside: list[tuple[str, int] | None] = [None] * count  # the address where each process listens
         self._numbers: dict[tuple[str, int], int] = {}
         self.began: float | None = None
         self.unknown = self.too_long = self.crowded = self.waiting = 0
 
     def start(self) -> Relay:
-        """Bind a UDP socket on loopback for each process, relay what comes, and return self. Needs a running event
-        loop."""
+        """Bind a UDP socket on loopback for each process, start to relay, and return self.
+
+        The event loop must be running.
+        """
         for number in range(self.count):
-            line = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            line.setblocking(False)
-            line.bind(("127.0.0.1", 0))
-            self.sockets.append(line)
-            asyncio.get_running_loop().add_reader(line, self._read, number)
+            relay_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            relay_socket.setblocking(False)
+            relay_socket.bind(("127.0.0.1", 0))
+            self.sockets.append(relay_socket)
+            asyncio.get_running_loop().add_reader(relay_socket, self._read, number)
         return self
 
     def outside(self, number: int) -> str:
-        """Return the address, host:port, by which the other processes know this one."""
+        """Return the address, host:port, that the other processes use for this one."""
         host, port = self.sockets[number].getsockname()
         return f"{host}:{port}"
 
     def place(self, number: int, address: tuple[str, int]) -> None:
-        """Set the address where a process listens and sends from; datagrams of unknown senders are dropped."""
+        """Set the address that a process listens on and sends from; datagrams of unknown senders are dropped."""
         self.inside[number] = address
         self._numbers[address] = number
 
     def begin(self) -> None:
-        """Start the script's time."""
+        """Start the clock of the script."""
         self.began = asyncio.get_running_loop().time()
 
     @property
     def now(self) -> float:
-        """Seconds of the script's time, 0 before `begin`."""
+        """Return the seconds since `begin`, 0 before it."""
         return 0.0 if self.began is None else asyncio.get_running_loop().time() - self.began
 
     def _read(self, target: int) -> None:
@@ -81,23 +83,23 @@
                     self.crowded += 1
                 else:
                     self.waiting += 1
-                    loop.call_later(delay / 1_000.0, self._late, source, target, data)
+                    loop.call_later(delay / 1_000.0, self._carry_delayed, source, target, data)
 
-    def _late(self, source: int, target: int, data: bytes) -> None:
+    def _carry_delayed(self, source: int, target: int, data: bytes) -> None:
         self.waiting -= 1
         self._carry(source, target, data)
 
     def _carry(self, source: int, target: int, data: bytes) -> None:
-        to = self.inside[target]
-        if to is None or self.sockets[source].fileno() < 0:
+        address = self.inside[target]
+        if address is None or self.sockets[source].fileno() < 0:
             return
         try:
-            self.sockets[source].sendto(data, to)
+            self.sockets[source].sendto(data, address)
         except OSError:
-            pass  # nobody there: lost, as on any network
+            pass  # no process listens there: the datagram is lost, as on a real network
 
     def close(self) -> None:
-        """Close all sockets; datagrams that are still delayed are dropped."""
-        for line in self.sockets:
-            asyncio.get_running_loop().remove_reader(line)
-            line.close()
+        """Close all sockets; datagrams that are still pending are dropped."""
+        for relay_socket in self.sockets:
+            asyncio.get_running_loop().remove_reader(relay_socket)
+            relay_socket.close()
--- a/frostspindle/lab/faults/runner.py
+++ b/frostspindle/lab/faults/runner.py
@@ -1,7 +1,7 @@
-"""Starts processes of the program as a fleet, does to them what a script says, and collects what they tell.
+"""Runs a fleet of coordinator processes under a fault script and collects their log lines and figures.
 
-Owns the processes, their files and their logs, and ends all that it started, by their ids. It must never listen
-anywhere but on loopback and never judge a run: it hands out the log lines and figures.
+All sockets listen on loopback. Every process that is started here is also ended here, by its id. Checking a run is left
+to the caller.
 """
 
 from __future__ import annotations
@@ -25,25 +25,27 @@
 from frostspindle.operator_client import call_operator
 
 SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP, "cont": signal.SIGCONT}
-READY_S = 60.0  # of a busy machine
-EPHEMERAL = 32_768  # from here on the kernel draws ports by itself
-_PORTS = random.SystemRandom()  # tests side by side must not draw alike, whatever they seed
+READY_S = 60.0  # leaves time for a busy machine
+EPHEMERAL_PORT_MIN = 32_768  # the kernel assigns ports from here on
+_PORTS = random.SystemRandom()  # parallel tests must not draw the same ports, whatever their seeds
 
 
 def free_port(kind: int = socket.SOCK_DGRAM) -> int:
-    """Return a port of loopback that was free a moment ago; OSError after 200 that were not. Never one of the
-    ephemeral range: the kernel could give such a port away (for a connection, or a bind to port 0) before the caller
-    binds it."""
+    """Return a loopback port that was free when it was checked; raise OSError after 200 ports in use.
+
+    The port is never in the ephemeral range: the kernel could assign it to a connection or to a bind to port 0 before
+    the caller binds it.
+    """
     for _ in range(200):
-        port = _PORTS.randrange(10_240, EPHEMERAL)
-        with socket.socket(socket.AF_INET, kind) as line, suppress(OSError):
-            line.bind(("127.0.0.1", port))
+        port = _PORTS.randrange(10_240, EPHEMERAL_PORT_MIN)
+        with socket.socket(socket.AF_INET, kind) as probe, suppress(OSError):
+            probe.bind(("127.0.0.1", port))
             return port
-    raise OSError("no free port was found")
+    raise OSError("no free loopback port found in 200 attempts")
 
 
 class Process:
-    """One coordinator: its files, its current process, and all log lines of all its processes."""
+    """One coordinator: its files, its current process, and the log lines of every process it has run as."""
 
     def __init__(self, number: int, folder: Path) -> None:
         self.number, self.folder = number, folder
@@ -52,17 +54,17 @@
         self.reader: asyncio.Task[None] | None = None
         self.http = self.operator_port = 0
         self.lives = 0
-        self.python_arguments = ["-m", "frostspindle"]  # of Python
+        self.python_arguments = ["-m", "frostspindle"]
         self.inherited_descriptors: tuple[int, ...] = ()
         self.changed = asyncio.Event()
 
     @property
     def name(self) -> str:
-        """Name of the coordinator in the fleet: `c` and its number."""
+        """Return the name of the coordinator in the fleet: `c` and its number."""
         return f"c{self.number}"
 
     def events(self, name: str, **fields: Any) -> list[dict[str, Any]]:
-        """Return the log lines of this event, of all lives, whose fields have the given values."""
+        """Return the log lines of an event, over all restarts, whose fields have the given values."""
         return [
             line
             for line in self.lines
@@ -70,8 +72,10 @@
         ]
 
     async def start(self) -> None:
-        """Start the process with the files of its folder and collect its log lines from standard error. It may not
-        be ready yet."""
+        """Start the process with the files in its folder and collect its log lines from standard error.
+
+        Return as soon as the process exists; it may not be ready yet.
+        """
         self.lives += 1
         self.child = await asyncio.create_subprocess_exec(
             *self.command_line(),
@@ -87,7 +91,7 @@
         return [sys.executable, *self.python_arguments]
 
     def process_environment(self) -> dict[str, str]:
-        """Return what the process finds in its environment beside that of this one."""
+        """Return the environment variables that are set in addition to those of this process."""
         return {
             "LB_CONFIG": str(self.folder / "config.json"),
             "TMPDIR": str(self.folder),
@@ -106,28 +110,32 @@
                 self.lines.append({"life": self.lives, "event": "text", "text": line.decode(errors="replace")})
             self.changed.set()
 
-    async def until(self, true: Callable[[], Any], within_s: float = READY_S) -> Any:
-        """Wait until `true()` holds, tried at each new log line, and return its value; TimeoutError after `within_s`
-        seconds."""
+    async def until(self, condition: Callable[[], Any], within_s: float = READY_S) -> Any:
+        """Wait until `condition()` is true, check it at each new log line, and return its value.
+
+        Raise TimeoutError after `within_s` seconds.
+        """
         async with asyncio.timeout(within_s):
-            while not (found := true()):
+            while not (result := condition()):
                 self.changed.clear()
                 await self.changed.wait()
-        return found
+        return result
 
     async def figures(self, call: str = "show-fleet") -> dict[str, Any]:
-        """Return the operators' port's answer to `call`, a JSON object."""
+        """Return the response of the operator port to `call`, a JSON object."""
         answer = await asyncio.to_thread(call_operator, ("127.0.0.1", self.operator_port), call)
         return dict(json.loads(answer.splitlines()[0]))
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to the process; without effect if it is not running."""
+        """Send a signal to the process; do nothing if it is not running."""
         if self.child is not None and self.child.returncode is None:
             self.child.send_signal(number)
 
     async def end(self, number: int = signal.SIGTERM) -> int | None:
-        """End the process with a signal and return its exit code, None if there is none. SIGCONT is sent first, as a
-        stopped process would not handle SIGTERM; SIGKILL follows after 20 s."""
+        """End the process with a signal and return its exit code, or None if no process was started.
+
+        SIGCONT is sent first, as a stopped process does not handle SIGTERM; SIGKILL follows after 20 s.
+        """
         if self.child is None:
             return None
         self.send_signal(signal.SIGCONT)
@@ -145,9 +153,9 @@
 
 
 class Fleet:
-    """So many coordinators with the relay between them, and engines and a bus that they share.
+    """A number of coordinators with a datagram relay between them, and the engines and the bus that they share.
 
-    FOLDER in `tenants`, the operator's file before `[fleet]`, is each process's own folder.
+    `tenants` is the text of the operator's file before `[fleet]`; FOLDER in it is replaced with each process's folder.
     """
 
     def __init__(
@@ -167,7 +175,7 @@
     ) -> None:
         self.settings = settings
         self.count, self.script, self.fleet, self.tenants = count, script, fleet, tenants
-        self.zones = tuple(zones)  # of the engines in turn
+        self.zones = tuple(zones)  # assigned to the engines round-robin
         self.homes = homes or count
         self.relay = Relay(count, script, seed)
         self.engines = list(stand_ins) or [engine(f"toy-{n}", delay_s) for n in range(engines)]
@@ -175,11 +183,14 @@
         self.folder = tempfile.TemporaryDirectory()
         self.processes = [Process(n, Path(self.folder.name, f"c{n}")) for n in range(count)]
         self.script_task: asyncio.Task[None] | None = None
-        self.done: list[tuple[float, str, int]] = []  # acts, at their Unix times
+        self.done: list[tuple[float, str, int]] = []  # (event loop time, kind, node) of each act played
 
     async def start(self) -> Fleet:
-        """Write all files, start engines, bus, relay and processes, and return self once each process has logged
-        `ready` and `fleet`. TimeoutError if one has not within READY_S seconds."""
+        """Write all files, start engines, bus, relay and processes, and return self once all processes are ready.
+
+        A process is ready once it has logged `coordinator_started` and `fleet_joined`. Raise TimeoutError for one that
+        is not ready within READY_S seconds.
+        """
         for engine in self.engines:
             await engine.start()
         await self.bus.start()
@@ -212,7 +223,7 @@
         return self
 
     def begin(self) -> None:
-        """Start the script's time, and with it the script's acts."""
+        """Start the clock of the script, and play its acts."""
         self.relay.begin()
         self.script_task = asyncio.create_task(self._play())
 
@@ -229,22 +240,26 @@
             self.done.append((asyncio.get_running_loop().time(), act.kind, act.node))
 
     async def figures(self) -> list[dict[str, Any]]:
-        """Return `show-fleet` of each process that has not been ended."""
+        """Return the response to `show-fleet` of each process that has not been ended."""
         return list(await asyncio.gather(*(p.figures() for p in self.processes if p.child is not None)))
 
-    async def until(self, true: Callable[[list[dict[str, Any]]], bool], within_s: float) -> list[dict[str, Any]]:
-        """Ask all processes for their figures until `true` holds of them, and return these; TimeoutError after
-        `within_s` seconds."""
+    async def until(self, condition: Callable[[list[dict[str, Any]]], bool], within_s: float) -> list[dict[str, Any]]:
+        """Poll the figures of all processes until `condition` holds for them, and return these figures.
+
+        Raise TimeoutError after `within_s` seconds.
+        """
         async with asyncio.timeout(within_s):
             while True:
-                found = await self.figures()
-                if true(found):
-                    return found
+                figures = await self.figures()
+                if condition(figures):
+                    return figures
                 await asyncio.sleep(0.1)
 
     async def close(self) -> list[int | None]:
-        """Stop the script, end all processes with SIGTERM, close the relay and delete the files; return the exit
-        codes, None for a process that was not running."""
+        """Stop the script, end all processes with SIGTERM, close the relay and delete the files.
+
+        Return the exit codes, with None for a process that was not running.
+        """
         if self.script_task is not None:
             self.script_task.cancel()
         codes = list(await asyncio.gather(*(process.end() for process in self.processes)))
@@ -256,15 +271,14 @@
 async def demand(
     port: int, rate: float, ended: asyncio.Event, header: str = "X-Team: blue", lines: int = 8, first: int = 1
 ) -> dict[int, int]:
-    """Send `rate` requests a second over `lines` connections until the event is set; return the number of answers by
-    HTTP status.
+    """Send `rate` requests a second over `lines` connections until the event is set.
 
-    A connection that is refused or breaks, or has no answer within 3 s, is opened anew: the process may be dead,
-    stopped or not started yet.
+    Return the number of responses by HTTP status. A connection that is refused, breaks or has no response within 3 s
+    is opened again: the process may be dead, stopped or not started yet.
     """
     statuses: dict[int, int] = {}
 
-    async def line(number: int) -> None:
+    async def send_on_connection(number: int) -> None:
         writer: asyncio.StreamWriter | None = None
         ticket = first * 1_000_000 + number * 100_000
         while not ended.is_set():
@@ -290,19 +304,19 @@
         if writer is not None:
             writer.close()
 
-    await asyncio.gather(*(line(number) for number in range(lines)))
+    await asyncio.gather(*(send_on_connection(number) for number in range(lines)))
     return statuses
 
 
 def compute_overspend(spans: list[tuple[float, float, int]], units: int, window_s: float) -> int:
-    """Return how many more than `units` were certainly spent within one window of `window_s` seconds. `spans`: begin
-    and end of a span of time, in seconds, and the units spent within it.
+    """Return by how many units the spending in any window of `window_s` seconds exceeded `units`.
 
-    A span counts only if it lies wholly within the window, so that the result is never more than what was overspent.
+    `spans` holds the start and end of each time span in seconds, and the units spent within it. Only spans that lie
+    completely within the window count, so the result is a lower bound of the overspend.
     """
     spans = sorted(spans)
     worst = 0
     for begin, _, _ in spans:
-        inside = sum(count for since, until, count in spans if since >= begin and until <= begin + window_s)
-        worst = max(worst, inside - units)
+        spent = sum(count for start, end, count in spans if start >= begin and end <= begin + window_s)
+        worst = max(worst, spent - units)
     return worst
--- a/frostspindle/lab/faults/streams.py
+++ b/frostspindle/lab/faults/streams.py
@@ -1,8 +1,8 @@
-"""A relay of TCP connections between processes, by the same scripts as the relay of datagrams.
+"""A TCP relay between processes that applies the same fault scripts as the relay of datagrams.
 
-Owns a listening port for each ordered pair of processes: who dials it is known by that. What a cut or a loss takes is
-not lost, as TCP sends it again: it waits until the script lets it through, and nothing more is read meanwhile, so that
-the sender's own buffers fill up. It must never read or alter what it carries. At most MOST connections at once.
+Each ordered pair of processes has a listening port of its own, which identifies the process that connects. Data that
+falls to a cut or a loss is delayed and not dropped, as TCP retransmits it: the relay holds it until the script lets it
+pass and stops reading meanwhile, so that the sender's buffers fill up. Payloads are never inspected or changed.
 """
 
 from __future__ import annotations
@@ -12,26 +12,25 @@
 
 from frostspindle.lab.faults.script import MessageFaults, Script
 
-MOST = 256
-AGAIN_S = 0.05  # what was lost is tried again so often
-PIECE = 1 << 16
+MAX_CONNECTIONS = 256
+RETRY_S = 0.05  # interval at which held data is retried
+READ_BYTES = 1 << 16
 
 
 class Streams:
-    """A relay of TCP connections for so many processes. The script's time starts with `begin`; until then it stays
-    at 0."""
+    """A relay of TCP connections between `count` processes. The clock of the script stands at 0 until `begin`."""
 
     def __init__(self, count: int, script: Script, seed: int) -> None:
         self.weather, self.count = MessageFaults(script, seed), count
         self.inside: list[tuple[str, int] | None] = [None] * count
         self.crowded = 0
-        self.cut: set[int] = set()  # by hand, besides the script: these are cut off from all others
+        self.cut: set[int] = set()  # processes that the caller isolates, in addition to the script
         self._began: float | None = None
         self._servers: dict[tuple[int, int], asyncio.Server] = {}
-        self._open: dict[asyncio.Task[None], tuple[int, int]] = {}
+        self._open_pairs: dict[asyncio.Task[None], tuple[int, int]] = {}
 
     async def start(self) -> Streams:
-        """Listen on loopback, on one port for each ordered pair of processes, and return self."""
+        """Listen on a loopback port for each ordered pair of processes, and return self."""
         for source in range(self.count):
             for target in range(self.count):
                 if source != target:
@@ -41,78 +40,78 @@
         return self
 
     def outside(self, source: int, target: int) -> str:
-        """Return the address, host:port, at which process `source` reaches process `target`."""
+        """Return the address, host:port, where process `source` connects to process `target`."""
         host, port = self._servers[source, target].sockets[0].getsockname()
         return f"{host}:{port}"
 
     def place(self, number: int, address: tuple[str, int]) -> None:
-        """Set the address where a process listens; until then connections to it are aborted."""
+        """Set the address that a process listens on; until then connections to it are aborted."""
         self.inside[number] = address
 
     def begin(self) -> None:
-        """Start the script's time."""
+        """Start the clock of the script."""
         self._began = asyncio.get_running_loop().time()
 
     @property
     def now(self) -> float:
-        """Seconds of the script's time, 0 before `begin`."""
+        """Return the seconds since `begin`, 0 before it."""
         return 0.0 if self._began is None else asyncio.get_running_loop().time() - self._began
 
     def reset(self, number: int) -> None:
-        """Break all connections from and to a process."""
-        for task, pair in list(self._open.items()):
+        """Abort all connections from and to a process."""
+        for task, pair in list(self._open_pairs.items()):
             if number in pair:
                 task.cancel()
 
     def _accept(self, source: int, target: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._open) >= MOST:
+        if len(self._open_pairs) >= MAX_CONNECTIONS:
             self.crowded += 1
             writer.transport.abort()
             return
         task = asyncio.create_task(self._carry(source, target, reader, writer))
-        self._open[task] = source, target
-        task.add_done_callback(lambda task: self._open.pop(task, None))
+        self._open_pairs[task] = source, target
+        task.add_done_callback(lambda task: self._open_pairs.pop(task, None))
 
     async def _carry(
         self, source: int, target: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        ends = [writer]
+        writers = [writer]
         try:
-            await self._passage(source, target)
-            to = self.inside[target]
-            if to is None:
+            await self._wait_until_delivered(source, target)
+            address = self.inside[target]
+            if address is None:
                 return
-            back, forth = await asyncio.open_connection(*to)
-            ends.append(forth)
+            target_reader, target_writer = await asyncio.open_connection(*address)
+            writers.append(target_writer)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(source, target, reader, forth))
-                group.create_task(self._pump(target, source, back, writer))
+                group.create_task(self._pump(source, target, reader, target_writer))
+                group.create_task(self._pump(target, source, target_reader, writer))
         except (OSError, ExceptionGroup):
             pass
         finally:
-            for end in ends:
+            for end in writers:
                 end.transport.abort()
 
     async def _pump(self, source: int, target: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while data := await reader.read(PIECE):
-            await self._passage(source, target)
+        while data := await reader.read(READ_BYTES):
+            await self._wait_until_delivered(source, target)
             writer.write(data)
             await writer.drain()
-        raise ConnectionResetError  # either end's end is both's
+        raise ConnectionResetError  # the end of one side closes both
 
-    async def _passage(self, source: int, target: int) -> None:
+    async def _wait_until_delivered(self, source: int, target: int) -> None:
         while True:
             delays = [] if {source, target} & self.cut else self.weather.fate(self.now, source, target)
             if delays:
                 if delays[0] > 0.0:
                     await asyncio.sleep(delays[0] / 1_000.0)
                 return
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_S)
 
     async def close(self) -> None:
-        """Stop listening, and abort all connections."""
+        """Stop listening and abort all connections."""
         for server in self._servers.values():
             server.close()
-        for task in list(self._open):
+        for task in list(self._open_pairs):
             task.cancel()
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._open_pairs, return_exceptions=True)
