--- a/frostspindle/lab/faults/relay.py
+++ b/frostspindle/lab/faults/relay.py
@@ -2,8 +2,8 @@
 
 The relay binds a socket for each process; its address is the one that the other processes send to. It identifies a
 sender by its source address and forwards each datagram from the sender's relay socket, so that both ends see the
-advertised addresses. Payloads are never inspected or changed. A datagram from an unknown address, one longer than MOST
-bytes, and one that would be delayed while WAITING others are pending are dropped and counted.
+advertised addresses. Payloads are never inspected or changed. A datagram from an unknown address, one longer than
+MAX_DATAGRAM_BYTES, and one that would be delayed while MAX_PENDING others are pending are dropped and counted.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 from frostspindle.lab.faults.script import MessageFaults, Script
 
-MOST = 2_048  # bytes of a datagram
-WAITING = 4_096  # delayed datagrams that are pending
+MAX_DATAGRAM_BYTES = 2_048  # bytes of a datagram
+MAX_PENDING = 4_096  # delayed datagrams that are pending
 
 
 class Relay:
     """A relay of datagrams between `count` processes. The clock of the script stands at 0 until `begin`."""
 
     def __init__(self, count: int, script: Script, seed: int) -> None:
-        self.weather, self.count = MessageFaults(script, seed), count
+        self.message_faults, self.count = MessageFaults(script, seed), count
         self.sockets: list[socket.socket] = []
         self.inside: list[tuple[str, int] | None] = [None] * count  # the address where each process listens
         self._numbers: dict[tuple[str, int], int] = {}
@@ -64,7 +64,7 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                data, address = self.sockets[target].recvfrom(MOST + 1)
+                data, address = self.sockets[target].recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -73,13 +73,13 @@
             if source is None:
                 self.unknown += 1
                 continue
-            if len(data) > MOST:
+            if len(data) > MAX_DATAGRAM_BYTES:
                 self.too_long += 1
                 continue
-            for delay in self.weather.fate(self.now, source, target):
+            for delay in self.message_faults.draw_delays(self.now, source, target):
                 if delay <= 0.0:
                     self._carry(source, target, data)
-                elif self.waiting >= WAITING:
+                elif self.waiting >= MAX_PENDING:
                     self.crowded += 1
                 else:
                     self.waiting += 1
--- a/frostspindle/lab/faults/script.py
+++ b/frostspindle/lab/faults/script.py
@@ -177,7 +177,7 @@
             self._active = (until, [rule for rule in self.script.rules if rule.begins <= now < rule.ends])
         return self._active[1]
 
-    def fate(self, now: float, source: int, target: int) -> list[float]:
+    def draw_delays(self, now: float, source: int, target: int) -> list[float]:
         """Return the delay in ms of each copy of a message that arrives; an empty list if the message is lost.
 
         `now` is in seconds since the start and must not decrease between calls.
--- a/frostspindle/lab/faults/streams.py
+++ b/frostspindle/lab/faults/streams.py
@@ -21,7 +21,7 @@
     """A relay of TCP connections between `count` processes. The clock of the script stands at 0 until `begin`."""
 
     def __init__(self, count: int, script: Script, seed: int) -> None:
-        self.weather, self.count = MessageFaults(script, seed), count
+        self.message_faults, self.count = MessageFaults(script, seed), count
         self.inside: list[tuple[str, int] | None] = [None] * count
         self.crowded = 0
         self.cut: set[int] = set()  # processes that the caller isolates, in addition to the script
@@ -101,7 +101,7 @@
 
     async def _wait_until_delivered(self, source: int, target: int) -> None:
         while True:
-            delays = [] if {source, target} & self.cut else self.weather.fate(self.now, source, target)
+            delays = [] if {source, target} & self.cut else self.message_faults.draw_delays(self.now, source, target)
             if delays:
                 if delays[0] > 0.0:
                     await asyncio.sleep(delays[0] / 1_000.0)
--- a/frostspindle/lab/network.py
+++ b/frostspindle/lab/network.py
@@ -40,7 +40,7 @@
         """`base_ms`: the least delay of each message; `up`: whether all places are up from the start."""
         self.now = 0.0
         self.events = 0  # that came, messages to nobody among them
-        self.weather = MessageFaults(script, seed, base_ms)  # counts what was `lost` on the way
+        self.message_faults = MessageFaults(script, seed, base_ms)  # counts what was `lost` on the way
         self.up, self.paused = [up] * count, [False] * count
         self.waiting: list[list[tuple[int, bytes]]] = [[] for _ in range(count)]
         self.counted: Counter[str] = Counter()  # too_long, not_read, crowded: messages that went no further
@@ -65,7 +65,7 @@
             self.counted["too_long"] += 1
             return False
         now, queue = self.now, self._queue
-        for delay in self.weather.fate(now / 1_000.0, source, target):
+        for delay in self.message_faults.draw_delays(now / 1_000.0, source, target):
             if len(queue) >= UNDER_WAY:
                 self.counted["crowded"] += 1
                 break
--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -134,7 +134,7 @@
         self.replicas: EmulatedReplicas = None  # type: ignore[assignment]  # its makers ask for the time already
         self.sink = Sink("sink", lambda: self.now, fenced=fenced)
         self.replicas = EmulatedReplicas(nodes, voters, seed, parse(script, nodes), self._attach)
-        self.script = self.replicas.network.weather.script
+        self.script = self.replicas.network.message_faults.script
         self.count = nodes
 
     @property
--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -611,7 +611,7 @@
         self.cold = not naive if cold is None else cold
         self.count, self.seed, self.naive, self.seconds = nodes, seed, naive, seconds
         self.script = script = script or Script()
-        self.weather = MessageFaults(script, seed + 2)
+        self.message_faults = MessageFaults(script, seed + 2)
         self.now, self.order = 0.0, 0
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.engines = [Engine(n) for n in range(max(3, nodes // 6))]
@@ -694,7 +694,7 @@
 
     def post(self, source: int, target: int, data: bytes, fleet: bool = False) -> None:
         """Send a datagram over the simulated network. `fleet`: it is for the fleet node, else for the recovery node."""
-        for delay in self.weather.fate(self.now / 1_000.0, source, target):
+        for delay in self.message_faults.draw_delays(self.now / 1_000.0, source, target):
             self.at(self.now + delay + self.random.uniform(0.3, 3.0), self.deliver, source, target, data, fleet)
 
     def deliver(self, source: int, target: int, data: bytes, fleet: bool) -> None:
@@ -716,7 +716,7 @@
         if self.naive:
             return
         side: dict[int, int] = {}
-        for rule in self.weather._holding(max(self.now / 1_000.0, 0.0)):
+        for rule in self.message_faults._active_rules(max(self.now / 1_000.0, 0.0)):
             if rule.kind == "cut":
                 side.update({n: place for place, group in enumerate(rule.groups) for n in group})
         for one in self.coordinators:
--- a/frostspindle/lab/replica.py
+++ b/frostspindle/lab/replica.py
@@ -443,7 +443,7 @@
             and not (f"c{low}" in members[1].voters and f"c{high}" in members[0].voters)
         ):
             return
-        ways = [self.network.weather.fate(self.now / 1_000.0, *way) for way in ((low, high), (high, low))]
+        ways = [self.network.message_faults.draw_delays(self.now / 1_000.0, *way) for way in ((low, high), (high, low))]
         if not all(ways):
             return
         self._conn += 1
@@ -457,7 +457,7 @@
             return
         now = self.now
         while stream.segments:
-            delays = self.network.weather.fate(now / 1_000.0, source, target)
+            delays = self.network.message_faults.draw_delays(now / 1_000.0, source, target)
             if not delays:
                 if stream.stuck_since is None:
                     stream.stuck_since = now
--- a/frostspindle/lab/settings.py
+++ b/frostspindle/lab/settings.py
@@ -502,7 +502,7 @@
         "applied": len(times),
         "lives_at_the_end": sorted(ends),
         "entries": len(world.entries),
-        "messages": world.network.weather.passed,
+        "messages": world.network.message_faults.passed,
     }
 
 
--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -111,7 +111,7 @@
         self.nodes, self.seed, self.script, self.seconds = nodes, seed, script, seconds
         self.rate, self.ring = rate, ring
         self.backlog, self.move_s, self.slow = backlog, move_s, slow
-        self.weather = MessageFaults(script, seed + 1, 0.5)
+        self.message_faults = MessageFaults(script, seed + 1, 0.5)
         self.places = [Place(f"c{n}") for n in range(nodes)]
         self.numbers = {place.name: n for n, place in enumerate(self.places)}
         self.now = 0.0
@@ -198,7 +198,7 @@
             self.taken += place.hub.subscribers.taken
 
     def _send(self, source: int, target: int, what: Any) -> None:
-        for delay in self.weather.fate(self.now / 1_000.0, source, target):
+        for delay in self.message_faults.draw_delays(self.now / 1_000.0, source, target):
             self.order += 1
             heapq.heappush(self.queue, (self.now + delay, self.order, target, what))
 
--- a/tests/contracts/logs.py
+++ b/tests/contracts/logs.py
@@ -102,8 +102,10 @@
     def set_connected(self, numbers: Any, connected: bool) -> None:
         """Partition some members from all others, or reconnect them."""
         isolated = set() if connected else set(numbers)
-        fate = type(self.lab.network.weather).fate.__get__(self.lab.network.weather)
-        self.lab.network.weather.fate = lambda now, a, b: [] if a in isolated or b in isolated else fate(now, a, b)
+        fate = type(self.lab.network.message_faults).draw_delays.__get__(self.lab.network.message_faults)
+        self.lab.network.message_faults.draw_delays = lambda now, a, b: (
+            [] if a in isolated or b in isolated else fate(now, a, b)
+        )
         self.lab.advance(6_000.0)
 
     async def close(self) -> None:
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -74,14 +74,14 @@
 
     def count_deliveries(self, weather: Any) -> None:
         """Count in `copies` the deliveries that the fault script decides."""
-        fate = weather.fate
+        fate = weather.draw_delays
 
         def counting(*args: Any) -> list[float]:
             delays = fate(*args)
             self.copies += len(delays)
             return delays
 
-        weather.fate = counting
+        weather.draw_delays = counting
 
 
 def address(udp_socket: socket.socket) -> tuple[str, int]:
@@ -185,11 +185,11 @@
 class Relay(Transport):
     """The relay between processes; plain sockets represent the processes."""
 
-    max_bytes, bound, faults = relay.MOST, relay.WAITING, True
+    max_bytes, bound, faults = relay.MAX_DATAGRAM_BYTES, relay.MAX_PENDING, True
 
     async def start(self) -> None:
         self.relay = relay.Relay(COUNT, self.script, 3).start()
-        self.count_deliveries(self.relay.weather)
+        self.count_deliveries(self.relay.message_faults)
         self.sockets = [make_udp_socket() for _ in range(COUNT)]
         self.relay_addresses = [address(relay_socket) for relay_socket in self.relay.sockets]
         for number, udp_socket in enumerate(self.sockets):
@@ -212,16 +212,16 @@
 
     def counted(self) -> Counter[str]:
         return Counter(
-            lost=self.relay.weather.lost,
+            lost=self.relay.message_faults.lost,
             refused=self.relay.too_long,
             crowded=self.relay.crowded,
             unknown=self.relay.unknown,
         )
 
     async def flood(self, count: int) -> int:
-        self.relay.weather.script = parse("delay 60000-60000", COUNT)
-        self.relay.weather._now = (-1.0, [])
-        self.relay.weather._edges = [0.0]
+        self.relay.message_faults.script = parse("delay 60000-60000", COUNT)
+        self.relay.message_faults._active = (-1.0, [])
+        self.relay.message_faults._edges = [0.0]
         max_waiting = 0
         for _ in range(count):
             self.send(0, 1, b"x")
@@ -254,7 +254,7 @@
 
     async def start(self) -> None:
         self.network = network.Network(COUNT, self.script, 5)
-        self.count_deliveries(self.network.weather)
+        self.count_deliveries(self.network.message_faults)
 
     def send(self, source: int, target: int, data: bytes) -> None:
         self.network.send(source, target, data)
@@ -265,7 +265,7 @@
 
     def counted(self) -> Counter[str]:
         counted = self.network.counted
-        return Counter(lost=self.network.weather.lost, refused=counted["too_long"], crowded=counted["not_read"])
+        return Counter(lost=self.network.message_faults.lost, refused=counted["too_long"], crowded=counted["not_read"])
 
     async def flood(self, count: int) -> int:
         self.network.paused[1] = True
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -233,8 +233,8 @@
     script = parse("1-2 cut 0,1|2-4; 3 kill *; clock 2 1.05; 0- loss 0.5 1", 5)
     assert (script.healed_at, len(script.acts), script.clocks) == (2.0, 5, ((2, 1.05),))
     weather = MessageFaults(script, 1)
-    assert weather.fate(1.5, 0, 3) == []
-    assert weather.fate(1.5, 2, 3) == [0.0]
+    assert weather.draw_delays(1.5, 0, 3) == []
+    assert weather.draw_delays(1.5, 2, 3) == [0.0]
     for invalid in ("1 kill 9", "loss 2", "cut 0", "rain 1", "delay 9-1", "kill", "clock 0 9", "1-x loss 0.1"):
         with pytest.raises(InvalidScriptError, match="'"):
             parse(invalid, 5)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -469,13 +469,13 @@
     def test_entry_replaced_by_one_of_another_term_is_submitted_again_once(self):
         lab = self.lab(5, 5, times=RaftTimeouts())
         lab.advance(3_000.0)
-        leader, fate = lab.leaders()[0], lab.network.weather.fate
-        lab.network.weather.fate = lambda now, a, b: [] if leader in (a, b) else fate(now, a, b)
+        leader, fate = lab.leaders()[0], lab.network.message_faults.draw_delays
+        lab.network.message_faults.draw_delays = lambda now, a, b: [] if leader in (a, b) else fate(now, a, b)
         outcomes = []
         lab.member(leader).submit("t", b"of the old one", 8.0, outcomes.append)
         lab.advance(1_500.0)
         self.assertEqual({type(outcome) for outcome in self.propose(lab, lab.leaders()[0], 3)}, {AppliedEntry})
-        lab.network.weather.fate = fate
+        lab.network.message_faults.draw_delays = fate
         lab.advance(2_000.0)
         self.assertIsInstance(outcomes[0], AppliedEntry)  # not OutcomeUnknownError: it was certainly not committed
         self.assertEqual(list(self.run.entries.values()).count(b"of the old one"), 1)
@@ -500,8 +500,8 @@
         lab = self.lab(5, 5, times=RaftTimeouts())
         lab.advance(3_000.0)
         leader = lab.leaders()[0]
-        fate = lab.network.weather.fate
-        lab.network.weather.fate = lambda now, a, b: [] if leader in (a, b) else fate(now, a, b)
+        fate = lab.network.message_faults.draw_delays
+        lab.network.message_faults.draw_delays = lambda now, a, b: [] if leader in (a, b) else fate(now, a, b)
         outcomes = []
         lab.member(leader).submit("t", b"of the old one", 3.0, outcomes.append)
         lab.advance(2_500.0)
@@ -509,7 +509,7 @@
         self.assertEqual(len(lab.leaders()), 1)
         lab.advance(1_000.0)
         self.assertIsInstance(outcomes[0], OutcomeUnknownError)
-        lab.network.weather.fate = fate
+        lab.network.message_faults.draw_delays = fate
         lab.advance(4_000.0)
         self.propose(lab, leader, 2)
         self.assertEqual(len({m.sum for m in self.machines.values()}), 1)
