--- a/frostspindle/lab/faults/owners.py
+++ b/frostspindle/lab/faults/owners.py
@@ -1,7 +1,7 @@
-"""Processes of the program that stand for tasks, with the relay of connections between them and a fenced sink.
+"""Runs coordinator processes that compete for the leases of tasks and export to a fenced sink.
 
-Owns the processes, their files, the sink and all their lines. It must never judge a run (lab/history.py does), and
-listens on loopback only.
+The processes connect through a TCP relay on loopback. The log lines of processes and sink are checked by
+lab/history.py.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 SECRET = "a secret of the lab, and of nobody else"
 
 
-WARM = """
+WARM_FLEET_SECTION = """
 [fleet]
 listen = "127.0.0.1:{inside}"
 advertise = "{outside}"
@@ -46,11 +46,11 @@
 
 
 class RecordingEngine(Engine):
-    """A stand-in engine that records each statement that it was sent, with its time and fencing token."""
+    """A stand-in engine that records each statement it receives, with the time and the fencing token."""
 
     def __init__(self, name: str, delay_s: float) -> None:
         super().__init__(name, delay_s)
-        self.received_statements: list[tuple[float, int, str]] = []  # when, under which token, what
+        self.received_statements: list[tuple[float, int, str]] = []  # time, fencing token, statement
 
     def _take(self, ticket: str, statement: str) -> None:
         self.received_statements.append((clock(), int(ticket[:8], 16), statement))
@@ -58,9 +58,11 @@
 
 
 class OwnershipFleet:
-    """So many coordinators, the first `voters` of them voting. Each wants the lease of every task, whose work is an
-    export to the sink every `every_ms`. With `statements` they form a fleet too, and warm up the engines `e0` and
-    `e1`."""
+    """A fleet of `count` coordinators, of which the first `voters` vote, that all compete for the lease of each task.
+
+    The holder of a task's lease exports to the sink every `every_ms`. With `statements` the coordinators also gossip as
+    a fleet, and warm up the engines `e0` and `e1`.
+    """
 
     def __init__(
         self,
@@ -88,8 +90,10 @@
         self.killed_at: dict[str, list[float]] = {}
 
     async def start(self, await_candidacy: bool = True) -> OwnershipFleet:
-        """Start the relays, sink, engines, bus and all processes; return self once each has logged `ready`, and with
-        `stands` that it stands for its tasks. TimeoutError if one has not within 60 s."""
+        """Start the relays, sink, engines, bus and all processes, and return self once all processes are ready.
+
+        With `await_candidacy` wait until each process also is a candidate for the leases. Raise TimeoutError after 60 s.
+        """
         await self.streams.start()
         await self.server.start()
         for engine in self.engines:
@@ -120,7 +124,7 @@
                     f"every_ms = {self.every_ms}\n"
                     for task in self.tasks
                 )
-                + self._warms(number)
+                + self._warm_sections(number)
             )
         await asyncio.gather(*(process.start() for process in self.processes))
         await asyncio.gather(
@@ -136,7 +140,7 @@
         )
         return self
 
-    def _warms(self, number: int) -> str:
+    def _warm_sections(self, number: int) -> str:
         if not self.statements:
             return ""
         inside = free_port()
@@ -147,23 +151,25 @@
         return (
             f'\n[ownership.warm]\nclass = "lookup"\nstatement = {json.dumps(self.statements)}\n'
             f"every_ms = {self.every_ms}\n"
-            + WARM.format(inside=inside, outside=self.relay.outside(number), seeds=seeds)
+            + WARM_FLEET_SECTION.format(inside=inside, outside=self.relay.outside(number), seeds=seeds)
         )
 
     def announce_restart(self, number: int) -> None:
-        """Publish on the bus that an engine has started again now."""
+        """Publish on the bus that an engine has just restarted."""
         engine = self.engines[number]
         self.bus.say(host(engine.name, engine.port, born_ms=time.time() * 1_000.0))
 
     def accepted(self, task: str = "x") -> list[dict[str, Any]]:
-        """Return the sink's lines of the actions of a task that it accepted, in their order."""
+        """Return the sink's log lines of the accepted actions of a task, in order."""
         return [line for line in self.sink.lines if line["accepted"] and line["task"] == task]
 
     async def next_action(
         self, after: int = 0, excluding: str = "", task: str = "x", within_s: float = 60.0
     ) -> dict[str, Any]:
-        """Return the first accepted action of a task after the sink's first `after` lines whose holder is not `but`;
-        TimeoutError if there is none within `within_s` seconds."""
+        """Wait for an accepted action of a task whose holder is not `excluding`, and return its line.
+
+        The first `after` lines of the sink are skipped. Raise TimeoutError after `within_s` seconds.
+        """
         async with asyncio.timeout(within_s):
             while True:
                 for line in self.sink.lines[after:]:
@@ -172,20 +178,22 @@
                 await asyncio.sleep(0.005)
 
     def process(self, name: str) -> Process:
-        """Return the process of a coordinator by its name, `c` and its number."""
+        """Return the process of the coordinator with this name, `c` and its number."""
         return self.processes[int(name[1:])]
 
     async def kill(self, process: Process) -> None:
-        """Kill a process with SIGKILL and note when (CLOCK_BOOTTIME, ms): for `checked` its leases end there."""
+        """Kill a process with SIGKILL and record the time (CLOCK_BOOTTIME, ms), at which `checked` ends its leases."""
         self.killed_at.setdefault(process.name, []).append(clock())
         await process.end(9)
 
     def checked(self, expect: int = 1) -> Checked:
-        """Judge all lines with `history.check`. What engines were sent counts as accepted, since an engine can't
-        refuse; the sender is found by the fencing token in the ticket. `expect`: the least number of accepted
-        actions."""
+        """Check all log lines with `history.check`, which expects at least `expect` accepted actions.
+
+        Statements that engines received count as accepted actions, as an engine can't refuse them. Their sender is
+        found by the fencing token in the ticket.
+        """
         lines = [line for process in self.processes for line in process.lines]
-        whose = {
+        holders = {
             line["token"]: line["holder"]
             for line in lines
             if line.get("event") == "owner_took" and line.get("task") == "warm"
@@ -198,7 +206,7 @@
                 "task": "warm",
                 "token": token,
                 "at": at,
-                "holder": whose.get(token, "nobody"),
+                "holder": holders.get(token, "nobody"),
                 "action": text,
                 "accepted": True,
             }
@@ -209,8 +217,10 @@
         return check([*lines, *engines, *self.sink.lines], self.killed_at, expect=expect)
 
     async def close(self) -> list[int | None]:
-        """End all processes with SIGTERM, close the sink, the relays and the engines, and delete the files; return
-        the exit codes, None for a process that was not running."""
+        """End all processes with SIGTERM, close the sink, the relays and the engines, and delete the files.
+
+        Return the exit codes, with None for a process that was not running.
+        """
         codes = list(await asyncio.gather(*(process.end() for process in self.processes)))
         self.server.close()
         await self.streams.close()
--- a/frostspindle/lab/faults/power.py
+++ b/frostspindle/lab/faults/power.py
@@ -1,7 +1,7 @@
-"""Five coordinators lose power together, engines too, and their clients come back all at once: a run on real sockets.
+"""Runs a power loss of five coordinator processes and their engines, with a surge of clients at the restart.
 
-Owns what happens, the stand-in engines that hold real rows, and the figures of a run, from logs, rows and answers.
-It must never judge by what a coordinator says of itself where engines or clients can tell.
+The stand-in engines run statements on real rows. The figures of a run come from the rows of the engines and the
+responses to clients where these show it, and only else from the log lines of the coordinators.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 RECOVERY = (
     '[recovery]\nfolder = "FOLDER/store"\nwitness = "FOLDER/witness"\nfirst_start = true\n'
     "store_ms = 60000\nservice_ms = 3000\n"
-)  # a store that opens late on a busy machine is believed less
-COST_MS, BY_MODULE = 200.0, 260.0  # as a client says it; as the module counts what it has not measured
-WARM_MS = 120_000.0  # engines are cold for as long as a busy machine takes
+)  # `store_ms` is high, as a store that opens late on a busy machine is trusted less
+COST_MS, UNMEASURED_COST_MS = 200.0, 260.0  # the hint of clients, and what admission counts before a measurement
+WARM_MS = 120_000.0  # keeps engines cold for the whole run, even on a busy machine
 RULES = {
     "stopSendingWithin": 250.0,
     "startCapacity": 0.3,
@@ -39,13 +39,15 @@
     "tipMultiple": 4.0,
     "answerSlack": 20.0,
 }
-WAIT_S = 180.0  # for what takes 10 s on a quiet machine: a busy one is slow, and only what never comes is stuck
+WAIT_S = 180.0  # for steps of 10 s on an idle machine: a busy one is slow, and only a step that never ends is stuck
 STAGES = ["address", "find", "agree", "rights", "engines", "service", "open"]
 
 
 class SqliteEngine(Engine):
-    """An engine that runs each statement on its own sqlite3 rows as soon as it takes it. A loss of power drops its
-    results; its rows and the record of what it was sent stay."""
+    """An engine that runs each statement on its own sqlite3 database at once.
+
+    A power loss drops its results; its rows and the record of received requests persist.
+    """
 
     def __init__(self, name: str, delay_s: float = 0.0, cores: int = 0) -> None:
         super().__init__(name, delay_s, cores)
@@ -56,7 +58,7 @@
     def call(
         self, line: EngineConnection, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes, first: float
     ) -> None:
-        """Serve a request, or abort its connection while the engine is without power (`dark`)."""
+        """Serve a request, or abort its connection while the engine has no power (`dark`)."""
         if self.dark:
             line.transport.abort()
         else:
@@ -67,7 +69,7 @@
         super()._take(ticket, statement)
 
     def lose_power(self) -> None:
-        """Drop all results and connections, and abort those of later requests until `dark` is False. Rows stay."""
+        """Drop all results and connections, and abort connections until `dark` is False. Rows persist."""
         self.dark = True
         self.results.clear()
         for line in list(self.lines):
@@ -75,19 +77,23 @@
 
 
 class Client:
-    """One caller. After a broken connection, or 12 s without an answer, a query comes again; after a refusal once
-    the advised wait is over."""
+    """A client that retries queries.
+
+    It retries after a broken connection or 12 s without a response, and after a refusal once the advised wait is over.
+    """
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.finals: dict[int, list[int]] = {}  # by id: its final answers
+        self.finals: dict[int, list[int]] = {}  # final statuses by request id
         self.broken = 0
 
     async def once(self, port: int, cls: str, number: int, statement: str) -> tuple[int, float]:
-        """Send one request; return its final HTTP status and its Retry-After-Ms (200 ms if it has none). OSError or
-        asyncio.IncompleteReadError if the connection breaks, TimeoutError after 12 s."""
+        """Send one request; return its final HTTP status and its Retry-After-Ms, by default 200 ms.
+
+        Raise OSError or asyncio.IncompleteReadError if the connection breaks, TimeoutError after 12 s.
+        """
         head, path = b"", ""
-        async with asyncio.timeout(12.0):  # of 6 s of deadline: what takes longer is stuck
+        async with asyncio.timeout(12.0):  # twice the deadline of 6 s: a longer request is stuck
             while True:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 try:
@@ -126,8 +132,10 @@
             await asyncio.sleep(wait_ms / 1e3 * self.random.uniform(1.0, 1.2))
 
     async def load(self, port: int, number: int) -> int | None:
-        """Send a load once and return the status of its answer, None if the connection broke or no answer came in 12
-        s."""
+        """Send a load once and return the HTTP status.
+
+        Return None if the connection broke, or without a response in 12 s.
+        """
         try:
             return (await self.once(port, "load", number, f"INSERT INTO loaded VALUES ({number})"))[0]
         except (OSError, asyncio.IncompleteReadError):
@@ -135,23 +143,28 @@
             return None
 
 
-def over_budget(engine: Engine, since_ms: float) -> float:
-    """Return the greatest part of a cold engine's budget that was sent to it within any one second. `since_ms`: Unix
-    ms of its start; 1.0 is the whole budget."""
-    times = sorted(at for at, *_ in engine.sent if at * 1e3 >= since_ms)
-    worst = 0.0
-    for place, at in enumerate(times):
-        last = max(n for n in range(place, len(times)) if times[n] < at + 1.0)
-        grown = ((times[last] * 1e3 - since_ms) / WARM_MS) ** 2
-        if grown < 1.0:
-            whole = SLOW_START_SAFETY[False] * 4.0 * (0.3 + 0.7 * grown) * 0.85 * 8 * 1_000.0
-            worst = max(worst, (last - place + 1) * BY_MODULE / whole)
-    return worst
+def peak_budget_use(engine: Engine, started_ms: float) -> float:
+    """Return the largest fraction of a cold engine's budget that it was sent within one second.
+
+    `started_ms` is the start of the engine in Unix ms; 1.0 is the full budget.
+    """
+    times = sorted(sent_at for sent_at, *_ in engine.sent if sent_at * 1e3 >= started_ms)
+    peak = 0.0
+    for first, sent_at in enumerate(times):
+        last = max(index for index in range(first, len(times)) if times[index] < sent_at + 1.0)
+        ramp = ((times[last] * 1e3 - started_ms) / WARM_MS) ** 2
+        if ramp < 1.0:
+            budget_ms = SLOW_START_SAFETY[False] * 4.0 * (0.3 + 0.7 * ramp) * 0.85 * 8 * 1_000.0
+            peak = max(peak, (last - first + 1) * UNMEASURED_COST_MS / budget_ms)
+    return peak
 
 
 class PowerLoss:
-    """One run of the loss of power. `lost`: coordinators whose stores are gone afterwards; `older`: those that find
-    a copy of the store from before the loads."""
+    """One run of a power loss.
+
+    `lost` are the coordinators whose stores are deleted by it, `older` those that restart from a copy of the store that
+    was made before the loads.
+    """
 
     def __init__(self, script: str, lost: tuple[int, ...], older: tuple[int, ...], seed: int, crowd: int = 14) -> None:
         self.lost, self.older, self.seed, self.crowd = lost, older, seed, crowd
@@ -160,33 +173,35 @@
             5, parse(script, 5), seed, FLEET, TENANTS + RECOVERY, engine=SqliteEngine, balancers=5, rules=RULES
         )
         self.first_statuses: list[int | None] = []
-        self.ran: set[int] = set()  # loads of which a row was there as the power went
+        self.ran: set[int] = set()  # loads whose rows were present at the power loss
         self.repeats: dict[int, list[int | None]] = {}
         self.turned_away: list[int] = []
         self.born_ms = self.recovered_s = 0.0
 
     async def run(self) -> None:
-        """Play the whole run: loads, the loss, the return of all processes and clients, and the loads once more.
-        TimeoutError if a step takes longer than a busy machine needs."""
-        draw, fleet, client = random.Random(self.seed), self.fleet, self.client
+        """Play the run: loads, the power loss, the restart with all clients, and the same loads again.
+
+        Raise TimeoutError if a step takes longer than WAIT_S seconds.
+        """
+        rng, fleet, client = random.Random(self.seed), self.fleet, self.client
         await fleet.start()
         await self.stage(1, "service")
         await fleet.until(lambda all_: all(f.get("size") == 5 for f in all_), WAIT_S)
         for n in self.older:
             shutil.copytree(fleet.processes[n].folder / "store", fleet.processes[n].folder / "week")
-        self.first_statuses = [await client.load(draw.choice(fleet.processes).http, n) for n in range(1, 9)]
+        self.first_statuses = [await client.load(rng.choice(fleet.processes).http, n) for n in range(1, 9)]
         for engine in fleet.engines:
-            engine.delay_s = 0.6  # these are out as the power goes
+            engine.delay_s = 0.6  # these requests are in flight at the power loss
         posts = sum(len(e.sent) for e in fleet.engines)
-        flying = [asyncio.create_task(client.load(draw.choice(fleet.processes).http, n)) for n in range(11, 17)]
+        in_flight = [asyncio.create_task(client.load(rng.choice(fleet.processes).http, n)) for n in range(11, 17)]
         await fleet.until(lambda _: sum(len(e.sent) for e in fleet.engines) >= posts + 3, WAIT_S)
 
-        # The power goes: coordinators and engines, within a second.
-        for process in draw.sample(fleet.processes, 5):
+        # Coordinators and engines lose power within a second.
+        for process in rng.sample(fleet.processes, 5):
             process.send_signal(signal.SIGKILL)
         for engine in fleet.engines:
             engine.lose_power()
-        await asyncio.gather(*(process.end(signal.SIGKILL) for process in fleet.processes), *flying)
+        await asyncio.gather(*(process.end(signal.SIGKILL) for process in fleet.processes), *in_flight)
         self.ran = set(self.loaded())
         for n in self.lost:
             shutil.rmtree(fleet.processes[n].folder / "store")
@@ -196,34 +211,36 @@
         for process in fleet.processes:
             file = process.folder / "operator.toml"
             file.write_text(file.read_text().replace("first_start = true\n", ""))
-        fleet.begin()  # the script's time, and with it a cut
+        fleet.begin()  # starts the cut of the script
         for engine in fleet.engines:
             engine.dark, engine.delay_s = False, 0.05
         self.born_ms = time.time() * 1e3
         fleet.bus.say(*(host(e.name, e.port, born_ms=self.born_ms) for e in fleet.engines), whole=True)
 
-        # Everybody's clients are there at once, while coordinators start over two seconds.
+        # All clients connect at once, while the coordinators start within two seconds.
         crowd = [
             asyncio.create_task(client.served(process.http, 100 + 20 * process.number + n))
             for process in fleet.processes
             for n in range(self.crowd)
         ]
-        for process in draw.sample(fleet.processes, 5):
+        for process in rng.sample(fleet.processes, 5):
             await process.start()
-            await asyncio.sleep(draw.uniform(0.1, 0.5))
-        began = time.monotonic()
+            await asyncio.sleep(rng.uniform(0.1, 0.5))
+        restarted_at = time.monotonic()
         served = asyncio.gather(*crowd)
-        served.add_done_callback(lambda _: setattr(self, "recovered_s", time.monotonic() - began))
+        served.add_done_callback(lambda _: setattr(self, "recovered_s", time.monotonic() - restarted_at))
         await self.stage(2, "service")
-        numbers = (1, 2, *range(11, 17))  # each comes again, to all at once
+        numbers = (1, 2, *range(11, 17))  # each is sent again, to all coordinators at once
         answers = await asyncio.gather(*(client.load(p.http, n) for n in numbers for p in fleet.processes))
-        self.repeats = {n: list(answers[5 * place : 5 * place + 5]) for place, n in enumerate(numbers)}
+        self.repeats = {n: list(answers[5 * index : 5 * index + 5]) for index, n in enumerate(numbers)}
         self.turned_away = await asyncio.wait_for(served, WAIT_S)
         await self.stage(2, "open")
 
     async def stage(self, life: int, stage: str) -> None:
-        """Wait until all coordinators have logged this recovery stage in their process number `life`; TimeoutError
-        after WAIT_S seconds."""
+        """Wait until all coordinators have logged this recovery stage in their process number `life`.
+
+        Raise TimeoutError after WAIT_S seconds.
+        """
         await asyncio.gather(
             *(
                 process.until(lambda p=process: p.events("recovery_stage_changed", stage=stage, life=life), WAIT_S)
@@ -232,11 +249,11 @@
         )
 
     def left_stages(self, n: int) -> list[dict[str, Any]]:
-        """Return the log lines of the recovery stages that a coordinator left after the loss."""
+        """Return the log lines on the recovery stages that a coordinator left after the power loss."""
         return self.fleet.processes[n].events("recovery_stage_changed", life=2)
 
     def loaded(self) -> dict[int, int]:
-        """Return how often each load ran, by the rows of all engines."""
+        """Return how many times each load ran, counted from the rows of all engines."""
         counts: dict[int, int] = {}
         for engine in self.fleet.engines:
             assert isinstance(engine, SqliteEngine)
@@ -245,17 +262,17 @@
         return counts
 
     def figures(self) -> dict[str, Any]:
-        """Return the figures of a finished run; any of the first five that is not zero or empty is a fault."""
+        """Return the figures of a finished run; it is faulty if one of the first five is not zero or empty."""
         counts, finals = self.loaded(), self.client.finals
         spans = [
             (line["since"], line["until"], line["units"])
             for p in self.fleet.processes
             for line in p.events("fleet_budget_spent")
         ]
-        worst = [over_budget(engine, self.born_ms) for engine in self.fleet.engines]
+        budget_use = [peak_budget_use(engine, self.born_ms) for engine in self.fleet.engines]
         return {
             "overspend": compute_overspend(spans, UNITS, 1.0),
-            "cold_overruns": sum(part > 1.0 for part in worst),
+            "cold_overruns": sum(fraction > 1.0 for fraction in budget_use),
             "loads_doubled": sum(count > 1 for count in counts.values()),
             "untrue": [
                 n
@@ -273,11 +290,13 @@
             ],
             "stuck": sum(len(answers) != 1 for n, answers in finals.items() if n >= 1_000)
             + (5 * self.crowd - len(self.turned_away)),
-            "cold_use": round(max(worst), 3),
+            "cold_use": round(max(budget_use), 3),
             "refused": sum(self.turned_away),
             "recovered_s": round(self.recovered_s, 2),
             "loads": len(counts),
             "served": len(self.turned_away),
             "weak": sorted({line["left"] for n in range(5) for line in self.left_stages(n) if line["weak"]}),
-            "faults": [x for p in self.fleet.processes for x in p.lines if x["event"] in ("exception_caught", "text")],
+            "faults": [
+                line for p in self.fleet.processes for line in p.lines if line["event"] in ("exception_caught", "text")
+            ],
         }
--- a/frostspindle/lab/faults/settled.py
+++ b/frostspindle/lab/faults/settled.py
@@ -1,7 +1,7 @@
-"""Processes of the program that agree on settings over the replicated log, with the relay of connections between them.
+"""Runs coordinator processes that agree on settings over the replicated log, connected through a TCP relay.
 
-Owns the processes, their files and logs, and the lines that are added where one is killed (it acts on nothing from then
-on). It must never judge a run: `audit` does, from the lines.
+Where a process is killed, a log line is added that it applies no settings from then on. `frostspindle.settings.audit`
+checks a run from the log lines.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
     read_contradictions,
 )
 
-TERMS = "lease_ms = 1000\ntrial_ms = 2000\n"
+LEASE_SETTINGS = "lease_ms = 1000\ntrial_ms = 2000\n"
 
 
 def boot_ms() -> float:
-    """Return CLOCK_BOOTTIME in ms: the same for all processes of the machine, and counting on while it is suspended."""
+    """Return CLOCK_BOOTTIME in ms, which all processes of the machine share and which runs on during a suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
 
 
 class SettingsProcess(Process):
-    """One coordinator that acts on agreed settings."""
+    """One coordinator that applies agreed settings."""
 
     async def kill(self) -> None:
-        """Kill the process with SIGKILL and add the log line that from now on it acts on no version."""
+        """Kill the process with SIGKILL and add a log line that it applies no version from now on."""
         await self.end(signal.SIGKILL)
         self.lines.append(
             {
@@ -53,12 +53,14 @@
 
     @property
     def at(self) -> str:
-        """Operators' address, host:port."""
+        """Return the address of the operator port, host:port."""
         return f"127.0.0.1:{self.operator_port}"
 
     async def command(self, *words: str) -> tuple[int, str]:
-        """Run `frostspindle settings ...` at this coordinator; return the exit code, and standard output and error
-        together."""
+        """Run `frostspindle settings ...` for this coordinator.
+
+        Return the exit code and the combined text of standard output and standard error.
+        """
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -70,16 +72,18 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
-        out, _ = await child.communicate()
-        return child.returncode or 0, out.decode()
+        output, _ = await child.communicate()
+        return child.returncode or 0, output.decode()
 
     def current_rules(self) -> dict[str, Any]:
-        """Return the last log line of what the coordinator acts on, an empty dict before the first."""
+        """Return the last log line on the rules that the coordinator applies; an empty dict before the first."""
         return next((line for line in reversed(self.lines) if line["event"] == "settings_rules_activated"), {})
 
     async def wait_for_version(self, version: int, within_s: float = 30.0) -> None:
-        """Wait until the coordinator acts plainly on this version or a later one; TimeoutError after `within_s`
-        seconds."""
+        """Wait until the coordinator applies this version or a later one in mode `version`.
+
+        Raise TimeoutError after `within_s` seconds.
+        """
         await self.until(
             lambda: self.current_rules().get("mode") == "version" and self.current_rules()["versions"][0] >= version,
             within_s,
@@ -87,8 +91,10 @@
 
 
 class SettingsFleet:
-    """So many coordinators, the first `voters` of them voting members of the replicated log. A single one has no
-    replicated log."""
+    """A fleet of `count` coordinators, of which the first `voters` are voters of the replicated log.
+
+    A single coordinator runs without a replicated log.
+    """
 
     def __init__(
         self,
@@ -96,7 +102,7 @@
         voters: int,
         script: Script,
         seed: int,
-        terms: str = TERMS,
+        terms: str = LEASE_SETTINGS,
         more: str = "",
         engines: int = 2,
         delay_s: float = 0.0,
@@ -108,8 +114,10 @@
         self.processes = [SettingsProcess(n, Path(self.folder.name, f"c{n}")) for n in range(count)]
 
     async def start(self) -> SettingsFleet:
-        """Start the relay, engines and processes; return self once each process has logged `ready`. TimeoutError if
-        one has not within READY_S seconds."""
+        """Start the relay, engines and processes, and return self once each has logged `coordinator_started`.
+
+        Raise TimeoutError for a process that has not within READY_S seconds.
+        """
         await self.streams.start()
         for engine in self.engines:
             await engine.start()
@@ -128,7 +136,7 @@
                 for engine in self.engines
             ]
         )
-        inside = [f"127.0.0.1:{free_port(socket.SOCK_STREAM)}" for _ in range(self.voters)]
+        addresses = [f"127.0.0.1:{free_port(socket.SOCK_STREAM)}" for _ in range(self.voters)]
         for process in self.processes:
             n = process.number
             process.folder.mkdir()
@@ -138,13 +146,13 @@
                 "FOLDER", str(process.folder)
             )
             if self.count > 1:
-                voters = [f"c{v}={inside[v] if v == n else self.streams.outside(n, v)}" for v in range(self.voters)]
+                voters = [f"c{v}={addresses[v] if v == n else self.streams.outside(n, v)}" for v in range(self.voters)]
                 text += (
                     f'[replica]\nvoters = {json.dumps(voters)}\nfolder = "{process.folder}/log"\n'
                     f'secret = "{secret}"\nme = "c{n}"\nfirst_start = true\n'
                 )
                 if n < self.voters:
-                    self.streams.place(n, ("127.0.0.1", int(inside[n].rpartition(":")[2])))
+                    self.streams.place(n, ("127.0.0.1", int(addresses[n].rpartition(":")[2])))
             (process.folder / "operator.toml").write_text(text)
         await asyncio.gather(*(process.start() for process in self.processes))
         for process in self.processes:
@@ -152,14 +160,16 @@
         return self
 
     def file(self, text: str) -> str:
-        """Write a file of settings for a push and return its path, a new one at each call."""
+        """Write a new settings file for a push, and return its path."""
         path = Path(self.folder.name, f"v{len(list(Path(self.folder.name).glob('v*.toml')))}.toml")
         path.write_text(text)
         return str(path)
 
     async def publisher(self, excluding: SettingsProcess | None = None, within_s: float = 30.0) -> SettingsProcess:
-        """Return the coordinator that publishes, by its log, and is not `but`; TimeoutError after `within_s`
-        seconds."""
+        """Wait until a coordinator other than `excluding` has logged that it is the publisher, and return it.
+
+        Raise TimeoutError after `within_s` seconds.
+        """
         async with asyncio.timeout(within_s):
             while True:
                 for process in self.processes:
@@ -169,13 +179,15 @@
                 await asyncio.sleep(0.05)
 
     def audit(self) -> AuditResult:
-        """Return the longest time that two coordinators acted plainly on contradicting versions, by all logs."""
+        """Return the longest time that two coordinators applied contradicting versions, by the log lines of all."""
         lines = [line for process in self.processes for line in process.lines]
         return find_longest_contradiction(read_active_periods(lines, last=boot_ms()), read_contradictions(lines))
 
     async def close(self) -> list[int | None]:
-        """End all processes with SIGTERM, close the relay and delete the files; return the exit codes, None for a
-        process that was not running."""
+        """End all processes with SIGTERM, close the relay and delete the files.
+
+        Return the exit codes, with None for a process that was not running.
+        """
         codes = list(await asyncio.gather(*(process.end() for process in self.processes)))
         await self.streams.close()
         self.folder.cleanup()
