--- a/frostspindle/lab/faults/owners.py
+++ b/frostspindle/lab/faults/owners.py
@@ -92,7 +92,7 @@
     async def start(self, await_candidacy: bool = True) -> OwnershipFleet:
         """Start the relays, sink, engines, bus and all processes, and return self once all processes are ready.
 
-        With `await_candidacy` wait until each process also is a candidate for the leases. Raise TimeoutError after 60 s.
+        With `await_candidacy` each must also be a candidate for the leases. Raise TimeoutError after 60 s.
         """
         await self.streams.start()
         await self.server.start()
