--- a/frostspindle/lab/soak/judge.py
+++ b/frostspindle/lab/soak/checker.py
@@ -43,39 +43,39 @@
     text: str
     ticket: str = ""
     other: str = ""  # ticket of another request that it is about
-    story: list[str] = field(default_factory=list)
+    history: list[str] = field(default_factory=list)
 
 
-def judge(records: Records) -> list[Violation]:
+def find_violations(records: Records) -> list[Violation]:
     """Return all broken rules of a run."""
     requests = {request.ticket: request for client in records.clients for request in client.requests}
-    runs = sorted((run for engine in records.engines for run in engine.runs), key=lambda run: run.begun_at)
+    runs = sorted((run for engine in records.engines for run in engine.runs), key=lambda run: run.started_at)
     violations = [
-        *_judge_answers(requests.values(), records),
-        *_judge_runs(requests, runs, records.lag_s),
-        *_judge_order(requests, runs, records.pacer),
-        *_judge_drains(runs, records),
-        *_judge_processes(records.processes),
+        *_check_answers(requests.values(), records),
+        *_check_runs(requests, runs, records.lag_s),
+        *_check_order(requests, runs, records.pacer),
+        *_check_drains(runs, records),
+        *_check_processes(records.processes),
     ]
     for violation in violations:
         if violation.rule == "exit":
-            violation.story = _last_lines(records.processes)
+            violation.history = _last_lines(records.processes)
         else:
-            violation.story = _story(violation.ticket, requests, runs, records.processes)
-            violation.story += _story(violation.other, requests, runs, records.processes)
+            violation.history = _request_history(violation.ticket, requests, runs, records.processes)
+            violation.history += _request_history(violation.other, requests, runs, records.processes)
     return violations
 
 
-def _judge_answers(requests: Iterable[Request], records: Records) -> Iterable[Violation]:
+def _check_answers(requests: Iterable[Request], records: Records) -> Iterable[Violation]:
     for request in requests:
-        if not request.written_at or request.left_at is not None or request.never_taken:
+        if not request.written_at or request.left_at is not None or request.never_accepted:
             continue
         if request.lost_reason:
             yield Violation("lost", request.lost_reason, request.ticket)
         elif len(request.answers) != 1:
             yield Violation("lost", f"{len(request.answers)} final answers", request.ticket)
-        elif request.answers[0][0] > request.due_at + ANSWER_SLACK_S + records.lag_s:
-            late_s = request.answers[0][0] - request.due_at
+        elif request.answers[0][0] > request.deadline_at + ANSWER_SLACK_S + records.lag_s:
+            late_s = request.answers[0][0] - request.deadline_at
             yield Violation("late", f"answered {late_s:.3f} s after its time", request.ticket)
         if not request.rows_are_own:
             yield Violation("rows", "served with rows that are not its own", request.ticket)
@@ -84,7 +84,7 @@
             yield Violation("surplus", text)
 
 
-def _judge_runs(requests: dict[str, Request], runs: list[EngineRun], lag_s: float) -> Iterable[Violation]:
+def _check_runs(requests: dict[str, Request], runs: list[EngineRun], lag_s: float) -> Iterable[Violation]:
     times = Counter(run.ticket for run in runs)
     for ticket, count in times.items():
         request = requests.get(ticket)
@@ -96,15 +96,15 @@
         request = requests.get(run.ticket)
         if request is None:
             continue
-        if request.left_at is not None and run.begun_at > request.left_at + LEFT_SLACK_S + lag_s:
-            after_s = run.begun_at - request.left_at
+        if request.left_at is not None and run.started_at > request.left_at + LEFT_SLACK_S + lag_s:
+            after_s = run.started_at - request.left_at
             yield Violation("sent", f"sent {after_s:.3f} s after its client left", run.ticket)
-        left_s = request.due_at - run.begun_at
+        left_s = request.deadline_at - run.started_at
         if request.written_at and run.max_ms / 1000.0 > left_s + DEADLINE_SLACK_S + lag_s:
             yield Violation("deadline", f"told {run.max_ms:.0f} ms with {left_s:.3f} s left", run.ticket)
 
 
-def _judge_order(requests: dict[str, Request], runs: list[EngineRun], pacer: KeyPacer) -> Iterable[Violation]:
+def _check_order(requests: dict[str, Request], runs: list[EngineRun], pacer: KeyPacer) -> Iterable[Violation]:
     """Requests of one key run one at a time, in the order in which they were written."""
     for key, tickets in pacer.written.items():
         position = {ticket: number for number, ticket in enumerate(tickets)}
@@ -114,23 +114,23 @@
                 if position[run.ticket] < position[earlier.ticket]:
                     text = f"{key}: sent behind {earlier.ticket}, which is later"
                     yield Violation("order", text, run.ticket, earlier.ticket)
-                over_at = earlier.out_until(QUERY_EXPIRY_S)
-                if run.begun_at < over_at:
-                    text = f"{key}: sent {over_at - run.begun_at:.3f} s before {earlier.ticket} was over"
+                over_at = earlier.may_run_until(QUERY_EXPIRY_S)
+                if run.started_at < over_at:
+                    text = f"{key}: sent {over_at - run.started_at:.3f} s before {earlier.ticket} was over"
                     yield Violation("order", text, run.ticket, earlier.ticket)
             earlier = run
 
 
-def _judge_drains(runs: list[EngineRun], records: Records) -> Iterable[Violation]:
+def _check_drains(runs: list[EngineRun], records: Records) -> Iterable[Violation]:
     for drain in records.drains:
-        until = drain.told_at + DRAIN_GRACE_S + records.lag_s
+        until = drain.announced_at + DRAIN_GRACE_S + records.lag_s
         for run in runs:
-            if run.engine == drain.engine and until < run.begun_at < drain.gone_at:
-                after_s = run.begun_at - drain.told_at
+            if run.engine == drain.engine and until < run.started_at < drain.replaced_at:
+                after_s = run.started_at - drain.announced_at
                 yield Violation("drain", f"sent to {run.engine} {after_s:.3f} s after its drain was told", run.ticket)
 
 
-def _judge_processes(processes: list[SoakProcess]) -> Iterable[Violation]:
+def _check_processes(processes: list[SoakProcess]) -> Iterable[Violation]:
     for process in processes:
         if process.exit_code is None:
             yield Violation("exit", f"process {process.number} had not ended at the kill")
@@ -141,19 +141,21 @@
                 yield Violation("log", f"process {process.number}: {line}"[:600])
 
 
-def _story(ticket: str, requests: dict[str, Request], runs: list[EngineRun], processes: list[SoakProcess]) -> list[str]:
+def _request_history(
+    ticket: str, requests: dict[str, Request], runs: list[EngineRun], processes: list[SoakProcess]
+) -> list[str]:
     """Return all that is known of a request, in the order of time."""
     if not ticket:
         return []
     request = requests[ticket]
-    lines = [f"{request.request_class} key={request.key or '-'} timeout={request.timeout_s} s", *request.story]
+    lines = [f"{request.request_class} key={request.key or '-'} timeout={request.timeout_s} s", *request.history]
     for run in (run for run in runs if run.ticket == ticket):
         ended = f"{run.ended_at:.3f}" if run.ended_at else "-"
         lines.append(
-            f"{run.begun_at:.3f} runs at {run.engine}, last asked {run.asked_at:.3f}, ended {ended} {run.ending}"
+            f"{run.started_at:.3f} runs at {run.engine}, last asked {run.polled_at:.3f}, ended {ended} {run.ending}"
         )
     for process in processes:
-        lines += [_log_text(process, line) for line in process.lines if line.get("ticket") == ticket]
+        lines += [_format_log_line(process, line) for line in process.lines if line.get("ticket") == ticket]
     return lines
 
 
@@ -161,10 +163,10 @@
     lines = []
     for process in processes:
         lines.append(f"process {process.number}: SIGTERM {process.terminated_at}, exit {process.exited_at}")
-        lines += [_log_text(process, line)[:MAX_LINE] for line in process.lines[-LAST_LINES:]]
+        lines += [_format_log_line(process, line)[:MAX_LINE] for line in process.lines[-LAST_LINES:]]
     return lines
 
 
-def _log_text(process: SoakProcess, line: dict[str, Any]) -> str:
+def _format_log_line(process: SoakProcess, line: dict[str, Any]) -> str:
     fields = {name: value for name, value in line.items() if name not in ("ts", "node", "life", "ticket")}
     return f"{line.get('ts', 0.0):.3f} log of process {process.number}: {fields}"
--- a/frostspindle/lab/soak/clients.py
+++ b/frostspindle/lab/soak/clients.py
@@ -95,7 +95,7 @@
         self.writer.close()
 
 
-class Door:
+class ConnectionGate:
     """Where new connections go, and until when they may be opened."""
 
     def __init__(self, port: int) -> None:
@@ -137,13 +137,15 @@
 class Client:
     """One client: requests one after the other, until it is told to end and has its answers."""
 
-    def __init__(self, number: int, plan: SoakPlan, door: Door, pacer: KeyPacer, ended: asyncio.Event) -> None:
+    def __init__(
+        self, number: int, plan: SoakPlan, gate: ConnectionGate, pacer: KeyPacer, ended: asyncio.Event
+    ) -> None:
         self.number = number
         self.requests: list[Request] = []
         self.surplus: list[str] = []  # answers that came without a call
         self._rng = random.Random(f"soak {plan.seed} client {number}")
         self._deadline_s = plan.class_deadline_s
-        self._door = door
+        self._gate = gate
         self._pacer = pacer
         self._ended = ended
         self._connection: Connection | None = None
@@ -153,7 +155,7 @@
         while not self._ended.is_set():
             connection = await self._usable_connection()
             if connection is None:
-                if self._door.closes_at is not None:
+                if self._gate.closes_at is not None:
                     break  # the connection has ended, and no new one may be opened
                 await asyncio.sleep(0.05)
                 continue
@@ -165,12 +167,12 @@
         connection = self._connection
         if connection is not None and connection.has_surplus:
             self.surplus.append(f"{time.time():.3f} client {self.number}: bytes without a call")
-        is_wanted = self._rng.random() >= NEW_CONNECTION_RATE or self._door.closes_at is not None
+        is_wanted = self._rng.random() >= NEW_CONNECTION_RATE or self._gate.closes_at is not None
         if connection is not None and connection.is_open and is_wanted:
             connection.is_new = False
             return connection
         self._drop_connection()
-        self._connection = await self._door.open()
+        self._connection = await self._gate.open()
         return self._connection
 
     def _drop_connection(self) -> None:
@@ -202,7 +204,7 @@
     async def _one_request(self, connection: Connection) -> None:
         request = self._draw_request()
         departure = self._draw_departure() if self._rng.random() < LEAVING_RATE else None
-        work = asyncio.create_task(self._converse(request, connection))
+        work = asyncio.create_task(self._exchange(request, connection))
         if departure is not None:
             await asyncio.wait([work], timeout=departure.after_s)
         if departure is None or work.done():
@@ -215,13 +217,13 @@
         elif not request.answers and not request.lost_reason:
             await self._leave(request, departure.sends_delete)
 
-    async def _converse(self, request: Request, connection: Connection) -> None:
+    async def _exchange(self, request: Request, connection: Connection) -> None:
         """Write a request and follow its paths to the last answer."""
         await self._write_first(request, connection)
         if not request.written_at:
             return  # its connection ended while its key's turn was awaited
         try:
-            async with asyncio.timeout_at(self._loop_time(request.due_at + LATE_ANSWER_S)):
+            async with asyncio.timeout_at(self._loop_time(request.deadline_at + LATE_ANSWER_S)):
                 await self._read_to_the_end(request)
         except TimeoutError:
             request.lost_reason = "no answer"
@@ -245,14 +247,14 @@
                 self._pacer.record(request.key, request.ticket, connection.is_new)
 
     async def _write_post(self, request: Request, connection: Connection) -> None:
-        data = _post(request)
+        data = _format_post(request)
         cut = self._rng.randrange(1, len(data)) if self._rng.random() < SPLIT_RATE else 0
         if cut:
             connection.writer.write(data[:cut])
             await asyncio.sleep(self._rng.uniform(0.0, MAX_SPLIT_DELAY_S))
         connection.writer.write(data[cut:])
         request.written_at = time.time()
-        request.note(request.written_at, f"written, {'new' if connection.is_new else 'open'} connection")
+        request.record_event(request.written_at, f"written, {'new' if connection.is_new else 'open'} connection")
 
     async def _read_to_the_end(self, request: Request) -> None:
         path = ""
@@ -264,13 +266,13 @@
             try:
                 answer = await connection.answer()
             except ConnectionEndedError as error:
-                request.note(time.time(), f"connection ended: {error}")
+                request.record_event(time.time(), f"connection ended: {error}")
                 failed_calls += 1
-                if not await self._call_again(request, path, failed_calls):
+                if not await self._retry_call(request, path, failed_calls):
                     return
                 continue
             now = time.time()
-            request.note(now, f"{answer.status} {str(answer.body)[:60]}")
+            request.record_event(now, f"{answer.status} {str(answer.body)[:60]}")
             if answer.closes:
                 connection.close()
             next_path = answer.body.get("next")
@@ -278,18 +280,18 @@
                 self._finish(request, answer, now)
                 return
             path = request.path = next_path
-            if answer.closes and not await self._call_again(request, path, 0):
+            if answer.closes and not await self._retry_call(request, path, 0):
                 return
             if not answer.closes:
-                connection.writer.write(_get(path))
+                connection.writer.write(_format_get(path))
 
     def _finish(self, request: Request, answer: Answer, now: float) -> None:
-        request.answers.append((now, _kind(answer)))
+        request.answers.append((now, _answer_kind(answer)))
         rows = answer.body.get("rows")
         if isinstance(rows, list) and rows:
             request.rows_are_own = request.statement in str(rows[-1])
 
-    async def _call_again(self, request: Request, path: str, failed_calls: int) -> bool:
+    async def _retry_call(self, request: Request, path: str, failed_calls: int) -> bool:
         """Make the call again on a new connection, as the platform's clients do; return whether it was written."""
         now = time.time()
         self._drop_connection()
@@ -300,13 +302,13 @@
         if failed_calls > MAX_REPEATED_CALLS:
             request.lost_reason = "its connection ended without an answer, four times"
             return False
-        connection = self._connection = await self._door.open()
+        connection = self._connection = await self._gate.open()
         if connection is None:
-            request.never_taken = not path
-            request.lost_reason = "" if request.never_taken else "its path can't be asked for any more"
+            request.never_accepted = not path
+            request.lost_reason = "" if request.never_accepted else "its path can't be asked for any more"
             return False
         if path:
-            connection.writer.write(_get(path))
+            connection.writer.write(_format_get(path))
         else:
             await self._write_post(request, connection)
         return True
@@ -318,7 +320,7 @@
         else:
             self._drop_connection()
             request.left_at = time.time()
-            request.note(request.left_at, "left, " + ("has a path" if request.path else "has no path"))
+            request.record_event(request.left_at, "left, " + ("has a path" if request.path else "has no path"))
 
     async def _delete(self, request: Request) -> None:
         """Give a request up by DELETE; its own connection is closed before or after that."""
@@ -326,7 +328,7 @@
         if closes_first:
             self._drop_connection()
             request.left_at = time.time()
-        other = await self._door.open()
+        other = await self._gate.open()
         if other is not None:
             request.left_at = request.left_at or time.time()
             other.writer.write(f"DELETE {request.path} HTTP/1.1\r\nHost: s\r\n\r\n".encode())
@@ -338,22 +340,22 @@
             other.close()
         self._drop_connection()
         request.left_at = request.left_at or time.time()  # nobody took its DELETE: the close is all that tells
-        request.note(request.left_at, "left by DELETE" + (" behind a close" if closes_first else ""))
+        request.record_event(request.left_at, "left by DELETE" + (" behind a close" if closes_first else ""))
 
 
 class IdleClient:
     """A client that holds a connection and says nothing; it opens another when that ends."""
 
-    def __init__(self, door: Door, ended: asyncio.Event) -> None:
-        self._door = door
+    def __init__(self, gate: ConnectionGate, ended: asyncio.Event) -> None:
+        self._gate = gate
         self._ended = ended
 
     async def run(self) -> None:
         """Hold connections until the run ends."""
         while not self._ended.is_set():
-            connection = await self._door.open()
+            connection = await self._gate.open()
             if connection is None:
-                if self._door.closes_at is not None:
+                if self._gate.closes_at is not None:
                     return
                 await asyncio.sleep(0.1)
                 continue
@@ -366,7 +368,7 @@
             connection.close()
 
 
-def _post(request: Request) -> bytes:
+def _format_post(request: Request) -> bytes:
     key = f"X-Object: {request.key}\r\n" if request.key else ""
     return (
         f"POST /call/{request.request_class} HTTP/1.1\r\nHost: s\r\nX-Request-Id: {request.ticket}\r\n"
@@ -375,11 +377,11 @@
     ).encode()
 
 
-def _get(path: str) -> bytes:
+def _format_get(path: str) -> bytes:
     return f"GET {path} HTTP/1.1\r\nHost: s\r\n\r\n".encode()
 
 
-def _kind(answer: Answer) -> AnswerKind:
+def _answer_kind(answer: Answer) -> AnswerKind:
     if answer.status in (429, 503) or answer.body.get("failure") == "Busy":
         return AnswerKind.REJECTED
     if answer.status == 200 and "failure" not in answer.body:
--- a/frostspindle/lab/soak/engines.py
+++ b/frostspindle/lab/soak/engines.py
@@ -66,14 +66,14 @@
                 return
             self._record_post(fields, first, now)
         elif method == b"GET" and len(parts) == 4 and parts[2] in self._open_runs:
-            self._open_runs[parts[2]].asked_at = now
+            self._open_runs[parts[2]].polled_at = now
         elif method == b"DELETE" and len(parts) > 2:
             self._end_run(parts[2], now, "deleted")
         super().call(line, method, url, fields, body, first)
 
     def _record_post(self, fields: dict[bytes, bytes], first: float, now: float) -> None:
         ticket = fields.get(b"x-ticket", b"").decode()
-        run = EngineRun(ticket, self.name, first, now, float(fields.get(b"x-max-ms", b"0")), asked_at=now)
+        run = EngineRun(ticket, self.name, first, now, float(fields.get(b"x-max-ms", b"0")), polled_at=now)
         self.runs.append(run)
         self._open_runs[ticket] = run
         self.delay_s = self.rng.choice(SLOW_DELAYS_S if self.slow else USUAL_DELAYS_S)
@@ -95,7 +95,7 @@
             await asyncio.sleep(EXPIRY_SWEEP_S)
             now = time.time()
             for ticket, run in list(self._open_runs.items()):
-                if now - run.asked_at > QUERY_EXPIRY_S:
+                if now - run.polled_at > QUERY_EXPIRY_S:
                     self._end_run(ticket, now, "expired")
                     self.results.pop(ticket, None)
 
--- a/frostspindle/lab/soak/plan.py
+++ b/frostspindle/lab/soak/plan.py
@@ -92,7 +92,7 @@
 
     seed: int
     topology: Topology
-    has_crowd: bool
+    has_idle_clients: bool
     class_deadline_s: float
     serving_s: float  # from readiness to the SIGTERM that ends the coordinator, or the older process of an upgrade
     faults: tuple[EngineFault, ...]
@@ -118,7 +118,7 @@
     return SoakPlan(
         seed=seed,
         topology=topology,
-        has_crowd=seed // 3 % 3 == 1,
+        has_idle_clients=seed // 3 % 3 == 1,
         class_deadline_s=_draw_deadline_s(seed),
         serving_s=serving_s,
         faults=_without_absences_in(outage, _draw_faults(rng, serving_s)),
--- a/frostspindle/lab/soak/records.py
+++ b/frostspindle/lab/soak/records.py
@@ -41,17 +41,17 @@
     rows_are_own: bool = True
     left_at: float | None = None
     lost_reason: str = ""  # why it has no answer that it is owed
-    never_taken: bool = False  # nobody accepted its connection
-    story: list[str] = field(default_factory=list)
+    never_accepted: bool = False  # nobody accepted its connection
+    history: list[str] = field(default_factory=list)
 
     @property
-    def due_at(self) -> float:
+    def deadline_at(self) -> float:
         """When its time is over."""
         return self.written_at + self.timeout_s
 
-    def note(self, at: float, text: str) -> None:
+    def record_event(self, at: float, text: str) -> None:
         """Add a line to its story."""
-        self.story.append(f"{at:.3f} {text}")
+        self.history.append(f"{at:.3f} {text}")
 
 
 @dataclass(slots=True)
@@ -60,16 +60,16 @@
 
     ticket: str
     engine: str
-    begun_at: float  # first byte of its POST
-    whole_at: float
+    started_at: float  # first byte of its POST
+    received_at: float
     max_ms: float
-    asked_at: float
+    polled_at: float
     ended_at: float | None = None  # its end was written, or it was given up
     ending: str = ""
 
-    def out_until(self, expiry_s: float) -> float:
+    def may_run_until(self, expiry_s: float) -> float:
         """Return until when it counts as out: to its end, or for so long after it was last asked for."""
-        expires_at = self.asked_at + expiry_s
+        expires_at = self.polled_at + expiry_s
         return expires_at if self.ended_at is None else min(self.ended_at, expires_at)
 
 
@@ -78,5 +78,5 @@
     """An engine that the event bus has told to be draining."""
 
     engine: str
-    told_at: float
-    gone_at: float = math.inf  # when its successor was started
+    announced_at: float
+    replaced_at: float = math.inf  # when its successor was started
--- a/frostspindle/lab/soak/report.py
+++ b/frostspindle/lab/soak/report.py
@@ -12,7 +12,7 @@
 def summary(result: SoakResult) -> str:
     """Return one line on a run."""
     plan = make_plan(result.seed)
-    crowd = ", crowd" if plan.has_crowd else ""
+    crowd = ", crowd" if plan.has_idle_clients else ""
     outage = ", outage" if plan.outage is not None else ""
     steps = ", clock steps " + " ".join(f"{step.seconds:+.0f}" for step in plan.clock_steps) if plan.clock_steps else ""
     faults = ", socket faults" if plan.has_socket_faults else ""
@@ -37,5 +37,5 @@
     lines += [f"  {step}" for step in plan.clock_steps]
     for violation in result.violations[:MAX_TOLD]:
         lines.append(f"{violation.rule}: {violation.ticket} {violation.text}")
-        lines += [f"  {line}" for line in violation.story]
+        lines += [f"  {line}" for line in violation.history]
     return "\n".join(lines)
--- a/frostspindle/lab/soak/run.py
+++ b/frostspindle/lab/soak/run.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 
 from frostspindle.lab.engines import Bus, host
-from frostspindle.lab.soak.clients import Client, Door, IdleClient, KeyPacer
+from frostspindle.lab.soak.checker import Records, Violation, find_violations
+from frostspindle.lab.soak.clients import Client, ConnectionGate, IdleClient, KeyPacer
 from frostspindle.lab.soak.engines import FaultyEngine
-from frostspindle.lab.soak.judge import Records, Violation, judge
 from frostspindle.lab.soak.lag import LagWatch
 from frostspindle.lab.soak.plan import (
     ABSENCES,
@@ -35,7 +35,7 @@
 
 NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # the platform stops sending them by then
 LAST_ACCEPT_S = 0.3  # within which a process has accepted what came before
-CROWD = SOCKETS // 3 - CLIENTS - 4  # all clients together hold a third of the descriptors at most
+IDLE_CLIENTS = SOCKETS // 3 - CLIENTS - 4  # all clients together hold a third of the descriptors at most
 LAST_ANSWERS_S = 8.0  # for which clients are waited for at the end, where nothing answers them any more
 LISTEN_BACKLOG = 300
 
@@ -74,13 +74,13 @@
         try:
             await self._start_stand_ins()
             process = await self._start_process(self.plan.start_signals)
-            door = Door(process.http)
-            self._start_clients(door)
+            gate = ConnectionGate(process.http)
+            self._start_clients(gate)
             self._tasks += [asyncio.create_task(self._play_fault(fault)) for fault in self.plan.faults]
             self._tasks.append(asyncio.create_task(self._step_clock()))
             if self.plan.outage is not None:
                 self._tasks += self._start_outage(self.plan.outage)
-            await self._serve_and_end(process, door)
+            await self._serve_and_end(process, gate)
             await self._await_clients()
         finally:
             lag.close()
@@ -106,15 +106,15 @@
         await process.ready(self.plan.topology is Topology.WORKERS)
         return process
 
-    def _start_clients(self, door: Door) -> None:
+    def _start_clients(self, gate: ConnectionGate) -> None:
         for number in range(CLIENTS):
-            client = Client(number, self.plan, door, self.pacer, self._ended)
+            client = Client(number, self.plan, gate, self.pacer, self._ended)
             self.clients.append(client)
             self._client_tasks.append(asyncio.create_task(client.run()))
-        if self.plan.has_crowd:
-            self._tasks += [asyncio.create_task(IdleClient(door, self._ended).run()) for _ in range(CROWD)]
+        if self.plan.has_idle_clients:
+            self._tasks += [asyncio.create_task(IdleClient(gate, self._ended).run()) for _ in range(IDLE_CLIENTS)]
 
-    async def _serve_and_end(self, process: SoakProcess, door: Door) -> None:
+    async def _serve_and_end(self, process: SoakProcess, gate: ConnectionGate) -> None:
         self._tasks.append(asyncio.create_task(process.signal_in_turn(self.plan.serving_signals)))
         await asyncio.sleep(self.plan.serving_s)
         if self.plan.topology is Topology.UPGRADE:
@@ -122,10 +122,10 @@
             await process.terminate(self.plan.drain_signals, self.plan.kill_after_s, self._lag)
             process = successor
             # Nobody accepts at the inherited socket behind the last process, so that new connections end before it.
-            door.closes_at = time.time()
+            gate.closes_at = time.time()
             await asyncio.sleep(LAST_ACCEPT_S)
         else:
-            door.closes_at = time.time() + NEW_CONNECTIONS_AFTER_SIGTERM_S
+            gate.closes_at = time.time() + NEW_CONNECTIONS_AFTER_SIGTERM_S
         await process.terminate(self.plan.drain_signals, self.plan.kill_after_s, self._lag)
 
     async def _await_clients(self) -> None:
@@ -174,7 +174,7 @@
         await engine.finish(fault.kind)
         if fault.kind in ABSENCES:
             if fault.kind is FaultKind.DRAIN:
-                drain.gone_at = time.time()
+                drain.replaced_at = time.time()
             self.bus.say(host(engine.name, engine.port, born_ms=round(self.clock.unix_ms())))
 
 
@@ -190,19 +190,19 @@
             counts["left"] += request.left_at is not None
             counts.update(str(kind) for _, kind in request.answers)
     counts["runs"] = sum(len(engine.runs) for engine in records.engines)
-    return SoakResult(seed, judge(records), counts, records.lag_s)
+    return SoakResult(seed, find_violations(records), counts, records.lag_s)
 
 
-async def play_all(seeds: Iterable[int], beside: int, told: Callable[[SoakResult], None]) -> list[SoakResult]:
+async def play_all(seeds: Iterable[int], concurrency: int, on_result: Callable[[SoakResult], None]) -> list[SoakResult]:
     """Play the runs of these seeds, so many at a time, and tell each result as it comes."""
-    places = asyncio.Semaphore(beside)
+    places = asyncio.Semaphore(concurrency)
     results: list[SoakResult] = []
 
     async def play_one(seed: int) -> None:
         async with places:
             result = await play(seed)
         results.append(result)
-        told(result)
+        on_result(result)
 
     await asyncio.gather(*(play_one(seed) for seed in seeds))
     return results
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,8 +11,8 @@
 import pytest
 
 from frostspindle.lab.soak import report
-from frostspindle.lab.soak.clients import Client, Door, KeyPacer
-from frostspindle.lab.soak.judge import Records, judge
+from frostspindle.lab.soak.checker import Records, find_violations
+from frostspindle.lab.soak.clients import Client, ConnectionGate, KeyPacer
 from frostspindle.lab.soak.plan import FaultKind, Topology, make_plan
 from frostspindle.lab.soak.records import AnswerKind, Drain, EngineRun, Request, RequestClass
 from frostspindle.lab.soak.run import play_all
@@ -24,7 +24,7 @@
 
 def test_seeds_of_ci_cover_all_topologies_faults_and_the_crowd():
     plans = [make_plan(seed) for seed in CI_SEEDS]
-    assert {(plan.topology, plan.has_crowd) for plan in plans} >= {(one, True) for one in Topology}
+    assert {(plan.topology, plan.has_idle_clients) for plan in plans} >= {(one, True) for one in Topology}
     assert {fault.kind for plan in plans for fault in plan.faults} == set(FaultKind)
     assert any(plan.outage for plan in plans)
     assert any(plan.has_socket_faults for plan in plans)
@@ -51,19 +51,19 @@
     return made
 
 
-def run(ticket="a", begun_at=100.1, ended_at=100.9, engine="s-0", asked_at=100.5, max_ms=1000.0):
-    return EngineRun(ticket, engine, begun_at, begun_at, max_ms, asked_at, ended_at, "answered")
+def run(ticket="a", started_at=100.1, ended_at=100.9, engine="s-0", polled_at=100.5, max_ms=1000.0):
+    return EngineRun(ticket, engine, started_at, started_at, max_ms, polled_at, ended_at, "answered")
 
 
 def rules(requests=(), runs=(), written=None, drains=(), surplus=(), exit_code=0, lines=()):
-    client = Client(0, make_plan(0), Door(0), KeyPacer(), asyncio.Event())
+    client = Client(0, make_plan(0), ConnectionGate(0), KeyPacer(), asyncio.Event())
     client.requests = list(requests)
     client.surplus = list(surplus)
     pacer = KeyPacer()
     pacer.written = written or {}
     process = SimpleNamespace(number=0, exit_code=exit_code, lines=list(lines), terminated_at=None, exited_at=None)
     records = Records([client], [SimpleNamespace(runs=list(runs))], [process], pacer, list(drains))
-    return [violation.rule for violation in judge(records)]
+    return [violation.rule for violation in find_violations(records)]
 
 
 def test_a_run_without_a_fault_breaks_no_rule():
@@ -85,15 +85,15 @@
 
 
 def test_a_client_that_left_or_was_not_taken_is_owed_nothing():
-    assert rules([request(answered_at=0.0, left_at=100.5), request("b", answered_at=0.0, never_taken=True)]) == []
+    assert rules([request(answered_at=0.0, left_at=100.5), request("b", answered_at=0.0, never_accepted=True)]) == []
 
 
 @pytest.mark.parametrize(
     "requests, runs, rule",
     [
-        ([request()], [run(), run(begun_at=101.0, engine="s-1")], "duplicate"),
-        ([request(request_class=RequestClass.LOOKUP, left_at=100.0)], [run(begun_at=100.15)], "sent"),
-        ([request()], [run(begun_at=101.0, max_ms=1200.0)], "deadline"),
+        ([request()], [run(), run(started_at=101.0, engine="s-1")], "duplicate"),
+        ([request(request_class=RequestClass.LOOKUP, left_at=100.0)], [run(started_at=100.15)], "sent"),
+        ([request()], [run(started_at=101.0, max_ms=1200.0)], "deadline"),
         ([], [run()], "unknown"),
     ],
 )
@@ -104,19 +104,19 @@
 def test_order_of_a_key_is_judged():
     keyed = [request("a", key="k"), request("b", key="k", timeout_s=4.0)]
     written = {"k": ["a", "b"]}
-    assert rules(keyed, [run("a"), run("b", begun_at=100.91)], written) == []
-    assert rules(keyed, [run("a"), run("b", begun_at=100.89)], written) == ["order"]
-    assert rules(keyed, [run("b"), run("a", begun_at=101.0)], written) == ["order"]
+    assert rules(keyed, [run("a"), run("b", started_at=100.91)], written) == []
+    assert rules(keyed, [run("a"), run("b", started_at=100.89)], written) == ["order"]
+    assert rules(keyed, [run("b"), run("a", started_at=101.0)], written) == ["order"]
     # An engine that says nothing may run a query for 2 s after it was last asked for it.
-    assert rules(keyed, [run("a", ended_at=None), run("b", begun_at=102.49, max_ms=1.0)], written) == ["order"]
-    assert rules(keyed, [run("a", ended_at=None), run("b", begun_at=102.51, max_ms=1.0)], written) == []
+    assert rules(keyed, [run("a", ended_at=None), run("b", started_at=102.49, max_ms=1.0)], written) == ["order"]
+    assert rules(keyed, [run("a", ended_at=None), run("b", started_at=102.51, max_ms=1.0)], written) == []
 
 
 def test_drains_are_judged_until_the_engine_has_a_successor():
-    assert rules([request()], [run(begun_at=100.4)], drains=[Drain("s-0", 100.0)]) == ["drain"]
-    assert rules([request()], [run(begun_at=100.2)], drains=[Drain("s-0", 100.0)]) == []
-    assert rules([request()], [run(begun_at=100.4)], drains=[Drain("s-0", 100.0, gone_at=100.35)]) == []
-    assert Drain("s-0", 100.0).gone_at == math.inf
+    assert rules([request()], [run(started_at=100.4)], drains=[Drain("s-0", 100.0)]) == ["drain"]
+    assert rules([request()], [run(started_at=100.2)], drains=[Drain("s-0", 100.0)]) == []
+    assert rules([request()], [run(started_at=100.4)], drains=[Drain("s-0", 100.0, replaced_at=100.35)]) == []
+    assert Drain("s-0", 100.0).replaced_at == math.inf
 
 
 def test_processes_are_judged():
