--- a/frostspindle/lab/faults/power.py
+++ b/frostspindle/lab/faults/power.py
@@ -166,8 +166,10 @@
     was made before the loads.
     """
 
-    def __init__(self, script: str, lost: tuple[int, ...], older: tuple[int, ...], seed: int, crowd: int = 14) -> None:
-        self.lost, self.older, self.seed, self.crowd = lost, older, seed, crowd
+    def __init__(
+        self, script: str, lost: tuple[int, ...], older: tuple[int, ...], seed: int, clients_per_process: int = 14
+    ) -> None:
+        self.lost, self.older, self.seed, self.clients_per_process = lost, older, seed, clients_per_process
         self.client = Client(seed)
         self.fleet = Fleet(
             5, parse(script, 5), seed, FLEET, TENANTS + RECOVERY, engine=SqliteEngine, balancers=5, rules=RULES
@@ -175,7 +177,7 @@
         self.first_statuses: list[int | None] = []
         self.ran: set[int] = set()  # loads whose rows were present at the power loss
         self.repeats: dict[int, list[int | None]] = {}
-        self.turned_away: list[int] = []
+        self.refusals: list[int] = []  # of each query until it was served
         self.born_ms = self.recovered_s = 0.0
 
     async def run(self) -> None:
@@ -218,22 +220,22 @@
         fleet.bus.say(*(host(e.name, e.port, born_ms=self.born_ms) for e in fleet.engines), whole=True)
 
         # All clients connect at once, while the coordinators start within two seconds.
-        crowd = [
+        queries = [
             asyncio.create_task(client.served(process.http, 100 + 20 * process.number + n))
             for process in fleet.processes
-            for n in range(self.crowd)
+            for n in range(self.clients_per_process)
         ]
         for process in rng.sample(fleet.processes, 5):
             await process.start()
             await asyncio.sleep(rng.uniform(0.1, 0.5))
         restarted_at = time.monotonic()
-        served = asyncio.gather(*crowd)
+        served = asyncio.gather(*queries)
         served.add_done_callback(lambda _: setattr(self, "recovered_s", time.monotonic() - restarted_at))
         await self.stage(2, "service")
         numbers = (1, 2, *range(11, 17))  # each is sent again, to all coordinators at once
         answers = await asyncio.gather(*(client.load(p.http, n) for n in numbers for p in fleet.processes))
         self.repeats = {n: list(answers[5 * index : 5 * index + 5]) for index, n in enumerate(numbers)}
-        self.turned_away = await asyncio.wait_for(served, WAIT_S)
+        self.refusals = await asyncio.wait_for(served, WAIT_S)
         await self.stage(2, "open")
 
     async def stage(self, life: int, stage: str) -> None:
@@ -289,12 +291,12 @@
                 )
             ],
             "stuck": sum(len(answers) != 1 for n, answers in finals.items() if n >= 1_000)
-            + (5 * self.crowd - len(self.turned_away)),
+            + (5 * self.clients_per_process - len(self.refusals)),
             "cold_use": round(max(budget_use), 3),
-            "refused": sum(self.turned_away),
+            "refused": sum(self.refusals),
             "recovered_s": round(self.recovered_s, 2),
             "loads": len(counts),
-            "served": len(self.turned_away),
+            "served": len(self.refusals),
             "weak": sorted({line["left"] for n in range(5) for line in self.left_stages(n) if line["weak"]}),
             "faults": [
                 line for p in self.fleet.processes for line in p.lines if line["event"] in ("exception_caught", "text")
--- a/frostspindle/lab/soak/__init__.py
+++ b/frostspindle/lab/soak/__init__.py
@@ -1,6 +1,6 @@
-"""A seeded soak of ends and restarts: a coordinator under faults and signals, and a judge of what clients were told.
+"""Seeded soak tests of shutdown and restart: a coordinator under faults and signals, with checks of its responses.
 
-`plan` draws a run from its seed, `engines` and `clients` play the other parties, `processes` starts and ends the
-coordinator, `judge` holds the records against the rules, and `run` puts them together. Nothing here is imported by the
-coordinator.
+`plan` draws a run from its seed, `engines` and `clients` are the stand-ins, `processes` starts and ends the
+coordinator, `checker` checks the records against the rules, and `run` combines them. The coordinator never imports this
+package.
 """
--- a/frostspindle/lab/soak/checker.py
+++ b/frostspindle/lab/soak/checker.py
@@ -1,6 +1,6 @@
-"""Holds the records of a run against the rules, and tells each break with the request's story.
+"""Checks the records of a run against the rules, and reports each violation with the history of its request.
 
-Bounds are those of the platform's pages plus the time that a busy machine took from the processes (`lag_s`).
+The limits are those of the platform, plus the time that a busy machine took from the processes (`lag_s`).
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from frostspindle.lab.soak.processes import SoakProcess
 from frostspindle.lab.soak.records import Drain, EngineRun, Request, RequestClass
 
-ANSWER_SLACK_S = 0.5  # an answer up to this after the request's time is late, and not lost
-LEFT_SLACK_S = 0.1  # an attempt may begin so long after its client left
-DRAIN_GRACE_S = 0.25 + 0.05  # a draining engine may be sent new work for so long after it was told
-LAST_LINES = 30  # of a process's log, where it did not end as it should
-MAX_LINE = 400
-DEADLINE_SLACK_S = 0.15  # by which an engine's deadline may pass that of its client
+ANSWER_SLACK_S = 0.5  # a response up to this long after the deadline is allowed
+LEFT_SLACK_S = 0.1  # an attempt may start up to this long after its client left
+DRAIN_GRACE_S = 0.25 + 0.05  # a draining engine may be sent new queries for this long after the announcement
+MAX_LOG_LINES = 30  # last lines of a process's log that are reported where it did not exit cleanly
+MAX_LINE_LENGTH = 400
+DEADLINE_SLACK_S = 0.15  # an engine's deadline may exceed that of its client by this
 
 
 @dataclass(slots=True)
 class Records:
-    """All that the parties of one run recorded."""
+    """The records of all clients, engines and processes of one run."""
 
     clients: list[Client]
     engines: list[FaultyEngine]
@@ -37,17 +37,17 @@
 
 @dataclass(slots=True)
 class Violation:
-    """One broken rule, with what is known of its request."""
+    """One violated rule, with the history of the request."""
 
     rule: str
     text: str
     ticket: str = ""
-    other: str = ""  # ticket of another request that it is about
+    other: str = ""  # ticket of the other request involved
     history: list[str] = field(default_factory=list)
 
 
 def find_violations(records: Records) -> list[Violation]:
-    """Return all broken rules of a run."""
+    """Return all violations in a run."""
     requests = {request.ticket: request for client in records.clients for request in client.requests}
     runs = sorted((run for engine in records.engines for run in engine.runs), key=lambda run: run.started_at)
     violations = [
@@ -59,7 +59,7 @@
     ]
     for violation in violations:
         if violation.rule == "exit":
-            violation.history = _last_lines(records.processes)
+            violation.history = _last_log_lines(records.processes)
         else:
             violation.history = _request_history(violation.ticket, requests, runs, records.processes)
             violation.history += _request_history(violation.other, requests, runs, records.processes)
@@ -76,20 +76,20 @@
             yield Violation("lost", f"{len(request.answers)} final answers", request.ticket)
         elif request.answers[0][0] > request.deadline_at + ANSWER_SLACK_S + records.lag_s:
             late_s = request.answers[0][0] - request.deadline_at
-            yield Violation("late", f"answered {late_s:.3f} s after its time", request.ticket)
+            yield Violation("late", f"answered {late_s:.3f} s after its deadline", request.ticket)
         if not request.rows_are_own:
-            yield Violation("rows", "served with rows that are not its own", request.ticket)
+            yield Violation("rows", "served with the rows of another request", request.ticket)
     for client in records.clients:
         for text in client.surplus:
             yield Violation("surplus", text)
 
 
 def _check_runs(requests: dict[str, Request], runs: list[EngineRun], lag_s: float) -> Iterable[Violation]:
-    times = Counter(run.ticket for run in runs)
-    for ticket, count in times.items():
+    run_counts = Counter(run.ticket for run in runs)
+    for ticket, count in run_counts.items():
         request = requests.get(ticket)
         if request is None:
-            yield Violation("unknown", f"an engine got a query under {ticket}, which no client sent")
+            yield Violation("unknown", f"an engine received a query with ticket {ticket}, which no client sent")
         elif request.request_class is RequestClass.LOAD and count > 1:
             yield Violation("duplicate", f"a load ran {count} times", ticket)
     for run in runs:
@@ -99,24 +99,26 @@
         if request.left_at is not None and run.started_at > request.left_at + LEFT_SLACK_S + lag_s:
             after_s = run.started_at - request.left_at
             yield Violation("sent", f"sent {after_s:.3f} s after its client left", run.ticket)
-        left_s = request.deadline_at - run.started_at
-        if request.written_at and run.max_ms / 1000.0 > left_s + DEADLINE_SLACK_S + lag_s:
-            yield Violation("deadline", f"told {run.max_ms:.0f} ms with {left_s:.3f} s left", run.ticket)
+        remaining_s = request.deadline_at - run.started_at
+        if request.written_at and run.max_ms / 1000.0 > remaining_s + DEADLINE_SLACK_S + lag_s:
+            yield Violation(
+                "deadline", f"sent with a limit of {run.max_ms:.0f} ms and {remaining_s:.3f} s left", run.ticket
+            )
 
 
 def _check_order(requests: dict[str, Request], runs: list[EngineRun], pacer: KeyPacer) -> Iterable[Violation]:
-    """Requests of one key run one at a time, in the order in which they were written."""
+    """Check that the requests of a key run one at a time, in the order in which they were written."""
     for key, tickets in pacer.written.items():
         position = {ticket: number for number, ticket in enumerate(tickets)}
         earlier: EngineRun | None = None
         for run in (run for run in runs if run.ticket in position):
             if earlier is not None and run.ticket != earlier.ticket:
                 if position[run.ticket] < position[earlier.ticket]:
-                    text = f"{key}: sent behind {earlier.ticket}, which is later"
+                    text = f"{key}: sent after {earlier.ticket}, which was written later"
                     yield Violation("order", text, run.ticket, earlier.ticket)
-                over_at = earlier.may_run_until(QUERY_EXPIRY_S)
-                if run.started_at < over_at:
-                    text = f"{key}: sent {over_at - run.started_at:.3f} s before {earlier.ticket} was over"
+                ends_at = earlier.may_run_until(QUERY_EXPIRY_S)
+                if run.started_at < ends_at:
+                    text = f"{key}: sent {ends_at - run.started_at:.3f} s before the end of {earlier.ticket}"
                     yield Violation("order", text, run.ticket, earlier.ticket)
             earlier = run
 
@@ -127,15 +129,17 @@
         for run in runs:
             if run.engine == drain.engine and until < run.started_at < drain.replaced_at:
                 after_s = run.started_at - drain.announced_at
-                yield Violation("drain", f"sent to {run.engine} {after_s:.3f} s after its drain was told", run.ticket)
+                yield Violation(
+                    "drain", f"sent to {run.engine} {after_s:.3f} s after its drain was announced", run.ticket
+                )
 
 
 def _check_processes(processes: list[SoakProcess]) -> Iterable[Violation]:
     for process in processes:
         if process.exit_code is None:
-            yield Violation("exit", f"process {process.number} had not ended at the kill")
+            yield Violation("exit", f"process {process.number} was still running when it was killed")
         elif process.exit_code != 0:
-            yield Violation("exit", f"process {process.number} ended with {process.exit_code}")
+            yield Violation("exit", f"process {process.number} exited with {process.exit_code}")
         for line in process.lines:
             if line.get("event") in ("exception_caught", "text"):
                 yield Violation("log", f"process {process.number}: {line}"[:600])
@@ -144,7 +148,7 @@
 def _request_history(
     ticket: str, requests: dict[str, Request], runs: list[EngineRun], processes: list[SoakProcess]
 ) -> list[str]:
-    """Return all that is known of a request, in the order of time."""
+    """Return the recorded events of a request: client, engines, then log lines."""
     if not ticket:
         return []
     request = requests[ticket]
@@ -152,18 +156,18 @@
     for run in (run for run in runs if run.ticket == ticket):
         ended = f"{run.ended_at:.3f}" if run.ended_at else "-"
         lines.append(
-            f"{run.started_at:.3f} runs at {run.engine}, last asked {run.polled_at:.3f}, ended {ended} {run.ending}"
+            f"{run.started_at:.3f} runs at {run.engine}, last polled {run.polled_at:.3f}, ended {ended} {run.ending}"
         )
     for process in processes:
         lines += [_format_log_line(process, line) for line in process.lines if line.get("ticket") == ticket]
     return lines
 
 
-def _last_lines(processes: list[SoakProcess]) -> list[str]:
+def _last_log_lines(processes: list[SoakProcess]) -> list[str]:
     lines = []
     for process in processes:
         lines.append(f"process {process.number}: SIGTERM {process.terminated_at}, exit {process.exited_at}")
-        lines += [_format_log_line(process, line)[:MAX_LINE] for line in process.lines[-LAST_LINES:]]
+        lines += [_format_log_line(process, line)[:MAX_LINE_LENGTH] for line in process.lines[-MAX_LOG_LINES:]]
     return lines
 
 
--- a/frostspindle/lab/soak/clients.py
+++ b/frostspindle/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: raw HTTP/1.1 on connections that they use until these end, and a record of all they see."""
+"""HTTP/1.1 clients of the soak: they use raw keep-alive connections and record all that they send and receive."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from frostspindle.lab.soak.plan import KEYS, SoakPlan
 from frostspindle.lab.soak.records import AnswerKind, Request, RequestClass
 
-CROSSING_S = 0.05  # a request that crosses the end of its connection within this is sent again, once
-MAX_REPEATED_CALLS = 3  # of a GET whose connection ended without an answer
-LATE_ANSWER_S = 3.0  # so long after its time an answer is still read, to tell late from never
-KEY_SPACING_S = 0.06  # between two requests of one key
-KEY_SPACING_AFTER_NEW_S = 0.25  # behind one that arrived on a new connection
+CROSSING_S = 0.05  # a request whose connection ends this soon after it was written is retried once
+MAX_REPEATED_CALLS = 3  # retries of a GET whose connection ended without a response
+LATE_ANSWER_S = 3.0  # a response is read until this long after its deadline, to distinguish late from lost
+KEY_SPACING_S = 0.06  # interval between two requests of the same key
+KEY_SPACING_AFTER_NEW_S = 0.25  # the same after a request on a new connection
 LEAVING_RATE = 0.25
 SPLIT_RATE = 0.25
 KEYED_RATE = 0.6  # of loads
@@ -23,25 +23,25 @@
 MAX_SPLIT_DELAY_S = 0.02
 MAX_PAUSE_S = 0.15
 MAX_LEAVING_S = 1.6
-HOLD_S = 1.0  # after which a request without an answer is given a path
-CROSSING_RATE = 0.4  # of those that leave: without a DELETE, at the moment in which the path is under way
+HOLD_S = 1.0  # a request without a response by then is answered with a path to poll
+CROSSING_RATE = 0.4  # of the clients that leave: without a DELETE, at the moment when the path is in flight
 MAX_CROSSING_OFFSET_S = 0.01
-SILENT_LEAVING_RATE = 0.3  # of those that leave and have a path: without a DELETE
+SILENT_LEAVING_RATE = 0.3  # of the clients that leave and have a path: without a DELETE
 MIN_TIMEOUT_S = 0.4
-IDLE_CLOSE_S = 4.0  # clients close connections that were idle for so long
+IDLE_CLOSE_S = 4.0  # clients close a connection after this idle time
 
 
 class ConnectionEndedError(Exception):
-    """The connection ended before a whole answer."""
+    """The connection ended before a complete response."""
 
 
 class UnreadableAnswerError(Exception):
-    """What came is no HTTP answer with a JSON object."""
+    """The received bytes are not an HTTP response with a JSON object."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """One whole HTTP answer."""
+    """One complete HTTP response."""
 
     status: int
     body: dict[str, object]
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Departure:
-    """How a client leaves before its answer."""
+    """How a client leaves before its response."""
 
-    after_s: float  # from the writing of its request
-    sends_delete: bool  # if it has a path by then
+    after_s: float  # after its request was written
+    sends_delete: bool  # if it has received a path by then
 
 
 class Connection:
@@ -66,44 +66,44 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether neither side has ended it, as far as can be seen."""
+        """Return whether neither side is known to have closed the connection."""
         return not self.reader.at_eof() and not self.writer.is_closing()
 
     @property
     def has_surplus(self) -> bool:
-        """Whether bytes have come that nothing asked for; a StreamReader tells that by its private buffer alone."""
+        """Return whether unsolicited bytes were received; a StreamReader shows them only in its private buffer."""
         return bool(self.reader._buffer)  # type: ignore[attr-defined]
 
     async def answer(self) -> Answer:
-        """Read one answer; ConnectionEndedError, UnreadableAnswerError."""
+        """Read one response; raise ConnectionEndedError or UnreadableAnswerError."""
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
             lines = head.decode("latin-1").split("\r\n")
             fields = dict(line.lower().split(": ", 1) for line in lines[1:] if line)
             body = await self.reader.readexactly(int(fields.get("content-length", "0")))
-            read = json.loads(body) if body else {}
-            return Answer(int(lines[0].split()[1]), read, fields.get("connection") == "close")
+            document = json.loads(body) if body else {}
+            return Answer(int(lines[0].split()[1]), document, fields.get("connection") == "close")
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             if isinstance(error, asyncio.IncompleteReadError) and error.partial:
-                raise UnreadableAnswerError(f"cut after {error.partial[:80]!r}") from None
+                raise UnreadableAnswerError(f"truncated after {error.partial[:80]!r}") from None
             raise ConnectionEndedError(repr(error)) from None
         except (ValueError, IndexError, asyncio.LimitOverrunError) as error:
             raise UnreadableAnswerError(repr(error)) from None
 
     def close(self) -> None:
-        """Close it from this side."""
+        """Close the connection from this side."""
         self.writer.close()
 
 
 class ConnectionGate:
-    """Where new connections go, and until when they may be opened."""
+    """Opens new connections to a port until a time limit, if one is set."""
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self.closes_at: float | None = None  # no new connections from then on
+        self.closes_at: float | None = None  # Unix time after which no connection is opened
 
     async def open(self) -> Connection | None:
-        """Return a new connection; None where none may be opened or nobody listens."""
+        """Return a new connection; None after the time limit, or if the connection is refused."""
         if self.closes_at is not None and time.time() > self.closes_at:
             return None
         try:
@@ -113,36 +113,36 @@
 
 
 class KeyPacer:
-    """Spaces the requests of each key as the platform does, and keeps their order."""
+    """Spaces the requests of each key as the platform does, and records their order."""
 
     def __init__(self) -> None:
-        self.written: dict[str, list[str]] = {}  # tickets by key, in the order in which they were written
+        self.written: dict[str, list[str]] = {}  # tickets by key, in the order of writing
         self._locks: dict[str, asyncio.Lock] = {}
         self._next_at: dict[str, float] = {}
 
     def lock(self, key: str) -> asyncio.Lock:
-        """Return the lock that is held while a request of the key is written."""
+        """Return the lock that serializes the writing of requests of a key."""
         return self._locks.setdefault(key, asyncio.Lock())
 
     async def wait(self, key: str) -> None:
-        """Wait until a request of this key may be written."""
+        """Wait until the next request of this key may be written."""
         await asyncio.sleep(max(0.0, self._next_at.get(key, 0.0) - time.time()))
 
     def record(self, key: str, ticket: str, was_new: bool) -> None:
-        """Note that a request has been written whole."""
+        """Record that a request has been written completely."""
         self.written.setdefault(key, []).append(ticket)
         self._next_at[key] = time.time() + (KEY_SPACING_AFTER_NEW_S if was_new else KEY_SPACING_S)
 
 
 class Client:
-    """One client: requests one after the other, until it is told to end and has its answers."""
+    """A client that sends one request after another until `ended` is set and it has its last response."""
 
     def __init__(
         self, number: int, plan: SoakPlan, gate: ConnectionGate, pacer: KeyPacer, ended: asyncio.Event
     ) -> None:
         self.number = number
         self.requests: list[Request] = []
-        self.surplus: list[str] = []  # answers that came without a call
+        self.surplus: list[str] = []  # unsolicited data
         self._rng = random.Random(f"soak {plan.seed} client {number}")
         self._deadline_s = plan.class_deadline_s
         self._gate = gate
@@ -151,22 +151,22 @@
         self._connection: Connection | None = None
 
     async def run(self) -> None:
-        """Send requests until the run ends, on an open connection where there is one."""
+        """Send requests until the run ends, and reuse an open connection where there is one."""
         while not self._ended.is_set():
             connection = await self._usable_connection()
             if connection is None:
                 if self._gate.closes_at is not None:
-                    break  # the connection has ended, and no new one may be opened
+                    break  # the connection is closed, and no new one may be opened
                 await asyncio.sleep(0.05)
                 continue
-            await self._one_request(connection)
+            await self._send_request(connection)
             await asyncio.sleep(self._rng.uniform(0.0, MAX_PAUSE_S))
         self._drop_connection()
 
     async def _usable_connection(self) -> Connection | None:
         connection = self._connection
         if connection is not None and connection.has_surplus:
-            self.surplus.append(f"{time.time():.3f} client {self.number}: bytes without a call")
+            self.surplus.append(f"{time.time():.3f} client {self.number}: unsolicited bytes")
         is_wanted = self._rng.random() >= NEW_CONNECTION_RATE or self._gate.closes_at is not None
         if connection is not None and connection.is_open and is_wanted:
             connection.is_new = False
@@ -180,7 +180,7 @@
             self._connection.close()
             self._connection = None
 
-    # One request.
+    # Requests.
 
     def _draw_request(self) -> Request:
         rng = self._rng
@@ -201,7 +201,7 @@
             return Departure(HOLD_S + offset_s, sends_delete=False)
         return Departure(self._rng.uniform(0.0, MAX_LEAVING_S), self._rng.random() >= SILENT_LEAVING_RATE)
 
-    async def _one_request(self, connection: Connection) -> None:
+    async def _send_request(self, connection: Connection) -> None:
         request = self._draw_request()
         departure = self._draw_departure() if self._rng.random() < LEAVING_RATE else None
         work = asyncio.create_task(self._exchange(request, connection))
@@ -213,20 +213,20 @@
         work.cancel()
         await asyncio.wait([work])
         if not request.written_at:
-            self._drop_connection()  # half of it may be written
+            self._drop_connection()  # the request may be written in part
         elif not request.answers and not request.lost_reason:
             await self._leave(request, departure.sends_delete)
 
     async def _exchange(self, request: Request, connection: Connection) -> None:
-        """Write a request and follow its paths to the last answer."""
-        await self._write_first(request, connection)
+        """Write a request and poll its paths until the final response."""
+        await self._write_in_key_order(request, connection)
         if not request.written_at:
-            return  # its connection ended while its key's turn was awaited
+            return  # its connection ended while it waited for the lock of its key
         try:
             async with asyncio.timeout_at(self._loop_time(request.deadline_at + LATE_ANSWER_S)):
-                await self._read_to_the_end(request)
+                await self._read_final_answer(request)
         except TimeoutError:
-            request.lost_reason = "no answer"
+            request.lost_reason = "no response"
             self._drop_connection()
         except UnreadableAnswerError as error:
             request.lost_reason = f"unreadable: {error}"
@@ -236,7 +236,7 @@
     def _loop_time(unix_s: float) -> float:
         return asyncio.get_running_loop().time() + unix_s - time.time()
 
-    async def _write_first(self, request: Request, connection: Connection) -> None:
+    async def _write_in_key_order(self, request: Request, connection: Connection) -> None:
         if not request.key:
             await self._write_post(request, connection)
             return
@@ -256,7 +256,7 @@
         request.written_at = time.time()
         request.record_event(request.written_at, f"written, {'new' if connection.is_new else 'open'} connection")
 
-    async def _read_to_the_end(self, request: Request) -> None:
+    async def _read_final_answer(self, request: Request) -> None:
         path = ""
         failed_calls = 0
         while True:
@@ -292,7 +292,7 @@
             request.rows_are_own = request.statement in str(rows[-1])
 
     async def _retry_call(self, request: Request, path: str, failed_calls: int) -> bool:
-        """Make the call again on a new connection, as the platform's clients do; return whether it was written."""
+        """Retry the call on a new connection, as the clients of the platform do; return whether it was written."""
         now = time.time()
         self._drop_connection()
         is_crossing = now - request.written_at < CROSSING_S
@@ -300,12 +300,12 @@
             request.lost_reason = f"its connection ended {now - request.written_at:.3f} s after it was written"
             return False
         if failed_calls > MAX_REPEATED_CALLS:
-            request.lost_reason = "its connection ended without an answer, four times"
+            request.lost_reason = "its connection ended four times without a response"
             return False
         connection = self._connection = await self._gate.open()
         if connection is None:
             request.never_accepted = not path
-            request.lost_reason = "" if request.never_accepted else "its path can't be asked for any more"
+            request.lost_reason = "" if request.never_accepted else "its path can't be polled any more"
             return False
         if path:
             connection.writer.write(_format_get(path))
@@ -314,7 +314,7 @@
         return True
 
     async def _leave(self, request: Request, sends_delete: bool) -> None:
-        """Give a request up: by DELETE on its path over a new connection, or by the close of its connection alone."""
+        """Abandon a request by DELETE on its path over a new connection, or only by closing its connection."""
         if request.path and sends_delete:
             await self._delete(request)
         else:
@@ -323,7 +323,7 @@
             request.record_event(request.left_at, "left, " + ("has a path" if request.path else "has no path"))
 
     async def _delete(self, request: Request) -> None:
-        """Give a request up by DELETE; its own connection is closed before or after that."""
+        """Abandon a request by DELETE, and close its own connection before or after that."""
         closes_first = self._rng.random() < 0.5
         if closes_first:
             self._drop_connection()
@@ -339,19 +339,19 @@
                 pass
             other.close()
         self._drop_connection()
-        request.left_at = request.left_at or time.time()  # nobody took its DELETE: the close is all that tells
-        request.record_event(request.left_at, "left by DELETE" + (" behind a close" if closes_first else ""))
+        request.left_at = request.left_at or time.time()  # without a connection for the DELETE, only the close shows it
+        request.record_event(request.left_at, "left by DELETE" + (" after a close" if closes_first else ""))
 
 
 class IdleClient:
-    """A client that holds a connection and says nothing; it opens another when that ends."""
+    """A client that holds an idle connection, and opens another one when it ends."""
 
     def __init__(self, gate: ConnectionGate, ended: asyncio.Event) -> None:
         self._gate = gate
         self._ended = ended
 
     async def run(self) -> None:
-        """Hold connections until the run ends."""
+        """Hold idle connections until the run ends."""
         while not self._ended.is_set():
             connection = await self._gate.open()
             if connection is None:
--- a/frostspindle/lab/soak/engines.py
+++ b/frostspindle/lab/soak/engines.py
@@ -1,4 +1,4 @@
-"""Engines of the soak: the lab's stand-in with faults that are switched on and off, and a record of each query."""
+"""Stand-in engines of the soak, with faults that are switched on and off and a record of each query."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from frostspindle.lab.soak.plan import FaultKind
 from frostspindle.lab.soak.records import EngineRun
 
-QUERY_EXPIRY_S = 2.0  # an engine ends a query that it has not been asked for in this time
+QUERY_EXPIRY_S = 2.0  # an engine ends a query that was not polled for this long
 EXPIRY_SWEEP_S = 0.05
 USUAL_DELAYS_S = (0.0, 0.01, 0.05, 0.2, 0.6)
 SLOW_DELAYS_S = (0.8, 1.5, 2.5)
@@ -19,10 +19,10 @@
 
 
 class FaultyConnection(EngineConnection):
-    """A connection on which responses may be written twice."""
+    """A connection that may write a response twice."""
 
     def say(self, status: int, body: bytes = b"", head: str = "") -> None:
-        """Write a response, and sometimes, on an engine that duplicates, a second copy some milliseconds later."""
+        """Write a response; an engine that duplicates sometimes writes a second copy some milliseconds later."""
         super().say(status, body, head)
         engine = self.engine
         assert isinstance(engine, FaultyEngine)
@@ -32,7 +32,7 @@
 
 
 class FaultyEngine(Engine):
-    """An engine with faults; it records each query that reached it whole."""
+    """An engine with faults that records each query it received completely."""
 
     connection_class = FaultyConnection
 
@@ -44,12 +44,12 @@
         self.slow = False
         self.runs: list[EngineRun] = []
         self._open_runs: dict[str, EngineRun] = {}  # by ticket
-        self._sweeper: asyncio.Task[None] | None = None
+        self._expiry_task: asyncio.Task[None] | None = None
 
     async def start(self, port: int = 0) -> FaultyEngine:
         """Listen on 127.0.0.1, on a free port if `port` is 0, and return self."""
         await super().start(port)
-        self._sweeper = asyncio.create_task(self._expire_queries())
+        self._expiry_task = asyncio.create_task(self._expire_queries())
         return self
 
     # Queries.
@@ -57,7 +57,7 @@
     def call(
         self, line: EngineConnection, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes, first: float
     ) -> None:
-        """Record one call, and answer it unless a fault says otherwise."""
+        """Record a call, and answer it unless a fault prevents that."""
         now = time.time()
         parts = url.decode("latin-1").strip("/").split("/")
         if method == b"POST":
@@ -79,9 +79,9 @@
         self.delay_s = self.rng.choice(SLOW_DELAYS_S if self.slow else USUAL_DELAYS_S)
 
     def _news(self, line: EngineConnection, ticket: str) -> None:
-        is_over = self.results.get(ticket) is not None
+        is_finished = self.results.get(ticket) is not None
         super()._news(line, ticket)
-        if is_over:
+        if is_finished:
             self._end_run(ticket, time.time(), "answered")
 
     def _end_run(self, ticket: str, now: float, ending: str) -> None:
@@ -122,7 +122,7 @@
                 self.sheds = True
 
     async def finish(self, kind: FaultKind) -> None:
-        """Switch a fault off; a drained or crashed engine starts anew at its address."""
+        """Switch a fault off; a drained or crashed engine restarts at the same address."""
         match kind:
             case FaultKind.SLOW:
                 self.slow = False
@@ -148,7 +148,7 @@
             connection.transport.abort()
 
     def _forget_queries(self) -> None:
-        """The process is gone, and its queries with it; the coordinator can't know that, so they count as out."""
+        """Drop all queries, as an ended process does; their runs stay open, as the coordinator can't see the end."""
         self.results.clear()
         self.waiting.clear()
         self.line.clear()
@@ -156,7 +156,7 @@
 
     def close(self) -> None:
         """Stop listening and end all connections."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
         self.server.close()
         self._abort_connections()
--- a/frostspindle/lab/soak/lag.py
+++ b/frostspindle/lab/soak/lag.py
@@ -1,4 +1,4 @@
-"""How much time a busy machine takes from this process, and so from the others on it."""
+"""Measures how much time a busy machine takes from this process, as an estimate for the others on it."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 import time
 
 INTERVAL_S = 0.02
-USUAL_LATENESS_S = 0.004  # what a quiet machine takes for an interval
+USUAL_LATENESS_S = 0.004  # lateness of an interval on an idle machine
 
 
 class LagWatch:
-    """Measures in the event loop how late it is woken; times are Unix seconds."""
+    """Measures how late timers of the event loop fire; times are Unix seconds."""
 
     def __init__(self) -> None:
         self.worst_s = 0.0
-        self._late: list[tuple[float, float]] = []  # when, and how much
+        self._delays: list[tuple[float, float]] = []  # (time, delay)
         self._task = asyncio.create_task(self._watch())
 
     def lost_s(self, since: float) -> float:
-        """Return the seconds that were taken since a time, in all."""
-        return sum(late_s for at, late_s in self._late if at >= since)
+        """Return the total delay in seconds since a time."""
+        return sum(late_s for measured_at, late_s in self._delays if measured_at >= since)
 
     def close(self) -> None:
         """Stop measuring."""
@@ -27,9 +27,9 @@
 
     async def _watch(self) -> None:
         while True:
-            began = time.monotonic()
+            started_at = time.monotonic()
             await asyncio.sleep(INTERVAL_S)
-            late_s = time.monotonic() - began - INTERVAL_S - USUAL_LATENESS_S
+            late_s = time.monotonic() - started_at - INTERVAL_S - USUAL_LATENESS_S
             if late_s > 0.0:
-                self._late.append((time.time(), late_s))
+                self._delays.append((time.time(), late_s))
                 self.worst_s = max(self.worst_s, late_s)
--- a/frostspindle/lab/soak/plan.py
+++ b/frostspindle/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of one run, drawn from its seed alone: topology, engine faults, signals and their times. No I/O."""
+"""Draws the plan of a run from its seed alone: topology, engine faults, signals and their times. No I/O."""
 
 from __future__ import annotations
 
@@ -10,43 +10,43 @@
 ENGINES = 4
 CLIENTS = 16
 KEYS = 3
-SOCKETS = 300  # descriptors of the coordinator; two workers need 128 each
-# The longest deadline of the deployment, which all classes have: seeds take these ranges by turns.
+SOCKETS = 300  # descriptor limit of the coordinator; two workers need 128 each
+# All classes of a run have one deadline, the longest of the deployment; seeds cycle through these ranges for it.
 DEADLINE_RANGES_S = ((3.0, 3.0), (0.4, 1.0), (1.0, 3.0), (3.0, 12.0))
-# The platform kills a process no earlier than this after SIGTERM: its longest deadline, 3 s at most, and 0.7 s.
+# The platform sends SIGKILL no earlier than this after SIGTERM: the longest deadline, at most 3 s, plus 0.7 s.
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
 START_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
 MIN_SERVING_S = 2.5
 MAX_SERVING_S = 3.5
 CLOCK_STEPS_S = (3.0, -3.0, 60.0, -60.0, 3600.0, -3600.0)
-CLOCK_STEP_PERIOD = 2  # one in so many seeds has steps of the wall clock
+CLOCK_STEP_PERIOD = 2  # one of this many seeds has steps of the wall clock
 MAX_CLOCK_STEPS = 3
-SOCKET_FAULT_PERIOD = 4  # in one of so many seeds system calls on sockets fail
-DRAIN_SPAN_S = 2.0  # within which behind the SIGTERM a step may come
-OUTAGE_PERIOD = 4  # one in so many seeds has an outage
-MIN_OUTAGE_S = 1.1  # longer than a request is held without a path
+SOCKET_FAULT_PERIOD = 4  # one of this many seeds has failing system calls on sockets
+DRAIN_SPAN_S = 2.0  # clock steps occur until this long after SIGTERM
+OUTAGE_PERIOD = 4  # one of this many seeds has an outage
+MIN_OUTAGE_S = 1.1  # longer than a request is held before it is answered with a path
 MAX_OUTAGE_S = 1.8
 
 
 class Topology(StrEnum):
-    """The processes of the coordinator."""
+    """How the coordinator runs: as which processes."""
 
     SINGLE = "single"
-    UPGRADE = "upgrade"  # a second process takes over at a listening socket that both inherit
+    UPGRADE = "upgrade"  # a second process takes over an inherited listening socket
     WORKERS = "workers"  # a supervisor with two workers
 
 
 class FaultKind(StrEnum):
-    """What an engine does for a while."""
+    """A temporary fault of an engine."""
 
     SLOW = "slow"
-    HUNG = "hung"  # accepts connections and calls, and says nothing
-    RESET = "reset"  # its connections are reset under requests; the queries run on
-    DRAIN = "drain"  # told by the event bus; refuses connections and serves the open ones, then it is gone
-    CRASH = "crash"  # its process dies, refuses for a while and comes back without its queries
-    DUPLICATE = "duplicate"  # some responses are sent twice
-    SHED = "shed"  # full: it refuses queries with proof that they never ran
+    HUNG = "hung"  # accepts connections and calls, and never responds
+    RESET = "reset"  # resets connections with open requests; the queries run on
+    DRAIN = "drain"  # announced on the event bus; refuses new connections, serves the open ones, then ends
+    CRASH = "crash"  # the process dies, refuses connections for a while and restarts without its queries
+    DUPLICATE = "duplicate"  # sends some responses twice
+    SHED = "shed"  # refuses queries and states that they never ran
 
 
 ABSENCES = {FaultKind.DRAIN, FaultKind.CRASH}
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFault:
-    """A fault of one engine, from `at_s` after readiness for `length_s`."""
+    """A fault of one engine that starts `at_s` after readiness and lasts `length_s`."""
 
     at_s: float
     length_s: float
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """All engines drain `at_s` after readiness, and successors come `length_s` later: requests wait meanwhile."""
+    """All engines drain `at_s` after readiness and restart `length_s` later; requests wait meanwhile."""
 
     at_s: float
     length_s: float
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedSignal:
-    """A signal to the coordinator, `at_s` after the event that it follows."""
+    """A signal to the coordinator, `at_s` after a reference event."""
 
     at_s: float
     number: signal.Signals
@@ -88,29 +88,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """All that is decided of a run before it starts."""
+    """The complete plan of a run."""
 
     seed: int
     topology: Topology
     has_idle_clients: bool
     class_deadline_s: float
-    serving_s: float  # from readiness to the SIGTERM that ends the coordinator, or the older process of an upgrade
+    serving_s: float  # from readiness to SIGTERM, in an upgrade of the first process
     faults: tuple[EngineFault, ...]
     outage: Outage | None
     clock_steps: tuple[ClockStep, ...]
     has_socket_faults: bool
-    start_signals: tuple[TimedSignal, ...]  # after the process was started
-    serving_signals: tuple[TimedSignal, ...]  # after it was ready
-    drain_signals: tuple[TimedSignal, ...]  # after SIGTERM
+    start_signals: tuple[TimedSignal, ...]  # times after the start of the process
+    serving_signals: tuple[TimedSignal, ...]  # times after readiness
+    drain_signals: tuple[TimedSignal, ...]  # times after SIGTERM
 
     @property
     def kill_after_s(self) -> float:
-        """How long after SIGTERM the process is killed."""
+        """Return the time from SIGTERM to SIGKILL."""
         return min(self.class_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_GRACE_S
 
 
 def make_plan(seed: int) -> SoakPlan:
-    """Draw the plan of a seed; topologies and the crowd come by turns, so that few seeds cover them."""
+    """Draw the plan of a seed; topologies and idle clients cycle with the seed, so that few seeds cover them."""
     rng = random.Random(f"soak {seed}")
     topology = (Topology.SINGLE, Topology.UPGRADE, Topology.WORKERS)[seed % 3]
     serving_s = rng.uniform(MIN_SERVING_S, MAX_SERVING_S)
@@ -121,7 +121,7 @@
         has_idle_clients=seed // 3 % 3 == 1,
         class_deadline_s=_draw_deadline_s(seed),
         serving_s=serving_s,
-        faults=_without_absences_in(outage, _draw_faults(rng, serving_s)),
+        faults=_drop_absences_within(outage, _draw_faults(rng, serving_s)),
         outage=outage,
         clock_steps=_draw_clock_steps(seed, serving_s),
         has_socket_faults=seed % SOCKET_FAULT_PERIOD == 1,
@@ -132,20 +132,20 @@
 
 
 def _draw_faults(rng: random.Random, serving_s: float) -> tuple[EngineFault, ...]:
-    """Three to six faults, some of which reach into the drain; one engine stays free of those that take it away."""
+    """Draw three to six faults, some of which reach into the drain; the first engine is never absent."""
     faults: list[EngineFault] = []
     for _ in range(rng.randint(3, 6)):
         kind = rng.choice(list(FaultKind))
         engine = rng.randrange(1, ENGINES) if kind in ABSENCES else rng.randrange(ENGINES)
         at_s = rng.uniform(0.1, serving_s + 0.5)
         fault = EngineFault(at_s, rng.uniform(0.2, 4.0), engine, kind)
-        if not any(_are_one_absence(fault, other) for other in faults):
+        if not any(_absences_overlap(fault, other) for other in faults):
             faults.append(fault)
     return tuple(sorted(faults, key=lambda fault: fault.at_s))
 
 
 def _draw_deadline_s(seed: int) -> float:
-    # By fives, so that each topology and the crowd meet each range.
+    # The range changes every five seeds, so that each topology, with and without idle clients, meets each range.
     shortest_s, longest_s = DEADLINE_RANGES_S[seed // 5 % len(DEADLINE_RANGES_S)]
     return round(random.Random(f"soak deadline {seed}").uniform(shortest_s, longest_s), 3)
 
@@ -168,8 +168,8 @@
     return Outage(rng.uniform(0.2, serving_s - 1.0), rng.uniform(MIN_OUTAGE_S, MAX_OUTAGE_S))
 
 
-def _without_absences_in(outage: Outage | None, faults: tuple[EngineFault, ...]) -> tuple[EngineFault, ...]:
-    """Leave out the faults that take an engine away which the outage takes away too: one's end would end the other."""
+def _drop_absences_within(outage: Outage | None, faults: tuple[EngineFault, ...]) -> tuple[EngineFault, ...]:
+    """Drop the drains and crashes that overlap the outage: the end of one would restart the engine within the other."""
     if outage is None:
         return faults
     ends_at_s = outage.at_s + outage.length_s
@@ -180,15 +180,15 @@
     )
 
 
-def _are_one_absence(one: EngineFault, other: EngineFault) -> bool:
-    """Return whether both take the same engine away at a time: the end of one would bring it back within the other."""
-    if one.engine != other.engine or not {one.kind, other.kind} <= ABSENCES:
+def _absences_overlap(fault: EngineFault, other: EngineFault) -> bool:
+    """Return whether both make the same engine absent at once: the end of one would restart it within the other."""
+    if fault.engine != other.engine or not {fault.kind, other.kind} <= ABSENCES:
         return False
-    return one.at_s <= other.at_s + other.length_s and other.at_s <= one.at_s + one.length_s
+    return fault.at_s <= other.at_s + other.length_s and other.at_s <= fault.at_s + fault.length_s
 
 
 def _draw_signals(
-    rng: random.Random, numbers: tuple[signal.Signals, ...], most: int, within_s: float
+    rng: random.Random, numbers: tuple[signal.Signals, ...], max_count: int, within_s: float
 ) -> tuple[TimedSignal, ...]:
-    signals = [TimedSignal(rng.uniform(0.0, within_s), rng.choice(numbers)) for _ in range(rng.randint(0, most))]
+    signals = [TimedSignal(rng.uniform(0.0, within_s), rng.choice(numbers)) for _ in range(rng.randint(0, max_count))]
     return tuple(sorted(signals, key=lambda timed: timed.at_s))
--- a/frostspindle/lab/soak/processes.py
+++ b/frostspindle/lab/soak/processes.py
@@ -1,4 +1,4 @@
-"""The coordinator's processes of one run: their files, starts, signals, and the kill at the page's earliest."""
+"""The coordinator processes of a run: their files, starts, signals, and SIGKILL at the earliest permitted time."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from frostspindle.lab.soak.records import RequestClass
 from frostspindle.lab.soak.stepped_clock import SteppedClock
 
-# As the platform's start command does: until the interpreter holds signals back, these would end the process.
-SIGNALS_HELD = 'trap \'\' HUP USR1; exec "$0" "$@"'
+# The same as the start command of the platform: before the interpreter starts, these signals would end the process.
+IGNORE_SIGNALS_COMMAND = 'trap \'\' HUP USR1; exec "$0" "$@"'
 WORKERS_FILE = "[cores]\nworkers = 2\n"
 OBJECTIVE_SHARE = 0.5  # of a class's deadline
 
 
 class SoakProcess(Process):
-    """One process, or one supervisor with its workers, at an address of its own or at an inherited socket."""
+    """One process, or a supervisor with its workers, with its own address or an inherited socket."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
         self.operator_port = free_port(socket.SOCK_STREAM)
 
     def command_line(self) -> list[str]:
-        """Return the command line, which holds the signals back that come before the program's first line."""
-        return ["/bin/sh", "-c", SIGNALS_HELD, sys.executable, *self.python_arguments]
+        """Return the command line, which ignores the signals that arrive before the program starts."""
+        return ["/bin/sh", "-c", IGNORE_SIGNALS_COMMAND, sys.executable, *self.python_arguments]
 
     def process_environment(self) -> dict[str, str]:
-        """Return the environment; both processes of an upgrade have the same name."""
+        """Return the environment; both processes of an upgrade have the same coordinator name."""
         environment = {**super().process_environment(), **self._clock.environment(), "LB_NAME": "soak"}
         if self._socket_fault_seed:
             environment["SOCKET_FAULTS"] = self._socket_fault_seed
@@ -63,36 +63,39 @@
         return environment
 
     async def signal_in_turn(self, signals: tuple[TimedSignal, ...]) -> None:
-        """Send signals at their times from now on."""
-        began = time.monotonic()
+        """Send signals at their times, relative to now."""
+        started_at = time.monotonic()
         for timed in signals:
-            await asyncio.sleep(max(0.0, began + timed.at_s - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + timed.at_s - time.monotonic()))
             self.send_signal(timed.number)
 
     async def ready(self, has_workers: bool) -> None:
-        """Wait until it serves, a supervisor until all its workers do; TimeoutError, RuntimeError if it ended."""
+        """Wait until the process serves, or all workers of a supervisor do.
+
+        Raise TimeoutError if that takes too long, RuntimeError if the process ends.
+        """
         await self.until(lambda: self._has_started(has_workers))
 
     def _has_started(self, has_workers: bool) -> bool:
         if self.child is not None and self.child.returncode is not None:
-            raise RuntimeError(f"the coordinator ended with {self.child.returncode}: {self.lines}")
+            raise RuntimeError(f"the coordinator exited with {self.child.returncode}: {self.lines}")
         return any("workers" in line or not has_workers for line in self.events("coordinator_started"))
 
     async def terminate(self, signals: tuple[TimedSignal, ...], kill_after_s: float, lag: LagWatch) -> None:
-        """Send SIGTERM, further signals in the drain, and SIGKILL `kill_after_s` after the first, the page's earliest.
+        """Send SIGTERM, then further signals during the drain, and SIGKILL `kill_after_s` after SIGTERM.
 
-        A busy machine takes time from the process's plan: by so much the kill is later, as `lag` measures it.
+        SIGKILL is delayed by the time that a busy machine took from the process, as measured by `lag`.
         """
         assert self.child is not None
         self.terminated_at = time.time()
         self.send_signal(signal.SIGTERM)
-        further = asyncio.create_task(self.signal_in_turn(signals))
+        sending = asyncio.create_task(self.signal_in_turn(signals))
         if await self._ends_within(kill_after_s) or await self._ends_within(lag.lost_s(self.terminated_at)):
             self.exit_code = self.child.returncode
         else:
             self.child.kill()
             await self.child.wait()
-        further.cancel()
+        sending.cancel()
         self.exited_at = time.time()
 
     async def _ends_within(self, seconds: float) -> bool:
@@ -105,7 +108,7 @@
         return True
 
     async def close(self) -> None:
-        """End the process, if it still runs, and read its log to the end."""
+        """Kill the process if it still runs, and read its log to the end."""
         if self.child is not None and self.child.returncode is None:
             self.child.kill()
             await self.child.wait()
@@ -114,16 +117,16 @@
 
 
 def write_files(folder: Path, plan: SoakPlan, events: list[dict[str, Any]], bus_port: int) -> None:
-    """Write the files of a process that starts now, with all events of the event bus up to now."""
+    """Write the files of a process, with all events of the event bus up to now."""
     folder.mkdir(exist_ok=True)
     config = document([], bus_port, sockets=SOCKETS)
     config["name"] = "soak"
     config["seed"] = f"{plan.seed:016x}"
     config["known"] = {"offset": len(events), "batch": events}
-    config["settings"]["categories"] = [_class_settings(one, plan.class_deadline_s) for one in RequestClass]
+    config["settings"]["categories"] = [_class_settings(each, plan.class_deadline_s) for each in RequestClass]
     config["settings"]["domain"]["classThreads"] = [1] * len(RequestClass)
     config["settings"]["domain"]["blockedByLoads"] = [False] * len(RequestClass)
-    config["settings"]["domain"]["classLoad"] = [one is RequestClass.LOAD for one in RequestClass]
+    config["settings"]["domain"]["classLoad"] = [each is RequestClass.LOAD for each in RequestClass]
     (folder / "config.json").write_text(json.dumps(config))
     (folder / "operator.toml").write_text(WORKERS_FILE if plan.topology is Topology.WORKERS else "")
 
--- a/frostspindle/lab/soak/records.py
+++ b/frostspindle/lab/soak/records.py
@@ -1,6 +1,6 @@
-"""What the parties of a run record, for the judge: requests with what their clients saw, and runs at engines.
+"""Records of a run for the checker: requests as their clients saw them, and queries as the engines saw them.
 
-All times are Unix seconds of the one machine that all parties run on.
+All times are Unix seconds of the machine that runs clients, engines and coordinator.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 
 class RequestClass(StrEnum):
-    """The classes of the requests, by their names in the settings."""
+    """The request classes, by their names in the settings."""
 
     LOOKUP = "lookup"
     REPORT = "report"
-    LOAD = "load"  # must not be run twice; some carry an ordering key
+    LOAD = "load"  # must not run twice; some carry an ordering key
 
 
 class AnswerKind(StrEnum):
-    """What a final answer tells the client."""
+    """The outcome of a request in its final response."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -28,35 +28,35 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request of a client, and what the client saw of it."""
+    """One request, as its client saw it."""
 
     ticket: str
     request_class: RequestClass
     key: str
     timeout_s: float
-    written_at: float = 0.0  # its last byte, at the last time that it was written
+    written_at: float = 0.0  # when the last byte of its last attempt was written
     statement: str = ""
-    path: str = ""  # the last that it was told to ask under
+    path: str = ""  # the last path that it was told to poll
     answers: list[tuple[float, AnswerKind]] = field(default_factory=list)
     rows_are_own: bool = True
     left_at: float | None = None
-    lost_reason: str = ""  # why it has no answer that it is owed
-    never_accepted: bool = False  # nobody accepted its connection
+    lost_reason: str = ""  # why the final response is missing
+    never_accepted: bool = False  # no process accepted its connection
     history: list[str] = field(default_factory=list)
 
     @property
     def deadline_at(self) -> float:
-        """When its time is over."""
+        """Return the deadline of the request."""
         return self.written_at + self.timeout_s
 
     def record_event(self, at: float, text: str) -> None:
-        """Add a line to its story."""
+        """Add an event to the history of the request."""
         self.history.append(f"{at:.3f} {text}")
 
 
 @dataclass(slots=True)
 class EngineRun:
-    """One query that reached an engine whole."""
+    """One query that an engine received completely."""
 
     ticket: str
     engine: str
@@ -64,18 +64,18 @@
     received_at: float
     max_ms: float
     polled_at: float
-    ended_at: float | None = None  # its end was written, or it was given up
+    ended_at: float | None = None  # its result was written, or it was deleted or expired
     ending: str = ""
 
     def may_run_until(self, expiry_s: float) -> float:
-        """Return until when it counts as out: to its end, or for so long after it was last asked for."""
+        """Return until when the query may run: to its end, or until `expiry_s` after it was last polled."""
         expires_at = self.polled_at + expiry_s
         return expires_at if self.ended_at is None else min(self.ended_at, expires_at)
 
 
 @dataclass(slots=True)
 class Drain:
-    """An engine that the event bus has told to be draining."""
+    """A drain of an engine that was announced on the event bus."""
 
     engine: str
     announced_at: float
--- a/frostspindle/lab/soak/report.py
+++ b/frostspindle/lab/soak/report.py
@@ -1,4 +1,4 @@
-"""Texts of the soak: one line a run, and for each broken rule the command, the seed and the story of the request."""
+"""Texts of the soak: a line for each run, and for violations the command, the plan and the history of the request."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from frostspindle.lab.soak.run import SoakResult
 
 COMMAND = "frostspindle lab soak --seed {seed}"
-MAX_TOLD = 10  # broken rules of one run
+MAX_REPORTED = 10  # violations of a run
 
 
 def summary(result: SoakResult) -> str:
-    """Return one line on a run."""
+    """Return a line that summarizes a run."""
     plan = make_plan(result.seed)
-    crowd = ", crowd" if plan.has_idle_clients else ""
+    idle_clients = ", idle clients" if plan.has_idle_clients else ""
     outage = ", outage" if plan.outage is not None else ""
     steps = ", clock steps " + " ".join(f"{step.seconds:+.0f}" for step in plan.clock_steps) if plan.clock_steps else ""
     faults = ", socket faults" if plan.has_socket_faults else ""
@@ -20,13 +20,13 @@
     counts = ", ".join(f"{name} {count}" for name, count in sorted(result.counts.items()))
     verdict = f"{len(result.violations)} rules broken" if result.violations else "passed"
     return (
-        f"seed {result.seed} ({plan.topology}{crowd}{outage}{steps}{faults}{deadline}): "
+        f"seed {result.seed} ({plan.topology}{idle_clients}{outage}{steps}{faults}{deadline}): "
         f"{verdict}; {counts}; lag {result.lag_s:.3f} s"
     )
 
 
 def details(result: SoakResult) -> str:
-    """Return what is needed to trace the broken rules of a run; empty if there are none."""
+    """Return the command, plan and violations of a run; empty without violations."""
     if not result.violations:
         return ""
     lines = [COMMAND.format(seed=result.seed)]
@@ -35,7 +35,7 @@
     if plan.outage is not None:
         lines.append(f"  {plan.outage}")
     lines += [f"  {step}" for step in plan.clock_steps]
-    for violation in result.violations[:MAX_TOLD]:
+    for violation in result.violations[:MAX_REPORTED]:
         lines.append(f"{violation.rule}: {violation.ticket} {violation.text}")
         lines += [f"  {line}" for line in violation.history]
     return "\n".join(lines)
--- a/frostspindle/lab/soak/run.py
+++ b/frostspindle/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one run of the soak: starts all parties, carries the plan out, and returns what the judge finds."""
+"""Plays a run of the soak: starts all processes and stand-ins, executes the plan, and returns the violations."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 from frostspindle.lab.soak.records import Drain
 from frostspindle.lab.soak.stepped_clock import SteppedClock
 
-NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # the platform stops sending them by then
-LAST_ACCEPT_S = 0.3  # within which a process has accepted what came before
-IDLE_CLIENTS = SOCKETS // 3 - CLIENTS - 4  # all clients together hold a third of the descriptors at most
-LAST_ANSWERS_S = 8.0  # for which clients are waited for at the end, where nothing answers them any more
+NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # the platform opens no more connections after this
+LAST_ACCEPT_S = 0.3  # a process accepts pending connections within this time
+IDLE_CLIENTS = SOCKETS // 3 - CLIENTS - 4  # all clients together hold at most a third of the descriptors
+LAST_ANSWERS_S = 8.0  # how long clients may take to finish once the coordinator has ended
 LISTEN_BACKLOG = 300
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """What came of one run."""
+    """The result of one run."""
 
     seed: int
     violations: list[Violation]
@@ -51,7 +51,7 @@
 
 
 class SoakRun:
-    """The parties of one run."""
+    """The coordinator, engines, bus and clients of one run."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self.plan = plan
@@ -69,7 +69,7 @@
         self._client_tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> Records:
-        """Carry the plan out; return all records."""
+        """Execute the plan and return all records."""
         lag = self._lag = LagWatch()
         try:
             await self._start_stand_ins()
@@ -121,7 +121,7 @@
             successor = await self._start_process(self.plan.start_signals)
             await process.terminate(self.plan.drain_signals, self.plan.kill_after_s, self._lag)
             process = successor
-            # Nobody accepts at the inherited socket behind the last process, so that new connections end before it.
+            # After the last process none accepts at the inherited socket, so new connections must end before it does.
             gate.closes_at = time.time()
             await asyncio.sleep(LAST_ACCEPT_S)
         else:
@@ -144,14 +144,14 @@
         self.bus.server.close()
         if self._listening is not None:
             self._listening.close()
-        faults = [one for one in results if isinstance(one, Exception)]
-        if faults:
-            raise faults[0]  # a fault of the soak itself
+        errors = [each for each in results if isinstance(each, Exception)]
+        if errors:
+            raise errors[0]  # an error of the soak itself
 
     async def _step_clock(self) -> None:
-        began_s = time.monotonic()
+        started_at = time.monotonic()
         for step in self.plan.clock_steps:
-            await asyncio.sleep(max(0.0, began_s + step.at_s - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + step.at_s - time.monotonic()))
             self.clock.step(step.seconds)
 
     # Engine faults.
@@ -179,7 +179,7 @@
 
 
 async def play(seed: int) -> SoakResult:
-    """Play the run of a seed and judge it."""
+    """Play the run of a seed and check it."""
     plan = make_plan(seed)
     with tempfile.TemporaryDirectory() as folder:
         records = await SoakRun(plan, Path(folder)).play()
@@ -194,12 +194,12 @@
 
 
 async def play_all(seeds: Iterable[int], concurrency: int, on_result: Callable[[SoakResult], None]) -> list[SoakResult]:
-    """Play the runs of these seeds, so many at a time, and tell each result as it comes."""
-    places = asyncio.Semaphore(concurrency)
+    """Play the runs of these seeds, `concurrency` at a time, and call `on_result` with each result."""
+    slots = asyncio.Semaphore(concurrency)
     results: list[SoakResult] = []
 
     async def play_one(seed: int) -> None:
-        async with places:
+        async with slots:
             result = await play(seed)
         results.append(result)
         on_result(result)
--- a/frostspindle/lab/soak/shims/__init__.py
+++ b/frostspindle/lab/soak/shims/__init__.py
@@ -1,1 +1,1 @@
-"""A folder for PYTHONPATH: its sitecustomize brings faults of the machine into the process that loads it."""
+"""A folder for PYTHONPATH, whose sitecustomize injects faults of the machine into a process."""
--- a/frostspindle/lab/soak/shims/sitecustomize.py
+++ b/frostspindle/lab/soak/shims/sitecustomize.py
@@ -1,8 +1,8 @@
-"""Faults of the machine for a process of the soak; loaded by the interpreter where this folder is on PYTHONPATH.
+"""Injects faults of the machine into a process; the interpreter loads this module if its folder is on PYTHONPATH.
 
-CLOCK_OFFSET_FILE names a file with a double, the offset of the wall clock in seconds: whoever writes it steps the
-clocks of all processes that were started with it. The monotonic clocks run on. SOCKET_FAULTS is the seed of failing
-system calls on sockets; without it none fail.
+CLOCK_OFFSET_FILE names a file with a double, the offset of the wall clock in seconds: a write to it steps the clocks of
+all processes that were started with it. Monotonic clocks are not affected. SOCKET_FAULTS is the seed of failing system
+calls on sockets; without it none fail.
 """
 
 import mmap
@@ -15,7 +15,7 @@
 
 
 def install(path: str) -> None:
-    """Make `time.time` and `time.time_ns` tell the time with the offset in this file."""
+    """Add the offset in this file to the results of `time.time` and `time.time_ns`."""
     with open(path, "rb") as file:
         shared = mmap.mmap(file.fileno(), OFFSET.size, access=mmap.ACCESS_READ)
     real_time, real_time_ns = time.time, time.time_ns
--- a/frostspindle/lab/soak/shims/socket_faults.py
+++ b/frostspindle/lab/soak/shims/socket_faults.py
@@ -1,7 +1,7 @@
-"""System calls on sockets that fail for a moment, in the ways that Linux documents, and short reads and writes.
+"""Makes system calls on sockets fail with the transient errors that Linux documents, and reads and writes short.
 
-Installed into a process of the soak by `sitecustomize`. Connections that the process opens (to engines and the bus) may
-also break at a read or a write; those of clients do not, as their other ends, in the soak, would know nothing of it.
+`sitecustomize` installs it into a process of the soak. Connections that the process opens (to engines and the bus) may
+also break at a read or write. Connections from clients do not, as the clients in the soak would not see the break.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 import time
 import weakref
 
-FAULT_PERIOD_S = 1.0  # in each period calls fail for a moment, from its begin
-FAULT_LENGTH_S = 0.15
-FAILING_RATE = 0.5  # of calls in such a moment
-BREAKING_RATE = 0.02  # of reads and writes of opened connections in such a moment
+FAULT_PERIOD_S = 1.0
+FAULT_LENGTH_S = 0.15  # calls fail for this long at the start of each period
+FAILING_RATE = 0.5  # of the calls in that time
+BREAKING_RATE = 0.02  # of the reads and writes on opened connections in that time
 SHORT_RATE = 0.3
 MAX_SHORT_BYTES = 40
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
@@ -25,26 +25,26 @@
 
 
 class SocketFaults:
-    """Draws which calls fail; one for a process."""
+    """Draws which socket calls of the process fail."""
 
     def __init__(self, seed: str) -> None:
         self._rng = random.Random(f"socket faults {seed}")
         self._opened: weakref.WeakSet[socket.socket] = weakref.WeakSet()
 
     def may_fail(self, rate: float, errors: tuple[int, ...]) -> None:
-        """Raise OSError for one of these errors, at this rate, in the moments in which calls fail."""
+        """Raise OSError with one of these errors, at this rate, during the fault time of each period."""
         if time.monotonic() % FAULT_PERIOD_S < FAULT_LENGTH_S and self._rng.random() < rate:
             number = self._rng.choice(errors)
             raise OSError(number, os.strerror(number))
 
     def limit(self, size: int) -> int:
-        """Return how many of so many bytes a read or write moves."""
+        """Return how many of `size` bytes a read or write transfers."""
         if size > 1 and self._rng.random() < SHORT_RATE:
             return self._rng.randint(1, min(size, MAX_SHORT_BYTES))
         return size
 
     def install(self) -> None:
-        """Put the faults before the methods of all sockets."""
+        """Wrap the methods of all sockets with the faults."""
         real_accept, real_connect = socket.socket.accept, socket.socket.connect
         real_send, real_recv = socket.socket.send, socket.socket.recv
 
--- a/frostspindle/lab/soak/stepped_clock.py
+++ b/frostspindle/lab/soak/stepped_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock of a run's processes, which can be stepped; that of the soak itself goes on."""
+"""Steps the wall clock of the processes of a run; the clock of the soak itself is not affected."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SteppedClock:
-    """One offset for all processes that are started with its environment."""
+    """The clock offset of all processes that are started with `environment`."""
 
     def __init__(self, folder: Path) -> None:
         self.offset_s = 0.0
@@ -19,7 +19,7 @@
         self._path.write_bytes(OFFSET.pack(0.0))
 
     def step(self, seconds: float) -> None:
-        """Step the clock by so many seconds, forward or back."""
+        """Step the clock by `seconds`, forward or, if negative, backward."""
         self.offset_s += seconds
         with self._path.open("r+b") as file:
             file.write(OFFSET.pack(self.offset_s))
@@ -29,5 +29,5 @@
         return (time.time() + self.offset_s) * 1000.0
 
     def environment(self) -> dict[str, str]:
-        """Return what a process needs in its environment."""
+        """Return the environment variables that apply the offset to a process."""
         return {"PYTHONPATH": str(SHIM_FOLDER), "CLOCK_OFFSET_FILE": str(self._path)}
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""A fleet of processes of the program with the fault relay between them, as test cases start it."""
+"""A test case that starts a fleet of coordinator processes with the fault relay between them."""
 
 import unittest
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,7 +1,8 @@
-"""The seeded soak of ends and restarts, short: real processes under faults, signals and clients that go on.
+"""Short seeded soak runs of shutdown and restart: real processes under faults and signals, with active clients.
 
-A run that breaks a rule is told with its command, its seed, the request's story and the log lines; more seeds:
-`frostspindle lab soak --seed N --count K`. The other tests hold the judge itself against records that break one rule.
+A run with a violation is printed with its command, its seed, the history of the request and the log lines. Run more
+seeds with `frostspindle lab soak --seed N --count K`. The other tests check the checker itself with records that
+violate one rule.
 """
 
 import asyncio
@@ -17,38 +18,38 @@
 from frostspindle.lab.soak.records import AnswerKind, Drain, EngineRun, Request, RequestClass
 from frostspindle.lab.soak.run import play_all
 
-# Each topology with and without the crowd, and each kind of fault; played side by side.
+# Each topology with and without idle clients, and each kind of fault.
 CI_SEEDS = (0, 1, 2, 3, 4, 5, 6, 7, 8, 10, 12, 15, 16, 17)
-BESIDE = 3
+CONCURRENT_RUNS = 3
 
 
-def test_seeds_of_ci_cover_all_topologies_faults_and_the_crowd():
+def test_ci_seeds_cover_all_topologies_faults_and_idle_clients():
     plans = [make_plan(seed) for seed in CI_SEEDS]
-    assert {(plan.topology, plan.has_idle_clients) for plan in plans} >= {(one, True) for one in Topology}
+    assert {(plan.topology, plan.has_idle_clients) for plan in plans} >= {(topology, True) for topology in Topology}
     assert {fault.kind for plan in plans for fault in plan.faults} == set(FaultKind)
     assert any(plan.outage for plan in plans)
     assert any(plan.has_socket_faults for plan in plans)
     assert {step.seconds > 0.0 for plan in plans for step in plan.clock_steps} == {True, False}
-    # Deadlines below and above the 3 s that count for the kill at most, the shortest below a second.
+    # Deadlines below 1 s and above 3 s, the longest that counts for the time of the kill.
     assert min(plan.class_deadline_s for plan in plans) < 1.0 < 3.0 < max(plan.class_deadline_s for plan in plans)
     assert make_plan(7) == make_plan(7)
 
 
-def test_no_rule_is_broken():
-    results = asyncio.run(play_all(CI_SEEDS, BESIDE, lambda result: print(report.summary(result))))
+def test_runs_have_no_violations():
+    results = asyncio.run(play_all(CI_SEEDS, CONCURRENT_RUNS, lambda result: print(report.summary(result))))
     assert [report.details(result) for result in results if result.violations] == []
-    assert all(result.counts["served"] > 50 for result in results)  # else the runs show little
+    assert all(result.counts["served"] > 50 for result in results)  # otherwise the runs prove little
 
 
-# The judge.
+# The checker.
 
 
 def request(ticket="a", request_class=RequestClass.LOAD, answered_at=101.0, **changes):
-    made = Request(ticket, request_class, changes.pop("key", ""), 2.0, written_at=100.0)
-    made.answers = [(answered_at, AnswerKind.SERVED)] if answered_at else []
+    created = Request(ticket, request_class, changes.pop("key", ""), 2.0, written_at=100.0)
+    created.answers = [(answered_at, AnswerKind.SERVED)] if answered_at else []
     for name, value in changes.items():
-        setattr(made, name, value)
-    return made
+        setattr(created, name, value)
+    return created
 
 
 def run(ticket="a", started_at=100.1, ended_at=100.9, engine="s-0", polled_at=100.5, max_ms=1000.0):
@@ -66,7 +67,7 @@
     return [violation.rule for violation in find_violations(records)]
 
 
-def test_a_run_without_a_fault_breaks_no_rule():
+def test_run_without_faults_has_no_violations():
     assert rules([request()], [run()], {"k": ["a"]}) == []
 
 
@@ -80,11 +81,11 @@
         ({"rows_are_own": False}, "rows"),
     ],
 )
-def test_answers_are_judged(changes, rule):
+def test_answers_are_checked(changes, rule):
     assert rules([request(**changes)]) == [rule]
 
 
-def test_a_client_that_left_or_was_not_taken_is_owed_nothing():
+def test_client_that_left_or_was_never_accepted_needs_no_answer():
     assert rules([request(answered_at=0.0, left_at=100.5), request("b", answered_at=0.0, never_accepted=True)]) == []
 
 
@@ -97,30 +98,30 @@
         ([], [run()], "unknown"),
     ],
 )
-def test_runs_at_engines_are_judged(requests, runs, rule):
+def test_engine_runs_are_checked(requests, runs, rule):
     assert rules(requests, runs) == [rule]
 
 
-def test_order_of_a_key_is_judged():
+def test_order_of_a_key_is_checked():
     keyed = [request("a", key="k"), request("b", key="k", timeout_s=4.0)]
     written = {"k": ["a", "b"]}
     assert rules(keyed, [run("a"), run("b", started_at=100.91)], written) == []
     assert rules(keyed, [run("a"), run("b", started_at=100.89)], written) == ["order"]
     assert rules(keyed, [run("b"), run("a", started_at=101.0)], written) == ["order"]
-    # An engine that says nothing may run a query for 2 s after it was last asked for it.
+    # A silent engine may run a query for 2 s after it was last polled.
     assert rules(keyed, [run("a", ended_at=None), run("b", started_at=102.49, max_ms=1.0)], written) == ["order"]
     assert rules(keyed, [run("a", ended_at=None), run("b", started_at=102.51, max_ms=1.0)], written) == []
 
 
-def test_drains_are_judged_until_the_engine_has_a_successor():
+def test_drains_are_checked_until_the_engine_is_replaced():
     assert rules([request()], [run(started_at=100.4)], drains=[Drain("s-0", 100.0)]) == ["drain"]
     assert rules([request()], [run(started_at=100.2)], drains=[Drain("s-0", 100.0)]) == []
     assert rules([request()], [run(started_at=100.4)], drains=[Drain("s-0", 100.0, replaced_at=100.35)]) == []
     assert Drain("s-0", 100.0).replaced_at == math.inf
 
 
-def test_processes_are_judged():
+def test_processes_are_checked():
     assert rules(exit_code=None) == ["exit"]
     assert rules(exit_code=1) == ["exit"]
     assert rules(lines=[{"event": "exception_caught", "ts": 1.0}]) == ["log"]
-    assert rules(surplus=["bytes without a call"]) == ["surplus"]
+    assert rules(surplus=["unsolicited bytes"]) == ["surplus"]
