--- a/frostspindle/lab/soak/checker.py
+++ b/frostspindle/lab/soak/checker.py
@@ -118,7 +118,7 @@
                     yield Violation("order", text, run.ticket, earlier.ticket)
                 ends_at = earlier.may_run_until(QUERY_EXPIRY_S)
                 if run.started_at < ends_at:
-                    text = f"{key}: sent {ends_at - run.started_at:.3f} s before the end of {earlier.ticket}"
+                    text = f"{key}: sent {ends_at - run.started_at:.3f} s before {earlier.ticket} had ended"
                     yield Violation("order", text, run.ticket, earlier.ticket)
             earlier = run
 
