--- a/bench/cold_rights.py
+++ b/bench/cold_rights.py
@@ -19,13 +19,13 @@
 
 from bench.common import write_result  # noqa: E402
 from frostspindle.lab.cold import ColdEmulator  # noqa: E402
-from frostspindle.lab.faults.script import drawn, parse  # noqa: E402
+from frostspindle.lab.faults.script import draw_script, parse  # noqa: E402
 
 
 def run_mixed_faults(seed: int) -> dict[str, Any]:
-    """Run one emulation with faults of all kinds, drawn from the seed, and return its figures."""
+    """Run one emulation with faults of all kinds, draw_script from the seed, and return its figures."""
     rng = random.Random(seed)
-    count, loss_at_s, faults = drawn(rng, (3.0, 15.0, 15.0), (2.0, 25.0), (5, 3.0), (4, 8.0))
+    count, loss_at_s, faults = draw_script(rng, (3.0, 15.0, 15.0), (2.0, 25.0), (5, 3.0), (4, 8.0))
     if rng.random() < 0.3:  # power loss: all nodes are killed and restarted
         faults += [
             f"{loss_at_s + node * 0.1:.2f} kill {node}; {loss_at_s + 1.5 + rng.uniform(0.0, 3.0):.2f} start {node}"
--- a/bench/fleet_state.py
+++ b/bench/fleet_state.py
@@ -30,14 +30,14 @@
 
 from bench.common import write_result  # noqa: E402
 from frostspindle.fleet import wire  # noqa: E402
-from frostspindle.lab.faults.script import drawn, parse  # noqa: E402
+from frostspindle.lab.faults.script import draw_script, parse  # noqa: E402
 from frostspindle.lab.fleet import Emulator, measure, settle  # noqa: E402
 
 
 def run_mixed_faults(seed: int) -> dict[str, Any]:
-    """Run one emulation with faults of all kinds, drawn from the seed, and return its figures."""
+    """Run one emulation with faults of all kinds, draw_script from the seed, and return its figures."""
     rng = random.Random(seed)
-    count, _, faults = drawn(rng, (8.0, 25.0, 25.0), (5.0, 40.0), (4, 8.0), (3, 20.0))
+    count, _, faults = draw_script(rng, (8.0, 25.0, 25.0), (5.0, 40.0), (4, 8.0), (3, 20.0))
     hot_weight, demand_ratio, units = (
         rng.choice((1.0, 10.0)),
         rng.choice((0.6, 1.5, 3.0)),
@@ -254,7 +254,7 @@
 
 async def run_processes(count: int) -> dict[str, Any]:
     """Run processes of the program under a cut, a kill and message loss; return overspending and agreement time."""
-    from frostspindle.lab.faults.runner import Fleet, demand, overspent
+    from frostspindle.lab.faults.runner import Fleet, compute_overspend, demand
 
     fleet = Fleet(
         count,
@@ -296,7 +296,7 @@
         ]
         return {
             "processes": count,
-            "overspend": overspent(spans, 20 * count, 1.0),
+            "overspend": compute_overspend(spans, 20 * count, 1.0),
             "spent": sum(units for _, _, units in spans),
             "agree_after_load_s": round(agreed, 2),
             "sum": figures[0]["sums"].get("spent:blue"),
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -25,7 +25,7 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), ".."))
 
-from frostspindle.lab.faults.owners import Owned  # noqa: E402
+from frostspindle.lab.faults.owners import OwnershipFleet  # noqa: E402
 from frostspindle.lab.ownership import Lab, measure, play  # noqa: E402
 from frostspindle.ownership.service import clock  # noqa: E402
 
@@ -138,12 +138,12 @@
     violations: list[str] = []
     accepted = refused = stale_accepted = 0
     for seed in range(first, first + runs):
-        fleet = Owned(lease_ms=lease_ms, voters=(3, 5)[seed % 2], seed=seed)
+        fleet = OwnershipFleet(lease_ms=lease_ms, voters=(3, 5)[seed % 2], seed=seed)
         try:
             await fleet.start()
             fault = ("stop", "cut", "kill")[seed % 3] if faults else "kill"
             await asyncio.sleep(random.Random(seed).uniform(0.0, 0.5))
-            holder = fleet.process((await fleet.acts())["holder"])
+            holder = fleet.process((await fleet.next_action())["holder"])
             lines_before, failed_at_ms = len(fleet.sink.lines), clock()
             if fault == "stop":
                 holder.send_signal(signal.SIGSTOP)
@@ -151,7 +151,7 @@
                 fleet.streams.cut = {holder.number}
             else:
                 await fleet.kill(holder)
-            next_action = await fleet.acts(lines_before, holder.name)
+            next_action = await fleet.next_action(lines_before, holder.name)
             takeover_ms.append(next_action["at"] - failed_at_ms)
             if fault == "stop":
                 await asyncio.sleep(max(0.0, 2.0 * lease_ms - takeover_ms[-1]) / 1_000.0)
@@ -203,11 +203,11 @@
 
 async def measure_processor(tasks: int, duration_s: float = 20.0) -> dict[str, Any]:
     """Return the share of a core that each of five processes, three of them voters, uses once all tasks are held."""
-    fleet = Owned(lease_ms=3_000, tasks=())
+    fleet = OwnershipFleet(lease_ms=3_000, tasks=())
     for process in fleet.processes:
-        process.started_as = ["-c", ADD_TASKS_PROGRAM.format(tasks=tasks)]
+        process.python_arguments = ["-c", ADD_TASKS_PROGRAM.format(tasks=tasks)]
     try:
-        await fleet.start(stands=bool(tasks))
+        await fleet.start(await_candidacy=bool(tasks))
         figures: list[dict[str, Any]] = [{}]
         async with asyncio.timeout(60.0):
             while sum((figures[0].get("holders") or {}).values()) < tasks:
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -673,10 +673,10 @@
 
 
 async def _sockets(seed: int, nodes: int, seconds: float) -> dict[str, Any]:
-    from frostspindle.lab.faults.settled import Agreeing, boot_ms
+    from frostspindle.lab.faults.settled import SettingsFleet, boot_ms
 
     rng = random.Random(seed)
-    world = await Agreeing(nodes, 3, parse("", nodes), seed, engines=1).start()
+    world = await SettingsFleet(nodes, 3, parse("", nodes), seed, engines=1).start()
     pushes: list[tuple[int, float, float]] = []
     try:
         await world.publisher()
@@ -687,8 +687,8 @@
             )
             if code == 0:
                 for process in world.processes:
-                    await process.plain(push_number + 1)
-                last_applied_ms = max(process.acts()["mono_ms"] for process in world.processes)
+                    await process.wait_for_version(push_number + 1)
+                last_applied_ms = max(process.current_rules()["mono_ms"] for process in world.processes)
                 published_ms = min(
                     event["mono_ms"]
                     for process in world.processes
@@ -724,7 +724,7 @@
         for process in world.processes:
             process.send_signal(signal.SIGCONT)
         await asyncio.sleep(2.0)
-        history = world.found()
+        history = world.audit()
         versions = {
             event["version"]
             for process in world.processes
--- a/frostspindle/lab/faults/owners.py
+++ b/frostspindle/lab/faults/owners.py
@@ -1,7 +1,7 @@
-"""Processes of the program that stand for tasks, with the relay of connections between them and a fenced sink.
+"""Runs coordinator processes that compete for the leases of tasks and export to a fenced sink.
 
-Owns the processes, their files, the sink and all their lines. It must never judge a run (lab/history.py does), and
-listens on loopback only.
+The processes connect through a TCP relay on loopback. The log lines of processes and sink are checked by
+lab/history.py.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 SECRET = "a secret of the lab, and of nobody else"
 
 
-WARM = """
+WARM_FLEET_SECTION = """
 [fleet]
 listen = "127.0.0.1:{inside}"
 advertise = "{outside}"
@@ -45,22 +45,24 @@
 }
 
 
-class Warmed(Engine):
-    """A stand-in engine that records each statement that it was sent, with its time and fencing token."""
+class RecordingEngine(Engine):
+    """A stand-in engine that records each statement it receives, with the time and the fencing token."""
 
     def __init__(self, name: str, delay_s: float) -> None:
         super().__init__(name, delay_s)
-        self.said: list[tuple[float, int, str]] = []  # when, under which token, what
+        self.received_statements: list[tuple[float, int, str]] = []  # time, fencing token, statement
 
     def _take(self, ticket: str, statement: str) -> None:
-        self.said.append((clock(), int(ticket[:8], 16), statement))
+        self.received_statements.append((clock(), int(ticket[:8], 16), statement))
         super()._take(ticket, statement)
 
 
-class Owned:
-    """So many coordinators, the first `voters` of them voting. Each wants the lease of every task, whose work is an
-    export to the sink every `every_ms`. With `statements` they form a fleet too, and warm up the engines `e0` and
-    `e1`."""
+class OwnershipFleet:
+    """A fleet of `count` coordinators, of which the first `voters` vote, that all compete for the lease of each task.
+
+    The holder of a task's lease exports to the sink every `every_ms`. With `statements` the coordinators also gossip as
+    a fleet, and warm up the engines `e0` and `e1`.
+    """
 
     def __init__(
         self,
@@ -75,7 +77,9 @@
         statements: tuple[str, ...] = (),
     ) -> None:
         self.statements = statements
-        self.engines: list[Any] = [Warmed(f"e{n}", 0.03) for n in range(2)] if statements else [Engine("toy-0")]
+        self.engines: list[Any] = (
+            [RecordingEngine(f"e{n}", 0.03) for n in range(2)] if statements else [Engine("toy-0")]
+        )
         self.relay = Relay(count, script or parse("", count), seed)
         self.streams = Streams(count, script or parse("", count), seed)
         self.voters, self.lease_ms, self.tasks, self.every_ms = voters, lease_ms, tasks, every_ms
@@ -83,11 +87,13 @@
         self.server, self.bus = Server(self.sink), Bus()
         self.folder = tempfile.TemporaryDirectory()
         self.processes = [Process(n, Path(self.folder.name, f"c{n}")) for n in range(count)]
-        self.died: dict[str, list[float]] = {}
+        self.killed_at: dict[str, list[float]] = {}
+
+    async def start(self, await_candidacy: bool = True) -> OwnershipFleet:
+        """Start the relays, sink, engines, bus and all processes, and return self once all processes are ready.
 
-    async def start(self, stands: bool = True) -> Owned:
-        """Start the relays, sink, engines, bus and all processes; return self once each has logged `ready`, and with
-        `stands` that it stands for its tasks. TimeoutError if one has not within 60 s."""
+        With `await_candidacy` each must also be a candidate for the leases. Raise TimeoutError after 60 s.
+        """
         await self.streams.start()
         await self.server.start()
         for engine in self.engines:
@@ -102,7 +108,7 @@
         )
         for process in self.processes:
             process.folder.mkdir()
-            process.http, process.desk = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
+            process.http, process.operator_port = free_port(socket.SOCK_STREAM), free_port(socket.SOCK_STREAM)
             number, port = process.number, free_port(socket.SOCK_STREAM)
             self.streams.place(number, ("127.0.0.1", port))
             voters = [
@@ -120,13 +126,15 @@
                     f"every_ms = {self.every_ms}\n"
                     for task in self.tasks
                 )
-                + self._warms(number)
+                + self._warm_sections(number)
             )
         await asyncio.gather(*(process.start() for process in self.processes))
         await asyncio.gather(
             *(
                 p.until(
-                    lambda p=p: p.events("coordinator_started") and (not stands or p.events("lease_candidacy_started")),
+                    lambda p=p: (
+                        p.events("coordinator_started") and (not await_candidacy or p.events("lease_candidacy_started"))
+                    ),
                     60.0,
                 )
                 for p in self.processes
@@ -134,7 +142,7 @@
         )
         return self
 
-    def _warms(self, number: int) -> str:
+    def _warm_sections(self, number: int) -> str:
         if not self.statements:
             return ""
         inside = free_port()
@@ -145,43 +153,49 @@
         return (
             f'\n[ownership.warm]\nclass = "lookup"\nstatement = {json.dumps(self.statements)}\n'
             f"every_ms = {self.every_ms}\n"
-            + WARM.format(inside=inside, outside=self.relay.outside(number), seeds=seeds)
+            + WARM_FLEET_SECTION.format(inside=inside, outside=self.relay.outside(number), seeds=seeds)
         )
 
-    def begins(self, number: int) -> None:
-        """Publish on the bus that an engine has started again now."""
+    def announce_restart(self, number: int) -> None:
+        """Publish on the bus that an engine has just restarted."""
         engine = self.engines[number]
         self.bus.say(host_entry(engine.name, engine.port, born_ms=time.time() * 1_000.0))
 
     def accepted(self, task: str = "x") -> list[dict[str, Any]]:
-        """Return the sink's lines of the actions of a task that it accepted, in their order."""
+        """Return the sink's log lines of the accepted actions of a task, in order."""
         return [line for line in self.sink.lines if line["accepted"] and line["task"] == task]
 
-    async def acts(self, after: int = 0, but: str = "", task: str = "x", within_s: float = 60.0) -> dict[str, Any]:
-        """Return the first accepted action of a task after the sink's first `after` lines whose holder is not `but`;
-        TimeoutError if there is none within `within_s` seconds."""
+    async def next_action(
+        self, after: int = 0, excluding: str = "", task: str = "x", within_s: float = 60.0
+    ) -> dict[str, Any]:
+        """Wait for an accepted action of a task whose holder is not `excluding`, and return its line.
+
+        The first `after` lines of the sink are skipped. Raise TimeoutError after `within_s` seconds.
+        """
         async with asyncio.timeout(within_s):
             while True:
                 for line in self.sink.lines[after:]:
-                    if line["accepted"] and line["holder"] != but and line["task"] == task:
+                    if line["accepted"] and line["holder"] != excluding and line["task"] == task:
                         return line
                 await asyncio.sleep(0.005)
 
     def process(self, name: str) -> Process:
-        """Return the process of a coordinator by its name, `c` and its number."""
+        """Return the process of the coordinator with this name, `c` and its number."""
         return self.processes[int(name[1:])]
 
     async def kill(self, process: Process) -> None:
-        """Kill a process with SIGKILL and note when (CLOCK_BOOTTIME, ms): for `checked` its leases end there."""
-        self.died.setdefault(process.name, []).append(clock())
+        """Kill a process with SIGKILL and record the time (CLOCK_BOOTTIME, ms), at which `checked` ends its leases."""
+        self.killed_at.setdefault(process.name, []).append(clock())
         await process.end(9)
 
     def checked(self, expect: int = 1) -> Checked:
-        """Judge all lines with `history.check`. What engines were sent counts as accepted, since an engine can't
-        refuse; the sender is found by the fencing token in the ticket. `expect`: the least number of accepted
-        actions."""
+        """Check all log lines with `history.check`, which expects at least `expect` accepted actions.
+
+        Statements that engines received count as accepted actions, as an engine can't refuse them. Their sender is
+        found by the fencing token in the ticket.
+        """
         lines = [line for process in self.processes for line in process.lines]
-        whose = {
+        holders = {
             line["token"]: line["holder"]
             for line in lines
             if line.get("event") == "owner_took" and line.get("task") == "warm"
@@ -194,19 +208,21 @@
                 "task": "warm",
                 "token": token,
                 "at": at,
-                "holder": whose.get(token, "nobody"),
+                "holder": holders.get(token, "nobody"),
                 "action": text,
                 "accepted": True,
             }
             for engine in self.engines
             if self.statements
-            for seq, (at, token, text) in enumerate(engine.said)
+            for seq, (at, token, text) in enumerate(engine.received_statements)
         ]
-        return check([*lines, *engines, *self.sink.lines], self.died, expect=expect)
+        return check([*lines, *engines, *self.sink.lines], self.killed_at, expect=expect)
 
     async def close(self) -> list[int | None]:
-        """End all processes with SIGTERM, close the sink, the relays and the engines, and delete the files; return
-        the exit codes, None for a process that was not running."""
+        """End all processes with SIGTERM, close the sink, the relays and the engines, and delete the files.
+
+        Return the exit codes, with None for a process that was not running.
+        """
         codes = list(await asyncio.gather(*(process.end() for process in self.processes)))
         self.server.close()
         await self.streams.close()
--- a/frostspindle/lab/network.py
+++ b/frostspindle/lab/network.py
@@ -25,7 +25,7 @@
 from typing import Any
 
 from frostspindle.fleet.wire import MAX_PACKET_BYTES
-from frostspindle.lab.faults.script import Script, Weather
+from frostspindle.lab.faults.script import MessageFaults, Script
 
 MAX_WAITING_MESSAGES = 200  # in the socket of a stopped node
 MAX_SCHEDULED = 2_000_000  # events and messages
@@ -38,7 +38,7 @@
         """Set up the network. `base_ms`: minimum delay of a message; `up`: whether all nodes are up from the start."""
         self.now = 0.0
         self.events = 0  # delivered or dropped, including messages to nodes that are down
-        self.weather = Weather(script, seed, base_ms)  # `lost` counts the messages that it drops
+        self.message_faults = MessageFaults(script, seed, base_ms)  # `lost` counts the messages that it drops
         self.up, self.paused = [up] * count, [False] * count
         self.waiting: list[list[tuple[int, bytes]]] = [[] for _ in range(count)]
         self.counted: Counter[str] = Counter()  # dropped messages by reason: too_long, not_read, crowded
@@ -68,7 +68,7 @@
             self.counted["too_long"] += 1
             return False
         now, queue = self.now, self._queue
-        for delay in self.weather.fate(now / 1_000.0, source, target):
+        for delay in self.message_faults.draw_delays(now / 1_000.0, source, target):
             if len(queue) >= MAX_SCHEDULED:
                 self.counted["crowded"] += 1
                 break
--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -139,7 +139,7 @@
         self.replicas: EmulatedReplicas = None  # type: ignore[assignment]  # set below; `now` is read before that
         self.sink = Sink("sink", lambda: self.now, fenced=fenced)
         self.replicas = EmulatedReplicas(nodes, voters, seed, parse(script, nodes), self._attach)
-        self.script = self.replicas.network.weather.script
+        self.script = self.replicas.network.message_faults.script
         self.count = nodes
 
     @property
--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -23,7 +23,7 @@
 
 from frostspindle import policy
 from frostspindle.fleet.quota_escrow import QuotaAccount
-from frostspindle.lab.faults.script import Script, Weather
+from frostspindle.lab.faults.script import MessageFaults, Script
 from frostspindle.lab.fleet import excess
 from frostspindle.lab.warming import ColdBudgets
 from frostspindle.policy import AttemptOutcome, ClassSettings, EndpointListKind, EngineEntry, Health, Idempotency
@@ -691,7 +691,7 @@
         self.cold = not naive if cold is None else cold
         self.count, self.seed, self.naive, self.seconds = nodes, seed, naive, seconds
         self.script = script = script or Script()
-        self.weather = Weather(script, seed + 2)
+        self.message_faults = MessageFaults(script, seed + 2)
         self.now, self.sequence = 0.0, 0
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.engines = [Engine(n) for n in range(max(3, nodes // 6))]
@@ -772,7 +772,7 @@
 
     def post(self, source: int, target: int, data: bytes, fleet: bool = False) -> None:
         """Send a datagram over the simulated network, with `fleet` to the fleet node, else to the recovery node."""
-        for delay in self.weather.fate(self.now / 1_000.0, source, target):
+        for delay in self.message_faults.draw_delays(self.now / 1_000.0, source, target):
             self.at(self.now + delay + self.random.uniform(0.3, 3.0), self.deliver, source, target, data, fleet)
 
     def deliver(self, source: int, target: int, data: bytes, fleet: bool) -> None:
@@ -796,7 +796,7 @@
         if self.naive:
             return
         side: dict[int, int] = {}
-        for rule in self.weather._holding(max(self.now / 1_000.0, 0.0)):
+        for rule in self.message_faults._active_rules(max(self.now / 1_000.0, 0.0)):
             if rule.kind == "cut":
                 side.update({n: index for index, group in enumerate(rule.groups) for n in group})
         for coordinator in self.coordinators:
--- a/frostspindle/lab/settings.py
+++ b/frostspindle/lab/settings.py
@@ -526,7 +526,7 @@
         "applied": len(apply_times),
         "lives_at_the_end": sorted(final_versions),
         "entries": len(world.entries),
-        "messages": world.network.weather.passed,
+        "messages": world.network.message_faults.passed,
     }
 
 
--- a/frostspindle/lab/soak/run.py
+++ b/frostspindle/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one run of the soak: starts all parties, carries the plan out, and returns what the judge finds."""
+"""Plays a run of the soak: starts all processes and stand-ins, executes the plan, and returns the violations."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from pathlib import Path
 
 from frostspindle.lab.engines import Bus, host_entry
-from frostspindle.lab.soak.clients import Client, Door, IdleClient, KeyPacer
+from frostspindle.lab.soak.checker import Records, Violation, find_violations
+from frostspindle.lab.soak.clients import Client, ConnectionGate, IdleClient, KeyPacer
 from frostspindle.lab.soak.engines import FaultyEngine
-from frostspindle.lab.soak.judge import Records, Violation, judge
 from frostspindle.lab.soak.lag import LagWatch
 from frostspindle.lab.soak.plan import (
     ABSENCES,
@@ -33,16 +33,16 @@
 from frostspindle.lab.soak.records import Drain
 from frostspindle.lab.soak.stepped_clock import SteppedClock
 
-NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # the platform stops sending them by then
-LAST_ACCEPT_S = 0.3  # within which a process has accepted what came before
-CROWD = SOCKETS // 3 - CLIENTS - 4  # all clients together hold a third of the descriptors at most
-LAST_ANSWERS_S = 8.0  # for which clients are waited for at the end, where nothing answers them any more
+NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.4  # the platform opens no more connections after this
+LAST_ACCEPT_S = 0.3  # a process accepts pending connections within this time
+IDLE_CLIENTS = SOCKETS // 3 - CLIENTS - 4  # all clients together hold at most a third of the descriptors
+LAST_ANSWERS_S = 8.0  # how long clients may take to finish once the coordinator has ended
 LISTEN_BACKLOG = 300
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """What came of one run."""
+    """The result of one run."""
 
     seed: int
     violations: list[Violation]
@@ -51,7 +51,7 @@
 
 
 class SoakRun:
-    """The parties of one run."""
+    """The coordinator, engines, bus and clients of one run."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self.plan = plan
@@ -69,18 +69,18 @@
         self._client_tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> Records:
-        """Carry the plan out; return all records."""
+        """Execute the plan and return all records."""
         lag = self._lag = LagWatch()
         try:
             await self._start_stand_ins()
             process = await self._start_process(self.plan.start_signals)
-            door = Door(process.http)
-            self._start_clients(door)
+            gate = ConnectionGate(process.http)
+            self._start_clients(gate)
             self._tasks += [asyncio.create_task(self._play_fault(fault)) for fault in self.plan.faults]
             self._tasks.append(asyncio.create_task(self._step_clock()))
             if self.plan.outage is not None:
                 self._tasks += self._start_outage(self.plan.outage)
-            await self._serve_and_end(process, door)
+            await self._serve_and_end(process, gate)
             await self._await_clients()
         finally:
             lag.close()
@@ -106,26 +106,26 @@
         await process.ready(self.plan.topology is Topology.WORKERS)
         return process
 
-    def _start_clients(self, door: Door) -> None:
+    def _start_clients(self, gate: ConnectionGate) -> None:
         for number in range(CLIENTS):
-            client = Client(number, self.plan, door, self.pacer, self._ended)
+            client = Client(number, self.plan, gate, self.pacer, self._ended)
             self.clients.append(client)
             self._client_tasks.append(asyncio.create_task(client.run()))
-        if self.plan.has_crowd:
-            self._tasks += [asyncio.create_task(IdleClient(door, self._ended).run()) for _ in range(CROWD)]
+        if self.plan.has_idle_clients:
+            self._tasks += [asyncio.create_task(IdleClient(gate, self._ended).run()) for _ in range(IDLE_CLIENTS)]
 
-    async def _serve_and_end(self, process: SoakProcess, door: Door) -> None:
+    async def _serve_and_end(self, process: SoakProcess, gate: ConnectionGate) -> None:
         self._tasks.append(asyncio.create_task(process.signal_in_turn(self.plan.serving_signals)))
         await asyncio.sleep(self.plan.serving_s)
         if self.plan.topology is Topology.UPGRADE:
             successor = await self._start_process(self.plan.start_signals)
             await process.terminate(self.plan.drain_signals, self.plan.kill_after_s, self._lag)
             process = successor
-            # Nobody accepts at the inherited socket behind the last process, so that new connections end before it.
-            door.closes_at = time.time()
+            # After the last process none accepts at the inherited socket, so new connections must end before it does.
+            gate.closes_at = time.time()
             await asyncio.sleep(LAST_ACCEPT_S)
         else:
-            door.closes_at = time.time() + NEW_CONNECTIONS_AFTER_SIGTERM_S
+            gate.closes_at = time.time() + NEW_CONNECTIONS_AFTER_SIGTERM_S
         await process.terminate(self.plan.drain_signals, self.plan.kill_after_s, self._lag)
 
     async def _await_clients(self) -> None:
@@ -144,14 +144,14 @@
         self.bus.server.close()
         if self._listening is not None:
             self._listening.close()
-        faults = [one for one in results if isinstance(one, Exception)]
-        if faults:
-            raise faults[0]  # a fault of the soak itself
+        errors = [each for each in results if isinstance(each, Exception)]
+        if errors:
+            raise errors[0]  # an error of the soak itself
 
     async def _step_clock(self) -> None:
-        began_s = time.monotonic()
+        started_at = time.monotonic()
         for step in self.plan.clock_steps:
-            await asyncio.sleep(max(0.0, began_s + step.at_s - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + step.at_s - time.monotonic()))
             self.clock.step(step.seconds)
 
     # Engine faults.
@@ -174,12 +174,12 @@
         await engine.finish(fault.kind)
         if fault.kind in ABSENCES:
             if fault.kind is FaultKind.DRAIN:
-                drain.gone_at = time.time()
+                drain.replaced_at = time.time()
             self.bus.say(host_entry(engine.name, engine.port, born_ms=round(self.clock.unix_ms())))
 
 
 async def play(seed: int) -> SoakResult:
-    """Play the run of a seed and judge it."""
+    """Play the run of a seed and check it."""
     plan = make_plan(seed)
     with tempfile.TemporaryDirectory() as folder:
         records = await SoakRun(plan, Path(folder)).play()
@@ -190,19 +190,19 @@
             counts["left"] += request.left_at is not None
             counts.update(str(kind) for _, kind in request.answers)
     counts["runs"] = sum(len(engine.runs) for engine in records.engines)
-    return SoakResult(seed, judge(records), counts, records.lag_s)
+    return SoakResult(seed, find_violations(records), counts, records.lag_s)
 
 
-async def play_all(seeds: Iterable[int], beside: int, told: Callable[[SoakResult], None]) -> list[SoakResult]:
-    """Play the runs of these seeds, so many at a time, and tell each result as it comes."""
-    places = asyncio.Semaphore(beside)
+async def play_all(seeds: Iterable[int], concurrency: int, on_result: Callable[[SoakResult], None]) -> list[SoakResult]:
+    """Play the runs of these seeds, `concurrency` at a time, and call `on_result` with each result."""
+    slots = asyncio.Semaphore(concurrency)
     results: list[SoakResult] = []
 
     async def play_one(seed: int) -> None:
-        async with places:
+        async with slots:
             result = await play(seed)
         results.append(result)
-        told(result)
+        on_result(result)
 
     await asyncio.gather(*(play_one(seed) for seed in seeds))
     return results
--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from frostspindle.lab.faults.script import Script, Weather, parse
+from frostspindle.lab.faults.script import MessageFaults, Script, parse
 from frostspindle.predicates import language, match
 from frostspindle.subscriptions import schema, wire
 from frostspindle.subscriptions.fanout import BacklogItem, Fanout
@@ -111,7 +111,7 @@
         self.nodes, self.seed, self.script, self.seconds = nodes, seed, script, seconds
         self.rate, self.ring = rate, ring
         self.backlog, self.move_s, self.slow = backlog, move_s, slow
-        self.weather = Weather(script, seed + 1, 0.5)
+        self.message_faults = MessageFaults(script, seed + 1, 0.5)
         self.members = [Node(f"c{number}") for number in range(nodes)]
         self.numbers = {node.name: number for number, node in enumerate(self.members)}
         self.now = 0.0
@@ -198,7 +198,7 @@
             self.taken += node.hub.subscribers.taken
 
     def _send(self, source: int, target: int, message: Any) -> None:
-        for delay in self.weather.fate(self.now / 1_000.0, source, target):
+        for delay in self.message_faults.draw_delays(self.now / 1_000.0, source, target):
             self.order += 1
             heapq.heappush(self.queue, (self.now + delay, self.order, target, message))
 
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -5,7 +5,7 @@
 import unittest
 from contextlib import suppress
 
-from frostspindle.lab.faults.logs import Logs
+from frostspindle.lab.faults.logs import ReplicaMembers
 from frostspindle.lab.faults.script import parse
 from frostspindle.replica.disk import MAGIC
 from frostspindle.replica.handshake import HELLO_MAGIC
@@ -13,7 +13,7 @@
 
 class ProcessesCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.logs = await Logs(5, 3, parse("", 5), 1).start()
+        self.logs = await ReplicaMembers(5, 3, parse("", 5), 1).start()
         self.addAsyncCleanup(self.logs.close)
         self.rounds, self.outcomes = 0, {}
 
@@ -87,7 +87,7 @@
         late = asyncio.create_task(leader.call("propose", "late", 1.0))
         await asyncio.sleep(0)
         leader.send_signal(signal.SIGSTOP)
-        await logs.leader(but=leader.number)
+        await logs.leader(excluding=leader.number)
         await self.propose_until_applied(others, 8)
         leader.send_signal(signal.SIGCONT)
         self.outcomes["late"] = await late
--- a/tests/test_scatter_processes.py
+++ b/tests/test_scatter_processes.py
@@ -5,13 +5,13 @@
 import time
 import unittest
 
-from frostspindle.lab.faults.spread import AGENT, LEASE_S, SITES, Scattered, unexpected
+from frostspindle.lab.faults.spread import AGENT, LEASE_S, SITES, ScatterRun, unexpected_log_lines
 
 
 class ScatterCase(unittest.IsolatedAsyncioTestCase):
     async def test_no_answered_row_is_missed_under_kills_stops_and_packet_loss(self):
         asyncio.get_running_loop().set_debug(False)  # the relay and engines of five processes run here
-        cluster = self.scattered = Scattered("0- loss 0.05; 0- dup 0.1; 0- reorder 0.1; 0- delay 0-5")
+        cluster = self.scattered = ScatterRun("0- loss 0.05; 0- dup 0.1; 0- reorder 0.1; 0- delay 0-5")
         fleet, self.codes = cluster.fleet, None
 
         async def close_fleet() -> None:
@@ -21,7 +21,7 @@
         self.addAsyncCleanup(close_fleet)
         await fleet.start()
         fleet.begin()
-        await cluster.leased()
+        await cluster.wait_for_leases()
         before = (await cluster.figures(0))["left_out"]
         self.assertEqual(await cluster.count(0, "n = 1007"), 1)
         self.assertEqual(await cluster.count(0, "n BETWEEN 1500 AND 1510"), 0)
@@ -47,7 +47,7 @@
         await restart(fleet.processes[killed])
 
         # A holder is stopped past its lease: a load waits for the expiry, and the holder uses no old summary.
-        await cluster.leased([silent])
+        await cluster.wait_for_leases([silent])
         fleet.processes[silent].send_signal(signal.SIGSTOP)
         began = time.monotonic()
         self.assertEqual((await cluster.load(other, 778, "west"))[0], "served")
@@ -57,7 +57,7 @@
         self.assertEqual(await late, 1)
 
         # A home is stopped past its leases: no process skips its site any more, and no load is sent.
-        await cluster.leased([other])
+        await cluster.wait_for_leases([other])
         loads = len(west.loads)
         fleet.processes[home].send_signal(signal.SIGSTOP)
         self.assertEqual((await cluster.load(other, 779, "west", timeout_ms=2_500.0))[0], "refused")
@@ -72,7 +72,7 @@
         await fleet.processes[home].end(signal.SIGKILL)
         await restart(fleet.processes[home])
         await fleet.processes[home].until(lambda: len(fleet.processes[home].events("scatter_summary_learned")) > 1)
-        await cluster.leased([other])
+        await cluster.wait_for_leases([other])
         self.assertEqual(await cluster.count(other, "n = 780"), 1)
 
         # Loads and queries at all processes, while two of them are stopped past their leases and continued.
@@ -85,11 +85,11 @@
 
         until = time.monotonic() + 4.0
         await asyncio.gather(stops(), *(cluster.client(process, until) for process in range(5)))
-        self.assertEqual((cluster.wrong, cluster.doubled()), ([], 0))
+        self.assertEqual((cluster.wrong, cluster.count_duplicate_rows()), ([], 0))
         self.assertGreater(len(cluster.answered), 10)
         self.codes = await fleet.close()
         self.assertEqual(self.codes, [0] * 5)
-        self.assertEqual(unexpected(fleet), [])
+        self.assertEqual(unexpected_log_lines(fleet), [])
 
 
 async def restart(process) -> None:
--- a/tests/test_subscriptions_processes.py
+++ b/tests/test_subscriptions_processes.py
@@ -4,7 +4,7 @@
 
 from faults import FLEET, TENANTS, UNITS
 
-from frostspindle.lab.faults.spread import Subscribed
+from frostspindle.lab.faults.spread import SubscriptionRun
 
 SCRIPT = (
     "0- loss 0.05; 0- dup 0.1; 0- reorder 0.1; 1.5-4 cut 0-1|2-4; 2 kill 4; 4 start 4; 5 stop 1; 7.5 cont 1; "
@@ -14,7 +14,7 @@
 
 class ProcessesCase(unittest.IsolatedAsyncioTestCase):
     async def test_moving_subscriber_misses_no_event_without_a_gap_through_kills_a_stop_and_partitions(self):
-        run = Subscribed(SCRIPT, 7, FLEET.format(units=UNITS), TENANTS)
+        run = SubscriptionRun(SCRIPT, 7, FLEET.format(units=UNITS), TENANTS)
         self.codes = None
 
         async def close() -> None:
@@ -27,9 +27,9 @@
             {key: found[key] for key in ("lost_silently", "repeated", "foreign", "disordered", "gaps_open", "faults")},
             dict.fromkeys(("lost_silently", "repeated", "foreign", "disordered", "gaps_open"), 0) | {"faults": []},
         )
-        served, _, mover = run.kept
+        served, _, mover = run.subscribers
         self.assertGreater(len(served.events), 100)
-        self.assertGreater(len(set(mover.homes)), 1)
+        self.assertGreater(len(set(mover.visited)), 1)
         (killed,) = [line["epoch"] for line in run.fleet.processes[4].events("subscriptions_started", life=1)]
         self.assertTrue(any(first <= [killed, 10**9] <= last for maker, first, last in mover.gaps if maker == "c4"))
         self.codes = await run.close()
