--- a/tests/contracts/test_settings_keep.py
+++ b/tests/contracts/test_settings_keep.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from stores import Child, files, lay
+from stores import Child, files, replace_files
 
 from frostspindle.settings.active_rules import RestoredVersions
 from frostspindle.settings.schema import Ban, InvalidSettingsError
@@ -132,11 +132,11 @@
 
     seen = []
     for before, after in zip([write_points[0], *write_points], write_points, strict=False):
-        lay(folder / "store", after)
+        replace_files(folder / "store", after)
         seen.append(start())
         for name in {name for name in after if after[name] != before.get(name)}:
             for part in (0, 1, 3):
-                lay(folder / "store", {**after, name: after[name][: len(after[name]) * part // 4]})
+                replace_files(folder / "store", {**after, name: after[name][: len(after[name]) * part // 4]})
                 assert start() in ([1, 2], [2, 3, 4], "aside")
     assert set(map(str, seen)) == {"[1, 2]", "[2, 3, 4]"} and seen == sorted(seen, key=len)
 
@@ -157,7 +157,7 @@
             )
             if trial >= 12:
                 data[rng.randrange(len(data))] ^= 1 + rng.randrange(255)
-            lay(folder, {**content, name: bytes(data)})
+            replace_files(folder, {**content, name: bytes(data)})
             (folder / "witness").unlink()
             reopened = open_store(folder, "c1", SqliteEngine, copy_approved=True)
             restored = VersionStore(reopened).load()
