--- a/tests/contracts/test_settings_keep.py
+++ b/tests/contracts/test_settings_keep.py
@@ -181,7 +181,7 @@
     reported = 0
     for _ in range(6):
         child = Child(write)
-        reports = child.words()
+        reports = child.reports()
         for _ in range(rng.randrange(1, 9)):
             reported = next(reports)
         os.kill(child.pid, signal.SIGKILL)
