--- a/frostspindle/subscriptions/cover.py
+++ b/frostspindle/subscriptions/cover.py
@@ -57,81 +57,81 @@
 
 
 def _side_of(atom: Any) -> Side | None:
-    kind = type(atom)
-    if kind is In and not atom.negated and atom.values:
+    atom_type = type(atom)
+    if atom_type is In and not atom.negated and atom.values:
         return Values(atom.values)
-    if kind is Starts and not atom.negated and atom.prefix:
+    if atom_type is Starts and not atom.negated and atom.prefix:
         return Prefix(atom.prefix)
-    if kind is not Compare or atom.op == "<>":
+    if atom_type is not Compare or atom.op == "<>":
         return None
     if atom.op == "=":
         return Values(frozenset((atom.value,)))
     return Range(None, atom.value) if atom.op in ("<", "<=") else Range(atom.value, None)
 
 
-def _intersection(one: Side, other: Side) -> Side:
+def _intersection(first: Side, second: Side) -> Side:
     """Return a condition that holds wherever both do; if their intersection is no side, the narrower of them."""
-    if type(one) is Values and type(other) is Values:
-        return Values(one.values & other.values or one.values)
-    if type(one) is Range and type(other) is Range:
+    if type(first) is Values and type(second) is Values:
+        return Values(first.values & second.values or first.values)
+    if type(first) is Range and type(second) is Range:
         return Range(
-            one.low if other.low is None else other.low if one.low is None else max(one.low, other.low),
-            one.high if other.high is None else other.high if one.high is None else min(one.high, other.high),
+            first.low if second.low is None else second.low if first.low is None else max(first.low, second.low),
+            first.high if second.high is None else second.high if first.high is None else min(first.high, second.high),
         )
-    return max(one, other, key=lambda side: (type(side) is Values, type(side) is Prefix))
+    return max(first, second, key=lambda side: (type(side) is Values, type(side) is Prefix))
 
 
 def box(term: Term) -> Box:
     """Return the box of a conjunction; conditions that no box can express are left out."""
-    out: dict[str, Side] = {}
+    sides: dict[str, Side] = {}
     for atom in term:
         if (side := _side_of(atom)) is not None:
             name = atom.column  # type: ignore[union-attr]
-            out[name] = _intersection(out[name], side) if name in out else side
+            sides[name] = _intersection(sides[name], side) if name in sides else side
     return frozenset(
-        (name, side) for name, side in out.items() if not (type(side) is Values and len(side.values) > MAX_VALUES)
+        (name, side) for name, side in sides.items() if not (type(side) is Values and len(side.values) > MAX_VALUES)
     )
 
 
 def _widened(side: Values) -> Side | None:
     """Return a prefix (of texts) or a range that contains the values; None: no condition."""
     if all(type(value) is str for value in side.values):
-        found = commonprefix(list(side.values))
-        return Prefix(found) if found else None
+        common_prefix = commonprefix(list(side.values))
+        return Prefix(common_prefix) if common_prefix else None
     return Range(min(side.values), max(side.values))
 
 
-def _union(one: Side, other: Side) -> Side | None:
+def _union(first: Side, second: Side) -> Side | None:
     """Return a condition that holds wherever one of them does; None if no box can express one."""
-    if type(one) is Values and type(other) is Values:
-        united = Values(one.values | other.values)
+    if type(first) is Values and type(second) is Values:
+        united = Values(first.values | second.values)
         return united if len(united.values) <= MAX_VALUES else _widened(united)
-    one, other = (_widened(side) if type(side) is Values else side for side in (one, other))  # type: ignore[assignment]
-    if type(one) is Prefix and type(other) is Prefix:
-        found = commonprefix([one.prefix, other.prefix])
-        return Prefix(found) if found else None
-    if type(one) is Range and type(other) is Range:
-        low = None if one.low is None or other.low is None else min(one.low, other.low)
-        high = None if one.high is None or other.high is None else max(one.high, other.high)
+    first, second = (_widened(side) if type(side) is Values else side for side in (first, second))  # type: ignore[assignment]
+    if type(first) is Prefix and type(second) is Prefix:
+        common_prefix = commonprefix([first.prefix, second.prefix])
+        return Prefix(common_prefix) if common_prefix else None
+    if type(first) is Range and type(second) is Range:
+        low = None if first.low is None or second.low is None else min(first.low, second.low)
+        high = None if first.high is None or second.high is None else max(first.high, second.high)
         return Range(low, high) if low is not None or high is not None else None
     return None
 
 
-def join(one: Box, other: Box) -> Box:
+def join(first: Box, second: Box) -> Box:
     """Return the smallest box that contains both."""
-    right = dict(other)
-    sides = ((name, _union(side, right[name])) for name, side in one if name in right)
+    second_sides = dict(second)
+    sides = ((name, _union(side, second_sides[name])) for name, side in first if name in second_sides)
     return frozenset((name, side) for name, side in sides if side is not None)
 
 
 def coarser(box_: Box) -> list[Box]:
     """Return variants of the box, each with one list of values widened to a range or prefix, or left out."""
-    out = []
+    variants = []
     for name, side in box_:
         if type(side) is Values and len(side.values) > MAX_UNWIDENED_VALUES:
-            wide = _widened(side)
-            out.append(box_ - {(name, side)} | ({(name, wide)} if wide is not None else set()))
-    return out
+            wider_side = _widened(side)
+            variants.append(box_ - {(name, side)} | ({(name, wider_side)} if wider_side is not None else set()))
+    return variants
 
 
 def predicate(box_: Box) -> Predicate:
@@ -174,45 +174,45 @@
                         texts.setdefault(name, set()).add(value)
                     elif value is not None:
                         numbers.setdefault(name, set()).add(_number(value) or 0.0)
-        self.texts = {name: sorted(found) for name, found in texts.items()}
-        self.spans = {name: (min(found), max(found), len(found)) for name, found in numbers.items()}
+        self.texts = {name: sorted(known) for name, known in texts.items()}
+        self.spans = {name: (min(known), max(known), len(known)) for name, known in numbers.items()}
         self._shares: dict[tuple[str, Side], float] = {}
         self._sizes: dict[tuple[str, Side], int] = {}
 
-    def _part(self, name: str, side: Side) -> float:
+    def _condition_share(self, name: str, side: Side) -> float:
         if name == "kind" and type(side) is Values:
             return sum(
                 ANSWER_SHARE if kind == "answer" else (1.0 - ANSWER_SHARE) / (len(schema.NAMES) - 1)
                 for kind in side.values
             )
         if type(side) is Prefix:
-            known = self.texts.get(name, [])
-            begin = bisect_left(known, side.prefix)
-            return max(1, bisect_left(known, side.prefix + "\U0010ffff") - begin) / max(1, len(known))
-        low, high, many = self.spans.get(name, (0.0, 0.0, len(self.texts.get(name, ()))))
+            sorted_texts = self.texts.get(name, [])
+            begin = bisect_left(sorted_texts, side.prefix)
+            return max(1, bisect_left(sorted_texts, side.prefix + "\U0010ffff") - begin) / max(1, len(sorted_texts))
+        low, high, value_count = self.spans.get(name, (0.0, 0.0, len(self.texts.get(name, ()))))
         if type(side) is Values:
-            return min(1.0, len(side.values) / (many + 1))
+            return min(1.0, len(side.values) / (value_count + 1))
         if high <= low:
             return 0.5
         begin, end = (_number(bound) for bound in side)
         return max(0.01, ((high if end is None else end) - (low if begin is None else begin)) / (high - low))
 
     def share(self, box_: Box) -> float:
-        out = 1.0
-        for one in box_:
-            if (side := self._shares.get(one)) is None:
-                side = self._shares[one] = min(1.0, self._part(*one))
-            out *= side
-        return out
+        share = 1.0
+        for condition in box_:
+            if (condition_share := self._shares.get(condition)) is None:
+                condition_share = self._shares[condition] = min(1.0, self._condition_share(*condition))
+            share *= condition_share
+        return share
 
     def size(self, box_: Box) -> int:
         """Return the bytes of the box's filter."""
-        out = -len(AND_SEPARATOR) if box_ else len("TRUE")
-        for one in box_:
-            if (side := self._sizes.get(one)) is None:
-                side = self._sizes[one] = len(text(_atom(*one)).encode()) + len(AND_SEPARATOR)
-            out += side
-        return out
+        size = -len(AND_SEPARATOR) if box_ else len("TRUE")
+        for condition in box_:
+            if (condition_size := self._sizes.get(condition)) is None:
+                condition_size = self._sizes[condition] = len(text(_atom(*condition)).encode()) + len(AND_SEPARATOR)
+            size += condition_size
+        return size
 
 
 def _sort_key(box_: Box, selectivity: _Selectivity) -> Any:
@@ -228,43 +228,45 @@
     return names, keys
 
 
-def _merge_neighbours(boxes: list[Box], selectivity: _Selectivity, most: int) -> list[Box]:
-    """Join neighbours, cheapest first, until `most` are left; with very many, first join runs with the same columns."""
-    ordered = sorted((_sort_key(one, selectivity), index, one) for index, one in enumerate(boxes))
+def _merge_neighbours(boxes: list[Box], selectivity: _Selectivity, max_boxes: int) -> list[Box]:
+    """Join neighbours, cheapest first, until `max_boxes` are left; many boxes are first joined in runs of same columns."""
+    ordered = sorted((_sort_key(box_, selectivity), index, box_) for index, box_ in enumerate(boxes))
     runs: list[Box] = []
-    each = -(-len(boxes) // MAX_MERGE_CANDIDATES)
-    for _, alike in groupby(ordered, key=lambda one: one[0][0]):
-        same = [one for *_, one in alike]
-        runs += [reduce(join, same[index : index + each]) for index in range(0, len(same), each)]
+    run_length = -(-len(boxes) // MAX_MERGE_CANDIDATES)
+    for _, run in groupby(ordered, key=lambda entry: entry[0][0]):
+        run_boxes = [box_ for *_, box_ in run]
+        runs += [reduce(join, run_boxes[index : index + run_length]) for index in range(0, len(run_boxes), run_length)]
     remaining: dict[int, Box] = dict(enumerate(runs))
     after = {index: index + 1 for index in remaining}
     before = {index: index - 1 for index in remaining}
-    number, queue = len(remaining) + 1, []  # the number one past the last run is no box
+    new_index, queue = len(remaining) + 1, []  # the index after the last run stays unused
 
-    def offer(one: int, other: int) -> None:
-        if one in remaining and other in remaining:
-            joined = join(remaining[one], remaining[other])
-            share = selectivity.share(joined) - selectivity.share(remaining[one]) - selectivity.share(remaining[other])
-            heapq.heappush(queue, (share, one, other, joined))
+    def offer(first: int, second: int) -> None:
+        if first in remaining and second in remaining:
+            joined = join(remaining[first], remaining[second])
+            share = (
+                selectivity.share(joined) - selectivity.share(remaining[first]) - selectivity.share(remaining[second])
+            )
+            heapq.heappush(queue, (share, first, second, joined))
 
     for index in range(len(runs)):
         offer(index, index + 1)
-    while len(remaining) > most and queue:
-        _, one, other, joined = heapq.heappop(queue)
-        if one not in remaining or other not in remaining:
+    while len(remaining) > max_boxes and queue:
+        _, first, second, joined = heapq.heappop(queue)
+        if first not in remaining or second not in remaining:
             continue
-        del remaining[one], remaining[other]
-        left, right = before[one], after[other]
-        remaining[number], before[number], after[number] = joined, left, right
-        after[left], before[right] = number, number
-        offer(left, number)
-        offer(number, right)
-        number += 1
+        del remaining[first], remaining[second]
+        left, right = before[first], after[second]
+        remaining[new_index], before[new_index], after[new_index] = joined, left, right
+        after[left], before[right] = new_index, new_index
+        offer(left, new_index)
+        offer(new_index, right)
+        new_index += 1
     return list(remaining.values())
 
 
-def reduce_boxes(boxes: Iterable[Box], most: int, room: int) -> list[Box]:
-    """Reduce the boxes to at most `most`, whose filters together have at most `room` bytes.
+def reduce_boxes(boxes: Iterable[Box], max_boxes: int, max_bytes: int) -> list[Box]:
+    """Reduce the boxes to at most `max_boxes`, whose filters together have at most `max_bytes` bytes.
 
     Joins first what widens least for the bytes saved. Each of the given boxes lies within one of the result.
     """
@@ -280,17 +282,17 @@
             if joined in members:
                 candidates[members] = COVERED_COST, joined
             elif (saved := sum(map(selectivity.size, members)) - selectivity.size(joined)) > 0:
-                worth = (selectivity.share(joined) - sum(map(selectivity.share, members))) / saved
-                if members not in candidates or worth < candidates[members][0]:
-                    candidates[members] = worth, joined
+                cost = (selectivity.share(joined) - sum(map(selectivity.share, members))) / saved
+                if members not in candidates or cost < candidates[members][0]:
+                    candidates[members] = cost, joined
 
-    for one in remaining:
-        weigh(one)
+    for box_ in remaining:
+        weigh(box_)
     for pair in combinations(remaining, 2):
         weigh(*pair)
     while (
-        len(remaining) > most
-        or sum(map(selectivity.size, remaining)) > room
+        len(remaining) > max_boxes
+        or sum(map(selectivity.size, remaining)) > max_bytes
         or any(candidate[0] == COVERED_COST for candidate in candidates.values())
     ):
         if not candidates:
@@ -298,7 +300,7 @@
         members = min(candidates, key=lambda key: candidates[key][0])
         joined = candidates[members][1]
         candidates = {key: candidate for key, candidate in candidates.items() if not set(key) & {*members, joined}}
-        remaining = [one for one in remaining if one not in members and one != joined]
+        remaining = [box_ for box_ in remaining if box_ not in members and box_ != joined]
         weigh(joined)
         for other in remaining:
             weigh(other, joined)
