--- a/frostspindle/subscriptions/cover.py
+++ b/frostspindle/subscriptions/cover.py
@@ -229,7 +229,7 @@
 
 
 def _merge_neighbours(boxes: list[Box], selectivity: _Selectivity, max_boxes: int) -> list[Box]:
-    """Join neighbours, cheapest first, until `max_boxes` are left; many boxes are first joined in runs of same columns."""
+    """Join neighbours, cheapest first, until `max_boxes` are left; many are first joined in runs of equal columns."""
     ordered = sorted((_sort_key(box_, selectivity), index, box_) for index, box_ in enumerate(boxes))
     runs: list[Box] = []
     run_length = -(-len(boxes) // MAX_MERGE_CANDIDATES)
