--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -122,7 +122,7 @@
         self.clients = [Client(number, self._filter()) for number in range(subscribers)]
         self.messages = self.bytes = 0
         self.counted: Counter[str] = Counter()
-        self.needless = self.taken = 0
+        self.unmatched_events = self.received_events = 0
         for number in range(nodes):
             self._start(number)
 
@@ -194,8 +194,8 @@
         if node.hub is not None:
             self.counted += node.hub.counted
             self.counted["fell_behind"] += node.hub.subscribers.fanout.overflows
-            self.needless += node.hub.subscribers.needless
-            self.taken += node.hub.subscribers.taken
+            self.unmatched_events += node.hub.subscribers.unmatched_events
+            self.received_events += node.hub.subscribers.received_events
 
     def _send(self, source: int, target: int, message: Any) -> None:
         for delay in self.message_faults.draw_delays(self.now / 1_000.0, source, target):
@@ -388,8 +388,8 @@
                 "never_acknowledged",
             )
         },
-        "forwarded_needlessly": lab.needless,
-        "forwarded": lab.taken,
+        "forwarded_needlessly": lab.unmatched_events,
+        "forwarded": lab.received_events,
         "made": sum(map(len, lab.made.values())),
         "messages": lab.messages,
         "bytes": lab.bytes,
--- a/frostspindle/subscriptions/subscribers.py
+++ b/frostspindle/subscriptions/subscribers.py
@@ -98,7 +98,7 @@
         self.acknowledged: list[int] = []  # newly acknowledged, in order; emptied by the caller
         self.outbox: list[tuple[str, Message]] = []
         self.counted: Counter[str] = Counter()
-        self.needless = self.taken = 0  # events received from others, and those without a match here
+        self.unmatched_events = self.received_events = 0  # events received from others, and those without a match here
         self.filters: tuple[str, ...] = ()  # filters that publishers are asked for
         self._wanted: Predicate = FALSE  # the predicate of `filters`
         self._alive: dict[str, int] = {}
@@ -279,8 +279,8 @@
         publisher, at = inbound.publisher, (inbound.epoch, number)
         found = self._index.find(schema.row(publisher, event))
         if publisher != self.name:
-            self.taken += 1
-            self.needless += not found
+            self.received_events += 1
+            self.unmatched_events += not found
         encoded = b""
         for key in found:
             sub = self.subscriptions[key]  # type: ignore[index]
@@ -446,8 +446,8 @@
                     BacklogItem(sender, (epoch, first), (epoch, first), event_line(sender, epoch, first, event)),
                 )
             else:
-                self.needless += sender != self.name
-            self.taken += event is not None and sender != self.name
+                self.unmatched_events += sender != self.name
+            self.received_events += event is not None and sender != self.name
         self._catch_up(now, sender, sub)
 
     def _catch_up(self, now: float, publisher: str, sub: Subscription | None = None) -> None:
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -746,7 +746,7 @@
 
     def found(self):
         self.judge.nodes = self.judge.seed = self.judge.seconds = 0
-        self.judge.needless = self.judge.taken = self.judge.messages = self.judge.bytes = 0
+        self.judge.unmatched_events = self.judge.received_events = self.judge.messages = self.judge.bytes = 0
         self.judge.counted = {}
         return lab.measure(self.judge)
 
