--- a/frostspindle/predicates/index.py
+++ b/frostspindle/predicates/index.py
@@ -115,8 +115,8 @@
 class FilterIndex:
     """Filters by the caller's keys. `tried` counts the filters that `find` has evaluated."""
 
-    def __init__(self, most: int = MAX_FILTERS):
-        self.most = most
+    def __init__(self, max_filters: int = MAX_FILTERS):
+        self.max_filters = max_filters
         self.tried = 0
         self._filters: dict[Key, tuple[Predicate, list[tuple[_Shape, tuple, _Place]]]] = {}
         self._shapes: dict[_Shape, dict[tuple, _Bucket]] = {}  # by columns, then by their values
@@ -132,8 +132,8 @@
         bounded(predicate)
         if has_unknown(predicate):
             raise FilterError("the filter has a part that was not understood")
-        if key not in self._filters and len(self._filters) >= self.most:
-            raise FilterError(f"more than {self.most} filters")
+        if key not in self._filters and len(self._filters) >= self.max_filters:
+            raise FilterError(f"more than {self.max_filters} filters")
         self.remove(key)
         places = list(dict.fromkeys(self._places(predicate)))
         for columns, values, place in places:
@@ -189,12 +189,14 @@
         return max(fewer, key=len, default=())
 
 
-def _required_values(term: Term, most: int) -> dict[str, frozenset[Value]]:
-    """Return the values that a term requires, by column, with at most `most` combinations."""
+def _required_values(term: Term, max_combinations: int) -> dict[str, frozenset[Value]]:
+    """Return the values that a term requires, by column, with at most `max_combinations` combinations."""
     required: dict[str, frozenset[Value]] = {}
     combinations = 1
-    for atom in sorted((atom for atom in term if type(atom) is In and not atom.negated), key=lambda a: len(a.values)):
-        if atom.column not in required and combinations * len(atom.values) <= most:
+    for atom in sorted(
+        (atom for atom in term if type(atom) is In and not atom.negated), key=lambda listed: len(listed.values)
+    ):
+        if atom.column not in required and combinations * len(atom.values) <= max_combinations:
             combinations *= len(atom.values)
             required[atom.column] = atom.values
     for atom in term:
@@ -209,16 +211,16 @@
     if prefixes:
         longest = max(prefixes, key=lambda atom: len(atom.prefix))
         return "prefix", longest.column, min(len(longest.prefix), MAX_PREFIX), longest.prefix[:MAX_PREFIX]
-    ends: dict[tuple[str, int], list[Value]] = {}
+    bounds: dict[tuple[str, int], list[Value]] = {}
     for atom in term:
         if type(atom) is Compare and atom.op[0] in "<>" and atom.op != "<>":
-            both = ends.setdefault((atom.column, atom.kind), [None, None])
+            low_high = bounds.setdefault((atom.column, atom.kind), [None, None])
             if atom.op[0] == ">":
-                both[0] = atom.value if both[0] is None else max(both[0], atom.value)
+                low_high[0] = atom.value if low_high[0] is None else max(low_high[0], atom.value)
             else:
-                both[1] = atom.value if both[1] is None else min(both[1], atom.value)
+                low_high[1] = atom.value if low_high[1] is None else min(low_high[1], atom.value)
     cells = []
-    for (column, kind), (low, high) in ends.items():
+    for (column, kind), (low, high) in bounds.items():
         if low is not None and high is not None and kind in (NUMBER, TIME):
             start, end = _to_units(low), _to_units(high)
             level = max(0, end - start).bit_length()
@@ -226,7 +228,7 @@
     if cells:
         _, column, kind, cell = min(cells)
         return "cell", column, kind, cell
-    for (column, kind), (low, high) in ends.items():
+    for (column, kind), (low, high) in bounds.items():
         return ("above", column, kind, low) if low is not None else ("below", column, kind, high)
     return None
 
--- a/frostspindle/subscriptions/fanout.py
+++ b/frostspindle/subscriptions/fanout.py
@@ -43,9 +43,11 @@
             unended[item.publisher] = item
             continue
         unended.pop(item.publisher, None)
-        before = closed.get(item.publisher, item)
-        assert before.last is not None
-        closed[item.publisher] = BacklogItem(item.publisher, min(before.first, item.first), max(before.last, item.last))
+        previous = closed.get(item.publisher, item)
+        assert previous.last is not None
+        closed[item.publisher] = BacklogItem(
+            item.publisher, min(previous.first, item.first), max(previous.last, item.last)
+        )
     return [*closed.values(), *unended.values()]
 
 
@@ -89,17 +91,18 @@
         self.backlogs[subscriber] = deque(gaps)
         self.overflows += 1
 
-    def next_batches(self, busy: set[int], most: int) -> Iterator[tuple[int, list[BacklogItem]]]:
-        """Yield subscribers and items to write, `most` items in all and MAX_BATCH_ITEMS each.
+    def next_batches(self, busy: set[int], max_items: int) -> Iterator[tuple[int, list[BacklogItem]]]:
+        """Yield subscribers and items to write, `max_items` items in all and MAX_BATCH_ITEMS each.
 
-        The smallest backlog comes first; `busy` subscribers are skipped."""
+        The smallest backlog comes first; `busy` subscribers are skipped.
+        """
         ready = [(len(self.backlogs[subscriber]), subscriber) for subscriber in self._waiting if subscriber not in busy]
-        for size, subscriber in heapq.nsmallest(most, ready):
+        for size, subscriber in heapq.nsmallest(max_items, ready):
             backlog = self.backlogs.get(subscriber)
-            if most <= 0 or backlog is None:
+            if max_items <= 0 or backlog is None:
                 break
-            items = [backlog.popleft() for _ in range(min(size, MAX_BATCH_ITEMS, most))]
-            most -= len(items)
+            items = [backlog.popleft() for _ in range(min(size, MAX_BATCH_ITEMS, max_items))]
+            max_items -= len(items)
             self.total -= len(items)
             if not backlog:
                 del self._waiting[subscriber]
@@ -111,8 +114,8 @@
 
     def pending(self, subscriber: int) -> dict[str, Position]:
         """Return, by publisher, the position before a subscriber's first queued item."""
-        out: dict[str, Position] = {}
+        positions: dict[str, Position] = {}
         for item in self.backlogs[subscriber]:
-            if item.publisher not in out:
-                out[item.publisher] = item.first[0], max(0, item.first[1] - 1)
-        return out
+            if item.publisher not in positions:
+                positions[item.publisher] = item.first[0], max(0, item.first[1] - 1)
+        return positions
--- a/frostspindle/subscriptions/hub.py
+++ b/frostspindle/subscriptions/hub.py
@@ -26,12 +26,12 @@
         epoch: int,
         now: float,
         ring: int = MAX_REMEMBERED_EVENTS,
-        most: int = MAX_SUBSCRIPTIONS,
+        max_subscriptions: int = MAX_SUBSCRIPTIONS,
         fanout: Fanout | None = None,
     ) -> None:
         self.name, self.epoch = name, epoch
         self.publisher = EventPublisher(name, epoch, ring)
-        self.subscribers = SubscriberTable(name, epoch, now, most, fanout)
+        self.subscribers = SubscriberTable(name, epoch, now, max_subscriptions, fanout)
         self._local_messages: deque[Message] = deque()
         self._alive: dict[str, int] = {}
         self.has_more = False  # more work is left: call `tick` again at once
@@ -61,18 +61,18 @@
 
     def tick(self, now: float) -> list[tuple[str, Message]]:
         """Do what is due at `now` and return the messages to other members, by name; sets `has_more`."""
-        out: list[tuple[str, Message]] = []
+        outgoing: list[tuple[str, Message]] = []
         self.subscribers.tick(now)
         self.has_more = self.publisher.tick(now)
         budget = LOCAL_MESSAGES_PER_TICK
         while True:
-            for side in (self.subscribers, self.publisher):
-                for name, message in side.outbox:
+            for endpoint in (self.subscribers, self.publisher):
+                for name, message in endpoint.outbox:
                     if name == self.name:
                         self._local_messages.append(message)
                     else:
-                        out.append((name, message))
-                side.outbox.clear()
+                        outgoing.append((name, message))
+                endpoint.outbox.clear()
             if not self._local_messages or not budget:
                 break
             budget -= 1
@@ -82,7 +82,7 @@
                 if self.publisher.next_tick_at() <= now:
                     self.has_more |= self.publisher.tick(now)
         self.has_more |= bool(self._local_messages)
-        return out
+        return outgoing
 
     def next_tick_at(self) -> float:
         """Return when `tick` must be called next, in ms, if no message arrives before."""
--- a/frostspindle/subscriptions/interest.py
+++ b/frostspindle/subscriptions/interest.py
@@ -27,7 +27,7 @@
 
 def _equality_values(term: Term) -> dict[str, frozenset[Value]]:
     """Return, by column, the values of which a row must have one to match this term."""
-    out: dict[str, frozenset[Value]] = {}
+    required_values: dict[str, frozenset[Value]] = {}
     for atom in term:
         if type(atom) is In and not atom.negated:
             values = atom.values
@@ -35,22 +35,28 @@
             values = frozenset((atom.value,))
         else:
             continue
-        out[atom.column] = out[atom.column] & values if atom.column in out else values
-    return out
+        required_values[atom.column] = (
+            required_values[atom.column] & values if atom.column in required_values else values
+        )
+    return required_values
 
 
 def _values_by_kind(terms: tuple[Term, ...] | None) -> list[tuple[int, dict[str, frozenset[Value]]]]:
     """Return, for each conjunction and kind of event, the values that it requires."""
     if terms is None:
         return [(ANY_KIND, {})]
-    out = []
+    result = []
     for term in terms:
-        equal = _equality_values(term)
-        kinds = equal.pop("kind", None)
-        few = {column: values for column, values in equal.items() if 0 < len(values) <= MAX_VALUES_PER_COLUMN}
-        for kind in [ANY_KIND] if kinds is None else [n for n, name in enumerate(schema.NAMES) if name in kinds]:
-            out.append((kind, few))
-    return out
+        required = _equality_values(term)
+        kinds = required.pop("kind", None)
+        few_values = {column: values for column, values in required.items() if 0 < len(values) <= MAX_VALUES_PER_COLUMN}
+        for kind in (
+            [ANY_KIND]
+            if kinds is None
+            else [kind_number for kind_number, name in enumerate(schema.NAMES) if name in kinds]
+        ):
+            result.append((kind, few_values))
+    return result
 
 
 class _Kind:
@@ -61,27 +67,31 @@
         self.equalities: Counter[str] = Counter()  # by column, how many conjunctions require values of it
         self.values: defaultdict[str, Counter[Value]] = defaultdict(Counter)
 
-    def add(self, equal: dict[str, frozenset[Value]], by: int) -> None:
-        self.terms += by
-        for column, values in equal.items():
-            self.equalities[column] += by
+    def add(self, required: dict[str, frozenset[Value]], change: int) -> None:
+        self.terms += change
+        for column, values in required.items():
+            self.equalities[column] += change
             counter = self.values[column]
             for value in values:
-                counter[value] += by
+                counter[value] += change
                 if not counter[value]:
                     del counter[value]
 
-    def summary(self, kind: int, room: int) -> str:
+    def summary(self, kind: int, max_bytes: int) -> str:
         """Return a filter covering all: by the column with the fewest values that all require, else the whole kind."""
         if kind == ANY_KIND:
             return "TRUE"
-        one = compare("kind", "=", schema.NAMES[kind])
-        for count, column in sorted((len(self.values[c]), c) for c, n in self.equalities.items() if n == self.terms):
+        kind_condition = compare("kind", "=", schema.NAMES[kind])
+        for count, column in sorted(
+            (len(self.values[name]), name)
+            for name, requiring_terms in self.equalities.items()
+            if requiring_terms == self.terms
+        ):
             if 0 < count <= MAX_VALUES_PER_COLUMN:
-                found = text(all_of(one, one_of(column, sorted(self.values[column]))))  # type: ignore[type-var]
-                if len(found.encode()) <= room:
-                    return found
-        return text(one)
+                summary = text(all_of(kind_condition, one_of(column, sorted(self.values[column]))))  # type: ignore[type-var]
+                if len(summary.encode()) <= max_bytes:
+                    return summary
+        return text(kind_condition)
 
 
 class CombinedInterest:
@@ -103,35 +113,35 @@
     def add(self, key: object, predicate: Predicate) -> None:
         """Add a filter, replacing the one with this key if there is one."""
         self.remove(key)
-        terms, words = normal(predicate), text(predicate)
-        shape, boxes = _values_by_kind(terms), [cover.box(term) for term in (((),) if terms is None else terms)]
-        self._filters[key] = words, shape, boxes
+        terms, filter_text = normal(predicate), text(predicate)
+        requirements, boxes = _values_by_kind(terms), [cover.box(term) for term in (((),) if terms is None else terms)]
+        self._filters[key] = filter_text, requirements, boxes
         self._boxes.update(boxes)
         if self._cover is not None:
             self._added += boxes
             if len(self._added) > MAX_BOXES:
                 self._cover, self._added = None, []
-        self._texts[words] += 1
-        if self._texts[words] == 1:
-            self._bytes += len(words.encode())
-        for kind, equal in shape:
-            self._kinds[kind].add(equal, 1)
+        self._texts[filter_text] += 1
+        if self._texts[filter_text] == 1:
+            self._bytes += len(filter_text.encode())
+        for kind, required in requirements:
+            self._kinds[kind].add(required, 1)
 
     def remove(self, key: object) -> None:
         """Remove the filter with this key, if any; the summary may stay wider until `filters` with `narrow`."""
-        if (held := self._filters.pop(key, None)) is None:
+        if (removed := self._filters.pop(key, None)) is None:
             return
-        words, shape, boxes = held
-        for one in boxes:
-            self._boxes[one] -= 1
-            if not self._boxes[one]:
-                del self._boxes[one]
-        self._texts[words] -= 1
-        if not self._texts[words]:
-            del self._texts[words]
-            self._bytes -= len(words.encode())
-        for kind, equal in shape:
-            self._kinds[kind].add(equal, -1)
+        filter_text, requirements, boxes = removed
+        for box in boxes:
+            self._boxes[box] -= 1
+            if not self._boxes[box]:
+                del self._boxes[box]
+        self._texts[filter_text] -= 1
+        if not self._texts[filter_text]:
+            del self._texts[filter_text]
+            self._bytes -= len(filter_text.encode())
+        for kind, required in requirements:
+            self._kinds[kind].add(required, -1)
 
     def filters(self, narrow: bool = False) -> tuple[str, ...]:
         """Return the texts of the summary's filters; whatever a subscriber's filter matches, one of them matches.
@@ -139,36 +149,38 @@
         At most MAX_FILTERS, of MAX_FILTERS_BYTES together. If not all filters fit, the last summary is widened by the
         added ones; with `narrow` it is rebuilt from the present filters.
         """
-        before, new, self._cover, self._added = self._cover, self._added, None, []
-        if (words := self._exact()) is not None:
-            return words
+        base_boxes, added_boxes, self._cover, self._added = self._cover, self._added, None, []
+        if (filters := self._exact()) is not None:
+            return filters
         if len(self._boxes) > MAX_BOXES:
             return self._common()
-        if narrow or before is None or len(self._boxes) > REBUILD_GROWTH * self._rebuilt_from:
-            before, new, self._rebuilt_from = list(self._boxes), [], len(self._boxes)
-        self._cover = cover.reduce_boxes([*before, *new], MAX_FILTERS, MAX_FILTERS_BYTES)
-        return tuple(sorted(text(cover.predicate(one)) for one in self._cover))
+        if narrow or base_boxes is None or len(self._boxes) > REBUILD_GROWTH * self._rebuilt_from:
+            base_boxes, added_boxes, self._rebuilt_from = list(self._boxes), [], len(self._boxes)
+        self._cover = cover.reduce_boxes([*base_boxes, *added_boxes], MAX_FILTERS, MAX_FILTERS_BYTES)
+        return tuple(sorted(text(cover.predicate(box)) for box in self._cover))
 
     def _exact(self) -> tuple[str, ...] | None:
         """Return all filters, if they fit."""
         if len(self._texts) <= MAX_COMPARED_FILTERS:
-            words = sorted(self._texts)
-            known = {word: parse(word) for word in words}
-            for word in words:  # drop a filter that another one covers
-                if any(covers(known[other], known[word]) for other in known if other != word):
-                    del known[word]
-            if sum(len(word.encode()) for word in known) <= MAX_FILTERS_BYTES:
-                return tuple(known)
+            texts = sorted(self._texts)
+            predicates = {filter_text: parse(filter_text) for filter_text in texts}
+            for filter_text in texts:  # drop a filter that another one covers
+                if any(
+                    covers(predicates[other], predicates[filter_text]) for other in predicates if other != filter_text
+                ):
+                    del predicates[filter_text]
+            if sum(len(filter_text.encode()) for filter_text in predicates) <= MAX_FILTERS_BYTES:
+                return tuple(predicates)
         elif len(self._texts) <= MAX_FILTERS and self._bytes <= MAX_FILTERS_BYTES:
             return tuple(sorted(self._texts))
         return None
 
     def _common(self) -> tuple[str, ...]:
         """Return, by kind of event, what all filters have in common."""
-        kinds = {kind: held for kind, held in self._kinds.items() if held.terms}
+        kinds = {kind: counts for kind, counts in self._kinds.items() if counts.terms}
         if ANY_KIND in kinds:
             return ("TRUE",)
-        return tuple(held.summary(kind, MAX_FILTERS_BYTES // len(kinds)) for kind, held in sorted(kinds.items()))
+        return tuple(counts.summary(kind, MAX_FILTERS_BYTES // len(kinds)) for kind, counts in sorted(kinds.items()))
 
 
 def parse_summary(filters: tuple[str, ...]) -> Predicate:
--- a/frostspindle/subscriptions/schema.py
+++ b/frostspindle/subscriptions/schema.py
@@ -60,16 +60,16 @@
     return Event(
         kind,
         max(0, min(_LATEST, int(at_ms))),
-        tuple([_clean(v, k) for v, k in zip(values, columns.values(), strict=True)]),
+        tuple([_clean(value, column_kind) for value, column_kind in zip(values, columns.values(), strict=True)]),
     )
 
 
 def row(publisher: str, event: Event) -> dict[str, Value]:
     """Return the event as a row for predicates: values by column, with kind, publisher and UTC time."""
-    out: dict[str, Value] = dict(zip(COLUMNS[event.kind], event.values, strict=True))
-    out["kind"], out["maker"] = NAMES[event.kind], publisher
-    out["at"] = _EPOCH + timedelta(milliseconds=event.at_ms)
-    return out
+    result: dict[str, Value] = dict(zip(COLUMNS[event.kind], event.values, strict=True))
+    result["kind"], result["maker"] = NAMES[event.kind], publisher
+    result["at"] = _EPOCH + timedelta(milliseconds=event.at_ms)
+    return result
 
 
 def fits(event: Event) -> bool:
--- a/frostspindle/subscriptions/service.py
+++ b/frostspindle/subscriptions/service.py
@@ -73,13 +73,18 @@
         core: Core,
         telemetry: Telemetry,
         tenants: tuple[str, ...],
-        most: int,
-        remember: int,
-        backlog: int,
+        max_subscriptions: int,
+        max_remembered_events: int,
+        max_backlog: int,
         post: Callable[[str, int, bytes], None] | None,
     ) -> None:
         self.name, self.core, self.telemetry, self.tenants = name, core, telemetry, ("", *tenants)
-        self.most, self.remember, self.backlog, self.post = most, remember, backlog, post
+        self.max_subscriptions, self.max_remembered_events, self.max_backlog, self.post = (
+            max_subscriptions,
+            max_remembered_events,
+            max_backlog,
+            post,
+        )
         self.hub: SubscriptionHub | None = None
         self.node: FleetNode | None = None
         self.callers: dict[int, Subscriber] = {}
@@ -107,7 +112,9 @@
 
     def _open(self, now: float, epoch: int) -> None:
         name = self.node.name if self.node is not None else self.name
-        self.hub = SubscriptionHub(name, epoch, now, self.remember, self.most, Fanout(self.backlog))
+        self.hub = SubscriptionHub(
+            name, epoch, now, self.max_remembered_events, self.max_subscriptions, Fanout(self.max_backlog)
+        )
         self.telemetry.log("subscriptions_started", name=name, epoch=epoch)
         self.schedule_tick()
 
@@ -122,7 +129,7 @@
 
     # Callbacks of the core and the fleet.
 
-    def on_response(self, request: ClientRequest, how: str, engine: str) -> None:
+    def on_response(self, request: ClientRequest, outcome: str, engine: str) -> None:
         """Publish a request's final answer: class, tenant, group, outcome, engine, front, duration in ms."""
         if self.hub is not None:
             now = clock()
@@ -133,7 +140,7 @@
                 self.core.classes[request.cls][1],
                 tenant or None,
                 request.group if request.group >= 0 else None,
-                how,
+                outcome,
                 engine or None,
                 request.front,
                 now - request.received_ms,
@@ -207,9 +214,9 @@
 
     def unsubscribe(self, number: str) -> None:
         """End a subscription by closing its caller's connection; OperatorError if the number is unknown here."""
-        if not number.isascii() or not number.isdecimal() or (found := self.callers.get(int(number[:9]))) is None:
+        if not number.isascii() or not number.isdecimal() or (subscriber := self.callers.get(int(number[:9]))) is None:
             raise OperatorError("no such subscription here")
-        found.caller.end()
+        subscriber.caller.end()
 
     def on_disconnected(self, number: int) -> None:
         """End a subscription whose caller has disconnected; does nothing if it has ended before."""
@@ -284,7 +291,7 @@
         ejected = {
             state.name
             for number, state in core.engines.items()
-            if (believed := core.controller.engines.get(number)) is not None and believed.ejected
+            if (engine_state := core.controller.engines.get(number)) is not None and engine_state.ejected
         }
         for name in sorted(ejected ^ self._ejected):
             self.on_engine_changed(name, "sick" if name in ejected else "well")
--- a/frostspindle/subscriptions/stream.py
+++ b/frostspindle/subscriptions/stream.py
@@ -79,14 +79,16 @@
 class EventPublisher:
     """The events of this process, numbered from 1, and the streams to all receivers."""
 
-    def __init__(self, name: str, epoch: int, most: int = MAX_REMEMBERED_EVENTS, slice_: int = EVENTS_PER_TICK) -> None:
-        self.name, self.epoch, self.most, self.slice = name, epoch, most, slice_
+    def __init__(
+        self, name: str, epoch: int, max_events: int = MAX_REMEMBERED_EVENTS, slice_: int = EVENTS_PER_TICK
+    ) -> None:
+        self.name, self.epoch, self.max_events, self.slice = name, epoch, max_events, slice_
         self.head = self.base = self.matched = 0  # numbers: last appended, last evicted, last matched
         self.streams: dict[tuple[str, int], OutboundStream] = {}
         self.outbox: list[tuple[str, Message]] = []
         self.counted: Counter[str] = Counter()
         self.members = 1
-        self._events: list[Event | None] = [None] * most
+        self._events: list[Event | None] = [None] * max_events
         self._index = FilterIndex()
         self._send_now = False  # acknowledgements or requests may have made sending possible
         self._caught_up: dict[tuple[str, int], OutboundStream] = {}  # streams that are matched by the index
@@ -94,15 +96,15 @@
     def append(self, event: Event) -> int:
         """Store an event, evicting the oldest if the buffer is full, and return its number; O(1)."""
         self.head += 1
-        self._events[self.head % self.most] = event
-        if self.head - self.base > self.most:
-            self.base = self.head - self.most
+        self._events[self.head % self.max_events] = event
+        if self.head - self.base > self.max_events:
+            self.base = self.head - self.max_events
         return self.head
 
     def event(self, number: int) -> Event:
         """Return an event by its number, which must not have been evicted."""
         assert self.base < number <= self.head
-        return self._events[number % self.most]  # type: ignore[return-value]
+        return self._events[number % self.max_events]  # type: ignore[return-value]
 
     # Incoming messages.
 
@@ -175,7 +177,11 @@
 
     def forget_receiver(self, receiver: str, epoch: int | None) -> None:
         """Drop the receiver's streams except those of the process with `epoch`; None: all of them."""
-        for stream in [s for (name, _), s in self.streams.items() if name == receiver and s.receiver_epoch != epoch]:
+        for stream in [
+            outbound
+            for (name, _), outbound in self.streams.items()
+            if name == receiver and outbound.receiver_epoch != epoch
+        ]:
             self._drop(stream)
 
     def _ack(self, now: float, stream: OutboundStream, through: int) -> None:
@@ -194,7 +200,7 @@
     def tick(self, now: float) -> bool:
         """Match a bounded number of events and send what is due; return whether more work is left."""
         self._send_now = False
-        left = self._match(self.slice) if self.streams else 1
+        events_left = self._match(self.slice) if self.streams else 1
         messages_left = MESSAGES_PER_TICK
         for stream in list(self.streams.values()):
             if now - stream.heard_at >= IDLE_MS:
@@ -209,7 +215,7 @@
                 self.counted["subscriptions_resent"] += 1
             while messages_left and len(stream.in_flight) < stream.window and self._send(now, stream):
                 messages_left -= 1
-        return bool(self.streams) and (left <= 0 or not messages_left or self.matched < self.head)
+        return bool(self.streams) and (events_left <= 0 or not messages_left or self.matched < self.head)
 
     def _match(self, left: int) -> int:
         """Match up to `left` events against the streams' predicates; return the unused part of `left`."""
@@ -352,7 +358,7 @@
             return
         yield from self._receive(data)
         while self.buffered:
-            following = next((d for d in self.buffered.values() if d.after <= self.position), None)
+            following = next((batch for batch in self.buffered.values() if batch.after <= self.position), None)
             if following is None:
                 break
             del self.buffered[following.after]
--- a/frostspindle/subscriptions/subscribers.py
+++ b/frostspindle/subscriptions/subscribers.py
@@ -87,9 +87,14 @@
     """All subscriptions of this process, and the inbound streams for them; times in ms."""
 
     def __init__(
-        self, name: str, epoch: int, now: float, most: int = MAX_SUBSCRIPTIONS, fanout: Fanout | None = None
+        self,
+        name: str,
+        epoch: int,
+        now: float,
+        max_subscriptions: int = MAX_SUBSCRIPTIONS,
+        fanout: Fanout | None = None,
     ) -> None:
-        self.name, self.epoch, self.most = name, epoch, most
+        self.name, self.epoch, self.max_subscriptions = name, epoch, max_subscriptions
         self.fanout = fanout or Fanout()
         self.subscriptions: dict[int, Subscription] = {}
         self.live: dict[str, InboundStream] = {}
@@ -98,12 +103,12 @@
         self.acknowledged: list[int] = []  # newly acknowledged, in order; emptied by the caller
         self.outbox: list[tuple[str, Message]] = []
         self.counted: Counter[str] = Counter()
-        self.unmatched_events = self.received_events = 0  # events received from others, and those without a match here
+        self.unmatched_events = self.received_events = 0  # from other publishers: without a match here, and all
         self.filters: tuple[str, ...] = ()  # filters that publishers are asked for
         self._wanted: Predicate = FALSE  # the predicate of `filters`
         self._alive: dict[str, int] = {}
         self._interest = CombinedInterest()
-        self._index = FilterIndex(most=max(most, 1))
+        self._index = FilterIndex(max_filters=max(max_subscriptions, 1))
         self._numbers = self._versions = 0
         self._inactive: dict[int, Subscription] = {}  # accepted, but not active yet
         self._unacknowledged: dict[int, Subscription] = {}
@@ -125,8 +130,8 @@
         return self._add(now, decoded.filter, dict(decoded.at))
 
     def _add(self, now: float, text: str, resume_from: dict[str, Position] | None) -> int:
-        if len(self.subscriptions) >= self.most:
-            raise FilterError(f"there are {self.most} subscriptions already")
+        if len(self.subscriptions) >= self.max_subscriptions:
+            raise FilterError(f"there are {self.max_subscriptions} subscriptions already")
         if len(text) > cursor.MAX_FILTER_CHARS:
             raise FilterError(f"a subscription's filter has up to {cursor.MAX_FILTER_CHARS} characters")
         predicate = schema.check(parse(text))
@@ -157,14 +162,14 @@
     def cursor(self, number: int) -> str | None:
         """Return the cursor from which the subscription can be resumed; None if it would exceed its bounds."""
         sub = self.subscriptions[number]
-        at = dict(sub.resume_from or ())
+        positions = dict(sub.resume_from or ())
         for publisher in self.live:
             if (position := self.position(sub, publisher)) is not None:
-                at[publisher] = position
-        at.update(self.fanout.pending(number))
+                positions[publisher] = position
+        positions.update(self.fanout.pending(number))
         for publisher, (epoch, first) in sub.open_gaps.items():  # an open-ended gap is reported again
-            at[publisher] = min(at.get(publisher, (epoch, first - 1)), (epoch, first - 1))
-        return cursor.encode(sub.text, at)
+            positions[publisher] = min(positions.get(publisher, (epoch, first - 1)), (epoch, first - 1))
+        return cursor.encode(sub.text, positions)
 
     # Positions.
 
@@ -205,14 +210,22 @@
         """Request a new publisher's stream: from its process start if a subscription was acknowledged before, else from
         now on."""
         if len(self.live) >= MAX_PUBLISHERS:
-            dead = next((n for n in self.live if n not in self._alive), None)
-            if dead is None:
+            removable = next((publisher for publisher in self.live if publisher not in self._alive), None)
+            if removable is None:
                 self.counted["subscriptions_makers_refused"] += 1
                 return
-            del self.live[dead]
-        earlier = any(sub.acknowledged for sub in self.subscriptions.values())
+            del self.live[removable]
+        any_acknowledged = any(sub.acknowledged for sub in self.subscriptions.values())
         self.live[name] = InboundStream(
-            name, epoch, 0, self.epoch, self._version(), self.filters, 0 if earlier else None, now, request_at=now
+            name,
+            epoch,
+            0,
+            self.epoch,
+            self._version(),
+            self.filters,
+            0 if any_acknowledged else None,
+            now,
+            request_at=now,
         )
         for sub in self.subscriptions.values():
             if sub.active and not sub.acknowledged:
@@ -223,12 +236,12 @@
     def _publisher_restarted(self, now: float, inbound: InboundStream, epoch: int) -> None:
         """Handle a publisher's restart: report the old process's remaining events as lost, request all new ones."""
         publisher, before = inbound.publisher, inbound.epoch
-        known = {sub.number: self.position(sub, publisher) for sub in self.subscriptions.values()}
+        positions = {sub.number: self.position(sub, publisher) for sub in self.subscriptions.values()}
         begun = inbound.position is not None
         inbound.epoch, inbound.position, inbound.silent, inbound.heard_at = epoch, 0 if begun else None, False, now
         inbound.restart(now, self._version(), self.filters)
         for sub in self.subscriptions.values():
-            position = known[sub.number]
+            position = positions[sub.number]
             if publisher in sub.replays:
                 self._end_replay(sub, publisher)
             if position is None or position[0] >= epoch:
@@ -276,22 +289,22 @@
         self._catch_up(now, sender)
 
     def _on_event(self, inbound: InboundStream, number: int, event: Event) -> None:
-        publisher, at = inbound.publisher, (inbound.epoch, number)
-        found = self._index.find(schema.row(publisher, event))
+        publisher, position = inbound.publisher, (inbound.epoch, number)
+        matching = self._index.find(schema.row(publisher, event))
         if publisher != self.name:
             self.received_events += 1
-            self.unmatched_events += not found
+            self.unmatched_events += not matching
         encoded = b""
-        for key in found:
+        for key in matching:
             sub = self.subscriptions[key]  # type: ignore[index]
             if publisher in sub.replays or sub.resume_from is not None and publisher in sub.resume_from:
                 continue  # its replay delivers the event in order
             if publisher in sub.sent_through:
-                if at <= sub.sent_through[publisher]:
+                if position <= sub.sent_through[publisher]:
                     continue
                 del sub.sent_through[publisher]
             encoded = encoded or event_line(publisher, inbound.epoch, number, event)
-            self.fanout.offer(sub.number, BacklogItem(publisher, at, at, encoded))
+            self.fanout.offer(sub.number, BacklogItem(publisher, position, position, encoded))
 
     def _on_lost(self, inbound: InboundStream, first: int, last: int) -> None:
         self.counted["subscriptions_lost_ranges"] += 1
@@ -308,8 +321,8 @@
                 self._report_gap(sub, inbound.publisher, begin, (inbound.epoch, last))
 
     @staticmethod
-    def _after(at: Position) -> Position:
-        return at[0], at[1] + 1
+    def _after(position: Position) -> Position:
+        return position[0], position[1] + 1
 
     # Gaps.
 
@@ -342,23 +355,23 @@
                 and sub.active
                 and (sub.resume_from is None or publisher not in sub.resume_from)
             ):
-                at = self.position(sub, publisher)
-                assert at is not None
-                self._report_gap(sub, publisher, self._after(at), at)
+                position = self.position(sub, publisher)
+                assert position is not None
+                self._report_gap(sub, publisher, self._after(position), position)
 
     # Activation, replays and acknowledgement.
 
     def _activate(self, now: float) -> None:
         """Request the filters of all inactive subscriptions together."""
         self._activate_at = float("inf")
-        new, self._inactive = list(self._inactive.values()), {}
-        for sub in new:
+        activated, self._inactive = list(self._inactive.values()), {}
+        for sub in activated:
             self._interest.add(sub.number, sub.predicate)
             self._index.add(sub.number, sub.predicate)
             sub.active = True
-        if not self.filters or not all(covers(self._wanted, sub.predicate) for sub in new):
+        if not self.filters or not all(covers(self._wanted, sub.predicate) for sub in activated):
             self._request_filters(now, self._interest.filters())
-        for sub in new:
+        for sub in activated:
             sub.unconfirmed = {
                 publisher
                 for publisher, inbound in self.live.items()
@@ -455,7 +468,11 @@
         inbound = self.live.get(publisher)
         if inbound is None or inbound.position is None or not inbound.confirmed:
             return
-        for candidate in [sub] if sub is not None else [s for (m, _), (_, s) in self.replays.items() if m == publisher]:
+        for candidate in (
+            [sub]
+            if sub is not None
+            else [replaying for (name, _), (_, replaying) in self.replays.items() if name == publisher]
+        ):
             replay = self.replays[publisher, candidate.replays[publisher]][0]
             if replay.epoch == inbound.epoch and (replay.position or 0) >= inbound.position:
                 candidate.sent_through[publisher] = replay.epoch, replay.position or 0
@@ -506,8 +523,9 @@
                 and not inbound.silent
                 and inbound.confirmed
             ):
-                at = inbound.epoch, inbound.position or 0  # the publisher has no room for the replay
-                self._report_gap(sub, publisher, (replay.epoch, (replay.position or 0) + 1), at)
+                # Probably the publisher has no free stream for the replay.
+                live_position = inbound.epoch, inbound.position or 0
+                self._report_gap(sub, publisher, (replay.epoch, (replay.position or 0) + 1), live_position)
                 self._end_replay(sub, publisher)
                 continue
             self._post(publisher, replay.tick(now))
--- a/frostspindle/subscriptions/wire.py
+++ b/frostspindle/subscriptions/wire.py
@@ -111,5 +111,5 @@
 
 def published_event(number: int, event: Event) -> tuple[PublishedEvent, int]:
     """Return an event as sent in a message, and its encoded size; texts were truncated by schema.make."""
-    out = PublishedEvent(number, *event)
-    return out, len(encode(out))
+    published = PublishedEvent(number, *event)
+    return published, len(encode(published))
--- a/tests/test_predicates.py
+++ b/tests/test_predicates.py
@@ -513,7 +513,7 @@
 
 
 def test_index_evaluates_few_filters_and_rejects_more_than_its_bound():
-    index = FilterIndex(most=2_000)
+    index = FilterIndex(max_filters=2_000)
     for n in range(500):
         index.add(("equal", n), parse(f"tenant = 't{n}' AND class = 'bulk' AND cost > 5"))
         index.add(("listed", n), parse(f"engine IN ({n}, {n + 1}) OR tenant = 'u{n}'"))
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -282,7 +282,7 @@
 
 
 def test_publisher_evicts_the_oldest_reports_them_lost_and_resumes_at_any_position():
-    publisher = EventPublisher("m", 7, most=10)
+    publisher = EventPublisher("m", 7, max_events=10)
     for _ in range(25):
         publisher.append(schema.make(schema.MEMBER, 1.0, "x", "alive"))
     publisher.on_message(0.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))
--- a/tests/test_subscriptions_model.py
+++ b/tests/test_subscriptions_model.py
@@ -29,7 +29,7 @@
 
 class Model:
     def __init__(self):
-        self.publisher = EventPublisher("m", 7, most=1)
+        self.publisher = EventPublisher("m", 7, max_events=1)
         self.publisher._index = MatchAll()
         self.inbound = InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
         self.net = ()  # ("m", 0, message) to the publisher, ("r", its epoch, message) to the receiver
@@ -136,7 +136,7 @@
 
         def crash(o):
             o.left["crash"] = 0
-            o.publisher = EventPublisher("m", 8, most=1)
+            o.publisher = EventPublisher("m", 8, max_events=1)
             o.publisher._index = MatchAll()
 
         yield after("crash", crash)
