--- a/frostspindle/store/opening.py
+++ b/frostspindle/store/opening.py
@@ -1,4 +1,4 @@
-"""Opening of a durable store: takes its lock, gathers the facts, acts on the decision, and logs the outcome.
+"""Opening of a durable store: takes its lock, inspects the folder, acts on the decision, and logs the outcome.
 
 The folder of one owner's store:
 
@@ -34,8 +34,8 @@
     KnownStore,
     OpeningAction,
     OpeningDecision,
-    OpeningFacts,
     StoreCondition,
+    StoreInspection,
     decide_opening,
     next_incarnation,
     worth_opening,
@@ -82,16 +82,16 @@
     """
     limits = limits or engine.limits
     _check_arguments(owner, engine, limits)
-    facts = OpeningFacts(
+    inspection = StoreInspection(
         owner,
         engine.kind,
         witness_apart=witness is not None,
         known_by_peers=known_by_peers,
         copy_approved=copy_approved,
     )
-    opening = _Opening(folder, engine, limits, WitnessFile(witness or folder / WITNESS), facts)
+    opening = _Opening(folder, engine, limits, WitnessFile(witness or folder / WITNESS), inspection)
     try:
-        opening.gather_facts()
+        opening.inspect()
         decision = opening.act()
         if decision.action is OpeningAction.REFUSE:
             log("store", **opening.log_fields(decision))
@@ -114,13 +114,13 @@
 
 @dataclass(slots=True)
 class _Opening:
-    """One opening of a store: the facts, and what has to be released on failure."""
+    """One opening of a store: the inspection, and what has to be released on failure."""
 
     folder: Path
     engine: type[StoreEngine]
     limits: StoreLimits
     witness: WitnessFile
-    facts: OpeningFacts
+    inspection: StoreInspection
     lock: FolderLock | None = None
     opened: StoreEngine | None = None
     head: HeadRecord | None = None  # of the store that will be used
@@ -132,7 +132,7 @@
         """The folder with the head record and the engine's files."""
         return self.folder / STORE
 
-    def gather_facts(self) -> None:
+    def inspect(self) -> None:
         """Take the lock and inspect the store; StoreLockedError if the lock is held."""
         try:
             self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -141,43 +141,43 @@
             self._note_unwritable(error)
             return
         if not os.access(self.folder, os.W_OK | os.X_OK):
-            self.facts = replace(self.facts, unwritable="no write permission")
+            self.inspection = replace(self.inspection, unwritable="no write permission")
         try:
-            self.facts = replace(self.facts, witness=self.witness.read())
+            self.inspection = replace(self.inspection, witness=self.witness.read())
         except OSError as error:
-            self.facts = replace(self.facts, unreadable=str(error))
+            self.inspection = replace(self.inspection, unreadable=str(error))
         self._inspect_store()
 
     def _note_unwritable(self, error: Exception) -> None:
         if isinstance(error, StoreFullError) or getattr(error, "errno", None) in records.NO_SPACE:
-            self.facts = replace(self.facts, has_room=False, unwritable="")
+            self.inspection = replace(self.inspection, has_space=False, unwritable="")
         else:
-            self.facts = replace(self.facts, has_room=True, unwritable=str(error))
+            self.inspection = replace(self.inspection, has_space=True, unwritable=str(error))
 
     def _inspect_store(self) -> None:
         """Record what is at the store's path, and open its engine if the head record allows it."""
         if not os.path.lexists(self.store_path):
             return
-        self.facts = replace(self.facts, found=True)
+        self.inspection = replace(self.inspection, found=True)
         try:
             self._check_access()
             head_path = self.store_path / HEAD
             head = records.decode_head(records.read_bounded(head_path, MAX_HEAD_BYTES))
-            self.facts = replace(self.facts, head=head, inode=head_path.stat().st_ino)
-            if worth_opening(self.facts):
+            self.inspection = replace(self.inspection, head=head, inode=head_path.stat().st_ino)
+            if worth_opening(self.inspection):
                 self.opened = self.engine(self.store_path, self.limits)
-                self.facts = replace(self.facts, meta=self.opened.meta)
+                self.inspection = replace(self.inspection, meta=self.opened.meta)
         except (FileNotFoundError, CorruptDataError) as error:
-            self.facts = replace(self.facts, corruption=str(error))
+            self.inspection = replace(self.inspection, corruption=str(error))
         except StoreFullError:
-            self.facts = replace(self.facts, has_room=False)
+            self.inspection = replace(self.inspection, has_space=False)
         except OSError as error:
             if error.errno in records.NO_SPACE:
-                self.facts = replace(self.facts, has_room=False)
+                self.inspection = replace(self.inspection, has_space=False)
             elif error.errno == errno.EROFS:
-                self.facts = replace(self.facts, unwritable=str(error))
+                self.inspection = replace(self.inspection, unwritable=str(error))
             else:
-                self.facts = replace(self.facts, unreadable=str(error))
+                self.inspection = replace(self.inspection, unreadable=str(error))
 
     def _check_access(self) -> None:
         """Check write permissions now, as they would otherwise fail only at the first batch."""
@@ -189,12 +189,12 @@
                 raise OSError(errno.EROFS, "no write permission", str(entry))
 
     def act(self) -> OpeningDecision:
-        """Decide by the facts, and put an empty store in place if that is the decision.
+        """Decide by the inspection, and put an empty store in place if that is the decision.
 
         If the empty store can't be written, the decision becomes REFUSE.
         """
-        decision = decide_opening(self.facts)
-        self.head = self.facts.head
+        decision = decide_opening(self.inspection)
+        self.head = self.inspection.head
         if decision.action not in (OpeningAction.CREATE, OpeningAction.SET_ASIDE):
             return decision
         self._close_engine()
@@ -207,7 +207,7 @@
             self.opened = self.engine(self.store_path, self.limits)
         except (StoreFullError, OSError, CorruptDataError) as error:
             self._note_unwritable(error)
-            return decide_opening(self.facts)
+            return decide_opening(self.inspection)
         return decision
 
     def _create_store(self) -> HeadRecord:
@@ -222,9 +222,9 @@
         head = HeadRecord(
             format=FORMAT,
             kind=self.engine.kind,
-            owner=self.facts.owner,
+            owner=self.inspection.owner,
             id=secrets.token_bytes(records.ID_BYTES),
-            incarnation=next_incarnation(self.facts),
+            incarnation=next_incarnation(self.inspection),
             inode=inode,
         )
         records.write_synced(new / HEAD, records.encode_head(head))
@@ -249,8 +249,8 @@
     def finish(self, decision: OpeningDecision, log: Callable[..., None]) -> DurableStore:
         """Return the opened store; an approved copy gets a head record with its own inode."""
         assert self.head is not None and self.opened is not None and self.lock is not None
-        if decision.action is OpeningAction.USE and self.head.inode != self.facts.inode:
-            self.head = replace(self.head, inode=self.facts.inode)
+        if decision.action is OpeningAction.USE and self.head.inode != self.inspection.inode:
+            self.head = replace(self.head, inode=self.inspection.inode)
             records.write_synced(self.store_path / HEAD, records.encode_head(self.head))
         return DurableStore(self.opened, self.head, self.limits, self.witness, self.lock, decision, log)
 
@@ -271,8 +271,8 @@
             "life": store.head.incarnation,
             "entries": store.entry_count,
         }
-        if self.facts.witness is not None:
-            fields["witness"] = self.facts.witness.generation
+        if self.inspection.witness is not None:
+            fields["witness"] = self.inspection.witness.generation
         if self.aside:
             fields["aside"] = self.aside
             fields["dropped"] = list(self.dropped)
--- a/frostspindle/store/opening_decision.py
+++ b/frostspindle/store/opening_decision.py
@@ -1,4 +1,4 @@
-"""The decision on the store that was found, from facts gathered by `opening`.
+"""The decision on a found store, from its inspection by `opening`.
 
 No I/O and no clock. A store is used only if it is shown to be complete, of this owner, and not older than any state of
 it that is known.
@@ -70,15 +70,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class OpeningFacts:
-    """The facts, the input of `decide_opening`. An empty text means no fault."""
+class StoreInspection:
+    """What was found at the opening, the input of `decide_opening`. An empty text means no fault."""
 
     owner: str  # of the opener
     kind: str  # of the opener's engine
     found: bool = False  # something exists at the store's path
     unreadable: str = ""  # the error at reading it
     unwritable: str = ""  # the error at writing the folder or its files
-    has_room: bool = True  # False once there was no space for an empty store
+    has_space: bool = True  # False once there was no space for an empty store
     corruption: str = ""  # which check failed
     head: HeadRecord | None = None
     inode: int = 0  # of the head's file, at present
@@ -98,36 +98,38 @@
     reason: str
 
 
-def is_behind(facts: OpeningFacts, known: KnownStore | None) -> bool:
+def is_behind(inspection: StoreInspection, known: KnownStore | None) -> bool:
     """Return whether a later state of this owner's store than the one found is known.
 
     Requires head and meta.
     """
-    if known is None or known.owner != facts.owner:
+    if known is None or known.owner != inspection.owner:
         return False
-    assert facts.head is not None and facts.meta is not None
-    if facts.head.incarnation != known.incarnation:
-        return facts.head.incarnation < known.incarnation
-    return facts.head.id != known.id or facts.meta.generation < known.generation
+    assert inspection.head is not None and inspection.meta is not None
+    if inspection.head.incarnation != known.incarnation:
+        return inspection.head.incarnation < known.incarnation
+    return inspection.head.id != known.id or inspection.meta.generation < known.generation
 
 
-def is_unproven_copy(facts: OpeningFacts) -> bool:
+def is_unproven_copy(inspection: StoreInspection) -> bool:
     """Return whether the store is a copy that is not proven to be the latest state.
 
     A witness in the same folder is copied along and proves nothing. Peers' knowledge lags: it can prove that a copy is
     outdated, not that it is the latest.
     """
-    assert facts.head is not None
-    if facts.head.inode == facts.inode or facts.copy_approved:
+    assert inspection.head is not None
+    if inspection.head.inode == inspection.inode or inspection.copy_approved:
         return False
-    witnessed = facts.witness_apart and facts.witness is not None and facts.witness.id == facts.head.id
+    witnessed = (
+        inspection.witness_apart and inspection.witness is not None and inspection.witness.id == inspection.head.id
+    )
     return not witnessed
 
 
 class OpeningRule(NamedTuple):
-    """One rule: a test of the facts, and the decision if it holds; `reason` is formatted with the facts."""
+    """One rule: a test of the inspection, and the decision if it holds; `reason` is formatted with the inspection."""
 
-    holds: Callable[[OpeningFacts], bool]
+    holds: Callable[[StoreInspection], bool]
     condition: StoreCondition
     action: OpeningAction
     reason: str
@@ -136,75 +138,81 @@
 # The first rule that holds decides. docs/design/store.md has the same table.
 RULES: tuple[OpeningRule, ...] = (
     OpeningRule(
-        lambda facts: bool(facts.unreadable),
+        lambda inspection: bool(inspection.unreadable),
         StoreCondition.UNREADABLE,
         OpeningAction.REFUSE,
         "can't be read: {0.unreadable}",
     ),
     OpeningRule(
-        lambda facts: bool(facts.unwritable),
+        lambda inspection: bool(inspection.unwritable),
         StoreCondition.READ_ONLY,
         OpeningAction.REFUSE,
         "can't be written: {0.unwritable}",
     ),
-    OpeningRule(lambda facts: not facts.has_room, StoreCondition.FULL, OpeningAction.REFUSE, "no space on the disk"),
     OpeningRule(
-        lambda facts: facts.witness_apart and facts.witness is not None and facts.witness.owner != facts.owner,
+        lambda inspection: not inspection.has_space, StoreCondition.FULL, OpeningAction.REFUSE, "no space on the disk"
+    ),
+    OpeningRule(
+        lambda inspection: (
+            inspection.witness_apart and inspection.witness is not None and inspection.witness.owner != inspection.owner
+        ),
         StoreCondition.FOREIGN,
         OpeningAction.REFUSE,
         "the witness belongs to {0.witness.owner!r}",
     ),
     OpeningRule(
-        lambda facts: not facts.found and facts.witness is None and facts.known_by_peers is None,
+        lambda inspection: not inspection.found and inspection.witness is None and inspection.known_by_peers is None,
         StoreCondition.FRESH,
         OpeningAction.CREATE,
         "no store was found",
     ),
     OpeningRule(
-        lambda facts: not facts.found,
+        lambda inspection: not inspection.found,
         StoreCondition.FRESH,
         OpeningAction.CREATE,
         "no store was found, though one is known: it is lost",
     ),
     OpeningRule(
-        lambda facts: facts.head is None,
+        lambda inspection: inspection.head is None,
         StoreCondition.CORRUPT,
         OpeningAction.SET_ASIDE,
         "no valid head record: {0.corruption}",
     ),
     OpeningRule(
-        lambda facts: facts.head.format > FORMAT,
+        lambda inspection: inspection.head.format > FORMAT,
         StoreCondition.UNREADABLE,
         OpeningAction.REFUSE,
         "format {0.head.format} of a later version",
     ),
     OpeningRule(
-        lambda facts: facts.head.owner != facts.owner,
+        lambda inspection: inspection.head.owner != inspection.owner,
         StoreCondition.FOREIGN,
         OpeningAction.SET_ASIDE,
         "the store belongs to {0.head.owner!r}",
     ),
     OpeningRule(
-        lambda facts: facts.head.kind != facts.kind,
+        lambda inspection: inspection.head.kind != inspection.kind,
         StoreCondition.UNREADABLE,
         OpeningAction.REFUSE,
         "the store is of another kind: {0.head.kind}",
     ),
-    OpeningRule(lambda facts: facts.meta is None, StoreCondition.CORRUPT, OpeningAction.SET_ASIDE, "{0.corruption}"),
     OpeningRule(
-        lambda facts: facts.meta.id != facts.head.id,
+        lambda inspection: inspection.meta is None, StoreCondition.CORRUPT, OpeningAction.SET_ASIDE, "{0.corruption}"
+    ),
+    OpeningRule(
+        lambda inspection: inspection.meta.id != inspection.head.id,
         StoreCondition.CORRUPT,
         OpeningAction.SET_ASIDE,
         "the folder has files of two stores",
     ),
     OpeningRule(
-        lambda facts: is_behind(facts, facts.witness),
+        lambda inspection: is_behind(inspection, inspection.witness),
         StoreCondition.OLDER,
         OpeningAction.SET_ASIDE,
         "the witness recorded a later state",
     ),
     OpeningRule(
-        lambda facts: is_behind(facts, facts.known_by_peers),
+        lambda inspection: is_behind(inspection, inspection.known_by_peers),
         StoreCondition.OLDER,
         OpeningAction.SET_ASIDE,
         "other coordinators know a later state",
@@ -216,33 +224,33 @@
         "a copy that is not proven to be the latest state",
     ),
     OpeningRule(
-        lambda facts: True, StoreCondition.GOOD, OpeningAction.USE, "complete, and not older than any known state"
+        lambda inspection: True, StoreCondition.GOOD, OpeningAction.USE, "complete, and not older than any known state"
     ),
 )
 
 
-def decide_opening(facts: OpeningFacts) -> OpeningDecision:
+def decide_opening(inspection: StoreInspection) -> OpeningDecision:
     """Return the decision of the first rule in RULES that holds."""
     for rule in RULES:
-        if rule.holds(facts):
-            return OpeningDecision(rule.condition, rule.action, rule.reason.format(facts))
+        if rule.holds(inspection):
+            return OpeningDecision(rule.condition, rule.action, rule.reason.format(inspection))
     raise AssertionError("the last rule always holds")
 
 
-def worth_opening(facts: OpeningFacts) -> bool:
+def worth_opening(inspection: StoreInspection) -> bool:
     """Return whether the engine may open the files: never those of another owner, kind or later format."""
     return (
-        not facts.unreadable
-        and not facts.unwritable
-        and facts.head is not None
-        and facts.head.format <= FORMAT
-        and facts.head.owner == facts.owner
-        and facts.head.kind == facts.kind
+        not inspection.unreadable
+        and not inspection.unwritable
+        and inspection.head is not None
+        and inspection.head.format <= FORMAT
+        and inspection.head.owner == inspection.owner
+        and inspection.head.kind == inspection.kind
     )
 
 
-def next_incarnation(facts: OpeningFacts) -> int:
+def next_incarnation(inspection: StoreInspection) -> int:
     """Return the incarnation of a new empty store: one more than the highest known of this owner."""
-    known = (facts.head, facts.witness, facts.known_by_peers)
-    incarnations = [store.incarnation for store in known if store is not None and store.owner == facts.owner]
+    known = (inspection.head, inspection.witness, inspection.known_by_peers)
+    incarnations = [store.incarnation for store in known if store is not None and store.owner == inspection.owner]
     return 1 + max(incarnations, default=0)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,7 +20,7 @@
     HeadRecord,
     KnownStore,
     MetaRecord,
-    OpeningFacts,
+    StoreInspection,
     decide_opening,
     next_incarnation,
     worth_opening,
@@ -29,10 +29,10 @@
 
 A, B = b"a" * 16, b"b" * 16
 HEAD, META = HeadRecord(FORMAT, "sqlite", "c1", A, 3, 77), MetaRecord(A, 40, StoreDigest())
-GOOD = OpeningFacts("c1", "sqlite", found=True, head=HEAD, inode=77, meta=META)
+GOOD = StoreInspection("c1", "sqlite", found=True, head=HEAD, inode=77, meta=META)
 
 
-def test_each_fact_has_its_decision_and_the_first_rule_wins():
+def test_inspections_lead_to_decisions_and_the_first_rule_wins():
     at = KnownStore("c1", A, 3, 40)
     for changed, outcome in (
         ({}, "good use"),
@@ -60,8 +60,8 @@
         ({"found": False, "head": None, "witness": at}, "fresh begin"),
         ({"unreadable": "x", "head": None}, "unreadable refuse"),
         ({"unwritable": "x"}, "read-only refuse"),
-        ({"has_room": False, "head": None}, "full refuse"),
-        ({"has_room": False, "unwritable": "x"}, "read-only refuse"),
+        ({"has_space": False, "head": None}, "full refuse"),
+        ({"has_space": False, "unwritable": "x"}, "read-only refuse"),
     ):
         decision = decide_opening(replace(GOOD, **changed))
         assert f"{decision.condition} {decision.action}" == outcome, changed
@@ -71,9 +71,9 @@
 def test_empty_store_has_a_later_incarnation_than_all_known_of_its_owner():
     known = KnownStore("c1", B, 7, 1)
     assert [
-        next_incarnation(facts)
-        for facts in (
-            OpeningFacts("c1", "sqlite"),
+        next_incarnation(inspection)
+        for inspection in (
+            StoreInspection("c1", "sqlite"),
             GOOD,
             replace(GOOD, known_by_peers=known),
             replace(GOOD, witness=replace(known, owner="c2")),
