--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -623,14 +623,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.starts, self.sent = 0.0, 0, 0
-        self.draw = random.Random(5)
-        self.net: list[tuple[int, int, tuple[str, int, wire.Message]]] = []  # from, to, message
-        self.cut: set[int] = set()
-        self.asleep: set[int] = set()
+        self.random = random.Random(5)
+        self.network_messages: list[tuple[int, int, tuple[str, int, wire.Message]]] = []  # from, to, message
+        self.isolated: set[int] = set()
+        self.paused: set[int] = set()
         self.hubs: list[SubscriptionHub | None] = [None] * 3
-        self.judge = lab.Lab.__new__(lab.Lab)
-        self.judge.made = {}
-        self.judge.clients = [lab.Client(n, text) for n, text in enumerate(("kind = 'answer'", "tenant = 't1'"))]
+        self.lab = lab.Lab.__new__(lab.Lab)
+        self.lab.made = {}
+        self.lab.clients = [lab.Client(n, text) for n, text in enumerate(("kind = 'answer'", "tenant = 't1'"))]
         for n in range(3):
             self.start(n)
 
@@ -639,8 +639,8 @@
             self.starts += 1
             self.hubs[n] = SubscriptionHub(f"h{n}", 100 + self.starts, self.now, ring=24, fanout=Fanout(6, 40))
             self.hubs[n].subscribers.expected = frozenset(f"h{m}" for m in range(3) if m != n)
-            self.judge.made[f"h{n}", 100 + self.starts] = []
-            self.believe()
+            self.lab.made[f"h{n}", 100 + self.starts] = []
+            self.update_members()
 
     @rule(n=st.integers(0, 2))
     def kill_or_start(self, n):
@@ -648,21 +648,21 @@
             self.start(n)
             return
         self.hubs[n] = None
-        self.asleep.discard(n)
-        for client in self.judge.clients:
+        self.paused.discard(n)
+        for client in self.lab.clients:
             if client.at == n:
-                lab.Lab._leave(self.judge, client)
+                lab.Lab._leave(self.lab, client)
 
     @rule(n=st.integers(0, 2))
-    def pause_or_wake(self, n):
-        self.asleep ^= {n} if self.hubs[n] is not None else set()
+    def pause_or_resume(self, n):
+        self.paused ^= {n} if self.hubs[n] is not None else set()
 
     @rule(n=st.sets(st.integers(0, 2), max_size=1))
-    def cut_off(self, n):
-        self.cut = n
+    def isolate(self, n):
+        self.isolated = n
 
     @rule()
-    def believe(self):
+    def update_members(self):
         for n, hub in enumerate(self.hubs):
             if hub is not None:
                 hub.members(
@@ -670,18 +670,18 @@
                     {
                         other.name: other.epoch
                         for m, other in enumerate(self.hubs)
-                        if other is not None and m != n and not {n, m} & self.cut
+                        if other is not None and m != n and not {n, m} & self.isolated
                     },
                 )
 
     @rule(n=st.integers(0, 1), at=st.integers(0, 2))
     def move(self, n, at):
-        client, hub = self.judge.clients[n], self.hubs[at]
-        if hub is None or at in self.asleep:
+        client, hub = self.lab.clients[n], self.hubs[at]
+        if hub is None or at in self.paused:
             return
         if client.hub is not None:
             client.hub.subscribers.unsubscribe(self.now, client.sub)
-            lab.Lab._leave(self.judge, client)
+            lab.Lab._leave(self.lab, client)
         subs = hub.subscribers
         client.sub = (
             subs.subscribe(self.now, client.text) if client.cursor is None else subs.resume(self.now, client.cursor)
@@ -689,83 +689,87 @@
         client.hub, client.at = hub, at
 
     def read(self, n, keep=True):
-        client, self.judge.now = self.judge.clients[n], self.now
+        client, self.lab.now = self.lab.clients[n], self.now
         client.cursor_at = -1e9 if keep else 1e9
-        if client.hub is not None and client.at not in self.asleep:
-            lab.Lab._read(self.judge, client, client.hub)
+        if client.hub is not None and client.at not in self.paused:
+            lab.Lab._read(self.lab, client, client.hub)
 
     @rule(
-        fates=st.lists(st.sampled_from(("come", "come", "come", "lost", "twice", "late")), min_size=1, max_size=12),
+        message_outcomes=st.lists(
+            st.sampled_from(("come", "come", "come", "lost", "twice", "late")), min_size=1, max_size=12
+        ),
         ms=st.sampled_from((1.0, 60.0, 300.0, 1_500.0, 5_000.0)),
-        makes=st.lists(st.integers(0, 9), max_size=6),
+        event_counts=st.lists(st.integers(0, 9), max_size=6),
         keep=st.booleans(),
-        turns=st.integers(1, 8),
+        rounds=st.integers(1, 8),
     )
-    def run_steps(self, fates, ms, makes, keep, turns):
+    def run_steps(self, message_outcomes, ms, event_counts, keep, rounds):
         """Reconnect subscribers, publish events, let time pass, and read what was written."""
-        for client in self.judge.clients:
+        for client in self.lab.clients:
             if client.hub is None:
                 self.move(client.number, (client.number + self.starts) % 3)
-        for _ in range(turns):
-            for n, count in enumerate(makes):
+        for _ in range(rounds):
+            for n, count in enumerate(event_counts):
                 self.make(n % 3, count)
-            self.deliver(fates, ms)
+            self.deliver(message_outcomes, ms)
             self.read(0, keep)
             self.read(1)
 
     def make(self, n, count):
-        if (hub := self.hubs[n]) is not None and n not in self.asleep:
+        if (hub := self.hubs[n]) is not None and n not in self.paused:
             for _ in range(count):
-                one = event(self.draw)
-                self.judge.made[hub.name, hub.epoch].append((self.now, one))
-                hub.make(one)
+                new_event = event(self.random)
+                self.lab.made[hub.name, hub.epoch].append((self.now, new_event))
+                hub.make(new_event)
 
-    def deliver(self, fates, ms):
-        """Let time pass, tick all hubs, and deliver messages by their fates."""
+    def deliver(self, message_outcomes, ms):
+        """Let time pass, tick all hubs, and give each message the next of `message_outcomes`."""
         self.now += ms
         for n, hub in enumerate(self.hubs):
-            if hub is not None and n not in self.asleep:
-                self.net += [(n, int(to[1]), (hub.name, hub.epoch, message)) for to, message in hub.tick(self.now)]
-        coming, self.net = deque(self.net), []
-        for _ in range(len(coming)):
-            source, target, envelope = coming.popleft()
+            if hub is not None and n not in self.paused:
+                self.network_messages += [
+                    (n, int(to[1]), (hub.name, hub.epoch, message)) for to, message in hub.tick(self.now)
+                ]
+        in_transit, self.network_messages = deque(self.network_messages), []
+        for _ in range(len(in_transit)):
+            source, target, envelope = in_transit.popleft()
             self.sent += 1
-            fate = fates[self.sent % len(fates)]
-            if fate == "late" or target in self.asleep:
-                self.net.append((source, target, envelope))
-            elif fate != "lost" and not {source, target} & self.cut and (hub := self.hubs[target]) is not None:
-                for _ in range(1 + (fate == "twice")):
+            outcome = message_outcomes[self.sent % len(message_outcomes)]
+            if outcome == "late" or target in self.paused:
+                self.network_messages.append((source, target, envelope))
+            elif outcome != "lost" and not {source, target} & self.isolated and (hub := self.hubs[target]) is not None:
+                for _ in range(1 + (outcome == "twice")):
                     hub.on_message(self.now, envelope[0], envelope[1], wire.decode(wire.encode(envelope[2])))
-        del self.net[:-200]
+        del self.network_messages[:-200]
 
     @invariant()
     def no_event_is_repeated_foreign_or_out_of_order(self):
-        if self.starts and any(client.events for client in self.judge.clients):
-            found = self.found()
-            assert not (found["repeated"] or found["foreign"] or found["disordered"]), found
+        if self.starts and any(client.events for client in self.lab.clients):
+            counts = self.measure()
+            assert not (counts["repeated"] or counts["foreign"] or counts["disordered"]), counts
 
-    def found(self):
-        self.judge.nodes = self.judge.seed = self.judge.seconds = 0
-        self.judge.unmatched_events = self.judge.received_events = self.judge.messages = self.judge.bytes = 0
-        self.judge.counted = {}
-        return lab.measure(self.judge)
+    def measure(self):
+        self.lab.nodes = self.lab.seed = self.lab.seconds = 0
+        self.lab.unmatched_events = self.lab.received_events = self.lab.messages = self.lab.bytes = 0
+        self.lab.counted = {}
+        return lab.measure(self.lab)
 
     def teardown(self):
         """Heal the network: every event is then delivered or within a closed gap."""
-        self.cut, self.asleep = set(), set()
+        self.isolated, self.paused = set(), set()
         for n in range(3):
             self.start(n)
-        for client in self.judge.clients:
+        for client in self.lab.clients:
             if client.hub is None:
                 self.move(client.number, 0)
         for step in range(120):
             if step % 10 == 0:
-                self.believe()
+                self.update_members()
             self.deliver(["come"], 100.0)
             self.read(0)
             self.read(1)
-        found = self.found()
-        assert not (found["lost_silently"] or found["gaps_open"] or found["never_acknowledged"]), found
+        counts = self.measure()
+        assert not (counts["lost_silently"] or counts["gaps_open"] or counts["never_acknowledged"]), counts
         self.no_event_is_repeated_foreign_or_out_of_order()
 
 
