--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -50,17 +50,21 @@
         shutil.rmtree(path)
 
 
-def files(at: Path) -> dict[str, bytes]:
+def files(folder_path: Path) -> dict[str, bytes]:
     """Return the contents of all files under a folder."""
-    return {str(path.relative_to(at)): path.read_bytes() for path in sorted(at.rglob("*")) if path.is_file()}
+    return {
+        str(path.relative_to(folder_path)): path.read_bytes()
+        for path in sorted(folder_path.rglob("*"))
+        if path.is_file()
+    }
 
 
-def replace_files(at: Path, content: dict[str, bytes]) -> None:
+def replace_files(folder_path: Path, content: dict[str, bytes]) -> None:
     """Replace the folder's contents by exactly these files, with new inodes as in any copy."""
-    shutil.rmtree(at, ignore_errors=True)
+    shutil.rmtree(folder_path, ignore_errors=True)
     for name, data in content.items():
-        (at / name).parent.mkdir(parents=True, exist_ok=True)
-        (at / name).write_bytes(data)
+        (folder_path / name).parent.mkdir(parents=True, exist_ok=True)
+        (folder_path / name).write_bytes(data)
 
 
 class Child:
@@ -79,10 +83,10 @@
                     os.setuid(user)
                 if file_bytes is not None:
                     resource.setrlimit(resource.RLIMIT_FSIZE, (file_bytes, file_bytes))
-                out = os.fdopen(writer, "wb", buffering=0)
-                call(lambda report: out.write(pickle.dumps(report)))
+                output = os.fdopen(writer, "wb", buffering=0)
+                call(lambda report: output.write(pickle.dumps(report)))
             except BaseException as error:  # noqa: BLE001 - reported; must not continue in the parent's code
-                out.write(pickle.dumps(repr(error)))
+                output.write(pickle.dumps(repr(error)))
             finally:
                 os._exit(0)
         os.close(writer)
--- a/tests/contracts/test_store_contract.py
+++ b/tests/contracts/test_store_contract.py
@@ -39,10 +39,13 @@
         self.path = self.folder.__enter__()
         self.store = kind.open(self.path)
 
-    @rule(changes=batches | st.sampled_from([{b"%d" % n: b"" for n in range(at, at + 7)} for at in (0, 4, 8)]))
+    @rule(
+        changes=batches
+        | st.sampled_from([{b"%d" % number: b"" for number in range(start, start + 7)} for start in (0, 4, 8)])
+    )
     def batch(self, changes):
-        after = {k: v for k, v in {**self.model, **changes}.items() if v is not None}
-        size = sum(len(k) + len(v) for k, v in after.items())
+        after = {key: value for key, value in {**self.model, **changes}.items() if value is not None}
+        size = sum(len(key) + len(value) for key, value in after.items())
         if len(after) > SMALL.entries or size > SMALL.total:
             with pytest.raises(StoreFullError):
                 self.store.apply(changes)
@@ -70,7 +73,9 @@
 
     @rule(prefix=st.binary(max_size=2) | st.sampled_from([b"\xff", b"a\xff"]))
     def scan(self, prefix):
-        assert self.store.scan(prefix) == sorted((k, v) for k, v in self.model.items() if k.startswith(prefix))
+        assert self.store.scan(prefix) == sorted(
+            (key, value) for key, value in self.model.items() if key.startswith(prefix)
+        )
 
     @rule(key=keys)
     def get(self, key):
@@ -109,13 +114,13 @@
 def filled(kind, path: Path, count: int, **more):
     """Return a store after so many batches, and the state of each generation."""
     store, rng, states = kind.open(path, LARGE, **more), random.Random(5), [[]]
-    for turn in range(count):
+    for number in range(count):
         store.apply(
             {
                 b"k%d" % rng.randrange(12): None if rng.random() < 0.2 else rng.randbytes(rng.randrange(300))
                 for _ in range(4)
             }
-            | {b"turn": b"%d" % turn}
+            | {b"turn": b"%d" % number}
         )
         states.append(store.scan())
     return store, states
@@ -128,52 +133,52 @@
         path, LARGE, copy_approved=True, log=lambda event, **fields: logged.append((event, fields)), **more
     )
     try:
-        verdict = store.decision.condition
+        condition = store.decision.condition
         assert [event for event, _ in logged] == ["store"]
-        if verdict is StoreCondition.GOOD:
+        if condition is StoreCondition.GOOD:
             assert store.scan() == states[store.generation]
         else:
-            assert verdict in (StoreCondition.CORRUPT, StoreCondition.OLDER), verdict
+            assert condition in (StoreCondition.CORRUPT, StoreCondition.OLDER), condition
             assert (store.scan(), store.generation) == ([], 0)
             assert (path / logged[0][1]["aside"]).exists()
-        return verdict, store.generation
+        return condition, store.generation
     finally:
         store.close()
 
 
 @each_durable
 def test_torn_or_corrupt_files_are_used_only_as_a_complete_state(kind):
-    rng, verdicts = random.Random(6), set()
+    rng, conditions = random.Random(6), set()
     with folder() as path:
         store, states = filled(kind, path, 9)
         content = files(path)  # as kill -9 leaves them
         store.close()
         for name, data in content.items():
             cases = [None]
-            cases += [data[: len(data) * part // 12] for part in range(12)]
-            for part in range(16):
-                at = min(len(data) - 1, len(data) * part // 16 + rng.randrange(1 + len(data) // 16))
+            cases += [data[: len(data) * fraction // 12] for fraction in range(12)]
+            for fraction in range(16):
+                start = min(len(data) - 1, len(data) * fraction // 16 + rng.randrange(1 + len(data) // 16))
                 corrupted = bytearray(data)
-                for place in range(at, min(len(data), at + rng.choice((1, 1, 8)))):
-                    corrupted[place] ^= rng.randrange(1, 256)
+                for offset in range(start, min(len(data), start + rng.choice((1, 1, 8)))):
+                    corrupted[offset] ^= rng.randrange(1, 256)
                 cases.append(bytes(corrupted))
             for case in cases:
-                left = {other: case if other == name else content[other] for other in content}
+                remaining = {other: case if other == name else content[other] for other in content}
                 if case is None:
-                    del left[name]
+                    del remaining[name]
                 for witnessed in (True, False):
                     if not witnessed:
-                        left.pop("witness", None)
-                    replace_files(path, left)
-                    verdict, generation = outcome(kind, path, states)
-                    verdicts.add((witnessed, verdict))
+                        remaining.pop("witness", None)
+                    replace_files(path, remaining)
+                    condition, generation = outcome(kind, path, states)
+                    conditions.add((witnessed, condition))
                     if (
-                        witnessed and verdict is StoreCondition.GOOD
+                        witnessed and condition is StoreCondition.GOOD
                     ):  # a missing last batch is detected only by the witness
                         assert generation == 9
                     if not name.startswith("store/"):
-                        assert verdict is StoreCondition.GOOD
-    assert (True, StoreCondition.CORRUPT) in verdicts
+                        assert condition is StoreCondition.GOOD
+    assert (True, StoreCondition.CORRUPT) in conditions
 
 
 @each_durable
@@ -181,12 +186,12 @@
     """Covers system calls made in Python; engines in C are interrupted by the tests below."""
     with folder() as path:
         store, states = filled(kind, path, 5)
-        points = []
+        snapshots = []
         for name, call in ((name, getattr(os, name)) for name in ("open", "write", "fsync", "replace", "unlink")):
 
-            def step(*args, call=call, **kw):
-                points.append(files(path / "store"))
-                return call(*args, **kw)
+            def step(*args, call=call, **kwargs):
+                snapshots.append(files(path / "store"))
+                return call(*args, **kwargs)
 
             monkeypatch.setattr(os, name, step)
         changes = {b"k1": b"new" * 50, b"k2": None, b"k3": b"new", b"other": b""}
@@ -194,21 +199,23 @@
         monkeypatch.undo()
         states.append(store.scan())
         store.close()
-        if not points:
+        if not snapshots:
             pytest.skip("the engine makes no system calls in Python")
-        seen = set()
-        for before, now in zip([points[0], *points], points, strict=False):
-            replace_files(path / "store", now)
+        generations = set()
+        for before, current in zip([snapshots[0], *snapshots], snapshots, strict=False):
+            replace_files(path / "store", current)
             (path / "witness").unlink(missing_ok=True)
-            verdict, generation = outcome(kind, path, states)
-            assert (verdict, generation in (5, 6)) == (StoreCondition.GOOD, True)
-            seen.add(generation)
-            for name in {name for name in now if now[name] != before.get(name)}:  # the file that this step was writing
-                for part in range(4):
-                    replace_files(path / "store", {**now, name: now[name][: len(now[name]) * part // 4]})
+            condition, generation = outcome(kind, path, states)
+            assert (condition, generation in (5, 6)) == (StoreCondition.GOOD, True)
+            generations.add(generation)
+            for name in {
+                name for name in current if current[name] != before.get(name)
+            }:  # the file that this step was writing
+                for quarter in range(4):
+                    replace_files(path / "store", {**current, name: current[name][: len(current[name]) * quarter // 4]})
                     (path / "witness").unlink(missing_ok=True)
                     outcome(kind, path, states)
-        assert seen <= {5, 6} and 5 in seen
+        assert generations <= {5, 6} and 5 in generations
 
 
 @each_durable
@@ -217,18 +224,18 @@
     calls = limit = 0
 
     def step(real, name):
-        def call(*args, **kw):
+        def call(*args, **kwargs):
             nonlocal calls
             calls += name == "write" or bool(args[1] & os.O_CREAT)
             if calls == limit:
-                raise OSError(errno.ENOSPC, "no room")
-            return real(*args, **kw)
+                raise OSError(errno.ENOSPC, "no space")
+            return real(*args, **kwargs)
 
         return call
 
     with folder() as path:
         store, states = filled(kind, path, 5)
-        left = files(path).keys()
+        names_before = files(path).keys()
         for limit in range(1, 100):  # noqa: B007 - read by the patched calls
             calls = 0
             for name in ("open", "write"):
@@ -239,7 +246,7 @@
                 break  # past the last step
             except StoreFullError:
                 assert (store.generation, store.scan()) == (5, states[5])
-                assert files(path).keys() == left
+                assert files(path).keys() == names_before
             finally:
                 monkeypatch.undo()
         if not calls:
@@ -256,9 +263,9 @@
 
     def write(report):
         store = kind.open(path, LARGE)
-        for turn in range(store.generation + 1, 100_000):
-            store.apply({b"%d" % place: b"%d" % turn * 40 for place in range(8)} | {b"t%d" % (turn % 60): b"t"})
-            report(turn)
+        for number in range(store.generation + 1, 100_000):
+            store.apply({b"%d" % slot: b"%d" % number * 40 for slot in range(8)} | {b"t%d" % (number % 60): b"t"})
+            report(number)
 
     with folder() as path:
         acknowledged = 0
@@ -275,12 +282,12 @@
             store = kind.open(path, LARGE)  # the lock was released with its process
             assert store.decision.condition is StoreCondition.GOOD, store.decision
             assert acknowledged <= store.generation <= acknowledged + 1
-            assert {store.get(b"%d" % place) for place in range(8)} == {b"%d" % store.generation * 40}
+            assert {store.get(b"%d" % slot) for slot in range(8)} == {b"%d" % store.generation * 40}
             store.close()
 
 
-def batch_of(turn: int) -> dict[bytes, bytes | None]:
-    return {b"%d" % (turn * 3 % 20 + place): bytes([turn % 256]) * 2_000 for place in range(3)}
+def batch_of(number: int) -> dict[bytes, bytes | None]:
+    return {b"%d" % (number * 3 % 20 + slot): bytes([number % 256]) * 2_000 for slot in range(3)}
 
 
 @each_durable
@@ -289,9 +296,9 @@
 
     def write(report):
         store = kind.open(path, LARGE)
-        for turn in range(40):
+        for number in range(40):
             try:
-                store.apply(batch_of(turn))
+                store.apply(batch_of(number))
             except StoreFullError:
                 report(("full", store.generation, store.scan()))
                 return
@@ -302,10 +309,10 @@
                 return
 
     states, outcomes = [{}], set()
-    for turn in range(40):
-        states.append({**states[-1], **batch_of(turn)})
+    for number in range(40):
+        states.append({**states[-1], **batch_of(number)})
     with folder() as path:
-        for limit in sorted({int(300 * 1.22**n) for n in range(36)}):
+        for limit in sorted({int(300 * 1.22**exponent) for exponent in range(36)}):
             replace_files(path, {})
             kind.open(path, LARGE).close()
             reports = Child(write, file_bytes=limit).all()
@@ -326,7 +333,7 @@
 
 @each_durable
 def test_opener_without_write_permission_is_refused_and_changes_nothing(kind):
-    def look(report):
+    def try_to_open(report):
         try:
             kind.open(path, LARGE)
         except StoreRefusedError as refused:
@@ -335,34 +342,39 @@
     with folder() as path:
         filled(kind, path, 3)[0].close()
         before = files(path)
-        for outer, inner, lock, mode in (
+        for folder_mode, store_mode, lock_mode, file_mode in (
             (0o555, 0o555, 0o444, 0o444),
             (0o777, 0o777, 0o000, 0o666),
             (0o777, 0o777, 0o666, 0o444),
             (0o777, 0o555, 0o666, 0o666),
             (0o555, 0o777, 0o666, 0o666),
         ):
-            path.chmod(outer)
-            (path / "store").chmod(inner)
+            path.chmod(folder_mode)
+            (path / "store").chmod(store_mode)
             for name in before:
-                (path / name).chmod(lock if name == "lock" else mode)
-            assert Child(look, user=UNPRIVILEGED_USER).all() == [StoreCondition.READ_ONLY], (outer, inner, lock, mode)
+                (path / name).chmod(lock_mode if name == "lock" else file_mode)
+            assert Child(try_to_open, user=UNPRIVILEGED_USER).all() == [StoreCondition.READ_ONLY], (
+                folder_mode,
+                store_mode,
+                lock_mode,
+                file_mode,
+            )
             before["lock"] = files(path)["lock"]  # the holder writes its process number there
             assert files(path) == before
-        for at in (path, path / "store"):
-            at.chmod(0o777)
+        for opened_path in (path, path / "store"):
+            opened_path.chmod(0o777)
         for name in before:
             (path / name).chmod(0o666)
         for name in before:
             if name.startswith("store/"):
                 (path / name).chmod(0o222)
-                assert Child(look, user=UNPRIVILEGED_USER).all() == [StoreCondition.UNREADABLE], name
+                assert Child(try_to_open, user=UNPRIVILEGED_USER).all() == [StoreCondition.UNREADABLE], name
                 (path / name).chmod(0o666)
 
 
 @each_durable
 def test_second_opener_is_refused_in_this_process_and_in_others(kind):
-    def look(report):
+    def try_to_open(report):
         try:
             kind.open(path, LARGE)
         except StoreLockedError as error:
@@ -373,7 +385,7 @@
         store.apply({b"k": b"v"})
         with pytest.raises(StoreLockedError, match=f"process {os.getpid()}"):
             kind.open(path, LARGE)
-        (message,) = Child(look).all()
+        (message,) = Child(try_to_open).all()
         assert f"process {os.getpid()}" in message
         assert store.apply({b"k": b"w"}) == 2
         store.close()
@@ -383,16 +395,16 @@
 @each_durable
 def test_copies_and_foreign_stores_are_set_aside_and_only_a_few_kept(kind):
     with folder() as path:
-        apart = path.with_name("apart")
-        store, states = filled(kind, path, 3, witness=apart)
+        separate_witness = path.with_name("apart")
+        store, states = filled(kind, path, 3, witness=separate_witness)
         earlier = files(path)
-        for turn in range(3):
-            store.apply({b"k": b"%d" % turn})
+        for number in range(3):
+            store.apply({b"k": b"%d" % number})
             states.append(store.scan())
         known = store.known
         store.close()
-        now = files(path)
-        inside = records_of(known)
+        current = files(path)
+        recorded_witness = records_of(known)
 
         def found(content, **more):
             replace_files(path, content)
@@ -405,27 +417,29 @@
                 store.close()
 
         later = KnownStore("c1", b"i" * 16, known.incarnation + 1, 0)
-        assert [found(now), found(now, copy_approved=True)] == ["older", "good"]
+        assert [found(current), found(current, copy_approved=True)] == ["older", "good"]
         assert (
             found(earlier, copy_approved=True, witness=None) == "good"
         )  # there is no evidence against it: see docs/design/store.md
-        assert found({**earlier, "witness": inside}, copy_approved=True) == "older"
+        assert found({**earlier, "witness": recorded_witness}, copy_approved=True) == "older"
         assert found(earlier, copy_approved=True, known_by_peers=known) == "older"
-        assert found(now, copy_approved=True, known_by_peers=known) == "good"
-        assert found(now, copy_approved=True, known_by_peers=later) == "older"
+        assert found(current, copy_approved=True, known_by_peers=known) == "good"
+        assert found(current, copy_approved=True, known_by_peers=later) == "older"
         assert (
-            found(now, copy_approved=True, known_by_peers=KnownStore("c2", b"i" * 16, 9, 9)) == "good"
+            found(current, copy_approved=True, known_by_peers=KnownStore("c2", b"i" * 16, 9, 9)) == "good"
         )  # of another owner
-        assert found(now, copy_approved=True, owner="c2") == "foreign"
-        witnessed = apart.read_bytes()
-        assert found(now, witness=apart) == "good"  # the witness elsewhere shows that the copy is the latest
-        assert found(earlier, witness=apart) == "older"
-        apart.write_bytes(witnessed[:40])  # torn: it is ignored
-        assert found(now, witness=apart) == "older"
-        for turn in range(5):
-            kind.open(path, LARGE, owner=f"o{turn}").close()
-        asides = [name for name in os.listdir(path) if name.startswith("aside-")]
-        assert (len(asides), max(asides)[-7:]) == (MAX_SET_ASIDE, "foreign")
+        assert found(current, copy_approved=True, owner="c2") == "foreign"
+        witnessed = separate_witness.read_bytes()
+        assert (
+            found(current, witness=separate_witness) == "good"
+        )  # the witness elsewhere shows that the copy is the latest
+        assert found(earlier, witness=separate_witness) == "older"
+        separate_witness.write_bytes(witnessed[:40])  # torn: it is ignored
+        assert found(current, witness=separate_witness) == "older"
+        for number in range(5):
+            kind.open(path, LARGE, owner=f"o{number}").close()
+        set_aside = [name for name in os.listdir(path) if name.startswith("aside-")]
+        assert (len(set_aside), max(set_aside)[-7:]) == (MAX_SET_ASIDE, "foreign")
 
 
 def records_of(known: KnownStore) -> bytes:
@@ -436,7 +450,7 @@
 
 @each_durable
 def test_without_space_for_an_empty_store_the_found_one_is_unchanged(kind):
-    def look(report):
+    def try_to_open(report):
         try:
             kind.open(path, LARGE, owner="c2")
         except StoreRefusedError as refused:
@@ -446,8 +460,8 @@
         filled(kind, path, 3)[0].close()
         for content in ({}, files(path)):
             replace_files(path, content)
-            (verdict,) = Child(look, file_bytes=30).all()
-            assert verdict in (StoreCondition.FULL, StoreCondition.READ_ONLY)  # depends on the engine's error
+            (condition,) = Child(try_to_open, file_bytes=30).all()
+            assert condition in (StoreCondition.FULL, StoreCondition.READ_ONLY)  # depends on the engine's error
             assert {name: data for name, data in files(path).items() if name.startswith("store/")} == {
                 name: data for name, data in content.items() if name.startswith("store/")
             }
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -33,23 +33,23 @@
 
 
 def test_inspections_lead_to_decisions_and_the_first_rule_wins():
-    at = KnownStore("c1", A, 3, 40)
+    known = KnownStore("c1", A, 3, 40)
     for changed, outcome in (
         ({}, "good use"),
-        ({"known_by_peers": replace(at, incarnation=4)}, "older aside"),
-        ({"witness": at}, "good use"),
-        ({"witness": replace(at, generation=39)}, "good use"),
-        ({"witness": replace(at, generation=41)}, "older aside"),
-        ({"known_by_peers": replace(at, incarnation=2, generation=99)}, "good use"),
-        ({"witness": replace(at, id=B, generation=1)}, "older aside"),  # two stores of one incarnation
-        ({"witness": replace(at, owner="c2", generation=99)}, "good use"),
-        ({"witness": replace(at, owner="c2"), "witness_apart": True}, "foreign refuse"),
+        ({"known_by_peers": replace(known, incarnation=4)}, "older aside"),
+        ({"witness": known}, "good use"),
+        ({"witness": replace(known, generation=39)}, "good use"),
+        ({"witness": replace(known, generation=41)}, "older aside"),
+        ({"known_by_peers": replace(known, incarnation=2, generation=99)}, "good use"),
+        ({"witness": replace(known, id=B, generation=1)}, "older aside"),  # two stores of one incarnation
+        ({"witness": replace(known, owner="c2", generation=99)}, "good use"),
+        ({"witness": replace(known, owner="c2"), "witness_apart": True}, "foreign refuse"),
         ({"inode": 78}, "older aside"),
         ({"inode": 78, "copy_approved": True}, "good use"),
-        ({"inode": 78, "witness": at}, "older aside"),
-        ({"inode": 78, "known_by_peers": at}, "older aside"),
-        ({"inode": 78, "witness": at, "witness_apart": True}, "good use"),
-        ({"inode": 78, "witness": replace(at, incarnation=2, id=B), "witness_apart": True}, "older aside"),
+        ({"inode": 78, "witness": known}, "older aside"),
+        ({"inode": 78, "known_by_peers": known}, "older aside"),
+        ({"inode": 78, "witness": known, "witness_apart": True}, "good use"),
+        ({"inode": 78, "witness": replace(known, incarnation=2, id=B), "witness_apart": True}, "older aside"),
         ({"head": replace(HEAD, owner="c2"), "meta": None}, "foreign aside"),
         ({"head": replace(HEAD, format=FORMAT + 1), "meta": None}, "unreadable refuse"),
         ({"head": replace(HEAD, kind="marker"), "meta": None}, "unreadable refuse"),
@@ -57,7 +57,7 @@
         ({"meta": None, "corruption": "x"}, "corrupt aside"),
         ({"head": None}, "corrupt aside"),
         ({"found": False, "head": None}, "fresh begin"),
-        ({"found": False, "head": None, "witness": at}, "fresh begin"),
+        ({"found": False, "head": None, "witness": known}, "fresh begin"),
         ({"unreadable": "x", "head": None}, "unreadable refuse"),
         ({"unwritable": "x"}, "read-only refuse"),
         ({"has_space": False, "head": None}, "full refuse"),
@@ -65,7 +65,7 @@
     ):
         decision = decide_opening(replace(GOOD, **changed))
         assert f"{decision.condition} {decision.action}" == outcome, changed
-    assert "lost" in decide_opening(replace(GOOD, found=False, witness=at)).reason
+    assert "lost" in decide_opening(replace(GOOD, found=False, witness=known)).reason
 
 
 def test_empty_store_has_a_later_incarnation_than_all_known_of_its_owner():
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -33,19 +33,19 @@
 )
 
 
-def event(draw: random.Random) -> schema.Event:
-    if draw.random() < 0.2:
-        return schema.make(schema.ENGINE, 1.7e12, f"e{draw.randrange(20)}", draw.choice(("ban", "unban")), None)
+def event(rng: random.Random) -> schema.Event:
+    if rng.random() < 0.2:
+        return schema.make(schema.ENGINE, 1.7e12, f"e{rng.randrange(20)}", rng.choice(("ban", "unban")), None)
     return schema.make(
         schema.ANSWER,
         1.7e12,
-        draw.choice("ab"),
-        f"t{draw.randrange(5)}",
+        rng.choice("ab"),
+        f"t{rng.randrange(5)}",
         None,
-        draw.choice(("served", "failed")),
-        f"e{draw.randrange(20)}",
+        rng.choice(("served", "failed")),
+        f"e{rng.randrange(20)}",
         "http",
-        draw.randrange(50),
+        rng.randrange(50),
     )
 
 
@@ -53,11 +53,14 @@
 
 
 def test_event_has_only_its_columns_truncated_to_their_bounds():
-    made = schema.make(schema.ANSWER, -5.0, "x" * 99, "é" * 99, 2**70, None, "\ud800", "http", 3.7)
-    assert made.at_ms == 0 and made.values == ("x" * 64, "é" * 48, 2**53, None, "?", "http", 3)
+    truncated = schema.make(schema.ANSWER, -5.0, "x" * 99, "é" * 99, 2**70, None, "\ud800", "http", 3.7)
+    assert truncated.at_ms == 0 and truncated.values == ("x" * 64, "é" * 48, 2**53, None, "?", "http", 3)
     for kind, columns in enumerate(schema.COLUMNS):  # the largest of each kind fits a message
         _, size = wire.published_event(
-            2**53, schema.make(kind, 1e18, *["\U0001f600" * 64 if k != 1 else 2**60 for k in columns.values()])
+            2**53,
+            schema.make(
+                kind, 1e18, *["\U0001f600" * 64 if column_kind != 1 else 2**60 for column_kind in columns.values()]
+            ),
         )
         assert size <= wire.MAX_EVENTS_BYTES
     with pytest.raises(ValueError):
@@ -86,35 +89,35 @@
 )
 
 
-def rows(draw, count=60):
+def rows(rng, count=60):
     for _ in range(count):
-        row = schema.row("c1", event(draw))
-        yield row | {"at": row["at"] + schema.timedelta(seconds=draw.randrange(-30, 30))}
+        row = schema.row("c1", event(rng))
+        yield row | {"at": row["at"] + schema.timedelta(seconds=rng.randrange(-30, 30))}
 
 
 @seed(1)
 @settings(max_examples=30, deadline=None)
 @given(LISTS, st.randoms(use_true_random=False), st.sampled_from((3, 30, 1_024)))
-def test_summary_covers_all_its_filters_and_is_bounded(texts, draw, most):
-    held, left = interest.CombinedInterest(), {}
+def test_summary_covers_all_its_filters_and_is_bounded(texts, rng, max_boxes):
+    combined, remaining = interest.CombinedInterest(), {}
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(interest, "MAX_BOXES", most)
+        patch.setattr(interest, "MAX_BOXES", max_boxes)
         for number, text in enumerate(texts):
-            held.add(number, parse(text))
-            left[number] = text
-            if draw.random() < 0.3:
-                removed = draw.choice(sorted(left))
-                held.remove(removed)
-                del left[removed]
-            if draw.random() < 0.2:
-                held.filters(narrow=draw.random() < 0.3)
-            assert len(held._added) <= most
-        filters = held.filters()
+            combined.add(number, parse(text))
+            remaining[number] = text
+            if rng.random() < 0.3:
+                removed = rng.choice(sorted(remaining))
+                combined.remove(removed)
+                del remaining[removed]
+            if rng.random() < 0.2:
+                combined.filters(narrow=rng.random() < 0.3)
+            assert len(combined._added) <= max_boxes
+        filters = combined.filters()
     assert len(filters) <= wire.MAX_FILTERS and sum(len(part.encode()) for part in filters) <= wire.MAX_FILTERS_BYTES
     wanted = interest.parse_summary(filters)
-    for row in rows(draw):
-        assert match(wanted, row) or not any(match(parse(text), row) for text in left.values())
-    assert bool(filters) == bool(left)
+    for row in rows(rng):
+        assert match(wanted, row) or not any(match(parse(text), row) for text in remaining.values())
+    assert bool(filters) == bool(remaining)
 
 
 @seed(2)
@@ -126,76 +129,82 @@
     st.randoms(use_true_random=False),
     st.sampled_from((2, 12, 192)),
 )
-def test_boxes_are_reduced_to_few_that_contain_them_all(texts, most, room, draw, fine):
+def test_boxes_are_reduced_to_few_that_contain_them_all(texts, max_boxes, max_bytes, rng, max_candidates):
     terms = [term for text in texts for term in normal(parse(text))]
     boxes = [cover.box(term) for term in terms]
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(cover, "MAX_MERGE_CANDIDATES", fine)
-        patch.setattr(cover, "MAX_PAIRWISE_BOXES", min(fine, 20))
-        few = [cover.predicate(one) for one in cover.reduce_boxes(boxes, most, room)]
-    assert 0 < len(few) <= most and sum(len(language.text(one).encode()) for one in few) <= room
-    assert all(parse(language.text(one)) == one for one in few)
-    for row in rows(draw):
-        for term, one in zip(terms, boxes, strict=True):
+        patch.setattr(cover, "MAX_MERGE_CANDIDATES", max_candidates)
+        patch.setattr(cover, "MAX_PAIRWISE_BOXES", min(max_candidates, 20))
+        reduced = [cover.predicate(box) for box in cover.reduce_boxes(boxes, max_boxes, max_bytes)]
+    assert 0 < len(reduced) <= max_boxes and sum(len(language.text(box).encode()) for box in reduced) <= max_bytes
+    assert all(parse(language.text(box)) == box for box in reduced)
+    for row in rows(rng):
+        for term, box in zip(terms, boxes, strict=True):
             if match(all_of(*term), row):
-                assert match(cover.predicate(one), row) and any(match(wide, row) for wide in few)
+                assert match(cover.predicate(box), row) and any(
+                    match(reduced_predicate, row) for reduced_predicate in reduced
+                )
 
 
 def test_summary_of_many_filters_joins_similar_ones_and_of_too_many_keeps_what_they_have_in_common(monkeypatch):
-    held = interest.CombinedInterest()
+    combined = interest.CombinedInterest()
     for number in range(500):
-        held.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {500 + number % 70}"))
-    held.add("far", parse("kind = 'engine' AND engine STARTS WITH 'e1'"))
-    wanted = interest.parse_summary(held.filters())
+        combined.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {500 + number % 70}"))
+    combined.add("far", parse("kind = 'engine' AND engine STARTS WITH 'e1'"))
+    wanted = interest.parse_summary(combined.filters())
     for tenant, ms, matched in (("t3", 600, True), ("t7", 600, False), ("t3", 499, False)):
         assert match(wanted, {"kind": "answer", "tenant": tenant, "ms": ms}) is matched
     assert [match(wanted, {"kind": "engine", "engine": name}) for name in ("e12", "e2")] == [True, False]
     for number in range(500):
         if number % 7 == 3:
-            held.remove(number)
-    wide = interest.parse_summary(held.filters())  # after removals it may stay wide until it is rebuilt
+            combined.remove(number)
+    wide = interest.parse_summary(combined.filters())  # after removals it may stay wide until it is rebuilt
     assert match(wide, {"kind": "answer", "tenant": "t3", "ms": 600})
-    assert not match(interest.parse_summary(held.filters(narrow=True)), {"kind": "answer", "tenant": "t3", "ms": 600})
-    low, high, more = (cover.box(normal(parse(said))[0]) for said in ("ms < 5", "ms >= 40", "ms < 9"))
-    assert cover.join(low, high) == frozenset() and cover.join(low, more) == cover.box(normal(parse("ms <= 9"))[0])
+    assert not match(
+        interest.parse_summary(combined.filters(narrow=True)), {"kind": "answer", "tenant": "t3", "ms": 600}
+    )
+    low, high, overlapping = (cover.box(normal(parse(condition))[0]) for condition in ("ms < 5", "ms >= 40", "ms < 9"))
+    assert cover.join(low, high) == frozenset() and cover.join(low, overlapping) == cover.box(
+        normal(parse("ms <= 9"))[0]
+    )
     monkeypatch.setattr(interest, "MAX_BOXES", 40)
-    held = interest.CombinedInterest()
+    combined = interest.CombinedInterest()
     for number in range(100):  # the boxes added since the last summary are bounded
-        held.add(number % 30, parse(f"kind = 'answer' AND tenant = 'a rather long name {number}'"))
-        assert len(held._added) <= 40 and (number != 30 or held.filters())
-    held = interest.CombinedInterest()
+        combined.add(number % 30, parse(f"kind = 'answer' AND tenant = 'a rather long name {number}'"))
+        assert len(combined._added) <= 40 and (number != 30 or combined.filters())
+    combined = interest.CombinedInterest()
     for number in range(500):
-        held.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {number}"))
-    assert held.filters() == ("kind = 'answer' AND tenant IN ('t0', 't1', 't2', 't3', 't4', 't5', 't6')",)
-    held.add(500, parse("kind = 'answer' AND ms > 0"))
-    assert held.filters() == ("kind = 'answer'",)
-    held.add(501, parse("ms > 0 OR outcome IS NULL"))
-    assert held.filters() == ("TRUE",)
+        combined.add(number, parse(f"kind = 'answer' AND tenant = 't{number % 7}' AND ms > {number}"))
+    assert combined.filters() == ("kind = 'answer' AND tenant IN ('t0', 't1', 't2', 't3', 't4', 't5', 't6')",)
+    combined.add(500, parse("kind = 'answer' AND ms > 0"))
+    assert combined.filters() == ("kind = 'answer'",)
+    combined.add(501, parse("ms > 0 OR outcome IS NULL"))
+    assert combined.filters() == ("TRUE",)
 
 
-@pytest.mark.parametrize("most", (1_024, 0))  # reduced by joining; by what all have in common
-def test_summary_keeps_its_size_and_a_filter_without_a_normal_form_widens_it_to_all(most, monkeypatch):
-    monkeypatch.setattr(interest, "MAX_BOXES", most)
+@pytest.mark.parametrize("max_boxes", (1_024, 0))  # reduced by joining; by what all have in common
+def test_summary_keeps_its_size_and_a_filter_without_a_normal_form_widens_it_to_all(max_boxes, monkeypatch):
+    monkeypatch.setattr(interest, "MAX_BOXES", max_boxes)
     long = "t" * 40
-    for count, each in ((3, 10), (20, 1), (1, 23), (2, 60)):
-        held = interest.CombinedInterest()
-        for n in range(count):
-            names = ", ".join(f"'{long}{n}-{m}'" for m in range(each))
-            held.add(n, parse(f"kind = 'answer' AND tenant IN ({names})"))
-        filters = held.filters()
+    for count, values_per_filter in ((3, 10), (20, 1), (1, 23), (2, 60)):
+        combined = interest.CombinedInterest()
+        for number in range(count):
+            names = ", ".join(f"'{long}{number}-{value}'" for value in range(values_per_filter))
+            combined.add(number, parse(f"kind = 'answer' AND tenant IN ({names})"))
+        filters = combined.filters()
         assert sum(map(len, filters)) <= wire.MAX_FILTERS_BYTES and match(
-            interest.parse_summary(filters), {"kind": "answer", "tenant": f"{long}{count - 1}-{each - 1}"}
+            interest.parse_summary(filters), {"kind": "answer", "tenant": f"{long}{count - 1}-{values_per_filter - 1}"}
         )
-    large = " AND ".join(f"(tenant = 't{n}' OR ms > {n})" for n in range(7)) + f" AND class <> '{long}'"
+    large = " AND ".join(f"(tenant = 't{number}' OR ms > {number})" for number in range(7)) + f" AND class <> '{long}'"
     assert normal(parse(large)) is None
-    held.add("none", parse(large))
-    assert held.filters() == ("TRUE",)
+    combined.add("none", parse(large))
+    assert combined.filters() == ("TRUE",)
 
 
 def test_cursor_round_trips_and_damaged_ones_are_rejected():
-    at = {"c1": (17, 4), "c2": (18, 0)}
-    text = cursor.encode("ms > 5", at)
-    assert (cursor.decode(text).filter, cursor.decode(text).at) == ("ms > 5", at)
+    positions = {"c1": (17, 4), "c2": (18, 0)}
+    text = cursor.encode("ms > 5", positions)
+    assert (cursor.decode(text).filter, cursor.decode(text).at) == ("ms > 5", positions)
     raw = msgspec.msgpack.encode(cursor.Cursor(1, "TRUE", {"": (1, 2)}))
     other = cursor.base64.urlsafe_b64decode(text + "=" * (-len(text) % 4)).replace(b"ms > 5", b"ms > 4")
     for bad in (
@@ -242,34 +251,34 @@
 
 
 def test_smallest_backlog_is_written_first_and_a_full_one_becomes_gaps():
-    fan = Fanout(max_backlog=8, max_total=20)
-    for who in (1, 2, 3):
-        fan.join(who)
+    fanout = Fanout(max_backlog=8, max_total=20)
+    for subscriber in (1, 2, 3):
+        fanout.join(subscriber)
 
-    def enqueue(who: int, numbers, publisher="m"):
-        for n in numbers:
-            fan.offer(who, BacklogItem(publisher, (1, n), (1, n), b"%d" % n))
+    def enqueue(subscriber: int, numbers, publisher="m"):
+        for number in numbers:
+            fanout.offer(subscriber, BacklogItem(publisher, (1, number), (1, number), b"%d" % number))
 
     enqueue(1, range(1, 8))
     enqueue(2, range(1, 3))
     enqueue(3, range(1, 6))
-    assert [(who, len(items)) for who, items in fan.next_batches({3}, 100)] == [(2, 2), (1, 7)]
-    assert fan.has_more(set()) and not fan.has_more({3})
-    fan.offer(3, BacklogItem("n", (1, 9), None))  # an open-ended gap from 9 on
+    assert [(subscriber, len(items)) for subscriber, items in fanout.next_batches({3}, 100)] == [(2, 2), (1, 7)]
+    assert fanout.has_more(set()) and not fanout.has_more({3})
+    fanout.offer(3, BacklogItem("n", (1, 9), None))  # an open-ended gap from 9 on
     enqueue(3, range(6, 9))
-    assert fan.pending(3) == {"m": (1, 0), "n": (1, 8)}
-    assert [items for _, items in fan.next_batches(set(), 100)] == [
+    assert fanout.pending(3) == {"m": (1, 0), "n": (1, 8)}
+    assert [items for _, items in fanout.next_batches(set(), 100)] == [
         [BacklogItem("m", (1, 1), (1, 8)), BacklogItem("n", (1, 9), None)]
     ]
-    fan.offer(3, BacklogItem("n", (1, 9), None))
-    fan.offer(3, BacklogItem("n", (1, 9), (1, 8)))  # closed: the publisher is heard again
+    fanout.offer(3, BacklogItem("n", (1, 9), None))
+    fanout.offer(3, BacklogItem("n", (1, 9), (1, 8)))  # closed: the publisher is heard again
     enqueue(3, range(9, 17))
-    assert [items for _, items in fan.next_batches(set(), 100)] == [
+    assert [items for _, items in fanout.next_batches(set(), 100)] == [
         [BacklogItem("n", (1, 9), (1, 8)), BacklogItem("m", (1, 9), (1, 15)), BacklogItem("m", (1, 16), (1, 16), b"16")]
     ]
-    for who in (1, 2, 3):
-        enqueue(who, range(20, 27))  # 21 in all: one of the largest becomes gaps
-    assert fan.total == sum(map(len, fan.backlogs.values())) <= 20 and fan.overflows == 3
+    for subscriber in (1, 2, 3):
+        enqueue(subscriber, range(20, 27))  # 21 in all: one of the largest becomes gaps
+    assert fanout.total == sum(map(len, fanout.backlogs.values())) <= 20 and fanout.overflows == 3
 
 
 # Streams.
@@ -277,8 +286,8 @@
 
 def sent_by(publisher: EventPublisher, now: float) -> list[wire.Message]:
     publisher.tick(now)
-    out, publisher.outbox[:] = [message for _, message in publisher.outbox], []
-    return out
+    sent, publisher.outbox[:] = [message for _, message in publisher.outbox], []
+    return sent
 
 
 def test_publisher_evicts_the_oldest_reports_them_lost_and_resumes_at_any_position():
@@ -286,14 +295,17 @@
     for _ in range(25):
         publisher.append(schema.make(schema.MEMBER, 1.0, "x", "alive"))
     publisher.on_message(0.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))
-    lost, rest = sent_by(publisher, 0.0)
+    lost, remaining = sent_by(publisher, 0.0)
     assert (lost.lost, lost.after, lost.through) == (True, 3, 15)
-    assert [published.number for published in rest.events] == list(range(16, 26)) and (rest.after, rest.through) == (
+    assert [published.number for published in remaining.events] == list(range(16, 26)) and (
+        remaining.after,
+        remaining.through,
+    ) == (
         15,
         25,
     )
     publisher.on_message(1.0, "r", 1, wire.StreamRequest(0, 1, 7, 3, ("TRUE",)))  # duplicate: answered, not restarted
-    assert [(d.after, d.through) for d in sent_by(publisher, 1.0)] == [(25, 25)]
+    assert [(batch.after, batch.through) for batch in sent_by(publisher, 1.0)] == [(25, 25)]
     publisher.on_message(2.0, "r", 1, wire.StreamRequest(0, 2, 6, 3, ("TRUE",)))  # a position of an earlier process
     assert publisher.outbox.pop() == ("r", wire.UnknownStream(0, 2))
     publisher.on_message(3.0, "r", 1, wire.EventAck(5, 9, 3))  # an unknown stream
@@ -310,20 +322,29 @@
 
 
 def test_publisher_matches_bounded_slices_and_the_index_agrees_with_a_scan():
-    draw = random.Random(3)
+    rng = random.Random(3)
     publisher = EventPublisher("m", 7, slice_=10)
     for number, text in enumerate(FILTERS):
         publisher.on_message(0.0, f"r{number}", 1, wire.StreamRequest(0, 1, 0, wire.HEAD, (text,)))
     sent_by(publisher, 0.0)
-    events = [event(draw) for _ in range(95)]
-    for one in events:
-        publisher.append(one)
+    events = [event(rng) for _ in range(95)]
+    for candidate in events:
+        publisher.append(candidate)
     assert publisher.tick(0.1) and publisher.matched == 10
     while publisher.tick(0.2):
         pass
     for number, text in enumerate(FILTERS):
-        wanted = [n for n, one in enumerate(events, 1) if match(parse(text), schema.row("m", one))]
-        published = [t.number for who, d in publisher.outbox if who == f"r{number}" for t in d.events]
+        wanted = [
+            event_number
+            for event_number, candidate in enumerate(events, 1)
+            if match(parse(text), schema.row("m", candidate))
+        ]
+        published = [
+            published_event.number
+            for receiver, batch in publisher.outbox
+            if receiver == f"r{number}"
+            for published_event in batch.events
+        ]
         assert published == wanted[: len(published)] and (
             len(published) == len(wanted) or publisher.streams[f"r{number}", 0].in_flight
         )
