--- a/frostspindle/predicates/implication.py
+++ b/frostspindle/predicates/implication.py
@@ -101,7 +101,7 @@
     )
 
 
-_AND = tuple(tuple(_conjunction(one, other) for other in range(8)) for one in range(8))
+_AND = tuple(tuple(_conjunction(left, right) for right in range(8)) for left in range(8))
 _NEGATION = tuple(_negation(mask) for mask in range(8))
 
 
--- a/frostspindle/predicates/language.py
+++ b/frostspindle/predicates/language.py
@@ -158,15 +158,15 @@
 
 
 class _RejectedTokenError(Exception):
-    """A part of the text is syntactically valid but has no meaning; `token` is its position."""
+    """A part of the text is syntactically valid but not allowed, for `reason`; `token` has its position."""
 
     def __init__(self, token: lark.Token, reason: str):
         self.token, self.reason = token, reason
 
 
-def _build_at(token: lark.Token, make: Any, *values: Any) -> Any:
+def _build_at(token: lark.Token, constructor: Any, *values: Any) -> Any:
     try:
-        return make(*values)
+        return constructor(*values)
     except ValueError as error:
         raise _RejectedTokenError(token, getattr(error, "reason", str(error))) from None
 
@@ -190,8 +190,8 @@
     _check_nesting(text)
     try:
         predicate = _parser().parse(text)
-    except _RejectedTokenError as stop:
-        raise FilterError(stop.reason, stop.token.line, stop.token.column) from None
+    except _RejectedTokenError as rejected:
+        raise FilterError(rejected.reason, rejected.token.line, rejected.token.column) from None
     except lark.UnexpectedInput as error:
         raise _syntax_error(text, error) from None
     return bounded(predicate)
@@ -240,8 +240,8 @@
     match predicate:
         case Or() | And():
             level = 0 if type(predicate) is Or else 1
-            word = " OR " if level == 0 else " AND "
-            joined = word.join(_format(part, level + 1) for part in predicate.parts)
+            separator = " OR " if level == 0 else " AND "
+            joined = separator.join(_format(part, level + 1) for part in predicate.parts)
             return f"({joined})" if binding > level else joined
         case Not():
             return f"NOT {_format(predicate.part, 2)}"
--- a/frostspindle/predicates/statements.py
+++ b/frostspindle/predicates/statements.py
@@ -160,11 +160,11 @@
     Quotes and comments are not recognised, and unmatched closing parentheses are subtracted from later opening ones.
     """
     maximum = open_count = 0
-    for letter in sql:
-        if letter == "(":
+    for character in sql:
+        if character == "(":
             open_count += 1
             maximum = max(maximum, open_count)
-        elif letter == ")":
+        elif character == ")":
             open_count -= 1
     return maximum
 
@@ -257,10 +257,10 @@
     def _like(self, name: str, pattern: str) -> Predicate:
         """Read LIKE as a prefix in any ASCII case, AND UNKNOWN, as it may or may not be case-sensitive."""
         prefixes = [""]
-        for letter in pattern:
-            if letter in "%_[\\" or not letter.isascii() or len(prefixes) > 4:
+        for character in pattern:
+            if character in "%_[\\" or not character.isascii() or len(prefixes) > 4:
                 break
-            prefixes = [prefix + case for prefix in prefixes for case in sorted({letter.lower(), letter.upper()})]
+            prefixes = [prefix + case for prefix in prefixes for case in sorted({character.lower(), character.upper()})]
         if prefixes == [""]:
             raise _NotUnderstoodError
         return all_of(any_of(*[starts(name, prefix) for prefix in prefixes]), UNKNOWN)
--- a/tests/test_predicates.py
+++ b/tests/test_predicates.py
@@ -148,13 +148,13 @@
         FilterIndex().add(1, part)
 
 
-def test_each_user_errs_to_its_safe_side_beyond_the_bounds_of_the_normal_form():
+def test_covers_and_index_err_to_the_safe_side_beyond_the_bounds_of_the_normal_form():
     large = all_of(*[any_of(compare(f"a{n}", "=", 1), compare(f"b{n}", "=", 1)) for n in range(7)])
     assert normal(large) is None and not covers(compare("a0", ">", -1), large)
     index = FilterIndex()
     index.add("large", large)
     assert index.find({f"a{n}": 1 for n in range(7)}) == ["large"] and not index.find({"a0": 1})
-    wide = any_of(*[all_of(*[compare(f"c{n}", "=", m) for n in range(20)]) for m in range(60)])
+    wide = any_of(*[all_of(*[compare(f"c{n}", "=", value) for n in range(20)]) for value in range(60)])
     assert normal(wide) is None
     with pytest.raises(FilterError, match="deeper than 32"):
         index.add("deep", DEEP)
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize(
-    ("filter_", "may"),
+    ("filter_", "expected"),
     [
         ("n = 10", True),
         ("n = 15", False),
@@ -214,9 +214,9 @@
         ("TRUE", True),
     ],
 )
-def test_may_match_is_false_if_the_summary_excludes_a_match(filter_, may):
-    assert may_match(parse(filter_), SUMMARY) is may
-    assert may_match(parse(filter_), Summary.decode(SUMMARY.encode())) is may
+def test_may_match_is_false_if_the_summary_excludes_a_match(filter_, expected):
+    assert may_match(parse(filter_), SUMMARY) is expected
+    assert may_match(parse(filter_), Summary.decode(SUMMARY.encode())) is expected
     assert not may_match(parse(filter_), summarise([]))
 
 
@@ -227,21 +227,21 @@
         "[s.widen({'a': v}) for v in ('x', 'é', 'yz')]; print(hashlib.sha256(s.encode()).hexdigest())"
     )
     for seed in ("1", "2"):
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", code],
             env={"PYTHONHASHSEED": seed, "PYTHONPATH": "."},
             capture_output=True,
             text=True,
             check=True,
         )
-        assert done.stdout.strip() == "4abacadec93995ce65c9e43fce44a654a29ffc3104b80cb02928d6a2658ebefe"
-    full = Summary([f"{n:0128}" for n in range(64)], 65_536)
-    full.widen(dict.fromkeys(full.columns, "\ud7ff" * 1_000))  # truncated upwards, skipping the surrogates
-    assert Summary.decode(full.encode()).encode() == full.encode()
+        assert process.stdout.strip() == "4abacadec93995ce65c9e43fce44a654a29ffc3104b80cb02928d6a2658ebefe"
+    summary = Summary([f"{n:0128}" for n in range(64)], 65_536)
+    summary.widen(dict.fromkeys(summary.columns, "\ud7ff" * 1_000))  # truncated upwards, skipping the surrogates
+    assert Summary.decode(summary.encode()).encode() == summary.encode()
     for value in ("\U0010ffff" * 1_000, "a", -Decimal("9" * 38 + "." + "9" * 38), object(), "\ud800", 1e300):
-        full.widen(dict.fromkeys(full.columns, value))
-        assert len(full.encode()) <= MAX_BYTES
-        assert may_match(one_of(f"{3:0128}", ["\U0010ffff" * 1_000]), full)
+        summary.widen(dict.fromkeys(summary.columns, value))
+        assert len(summary.encode()) <= MAX_BYTES
+        assert may_match(one_of(f"{3:0128}", ["\U0010ffff" * 1_000]), summary)
     for columns, size in ((["a"], 12), (["a"], 65_544), (["a", "A"], 64), (map(str, range(65)), 64)):
         with pytest.raises(SummaryError):
             Summary(columns, size)
@@ -487,7 +487,9 @@
             else:
                 assert index.remove(key) == (expected.pop(key, None) is not None)
             for row in rows:
-                assert sorted(index.find(row)) == sorted(key for key, one in expected.items() if match(one, row))
+                assert sorted(index.find(row)) == sorted(
+                    key for key, predicate_ in expected.items() if match(predicate_, row)
+                )
             assert len(index) == len(expected) and len(index._shapes) <= max_shapes + 1
         for key in list(expected):
             index.remove(key)
@@ -499,14 +501,14 @@
 @property_settings(max_examples=300)
 @example(-8, 7, 8)
 @given(st.integers(-300, 300), st.integers(0, 300), st.integers(-300, 700))
-def test_range_is_found_between_and_at_its_bounds(low, width, at):
+def test_range_is_found_between_and_at_its_bounds(low, width, half_units):
     index = FilterIndex()
     for n in range(index_module.MAX_UNSORTED):
         index.add(f"first {n}", compare("other", "=", None))
         index.add(f"none {n}", compare("other", "<>", n))
     index.add(1, all_of(compare("n", ">=", low), compare("n", "<=", low + width)))
     index.add(2, all_of(compare("n", ">", low), compare("n", "<", Decimal(low + width) + Decimal("0.5"))))
-    value = Decimal(at) / 2
+    value = Decimal(half_units) / 2
     assert sorted(index.find({"n": value})) == [1] * (low <= value <= low + width) + [2] * (
         low < value < low + width + Decimal("0.5")
     )
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -387,11 +387,14 @@
 
 def test_receiver_accepts_only_what_continues_its_position():
     def received(*messages):
-        out = []
+        result = []
         for message in messages:
             if inbound.accept(5.0, message):
-                out += [(first, last) if one is None else first for first, last, one in inbound.receive(5.0, message)]
-        return out
+                result += [
+                    (first, last) if event_or_lost is None else first
+                    for first, last, event_or_lost in inbound.receive(5.0, message)
+                ]
+        return result
 
     inbound = stream.InboundStream("m", 7, 0, 1, 1, ("TRUE",), None, 0.0)
     assert received(data(9, 9)) == [] and inbound.position is None and not inbound.confirmed  # not the stream's start
@@ -425,13 +428,17 @@
         self.now += ms
         self.subs.members(self.now, self.alive)
         self.subs.tick(self.now)
-        out, self.subs.outbox[:] = list(self.subs.outbox), []
-        return out
+        sent_messages, self.subs.outbox[:] = list(self.subs.outbox), []
+        return sent_messages
 
     def last_request(self, publisher, ms=60.0):
-        return [m for who, m in self.advance(ms) if who == publisher and isinstance(m, wire.StreamRequest)][-1]
+        return [
+            message
+            for receiver, message in self.advance(ms)
+            if receiver == publisher and isinstance(message, wire.StreamRequest)
+        ][-1]
 
-    def deliver(self, publisher, want, after, through, *numbers, start=False, lost=False, epoch=None):
+    def deliver(self, publisher, request, after, through, *numbers, start=False, lost=False, epoch=None):
         published = tuple(
             wire.published_event(n, schema.make(schema.MEMBER, 1.0, f"x{n}", "alive"))[0] for n in numbers
         )
@@ -439,14 +446,17 @@
             self.now,
             publisher,
             epoch or self.alive[publisher],
-            wire.EventBatch(1, want.sid, want.version, start, after, through, 500, lost, published),
+            wire.EventBatch(1, request.sid, request.version, start, after, through, 500, lost, published),
         )
 
     def drain(self, number):
         """Drain a subscriber's backlog: numbers of events, gaps as (publisher, from, to)."""
-        out = [i.first[1] if i.line else (i.publisher, i.first, i.last) for i in self.subs.fanout.backlogs[number]]
+        drained = [
+            item.first[1] if item.line else (item.publisher, item.first, item.last)
+            for item in self.subs.fanout.backlogs[number]
+        ]
         self.subs.fanout.backlogs[number].clear()
-        return out
+        return drained
 
     def acked(self, number):
         return self.subs.subscriptions[number].acknowledged
@@ -454,44 +464,48 @@
 
 def test_subscription_is_acknowledged_after_all_live_members_confirmed_and_silence_is_a_gap():
     pair = Pair(expected=("c", "d"), a=5, b=6)
-    one = pair.subs.subscribe(0.0, "kind = 'member'")
-    wants = {publisher: pair.last_request(publisher) for publisher in ("a",)}
-    assert wants["a"].after == wire.HEAD and wants["a"].filters == ("kind = 'member'",)
-    pair.deliver("a", wants["a"], 10, 10, start=True)
+    subscription = pair.subs.subscribe(0.0, "kind = 'member'")
+    requests = {publisher: pair.last_request(publisher) for publisher in ("a",)}
+    assert requests["a"].after == wire.HEAD and requests["a"].filters == ("kind = 'member'",)
+    pair.deliver("a", requests["a"], 10, 10, start=True)
     pair.advance()
-    assert not pair.acked(one)  # b has not confirmed
+    assert not pair.acked(subscription)  # b has not confirmed
     pair.advance(3_000.0)
-    assert pair.acked(one) and pair.drain(one) == [("b", (0, 1), None), ("c", (0, 1), None), ("d", (0, 1), None)]
-    want = pair.last_request("b", 2_000.0)
-    pair.deliver("b", want, 40, 40, start=True)  # heard for the first time: the gap ends where its stream starts
-    assert [gap for gap in pair.drain(one) if gap[0] == "b"] == [("b", (0, 1), (6, 40))]
-    pair.deliver("b", want, 40, 42, 41, 42)
-    pair.deliver("b", want, 42, 50, lost=True)  # the publisher evicted these
-    assert pair.drain(one) == [41, 42, ("b", (6, 43), (6, 50))]
+    assert pair.acked(subscription) and pair.drain(subscription) == [
+        ("b", (0, 1), None),
+        ("c", (0, 1), None),
+        ("d", (0, 1), None),
+    ]
+    request = pair.last_request("b", 2_000.0)
+    pair.deliver("b", request, 40, 40, start=True)  # heard for the first time: the gap ends where its stream starts
+    assert [gap for gap in pair.drain(subscription) if gap[0] == "b"] == [("b", (0, 1), (6, 40))]
+    pair.deliver("b", request, 40, 42, 41, 42)
+    pair.deliver("b", request, 42, 50, lost=True)  # the publisher evicted these
+    assert pair.drain(subscription) == [41, 42, ("b", (6, 43), (6, 50))]
     pair.alive["c"] = 9  # new member: all events since its start are requested
-    want = pair.last_request("c")
-    assert (want.epoch, want.after) == (9, 0)
-    assert cursor.decode(pair.subs.cursor(one)).at["c"] == (0, 0)  # never past an open-ended gap
-    pair.deliver("c", want, 0, 3, 2)
-    assert pair.drain(one) == [("c", (0, 1), (9, 0)), 2]
+    request = pair.last_request("c")
+    assert (request.epoch, request.after) == (9, 0)
+    assert cursor.decode(pair.subs.cursor(subscription)).at["c"] == (0, 0)  # never past an open-ended gap
+    pair.deliver("c", request, 0, 3, 2)
+    assert pair.drain(subscription) == [("c", (0, 1), (9, 0)), 2]
     for _ in range(5):
         pair.advance(500.0)
-    assert ("c", (9, 4), None) in pair.drain(one)  # silent
-    pair.deliver("c", want, 3, 5, 5)
-    assert pair.drain(one) == [("c", (9, 4), (9, 3)), 5]  # no event was lost
+    assert ("c", (9, 4), None) in pair.drain(subscription)  # silent
+    pair.deliver("c", request, 3, 5, 5)
+    assert pair.drain(subscription) == [("c", (9, 4), (9, 3)), 5]  # no event was lost
     pair.alive["c"] = 11  # restarted
-    want = pair.last_request("c")
-    assert pair.drain(one)[-1:] == [("c", (9, 6), (11, 0))] and (want.epoch, want.after) == (11, 0)
-    pair.deliver("c", want, 0, 2, 1, epoch=9)
-    assert pair.drain(one) == []  # of the earlier process
+    request = pair.last_request("c")
+    assert pair.drain(subscription)[-1:] == [("c", (9, 6), (11, 0))] and (request.epoch, request.after) == (11, 0)
+    pair.deliver("c", request, 0, 2, 1, epoch=9)
+    assert pair.drain(subscription) == []  # of the earlier process
     del pair.alive["c"]
     pair.advance()
-    assert pair.drain(one) == [("c", (11, 1), None)]
+    assert pair.drain(subscription) == [("c", (11, 1), None)]
 
 
 def test_wider_filters_are_requested_from_the_position_and_batches_of_the_old_request_are_ignored():
     pair = Pair(a=5)
-    one = pair.subs.subscribe(0.0, "kind = 'member' AND member = 'x1'")
+    subscription = pair.subs.subscribe(0.0, "kind = 'member' AND member = 'x1'")
     first = pair.last_request("a")
     pair.deliver("a", first, 10, 12, start=True)
     pair.advance()
@@ -503,71 +517,84 @@
     assert not pair.acked(other) and pair.subs.live["a"].position == 12
     pair.deliver("a", second, 12, 20, 13, 20)
     pair.advance()
-    assert pair.acked(one) and pair.acked(other) and (pair.drain(one), pair.drain(other)) == ([], [13, 20])
+    assert (
+        pair.acked(subscription)
+        and pair.acked(other)
+        and (pair.drain(subscription), pair.drain(other)) == ([], [13, 20])
+    )
     pair.subs.on_message(pair.now, "a", 5, wire.UnknownStream(0, second.version))  # the stream was dropped
     assert pair.last_request("a").after == 20
 
 
 def test_resumed_subscription_replays_what_it_missed_and_skips_what_it_was_sent():
     pair = Pair(a=5, b=6, c=7)
-    one = pair.subs.subscribe(0.0, "TRUE")
-    wants = {who: m for who, m in pair.advance() if isinstance(m, wire.StreamRequest)}
+    subscription = pair.subs.subscribe(0.0, "TRUE")
+    requests = {
+        publisher_name: message for publisher_name, message in pair.advance() if isinstance(message, wire.StreamRequest)
+    }
     for publisher in "abc":
-        pair.deliver(publisher, wants[publisher], 10, 20, start=True)
+        pair.deliver(publisher, requests[publisher], 10, 20, start=True)
     pair.advance()
     at = {"a": (5, 14), "b": (6, 23), "c": (4, 99), "z": (3, 8)}
-    two = pair.subs.resume(pair.now, cursor.encode("kind = 'member'", at))
-    replay = {who: m for who, m in pair.advance() if isinstance(m, wire.StreamRequest)}
-    assert {who: (m.epoch, m.after) for who, m in replay.items()} == {"a": (5, 14), "c": (7, 0)}
-    assert pair.acked(two) and pair.drain(two) == [("c", (4, 100), (7, 0)), ("z", (3, 9), None)]
-    assert cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 14), "b": (6, 23), "c": (7, 0), "z": (3, 8)}
+    resumed = pair.subs.resume(pair.now, cursor.encode("kind = 'member'", at))
+    replay = {
+        publisher_name: message for publisher_name, message in pair.advance() if isinstance(message, wire.StreamRequest)
+    }
+    assert {publisher_name: (message.epoch, message.after) for publisher_name, message in replay.items()} == {
+        "a": (5, 14),
+        "c": (7, 0),
+    }
+    assert pair.acked(resumed) and pair.drain(resumed) == [("c", (4, 100), (7, 0)), ("z", (3, 9), None)]
+    assert cursor.decode(pair.subs.cursor(resumed)).at == {"a": (5, 14), "b": (6, 23), "c": (7, 0), "z": (3, 8)}
     for publisher in "abc":
-        pair.deliver(publisher, wants[publisher], 20, 24, 22, 24)
-    assert pair.drain(two) == [24] and pair.drain(one) == [22, 24] * 3  # b's; a's and c's come from their replays
+        pair.deliver(publisher, requests[publisher], 20, 24, 22, 24)
+    assert (
+        pair.drain(resumed) == [24] and pair.drain(subscription) == [22, 24] * 3
+    )  # b's; a's and c's come from their replays
     pair.deliver("a", replay["a"], 14, 16, lost=True)
     pair.deliver("a", replay["a"], 16, 22, 18, 22)
-    assert pair.subs.subscriptions[two].replays.keys() == {"a", "c"}
-    assert pair.drain(two) == [("a", (5, 15), (5, 16)), 18, 22]
+    assert pair.subs.subscriptions[resumed].replays.keys() == {"a", "c"}
+    assert pair.drain(resumed) == [("a", (5, 15), (5, 16)), 18, 22]
     pair.deliver("a", replay["a"], 22, 26, 24, 25)  # past the live stream: the replay ends, the live stream continues
-    assert pair.subs.subscriptions[two].replays.keys() == {"c"}
-    pair.deliver("a", wants["a"], 24, 28, 25, 27)
-    assert pair.drain(two) == [24, 25, 27]
+    assert pair.subs.subscriptions[resumed].replays.keys() == {"c"}
+    pair.deliver("a", requests["a"], 24, 28, 25, 27)
+    assert pair.drain(resumed) == [24, 25, 27]
     for _ in range(25):
         pair.advance(500.0)
-        pair.deliver("c", wants["c"], 24, 25)
-    assert ("c", (7, 1), (7, 25)) in pair.drain(two)  # the publisher never answered the replay's request
-    pair.subs.fanout.offer(two, BacklogItem("a", (5, 29), (5, 29), b"x"))
-    assert cursor.decode(pair.subs.cursor(two)).at["a"] == (5, 28)
+        pair.deliver("c", requests["c"], 24, 25)
+    assert ("c", (7, 1), (7, 25)) in pair.drain(resumed)  # the publisher never answered the replay's request
+    pair.subs.fanout.offer(resumed, BacklogItem("a", (5, 29), (5, 29), b"x"))
+    assert cursor.decode(pair.subs.cursor(resumed)).at["a"] == (5, 28)
 
 
 def test_resume_without_a_position_at_a_publisher_replays_from_its_start():
     pair = Pair(a=5)
     pair.subs.subscribe(0.0, "TRUE")
-    want = pair.last_request("a")
-    pair.deliver("a", want, 10, 20, start=True)
+    request = pair.last_request("a")
+    pair.deliver("a", request, 10, 20, start=True)
     pair.advance()
-    two = pair.subs.resume(pair.now, cursor.encode("TRUE", {}))
+    resumed = pair.subs.resume(pair.now, cursor.encode("TRUE", {}))
     replay = pair.last_request("a")
     assert (replay.epoch, replay.after) == (5, 0)
-    assert pair.drain(two) == [("a", (0, 1), (5, 0))]  # events of its earlier processes
+    assert pair.drain(resumed) == [("a", (0, 1), (5, 0))]  # events of its earlier processes
     pair.alive["b"] = 6
     pair.advance()
-    assert cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 0), "b": (6, 0)}
+    assert cursor.decode(pair.subs.cursor(resumed)).at == {"a": (5, 0), "b": (6, 0)}
 
 
 def test_cursor_is_before_queued_items_and_after_an_earlier_process_and_silence_is_reported_at_once():
     pair = Pair(a=5)
-    one = pair.subs.subscribe(0.0, "TRUE")
-    want = pair.last_request("a")
-    pair.deliver("a", want, 10, 10, start=True)
+    subscription = pair.subs.subscribe(0.0, "TRUE")
+    request = pair.last_request("a")
+    pair.deliver("a", request, 10, 10, start=True)
     pair.advance()
-    pair.deliver("a", want, 10, 20, 13, 15)
-    assert cursor.decode(pair.subs.cursor(one)).at == {"a": (5, 12)}  # 13 and 15 are queued
+    pair.deliver("a", request, 10, 20, 13, 15)
+    assert cursor.decode(pair.subs.cursor(subscription)).at == {"a": (5, 12)}  # 13 and 15 are queued
     later = pair.subs.resume(pair.now, cursor.encode("TRUE", {"a": (7, 3)}))
     pair.advance()
-    pair.deliver("a", want, 20, 24, 22)  # of a process older than the cursor's
+    pair.deliver("a", request, 20, 24, 22)  # of a process older than the cursor's
     assert pair.drain(later) == [] and cursor.decode(pair.subs.cursor(later)).at == {"a": (7, 3)}
-    assert pair.drain(one) == [13, 15, 22]
+    assert pair.drain(subscription) == [13, 15, 22]
     pair.alive.clear()
     pair.advance()
     new = pair.subs.subscribe(pair.now, "kind = 'member'")
@@ -583,59 +610,63 @@
     met = pair.last_request("b")
     assert met.after == wire.HEAD
     pair.deliver("b", met, 10, 10, start=True)
-    assert [(m.after, m.epoch) for to, m in pair.advance() if to == "b" and isinstance(m, wire.StreamRequest)] == [
-        (0, 6)
-    ]
+    assert [
+        (message.after, message.epoch)
+        for to, message in pair.advance()
+        if to == "b" and isinstance(message, wire.StreamRequest)
+    ] == [(0, 6)]
     pair.deliver("a", first, 10, 10, start=True)
 
 
 def test_replay_continues_until_the_live_stream_confirms_the_current_filters():
     pair = Pair(a=5)
     pair.subs.subscribe(0.0, "kind = 'member'")
-    want = pair.last_request("a")
-    pair.deliver("a", want, 10, 20, start=True)
-    two = pair.subs.resume(pair.now, cursor.encode("kind = 'member'", {"a": (5, 14)}))
+    request = pair.last_request("a")
+    pair.deliver("a", request, 10, 20, start=True)
+    resumed = pair.subs.resume(pair.now, cursor.encode("kind = 'member'", {"a": (5, 14)}))
     replay = pair.last_request("a")
     pair.subs.subscribe(pair.now, "TRUE")
     wider = pair.last_request("a")
-    assert wider.sid == want.sid and wider.version > want.version
+    assert wider.sid == request.sid and wider.version > request.version
     pair.deliver("a", replay, 14, 22, 15, 21)
     pair.deliver("a", replay, 22, 26, 25)  # the live stream has not confirmed yet; the replay is not delayed
-    assert pair.drain(two) == [15, 21, 25]
+    assert pair.drain(resumed) == [15, 21, 25]
     pair.deliver("a", wider, 20, 24, 21, 23)
     pair.deliver("a", wider, 24, 28, 25, 27)
-    assert pair.drain(two) == [27] and not pair.subs.replays
+    assert pair.drain(resumed) == [27] and not pair.subs.replays
 
 
 def test_replay_delivers_nothing_during_an_open_ended_gap():
     pair = Pair(a=5)
     pair.subs.subscribe(0.0, "TRUE")
-    want = pair.last_request("a")
-    pair.deliver("a", want, 10, 20, start=True)
-    two = pair.subs.resume(pair.now, cursor.encode("TRUE", {"a": (5, 14)}))
+    request = pair.last_request("a")
+    pair.deliver("a", request, 10, 20, start=True)
+    resumed = pair.subs.resume(pair.now, cursor.encode("TRUE", {"a": (5, 14)}))
     replay = pair.last_request("a")
     pair.alive.clear()  # declared dead; then the replay receives before the live stream does
     pair.advance()
     pair.alive["a"] = 5
     pair.deliver("a", replay, 14, 18, 15, 17)
-    assert pair.drain(two) == [("a", (5, 15), None)] and cursor.decode(pair.subs.cursor(two)).at == {"a": (5, 14)}
+    assert pair.drain(resumed) == [("a", (5, 15), None)] and cursor.decode(pair.subs.cursor(resumed)).at == {
+        "a": (5, 14)
+    }
     for _ in range(22):  # longer than the stall timeout of replays
         pair.advance(500.0)
         pair.deliver("a", replay, 14, 18, 15, 17)
-    pair.deliver("a", want, 20, 21)
+    pair.deliver("a", request, 20, 21)
     pair.advance()
     pair.deliver("a", replay, 14, 22, 15, 17)
-    assert pair.drain(two) == [("a", (5, 15), (5, 14)), 15, 17] and not pair.subs.replays
+    assert pair.drain(resumed) == [("a", (5, 15), (5, 14)), 15, 17] and not pair.subs.replays
 
 
 def test_process_that_was_paused_itself_reports_no_silence():
     pair = Pair(a=5)
-    one = pair.subs.subscribe(0.0, "TRUE")
+    subscription = pair.subs.subscribe(0.0, "TRUE")
     pair.deliver("a", pair.last_request("a"), 0, 0, start=True)
     pair.advance()
-    pair.drain(one)
+    pair.drain(subscription)
     pair.advance(60_000.0)
-    assert pair.drain(one) == [] and not pair.subs.live["a"].silent
+    assert pair.drain(subscription) == [] and not pair.subs.live["a"].silent
 
 
 class Fleet(RuleBasedStateMachine):
