--- a/frostspindle/store/base.py
+++ b/frostspindle/store/base.py
@@ -144,9 +144,9 @@
         result = self
         for key, value in changes.items():
             _check_entry(key, value, limits)
-            old = old_value(key)
-            if old is not None:
-                result = result.remove(key, old)
+            previous = old_value(key)
+            if previous is not None:
+                result = result.remove(key, previous)
             if value is not None:
                 result = result.add(key, value)
         # Shrinking batches are always accepted: otherwise a store over a lowered limit could never be emptied.
--- a/frostspindle/store/opening.py
+++ b/frostspindle/store/opening.py
@@ -212,11 +212,11 @@
 
     def _create_store(self) -> HeadRecord:
         """Create an empty store, complete and durable, beside its final path."""
-        new = self.folder / NEW
-        if os.path.lexists(new):
-            shutil.rmtree(new)  # left over from an opener that was killed
-        new.mkdir(mode=0o700)
-        handle = os.open(new / HEAD, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
+        new_path = self.folder / NEW
+        if os.path.lexists(new_path):
+            shutil.rmtree(new_path)  # left over from an opener that was killed
+        new_path.mkdir(mode=0o700)
+        handle = os.open(new_path / HEAD, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         inode = os.fstat(handle).st_ino
         os.close(handle)
         head = HeadRecord(
@@ -227,9 +227,9 @@
             incarnation=next_incarnation(self.inspection),
             inode=inode,
         )
-        records.write_synced(new / HEAD, records.encode_head(head))
-        self.engine.create(new, head.id)
-        records.sync_folder(new)
+        records.write_synced(new_path / HEAD, records.encode_head(head))
+        self.engine.create(new_path, head.id)
+        records.sync_folder(new_path)
         return head
 
     def _set_aside(self, condition: StoreCondition) -> None:
--- a/frostspindle/subscriptions/subscribers.py
+++ b/frostspindle/subscriptions/subscribers.py
@@ -109,11 +109,11 @@
         self._alive: dict[str, int] = {}
         self._interest = CombinedInterest()
         self._index = FilterIndex(max_filters=max(max_subscriptions, 1))
-        self._numbers = self._versions = 0
+        self._last_number = self._last_version = 0
         self._inactive: dict[int, Subscription] = {}  # accepted, but not active yet
         self._unacknowledged: dict[int, Subscription] = {}
         self._activate_at = self._narrow_at = float("inf")
-        self._ticked = now
+        self._last_tick_at = now
 
     # Calls of subscribers.
 
@@ -135,8 +135,8 @@
         if len(text) > cursor.MAX_FILTER_CHARS:
             raise FilterError(f"a subscription's filter has up to {cursor.MAX_FILTER_CHARS} characters")
         predicate = schema.check(parse(text))
-        self._numbers += 1
-        sub = Subscription(self._numbers, text, predicate, now + CONFIRM_TIMEOUT_MS, resume_from)
+        self._last_number += 1
+        sub = Subscription(self._last_number, text, predicate, now + CONFIRM_TIMEOUT_MS, resume_from)
         self._index.add(sub.number, predicate)
         self._index.remove(sub.number)  # raises if the index can't hold it; `_activate` adds it
         self.subscriptions[sub.number] = self._inactive[sub.number] = self._unacknowledged[sub.number] = sub
@@ -203,8 +203,8 @@
                 self._mark_silent(inbound)
 
     def _version(self) -> int:
-        self._versions += 1
-        return self._versions
+        self._last_version += 1
+        return self._last_version
 
     def _add_publisher(self, now: float, name: str, epoch: int) -> None:
         """Request a new publisher's stream: from its process start if a subscription was acknowledged before, else from
@@ -235,10 +235,15 @@
 
     def _publisher_restarted(self, now: float, inbound: InboundStream, epoch: int) -> None:
         """Handle a publisher's restart: report the old process's remaining events as lost, request all new ones."""
-        publisher, before = inbound.publisher, inbound.epoch
+        publisher, previous_epoch = inbound.publisher, inbound.epoch
         positions = {sub.number: self.position(sub, publisher) for sub in self.subscriptions.values()}
-        begun = inbound.position is not None
-        inbound.epoch, inbound.position, inbound.silent, inbound.heard_at = epoch, 0 if begun else None, False, now
+        was_started = inbound.position is not None
+        inbound.epoch, inbound.position, inbound.silent, inbound.heard_at = (
+            epoch,
+            0 if was_started else None,
+            False,
+            now,
+        )
         inbound.restart(now, self._version(), self.filters)
         for sub in self.subscriptions.values():
             position = positions[sub.number]
@@ -250,9 +255,9 @@
             self._report_gap(sub, publisher, self._after(position), (epoch, 0))
             if sub.resume_from is not None:
                 sub.resume_from.pop(publisher, None)
-                if not begun:
+                if not was_started:
                     sub.resume_from[publisher] = (epoch, 0)
-        self.counted["subscriptions_makers_renewed"] += before != epoch
+        self.counted["subscriptions_makers_renewed"] += previous_epoch != epoch
 
     # Incoming messages.
 
@@ -273,13 +278,13 @@
             if message.version == inbound.version:
                 inbound.restart(now, self._version(), inbound.filters)
             return
-        confirmed, begun = inbound.confirmed, inbound.position is not None
+        was_confirmed, was_started = inbound.confirmed, inbound.position is not None
         if not inbound.accept(now, message):
             return
-        heard, inbound.silent = not inbound.silent, False
-        if not (heard and begun and confirmed):
+        was_heard, inbound.silent = not inbound.silent, False
+        if not (was_heard and was_started and was_confirmed):
             self._close_gaps(inbound)
-        if not (heard and confirmed):
+        if not (was_heard and was_confirmed):
             self._on_confirmed(now, inbound)
         for first, last, event in inbound.receive(now, message):
             if event is None:
@@ -316,9 +321,9 @@
                 and inbound.publisher in sub.resume_from
             ):
                 continue
-            begin = max((inbound.epoch, first), self._after(sub.sent_through.get(inbound.publisher, (0, 0))))
-            if begin <= (inbound.epoch, last):
-                self._report_gap(sub, inbound.publisher, begin, (inbound.epoch, last))
+            gap_start = max((inbound.epoch, first), self._after(sub.sent_through.get(inbound.publisher, (0, 0))))
+            if gap_start <= (inbound.epoch, last):
+                self._report_gap(sub, inbound.publisher, gap_start, (inbound.epoch, last))
 
     @staticmethod
     def _after(position: Position) -> Position:
@@ -422,8 +427,8 @@
         if resume_from[1] >= inbound.position:
             sub.sent_through[publisher] = resume_from
             return
-        self._versions += 1
-        sid = self._versions
+        self._last_version += 1
+        sid = self._last_version
         replay = InboundStream(
             publisher, inbound.epoch, sid, self.epoch, sid, self._summary_of(sub), resume_from[1], now, request_at=now
         )
@@ -498,10 +503,10 @@
 
     def tick(self, now: float) -> None:
         """Do what is due at `now`, in ms; messages go to `outbox`, acknowledgements to `acknowledged`."""
-        if now - self._ticked > PAUSE_DETECTION_MS:
+        if now - self._last_tick_at > PAUSE_DETECTION_MS:
             for inbound in self._inbound_streams():
-                inbound.heard_at += now - self._ticked
-        self._ticked = now
+                inbound.heard_at += now - self._last_tick_at
+        self._last_tick_at = now
         if now >= self._activate_at:
             self._activate(now)
         if now >= self._narrow_at:
@@ -546,7 +551,7 @@
         """Return when `tick` must be called next, in ms: within MAX_TICK_INTERVAL_MS while there are subscriptions."""
         if not self.subscriptions and not self.live:
             return min(self._activate_at, self._narrow_at)
-        at = min(self._activate_at, self._narrow_at, self._ticked + MAX_TICK_INTERVAL_MS)
+        next_at = min(self._activate_at, self._narrow_at, self._last_tick_at + MAX_TICK_INTERVAL_MS)
         for inbound in self._inbound_streams():
-            at = min(at, inbound.next_tick_at())
-        return at
+            next_at = min(next_at, inbound.next_tick_at())
+        return next_at
