--- a/frostspindle/subscriptions/subscribers.py
+++ b/frostspindle/subscriptions/subscribers.py
@@ -87,9 +87,14 @@
     """All subscriptions of this process, and the inbound streams for them; times in ms."""
 
     def __init__(
-        self, name: str, epoch: int, now: float, most: int = MAX_SUBSCRIPTIONS, fanout: Fanout | None = None
+        self,
+        name: str,
+        epoch: int,
+        now: float,
+        max_subscriptions: int = MAX_SUBSCRIPTIONS,
+        fanout: Fanout | None = None,
     ) -> None:
-        self.name, self.epoch, self.most = name, epoch, most
+        self.name, self.epoch, self.max_subscriptions = name, epoch, max_subscriptions
         self.fanout = fanout or Fanout()
         self.subscriptions: dict[int, Subscription] = {}
         self.live: dict[str, InboundStream] = {}
@@ -98,17 +103,17 @@
         self.acknowledged: list[int] = []  # newly acknowledged, in order; emptied by the caller
         self.outbox: list[tuple[str, Message]] = []
         self.counted: Counter[str] = Counter()
-        self.needless = self.taken = 0  # events received from others, and those without a match here
+        self.unmatched_events = self.received_events = 0  # from other publishers: without a match here, and all
         self.filters: tuple[str, ...] = ()  # filters that publishers are asked for
         self._wanted: Predicate = FALSE  # the predicate of `filters`
         self._alive: dict[str, int] = {}
         self._interest = CombinedInterest()
-        self._index = FilterIndex(most=max(most, 1))
-        self._numbers = self._versions = 0
+        self._index = FilterIndex(max_filters=max(max_subscriptions, 1))
+        self._last_number = self._last_version = 0
         self._inactive: dict[int, Subscription] = {}  # accepted, but not active yet
         self._unacknowledged: dict[int, Subscription] = {}
         self._activate_at = self._narrow_at = float("inf")
-        self._ticked = now
+        self._last_tick_at = now
 
     # Calls of subscribers.
 
@@ -125,13 +130,13 @@
         return self._add(now, decoded.filter, dict(decoded.at))
 
     def _add(self, now: float, text: str, resume_from: dict[str, Position] | None) -> int:
-        if len(self.subscriptions) >= self.most:
-            raise FilterError(f"there are {self.most} subscriptions already")
+        if len(self.subscriptions) >= self.max_subscriptions:
+            raise FilterError(f"there are {self.max_subscriptions} subscriptions already")
         if len(text) > cursor.MAX_FILTER_CHARS:
             raise FilterError(f"a subscription's filter has up to {cursor.MAX_FILTER_CHARS} characters")
         predicate = schema.check(parse(text))
-        self._numbers += 1
-        sub = Subscription(self._numbers, text, predicate, now + CONFIRM_TIMEOUT_MS, resume_from)
+        self._last_number += 1
+        sub = Subscription(self._last_number, text, predicate, now + CONFIRM_TIMEOUT_MS, resume_from)
         self._index.add(sub.number, predicate)
         self._index.remove(sub.number)  # raises if the index can't hold it; `_activate` adds it
         self.subscriptions[sub.number] = self._inactive[sub.number] = self._unacknowledged[sub.number] = sub
@@ -157,14 +162,14 @@
     def cursor(self, number: int) -> str | None:
         """Return the cursor from which the subscription can be resumed; None if it would exceed its bounds."""
         sub = self.subscriptions[number]
-        at = dict(sub.resume_from or ())
+        positions = dict(sub.resume_from or ())
         for publisher in self.live:
             if (position := self.position(sub, publisher)) is not None:
-                at[publisher] = position
-        at.update(self.fanout.pending(number))
+                positions[publisher] = position
+        positions.update(self.fanout.pending(number))
         for publisher, (epoch, first) in sub.open_gaps.items():  # an open-ended gap is reported again
-            at[publisher] = min(at.get(publisher, (epoch, first - 1)), (epoch, first - 1))
-        return cursor.encode(sub.text, at)
+            positions[publisher] = min(positions.get(publisher, (epoch, first - 1)), (epoch, first - 1))
+        return cursor.encode(sub.text, positions)
 
     # Positions.
 
@@ -198,21 +203,29 @@
                 self._mark_silent(inbound)
 
     def _version(self) -> int:
-        self._versions += 1
-        return self._versions
+        self._last_version += 1
+        return self._last_version
 
     def _add_publisher(self, now: float, name: str, epoch: int) -> None:
         """Request a new publisher's stream: from its process start if a subscription was acknowledged before, else from
         now on."""
         if len(self.live) >= MAX_PUBLISHERS:
-            dead = next((n for n in self.live if n not in self._alive), None)
-            if dead is None:
+            removable = next((publisher for publisher in self.live if publisher not in self._alive), None)
+            if removable is None:
                 self.counted["subscriptions_makers_refused"] += 1
                 return
-            del self.live[dead]
-        earlier = any(sub.acknowledged for sub in self.subscriptions.values())
+            del self.live[removable]
+        any_acknowledged = any(sub.acknowledged for sub in self.subscriptions.values())
         self.live[name] = InboundStream(
-            name, epoch, 0, self.epoch, self._version(), self.filters, 0 if earlier else None, now, request_at=now
+            name,
+            epoch,
+            0,
+            self.epoch,
+            self._version(),
+            self.filters,
+            0 if any_acknowledged else None,
+            now,
+            request_at=now,
         )
         for sub in self.subscriptions.values():
             if sub.active and not sub.acknowledged:
@@ -222,13 +235,18 @@
 
     def _publisher_restarted(self, now: float, inbound: InboundStream, epoch: int) -> None:
         """Handle a publisher's restart: report the old process's remaining events as lost, request all new ones."""
-        publisher, before = inbound.publisher, inbound.epoch
-        known = {sub.number: self.position(sub, publisher) for sub in self.subscriptions.values()}
-        begun = inbound.position is not None
-        inbound.epoch, inbound.position, inbound.silent, inbound.heard_at = epoch, 0 if begun else None, False, now
+        publisher, previous_epoch = inbound.publisher, inbound.epoch
+        positions = {sub.number: self.position(sub, publisher) for sub in self.subscriptions.values()}
+        was_started = inbound.position is not None
+        inbound.epoch, inbound.position, inbound.silent, inbound.heard_at = (
+            epoch,
+            0 if was_started else None,
+            False,
+            now,
+        )
         inbound.restart(now, self._version(), self.filters)
         for sub in self.subscriptions.values():
-            position = known[sub.number]
+            position = positions[sub.number]
             if publisher in sub.replays:
                 self._end_replay(sub, publisher)
             if position is None or position[0] >= epoch:
@@ -237,9 +255,9 @@
             self._report_gap(sub, publisher, self._after(position), (epoch, 0))
             if sub.resume_from is not None:
                 sub.resume_from.pop(publisher, None)
-                if not begun:
+                if not was_started:
                     sub.resume_from[publisher] = (epoch, 0)
-        self.counted["subscriptions_makers_renewed"] += before != epoch
+        self.counted["subscriptions_makers_renewed"] += previous_epoch != epoch
 
     # Incoming messages.
 
@@ -260,13 +278,13 @@
             if message.version == inbound.version:
                 inbound.restart(now, self._version(), inbound.filters)
             return
-        confirmed, begun = inbound.confirmed, inbound.position is not None
+        was_confirmed, was_started = inbound.confirmed, inbound.position is not None
         if not inbound.accept(now, message):
             return
-        heard, inbound.silent = not inbound.silent, False
-        if not (heard and begun and confirmed):
+        was_heard, inbound.silent = not inbound.silent, False
+        if not (was_heard and was_started and was_confirmed):
             self._close_gaps(inbound)
-        if not (heard and confirmed):
+        if not (was_heard and was_confirmed):
             self._on_confirmed(now, inbound)
         for first, last, event in inbound.receive(now, message):
             if event is None:
@@ -276,22 +294,22 @@
         self._catch_up(now, sender)
 
     def _on_event(self, inbound: InboundStream, number: int, event: Event) -> None:
-        publisher, at = inbound.publisher, (inbound.epoch, number)
-        found = self._index.find(schema.row(publisher, event))
+        publisher, position = inbound.publisher, (inbound.epoch, number)
+        matching = self._index.find(schema.row(publisher, event))
         if publisher != self.name:
-            self.taken += 1
-            self.needless += not found
+            self.received_events += 1
+            self.unmatched_events += not matching
         encoded = b""
-        for key in found:
+        for key in matching:
             sub = self.subscriptions[key]  # type: ignore[index]
             if publisher in sub.replays or sub.resume_from is not None and publisher in sub.resume_from:
                 continue  # its replay delivers the event in order
             if publisher in sub.sent_through:
-                if at <= sub.sent_through[publisher]:
+                if position <= sub.sent_through[publisher]:
                     continue
                 del sub.sent_through[publisher]
             encoded = encoded or event_line(publisher, inbound.epoch, number, event)
-            self.fanout.offer(sub.number, BacklogItem(publisher, at, at, encoded))
+            self.fanout.offer(sub.number, BacklogItem(publisher, position, position, encoded))
 
     def _on_lost(self, inbound: InboundStream, first: int, last: int) -> None:
         self.counted["subscriptions_lost_ranges"] += 1
@@ -303,13 +321,13 @@
                 and inbound.publisher in sub.resume_from
             ):
                 continue
-            begin = max((inbound.epoch, first), self._after(sub.sent_through.get(inbound.publisher, (0, 0))))
-            if begin <= (inbound.epoch, last):
-                self._report_gap(sub, inbound.publisher, begin, (inbound.epoch, last))
+            gap_start = max((inbound.epoch, first), self._after(sub.sent_through.get(inbound.publisher, (0, 0))))
+            if gap_start <= (inbound.epoch, last):
+                self._report_gap(sub, inbound.publisher, gap_start, (inbound.epoch, last))
 
     @staticmethod
-    def _after(at: Position) -> Position:
-        return at[0], at[1] + 1
+    def _after(position: Position) -> Position:
+        return position[0], position[1] + 1
 
     # Gaps.
 
@@ -342,23 +360,23 @@
                 and sub.active
                 and (sub.resume_from is None or publisher not in sub.resume_from)
             ):
-                at = self.position(sub, publisher)
-                assert at is not None
-                self._report_gap(sub, publisher, self._after(at), at)
+                position = self.position(sub, publisher)
+                assert position is not None
+                self._report_gap(sub, publisher, self._after(position), position)
 
     # Activation, replays and acknowledgement.
 
     def _activate(self, now: float) -> None:
         """Request the filters of all inactive subscriptions together."""
         self._activate_at = float("inf")
-        new, self._inactive = list(self._inactive.values()), {}
-        for sub in new:
+        activated, self._inactive = list(self._inactive.values()), {}
+        for sub in activated:
             self._interest.add(sub.number, sub.predicate)
             self._index.add(sub.number, sub.predicate)
             sub.active = True
-        if not self.filters or not all(covers(self._wanted, sub.predicate) for sub in new):
+        if not self.filters or not all(covers(self._wanted, sub.predicate) for sub in activated):
             self._request_filters(now, self._interest.filters())
-        for sub in new:
+        for sub in activated:
             sub.unconfirmed = {
                 publisher
                 for publisher, inbound in self.live.items()
@@ -409,8 +427,8 @@
         if resume_from[1] >= inbound.position:
             sub.sent_through[publisher] = resume_from
             return
-        self._versions += 1
-        sid = self._versions
+        self._last_version += 1
+        sid = self._last_version
         replay = InboundStream(
             publisher, inbound.epoch, sid, self.epoch, sid, self._summary_of(sub), resume_from[1], now, request_at=now
         )
@@ -446,8 +464,8 @@
                     BacklogItem(sender, (epoch, first), (epoch, first), event_line(sender, epoch, first, event)),
                 )
             else:
-                self.needless += sender != self.name
-            self.taken += event is not None and sender != self.name
+                self.unmatched_events += sender != self.name
+            self.received_events += event is not None and sender != self.name
         self._catch_up(now, sender, sub)
 
     def _catch_up(self, now: float, publisher: str, sub: Subscription | None = None) -> None:
@@ -455,7 +473,11 @@
         inbound = self.live.get(publisher)
         if inbound is None or inbound.position is None or not inbound.confirmed:
             return
-        for candidate in [sub] if sub is not None else [s for (m, _), (_, s) in self.replays.items() if m == publisher]:
+        for candidate in (
+            [sub]
+            if sub is not None
+            else [replaying for (name, _), (_, replaying) in self.replays.items() if name == publisher]
+        ):
             replay = self.replays[publisher, candidate.replays[publisher]][0]
             if replay.epoch == inbound.epoch and (replay.position or 0) >= inbound.position:
                 candidate.sent_through[publisher] = replay.epoch, replay.position or 0
@@ -481,10 +503,10 @@
 
     def tick(self, now: float) -> None:
         """Do what is due at `now`, in ms; messages go to `outbox`, acknowledgements to `acknowledged`."""
-        if now - self._ticked > PAUSE_DETECTION_MS:
+        if now - self._last_tick_at > PAUSE_DETECTION_MS:
             for inbound in self._inbound_streams():
-                inbound.heard_at += now - self._ticked
-        self._ticked = now
+                inbound.heard_at += now - self._last_tick_at
+        self._last_tick_at = now
         if now >= self._activate_at:
             self._activate(now)
         if now >= self._narrow_at:
@@ -506,8 +528,9 @@
                 and not inbound.silent
                 and inbound.confirmed
             ):
-                at = inbound.epoch, inbound.position or 0  # the publisher has no room for the replay
-                self._report_gap(sub, publisher, (replay.epoch, (replay.position or 0) + 1), at)
+                # Probably the publisher has no free stream for the replay.
+                live_position = inbound.epoch, inbound.position or 0
+                self._report_gap(sub, publisher, (replay.epoch, (replay.position or 0) + 1), live_position)
                 self._end_replay(sub, publisher)
                 continue
             self._post(publisher, replay.tick(now))
@@ -528,7 +551,7 @@
         """Return when `tick` must be called next, in ms: within MAX_TICK_INTERVAL_MS while there are subscriptions."""
         if not self.subscriptions and not self.live:
             return min(self._activate_at, self._narrow_at)
-        at = min(self._activate_at, self._narrow_at, self._ticked + MAX_TICK_INTERVAL_MS)
+        next_at = min(self._activate_at, self._narrow_at, self._last_tick_at + MAX_TICK_INTERVAL_MS)
         for inbound in self._inbound_streams():
-            at = min(at, inbound.next_tick_at())
-        return at
+            next_at = min(next_at, inbound.next_tick_at())
+        return next_at
