--- a/frostspindle/fleet/budgets.py
+++ b/frostspindle/fleet/budgets.py
@@ -256,10 +256,10 @@
         if state is None:
             return
         previous_total = state.account.total
-        taken = state.account.on_grant(
+        accepted = state.account.on_grant(
             now, sender.name, sender.epoch, grant.sequence, grant.loan, grant.granted, grant.limit
         )
-        if not taken:
+        if not accepted:
             self._count("fleet_grants_late")
             return
         request = state.pending.get(sender.name)
--- a/frostspindle/net/engines.py
+++ b/frostspindle/net/engines.py
@@ -62,7 +62,14 @@
 
     def reclaim_idle(self, pool: ConnectionPool) -> None:
         """Close an idle connection of another engine; the loop frees its descriptor later."""
-        if pool_with_idle := next((p for p in (*self.pools.values(), *self.retired) if p.idle and p is not pool), None):
+        if pool_with_idle := next(
+            (
+                candidate
+                for candidate in (*self.pools.values(), *self.retired)
+                if candidate.idle and candidate is not pool
+            ),
+            None,
+        ):
             pool_with_idle.idle[0].drop()
 
     def _close_idle(self) -> None:
--- a/frostspindle/net/http/attempts.py
+++ b/frostspindle/net/http/attempts.py
@@ -208,7 +208,7 @@
         Engines repeat responses, so a damaged one can be polled again. The last of MAX_BROKEN_RESPONSES decides: None
         for a broken connection, InvalidReplyError for a damaged response. None also if the process has ended.
         """
-        broken, fresh = 0, False
+        broken, new_connection = 0, False
         while True:
             wired, began_ms, is_open = [False], clock(), True
             try:
@@ -216,7 +216,7 @@
                     "GET",
                     f"{path}{number}",
                     wired=wired,
-                    fresh=fresh,
+                    new_connection=new_connection,
                     page=number,
                     same_process=True,
                     until_ms=progress.ends_at_ms,
@@ -241,7 +241,7 @@
             finally:
                 if wired[0]:  # without a connection it was no poll that keeps the query alive
                     progress.record_poll(began_ms, clock(), is_open)
-            fresh = progress.is_doubtful = True
+            new_connection = progress.is_doubtful = True
             await asyncio.sleep(0.0 if wired[0] else 0.2)
 
     async def _fetch_pages(
@@ -295,7 +295,9 @@
             is_repeated = delete_sent[0]
             may_be_other_process = progress.may_be_other_process(clock())
             try:
-                reply = await self._delete(pool, path, delete_sent, fresh=is_repeated, oldest=may_be_other_process)
+                reply = await self._delete(
+                    pool, path, delete_sent, new_connection=is_repeated, oldest=may_be_other_process
+                )
                 if not may_be_other_process or never_resent or progress.is_same_process(reply.connection_opened_ms):
                     return ReleaseReason.DELETED
                 break
@@ -312,10 +314,16 @@
         return ReleaseReason.EXPIRED
 
     async def _delete(
-        self, pool: ConnectionPool, path: str, delete_sent: list[bool], fresh: bool, oldest: bool
+        self, pool: ConnectionPool, path: str, delete_sent: list[bool], new_connection: bool, oldest: bool
     ) -> EngineReply:
         return await pool.call(
-            "DELETE", path, wired=delete_sent, within_s=CANCEL_TIMEOUT_S, fresh=fresh, oldest=oldest, same_process=True
+            "DELETE",
+            path,
+            wired=delete_sent,
+            within_s=CANCEL_TIMEOUT_S,
+            new_connection=new_connection,
+            oldest=oldest,
+            same_process=True,
         )
 
     async def _wait_for_expiry(
@@ -329,7 +337,7 @@
                 continue
             deleted_ms = clock()
             try:
-                await self._delete(pool, path, delete_sent, fresh=False, oldest=True)
+                await self._delete(pool, path, delete_sent, new_connection=False, oldest=True)
             except (PoolExhaustedError, ConnectionBrokenError, TimeoutError, InvalidReplyError):
                 if not delete_sent[0]:
                     deleted_ms = math.inf
--- a/frostspindle/net/http/connection_pool.py
+++ b/frostspindle/net/http/connection_pool.py
@@ -124,19 +124,21 @@
             connection.drop()
         return None
 
-    async def acquire(self, fresh: bool = False, oldest: bool = False, same_process: bool = False) -> EngineConnection:
-        """Return an idle connection, unless it must be fresh, or a new one; raise PoolExhaustedError after a timeout.
+    async def acquire(
+        self, new_connection: bool = False, oldest: bool = False, same_process: bool = False
+    ) -> EngineConnection:
+        """Return an idle connection or, always with `new_connection`, a new one; raise PoolExhaustedError on timeout.
 
         A draining engine refuses new connections and serves existing ones: a call that must reach the same process
         (`same_process`) then waits for one of those.
         """
-        if not fresh and (connection := self.take(oldest)) is not None:
+        if not new_connection and (connection := self.take(oldest)) is not None:
             return connection
         limit_s, resets, is_full = self.driver.core.settings.connect_timeout_ms / 1000.0, 0, False
         try:
             async with asyncio.timeout(limit_s):
                 while True:
-                    if not fresh and (connection := self.take(oldest)) is not None:
+                    if not new_connection and (connection := self.take(oldest)) is not None:
                         return connection
                     if self.driver.may_open(self):
                         # Reset as it opened: nothing was written, so another one can be tried.
@@ -150,7 +152,7 @@
                         except PoolExhaustedError as error:
                             if not (same_process and error.refused and self.established):
                                 raise
-                            fresh = False
+                            new_connection = False
                             if self.idle:
                                 continue
                     is_full = True
@@ -163,7 +165,7 @@
                         self.driver.waiters -= 1
         except TimeoutError:
             # One may have become idle while a new one was being opened.
-            if not fresh and (connection := self.take(oldest)) is not None:
+            if not new_connection and (connection := self.take(oldest)) is not None:
                 return connection
             raise PoolExhaustedError("no connection before the timeout", full=is_full) from None
 
@@ -199,7 +201,7 @@
         sending: Attempt | None = None,
         wired: list[bool] | None = None,
         within_s: float = RESPONSE_TIMEOUT_S,
-        fresh: bool = False,
+        new_connection: bool = False,
         page: int | None = None,
         oldest: bool = False,
         same_process: bool = False,
@@ -212,7 +214,7 @@
         deadline. Raise PoolExhaustedError or EngineDrainedError if nothing was written; else ConnectionBrokenError,
         InvalidReplyError, or TimeoutError after `within_s`.
         """
-        connection = await self.acquire(fresh, oldest, same_process)
+        connection = await self.acquire(new_connection, oldest, same_process)
         if sending is not None:
             await self._check_sending(sending, connection)
         if wired is not None:
--- a/frostspindle/net/operator.py
+++ b/frostspindle/net/operator.py
@@ -161,9 +161,9 @@
         """Register a caller; beyond MAX_CALLERS, abort the one connected longest without a call."""
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
-            first = next(iter(self.callers))
-            del self.callers[first]
-            first.transport.abort()
+            oldest_caller = next(iter(self.callers))
+            del self.callers[oldest_caller]
+            oldest_caller.transport.abort()
 
     def stream_handler(self, line: bytes) -> StreamHandler | None:
         """Return the handler of a call that opens a stream, or None for other calls."""
@@ -180,11 +180,11 @@
     def open_stream(self, caller: _OperatorConnection, handler: StreamHandler, line: bytes) -> bytes | None:
         """Open a stream and return None, or return the line that rejects the call."""
         self.telemetry.count("operator_calls")
-        name, _, rest = line.decode("utf-8", "replace").strip().partition(" ")
+        name, _, argument_text = line.decode("utf-8", "replace").strip().partition(" ")
         try:
             if len(self.streams) >= MAX_STREAMS:
                 raise OperatorError(f"{MAX_STREAMS} streams are already open")
-            caller.stream = handler(rest.strip(), caller)
+            caller.stream = handler(argument_text.strip(), caller)
         except OperatorError as refusal:
             return self._refuse(refusal)
         except Exception as error:  # noqa: BLE001 - a fault ends this call only
@@ -198,22 +198,22 @@
 
     def answer(self, line: bytes) -> bytes:
         """Run one call and return its response; exceptions are logged and answered with a `NAK` line."""
-        name, *words = line.decode("utf-8", "replace").split()[:MAX_WORDS] or [""]
+        name, *arguments = line.decode("utf-8", "replace").split()[:MAX_WORDS] or [""]
         self.telemetry.count("operator_calls")
         try:
-            self._check(name, words)
-            result = self.handlers[name](*words)
+            self._check(name, arguments)
+            result = self.handlers[name](*arguments)
         except OperatorError as refusal:
             return self._refuse(refusal)
         except Exception as error:  # noqa: BLE001 - a fault ends this call only
             return self._log_exception(name, error)
         if name not in self.unlogged_calls:
-            self.telemetry.log("operator_called", call=name, of=words[:2] if name in self.long_calls else words)
+            self.telemetry.log("operator_called", call=name, of=arguments[:2] if name in self.long_calls else arguments)
         if isinstance(result, bytes):  # already formatted
             return result
         return b"ACK\n" if result is None else _encode(result) + b"\n--\n"
 
-    def _check(self, name: str, words: list[str]) -> None:
+    def _check(self, name: str, arguments: list[str]) -> None:
         """Raise OperatorError unless the call exists and has the right number of arguments."""
         if name not in self.handlers:
             calls = ", ".join(sorted((*self.handlers, *self.stream_handlers)))
@@ -221,7 +221,7 @@
         expected = _ARGUMENTS.get(name) or self.arguments.get(name, "")
         if name.endswith("-server"):
             expected = "one engine"
-        if len(words) != _count_arguments(expected):
+        if len(arguments) != _count_arguments(expected):
             raise OperatorError(f"{name} takes {expected or 'nothing more'}")
 
     def _refuse(self, refusal: OperatorError) -> bytes:
--- a/frostspindle/net/snmp.py
+++ b/frostspindle/net/snmp.py
@@ -40,11 +40,11 @@
 
     def __init__(self, core: Core, telemetry: Telemetry, sessions: Callable[[], dict[str, int]]) -> None:
         self.core, self.telemetry, self.sessions = core, telemetry, sessions
-        self._taken_ms, self._values, self._order = 0.0, dict[Oid, Any](), list[Oid]()
+        self._snapshot_ms, self._values, self._order = 0.0, dict[Oid, Any](), list[Oid]()
 
     def _snapshot(self) -> dict[Oid, Any]:
         now = time.monotonic() * 1000.0
-        if self._order and now - self._taken_ms < SNAPSHOT_MAX_AGE_MS:
+        if self._order and now - self._snapshot_ms < SNAPSHOT_MAX_AGE_MS:
             return self._values
         telemetry, counts, values = self.telemetry, self.telemetry.counts, {}
         figures = self.core.figures()
@@ -75,7 +75,7 @@
             values[(*ENGINES, 4, *row)] = rfc1902.Integer32(HEALTH[state.entry.health])
         for front, count in self.sessions().items():
             values[(*SESSIONS, 2, FRONTS[front])] = rfc1902.Gauge32(count)
-        self._taken_ms, self._values, self._order = now, values, sorted(values)
+        self._snapshot_ms, self._values, self._order = now, values, sorted(values)
         return values
 
     def _check_access(self, name: Oid, context: dict[str, Any]) -> None:
@@ -84,29 +84,33 @@
     def read_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Answer a GET: look up each object by its complete name."""
         values = self._snapshot()
-        found = []
+        results = []
         for name, _ in varBinds:
             oid = tuple(name)
             self._check_access(ROOT, context)
             if oid in values:
-                found.append((name, values[oid]))
+                results.append((name, values[oid]))
             else:
-                known = any(o[: len(oid) - 1] == oid[:-1] for o in self._order) if len(oid) > len(ROOT) else False
-                found.append((name, rfc1905.noSuchInstance if known else rfc1905.noSuchObject))
-        return found
+                known = (
+                    any(known_oid[: len(oid) - 1] == oid[:-1] for known_oid in self._order)
+                    if len(oid) > len(ROOT)
+                    else False
+                )
+                results.append((name, rfc1905.noSuchInstance if known else rfc1905.noSuchObject))
+        return results
 
     def read_next_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Answer a GETNEXT or GETBULK: the object that follows each name in order."""
         values = self._snapshot()
-        found = []
+        results = []
         for name, _ in varBinds:
             self._check_access(ROOT, context)
             index = bisect.bisect_right(self._order, tuple(name))
             if index < len(self._order):
-                found.append((rfc1902.ObjectName(self._order[index]), values[self._order[index]]))
+                results.append((rfc1902.ObjectName(self._order[index]), values[self._order[index]]))
             else:
-                found.append((name, rfc1905.endOfMibView))
-        return found
+                results.append((name, rfc1905.endOfMibView))
+        return results
 
     def write_variables(self, *varBinds: Any, **context: Any) -> list[tuple[Any, Any]]:
         """Reject every SET by NotWritableError."""
--- a/frostspindle/net/tds/codec.py
+++ b/frostspindle/net/tds/codec.py
@@ -186,7 +186,7 @@
 
 def login(user: str, password: str, application: str, database: str, packet: int = DEFAULT_PACKET_BYTES) -> bytes:
     """Return the body of a LOGIN7; the password is obfuscated as MS-TDS requires, not encrypted."""
-    secret = bytes((((b << 4) | (b >> 4)) & 0xFF) ^ 0xA5 for b in password.encode("utf-16-le"))
+    secret = bytes((((byte << 4) | (byte >> 4)) & 0xFF) ^ 0xA5 for byte in password.encode("utf-16-le"))
     fields = [
         b"",
         user.encode("utf-16-le"),
@@ -262,24 +262,24 @@
     """Return the tokens that accept a login: LOGINACK, ENVCHANGE for database and packet size, and a final DONE."""
     name = "frostspindle"
     ack = b"\x01" + struct.pack(">I", VERSION) + _b_varchar(name) + bytes((1, 0, 0, 0))
-    out = struct.pack("<BH", LOGINACK, len(ack)) + ack
+    tokens = struct.pack("<BH", LOGINACK, len(ack)) + ack
     for kind, new, old in ((1, database, ""), (4, str(packet), str(DEFAULT_PACKET_BYTES))):
         change = bytes((kind,)) + _b_varchar(new) + _b_varchar(old)
-        out += struct.pack("<BH", ENVCHANGE, len(change)) + change
-    return out + done()
+        tokens += struct.pack("<BH", ENVCHANGE, len(change)) + change
+    return tokens + done()
 
 
 def text_result(columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> bytes:
     """Return a result of text columns; for test engines and examples."""
-    out = bytearray(struct.pack("<BH", COLMETADATA, len(columns)))
+    tokens = bytearray(struct.pack("<BH", COLMETADATA, len(columns)))
     for column in columns:
-        out += struct.pack("<IHBH", 0, 9, NVARCHAR, 8000) + _COLLATION + _b_varchar(column)
+        tokens += struct.pack("<IHBH", 0, 9, NVARCHAR, 8000) + _COLLATION + _b_varchar(column)
     for row in rows:
-        out.append(ROW)
+        tokens.append(ROW)
         for value in row:
             data = value.encode("utf-16-le")
-            out += struct.pack("<H", len(data)) + data
-    return bytes(out) + done(DONE_COUNT, len(rows))
+            tokens += struct.pack("<H", len(data)) + data
+    return bytes(tokens) + done(DONE_COUNT, len(rows))
 
 
 # Parsing of results.
--- a/frostspindle/net/tds/driver.py
+++ b/frostspindle/net/tds/driver.py
@@ -86,7 +86,8 @@
             raise SessionUnavailableError(f"login failed: {error!r}") from None
         if not result.accepted or result.errors:
             raise SessionUnavailableError(
-                "login rejected: " + "; ".join(f.text for f in result.errors), [f.number for f in result.errors]
+                "login rejected: " + "; ".join(token.text for token in result.errors),
+                [token.number for token in result.errors],
             )
 
     async def read_message(self) -> bytes:
@@ -127,10 +128,10 @@
         """Reuse the idle session; return False if stale, as stray input must not be read as the next response."""
         assert self._stray_read is not None
         stray, self._stray_read = self._stray_read, None
-        fresh = not stray.done() and clock() - self.idle_at < IDLE_TIMEOUT_S * 1000.0
+        is_recent = not stray.done() and clock() - self.idle_at < IDLE_TIMEOUT_S * 1000.0
         stray.cancel()
         await asyncio.wait((stray,))
-        return fresh and stray.cancelled()
+        return is_recent and stray.cancelled()
 
     def close(self) -> None:
         if self._stray_read is not None:
@@ -165,9 +166,9 @@
             if known_state is None or (known_state.entry, known_state.address) != (state.entry, state.address):
                 changed.append(state)
         changed += [
-            self._with_health(s, Health.GONE)
-            for n, s in self.states.items()
-            if n not in named and s.entry.health != Health.GONE
+            self._with_health(unlisted_state, Health.GONE)
+            for engine_id, unlisted_state in self.states.items()
+            if engine_id not in named and unlisted_state.entry.health != Health.GONE
         ]
         self._publish(changed, list_kind)
 
@@ -330,7 +331,11 @@
         if numbers & SHUTTING_DOWN:
             self._mark_draining(attempt.engine)
             return AttemptOutcome.ERROR, None
-        engine_errors = [f for f in result.errors if f.severity > MAX_STATEMENT_SEVERITY or f.number == DEADLOCK]
+        engine_errors = [
+            error_token
+            for error_token in result.errors
+            if error_token.severity > MAX_STATEMENT_SEVERITY or error_token.number == DEADLOCK
+        ]
         if engine_errors:
             self.telemetry.log(
                 "tds_engine_failed",
--- a/frostspindle/net/tds/front.py
+++ b/frostspindle/net/tds/front.py
@@ -351,9 +351,11 @@
         """Close a session without a login, else the one idle for longest; never a busy one."""
         now = asyncio.get_running_loop().time()
         idle = [
-            (s.profile is None, now - s.waiting_since_s, task)
-            for task, s in self.sessions.items()
-            if not s.busy and s is not newest and now - s.waiting_since_s > (0.1 if s.profile is None else 1.0)
+            (session.profile is None, now - session.waiting_since_s, task)
+            for task, session in self.sessions.items()
+            if not session.busy
+            and session is not newest
+            and now - session.waiting_since_s > (0.1 if session.profile is None else 1.0)
         ]
         if not idle:
             return False
--- a/frostspindle/ownership/observation.py
+++ b/frostspindle/ownership/observation.py
@@ -37,9 +37,9 @@
         """Add a step of the clock to the observed time, within its bounds."""
         self.observed_ms += min(max(step_ms, 0.0), timing.MAX_OBSERVED_STEP_MS)
 
-    def add_due(self, due: float) -> None:
+    def add_due(self, due_ms: float) -> None:
         """Record that a task may be acquired at this observed time."""
-        self.next_due = min(self.next_due, due)
+        self.next_due = min(self.next_due, due_ms)
 
     def observe(self, task: str, is_candidate: bool) -> None:
         """Record the row's current version; rows without a holder are observed only by candidates for the task."""
--- a/frostspindle/ownership/service.py
+++ b/frostspindle/ownership/service.py
@@ -209,8 +209,8 @@
             return
         for start in range(0, len(changes), MAX_CHANGES_PER_LINE):
             chunk = changes[start : start + MAX_CHANGES_PER_LINE]
-            many = [[change.task, change.token, round(change.at, 3)] for change in chunk]
-            self.telemetry.log(event, holder=self.name, action=action, accepted=True, many=many)
+            rows = [[change.task, change.token, round(change.at, 3)] for change in chunk]
+            self.telemetry.log(event, holder=self.name, action=action, accepted=True, many=rows)
 
     def _log_event(self, event: str, task: str, token: int, action: str, accepted: bool, **more: Any) -> None:
         fields: dict[str, Any] = {
--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -186,9 +186,11 @@
 class SummaryHome:
     """The summaries whose home this process is: grants leases, takes intents of loads and updates the holders."""
 
-    def __init__(self, epoch: int, terms: SummaryLeaseSettings, columns: dict[str, Sequence[str]], now: float) -> None:
-        self.epoch, self.settings = epoch, terms
-        silent_until = now + terms.home_lease_ms
+    def __init__(
+        self, epoch: int, settings: SummaryLeaseSettings, columns: dict[str, Sequence[str]], now: float
+    ) -> None:
+        self.epoch, self.settings = epoch, settings
+        silent_until = now + settings.home_lease_ms
         self.records = {key: SummaryRecord(key, names, silent_until) for key, names in columns.items()}
         self.outbox: list[Outgoing] = []
         self.pushed = self.refused = 0
@@ -501,8 +503,8 @@
 class SummaryCache:
     """The summaries that this process has leased and may skip sites by, and the loads that it announces."""
 
-    def __init__(self, terms: SummaryLeaseSettings, homes: dict[str, str]) -> None:
-        self.settings = terms
+    def __init__(self, settings: SummaryLeaseSettings, homes: dict[str, str]) -> None:
+        self.settings = settings
         self.leases = {key: _LeasedSummary(key, home) for key, home in homes.items()}
         self.loads: dict[int, Load] = {}
         self.outbox: list[Outgoing] = []
--- a/frostspindle/scatter/plan.py
+++ b/frostspindle/scatter/plan.py
@@ -212,8 +212,8 @@
         cells: Cells = {}
         for name in (column.name for column in table_group.column if column.type != FLOAT):
             index = names.index(name) if name in names else -1  # -1: its default, which is not known here
-            found = {_cell(columns[name], row[index]) if index >= 0 else (UNKNOWN_CELL, "") for row in rows}
-            cells[name] = sorted(found)
+            cells_of_column = {_cell(columns[name], row[index]) if index >= 0 else (UNKNOWN_CELL, "") for row in rows}
+            cells[name] = sorted(cells_of_column)
             if columns[name].step:
                 cells[name + CELL_SUFFIX] = step_cells(cells[name], columns[name].step)
         places = ()
@@ -307,8 +307,13 @@
         if clause is None:
             return -1
         expression = clause.expression if type(clause) in (exp.Limit, exp.Offset) else None
-        others = {key for key, value in clause.args.items() if value} - {"expression"}
-        if type(expression) is not exp.Literal or expression.is_string or not expression.name.isdecimal() or others:
+        other_clauses = {key for key, value in clause.args.items() if value} - {"expression"}
+        if (
+            type(expression) is not exp.Literal
+            or expression.is_string
+            or not expression.name.isdecimal()
+            or other_clauses
+        ):
             raise _NotScatterableError(f"a {name} that is no plain number")
         number = int(expression.name)
         if number > MAX_LIMIT:
@@ -316,11 +321,11 @@
         return number
 
     def _check_row_wise(self, node: exp.Expression) -> None:
-        for part in node.walk():
-            if isinstance(part, exp.AggFunc):
+        for descendant in node.walk():
+            if isinstance(descendant, exp.AggFunc):
                 raise _NotScatterableError("a total within an expression")
-            if not isinstance(part, _ROW_WISE):
-                raise _NotScatterableError(f"{type(part).__name__.upper()} is not known to hang on the row alone")
+            if not isinstance(descendant, _ROW_WISE):
+                raise _NotScatterableError(f"{type(descendant).__name__.upper()} is not known to hang on the row alone")
 
     def _column(self, node: exp.Expression, usage: str) -> Column:
         """Return the catalogue's column of a plain column expression; `usage` names the clause in errors."""
--- a/frostspindle/settings/secret_hash.py
+++ b/frostspindle/settings/secret_hash.py
@@ -20,8 +20,8 @@
 
     False for references, which are resolved elsewhere.
     """
-    form, _, rest = secret.partition(":")
-    if form != "pbkdf2" or rest.count(":") != 2:
+    form, _, parameters = secret.partition(":")
+    if form != "pbkdf2" or parameters.count(":") != 2:
         return False
-    rounds, salt, _ = rest.split(":")
+    rounds, salt, _ = parameters.split(":")
     return hmac.compare_digest(hash_secret(password, bytes.fromhex(salt), int(rounds)), secret)
