--- a/frostspindle/fleet/counter_sync.py
+++ b/frostspindle/fleet/counter_sync.py
@@ -78,10 +78,12 @@
     return (checksum * salt & MASK) >> 56
 
 
-def answer_request(table: CounterTable, now: float, request: wire.CountersRequest, room: int) -> wire.CountersPage:
+def answer_request(
+    table: CounterTable, now: float, request: wire.CountersRequest, remaining_bytes: int
+) -> wire.CountersPage:
     """Return complete rows that the requester lacks or has in older versions, and the position to continue from.
 
-    The rows fit in `room` bytes, except that one row is always sent. Truncated fingerprints are not answered.
+    The rows fit in `remaining_bytes`, except that one row is always sent. Truncated fingerprints are not answered.
     """
     shift = wire.POSITION_BITS - request.range_bits
     first = request.begin >> shift
@@ -97,8 +99,8 @@
             row = table.row(now, stream_id, 0, ())
             if row.age_ms < recent_ms:
                 continue
-            room -= wire.size(row)
-            if rows and (room < 0 or len(rows) == MAX_ROWS):
+            remaining_bytes -= wire.size(row)
+            if rows and (remaining_bytes < 0 or len(rows) == MAX_ROWS):
                 return wire.CountersPage(position, rows)
             rows.append(row)
     return wire.CountersPage(end << shift if first < end < 1 << request.range_bits else 0, rows)
--- a/frostspindle/fleet/counters.py
+++ b/frostspindle/fleet/counters.py
@@ -237,14 +237,14 @@
 
     # Gossip and comparison.
 
-    def updates(self, now: float, room: int) -> list[CounterRow]:
-        """Return rows to gossip within `room` bytes, least transmitted ones first, and count them as transmitted."""
+    def updates(self, now: float, remaining_bytes: int) -> list[CounterRow]:
+        """Return rows to gossip within `remaining_bytes`, least transmitted first, and count them as transmitted."""
         rows: list[CounterRow] = []
         for stream_id, (base_version, keys, version) in self._updates.peek(MAX_ROWS):
             is_current = self.streams[stream_id].version == version
             row = self._table.row(now, stream_id, base_version if is_current else 0, keys)
-            room -= wire.size(row)
-            if room < 0:
+            remaining_bytes -= wire.size(row)
+            if remaining_bytes < 0:
                 break
             self._updates.mark_transmitted(stream_id, ROW_TRANSMISSIONS)
             rows.append(row)
@@ -254,9 +254,9 @@
         """Return a request for rows of which another member has newer versions; see `counter_sync`."""
         return counter_sync.request_rows(self._table, begin, salt)
 
-    def answer_request(self, now: float, request: wire.CountersRequest, room: int) -> wire.CountersPage:
-        """Return rows that the requester lacks or has in older versions, within `room` bytes; see `counter_sync`."""
-        return counter_sync.answer_request(self._table, now, request, room)
+    def answer_request(self, now: float, request: wire.CountersRequest, max_bytes: int) -> wire.CountersPage:
+        """Return rows that the requester lacks or has in older versions, within `max_bytes`; see `counter_sync`."""
+        return counter_sync.answer_request(self._table, now, request, max_bytes)
 
     # Sums.
 
--- a/frostspindle/fleet/gossip_buffer.py
+++ b/frostspindle/fleet/gossip_buffer.py
@@ -69,8 +69,8 @@
 class SizedGossipBuffer(GossipBuffer[Key, tuple[Update, int]]):
     """Updates with their sizes in bytes, to fill messages of limited size."""
 
-    def take(self, room: int, count: int, max_transmissions: int, excluded: Key) -> tuple[list[Update], int]:
-        """Return those of the next `count` updates that fit in `room` bytes, and the remaining room.
+    def take(self, remaining_bytes: int, count: int, max_transmissions: int, excluded: Key) -> tuple[list[Update], int]:
+        """Return those of the next `count` updates that fit in `remaining_bytes`, and the bytes still left.
 
         All returned updates count as transmitted; so does the update with the key `excluded`, which is left out.
         """
@@ -80,8 +80,8 @@
             next_level = self._level(number + 1) if number + 1 < max_transmissions else None
             for key, value in candidates:
                 update, size = value
-                if size > room:
-                    return taken, room
+                if size > remaining_bytes:
+                    return taken, remaining_bytes
                 del level[key]
                 if next_level is None:
                     del self._level_of[key]
@@ -89,9 +89,9 @@
                     next_level[key] = value
                     self._level_of[key] = number + 1
                 if key != excluded:
-                    room -= size
+                    remaining_bytes -= size
                     taken.append(update)
-        return taken, room
+        return taken, remaining_bytes
 
     def _next_by_level(self, count: int) -> list[tuple[int, list[tuple[Key, tuple[Update, int]]]]]:
         """Return the next `count` updates grouped by level, as a copy that later moves do not affect."""
--- a/frostspindle/fleet/member_table.py
+++ b/frostspindle/fleet/member_table.py
@@ -99,16 +99,16 @@
         """Return the last claims of the dead members."""
         return [member.claim for member in self.members.values() if member.claim.state == wire.DEAD]
 
-    def page(self, after: str, room: int) -> tuple[list[MemberState], str]:
-        """Return the claims after the name `after`, in order of names and within `room` bytes, and the last name.
+    def page(self, after: str, remaining_bytes: int) -> tuple[list[MemberState], str]:
+        """Return the claims after the name `after`, in order of names and within `remaining_bytes`, and the last name.
 
         The last name is "" at the end.
         """
         claims: list[MemberState] = []
         for name in heapq.nsmallest(MAX_PAGE_CLAIMS + 1, (name for name in self.members if name > after)):
             claim = self.members[name].claim
-            room -= wire.size(claim)
-            if room < 0 or len(claims) == MAX_PAGE_CLAIMS:
+            remaining_bytes -= wire.size(claim)
+            if remaining_bytes < 0 or len(claims) == MAX_PAGE_CLAIMS:
                 return claims, claims[-1].name if claims else ""
             claims.append(claim)
         return claims, ""
--- a/frostspindle/fleet/member_updates.py
+++ b/frostspindle/fleet/member_updates.py
@@ -24,7 +24,7 @@
 
     claims: list[MemberState]
     suspicions: list[Suspicion]
-    room: int
+    remaining_bytes: int
 
 
 @lru_cache(256)
@@ -46,8 +46,8 @@
         update = claim if claim.state == ALIVE else suspicion_of(claim)
         self._buffer.put(claim.name, (update, wire.size(update)))
 
-    def piggyback(self, recipient: str, room: int) -> Piggyback:
-        """Return the updates to piggyback on a message to a member, within `room` bytes, and count them as transmitted.
+    def piggyback(self, recipient: str, remaining_bytes: int) -> Piggyback:
+        """Return the updates to piggyback on a message, within `remaining_bytes`, and count them as transmitted.
 
         If the recipient itself is suspected or considered dead, that comes first, so that it can refute it.
         """
@@ -56,13 +56,15 @@
         member = self._table.members.get(recipient)
         if member is not None and member.claim.state != ALIVE:
             suspicions.append(suspicion_of(member.claim))
-            room -= wire.size(suspicions[0])
+            remaining_bytes -= wire.size(suspicions[0])
         if self.pending:
             count = MAX_UPDATES - len(suspicions)
-            updates, room = self._buffer.take(room, count, retransmissions(self._table.size), recipient)
+            updates, remaining_bytes = self._buffer.take(
+                remaining_bytes, count, retransmissions(self._table.size), recipient
+            )
             for update in updates:
                 if isinstance(update, Suspicion):
                     suspicions.append(update)
                 else:
                     claims.append(update)
-        return Piggyback(claims, suspicions, room)
+        return Piggyback(claims, suspicions, remaining_bytes)
--- a/frostspindle/fleet/membership.py
+++ b/frostspindle/fleet/membership.py
@@ -102,13 +102,13 @@
         # A member that knows all others needs no early sync, which in a fleet of 3,000 was 4/5 of all bytes for 30 s.
         self._sync_at = now + self._sync_interval_ms() * self.random.random()
 
-    def piggyback(self, recipient: str, room: int) -> Piggyback:
-        """Return the updates to piggyback on a message to a member, within `room` bytes; see `member_updates`."""
-        return self._updates.piggyback(recipient, room)
+    def piggyback(self, recipient: str, max_bytes: int) -> Piggyback:
+        """Return the updates to piggyback on a message to a member, within `max_bytes`; see `member_updates`."""
+        return self._updates.piggyback(recipient, max_bytes)
 
-    def page(self, after: str, room: int) -> tuple[list[MemberState], str]:
+    def page(self, after: str, max_bytes: int) -> tuple[list[MemberState], str]:
         """Return the page of known members after a name; see `MemberTable.page`."""
-        return self._table.page(after, room)
+        return self._table.page(after, max_bytes)
 
     def sample_peers(self, count: int) -> list[str]:
         """Return up to `count` live members, chosen uniformly at random."""
--- a/frostspindle/fleet/node.py
+++ b/frostspindle/fleet/node.py
@@ -326,8 +326,8 @@
         if not self.counters.pending:
             claims, suspicions, _ = membership.piggyback(recipient, PIGGYBACK_BYTES)
             return Packet(membership.me, recipient, body, claims, [], suspicions)
-        claims, suspicions, room = membership.piggyback(recipient, PIGGYBACK_BYTES - COUNTER_RESERVE_BYTES)
-        rows = self.counters.updates(now, room + COUNTER_RESERVE_BYTES)
+        claims, suspicions, remaining_bytes = membership.piggyback(recipient, PIGGYBACK_BYTES - COUNTER_RESERVE_BYTES)
+        rows = self.counters.updates(now, remaining_bytes + COUNTER_RESERVE_BYTES)
         return Packet(membership.me, recipient, body, claims, rows, suspicions)
 
     # Figures.
--- a/frostspindle/net/discovery.py
+++ b/frostspindle/net/discovery.py
@@ -108,7 +108,7 @@
         self.driver = driver
         self.telemetry = telemetry
         self.bus_address = config.bus
-        self.last = 0
+        self.last = 0  # offset of the last event received
         self.has_received_valid = False
         self.reserve = ReservedDescriptor()  # for its connection when clients use all other descriptors
         self._moved = asyncio.Event()
--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -86,7 +86,7 @@
         self.has_called = self.is_closing = self.ignores_input = self.is_receiving = self.is_head_complete = False
         self.is_parsing = self.expects_continue = False  # expects_continue: the client waits for a 100
         self.has_pipelined = False  # a call was sent before the response to an earlier one
-        self.is_over_limit = False  # of connections: its request needs another one to be closed
+        self.is_over_limit = False  # accepted over the connection limit: its request needs another one to be closed
         # The earliest possible arrival of unread bytes, and of the last bytes that were read.
         self.unread_since_ms = self.received_ms = unread_since_ms
         self.last_poll = 0  # count of the arrival clock when reading was resumed
