--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -361,13 +361,13 @@
         if self.fields.get(b"expect", b"").lower() == b"100-continue" and self.parser.get_http_version() != "1.0":
             self.expects_continue = True  # sent after the responses to earlier calls
 
-    def on_body(self, part: bytes) -> None:
-        """Collect a part of the body; reject with 413 beyond MAX_BODY_BYTES in total."""
+    def on_body(self, chunk: bytes) -> None:
+        """Collect a chunk of the body; reject with 413 beyond MAX_BODY_BYTES in total."""
         self.expects_continue = False
-        self.body_bytes += len(part)
+        self.body_bytes += len(chunk)
         if self.body_bytes > MAX_BODY_BYTES:
             self._stop_parsing(413, "the statement is too long")
-        self.body.append(part)
+        self.body.append(chunk)
 
     def on_message_complete(self) -> None:
         """Queue the call and pass it to the front.
--- a/frostspindle/net/http/engine_connection.py
+++ b/frostspindle/net/http/engine_connection.py
@@ -250,9 +250,9 @@
         if int(self.headers.get(b"content-length", b"0")) > MAX_PAGE_BYTES:
             raise InvalidReplyError("the response is too long")
 
-    def on_body(self, part: bytes) -> None:
-        """Collect a part of the body; `data_received` limits the total."""
-        self.body.append(part)
+    def on_body(self, chunk: bytes) -> None:
+        """Collect a chunk of the body; `data_received` limits the total."""
+        self.body.append(chunk)
 
     def on_message_complete(self) -> None:
         """Mark a final response (not 1xx) as complete; without keep-alive the connection is not reused."""
--- a/frostspindle/net/http/load_reports.py
+++ b/frostspindle/net/http/load_reports.py
@@ -33,8 +33,8 @@
             return ()
         values: dict[str, float] = {}
         try:
-            for part in text.split(";"):
-                name, _, value = part.partition(":")
+            for name_value in text.split(";"):
+                name, _, value = name_value.partition(":")
                 number = float(value)
                 values[POLICY_COLUMN_NAMES.get(name.strip(), name.strip())] = number if math.isfinite(number) else 0.0
             return tuple(values[column] for column in self.columns)
--- a/frostspindle/net/http/request_registry.py
+++ b/frostspindle/net/http/request_registry.py
@@ -231,10 +231,10 @@
     page: list[Any] = []
     length = 0
     for row in rows:
-        part = sum(map(len, row)) + 4 * len(row)
-        if page and length + part > MAX_PAGE_BYTES:
+        row_bytes = sum(map(len, row)) + 4 * len(row)
+        if page and length + row_bytes > MAX_PAGE_BYTES:
             pages.append(page)
             page, length = [], 0
         page.append(row)
-        length += part
+        length += row_bytes
     return [*pages, page], size
