--- a/frostspindle/fleet/lender_selector.py
+++ b/frostspindle/fleet/lender_selector.py
@@ -86,8 +86,8 @@
         ]
         if len(candidates) <= 1:
             return candidates
-        first = int(self.random.random() * len(candidates))
-        rotated = candidates[first:] + candidates[:first]
+        offset = int(self.random.random() * len(candidates))
+        rotated = candidates[offset:] + candidates[:offset]
         return heapq.nlargest(count, rotated, key=self.available.__getitem__)
 
     def _choose_random(self, count: int, alive: Container[str], excluded: Collection[str]) -> list[str]:
@@ -97,8 +97,8 @@
             _remove_sorted(free, name)
         chosen = []
         for index in range(min(count, len(free))):  # the first steps of a Fisher-Yates shuffle
-            other = index + int(self.random.random() * (len(free) - index))
-            free[index], free[other] = free[other], free[index]
+            swap_index = index + int(self.random.random() * (len(free) - index))
+            free[index], free[swap_index] = free[swap_index], free[index]
             chosen.append(free[index])
         return chosen
 
--- a/frostspindle/fleet/slow_start.py
+++ b/frostspindle/fleet/slow_start.py
@@ -252,7 +252,7 @@
                     del self.newest[start.engine_hash]
 
     def _may_close(self, now: float, start: EngineStart) -> bool:
-        # Others may count a loan to this process for so long after its last use, and would have it continued.
+        # For this long after the last use, lenders may still count a loan to this process and expect it to continue.
         quiet_ms = start.account.reclaim_ms + 2.0 * start.account.cooldown_ms
         if now - start.last_used_at < quiet_ms:
             return False
--- a/frostspindle/ownership/acquisition.py
+++ b/frostspindle/ownership/acquisition.py
@@ -55,8 +55,8 @@
         mean = sum(lease_counts.values()) / holders
         excess = lease_counts[self._name] - mean
         acquisitions: list[Acquisition] = []
-        for due, task in sorted(due_tasks):
-            if due + self._load_delay_ms(excess, mean) > observed_ms or len(acquisitions) == MAX_ACQUISITIONS:
+        for due_ms, task in sorted(due_tasks):
+            if due_ms + self._load_delay_ms(excess, mean) > observed_ms or len(acquisitions) == MAX_ACQUISITIONS:
                 break
             acquisitions.append((task, *self._observer.rows[task].version))
             excess += (holders - 1) / holders
@@ -74,19 +74,19 @@
         for task, rank in ranks.items():
             if task in excluded or task not in self._observer.rows:
                 continue
-            due = self._due_time(task, rank)
-            if due <= self._observer.observed_ms:
-                due_tasks.append((due, task))
+            due_ms = self._due_time(task, rank)
+            if due_ms <= self._observer.observed_ms:
+                due_tasks.append((due_ms, task))
             else:
-                self._observer.add_due(due)
+                self._observer.add_due(due_ms)
         return due_tasks
 
     def _due_time(self, task: str, rank: float) -> float:
         """Return the time from which a task may be requested."""
         spread = self._settings.spread
         rank_delay_ms = min(spread, RANK_DELAY_RATIO * spread * rank)
-        due = self._observer.rows[task].unchanged_from
+        due_ms = self._observer.rows[task].unchanged_from
         is_free = task not in self._table.rows
         if not (is_free and self._bidder.has_bid_for(task)):  # otherwise its holder released it to this process
-            due = due + rank_delay_ms + self._observer.takeover_wait_ms(task)
-        return max(due, self._earliest_request + rank_delay_ms, self._cooldowns.get(task, -math.inf))
+            due_ms = due_ms + rank_delay_ms + self._observer.takeover_wait_ms(task)
+        return max(due_ms, self._earliest_request + rank_delay_ms, self._cooldowns.get(task, -math.inf))
--- a/frostspindle/replica/local.py
+++ b/frostspindle/replica/local.py
@@ -64,8 +64,8 @@
             return
         shared = self._shared
         if self.index < shared.first_index - 1:
-            others = [member for member in shared.members if member is not self]
-            donor = max(others, key=lambda member: member.index)
+            other_members = [member for member in shared.members if member is not self]
+            donor = max(other_members, key=lambda member: member.index)
             self._registry.restore(donor.index, donor._registry.states())
         for topic, command in shared.entries_after(self.index):
             index = self.index + 1
--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -36,7 +36,7 @@
 MAX_ENDED_LOADS = 4_096
 MAX_LOADS = 1_024  # unfinished ones of one coordinator
 MAX_UNANSWERED_REQUESTS = 8  # lease requests of one holder for one summary
-# A load of unknown rows whose end is never reported keeps its site from being learnt for this long.
+# A load of unknown rows without a reported end prevents learning the summary of its site for this long.
 UNKNOWN_ROWS_HOLD_MS = 600_000.0
 RENEW_FRACTION = 0.4  # of a lease, after which it is renewed
 UNKNOWN_KIND = 4  # kind of a value that is not known
--- a/frostspindle/scatter/plan.py
+++ b/frostspindle/scatter/plan.py
@@ -1,4 +1,4 @@
-"""Planning of a statement on spread tables: the statement for each site and the merge of the rows, or why not.
+"""Planning of a statement on spread tables: the statement for each site and the merge of the rows, or a refusal.
 
 Decides which statements are scattered and which are rejected, and which rows a load inserts. Each part sees the rows of
 its site only, so a statement may contain nothing but what is computed row by row, and aggregates that can be merged.
@@ -31,7 +31,7 @@
 from frostspindle.predicates.values import TEXT as TEXT_KIND
 from frostspindle.scatter.merge import AVG, COUNT, KEY, MAX, MIN, SUM, Cell, Merge, Order
 
-MAX_CACHED_STATEMENTS = 1_024  # statements
+MAX_CACHED_STATEMENTS = 1_024
 MAX_COLUMNS = 256  # of a part's row
 MAX_LIMIT = 10**9  # of LIMIT and OFFSET
 NULL_CELL, UNKNOWN_CELL = 0, 4  # kinds of a load's cells, in addition to those of predicates.values
--- a/frostspindle/scatter/service.py
+++ b/frostspindle/scatter/service.py
@@ -35,7 +35,7 @@
 CHANNEL = 2
 MERGE_RESERVE_MS = 10.0  # of a request's time, reserved for the merge
 CONFIRM_FRACTION = 0.1  # of a load's time, reserved for its confirmation
-ANNOUNCE_FRACTION = 0.6  # of it, after which a load that is not announced yet is rejected
+ANNOUNCE_FRACTION = 0.6  # of a load's time, after which it is rejected if it is not announced yet
 FLEET_RETRY_S = 0.05  # interval at which a load checks whether the fleet has started
 LEARN_CHECK_S = 0.25  # interval of the search for summaries to learn
 MAX_CONCURRENT_LEARNING = 2  # summaries
--- a/frostspindle/settings/active_rules.py
+++ b/frostspindle/settings/active_rules.py
@@ -9,7 +9,7 @@
 
 
 class RulesMode(StrEnum):
-    """Where the active rules come from; the values appear in log lines, operators' replies and operators' files."""
+    """The source of the active rules; the values appear in log lines, operators' replies and operators' files."""
 
     LOCAL_FILES = "file"  # no version is agreed yet: only the coordinator's local files apply
     VERSION = "version"  # a single version
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RestoredVersions:
-    """What the store holds at startup: the versions that may be active, and when that was last confirmed (Unix ms)."""
+    """Content of the store at startup: the versions that may be active, and when that was last confirmed (Unix ms)."""
 
     versions: tuple[Version, ...] = ()
     saved_at_ms: float = 0.0
--- a/frostspindle/settings/agreement_settings.py
+++ b/frostspindle/settings/agreement_settings.py
@@ -14,7 +14,7 @@
     lease_ms: float = 2_000.0
     drift: float = 0.01
     trial_ms: float = 10_000.0  # how long an activated version is on trial and can be rolled back by the canary check
-    isolation_mode: str = RulesMode.INTERSECTION  # or REJECT; what applies once the lease has expired
+    isolation_mode: str = RulesMode.INTERSECTION  # or REJECT; the mode once the lease has expired
 
     @property
     def own_lease_ms(self) -> float:
--- a/frostspindle/settings/applied_rules.py
+++ b/frostspindle/settings/applied_rules.py
@@ -124,7 +124,7 @@
                 continue  # a changed tenant quota must not cost a walk over ten thousand engines
             try:
                 consumer.apply(active.rules, changed_keys)
-            except Exception as error:  # noqa: BLE001 - the version passed its checks; the rest of it still applies
+            except Exception as error:  # noqa: BLE001 - the version passed its checks; its other changes still apply
                 self.telemetry.count("faults")
                 self.telemetry.log("exception_caught", error=repr(error), of=f"settings {consumer.label}")
 
--- a/frostspindle/settings/canary.py
+++ b/frostspindle/settings/canary.py
@@ -276,16 +276,16 @@
 
     def _stall_reason(self, rows: list[Row]) -> str:
         baseline = self._baseline
-        last = rows[-STALL_WINDOWS:]
-        answered = sum(row[ANSWERED_REQUESTS] for row in last)
-        expected = baseline.answered / max(1.0, baseline.windows) * len(last)
-        if len(last) < STALL_WINDOWS or expected < self.thresholds.z_score**2 / STALL_RATIO:
+        recent_rows = rows[-STALL_WINDOWS:]
+        answered = sum(row[ANSWERED_REQUESTS] for row in recent_rows)
+        expected = baseline.answered / max(1.0, baseline.windows) * len(recent_rows)
+        if len(recent_rows) < STALL_WINDOWS or expected < self.thresholds.z_score**2 / STALL_RATIO:
             return ""
         if answered > STALL_RATIO * expected:
             return ""
-        if any(row[OPEN_REQUESTS] < max(1.0, baseline.open_requests) for row in last):
+        if any(row[OPEN_REQUESTS] < max(1.0, baseline.open_requests) for row in recent_rows):
             return ""
-        return f"stalled: {answered} answers, usually {expected:.0f}; {last[-1][OPEN_REQUESTS]} requests wait"
+        return f"stalled: {answered} answers, usually {expected:.0f}; {recent_rows[-1][OPEN_REQUESTS]} requests wait"
 
     def _baseline_of(self, name: str) -> tuple[float, float]:
         """Return the hits and the dispersion of a judged figure in the baseline."""
--- a/frostspindle/settings/slices.py
+++ b/frostspindle/settings/slices.py
@@ -9,7 +9,7 @@
 from collections.abc import Generator, Iterable, Iterator
 from typing import TypeVar
 
-SLICE_ENTRIES = 100  # takes about 0.2 ms
+SLICE_ENTRIES = 100  # per slice, which takes about 0.2 ms
 
 T = TypeVar("T")
 SlicedWork = Generator[None, None, T]
