--- a/frostspindle/net/http/clients.py
+++ b/frostspindle/net/http/clients.py
@@ -86,7 +86,7 @@
         self.has_called = self.is_closing = self.ignores_input = self.is_receiving = self.is_head_complete = False
         self.is_parsing = self.expects_continue = False  # expects_continue: the client waits for a 100
         self.has_pipelined = False  # a call was sent before the response to an earlier one
-        self.is_over_limit = False  # of connections: its request needs another one to be closed
+        self.is_over_limit = False  # accepted over the connection limit: its request needs another one to be closed
         # The earliest possible arrival of unread bytes, and of the last bytes that were read.
         self.unread_since_ms = self.received_ms = unread_since_ms
         self.last_poll = 0  # count of the arrival clock when reading was resumed
@@ -361,13 +361,13 @@
         if self.fields.get(b"expect", b"").lower() == b"100-continue" and self.parser.get_http_version() != "1.0":
             self.expects_continue = True  # sent after the responses to earlier calls
 
-    def on_body(self, part: bytes) -> None:
-        """Collect a part of the body; reject with 413 beyond MAX_BODY_BYTES in total."""
+    def on_body(self, chunk: bytes) -> None:
+        """Collect a chunk of the body; reject with 413 beyond MAX_BODY_BYTES in total."""
         self.expects_continue = False
-        self.body_bytes += len(part)
+        self.body_bytes += len(chunk)
         if self.body_bytes > MAX_BODY_BYTES:
             self._stop_parsing(413, "the statement is too long")
-        self.body.append(part)
+        self.body.append(chunk)
 
     def on_message_complete(self) -> None:
         """Queue the call and pass it to the front.
--- a/frostspindle/scatter/leases.py
+++ b/frostspindle/scatter/leases.py
@@ -36,7 +36,7 @@
 MAX_ENDED_LOADS = 4_096
 MAX_LOADS = 1_024  # unfinished ones of one coordinator
 MAX_UNANSWERED_REQUESTS = 8  # lease requests of one holder for one summary
-# A load of unknown rows whose end is never reported keeps its site from being learnt for this long.
+# A load of unknown rows without a reported end prevents learning the summary of its site for this long.
 UNKNOWN_ROWS_HOLD_MS = 600_000.0
 RENEW_FRACTION = 0.4  # of a lease, after which it is renewed
 UNKNOWN_KIND = 4  # kind of a value that is not known
@@ -186,9 +186,11 @@
 class SummaryHome:
     """The summaries whose home this process is: grants leases, takes intents of loads and updates the holders."""
 
-    def __init__(self, epoch: int, terms: SummaryLeaseSettings, columns: dict[str, Sequence[str]], now: float) -> None:
-        self.epoch, self.settings = epoch, terms
-        silent_until = now + terms.home_lease_ms
+    def __init__(
+        self, epoch: int, settings: SummaryLeaseSettings, columns: dict[str, Sequence[str]], now: float
+    ) -> None:
+        self.epoch, self.settings = epoch, settings
+        silent_until = now + settings.home_lease_ms
         self.records = {key: SummaryRecord(key, names, silent_until) for key, names in columns.items()}
         self.outbox: list[Outgoing] = []
         self.pushed = self.refused = 0
@@ -501,8 +503,8 @@
 class SummaryCache:
     """The summaries that this process has leased and may skip sites by, and the loads that it announces."""
 
-    def __init__(self, terms: SummaryLeaseSettings, homes: dict[str, str]) -> None:
-        self.settings = terms
+    def __init__(self, settings: SummaryLeaseSettings, homes: dict[str, str]) -> None:
+        self.settings = settings
         self.leases = {key: _LeasedSummary(key, home) for key, home in homes.items()}
         self.loads: dict[int, Load] = {}
         self.outbox: list[Outgoing] = []
--- a/frostspindle/scatter/plan.py
+++ b/frostspindle/scatter/plan.py
@@ -1,4 +1,4 @@
-"""Planning of a statement on spread tables: the statement for each site and the merge of the rows, or why not.
+"""Planning of a statement on spread tables: the statement for each site and the merge of the rows, or a refusal.
 
 Decides which statements are scattered and which are rejected, and which rows a load inserts. Each part sees the rows of
 its site only, so a statement may contain nothing but what is computed row by row, and aggregates that can be merged.
@@ -31,7 +31,7 @@
 from frostspindle.predicates.values import TEXT as TEXT_KIND
 from frostspindle.scatter.merge import AVG, COUNT, KEY, MAX, MIN, SUM, Cell, Merge, Order
 
-MAX_CACHED_STATEMENTS = 1_024  # statements
+MAX_CACHED_STATEMENTS = 1_024
 MAX_COLUMNS = 256  # of a part's row
 MAX_LIMIT = 10**9  # of LIMIT and OFFSET
 NULL_CELL, UNKNOWN_CELL = 0, 4  # kinds of a load's cells, in addition to those of predicates.values
@@ -212,8 +212,8 @@
         cells: Cells = {}
         for name in (column.name for column in table_group.column if column.type != FLOAT):
             index = names.index(name) if name in names else -1  # -1: its default, which is not known here
-            found = {_cell(columns[name], row[index]) if index >= 0 else (UNKNOWN_CELL, "") for row in rows}
-            cells[name] = sorted(found)
+            cells_of_column = {_cell(columns[name], row[index]) if index >= 0 else (UNKNOWN_CELL, "") for row in rows}
+            cells[name] = sorted(cells_of_column)
             if columns[name].step:
                 cells[name + CELL_SUFFIX] = step_cells(cells[name], columns[name].step)
         places = ()
@@ -307,8 +307,13 @@
         if clause is None:
             return -1
         expression = clause.expression if type(clause) in (exp.Limit, exp.Offset) else None
-        others = {key for key, value in clause.args.items() if value} - {"expression"}
-        if type(expression) is not exp.Literal or expression.is_string or not expression.name.isdecimal() or others:
+        other_clauses = {key for key, value in clause.args.items() if value} - {"expression"}
+        if (
+            type(expression) is not exp.Literal
+            or expression.is_string
+            or not expression.name.isdecimal()
+            or other_clauses
+        ):
             raise _NotScatterableError(f"a {name} that is no plain number")
         number = int(expression.name)
         if number > MAX_LIMIT:
@@ -316,11 +321,11 @@
         return number
 
     def _check_row_wise(self, node: exp.Expression) -> None:
-        for part in node.walk():
-            if isinstance(part, exp.AggFunc):
+        for descendant in node.walk():
+            if isinstance(descendant, exp.AggFunc):
                 raise _NotScatterableError("a total within an expression")
-            if not isinstance(part, _ROW_WISE):
-                raise _NotScatterableError(f"{type(part).__name__.upper()} is not known to hang on the row alone")
+            if not isinstance(descendant, _ROW_WISE):
+                raise _NotScatterableError(f"{type(descendant).__name__.upper()} is not known to hang on the row alone")
 
     def _column(self, node: exp.Expression, usage: str) -> Column:
         """Return the catalogue's column of a plain column expression; `usage` names the clause in errors."""
