--- a/frostspindle/lab/power.py
+++ b/frostspindle/lab/power.py
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """The client of one request. `cost`: core-ms; `ends`: the deadline in simulated ms."""
+    """The client of one request. `cost`: core-ms; `deadline`: in simulated ms."""
 
     id: int
     cls: int
@@ -106,46 +106,47 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at an engine. `sent`: simulated ms; `left`: remaining work in core-ms."""
+    """One attempt of a request at an engine. `sent_at`: simulated ms; `remaining_work`: core-ms."""
 
     record: Record
     number: int
     engine: int
-    sent: float
-    left: float
+    sent_at: float
+    remaining_work: float
     paid: bool = True  # its first byte was sent
 
 
 @dataclass(slots=True, eq=False)
 class Record:
-    """A request at a coordinator. `incarnation`: of the process; `taken`: arrival time in simulated ms."""
+    """A request at a coordinator. `incarnation`: of the process; `arrived_at`: simulated ms."""
 
     number: int
     client: Client
     coordinator: Coordinator
     incarnation: int
-    taken: float
+    arrived_at: float
     answered: bool = False
     attempts: list[Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class Engine:
-    """A simulated engine. `born`: simulated ms of its last start; 0 for the first, which counts as warm."""
+    """A simulated engine. `started_at`: simulated ms of its last start; 0 for the first, which counts as warm."""
 
     number: int
     up: bool = True
-    born: float = 0.0
+    started_at: float = 0.0
     running: list[Attempt] = field(default_factory=list)
-    taken: list[tuple[float, float]] = field(default_factory=list)  # while cold: time and work of the last second
+    # While the engine is cold: arrival time and work of the attempts of the last second.
+    recent_arrivals: list[tuple[float, float]] = field(default_factory=list)
 
-    def part(self, now: float) -> float:
+    def capacity_fraction(self, now: float) -> float:
         """Return the engine's capacity at `now` as a fraction of its full capacity.
 
         It grows from COLD with the square of the engine's age, and is 1 once the engine is warm.
         """
-        age = now - self.born
-        return 1.0 if self.born == 0.0 or age >= WARM_MS else COLD + (1.0 - COLD) * (age / WARM_MS) ** 2
+        age = now - self.started_at
+        return 1.0 if self.started_at == 0.0 or age >= WARM_MS else COLD + (1.0 - COLD) * (age / WARM_MS) ** 2
 
 
 @dataclass(slots=True)
@@ -156,8 +157,8 @@
     incarnation: int = 1
     generation: int = 0
     entries: dict[bytes, bytes] = field(default_factory=dict)
-    fate: str = "kept"  # at the next start: kept, lost, week (an older copy, undetected by the store), dead
-    week: tuple[int, dict[bytes, bytes]] = (0, {})
+    restart_state: str = "kept"  # at the next start: kept, lost, week (an older copy, undetected by the store), dead
+    older_copy: tuple[int, dict[bytes, bytes]] = (0, {})
 
 
 class Coordinator:
@@ -219,7 +220,7 @@
     def begin_recovery(self, first: bool) -> None:
         """Create the admission and the recovery node, and schedule their inputs.
 
-        The inputs are the opened store (by its drawn fate), the bound port of the fleet and the timer of the recovery.
+        The inputs are the opened store (in its drawn state), the bound port of the fleet and the timer of the recovery.
         """
         world, now, disk = self.world, self.world.now, self.disk
         classes = tuple(
@@ -248,22 +249,22 @@
             world.seed * 77 + self.number * 13 + self.incarnation,
         )
         self.update_recovery_engines()
-        fate, disk.fate = disk.fate, "kept"
-        fresh = first
-        if fate == "dead":
+        restart_state, disk.restart_state = disk.restart_state, "kept"
+        is_new = first
+        if restart_state == "dead":
             opened = OpenedStore("unreadable", False, False)
         else:
-            if fate == "lost":
-                disk.incarnation, disk.generation, disk.entries, fresh = 1, 0, {}, True
-            elif fate == "week":
-                disk.generation, disk.entries = disk.week[0], dict(disk.week[1])
+            if restart_state == "lost":
+                disk.incarnation, disk.generation, disk.entries, is_new = 1, 0, {}, True
+            elif restart_state == "week":
+                disk.generation, disk.entries = disk.older_copy[0], dict(disk.older_copy[1])
             opened = OpenedStore(
-                "fresh" if fresh else "good",
+                "fresh" if is_new else "good",
                 True,
-                not fresh,
-                fresh,
+                not is_new,
+                is_new,
                 wire.StoreState(
-                    disk.id.to_bytes(16, "big") if fate != "lost" else world.random.randbytes(16),
+                    disk.id.to_bytes(16, "big") if restart_state != "lost" else world.random.randbytes(16),
                     disk.incarnation,
                     disk.generation,
                 ),
@@ -287,7 +288,7 @@
                     a for a in self.world.engines[attempt.engine].running if a is not attempt
                 ]
             if not record.answered:
-                self.world.broken(record.client)
+                self.world.break_connection(record.client)
         self.records = {}
 
     # Rights in the budgets of cold engines, as in fleet/slow_start_service.py.
@@ -315,8 +316,10 @@
         """
         if incarnation != self.incarnation or not self.up or self.cold_budgets is None:
             return
-        born = {number: start and START_UNIX_MS + start for number, start in self.announced_starts.items()}
-        load_report = self.cold_budgets.tick(self.world.now, START_UNIX_MS + self.world.now, self.controller, born)
+        started_ms = {number: start and START_UNIX_MS + start for number, start in self.announced_starts.items()}
+        load_report = self.cold_budgets.tick(
+            self.world.now, START_UNIX_MS + self.world.now, self.controller, started_ms
+        )
         if load_report is not None:
             self.handle_event(load_report)
         self.world.at(self.cold_budgets.due(self.world.now), self.tick_cold_budgets, incarnation)
@@ -338,10 +341,10 @@
                     0,
                     1,
                     1.0,
-                    born and START_UNIX_MS + born,
+                    started_at and START_UNIX_MS + started_at,
                     self.announced_starts.get(n, 0.0) and START_UNIX_MS + self.announced_starts[n],
                 )
-                for n, born in self.engines.items()
+                for n, started_at in self.engines.items()
             },
         )
 
@@ -403,7 +406,7 @@
             for name, data in node.outputs.take_messages():
                 self.world.post(self.number, int(name[1:]), data)
             for effect in node.outputs.take_effects():
-                self.effect(effect)
+                self.execute_effect(effect)
         if (batch := node.next_batch()) is not None:
             self.world.at(self.world.now + self.world.random.uniform(0.5, 6.0), self.on_disk, self.incarnation, batch)
 
@@ -424,7 +427,7 @@
         self.sync_idle_rights()
         self.drain()
 
-    def effect(self, effect: Any) -> None:
+    def execute_effect(self, effect: Any) -> None:
         """Execute one effect of the recovery node.
 
         Effects are a stage transition, engines' starts, an agreed list of engines, and the outcome of a load's claim.
@@ -442,9 +445,9 @@
             if effect.has_quorum and effect.last_event > self.last_bus_event and effect.engines:
                 self.last_bus_event = effect.last_event
                 for engine in effect.engines:
-                    born = engine.started_ms - START_UNIX_MS if engine.started_ms else 0.0
+                    started_at = engine.started_ms - START_UNIX_MS if engine.started_ms else 0.0
                     number = int(engine.name[1:])
-                    self.engines[number] = max(self.engines.get(number, 0.0), born)
+                    self.engines[number] = max(self.engines.get(number, 0.0), started_at)
             self.withheld = {int(name[1:]) for name in effect.withheld}
             self.update_controller_engines()
             self.update_recovery_engines()
@@ -479,7 +482,7 @@
 
     # Requests.
 
-    def take(self, client: Client) -> None:
+    def accept_request(self, client: Client) -> None:
         """Accept a client's request: admit it at once, or queue it at the admission during recovery.
 
         A load that may run only once claims its ticket first, also after recovery.
@@ -550,9 +553,9 @@
                         0,
                         Health.DRAINING if n in self.withheld else Health.READY,
                         1.0,
-                        born and START_UNIX_MS + born,
+                        started_at and START_UNIX_MS + started_at,
                     )
-                    for n, born in sorted(self.engines.items())
+                    for n, started_at in sorted(self.engines.items())
                 ),
             )
         )
@@ -563,8 +566,8 @@
             return
         self.last_bus_event = self.world.bus_number
         for engine in self.world.engines:
-            self.engines[engine.number] = max(self.engines.get(engine.number, 0.0), engine.born)
-            self.announced_starts[engine.number] = engine.born
+            self.engines[engine.number] = max(self.engines.get(engine.number, 0.0), engine.started_at)
+            self.announced_starts[engine.number] = engine.started_at
         self.withheld = set()
         self.update_controller_engines()
         if self.node is not None:
@@ -585,18 +588,20 @@
                 record = self.records[action.request]
                 attempt = Attempt(record, len(record.attempts), action.engine, self.world.now, record.client.cost)
                 record.attempts.append(attempt)
-                born = self.announced_starts[action.engine]
+                started_at = self.announced_starts[action.engine]
                 if self.cold_budgets is not None and not self.cold_budgets.pays(
                     self.world.now,
                     START_UNIX_MS + self.world.now,
                     self.controller,
                     record.number,
                     action.engine,
-                    born and START_UNIX_MS + born,
+                    started_at and START_UNIX_MS + started_at,
                 ):
                     attempt.paid = False
                     self.world.counted["cold_unpaid"] += 1
-                    self.world.at(self.world.now, self.ended, self.incarnation, attempt, AttemptOutcome.NOT_SENT)
+                    self.world.at(
+                        self.world.now, self.on_attempt_ended, self.incarnation, attempt, AttemptOutcome.NOT_SENT
+                    )
                     continue
                 self.world.at(self.world.now + 1.0, self.world.arrive, self, self.incarnation, attempt)
             elif isinstance(action, policy.RejectRequest):
@@ -611,7 +616,11 @@
                     if attempt in engine.running:
                         engine.running.remove(attempt)
                         self.world.at(
-                            self.world.now + 1.0, self.ended, self.incarnation, attempt, AttemptOutcome.CANCELLED
+                            self.world.now + 1.0,
+                            self.on_attempt_ended,
+                            self.incarnation,
+                            attempt,
+                            AttemptOutcome.CANCELLED,
                         )
 
     def on_timer(self, incarnation: int, token: int) -> None:
@@ -619,7 +628,7 @@
         if incarnation == self.incarnation and self.up:
             self.handle_event(policy.TimerFired(token))
 
-    def ended(self, incarnation: int, attempt: Attempt, outcome: int) -> None:
+    def on_attempt_ended(self, incarnation: int, attempt: Attempt, outcome: int) -> None:
         """Report the end of an attempt to the recovery node and the decision module; outcome OK answers the request.
 
         Ignored if the attempt is of an earlier incarnation.
@@ -640,7 +649,7 @@
                 attempt.number,
                 attempt.engine,
                 outcome,
-                self.world.now - attempt.sent,
+                self.world.now - attempt.sent_at,
                 record.answered,
                 0.0,
                 0.0,
@@ -710,12 +719,12 @@
         for coordinator in self.coordinators:
             coordinator.start(first=True)
         self.update_membership()
-        self.scenario(mixed)
-        self.at(0.0, self.arrivals)
+        self.schedule_scenario(mixed)
+        self.at(0.0, self.create_client)
         self.at(ENGINE_STEP_MS, self.step)
 
-    def scenario(self, mixed: bool) -> None:
-        """Draw and schedule the loss of power, the fates of stores and all restarts, and schedule the script's acts."""
+    def schedule_scenario(self, mixed: bool) -> None:
+        """Draw and schedule the power loss, the state of each store and all restarts; schedule the script's acts."""
         rng, loss = self.scenario_random, LOSS_S * 1_000.0
         lost = list(range(self.count))
         if mixed and rng.random() < 0.3:  # some coordinators keep running
@@ -725,13 +734,13 @@
             self.at(loss + 1_000.0 * (BACK_S + rng.uniform(0.0, OVER_S)), self.coordinators[number].start)
         self.restart_ms = loss + BACK_S * 1_000.0
         for number in rng.sample(lost, min(len(lost), max(2, len(lost) // 10))):
-            self.coordinators[number].disk.fate = "lost"
+            self.coordinators[number].disk.restart_state = "lost"
         for number in rng.sample(lost, max(1, len(lost) // 10)):
-            if self.coordinators[number].disk.fate == "kept":
-                self.coordinators[number].disk.fate = "week"
+            if self.coordinators[number].disk.restart_state == "kept":
+                self.coordinators[number].disk.restart_state = "week"
         if mixed and rng.random() < 0.2:
-            self.coordinators[rng.choice(lost)].disk.fate = "dead"
-        self.at(3_000.0, self.snapshot)
+            self.coordinators[rng.choice(lost)].disk.restart_state = "dead"
+        self.at(3_000.0, self.copy_stores)
         for engine in self.engines:
             self.at(loss + rng.uniform(0.0, 1_000.0), self.fail_engine, engine, False, rng.uniform(2_000.0, 4_000.0))
         self.at(loss, self.set_bus, False)
@@ -750,17 +759,17 @@
 
     # Time.
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+    def at(self, time_ms: float, call: Callable[..., None], *args: Any) -> None:
         """Schedule a call at a simulated time in ms; calls at the same time run in the order of scheduling."""
         self.sequence += 1
-        heapq.heappush(self.queue, (when, self.sequence, call, args))
+        heapq.heappush(self.queue, (time_ms, self.sequence, call, args))
 
     def run(self) -> World:
         """Simulate the run until `seconds` of simulated time and return self."""
         until = self.seconds * 1_000.0
         while self.queue and self.queue[0][0] <= until:
-            at, _, call, args = heapq.heappop(self.queue)
-            self.now = max(self.now, at)
+            time_ms, _, call, args = heapq.heappop(self.queue)
+            self.now = max(self.now, time_ms)
             self.events += 1
             call(*args)
             if call.__name__ in ("kill", "start"):
@@ -818,10 +827,10 @@
             coordinator.admission.share = 1.0 / (1 + len(visible))
             coordinator.drain()
 
-    def snapshot(self) -> None:
+    def copy_stores(self) -> None:
         """Copy each store, as the older copy that some coordinators find after the loss."""
         for coordinator in self.coordinators:
-            coordinator.disk.week = coordinator.disk.generation, dict(coordinator.disk.entries)
+            coordinator.disk.older_copy = coordinator.disk.generation, dict(coordinator.disk.entries)
 
     def set_bus(self, up: bool) -> None:
         """Take the bus down, or up again; once up it announces the engines to each coordinator 10 to 200 ms later."""
@@ -842,11 +851,11 @@
             return
         engine.up = False
         self.overruns += tipped
-        running, engine.running, engine.taken = engine.running, [], []
+        running, engine.running, engine.recent_arrivals = engine.running, [], []
         for attempt in running:
             self.at(
                 self.now + 1.0,
-                attempt.record.coordinator.ended,
+                attempt.record.coordinator.on_attempt_ended,
                 attempt.record.incarnation,
                 attempt,
                 AttemptOutcome.RESET,
@@ -855,7 +864,7 @@
 
     def start_engine(self, engine: Engine) -> None:
         """Start an engine again, cold; if the bus is up it announces this to each coordinator 10 to 200 ms later."""
-        engine.up, engine.born = True, self.now
+        engine.up, engine.started_at = True, self.now
         if self.bus_up:
             self.bus_number += 1
             for coordinator in self.coordinators:
@@ -870,15 +879,20 @@
             return
         engine, client = self.engines[attempt.engine], attempt.record.client
         if not engine.up:
-            self.at(self.now + 5.0, coordinator.ended, incarnation, attempt, AttemptOutcome.CONNECT_FAILED)
+            self.at(self.now + 5.0, coordinator.on_attempt_ended, incarnation, attempt, AttemptOutcome.CONNECT_FAILED)
             return
         if CLASSES[client.cls][3] == Idempotency.NON_IDEMPOTENT:
             self.load_starts[client.id] += 1
         engine.running.append(attempt)
-        if engine.born > 0.0 and self.now - engine.born < WARM_MS:
-            engine.taken = [(at, work) for at, work in engine.taken if at > self.now - 1_000.0]
-            engine.taken.append((self.now, attempt.left))
-            if sum(work for _, work in engine.taken) > TIP * CORES * engine.part(self.now) * 1_000.0:
+        if engine.started_at > 0.0 and self.now - engine.started_at < WARM_MS:
+            engine.recent_arrivals = [
+                (arrived_at, work) for arrived_at, work in engine.recent_arrivals if arrived_at > self.now - 1_000.0
+            ]
+            engine.recent_arrivals.append((self.now, attempt.remaining_work))
+            if (
+                sum(work for _, work in engine.recent_arrivals)
+                > TIP * CORES * engine.capacity_fraction(self.now) * 1_000.0
+            ):
                 self.fail_engine(engine, True, DOWN_MS)
 
     def step(self) -> None:
@@ -888,21 +902,25 @@
         """
         for engine in self.engines:
             if engine.running:
-                each = CORES * engine.part(self.now) / len(engine.running)
-                done = []
+                cores_per_attempt = CORES * engine.capacity_fraction(self.now) / len(engine.running)
+                finished = []
                 for attempt in engine.running:
-                    attempt.left -= ENGINE_STEP_MS * min(float(CLASSES[attempt.record.client.cls][4]), each)
-                    if attempt.left <= 0.0:
-                        done.append(attempt)
-                if done:
-                    engine.running = [attempt for attempt in engine.running if attempt.left > 0.0]
-                    for attempt in done:
-                        attempt.record.coordinator.ended(attempt.record.incarnation, attempt, AttemptOutcome.OK)
+                    attempt.remaining_work -= ENGINE_STEP_MS * min(
+                        float(CLASSES[attempt.record.client.cls][4]), cores_per_attempt
+                    )
+                    if attempt.remaining_work <= 0.0:
+                        finished.append(attempt)
+                if finished:
+                    engine.running = [attempt for attempt in engine.running if attempt.remaining_work > 0.0]
+                    for attempt in finished:
+                        attempt.record.coordinator.on_attempt_ended(
+                            attempt.record.incarnation, attempt, AttemptOutcome.OK
+                        )
         self.at(self.now + ENGINE_STEP_MS, self.step)
 
     # Clients.
 
-    def arrivals(self) -> None:
+    def create_client(self) -> None:
         """Create one client with a drawn class and cost, and schedule the next (Poisson arrivals at `rate`)."""
         rng = self.scenario_random
         cls = rng.choices(range(len(CLASSES)), [kind[6] for kind in CLASSES])[0]
@@ -913,7 +931,7 @@
         self.clients.append(client)
         self.at(self.now, self.call, client)
         if self.now < self.seconds * 1_000.0 - 21_000.0 or self.now < 1e9:
-            self.at(self.now + rng.expovariate(self.rate), self.arrivals)
+            self.at(self.now + rng.expovariate(self.rate), self.create_client)
 
     def call(self, client: Client) -> None:
         """Send a client's request to its coordinator, or if that is down to another one 100 to 300 ms later.
@@ -932,9 +950,9 @@
             self.at(self.now + self.random.uniform(100.0, 300.0), self.call, client)
         else:
             client.in_progress = True
-            coordinator.take(client)
+            coordinator.accept_request(client)
 
-    def broken(self, client: Client) -> None:
+    def break_connection(self, client: Client) -> None:
         """Break a client's connection; it retries with the same id, at a drawn coordinator, 100 to 400 ms later."""
         client.in_progress = False
         client.home = self.random.randrange(self.count)
@@ -980,7 +998,9 @@
                 waiting.append((next_arrival[1].cost, next_arrival[1]))
             next_arrival = next(arrivals, None)
         waiting = sorted((pair for pair in waiting if pair[1].deadline - 50.0 > now), key=lambda pair: pair[0])
-        capacity = ENGINE_STEP_MS * sum(CORES * e.part(now) for e in world.engines if 0.0 < e.born <= now)
+        capacity = ENGINE_STEP_MS * sum(
+            CORES * e.capacity_fraction(now) for e in world.engines if 0.0 < e.started_at <= now
+        )
         if shares:
             returned = sum(start <= now for start in starts) / world.count
             capacity = (
@@ -1034,7 +1054,7 @@
             for coordinator in world.coordinators
         )
     )
-    over, most = excess(sorted(world.spends), UNITS_EACH * world.count, WINDOW_MS)
+    overspend, peak_units = excess(sorted(world.spends), UNITS_EACH * world.count, WINDOW_MS)
     timed_out_stages: Counter[str] = Counter()
     for coordinator in world.coordinators:
         if coordinator.up and coordinator.node is not None:
@@ -1042,8 +1062,8 @@
     return {
         "nodes": world.count,
         "seed": world.seed,
-        "overspend": over,
-        "most_in_a_window": most,
+        "overspend": overspend,
+        "most_in_a_window": peak_units,
         "cold_overruns": world.overruns,
         "loads_doubled": sum(n > 1 for n in world.load_starts.values()),
         "recovered_s": recovered_s(world),
@@ -1076,9 +1096,9 @@
     """
     world = World(nodes, seed, script, False, seconds, mixed, cold).run()
     figures = measure(world)
-    other = World(nodes, seed, script, True, seconds, mixed).run() if naive else None
-    if other is not None:
-        naive_figures = measure(other)
+    naive_world = World(nodes, seed, script, True, seconds, mixed).run() if naive else None
+    if naive_world is not None:
+        naive_figures = measure(naive_world)
         figures |= {
             f"naive_{key}": naive_figures[key]
             for key in (
@@ -1092,4 +1112,4 @@
                 "stuck",
             )
         }
-    return figures, world, other
+    return figures, world, naive_world
