--- a/frostspindle/lab/bench.py
+++ b/frostspindle/lab/bench.py
@@ -117,29 +117,36 @@
             self.histogram.record_value(max(1, int(seconds * 1e6)))
             self.statuses[status] = self.statuses.get(status, 0) + 1
 
-    async def run(self, at: float, seconds: float) -> None:
-        await asyncio.sleep(max(0.0, at - time.time()))
+    async def run(self, start_at: float, seconds: float) -> None:
+        await asyncio.sleep(max(0.0, start_at - time.time()))
         self.running = True
         for number in range(self.connections):
             self.open(number)
-        await asyncio.sleep(max(0.0, at + WARM_S - time.time()))
+        await asyncio.sleep(max(0.0, start_at + WARM_S - time.time()))
         self.measured = True
-        await asyncio.sleep(max(0.0, at + WARM_S + seconds - time.time()))
+        await asyncio.sleep(max(0.0, start_at + WARM_S + seconds - time.time()))
         self.running = False
 
 
 def client_process(
-    pipe: Connection, port: int, connections: int, first: int, cost_ms: int, rest_s: float, at: float, seconds: float
+    pipe: Connection,
+    port: int,
+    connections: int,
+    first: int,
+    cost_ms: int,
+    rest_s: float,
+    start_at: float,
+    seconds: float,
 ) -> None:
     """Run the connections of one client process to `port` and send its results through `pipe`.
 
     The results are the encoded latency histogram (microseconds), the number of responses by HTTP status, and the number
-    of broken connections. `at`: Unix time in seconds at which the load starts; the first WARM_S seconds are not
+    of broken connections. `start_at`: Unix time in seconds at which the load starts; the first WARM_S seconds are not
     recorded, the `seconds` after them are. Request ids count up from `first`; `cost_ms` is the X-Cost-Ms of each
     request; `rest_s` is the pause of a connection after a status other than 200.
     """
     load = _Load(port, connections, first, cost_ms, rest_s)
-    asyncio.run(load.run(at, seconds))
+    asyncio.run(load.run(start_at, seconds))
     pipe.send((load.histogram.encode(), load.statuses, load.broken))
 
 
@@ -158,7 +165,7 @@
         asyncio.get_running_loop().add_reader(pipe.fileno(), requested.set)
         await requested.wait()
         pipe.recv()
-        pipe.send([{"name": e.name, "posts": e.posts, "most": e.most, "sent": e.sent} for e in engines])
+        pipe.send([{"name": e.name, "posts": e.posts, "most": e.peak_running, "sent": e.sent} for e in engines])
 
     asyncio.run(serve())
 
@@ -230,7 +237,9 @@
                     for line in log.read_text().splitlines()
                     if any(f'"event":"{name}"' in line for name in STARTED_EVENTS)
                 ]
-                port = next((int(e["listen"].rpartition(":")[2]) for e in started if e.get("worker") is None), 0)
+                port = next(
+                    (int(event["listen"].rpartition(":")[2]) for event in started if event.get("worker") is None), 0
+                )
                 time.sleep(0.01)
             yield port, (operator_socket, child.pid)
         finally:
@@ -238,7 +247,7 @@
             child.wait(30)
 
 
-def one(
+def run_once(
     workers: int, clients: int, connections: int, ports: dict[str, int], seconds: float, source: str | None = None
 ) -> dict[str, Any]:
     """Return the figures of one run with `workers` workers, of this version or of the checkout in `source`.
@@ -252,7 +261,7 @@
     with coordinator(config, workers, source) as (port, (operator_socket, pid)):
         initial_stat = json.loads(call_operator(operator_socket, "show-stat").splitlines()[0])
         pids = [pid, *(row["pid"] for row in initial_stat.get("workers", []))]
-        at = time.time() + 0.7
+        start_at = time.time() + 0.7
         pipes = []
         for number in range(clients):
             parent_end, child_end = SPAWN.Pipe()
@@ -264,19 +273,19 @@
                     child_end,
                     port,
                     share,
-                    (workers << 48) + (number << 40) + (int(at) & 0xFFFF << 24),
+                    (workers << 48) + (number << 40) + (int(start_at) & 0xFFFF << 24),
                     20,
                     0.0,
-                    at,
+                    start_at,
                     seconds,
                 ),
             )
             process.start()
             pipes.append((parent_end, process))
-        time.sleep(max(0.0, at + WARM_S - time.time()))
+        time.sleep(max(0.0, start_at + WARM_S - time.time()))
         cpu, start_stat = cpu_s(pids), json.loads(call_operator(operator_socket, "show-stat").splitlines()[0])
         start = time.time()
-        time.sleep(max(0.0, at + WARM_S + seconds - time.time()))
+        time.sleep(max(0.0, start_at + WARM_S + seconds - time.time()))
         cpu, elapsed_s, memory = cpu_s(pids) - cpu, time.time() - start, rss_mb(pids)
         stat = json.loads(call_operator(operator_socket, "show-stat").splitlines()[0])
         histogram, statuses, broken = HdrHistogram(1, MAX_LATENCY_US, 3), dict[int, int](), 0
@@ -347,7 +356,7 @@
     with engines([f"s-{n:08x}" for n in range(1, count + 1)], delay_s, min(2, count)) as (ports, _):
         for _ in range(rounds):
             for workers in numbers:
-                runs.append(one(workers, clients, connections, ports, seconds))
+                runs.append(run_once(workers, clients, connections, ports, seconds))
     rows = []
     for workers in numbers:
         worker_runs = [run for run in runs if run["workers"] == workers]
@@ -397,7 +406,7 @@
         context = coordinator(config, workers)
         port, (operator_socket, _) = await asyncio.to_thread(context.__enter__)
         try:
-            at = time.time() + 0.7
+            start_at = time.time() + 0.7
             processes = []
             for number in range(clients):
                 parent_end, child_end = SPAWN.Pipe()
@@ -411,13 +420,13 @@
                         (workers << 48) + (number << 40),
                         cost_ms,
                         0.02,
-                        at,
+                        start_at,
                         seconds + 1.0,
                     ),
                 )
                 process.start()
                 processes.append((parent_end, process))
-            await asyncio.sleep(at + 1.0 - time.time())
+            await asyncio.sleep(start_at + 1.0 - time.time())
             started_at = time.time()
             bus.say(host_entry(names[3], ports[names[3]], born_ms=started_at * 1000.0))
             await asyncio.sleep(seconds / 2)
--- a/frostspindle/lab/cold.py
+++ b/frostspindle/lab/cold.py
@@ -67,8 +67,9 @@
         rng = self.random
         self.plain, self.sizes, self.hot, self.load, self.engines = plain, sizes, hot, load, engines
         self.states = [CoordinatorState(rng.uniform(-200.0, 200.0), rng.uniform(0.0, lag_ms)) for _ in range(count)]
-        self.born: dict[str, float] = {}  # by engine: true time of its latest start, ms
-        self.paid: dict[tuple[str, float], list[float]] = defaultdict(list)  # by known start: true time of each unit
+        self.started_at: dict[str, float] = {}  # by engine: true time of its latest start, ms
+        # By engine and its start as the payer knows it: true time of each paid unit.
+        self.payments: dict[tuple[str, float], list[float]] = defaultdict(list)
         self.arrived: dict[tuple[str, float], list[float]] = defaultdict(list)  # by true start: the same
         self.sent = [0] * count
         for number in range(count):
@@ -86,7 +87,7 @@
             self.network.at(self.now + STEP_MS, number, "look")
             self._step(number, process)
         elif action.startswith("engine"):
-            self.born[f"toy-{action.split()[1]}"] = self.now
+            self.started_at[f"toy-{action.split()[1]}"] = self.now
         elif action.startswith("bus"):
             _, engine, start_ms = action.split()
             self.states[number].engines[f"toy-{engine}"] = 1.7e12 + float(start_ms)
@@ -110,7 +111,7 @@
         now, unix = self.clock(process), self.unix() + state.skew_ms
         mean_work = sum(self.sizes) / 2.0
         weight = (self.hot if number == 0 else 1.0) / (self.count - 1 + self.hot)
-        cold = [budget_ms(unix - born) for born in state.engines.values() if unix - born < WARM_MS]
+        cold = [budget_ms(unix - started_ms) for started_ms in state.engines.values() if unix - started_ms < WARM_MS]
         rate = max(1e-6, self.load * sum(cold) / WINDOW_MS / mean_work * weight)  # queries per ms
         arrival_ms = self.random.expovariate(rate)
         while arrival_ms < STEP_MS:
@@ -118,29 +119,29 @@
             arrival_ms += self.random.expovariate(rate)
         state.waiting = sorted(query for query in state.waiting if self.now < query[1])
         state.cold.tick(now)
-        ages = {name: unix - born for name, born in state.engines.items() if unix - born < WARM_MS}
+        ages = {name: unix - started_ms for name, started_ms in state.engines.items() if unix - started_ms < WARM_MS}
         for name, age in ages.items():
-            budget, born = budget_ms(age), state.engines[name]
+            budget, started_ms = budget_ms(age), state.engines[name]
             sendable = self._sendable_fraction(
                 number,
                 state,
                 now,
                 unix,
                 name,
-                born,
+                started_ms,
                 budget,
                 sum(query_work for query_work, _ in state.waiting) / len(ages),
             )
             while state.waiting and state.waiting[0][0] <= sendable * budget:
                 work = state.waiting[0][0]
-                if not self.plain and not state.cold.spend(now, name, born, unix, work, budget):
+                if not self.plain and not state.cold.spend(now, name, started_ms, unix, work, budget):
                     break
                 state.waiting.pop(0)
                 sendable -= work / budget
                 units = math.ceil(work * UNITS_PER_START / budget - 1e-9)
                 self.sent[number] += units
-                self.paid[name, born].extend([self.now] * units)
-                self.arrived[name, self.born.get(name, 0.0)].extend([self.now] * units)
+                self.payments[name, started_ms].extend([self.now] * units)
+                self.arrived[name, self.started_at.get(name, 0.0)].extend([self.now] * units)
                 state.plain[name].append((unix, work))
 
     def _sendable_fraction(
@@ -150,7 +151,7 @@
         now: float,
         unix: float,
         name: str,
-        born: float,
+        started_ms: float,
         budget: float,
         wanted: float,
     ) -> float:
@@ -163,7 +164,7 @@
             return 1.0 / self.count - spent
         return (
             state.cold.usable_fraction(
-                now, unix, name, born, budget, spent, wanted / budget, sum(self.sizes) / 2.0 / budget, STEP_MS
+                now, unix, name, started_ms, budget, spent, wanted / budget, sum(self.sizes) / 2.0 / budget, STEP_MS
             )
             - spent
         )
@@ -175,11 +176,11 @@
         """
         overruns = max_units = used_units = 0
         offered_units = 0.0
-        for times in self.paid.values():
+        for times in self.payments.values():
             excess_units, peak_units = excess(times, UNITS_PER_START, WINDOW_MS)
             overruns, max_units = overruns + excess_units, max(max_units, peak_units)
-        for (_, born), times in self.paid.items():  # from 3 s after the start, when all know of it, to the end
-            begin, end = born - 1.7e12 + 3_000.0, min(born - 1.7e12 + WARM_MS, self.seconds * 1e3) - 300.0
+        for (_, started_ms), times in self.payments.items():  # from 3 s after the start, when all know of it
+            begin, end = started_ms - 1.7e12 + 3_000.0, min(started_ms - 1.7e12 + WARM_MS, self.seconds * 1e3) - 300.0
             if end > begin:
                 offered_units += UNITS_PER_START * (end - begin) / WINDOW_MS
                 used_units += sum(begin <= paid_at < end for paid_at in times)
@@ -193,7 +194,7 @@
             "at_one_process": max(
                 (excess(paid_at, UNITS_PER_START, WINDOW_MS)[1] for paid_at in self.arrived.values()), default=0
             ),
-            "paid": sum(map(len, self.paid.values())),
+            "paid": sum(map(len, self.payments.values())),
             "use": round(used_units / offered_units, 4) if offered_units else None,
             "first": round(self.sent[0] / max(1, sum(self.sent)), 3),
             "bytes": self.bytes,
--- a/frostspindle/lab/engines.py
+++ b/frostspindle/lab/engines.py
@@ -84,10 +84,10 @@
         self.lines: set[EngineConnection] = set()  # open connections
         self.results: dict[str, bytes | None] = {}  # by ticket; None while it runs
         self.waiting: dict[str, EngineConnection] = {}  # by ticket: the connection that waits for the result
-        self.line: deque[tuple[str, str]] = deque()  # queued queries: ticket, statement
+        self.queue: deque[tuple[str, str]] = deque()  # queued queries: ticket, statement
         self.sent: list[tuple[float, str, float]] = []  # per POST: time of its first byte, ticket, estimate
         self.keep = False  # whether POSTs are recorded in `sent`
-        self.running = self.most = self.posts = 0  # running queries, their maximum, number of POSTs
+        self.running = self.peak_running = self.posts = 0  # running queries, their maximum, number of POSTs
         self.silent = False  # ignore all requests
 
     async def start(self, port: int = 0) -> Engine:
@@ -112,7 +112,7 @@
         queued queries, `x0` half of that ratio; both ratios are capped at 1.
         """
         busy = self.running / max(1, self.cores or 8)
-        return f"X-Meter: load_share:{min(1.0, busy):.2f};depth:{len(self.line)};x0:{min(1.0, busy / 2):.2f}\r\n"
+        return f"X-Meter: load_share:{min(1.0, busy):.2f};depth:{len(self.queue)};x0:{min(1.0, busy / 2):.2f}\r\n"
 
     def call(
         self,
@@ -138,7 +138,7 @@
             self.posts += 1
             if self.keep:
                 self.sent.append((first, ticket, float(fields.get(b"x-max-ms", b"0"))))
-            self._take(ticket, " ".join(body.decode().split()))
+            self._accept_query(ticket, " ".join(body.decode().split()))
             self._respond(connection, ticket)
         elif method == b"GET" and segments[0] in ("healthz", "stats"):
             connection.say(200, head=self.meter())
@@ -155,29 +155,29 @@
         """Return the result's only page: engine name, length of the statement and statement, separated by tabs."""
         return f"{self.name}\t{len(statement)}\t{statement}\n".encode()
 
-    def _take(self, ticket: str, statement: str) -> None:
+    def _accept_query(self, ticket: str, statement: str) -> None:
         if not self.delay_s:
             self.results[ticket] = self.answer(statement)
             return
         self.results[ticket] = None
         if self.cores and self.running >= self.cores:
-            self.line.append((ticket, statement))
+            self.queue.append((ticket, statement))
         else:
             self._run(ticket, statement)
 
     def _run(self, ticket: str, statement: str) -> None:
         self.running += 1
-        self.most = max(self.most, self.running)
-        asyncio.get_running_loop().call_later(self.delay_s, self._done, ticket, statement)
+        self.peak_running = max(self.peak_running, self.running)
+        asyncio.get_running_loop().call_later(self.delay_s, self._finish, ticket, statement)
 
-    def _done(self, ticket: str, statement: str) -> None:
+    def _finish(self, ticket: str, statement: str) -> None:
         self.running -= 1
         if ticket in self.results:
             self.results[ticket] = self.answer(statement)
             if connection := self.waiting.pop(ticket, None):
                 self._respond(connection, ticket)
-        while self.line and (not self.cores or self.running < self.cores):
-            next_ticket, next_statement = self.line.popleft()
+        while self.queue and (not self.cores or self.running < self.cores):
+            next_ticket, next_statement = self.queue.popleft()
             if next_ticket in self.results:
                 self._run(next_ticket, next_statement)
 
--- a/frostspindle/lab/faults/owners.py
+++ b/frostspindle/lab/faults/owners.py
@@ -52,9 +52,9 @@
         super().__init__(name, delay_s)
         self.received_statements: list[tuple[float, int, str]] = []  # time, fencing token, statement
 
-    def _take(self, ticket: str, statement: str) -> None:
+    def _accept_query(self, ticket: str, statement: str) -> None:
         self.received_statements.append((clock(), int(ticket[:8], 16), statement))
-        super()._take(ticket, statement)
+        super()._accept_query(ticket, statement)
 
 
 class OwnershipFleet:
--- a/frostspindle/lab/faults/power.py
+++ b/frostspindle/lab/faults/power.py
@@ -56,24 +56,30 @@
         self.keep, self.dark = True, False
 
     def call(
-        self, line: EngineConnection, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes, first: float
+        self,
+        connection: EngineConnection,
+        method: bytes,
+        url: bytes,
+        fields: dict[bytes, bytes],
+        body: bytes,
+        first: float,
     ) -> None:
         """Serve a request, or abort its connection while the engine has no power (`dark`)."""
         if self.dark:
-            line.transport.abort()
+            connection.transport.abort()
         else:
-            super().call(line, method, url, fields, body, first)
+            super().call(connection, method, url, fields, body, first)
 
-    def _take(self, ticket: str, statement: str) -> None:
+    def _accept_query(self, ticket: str, statement: str) -> None:
         self.rows.execute(statement)
-        super()._take(ticket, statement)
+        super()._accept_query(ticket, statement)
 
     def lose_power(self) -> None:
         """Drop all results and connections, and abort connections until `dark` is False. Rows persist."""
         self.dark = True
         self.results.clear()
-        for line in list(self.lines):
-            line.transport.abort()
+        for connection in list(self.lines):
+            connection.transport.abort()
 
 
 class Client:
@@ -84,10 +90,10 @@
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.finals: dict[int, list[int]] = {}  # final statuses by request id
+        self.final_statuses: dict[int, list[int]] = {}  # final statuses by request id
         self.broken = 0
 
-    async def once(self, port: int, cls: str, number: int, statement: str) -> tuple[int, float]:
+    async def send(self, port: int, cls: str, number: int, statement: str) -> tuple[int, float]:
         """Send one request; return its final HTTP status and its Retry-After-Ms, by default 200 ms.
 
         Raise OSError or asyncio.IncompleteReadError if the connection breaks, TimeoutError after 12 s.
@@ -113,22 +119,22 @@
                     break
                 path = body.decode().split('"next"')[1].split('"')[1]
         status = int(head.split()[1])
-        self.finals.setdefault(number, []).append(status)
+        self.final_statuses.setdefault(number, []).append(status)
         wait = head.partition(b"retry-after-ms:")[2].split(b"\r\n")[0].strip()
         return status, float(wait or 200.0)
 
     async def served(self, port: int, number: int) -> int:
         """Send a query until it is served; return how many times it was refused."""
-        tries = 0
+        attempts = 0
         while True:
             try:
-                status, wait_ms = await self.once(port, "lookup", number * 1_000 + tries, "SELECT 1")
+                status, wait_ms = await self.send(port, "lookup", number * 1_000 + attempts, "SELECT 1")
             except (OSError, asyncio.IncompleteReadError):
                 await asyncio.sleep(0.1)
                 continue
             if status == 200:
-                return tries
-            tries += 1
+                return attempts
+            attempts += 1
             await asyncio.sleep(wait_ms / 1e3 * self.random.uniform(1.0, 1.2))
 
     async def load(self, port: int, number: int) -> int | None:
@@ -137,7 +143,7 @@
         Return None if the connection broke, or without a response in 12 s.
         """
         try:
-            return (await self.once(port, "load", number, f"INSERT INTO loaded VALUES ({number})"))[0]
+            return (await self.send(port, "load", number, f"INSERT INTO loaded VALUES ({number})"))[0]
         except (OSError, asyncio.IncompleteReadError):
             self.broken += 1
             return None
@@ -175,7 +181,7 @@
             5, parse(script, 5), seed, FLEET, TENANTS + RECOVERY, engine=SqliteEngine, balancers=5, rules=RULES
         )
         self.first_statuses: list[int | None] = []
-        self.ran: set[int] = set()  # loads whose rows were present at the power loss
+        self.loads_before_loss: set[int] = set()  # loads whose rows were present at the power loss
         self.repeats: dict[int, list[int | None]] = {}
         self.refusals: list[int] = []  # of each query until it was served
         self.born_ms = self.recovered_s = 0.0
@@ -187,8 +193,8 @@
         """
         rng, fleet, client = random.Random(self.seed), self.fleet, self.client
         await fleet.start()
-        await self.stage(1, "service")
-        await fleet.until(lambda all_: all(f.get("size") == 5 for f in all_), WAIT_S)
+        await self.wait_for_stage(1, "service")
+        await fleet.until(lambda figures: all(f.get("size") == 5 for f in figures), WAIT_S)
         for n in self.older:
             shutil.copytree(fleet.processes[n].folder / "store", fleet.processes[n].folder / "week")
         self.first_statuses = [await client.load(rng.choice(fleet.processes).http, n) for n in range(1, 9)]
@@ -204,7 +210,7 @@
         for engine in fleet.engines:
             engine.lose_power()
         await asyncio.gather(*(process.end(signal.SIGKILL) for process in fleet.processes), *in_flight)
-        self.ran = set(self.loaded())
+        self.loads_before_loss = set(self.loaded())
         for n in self.lost:
             shutil.rmtree(fleet.processes[n].folder / "store")
         for n in self.older:
@@ -231,21 +237,23 @@
         restarted_at = time.monotonic()
         served = asyncio.gather(*queries)
         served.add_done_callback(lambda _: setattr(self, "recovered_s", time.monotonic() - restarted_at))
-        await self.stage(2, "service")
+        await self.wait_for_stage(2, "service")
         numbers = (1, 2, *range(11, 17))  # each is sent again, to all coordinators at once
         answers = await asyncio.gather(*(client.load(p.http, n) for n in numbers for p in fleet.processes))
         self.repeats = {n: list(answers[5 * index : 5 * index + 5]) for index, n in enumerate(numbers)}
         self.refusals = await asyncio.wait_for(served, WAIT_S)
-        await self.stage(2, "open")
+        await self.wait_for_stage(2, "open")
 
-    async def stage(self, life: int, stage: str) -> None:
-        """Wait until all coordinators have logged this recovery stage in their process number `life`.
+    async def wait_for_stage(self, start_number: int, stage: str) -> None:
+        """Wait until all coordinators have logged this recovery stage in their process number `start_number`.
 
         Raise TimeoutError after WAIT_S seconds.
         """
         await asyncio.gather(
             *(
-                process.until(lambda p=process: p.events("recovery_stage_changed", stage=stage, life=life), WAIT_S)
+                process.until(
+                    lambda p=process: p.events("recovery_stage_changed", stage=stage, life=start_number), WAIT_S
+                )
                 for process in self.fleet.processes
             )
         )
@@ -265,7 +273,7 @@
 
     def figures(self) -> dict[str, Any]:
         """Return the figures of a finished run; it is faulty if one of the first five is not zero or empty."""
-        counts, finals = self.loaded(), self.client.finals
+        counts, final_statuses = self.loaded(), self.client.final_statuses
         spans = [
             (line["since"], line["until"], line["units"])
             for p in self.fleet.processes
@@ -278,7 +286,7 @@
             "loads_doubled": sum(count > 1 for count in counts.values()),
             "untrue": [
                 n
-                for n, answers in finals.items()
+                for n, answers in final_statuses.items()
                 if n < 100
                 and (
                     200 in answers
@@ -286,11 +294,11 @@
                     or set(answers) == {503}
                     and counts.get(n)
                     or answers.count(200) > 1
-                    or n in self.ran
+                    or n in self.loads_before_loss
                     and 200 in self.repeats.get(n, ())
                 )
             ],
-            "stuck": sum(len(answers) != 1 for n, answers in finals.items() if n >= 1_000)
+            "stuck": sum(len(answers) != 1 for n, answers in final_statuses.items() if n >= 1_000)
             + (5 * self.clients_per_process - len(self.refusals)),
             "cold_use": round(max(budget_use), 3),
             "refused": sum(self.refusals),
--- a/frostspindle/lab/faults/script.py
+++ b/frostspindle/lab/faults/script.py
@@ -85,44 +85,50 @@
 
 
 def parse(text: str, count: int) -> Script:
-    """Parse a script for `count` nodes; raise InvalidScriptError for a malformed part."""
+    """Parse a script for `count` nodes; raise InvalidScriptError for a malformed statement."""
     rules, acts, clocks = [], [], []
-    for part in filter(None, (part.strip() for part in text.split(";"))):
+    for statement in filter(None, (statement.strip() for statement in text.split(";"))):
         try:
-            words = part.split()
+            words = statement.split()
             begins, ends = 0.0, math.inf
             if words[0][0].isdigit():
                 first, _, last = words.pop(0).partition("-")
                 begins, ends = float(first), float(last) if last else math.inf
-            kind, *rest = words
+            kind, *arguments = words
             if kind in ACTS:
-                acts += [Act(begins, kind, node) for node in sorted(parse_nodes(rest[0], count))]
+                acts += [Act(begins, kind, node) for node in sorted(parse_nodes(arguments[0], count))]
             elif kind == "clock":
-                rate = float(rest[1])
+                rate = float(arguments[1])
                 if not 0.5 <= rate <= 2.0:
                     raise ValueError("clock rate must be from 0.5 to 2")
-                clocks += [(node, rate) for node in sorted(parse_nodes(rest[0], count))]
+                clocks += [(node, rate) for node in sorted(parse_nodes(arguments[0], count))]
             elif kind in SHARES:
-                share = float(rest[0])
+                share = float(arguments[0])
                 if not 0.0 <= share <= 1.0:
                     raise ValueError("share must be from 0 to 1")
                 rules.append(
-                    Rule(begins, ends, kind, share, groups=(parse_nodes(rest[1], count),) if len(rest) > 1 else ())
+                    Rule(
+                        begins,
+                        ends,
+                        kind,
+                        share,
+                        groups=(parse_nodes(arguments[1], count),) if len(arguments) > 1 else (),
+                    )
                 )
             elif kind == "delay":
-                low, high = map(float, rest[0].split("-"))
+                low, high = map(float, arguments[0].split("-"))
                 if not 0.0 <= low <= high <= 60_000.0:
                     raise ValueError("delay must be LOW-HIGH in milliseconds, up to 60000")
                 rules.append(Rule(begins, ends, kind, low=low, high=high))
             elif kind in ("cut", "oneway"):
-                groups = tuple(parse_nodes(group, count) for group in rest[0].split("|" if kind == "cut" else ">"))
+                groups = tuple(parse_nodes(group, count) for group in arguments[0].split("|" if kind == "cut" else ">"))
                 if len(groups) < 2 or kind == "oneway" and len(groups) != 2:
                     raise ValueError("cut needs at least two groups, oneway exactly two")
                 rules.append(Rule(begins, ends, kind, groups=groups))
             else:
                 raise ValueError("no such fault")
         except (ValueError, IndexError) as error:
-            raise InvalidScriptError(f"{part!r}: {error}") from None
+            raise InvalidScriptError(f"{statement!r}: {error}") from None
     return Script(tuple(rules), tuple(sorted(acts, key=lambda act: act.at)), tuple(clocks))
 
 
@@ -133,7 +139,7 @@
     kills: tuple[int, float],
     stops: tuple[int, float],
 ) -> tuple[int, float, list[str]]:
-    """Draw a script of all faults for 3 to 9 nodes; return the number of nodes, the start of the cut and the parts.
+    """Draw a script of all faults for 3 to 9 nodes; return the node count, the start of the cut and the statements.
 
     `cut` holds the earliest and latest start and the maximum length of the cut, `acts` the earliest and latest time of
     a kill or stop, in seconds. `kills` and `stops` each hold an exclusive limit of their number, and the maximum time
@@ -142,7 +148,7 @@
     count = rng.choice((3, 5, 7, 9))
     shuffled = rng.sample(range(count), count)
     half = rng.randrange(1, count)
-    parts = [
+    statements = [
         f"0- loss {rng.choice((0, 0.05, 0.3))}",
         f"0- dup {rng.choice((0, 0.1, 0.5))}",
         f"0- reorder {rng.choice((0, 0.2, 0.5))}",
@@ -150,16 +156,19 @@
         f"clock {shuffled[0]} {rng.choice((1.0, 1.05, 0.95))}",
     ]
     cut_at = rng.uniform(*cut[:2])
-    parts.append(
+    statements.append(
         f"{cut_at:.2f}-{cut_at + rng.uniform(2.0, cut[2]):.2f} cut {','.join(map(str, shuffled[:half]))}|"
         f"{','.join(map(str, shuffled[half:]))}"
     )
-    parts.append(f"{cut_at:.2f}-{cut_at + 10:.2f} oneway {shuffled[0]}>{shuffled[1]}")
+    statements.append(f"{cut_at:.2f}-{cut_at + 10:.2f} oneway {shuffled[0]}>{shuffled[1]}")
     for (begin, end), (limit, longest), shortest in ((("kill", "start"), kills, 0.05), (("stop", "cont"), stops, 0.2)):
         for _ in range(rng.randrange(limit)):
             node, begin_at = rng.randrange(count), rng.uniform(*acts)
-            parts += [f"{begin_at:.2f} {begin} {node}", f"{begin_at + rng.uniform(shortest, longest):.2f} {end} {node}"]
-    return count, cut_at, parts
+            statements += [
+                f"{begin_at:.2f} {begin} {node}",
+                f"{begin_at + rng.uniform(shortest, longest):.2f} {end} {node}",
+            ]
+    return count, cut_at, statements
 
 
 class MessageFaults:
--- a/frostspindle/lab/faults/spread.py
+++ b/frostspindle/lab/faults/spread.py
@@ -59,7 +59,7 @@
     """
     rng = random.Random(seed)
     shuffled = rng.sample(range(COUNT), COUNT)
-    parts = [
+    statements = [
         f"0- loss {rng.choice((0.0, 0.05, 0.1))}",
         f"0- dup {rng.choice((0.0, 0.1))}",
         f"0- reorder {rng.choice((0.0, 0.1, 0.2))}",
@@ -73,18 +73,18 @@
     for _ in range(rng.randint(0, 2)):
         begin, end = draw_span(4.0)
         side = rng.sample(range(COUNT), rng.randint(1, 2))
-        rest = ",".join(str(n) for n in range(COUNT) if n not in side)
+        others = ",".join(str(n) for n in range(COUNT) if n not in side)
         minority = ",".join(map(str, side))
-        parts.append(
+        statements.append(
             f"{begin:.2f}-{end:.2f} "
-            + rng.choice((f"cut {minority}|{rest}", f"oneway {minority}>{rest}", f"oneway {rest}>{minority}"))
+            + rng.choice((f"cut {minority}|{others}", f"oneway {minority}>{others}", f"oneway {others}>{minority}"))
         )
     for node, kinds in zip(
         shuffled, [rng.choice((("kill", "start"), ("stop", "cont"))) for _ in range(rng.randint(1, 3))], strict=False
     ):
         begin, end = draw_span(3.0 * LEASE_S)
-        parts.append(f"{begin:.2f} {kinds[0]} {node}; {end:.2f} {kinds[1]} {node}")
-    return "; ".join(parts)
+        statements.append(f"{begin:.2f} {kinds[0]} {node}; {end:.2f} {kinds[1]} {node}")
+    return "; ".join(statements)
 
 
 def unexpected_log_lines(fleet: Fleet) -> list[dict[str, Any]]:
@@ -286,7 +286,7 @@
         self.open: dict[str, list[int]] = {}
         self.visited: list[int] = []
 
-    def take(self, lines: list[dict[str, Any]]) -> None:
+    def record(self, lines: list[dict[str, Any]]) -> None:
         """Record the events and gaps of these lines; a gap without an end stays open until a line with its end."""
         for line in lines:
             if "event" in line:
@@ -322,7 +322,7 @@
                         limit.reschedule(asyncio.get_running_loop().time() + seconds)
                     elif "cursor" in line:
                         self.cursor = line["cursor"]
-                        self.take(pending)
+                        self.record(pending)
                         pending = []
                     elif "nak" not in line:
                         pending.append(line)
@@ -332,23 +332,23 @@
             if reader is not None:
                 reader.writer.close()
 
-    def is_in_gap(self, maker: str, epoch: int, number: int) -> bool:
+    def is_in_gap(self, publisher: str, epoch: int, number: int) -> bool:
         """Return whether a gap that was announced to the subscriber covers this event."""
-        return any(name == maker and first <= [epoch, number] <= last for name, first, last in self.gaps) or (
-            maker in self.open and self.open[maker] <= [epoch, number]
+        return any(name == publisher and first <= [epoch, number] <= last for name, first, last in self.gaps) or (
+            publisher in self.open and self.open[publisher] <= [epoch, number]
         )
 
     def deliveries(self) -> Counter[EventId]:
         """Return how often each event was received."""
-        return Counter((maker, epoch, number) for maker, epoch, number, _ in self.events)
+        return Counter((publisher, epoch, number) for publisher, epoch, number, _ in self.events)
 
     def disordered(self) -> int:
         """Return how many events were received out of the order of their coordinator, duplicates included."""
         last: dict[str, tuple[int, int]] = {}
         count = 0
-        for maker, epoch, number, _ in self.events:
-            count += (epoch, number) <= last.get(maker, (-1, -1))
-            last[maker] = epoch, number
+        for publisher, epoch, number, _ in self.events:
+            count += (epoch, number) <= last.get(publisher, (-1, -1))
+            last[publisher] = epoch, number
         return count
 
     def find_missing(self, expected: Iterable[EventId]) -> tuple[list[EventId], list[EventId]]:
--- a/frostspindle/lab/fleet.py
+++ b/frostspindle/lab/fleet.py
@@ -36,9 +36,9 @@
     demand: float  # units per second
     node: FleetNode | None = None
     starts: int = 0
-    due: float = 0.0  # true ms of its next tick; earlier entries in the queue are ignored
-    arrives: float = 0.0
-    was: dict[str, int] = field(default_factory=dict)  # counters of its earlier incarnations
+    next_tick_at: float = 0.0  # true ms of its next tick; earlier entries in the queue are ignored
+    demand_since: float = 0.0
+    previous_counters: dict[str, int] = field(default_factory=dict)  # counters of its earlier incarnations
 
 
 class Emulator:
@@ -134,27 +134,27 @@
         step = 0.0
         processes, paused, addresses, schedule = self.processes, self.network.paused, self.addresses, self.network.at
         send, use_budget = self._send, self._use_budget
-        for at, number, event in self.network.deliver(until):
-            while step <= at:
+        for time_ms, number, event in self.network.deliver(until):
+            while step <= time_ms:
                 self.now = max(self.now, step)
                 step += 100.0
                 if self.on_step is not None:
                     self.on_step(self)
-            self.now = at
+            self.now = time_ms
             process = processes[number]
             node = process.node
             if event.__class__ is tuple:  # a datagram: source, bytes
                 assert node is not None  # the network delivers none to a process that is down
-                if replies := node.receive(process.offset + at * process.rate, addresses[event[0]], event[1]):
+                if replies := node.receive(process.offset + time_ms * process.rate, addresses[event[0]], event[1]):
                     send(number, replies)
-                if (due := (node.due() - process.offset) / process.rate + ROUNDING_MS) < process.due:
-                    process.due = due if due > at else at
+                if (due := (node.due() - process.offset) / process.rate + ROUNDING_MS) < process.next_tick_at:
+                    process.next_tick_at = due if due > time_ms else time_ms
                     schedule(due, number, "tick")
             elif event == "want":
                 use_budget(number, process)
             elif event == "tick":
-                if node is not None and not paused[number] and at >= process.due:
-                    if replies := node.tick(process.offset + at * process.rate, self.unix()):
+                if node is not None and not paused[number] and time_ms >= process.next_tick_at:
+                    if replies := node.tick(process.offset + time_ms * process.rate, self.unix()):
                         send(number, replies)
                     self._schedule_tick(number, process, True)
             else:
@@ -171,7 +171,7 @@
             if process.node is None:
                 self._begin(number, process)
         elif action == "cont" and process.node is not None:  # the timers of a continued process are due
-            process.due = self.now
+            process.next_tick_at = self.now
             self.network.at(self.now, number, "tick")
 
     def _begin(self, number: int, process: Process) -> None:
@@ -190,8 +190,8 @@
         node.log = on_log
         self._schedule_tick(number, process, True)
         if process.starts == 1 and process.demand > 0:
-            process.arrives = self.now
-            self.network.at(self.now + self._gap(process), number, "want")
+            process.demand_since = self.now
+            self.network.at(self.now + self._draw_demand_interval_ms(process), number, "want")
 
     def _on_member_state(self, member: str, state: str) -> None:
         number = self.numbers_by_name.get(member, -1)  # -1: no process has this name
@@ -201,17 +201,17 @@
     def _schedule_tick(self, number: int, process: Process, replace: bool = False) -> None:
         assert process.node is not None
         due = (process.node.due() - process.offset) / process.rate + ROUNDING_MS
-        if replace or due < process.due:
-            process.due = max(due, self.now)
+        if replace or due < process.next_tick_at:
+            process.next_tick_at = max(due, self.now)
             self.network.at(due, number, "tick")
 
-    def _gap(self, process: Process) -> float:
+    def _draw_demand_interval_ms(self, process: Process) -> float:
         return self.random.expovariate(process.demand / 1_000.0)
 
     def _use_budget(self, number: int, process: Process) -> None:
         now, node = self.now, process.node
         if process.demand > 0:
-            self.network.at(now + self._gap(process), number, "want")
+            self.network.at(now + self._draw_demand_interval_ms(process), number, "want")
         if (
             node is not None
             and not self.network.paused[number]
@@ -255,12 +255,12 @@
     `times`: true times of the units in ms, sorted. A unit is over the budget if the window that ends with it already
     held `units` units.
     """
-    over = most = 0
-    for index, at in enumerate(times):
-        in_window = index + 1 - bisect_left(times, at - window_ms + 1e-6)
-        most = max(most, in_window)
-        over += in_window > units
-    return over, most
+    overspend = peak_units = 0
+    for index, time_ms in enumerate(times):
+        in_window = index + 1 - bisect_left(times, time_ms - window_ms + 1e-6)
+        peak_units = max(peak_units, in_window)
+        overspend += in_window > units
+    return overspend, peak_units
 
 
 def measure(emulator: Emulator) -> dict[str, Any]:
--- a/frostspindle/lab/ownership.py
+++ b/frostspindle/lab/ownership.py
@@ -211,27 +211,27 @@
     Coordinators are stopped or cut off for up to 2.5 lease times or killed, clocks differ, and messages are lost.
     """
     rng = random.Random(f"script {seed}")
-    parts, at, lease_s = [], 2.0, lease_ms / 1_000.0
+    statements, begin, lease_s = [], 2.0, lease_ms / 1_000.0
     if rng.random() < 0.5:
-        parts.append(f"loss {rng.uniform(0.0, 0.1):.3f}")
+        statements.append(f"loss {rng.uniform(0.0, 0.1):.3f}")
     if rng.random() < 0.5:
-        parts += [f"clock {n} {rng.uniform(0.98, 1.02):.4f}" for n in range(nodes)]
-    while at < seconds - 3.0 * lease_s:
+        statements += [f"clock {n} {rng.uniform(0.98, 1.02):.4f}" for n in range(nodes)]
+    while begin < seconds - 3.0 * lease_s:
         node, length_s = rng.randrange(nodes), rng.uniform(1.0, 2.5) * lease_s
         kind = rng.choice(("stop", "kill", "cut", "oneway", "most"))
-        rest = ",".join(str(n) for n in range(nodes) if n != node)
+        others = ",".join(str(n) for n in range(nodes) if n != node)
         if kind == "stop":
-            parts.append(f"{at:.2f} stop {node}; {at + length_s:.2f} cont {node}")
+            statements.append(f"{begin:.2f} stop {node}; {begin + length_s:.2f} cont {node}")
         elif kind == "kill":
-            parts.append(f"{at:.2f} kill {node}; {at + rng.uniform(0.1, 1.5) * lease_s:.2f} start {node}")
+            statements.append(f"{begin:.2f} kill {node}; {begin + rng.uniform(0.1, 1.5) * lease_s:.2f} start {node}")
         elif kind == "cut":
-            parts.append(f"{at:.2f}-{at + length_s:.2f} cut {node}|{rest}")
+            statements.append(f"{begin:.2f}-{begin + length_s:.2f} cut {node}|{others}")
         elif kind == "oneway":
-            parts.append(f"{at:.2f}-{at + length_s:.2f} oneway {node}>{rest}")
+            statements.append(f"{begin:.2f}-{begin + length_s:.2f} oneway {node}>{others}")
         else:
-            parts.append(f"{at:.2f}-{at + length_s:.2f} cut 0|1|{','.join(str(n) for n in range(2, nodes))}")
-        at += rng.uniform(0.3, 1.2) * length_s
-    return "; ".join(parts)
+            statements.append(f"{begin:.2f}-{begin + length_s:.2f} cut 0|1|{','.join(str(n) for n in range(2, nodes))}")
+        begin += rng.uniform(0.3, 1.2) * length_s
+    return "; ".join(statements)
 
 
 def play(nodes: int, seed: int, faults: str, seconds: float, **options: Any) -> Lab:
--- a/frostspindle/lab/replica_runs.py
+++ b/frostspindle/lab/replica_runs.py
@@ -84,27 +84,27 @@
     @staticmethod
     def draw(rng: random.Random, seconds: int, nodes: int, voters: int) -> str:
         """Return a script of random faults (cuts, kills, stops, loss, delays) within the run's `seconds`."""
-        parts: list[str] = []
-        at = 2.0
-        while at < seconds - 3:
-            until, target = at + rng.uniform(0.5, 3.0), rng.randrange(voters)
+        statements: list[str] = []
+        begin = 2.0
+        while begin < seconds - 3:
+            until, target = begin + rng.uniform(0.5, 3.0), rng.randrange(voters)
             side = rng.sample(range(nodes), rng.randrange(1, nodes))
-            rest = [number for number in range(nodes) if number not in side]
-            parts.append(
+            others = [number for number in range(nodes) if number not in side]
+            statements.append(
                 rng.choice(
                     (
-                        f"{at:.2f}-{until:.2f} cut {','.join(map(str, side))}|{','.join(map(str, rest))}",
-                        f"{at:.2f}-{until:.2f} oneway {target}>{(target + 1) % nodes}",
-                        f"{at:.2f} kill {target}; {until:.2f} start {target}",
-                        f"{at:.2f} kill {target}; {until:.2f} start {target}",
-                        f"{at:.2f} stop {target}; {until:.2f} cont {target}",
-                        f"{at:.2f}-{until:.2f} loss {rng.uniform(0.05, 0.4):.2f}",
-                        f"{at:.2f}-{until:.2f} delay 0-{rng.choice((20, 100, 400))}",
+                        f"{begin:.2f}-{until:.2f} cut {','.join(map(str, side))}|{','.join(map(str, others))}",
+                        f"{begin:.2f}-{until:.2f} oneway {target}>{(target + 1) % nodes}",
+                        f"{begin:.2f} kill {target}; {until:.2f} start {target}",
+                        f"{begin:.2f} kill {target}; {until:.2f} start {target}",
+                        f"{begin:.2f} stop {target}; {until:.2f} cont {target}",
+                        f"{begin:.2f}-{until:.2f} loss {rng.uniform(0.05, 0.4):.2f}",
+                        f"{begin:.2f}-{until:.2f} delay 0-{rng.choice((20, 100, 400))}",
                     )
                 )
             )
-            at += rng.uniform(0.2, 1.5)
-        return "; ".join(parts)
+            begin += rng.uniform(0.2, 1.5)
+        return "; ".join(statements)
 
     def attach(self, number: int, log: EmulatedLog) -> None:
         """Attach a new machine for the topic `t` to a member that starts."""
--- a/frostspindle/lab/settings.py
+++ b/frostspindle/lab/settings.py
@@ -141,14 +141,14 @@
         self._end_period(node, self.network.now)
         node.member = node.publisher = None
 
-    def _end_period(self, node: Node, at: float) -> None:
+    def _end_period(self, node: Node, ended_at: float) -> None:
         """End the coordinator's current period on one version."""
-        version, since = node.current_period
+        version, started_at = node.current_period
         if version and node.member is not None:
-            end = min(at, max(since, self.true(node, node.member.lease_until_ms)))
-            if end > since:
-                self.spans.append(ActivePeriod(f"c{node.number}", version, since, end))
-        node.current_period = (0, at)
+            end = min(ended_at, max(started_at, self.true(node, node.member.lease_until_ms)))
+            if end > started_at:
+                self.spans.append(ActivePeriod(f"c{node.number}", version, started_at, end))
+        node.current_period = (0, ended_at)
 
     # The log.
 
@@ -443,29 +443,31 @@
 
 def drawn(count: int, seed: int, seconds: float) -> str:
     """Return a script of faults drawn from the seed: cuts, kills, stops, loss, delays."""
-    rng, parts = random.Random(seed * 7 + 1), []
-    at = 3.0
-    while at < seconds - 6.0:
+    rng, statements = random.Random(seed * 7 + 1), []
+    begin = 3.0
+    while begin < seconds - 6.0:
         length = rng.uniform(0.3, 7.0)
-        until, node = min(at + length, seconds - 5.0), rng.randrange(count)
+        until, node = min(begin + length, seconds - 5.0), rng.randrange(count)
         kind = rng.choice(("cut", "cut", "lone", "kill", "stop", "stop", "loss", "oneway", "delay"))
         others = ",".join(str(other) for other in range(count) if other != node)
         if kind == "cut":
             side = rng.sample(range(count), rng.randrange(1, count // 2 + 1))
-            rest = [other for other in range(count) if other not in side]
-            parts.append(f"{at:.2f}-{until:.2f} cut {','.join(map(str, side))}|{','.join(map(str, rest))}")
+            other_side = [other for other in range(count) if other not in side]
+            statements.append(
+                f"{begin:.2f}-{until:.2f} cut {','.join(map(str, side))}|{','.join(map(str, other_side))}"
+            )
         elif kind == "lone":
-            parts.append(f"{at:.2f}-{until:.2f} cut {node}|{others}")
+            statements.append(f"{begin:.2f}-{until:.2f} cut {node}|{others}")
         elif kind == "oneway":
-            parts.append(f"{at:.2f}-{until:.2f} oneway {node}>{others}")
+            statements.append(f"{begin:.2f}-{until:.2f} oneway {node}>{others}")
         elif kind in ("kill", "stop"):
-            parts.append(f"{at:.2f} {kind} {node}; {until:.2f} {'start' if kind == 'kill' else 'cont'} {node}")
+            statements.append(f"{begin:.2f} {kind} {node}; {until:.2f} {'start' if kind == 'kill' else 'cont'} {node}")
         elif kind == "loss":
-            parts.append(f"{at:.2f}-{until:.2f} loss {rng.uniform(0.05, 0.4):.2f}")
+            statements.append(f"{begin:.2f}-{until:.2f} loss {rng.uniform(0.05, 0.4):.2f}")
         else:
-            parts.append(f"{at:.2f}-{until:.2f} delay 5-{rng.randrange(50, 600)}")
-        at += rng.uniform(0.5, 5.0)
-    return "; ".join(parts)
+            statements.append(f"{begin:.2f}-{until:.2f} delay 5-{rng.randrange(50, 600)}")
+        begin += rng.uniform(0.5, 5.0)
+    return "; ".join(statements)
 
 
 def play(count: int, seed: int, faults: str | None, seconds: float, **options: Any) -> Emulator:
--- a/frostspindle/lab/soak/clients.py
+++ b/frostspindle/lab/soak/clients.py
@@ -328,16 +328,16 @@
         if closes_first:
             self._drop_connection()
             request.left_at = time.time()
-        other = await self._gate.open()
-        if other is not None:
+        new_connection = await self._gate.open()
+        if new_connection is not None:
             request.left_at = request.left_at or time.time()
-            other.writer.write(f"DELETE {request.path} HTTP/1.1\r\nHost: s\r\n\r\n".encode())
+            new_connection.writer.write(f"DELETE {request.path} HTTP/1.1\r\nHost: s\r\n\r\n".encode())
             try:
                 async with asyncio.timeout(LATE_ANSWER_S):
-                    await other.answer()
+                    await new_connection.answer()
             except (ConnectionEndedError, UnreadableAnswerError, TimeoutError):
                 pass
-            other.close()
+            new_connection.close()
         self._drop_connection()
         request.left_at = request.left_at or time.time()  # without a connection for the DELETE, only the close shows it
         request.record_event(request.left_at, "left by DELETE" + (" after a close" if closes_first else ""))
--- a/frostspindle/lab/soak/engines.py
+++ b/frostspindle/lab/soak/engines.py
@@ -55,21 +55,27 @@
     # Queries.
 
     def call(
-        self, line: EngineConnection, method: bytes, url: bytes, fields: dict[bytes, bytes], body: bytes, first: float
+        self,
+        connection: EngineConnection,
+        method: bytes,
+        url: bytes,
+        fields: dict[bytes, bytes],
+        body: bytes,
+        first: float,
     ) -> None:
         """Record a call, and answer it unless a fault prevents that."""
         now = time.time()
-        parts = url.decode("latin-1").strip("/").split("/")
+        segments = url.decode("latin-1").strip("/").split("/")
         if method == b"POST":
             if self.sheds:
-                line.say(503, head="X-Shed: 1\r\n")
+                connection.say(503, head="X-Shed: 1\r\n")
                 return
             self._record_post(fields, first, now)
-        elif method == b"GET" and len(parts) == 4 and parts[2] in self._open_runs:
-            self._open_runs[parts[2]].polled_at = now
-        elif method == b"DELETE" and len(parts) > 2:
-            self._end_run(parts[2], now, "deleted")
-        super().call(line, method, url, fields, body, first)
+        elif method == b"GET" and len(segments) == 4 and segments[2] in self._open_runs:
+            self._open_runs[segments[2]].polled_at = now
+        elif method == b"DELETE" and len(segments) > 2:
+            self._end_run(segments[2], now, "deleted")
+        super().call(connection, method, url, fields, body, first)
 
     def _record_post(self, fields: dict[bytes, bytes], first: float, now: float) -> None:
         ticket = fields.get(b"x-ticket", b"").decode()
@@ -78,9 +84,9 @@
         self._open_runs[ticket] = run
         self.delay_s = self.rng.choice(SLOW_DELAYS_S if self.slow else USUAL_DELAYS_S)
 
-    def _respond(self, line: EngineConnection, ticket: str) -> None:
+    def _respond(self, connection: EngineConnection, ticket: str) -> None:
         is_finished = self.results.get(ticket) is not None
-        super()._respond(line, ticket)
+        super()._respond(connection, ticket)
         if is_finished:
             self._end_run(ticket, time.time(), "answered")
 
@@ -151,7 +157,7 @@
         """Drop all queries, as an ended process does; their runs stay open, as the coordinator can't see the end."""
         self.results.clear()
         self.waiting.clear()
-        self.line.clear()
+        self.queue.clear()
         self._open_runs.clear()
 
     def close(self) -> None:
--- a/frostspindle/lab/soak/lag.py
+++ b/frostspindle/lab/soak/lag.py
@@ -17,9 +17,9 @@
         self._delays: list[tuple[float, float]] = []  # (time, delay)
         self._task = asyncio.create_task(self._watch())
 
-    def lost_s(self, since: float) -> float:
+    def lost_s(self, begin: float) -> float:
         """Return the total delay in seconds since a time."""
-        return sum(late_s for measured_at, late_s in self._delays if measured_at >= since)
+        return sum(late_s for measured_at, late_s in self._delays if measured_at >= begin)
 
     def close(self) -> None:
         """Stop measuring."""
--- a/frostspindle/lab/soak/processes.py
+++ b/frostspindle/lab/soak/processes.py
@@ -123,10 +123,12 @@
     config["name"] = "soak"
     config["seed"] = f"{plan.seed:016x}"
     config["known"] = {"offset": len(events), "batch": events}
-    config["settings"]["categories"] = [_class_settings(each, plan.class_deadline_s) for each in RequestClass]
+    config["settings"]["categories"] = [
+        _class_settings(request_class, plan.class_deadline_s) for request_class in RequestClass
+    ]
     config["settings"]["domain"]["classThreads"] = [1] * len(RequestClass)
     config["settings"]["domain"]["blockedByLoads"] = [False] * len(RequestClass)
-    config["settings"]["domain"]["classLoad"] = [each is RequestClass.LOAD for each in RequestClass]
+    config["settings"]["domain"]["classLoad"] = [request_class is RequestClass.LOAD for request_class in RequestClass]
     (folder / "config.json").write_text(json.dumps(config))
     (folder / "operator.toml").write_text(WORKERS_FILE if plan.topology is Topology.WORKERS else "")
 
--- a/frostspindle/lab/soak/records.py
+++ b/frostspindle/lab/soak/records.py
@@ -49,9 +49,9 @@
         """Return the deadline of the request."""
         return self.written_at + self.timeout_s
 
-    def record_event(self, at: float, text: str) -> None:
+    def record_event(self, unix_s: float, text: str) -> None:
         """Add an event to the history of the request."""
-        self.history.append(f"{at:.3f} {text}")
+        self.history.append(f"{unix_s:.3f} {text}")
 
 
 @dataclass(slots=True)
--- a/frostspindle/lab/soak/run.py
+++ b/frostspindle/lab/soak/run.py
@@ -144,7 +144,7 @@
         self.bus.server.close()
         if self._listening is not None:
             self._listening.close()
-        errors = [each for each in results if isinstance(each, Exception)]
+        errors = [result for result in results if isinstance(result, Exception)]
         if errors:
             raise errors[0]  # an error of the soak itself
 
--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -34,7 +34,7 @@
 def drawn(seed: int, nodes: int, seconds: float) -> str:
     """Return a script with faults of all kinds, drawn from the seed; all end within `seconds`."""
     rng = random.Random(seed)
-    parts = [
+    statements = [
         f"0-{seconds} loss {rng.choice((0, 0.02, 0.1, 0.3))}",
         f"0-{seconds} dup {rng.choice((0, 0.1))}",
         f"0-{seconds} reorder {rng.choice((0, 0.1, 0.3))}",
@@ -44,17 +44,17 @@
         begin = rng.uniform(0, seconds * 0.8)
         end = min(seconds, begin + rng.choice((1, 4, 8)))
         target = rng.randrange(nodes)
-        rest = ",".join(str(n) for n in range(nodes) if n != target)
-        parts.append(
+        others = ",".join(str(n) for n in range(nodes) if n != target)
+        statements.append(
             f"{begin:.2f}-{end:.2f} "
-            + rng.choice((f"cut {target}|{rest}", f"oneway {target}>{rest}", f"oneway {rest}>{target}"))
+            + rng.choice((f"cut {target}|{others}", f"oneway {target}>{others}", f"oneway {others}>{target}"))
         )
     for _ in range(rng.randint(0, 3)):
         target, begin = rng.randrange(nodes), rng.uniform(0, seconds * 0.8)
         pair = rng.choice((("kill", "start"), ("stop", "cont")))
         end = min(seconds, begin + rng.choice((0.5, 3, 7)))
-        parts.append(f"{begin:.2f} {pair[0]} {target}; {end:.2f} {pair[1]} {target}")
-    return "; ".join(parts)
+        statements.append(f"{begin:.2f} {pair[0]} {target}; {end:.2f} {pair[1]} {target}")
+    return "; ".join(statements)
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Client:
-    """A subscriber: everything that it read up to its last cursor, and what it read since."""
+    """A subscriber: the events and gaps read up to its last cursor, and the lines read after it."""
 
     number: int
     text: str
@@ -256,7 +256,8 @@
                 if other != number:
                     self._send(number, other, (node.name, hub.epoch, b""))
             hub.members(
-                self.now, {peer: epoch for peer, (at, epoch) in node.last_heard.items() if self.now - at < DEAD_MS}
+                self.now,
+                {peer: epoch for peer, (heard_at, epoch) in node.last_heard.items() if self.now - heard_at < DEAD_MS},
             )
         for name, message in hub.tick(self.now):
             data = wire.encode(message)
@@ -356,11 +357,15 @@
             counts["gaps_open"] += 1
         expected = set()
         for (publisher, epoch), events in lab.made.items():
-            for number, (at, event) in enumerate(events, 1):
+            for number, (published_at, event) in enumerate(events, 1):
                 if not match(predicate, schema.row(publisher, event)):
                     continue
                 expected.add((publisher, epoch, number))
-                if client.first_ack is None or at <= client.first_ack or (publisher, epoch, number) in received:
+                if (
+                    client.first_ack is None
+                    or published_at <= client.first_ack
+                    or (publisher, epoch, number) in received
+                ):
                     continue
                 in_reported_gap = any(first <= (epoch, number) <= end for first, end in gaps.get(publisher, ()))
                 counts["lost_told" if in_reported_gap else "lost_silently"] += 1
@@ -416,15 +421,15 @@
 
     target = Path(folder)
     target.mkdir(parents=True, exist_ok=True)
-    published_at = sorted(at / 1e3 for events in lab.made.values() for at, _ in events)
+    published_at = sorted(time_ms / 1e3 for events in lab.made.values() for time_ms, _ in events)
     figure, (above, below) = pyplot.subplots(2, 1, figsize=(9, 6), sharex=True)
     bins = max(1, int(lab.seconds))
     above.hist(published_at, bins=bins, histtype="step", label="made")
     above.hist(
         [
-            lab.made[maker, epoch][number - 1][0] / 1e3
+            lab.made[publisher, epoch][number - 1][0] / 1e3
             for client in lab.clients
-            for maker, epoch, number in client.events
+            for publisher, epoch, number in client.events
         ],
         bins=bins,
         histtype="step",
@@ -439,16 +444,16 @@
         below.axvline(act.at, linestyle=":")
         below.text(act.at, act.node, f"{act.kind} {act.node}", fontsize=7)
     for client in lab.clients:
-        for maker, first, last in client.closed:
+        for publisher, first, last in client.closed:
             times = [
-                at / 1e3
+                time_ms / 1e3
                 for (name, epoch), events in lab.made.items()
-                if name == maker
-                for number, (at, _) in enumerate(events, 1)
+                if name == publisher
+                for number, (time_ms, _) in enumerate(events, 1)
                 if first <= (epoch, number) <= last
             ]
             if times:
-                below.plot([times[0], times[-1]], [lab.numbers[maker] + client.number * 0.1] * 2, linewidth=2)
+                below.plot([times[0], times[-1]], [lab.numbers[publisher] + client.number * 0.1] * 2, linewidth=2)
     below.set_ylabel("gaps told, by maker")
     below.set_xlabel("s")
     figure.savefig(target / "subscriptions.svg")
--- a/frostspindle/lab/warming.py
+++ b/frostspindle/lab/warming.py
@@ -32,7 +32,7 @@
 class ColdBudgets:
     """The fleet node of one incarnation of a coordinator, with its rights in the budgets of cold engines.
 
-    Times are simulated ms; parameters named `unix` or `born` are Unix ms.
+    Times are simulated ms; `unix`, `started_ms` and `engine_starts` are Unix ms.
     """
 
     def __init__(
@@ -68,11 +68,11 @@
             self.send(number_of(target), data)
 
     def tick(
-        self, now: float, unix: float, controller: Controller, born: dict[int, float]
+        self, now: float, unix: float, controller: Controller, engine_starts: dict[int, float]
     ) -> policy.WorkerLoadReported | None:
         """Run the timers of the node and of the budgets, if due; return the changed shares, None without a change.
 
-        `born`: each engine's start as announced by the bus, Unix ms.
+        `engine_starts`: each engine's start as announced by the bus, Unix ms.
         """
         if now >= self.node.due():
             self._post(self.node.tick(now, unix))
@@ -102,7 +102,7 @@
                 now,
                 unix,
                 f"e{number}",
-                born[number],
+                engine_starts[number],
                 budget,
                 needs[number][0] / factor,
                 requested * wanted / budget,
@@ -121,7 +121,9 @@
         """Return when to tick next, at least 1 ms from now."""
         return max(now + 1.0, min(self.node.due() + 0.01, self.next_tick))
 
-    def pays(self, now: float, unix: float, controller: Controller, request: int, engine: int, born: float) -> bool:
+    def pays(
+        self, now: float, unix: float, controller: Controller, request: int, engine: int, started_ms: float
+    ) -> bool:
         """Pay for an attempt right before its first byte, and return whether it may be sent. Warm engines need no
         payment."""
         known_engine, job = controller.engines.get(engine), controller.requests.get(request)
@@ -131,7 +133,7 @@
         return job is not None and self.cold.spend(
             now,
             f"e{engine}",
-            born,
+            started_ms,
             unix,
             controller.slow_start.work_ms(job),
             factor * controller.slow_start.budget_ms(known_engine, unix),
--- a/tests/test_ownership_processes.py
+++ b/tests/test_ownership_processes.py
@@ -172,7 +172,7 @@
         fleet.bus.say(host_entry(second.name, second.port, born_ms=time.time() * 1_000.0), whole=True)
         assert_in_order(await wait_for_statements(second, 8, second_mark), 8)
         self.assertLess(len(first.received_statements) - mark, 8)
-        self.assertEqual((first.most, second.most), (1, 1), "one at a time")
+        self.assertEqual((first.peak_running, second.peak_running), (1, 1), "one at a time")
         self.assertFalse([line for process in fleet.processes for line in process.events("lease_job_failed")])
         checked = fleet.checked(expect=24)
         self.assertTrue(checked.good, checked.faults)
