--- a/frostspindle/lab/subscriptions.py
+++ b/frostspindle/lab/subscriptions.py
@@ -424,7 +424,7 @@
     published_at = sorted(time_ms / 1e3 for events in lab.made.values() for time_ms, _ in events)
     figure, (above, below) = pyplot.subplots(2, 1, figsize=(9, 6), sharex=True)
     bins = max(1, int(lab.seconds))
-    above.hist(published_at, bins=bins, histtype="step", label="made")
+    above.hist(published_at, bins=bins, histtype="step", label="published")
     above.hist(
         [
             lab.made[publisher, epoch][number - 1][0] / 1e3
@@ -433,7 +433,7 @@
         ],
         bins=bins,
         histtype="step",
-        label="told, by when made",
+        label="received, by time of publication",
     )
     above.set_ylabel("events a second")
     above.legend()
@@ -454,7 +454,7 @@
             ]
             if times:
                 below.plot([times[0], times[-1]], [lab.numbers[publisher] + client.number * 0.1] * 2, linewidth=2)
-    below.set_ylabel("gaps told, by maker")
+    below.set_ylabel("announced gaps, by publisher")
     below.set_xlabel("s")
     figure.savefig(target / "subscriptions.svg")
     pyplot.close(figure)
