--- a/frostspindle/lab/engines.py
+++ b/frostspindle/lab/engines.py
@@ -168,9 +168,9 @@
     def _run(self, ticket: str, statement: str) -> None:
         self.running += 1
         self.peak_running = max(self.peak_running, self.running)
-        asyncio.get_running_loop().call_later(self.delay_s, self._finish, ticket, statement)
+        asyncio.get_running_loop().call_later(self.delay_s, self._done, ticket, statement)
 
-    def _finish(self, ticket: str, statement: str) -> None:
+    def _done(self, ticket: str, statement: str) -> None:
         self.running -= 1
         if ticket in self.results:
             self.results[ticket] = self.answer(statement)
