--- a/frostspindle/lab/faults/settled.py
+++ b/frostspindle/lab/faults/settled.py
@@ -52,11 +52,11 @@
         )
 
     @property
-    def at(self) -> str:
+    def operator_address(self) -> str:
         """Return the address of the operator port, host:port."""
         return f"127.0.0.1:{self.operator_port}"
 
-    async def command(self, *words: str) -> tuple[int, str]:
+    async def command(self, *arguments: str) -> tuple[int, str]:
         """Run `frostspindle settings ...` for this coordinator.
 
         Return the exit code and the combined text of standard output and standard error.
@@ -66,9 +66,9 @@
             "-m",
             "frostspindle",
             "settings",
-            *words,
+            *arguments,
             "--at",
-            self.at,
+            self.operator_address,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
--- a/frostspindle/lab/replica.py
+++ b/frostspindle/lab/replica.py
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True)
 class _Frame:
-    conn: int
+    connection: int
     source: int
     data: bytes
 
 
 @dataclass(slots=True)
 class _Link:
-    conn: int
+    connection: int
     up: bool
     peer: int
     voter: bool
@@ -67,7 +67,7 @@
 class _Stream:
     """One direction of a connection."""
 
-    conn: int
+    connection: int
     segments: deque[bytes] = field(default_factory=deque)
     last_delivery: float = 0.0
     stuck_since: float | None = None
@@ -82,7 +82,7 @@
     records: list[Record] = field(default_factory=list)  # on its disk
     unsynced: PendingWrite | None = None
     syncing: bool = False
-    conns: dict[int, int] = field(default_factory=dict)  # by peer: the connection as seen at this end
+    connections: dict[int, int] = field(default_factory=dict)  # by peer: the connection as seen at this end
     inbox: list[_Frame] = field(default_factory=list)
     deferred: list[Any] = field(default_factory=list)
     stopped_at: float = 0.0
@@ -184,7 +184,7 @@
         self.rates = dict(script.clocks)
         self.nodes = [_Node() for _ in range(nodes)]
         self.streams: dict[tuple[int, int], _Stream] = {}
-        self._conn = 0
+        self._last_connection = 0
         self.faults: list[str] = []  # errors that stopped a member
         self.notices: list[tuple[float, int, str]] = []  # time, member, text; for example promotions
         for number in range(nodes):
@@ -274,7 +274,7 @@
     def _start(self, number: int, first: bool) -> None:
         node = self.nodes[number]
         node.incarnation += 1
-        node.conns, node.inbox, node.deferred, node.syncing, node.unsynced = {}, [], [], False, None
+        node.connections, node.inbox, node.deferred, node.syncing, node.unsynced = {}, [], [], False, None
         with self._library_environment(number):
             member = LogMember(
                 f"c{number}",
@@ -323,7 +323,7 @@
             return
         if isinstance(event, _Event) and event.kind == "again":
             stream = self.streams.get((number, event.other))
-            if stream is not None and stream.conn == event.incarnation:
+            if stream is not None and stream.connection == event.incarnation:
                 stream.retry_scheduled = False
                 self._push(number, event.other)
             return
@@ -345,7 +345,7 @@
 
     def _handle(self, number: int, node: _Node, member: LogMember, event: Any) -> None:
         if isinstance(event, _Frame):
-            if node.conns.get(event.source) != event.conn:
+            if node.connections.get(event.source) != event.connection:
                 return
             node.inbox.append(event)
         elif isinstance(event, _Link):
@@ -371,7 +371,7 @@
             with self._library_environment(number):
                 inbox, node.inbox = node.inbox, []
                 for frame in inbox:
-                    if node.conns.get(frame.source) == frame.conn:
+                    if node.connections.get(frame.source) == frame.connection:
                         source = self.nodes[frame.source].member
                         peer = f"c{frame.source}"
                         if peer not in member.peers:
@@ -402,7 +402,7 @@
         for peer, message in messages:
             other = int(peer.lstrip("~c"))
             stream = self.streams.get((number, other))
-            if stream is not None and node.conns.get(other) == stream.conn:
+            if stream is not None and node.connections.get(other) == stream.connection:
                 stream.segments.append(wire.encode_message(message))
                 self._push(number, other)
         for peer in full_peers:
@@ -420,7 +420,7 @@
                     self._disconnect(number, other)
                 for peer in list(member.peers):
                     member.disconnected(peer)
-                node.conns.clear()
+                node.connections.clear()
                 member.promote()
                 self.notices.append((self.now, number, "votes again"))
 
@@ -434,11 +434,11 @@
         stream = self.streams.get((number, link.peer))
         peer = f"c{link.peer}" if link.voter else f"~c{link.peer}"
         with self._library_environment(number):
-            if link.up and stream is not None and stream.conn == link.conn:
-                node.conns[link.peer] = link.conn
+            if link.up and stream is not None and stream.connection == link.connection:
+                node.connections[link.peer] = link.connection
                 member.connected(peer, link.voter)
-            elif not link.up and node.conns.get(link.peer) == link.conn:
-                del node.conns[link.peer]
+            elif not link.up and node.connections.get(link.peer) == link.connection:
+                del node.connections[link.peer]
                 member.disconnected(peer)
 
     def _connect(self, low: int, high: int) -> None:
@@ -452,7 +452,7 @@
             return
         if members[0] is None or members[1] is None or self.network.paused[low] or self.network.paused[high]:
             return
-        if high in self.nodes[low].conns or low in self.nodes[high].conns:
+        if high in self.nodes[low].connections or low in self.nodes[high].connections:
             return  # one end has not noticed yet that the previous connection is closed
         are_voters = [member.voter for member in members]
         if (
@@ -467,10 +467,10 @@
         ]
         if not all(delays):
             return
-        self._conn += 1
+        self._last_connection += 1
         for number, peer, voter in ((low, high, are_voters[1]), (high, low, are_voters[0])):
-            self.streams[number, peer] = _Stream(self._conn)
-            self.network.at(self.now, number, _Link(self._conn, True, peer, voter))
+            self.streams[number, peer] = _Stream(self._last_connection)
+            self.network.at(self.now, number, _Link(self._last_connection, True, peer, voter))
 
     def _push(self, source: int, target: int) -> None:
         stream = self.streams.get((source, target))
@@ -486,11 +486,11 @@
                     self._disconnect(source, target)
                 else:
                     stream.retry_scheduled = True
-                    self.network.at(now + RETRY_MS, source, _Event("again", stream.conn, target))
+                    self.network.at(now + RETRY_MS, source, _Event("again", stream.connection, target))
                 return
             stream.stuck_since = None
             stream.last_delivery = max(stream.last_delivery, now + delays[0])
-            self.network.at(stream.last_delivery, target, _Frame(stream.conn, source, stream.segments.popleft()))
+            self.network.at(stream.last_delivery, target, _Frame(stream.connection, source, stream.segments.popleft()))
 
     def _disconnect(self, first: int, second: int) -> None:
         """Close a connection; each end notices it at its own time."""
@@ -503,5 +503,5 @@
             if member is not None:
                 voter = f"c{peer}" in member.peers
                 self.network.at(
-                    self.now + self.random.uniform(0.0, RETRY_MS), number, _Link(stream.conn, False, peer, voter)
+                    self.now + self.random.uniform(0.0, RETRY_MS), number, _Link(stream.connection, False, peer, voter)
                 )
--- a/frostspindle/lab/rows.py
+++ b/frostspindle/lab/rows.py
@@ -82,5 +82,5 @@
         self.running -= 1
         if ticket in self.results:
             self.results[ticket] = b""
-            if line := self.waiting.pop(ticket, None):
-                self._respond(line, ticket)
+            if connection := self.waiting.pop(ticket, None):
+                self._respond(connection, ticket)
--- a/frostspindle/lab/scatter.py
+++ b/frostspindle/lab/scatter.py
@@ -380,7 +380,7 @@
     """Return a script with faults of all kinds, drawn from the seed."""
     rng = random.Random(seed)
     latest = seconds - 4.0
-    parts = [
+    statements = [
         f"0- loss {rng.choice([0.0, 0.05, 0.2, 0.3])}",
         f"0- dup {rng.choice([0.0, 0.1])}",
         f"0- reorder {rng.choice([0.0, 0.2])}",
@@ -388,17 +388,17 @@
     if count > 1:
         side = rng.randrange(1, count)
         first = rng.uniform(4.0, latest)
-        parts.append(f"{first:.1f}-{first + rng.uniform(1.0, 10.0):.1f} cut 0-{side - 1}|{side}-{count - 1}")
+        statements.append(f"{first:.1f}-{first + rng.uniform(1.0, 10.0):.1f} cut 0-{side - 1}|{side}-{count - 1}")
     for _ in range(rng.randrange(1, 4)):
-        node, at = rng.randrange(count), rng.uniform(3.0, latest)
+        node, begin = rng.randrange(count), rng.uniform(3.0, latest)
         if rng.random() < 0.5:
-            parts += [f"{at:.1f} kill {node}", f"{at + rng.uniform(0.05, 4.0):.2f} start {node}"]
+            statements += [f"{begin:.1f} kill {node}", f"{begin + rng.uniform(0.05, 4.0):.2f} start {node}"]
         else:
-            parts += [f"{at:.1f} stop {node}", f"{at + rng.uniform(0.5, 8.0):.1f} cont {node}"]
+            statements += [f"{begin:.1f} stop {node}", f"{begin + rng.uniform(0.5, 8.0):.1f} cont {node}"]
     for node in range(count):
         if rng.random() < 0.4:
-            parts.append(f"clock {node} {rng.choice([0.95, 1.05])}")
-    return "; ".join(parts)
+            statements.append(f"clock {node} {rng.choice([0.95, 1.05])}")
+    return "; ".join(statements)
 
 
 def play(count: int, seed: int, faults: str, seconds: float, **options: Any) -> Emulator:
--- a/frostspindle/lab/settings.py
+++ b/frostspindle/lab/settings.py
@@ -55,11 +55,9 @@
     proposed: int = 0
     persisting: bool = False
     publishing: str = ""
-    current_period: tuple[int, float] = (
-        0,
-        0.0,
-    )  # the only version acted on (0: none or several), and since when (true time)
-    ticking: int = -1  # the incarnation whose ticks run
+    # The only version acted on (0: none or several), and the true time at which that began.
+    current_period: tuple[int, float] = (0, 0.0)
+    ticking_incarnation: int = -1  # the incarnation whose ticks run
 
 
 class Emulator:
@@ -107,8 +105,8 @@
         self.counted: Counter[str] = Counter()
         for n in range(count):
             self._start(n)
-        for at in (REPLICATION_MS, ELECTION_MS):
-            self.network.at(at, 0, "world")
+        for time_ms in (REPLICATION_MS, ELECTION_MS):
+            self.network.at(time_ms, 0, "world")
         self.network.at(1_500.0, 0, "push")
 
     # Clocks.
@@ -508,7 +506,12 @@
         and len(activations := world.activation_times.get(number, [])) >= world.count
         and (all_at := max(activations[: world.count])) > world.pushed[version.author]
     )
-    blind = sorted([*world.blind, *(world.network.now - since for since in world.blind_since if since < math.inf)])
+    blind = sorted(
+        [
+            *world.blind,
+            *(world.network.now - blind_since for blind_since in world.blind_since if blind_since < math.inf),
+        ]
+    )
     return {
         "nodes": world.count,
         "seconds": world.seconds,
