--- a/frostspindle/lab/faults/spread.py
+++ b/frostspindle/lab/faults/spread.py
@@ -475,15 +475,24 @@
         subscriber received.
         """
         received = {
-            (maker, epoch, number): event for each in self.subscribers for maker, epoch, number, event in each.events
+            (publisher, epoch, number): event
+            for subscriber in self.subscribers
+            for publisher, epoch, number, event in subscriber.events
         }
-        for each in self.subscribers[:-1]:
-            each.known.update((key, matches(each.filter, received[key])) for key in received.keys() - each.known.keys())
-        published = [(maker, epoch, number) for maker, epoch, count in self.published for number in range(1, count + 1)]
+        for subscriber in self.subscribers[:-1]:
+            subscriber.known.update(
+                (key, matches(subscriber.filter, received[key])) for key in received.keys() - subscriber.known.keys()
+            )
+        published = [
+            (publisher, epoch, number) for publisher, epoch, count in self.published for number in range(1, count + 1)
+        ]
         return [
             *(
-                (each, *each.find_missing(key for key, is_match in each.known.items() if is_match))
-                for each in self.subscribers[:-1]
+                (
+                    subscriber,
+                    *subscriber.find_missing(key for key, is_match in subscriber.known.items() if is_match),
+                )
+                for subscriber in self.subscribers[:-1]
             ),
             (self.subscribers[-1], *self.subscribers[-1].find_missing({*published, *received})),
         ]
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -17,12 +17,12 @@
     cooldown: int = 0  # lender: until it may use the right itself
     held: int = 0  # borrower: until its loan ends
     borrower_cooldown: int = 0  # borrower: until it may use the right again
-    since: int = WINDOW  # ticks since the last use, at most WINDOW
+    ticks_since_use: int = WINDOW  # ticks since the last use, at most WINDOW
     overused: bool = False  # the right was used twice in a window
     down: bool = False  # the borrower has crashed and does not restart
 
     def used(self, **changes):
-        return replace(self, since=0, overused=self.overused or self.since < WINDOW, **changes)
+        return replace(self, ticks_since_use=0, overused=self.overused or self.ticks_since_use < WINDOW, **changes)
 
 
 def steps(cooldown):
@@ -31,7 +31,11 @@
         ended = state.lent == 1
         yield (
             "tick",
-            replace(state, **timers | ({"cooldown": cooldown} if ended else {}), since=min(WINDOW, state.since + 1)),
+            replace(
+                state,
+                **timers | ({"cooldown": cooldown} if ended else {}),
+                ticks_since_use=min(WINDOW, state.ticks_since_use + 1),
+            ),
         )
         if not state.lent and not state.cooldown:
             yield "use lender", state.used(cooldown=WINDOW)
--- a/tests/test_ownership_lab.py
+++ b/tests/test_ownership_lab.py
@@ -15,15 +15,15 @@
 from frostspindle.telemetry import MAX_LINES_PER_S, Telemetry
 
 
-def took(at, token, holder, task="x"):
-    return {"event": "owner_took", "task": task, "token": token, "holder": holder, "at": at}
+def took(time_ms, token, holder, task="x"):
+    return {"event": "owner_took", "task": task, "token": token, "holder": holder, "at": time_ms}
 
 
-def lost(at, token, holder, task="x"):
-    return {"event": "owner_lost", "task": task, "token": token, "holder": holder, "at": at}
+def lost(time_ms, token, holder, task="x"):
+    return {"event": "owner_lost", "task": task, "token": token, "holder": holder, "at": time_ms}
 
 
-def acted(seq, at, token, holder, accepted=True, receiver="s"):
+def acted(seq, time_ms, token, holder, accepted=True, receiver="s"):
     return {
         "event": "sink_acted",
         "receiver": receiver,
@@ -33,11 +33,11 @@
         "holder": holder,
         "action": "mark",
         "accepted": accepted,
-        "at": at,
+        "at": time_ms,
     }
 
 
-def dropped():
+def dropped_lines_report():
     """The program's log line that reports dropped lines."""
     sink = io.BytesIO()
     telemetry = Telemetry("a", sink=sink)
@@ -82,7 +82,7 @@
             [*GOOD, {"event": "counters_reported", "counters": [{"what": "log_failed", "count": 4}]}],
             "lines are missing",
         ),
-        ([*GOOD, dropped()], "lines are missing"),
+        ([*GOOD, dropped_lines_report()], "lines are missing"),
         (GOOD[:1], "nothing is shown"),
     ),
 )
@@ -129,12 +129,14 @@
     lab = Lab(5, 4, "", tasks=10, lease_ms=1_000, voters=5).run(3.0)
     (leader,) = lab.replicas.leaders()
     holders = {row.holder for row in lab.coordinators[leader].table.rows.values()}
-    other = next(n for n in range(5) if n != leader and f"c{n}" in holders)
-    side, rest = f"{leader},{other}", ",".join(str(n) for n in range(5) if n not in (leader, other))
-    lab = play(5, 4, f"3-6 cut {side}|{rest}", 9.0, tasks=10, lease_ms=1_000, voters=5)
+    holder = next(n for n in range(5) if n != leader and f"c{n}" in holders)
+    minority, majority = f"{leader},{holder}", ",".join(str(n) for n in range(5) if n not in (leader, holder))
+    lab = play(5, 4, f"3-6 cut {minority}|{majority}", 9.0, tasks=10, lease_ms=1_000, voters=5)
     assert lab.checked(100).good
-    cut = [line for line in lab.sink.lines if 5_500.0 < line["at"] < 6_000.0 and line["accepted"]]
-    assert cut and {line["holder"] for line in cut} <= {f"c{n}" for n in range(5) if n not in (leader, other)}
+    accepted_during_cut = [line for line in lab.sink.lines if 5_500.0 < line["at"] < 6_000.0 and line["accepted"]]
+    assert accepted_during_cut and {line["holder"] for line in accepted_during_cut} <= {
+        f"c{n}" for n in range(5) if n not in (leader, holder)
+    }
 
 
 def test_holder_clock_jumps_forward_and_back():
